--- a/bench/fleet_int.h
+++ b/bench/fleet_int.h
@@ -15,7 +15,7 @@
 };
 
 typedef struct {
-    char job[TW_WIRE_ID];
+    char job[TW_WIRE_ID_SIZE];
     int index;
     uint64_t attempt;
     int done;
--- a/bench/records.c
+++ b/bench/records.c
@@ -51,27 +51,27 @@
 /* ---- records ---- */
 
 static tw_wire_job job_of(int job, int pieces, double cores) {
-    tw_wire_job spec = {.rank = TW_RANK_NORMAL,
-                        .pieces = pieces,
+    tw_wire_job spec = {.priority = TW_PRIORITY_NORMAL,
+                        .task_count = pieces,
                         .cores = cores,
                         .memory_gb = 1,
                         .image_gb = IMAGE_GB,
-                        .nracks = -1,
-                        .expect_s = LONG_RUN_S,
-                        .due_s = -1};
+                        .machine_type_count = -1,
+                        .expected_run_s = LONG_RUN_S,
+                        .deadline_s = -1};
     tw_bench_job_id(spec.id, sizeof spec.id, job);
-    snprintf(spec.lane, sizeof spec.lane, "batch");
-    snprintf(spec.crew, sizeof spec.crew, "team-%d", job % 4);
-    snprintf(spec.bundle, sizeof spec.bundle, "image-%02d", job % 8);
+    snprintf(spec.job_class, sizeof spec.job_class, "batch");
+    snprintf(spec.team, sizeof spec.team, "team-%d", job % 4);
+    snprintf(spec.image, sizeof spec.image, "image-%02d", job % 8);
     return spec;
 }
 
 static char *finished_record(void) {
-    tw_wire_record record = {.stage = TW_STAGE_DONE,
-                             .pieces = TW_BENCH_TASKS_PER_JOB,
-                             .ndone = TW_BENCH_TASKS_PER_JOB,
-                             .submitted = SUBMITTED_AT,
-                             .next_try = 2};
+    tw_wire_record record = {.state = TW_JOB_DONE,
+                             .task_count = TW_BENCH_TASKS_PER_JOB,
+                             .done_count = TW_BENCH_TASKS_PER_JOB,
+                             .submitted_at = SUBMITTED_AT,
+                             .next_attempt = 2};
     return tw_wire_record_text(&record);
 }
 
@@ -79,19 +79,19 @@
     const int first = (job - load->finished) * tasks_per_job(load);
     int pieces = running_tasks(load) - first;
     if (pieces > tasks_per_job(load)) pieces = tasks_per_job(load);
-    tw_wire_live *live = tw_bench_alloc((size_t)pieces * sizeof *live);
+    tw_wire_assignment *live = tw_bench_alloc((size_t)pieces * sizeof *live);
     for (int i = 0; i < pieces; i++) {
         live[i].index = i;
         live[i].attempt = 1;
-        tw_bench_machine_name(live[i].tray, sizeof live[i].tray, (first + i) % load->machines);
+        tw_bench_machine_name(live[i].worker, sizeof live[i].worker, (first + i) % load->machines);
     }
     tw_wire_record record = {.has_job = 1,
                              .job = job_of(job, pieces, 1),
-                             .pieces = pieces,
-                             .submitted = SUBMITTED_AT,
-                             .next_try = 2,
-                             .nlive = pieces,
-                             .live = live};
+                             .task_count = pieces,
+                             .submitted_at = SUBMITTED_AT,
+                             .next_attempt = 2,
+                             .assignment_count = pieces,
+                             .assignments = live};
     char *text = tw_wire_record_text(&record);
     free(live);
     return text;
@@ -101,9 +101,9 @@
     const double cores = TW_BENCH_MACHINE_CORES - job % WAITING_SHAPES;
     tw_wire_record record = {.has_job = 1,
                              .job = job_of(job, 1, cores),
-                             .pieces = 1,
-                             .submitted = SUBMITTED_AT,
-                             .next_try = 1};
+                             .task_count = 1,
+                             .submitted_at = SUBMITTED_AT,
+                             .next_attempt = 1};
     return tw_wire_record_text(&record);
 }
 
@@ -129,7 +129,7 @@
     if (most > MOST_RECORDS) most = MOST_RECORDS;
     fputs("{\"entries\":[", page);
     for (*records = 0; *records < most && job < tw_bench_jobs_kept(load); job++) {
-        char id[TW_WIRE_ID];
+        char id[TW_WIRE_ID_SIZE];
         char *record = record_of(load, job);
         tw_bench_job_id(id, sizeof id, job);
         fprintf(page, "%s{\"k\":\"job/%s\",\"data\":%s,\"stamp\":%d}", *records ? "," : "", id,
@@ -156,7 +156,7 @@
         "\"pieces\":1,\"cores\":1.0,\"gpus\":0.0,\"memoryGb\":1.0,\"bundle\":\"%s\","
         "\"imageGb\":%g,\"racks\":null,\"yard\":null,\"samePlace\":false,\"apart\":false,"
         "\"loaner\":false,\"expectS\":%d.0,\"snapshotS\":0.0,\"flushS\":0.0,\"dueS\":null}",
-        spec.id, spec.lane, spec.crew, spec.bundle, IMAGE_GB, LONG_RUN_S);
+        spec.id, spec.job_class, spec.team, spec.image, IMAGE_GB, LONG_RUN_S);
     fclose(body);
     return text;
 }
--- a/bench/services.c
+++ b/bench/services.c
@@ -101,7 +101,7 @@
     if (!out) abort();
     fputs("{\"trays\":[", out);
     for (int first = machine; machine < end; machine++) {
-        char name[TW_WIRE_NAME];
+        char name[TW_WIRE_NAME_SIZE];
         tw_bench_machine_name(name, sizeof name, machine);
         fprintf(out,
                 "%s{\"id\":\"%s\",\"endpoint\":\"%s:9000\",\"rack\":\"c96\",\"yard\":\"%c\","
@@ -129,12 +129,14 @@
 /* ---- other nodes and workers ---- */
 
 char *tw_bench_peer_text(const tw_bench_fleet *fleet, const char *name) {
-    tw_wire_ping ping = {
-        .token = fleet->token, .state_ok = 1, .up_s = fleet->now, .deputy_s = fleet->now};
+    tw_wire_peer_heartbeat ping = {.highest_token = fleet->token,
+                                   .store_reachable = 1,
+                                   .uptime_s = fleet->now,
+                                   .since_delegate_answer_s = fleet->now};
     snprintf(ping.name, sizeof ping.name, "%s", name);
-    ping.leading = fleet->load.follower && !strcmp(name, "tray-1");
-    if (ping.leading) snprintf(ping.leader, sizeof ping.leader, "%s", name);
-    return tw_wire_ping_text(&ping, NULL, 0);
+    ping.is_leader = fleet->load.follower && !strcmp(name, "tray-1");
+    if (ping.is_leader) snprintf(ping.leader, sizeof ping.leader, "%s", name);
+    return tw_wire_peer_heartbeat_text(&ping, NULL, 0);
 }
 
 static const char *peer_at(const tw_bench_fleet *fleet, const char *address) {
@@ -147,7 +149,7 @@
     if (!strcmp(call->path, "/peer/ping"))
         answer_with(answer, TW_BENCH_OK, tw_bench_peer_text(fleet, peer_at(fleet, call->addr)));
     else if (!strcmp(call->path, "/peer/hello"))
-        answer_with(answer, TW_BENCH_OK, tw_wire_orders_text(fleet->token, 0, NULL, 0));
+        answer_with(answer, TW_BENCH_OK, tw_wire_commands_text(fleet->token, 0, NULL, 0));
     else
         answer_with(answer, TW_BENCH_UNAVAILABLE, copy_of("{}"));
 }
--- a/bench/workers.c
+++ b/bench/workers.c
@@ -34,7 +34,7 @@
 
 char *tw_bench_worker_report(tw_bench_fleet *fleet, int machine) {
     tw_bench_worker *w = &fleet->workers[machine];
-    char name[TW_WIRE_NAME];
+    char name[TW_WIRE_NAME_SIZE];
     char *text = NULL;
     size_t size = 0;
     FILE *out = open_memstream(&text, &size);
--- a/sim/cloud.c
+++ b/sim/cloud.c
@@ -20,7 +20,7 @@
     w->workers[w->nworkers++] = x;
     snprintf(x->id, sizeof x->id, "n-%06d", w->nworkers);
     snprintf(x->endpoint, sizeof x->endpoint, "10.1.0.%d:9000", w->nworkers);
-    snprintf(x->type, sizeof x->type, "%s", w->types[type].label);
+    snprintf(x->type, sizeof x->type, "%s", w->types[type].name);
     snprintf(x->zone, sizeof x->zone, "%s", zone);
     x->type_index = type;
     x->spot = spot;
@@ -32,20 +32,20 @@
     return x;
 }
 
-static cJSON *type_json(const tw_wire_flavor *f) {
+static cJSON *type_json(const tw_wire_machine_type *f) {
     cJSON *o = cJSON_CreateObject();
-    cJSON_AddStringToObject(o, "label", f->label);
+    cJSON_AddStringToObject(o, "label", f->name);
     cJSON_AddNumberToObject(o, "cores", f->cores);
     cJSON_AddNumberToObject(o, "gpus", f->gpus);
     cJSON_AddNumberToObject(o, "memoryGb", f->memory_gb);
     cJSON_AddNumberToObject(o, "cacheGb", f->cache_gb);
     cJSON_AddNumberToObject(o, "fetchGbPerS", f->fetch_gb_s);
-    cJSON_AddNumberToObject(o, "hourly", f->hourly);
-    cJSON_AddNumberToObject(o, "lowPrice", f->low_price);
+    cJSON_AddNumberToObject(o, "hourly", f->on_demand_price);
+    cJSON_AddNumberToObject(o, "lowPrice", f->spot_price);
     cJSON_AddNumberToObject(o, "startupS", f->startup_s);
     cJSON *zones = cJSON_AddArrayToObject(o, "yards");
-    for (int i = 0; i < f->nyards; i++)
-        cJSON_AddItemToArray(zones, cJSON_CreateString(f->yards[i]));
+    for (int i = 0; i < f->zone_count; i++)
+        cJSON_AddItemToArray(zones, cJSON_CreateString(f->zones[i]));
     return o;
 }
 
@@ -64,7 +64,7 @@
 /* Rents up to n machines; the answer, or NULL if there is no capacity. */
 static char *rent_some(tw_sim_world *w, const cJSON *request) {
     int type = 0, n = (int)tw_sim_json_number(request, "number"), have = 0;
-    while (type < w->ntypes && strcmp(w->types[type].label, tw_sim_json_text(request, "rack")) != 0)
+    while (type < w->ntypes && strcmp(w->types[type].name, tw_sim_json_text(request, "rack")) != 0)
         type++;
     for (int i = 0; i < w->nworkers; i++)
         have += !w->workers[i]->gone && w->workers[i]->type_index == type;
@@ -104,10 +104,10 @@
 }
 
 static int release(tw_sim_world *w, const char *body, char **out) {
-    char(*names)[TW_WIRE_NAME];
+    char(*names)[TW_WIRE_NAME_SIZE];
     int n;
     *out = tw_sim_text("{}");
-    if (tw_wire_names_parse(&names, &n, body, strlen(body))) return TW_SIM_MALFORMED;
+    if (tw_wire_machine_names_parse(&names, &n, body, strlen(body))) return TW_SIM_MALFORMED;
     for (int i = 0; i < n; i++) {
         tw_sim_worker *x = tw_sim_worker_by_id(w, names[i]);
         if (x) x->gone = 1;
--- a/sim/command.c
+++ b/sim/command.c
@@ -14,7 +14,7 @@
     static const char *const ranks[] = {"idle", "normal", "high", "prod"};
     for (int i = 0; i < 4; i++)
         if (!strcmp(name, ranks[i])) return i;
-    return TW_RANK_NORMAL;
+    return TW_PRIORITY_NORMAL;
 }
 
 static int job_index(tw_sim *sim, const char *id) {
@@ -25,32 +25,32 @@
 
 static void job_spec(tw_wire_job *s, const tw_sim_words *w) {
     char text[TW_SIM_NAME];
-    text_option(w, "lane", s->lane, sizeof s->lane, "lane");
-    text_option(w, "crew", s->crew, sizeof s->crew, "crew");
-    text_option(w, "bundle", s->bundle, sizeof s->bundle, "img-1");
-    text_option(w, "yard", s->yard, sizeof s->yard, "");
+    text_option(w, "lane", s->job_class, sizeof s->job_class, "lane");
+    text_option(w, "crew", s->team, sizeof s->team, "crew");
+    text_option(w, "bundle", s->image, sizeof s->image, "img-1");
+    text_option(w, "yard", s->zone, sizeof s->zone, "");
     text_option(w, "shape", text, sizeof text, "batch");
     s->service = !strcmp(text, "service");
     s->gang = !strcmp(text, "group");
     text_option(w, "rank", text, sizeof text, "normal");
-    s->rank = rank_of(text);
-    s->pieces = (int)tw_sim_option_number(w, "pieces", 1);
+    s->priority = rank_of(text);
+    s->task_count = (int)tw_sim_option_number(w, "pieces", 1);
     s->cores = tw_sim_option_number(w, "cores", 2);
     s->gpus = tw_sim_option_number(w, "gpus", 0);
     s->memory_gb = tw_sim_option_number(w, "mem", 4);
     s->image_gb = tw_sim_option_number(w, "image", 1);
-    s->same_place = (int)tw_sim_option_number(w, "same", 0);
-    s->apart = (int)tw_sim_option_number(w, "apart", 0);
-    s->loaner = (int)tw_sim_option_number(w, "loaner", 0);
-    s->expect_s = s->service ? 0 : tw_sim_option_number(w, "expect", 10);
-    s->snapshot_s = tw_sim_option_number(w, "snapshot", 0);
-    s->flush_s = tw_sim_option_number(w, "flush", 0);
-    s->due_s = tw_sim_option_number(w, "due", -1);
+    s->single_zone = (int)tw_sim_option_number(w, "same", 0);
+    s->spread = (int)tw_sim_option_number(w, "apart", 0);
+    s->spot = (int)tw_sim_option_number(w, "loaner", 0);
+    s->expected_run_s = s->service ? 0 : tw_sim_option_number(w, "expect", 10);
+    s->checkpoint_s = tw_sim_option_number(w, "snapshot", 0);
+    s->save_s = tw_sim_option_number(w, "flush", 0);
+    s->deadline_s = tw_sim_option_number(w, "due", -1);
     const char *type = tw_sim_option(w, "rack");
     if (!type) return;
-    s->racks = tw_sim_zeroed(TW_WIRE_NAME);
-    snprintf(s->racks[0], TW_WIRE_NAME, "%s", type);
-    s->nracks = 1;
+    s->machine_types = tw_sim_zeroed(TW_WIRE_NAME_SIZE);
+    snprintf(s->machine_types[0], TW_WIRE_NAME_SIZE, "%s", type);
+    s->machine_type_count = 1;
 }
 
 static int submitted_job(tw_sim *sim, const char *id, const tw_sim_words *w) {
@@ -58,10 +58,10 @@
     tw_sim_job *job = sim->world.jobs[index];
     if (job->submitted) return index;
     job_spec(&job->spec, w);
-    job->run_s = tw_sim_option_number(w, "run", job->spec.expect_s);
+    job->run_s = tw_sim_option_number(w, "run", job->spec.expected_run_s);
     job->fails = (int)tw_sim_option_number(w, "fails", 0);
     job->submitted = 1;
-    job->done = tw_sim_zeroed((size_t)(job->spec.pieces > 0 ? job->spec.pieces : 1));
+    job->done = tw_sim_zeroed((size_t)(job->spec.task_count > 0 ? job->spec.task_count : 1));
     job->first_try = sim->world.now;
     return index;
 }
@@ -83,7 +83,7 @@
     const char *first = w->word[1];
     int from = strlen(first) > 4 ? tw_sim_int(first + 4) : 0, n = tw_sim_int(w->word[2]);
     for (int k = 0; k < n; k++) {
-        char id[TW_WIRE_ID];
+        char id[TW_WIRE_ID_SIZE];
         snprintf(id, sizeof id, "run-%06d", from + k);
         if (cancels)
             tw_sim_user_cancel(sim, job_index(sim, id));
--- a/sim/expect.c
+++ b/sim/expect.c
@@ -16,8 +16,8 @@
     return value >= tw_sim_number(least) && (!*most || value <= tw_sim_number(most));
 }
 
-static int is_done(expectation *x) { return x->job && x->job->told_over == TW_STAGE_DONE; }
-static int is_cancelled(expectation *x) { return x->job && x->job->told_over == TW_STAGE_ABORTED; }
+static int is_done(expectation *x) { return x->job && x->job->told_over == TW_JOB_DONE; }
+static int is_cancelled(expectation *x) { return x->job && x->job->told_over == TW_JOB_CANCELLED; }
 static int is_accepted(expectation *x) { return x->job && x->job->accepted; }
 
 static int is_refused(expectation *x) {
@@ -43,7 +43,7 @@
 
 /* Tasks of a gang that wait for the others. */
 static int waiting(expectation *x) {
-    return in_range(x, tw_sim_job_in(&x->sim->world, x->arg[0], TW_PIECE_WAITING), x->arg[1],
+    return in_range(x, tw_sim_job_in(&x->sim->world, x->arg[0], TW_TASK_WAITING), x->arg[1],
                     x->arg[2]);
 }
 
--- a/sim/gang.c
+++ b/sim/gang.c
@@ -49,7 +49,7 @@
 }
 
 static int is_member(const tw_sim_task *t) {
-    return t->stage == TW_PIECE_RUNNING || t->stage == TW_PIECE_FLUSHING;
+    return t->stage == TW_TASK_RUNNING || t->stage == TW_TASK_SAVING;
 }
 
 static int executes(const tw_sim_world *w, const tw_sim_worker *x) {
@@ -64,7 +64,7 @@
 
 /* The job's progress up to now, with the checkpoints that it has passed. */
 static void advance(tw_sim_world *w, tw_sim_job *job, tw_sim_gang *gang) {
-    double interval_s = job->spec.snapshot_s;
+    double interval_s = job->spec.checkpoint_s;
     if (gang->state != TW_SIM_GANG_RUNNING) return;
     gang->progress_s += (w->now - gang->advanced_at) / gang->slow;
     gang->advanced_at = w->now;
@@ -72,7 +72,7 @@
         save(job, floor((fmin(gang->progress_s, job->run_s) + EPSILON) / interval_s) * interval_s);
     if (gang->progress_s + EPSILON < job->run_s || job->fails) return;
     gang->state = TW_SIM_GANG_DONE;
-    for (int i = 0; i < job->spec.pieces; i++) tw_sim_task_done(w, job, i);
+    for (int i = 0; i < job->spec.task_count; i++) tw_sim_task_done(w, job, i);
 }
 
 static void break_up(tw_sim_gang *gang) {
@@ -84,7 +84,7 @@
 
 static void member_starts(tw_sim_world *w, tw_sim_worker *x, tw_sim_task *t) {
     int fails = x->faulty || t->job->fails;
-    t->stage = TW_PIECE_RUNNING;
+    t->stage = TW_TASK_RUNNING;
     t->started_at = w->now;
     t->end_at = fails ? w->now + FAILS_AFTER_S : NEVER;
     if (!fails) t->job->started++;
@@ -101,19 +101,19 @@
         tw_sim_worker *x = w->workers[i];
         for (int k = 0; k < x->ntasks && executes(w, x); k++) {
             tw_sim_task *t = &x->tasks[k];
-            if (t->job == job && t->attempt == gang->attempt && t->stage == TW_PIECE_WAITING)
+            if (t->job == job && t->attempt == gang->attempt && t->stage == TW_TASK_WAITING)
                 member_starts(w, x, t);
         }
     }
 }
 
 void tw_sim_gang_image_there(tw_sim_world *w, tw_sim_worker *x, tw_sim_task *t) {
-    t->stage = TW_PIECE_WAITING;
+    t->stage = TW_TASK_WAITING;
     t->end_at = w->now + tw_sim_gang_wait_s(w);
     x->changed = 1;
     gang_of(t->job, t->attempt);
     tw_sim_judge_start(w, x, t);
-    if (t->job->ndone == t->job->spec.pieces) tw_sim_task_exit(x, t, TW_CAUSE_DONE);
+    if (t->job->ndone == t->job->spec.task_count) tw_sim_task_exit(x, t, TW_CAUSE_DONE);
 }
 
 /* ---- stop ---- */
@@ -127,7 +127,7 @@
 static void stop_running(tw_sim_world *w, tw_sim_worker *x, tw_sim_task *t, tw_sim_gang *gang,
                          double grace_s) {
     const tw_wire_job *spec = &t->job->spec;
-    int can_save = spec->snapshot_s > 0 && grace_s >= spec->flush_s;
+    int can_save = spec->checkpoint_s > 0 && grace_s >= spec->save_s;
     int in_time = gang->state == TW_SIM_GANG_RUNNING ||
                   (gang->state == TW_SIM_GANG_STOPPING && is_in_time(w, gang));
     if (!can_save || !in_time) {
@@ -137,8 +137,8 @@
     }
     if (gang->state == TW_SIM_GANG_RUNNING) gang->first_stop_at = w->now;
     gang->state = TW_SIM_GANG_STOPPING;
-    t->stage = TW_PIECE_FLUSHING;
-    t->end_at = w->now + spec->flush_s;
+    t->stage = TW_TASK_SAVING;
+    t->end_at = w->now + spec->save_s;
     x->changed = 1;
 }
 
@@ -149,7 +149,7 @@
         tw_sim_task_exit(x, t, TW_CAUSE_STOPPED);
     } else if (gang->state == TW_SIM_GANG_DONE) {
         tw_sim_task_exit(x, t, TW_CAUSE_DONE);
-    } else if (t->stage == TW_PIECE_RUNNING) {
+    } else if (t->stage == TW_TASK_RUNNING) {
         stop_running(w, x, t, gang, grace_s);
     } else if (grace_s <= 0) {
         tw_sim_task_exit(x, t, TW_CAUSE_STOPPED);
@@ -163,10 +163,10 @@
 static void count_task(tw_sim_world *w, const tw_sim_worker *x, const tw_sim_task *t) {
     tw_sim_gang *gang = find_gang(t->job, t->attempt);
     if (!gang) return;
-    gang->nwaiting += t->stage == TW_PIECE_WAITING && executes(w, x);
+    gang->nwaiting += t->stage == TW_TASK_WAITING && executes(w, x);
     gang->nmembers += is_member(t) && executes(w, x);
-    gang->nsaving += t->stage == TW_PIECE_FLUSHING && executes(w, x);
-    int awaited = gang->state == TW_SIM_GANG_GATHERING && t->stage == TW_PIECE_WAITING;
+    gang->nsaving += t->stage == TW_TASK_SAVING && executes(w, x);
+    int awaited = gang->state == TW_SIM_GANG_GATHERING && t->stage == TW_TASK_WAITING;
     if (awaited || is_member(t)) gang->slowest = fmax(gang->slowest, x->slow);
 }
 
@@ -185,7 +185,7 @@
 }
 
 static void gang_tick(tw_sim_world *w, tw_sim_job *job, tw_sim_gang *gang) {
-    int all = job->spec.pieces;
+    int all = job->spec.task_count;
     advance(w, job, gang);
     if (gang->slowest > 0) gang->slow = gang->slowest;
     if (gang->state == TW_SIM_GANG_GATHERING && gang->nwaiting >= all) {
@@ -206,16 +206,16 @@
 
 /* Its gang is broken: it saves nothing, and finds out that the others are gone. */
 static void broken_tick(tw_sim_world *w, tw_sim_worker *x, tw_sim_task *t, tw_sim_gang *gang) {
-    int told = t->stage == TW_PIECE_FLUSHING;
+    int told = t->stage == TW_TASK_SAVING;
     int late = gang->first_stop_at > 0 && !is_in_time(w, gang);
     if (t->peers_at <= 0)
         t->peers_at = w->now + tw_sim_draw(w, TW_SIM_DRAW_GANGS, 0, tw_sim_gang_peer_s(w));
     if (late || w->now >= t->peers_at)
-        tw_sim_task_exit(x, t, told && late ? TW_CAUSE_STOPPED : TW_CAUSE_PEERS);
+        tw_sim_task_exit(x, t, told && late ? TW_CAUSE_STOPPED : TW_CAUSE_GANG_BROKEN);
 }
 
 static void saving_tick(tw_sim_world *w, tw_sim_worker *x, tw_sim_task *t, tw_sim_gang *gang) {
-    int all_told = gang->state == TW_SIM_GANG_SAVED || gang->nsaving >= t->job->spec.pieces;
+    int all_told = gang->state == TW_SIM_GANG_SAVED || gang->nsaving >= t->job->spec.task_count;
     if (!all_told || w->now < t->end_at) return;
     gang->state = TW_SIM_GANG_SAVED;
     save(t->job, gang->progress_s);
@@ -225,18 +225,18 @@
 
 void tw_sim_gang_task_tick(tw_sim_world *w, tw_sim_worker *x, tw_sim_task *t) {
     tw_sim_gang *gang = gang_of(t->job, t->attempt);
-    if (t->stage == TW_PIECE_WAITING) {
-        if (w->now >= t->end_at) tw_sim_task_exit(x, t, TW_CAUSE_ALONE);
+    if (t->stage == TW_TASK_WAITING) {
+        if (w->now >= t->end_at) tw_sim_task_exit(x, t, TW_CAUSE_GANG_INCOMPLETE);
     } else if (!is_member(t)) {
         return;
-    } else if (t->stage == TW_PIECE_RUNNING && w->now >= t->end_at) {
+    } else if (t->stage == TW_TASK_RUNNING && w->now >= t->end_at) {
         tw_sim_task_exit(x, t, TW_CAUSE_ERROR);
         break_up(gang);
     } else if (gang->state == TW_SIM_GANG_DONE) {
         tw_sim_task_exit(x, t, TW_CAUSE_DONE);
     } else if (gang->state == TW_SIM_GANG_BROKEN) {
         broken_tick(w, x, t, gang);
-    } else if (t->stage == TW_PIECE_FLUSHING) {
+    } else if (t->stage == TW_TASK_SAVING) {
         saving_tick(w, x, t, gang);
     }
 }
--- a/sim/judge.c
+++ b/sim/judge.c
@@ -26,13 +26,13 @@
 
 static usage usage_now(tw_sim_world *w, const tw_sim_worker *x, const tw_sim_task *t) {
     usage u = {0};
-    const char *team = t->job->spec.crew;
+    const char *team = t->job->spec.team;
     for (int i = 0; i < w->nworkers; i++) {
         const tw_sim_worker *y = w->workers[i];
         for (int k = 0; k < y->ntasks && !y->gone; k++) {
             const tw_sim_task *other = &y->tasks[k];
             if (!tw_sim_task_active(other)) continue;
-            if (other->job == t->job || !strcmp(other->job->spec.crew, team)) {
+            if (other->job == t->job || !strcmp(other->job->spec.team, team)) {
                 u.cpus += other->job->spec.cores;
                 u.gpus += other->job->spec.gpus;
             }
@@ -52,13 +52,14 @@
 static void judge_place(tw_sim_world *w, const tw_sim_worker *x, const tw_sim_task *t,
                         const usage *u) {
     const tw_wire_job *spec = &t->job->spec;
-    int allowed = spec->nracks < 0;
-    for (int i = 0; i < spec->nracks; i++) allowed |= !strcmp(spec->racks[i], x->type);
-    if (!allowed || (x->spot && !spec->loaner) || (*spec->yard && strcmp(spec->yard, x->zone) != 0))
+    int allowed = spec->machine_type_count < 0;
+    for (int i = 0; i < spec->machine_type_count; i++)
+        allowed |= !strcmp(spec->machine_types[i], x->type);
+    if (!allowed || (x->spot && !spec->spot) || (*spec->zone && strcmp(spec->zone, x->zone) != 0))
         tw_sim_break(w, "wrong_place", "%s/%d on %s", t->job_id, t->index, x->id);
-    if (spec->apart && u->here > (spec->pieces + 1) / 2)
+    if (spec->spread && u->here > (spec->task_count + 1) / 2)
         tw_sim_break(w, "wrong_place", "%d of %s in %s", u->here, t->job_id, x->zone);
-    if (spec->same_place && u->elsewhere)
+    if (spec->single_zone && u->elsewhere)
         tw_sim_break(w, "wrong_place", "%s in two zones", t->job_id);
 }
 
@@ -81,7 +82,7 @@
     judge_place(w, x, t, &u);
     if (is_past_cancel(w, t->job))
         tw_sim_break(w, "ran_cancelled", "%s/%d starts", t->job_id, t->index);
-    judge_quota(w, t->job->spec.crew, &u);
+    judge_quota(w, t->job->spec.team, &u);
 }
 
 void tw_sim_judge_now(tw_sim_world *w) {
@@ -122,21 +123,21 @@
 }
 
 static void judge_end(tw_sim_world *w, tw_sim_job *job, int stage) {
-    if (stage == TW_STAGE_ABORTED && job->cancel_asked_at <= 0)
+    if (stage == TW_JOB_CANCELLED && job->cancel_asked_at <= 0)
         tw_sim_break(w, "went_back", "%s is called aborted, nobody asked", job->spec.id);
-    for (int i = 0; stage == TW_STAGE_DONE && i < job->spec.pieces; i++)
+    for (int i = 0; stage == TW_JOB_DONE && i < job->spec.task_count; i++)
         if (!job->done[i]) tw_sim_break(w, "not_done", "%s/%d", job->spec.id, i);
     if (!job->told_over) job->told_over_at = w->now;
     job->told_over = stage;
-    if (stage == TW_STAGE_ABORTED && job->told_cancel_at <= 0) job->told_cancel_at = w->now;
+    if (stage == TW_JOB_CANCELLED && job->told_cancel_at <= 0) job->told_cancel_at = w->now;
 }
 
 /* A job is done when all of its tasks are, whoever says so and however long it has been. */
 static void judge_count(tw_sim_world *w, const tw_sim_job *job, const cJSON *answer) {
     const cJSON *done = cJSON_GetObjectItemCaseSensitive(answer, "done");
-    if (cJSON_IsNumber(done) && done->valueint != job->spec.pieces)
+    if (cJSON_IsNumber(done) && done->valueint != job->spec.task_count)
         tw_sim_break(w, "went_back", "%s is called done with %d tasks of %d", job->spec.id,
-                     done->valueint, job->spec.pieces);
+                     done->valueint, job->spec.task_count);
 }
 
 void tw_sim_judge_told(tw_sim_world *w, tw_sim_job *job, const char *id, int kind, double sent,
@@ -152,14 +153,14 @@
     job->answered_at = w->now;
     if (!job->accepted) job->accepted_at = w->now;
     job->accepted = 1;
-    int stage = !strcmp(said, "done")      ? TW_STAGE_DONE
-                : !strcmp(said, "aborted") ? TW_STAGE_ABORTED
+    int stage = !strcmp(said, "done")      ? TW_JOB_DONE
+                : !strcmp(said, "aborted") ? TW_JOB_CANCELLED
                                            : 0;
     /* Two ends of one job contradict each other in whatever order they are told. */
     int other_end = stage && job->told_over && stage != job->told_over;
     if (other_end || (!stage && job->told_over && is_older(w, sent, job->told_over_at)))
         tw_sim_break(w, "went_back", "%s is called %s", id, said);
     if (stage) judge_end(w, job, stage);
-    if (stage == TW_STAGE_DONE) judge_count(w, job, o);
+    if (stage == TW_JOB_DONE) judge_count(w, job, o);
     cJSON_Delete(o);
 }
--- a/sim/judge_live.c
+++ b/sim/judge_live.c
@@ -28,10 +28,10 @@
     double cpus, gpus, memory;
 } room;
 
-static int is_on_machine(const tw_sim_task *t) { return t->job && t->stage != TW_PIECE_EXITED; }
+static int is_on_machine(const tw_sim_task *t) { return t->job && t->stage != TW_TASK_EXITED; }
 
 static int has_begun(const tw_sim_task *t) {
-    return t->stage != TW_PIECE_PULLING && t->stage != TW_PIECE_WAITING;
+    return t->stage != TW_TASK_FETCHING && t->stage != TW_TASK_WAITING;
 }
 
 /* What each machine can still take (less than nothing: no task may start there). Counts each job's
@@ -41,7 +41,7 @@
     for (int i = 0; i < w->njobs; i++) w->jobs[i]->on_machine = w->jobs[i]->unstarted = 0;
     for (int i = 0; i < w->nworkers; i++) {
         const tw_sim_worker *x = w->workers[i];
-        const tw_wire_flavor *f = &w->types[x->type_index];
+        const tw_wire_machine_type *f = &w->types[x->type_index];
         rooms[i] = (room){f->cores, f->gpus, f->memory_gb};
         if (x->gone || !x->up || x->faulty || x->warned_at >= 0 || w->now < x->hung_until)
             rooms[i].cpus = -1;
@@ -59,9 +59,10 @@
 }
 
 static int is_allowed(const tw_sim_worker *x, const tw_wire_job *spec) {
-    int type = spec->nracks < 0;
-    for (int i = 0; i < spec->nracks; i++) type |= !strcmp(spec->racks[i], x->type);
-    return type && (!x->spot || spec->loaner) && (!*spec->yard || !strcmp(spec->yard, x->zone));
+    int type = spec->machine_type_count < 0;
+    for (int i = 0; i < spec->machine_type_count; i++)
+        type |= !strcmp(spec->machine_types[i], x->type);
+    return type && (!x->spot || spec->spot) && (!*spec->zone || !strcmp(spec->zone, x->zone));
 }
 
 /* How many tasks of a job a machine has room for. */
@@ -93,15 +94,15 @@
  * one zone they may be in the wrong one. */
 static int tasks_at_once(const tw_sim_job *job) {
     const tw_wire_job *spec = &job->spec;
-    if (spec->gang && !spec->same_place) return spec->pieces - job->unstarted;
-    return spec->gang || (spec->service && spec->same_place) ? spec->pieces : 1;
+    if (spec->gang && !spec->single_zone) return spec->task_count - job->unstarted;
+    return spec->gang || (spec->service && spec->single_zone) ? spec->task_count : 1;
 }
 
 static int could_start(const tw_sim_world *w, const room *rooms, const tw_sim_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_at_once(job);
-    if (wanted > 1 && spec->apart) return 0; /* not judged */
-    if (!spec->same_place || wanted == 1) return has_room(w, rooms, spec, NULL, wanted);
+    if (wanted > 1 && spec->spread) return 0; /* not judged */
+    if (!spec->single_zone || wanted == 1) return has_room(w, rooms, spec, NULL, wanted);
     for (int i = 0; i < w->nworkers; i++)
         if (has_room(w, rooms, spec, w->workers[i]->zone, wanted)) return 1;
     return 0;
@@ -110,7 +111,7 @@
 static int is_under_limit(const tw_sim_world *w, const tw_sim_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_at_once(job), i = 0;
-    while (i < w->nteams && strcmp(w->teams[i].name, spec->crew) != 0) i++;
+    while (i < w->nteams && strcmp(w->teams[i].name, spec->team) != 0) i++;
     if (i == w->nteams) return 0;
     double cpus = wanted * spec->cores, gpus = wanted * spec->gpus;
     for (int k = 0; k < w->nworkers; k++) {
@@ -118,7 +119,7 @@
         for (int t = 0; t < x->ntasks && !x->gone; t++) {
             if (!is_on_machine(&x->tasks[t])) continue;
             const tw_wire_job *other = &x->tasks[t].job->spec;
-            if (strcmp(other->crew, spec->crew) != 0) continue;
+            if (strcmp(other->team, spec->team) != 0) continue;
             cpus += other->cores;
             gpus += other->gpus;
         }
@@ -135,7 +136,7 @@
  * the rest of their gang. */
 static int is_waiting(const tw_sim_job *job) {
     return job->accepted && job->cancel_asked_at <= 0 && !job->fails && !job->told_over &&
-           job->ndone < job->spec.pieces && !useful(job);
+           job->ndone < job->spec.task_count && !useful(job);
 }
 
 static void judge_waiting(tw_sim_world *w, tw_sim_job *job, const room *rooms) {
@@ -162,7 +163,7 @@
 /* ---- unserved ---- */
 
 static double size_of(const tw_wire_job *spec) {
-    return spec->pieces * (spec->cores + GPU_WEIGHT * spec->gpus);
+    return spec->task_count * (spec->cores + GPU_WEIGHT * spec->gpus);
 }
 
 /* Jobs that count: old enough, not refused as impossible, not cancelled, without a mistake. */
@@ -174,7 +175,7 @@
 
 /* At least half of its tasks are done or on a machine. */
 static int is_served(const tw_sim_job *job) {
-    return job->ndone + useful(job) >= LEAST_SERVED * job->spec.pieces;
+    return job->ndone + useful(job) >= LEAST_SERVED * job->spec.task_count;
 }
 
 static int began_in_time(const tw_sim_job *job) {
@@ -188,8 +189,8 @@
 } kind;
 
 static int is_of(const kind *k, const tw_wire_job *spec) {
-    return (!k->class || !strcmp(k->class, spec->lane)) &&
-           (!k->team || !strcmp(k->team, spec->crew)) && size_of(spec) >= k->least_size;
+    return (!k->class || !strcmp(k->class, spec->job_class)) &&
+           (!k->team || !strcmp(k->team, spec->team)) && size_of(spec) >= k->least_size;
 }
 
 static void judge_kind(tw_sim_world *w, const kind *k, const char *what, const char *name) {
@@ -209,7 +210,7 @@
     for (int i = 0; i < job->index; i++) {
         const tw_wire_job *a = &w->jobs[i]->spec, *b = &job->spec;
         if (counts(w, w->jobs[i]) &&
-            !strcmp(by_team ? a->crew : a->lane, by_team ? b->crew : b->lane))
+            !strcmp(by_team ? a->team : a->job_class, by_team ? b->team : b->job_class))
             return 0;
     }
     return 1;
@@ -219,7 +220,7 @@
     kind k = {.class = class};
     for (int i = 0; i < w->njobs; i++) {
         const tw_sim_job *job = w->jobs[i];
-        if (counts(w, job) && !strcmp(job->spec.lane, class))
+        if (counts(w, job) && !strcmp(job->spec.job_class, class))
             k.least_size = fmax(k.least_size, LARGEST_SHARE * size_of(&job->spec));
     }
     return k;
@@ -229,7 +230,7 @@
     free(free_rooms(w)); /* counts tasks on machines */
     for (int i = 0; i < w->njobs; i++) {
         const tw_sim_job *job = w->jobs[i];
-        const char *class = job->spec.lane, *team = job->spec.crew;
+        const char *class = job->spec.job_class, *team = job->spec.team;
         if (!counts(w, job)) continue;
         if (is_first(w, job, 1)) judge_kind(w, &(kind){.team = team}, "team", team);
         if (!is_first(w, job, 0)) continue;
--- a/sim/looks.c
+++ b/sim/looks.c
@@ -63,7 +63,7 @@
         const tw_sim_worker *x = w->workers[i];
         for (int k = 0; k < x->ntasks && !x->gone; k++) {
             const tw_sim_task *t = &x->tasks[k];
-            if (t->job == job && t->stage == TW_PIECE_RUNNING && t->end_at > w->now + LONG_TO_GO_S)
+            if (t->job == job && t->stage == TW_TASK_RUNNING && t->end_at > w->now + LONG_TO_GO_S)
                 return i;
         }
     }
--- a/sim/odd.c
+++ b/sim/odd.c
@@ -37,14 +37,14 @@
     tw_wire_job spec = job->spec;
     switch (draw_index(sim, 4)) {
     case 0:
-        spec.pieces++;
+        spec.task_count++;
         break;
     case 1:
-        spec.rank = (spec.rank + 1) % (TW_RANK_PROD + 1);
+        spec.priority = (spec.priority + 1) % (TW_PRIORITY_PROD + 1);
         break;
     case 2:
         spec.service = !spec.service;
-        spec.expect_s = spec.service ? 0 : 1;
+        spec.expected_run_s = spec.service ? 0 : 1;
         break;
     default:
         spec.cores /= 2;
@@ -53,23 +53,23 @@
 }
 
 static void cancel_done(tw_sim *sim) {
-    const tw_sim_job *job = pick_job(sim, TW_STAGE_DONE);
+    const tw_sim_job *job = pick_job(sim, TW_JOB_DONE);
     if (job) tw_sim_user_send_to(sim, job->index, TW_SIM_CANCEL, -1);
 }
 
 static tw_wire_job odd_job(tw_sim *sim) {
-    tw_wire_job spec = {.lane = "lane",
-                        .bundle = "img-1",
-                        .rank = TW_RANK_HIGH,
-                        .pieces = 1,
+    tw_wire_job spec = {.job_class = "lane",
+                        .image = "img-1",
+                        .priority = TW_PRIORITY_HIGH,
+                        .task_count = 1,
                         .cores = 1,
                         .memory_gb = 1,
                         .image_gb = 1,
-                        .nracks = -1,
-                        .expect_s = 10,
-                        .due_s = -1};
+                        .machine_type_count = -1,
+                        .expected_run_s = 10,
+                        .deadline_s = -1};
     snprintf(spec.id, sizeof spec.id, "run-%06d", FIRST_ODD_ID + sim->next_odd++);
-    if (sim->world.nteams) snprintf(spec.crew, sizeof spec.crew, "%s", sim->world.teams[0].name);
+    if (sim->world.nteams) snprintf(spec.team, sizeof spec.team, "%s", sim->world.teams[0].name);
     return spec;
 }
 
@@ -83,7 +83,7 @@
         spec.memory_gb = TOO_MUCH;
         break;
     default:
-        snprintf(spec.crew, sizeof spec.crew, "nobody");
+        snprintf(spec.team, sizeof spec.team, "nobody");
     }
     tw_sim_user_odd(sim, spec.id, TW_SIM_SUBMIT, tw_sim_job_text(&spec), TW_SIM_IMPOSSIBLE);
 }
--- a/sim/script.c
+++ b/sim/script.c
@@ -87,28 +87,29 @@
 static int add_type(tw_sim *sim, const tw_sim_words *w) {
     tw_sim_world *world = &sim->world;
     if (world->ntypes == TW_SIM_MAX_TYPES) return -1;
-    tw_wire_flavor *f = &world->types[world->ntypes];
-    snprintf(f->label, sizeof f->label, "%s", w->word[1]);
+    tw_wire_machine_type *f = &world->types[world->ntypes];
+    snprintf(f->name, sizeof f->name, "%s", w->word[1]);
     f->cores = tw_sim_option_number(w, "cores", 16);
     f->gpus = tw_sim_option_number(w, "gpus", 0);
     f->memory_gb = tw_sim_option_number(w, "mem", 64);
     f->cache_gb = CACHE_GB;
     f->fetch_gb_s = tw_sim_option_number(w, "fetch", 1);
-    f->hourly = tw_sim_option_number(w, "price", 1);
-    f->low_price = f->hourly / 3;
+    f->on_demand_price = tw_sim_option_number(w, "price", 1);
+    f->spot_price = f->on_demand_price / 3;
     f->startup_s = tw_sim_option_number(w, "boot", 5);
     world->capacity[world->ntypes++] = (int)tw_sim_option_number(w, "cap", DEFAULT_CAPACITY);
     for (int i = 0; i < world->nnodes; i++) {
         int known = 0;
-        for (int z = 0; z < f->nyards; z++) known |= !strcmp(f->yards[z], world->node_zone[i]);
-        if (!known) snprintf(f->yards[f->nyards++], TW_WIRE_NAME, "%s", world->node_zone[i]);
+        for (int z = 0; z < f->zone_count; z++) known |= !strcmp(f->zones[z], world->node_zone[i]);
+        if (!known)
+            snprintf(f->zones[f->zone_count++], TW_WIRE_NAME_SIZE, "%s", world->node_zone[i]);
     }
     return 0;
 }
 
 static int add_machines(tw_sim *sim, int n, const char *type, const char *zone, int spot) {
     int t = 0;
-    while (t < sim->world.ntypes && strcmp(sim->world.types[t].label, type) != 0) t++;
+    while (t < sim->world.ntypes && strcmp(sim->world.types[t].name, type) != 0) t++;
     if (t == sim->world.ntypes) return -1;
     for (int i = 0; i < n; i++) tw_sim_rent(&sim->world, t, zone, spot, 0);
     return 0;
--- a/sim/user.c
+++ b/sim/user.c
@@ -147,7 +147,7 @@
 }
 
 char *tw_sim_job_text(const tw_wire_job *spec) {
-    tw_wire_record record = {.has_job = 1, .job = *spec, .pieces = spec->pieces};
+    tw_wire_record record = {.has_job = 1, .job = *spec, .task_count = spec->task_count};
     char *text = tw_wire_record_text(&record);
     cJSON *o = cJSON_Parse(text);
     char *job = cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(o, "j"));
--- a/sim/worker.c
+++ b/sim/worker.c
@@ -17,18 +17,17 @@
                                                    "busy", "no_such", "peers",   "alone"};
 
 int tw_sim_task_active(const tw_sim_task *t) {
-    return t->stage == TW_PIECE_RUNNING || t->stage == TW_PIECE_FLUSHING ||
-           t->stage == TW_PIECE_WAITING;
+    return t->stage == TW_TASK_RUNNING || t->stage == TW_TASK_SAVING || t->stage == TW_TASK_WAITING;
 }
 
 static cJSON *task_json(const tw_sim_task *t) {
-    char name[TW_WIRE_ID + 16];
+    char name[TW_WIRE_ID_SIZE + 16];
     cJSON *o = cJSON_CreateObject();
     snprintf(name, sizeof name, "%s/%d", t->job_id, t->index);
     cJSON_AddStringToObject(o, "piece", name);
     cJSON_AddNumberToObject(o, "try", (double)t->attempt);
     cJSON_AddStringToObject(o, "stage", stages[t->stage]);
-    if (t->stage == TW_PIECE_EXITED) cJSON_AddStringToObject(o, "cause", tw_sim_causes[t->cause]);
+    if (t->stage == TW_TASK_EXITED) cJSON_AddStringToObject(o, "cause", tw_sim_causes[t->cause]);
     if (t->saved) cJSON_AddBoolToObject(o, "saved", 1);
     return o;
 }
@@ -58,7 +57,7 @@
 /* ---- commands ---- */
 
 void tw_sim_task_exit(tw_sim_worker *x, tw_sim_task *t, int cause) {
-    t->stage = TW_PIECE_EXITED;
+    t->stage = TW_TASK_EXITED;
     t->cause = cause;
     if (t->job) t->job->exits[cause]++;
     x->changed = 1;
@@ -80,13 +79,13 @@
 
 /* Why a machine refuses to start its newest task; TW_CAUSE_NONE: it doesn't. */
 static int refusal(const tw_sim_world *w, const tw_sim_worker *x, const tw_sim_task *t) {
-    if (!t->job || !t->job->submitted || t->index < 0 || t->index >= t->job->spec.pieces)
-        return TW_CAUSE_NO_SUCH;
-    const tw_wire_flavor *f = &w->types[x->type_index];
+    if (!t->job || !t->job->submitted || t->index < 0 || t->index >= t->job->spec.task_count)
+        return TW_CAUSE_UNKNOWN_TASK;
+    const tw_wire_machine_type *f = &w->types[x->type_index];
     double cpus = t->job->spec.cores, gpus = t->job->spec.gpus, memory = t->job->spec.memory_gb;
     for (int i = 0; i < x->ntasks; i++) {
         const tw_sim_task *other = &x->tasks[i];
-        if (other == t || other->stage == TW_PIECE_EXITED) continue;
+        if (other == t || other->stage == TW_TASK_EXITED) continue;
         if (other->job == t->job && other->index == t->index) return TW_CAUSE_BUSY;
         cpus += other->job->spec.cores;
         gpus += other->job->spec.gpus;
@@ -113,8 +112,8 @@
         return;
     }
     double fetch_s = t->job->spec.image_gb / w->types[x->type_index].fetch_gb_s;
-    t->stage = TW_PIECE_PULLING;
-    t->ready_at = w->now + (has_image(x, t->job->spec.bundle) ? 0 : fetch_s);
+    t->stage = TW_TASK_FETCHING;
+    t->ready_at = w->now + (has_image(x, t->job->spec.image) ? 0 : fetch_s);
 }
 
 /* Run time that a task has reached. */
@@ -126,17 +125,17 @@
     const tw_wire_job *spec = &t->job->spec;
     if (spec->gang) {
         tw_sim_gang_stop(w, x, t, grace_s);
-    } else if (t->stage == TW_PIECE_RUNNING && spec->snapshot_s > 0 && grace_s >= spec->flush_s) {
-        t->stage = TW_PIECE_FLUSHING;
+    } else if (t->stage == TW_TASK_RUNNING && spec->checkpoint_s > 0 && grace_s >= spec->save_s) {
+        t->stage = TW_TASK_SAVING;
         t->stopped_at_s = progress(w, x, t);
-        t->end_at = w->now + spec->flush_s;
-    } else if (t->stage != TW_PIECE_FLUSHING || grace_s <= 0) {
+        t->end_at = w->now + spec->save_s;
+    } else if (t->stage != TW_TASK_SAVING || grace_s <= 0) {
         tw_sim_task_exit(x, t, TW_CAUSE_STOPPED);
     }
 }
 
 static void command(tw_sim_world *w, tw_sim_worker *x, const cJSON *o) {
-    char job_id[TW_WIRE_ID];
+    char job_id[TW_WIRE_ID_SIZE];
     const char *name = tw_sim_json_text(o, "piece"), *slash = strrchr(name, '/');
     if (!slash || (size_t)(slash - name) >= sizeof job_id) return;
     snprintf(job_id, sizeof job_id, "%.*s", (int)(slash - name), name);
@@ -146,9 +145,9 @@
     tw_sim_task *t = task_find(x, job_id, index, attempt);
     if (!strcmp(verb, "launch")) {
         if (!t) launch(w, x, job_id, index, attempt);
-    } else if (!strcmp(verb, "kill") && t && t->stage != TW_PIECE_EXITED) {
+    } else if (!strcmp(verb, "kill") && t && t->stage != TW_TASK_EXITED) {
         stop(w, x, t, tw_sim_json_number(o, "mercyS"));
-    } else if (!strcmp(verb, "forget") && t && t->stage == TW_PIECE_EXITED) {
+    } else if (!strcmp(verb, "forget") && t && t->stage == TW_TASK_EXITED) {
         *t = x->tasks[--x->ntasks];
         x->changed = 1;
     }
@@ -206,22 +205,22 @@
 
 /* Checkpoints outlive the machine. */
 static void save(tw_sim_job *job, int index, double reached_s) {
-    if (!job->saved) job->saved = tw_sim_zeroed((size_t)job->spec.pieces * sizeof *job->saved);
+    if (!job->saved) job->saved = tw_sim_zeroed((size_t)job->spec.task_count * sizeof *job->saved);
     job->saved[index] = fmax(job->saved[index], reached_s);
 }
 
 /* A running task saves after each interval of progress. */
 static void save_by_itself(const tw_sim_world *w, const tw_sim_worker *x, const tw_sim_task *t) {
     const tw_wire_job *spec = &t->job->spec;
-    if (spec->snapshot_s <= 0 || spec->service) return;
-    double intervals = floor((progress(w, x, t) - t->from_s) / spec->snapshot_s);
-    if (intervals > 0) save(t->job, t->index, t->from_s + intervals * spec->snapshot_s);
+    if (spec->checkpoint_s <= 0 || spec->service) return;
+    double intervals = floor((progress(w, x, t) - t->from_s) / spec->checkpoint_s);
+    if (intervals > 0) save(t->job, t->index, t->from_s + intervals * spec->checkpoint_s);
 }
 
 static void task_start(tw_sim_world *w, tw_sim_worker *x, tw_sim_task *t) {
     tw_sim_job *job = t->job;
     int fails = x->faulty || job->fails;
-    t->stage = TW_PIECE_RUNNING;
+    t->stage = TW_TASK_RUNNING;
     x->changed = 1;
     t->started_at = w->now;
     t->from_s = job->saved ? fmin(job->saved[t->index], job->run_s) : 0;
@@ -236,14 +235,14 @@
 void tw_sim_task_done(tw_sim_world *w, tw_sim_job *job, int index) {
     if (job->done[index]) return;
     job->done[index] = 1;
-    if (++job->ndone == job->spec.pieces && w->job_ended) w->job_ended(w->context, job);
+    if (++job->ndone == job->spec.task_count && w->job_ended) w->job_ended(w->context, job);
 }
 
 static void task_tick(tw_sim_world *w, tw_sim_worker *x, tw_sim_task *t) {
     tw_sim_job *job = t->job;
-    if (t->stage == TW_PIECE_PULLING && w->now >= t->ready_at) {
-        if (!has_image(x, job->spec.bundle) && x->nimages < TW_SIM_MAX_IMAGES)
-            snprintf(x->images[x->nimages++], TW_SIM_NAME, "%s", job->spec.bundle);
+    if (t->stage == TW_TASK_FETCHING && w->now >= t->ready_at) {
+        if (!has_image(x, job->spec.image) && x->nimages < TW_SIM_MAX_IMAGES)
+            snprintf(x->images[x->nimages++], TW_SIM_NAME, "%s", job->spec.image);
         if (job->spec.gang)
             tw_sim_gang_image_there(w, x, t);
         else
@@ -253,13 +252,13 @@
         tw_sim_gang_task_tick(w, x, t);
         return;
     }
-    if (t->stage == TW_PIECE_RUNNING) save_by_itself(w, x, t);
-    if (t->stage == TW_PIECE_FLUSHING && w->now >= t->end_at) {
+    if (t->stage == TW_TASK_RUNNING) save_by_itself(w, x, t);
+    if (t->stage == TW_TASK_SAVING && w->now >= t->end_at) {
         t->saved = 1;
         save(job, t->index, fmin(t->stopped_at_s, job->run_s));
         tw_sim_task_exit(x, t, TW_CAUSE_STOPPED);
     }
-    if (t->stage == TW_PIECE_RUNNING && w->now >= t->end_at) {
+    if (t->stage == TW_TASK_RUNNING && w->now >= t->end_at) {
         int fails = x->faulty || job->fails;
         tw_sim_task_exit(x, t, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
         if (!fails) tw_sim_task_done(w, job, t->index);
--- a/sim/world.c
+++ b/sim/world.c
@@ -89,7 +89,7 @@
 tw_sim_job *tw_sim_job_new(tw_sim_world *w, const char *id) {
     tw_sim_job *job = tw_sim_zeroed(sizeof *job);
     strncpy(job->spec.id, id, sizeof job->spec.id - 1);
-    job->spec.nracks = -1;
+    job->spec.machine_type_count = -1;
     job->index = w->njobs;
     w->jobs = tw_sim_grow(w->jobs, w->njobs, &w->jobs_cap, sizeof(tw_sim_job *));
     w->jobs[w->njobs++] = job;
@@ -98,7 +98,7 @@
 }
 
 int tw_sim_job_running(const tw_sim_world *w, const char *id) {
-    return tw_sim_job_in(w, id, TW_PIECE_RUNNING);
+    return tw_sim_job_in(w, id, TW_TASK_RUNNING);
 }
 
 int tw_sim_job_in(const tw_sim_world *w, const char *id, int stage) {
--- a/sim/world.h
+++ b/sim/world.h
@@ -92,7 +92,7 @@
     tw_wire_job spec;
     double run_s;                       /* what a task really takes */
     int fails;                          /* every task fails */
-    int submitted, accepted, told_over; /* told_over: TW_STAGE_* */
+    int submitted, accepted, told_over; /* told_over: TW_JOB_* */
     double first_try, accepted_at, begun_at, told_over_at, told_cancel_at, cancel_asked_at;
     uint8_t *done; /* by task */
     double *saved; /* run time in checkpoints, by task; NULL: none yet */
@@ -114,9 +114,9 @@
 } tw_sim_job;
 
 typedef struct {
-    char job_id[TW_WIRE_ID];
+    char job_id[TW_WIRE_ID_SIZE];
     tw_sim_job *job;                /* NULL: no such job */
-    int index, stage, cause, saved; /* TW_PIECE_*, TW_CAUSE_* */
+    int index, stage, cause, saved; /* TW_TASK_*, TW_CAUSE_* */
     uint64_t attempt;
     double ready_at, started_at, end_at;
     double from_s;       /* run time saved before it started */
@@ -183,7 +183,7 @@
     int nteams;
     tw_sim_state state;
     /* cloud */
-    tw_wire_flavor types[TW_SIM_MAX_TYPES];
+    tw_wire_machine_type types[TW_SIM_MAX_TYPES];
     int ntypes, capacity[TW_SIM_MAX_TYPES];
     int refuse;        /* no capacity */
     double fast_until; /* machines rented until then are up within two seconds */
--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -5,23 +5,23 @@
 #include <stddef.h>
 #include <stdio.h>
 
-#define TW_NAME 64 /* longest name taken from the settings, with its end */
+#define TW_NAME_SIZE 64 /* longest name taken from the settings, with its end */
 
 /* Another node, its zone and the address where it can be reached. */
 typedef struct {
-    char name[TW_NAME], zone[TW_NAME], addr[TW_NAME];
+    char name[TW_NAME_SIZE], zone[TW_NAME_SIZE], addr[TW_NAME_SIZE];
 } tw_conf_peer;
 
 /* A team: what it is guaranteed, and the most that it may use. */
 typedef struct {
-    char name[TW_NAME];
+    char name[TW_NAME_SIZE];
     double cpus, cpus_max, gpus, gpus_max; /* 0 in a maximum: none set */
     double share;                          /* weight in turns (operators' settings) */
 } tw_conf_team;
 
 /* What is expected for a class of jobs: kind "wait" (start within_s), "deadline", "guarantee". */
 typedef struct {
-    char kind[16], cls[TW_NAME];
+    char kind[16], cls[TW_NAME_SIZE];
     double within_s, share, times;
 } tw_conf_objective;
 
@@ -48,11 +48,12 @@
 
 /* All settings. */
 typedef struct {
-    char host_name[TW_NAME], location[TW_NAME], api_addr[TW_NAME], peer_bind[TW_NAME];
-    char cloud[TW_NAME], state[TW_NAME];
+    char host_name[TW_NAME_SIZE], location[TW_NAME_SIZE], api_addr[TW_NAME_SIZE],
+        peer_bind[TW_NAME_SIZE];
+    char cloud[TW_NAME_SIZE], state[TW_NAME_SIZE];
     tw_conf_peer *peers;
     size_t npeers;
-    char (*zones)[TW_NAME];
+    char (*zones)[TW_NAME_SIZE];
     size_t nzones;
     tw_conf_team *teams;
     size_t nteams;
--- a/src/conf/setting.c
+++ b/src/conf/setting.c
@@ -20,7 +20,8 @@
 /* ---- reading ---- */
 
 int tw_setting_is_name(const cJSON *value) {
-    return cJSON_IsString(value) && *value->valuestring && strlen(value->valuestring) < TW_NAME;
+    return cJSON_IsString(value) && *value->valuestring &&
+           strlen(value->valuestring) < TW_NAME_SIZE;
 }
 
 int tw_setting_in_range(const tw_setting *setting, double number) {
@@ -38,7 +39,7 @@
                       const cJSON *value, char *to) {
     if (!tw_setting_is_name(value)) {
         tw_complain(complaint, "setting %s%s must be a string of 1 to %d characters", prefix,
-                    setting->name, TW_NAME - 1);
+                    setting->name, TW_NAME_SIZE - 1);
         return;
     }
     strcpy(to, value->valuestring);
@@ -148,7 +149,7 @@
 static void describe_range(const tw_setting *setting, FILE *out) {
     switch (setting->type) {
     case TW_SETTING_NAME:
-        fprintf(out, "1 to %d characters", TW_NAME - 1);
+        fprintf(out, "1 to %d characters", TW_NAME_SIZE - 1);
         break;
     case TW_SETTING_ADDRESS:
         fputs("IP:port", out);
--- a/src/conf/setting.h
+++ b/src/conf/setting.h
@@ -10,7 +10,7 @@
 #include <stdio.h>
 
 typedef enum {
-    TW_SETTING_NAME,    /* char[TW_NAME]: 1 to TW_NAME - 1 characters */
+    TW_SETTING_NAME,    /* char[TW_NAME_SIZE]: 1 to TW_NAME_SIZE - 1 characters */
     TW_SETTING_ADDRESS, /* the same, an address with a port */
     TW_SETTING_LABEL,   /* char[]: any text, cut to fit; missing or no text: "" */
     TW_SETTING_NUMBER,  /* double, from min to max */
--- a/src/core/accepted_elsewhere.c
+++ b/src/core/accepted_elsewhere.c
@@ -14,7 +14,7 @@
 /* Reads a job that another node accepted; once it is known, its key has done its service. An answer
  * may be lost or refused: it stays among the untaken until the key was asked to be removed. */
 static void take_over(tw_core *core, expiring *untaken) {
-    char key[TW_NAME + sizeof ACCEPTED_KEY];
+    char key[TW_NAME_SIZE + sizeof ACCEPTED_KEY];
     if (!tw_job_known(core, untaken->name)) {
         if (core->now < untaken->at) return;
         untaken->at = core->now + LEARN_S;
@@ -23,7 +23,7 @@
     }
     if (!tw_take(core, &core->writes, 1)) return;
     snprintf(key, sizeof key, ACCEPTED_KEY "%s", untaken->name);
-    tw_wire_cond condition = {TW_LEADER_KEY, core->token};
+    tw_wire_compare condition = {TW_LEADER_KEY, core->token};
     tw_wire_write removal = {key, NULL, 0};
     tw_call(core, K_ACCEPTED_REMOVE, TW_TO_STATE, core->cf->state, "POST", "/txn",
             tw_wire_txn_text(&condition, 1, &removal, 1), 1);
@@ -54,9 +54,9 @@
     if (call->kind == K_ACCEPTED_REMOVE) return;
     core->elsewhere_busy = 0;
     int list = call->kind == K_ACCEPTED_LIST;
-    if (status != TW_HTTP_OK || tw_wire_ledger_parse(&revision, body, length) ||
+    if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, length) ||
         (list ? tw_wire_entries_parse(&entries, &count, &more, body, length)
-              : tw_wire_log_parse(&entries, &count, body, length))) {
+              : tw_wire_watch_keys_parse(&entries, &count, body, length))) {
         if (status == TW_HTTP_GONE) core->elsewhere_since = 0;
         core->elsewhere_next = core->now + RETRY_RATIO * core->ttl;
         return;
--- a/src/core/attempt_end.c
+++ b/src/core/attempt_end.c
@@ -36,9 +36,10 @@
 
 /* The answer that held the launch was lost, and is not executed late. Only the next report proper
  * tells: an answer to direct orders may have overtaken the answer that holds the launch. */
-int tw_launch_not_taken(const placement *placed, const tw_wire_report *report, int answers_order) {
+int tw_launch_not_taken(const placement *placed, const tw_wire_heartbeat *report,
+                        int answers_order) {
     const int was_there = placed->inherited || placed->seen;
-    return !was_there && !answers_order && !placed->direct && placed->sent_tick < report->tick;
+    return !was_there && !answers_order && !placed->direct && placed->sent_tick < report->sequence;
 }
 
 void tw_launch_answered(placement *placed, int refused) {
@@ -49,7 +50,7 @@
 
 int tw_launch_may_repeat(const tw_core *core, const placement *placed) {
     if (placed->direct_at <= 0) return 0;
-    const int is_done = placed->stage == TW_PIECE_EXITED && placed->cause == TW_CAUSE_DONE;
+    const int is_done = placed->stage == TW_TASK_EXITED && placed->cause == TW_CAUSE_DONE;
     const double kept = is_done ? REPEATED_DONE_LEASES : REPEATED_LEASES;
     return core->now < placed->direct_at + kept * core->cf->lease_s;
 }
@@ -62,9 +63,9 @@
  * which one a predecessor launched is not known: it may be the reported one, after this report or
  * by a message still on its way, unless the machine refused the predecessor in an earlier session
  * already. (`confirmed` is as of before this report; one that confirms ends it as absent.) */
-static int is_of_earlier_session(const placement *placed, const tw_wire_report *report) {
+static int is_of_earlier_session(const placement *placed, const tw_wire_heartbeat *report) {
     if (placed->inherited) return placed->m->confirmed;
-    return placed->sent && placed->shift < report->shift;
+    return placed->sent && placed->shift < report->incarnation;
 }
 
 /* Whether the attempt can't run any more, nor be started by what is still on its way. */
@@ -72,7 +73,7 @@
     const machine *machine = placed->m;
     switch (end->ground) {
     case END_EXITED:
-        return end->told && end->told->stage == TW_PIECE_EXITED &&
+        return end->told && end->told->state == TW_TASK_EXITED &&
                end->told->attempt == placed->attempt && end->told->index == placed->index;
     case END_ABSENT:
         return is_absent(placed);
@@ -115,21 +116,21 @@
 
 static void log_end(const tw_core *core, const placement *placed, const attempt_end *end) {
     const machine *machine = placed->m;
-    const tw_wire_report *report = end->report;
+    const tw_wire_heartbeat *report = end->report;
     const int level = is_told(end->ground) ? TW_LOG_INFO : TW_LOG_DEBUG;
     if (!placed->on_job || !tw_log_on(level)) return;
-    tw_log_write(level,
-                 "event=attempt_end piece=%s/%d try=%llu tray=%s ground=%s cause=%d token=%llu "
-                 "inherited=%d launch_shift=%llu launch_tick=%llu direct=%d shift=%llu tick=%llu "
-                 "report_token=%llu confirmed=%d lived_s=%.2f",
-                 placed->job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
-                 names[end->ground], end->told ? end->told->cause : 0,
-                 (unsigned long long)core->token, placed->inherited,
-                 (unsigned long long)placed->shift, (unsigned long long)placed->sent_tick,
-                 placed->direct, (unsigned long long)(report ? report->shift : machine->shift),
-                 (unsigned long long)(report ? report->tick : machine->tick),
-                 (unsigned long long)(report ? report->baton : 0), machine->confirmed,
-                 core->now - placed->made_at);
+    tw_log_write(
+        level,
+        "event=attempt_end piece=%s/%d try=%llu tray=%s ground=%s cause=%d token=%llu "
+        "inherited=%d launch_shift=%llu launch_tick=%llu direct=%d shift=%llu tick=%llu "
+        "report_token=%llu confirmed=%d lived_s=%.2f",
+        placed->job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
+        names[end->ground], end->told ? end->told->cause : 0, (unsigned long long)core->token,
+        placed->inherited, (unsigned long long)placed->shift, (unsigned long long)placed->sent_tick,
+        placed->direct, (unsigned long long)(report ? report->incarnation : machine->shift),
+        (unsigned long long)(report ? report->sequence : machine->tick),
+        (unsigned long long)(report ? report->fencing_token : 0), machine->confirmed,
+        core->now - placed->made_at);
 }
 
 /* The task no longer runs there; to: what it is now. */
--- a/src/core/attempt_end.h
+++ b/src/core/attempt_end.h
@@ -29,9 +29,9 @@
 /* What the ground rests on. */
 typedef struct {
     end_ground ground;
-    const tw_wire_report *report; /* of a machine; NULL: none */
-    const tw_wire_piece *told;    /* the exited task in it; NULL: none */
-    int answers_order;            /* the report came as the answer to a direct order */
+    const tw_wire_heartbeat *report; /* of a machine; NULL: none */
+    const tw_wire_task *told;        /* the exited task in it; NULL: none */
+    int answers_order;               /* the report came as the answer to a direct order */
 } attempt_end;
 
 const char *tw_end_ground_name(end_ground ground);
@@ -50,7 +50,8 @@
 
 /* Whether the report, which does not name it, tells that the answer with its launch was not taken.
  */
-int tw_launch_not_taken(const placement *placed, const tw_wire_report *report, int answers_order);
+int tw_launch_not_taken(const placement *placed, const tw_wire_heartbeat *report,
+                        int answers_order);
 
 /* The machine answered a direct launch of it; refused: it was not carried out. */
 void tw_launch_answered(placement *placed, int refused);
--- a/src/core/bins.c
+++ b/src/core/bins.c
@@ -11,14 +11,14 @@
 }
 
 int tw_bin_allowed(const bin *bin, const tw_wire_job *spec, uint32_t types) {
-    return (types & (1U << bin->rack)) && (!bin->loaner || spec->loaner) &&
-           (!*spec->yard || !strcmp(spec->yard, bin->yard));
+    return (types & (1U << bin->rack)) && (!bin->loaner || spec->spot) &&
+           (!*spec->zone || !strcmp(spec->zone, bin->yard));
 }
 
 /* As when placing: work without GPUs leaves a GPU machine's GPUs their cores. */
 int tw_bin_leaves_gpus(const tw_core *core, const bin *bin, const tw_wire_job *spec,
                        int any_machine) {
-    const tw_wire_flavor *type = &core->flavors[bin->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[bin->rack].f;
     if (spec->gpus > 0 || any_machine || type->gpus <= 0) return 1;
     double cores_per_gpu = core->gpu_cores;
     if (cores_per_gpu <= 0) cores_per_gpu = type->cores / type->gpus;
@@ -56,8 +56,8 @@
     const tw_wire_job *spec = &job->s;
     return start->cores == spec->cores && start->gpus == spec->gpus &&
            start->memory_gb == spec->memory_gb && start->types == job->rackmask &&
-           start->spot == spec->loaner && start->any_machine == job->any_machine &&
-           !strcmp(start->zone, spec->yard);
+           start->spot == spec->spot && start->any_machine == job->any_machine &&
+           !strcmp(start->zone, spec->zone);
 }
 
 /* Valid until the next call. */
@@ -71,9 +71,9 @@
                                 .gpus = job->s.gpus,
                                 .memory_gb = job->s.memory_gb,
                                 .types = job->rackmask,
-                                .spot = job->s.loaner,
+                                .spot = job->s.spot,
                                 .any_machine = job->any_machine,
-                                .zone = job->s.yard};
+                                .zone = job->s.zone};
     return start;
 }
 
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -41,11 +41,11 @@
 
 /* A job's record as a transaction holds it. */
 typedef struct job_write {
-    char id[TW_WIRE_ID];
-    uint64_t ver;          /* of the job, when the record's text was made */
-    uint64_t stamp;        /* that the write is conditioned on */
-    int stage;             /* TW_STAGE_* that the record holds */
-    char set[TW_WIRE_SET]; /* of a divided one */
+    char id[TW_WIRE_ID_SIZE];
+    uint64_t ver;                     /* of the job, when the record's text was made */
+    uint64_t stamp;                   /* that the write is conditioned on */
+    int stage;                        /* TW_JOB_* that the record holds */
+    char set[TW_WIRE_CHUNK_SET_SIZE]; /* of a divided one */
     int slices;
     size_t bytes; /* of its text */
 } job_write;
@@ -58,9 +58,9 @@
     uint64_t conn, term, seq;
     int n, op;
     char name[256];
-    char *text;             /* a request kept for a second way */
-    char (*names)[TW_NAME]; /* trays of a release */
-    job_write *records;     /* of a txn */
+    char *text;                  /* a request kept for a second way */
+    char (*names)[TW_NAME_SIZE]; /* trays of a release */
+    job_write *records;          /* of a txn */
     uint64_t *vers;
     UT_hash_handle hh;
 } call;
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -23,7 +23,7 @@
         if (!tw_machine_usable(core, machine)) continue;
         add(core, machine);
         if (machine->loaner) continue;
-        const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+        const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
         zone_use *zone = &use[machine->zone < 0 ? TW_MAX_ZONES : machine->zone];
         zone->cores += type->cores;
         zone->gpus += type->gpus;
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -4,18 +4,18 @@
 
 int tw_zone_allows(const tw_core *core, const job *job, const char *zone) {
     (void)core;
-    if (*job->s.yard && strcmp(job->s.yard, zone) != 0) return 0;
-    if (!job->s.same_place && !job->s.apart) return 1;
+    if (*job->s.zone && strcmp(job->s.zone, zone) != 0) return 0;
+    if (!job->s.single_zone && !job->s.spread) return 1;
     const int max = (job->pieces + 1) / 2;
     int here = 0;
     const placement *placed;
     DL_FOREACH2(job->live, placed, jnext) {
         const int unknown = !*placed->m->yard; /* may be any zone */
         const int same = unknown || !strcmp(placed->m->yard, zone);
-        if (job->s.same_place && (unknown || !same)) return 0;
+        if (job->s.single_zone && (unknown || !same)) return 0;
         here += same;
     }
-    return !job->s.apart || here < max;
+    return !job->s.spread || here < max;
 }
 
 int tw_quota_allows(const tw_core *core, const job *job, int tasks) {
@@ -40,7 +40,7 @@
 
 int tw_leaves_gpus(const tw_core *core, const machine *machine, const job *job, int tasks) {
     const tw_wire_job *spec = &job->s;
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     if (spec->gpus > 0 || type->gpus <= 0 || job->any_machine) return 1;
     const double free_gpus = type->gpus - machine->used_g;
     double cores = core->gpu_cores;
@@ -76,7 +76,7 @@
 }
 
 int tw_constraints_machine(const tw_core *core, const job *job, const machine *machine) {
-    if (!(job->rackmask & (1U << machine->rack)) || (machine->loaner && !job->s.loaner)) return 0;
+    if (!(job->rackmask & (1U << machine->rack)) || (machine->loaner && !job->s.spot)) return 0;
     if (!tw_sick_allows(machine) || tw_gang_has_left(job, machine)) return 0;
     if (!tw_gang_hold_allows(core, job, machine)) return 0;
     for (int i = 0; i < job->nbad; i++)
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -52,7 +52,7 @@
     tw_budgets_init(core);
     core->team_c = tw_zalloc((conf->nteams + 1) * sizeof(double));
     core->team_g = tw_zalloc((conf->nteams + 1) * sizeof(double));
-    core->reports = tw_wire_reports_new();
+    core->reports = tw_wire_heartbeat_cache_new();
     init_objectives(core);
     return core;
 }
@@ -74,7 +74,7 @@
     tw_effects_free(core);
     free_classes(core);
     free(core->flavors);
-    tw_wire_reports_free(core->reports);
+    tw_wire_heartbeat_cache_free(core->reports);
     free(core->order);
     free(core->futile);
     free(core->candidates);
@@ -270,10 +270,10 @@
     tw_wire_entry entry;
     uint64_t revision = 0;
     if (status != TW_HTTP_OK) return 0;
-    if (!tw_wire_ledger_parse(&revision, body, len)) return revision;
+    if (!tw_wire_revision_parse(&revision, body, len)) return revision;
     if (tw_wire_entry_parse(&entry, body, len)) return 0;
-    free(entry.data);
-    return entry.stamp;
+    free(entry.value);
+    return entry.mod_revision;
 }
 
 static void log_read(const tw_core *core, const call *sent, int status, const char *body,
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -21,7 +21,7 @@
     int status;
     double retry_after; /* REPLY: seconds, 0: none */
     tw_fx_target to;    /* CALL */
-    char addr[TW_NAME];
+    char addr[TW_NAME_SIZE];
     const char *method;
     char *path, *body;
     double timeout_s;
--- a/src/core/deputies_seen.c
+++ b/src/core/deputies_seen.c
@@ -17,11 +17,11 @@
     return until;
 }
 
-int tw_deputy_conds(const tw_core *core, tw_wire_cond *conds, char (*keys)[TW_DEPUTY_KEY_SIZE]) {
+int tw_deputy_conds(const tw_core *core, tw_wire_compare *conds, char (*keys)[TW_DEPUTY_KEY_SIZE]) {
     int count = 0;
     for (size_t i = 0; i < core->npeers; i++) {
         tw_deputy_key(keys[count], core->peers[i].cf.name);
-        conds[count] = (tw_wire_cond){keys[count], core->peers[i].dep_stamp};
+        conds[count] = (tw_wire_compare){keys[count], core->peers[i].dep_stamp};
         count++;
     }
     return count;
@@ -38,8 +38,8 @@
 static int key_seen(tw_core *core, const tw_wire_entry *entry) {
     const size_t prefix = sizeof TW_DEPUTY_KEY - 1;
     peer *node = strlen(entry->key) > prefix ? tw_peer_of(core, entry->key + prefix) : NULL;
-    if (!node || node->dep_stamp >= entry->stamp) return 0;
-    node->dep_stamp = entry->stamp;
+    if (!node || node->dep_stamp >= entry->mod_revision) return 0;
+    node->dep_stamp = entry->mod_revision;
     /* One of an earlier term is covered by tw_predecessor_end. */
     node->deputy_until = core->now + tw_deputy_s(core) * (1 + 2 * core->cf->tune.drift);
     return 1;
--- a/src/core/deputy.c
+++ b/src/core/deputy.c
@@ -82,13 +82,13 @@
 /* ---- what the leader says ---- */
 
 void tw_aborted_note(tw_core *core, uint64_t token, const char *body, size_t len) {
-    char(*ids)[TW_WIRE_ID];
+    char(*ids)[TW_WIRE_ID_SIZE];
     int count;
     if (token != core->seen_token || core->role != R_FOLLOWER) return;
     /* An id is kept for as long as a grant and a lease may last: an answer may be older than a
      * heartbeat that came before it. */
     forget_older(core, &core->grant_aborted, tw_alone_s(core) + 2 * core->cf->lease_s);
-    if (tw_wire_aborted_parse(&ids, &count, body, len)) return;
+    if (tw_wire_cancelled_jobs_parse(&ids, &count, body, len)) return;
     for (int i = 0; i < count; i++) remember(&core->grant_aborted, ids[i], core->now);
     free(ids);
 }
@@ -133,7 +133,7 @@
     for (int i = 0; i < count; i++) {
         const tw_wire_entry *entry = &entries[i];
         if (strlen(entry->key) > prefix &&
-            tw_wire_record_stage(entry->data, strlen(entry->data)) == TW_STAGE_ABORTED)
+            tw_wire_record_state(entry->value, strlen(entry->value)) == TW_JOB_CANCELLED)
             remember(&core->deputy_aborted, entry->key + prefix, core->now);
     }
     *core->deputy_list_after = 0;
@@ -170,7 +170,7 @@
     tw_deputy_key(key, core->cf->host_name);
     snprintf(data, sizeof data, "{\"token\":%llu,\"n\":%llu}",
              (unsigned long long)core->leader_token, (unsigned long long)++core->deputy_sequence);
-    tw_wire_cond condition = {TW_LEADER_KEY, core->leader_token};
+    tw_wire_compare condition = {TW_LEADER_KEY, core->leader_token};
     tw_wire_write written = {key, data, 0};
     call *sent = tw_call(core, K_DEPUTY, TW_TO_STATE, core->cf->state, "POST", "/txn",
                          tw_wire_txn_text(&condition, 1, &written, 1), 1);
@@ -193,17 +193,17 @@
 }
 
 /* Renews the worker's lease and stops its tasks of cancelled jobs. */
-static void answer(tw_core *core, uint64_t conn, const tw_wire_report *report) {
+static void answer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
     if (core->now > core->deputy_last + core->cf->lease_s)
         tw_log_info("event=deputising token=%llu", (unsigned long long)core->seen_token);
     core->deputy_last = core->now;
     tw_orders orders = tw_orders_new(core);
-    for (int i = 0; i < report->npieces && orders.count < MAX_KILLS; i++) {
-        const tw_wire_piece *task = &report->pieces[i];
-        if (task->stage == TW_PIECE_EXITED) continue;
+    for (int i = 0; i < report->task_count && orders.count < MAX_KILLS; i++) {
+        const tw_wire_task *task = &report->tasks[i];
+        if (task->state == TW_TASK_EXITED) continue;
         if (!has(core->deputy_aborted, task->job) && !has(core->grant_aborted, task->job)) continue;
-        const tw_wire_order stop = {
-            .verb = TW_VERB_KILL, .index = task->index, .attempt = task->attempt};
+        const tw_wire_command stop = {
+            .kind = TW_COMMAND_STOP, .index = task->index, .attempt = task->attempt};
         tw_orders_add(&orders, stop, task->job);
     }
     char *text = tw_orders_deputy_text(core, report, &orders);
@@ -213,9 +213,9 @@
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
-int tw_deputy_answers(tw_core *core, uint64_t conn, const tw_wire_report *report) {
-    if (!tw_deputy_entitled(core, report->tray, report->yard)) {
-        if (!strcmp(report->yard, core->cf->location)) become_deputy(core);
+int tw_deputy_answers(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
+    if (!tw_deputy_entitled(core, report->worker, report->zone)) {
+        if (!strcmp(report->zone, core->cf->location)) become_deputy(core);
         return 0;
     }
     /* The grant ends; a key, where the state service can be reached, goes on. */
--- a/src/core/drain.c
+++ b/src/core/drain.c
@@ -23,7 +23,7 @@
 static tw_release release_of(const tw_core *core, const placement *placed) {
     const machine *machine = placed->m;
     const tw_wire_job *spec = &placed->job->s;
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     return (tw_release){
         .at = end_of(core, placed),
         .room = {.rack = machine->rack,
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -167,10 +167,10 @@
     uint64_t ledger;
     core->poll_busy = 0;
     core->watch_since = 0;
-    if (status != TW_HTTP_OK || tw_wire_ledger_parse(&ledger, body, len)) {
+    if (status != TW_HTTP_OK || tw_wire_revision_parse(&ledger, body, len)) {
         core->next_poll =
             core->now + core->ttl * tw_jitter(core, WATCH_RETRY_LEAST, WATCH_RETRY_MOST);
-    } else if (tw_wire_log_any(body, len)) {
+    } else if (tw_wire_watch_has_changes(body, len)) {
         /* Not all followers at the same moment. */
         const double spread = fmax(core->ttl * CHANGED_SPREAD, round_s(core) * SPREAD_ROUNDS);
         core->next_poll = core->now + tw_jitter(core, 0, spread);
@@ -199,11 +199,11 @@
 
 /* The key names a leader, at its revision. */
 static void key_read(tw_core *core, const tw_wire_entry *entry, const char *leader) {
-    tw_saw_token(core, entry->stamp, leader);
+    tw_saw_token(core, entry->mod_revision, leader);
     /* Our own name while we don't lead: an earlier life of this node, or an acquisition whose
      * answer was lost. Nobody acts on it any more, so its lease is ended at once. */
     if (core->role == R_FOLLOWER && !core->electing && !strcmp(leader, core->cf->host_name)) {
-        drop_grant(core, entry->hold);
+        drop_grant(core, entry->lease_id);
         *core->leader = 0;
         core->watch_since = 0;
         core->next_poll = core->now + OWN_KEY_GONE_S;
@@ -219,26 +219,26 @@
     }
     tw_wire_entry entry;
     if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, len)) return;
-    core->watch_since = entry.stamp;
+    core->watch_since = entry.mod_revision;
     if (core->role == R_FOLLOWER) core->next_poll = core->now;
-    cJSON *data = cJSON_Parse(entry.data);
+    cJSON *data = cJSON_Parse(entry.value);
     const cJSON *node = cJSON_GetObjectItemCaseSensitive(data, "node");
-    if (cJSON_IsString(node) && strlen(node->valuestring) < TW_NAME)
+    if (cJSON_IsString(node) && strlen(node->valuestring) < TW_NAME_SIZE)
         key_read(core, &entry, node->valuestring);
     cJSON_Delete(data);
-    free(entry.data);
+    free(entry.value);
 }
 
 static void on_grant(tw_core *core, int status, const char *body, size_t len) {
     uint64_t hold;
-    if (status != TW_HTTP_OK || tw_wire_hold_parse(&hold, body, len)) {
+    if (status != TW_HTTP_OK || tw_wire_lease_id_parse(&hold, body, len)) {
         core->electing = 0;
         return;
     }
     core->hold = hold;
     char data[128];
     snprintf(data, sizeof data, "{\"node\":\"%s\"}", core->cf->host_name);
-    tw_wire_cond absent = {TW_LEADER_KEY, 0};
+    tw_wire_compare absent = {TW_LEADER_KEY, 0};
     tw_wire_write key = {TW_LEADER_KEY, data, hold};
     election_call(core, K_ACQUIRE, "POST", "/txn", tw_wire_txn_text(&absent, 1, &key, 1),
                   core->ttl * ELECTION_TIMEOUT);
@@ -247,7 +247,7 @@
 static void on_acquire(tw_core *core, int status, const char *body, size_t len) {
     uint64_t ledger;
     core->electing = 0;
-    if (status == TW_HTTP_OK && !tw_wire_ledger_parse(&ledger, body, len) &&
+    if (status == TW_HTTP_OK && !tw_wire_revision_parse(&ledger, body, len) &&
         core->now < core->grant_sent + core->ttl * ACQUIRED_LATEST) {
         become_leader(core, ledger);
         return;
--- a/src/core/estimate.c
+++ b/src/core/estimate.c
@@ -15,8 +15,8 @@
  * with the run that follows. */
 static double gang_due(const job *job) {
     double due = start_due(job) + tw_estimate(job);
-    if (job->s.due_s >= 0)
-        due = fmin(due, job->submitted + job->s.due_s);
+    if (job->s.deadline_s >= 0)
+        due = fmin(due, job->submitted + job->s.deadline_s);
     else if (job->lane && job->lane->finish_s > 0)
         due = fmin(due, job->submitted + job->lane->finish_s);
     return due;
@@ -25,7 +25,7 @@
 double tw_job_due(const tw_core *core, const job *job) {
     (void)core;
     if (job->s.gang) return gang_due(job);
-    if (!job->s.service && job->s.due_s >= 0) return job->submitted + job->s.due_s;
+    if (!job->s.service && job->s.deadline_s >= 0) return job->submitted + job->s.deadline_s;
     /* A service's deadline is its class's start objective. */
     return start_due(job);
 }
@@ -34,7 +34,7 @@
 
 double tw_estimate(const job *job) {
     if (job->s.service) return 0;
-    return job->s.expect_s * (job->lane ? job->lane->ratio : 1);
+    return job->s.expected_run_s * (job->lane ? job->lane->ratio : 1);
 }
 
 double tw_slowness(const tw_core *core, const machine *machine) {
--- a/src/core/expiring.h
+++ b/src/core/expiring.h
@@ -8,7 +8,7 @@
 
 /* A member of an expiring set. */
 typedef struct expiring {
-    char name[TW_NAME];
+    char name[TW_NAME_SIZE];
     double at;
     UT_hash_handle hh;
 } expiring;
--- a/src/core/finished.c
+++ b/src/core/finished.c
@@ -125,7 +125,7 @@
 void tw_finished_add(tw_finished *table, const char *id, const tw_ending *ending) {
     if (tw_finished_find(table, id, NULL)) return;
     uint32_t packed = (uint32_t)ending->done;
-    if (ending->stage == TW_STAGE_ABORTED) packed |= ABORTED_BIT;
+    if (ending->stage == TW_JOB_CANCELLED) packed |= ABORTED_BIT;
     put(with_room(table), key_of(id), packed);
     table->count++;
 }
@@ -141,7 +141,7 @@
         if (!generation->keys[slot]) continue;
         uint32_t packed = generation->endings[slot];
         if (ending) {
-            ending->stage = packed & ABORTED_BIT ? TW_STAGE_ABORTED : TW_STAGE_DONE;
+            ending->stage = packed & ABORTED_BIT ? TW_JOB_CANCELLED : TW_JOB_DONE;
             ending->done = (int)(packed & ~ABORTED_BIT);
         }
         return 1;
--- a/src/core/finished.h
+++ b/src/core/finished.h
@@ -14,8 +14,8 @@
 
 /* How a job ended. */
 typedef struct {
-    int stage; /* TW_STAGE_DONE or TW_STAGE_ABORTED */
-    int done;  /* tasks that were done, 0 to TW_WIRE_MAX_PIECES */
+    int stage; /* TW_JOB_DONE or TW_JOB_CANCELLED */
+    int done;  /* tasks that were done, 0 to TW_WIRE_MAX_TASKS */
 } tw_ending;
 
 /* An empty table that takes most_bytes at most (and never less than a few entries). */
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -32,8 +32,8 @@
  * the notice leaves time for it, that is waited for. */
 static int waits_to_save(const tw_core *core, const placement *placed, double left_s) {
     const job *job = placed->job;
-    return job->s.gang && job->s.snapshot_s > 0 && job->gang.state == GANG_RUNNING &&
-           !tw_gang_can_save(core, job) && left_s > job->s.flush_s + core->cf->gang_peer_s;
+    return job->s.gang && job->s.checkpoint_s > 0 && job->gang.state == GANG_RUNNING &&
+           !tw_gang_can_save(core, job) && left_s > job->s.save_s + core->cf->gang_peer_s;
 }
 
 /* A spot machine will be taken: tasks that won't be done by then save and go elsewhere. */
@@ -48,7 +48,7 @@
         const double rest_s = each->run_at > 0 ? run_s - (core->now - each->run_at) : run_s;
         if (!s->service && rest_s > 0 && rest_s < DONE_WITHIN_NOTICE * left_s) continue;
         if (waits_to_save(core, each, left_s)) continue;
-        tw_placement_kill(core, each, s->snapshot_s > 0 ? s->flush_s : 0, 0);
+        tw_placement_kill(core, each, s->checkpoint_s > 0 ? s->save_s : 0, 0);
     }
 }
 
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -21,7 +21,7 @@
 
 /* Commands under way to one machine. */
 typedef struct {
-    tw_wire_order *list; /* the core's scratch: one answer is put together at a time */
+    tw_wire_command *list; /* the core's scratch: one answer is put together at a time */
     int count;
 } tw_orders;
 
@@ -59,16 +59,16 @@
 
 /* task.c */
 /* What the report says of a task that we have a placement for. */
-void tw_task_reported(tw_core *core, placement *placed, const tw_wire_report *report,
-                      const tw_wire_piece *told);
+void tw_task_reported(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
+                      const tw_wire_task *told);
 /* A task that we have no placement for. orders: NULL in an answer to direct orders. */
-void tw_task_stranger(tw_core *core, machine *machine, const tw_wire_report *report,
-                      const tw_wire_piece *told, tw_orders *orders);
+void tw_task_stranger(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
+                      const tw_wire_task *told, tw_orders *orders);
 
 /* report.c */
 /* Takes a report in; 0: it is older than what we know. orders: NULL for an answer to direct orders,
  * which may have overtaken the answer to a report. */
-int tw_report_take(tw_core *core, machine *machine, const tw_wire_report *report,
+int tw_report_take(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
                    tw_orders *orders);
 
 /* orders_text.c: messages with orders, under our token. NULL: this node has not the right to give
@@ -78,12 +78,13 @@
 /* To the machine's own address. */
 char *tw_orders_direct_text(tw_core *core, const machine *machine, const tw_orders *orders);
 /* In a deputy's answer to a report. */
-char *tw_orders_deputy_text(tw_core *core, const tw_wire_report *report, const tw_orders *orders);
+char *tw_orders_deputy_text(tw_core *core, const tw_wire_heartbeat *report,
+                            const tw_orders *orders);
 
 /* orders.c */
 tw_orders tw_orders_new(tw_core *core);
 /* A command on the task, without effect when the answer is full: it is due again next time. */
-void tw_orders_add(tw_orders *orders, tw_wire_order order, const char *job);
+void tw_orders_add(tw_orders *orders, tw_wire_command order, const char *job);
 /* What a machine is to be told. tick: the report that is answered, or 0 for direct orders. */
 void tw_orders_due(tw_core *core, machine *machine, tw_orders *orders, uint64_t tick);
 
--- a/src/core/futile.c
+++ b/src/core/futile.c
@@ -12,8 +12,8 @@
                        .mem = job->s.memory_gb,
                        .racks = job->rackmask,
                        .zones = demand->zones,
-                       .loaner = job->s.loaner,
-                       .rank = job->s.rank,
+                       .loaner = job->s.spot,
+                       .rank = job->s.priority,
                        .service = job->s.service,
                        .any_machine = job->any_machine,
                        .whole = job->s.gang};
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -42,7 +42,7 @@
 }
 
 static int is_under_way(const job *job) {
-    return job->has_spec && job->s.gang && job->stage == TW_STAGE_PENDING && job->nlive > 0;
+    return job->has_spec && job->s.gang && job->stage == TW_JOB_PENDING && job->nlive > 0;
 }
 
 /* Tasks that are neither placed nor done. */
@@ -104,15 +104,15 @@
     gang *gang = &job->gang;
     if (!is_under_way(job) || placed->attempt != gang->attempt || gang->state != GANG_GATHERING)
         return;
-    if (placed->stage == TW_PIECE_WAITING && gang->waits_from <= 0) gang->waits_from = core->now;
-    if (placed->stage == TW_PIECE_RUNNING || placed->stage == TW_PIECE_FLUSHING)
+    if (placed->stage == TW_TASK_WAITING && gang->waits_from <= 0) gang->waits_from = core->now;
+    if (placed->stage == TW_TASK_RUNNING || placed->stage == TW_TASK_SAVING)
         enter(core, job, GANG_RUNNING, "started");
 }
 
 /* Whether the way in which a task ended shows that its gang had started. */
 static int ended_after_start(const placement *placed) {
-    return placed->stage == TW_PIECE_EXITED &&
-           (placed->cause == TW_CAUSE_ERROR || placed->cause == TW_CAUSE_PEERS);
+    return placed->stage == TW_TASK_EXITED &&
+           (placed->cause == TW_CAUSE_ERROR || placed->cause == TW_CAUSE_GANG_BROKEN);
 }
 
 static void left_before_start(tw_core *core, job *job, const placement *placed) {
@@ -125,9 +125,9 @@
 void tw_gang_left(tw_core *core, placement *placed) {
     job *job = placed->job;
     gang *gang = &job->gang;
-    if (gang->state == GANG_IDLE || job->stage != TW_STAGE_PENDING) return;
+    if (gang->state == GANG_IDLE || job->stage != TW_JOB_PENDING) return;
     const int had_started = gang->state == GANG_RUNNING || ended_after_start(placed);
-    if (had_started) job->resumed |= job->s.snapshot_s > 0;
+    if (had_started) job->resumed |= job->s.checkpoint_s > 0;
     if (!job->nlive) {
         enter(core, job, GANG_IDLE, "gone");
         gang->nleft = 0;
@@ -154,7 +154,7 @@
 
 int tw_gang_can_save(const tw_core *core, const job *job) {
     const placement *task;
-    if (job->s.snapshot_s <= 0 || missing(job) > 0) return 0;
+    if (job->s.checkpoint_s <= 0 || missing(job) > 0) return 0;
     if (job->gang.state != GANG_RUNNING && job->gang.state != GANG_STOPPING) return 0;
     DL_FOREACH2(job->live, task, jnext) {
         const machine *machine = task->m;
--- a/src/core/gang_hold.c
+++ b/src/core/gang_hold.c
@@ -42,7 +42,7 @@
 
 /* How many tasks of the gang a machine should hold soon, and when. */
 static expectation expect(const tw_core *core, const job *job, machine *machine) {
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     const double horizon = core->now + HOLD_MOST_S;
     bin room = {.rack = machine->rack,
                 .c = type->cores - machine->used_c,
@@ -104,8 +104,8 @@
     job *job = longest_waiting(core);
     if (!job) return;
     int best = -1;
-    double soonest = job->s.same_place ? INFINITY : hold_in(core, job, -1, 0);
-    for (int zone = 0; job->s.same_place && zone < core->nyards; zone++) {
+    double soonest = job->s.single_zone ? INFINITY : hold_in(core, job, -1, 0);
+    for (int zone = 0; job->s.single_zone && zone < core->nyards; zone++) {
         const double at = hold_in(core, job, zone, 0);
         if (at >= soonest) continue;
         soonest = at;
@@ -120,7 +120,7 @@
 int tw_gang_hold_allows(const tw_core *core, const job *job, const machine *machine) {
     const struct job *holder = core->holder;
     if (!holder || !machine->held_for_gang || holder == job || job->s.service) return 1;
-    return job->s.rank > holder->s.rank;
+    return job->s.priority > holder->s.priority;
 }
 
 /* What is left of a limit after so many tasks; 0 as a limit: there is none. */
@@ -131,7 +131,7 @@
 int tw_gang_hold_allows_team(const tw_core *core, const job *job) {
     const struct job *holder = core->holder;
     if (!holder || holder == job || job->s.service || job->team != holder->team ||
-        job->s.rank > holder->s.rank || job->team < 0)
+        job->s.priority > holder->s.priority || job->team < 0)
         return 1;
     const tw_conf_team *team = &core->cf->teams[job->team];
     return leaves(team->cpus_max, core->team_c[job->team], job->s.cores,
--- a/src/core/gang_room.c
+++ b/src/core/gang_room.c
@@ -16,7 +16,7 @@
 }
 
 static int free_on(const tw_core *core, const machine *machine, const job *job, int most) {
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     const tw_room room = {type->cores - machine->used_c, type->gpus - machine->used_g,
                           type->memory_gb - machine->used_m};
     int count = tasks_in(&room, &job->s, most);
@@ -31,7 +31,7 @@
 
 /* Room of tasks that are told to stop is promised to others already. */
 static int vacated_on(const tw_core *core, const machine *machine, const job *job, int most) {
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     tw_room room = {type->cores - machine->used_c + machine->kill_c,
                     type->gpus - machine->used_g + machine->kill_g,
                     type->memory_gb - machine->used_m + machine->kill_m};
@@ -59,7 +59,7 @@
 
 /* How many tasks of a job that spreads over zones may stand in one; else there is no such limit. */
 static int most_in_zone(const job *job) {
-    return job->s.apart ? (job->pieces + 1) / 2 : job->pieces;
+    return job->s.spread ? (job->pieces + 1) / 2 : job->pieces;
 }
 
 static uint32_t zones_with(const tw_core *core, const zone_rooms rooms, int tasks, int vacated) {
@@ -89,11 +89,11 @@
         const int zone = machine->zone < 0 ? TW_MAX_ZONES : machine->zone;
         add_machine(core, &demand, machine, tasks, &rooms[zone]);
     }
-    const int may_vacate = job->s.rank > TW_RANK_IDLE;
+    const int may_vacate = job->s.priority > TW_PRIORITY_IDLE;
     for (int vacated = 0; vacated <= may_vacate; vacated++) {
         const uint32_t zones = zones_with(core, rooms, tasks, vacated);
-        if (job->s.same_place && zones) return zones;
-        if (!job->s.same_place && sum(core, job, rooms, vacated) >= tasks) return UINT32_MAX;
+        if (job->s.single_zone && zones) return zones;
+        if (!job->s.single_zone && sum(core, job, rooms, vacated) >= tasks) return UINT32_MAX;
     }
     return 0;
 }
--- a/src/core/heartbeat.c
+++ b/src/core/heartbeat.c
@@ -15,7 +15,7 @@
 #define BODY_MOST (64 * 1024)
 #define BODY_REST 1024
 /* Ids in a heartbeat: a request's body must hold them. With more of them no grant is given. */
-#define MAX_ABORTED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID + 3))
+#define MAX_ABORTED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID_SIZE + 3))
 
 peer *tw_peer_of(tw_core *core, const char *name) {
     for (size_t i = 0; i < core->npeers; i++)
@@ -25,13 +25,13 @@
 
 int tw_all_read_divided(const tw_core *core) {
     for (size_t i = 0; i < core->npeers; i++)
-        if (core->peers[i].record_format < TW_RECORD_DIVIDED) return 0;
+        if (core->peers[i].record_format < TW_RECORD_FORMAT_CHUNKED) return 0;
     return 1;
 }
 
 int tw_heard_old_peer(const tw_core *core) {
     for (size_t i = 0; i < core->npeers; i++)
-        if (core->peers[i].record_format == TW_RECORD_WHOLE) return 1;
+        if (core->peers[i].record_format == TW_RECORD_FORMAT_WHOLE) return 1;
     return 0;
 }
 
@@ -54,7 +54,7 @@
     const job *cancelled;
     int count = 0;
     DL_FOREACH2(core->cancelled, cancelled, cnext) {
-        if ((cancelled->stage != TW_STAGE_ABORTED && !cancelled->aborting) || !cancelled->live)
+        if ((cancelled->stage != TW_JOB_CANCELLED && !cancelled->aborting) || !cancelled->live)
             continue;
         if (count < MAX_ABORTED) ids[count] = cancelled->id;
         count++;
@@ -63,27 +63,30 @@
 }
 
 /* What this node says of itself to another; aborted: room for the ids a leader sends along. */
-static tw_wire_ping self(const tw_core *core, const char **aborted, int *count) {
-    tw_wire_ping message = {.token = core->seen_token,
-                            .state_ok = core->now - core->state_ok_at < 2 * core->ttl,
-                            .up_s = core->now - core->started_at,
-                            .deputy_s = core->now - fmax(core->started_at, core->deputy_last),
-                            .leading = tw_may(core, RIGHT_COMMAND),
-                            .record_format = TW_RECORD_DIVIDED};
+static tw_wire_peer_heartbeat self(const tw_core *core, const char **aborted, int *count) {
+    tw_wire_peer_heartbeat message = {
+        .highest_token = core->seen_token,
+        .store_reachable = core->now - core->state_ok_at < 2 * core->ttl,
+        .uptime_s = core->now - core->started_at,
+        .since_delegate_answer_s = core->now - fmax(core->started_at, core->deputy_last),
+        .is_leader = tw_may(core, RIGHT_COMMAND),
+        .record_format = TW_RECORD_FORMAT_CHUNKED};
     snprintf(message.name, sizeof message.name, "%s", core->cf->host_name);
-    if (message.leading) snprintf(message.leader, sizeof message.leader, "%s", core->cf->host_name);
-    *count = message.leading ? aborted_live(core, aborted) : 0;
+    if (message.is_leader)
+        snprintf(message.leader, sizeof message.leader, "%s", core->cf->host_name);
+    *count = message.is_leader ? aborted_live(core, aborted) : 0;
     return message;
 }
 
 static void ping(tw_core *core, peer *to) {
     const char *ids[MAX_ABORTED];
     int count;
-    tw_wire_ping message = self(core, ids, &count);
+    tw_wire_peer_heartbeat message = self(core, ids, &count);
     const int all_named = count <= MAX_ABORTED;
     to->busy++;
-    call *sent = tw_call(core, K_PING, TW_TO_PEER, to->cf.addr, "POST", "/peer/ping",
-                         tw_wire_ping_text(&message, ids, all_named ? count : 0), TIMEOUT_S);
+    call *sent =
+        tw_call(core, K_PING, TW_TO_PEER, to->cf.addr, "POST", "/peer/ping",
+                tw_wire_peer_heartbeat_text(&message, ids, all_named ? count : 0), TIMEOUT_S);
     snprintf(sent->name, sizeof sent->name, "%s", to->cf.name);
     sent->seq = all_named ? core->abort_seq : 0;
 }
@@ -123,11 +126,11 @@
 
 /* ---- hearing from a peer ---- */
 
-static void heard_peer(tw_core *core, peer *from, const tw_wire_ping *message) {
-    if (message->token > from->token) from->token = message->token;
-    from->state_ok = message->state_ok;
+static void heard_peer(tw_core *core, peer *from, const tw_wire_peer_heartbeat *message) {
+    if (message->highest_token > from->token) from->token = message->highest_token;
+    from->state_ok = message->store_reachable;
     from->record_format = message->record_format;
-    tw_saw_token(core, message->token, message->leading ? message->name : NULL);
+    tw_saw_token(core, message->highest_token, message->is_leader ? message->name : NULL);
     if (core->role != R_LEADER || core->all_confirmed_at > 0) return;
     for (size_t i = 0; i < core->npeers; i++)
         if (core->peers[i].token < core->token) return;
@@ -136,58 +139,60 @@
 }
 
 void tw_ping_request(tw_core *core, uint64_t conn, const char *body, size_t len) {
-    tw_wire_ping message;
-    if (tw_wire_ping_parse(&message, body, len)) {
+    tw_wire_peer_heartbeat message;
+    if (tw_wire_peer_heartbeat_parse(&message, body, len)) {
         tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed ping");
         return;
     }
     peer *from = tw_peer_of(core, message.name);
     if (from) heard_peer(core, from, &message);
-    if (from && message.leading) tw_aborted_note(core, message.token, body, len);
+    if (from && message.is_leader) tw_aborted_note(core, message.highest_token, body, len);
     /* With this answer it may renew leases in its zone for a while, should it lose us. */
     const char *ids[MAX_ABORTED];
     int count;
-    tw_wire_ping answer = self(core, ids, &count);
+    tw_wire_peer_heartbeat answer = self(core, ids, &count);
     if (count > MAX_ABORTED) {
         tw_log_info("event=no_grant aborted=%d", count);
-        answer.leading = count = 0;
+        answer.is_leader = count = 0;
     }
-    if (from && answer.leading)
+    if (from && answer.is_leader)
         from->grant_until = core->now + tw_alone_s(core) * (1 + 2 * core->cf->tune.drift);
-    tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_ping_text(&answer, ids, count));
+    tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
 /* A peer answered a ping and knows of no token later than ours: it has not led until the ping was
  * sent, unless it started anew since it last vouched. Nobody else can lead while we have authority,
  * so a peer that was up before our authority ended counts as having vouched until then: a leader
  * that loses the state service early in its first term is vouched for, too. */
-static void vouch(tw_core *core, peer *from, const call *sent, const tw_wire_ping *answer) {
+static void vouch(tw_core *core, peer *from, const call *sent,
+                  const tw_wire_peer_heartbeat *answer) {
     double known = from->vouched_at;
     if (core->role == R_LEADER) known = fmax(known, core->auth_until);
-    const double started_by = core->now - answer->up_s * (1 - 2 * core->cf->tune.drift);
+    const double started_by = core->now - answer->uptime_s * (1 - 2 * core->cf->tune.drift);
     if (tw_authority(core) || started_by <= known)
         from->vouched_at = fmax(from->vouched_at, sent->sent);
 }
 
 void tw_ping_response(tw_core *core, const call *sent, int status, const char *body, size_t len) {
     peer *from = tw_peer_of(core, sent->name);
-    tw_wire_ping answer;
+    tw_wire_peer_heartbeat answer;
     if (!from) return;
     if (from->busy) from->busy--;
-    if (status != TW_HTTP_OK || tw_wire_ping_parse(&answer, body, len)) return;
+    if (status != TW_HTTP_OK || tw_wire_peer_heartbeat_parse(&answer, body, len)) return;
     vouch(core, from, sent, &answer);
     if (from->ok_at < sent->sent - ANSWERS_S - ANSWERS_LEASES * core->ttl)
         from->back_at = core->now;
     from->ok_at = sent->sent;
     /* Said after the ping was sent; a late copy of a request would not tell when. */
-    from->deputy_last = core->now - answer.deputy_s;
+    from->deputy_last = core->now - answer.since_delegate_answer_s;
     from->dep_asof = sent->sent;
     heard_peer(core, from, &answer);
-    if (answer.token == core->token && sent->term == core->term && sent->seq > from->abort_ack) {
+    if (answer.highest_token == core->token && sent->term == core->term &&
+        sent->seq > from->abort_ack) {
         from->abort_ack = sent->seq;
         core->next_tidy = core->now;
     }
-    if (answer.leading) tw_deputy_granted(core, sent->sent, answer.token, body, len);
+    if (answer.is_leader) tw_deputy_granted(core, sent->sent, answer.highest_token, body, len);
 }
 
 void tw_ping_tick(tw_core *core) {
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -14,7 +14,7 @@
 image *tw_image(const machine *machine, const job *job) {
     image *each;
     DL_FOREACH(machine->images, each)
-    if (each->sum == job->bundle && !strcmp(each->name, job->s.bundle)) return each;
+    if (each->sum == job->bundle && !strcmp(each->name, job->s.image)) return each;
     return NULL;
 }
 
@@ -52,7 +52,7 @@
     image *found = tw_image(machine, job);
     if (!found) {
         found = tw_zalloc(sizeof *found);
-        snprintf(found->name, sizeof found->name, "%s", job->s.bundle);
+        snprintf(found->name, sizeof found->name, "%s", job->s.image);
         found->sum = job->bundle;
         found->gb = job->s.image_gb;
         double s_per_gb = machine->rack >= 0 ? core->flavors[machine->rack].p : 1;
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -23,7 +23,7 @@
     snprintf(job->id, sizeof job->id, "%s", id);
     job->team = -1;
     job->next_try = 1;
-    job->s.nracks = -1;
+    job->s.machine_type_count = -1;
     HASH_ADD_STR(core->jobs, id, job);
     return job;
 }
@@ -37,9 +37,9 @@
 uint32_t tw_rack_mask(const tw_core *core, const tw_wire_job *spec) {
     uint32_t mask = 0;
     for (int i = 0; i < core->nflavors; i++) {
-        int allowed = spec->nracks < 0;
-        for (int k = 0; k < spec->nracks; k++)
-            allowed |= !strcmp(spec->racks[k], core->flavors[i].f.label);
+        int allowed = spec->machine_type_count < 0;
+        for (int k = 0; k < spec->machine_type_count; k++)
+            allowed |= !strcmp(spec->machine_types[k], core->flavors[i].f.name);
         if (allowed) mask |= 1u << i;
     }
     return mask;
@@ -51,13 +51,13 @@
     job->spec_text = NULL;
     job->spec_bytes = 0;
     memset(spec, 0, sizeof *spec);
-    spec->nracks = -1;
+    spec->machine_type_count = -1;
     job->has_spec = 1;
-    job->pieces = job->s.pieces;
-    job->team = team_index(core, job->s.crew);
-    job->lane = tw_lane(core, job->s.lane);
+    job->pieces = job->s.task_count;
+    job->team = team_index(core, job->s.team);
+    job->lane = tw_lane(core, job->s.job_class);
     job->rackmask = tw_rack_mask(core, &job->s);
-    job->bundle = tw_sum(job->s.bundle);
+    job->bundle = tw_sum(job->s.image);
 }
 
 int tw_job_durable(const job *job) { return job->created; }
@@ -114,24 +114,23 @@
     int count = 0;
     placement *task;
     DL_FOREACH2(job->live, task, jnext)
-    if (task->seen && (task->stage == TW_PIECE_RUNNING || task->stage == TW_PIECE_FLUSHING))
-        count++;
+    if (task->seen && (task->stage == TW_TASK_RUNNING || task->stage == TW_TASK_SAVING)) count++;
     return count;
 }
 
 char *tw_job_answer(const job *job) {
-    if (job->durable_stage == TW_STAGE_ABORTED || job->durable_stage == TW_STAGE_DONE)
-        return tw_wire_stage_text(job->id, job->durable_stage, job->ndone, 0);
+    if (job->durable_stage == TW_JOB_CANCELLED || job->durable_stage == TW_JOB_DONE)
+        return tw_wire_job_status_text(job->id, job->durable_stage, job->ndone, 0);
     int count = running(job);
-    int stage = count ? TW_STAGE_RUNNING : TW_STAGE_PENDING;
-    return tw_wire_stage_text(job->id, stage, job->ndone, count);
+    int stage = count ? TW_JOB_RUNNING : TW_JOB_PENDING;
+    return tw_wire_job_status_text(job->id, stage, job->ndone, count);
 }
 
 /* Whether the state service may hold that the job is over while we don't know it: the write is on
  * its way, or nothing is known of its fate. Another node may have read it and told a user, so that
  * only a read that begins after a question can answer it. */
 static int end_in_doubt(const job *job) {
-    return job->over_sent && job->durable_stage == TW_STAGE_PENDING;
+    return job->over_sent && job->durable_stage == TW_JOB_PENDING;
 }
 
 int tw_job_answerable(const job *job) { return job->created && !end_in_doubt(job); }
@@ -139,10 +138,10 @@
 void tw_job_tell(tw_core *core, job *job, int status) {
     for (waiter **at = &job->waiters; *at;) {
         waiter *waiter = *at;
-        int over = job->durable_stage != TW_STAGE_PENDING;
+        int over = job->durable_stage != TW_JOB_PENDING;
         if (waiter->cancels ? over : job->created) {
             tw_reply(core, waiter->conn, waiter->cancels ? TW_HTTP_OK : status, 0,
-                     tw_wire_stage_text(job->id, job->durable_stage, -1, -1));
+                     tw_wire_job_status_text(job->id, job->durable_stage, -1, -1));
             *at = waiter->next;
             free(waiter);
         } else {
@@ -155,7 +154,7 @@
 
 void tw_job_finish(tw_core *core, job *job, int stage) {
     job->stage = stage;
-    if (stage == TW_STAGE_ABORTED) {
+    if (stage == TW_JOB_CANCELLED) {
         tw_job_cancelled(core, job);
         /* Not first when it is known to be durable: once the write is sent, another node may read
          * the record and tell the user, and we may never learn of it. Whatever the tasks still do
@@ -184,11 +183,11 @@
 
 void tw_job_unplaced(tw_core *core, job *job) {
     job->nplacements--;
-    if (job->durable_stage != TW_STAGE_PENDING) let_go(core, job);
+    if (job->durable_stage != TW_JOB_PENDING) let_go(core, job);
 }
 
 void tw_job_retire(tw_core *core, job *job) {
-    if (job->durable_stage == TW_STAGE_PENDING || job->live || job->inflight || job->queued ||
+    if (job->durable_stage == TW_JOB_PENDING || job->live || job->inflight || job->queued ||
         !job->st || job->ver != job->durable_ver)
         return;
     DL_DELETE(core->active, job);
@@ -206,9 +205,9 @@
 /* ---- time ---- */
 
 static void abort_tick(tw_core *core, job *job) {
-    if (job->aborting && job->stage == TW_STAGE_PENDING && tw_may(core, RIGHT_WRITE) &&
+    if (job->aborting && job->stage == TW_JOB_PENDING && tw_may(core, RIGHT_WRITE) &&
         core->phase == PH_ACTIVE && tw_abort_safe(core, job, 1) > 0)
-        tw_job_finish(core, job, TW_STAGE_ABORTED);
+        tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
 void tw_job_turn_away(tw_core *core, job *job) {
@@ -250,21 +249,21 @@
 /* ---- jobs that can never run ---- */
 
 /* Whether a machine of the type would hold a task where the job may run. */
-static int type_suits(const tw_wire_flavor *type, const tw_wire_job *spec) {
+static int type_suits(const tw_wire_machine_type *type, const tw_wire_job *spec) {
     if (type->cores + TW_ROUNDING < spec->cores || type->gpus + TW_ROUNDING < spec->gpus ||
         type->memory_gb + TW_ROUNDING < spec->memory_gb)
         return 0;
-    if (!*spec->yard) return 1;
-    for (int i = 0; i < type->nyards; i++)
-        if (!strcmp(type->yards[i], spec->yard)) return 1;
+    if (!*spec->zone) return 1;
+    for (int i = 0; i < type->zone_count; i++)
+        if (!strcmp(type->zones[i], spec->zone)) return 1;
     return 0;
 }
 
 int tw_job_hopeless(tw_core *core, const tw_wire_job *spec) {
-    int index = team_index(core, spec->crew);
+    int index = team_index(core, spec->team);
     if (index < 0) return 1;
     const tw_conf_team *team = &core->cf->teams[index];
-    double at_once = spec->service || spec->gang ? spec->pieces : 1; /* what must run at once */
+    double at_once = spec->service || spec->gang ? spec->task_count : 1; /* what must run at once */
     if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_ROUNDING) return 1;
     if (team->gpus_max > 0 && spec->gpus * at_once > team->gpus_max + TW_ROUNDING) return 1;
     uint32_t mask = tw_rack_mask(core, spec);
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -22,7 +22,7 @@
 
 /* A class of jobs: its objectives, and what its jobs were like lately. */
 typedef struct lane {
-    char name[TW_NAME];
+    char name[TW_NAME_SIZE];
     double within_s;     /* start objective, 0: none */
     double finish_s;     /* objective for the end, from the submission; 0: none */
     int deadline;        /* has a deadline objective */
@@ -39,7 +39,7 @@
 } lane;
 
 typedef struct job {
-    char id[TW_WIRE_ID];
+    char id[TW_WIRE_ID_SIZE];
     int has_spec;
     tw_wire_job s;
     char *spec_text;   /* s as in the record, made once; NULL: not yet */
@@ -49,7 +49,7 @@
     uint32_t rackmask; /* over core->flavors */
     uint32_t bundle;   /* sum of its image's name */
     int pieces;
-    int stage; /* TW_STAGE_PENDING while unfinished */
+    int stage; /* TW_JOB_PENDING while unfinished */
     int durable_stage;
     double submitted; /* steady clock */
     double submitted_wall;
@@ -65,8 +65,9 @@
     int inflight, queued, urgent, need_read, reading;
     int over_sent; /* a record that says it is over may be in the state service */
     double write_after;
-    char set[TW_WIRE_SET];      /* slices that its record names as last known; "": it is whole */
-    int slices;                 /* how many */
+    char set[TW_WIRE_CHUNK_SET_SIZE]; /* slices that its record names as last known; "": it is whole
+                                       */
+    int slices;                       /* how many */
     struct record_parts *parts; /* of its next record, while they are written; see record_parts.c */
     int refusals;               /* of its record for its size, in a row */
     size_t refused_bytes;       /* the length that was refused */
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -37,7 +37,7 @@
     if (job->s.gang) lane->largest_gang = fmax(lane->largest_gang, tasks);
     lane->last_arrival = core->now;
     lane->sample = job->s;
-    lane->sample.racks = NULL;
+    lane->sample.machine_types = NULL;
     lane->sample_racks = job->rackmask;
     lane->has_sample = 1;
     tw_per_gpu_note(core);
--- a/src/core/job_record.c
+++ b/src/core/job_record.c
@@ -2,38 +2,38 @@
 #include "core/core_int.h"
 
 /* The tasks that may run; the caller frees them. */
-static tw_wire_live *live_tasks(const job *job, int *count) {
+static tw_wire_assignment *live_tasks(const job *job, int *count) {
     const placement *task;
     *count = 0;
     DL_FOREACH2(job->live, task, jnext)++ *count;
-    tw_wire_live *tasks = tw_zalloc((size_t)*count * sizeof *tasks);
-    tw_wire_live *at = tasks;
+    tw_wire_assignment *tasks = tw_zalloc((size_t)*count * sizeof *tasks);
+    tw_wire_assignment *at = tasks;
     DL_FOREACH2(job->live, task, jnext) {
         at->index = task->index;
         at->attempt = task->attempt;
-        snprintf(at->tray, sizeof at->tray, "%s", task->m->name);
+        snprintf(at->worker, sizeof at->worker, "%s", task->m->name);
         at++;
     }
     return tasks;
 }
 
 char *tw_job_record(job *job) {
-    tw_wire_record record = {.stage = job->stage,
-                             .pieces = job->pieces,
-                             .ndone = job->ndone,
-                             .submitted = job->submitted_wall,
-                             .next_try = job->next_try};
-    record.live = live_tasks(job, &record.nlive);
+    tw_wire_record record = {.state = job->stage,
+                             .task_count = job->pieces,
+                             .done_count = job->ndone,
+                             .submitted_at = job->submitted_wall,
+                             .next_attempt = job->next_try};
+    record.assignments = live_tasks(job, &record.assignment_count);
     /* While something may run, a successor needs the job's amounts for the team's limit. */
-    if (job->has_spec && (job->stage == TW_STAGE_PENDING || record.nlive)) {
+    if (job->has_spec && (job->stage == TW_JOB_PENDING || record.assignment_count)) {
         if (!job->spec_text) job->spec_text = tw_wire_job_text(&job->s);
         record.has_job = 1;
         record.job_text = job->spec_text;
     }
-    if (job->stage == TW_STAGE_PENDING)
+    if (job->stage == TW_JOB_PENDING)
         record.done_ranges = tw_ranges_text(job->st, job->pieces, T_DONE);
     char *text = tw_wire_record_text(&record);
-    free(record.live);
+    free(record.assignments);
     free(record.done_ranges);
     return text;
 }
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -105,7 +105,7 @@
         snprintf(write->id, sizeof write->id, "%s", job->id);
         if (job->parts) note_divided(write, job->parts);
         write->bytes = strlen(batch->texts[i]);
-        job->over_sent |= write->stage != TW_STAGE_PENDING;
+        job->over_sent |= write->stage != TW_JOB_PENDING;
         job->inflight = 1;
         job->writing_ver = write->ver;
         job->urgent = 0;
@@ -116,14 +116,14 @@
     const int count = batch->count;
     tw_take(core, &core->writes, count);
     tw_take(core, &core->reqs, 1);
-    tw_wire_cond conds[MAX_RECORDS + 1 + core->npeers];
+    tw_wire_compare conds[MAX_RECORDS + 1 + core->npeers];
     tw_wire_write writes[MAX_RECORDS];
     for (int i = 0; i < count; i++) {
-        conds[i] = (tw_wire_cond){batch->keys[i], batch->jobs[i]->stamp};
+        conds[i] = (tw_wire_compare){batch->keys[i], batch->jobs[i]->stamp};
         writes[i] = (tw_wire_write){batch->keys[i], batch->texts[i], 0};
     }
     char deputy_keys[core->npeers + 1][TW_DEPUTY_KEY_SIZE];
-    conds[count] = (tw_wire_cond){TW_LEADER_KEY, core->token};
+    conds[count] = (tw_wire_compare){TW_LEADER_KEY, core->token};
     int nconds = count + 1 + tw_deputy_conds(core, conds + count + 1, deputy_keys);
     call *call = tw_call(core, K_TXN, TW_TO_STATE, core->cf->state, "POST", "/txn",
                          tw_wire_txn_text(conds, (size_t)nconds, writes, (size_t)count),
@@ -161,7 +161,7 @@
     job->stamp = stamp;
     /* A job that is over never becomes anything else. What counts is the record that was written,
      * not whether the job has changed since: a task may have ended meanwhile. */
-    if (stage != TW_STAGE_PENDING) job->stage = job->durable_stage = stage;
+    if (stage != TW_JOB_PENDING) job->stage = job->durable_stage = stage;
 }
 
 static void durable(tw_core *core, job *job, const job_write *w, uint64_t stamp) {
@@ -180,7 +180,7 @@
 }
 
 static char *spec_text(const tw_wire_job *spec) {
-    tw_wire_record record = {.has_job = 1, .job = *spec, .pieces = spec->pieces};
+    tw_wire_record record = {.has_job = 1, .job = *spec, .task_count = spec->task_count};
     return tw_wire_record_text(&record);
 }
 
@@ -189,7 +189,7 @@
 static void was_over(tw_core *core, job *job, const tw_wire_record *record) {
     placement *task, *next;
     DL_FOREACH_SAFE2(job->live, task, next, jnext) tw_attempt_end_on(core, task, END_NOT_RECORDED);
-    job->ndone = record->ndone;
+    job->ndone = record->done_count;
     job->durable_ver = job->ver;
     if (job->queued) dequeue(core, job);
 }
@@ -199,9 +199,9 @@
 static void first_record(tw_core *core, job *job, const char *data) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, job->id, data, strlen(data))) return;
-    if (*record.set) return; /* our own: only a leader divides records */
+    if (*record.chunk_set) return; /* our own: only a leader divides records */
     tw_parts_drop(core, job);
-    if (record.stage != TW_STAGE_PENDING && !record.nlive) {
+    if (record.state != TW_JOB_PENDING && !record.assignment_count) {
         was_over(core, job, &record);
         tw_wire_record_free(&record);
         return;
@@ -215,7 +215,7 @@
         free(job->st);
         job->st = tw_zalloc((size_t)job->pieces);
         job->cursor = 0;
-        job->submitted_wall = record.submitted;
+        job->submitted_wall = record.submitted_at;
         tw_job_changed(core, job, 1);
         core->sched_dirty = 1;
     }
@@ -229,15 +229,15 @@
  * since only we write records that exist, and nothing of ours is conditioned on it yet. Writes that
  * are still on their way hold the older stamp, and fail. */
 void tw_job_record_read(tw_core *core, job *job, const tw_wire_entry *entry) {
-    if (entry->stamp <= job->stamp) return;
+    if (entry->mod_revision <= job->stamp) return;
     tw_wire_record record;
-    int stage = tw_wire_record_stage(entry->data, strlen(entry->data));
-    if (!tw_wire_record_parse(&record, job->id, entry->data, strlen(entry->data))) {
-        tw_parts_named(core, job, record.set, record.slices);
+    int stage = tw_wire_record_state(entry->value, strlen(entry->value));
+    if (!tw_wire_record_parse(&record, job->id, entry->value, strlen(entry->value))) {
+        tw_parts_named(core, job, record.chunk_set, record.chunk_count);
         tw_wire_record_free(&record);
     }
-    if (!job->created) first_record(core, job, entry->data);
-    record_known(job, stage < 0 ? TW_STAGE_PENDING : stage, entry->stamp);
+    if (!job->created) first_record(core, job, entry->value);
+    record_known(job, stage < 0 ? TW_JOB_PENDING : stage, entry->mod_revision);
     tw_job_tell(core, job, TW_HTTP_OK);
     requeue(core, job);
     tw_job_retire(core, job);
@@ -262,7 +262,7 @@
 
 /* Keys whose conditions failed, of a transaction's answer. */
 typedef struct refusal {
-    char (*keys)[TW_WIRE_KEY];
+    char (*keys)[TW_WIRE_KEY_SIZE];
     int count;
 } refusal;
 
@@ -310,7 +310,7 @@
     core->ntxns--;
     if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->state_ok_at = core->now;
     if (status == TW_HTTP_CONFLICT &&
-        tw_wire_failed_parse(&refusal->keys, &refusal->count, body, length))
+        tw_wire_failed_compares_parse(&refusal->keys, &refusal->count, body, length))
         refusal->count = 0;
     if (status == TW_HTTP_BAD_REQUEST) tw_log_error("event=txn_refused body=\"%.200s\"", body);
     if (key_kept(core, refusal)) return 1;
@@ -338,7 +338,7 @@
 static void txn_done(tw_core *core, call *call, int status, const char *body, size_t length) {
     uint64_t revision = 0;
     refusal refusal;
-    int ok = status == TW_HTTP_OK && !tw_wire_ledger_parse(&revision, body, length);
+    int ok = status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, length);
     if (!answered(core, status, body, length, &refusal)) return;
     if (ok && call->sent > core->deputies_checked_at) core->deputies_checked_at = call->sent;
     for (int i = 0; i < call->n; i++) {
@@ -370,7 +370,7 @@
         return; /* tw_job_store_tick asks again */
     }
     tw_job_record_read(core, job, &entry);
-    free(entry.data);
+    free(entry.value);
 }
 
 void tw_jobs_response(tw_core *core, call *call, int status, const char *body, size_t length) {
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -13,12 +13,12 @@
 #define ACCEPT_WAIT_S 3.0
 /* Path of a job's record in the state service, and room for it. */
 #define JOB_KEY "job/"
-#define JOB_KEY_SIZE (TW_WIRE_ID + sizeof JOB_KEY)
+#define JOB_KEY_SIZE (TW_WIRE_ID_SIZE + sizeof JOB_KEY)
 #define JOB_PATH "/kv/" JOB_KEY
-#define JOB_PATH_SIZE (TW_WIRE_ID + sizeof JOB_PATH)
+#define JOB_PATH_SIZE (TW_WIRE_ID_SIZE + sizeof JOB_PATH)
 /* Keys that tell the leader of jobs that another node accepted. */
 #define ACCEPTED_KEY "new/"
-#define ACCEPTED_KEY_SIZE (TW_WIRE_ID + sizeof ACCEPTED_KEY)
+#define ACCEPTED_KEY_SIZE (TW_WIRE_ID_SIZE + sizeof ACCEPTED_KEY)
 
 /* job.c */
 /* The user at conn waits until the job is durable, or (cancels) known to be over. */
--- a/src/core/lapse.c
+++ b/src/core/lapse.c
@@ -95,7 +95,7 @@
     while (zone < core->nquiet && strcmp(core->quiet[zone].yard, name) != 0) zone++;
     if (zone == TW_MAX_ZONES || zone < core->nquiet) return zone;
     memset(&core->quiet[zone], 0, sizeof core->quiet[zone]);
-    snprintf(core->quiet[core->nquiet++].yard, TW_NAME, "%s", name);
+    snprintf(core->quiet[core->nquiet++].yard, TW_NAME_SIZE, "%s", name);
     return zone;
 }
 
--- a/src/core/learn.c
+++ b/src/core/learn.c
@@ -79,11 +79,12 @@
     machine *machine = placed->m;
     const job *job = placed->job;
     lane *class = job->lane;
-    if (machine->rack < 0 || placed->run_at <= 0 || job->s.expect_s <= 0 || job->resumed || !class)
+    if (machine->rack < 0 || placed->run_at <= 0 || job->s.expected_run_s <= 0 || job->resumed ||
+        !class)
         return;
     const double prior = core->flavors[machine->rack].slowness;
     const double weight = core->cf->tune.ema;
-    const double ratio = (core->now - placed->run_at) / job->s.expect_s;
+    const double ratio = (core->now - placed->run_at) / job->s.expected_run_s;
     if (job->s.gang) { /* it ran at the speed of its slowest machine, whichever that was */
         learn_estimate(class, ratio / gang_slowness(core, placed), weight);
         return;
--- a/src/core/list.c
+++ b/src/core/list.c
@@ -7,29 +7,29 @@
 #define RETRY_S 1
 #define OF_LAG 0.5 /* between two readings, of the time that the list lags behind */
 
-enum { RENTAL_UP = 1, RENTAL_FAILED = 2 }; /* tw_wire_tray.stage */
+enum { RENTAL_UP = 1, RENTAL_FAILED = 2 }; /* tw_wire_rented_machine.stage */
 
-static void take_machine(tw_core *core, const tw_wire_tray *listed) {
+static void take_machine(tw_core *core, const tw_wire_rented_machine *listed) {
     const expiring *released;
     HASH_FIND_STR(core->released, listed->id, released);
     if (released) return;
     machine *machine = tw_machine(core, listed->id);
     if (!machine) {
         machine = tw_machine_new(core, listed->id);
-        machine->born = core->now - listed->held_s;
+        machine->born = core->now - listed->rented_s;
     }
     machine->listed = 1;
     machine->missing = 0;
-    machine->loaner = listed->loaner;
-    if (!*machine->yard) tw_machine_at(core, machine, listed->yard);
-    if (strcmp(machine->rack_name, listed->rack) != 0)
-        snprintf(machine->rack_name, sizeof machine->rack_name, "%s", listed->rack);
-    if (machine->rack < 0) machine->rack = tw_rack_index(core, listed->rack);
+    machine->loaner = listed->spot;
+    if (!*machine->yard) tw_machine_at(core, machine, listed->zone);
+    if (strcmp(machine->rack_name, listed->machine_type) != 0)
+        snprintf(machine->rack_name, sizeof machine->rack_name, "%s", listed->machine_type);
+    if (machine->rack < 0) machine->rack = tw_rack_index(core, listed->machine_type);
     if (!*machine->endpoint && *listed->endpoint)
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
-    if (listed->stage == RENTAL_FAILED) machine->failed = 1;
+    if (listed->state == RENTAL_FAILED) machine->failed = 1;
     /* After a change of leader we need not wait until the worker has found us. */
-    if (listed->stage == RENTAL_UP && !machine->contact && !machine->probed) {
+    if (listed->state == RENTAL_UP && !machine->contact && !machine->probed) {
         machine->probed = 1;
         tw_want_probe(core, machine);
     }
@@ -42,11 +42,12 @@
 }
 
 void tw_list_page(tw_core *core, int status, const char *body, size_t length) {
-    tw_wire_tray *listed;
+    tw_wire_rented_machine *listed;
     int count;
     int more;
     core->list_busy = 0;
-    if (status != TW_HTTP_OK || tw_wire_trays_parse(&listed, &count, &more, body, length)) {
+    if (status != TW_HTTP_OK ||
+        tw_wire_rented_machines_parse(&listed, &count, &more, body, length)) {
         core->next_list = core->now + RETRY_S;
         return;
     }
--- a/src/core/loaded_parts.c
+++ b/src/core/loaded_parts.c
@@ -21,7 +21,7 @@
     if (strncmp(key, PART_KEY, prefix) != 0 || slash < key + prefix) return -1;
     char *end;
     const long number = strtol(slash + 1, &end, DECIMAL);
-    if (end == slash + 1 || *end || number < 0 || number >= TW_WIRE_MAX_PIECES) return -1;
+    if (end == slash + 1 || *end || number < 0 || number >= TW_WIRE_MAX_TASKS) return -1;
     const int length =
         snprintf(name, size, "%.*s", (int)(slash - key - (long)prefix), key + prefix);
     return length < (int)size && strchr(name, '/') ? (int)number : -1;
@@ -61,7 +61,7 @@
         if (number < 0)
             tw_log_error("event=bad_slice key=%.64s", entries[i].key);
         else
-            keep_slice(set_of(core, name), number, tw_wire_slice_parse(entries[i].data));
+            keep_slice(set_of(core, name), number, tw_wire_chunk_parse(entries[i].value));
     }
     if (count) snprintf(last, size, "%s", entries[count - 1].key);
     tw_wire_entries_free(entries, count);
@@ -70,19 +70,19 @@
 
 char *tw_loaded_text(tw_core *core, const char *id, const tw_wire_record *record) {
     char name[PART_KEY_SIZE];
-    snprintf(name, sizeof name, "%s/%s", id, record->set);
+    snprintf(name, sizeof name, "%s/%s", id, record->chunk_set);
     loaded_set *set;
     HASH_FIND_STR(core->loaded_sets, name, set);
     if (!set) return NULL;
     set->named = 1;
     size_t length = 0;
-    for (int i = 0; i < record->slices; i++) {
+    for (int i = 0; i < record->chunk_count; i++) {
         if (i >= set->room || !set->slices[i]) return NULL;
         length += strlen(set->slices[i]);
     }
     char *text = tw_zalloc(length + 1);
     char *end = text;
-    for (int i = 0; i < record->slices; i++) end = stpcpy(end, set->slices[i]);
+    for (int i = 0; i < record->chunk_count; i++) end = stpcpy(end, set->slices[i]);
     return text;
 }
 
@@ -90,7 +90,7 @@
     const loaded_set *set;
     for (set = core->loaded_sets; set; set = set->hh.next) {
         const char *slash = strchr(set->name, '/');
-        char id[TW_WIRE_ID];
+        char id[TW_WIRE_ID_SIZE];
         if (set->named) continue;
         snprintf(id, sizeof id, "%.*s", (int)(slash - set->name), set->name);
         tw_parts_stale(core, id, slash + 1, set->room);
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -3,7 +3,7 @@
 
 int tw_rack_index(const tw_core *core, const char *label) {
     for (int i = 0; i < core->nflavors; i++)
-        if (!strcmp(core->flavors[i].f.label, label)) return i;
+        if (!strcmp(core->flavors[i].f.name, label)) return i;
     return -1;
 }
 
@@ -35,7 +35,8 @@
     int index = 0;
     while (index < core->nyards && strcmp(core->yards[index], machine->yard) != 0) index++;
     if (index == TW_MAX_ZONES) return;
-    if (index == core->nyards) snprintf(core->yards[core->nyards++], TW_NAME, "%s", machine->yard);
+    if (index == core->nyards)
+        snprintf(core->yards[core->nyards++], TW_NAME_SIZE, "%s", machine->yard);
     machine->zone = index;
 }
 
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -15,7 +15,7 @@
 
 /* An image on a machine, cached or on its way. */
 typedef struct image {
-    char name[TW_WIRE_NAME];
+    char name[TW_WIRE_NAME_SIZE];
     uint32_t sum;              /* of the name, compared first */
     double gb, used, ready_at; /* ready_at 0: cached; else expected */
     struct image *prev, *next;
@@ -23,9 +23,9 @@
 
 typedef enum { M_BOOTING, M_UP } machine_stage;
 typedef struct machine {
-    char name[TW_NAME], endpoint[TW_NAME], yard[TW_NAME];
+    char name[TW_NAME_SIZE], endpoint[TW_NAME_SIZE], yard[TW_NAME_SIZE];
     int rack; /* index in core->flavors, -1 unknown */
-    char rack_name[TW_NAME];
+    char rack_name[TW_NAME_SIZE];
     int loaner;
     machine_stage stage;
     uint64_t shift, tick;
@@ -53,7 +53,7 @@
     int keep;          /* scratch: needed as headroom */
     int unresponsive;  /* launches in a row that did not take */
     int blame;         /* errors in a row, of different jobs, weighed: see sick.c */
-    char err_last[TW_WIRE_ID];
+    char err_last[TW_WIRE_ID_SIZE];
     double failed_at, failed_after_s; /* the last error; the longest that a failed task had run */
     int trial;                        /* suspect, and tried with one task at a time */
     double trial_at, sick_pause;
@@ -63,9 +63,9 @@
     double kill_c, kill_g, kill_m; /* part of it that was told to stop for others */
     struct {
         double c, g, m;
-    } held[TW_RANK_PROD + 1]; /* the rest of it, by rank */
-    int held_for_gang;        /* scratch of a pass: for core->holder, see gang_hold.c */
-    int zone;                 /* index in core->yards, -1: not known, or too many */
+    } held[TW_PRIORITY_PROD + 1]; /* the rest of it, by rank */
+    int held_for_gang;            /* scratch of a pass: for core->holder, see gang_hold.c */
+    int zone;                     /* index in core->yards, -1: not known, or too many */
     int direct_busy, want_direct, want_probe;
     double direct_after;           /* no direct orders before this */
     int in_direct;                 /* in core->direct, to be looked at */
@@ -77,7 +77,7 @@
 
 /* A machine type, as the cloud lists it, and what was learned of its machines. */
 typedef struct flavor {
-    tw_wire_flavor f;
+    tw_wire_machine_type f;
     double slowness, q, p; /* priors pooled by type */
     double p_dev;          /* EMA of |p of a fetch / p - 1|: a rate differs from fetch to fetch */
     double overdue;        /* EMA of the share of machines that come up late or never */
--- a/src/core/move.c
+++ b/src/core/move.c
@@ -61,7 +61,7 @@
 
 /* Whether a task may only move within its zone. */
 static int bound_to_zone(const tw_wire_job *spec) {
-    return (spec->apart || spec->same_place) && spec->pieces > 1;
+    return (spec->spread || spec->single_zone) && spec->task_count > 1;
 }
 
 /* Whether a task that runs elsewhere would start at once in this room. */
@@ -94,7 +94,7 @@
     DL_FOREACH(machine->pls, placed) {
         const tw_wire_job *spec = &placed->job->s;
         if (!placed->on_job || !spec->service) continue; /* a batch task ends by itself */
-        if (placed->stage != TW_PIECE_RUNNING || placed->kill) return 0;
+        if (placed->stage != TW_TASK_RUNNING || placed->kill) return 0;
         bin *home = new_home(core, bins, placed);
         if (!home) return 0;
         tw_bin_take(home, spec);
@@ -120,7 +120,7 @@
 
 /* All the room of a machine, as if nothing ran on it. */
 static bin whole_of(const tw_core *core, const machine *machine) {
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     return (bin){.rack = machine->rack,
                  .loaner = machine->loaner,
                  .yard = machine->yard,
@@ -160,12 +160,12 @@
  * there is no such room. Stopped for nothing, it would wait, and a machine be rented for it. */
 static void move_batch(tw_core *core, bins *bins, placement *placed, int *moves) {
     const tw_wire_job *spec = &placed->job->s;
-    if (spec->snapshot_s <= 0 || placed->stage != TW_PIECE_RUNNING) return;
+    if (spec->checkpoint_s <= 0 || placed->stage != TW_TASK_RUNNING) return;
     if (spec->gang) return; /* it would stop on all its machines */
     bin *home = new_home(core, bins, placed);
     if (!home) return;
     tw_bin_take(home, spec);
-    tw_placement_kill(core, placed, spec->flush_s, 0);
+    tw_placement_kill(core, placed, spec->save_s, 0);
     (*moves)--;
 }
 
@@ -215,7 +215,7 @@
         replicas += placed->on_job && placed->job->s.service;
         batch += placed->on_job && !placed->job->s.service;
     }
-    return core->flavors[machine->rack].f.hourly / (1 + replicas + BATCH_WEIGHT * batch);
+    return core->flavors[machine->rack].f.on_demand_price / (1 + replicas + BATCH_WEIGHT * batch);
 }
 
 static machine *most_to_gain(const tw_core *core) {
--- a/src/core/offers.c
+++ b/src/core/offers.c
@@ -5,7 +5,7 @@
 #define COST_OF_ONE_MORE 0.001 /* of a price, for each machine of the type that the zone has */
 
 const char *tw_offer_yard(const tw_core *core, const offer *offer) {
-    return core->flavors[offer->rack].f.yards[offer->zone];
+    return core->flavors[offer->rack].f.zones[offer->zone];
 }
 
 /* More of an offer than this are not asked for in a round: the next one sees what was granted. */
@@ -13,19 +13,19 @@
     return (int)(TW_RENT_NUMBER * fmax(1, core->cf->cloud_rps));
 }
 
-double tw_offer_holds(const tw_wire_flavor *type, const tw_wire_job *spec) {
+double tw_offer_holds(const tw_wire_machine_type *type, const tw_wire_job *spec) {
     const tw_room room = {type->cores, type->gpus, type->memory_gb};
     return tw_room_holds(&room, spec);
 }
 
 static int may_rent(const tw_core *core, const offer *offer, const tw_wire_job *spec,
                     const tw_offer_filter *filter) {
-    if ((offer->loaner && !spec->loaner) || core->now < offer->refused_until ||
+    if ((offer->loaner && !spec->spot) || core->now < offer->refused_until ||
         offer->want >= want_limit(core))
         return 0;
     if (filter->spare && spec->gpus <= 0 && core->flavors[offer->rack].f.gpus > 0) return 0;
     const char *zone = tw_offer_yard(core, offer);
-    return (!*spec->yard || !strcmp(spec->yard, zone)) &&
+    return (!*spec->zone || !strcmp(spec->zone, zone)) &&
            (!filter->not_zone || strcmp(filter->not_zone, zone) != 0) &&
            (!filter->only_zone || !strcmp(filter->only_zone, zone));
 }
@@ -37,11 +37,11 @@
     double least = INFINITY;
     for (int i = 0; i < core->noffers; i++) {
         offer *offer = &core->offers[i];
-        const tw_wire_flavor *type = &core->flavors[offer->rack].f;
+        const tw_wire_machine_type *type = &core->flavors[offer->rack].f;
         if (!(types & (1U << offer->rack)) || !may_rent(core, offer, spec, filter)) continue;
         const double number = tw_offer_holds(type, spec);
         if (number < 1) continue;
-        double cost = (offer->loaner ? type->low_price : type->hourly) / number;
+        double cost = (offer->loaner ? type->spot_price : type->on_demand_price) / number;
         cost *= 1 + COST_OF_ONE_MORE * offer->have;
         if (cost < least) {
             least = cost;
@@ -52,7 +52,7 @@
 }
 
 bin *tw_offer_bin(tw_core *core, bins *bins, offer *offer) {
-    const tw_wire_flavor *type = &core->flavors[offer->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[offer->rack].f;
     bin *bin = tw_bins_add(bins);
     *bin = (struct bin){.o = offer,
                         .rack = offer->rack,
--- a/src/core/orders.c
+++ b/src/core/orders.c
@@ -22,7 +22,7 @@
     return (tw_orders){core->order, 0};
 }
 
-void tw_orders_add(tw_orders *orders, tw_wire_order order, const char *job) {
+void tw_orders_add(tw_orders *orders, tw_wire_command order, const char *job) {
     if (orders->count >= MAX_ORDERS) return;
     snprintf(order.job, sizeof order.job, "%s", job);
     orders->list[orders->count++] = order;
@@ -30,10 +30,10 @@
 
 static void add(tw_orders *orders, int verb, const placement *placed) {
     tw_orders_add(orders,
-                  (tw_wire_order){.verb = verb,
-                                  .index = placed->index,
-                                  .attempt = placed->attempt,
-                                  .mercy_s = verb == TW_VERB_KILL ? placed->mercy_s : 0},
+                  (tw_wire_command){.kind = verb,
+                                    .index = placed->index,
+                                    .attempt = placed->attempt,
+                                    .grace_s = verb == TW_COMMAND_STOP ? placed->mercy_s : 0},
                   placed->job->id);
 }
 
@@ -41,7 +41,7 @@
     /* A predecessor's is never launched again: whether it still comes is settled first, and then
      * the task gets a new attempt. */
     return !placed->inherited && !placed->seen && !placed->kill && placed->on_job &&
-           placed->job->stage == TW_STAGE_PENDING && !placed->job->aborting &&
+           placed->job->stage == TW_JOB_PENDING && !placed->job->aborting &&
            placed->ver <= placed->job->durable_ver;
 }
 
@@ -60,10 +60,10 @@
             /* A direct launch got no answer and may still come: started and stopped here, it
              * can't start then. Without that a lost one would leave the task in between for
              * ever: a kill of what the machine doesn't have tells nothing. */
-            add(orders, TW_VERB_LAUNCH, each);
-        if (each->stage != TW_PIECE_FLUSHING || each->mercy_s <= 0) add(orders, TW_VERB_KILL, each);
+            add(orders, TW_COMMAND_LAUNCH, each);
+        if (each->stage != TW_TASK_SAVING || each->mercy_s <= 0) add(orders, TW_COMMAND_STOP, each);
         const int saves =
-            each->mercy_s > 0 && each->job->s.snapshot_s > 0 && each->stage != TW_PIECE_PULLING;
+            each->mercy_s > 0 && each->job->s.checkpoint_s > 0 && each->stage != TW_TASK_FETCHING;
         if (saves && each->preempted) take(room, &each->job->s);
     }
 }
@@ -111,7 +111,7 @@
         }
         if (orders->count >= MAX_ORDERS) break;
         if (!is_only_attempt(core, each)) continue;
-        add(orders, TW_VERB_LAUNCH, each);
+        add(orders, TW_COMMAND_LAUNCH, each);
         log_launch(each, tick);
         each->sent = 1;
         each->shift = machine->shift;
@@ -125,7 +125,7 @@
 static int count_exited(const machine *machine) {
     const placement *each;
     int count = 0;
-    DL_FOREACH(machine->pls, each) count += each->stage == TW_PIECE_EXITED;
+    DL_FOREACH(machine->pls, each) count += each->stage == TW_TASK_EXITED;
     return count;
 }
 
@@ -133,13 +133,13 @@
     int too_many = count_exited(machine) - MOST_EXITED; /* the oldest stand first */
     const placement *each;
     DL_FOREACH(machine->pls, each) {
-        if (each->stage != TW_PIECE_EXITED || !each->seen || each->direct) continue;
+        if (each->stage != TW_TASK_EXITED || !each->seen || each->direct) continue;
         /* A repeated launch starts what the machine has forgotten. */
         if (tw_launch_may_repeat(core, each) && too_many-- <= 0) continue;
         if (each->cause == TW_CAUSE_DONE && each->job->durable_ver != each->job->ver &&
-            each->job->durable_stage == TW_STAGE_PENDING)
+            each->job->durable_stage == TW_JOB_PENDING)
             continue; /* not durable yet */
-        add(orders, TW_VERB_FORGET, each);
+        add(orders, TW_COMMAND_FORGET, each);
     }
 }
 
@@ -152,7 +152,7 @@
 void tw_orders_due(tw_core *core, machine *machine, tw_orders *orders, uint64_t tick) {
     tw_room room = {0, 0, 0};
     if (machine->rack >= 0) {
-        const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+        const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
         room = (tw_room){type->cores, type->gpus, type->memory_gb};
     }
     stops(machine, orders, tick, &room);
@@ -195,12 +195,12 @@
 
 /* Which tasks are launched by these orders: their fate is unknown until the answer. */
 static void note_launches(call *call, const tw_orders *orders) {
-    call->names = tw_zalloc((size_t)orders->count * TW_NAME);
+    call->names = tw_zalloc((size_t)orders->count * TW_NAME_SIZE);
     call->vers = tw_zalloc((size_t)orders->count * sizeof *call->vers);
     for (int i = 0; i < orders->count; i++) {
-        const tw_wire_order *order = &orders->list[i];
-        if (order->verb != TW_VERB_LAUNCH) continue;
-        snprintf(call->names[call->n], TW_NAME, "%s/%d", order->job, order->index);
+        const tw_wire_command *order = &orders->list[i];
+        if (order->kind != TW_COMMAND_LAUNCH) continue;
+        snprintf(call->names[call->n], TW_NAME_SIZE, "%s/%d", order->job, order->index);
         call->vers[call->n++] = order->attempt;
     }
 }
@@ -264,7 +264,7 @@
 /* A launch that was sent so is no longer under way; refused: it won't start. */
 static void settle_launch(const machine *machine, const char *task, uint64_t attempt, int refused) {
     placement *each;
-    char name[TW_NAME];
+    char name[TW_NAME_SIZE];
     DL_FOREACH(machine->pls, each) {
         snprintf(name, sizeof name, "%s/%d", each->job->id, each->index);
         if (each->attempt != attempt || strcmp(name, task) != 0) continue;
@@ -289,15 +289,15 @@
     }
     for (int i = 0; i < call->n; i++)
         settle_launch(machine, call->names[i], call->vers[i], status != TW_HTTP_OK);
-    tw_wire_report report;
+    tw_wire_heartbeat report;
     if ((status != TW_HTTP_OK && status != TW_HTTP_CONFLICT) ||
-        tw_wire_report_parse(&report, body, length))
+        tw_wire_heartbeat_parse(&report, body, length))
         return;
-    if (report.baton > core->token) {
-        tw_saw_token(core, report.baton, NULL);
-    } else if (!strcmp(report.tray, machine->name)) {
+    if (report.fencing_token > core->token) {
+        tw_saw_token(core, report.fencing_token, NULL);
+    } else if (!strcmp(report.worker, machine->name)) {
         tw_report_take(core, machine, &report, NULL);
         if (!machine->confirmed && machine->probed++ < MOST_PROBES) tw_want_probe(core, machine);
     }
-    tw_wire_report_free(&report);
+    tw_wire_heartbeat_free(&report);
 }
--- a/src/core/orders_text.c
+++ b/src/core/orders_text.c
@@ -6,10 +6,10 @@
 /* A launch that is stopped by a later order of the same message settles one whose fate is unknown;
  * it starts nothing. */
 static int is_stopped_at_once(const tw_orders *orders, int launch) {
-    const tw_wire_order *launched = &orders->list[launch];
+    const tw_wire_command *launched = &orders->list[launch];
     for (int i = launch + 1; i < orders->count; i++) {
-        const tw_wire_order *order = &orders->list[i];
-        if (order->verb == TW_VERB_KILL && order->index == launched->index &&
+        const tw_wire_command *order = &orders->list[i];
+        if (order->kind == TW_COMMAND_STOP && order->index == launched->index &&
             order->attempt == launched->attempt && !strcmp(order->job, launched->job))
             return 1;
     }
@@ -19,9 +19,9 @@
 /* The right that the orders need in an answer to a report. */
 static node_right needed(const tw_orders *orders) {
     for (int i = 0; i < orders->count; i++) {
-        const int verb = orders->list[i].verb;
-        if (verb == TW_VERB_FORGET) return RIGHT_COMMAND;
-        if (verb == TW_VERB_LAUNCH && !is_stopped_at_once(orders, i)) return RIGHT_COMMAND;
+        const int verb = orders->list[i].kind;
+        if (verb == TW_COMMAND_FORGET) return RIGHT_COMMAND;
+        if (verb == TW_COMMAND_LAUNCH && !is_stopped_at_once(orders, i)) return RIGHT_COMMAND;
     }
     return RIGHT_RENEW;
 }
@@ -32,7 +32,7 @@
         tw_invariant_broken(core, INVARIANT_RIGHT, "orders=%d right=%d", orders->count, right);
         return NULL;
     }
-    return tw_wire_orders_text(core->token, 0, orders->list, (size_t)orders->count);
+    return tw_wire_commands_text(core->token, 0, orders->list, (size_t)orders->count);
 }
 
 char *tw_orders_direct_text(tw_core *core, const machine *machine, const tw_orders *orders) {
@@ -41,16 +41,17 @@
                             orders->count);
         return NULL;
     }
-    return tw_wire_orders_text(core->token, machine->shift, orders->list, (size_t)orders->count);
+    return tw_wire_commands_text(core->token, machine->shift, orders->list, (size_t)orders->count);
 }
 
-char *tw_orders_deputy_text(tw_core *core, const tw_wire_report *report, const tw_orders *orders) {
+char *tw_orders_deputy_text(tw_core *core, const tw_wire_heartbeat *report,
+                            const tw_orders *orders) {
     int stops_only = 1;
-    for (int i = 0; i < orders->count; i++) stops_only &= orders->list[i].verb == TW_VERB_KILL;
-    if (!stops_only || !tw_deputy_entitled(core, report->tray, report->yard)) {
-        tw_invariant_broken(core, INVARIANT_RIGHT, "tray=%s deputy=1 orders=%d", report->tray,
+    for (int i = 0; i < orders->count; i++) stops_only &= orders->list[i].kind == TW_COMMAND_STOP;
+    if (!stops_only || !tw_deputy_entitled(core, report->worker, report->zone)) {
+        tw_invariant_broken(core, INVARIANT_RIGHT, "tray=%s deputy=1 orders=%d", report->worker,
                             orders->count);
         return NULL;
     }
-    return tw_wire_orders_text(core->seen_token, 0, orders->list, (size_t)orders->count);
+    return tw_wire_commands_text(core->seen_token, 0, orders->list, (size_t)orders->count);
 }
--- a/src/core/peers.h
+++ b/src/core/peers.h
@@ -14,7 +14,7 @@
 #define TW_LEADER_KEY "leader"
 /* Key of a deputy: this and the node's name; and room for one. */
 #define TW_DEPUTY_KEY "dep/"
-#define TW_DEPUTY_KEY_SIZE (TW_NAME + sizeof TW_DEPUTY_KEY)
+#define TW_DEPUTY_KEY_SIZE (TW_NAME_SIZE + sizeof TW_DEPUTY_KEY)
 
 /* Roles of a node; phases of a leader's term. */
 typedef enum { R_FOLLOWER, R_LEADER } node_role;
@@ -44,7 +44,7 @@
 
 /* A worker, the node that we told it to report to, and when. */
 typedef struct redirect {
-    char name[TW_NAME];
+    char name[TW_NAME_SIZE];
     const peer *to;
     double at;
     int back; /* and it came back */
@@ -54,7 +54,7 @@
 /* A worker's report that waits for a leader, see relay.c. */
 typedef struct held_report {
     uint64_t conn;
-    char tray[TW_NAME];
+    char tray[TW_NAME_SIZE];
     char *body;
     double until;
     struct held_report *prev, *next;
@@ -119,11 +119,11 @@
 /* Whether some node of that zone answers us. */
 int tw_zone_reached(const tw_core *core, const char *zone);
 /* A worker of another zone: redirected to a node of its own; 0: none, or none that answers it. */
-int tw_redirect_home(tw_core *core, uint64_t conn, const tw_wire_report *report);
+int tw_redirect_home(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
 /* A worker of this node's zone, at a node whose end would cost it its lease if the zone is cut off:
  * redirected to another one of the zone where that is not so; 0: there is none, or it is answered
  * here. */
-int tw_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_report *report);
+int tw_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
 void tw_redirect_end(tw_core *core);
 
 /* deputy.c: renews leases for a leader that can't be reached */
@@ -143,7 +143,7 @@
 
 /* relay.c: reports handed to the leader and its answers back, held reports */
 /* A report at a node that does not lead. */
-void tw_relay_hello(tw_core *core, uint64_t conn, const tw_wire_report *report, const char *body,
+void tw_relay_hello(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report, const char *body,
                     size_t length);
 /* The leader answered a report that was handed to it. */
 void tw_relay_response(tw_core *core, call *sent, int status, const char *body, size_t length);
@@ -154,7 +154,7 @@
 /* Until when some deputy of the zone (empty: of any) may have answered workers. */
 double tw_deputies_until(const tw_core *core, const char *zone);
 /* Conditions that the deputies' keys are as they are known; returns how many. */
-int tw_deputy_conds(const tw_core *core, tw_wire_cond *conds, char (*keys)[TW_DEPUTY_KEY_SIZE]);
+int tw_deputy_conds(const tw_core *core, tw_wire_compare *conds, char (*keys)[TW_DEPUTY_KEY_SIZE]);
 /* Reads the deputies' keys, unless that is under way. */
 void tw_deputies_read(tw_core *core);
 /* The state service answered with the keys. */
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -18,8 +18,8 @@
     tw_log_debug("event=place piece=%s/%d try=%llu tray=%s lane=%s rack=%s waited_s=%.2f "
                  "start_s=%.2f left_s=%.2f image=%s",
                  job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
-                 job->s.lane, machine->rack_name, core->now - job->submitted,
-                 prediction.total_s - prediction.run_s, demand->due - core->now, job->s.bundle);
+                 job->s.job_class, machine->rack_name, core->now - job->submitted,
+                 prediction.total_s - prediction.run_s, demand->due - core->now, job->s.image);
 }
 
 /* Places one task on the best machine of the zones given, as bits. 0: no room, or not for its
@@ -35,7 +35,7 @@
         core->candidates[choice.candidate].changes++; /* or none is placed there, to no harm */
     else
         choice.machine = tw_preempt(core, &demand, 0, &choice.kept);
-    if (choice.machine && !choice.meets && job->s.service && job->s.rank == TW_RANK_PROD) {
+    if (choice.machine && !choice.meets && job->s.service && job->s.priority == TW_PRIORITY_PROD) {
         /* Its start objective would be missed there: rather at a batch task's cost. */
         machine *other = tw_preempt(core, &demand, 1, &choice.kept);
         if (other) choice.machine = other;
@@ -97,7 +97,7 @@
         while (first && first->ver <= job->ver) first = first->jnext;
         const int zone = first ? first->m->zone : -1;
         take_back(core, job, next_try);
-        if (!job->s.same_place || zone < 0) return 0;
+        if (!job->s.single_zone || zone < 0) return 0;
         among &= ~(1U << zone);
     }
     return 0;
@@ -108,7 +108,7 @@
     const int count =
         job->s.gang ? place_gang(core, job) : place_tasks(core, job, limit, 0, UINT32_MAX);
     if (!count) return 0;
-    tw_job_changed(core, job, job->s.rank >= TW_RANK_PROD);
+    tw_job_changed(core, job, job->s.priority >= TW_PRIORITY_PROD);
     placement *placed;
     DL_FOREACH2(job->live, placed, jnext) if (placed->ver > job->ver) placed->ver = job->ver;
     return count;
@@ -123,7 +123,7 @@
 }
 
 int tw_place_new(tw_core *core, job *job) {
-    if (job->s.rank < TW_RANK_PROD || !tw_job_pending(core, job)) {
+    if (job->s.priority < TW_PRIORITY_PROD || !tw_job_pending(core, job)) {
         core->sched_dirty = 1;
         core->next_sched = fmin(core->next_sched, core->now);
         return 0;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -15,9 +15,9 @@
         machine->kill_g += sign * s->gpus;
         machine->kill_m += sign * s->memory_gb;
     } else if (placed->job->has_spec) {
-        machine->held[s->rank].c += sign * s->cores;
-        machine->held[s->rank].g += sign * s->gpus;
-        machine->held[s->rank].m += sign * s->memory_gb;
+        machine->held[s->priority].c += sign * s->cores;
+        machine->held[s->priority].g += sign * s->gpus;
+        machine->held[s->priority].m += sign * s->memory_gb;
     }
     if (placed->job->team >= 0) {
         core->team_c[placed->job->team] += sign * s->cores;
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -24,7 +24,7 @@
     int misses;         /* launches that did not take */
     int sharing;        /* other images the machine fetched when it was placed */
     int warmth;         /* then: its image was cached (1), absent (0) or on its way (-1) */
-    int seen, stage;    /* from reports: TW_PIECE_* once seen */
+    int seen, stage;    /* from reports: TW_TASK_* once seen */
     int cause;
     int kill;      /* to be stopped */
     int preempted; /* counts as running until it is gone, but its room is promised */
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -49,7 +49,7 @@
 }
 
 static spread spread_of(const job *job) {
-    spread tasks = {.most = job->s.apart ? (job->pieces + 1) / 2 : INT32_MAX};
+    spread tasks = {.most = job->s.spread ? (job->pieces + 1) / 2 : INT32_MAX};
     const placement *placed;
     DL_FOREACH2(job->live, placed, jnext) {
         const int slot = spread_slot(&tasks, placed->m->yard);
@@ -62,7 +62,7 @@
 static int fill(const tw_core *core, bin *bin, const job *job, spread *tasks, int want) {
     int taken = 0;
     if (!tw_bin_allowed(bin, &job->s, job->rackmask)) return 0;
-    if (job->s.same_place && tasks->used && strcmp(tasks->zone[0], bin->yard) != 0) return 0;
+    if (job->s.single_zone && tasks->used && strcmp(tasks->zone[0], bin->yard) != 0) return 0;
     while (taken < want && tw_bin_fits(bin, &job->s) &&
            tw_bin_leaves_gpus(core, bin, &job->s, job->any_machine)) {
         const int slot = spread_slot(tasks, bin->yard);
@@ -119,7 +119,7 @@
 static void rent_for(tw_core *core, bins *bins, job *job, spread *tasks, int need) {
     while (need > 0) {
         tw_offer_filter filter = {.only_zone =
-                                      job->s.same_place && tasks->used ? tasks->zone[0] : NULL};
+                                      job->s.single_zone && tasks->used ? tasks->zone[0] : NULL};
         for (int i = 0; i < tasks->used; i++)
             if (tasks->count[i] >= tasks->most) filter.not_zone = tasks->zone[i];
         offer *offer = tw_offer_best(core, &job->s, job->rackmask, &filter);
@@ -139,7 +139,7 @@
     int need = needed(core, bins, job, drain);
     if (need <= 0) return;
     spread tasks = spread_of(job);
-    if (job->s.gang && job->s.same_place && !tasks.used) {
+    if (job->s.gang && job->s.single_zone && !tasks.used) {
         const char *zone = tw_plan_gang_zone(core, bins, job, need);
         if (zone) spread_slot(&tasks, zone);
     }
@@ -172,7 +172,7 @@
 }
 
 static void add_machine(tw_core *core, bins *bins, machine *machine) {
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     *tw_bins_add(bins) = (bin){.m = machine,
                                .rack = machine->rack,
                                .loaner = machine->loaner,
@@ -238,8 +238,8 @@
 static double price_of(const tw_core *core, const bins *bins) {
     double price = 0;
     for (int i = 0; i < bins->n; i++) {
-        const tw_wire_flavor *type = &core->flavors[bins->v[i].rack].f;
-        price += bins->v[i].loaner ? type->low_price : type->hourly;
+        const tw_wire_machine_type *type = &core->flavors[bins->v[i].rack].f;
+        price += bins->v[i].loaner ? type->spot_price : type->on_demand_price;
     }
     return price;
 }
--- a/src/core/plan_spare.c
+++ b/src/core/plan_spare.c
@@ -24,9 +24,9 @@
      * what the fleet costs, twice the room. */
     double price = INFINITY;
     for (int i = 0; i < core->nflavors; i++) {
-        const tw_wire_flavor *type = &core->flavors[i].f;
+        const tw_wire_machine_type *type = &core->flavors[i].f;
         if (class->sample_racks & (1U << i))
-            price = fmin(price, type->hourly / tw_offer_holds(type, sample));
+            price = fmin(price, type->on_demand_price / tw_offer_holds(type, sample));
     }
     if (2 * tasks * price < NEARLY_FREE * fleet_price) tasks *= 2;
     if (sample->gang) tasks = fmax(tasks, class->largest_gang);
@@ -61,7 +61,7 @@
 static const char *spare_zone(tw_core *core, const bins *bins, const lane *class, int want) {
     const char *best = NULL;
     int most = 0;
-    if (!class->sample.gang || !class->sample.same_place) return NULL;
+    if (!class->sample.gang || !class->sample.single_zone) return NULL;
     for (int zone = 0; zone < core->nyards; zone++) {
         int count = 0;
         for (int i = 0; i < bins->n && count < want; i++) {
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -8,7 +8,7 @@
 #define CHOSEN UINT64_MAX /* mark of a task that would be stopped */
 
 static tw_room free_on(const tw_core *core, const machine *machine) {
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     return (tw_room){type->cores - machine->used_c + machine->kill_c,
                      type->gpus - machine->used_g + machine->kill_g,
                      type->memory_gb - machine->used_m + machine->kill_m};
@@ -22,25 +22,25 @@
 /* A gang that can't be told as a whole would lose what it has done: it is left alone until then. */
 static int would_lose_gang(const tw_core *core, const placement *placed) {
     const job *job = placed->job;
-    return job->s.gang && job->s.snapshot_s > 0 && job->gang.state == GANG_RUNNING &&
+    return job->s.gang && job->s.checkpoint_s > 0 && job->gang.state == GANG_RUNNING &&
            placed->run_at > 0 &&
-           (placed->inherited || core->now - placed->run_at > job->s.flush_s) &&
+           (placed->inherited || core->now - placed->run_at > job->s.save_s) &&
            !tw_gang_can_save(core, job);
 }
 
 int tw_may_stop(const tw_core *core, const struct job *job, const placement *placed) {
     return placed->on_job && !placed->kill && placed->job->has_spec &&
-           placed->job->s.rank < job->s.rank && !would_lose_gang(core, placed);
+           placed->job->s.priority < job->s.priority && !would_lose_gang(core, placed);
 }
 
 /* Run time of a task that is lost when it is stopped. */
 static double unsaved_s(const tw_core *core, const placement *placed) {
     const job *job = placed->job;
     const double ran_s = placed->run_at > 0 ? core->now - placed->run_at : 0;
-    if (job->s.snapshot_s <= 0) return ran_s;
+    if (job->s.checkpoint_s <= 0) return ran_s;
     /* A gang that can't be told at once falls back to its last checkpoint. */
-    if (job->s.gang && !tw_gang_can_save(core, job)) return fmin(ran_s, job->s.snapshot_s);
-    return fmin(ran_s, job->s.flush_s);
+    if (job->s.gang && !tw_gang_can_save(core, job)) return fmin(ran_s, job->s.checkpoint_s);
+    return fmin(ran_s, job->s.save_s);
 }
 
 /* Work lost when it is stopped, in task seconds. One task of a gang takes all the others with it.
@@ -52,13 +52,13 @@
     const double estimate_s = tw_estimate(job);
     const double due = tw_job_due(core, job);
     if (isfinite(due) && core->now + RESTART_TIME * estimate_s > due) ran_s += estimate_s;
-    return ran_s + 1 + job->s.rank * COST_OF_RANK;
+    return ran_s + 1 + job->s.priority * COST_OF_RANK;
 }
 
 /* Whether it may be enough at all, from sums alone. */
 static int may_vacate(const tw_core *core, const machine *machine, const job *job) {
     tw_room room = free_on(core, machine);
-    for (int rank = 0; rank < job->s.rank; rank++) {
+    for (int rank = 0; rank < job->s.priority; rank++) {
         room.cores += machine->held[rank].c;
         room.gpus += machine->held[rank].g;
         room.memory_gb += machine->held[rank].m;
@@ -99,8 +99,8 @@
     tw_log_debug("event=preempt piece=%s/%d for=%s tray=%s", spec->id, victim->index, job->id,
                  victim->m->name);
     /* Saving takes flush_s: only where the one that needs the room can wait for it. */
-    const int saves = spec->snapshot_s > 0 && core->now + spec->flush_s < tw_job_due(core, job);
-    tw_placement_kill(core, victim, saves ? spec->flush_s : 0, 1);
+    const int saves = spec->checkpoint_s > 0 && core->now + spec->save_s < tw_job_due(core, job);
+    tw_placement_kill(core, victim, saves ? spec->save_s : 0, 1);
 }
 
 /* What stopping tasks may cost to be worth it: with the penalty less than the least so far. */
@@ -139,7 +139,7 @@
     double least = INFINITY;
     double cost;
     machine *best = NULL;
-    if (job->s.rank <= TW_RANK_IDLE) return NULL;
+    if (job->s.priority <= TW_PRIORITY_IDLE) return NULL;
     for (int i = 0; i < core->ncandidates; i++) {
         machine *machine = core->candidates[i].machine;
         core->steps++;
--- a/src/core/preference.c
+++ b/src/core/preference.c
@@ -26,7 +26,7 @@
 
 /* How full the machine would be, of what is scarce for the task. */
 static double fullness(const tw_core *core, const job *job, const machine *machine) {
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     if (job->s.gpus > 0) return (machine->used_g + job->s.gpus) / type->gpus;
     return type->gpus > 0 ? 1 : (machine->used_c + job->s.cores) / type->cores;
 }
--- a/src/core/provision.h
+++ b/src/core/provision.h
@@ -49,7 +49,7 @@
 
 /* A rental request under way, by its name. */
 typedef struct rental_request {
-    char name[TW_NAME];
+    char name[TW_NAME_SIZE];
     int rack, zone, loaner, number, busy;
     double next_try;
     struct rental_request *prev, *next;
@@ -57,7 +57,7 @@
 
 /* A submission that was turned away and will come again: machines are rented for it meanwhile. */
 typedef struct turned_away_job {
-    char id[TW_WIRE_ID];
+    char id[TW_WIRE_ID_SIZE];
     job j; /* not among the jobs: nothing of it is accepted */
     double until;
     UT_hash_handle hh;
--- a/src/core/provision_int.h
+++ b/src/core/provision_int.h
@@ -22,7 +22,7 @@
 
 /* offers.c */
 /* How many of these a machine of the type holds. */
-double tw_offer_holds(const tw_wire_flavor *type, const tw_wire_job *spec);
+double tw_offer_holds(const tw_wire_machine_type *type, const tw_wire_job *spec);
 /* The offer at which a task costs least, NULL: none. */
 offer *tw_offer_best(tw_core *core, const tw_wire_job *spec, uint32_t types,
                      const tw_offer_filter *filter);
--- a/src/core/queue.c
+++ b/src/core/queue.c
@@ -10,7 +10,7 @@
  * their team's guarantee, then the highest priority's other jobs, then the next priority's. */
 #include "core/core_int.h"
 
-#define PRIORITIES (TW_RANK_PROD + 1)
+#define PRIORITIES (TW_PRIORITY_PROD + 1)
 #define LEVELS (2 * PRIORITIES) /* within the guarantee or not, of each priority */
 #define OVERDUE_AFTER_S                                                                            \
     (0.5 * TW_BEGIN_S)      /* a job that waits longer for its first task is overdue */
@@ -36,13 +36,13 @@
 
 /* The level of jobs of this priority that are within their team's guarantee or not. */
 static int level_of(int priority, int guaranteed) {
-    return (TW_RANK_PROD - priority) * 2 + !guaranteed;
+    return (TW_PRIORITY_PROD - priority) * 2 + !guaranteed;
 }
 
-static int priority_of(int level) { return TW_RANK_PROD - level / 2; }
+static int priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
 int tw_job_pending(const tw_core *core, const job *job) {
-    return job->has_spec && job->st && job->stage == TW_STAGE_PENDING && !job->aborting &&
+    return job->has_spec && job->st && job->stage == TW_JOB_PENDING && !job->aborting &&
            job->team >= 0 && job->ndone + job->nlive < job->pieces && core->now >= job->retry_at &&
            (!job->s.gang || tw_gang_pending(job));
 }
@@ -66,7 +66,7 @@
     job *job;
     DL_FOREACH(core->active, job) {
         job->guaranteed = 0;
-        if (job->team < 0 || !job->has_spec || job->stage != TW_STAGE_PENDING) continue;
+        if (job->team < 0 || !job->has_spec || job->stage != TW_JOB_PENDING) continue;
         const tw_conf_team *team = &core->cf->teams[job->team];
         if (team->gpus > 0 || team->cpus > 0) jobs[count++] = job;
     }
@@ -123,7 +123,7 @@
     job *job;
     DL_FOREACH(core->active, job) {
         if (!tw_job_pending(core, job)) continue;
-        const int level = level_of(job->s.rank, job->guaranteed);
+        const int level = level_of(job->s.priority, job->guaranteed);
         sorted[turns->count++] =
             (grouped_job){job, level * turns->team_count + job->team, tw_job_due(core, job)};
     }
@@ -146,14 +146,15 @@
 
 static int by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
-    if (a->job->s.rank != b->job->s.rank) return a->job->s.rank < b->job->s.rank ? -1 : 1;
+    if (a->job->s.priority != b->job->s.priority)
+        return a->job->s.priority < b->job->s.priority ? -1 : 1;
     if (a->weight != b->weight) return a->weight > b->weight ? -1 : 1;
     return strcmp(a->job->id, b->job->id);
 }
 
 /* More waits with a larger job: its time weighs more, by the root of its work. */
 static double weighed_wait(const tw_core *core, const job *job) {
-    const double work = job->pieces * fmax(job->s.expect_s, core->cf->lease_s);
+    const double work = job->pieces * fmax(job->s.expected_run_s, core->cf->lease_s);
     return (core->now - job->submitted) * sqrt(work);
 }
 
@@ -172,9 +173,9 @@
     }
     qsort(sorted, (size_t)count, sizeof *sorted, by_wait);
     for (int i = 0; i < count; i++) {
-        const int priority = sorted[i].job->s.rank;
+        const int priority = sorted[i].job->s.priority;
         turns->overdue[i] = sorted[i].job;
-        if (!i || sorted[i - 1].job->s.rank != priority) turns->overdue_of[priority].start = i;
+        if (!i || sorted[i - 1].job->s.priority != priority) turns->overdue_of[priority].start = i;
         turns->overdue_of[priority].end = i + 1;
     }
     free(sorted);
@@ -235,7 +236,7 @@
 }
 
 void tw_turns_placed(tw_core *core, const tw_turns *turns, const job *job, int count) {
-    int *credit = &core->old_credit[job->s.rank];
+    int *credit = &core->old_credit[job->s.priority];
     if (turns->last == SERVED_OVERDUE)
         *credit -= count > 0;
     else if (count > 0)
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -65,7 +65,7 @@
             continue;
         tw_log_info("event=rerun piece=%s/%d from=%s to=%s late_s=%.1f", job->id, placed->index,
                     placed->m->name, other->machine->name, end - tw_job_due(core, job));
-        tw_placement_kill(core, placed, job->s.snapshot_s > 0 ? job->s.flush_s : 0, 0);
+        tw_placement_kill(core, placed, job->s.checkpoint_s > 0 ? job->s.save_s : 0, 0);
         return 1;
     }
     return 0;
@@ -81,7 +81,7 @@
     DL_FOREACH_SAFE2(job->live, placed, next, jnext) {
         double slowness = 0;
         if (stopped >= most) break;
-        if (placed->kill || placed->run_at <= 0 || placed->stage != TW_PIECE_RUNNING ||
+        if (placed->kill || placed->run_at <= 0 || placed->stage != TW_TASK_RUNNING ||
             placed->m->rack < 0)
             continue;
         const double end = late_end(core, placed, &slowness);
@@ -99,8 +99,8 @@
     int left = MOST_RERUNS;
     job *job;
     DL_FOREACH(core->active, job) {
-        if (job->stage != TW_STAGE_PENDING || !job->has_spec || job->s.service || job->s.gang ||
-            job->s.due_s < 0)
+        if (job->stage != TW_JOB_PENDING || !job->has_spec || job->s.service || job->s.gang ||
+            job->s.deadline_s < 0)
             continue;
         left -= recheck_job(core, job, left);
         if (left <= 0) break;
--- a/src/core/record_parts.c
+++ b/src/core/record_parts.c
@@ -27,8 +27,8 @@
 
 /* A set to be removed. */
 typedef struct stale_set {
-    char id[TW_WIRE_ID];
-    char set[TW_WIRE_SET];
+    char id[TW_WIRE_ID_SIZE];
+    char set[TW_WIRE_CHUNK_SET_SIZE];
     int next, count; /* slices before `next` are removed */
     struct stale_set *prev, *next_set;
 } stale_set;
@@ -62,15 +62,19 @@
 /* Bytes of a job's first record at most, whatever its names hold. */
 static size_t first_record_most(const tw_wire_job *spec) {
     size_t signs =
-        strlen(spec->lane) + strlen(spec->crew) + strlen(spec->bundle) + strlen(spec->yard);
-    for (int i = 0; i < spec->nracks; i++) signs += strlen(spec->racks[i]) + NAME_FRAME_BYTES;
+        strlen(spec->job_class) + strlen(spec->team) + strlen(spec->image) + strlen(spec->zone);
+    for (int i = 0; i < spec->machine_type_count; i++)
+        signs += strlen(spec->machine_types[i]) + NAME_FRAME_BYTES;
     return SPEC_FRAME_BYTES + LONGEST_ESCAPED * signs;
 }
 
 int tw_record_writable(const tw_core *core, const tw_wire_job *spec) {
     if (tw_all_read_divided(core) || first_record_most(spec) <= room_of_now(core)) return 1;
-    const tw_wire_record record = {
-        .has_job = 1, .job = *spec, .pieces = spec->pieces, .submitted = core->wall, .next_try = 1};
+    const tw_wire_record record = {.has_job = 1,
+                                   .job = *spec,
+                                   .task_count = spec->task_count,
+                                   .submitted_at = core->wall,
+                                   .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
     const int fits = strlen(text) <= room_of_now(core);
     free(text);
@@ -86,13 +90,13 @@
     size_t most = 1; /* slices: of the smallest ones that there may be */
     for (size_t at = 0; at < length; most++) {
         size_t taken;
-        free(tw_wire_slice_text(text + at, room, &taken));
+        free(tw_wire_chunk_text(text + at, room, &taken));
         at += taken;
     }
     parts->slices = tw_zalloc(most * sizeof *parts->slices);
     for (size_t at = 0; at < length;) {
         size_t taken;
-        parts->slices[parts->count++] = tw_wire_slice_text(text + at, room, &taken);
+        parts->slices[parts->count++] = tw_wire_chunk_text(text + at, room, &taken);
         at += taken;
     }
     snprintf(parts->set, sizeof parts->set, "%llu-%llu", (unsigned long long)core->token,
@@ -110,13 +114,13 @@
 
 char *tw_parts_head(const job *job) {
     const record_parts *parts = job->parts;
-    tw_wire_record record = {.stage = parts->stage,
-                             .pieces = job->pieces,
-                             .ndone = parts->ndone,
-                             .slices = parts->count,
-                             .set_live = parts->nlive};
-    snprintf(record.set, sizeof record.set, "%s", parts->set);
-    return tw_wire_divided_text(&record);
+    tw_wire_record record = {.state = parts->stage,
+                             .task_count = job->pieces,
+                             .done_count = parts->ndone,
+                             .chunk_count = parts->count,
+                             .running_count = parts->nlive};
+    snprintf(record.chunk_set, sizeof record.chunk_set, "%s", parts->set);
+    return tw_wire_chunked_record_text(&record);
 }
 
 void tw_parts_free(job *job) {
@@ -147,7 +151,7 @@
 static call *send_changes(tw_core *core, call_kind kind, const tw_wire_write *changes, int count) {
     tw_take(core, &core->writes, count);
     tw_take(core, &core->reqs, 1);
-    const tw_wire_cond condition = {TW_LEADER_KEY, core->token};
+    const tw_wire_compare condition = {TW_LEADER_KEY, core->token};
     call *sent =
         tw_call(core, kind, TW_TO_STATE, core->cf->state, "POST", "/txn",
                 tw_wire_txn_text(&condition, 1, changes, (size_t)count), txn_timeout_s(core));
--- a/src/core/record_parts.h
+++ b/src/core/record_parts.h
@@ -7,11 +7,11 @@
 
 /* Key of a slice: this, the job's id, the set and the slice's number; and room for one. */
 #define PART_KEY "part/"
-#define PART_KEY_SIZE (sizeof PART_KEY + TW_WIRE_ID + TW_WIRE_SET + 16)
+#define PART_KEY_SIZE (sizeof PART_KEY + TW_WIRE_ID_SIZE + TW_WIRE_CHUNK_SET_SIZE + 16)
 
 /* A record's text on its way into the state service. */
 typedef struct record_parts {
-    char set[TW_WIRE_SET];
+    char set[TW_WIRE_CHUNK_SET_SIZE];
     char **slices; /* JSON values */
     int count, written;
     int busy;     /* a transaction with some of them is on its way */
--- a/src/core/recover.c
+++ b/src/core/recover.c
@@ -65,7 +65,7 @@
     tw_wire_record record;
     char *text = tw_loaded_text(core, id, head);
     if (!text || tw_wire_record_parse(&record, id, text, strlen(text))) {
-        tw_log_error("event=bad_record key=" JOB_KEY "%.32s set=%s", id, head->set);
+        tw_log_error("event=bad_record key=" JOB_KEY "%.32s set=%s", id, head->chunk_set);
         free(text);
         return;
     }
@@ -73,19 +73,19 @@
     tw_adopt(core, id, &record, stamp);
     tw_wire_record_free(&record);
     job *job = tw_job_find(core, id);
-    if (job) tw_parts_named(core, job, head->set, head->slices);
+    if (job) tw_parts_named(core, job, head->chunk_set, head->chunk_count);
 }
 
-static void adopt_listed(tw_core *core, tw_wire_listed *listed) {
+static void adopt_listed(tw_core *core, tw_wire_listed_record *listed) {
     const char *id = listed->key + sizeof JOB_KEY - 1;
     if (!listed->readable)
         tw_log_error("event=bad_record key=%.32s", listed->key);
     else if (tw_job_known(core, id))
         return;
-    else if (*listed->record.set)
-        adopt_divided(core, id, &listed->record, listed->stamp);
+    else if (*listed->record.chunk_set)
+        adopt_divided(core, id, &listed->record, listed->mod_revision);
     else
-        tw_adopt(core, id, &listed->record, listed->stamp);
+        tw_adopt(core, id, &listed->record, listed->mod_revision);
 }
 
 /* -1: it can't be read. */
@@ -102,7 +102,7 @@
 
 /* -1: it can't be read. */
 static int take_records(tw_core *core, const char *body, size_t len) {
-    tw_wire_listed *listed;
+    tw_wire_listed_record *listed;
     int count, more;
     if (tw_wire_records_parse(&listed, &count, &more, JOB_KEY, body, len)) return -1;
     for (int i = 0; i < count; i++) adopt_listed(core, &listed[i]);
@@ -128,15 +128,15 @@
 
 /* The tasks that are done, and those that may run, as the record has them. */
 static void adopt_tasks(tw_core *core, job *job, const tw_wire_record *record) {
-    const int cancelled = record->stage == TW_STAGE_ABORTED;
+    const int cancelled = record->state == TW_JOB_CANCELLED;
     job->st = tw_zalloc((size_t)job->pieces);
     job->ndone = record->done_ranges
                      ? tw_ranges_apply(job->st, job->pieces, record->done_ranges, T_DONE)
                      : 0;
-    for (int i = 0; i < record->nlive; i++) {
-        const tw_wire_live *live = &record->live[i];
-        machine *machine = tw_machine(core, live->tray);
-        if (!machine) machine = tw_machine_new(core, live->tray);
+    for (int i = 0; i < record->assignment_count; i++) {
+        const tw_wire_assignment *live = &record->assignments[i];
+        machine *machine = tw_machine(core, live->worker);
+        if (!machine) machine = tw_machine_new(core, live->worker);
         if (job->st[live->index] != T_FREE) continue;
         placement *placed = tw_place(core, job, live->index, machine, live->attempt);
         if (!placed) continue;
@@ -150,21 +150,21 @@
 }
 
 void tw_adopt(tw_core *core, const char *id, tw_wire_record *record, uint64_t stamp) {
-    if (record->stage != TW_STAGE_PENDING && !record->nlive) {
-        tw_job_ended(core, id, record->stage, record->ndone);
+    if (record->state != TW_JOB_PENDING && !record->assignment_count) {
+        tw_job_ended(core, id, record->state, record->done_count);
         return;
     }
     job *job = tw_job_new(core, id);
     job->created = 1;
     job->stamp = stamp;
-    job->pieces = record->pieces;
-    job->next_try = record->next_try;
-    job->submitted_wall = record->submitted;
-    job->submitted = core->now - (core->wall - record->submitted);
-    if (job->submitted > core->now || record->submitted <= 0) job->submitted = core->now;
+    job->pieces = record->task_count;
+    job->next_try = record->next_attempt;
+    job->submitted_wall = record->submitted_at;
+    job->submitted = core->now - (core->wall - record->submitted_at);
+    if (job->submitted > core->now || record->submitted_at <= 0) job->submitted = core->now;
     job->pending_since = core->now;
-    job->stage = record->stage;
-    job->durable_stage = record->stage;
+    job->stage = record->state;
+    job->durable_stage = record->state;
     job->ver = 1;
     job->durable_ver = 1;
     if (record->has_job) tw_job_spec(core, job, &record->job);
--- a/src/core/redirect.c
+++ b/src/core/redirect.c
@@ -73,13 +73,13 @@
     last->at = core->now;
     last->back = 0;
     tw_log_debug("event=sent_off tray=%s to=%s", worker, to->cf.name);
-    tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_foreman_text(to->cf.name));
+    tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(to->cf.name));
     return 1;
 }
 
-int tw_redirect_home(tw_core *core, uint64_t conn, const tw_wire_report *report) {
-    peer *home = tw_home_of(core, report->yard);
-    return home && tw_redirect(core, conn, report->tray, home);
+int tw_redirect_home(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
+    peer *home = tw_home_of(core, report->zone);
+    return home && tw_redirect(core, conn, report->worker, home);
 }
 
 /* Whether all other nodes answer: no time to redirect workers otherwise. */
@@ -89,10 +89,10 @@
     return 1;
 }
 
-int tw_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_report *report) {
+int tw_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
     if (core->failover_in_time || !all_live(core)) return 0;
-    peer *safer = tw_home_of(core, report->yard);
-    return safer && safer->failover_in_time && tw_redirect(core, conn, report->tray, safer);
+    peer *safer = tw_home_of(core, report->zone);
+    return safer && safer->failover_in_time && tw_redirect(core, conn, report->worker, safer);
 }
 
 void tw_redirect_end(tw_core *core) {
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -51,7 +51,8 @@
         return;
     }
     /* Read when it came, so it is known by its text, unless it waited long. */
-    const tw_wire_report *report = tw_wire_reports_read(core->reports, body, strlen(body));
+    const tw_wire_heartbeat *report =
+        tw_wire_heartbeat_cache_read(core->reports, body, strlen(body));
     if (!report) {
         tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         free(body);
@@ -97,9 +98,9 @@
     return copy;
 }
 
-void tw_relay_hello(tw_core *core, uint64_t conn, const tw_wire_report *report, const char *body,
+void tw_relay_hello(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report, const char *body,
                     size_t len) {
-    if (!strcmp(report->yard, core->cf->location)) {
+    if (!strcmp(report->zone, core->cf->location)) {
         if (tw_redirect_safer(core, conn, report)) return;
     } else {
         if (tw_redirect_home(core, conn, report)) return;
@@ -110,11 +111,11 @@
             tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
         }
-        if (!tw_home_of(core, report->yard) && core->now >= leader->shun_until &&
-            tw_redirect(core, conn, report->tray, leader))
+        if (!tw_home_of(core, report->zone) && core->now >= leader->shun_until &&
+            tw_redirect(core, conn, report->worker, leader))
             return;
     }
-    hand_on(core, conn, report->tray, copy_of(body, len), core->now + HOLD_S);
+    hand_on(core, conn, report->worker, copy_of(body, len), core->now + HOLD_S);
 }
 
 void tw_relay_response(tw_core *core, call *sent, int status, const char *body, size_t len) {
--- a/src/core/relay.h
+++ b/src/core/relay.h
@@ -19,7 +19,7 @@
 int tw_deputy_entitled(tw_core *core, const char *worker, const char *zone);
 /* Answers a report in the leader's place, if this node is entitled to; 0: it is not, and asks to be
  * where the worker is of its zone. */
-int tw_deputy_answers(tw_core *core, uint64_t conn, const tw_wire_report *report);
+int tw_deputy_answers(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
 
 /* relay.c */
 /* Tries all held reports again at once. */
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -17,23 +17,23 @@
 /* ---- returning ---- */
 
 static void send_returns(tw_core *core) {
-    char names[RETURNED_AT_ONCE][TW_NAME];
+    char names[RETURNED_AT_ONCE][TW_NAME_SIZE];
     int count = 0;
     if (!core->returns_due) return;
     machine *machine;
     struct machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         if (!machine->release || machine->releasing || count >= RETURNED_AT_ONCE) continue;
-        snprintf(names[count++], TW_NAME, "%s", machine->name);
+        snprintf(names[count++], TW_NAME_SIZE, "%s", machine->name);
     }
     core->returns_due = count > 0; /* until none is left */
     if (!count || !tw_take(core, &core->cloud, 1)) return;
     for (int i = 0; i < count; i++) tw_machine(core, names[i])->releasing = 1;
     call *call = tw_call(core, K_RELEASE, TW_TO_CLOUD, core->cf->cloud, "POST", "/rentals/release",
-                         tw_wire_names_text(names, count), TIMEOUT_S);
+                         tw_wire_machine_names_text(names, count), TIMEOUT_S);
     call->n = count;
-    call->names = tw_zalloc((size_t)count * TW_NAME);
-    memcpy(call->names, names, (size_t)count * TW_NAME);
+    call->names = tw_zalloc((size_t)count * TW_NAME_SIZE);
+    memcpy(call->names, names, (size_t)count * TW_NAME_SIZE);
     core->release_busy = 1;
 }
 
@@ -72,11 +72,11 @@
 static void send_request(tw_core *core, rental_request *request) {
     const offer *offer = offer_of(core, request);
     request->busy = 1;
-    call *call =
-        tw_call(core, K_RENT, TW_TO_CLOUD, core->cf->cloud, "POST", "/rentals",
-                tw_wire_rent_text(request->name, core->flavors[request->rack].f.label,
-                                  tw_offer_yard(core, offer), request->loaner, request->number),
-                TIMEOUT_S);
+    call *call = tw_call(
+        core, K_RENT, TW_TO_CLOUD, core->cf->cloud, "POST", "/rentals",
+        tw_wire_rental_request_text(request->name, core->flavors[request->rack].f.name,
+                                    tw_offer_yard(core, offer), request->loaner, request->number),
+        TIMEOUT_S);
     snprintf(call->name, sizeof call->name, "%s", request->name);
 }
 
@@ -121,15 +121,15 @@
     machine->born = sent;
     tw_machine_at(core, machine, tw_offer_yard(core, offer_of(core, request)));
     snprintf(machine->rack_name, sizeof machine->rack_name, "%s",
-             core->flavors[request->rack].f.label);
+             core->flavors[request->rack].f.name);
 }
 
-static void granted(tw_core *core, const rental_request *request, char (*names)[TW_WIRE_NAME],
+static void granted(tw_core *core, const rental_request *request, char (*names)[TW_WIRE_NAME_SIZE],
                     int count, double sent) {
     offer *offer = offer_of(core, request);
     for (int i = 0; i < count; i++) take_rented(core, request, names[i], sent);
     tw_log_info("event=rented ask=%s rack=%s yard=%s loaner=%d asked=%d got=%d", request->name,
-                core->flavors[request->rack].f.label, tw_offer_yard(core, offer), request->loaner,
+                core->flavors[request->rack].f.name, tw_offer_yard(core, offer), request->loaner,
                 request->number, count);
     const int partly = count < request->number;
     offer->refused = partly ? offer->refused + 1 : 0;
@@ -141,19 +141,19 @@
     offer->refused++;
     offer->refused_until =
         core->now + core->cf->list_lag_s * fmin(AFTER_REFUSAL_MOST_LAGS, 1 + offer->refused);
-    tw_log_info("event=refused rack=%s yard=%s loaner=%d", core->flavors[request->rack].f.label,
+    tw_log_info("event=refused rack=%s yard=%s loaner=%d", core->flavors[request->rack].f.name,
                 tw_offer_yard(core, offer), request->loaner);
 }
 
 static void request_done(tw_core *core, const call *call, int status, const char *body,
                          size_t length) {
     rental_request *request;
-    char(*names)[TW_WIRE_NAME];
+    char(*names)[TW_WIRE_NAME_SIZE];
     int count;
     DL_FOREACH(core->rental_requests, request) if (!strcmp(request->name, call->name)) break;
     if (!request) return;
     request->busy = 0;
-    if (status == TW_HTTP_OK && !tw_wire_names_parse(&names, &count, body, length)) {
+    if (status == TW_HTTP_OK && !tw_wire_machine_names_parse(&names, &count, body, length)) {
         granted(core, request, names, count, call->sent);
         free(names);
     } else if (status == TW_HTTP_UNAVAILABLE && strstr(body, "no capacity")) {
@@ -202,12 +202,12 @@
     if (machine->rack >= 0) count_machine(&parts[machine->rack][!!machine->loaner], machine);
     for (int i = 0; i < core->nflavors; i++)
         for (int spot = 0; spot < 2; spot++) {
-            const tw_wire_flavor *type = &core->flavors[i].f;
+            const tw_wire_machine_type *type = &core->flavors[i].f;
             const fleet_part *part = &parts[i][spot];
             if (!part->up && !part->coming) continue;
             tw_log_info("event=fleet rack=%s loaner=%d up=%d idle=%d coming=%d cores=%.2f "
                         "gpus=%.2f batch_gpus=%.0f",
-                        type->label, spot, part->up, part->idle, part->coming,
+                        type->name, spot, part->up, part->idle, part->coming,
                         part->up ? part->cores / (part->up * type->cores) : 0,
                         part->up && type->gpus > 0 ? part->gpus / (part->up * type->gpus) : 0,
                         part->batch_gpus);
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -16,11 +16,11 @@
 /* What a service of the highest priority may have on a machine: free, or held by work of lower
  * priority. */
 static tw_room room_on(const tw_core *core, const machine *machine) {
-    const tw_wire_flavor *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
     tw_room room = {type->cores - machine->used_c + machine->kill_c,
                     type->gpus - machine->used_g + machine->kill_g,
                     type->memory_gb - machine->used_m + machine->kill_m};
-    for (int priority = 0; priority < TW_RANK_PROD; priority++) {
+    for (int priority = 0; priority < TW_PRIORITY_PROD; priority++) {
         room.cores += machine->held[priority].c;
         room.gpus += machine->held[priority].g;
         room.memory_gb += machine->held[priority].m;
@@ -30,7 +30,7 @@
 
 static int counts(const lane *class, const machine *machine) {
     return class->reserve > 0 && (class->sample_racks & (1U << machine->rack)) &&
-           (!machine->loaner || class->sample.loaner);
+           (!machine->loaner || class->sample.spot);
 }
 
 /* Whether a task can start in time only where its image is cached. */
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -11,7 +11,7 @@
 typedef struct {
     double cores, gpus, memory_gb, image_gb, estimate_s;
     uint32_t types, image_sum;
-    char image[TW_WIRE_NAME];
+    char image[TW_WIRE_NAME_SIZE];
     int spot, service, any_machine, rank;
     const lane *class;
     const job *own; /* a job that passes some machines over shares its scores with none */
@@ -35,12 +35,12 @@
         known->memory_gb != spec->memory_gb || known->image_gb != spec->image_gb ||
         known->estimate_s != demand->estimate_s)
         return 0;
-    if (known->types != job->rackmask || known->spot != spec->loaner ||
+    if (known->types != job->rackmask || known->spot != spec->spot ||
         known->service != spec->service || known->any_machine != job->any_machine ||
-        known->class != job->lane || known->rank != job->s.rank ||
+        known->class != job->lane || known->rank != job->s.priority ||
         known->own != own_scores(core, job))
         return 0;
-    return known->image_sum == job->bundle && !strcmp(known->image, spec->bundle);
+    return known->image_sum == job->bundle && !strcmp(known->image, spec->image);
 }
 
 static kind kind_of(const tw_core *core, const tw_demand *demand) {
@@ -52,13 +52,13 @@
                    .estimate_s = demand->estimate_s,
                    .types = job->rackmask,
                    .image_sum = job->bundle,
-                   .spot = job->s.loaner,
+                   .spot = job->s.spot,
                    .service = job->s.service,
                    .any_machine = job->any_machine,
-                   .rank = job->s.rank,
+                   .rank = job->s.priority,
                    .class = job->lane,
                    .own = own_scores(core, job)};
-    snprintf(result.image, sizeof result.image, "%s", job->s.bundle);
+    snprintf(result.image, sizeof result.image, "%s", job->s.image);
     return result;
 }
 
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -43,7 +43,7 @@
     double grant_sent, renew_sent;
     tw_budget follows;   /* this node's part of the requests that elections may take */
     int follows_refused; /* of those, in a row */
-    char leader[TW_NAME];
+    char leader[TW_NAME_SIZE];
     uint64_t leader_token;
     double leader_seen, state_ok_at, started_at;
     int fresh;               /* this term began without any job */
@@ -96,9 +96,9 @@
     struct loaded_set *loaded_sets; /* of divided records, while they are read */
     int load_parts;                 /* those are being read, before the records */
     tw_budget writes, reqs, cloud;
-    int old_credit[TW_RANK_PROD + 1]; /* by rank: the next room may go to the longest wait */
-    tw_budget reads, creates;         /* of a node that does not lead */
-    double *team_c, *team_g;          /* in use, or may be */
+    int old_credit[TW_PRIORITY_PROD + 1]; /* by rank: the next room may go to the longest wait */
+    tw_budget reads, creates;             /* of a node that does not lead */
+    double *team_c, *team_g;              /* in use, or may be */
     char load_after[256];
     double load_retry;
     int load_busy;
@@ -114,14 +114,14 @@
     double next_flavors;
     int flavors_busy;
     machine *machines;
-    size_t longest_name;      /* of a machine that was known in this process */
-    machine *direct;          /* those that may be due for direct orders */
-    int ndirect;              /* direct orders on their way */
-    double next_direct;       /* no look at all machines before it */
-    tw_wire_reports *reports; /* as they came last */
+    size_t longest_name;              /* of a machine that was known in this process */
+    machine *direct;                  /* those that may be due for direct orders */
+    int ndirect;                      /* direct orders on their way */
+    double next_direct;               /* no look at all machines before it */
+    tw_wire_heartbeat_cache *reports; /* as they came last */
     double reports_tidy;
-    tw_wire_order *order; /* scratch: the orders in hand */
-    char yards[TW_MAX_ZONES][TW_NAME];
+    tw_wire_command *order; /* scratch: the orders in hand */
+    char yards[TW_MAX_ZONES][TW_NAME_SIZE];
     int nyards;
     uint64_t steps;    /* machines looked at in passes over the fleet: what such a pass costs */
     tw_futile *futile; /* kinds of tasks that found no room in this pass, see futile.c */
@@ -134,7 +134,7 @@
     double gpu_cores, gpu_mem; /* what a GPU's user takes along at most, by the lanes' samples */
     expiring *released;
     int list_busy, list_more, lists;
-    char list_after[TW_NAME];
+    char list_after[TW_NAME_SIZE];
     double next_list;
     int release_busy;
     int returns_due; /* some machine is to be returned and may not have been asked for */
@@ -150,7 +150,7 @@
         double free_cores, free_gpus; /* shares */
     } zones[TW_MAX_ZONES + 1]; /* as of the last pass; the last one: machines of no known zone */
     struct {
-        char yard[TW_NAME];
+        char yard[TW_NAME_SIZE];
         int all, silent;
         double until; /* taken for cut off until then */
     } quiet[TW_MAX_ZONES];
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -34,14 +34,14 @@
         tw_sick_blame(core, placed, elsewhere);
 }
 
-static void exited(tw_core *core, placement *placed, const tw_wire_report *report,
-                   const tw_wire_piece *told) {
+static void exited(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
+                   const tw_wire_task *told) {
     job *job = placed->job;
     const attempt_end end = {.ground = END_EXITED, .report = report, .told = told};
-    placed->stage = TW_PIECE_EXITED;
+    placed->stage = TW_TASK_EXITED;
     placed->cause = told->cause;
     if (!placed->on_job) return;
-    const int over = job->stage != TW_STAGE_PENDING;
+    const int over = job->stage != TW_JOB_PENDING;
     switch (told->cause) {
     case TW_CAUSE_DONE:
         tw_learn_run(core, placed);
@@ -51,11 +51,11 @@
     case TW_CAUSE_STOPPED:
         if (told->saved) job->resumed = job->gang.saved = 1;
         break;
-    case TW_CAUSE_PEERS: /* no fault of the machine, nor of the job */
-    case TW_CAUSE_ALONE:
+    case TW_CAUSE_GANG_BROKEN: /* no fault of the machine, nor of the job */
+    case TW_CAUSE_GANG_INCOMPLETE:
         break;
     case TW_CAUSE_ERROR:
-    case TW_CAUSE_NO_SUCH:
+    case TW_CAUSE_UNKNOWN_TASK:
         if (!over) note_error(core, placed, told->cause);
         break;
     default:
@@ -65,7 +65,7 @@
     tw_attempt_end(core, placed, &end);
     if (told->cause == TW_CAUSE_DONE && job->s.gang) tw_gang_done(core, job);
     if (!over && job->ndone == job->pieces)
-        tw_job_finish(core, job, TW_STAGE_DONE);
+        tw_job_finish(core, job, TW_JOB_DONE);
     else
         tw_job_changed(core, job, 0);
 }
@@ -77,13 +77,13 @@
     if (!job->s.gang) tw_learn_start(core, placed);
     placed->run_at = core->now;
     tw_log_debug("event=running piece=%s/%d lane=%s rack=%s start_s=%.2f waited_s=%.2f", job->id,
-                 placed->index, job->s.lane, placed->m->rack_name, core->now - placed->made_at,
+                 placed->index, job->s.job_class, placed->m->rack_name, core->now - placed->made_at,
                  core->now - job->submitted);
     tw_image_note(core, placed->m, job, 1);
 }
 
-void tw_task_reported(tw_core *core, placement *placed, const tw_wire_report *report,
-                      const tw_wire_piece *told) {
+void tw_task_reported(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
+                      const tw_wire_task *told) {
     machine *machine = placed->m;
     job *job = placed->job;
     if (!placed->seen) {
@@ -91,22 +91,22 @@
         placed->misses = 0;
     }
     placed->seen = placed->sent = 1;
-    if (placed->stage == TW_PIECE_EXITED) return;
-    if (told->stage == TW_PIECE_EXITED) {
+    if (placed->stage == TW_TASK_EXITED) return;
+    if (told->state == TW_TASK_EXITED) {
         exited(core, placed, report, told);
         return;
     }
-    const int waits = told->stage == TW_PIECE_WAITING && placed->stage != TW_PIECE_WAITING;
-    placed->stage = told->stage;
+    const int waits = told->state == TW_TASK_WAITING && placed->stage != TW_TASK_WAITING;
+    placed->stage = told->state;
     if (!job->has_spec) return;
     if (waits) { /* its image is there */
         tw_learn_start(core, placed);
         tw_image_note(core, machine, job, 1);
     }
     if (job->s.gang) tw_gang_reported(core, placed);
-    if (told->stage == TW_PIECE_RUNNING && placed->run_at <= 0)
+    if (told->state == TW_TASK_RUNNING && placed->run_at <= 0)
         started(core, placed);
-    else if (told->stage == TW_PIECE_PULLING && !tw_image(machine, job))
+    else if (told->state == TW_TASK_FETCHING && !tw_image(machine, job))
         tw_image_note(core, machine, job, 0);
     /* A task of a broken gang tells that it runs until it ends: that shows nothing. */
     if (placed->run_at <= 0 || (job->s.gang && job->gang.state != GANG_RUNNING)) return;
@@ -117,7 +117,7 @@
 }
 
 /* It ended before we knew of it; its job, unless NULL, still wants it. */
-static void stranger_exited(tw_core *core, const machine *machine, const tw_wire_piece *told,
+static void stranger_exited(tw_core *core, const machine *machine, const tw_wire_task *told,
                             job *job, tw_orders *orders) {
     const int done = told->cause == TW_CAUSE_DONE;
     if (job && done && job->st[told->index] == T_FREE) {
@@ -125,7 +125,7 @@
         job->ndone++;
         if (job->s.gang) tw_gang_done(core, job);
         if (job->ndone == job->pieces)
-            tw_job_finish(core, job, TW_STAGE_DONE);
+            tw_job_finish(core, job, TW_JOB_DONE);
         else
             tw_job_changed(core, job, 0);
     }
@@ -133,18 +133,18 @@
      * authority another leader may know of it. */
     if (orders && tw_may(core, RIGHT_COMMAND) && machine->confirmed &&
         (!job || !done || job->ver == job->durable_ver))
-        tw_orders_add(
-            orders,
-            (tw_wire_order){.verb = TW_VERB_FORGET, .index = told->index, .attempt = told->attempt},
-            told->job);
+        tw_orders_add(orders,
+                      (tw_wire_command){.kind = TW_COMMAND_FORGET,
+                                        .index = told->index,
+                                        .attempt = told->attempt},
+                      told->job);
 }
 
-void tw_task_stranger(tw_core *core, machine *machine, const tw_wire_report *report,
-                      const tw_wire_piece *told, tw_orders *orders) {
+void tw_task_stranger(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
+                      const tw_wire_task *told, tw_orders *orders) {
     job *job = tw_job_find(core, told->job);
-    if (job && (!job->st || job->stage != TW_STAGE_PENDING || told->index >= job->pieces))
-        job = NULL;
-    if (told->stage == TW_PIECE_EXITED) {
+    if (job && (!job->st || job->stage != TW_JOB_PENDING || told->index >= job->pieces)) job = NULL;
+    if (told->state == TW_TASK_EXITED) {
         stranger_exited(core, machine, told, job, orders);
         return;
     }
@@ -163,8 +163,8 @@
     tw_log_info("event=stray piece=%s/%d try=%llu tray=%s", told->job, told->index,
                 (unsigned long long)told->attempt, machine->name);
     if (orders)
-        tw_orders_add(
-            orders,
-            (tw_wire_order){.verb = TW_VERB_KILL, .index = told->index, .attempt = told->attempt},
-            told->job);
+        tw_orders_add(orders,
+                      (tw_wire_command){
+                          .kind = TW_COMMAND_STOP, .index = told->index, .attempt = told->attempt},
+                      told->job);
 }
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -10,7 +10,7 @@
 #define FIRST_INTERFERENCE 0.5
 #define KINDS 2 /* on-demand, spot */
 
-static flavor type_of(const tw_core *core, const tw_wire_flavor *listed) {
+static flavor type_of(const tw_core *core, const tw_wire_machine_type *listed) {
     return (flavor){.f = *listed,
                     .slowness = 1,
                     .q = FIRST_DELAY_REPORTS * core->cf->report_s,
@@ -22,16 +22,16 @@
 
 static void make_offers(tw_core *core) {
     int count = 0;
-    for (int i = 0; i < core->nflavors; i++) count += KINDS * core->flavors[i].f.nyards;
+    for (int i = 0; i < core->nflavors; i++) count += KINDS * core->flavors[i].f.zone_count;
     core->offers = tw_zalloc((size_t)count * sizeof *core->offers);
     core->noffers = 0;
     for (int i = 0; i < core->nflavors; i++)
-        for (int zone = 0; zone < core->flavors[i].f.nyards; zone++)
+        for (int zone = 0; zone < core->flavors[i].f.zone_count; zone++)
             for (int spot = 0; spot < KINDS; spot++)
                 core->offers[core->noffers++] = (offer){.rack = i, .zone = zone, .loaner = spot};
 }
 
-static void take_first(tw_core *core, const tw_wire_flavor *listed, int count) {
+static void take_first(tw_core *core, const tw_wire_machine_type *listed, int count) {
     core->flavors = tw_zalloc((size_t)count * sizeof *core->flavors);
     core->nflavors = count;
     for (int i = 0; i < count; i++) core->flavors[i] = type_of(core, &listed[i]);
@@ -44,19 +44,19 @@
 }
 
 /* Only prices move; an index never changes its meaning. */
-static void take_prices(tw_core *core, const tw_wire_flavor *listed, int count) {
+static void take_prices(tw_core *core, const tw_wire_machine_type *listed, int count) {
     for (int i = 0; i < count; i++) {
-        const int type = tw_rack_index(core, listed[i].label);
+        const int type = tw_rack_index(core, listed[i].name);
         if (type < 0) continue;
-        core->flavors[type].f.hourly = listed[i].hourly;
-        core->flavors[type].f.low_price = listed[i].low_price;
+        core->flavors[type].f.on_demand_price = listed[i].on_demand_price;
+        core->flavors[type].f.spot_price = listed[i].spot_price;
     }
 }
 
 void tw_types_listed(tw_core *core, const char *body, size_t length) {
-    tw_wire_flavor *listed;
+    tw_wire_machine_type *listed;
     int count;
-    if (tw_wire_flavors_parse(&listed, &count, body, length) || !count) return;
+    if (tw_wire_machine_types_parse(&listed, &count, body, length) || !count) return;
     if (count > TYPES_MAX) {
         tw_log_error("event=too_many_racks used=%d of=%d", TYPES_MAX, count);
         count = TYPES_MAX;
