--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -58,17 +58,17 @@
 /* ---- at the leader ---- */
 
 static void leader_abort(tw_core *core, uint64_t conn, job *job) {
-    if (job->durable_stage != TW_STAGE_PENDING) {
+    if (job->durable_stage != TW_JOB_PENDING) {
         tw_reply(core, conn, TW_HTTP_OK, 0,
-                 tw_wire_stage_text(job->id, job->durable_stage, -1, -1));
+                 tw_wire_job_status_text(job->id, job->durable_stage, -1, -1));
         return;
     }
-    if (job->stage == TW_STAGE_PENDING && !job->aborting) {
+    if (job->stage == TW_JOB_PENDING && !job->aborting) {
         job->aborting = 1; /* nothing of it is started any more */
         tw_job_cancelled(core, job);
         job->abort_seq = ++core->abort_seq;
     }
-    int safe = job->stage == TW_STAGE_PENDING ? tw_abort_safe(core, job, 1) : 1;
+    int safe = job->stage == TW_JOB_PENDING ? tw_abort_safe(core, job, 1) : 1;
     if (safe < 0) {
         /* It goes on as soon as it can be promised; the user is not kept waiting for that. */
         tw_log_debug("event=cancel_later id=%s", job->id);
@@ -76,7 +76,7 @@
         return;
     }
     tw_job_wait(core, job, conn, 1);
-    if (safe && job->stage == TW_STAGE_PENDING) tw_job_finish(core, job, TW_STAGE_ABORTED);
+    if (safe && job->stage == TW_JOB_PENDING) tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
 /* Tells what is in memory of the job; 0: nothing is. */
@@ -90,9 +90,10 @@
     else if (!tw_finished_find(core->finished, id, &ending))
         return 0;
     else if (op == OP_ABORT)
-        tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_stage_text(id, ending.stage, -1, -1));
+        tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_job_status_text(id, ending.stage, -1, -1));
     else
-        tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_stage_text(id, ending.stage, ending.done, 0));
+        tw_reply(core, conn, TW_HTTP_OK, 0,
+                 tw_wire_job_status_text(id, ending.stage, ending.done, 0));
     return 1;
 }
 
@@ -119,7 +120,8 @@
     tw_job_wait(core, job, conn, 0);
     tw_job_changed(core, job, 1);
     tw_log_debug("event=submitted id=%s lane=%s team=%d pieces=%d cores=%g gpus=%g mem=%g", job->id,
-                 job->s.lane, job->team, job->pieces, job->s.cores, job->s.gpus, job->s.memory_gb);
+                 job->s.job_class, job->team, job->pieces, job->s.cores, job->s.gpus,
+                 job->s.memory_gb);
     /* One write holds the acceptance and the first placements. */
     if (!tw_place_new(core, job)) core->sched_dirty = 1;
 }
@@ -159,8 +161,11 @@
     }
     char key[JOB_KEY_SIZE];
     snprintf(key, sizeof key, JOB_KEY "%s", spec->id);
-    tw_wire_record record = {
-        .has_job = 1, .job = *spec, .pieces = spec->pieces, .submitted = core->wall, .next_try = 1};
+    tw_wire_record record = {.has_job = 1,
+                             .job = *spec,
+                             .task_count = spec->task_count,
+                             .submitted_at = core->wall,
+                             .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
     if (strlen(text) > tw_record_whole_room(core)) {
         tw_turn_away(core, conn, spec->id, TOO_LARGE_RETRY_S, "too large without a leader");
@@ -169,7 +174,7 @@
     }
     char news[ACCEPTED_KEY_SIZE];
     snprintf(news, sizeof news, ACCEPTED_KEY "%s", spec->id);
-    tw_wire_cond condition = {key, 0};
+    tw_wire_compare condition = {key, 0};
     tw_wire_write writes[2] = {{key, text, 0}, {news, "1", 0}};
     call *call = tw_call(core, K_CREATE, TW_TO_STATE, core->cf->state, "POST", "/txn",
                          tw_wire_txn_text(&condition, 1, writes, 2), CREATE_TIMEOUT_S);
@@ -241,12 +246,12 @@
 
 static void adopt(tw_core *core, const char *id, const tw_wire_entry *entry) {
     tw_wire_record record;
-    if (tw_wire_record_parse(&record, id, entry->data, strlen(entry->data))) {
+    if (tw_wire_record_parse(&record, id, entry->value, strlen(entry->value))) {
         tw_log_error("event=bad_record id=%.32s", id);
         return;
     }
     /* Of a divided one the slices are missing; it is one that was over and let go. */
-    if (!*record.set) tw_adopt(core, id, &record, entry->stamp);
+    if (!*record.chunk_set) tw_adopt(core, id, &record, entry->mod_revision);
     tw_wire_record_free(&record);
 }
 
@@ -265,20 +270,21 @@
 /* An answer by a record that was read after the question came. */
 static void answer_by_record(tw_core *core, const call *call, const tw_wire_entry *entry) {
     tw_wire_record record;
-    if (tw_wire_record_parse(&record, call->name, entry->data, strlen(entry->data))) {
+    if (tw_wire_record_parse(&record, call->name, entry->value, strlen(entry->value))) {
         tw_reply_error(core, call->conn, TW_HTTP_UNAVAILABLE, 1, "record can't be read");
         return;
     }
-    int over = record.stage != TW_STAGE_PENDING;
-    const int live = *record.set ? record.set_live : record.nlive;
-    int stage = over ? record.stage : live ? TW_STAGE_RUNNING : TW_STAGE_PENDING;
+    int over = record.state != TW_JOB_PENDING;
+    const int live = *record.chunk_set ? record.running_count : record.assignment_count;
+    int stage = over ? record.state : live ? TW_JOB_RUNNING : TW_JOB_PENDING;
     if (call->op == OP_ABORT && !over)
         tw_reply_error(core, call->conn, TW_HTTP_UNAVAILABLE, 1, "no leader");
     else if (call->op == OP_ABORT)
-        tw_reply(core, call->conn, TW_HTTP_OK, 0, tw_wire_stage_text(call->name, stage, -1, -1));
+        tw_reply(core, call->conn, TW_HTTP_OK, 0,
+                 tw_wire_job_status_text(call->name, stage, -1, -1));
     else
         tw_reply(core, call->conn, TW_HTTP_OK, 0,
-                 tw_wire_stage_text(call->name, stage, record.ndone, over ? 0 : live));
+                 tw_wire_job_status_text(call->name, stage, record.done_count, over ? 0 : live));
     tw_wire_record_free(&record);
 }
 
@@ -302,7 +308,7 @@
         known = tell(core, call->conn, call->name, call->op);
     }
     if (!known) answer_by_record(core, call, &entry);
-    free(entry.data);
+    free(entry.value);
 }
 
 static void proxy_done(tw_core *core, call *call, int status, const char *body, size_t length) {
@@ -334,7 +340,7 @@
     if (status == TW_HTTP_OK) {
         core->state_ok_at = core->now;
         tw_reply(core, call->conn, TW_HTTP_CREATED, 0,
-                 tw_wire_stage_text(call->name, TW_STAGE_PENDING, -1, -1));
+                 tw_wire_job_status_text(call->name, TW_JOB_PENDING, -1, -1));
     } else if (status == TW_HTTP_CONFLICT) {
         tw_job_lookup(core, call->conn, call->name, OP_POLL);
     } else {
--- a/src/rpc/convert.cpp
+++ b/src/rpc/convert.cpp
@@ -233,9 +233,9 @@
         const tw_wire_entry &entry = from.entries[i];
         messages::Entry *added = to.add_entries();
         added->set_key(entry.key);
-        added->set_stamp(entry.stamp);
-        added->set_removed(entry.data == nullptr);
-        if (entry.data != nullptr) added->set_data(entry.data);
+        added->set_stamp(entry.mod_revision);
+        added->set_removed(entry.value == nullptr);
+        if (entry.value != nullptr) added->set_data(entry.value);
     }
 }
 
@@ -256,8 +256,8 @@
     for (const messages::Entry &entry : from.entries()) {
         tw_wire_entry &added = to.entries[to.count];
         if (!copy_text(added.key, entry.key())) continue;
-        added.stamp = entry.stamp();
-        added.data = entry.removed() ? nullptr : strdup(entry.data().c_str());
+        added.mod_revision = entry.stamp();
+        added.value = entry.removed() ? nullptr : strdup(entry.data().c_str());
         to.count++;
     }
     return true;
--- a/src/shares/load.c
+++ b/src/shares/load.c
@@ -40,8 +40,8 @@
 static int take_table(tw_shares *shares, const tw_wire_entry *entry) {
     header read;
     if (strcmp(entry->key, TW_SHARES_PREFIX "table") != 0) return 0;
-    if (tw_shares_header_parse(&read, entry->data)) return -1;
-    shares->header_stamp = entry->stamp;
+    if (tw_shares_header_parse(&read, entry->value)) return -1;
+    shares->header_stamp = entry->mod_revision;
     tw_shares_set_header(shares, &read);
     return 0;
 }
@@ -49,12 +49,12 @@
 static int take_move(tw_shares *shares, const tw_wire_entry *entry) {
     move_record record;
     if (!rest_of(entry->key, TW_SHARES_PREFIX "move/")) return 0;
-    if (tw_shares_move_parse(&record, entry->data)) return -1;
+    if (tw_shares_move_parse(&record, entry->value)) return -1;
     if (record.from >= shares->header.nshares || record.to >= shares->header.nshares) {
         free(record.only);
         return -1;
     }
-    tw_shares_add_move(shares, &record)->stamp = entry->stamp;
+    tw_shares_add_move(shares, &record)->stamp = entry->mod_revision;
     return 0;
 }
 
@@ -63,8 +63,8 @@
     if (!digits) return 0;
     const int block = block_of(digits);
     tw_shares_slot(shares, block * BLOCK);
-    shares->name_stamps[block] = entry->stamp;
-    return tw_shares_names_parse(shares, block, entry->data);
+    shares->name_stamps[block] = entry->mod_revision;
+    return tw_shares_names_parse(shares, block, entry->value);
 }
 
 static int take_cells(tw_shares *shares, const tw_wire_entry *entry) {
@@ -72,8 +72,8 @@
     if (!digits) return 0;
     const int block = block_of(digits);
     tw_shares_slot(shares, block * BLOCK);
-    shares->cell_stamps[block] = entry->stamp;
-    return tw_shares_cells_parse(shares, block, entry->data);
+    shares->cell_stamps[block] = entry->mod_revision;
+    return tw_shares_cells_parse(shares, block, entry->value);
 }
 
 /* Texts of the pages so far. */
--- a/src/shares/transaction.c
+++ b/src/shares/transaction.c
@@ -14,7 +14,7 @@
 #define MOST_BODY ((size_t)60 * 1024)
 
 typedef struct {
-    tw_wire_cond *conditions;
+    tw_wire_compare *conditions;
     tw_wire_write *writes;
     char (*keys)[KEY_SIZE];
     int count, room;
@@ -99,7 +99,7 @@
                       char *data) {
     const int i = to->count++;
     snprintf(to->keys[i], KEY_SIZE, "%s%s", TW_SHARES_PREFIX, key);
-    to->conditions[i + 1] = (tw_wire_cond){to->keys[i], stamp};
+    to->conditions[i + 1] = (tw_wire_compare){to->keys[i], stamp};
     to->writes[i] = (tw_wire_write){to->keys[i], data, 0};
     if (!data) return;
     const size_t length = strlen(data);
@@ -151,7 +151,7 @@
 }
 
 static void free_body(body *to) {
-    for (int i = 0; i < to->count; i++) free((char *)to->writes[i].data);
+    for (int i = 0; i < to->count; i++) free((char *)to->writes[i].value);
     free(to->conditions);
     free(to->writes);
     free(to->keys);
@@ -165,7 +165,7 @@
     to.conditions = tw_shares_alloc(sizeof *to.conditions * (room + 1));
     to.writes = tw_shares_alloc(sizeof *to.writes * room);
     to.keys = tw_shares_alloc(sizeof *to.keys * room);
-    to.conditions[0] = (tw_wire_cond){shares->leader_key, shares->token};
+    to.conditions[0] = (tw_wire_compare){shares->leader_key, shares->token};
     if (shares->txn.header_changed)
         add_write(shares, &to, "table", shares->header_stamp,
                   tw_shares_header_text(&shares->next_header));
--- a/src/standby/feed.c
+++ b/src/standby/feed.c
@@ -60,7 +60,7 @@
     message->more = each != NULL;
     message->entries = tw_standby_alloc(sizeof *message->entries * (size_t)room);
     for (; from != each; from = from->hh.next) {
-        tw_wire_entry entry = {.stamp = from->stamp, .data = from->data};
+        tw_wire_entry entry = {.mod_revision = from->stamp, .value = from->data};
         strcpy(entry.key, from->key);
         tw_wire_entry *copy = tw_standby_copy_entries(&entry, 1);
         message->entries[message->count++] = *copy;
--- a/src/standby/lease.c
+++ b/src/standby/lease.c
@@ -146,7 +146,7 @@
 }
 
 static void take_grant(lease *lease, double now, int status, const char *body, size_t length) {
-    if (status == STATUS_OK && !tw_wire_hold_parse(&lease->hold, body, length))
+    if (status == STATUS_OK && !tw_wire_lease_id_parse(&lease->hold, body, length))
         lease->state = LEASE_WRITING;
     else
         follow(lease, now, lease->poll_s);
@@ -155,7 +155,7 @@
 
 static void take_write(lease *lease, double now, int status, const char *body, size_t length) {
     uint64_t revision;
-    if (status != STATUS_OK || tw_wire_ledger_parse(&revision, body, length)) {
+    if (status != STATUS_OK || tw_wire_revision_parse(&revision, body, length)) {
         follow(lease, now, lease->poll_s);
         return;
     }
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -99,9 +99,9 @@
 
 /* What a standby has. */
 typedef struct {
-    uint64_t term, number;    /* of the last change it has; 0: nothing */
-    char after[TW_WIRE_KEY];  /* within a snapshot: the last key it has; else "" */
-    uint64_t snapshot_number; /* number at which the snapshot began */
+    uint64_t term, number;        /* of the last change it has; 0: nothing */
+    char after[TW_WIRE_KEY_SIZE]; /* within a snapshot: the last key it has; else "" */
+    uint64_t snapshot_number;     /* number at which the snapshot began */
 } tw_standby_position;
 
 typedef enum {
@@ -120,7 +120,7 @@
     tw_wire_entry *entries; /* data NULL: removed */
     int count;
     int more;                       /* SNAPSHOT: further parts follow */
-    char after[TW_WIRE_KEY];        /* SNAPSHOT: the part begins after this key */
+    char after[TW_WIRE_KEY_SIZE];   /* SNAPSHOT: the part begins after this key */
     char successor[TW_SHARES_NAME]; /* DENIED: who is to be active next; "": whoever comes first */
 } tw_standby_message;
 void tw_standby_message_free(tw_standby_message *message);
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -66,7 +66,7 @@
 /* ---- view.c: records and their numbered changes ---- */
 
 typedef struct record {
-    char key[TW_WIRE_KEY];
+    char key[TW_WIRE_KEY_SIZE];
     uint64_t stamp, hash;
     char *data; /* JSON text */
     UT_hash_handle hh;
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -62,7 +62,7 @@
     uint64_t ledger = 0;
     const int good = status == STATUS_OK &&
                      !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
-                     !tw_wire_ledger_parse(&ledger, body, length);
+                     !tw_wire_revision_parse(&ledger, body, length);
     if (good) {
         /* Of several pages the first one's revision holds: changes since are in later ones only in
          * part. */
@@ -80,7 +80,7 @@
     tw_wire_entry *changes = NULL;
     int count = 0;
     uint64_t ledger = 0;
-    const int good = status == STATUS_OK && !tw_wire_ledger_parse(&ledger, body, length) &&
+    const int good = status == STATUS_OK && !tw_wire_revision_parse(&ledger, body, length) &&
                      ledger >= standby->lease.token &&
                      !tw_wire_changes_parse("log", &changes, &count, body, length);
     if (!good) {
@@ -126,7 +126,7 @@
     int count;
     const char *body = standby->write_body;
     if (tw_wire_changes_parse("apply", &changes, &count, body, strlen(body))) return;
-    for (int i = 0; i < count; i++) changes[i].stamp = revision;
+    for (int i = 0; i < count; i++) changes[i].mod_revision = revision;
     tw_standby_view_apply(&standby->view, changes, count);
     standby->view.ledger = revision;
     standby->view.number = ++standby->active_number;
@@ -136,7 +136,7 @@
 void tw_standby_write_answered(tw_standby *standby, int status, const char *body, size_t length) {
     uint64_t revision = 0;
     tw_shares_outcome outcome = outcome_of(status);
-    if (outcome == TW_SHARES_APPLIED && tw_wire_ledger_parse(&revision, body, length))
+    if (outcome == TW_SHARES_APPLIED && tw_wire_revision_parse(&revision, body, length))
         outcome = TW_SHARES_UNKNOWN;
     if (outcome == TW_SHARES_APPLIED) add_change(standby, revision);
     tw_shares_written(standby->table, standby->now, standby->write_id, outcome, revision);
--- a/src/standby/view.c
+++ b/src/standby/view.c
@@ -50,13 +50,13 @@
 static void put(view *view, const tw_wire_entry *entry) {
     record *found;
     HASH_FIND_STR(view->records, entry->key, found);
-    if (found && found->stamp >= entry->stamp) return;
+    if (found && found->stamp >= entry->mod_revision) return;
     if (found) drop(view, found);
-    if (!entry->data) return;
+    if (!entry->value) return;
     record *added = tw_standby_alloc(sizeof *added);
     strcpy(added->key, entry->key);
-    added->stamp = entry->stamp;
-    added->data = copy_text(entry->data);
+    added->stamp = entry->mod_revision;
+    added->data = copy_text(entry->value);
     added->hash = hash_of(added->key, added->stamp, added->data);
     view->digest += added->hash;
     HASH_ADD_STR(view->records, key, added);
@@ -98,7 +98,7 @@
     tw_wire_entry *copies = tw_standby_alloc(sizeof *copies * (size_t)count);
     for (int i = 0; i < count; i++) {
         copies[i] = entries[i];
-        copies[i].data = entries[i].data ? copy_text(entries[i].data) : NULL;
+        copies[i].value = entries[i].value ? copy_text(entries[i].value) : NULL;
     }
     return copies;
 }
@@ -121,7 +121,7 @@
     added->count = count;
     added->bytes = sizeof *added;
     for (int i = 0; i < count; i++)
-        added->bytes += sizeof *entries + (entries[i].data ? strlen(entries[i].data) : 0);
+        added->bytes += sizeof *entries + (entries[i].value ? strlen(entries[i].value) : 0);
     DL_APPEND(log->changes, added);
     log->count++;
     log->bytes += added->bytes;
--- a/src/wire/peers.c
+++ b/src/wire/peers.c
@@ -6,39 +6,46 @@
 /* Versions to come may read more formats. */
 #define HIGHEST_FORMAT 1000
 
-static const tw_json_field ping_fields[] = {
-    {TW_JSON_NAME("name"), TW_JSON_TEXT_AT(tw_wire_ping, name)},
-    {TW_JSON_NAME("leader"), TW_JSON_TEXT_AT(tw_wire_ping, leader),
+static const tw_json_field peer_heartbeat_fields[] = {
+    {TW_JSON_NAME("name"), TW_JSON_TEXT_AT(tw_wire_peer_heartbeat, name)},
+    {TW_JSON_NAME("leader"), TW_JSON_TEXT_AT(tw_wire_peer_heartbeat, leader),
      .rules = TW_JSON_OPTIONAL | TW_JSON_OMIT},
-    {TW_JSON_NAME("token"), TW_JSON_COUNT_AT(tw_wire_ping, token)},
-    {TW_JSON_NAME("stateOk"), TW_JSON_FLAG_AT(tw_wire_ping, state_ok)},
-    {TW_JSON_NAME("leading"), TW_JSON_FLAG_AT(tw_wire_ping, leading)},
-    {TW_JSON_NAME("upS"), TW_JSON_SPAN_AT(tw_wire_ping, up_s), .rules = TW_JSON_LENIENT},
-    {TW_JSON_NAME("deputyS"), TW_JSON_SPAN_AT(tw_wire_ping, deputy_s), .rules = TW_JSON_LENIENT},
+    {TW_JSON_NAME("token"), TW_JSON_COUNT_AT(tw_wire_peer_heartbeat, highest_token)},
+    {TW_JSON_NAME("stateOk"), TW_JSON_FLAG_AT(tw_wire_peer_heartbeat, store_reachable)},
+    {TW_JSON_NAME("leading"), TW_JSON_FLAG_AT(tw_wire_peer_heartbeat, is_leader)},
+    {TW_JSON_NAME("upS"), TW_JSON_SPAN_AT(tw_wire_peer_heartbeat, uptime_s),
+     .rules = TW_JSON_LENIENT},
+    {TW_JSON_NAME("deputyS"), TW_JSON_SPAN_AT(tw_wire_peer_heartbeat, since_delegate_answer_s),
+     .rules = TW_JSON_LENIENT},
     {TW_JSON_NAME("recordFormat"),
-     TW_JSON_INTEGER_AT(tw_wire_ping, record_format, TW_RECORD_WHOLE, HIGHEST_FORMAT),
-     .rules = TW_JSON_LENIENT | TW_JSON_OMIT, .fallback = TW_RECORD_WHOLE},
+     TW_JSON_INTEGER_AT(tw_wire_peer_heartbeat, record_format, TW_RECORD_FORMAT_WHOLE,
+                        HIGHEST_FORMAT),
+     .rules = TW_JSON_LENIENT | TW_JSON_OMIT, .fallback = TW_RECORD_FORMAT_WHOLE},
 };
 
-int tw_wire_ping_parse(tw_wire_ping *ping, const char *text, size_t len) {
-    memset(ping, 0, sizeof *ping);
+int tw_wire_peer_heartbeat_parse(tw_wire_peer_heartbeat *heartbeat, const char *text, size_t len) {
+    memset(heartbeat, 0, sizeof *heartbeat);
     cJSON *object = tw_json_parse(text, len);
-    int result = tw_json_read(object, ping_fields, TW_JSON_ROWS(ping_fields), ping, NULL);
+    int result = tw_json_read(object, peer_heartbeat_fields, TW_JSON_ROWS(peer_heartbeat_fields),
+                              heartbeat, NULL);
     cJSON_Delete(object);
     return result;
 }
 
-char *tw_wire_ping_text(const tw_wire_ping *ping, const char *const *aborted, int naborted) {
+char *tw_wire_peer_heartbeat_text(const tw_wire_peer_heartbeat *heartbeat,
+                                  const char *const *cancelled, int cancelled_count) {
     cJSON *object = cJSON_CreateObject();
-    tw_json_write(object, ping_fields, TW_JSON_ROWS(ping_fields), ping);
-    if (naborted)
-        cJSON_AddItemToObject(object, "aborted", cJSON_CreateStringArray(aborted, naborted));
+    tw_json_write(object, peer_heartbeat_fields, TW_JSON_ROWS(peer_heartbeat_fields), heartbeat);
+    if (cancelled_count)
+        cJSON_AddItemToObject(object, "aborted",
+                              cJSON_CreateStringArray(cancelled, cancelled_count));
     return tw_json_finish(object);
 }
 
-int tw_wire_aborted_parse(char (**ids)[TW_WIRE_ID], int *n, const char *text, size_t len) {
+int tw_wire_cancelled_jobs_parse(char (**ids)[TW_WIRE_ID_SIZE], int *n, const char *text,
+                                 size_t len) {
     void *texts;
-    int result = tw_json_parse_texts("aborted", TW_WIRE_ID, text, len, &texts, n);
+    int result = tw_json_parse_texts("aborted", TW_WIRE_ID_SIZE, text, len, &texts, n);
     *ids = texts;
     return result;
 }
--- a/src/wire/record.c
+++ b/src/wire/record.c
@@ -23,25 +23,25 @@
 #define CONTINUED 0x80
 
 static const tw_json_field stage_field[] = {
-    {TW_JSON_NAME("s"), TW_JSON_INTEGER_AT(tw_wire_record, stage, 0, TW_STAGE_ABORTED)},
+    {TW_JSON_NAME("s"), TW_JSON_INTEGER_AT(tw_wire_record, state, 0, TW_JOB_CANCELLED)},
 };
-static const tw_json_field pieces_field[] = {
-    {TW_JSON_NAME("p"), TW_JSON_INTEGER_AT(tw_wire_record, pieces, 1, TW_WIRE_MAX_PIECES)},
+static const tw_json_field tasks_field[] = {
+    {TW_JSON_NAME("p"), TW_JSON_INTEGER_AT(tw_wire_record, task_count, 1, TW_WIRE_MAX_TASKS)},
 };
 static const tw_json_field progress_fields[] = {
-    {TW_JSON_NAME("c"), TW_JSON_INTEGER_AT(tw_wire_record, ndone, 0, TW_WIRE_MAX_PIECES),
+    {TW_JSON_NAME("c"), TW_JSON_INTEGER_AT(tw_wire_record, done_count, 0, TW_WIRE_MAX_TASKS),
      .rules = TW_JSON_LENIENT | TW_JSON_OMIT},
-    {TW_JSON_NAME("t"), TW_JSON_NUMBER_AT(tw_wire_record, submitted),
+    {TW_JSON_NAME("t"), TW_JSON_NUMBER_AT(tw_wire_record, submitted_at),
      .rules = TW_JSON_LENIENT | TW_JSON_OMIT},
-    {TW_JSON_NAME("n"), TW_JSON_COUNT_AT(tw_wire_record, next_try),
+    {TW_JSON_NAME("n"), TW_JSON_COUNT_AT(tw_wire_record, next_attempt),
      .rules = TW_JSON_LENIENT | TW_JSON_OMIT, .fallback = 1},
 };
 
 /* Of a divided record; "parts" itself is what says that it is one. */
 static const tw_json_field parts_fields[] = {
-    {TW_JSON_NAME("set"), TW_JSON_TEXT_AT(tw_wire_record, set)},
-    {TW_JSON_NAME("n"), TW_JSON_INTEGER_AT(tw_wire_record, slices, 1, MOST_SLICES)},
-    {TW_JSON_NAME("l"), TW_JSON_INTEGER_AT(tw_wire_record, set_live, 0, TW_WIRE_MAX_PIECES),
+    {TW_JSON_NAME("set"), TW_JSON_TEXT_AT(tw_wire_record, chunk_set)},
+    {TW_JSON_NAME("n"), TW_JSON_INTEGER_AT(tw_wire_record, chunk_count, 1, MOST_SLICES)},
+    {TW_JSON_NAME("l"), TW_JSON_INTEGER_AT(tw_wire_record, running_count, 0, TW_WIRE_MAX_TASKS),
      .rules = TW_JSON_LENIENT},
 };
 
@@ -49,19 +49,19 @@
 
 /* Reads "INDEX:ATTEMPT:MACHINE" up to a comma or the end. The end of it, or NULL: it is not that.
  */
-static const char *read_live(const char *text, int pieces, tw_wire_live *live) {
+static const char *read_live(const char *text, int tasks, tw_wire_assignment *live) {
     char *end;
     errno = 0;
     long index = strtol(text, &end, 10);
-    if (end == text || *end != ':' || index < 0 || index >= pieces) return NULL;
+    if (end == text || *end != ':' || index < 0 || index >= tasks) return NULL;
     text = end + 1;
     unsigned long long attempt = strtoull(text, &end, 10);
     if (end == text || *end != ':' || errno) return NULL;
     text = end + 1;
     size_t length = strcspn(text, ",");
-    if (!length || length >= sizeof live->tray) return NULL;
-    memcpy(live->tray, text, length);
-    live->tray[length] = 0;
+    if (!length || length >= sizeof live->worker) return NULL;
+    memcpy(live->worker, text, length);
+    live->worker[length] = 0;
     live->index = (int)index;
     live->attempt = attempt;
     return text + length;
@@ -71,11 +71,11 @@
 static int read_lives(tw_wire_record *record, const char *text) {
     size_t most = 1;
     for (const char *at = text; *at; at++) most += *at == ',';
-    record->live = tw_json_alloc(most * sizeof *record->live);
+    record->assignments = tw_json_alloc(most * sizeof *record->assignments);
     while (*text) {
-        text = read_live(text, record->pieces, &record->live[record->nlive]);
+        text = read_live(text, record->task_count, &record->assignments[record->assignment_count]);
         if (!text) return -1;
-        record->nlive++;
+        record->assignment_count++;
         if (*text == ',') text++;
     }
     return 0;
@@ -85,17 +85,17 @@
 static int read_job(tw_wire_record *record, const char *id, const cJSON *object) {
     const cJSON *job = tw_json_get(object, "j");
     const char *why;
-    if (!job) return tw_json_read(object, pieces_field, 1, record, NULL);
+    if (!job) return tw_json_read(object, tasks_field, 1, record, NULL);
     if (tw_wire_job_read(&record->job, job, &why)) return -1;
     if (strcmp(record->job.id, id) != 0) return -1;
     record->has_job = 1;
-    record->pieces = record->job.pieces;
+    record->task_count = record->job.task_count;
     return 0;
 }
 
 /* The head of a divided record: what it says without its slices. */
 static int read_divided(tw_wire_record *record, const cJSON *object, const cJSON *parts) {
-    if (tw_json_read(object, pieces_field, 1, record, NULL)) return -1;
+    if (tw_json_read(object, tasks_field, 1, record, NULL)) return -1;
     if (tw_json_read(object, progress_fields, 1, record, NULL)) return -1;
     return tw_json_read(parts, parts_fields, TW_JSON_ROWS(parts_fields), record, NULL);
 }
@@ -105,10 +105,10 @@
     const cJSON *parts = tw_json_get(object, "parts");
     if (parts) return read_divided(record, object, parts);
     if (read_job(record, id, object)) return -1;
-    if (record->stage == TW_STAGE_PENDING && !record->has_job) return -1;
+    if (record->state == TW_JOB_PENDING && !record->has_job) return -1;
     if (tw_json_read(object, progress_fields, TW_JSON_ROWS(progress_fields), record, NULL))
         return -1;
-    if (record->ndone > record->pieces) record->ndone = 0;
+    if (record->done_count > record->task_count) record->done_count = 0;
     const cJSON *done = tw_json_get(object, "f");
     const cJSON *live = tw_json_get(object, "l");
     if (cJSON_IsString(done)) record->done_ranges = strdup(done->valuestring);
@@ -117,7 +117,7 @@
 
 int tw_wire_record_parse(tw_wire_record *record, const char *id, const char *text, size_t len) {
     memset(record, 0, sizeof *record);
-    record->job.nracks = -1;
+    record->job.machine_type_count = -1;
     cJSON *object = tw_json_parse(text, len);
     int result = object ? read_record(record, id, object) : -1;
     cJSON_Delete(object);
@@ -129,26 +129,26 @@
 
 static int read_listed(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
-        {TW_JSON_NAME("k"), TW_JSON_TEXT_AT(tw_wire_listed, key)},
-        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_listed, stamp)},
+        {TW_JSON_NAME("k"), TW_JSON_TEXT_AT(tw_wire_listed_record, key)},
+        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_listed_record, mod_revision)},
     };
     (void)size;
     return tw_json_read(value, fields, TW_JSON_ROWS(fields), item, NULL);
 }
 
-static void read_data(tw_wire_listed *listed, const char *prefix, const cJSON *value) {
+static void read_data(tw_wire_listed_record *listed, const char *prefix, const cJSON *value) {
     const size_t length = strlen(prefix);
     const char *id = listed->key + length;
     const cJSON *data = cJSON_GetObjectItemCaseSensitive(value, "data");
-    listed->record.job.nracks = -1;
+    listed->record.job.machine_type_count = -1;
     listed->readable = !strncmp(listed->key, prefix, length) && tw_wire_id_ok(id, strlen(id)) &&
                        cJSON_IsObject(data) && !read_record(&listed->record, id, data);
     if (!listed->readable) tw_wire_record_free(&listed->record);
 }
 
-int tw_wire_records_parse(tw_wire_listed **records, int *n, int *more, const char *prefix,
+int tw_wire_records_parse(tw_wire_listed_record **records, int *n, int *more, const char *prefix,
                           const char *text, size_t len) {
-    static const tw_json_list list = {"entries", sizeof(tw_wire_listed), read_listed, NULL};
+    static const tw_json_list list = {"entries", sizeof(tw_wire_listed_record), read_listed, NULL};
     void *items;
     cJSON *object = tw_json_parse(text, len);
     int result = tw_json_read_list(&list, object, &items, n);
@@ -163,39 +163,39 @@
     return result;
 }
 
-void tw_wire_records_free(tw_wire_listed *records, int n) {
+void tw_wire_records_free(tw_wire_listed_record *records, int n) {
     for (int i = 0; i < n; i++) tw_wire_record_free(&records[i].record);
     free(records);
 }
 
-int tw_wire_record_stage(const char *text, size_t len) {
+int tw_wire_record_state(const char *text, size_t len) {
     tw_wire_record record;
     cJSON *object = tw_json_parse(text, len);
     int result = tw_json_read(object, stage_field, 1, &record, NULL);
     cJSON_Delete(object);
-    return result ? -1 : record.stage;
+    return result ? -1 : record.state;
 }
 
 void tw_wire_record_free(tw_wire_record *record) {
     tw_wire_job_free(&record->job);
     free(record->done_ranges);
-    free(record->live);
+    free(record->assignments);
     record->done_ranges = NULL;
-    record->live = NULL;
-    record->nlive = 0;
+    record->assignments = NULL;
+    record->assignment_count = 0;
 }
 
 /* ---- writing ---- */
 
 static void write_lives(cJSON *object, const tw_wire_record *record) {
-    if (!record->nlive) return;
-    size_t size = (size_t)record->nlive * (TW_WIRE_NAME + LIVE_NUMBERS) + 1;
+    if (!record->assignment_count) return;
+    size_t size = (size_t)record->assignment_count * (TW_WIRE_NAME_SIZE + LIVE_NUMBERS) + 1;
     size_t length = 0;
     char *text = tw_json_alloc(size);
-    for (int i = 0; i < record->nlive; i++) {
-        const tw_wire_live *live = &record->live[i];
+    for (int i = 0; i < record->assignment_count; i++) {
+        const tw_wire_assignment *live = &record->assignments[i];
         length += (size_t)snprintf(text + length, size - length, "%s%d:%llu:%s", i ? "," : "",
-                                   live->index, (unsigned long long)live->attempt, live->tray);
+                                   live->index, (unsigned long long)live->attempt, live->worker);
     }
     cJSON_AddStringToObject(object, "l", text);
     free(text);
@@ -209,7 +209,7 @@
     else if (record->has_job)
         cJSON_AddItemToObject(object, "j", tw_wire_job_write(&record->job));
     else
-        tw_json_write(object, pieces_field, 1, record);
+        tw_json_write(object, tasks_field, 1, record);
     tw_json_write(object, progress_fields, TW_JSON_ROWS(progress_fields), record);
     if (record->done_ranges && *record->done_ranges)
         cJSON_AddStringToObject(object, "f", record->done_ranges);
@@ -217,10 +217,10 @@
     return tw_json_finish(object);
 }
 
-char *tw_wire_divided_text(const tw_wire_record *record) {
+char *tw_wire_chunked_record_text(const tw_wire_record *record) {
     cJSON *object = cJSON_CreateObject();
     tw_json_write(object, stage_field, 1, record);
-    tw_json_write(object, pieces_field, 1, record);
+    tw_json_write(object, tasks_field, 1, record);
     tw_json_write(object, progress_fields, 1, record);
     cJSON *parts = cJSON_AddObjectToObject(object, "parts");
     tw_json_write(parts, parts_fields, TW_JSON_ROWS(parts_fields), record);
@@ -238,7 +238,7 @@
 
 static int within_character(unsigned char byte) { return (byte & CONTINUED_MASK) == CONTINUED; }
 
-char *tw_wire_slice_text(const char *text, size_t most, size_t *taken) {
+char *tw_wire_chunk_text(const char *text, size_t most, size_t *taken) {
     size_t used = sizeof "\"\"" - 1;
     size_t end = 0;
     *taken = 0;
@@ -253,7 +253,7 @@
     return tw_json_finish(value);
 }
 
-char *tw_wire_slice_parse(const char *json) {
+char *tw_wire_chunk_parse(const char *json) {
     cJSON *value = cJSON_Parse(json);
     char *text = cJSON_IsString(value) ? strdup(value->valuestring) : NULL;
     cJSON_Delete(value);
--- a/src/wire/reports.c
+++ b/src/wire/reports.c
@@ -16,7 +16,7 @@
 /* Longer texts are read anew each time. */
 #define LONGEST_KEPT 8192
 
-static const char tick_name[] = "\"tick\":";
+static const char sequence_name[] = "\"tick\":";
 
 /* A text as parts: [0, head) [head, tail) [tail, length); the middle is the number. */
 typedef struct {
@@ -25,57 +25,61 @@
 } parts;
 
 typedef struct kept {
-    tw_wire_report report; /* its pieces are ours */
-    size_t head, rest;     /* lengths of the text's parts */
-    int came;              /* since the last sweep */
-    UT_hash_handle hh;     /* by the first part */
-    char text[];           /* both parts */
+    tw_wire_heartbeat report; /* its pieces are ours */
+    size_t head, rest;        /* lengths of the text's parts */
+    int came;                 /* since the last sweep */
+    UT_hash_handle hh;        /* by the first part */
+    char text[];              /* both parts */
 } kept;
 
-struct tw_wire_reports {
-    kept *set;
-    tw_wire_report passing; /* the last one, where it was not kept */
+struct tw_wire_heartbeat_cache {
+    kept *kept;
+    tw_wire_heartbeat passing; /* the last one, where it was not kept */
 };
 
-tw_wire_reports *tw_wire_reports_new(void) { return tw_json_alloc(sizeof(tw_wire_reports)); }
+tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(void) {
+    return tw_json_alloc(sizeof(tw_wire_heartbeat_cache));
+}
 
-static void let_go(tw_wire_reports *reports, kept *old) {
-    HASH_DEL(reports->set, old);
-    tw_wire_report_free(&old->report);
+static void let_go(tw_wire_heartbeat_cache *cache, kept *old) {
+    HASH_DEL(cache->kept, old);
+    tw_wire_heartbeat_free(&old->report);
     free(old);
 }
 
-void tw_wire_reports_free(tw_wire_reports *reports) {
+void tw_wire_heartbeat_cache_free(tw_wire_heartbeat_cache *cache) {
     kept *each, *next;
-    if (!reports) return;
-    HASH_ITER(hh, reports->set, each, next) let_go(reports, each);
-    tw_wire_report_free(&reports->passing);
-    free(reports);
+    if (!cache) return;
+    HASH_ITER(hh, cache->kept, each, next) let_go(cache, each);
+    tw_wire_heartbeat_free(&cache->passing);
+    free(cache);
 }
 
-size_t tw_wire_reports_count(const tw_wire_reports *reports) { return HASH_COUNT(reports->set); }
+size_t tw_wire_heartbeat_cache_count(const tw_wire_heartbeat_cache *cache) {
+    return HASH_COUNT(cache->kept);
+}
 
-void tw_wire_reports_sweep(tw_wire_reports *reports) {
+void tw_wire_heartbeat_cache_sweep(tw_wire_heartbeat_cache *cache) {
     kept *each, *next;
-    HASH_ITER(hh, reports->set, each, next) {
+    HASH_ITER(hh, cache->kept, each, next) {
         const int came = each->came;
         each->came = 0;
-        if (!came) let_go(reports, each);
+        if (!came) let_go(cache, each);
     }
 }
 
 /* Where the number stands, and its value; 0: the text has not the form that is recognised. */
-static int split(parts *of, const char *text, size_t length, uint64_t *tick) {
+static int split(parts *of, const char *text, size_t length, uint64_t *sequence) {
     static const tw_json_field field = {.type = TW_JSON_COUNT, .max = TW_JSON_LARGEST};
-    const size_t name = sizeof tick_name - 1;
-    const char *found = length ? memmem(text, length, tick_name, name) : NULL;
+    const size_t name = sizeof sequence_name - 1;
+    const char *found = length ? memmem(text, length, sequence_name, name) : NULL;
     if (!found || *text != '{' || length > LONGEST_KEPT) return 0;
     const size_t head = (size_t)(found - text) + name;
     if (memchr(text + 1, '{', head - 1) || memchr(text, '\\', head)) return 0;
     if (head == length || !isdigit((unsigned char)text[head])) return 0;
     const char *end = NULL;
     cJSON *number = cJSON_ParseWithLengthOpts(text + head, length - head, &end, 0);
-    const int wrong = !number || tw_json_read_value(&field, number, tick);
+    const int wrong = !number || tw_json_read_value(&field, number, sequence);
     cJSON_Delete(number);
     *of = (parts){text, head, (size_t)(end - text), length};
     return !wrong;
@@ -87,37 +91,37 @@
 }
 
 /* Keeps the report, whose pieces pass to the set, in place of one that began alike. */
-static const tw_wire_report *keep(tw_wire_reports *reports, kept *old, const parts *of,
-                                  const tw_wire_report *report) {
-    if (old) let_go(reports, old);
+static const tw_wire_heartbeat *keep(tw_wire_heartbeat_cache *cache, kept *old, const parts *of,
+                                     const tw_wire_heartbeat *heartbeat) {
+    if (old) let_go(cache, old);
     const size_t rest = of->length - of->tail;
     kept *added = tw_json_alloc(sizeof *added + of->head + rest);
-    added->report = *report;
+    added->report = *heartbeat;
     added->head = of->head;
     added->rest = rest;
     added->came = 1;
     memcpy(added->text, of->text, of->head);
     memcpy(added->text + of->head, of->text + of->tail, rest);
-    HASH_ADD_KEYPTR(hh, reports->set, added->text, added->head, added);
+    HASH_ADD_KEYPTR(hh, cache->kept, added->text, added->head, added);
     return &added->report;
 }
 
-const tw_wire_report *tw_wire_reports_read(tw_wire_reports *reports, const char *text,
-                                           size_t length) {
+const tw_wire_heartbeat *tw_wire_heartbeat_cache_read(tw_wire_heartbeat_cache *cache,
+                                                      const char *text, size_t length) {
     parts of;
-    uint64_t tick = 0;
+    uint64_t sequence = 0;
     kept *old = NULL;
-    tw_wire_report report;
-    tw_wire_report_free(&reports->passing);
-    const int recognisable = split(&of, text, length, &tick);
-    if (recognisable) HASH_FIND(hh, reports->set, text, of.head, old);
+    tw_wire_heartbeat heartbeat;
+    tw_wire_heartbeat_free(&cache->passing);
+    const int recognisable = split(&of, text, length, &sequence);
+    if (recognisable) HASH_FIND(hh, cache->kept, text, of.head, old);
     if (old && is_same(old, &of)) {
         old->came = 1;
-        old->report.tick = tick;
+        old->report.sequence = sequence;
         return &old->report;
     }
-    if (tw_wire_report_parse(&report, text, length)) return NULL;
-    if (recognisable) return keep(reports, old, &of, &report);
-    reports->passing = report;
-    return &reports->passing;
+    if (tw_wire_heartbeat_parse(&heartbeat, text, length)) return NULL;
+    if (recognisable) return keep(cache, old, &of, &heartbeat);
+    cache->passing = heartbeat;
+    return &cache->passing;
 }
--- a/src/wire/state.c
+++ b/src/wire/state.c
@@ -10,21 +10,21 @@
 static int read_entry(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("k"), TW_JSON_TEXT_AT(tw_wire_entry, key)},
-        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_entry, stamp)},
-        {TW_JSON_NAME("hold"), TW_JSON_COUNT_AT(tw_wire_entry, hold), .rules = TW_JSON_LENIENT},
+        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_entry, mod_revision)},
+        {TW_JSON_NAME("hold"), TW_JSON_COUNT_AT(tw_wire_entry, lease_id), .rules = TW_JSON_LENIENT},
     };
     (void)size;
     tw_wire_entry *entry = item;
     const cJSON *data = cJSON_GetObjectItemCaseSensitive(value, "data");
     if (!data || tw_json_read(value, fields, TW_JSON_ROWS(fields), entry, NULL)) return -1;
-    entry->data = cJSON_PrintUnformatted(data);
-    if (!entry->data) abort();
+    entry->value = cJSON_PrintUnformatted(data);
+    if (!entry->value) abort();
     return 0;
 }
 
 static void release_entry(void *item) {
     tw_wire_entry *entry = item;
-    free(entry->data);
+    free(entry->value);
 }
 
 int tw_wire_entry_parse(tw_wire_entry *entry, const char *text, size_t len) {
@@ -51,7 +51,7 @@
 
 /* ---- watches ---- */
 
-int tw_wire_log_any(const char *text, size_t len) {
+int tw_wire_watch_has_changes(const char *text, size_t len) {
     cJSON *object = tw_json_parse(text, len);
     const cJSON *log = tw_json_get(object, "log");
     int any = cJSON_IsArray(log) && log->child;
@@ -59,10 +59,10 @@
     return any;
 }
 
-int tw_wire_log_parse(tw_wire_entry **entries, int *n, const char *text, size_t len) {
+int tw_wire_watch_keys_parse(tw_wire_entry **entries, int *n, const char *text, size_t len) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("write"), TW_JSON_TEXT_AT(tw_wire_entry, key)},
-        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_entry, stamp)},
+        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_entry, mod_revision)},
     };
     cJSON *object = tw_json_parse(text, len);
     const cJSON *log = tw_json_get(object, "log");
@@ -85,15 +85,15 @@
     const cJSON *written = cJSON_GetObjectItemCaseSensitive(value, "write");
     const cJSON *removed = cJSON_GetObjectItemCaseSensitive(value, "remove");
     const cJSON *data = cJSON_GetObjectItemCaseSensitive(value, "data");
-    const cJSON *stamp = cJSON_GetObjectItemCaseSensitive(value, "stamp");
+    const cJSON *revision = cJSON_GetObjectItemCaseSensitive(value, "stamp");
     const cJSON *key = written ? written : removed;
     if (!cJSON_IsString(key) || strlen(key->valuestring) >= sizeof change->key) return -1;
     if (written && !data) return -1;
     strcpy(change->key, key->valuestring);
-    change->stamp = cJSON_IsNumber(stamp) ? (uint64_t)stamp->valuedouble : 0;
+    change->mod_revision = cJSON_IsNumber(revision) ? (uint64_t)revision->valuedouble : 0;
     if (!written) return 0;
-    change->data = cJSON_PrintUnformatted(data);
-    if (!change->data) abort();
+    change->value = cJSON_PrintUnformatted(data);
+    if (!change->value) abort();
     return 0;
 }
 
@@ -128,48 +128,49 @@
     return result;
 }
 
-int tw_wire_ledger_parse(uint64_t *ledger, const char *text, size_t len) {
-    return parse_count("ledger", ledger, text, len);
+int tw_wire_revision_parse(uint64_t *revision, const char *text, size_t len) {
+    return parse_count("ledger", revision, text, len);
 }
 
-int tw_wire_hold_parse(uint64_t *hold, const char *text, size_t len) {
-    return parse_count("hold", hold, text, len);
+int tw_wire_lease_id_parse(uint64_t *lease_id, const char *text, size_t len) {
+    return parse_count("hold", lease_id, text, len);
 }
 
 /* ---- transactions ---- */
 
-int tw_wire_failed_parse(char (**keys)[TW_WIRE_KEY], int *n, const char *text, size_t len) {
+int tw_wire_failed_compares_parse(char (**keys)[TW_WIRE_KEY_SIZE], int *n, const char *text,
+                                  size_t len) {
     void *texts;
-    int result = tw_json_parse_texts("failed", TW_WIRE_KEY, text, len, &texts, n);
+    int result = tw_json_parse_texts("failed", TW_WIRE_KEY_SIZE, text, len, &texts, n);
     *keys = texts;
     return result;
 }
 
-static cJSON *write_condition(const tw_wire_cond *condition) {
+static cJSON *write_compare(const tw_wire_compare *condition) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddItemToObjectCS(object, "k", cJSON_CreateString(condition->key));
-    cJSON_AddItemToObjectCS(object, "stamp", cJSON_CreateNumber((double)condition->stamp));
+    cJSON_AddItemToObjectCS(object, "stamp", cJSON_CreateNumber((double)condition->mod_revision));
     return object;
 }
 
 static cJSON *write_write(const tw_wire_write *write) {
     cJSON *object = cJSON_CreateObject();
-    if (!write->data) {
+    if (!write->value) {
         cJSON_AddItemToObjectCS(object, "remove", cJSON_CreateString(write->key));
         return object;
     }
     cJSON_AddItemToObjectCS(object, "write", cJSON_CreateString(write->key));
-    cJSON_AddItemToObjectCS(object, "data", cJSON_CreateRaw(write->data));
-    if (write->hold)
-        cJSON_AddItemToObjectCS(object, "hold", cJSON_CreateNumber((double)write->hold));
+    cJSON_AddItemToObjectCS(object, "data", cJSON_CreateRaw(write->value));
+    if (write->lease_id)
+        cJSON_AddItemToObjectCS(object, "hold", cJSON_CreateNumber((double)write->lease_id));
     return object;
 }
 
-char *tw_wire_txn_text(const tw_wire_cond *conditions, size_t nc, const tw_wire_write *writes,
+char *tw_wire_txn_text(const tw_wire_compare *conditions, size_t nc, const tw_wire_write *writes,
                        size_t nw) {
     cJSON *object = cJSON_CreateObject();
     cJSON *array = cJSON_AddArrayToObject(object, "if");
-    for (size_t i = 0; i < nc; i++) cJSON_AddItemToArray(array, write_condition(&conditions[i]));
+    for (size_t i = 0; i < nc; i++) cJSON_AddItemToArray(array, write_compare(&conditions[i]));
     if (nw) array = cJSON_AddArrayToObject(object, "apply");
     for (size_t i = 0; i < nw; i++) cJSON_AddItemToArray(array, write_write(&writes[i]));
     return tw_json_finish(object);
--- a/src/wire/users.c
+++ b/src/wire/users.c
@@ -24,7 +24,7 @@
 
 static int read_shape(const cJSON *value, void *message) {
     tw_wire_job *job = message;
-    char word[TW_WIRE_NAME];
+    char word[TW_WIRE_NAME_SIZE];
     if (tw_json_text(value, word, sizeof word)) return -1;
     int shape = tw_json_word(shape_words, word, TW_JSON_REFUSED);
     job->service = shape == SHAPE_SERVICE;
@@ -38,79 +38,79 @@
     cJSON_AddItemToObjectCS(object, "shape", cJSON_CreateString(shape_words[shape]));
 }
 
-static const char *const rank_words[] = {"idle", "normal", "high", "prod", NULL};
+static const char *const priority_words[] = {"idle", "normal", "high", "prod", NULL};
 
 /* `racks` is written between the two tables and read after both, so that of several fields that are
  * wrong the same one is named as ever. */
-static const tw_json_field fields_before_racks[] = {
+static const tw_json_field fields_before_types[] = {
     {TW_JSON_NAME("id"), TW_JSON_TEXT_AT(tw_wire_job, id), .accepts = tw_wire_id_ok},
-    {TW_JSON_NAME("lane"), TW_JSON_TEXT_AT(tw_wire_job, lane)},
-    {TW_JSON_NAME("crew"), TW_JSON_TEXT_AT(tw_wire_job, crew)},
+    {TW_JSON_NAME("lane"), TW_JSON_TEXT_AT(tw_wire_job, job_class)},
+    {TW_JSON_NAME("crew"), TW_JSON_TEXT_AT(tw_wire_job, team)},
     {TW_JSON_NAME("shape"), .type = TW_JSON_CUSTOM, .read = read_shape, .write = write_shape},
-    {TW_JSON_NAME("rank"), TW_JSON_WORD_AT(tw_wire_job, rank, rank_words),
+    {TW_JSON_NAME("rank"), TW_JSON_WORD_AT(tw_wire_job, priority, priority_words),
      .unknown = TW_JSON_REFUSED},
-    {TW_JSON_NAME("pieces"), TW_JSON_INTEGER_AT(tw_wire_job, pieces, 1, TW_WIRE_MAX_PIECES)},
+    {TW_JSON_NAME("pieces"), TW_JSON_INTEGER_AT(tw_wire_job, task_count, 1, TW_WIRE_MAX_TASKS)},
     {TW_JSON_NAME("cores"), TW_JSON_NUMBER_AT(tw_wire_job, cores)},
     {TW_JSON_NAME("gpus"), TW_JSON_NUMBER_AT(tw_wire_job, gpus)},
     {TW_JSON_NAME("memoryGb"), TW_JSON_NUMBER_AT(tw_wire_job, memory_gb)},
-    {TW_JSON_NAME("bundle"), TW_JSON_TEXT_AT(tw_wire_job, bundle)},
+    {TW_JSON_NAME("bundle"), TW_JSON_TEXT_AT(tw_wire_job, image)},
     {TW_JSON_NAME("imageGb"), TW_JSON_NUMBER_AT(tw_wire_job, image_gb)},
 };
 
-static const tw_json_field fields_after_racks[] = {
-    {TW_JSON_NAME("yard"), TW_JSON_TEXT_AT(tw_wire_job, yard),
+static const tw_json_field fields_after_types[] = {
+    {TW_JSON_NAME("yard"), TW_JSON_TEXT_AT(tw_wire_job, zone),
      .rules = TW_JSON_OPTIONAL | TW_JSON_OMIT},
-    {TW_JSON_NAME("samePlace"), TW_JSON_FLAG_AT(tw_wire_job, same_place)},
-    {TW_JSON_NAME("apart"), TW_JSON_FLAG_AT(tw_wire_job, apart)},
-    {TW_JSON_NAME("loaner"), TW_JSON_FLAG_AT(tw_wire_job, loaner)},
-    {TW_JSON_NAME("expectS"), TW_JSON_NUMBER_AT(tw_wire_job, expect_s)},
-    {TW_JSON_NAME("snapshotS"), TW_JSON_NUMBER_AT(tw_wire_job, snapshot_s)},
-    {TW_JSON_NAME("flushS"), TW_JSON_NUMBER_AT(tw_wire_job, flush_s)},
-    {TW_JSON_NAME("dueS"), TW_JSON_NUMBER_AT(tw_wire_job, due_s),
+    {TW_JSON_NAME("samePlace"), TW_JSON_FLAG_AT(tw_wire_job, single_zone)},
+    {TW_JSON_NAME("apart"), TW_JSON_FLAG_AT(tw_wire_job, spread)},
+    {TW_JSON_NAME("loaner"), TW_JSON_FLAG_AT(tw_wire_job, spot)},
+    {TW_JSON_NAME("expectS"), TW_JSON_NUMBER_AT(tw_wire_job, expected_run_s)},
+    {TW_JSON_NAME("snapshotS"), TW_JSON_NUMBER_AT(tw_wire_job, checkpoint_s)},
+    {TW_JSON_NAME("flushS"), TW_JSON_NUMBER_AT(tw_wire_job, save_s)},
+    {TW_JSON_NAME("dueS"), TW_JSON_NUMBER_AT(tw_wire_job, deadline_s),
      .rules = TW_JSON_OPTIONAL | TW_JSON_OMIT, .fallback = -1},
 };
 
-static int read_rack(const cJSON *value, void *item, size_t size) {
+static int read_machine_type_name(const cJSON *value, void *item, size_t size) {
     return tw_json_text(value, item, size);
 }
 
 /* Allowed machine types; missing or null: any. */
-static int read_racks(tw_wire_job *job, const cJSON *object) {
-    static const tw_json_list list = {"racks", TW_WIRE_NAME, read_rack, NULL};
+static int read_allowed_types(tw_wire_job *job, const cJSON *object) {
+    static const tw_json_list list = {"racks", TW_WIRE_NAME_SIZE, read_machine_type_name, NULL};
     const cJSON *value = tw_json_get(object, list.name);
-    job->nracks = -1;
+    job->machine_type_count = -1;
     if (!value) return 0;
-    if (cJSON_GetArraySize(value) > TW_WIRE_MAX_RACKS) return -1;
+    if (cJSON_GetArraySize(value) > TW_WIRE_MAX_MACHINE_TYPES) return -1;
     void *items;
     int count;
     if (tw_json_read_list(&list, object, &items, &count)) return -1;
-    job->racks = items;
-    job->nracks = count;
+    job->machine_types = items;
+    job->machine_type_count = count;
     return 0;
 }
 
-static void write_racks(cJSON *object, const tw_wire_job *job) {
-    if (job->nracks < 0) return;
+static void write_allowed_types(cJSON *object, const tw_wire_job *job) {
+    if (job->machine_type_count < 0) return;
     cJSON *array = cJSON_AddArrayToObject(object, "racks");
-    for (int i = 0; i < job->nracks; i++)
-        cJSON_AddItemToArray(array, cJSON_CreateString(job->racks[i]));
+    for (int i = 0; i < job->machine_type_count; i++)
+        cJSON_AddItemToArray(array, cJSON_CreateString(job->machine_types[i]));
 }
 
 int tw_wire_job_read(tw_wire_job *job, const cJSON *object, const char **why) {
-    if (tw_json_read(object, fields_before_racks, TW_JSON_ROWS(fields_before_racks), job, why))
+    if (tw_json_read(object, fields_before_types, TW_JSON_ROWS(fields_before_types), job, why))
         return -1;
-    if (tw_json_read(object, fields_after_racks, TW_JSON_ROWS(fields_after_racks), job, why))
+    if (tw_json_read(object, fields_after_types, TW_JSON_ROWS(fields_after_types), job, why))
         return -1;
-    if (!read_racks(job, object)) return 0;
+    if (!read_allowed_types(job, object)) return 0;
     *why = "bad racks";
     return -1;
 }
 
 cJSON *tw_wire_job_write(const tw_wire_job *job) {
     cJSON *object = cJSON_CreateObject();
-    tw_json_write(object, fields_before_racks, TW_JSON_ROWS(fields_before_racks), job);
-    write_racks(object, job);
-    tw_json_write(object, fields_after_racks, TW_JSON_ROWS(fields_after_racks), job);
+    tw_json_write(object, fields_before_types, TW_JSON_ROWS(fields_before_types), job);
+    write_allowed_types(object, job);
+    tw_json_write(object, fields_after_types, TW_JSON_ROWS(fields_after_types), job);
     return object;
 }
 
@@ -130,14 +130,14 @@
 char *tw_wire_job_text(const tw_wire_job *job) { return tw_json_finish(tw_wire_job_write(job)); }
 
 void tw_wire_job_free(tw_wire_job *job) {
-    free(job->racks);
-    job->racks = NULL;
-    job->nracks = -1;
+    free(job->machine_types);
+    job->machine_types = NULL;
+    job->machine_type_count = -1;
 }
 
 /* ---- states ---- */
 
-char *tw_wire_stage_text(const char *id, int stage, long done, long running) {
+char *tw_wire_job_status_text(const char *id, int stage, long done, long running) {
     static const char *const words[] = {"pending", "running", "done", "aborted"};
     cJSON *object = cJSON_CreateObject();
     cJSON_AddItemToObjectCS(object, "id", cJSON_CreateString(id));
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -298,16 +298,16 @@
     for (int node = 0; node < NODES; node++)
         snprintf(world.nodes[node], TW_SIM_NAME, "tray-%d", node);
     world.ntypes = 1;
-    world.types[0] = (tw_wire_flavor){.label = "cpu",
-                                      .cores = 4,
-                                      .memory_gb = 16,
-                                      .cache_gb = 50,
-                                      .fetch_gb_s = 1,
-                                      .hourly = 1,
-                                      .low_price = 0.5,
-                                      .startup_s = 60,
-                                      .nyards = 2,
-                                      .yards = {"a", "b"}};
+    world.types[0] = (tw_wire_machine_type){.name = "cpu",
+                                            .cores = 4,
+                                            .memory_gb = 16,
+                                            .cache_gb = 50,
+                                            .fetch_gb_s = 1,
+                                            .on_demand_price = 1,
+                                            .spot_price = 0.5,
+                                            .startup_s = 60,
+                                            .zone_count = 2,
+                                            .zones = {"a", "b"}};
     world.capacity[0] = WORKERS;
     add_job(BATCH_ID, batch_text, BATCH_TASKS);
     add_job(SERVICE_ID, service_text, SERVICE_REPLICAS);
--- a/tests/runner/sim_gang_test.c
+++ b/tests/runner/sim_gang_test.c
@@ -39,7 +39,8 @@
     w->gang_wait_s = WAIT_S;
     w->gang_peer_s = PEER_S;
     w->ntypes = 1;
-    w->types[0] = (tw_wire_flavor){.label = "cpu", .cores = 4, .memory_gb = 16, .fetch_gb_s = 1};
+    w->types[0] =
+        (tw_wire_machine_type){.name = "cpu", .cores = 4, .memory_gb = 16, .fetch_gb_s = 1};
     w->nteams = 1;
     strcpy(w->teams[0].name, "crew");
     for (int i = 0; i < MACHINES; i++) {
@@ -51,15 +52,15 @@
     w->now = 1;
     f->job = tw_sim_job_new(w, ID);
     tw_wire_job *spec = &f->job->spec;
-    strcpy(spec->lane, "lane");
-    strcpy(spec->crew, "crew");
-    strcpy(spec->bundle, "image");
+    strcpy(spec->job_class, "lane");
+    strcpy(spec->team, "crew");
+    strcpy(spec->image, "image");
     spec->gang = 1;
-    spec->pieces = TASKS;
+    spec->task_count = TASKS;
     spec->cores = 1;
     spec->memory_gb = 1;
-    spec->snapshot_s = SNAPSHOT_S;
-    spec->flush_s = FLUSH_S;
+    spec->checkpoint_s = SNAPSHOT_S;
+    spec->save_s = FLUSH_S;
     f->job->run_s = RUN_S;
     f->job->submitted = f->job->accepted = 1;
     f->job->done = tw_sim_zeroed(TASKS);
@@ -129,7 +130,7 @@
 
 static int has_exited(const fixture *f, int machine, int attempt, int cause, int saved) {
     const tw_sim_task *t = task(f, machine, attempt);
-    return t && t->stage == TW_PIECE_EXITED && t->cause == cause && t->saved == saved;
+    return t && t->stage == TW_TASK_EXITED && t->cause == cause && t->saved == saved;
 }
 
 static int all_in(const fixture *f, int attempt, int stage) {
@@ -162,19 +163,19 @@
     launch(&f, 0, 0, 1);
     launch(&f, 1, 1, 1);
     pass(&f, 3);
-    check(is_in(&f, 0, 1, TW_PIECE_PULLING), "a task has its image too early");
+    check(is_in(&f, 0, 1, TW_TASK_FETCHING), "a task has its image too early");
     pass(&f, 10);
-    check(is_in(&f, 0, 1, TW_PIECE_WAITING), "a task doesn't wait for the others");
+    check(is_in(&f, 0, 1, TW_TASK_WAITING), "a task doesn't wait for the others");
     check(reports(&f, 0, "\"stage\":\"waiting\""), "a waiting task isn't reported");
     launch(&f, 2, 2, 2);
     pass(&f, 5);
-    check(is_in(&f, 0, 1, TW_PIECE_WAITING), "a task of another attempt completes the gang");
+    check(is_in(&f, 0, 1, TW_TASK_WAITING), "a task of another attempt completes the gang");
     order(&f, 2, "kill", 2, 2, 0);
     launch(&f, 3, 2, 1);
     pass(&f, 3.9);
-    check(is_in(&f, 0, 1, TW_PIECE_WAITING), "the gang starts before the last image is there");
+    check(is_in(&f, 0, 1, TW_TASK_WAITING), "the gang starts before the last image is there");
     pass(&f, 0.2);
-    check(is_in(&f, 0, 1, TW_PIECE_RUNNING) && is_in(&f, 3, 1, TW_PIECE_RUNNING),
+    check(is_in(&f, 0, 1, TW_TASK_RUNNING) && is_in(&f, 3, 1, TW_TASK_RUNNING),
           "the gang doesn't start");
     check(f.job->gang_starts == 1 && f.job->started == TASKS, "starts are counted wrongly");
     end(&f, "", "a gang that starts");
@@ -187,10 +188,10 @@
     pass(&f, 10);
     launch(&f, 1, 1, 1);
     pass(&f, WAIT_S - 10);
-    check(is_in(&f, 0, 1, TW_PIECE_WAITING), "a task gives up too early");
+    check(is_in(&f, 0, 1, TW_TASK_WAITING), "a task gives up too early");
     pass(&f, 1);
-    check(has_exited(&f, 0, 1, TW_CAUSE_ALONE, 0), "a task doesn't give up");
-    check(is_in(&f, 1, 1, TW_PIECE_WAITING), "a later task gives up with it");
+    check(has_exited(&f, 0, 1, TW_CAUSE_GANG_INCOMPLETE, 0), "a task doesn't give up");
+    check(is_in(&f, 1, 1, TW_TASK_WAITING), "a later task gives up with it");
     check(reports(&f, 0, "\"cause\":\"alone\""), "alone isn't reported");
     check(f.job->gang_starts == 0, "a gang that isn't whole starts");
     end(&f, "", "a gang that isn't whole");
@@ -204,11 +205,11 @@
     pass(&f, 2);
     f.w.workers[1]->gone = 1;
     pass(&f, 10);
-    check(is_in(&f, 0, 1, TW_PIECE_WAITING), "a task doesn't go on waiting");
+    check(is_in(&f, 0, 1, TW_TASK_WAITING), "a task doesn't go on waiting");
     launch(&f, 2, 1, 1);
     launch(&f, 3, 2, 1);
     pass(&f, 1);
-    check(is_in(&f, 0, 1, TW_PIECE_RUNNING) && is_in(&f, 2, 1, TW_PIECE_RUNNING),
+    check(is_in(&f, 0, 1, TW_TASK_RUNNING) && is_in(&f, 2, 1, TW_TASK_RUNNING),
           "a replacement doesn't complete the gang");
     end(&f, "", "a replacement");
 }
@@ -222,9 +223,9 @@
     f.w.workers[1]->hung_until = f.w.now + 10;
     launch(&f, 2, 2, 1);
     pass(&f, 9);
-    check(is_in(&f, 0, 1, TW_PIECE_WAITING), "a gang starts while a machine hangs");
+    check(is_in(&f, 0, 1, TW_TASK_WAITING), "a gang starts while a machine hangs");
     pass(&f, 2);
-    check(all_in(&f, 1, TW_PIECE_RUNNING), "a gang doesn't start when the machine goes on");
+    check(all_in(&f, 1, TW_TASK_RUNNING), "a gang doesn't start when the machine goes on");
     end(&f, "", "a machine that hangs before the start");
 }
 
@@ -237,7 +238,7 @@
     stop(&f, 0, 0, 1, FLUSH_S);
     check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, 0), "a waiting task doesn't exit at once");
     pass(&f, PEER_S + 1);
-    check(is_in(&f, 1, 1, TW_PIECE_WAITING), "the others don't go on waiting");
+    check(is_in(&f, 1, 1, TW_TASK_WAITING), "the others don't go on waiting");
     end(&f, "", "a waiting task that is stopped");
 }
 
@@ -249,7 +250,7 @@
     f.w.workers[1]->slow = 2;
     f.w.workers[2]->mute_until = 1e9; /* its reports reach nobody */
     run_for(&f, 2 * RUN_S - 1);
-    check(all_in(&f, 1, TW_PIECE_RUNNING), "a gang is faster than its slowest machine");
+    check(all_in(&f, 1, TW_TASK_RUNNING), "a gang is faster than its slowest machine");
     check(is_about(f.job->gang_saved_s, 2 * SNAPSHOT_S), "checkpoints aren't taken");
     pass(&f, 1.2);
     check(all_exited(&f, 1, TW_CAUSE_DONE, 0), "a gang isn't done together");
@@ -266,10 +267,11 @@
     run_for(f, 45);
     how(f);
     pass(f, STEP_S);
-    check(is_in(f, 0, 1, TW_PIECE_RUNNING) || is_in(f, 2, 1, TW_PIECE_RUNNING),
+    check(is_in(f, 0, 1, TW_TASK_RUNNING) || is_in(f, 2, 1, TW_TASK_RUNNING),
           "running isn't told until the others notice");
     pass(f, PEER_S);
-    check(has_exited(f, 0, 1, TW_CAUSE_PEERS, 0) && has_exited(f, 2, 1, TW_CAUSE_PEERS, 0),
+    check(has_exited(f, 0, 1, TW_CAUSE_GANG_BROKEN, 0) &&
+              has_exited(f, 2, 1, TW_CAUSE_GANG_BROKEN, 0),
           "the others don't notice in time");
     check(is_about(f->job->gang_saved_s, 2 * SNAPSHOT_S), "progress isn't that of a checkpoint");
     check(!f->job->ndone, "a broken gang is done");
@@ -295,9 +297,10 @@
 static void test_hang(void) {
     fixture f;
     lost_case(&f, hang);
-    check(is_in(&f, 1, 1, TW_PIECE_RUNNING), "a machine that hangs executes its task");
+    check(is_in(&f, 1, 1, TW_TASK_RUNNING), "a machine that hangs executes its task");
     pass(&f, 15.1 + PEER_S);
-    check(has_exited(&f, 1, 1, TW_CAUSE_PEERS, 0), "a machine that goes on runs its task alone");
+    check(has_exited(&f, 1, 1, TW_CAUSE_GANG_BROKEN, 0),
+          "a machine that goes on runs its task alone");
     end(&f, "", "a machine hangs under a running gang");
 }
 
@@ -311,7 +314,7 @@
     launch(&f, 2, 1, 2);
     launch(&f, 3, 2, 2);
     pass(&f, 2 * STEP_S + 14.5);
-    check(is_in(&f, 0, 2, TW_PIECE_RUNNING), "the next attempt doesn't start");
+    check(is_in(&f, 0, 2, TW_TASK_RUNNING), "the next attempt doesn't start");
     check(is_about(f.job->gang_saved_s, 25), "a checkpoint is taken too early");
     pass(&f, 1);
     check(is_about(f.job->gang_saved_s, 40), "a checkpoint isn't at a multiple of the interval");
@@ -329,7 +332,8 @@
     run_for(&f, 1);
     check(has_exited(&f, 1, 1, TW_CAUSE_ERROR, 0), "a faulty machine's task doesn't fail");
     pass(&f, PEER_S);
-    check(has_exited(&f, 0, 1, TW_CAUSE_PEERS, 0) && has_exited(&f, 2, 1, TW_CAUSE_PEERS, 0),
+    check(has_exited(&f, 0, 1, TW_CAUSE_GANG_BROKEN, 0) &&
+              has_exited(&f, 2, 1, TW_CAUSE_GANG_BROKEN, 0),
           "the others blame their machines");
     check(reports(&f, 0, "\"cause\":\"peers\""), "peers isn't reported");
     end(&f, "", "a faulty machine");
@@ -348,14 +352,14 @@
     run_for(&f, 30);
     stop(&f, 0, 0, 1, FLUSH_S);
     pass(&f, 3);
-    check(is_in(&f, 0, 1, TW_PIECE_FLUSHING), "a task that has saved doesn't wait for the others");
+    check(is_in(&f, 0, 1, TW_TASK_SAVING), "a task that has saved doesn't wait for the others");
     stop(&f, 1, 1, 1, FLUSH_S);
     pass(&f, 1.5);
     stop(&f, 2, 2, 1, FLUSH_S);
     check(is_about(f.job->gang_saved_s, SNAPSHOT_S), "progress is safe before a task exits");
     pass(&f, 2 * STEP_S);
     check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, 1), "the first task doesn't exit");
-    check(is_in(&f, 2, 1, TW_PIECE_FLUSHING), "the last task doesn't take its time to save");
+    check(is_in(&f, 2, 1, TW_TASK_SAVING), "the last task doesn't take its time to save");
     check(is_about(f.job->gang_saved_s, 30), "progress doesn't stand still from the first stop");
     f.w.workers[2]->gone = 1;
     pass(&f, PEER_S);
@@ -371,9 +375,9 @@
     stop(&f, 0, 0, 1, FLUSH_S);
     stop(&f, 1, 1, 1, FLUSH_S);
     pass(&f, PEER_S - 0.2);
-    check(is_in(&f, 2, 1, TW_PIECE_RUNNING), "a task that isn't told exits too early");
+    check(is_in(&f, 2, 1, TW_TASK_RUNNING), "a task that isn't told exits too early");
     pass(&f, 0.4);
-    check(has_exited(&f, 2, 1, TW_CAUSE_PEERS, 0), "a task that isn't told goes on");
+    check(has_exited(&f, 2, 1, TW_CAUSE_GANG_BROKEN, 0), "a task that isn't told goes on");
     check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, 0), "a save of some is called saved");
     check(is_about(f.job->gang_saved_s, SNAPSHOT_S), "a save of some is one");
     end(&f, "", "a stop that doesn't reach all");
@@ -383,14 +387,14 @@
 static void broken_stop_case(void (*how)(fixture *f), const char *what) {
     fixture f;
     begin(&f);
-    f.job->spec.flush_s = 4;
+    f.job->spec.save_s = 4;
     run_for(&f, 30);
-    for (int i = 0; i < TASKS; i++) stop(&f, i, i, 1, f.job->spec.flush_s);
+    for (int i = 0; i < TASKS; i++) stop(&f, i, i, 1, f.job->spec.save_s);
     pass(&f, 1);
     how(&f);
     pass(&f, PEER_S + STEP_S);
     const tw_sim_task *t = task(&f, 0, 1);
-    check(t && t->stage == TW_PIECE_EXITED && !t->saved, what);
+    check(t && t->stage == TW_TASK_EXITED && !t->saved, what);
     check(is_about(f.job->gang_saved_s, SNAPSHOT_S), what);
     end(&f, "", what);
 }
@@ -406,12 +410,12 @@
 static void test_stop_without_checkpoints(void) {
     fixture f;
     begin(&f);
-    f.job->spec.snapshot_s = 0;
+    f.job->spec.checkpoint_s = 0;
     run_for(&f, 30);
     stop(&f, 0, 0, 1, FLUSH_S);
     check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, 0), "a task that never saves takes time for it");
     pass(&f, PEER_S + STEP_S);
-    check(has_exited(&f, 1, 1, TW_CAUSE_PEERS, 0), "the others don't notice");
+    check(has_exited(&f, 1, 1, TW_CAUSE_GANG_BROKEN, 0), "the others don't notice");
     check(is_about(f.job->gang_saved_s, 0), "a job without checkpoints has one");
     end(&f, "", "a gang that never saves");
 }
@@ -436,7 +440,7 @@
     end(&f, "ran_twice", "a task of a broken gang isn't on its machine");
 
     begin(&f);
-    f.job->spec.same_place = 1;
+    f.job->spec.single_zone = 1;
     launch(&f, 0, 0, 1);
     pass(&f, 1);
     launch(&f, 2, 1, 2);
--- a/tests/runner/sim_test.c
+++ b/tests/runner/sim_test.c
@@ -164,7 +164,8 @@
     tw_sim_world_init(w);
     w->nnodes = 1;
     w->ntypes = 1;
-    w->types[0] = (tw_wire_flavor){.label = "cpu", .cores = 4, .memory_gb = 16, .fetch_gb_s = 1};
+    w->types[0] =
+        (tw_wire_machine_type){.name = "cpu", .cores = 4, .memory_gb = 16, .fetch_gb_s = 1};
     w->nteams = 1;
     strcpy(w->teams[0].name, "crew");
     tw_sim_rent(w, 0, "a", 0, 0)->up = 1;
@@ -173,9 +174,9 @@
 
 static tw_sim_job *accepted_job(tw_sim_world *w, const char *id, int cores) {
     tw_sim_job *job = tw_sim_job_new(w, id);
-    strcpy(job->spec.lane, "lane");
-    strcpy(job->spec.crew, "crew");
-    job->spec.pieces = 1;
+    strcpy(job->spec.job_class, "lane");
+    strcpy(job->spec.team, "crew");
+    job->spec.task_count = 1;
     job->spec.cores = cores;
     job->spec.memory_gb = 1;
     job->submitted = job->accepted = 1;
@@ -188,7 +189,7 @@
 static void put_on_machine(tw_sim_world *w, tw_sim_job *job) {
     tw_sim_worker *x = w->workers[0];
     x->tasks = tw_sim_grow(x->tasks, x->ntasks, &x->tasks_cap, sizeof *x->tasks);
-    x->tasks[x->ntasks] = (tw_sim_task){.job = job, .stage = TW_PIECE_RUNNING, .attempt = 1};
+    x->tasks[x->ntasks] = (tw_sim_task){.job = job, .stage = TW_TASK_RUNNING, .attempt = 1};
     strcpy(x->tasks[x->ntasks++].job_id, job->spec.id);
 }
 
@@ -243,9 +244,9 @@
     tw_sim_job *gang = accepted_job(&w, "run-000003", 1);
     gang->spec.gang = 1;
     gang->spec.cores = 4.0 / (1 + free_tasks);
-    gang->spec.pieces = 3;
+    gang->spec.task_count = 3;
     put_on_machine(&w, gang);
-    w.workers[0]->tasks[0].stage = TW_PIECE_WAITING;
+    w.workers[0]->tasks[0].stage = TW_TASK_WAITING;
     pass(&w, 120, 1);
     expect_rule(&w, rule, what);
 }
@@ -262,7 +263,7 @@
     world_of_one_machine(&w);
     tw_sim_job *gang = accepted_job(&w, "run-000003", 2);
     gang->spec.gang = 1;
-    gang->spec.pieces = 3;
+    gang->spec.task_count = 3;
     pass(&w, 120, 1);
     expect_rule(&w, "", "a gang that doesn't fit as a whole");
     waiting_gang_case(2, "stuck", "a gang whose tasks wait for ever beside room for the rest");
@@ -270,12 +271,12 @@
     world_of_one_machine(&w);
     gang = accepted_job(&w, "run-000003", 2);
     gang->spec.gang = 1;
-    gang->spec.pieces = 2;
+    gang->spec.task_count = 2;
     put_on_machine(&w, gang);
     pass(&w, 120, 1);
     expect_rule(&w, "", "a gang that runs");
     world_of_one_machine(&w);
-    strcpy(accepted_job(&w, "run-000004", 2)->spec.yard, "b");
+    strcpy(accepted_job(&w, "run-000004", 2)->spec.zone, "b");
     pass(&w, 120, 1);
     expect_rule(&w, "", "a machine in a zone that isn't allowed");
     world_of_one_machine(&w);
--- a/tests/shares/state_calls.c
+++ b/tests/shares/state_calls.c
@@ -154,7 +154,7 @@
     }
     if (answer->flag) {
         const tw_shares_outcome outcome = outcome_of(answer->status);
-        if (outcome == TW_SHARES_APPLIED) tw_wire_ledger_parse(&revision, text, strlen(text));
+        if (outcome == TW_SHARES_APPLIED) tw_wire_revision_parse(&revision, text, strlen(text));
         /* a node that finds the leader's key changed gives up, as the service's election does */
         if (outcome == TW_SHARES_REFUSED &&
             tw_sim_state_version(&world->state, "leader") != at->token) {
--- a/tests/shares/world.c
+++ b/tests/shares/world.c
@@ -287,7 +287,7 @@
              leader->name);
     const int status =
         tw_sim_state_request(&world->state, world->now, "POST", "/txn", body, &answer);
-    const int failed = status != OK || tw_wire_ledger_parse(&token, answer, strlen(answer));
+    const int failed = status != OK || tw_wire_revision_parse(&token, answer, strlen(answer));
     free(answer);
     if (failed) {
         tw_world_lead_later(world, at);
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -258,29 +258,29 @@
 /* ---- set-up ---- */
 
 static void init_types(tw_sim_world *world, int zones, int machines) {
-    static const tw_wire_flavor types[MACHINE_TYPES] = {{.label = "cpu",
-                                                         .cores = 16,
-                                                         .memory_gb = 64,
-                                                         .cache_gb = 50,
-                                                         .fetch_gb_s = 1,
-                                                         .hourly = 1,
-                                                         .low_price = 0.5,
-                                                         .startup_s = STARTUP_S},
-                                                        {.label = "g8",
-                                                         .cores = 32,
-                                                         .gpus = 8,
-                                                         .memory_gb = 128,
-                                                         .cache_gb = 50,
-                                                         .fetch_gb_s = 1,
-                                                         .hourly = 8,
-                                                         .low_price = 4,
-                                                         .startup_s = STARTUP_S}};
+    static const tw_wire_machine_type types[MACHINE_TYPES] = {{.name = "cpu",
+                                                               .cores = 16,
+                                                               .memory_gb = 64,
+                                                               .cache_gb = 50,
+                                                               .fetch_gb_s = 1,
+                                                               .on_demand_price = 1,
+                                                               .spot_price = 0.5,
+                                                               .startup_s = STARTUP_S},
+                                                              {.name = "g8",
+                                                               .cores = 32,
+                                                               .gpus = 8,
+                                                               .memory_gb = 128,
+                                                               .cache_gb = 50,
+                                                               .fetch_gb_s = 1,
+                                                               .on_demand_price = 8,
+                                                               .spot_price = 4,
+                                                               .startup_s = STARTUP_S}};
     world->ntypes = MACHINE_TYPES;
     for (int type = 0; type < MACHINE_TYPES; type++) {
         world->types[type] = types[type];
-        world->types[type].nyards = zones;
+        world->types[type].zone_count = zones;
         for (int zone = 0; zone < zones; zone++)
-            snprintf(world->types[type].yards[zone], sizeof world->types[type].yards[zone], "%c",
+            snprintf(world->types[type].zones[zone], sizeof world->types[type].zones[zone], "%c",
                      'a' + zone);
     }
     world->capacity[0] = machines * 2 / 3;
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -67,7 +67,7 @@
     *asked = (request){user, kind, once, run->world.now};
     snprintf(path, sizeof path, "/v1/jobs%s%s%s", kind == TW_SIM_SUBMIT ? "" : "/",
              kind == TW_SIM_SUBMIT ? "" : job->spec.id, kind == TW_SIM_CANCEL ? "/abort" : "");
-    tw_wire_record record = {.has_job = 1, .job = job->spec, .pieces = job->spec.pieces};
+    tw_wire_record record = {.has_job = 1, .job = job->spec, .task_count = job->spec.task_count};
     char *text = kind == TW_SIM_SUBMIT ? tw_wire_record_text(&record) : NULL;
     cJSON *whole = text ? cJSON_Parse(text) : NULL;
     char *body =
@@ -151,7 +151,7 @@
     job->run_s = run_s;
     job->submitted = 1;
     job->first_try = run->world.now;
-    job->done = tw_sim_zeroed((size_t)job->spec.pieces);
+    job->done = tw_sim_zeroed((size_t)job->spec.task_count);
     user_job *user = tw_sim_zeroed(sizeof *user);
     user->index = job->index;
     const int cancels = job->spec.service || soak_draw(run, 0, 1) < CANCEL_SHARE;
@@ -193,10 +193,10 @@
         const tw_sim_job *job = run->world.jobs[i];
         const int is_over = job->told_over;
         const int runs = job->accepted && job->spec.service && job->cancel_asked_at <= 0 &&
-                         tw_sim_job_running(&run->world, job->spec.id) == job->spec.pieces;
+                         tw_sim_job_running(&run->world, job->spec.id) == job->spec.task_count;
         if (is_over || runs) continue;
         snprintf(what, size, "%s: accepted=%d done=%d of %d cancelled=%d running=%d", job->spec.id,
-                 job->accepted, job->ndone, job->spec.pieces, job->cancel_asked_at > 0,
+                 job->accepted, job->ndone, job->spec.task_count, job->cancel_asked_at > 0,
                  tw_sim_job_running(&run->world, job->spec.id));
         return 0;
     }
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -79,7 +79,7 @@
     world->feed_cpu_s += cpu_s;
     for (int i = 0; i < message->count; i++) {
         const tw_wire_entry *entry = &message->entries[i];
-        world->feed_bytes += (long)(strlen(entry->key) + (entry->data ? strlen(entry->data) : 0));
+        world->feed_bytes += (long)(strlen(entry->key) + (entry->value ? strlen(entry->value) : 0));
     }
 }
 
@@ -107,7 +107,7 @@
 static void spoil(world *world, tw_standby_message *message) {
     if (!world->spoil_changes || message->kind != TW_STANDBY_CHANGE || !message->count) return;
     world->spoil_changes--;
-    free(message->entries[--message->count].data);
+    free(message->entries[--message->count].value);
 }
 
 static void handle_feed(world *world, const event *came) {
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -180,16 +180,16 @@
     tw_sim_world *w = &c->world;
     tw_sim_world_init(w);
     w->ntypes = 1;
-    w->types[0] = (tw_wire_flavor){.label = "cpu",
-                                   .cores = 16,
-                                   .memory_gb = 64,
-                                   .cache_gb = 200,
-                                   .fetch_gb_s = 1,
-                                   .hourly = 1,
-                                   .low_price = 1,
-                                   .startup_s = 20,
-                                   .nyards = 1,
-                                   .yards = {"a"}};
+    w->types[0] = (tw_wire_machine_type){.name = "cpu",
+                                         .cores = 16,
+                                         .memory_gb = 64,
+                                         .cache_gb = 200,
+                                         .fetch_gb_s = 1,
+                                         .on_demand_price = 1,
+                                         .spot_price = 1,
+                                         .startup_s = 20,
+                                         .zone_count = 1,
+                                         .zones = {"a"}};
     tw_sim_worker *machine = tw_sim_rent(w, 0, "a", 0, 0);
     machine->up = 1;
     w->refuse = 1;
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -197,7 +197,7 @@
 
 /* Whether the record of a transcript's line is read, and written again to the letter. */
 static int is_written_again(const char *line) {
-    char id[TW_WIRE_ID];
+    char id[TW_WIRE_ID_SIZE];
     tw_wire_record record;
     line += strlen(JOB_PREFIX);
     const size_t length = strcspn(line, " ");
--- a/tests/unit/wire_dump.c
+++ b/tests/unit/wire_dump.c
@@ -7,13 +7,15 @@
 
 static void dump_job(FILE *out, const tw_wire_job *job) {
     fprintf(out, "id=%s lane=%s crew=%s bundle=%s yard=%s service=%d gang=%d rank=%d pieces=%d ",
-            job->id, job->lane, job->crew, job->bundle, job->yard, job->service, job->gang,
-            job->rank, job->pieces);
+            job->id, job->job_class, job->team, job->image, job->zone, job->service, job->gang,
+            job->priority, job->task_count);
     fprintf(out, "cores=%.17g gpus=%.17g memory_gb=%.17g image_gb=%.17g same_place=%d apart=%d ",
-            job->cores, job->gpus, job->memory_gb, job->image_gb, job->same_place, job->apart);
+            job->cores, job->gpus, job->memory_gb, job->image_gb, job->single_zone, job->spread);
     fprintf(out, "loaner=%d expect_s=%.17g snapshot_s=%.17g flush_s=%.17g due_s=%.17g nracks=%d",
-            job->loaner, job->expect_s, job->snapshot_s, job->flush_s, job->due_s, job->nracks);
-    for (int i = 0; i < job->nracks; i++) fprintf(out, " rack=%s", job->racks[i]);
+            job->spot, job->expected_run_s, job->checkpoint_s, job->save_s, job->deadline_s,
+            job->machine_type_count);
+    for (int i = 0; i < job->machine_type_count; i++)
+        fprintf(out, " rack=%s", job->machine_types[i]);
 }
 
 static void parse_job(FILE *out, const char *text, size_t length) {
@@ -28,66 +30,66 @@
 }
 
 static void parse_report(FILE *out, const char *text, size_t length) {
-    tw_wire_report report;
-    if (tw_wire_report_parse(&report, text, length)) {
+    tw_wire_heartbeat report;
+    if (tw_wire_heartbeat_parse(&report, text, length)) {
         fprintf(out, "refused");
         return;
     }
     fprintf(out, "tray=%s endpoint=%s rack=%s yard=%s loaner=%d shift=%" PRIu64 " tick=%" PRIu64,
-            report.tray, report.endpoint, report.rack, report.yard, report.loaner, report.shift,
-            report.tick);
-    fprintf(out, " baton=%" PRIu64 " warning_s=%.17g npieces=%d", report.baton, report.warning_s,
-            report.npieces);
-    for (int i = 0; i < report.npieces; i++) {
-        const tw_wire_piece *piece = &report.pieces[i];
+            report.worker, report.endpoint, report.machine_type, report.zone, report.spot,
+            report.incarnation, report.sequence);
+    fprintf(out, " baton=%" PRIu64 " warning_s=%.17g npieces=%d", report.fencing_token,
+            report.preemption_notice_s, report.task_count);
+    for (int i = 0; i < report.task_count; i++) {
+        const tw_wire_task *piece = &report.tasks[i];
         fprintf(out, " [job=%s index=%d stage=%d cause=%d saved=%d attempt=%" PRIu64 "]",
-                piece->job, piece->index, piece->stage, piece->cause, piece->saved, piece->attempt);
+                piece->job, piece->index, piece->state, piece->cause, piece->saved, piece->attempt);
     }
-    tw_wire_report_free(&report);
+    tw_wire_heartbeat_free(&report);
 }
 
 static void parse_flavors(FILE *out, const char *text, size_t length) {
-    tw_wire_flavor *flavors;
+    tw_wire_machine_type *flavors;
     int count;
-    if (tw_wire_flavors_parse(&flavors, &count, text, length)) {
+    if (tw_wire_machine_types_parse(&flavors, &count, text, length)) {
         fprintf(out, "refused");
         return;
     }
     fprintf(out, "count=%d", count);
     for (int i = 0; i < count; i++) {
-        const tw_wire_flavor *flavor = &flavors[i];
+        const tw_wire_machine_type *flavor = &flavors[i];
         fprintf(out, " [label=%s cores=%.17g gpus=%.17g memory_gb=%.17g cache_gb=%.17g",
-                flavor->label, flavor->cores, flavor->gpus, flavor->memory_gb, flavor->cache_gb);
+                flavor->name, flavor->cores, flavor->gpus, flavor->memory_gb, flavor->cache_gb);
         fprintf(out, " fetch_gb_s=%.17g hourly=%.17g low_price=%.17g startup_s=%.17g",
-                flavor->fetch_gb_s, flavor->hourly, flavor->low_price, flavor->startup_s);
-        for (int k = 0; k < flavor->nyards; k++) fprintf(out, " yard=%s", flavor->yards[k]);
+                flavor->fetch_gb_s, flavor->on_demand_price, flavor->spot_price, flavor->startup_s);
+        for (int k = 0; k < flavor->zone_count; k++) fprintf(out, " yard=%s", flavor->zones[k]);
         fprintf(out, "]");
     }
     free(flavors);
 }
 
 static void parse_trays(FILE *out, const char *text, size_t length) {
-    tw_wire_tray *trays;
+    tw_wire_rented_machine *trays;
     int count;
     int more;
-    if (tw_wire_trays_parse(&trays, &count, &more, text, length)) {
+    if (tw_wire_rented_machines_parse(&trays, &count, &more, text, length)) {
         fprintf(out, "refused");
         return;
     }
     fprintf(out, "count=%d more=%d", count, more);
     for (int i = 0; i < count; i++) {
-        const tw_wire_tray *tray = &trays[i];
+        const tw_wire_rented_machine *tray = &trays[i];
         fprintf(out, " [id=%s endpoint=%s rack=%s yard=%s loaner=%d stage=%d held_s=%.17g]",
-                tray->id, tray->endpoint, tray->rack, tray->yard, tray->loaner, tray->stage,
-                tray->held_s);
+                tray->id, tray->endpoint, tray->machine_type, tray->zone, tray->spot, tray->state,
+                tray->rented_s);
     }
     free(trays);
 }
 
 static void parse_names(FILE *out, const char *text, size_t length) {
-    char(*names)[TW_WIRE_NAME];
+    char(*names)[TW_WIRE_NAME_SIZE];
     int count;
-    int refused = tw_wire_names_parse(&names, &count, text, length);
+    int refused = tw_wire_machine_names_parse(&names, &count, text, length);
     fprintf(out, refused ? "refused" : "count=%d", count);
     for (int i = 0; i < count; i++) fprintf(out, " %s", names[i]);
     free(names);
@@ -96,24 +98,24 @@
 static void parse_failed(FILE *out, const char *text, size_t length) {
     char(*keys)[256];
     int count;
-    int refused = tw_wire_failed_parse(&keys, &count, text, length);
+    int refused = tw_wire_failed_compares_parse(&keys, &count, text, length);
     fprintf(out, refused ? "refused" : "count=%d", count);
     for (int i = 0; i < count; i++) fprintf(out, " %s", keys[i]);
     free(keys);
 }
 
 static void parse_aborted(FILE *out, const char *text, size_t length) {
-    char(*ids)[TW_WIRE_ID];
+    char(*ids)[TW_WIRE_ID_SIZE];
     int count;
-    int refused = tw_wire_aborted_parse(&ids, &count, text, length);
+    int refused = tw_wire_cancelled_jobs_parse(&ids, &count, text, length);
     fprintf(out, refused ? "refused" : "count=%d", count);
     for (int i = 0; i < count; i++) fprintf(out, " %s", ids[i]);
     free(ids);
 }
 
 static void dump_entry(FILE *out, const tw_wire_entry *entry) {
-    fprintf(out, "[key=%s stamp=%" PRIu64 " hold=%" PRIu64 " data=%s]", entry->key, entry->stamp,
-            entry->hold, entry->data ? entry->data : "(none)");
+    fprintf(out, "[key=%s stamp=%" PRIu64 " hold=%" PRIu64 " data=%s]", entry->key,
+            entry->mod_revision, entry->lease_id, entry->value ? entry->value : "(none)");
 }
 
 static void parse_entry(FILE *out, const char *text, size_t length) {
@@ -123,7 +125,7 @@
         return;
     }
     dump_entry(out, &entry);
-    free(entry.data);
+    free(entry.value);
 }
 
 static void parse_entries(FILE *out, const char *text, size_t length) {
@@ -142,8 +144,8 @@
 static void parse_log(FILE *out, const char *text, size_t length) {
     tw_wire_entry *entries;
     int count;
-    fprintf(out, "any=%d ", tw_wire_log_any(text, length));
-    if (tw_wire_log_parse(&entries, &count, text, length)) {
+    fprintf(out, "any=%d ", tw_wire_watch_has_changes(text, length));
+    if (tw_wire_watch_keys_parse(&entries, &count, text, length)) {
         fprintf(out, "refused");
         return;
     }
@@ -155,27 +157,28 @@
 static void parse_numbers(FILE *out, const char *text, size_t length) {
     uint64_t ledger = 0;
     uint64_t hold = 0;
-    int no_ledger = tw_wire_ledger_parse(&ledger, text, length);
-    int no_hold = tw_wire_hold_parse(&hold, text, length);
+    int no_ledger = tw_wire_revision_parse(&ledger, text, length);
+    int no_hold = tw_wire_lease_id_parse(&hold, text, length);
     fprintf(out, "ledger=%d %" PRIu64 " hold=%d %" PRIu64, no_ledger, ledger, no_hold, hold);
 }
 
 static void dump_record(FILE *out, const tw_wire_record *record) {
     fprintf(out, "stage=%d pieces=%d ndone=%d submitted=%.17g next_try=%" PRIu64 " done=%s",
-            record->stage, record->pieces, record->ndone, record->submitted, record->next_try,
-            record->done_ranges ? record->done_ranges : "(none)");
-    for (int i = 0; i < record->nlive; i++)
-        fprintf(out, " [index=%d attempt=%" PRIu64 " tray=%s]", record->live[i].index,
-                record->live[i].attempt, record->live[i].tray);
-    if (*record->set)
-        fprintf(out, " set=%s slices=%d live=%d", record->set, record->slices, record->set_live);
+            record->state, record->task_count, record->done_count, record->submitted_at,
+            record->next_attempt, record->done_ranges ? record->done_ranges : "(none)");
+    for (int i = 0; i < record->assignment_count; i++)
+        fprintf(out, " [index=%d attempt=%" PRIu64 " tray=%s]", record->assignments[i].index,
+                record->assignments[i].attempt, record->assignments[i].worker);
+    if (*record->chunk_set)
+        fprintf(out, " set=%s slices=%d live=%d", record->chunk_set, record->chunk_count,
+                record->running_count);
     fprintf(out, " has_job=%d ", record->has_job);
     if (record->has_job) dump_job(out, &record->job);
 }
 
 static void parse_record(FILE *out, const char *text, size_t length) {
     tw_wire_record record;
-    fprintf(out, "stage=%d ", tw_wire_record_stage(text, length));
+    fprintf(out, "stage=%d ", tw_wire_record_state(text, length));
     if (tw_wire_record_parse(&record, "run-000412", text, length)) {
         fprintf(out, "refused");
         return;
@@ -185,7 +188,7 @@
 }
 
 static void parse_records(FILE *out, const char *text, size_t length) {
-    tw_wire_listed *records;
+    tw_wire_listed_record *records;
     int count;
     int more;
     if (tw_wire_records_parse(&records, &count, &more, "job/", text, length)) {
@@ -194,7 +197,7 @@
     }
     fprintf(out, "count=%d more=%d ", count, more);
     for (int i = 0; i < count; i++) {
-        fprintf(out, "{%s stamp=%" PRIu64 " readable=%d ", records[i].key, records[i].stamp,
+        fprintf(out, "{%s stamp=%" PRIu64 " readable=%d ", records[i].key, records[i].mod_revision,
                 records[i].readable);
         if (records[i].readable) dump_record(out, &records[i].record);
         fprintf(out, "}");
@@ -203,14 +206,15 @@
 }
 
 static void parse_ping(FILE *out, const char *text, size_t length) {
-    tw_wire_ping ping;
-    if (tw_wire_ping_parse(&ping, text, length)) {
+    tw_wire_peer_heartbeat ping;
+    if (tw_wire_peer_heartbeat_parse(&ping, text, length)) {
         fprintf(out, "refused");
         return;
     }
     fprintf(out, "name=%s leader=%s token=%" PRIu64 " state_ok=%d leading=%d up_s=%.17g", ping.name,
-            ping.leader, ping.token, ping.state_ok, ping.leading, ping.up_s);
-    fprintf(out, " deputy_s=%.17g record_format=%d", ping.deputy_s, ping.record_format);
+            ping.leader, ping.highest_token, ping.store_reachable, ping.is_leader, ping.uptime_s);
+    fprintf(out, " deputy_s=%.17g record_format=%d", ping.since_delegate_answer_s,
+            ping.record_format);
 }
 
 #define JOB                                                                                        \
--- a/tests/unit/wire_print.c
+++ b/tests/unit/wire_print.c
@@ -12,41 +12,45 @@
 }
 
 static void print_stages(FILE *out) {
-    show(out, "stage pending", tw_wire_stage_text("run-000412", TW_STAGE_PENDING, -1, -1));
-    show(out, "stage running", tw_wire_stage_text("run-000412", TW_STAGE_RUNNING, 0, 100000));
-    show(out, "stage done", tw_wire_stage_text("run-000412", TW_STAGE_DONE, 16, -1));
-    show(out, "stage aborted", tw_wire_stage_text("run-000412", TW_STAGE_ABORTED, -1, 2));
+    show(out, "stage pending", tw_wire_job_status_text("run-000412", TW_JOB_PENDING, -1, -1));
+    show(out, "stage running", tw_wire_job_status_text("run-000412", TW_JOB_RUNNING, 0, 100000));
+    show(out, "stage done", tw_wire_job_status_text("run-000412", TW_JOB_DONE, 16, -1));
+    show(out, "stage aborted", tw_wire_job_status_text("run-000412", TW_JOB_CANCELLED, -1, 2));
 }
 
 static void print_orders(FILE *out) {
-    const tw_wire_order orders[] = {
-        {.verb = TW_VERB_LAUNCH, .job = "run-000412", .index = 4, .attempt = 2, .mercy_s = 9},
-        {.verb = TW_VERB_KILL, .job = "run-000377", .index = 99999, .attempt = 1, .mercy_s = 10.25},
-        {.verb = TW_VERB_KILL, .job = "run-000377", .attempt = LARGEST_EXACT, .mercy_s = 0},
-        {.verb = TW_VERB_FORGET, .job = "run-000398", .attempt = 1},
+    const tw_wire_command orders[] = {
+        {.kind = TW_COMMAND_LAUNCH, .job = "run-000412", .index = 4, .attempt = 2, .grace_s = 9},
+        {.kind = TW_COMMAND_STOP,
+         .job = "run-000377",
+         .index = 99999,
+         .attempt = 1,
+         .grace_s = 10.25},
+        {.kind = TW_COMMAND_STOP, .job = "run-000377", .attempt = LARGEST_EXACT, .grace_s = 0},
+        {.kind = TW_COMMAND_FORGET, .job = "run-000398", .attempt = 1},
     };
-    show(out, "orders none", tw_wire_orders_text(41, 0, NULL, 0));
-    show(out, "orders answer", tw_wire_orders_text(41, 0, orders, 4));
-    show(out, "orders direct", tw_wire_orders_text(LARGEST_EXACT, 3, orders, 2));
-    show(out, "foreman", tw_wire_foreman_text("tray-2"));
-    show(out, "foreman empty", tw_wire_foreman_text(""));
-    show(out, "foreman none", tw_wire_foreman_text(NULL));
+    show(out, "orders none", tw_wire_commands_text(41, 0, NULL, 0));
+    show(out, "orders answer", tw_wire_commands_text(41, 0, orders, 4));
+    show(out, "orders direct", tw_wire_commands_text(LARGEST_EXACT, 3, orders, 2));
+    show(out, "foreman", tw_wire_redirect_text("tray-2"));
+    show(out, "foreman empty", tw_wire_redirect_text(""));
+    show(out, "foreman none", tw_wire_redirect_text(NULL));
 }
 
 static void print_cloud(FILE *out) {
-    char names[2][TW_WIRE_NAME] = {"n-000231", "n-\"quoted\"\\\n\x01\xc3\xa5"};
-    show(out, "rent spot", tw_wire_rent_text("r-17", "g8", "a", 1, 50));
-    show(out, "rent", tw_wire_rent_text("r-41-1", "c", "b", 0, 1));
-    show(out, "names", tw_wire_names_text(names, 2));
-    show(out, "names none", tw_wire_names_text(names, 0));
+    char names[2][TW_WIRE_NAME_SIZE] = {"n-000231", "n-\"quoted\"\\\n\x01\xc3\xa5"};
+    show(out, "rent spot", tw_wire_rental_request_text("r-17", "g8", "a", 1, 50));
+    show(out, "rent", tw_wire_rental_request_text("r-41-1", "c", "b", 0, 1));
+    show(out, "names", tw_wire_machine_names_text(names, 2));
+    show(out, "names none", tw_wire_machine_names_text(names, 0));
 }
 
 static void print_transactions(FILE *out) {
-    const tw_wire_cond conditions[] = {{"leader", LARGEST_EXACT}, {"job/run-000412", 0}};
+    const tw_wire_compare conditions[] = {{"leader", LARGEST_EXACT}, {"job/run-000412", 0}};
     const tw_wire_write writes[] = {
-        {.key = "job/run-000412", .data = "{\"s\":0,\"x\":[1.50]}"},
-        {.key = "leader", .data = "{}", .hold = 7},
-        {.key = "new/run-000412", .data = NULL, .hold = 7},
+        {.key = "job/run-000412", .value = "{\"s\":0,\"x\":[1.50]}"},
+        {.key = "leader", .value = "{}", .lease_id = 7},
+        {.key = "new/run-000412", .value = NULL, .lease_id = 7},
     };
     show(out, "txn", tw_wire_txn_text(conditions, 2, writes, 3));
     show(out, "txn compare", tw_wire_txn_text(conditions, 1, NULL, 0));
@@ -54,61 +58,62 @@
 }
 
 static void print_records(FILE *out) {
-    char racks[2][TW_WIRE_NAME] = {"g8", "c16"};
-    tw_wire_live live[] = {{3, 17, "n-000231"}, {4, LARGEST_EXACT, "n-000232"}};
+    char racks[2][TW_WIRE_NAME_SIZE] = {"g8", "c16"};
+    tw_wire_assignment live[] = {{3, 17, "n-000231"}, {4, LARGEST_EXACT, "n-000232"}};
     tw_wire_record record = {
         .has_job = 1,
         .job = {.id = "run-000412",
-                .lane = "train",
-                .crew = "vis\"ion",
-                .bundle = "img-07",
-                .yard = "a",
-                .rank = TW_RANK_PROD,
+                .job_class = "train",
+                .team = "vis\"ion",
+                .image = "img-07",
+                .zone = "a",
+                .priority = TW_PRIORITY_PROD,
                 .service = 1,
-                .pieces = 16,
+                .task_count = 16,
                 .cores = 0.1,
                 .gpus = 1e21,
                 .memory_gb = 1.0 / 3,
                 .image_gb = 123456789012.5,
-                .nracks = 2,
-                .racks = racks,
-                .same_place = 1,
-                .loaner = 1,
-                .expect_s = 240.25,
-                .snapshot_s = 30,
-                .flush_s = 4,
-                .due_s = 0},
-        .pieces = 16,
-        .ndone = 3,
-        .submitted = 1700000000.25,
-        .next_try = 19,
+                .machine_type_count = 2,
+                .machine_types = racks,
+                .single_zone = 1,
+                .spot = 1,
+                .expected_run_s = 240.25,
+                .checkpoint_s = 30,
+                .save_s = 4,
+                .deadline_s = 0},
+        .task_count = 16,
+        .done_count = 3,
+        .submitted_at = 1700000000.25,
+        .next_attempt = 19,
         .done_ranges = "0-1,7",
-        .nlive = 2,
-        .live = live,
+        .assignment_count = 2,
+        .assignments = live,
     };
     show(out, "record full", tw_wire_record_text(&record));
     record.job.service = 0;
     record.job.gang = 1;
-    record.job.rank = TW_RANK_IDLE;
-    record.job.yard[0] = 0;
-    record.job.due_s = -1;
-    record.job.nracks = 0;
-    record.job.apart = 1;
-    record.nlive = 1;
+    record.job.priority = TW_PRIORITY_IDLE;
+    record.job.zone[0] = 0;
+    record.job.deadline_s = -1;
+    record.job.machine_type_count = 0;
+    record.job.spread = 1;
+    record.assignment_count = 1;
     record.done_ranges = "";
     show(out, "record gang", tw_wire_record_text(&record));
     record.job.gang = 0;
-    record.job.rank = TW_RANK_NORMAL;
-    record.job.nracks = -1;
-    record.nlive = 0;
+    record.job.priority = TW_PRIORITY_NORMAL;
+    record.job.machine_type_count = -1;
+    record.assignment_count = 0;
     record.done_ranges = NULL;
-    record.ndone = 0;
-    record.submitted = 0;
-    record.next_try = 1;
+    record.done_count = 0;
+    record.submitted_at = 0;
+    record.next_attempt = 1;
     show(out, "record batch", tw_wire_record_text(&record));
-    const tw_wire_record over = {.stage = TW_STAGE_DONE, .pieces = 16, .ndone = 16, .next_try = 2};
+    const tw_wire_record over = {
+        .state = TW_JOB_DONE, .task_count = 16, .done_count = 16, .next_attempt = 2};
     show(out, "record over", tw_wire_record_text(&over));
-    const tw_wire_record aborted = {.stage = TW_STAGE_ABORTED, .pieces = 1, .submitted = -1};
+    const tw_wire_record aborted = {.state = TW_JOB_CANCELLED, .task_count = 1, .submitted_at = -1};
     show(out, "record aborted", tw_wire_record_text(&aborted));
 }
 
@@ -117,8 +122,8 @@
     char joined[128] = "";
     while (*text) {
         size_t taken;
-        char *slice = tw_wire_slice_text(text, most, &taken);
-        char *held = tw_wire_slice_parse(slice);
+        char *slice = tw_wire_chunk_text(text, most, &taken);
+        char *held = tw_wire_chunk_parse(slice);
         if (!held || !taken) {
             fprintf(out, "no slice of %zu bytes\n", most);
             free(slice);
@@ -134,30 +139,34 @@
 }
 
 static void print_divided(FILE *out) {
-    const tw_wire_record divided = {
-        .pieces = 400, .ndone = 3, .set = "41-7", .slices = 5, .set_live = 397};
-    show(out, "record divided", tw_wire_divided_text(&divided));
+    const tw_wire_record divided = {.task_count = 400,
+                                    .done_count = 3,
+                                    .chunk_set = "41-7",
+                                    .chunk_count = 5,
+                                    .running_count = 397};
+    show(out, "record divided", tw_wire_chunked_record_text(&divided));
     print_slices(out, "{\"l\":\"0:1:n-0001\",\"x\":\"\xc3\xa9\xe2\x82\xac\xf0\x9f\x98\x80\"}", 14);
     print_slices(out, "\xe2\x82\xac", 10);
-    char *none = tw_wire_slice_parse("{\"no\":1}");
+    char *none = tw_wire_chunk_parse("{\"no\":1}");
     fprintf(out, "slice of an object: %s\n", none ? none : "(none)");
     free(none);
 }
 
 static void print_pings(FILE *out) {
     const char *const aborted[] = {"run-000412", "run-000413"};
-    const tw_wire_ping leader = {.name = "tray-0",
-                                 .leader = "tray-0",
-                                 .token = LARGEST_EXACT,
-                                 .state_ok = 1,
-                                 .leading = 1,
-                                 .up_s = 0.1,
-                                 .deputy_s = 1e-7};
-    const tw_wire_ping follower = {.name = "tray-1"};
-    show(out, "ping leader", tw_wire_ping_text(&leader, aborted, 2));
-    show(out, "ping follower", tw_wire_ping_text(&follower, NULL, 0));
-    const tw_wire_ping divides = {.name = "tray-2", .record_format = TW_RECORD_DIVIDED};
-    show(out, "ping divided", tw_wire_ping_text(&divides, NULL, 0));
+    const tw_wire_peer_heartbeat leader = {.name = "tray-0",
+                                           .leader = "tray-0",
+                                           .highest_token = LARGEST_EXACT,
+                                           .store_reachable = 1,
+                                           .is_leader = 1,
+                                           .uptime_s = 0.1,
+                                           .since_delegate_answer_s = 1e-7};
+    const tw_wire_peer_heartbeat follower = {.name = "tray-1"};
+    show(out, "ping leader", tw_wire_peer_heartbeat_text(&leader, aborted, 2));
+    show(out, "ping follower", tw_wire_peer_heartbeat_text(&follower, NULL, 0));
+    const tw_wire_peer_heartbeat divides = {.name = "tray-2",
+                                            .record_format = TW_RECORD_FORMAT_CHUNKED};
+    show(out, "ping divided", tw_wire_peer_heartbeat_text(&divides, NULL, 0));
 }
 
 void print_messages(FILE *out) {
--- a/tests/unit/wire_test.c
+++ b/tests/unit/wire_test.c
@@ -136,10 +136,10 @@
 /* Varies every field of object, one of the message's, and of the objects within it. */
 static void vary_fields(const message_kind *kind, const char *prefix, const cJSON *root,
                         cJSON *object) {
-    char names[32][TW_WIRE_NAME];
+    char names[32][TW_WIRE_NAME_SIZE];
     int count = 0;
     for (const cJSON *item = object->child; item; item = item->next)
-        snprintf(names[count++], TW_WIRE_NAME, "%s", item->string);
+        snprintf(names[count++], TW_WIRE_NAME_SIZE, "%s", item->string);
     printf("fields of %s %s\n", kind->name, prefix);
     for (int i = 0; i < count; i++) {
         vary_field(kind, root, object, names[i]);
