--- a/src/core/accepted_elsewhere.c
+++ b/src/core/accepted_elsewhere.c
@@ -21,13 +21,13 @@
         tw_job_lookup(core, 0, untaken->name, OP_POLL);
         return;
     }
-    if (!tw_take(core, &core->writes, 1)) return;
+    if (!tw_take(core, &core->write_limiter, 1)) return;
     snprintf(key, sizeof key, ACCEPTED_KEY "%s", untaken->name);
-    tw_wire_compare condition = {TW_LEADER_KEY, core->token};
+    tw_wire_compare condition = {TW_LEADER_KEY, core->fencing_token};
     tw_wire_write removal = {key, NULL, 0};
-    tw_call(core, K_ACCEPTED_REMOVE, TW_TO_STATE, core->cf->state, "POST", "/txn",
+    tw_call(core, K_ACCEPTED_REMOVE, TW_TO_STATE, core->config->state, "POST", "/txn",
             tw_wire_txn_text(&condition, 1, &removal, 1), 1);
-    HASH_DEL(core->untaken, untaken);
+    HASH_DEL(core->untaken_admissions, untaken);
     free(untaken);
 }
 
@@ -36,11 +36,11 @@
     if (strncmp(key, ACCEPTED_KEY, sizeof ACCEPTED_KEY - 1) != 0 || !tw_wire_id_ok(id, strlen(id)))
         return;
     expiring *untaken;
-    HASH_FIND_STR(core->untaken, id, untaken);
+    HASH_FIND_STR(core->untaken_admissions, id, untaken);
     if (!untaken) {
         untaken = tw_zalloc(sizeof *untaken);
         snprintf(untaken->name, sizeof untaken->name, "%s", id);
-        HASH_ADD_STR(core->untaken, name, untaken);
+        HASH_ADD_STR(core->untaken_admissions, name, untaken);
     }
     take_over(core, untaken);
 }
@@ -52,16 +52,16 @@
     int more;
     uint64_t revision;
     if (call->kind == K_ACCEPTED_REMOVE) return;
-    core->elsewhere_busy = 0;
+    core->admission_watch_in_flight = 0;
     int list = call->kind == K_ACCEPTED_LIST;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, length) ||
         (list ? tw_wire_entries_parse(&entries, &count, &more, body, length)
               : tw_wire_watch_keys_parse(&entries, &count, body, length))) {
-        if (status == TW_HTTP_GONE) core->elsewhere_since = 0;
-        core->elsewhere_next = core->now + RETRY_RATIO * core->ttl;
+        if (status == TW_HTTP_GONE) core->admission_watch_revision = 0;
+        core->next_admission_watch_at = core->now + RETRY_RATIO * core->leader_lease_s;
         return;
     }
-    core->elsewhere_since = revision;
+    core->admission_watch_revision = revision;
     for (int i = 0; i < count; i++) learn(core, entries[i].key);
     tw_wire_entries_free(entries, count);
 }
@@ -69,19 +69,20 @@
 void tw_accepted_elsewhere_tick(tw_core *core) {
     expiring *untaken;
     expiring *next;
-    HASH_ITER(hh, core->untaken, untaken, next) take_over(core, untaken);
-    if (core->elsewhere_busy || core->now < core->elsewhere_next || !tw_take(core, &core->reqs, 1))
+    HASH_ITER(hh, core->untaken_admissions, untaken, next) take_over(core, untaken);
+    if (core->admission_watch_in_flight || core->now < core->next_admission_watch_at ||
+        !tw_take(core, &core->request_limiter, 1))
         return;
-    core->elsewhere_busy = 1;
-    if (!core->elsewhere_since) {
-        tw_call(core, K_ACCEPTED_LIST, TW_TO_STATE, core->cf->state, "GET",
+    core->admission_watch_in_flight = 1;
+    if (!core->admission_watch_revision) {
+        tw_call(core, K_ACCEPTED_LIST, TW_TO_STATE, core->config->state, "GET",
                 "/kv?starts=" ACCEPTED_KEY "&most=100", NULL, 2);
         return;
     }
     char path[PATH_SIZE];
-    double hold_s = WATCH_LEASES * core->cf->lease_s;
+    double hold_s = WATCH_LEASES * core->config->lease_s;
     snprintf(path, sizeof path, "/follow?starts=" ACCEPTED_KEY "&since=%llu&holdMs=%d",
-             (unsigned long long)core->elsewhere_since, (int)(hold_s * 1000));
-    tw_call(core, K_ACCEPTED, TW_TO_STATE, core->cf->state, "GET", path, NULL,
+             (unsigned long long)core->admission_watch_revision, (int)(hold_s * 1000));
+    tw_call(core, K_ACCEPTED, TW_TO_STATE, core->config->state, "GET", path, NULL,
             hold_s + WATCH_SLACK_S);
 }
--- a/src/core/attempt_end.c
+++ b/src/core/attempt_end.c
@@ -30,33 +30,35 @@
  * predecessor) is gone if nothing on the way could still start it: the machine refuses older
  * tokens, and no direct launch of ours is under way. */
 static int is_absent(const placement *placed) {
-    const int was_there = placed->inherited || placed->seen;
-    return was_there && placed->m->confirmed && !placed->direct;
+    const int was_there = placed->inherited || placed->reported;
+    return was_there && placed->machine->confirmed && !placed->direct_launches;
 }
 
 /* The answer that held the launch was lost, and is not executed late. Only the next report proper
  * tells: an answer to direct orders may have overtaken the answer that holds the launch. */
 int tw_launch_not_taken(const placement *placed, const tw_wire_heartbeat *report,
                         int answers_order) {
-    const int was_there = placed->inherited || placed->seen;
-    return !was_there && !answers_order && !placed->direct && placed->sent_tick < report->sequence;
+    const int was_there = placed->inherited || placed->reported;
+    return !was_there && !answers_order && !placed->direct_launches &&
+           placed->launch_sequence < report->sequence;
 }
 
 void tw_launch_answered(placement *placed, int refused) {
-    if (placed->direct) placed->direct--;
+    if (placed->direct_launches) placed->direct_launches--;
     /* Neither this launch nor another one is under way. */
-    if (refused && !placed->seen && !placed->sent_tick && !placed->direct) placed->sent = 0;
+    if (refused && !placed->reported && !placed->launch_sequence && !placed->direct_launches)
+        placed->launch_sent = 0;
 }
 
 int tw_launch_may_repeat(const tw_core *core, const placement *placed) {
-    if (placed->direct_at <= 0) return 0;
-    const int is_done = placed->stage == TW_TASK_EXITED && placed->cause == TW_CAUSE_DONE;
+    if (placed->direct_launch_at <= 0) return 0;
+    const int is_done = placed->state == TW_TASK_EXITED && placed->cause == TW_CAUSE_DONE;
     const double kept = is_done ? REPEATED_DONE_LEASES : REPEATED_LEASES;
-    return core->now < placed->direct_at + kept * core->cf->lease_s;
+    return core->now < placed->direct_launch_at + kept * core->config->lease_s;
 }
 
 int tw_attempt_launched(const placement *placed) {
-    return placed->sent || placed->direct || placed->inherited;
+    return placed->launch_sent || placed->direct_launches || placed->inherited;
 }
 
 /* A worker kills and forgets all with its session. Ours was launched in a session that we know. In
@@ -64,35 +66,35 @@
  * by a message still on its way, unless the machine refused the predecessor in an earlier session
  * already. (`confirmed` is as of before this report; one that confirms ends it as absent.) */
 static int is_of_earlier_session(const placement *placed, const tw_wire_heartbeat *report) {
-    if (placed->inherited) return placed->m->confirmed;
-    return placed->sent && placed->shift < report->incarnation;
+    if (placed->inherited) return placed->machine->confirmed;
+    return placed->launch_sent && placed->launch_incarnation < report->incarnation;
 }
 
 /* Whether the attempt can't run any more, nor be started by what is still on its way. */
 static int holds(const tw_core *core, const placement *placed, const attempt_end *end) {
-    const machine *machine = placed->m;
-    switch (end->ground) {
+    const machine *machine = placed->machine;
+    switch (end->evidence) {
     case END_EXITED:
-        return end->told && end->told->state == TW_TASK_EXITED &&
-               end->told->attempt == placed->attempt && end->told->index == placed->index;
+        return end->reported && end->reported->state == TW_TASK_EXITED &&
+               end->reported->attempt == placed->attempt && end->reported->index == placed->index;
     case END_ABSENT:
         return is_absent(placed);
     case END_NOT_TAKEN:
-        return tw_launch_not_taken(placed, end->report, end->answers_order);
+        return tw_launch_not_taken(placed, end->heartbeat, end->answers_command);
     case END_SESSION:
-        return is_of_earlier_session(placed, end->report);
+        return is_of_earlier_session(placed, end->heartbeat);
     case END_LAPSED:
-        return machine->lapsed && core->now > tw_lapse_at(core, machine);
+        return machine->lease_expired && core->now > tw_lapse_at(core, machine);
     case END_RETURNED:
-        return machine->releasing;
+        return machine->return_in_flight;
     case END_GANG_DONE:
-        return placed->job->s.gang;
+        return placed->job->spec.gang;
     case END_NOT_LAUNCHED:
         return !tw_attempt_launched(placed);
     case END_NOT_RECORDED:
-        return !placed->job->created && (placed->inherited || !tw_attempt_launched(placed));
+        return !placed->job->record_exists && (placed->inherited || !tw_attempt_launched(placed));
     case END_TAKEN_BACK:
-        return placed->ver > placed->job->ver && !tw_attempt_launched(placed);
+        return placed->version > placed->job->version && !tw_attempt_launched(placed);
     case END_TERM:
         break;
     }
@@ -115,50 +117,51 @@
 }
 
 static void log_end(const tw_core *core, const placement *placed, const attempt_end *end) {
-    const machine *machine = placed->m;
-    const tw_wire_heartbeat *report = end->report;
-    const int level = is_told(end->ground) ? TW_LOG_INFO : TW_LOG_DEBUG;
-    if (!placed->on_job || !tw_log_on(level)) return;
-    tw_log_write(
-        level,
-        "event=attempt_end piece=%s/%d try=%llu tray=%s ground=%s cause=%d token=%llu "
-        "inherited=%d launch_shift=%llu launch_tick=%llu direct=%d shift=%llu tick=%llu "
-        "report_token=%llu confirmed=%d lived_s=%.2f",
-        placed->job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
-        names[end->ground], end->told ? end->told->cause : 0, (unsigned long long)core->token,
-        placed->inherited, (unsigned long long)placed->shift, (unsigned long long)placed->sent_tick,
-        placed->direct, (unsigned long long)(report ? report->incarnation : machine->shift),
-        (unsigned long long)(report ? report->sequence : machine->tick),
-        (unsigned long long)(report ? report->fencing_token : 0), machine->confirmed,
-        core->now - placed->made_at);
+    const machine *machine = placed->machine;
+    const tw_wire_heartbeat *report = end->heartbeat;
+    const int level = is_told(end->evidence) ? TW_LOG_INFO : TW_LOG_DEBUG;
+    if (!placed->counted || !tw_log_on(level)) return;
+    tw_log_write(level,
+                 "event=attempt_end piece=%s/%d try=%llu tray=%s ground=%s cause=%d token=%llu "
+                 "inherited=%d launch_shift=%llu launch_tick=%llu direct=%d shift=%llu tick=%llu "
+                 "report_token=%llu confirmed=%d lived_s=%.2f",
+                 placed->job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
+                 names[end->evidence], end->reported ? end->reported->cause : 0,
+                 (unsigned long long)core->fencing_token, placed->inherited,
+                 (unsigned long long)placed->launch_incarnation,
+                 (unsigned long long)placed->launch_sequence, placed->direct_launches,
+                 (unsigned long long)(report ? report->incarnation : machine->incarnation),
+                 (unsigned long long)(report ? report->sequence : machine->sequence),
+                 (unsigned long long)(report ? report->fencing_token : 0), machine->confirmed,
+                 core->now - placed->placed_at);
 }
 
 /* The task no longer runs there; to: what it is now. */
 static void leave_job(tw_core *core, placement *placed, int to) {
-    if (!placed->on_job) return;
+    if (!placed->counted) return;
     job *job = placed->job;
     tw_placement_account(core, placed, -1);
-    placed->on_job = 0;
-    DL_DELETE2(job->live, placed, jprev, jnext);
-    job->nlive--;
-    if (job->st) job->st[placed->index] = (uint8_t)to;
-    if (to == T_DONE) job->ndone++;
+    placed->counted = 0;
+    DL_DELETE2(job->placements, placed, job_prev, job_next);
+    job->placed_count--;
+    if (job->task_states) job->task_states[placed->index] = (uint8_t)to;
+    if (to == T_DONE) job->done_count++;
     if (to == T_FREE) {
-        if (placed->index < job->cursor) job->cursor = placed->index;
+        if (placed->index < job->first_unplaced) job->first_unplaced = placed->index;
         job->pending_since = core->now;
-        if (job->s.gang) tw_gang_left(core, placed);
+        if (job->spec.gang) tw_gang_left(core, placed);
     }
-    core->sched_dirty = 1;
+    core->scheduling_due = 1;
 }
 
 void tw_attempt_forget(tw_core *core, placement *placed) {
     job *job = placed->job;
-    if (placed->on_job) {
+    if (placed->counted) {
         tw_invariant_broken(core, INVARIANT_END, "piece=%s/%d tray=%s ground=none", job->id,
-                            placed->index, placed->m->name);
+                            placed->index, placed->machine->name);
         return;
     }
-    DL_DELETE(placed->m->pls, placed);
+    DL_DELETE(placed->machine->placements, placed);
     free(placed);
     tw_job_unplaced(core, job);
 }
@@ -170,19 +173,19 @@
 
 int tw_attempt_end(tw_core *core, placement *placed, const attempt_end *end) {
     job *job = placed->job;
-    const end_ground ground = end->ground;
+    const end_ground ground = end->evidence;
     if (!holds(core, placed, end)) {
         core->counters.kept[ground]++;
         if (!may_fail(ground))
             tw_invariant_broken(core, INVARIANT_END, "piece=%s/%d try=%llu tray=%s ground=%s",
                                 job->id, placed->index, (unsigned long long)placed->attempt,
-                                placed->m->name, names[ground]);
+                                placed->machine->name, names[ground]);
         return 0;
     }
-    const int was_on_job = placed->on_job;
+    const int was_on_job = placed->counted;
     const int is_done =
-        ground == END_GANG_DONE || (ground == END_EXITED && end->told->cause == TW_CAUSE_DONE);
-    core->counters.ended[ground] += (uint64_t)was_on_job;
+        ground == END_GANG_DONE || (ground == END_EXITED && end->reported->cause == TW_CAUSE_DONE);
+    core->counters.terminated[ground] += (uint64_t)was_on_job;
     log_end(core, placed, end);
     leave_job(core, placed, is_done ? T_DONE : T_FREE);
     if (stays_on_machine(ground)) return 1;
@@ -193,6 +196,6 @@
 }
 
 int tw_attempt_end_on(tw_core *core, placement *placed, end_ground ground) {
-    const attempt_end end = {.ground = ground};
+    const attempt_end end = {.evidence = ground};
     return tw_attempt_end(core, placed, &end);
 }
--- a/src/core/attempt_end.h
+++ b/src/core/attempt_end.h
@@ -28,10 +28,10 @@
 
 /* What the ground rests on. */
 typedef struct {
-    end_ground ground;
-    const tw_wire_heartbeat *report; /* of a machine; NULL: none */
-    const tw_wire_task *told;        /* the exited task in it; NULL: none */
-    int answers_order;               /* the report came as the answer to a direct order */
+    end_ground evidence;
+    const tw_wire_heartbeat *heartbeat; /* of a machine; NULL: none */
+    const tw_wire_task *reported;       /* the exited task in it; NULL: none */
+    int answers_command;                /* the report came as the answer to a direct order */
 } attempt_end;
 
 const char *tw_end_ground_name(end_ground ground);
--- a/src/core/authority.c
+++ b/src/core/authority.c
@@ -7,19 +7,21 @@
 #define CANCEL_MARGIN 0.4
 
 int tw_authority(const tw_core *core) {
-    return core->role == R_LEADER && core->now < core->auth_until;
+    return core->role == R_LEADER && core->now < core->authority_until;
 }
 
 int tw_may(const tw_core *core, node_right right) {
     return tw_authority(core) || (right == RIGHT_RENEW && tw_holding(core));
 }
 
-double tw_hold_s(const tw_core *core) { return core->cf->tune.hold_ratio * core->cf->lease_s; }
+double tw_hold_s(const tw_core *core) {
+    return core->config->tune.hold_ratio * core->config->lease_s;
+}
 
 /* A job cancelled at another node must be gone cancel_s later, even where nobody can say so: by its
  * machine's lease. So whoever cannot exclude that another leads answers for this long at most. */
 double tw_blind_s(const tw_core *core) {
-    const tw_conf *settings = core->cf;
+    const tw_conf *settings = core->config;
     const double lease_by_any_clock =
         settings->lease_s *
         (1 + CANCEL_MARGIN * settings->tune.margin_ratio + 2 * settings->tune.drift);
@@ -30,14 +32,14 @@
  * hearing more. Longer than tw_blind_s: a cancellation is told only once all who may answer without
  * us for longer know of it (tw_abort_safe). */
 double tw_alone_s(const tw_core *core) {
-    return fmin(tw_hold_s(core), tw_blind_s(core) + core->cf->lease_s);
+    return fmin(tw_hold_s(core), tw_blind_s(core) + core->config->lease_s);
 }
 
 /* Until when surely no other node had led: when all of them last said that they know of no token
  * later than ours (see vouch). */
 static double sole_until(const tw_core *core) {
     double until = INFINITY;
-    for (size_t i = 0; i < core->npeers; i++) until = fmin(until, core->peers[i].vouched_at);
+    for (size_t i = 0; i < core->peer_count; i++) until = fmin(until, core->peers[i].vouched_at);
     return until;
 }
 
@@ -45,29 +47,29 @@
  * workers' leases under the old token goes on for a bounded time; a successor waits that time out
  * before it takes a silent machine's tasks for ended (tw_predecessor_end). */
 int tw_holding(const tw_core *core) {
-    if (core->role != R_LEADER || core->phase != PH_ACTIVE || core->now < core->auth_until)
+    if (core->role != R_LEADER || core->phase != PH_ACTIVE || core->now < core->authority_until)
         return 0;
-    return core->now < core->auth_until + tw_hold_s(core) &&
-           core->now < fmax(core->auth_until, sole_until(core)) + tw_alone_s(core);
+    return core->now < core->authority_until + tw_hold_s(core) &&
+           core->now < fmax(core->authority_until, sole_until(core)) + tw_alone_s(core);
 }
 
 /* Until when some earlier leader may have answered a worker that has not seen our token. */
 double tw_predecessor_end(const tw_core *core) {
-    if (core->all_confirmed_at > 0) return core->all_confirmed_at;
+    if (core->peers_confirmed_at > 0) return core->peers_confirmed_at;
     /* From our acquisition on it can't hear from all nodes that none leads. */
-    return core->acquired_at + tw_alone_s(core) * (1 + 2 * core->cf->tune.drift);
+    return core->acquired_at + tw_alone_s(core) * (1 + 2 * core->config->tune.drift);
 }
 
 void tw_rights_log(tw_core *core) {
     const int commands = tw_may(core, RIGHT_COMMAND);
     const int renews = tw_may(core, RIGHT_RENEW);
-    const unsigned long long token = core->token;
-    if (core->role == R_LEADER && core->commanded && !commands)
+    const unsigned long long token = core->fencing_token;
+    if (core->role == R_LEADER && core->could_command && !commands)
         tw_log_info("event=authority_over token=%llu led_s=%.2f over_since_s=%.3f renews=%d", token,
-                    core->now - core->acquired_at, core->now - core->auth_until, renews);
-    if (core->role == R_LEADER && core->renewed_leases && !renews)
+                    core->now - core->acquired_at, core->now - core->authority_until, renews);
+    if (core->role == R_LEADER && core->could_renew && !renews)
         tw_log_info("event=renewing_over token=%llu without_authority_s=%.2f", token,
-                    core->now - core->auth_until);
-    core->commanded = commands;
-    core->renewed_leases = renews;
+                    core->now - core->authority_until);
+    core->could_command = commands;
+    core->could_renew = renews;
 }
--- a/src/core/bins.c
+++ b/src/core/bins.c
@@ -6,40 +6,41 @@
 #define FIRST_STARTS 16
 
 int tw_bin_fits(const bin *bin, const tw_wire_job *spec) {
-    return bin->c + TW_ROUNDING >= spec->cores && bin->g + TW_ROUNDING >= spec->gpus &&
-           bin->mem + TW_ROUNDING >= spec->memory_gb;
+    return bin->cores + TW_ROUNDING >= spec->cores && bin->gpus + TW_ROUNDING >= spec->gpus &&
+           bin->memory_gb + TW_ROUNDING >= spec->memory_gb;
 }
 
 int tw_bin_allowed(const bin *bin, const tw_wire_job *spec, uint32_t types) {
-    return (types & (1U << bin->rack)) && (!bin->loaner || spec->spot) &&
-           (!*spec->zone || !strcmp(spec->zone, bin->yard));
+    return (types & (1U << bin->type_index)) && (!bin->spot || spec->spot) &&
+           (!*spec->zone || !strcmp(spec->zone, bin->zone));
 }
 
 /* As when placing: work without GPUs leaves a GPU machine's GPUs their cores. */
 int tw_bin_leaves_gpus(const tw_core *core, const bin *bin, const tw_wire_job *spec,
                        int any_machine) {
-    const tw_wire_machine_type *type = &core->flavors[bin->rack].f;
+    const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
     if (spec->gpus > 0 || any_machine || type->gpus <= 0) return 1;
-    double cores_per_gpu = core->gpu_cores;
+    double cores_per_gpu = core->cores_per_gpu;
     if (cores_per_gpu <= 0) cores_per_gpu = type->cores / type->gpus;
-    return bin->c - spec->cores + TW_ROUNDING >= bin->g * cores_per_gpu;
+    return bin->cores - spec->cores + TW_ROUNDING >= bin->gpus * cores_per_gpu;
 }
 
 void tw_bin_take(bin *bin, const tw_wire_job *spec) {
-    bin->c -= spec->cores;
-    bin->g -= spec->gpus;
-    bin->mem -= spec->memory_gb;
+    bin->cores -= spec->cores;
+    bin->gpus -= spec->gpus;
+    bin->memory_gb -= spec->memory_gb;
 }
 
 void tw_bin_give(bin *bin, const tw_wire_job *spec) {
-    bin->c += spec->cores;
-    bin->g += spec->gpus;
-    bin->mem += spec->memory_gb;
+    bin->cores += spec->cores;
+    bin->gpus += spec->gpus;
+    bin->memory_gb += spec->memory_gb;
 }
 
 bin *tw_bins_add(bins *bins) {
-    bins->v = tw_grow(bins->v, bins->n, &bins->cap, FIRST_BINS, sizeof *bins->v);
-    return &bins->v[bins->n++];
+    bins->items =
+        tw_grow(bins->items, bins->count, &bins->capacity, FIRST_BINS, sizeof *bins->items);
+    return &bins->items[bins->count++];
 }
 
 /* Room in bins only gets less while jobs are packed. So those that are too full for a kind of task,
@@ -53,9 +54,9 @@
 };
 
 static int same_kind(const struct bin_start *start, const job *job) {
-    const tw_wire_job *spec = &job->s;
+    const tw_wire_job *spec = &job->spec;
     return start->cores == spec->cores && start->gpus == spec->gpus &&
-           start->memory_gb == spec->memory_gb && start->types == job->rackmask &&
+           start->memory_gb == spec->memory_gb && start->types == job->type_mask &&
            start->spot == spec->spot && start->any_machine == job->any_machine &&
            !strcmp(start->zone, spec->zone);
 }
@@ -67,23 +68,24 @@
     bins->starts =
         tw_grow(bins->starts, bins->nstarts, &bins->starts_cap, FIRST_STARTS, sizeof *bins->starts);
     struct bin_start *start = &bins->starts[bins->nstarts++];
-    *start = (struct bin_start){.cores = job->s.cores,
-                                .gpus = job->s.gpus,
-                                .memory_gb = job->s.memory_gb,
-                                .types = job->rackmask,
-                                .spot = job->s.spot,
+    *start = (struct bin_start){.cores = job->spec.cores,
+                                .gpus = job->spec.gpus,
+                                .memory_gb = job->spec.memory_gb,
+                                .types = job->type_mask,
+                                .spot = job->spec.spot,
                                 .any_machine = job->any_machine,
-                                .zone = job->s.zone};
+                                .zone = job->spec.zone};
     return start;
 }
 
 static int of_use(const bin *bin, const job *job) {
-    return !bin->tried && tw_bin_allowed(bin, &job->s, job->rackmask) && tw_bin_fits(bin, &job->s);
+    return !bin->tried && tw_bin_allowed(bin, &job->spec, job->type_mask) &&
+           tw_bin_fits(bin, &job->spec);
 }
 
 int tw_bins_first(bins *bins, const job *job) {
     struct bin_start *start = start_for(bins, job);
-    while (start->bin < bins->n && !of_use(&bins->v[start->bin], job)) start->bin++;
+    while (start->bin < bins->count && !of_use(&bins->items[start->bin], job)) start->bin++;
     return start->bin;
 }
 
@@ -91,5 +93,5 @@
 
 void tw_bins_free(bins *bins) {
     free(bins->starts);
-    free(bins->v);
+    free(bins->items);
 }
--- a/src/core/budget.c
+++ b/src/core/budget.c
@@ -33,24 +33,24 @@
 
 /* The parts that a leader uses. */
 static void init_of_leader(tw_core *core) {
-    const tw_conf *conf = core->cf;
+    const tw_conf *conf = core->config;
     const double share = conf->tune.write_share;
     const double writes = share * conf->state_write_rps;
-    core->writes = tw_budget_of(writes, writes * LEADER_WRITES_BURST_S, core->now);
-    core->reqs = tw_budget_of(share * conf->state_rps * LEADER_CALLS,
-                              share * conf->state_rps * LEADER_CALLS_BURST_S, core->now);
+    core->write_limiter = tw_budget_of(writes, writes * LEADER_WRITES_BURST_S, core->now);
+    core->request_limiter = tw_budget_of(share * conf->state_rps * LEADER_CALLS,
+                                         share * conf->state_rps * LEADER_CALLS_BURST_S, core->now);
     const double cloud = share * conf->cloud_rps;
-    core->cloud = tw_budget_of(cloud, fmax(1, cloud * CLOUD_BURST_S), core->now);
+    core->cloud_limiter = tw_budget_of(cloud, fmax(1, cloud * CLOUD_BURST_S), core->now);
 }
 
 /* The parts that a node uses while it does not lead. */
 static void init_of_others(tw_core *core) {
-    const tw_conf *conf = core->cf;
+    const tw_conf *conf = core->config;
     const double share = conf->tune.write_share * OTHERS / (double)(conf->npeers + 1);
     const double reads = share * conf->state_rps;
-    core->reads = tw_budget_of(reads, fmax(OTHERS_LEAST_READS, reads), core->now);
+    core->follower_read_limiter = tw_budget_of(reads, fmax(OTHERS_LEAST_READS, reads), core->now);
     const double writes = share * conf->state_write_rps;
-    core->creates =
+    core->follower_create_limiter =
         tw_budget_of(writes, fmax(OTHERS_LEAST_WRITES, writes * OTHERS_WRITES_BURST_S), core->now);
 }
 
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -42,11 +42,11 @@
 /* A job's record as a transaction holds it. */
 typedef struct job_write {
     char id[TW_WIRE_ID_SIZE];
-    uint64_t ver;                     /* of the job, when the record's text was made */
-    uint64_t stamp;                   /* that the write is conditioned on */
-    int stage;                        /* TW_JOB_* that the record holds */
-    char set[TW_WIRE_CHUNK_SET_SIZE]; /* of a divided one */
-    int slices;
+    uint64_t version;                       /* of the job, when the record's text was made */
+    uint64_t mod_revision;                  /* that the write is conditioned on */
+    int state;                              /* TW_JOB_* that the record holds */
+    char chunk_set[TW_WIRE_CHUNK_SET_SIZE]; /* of a divided one */
+    int chunk_count;
     size_t bytes; /* of its text */
 } job_write;
 
@@ -54,14 +54,14 @@
 typedef struct call {
     uint64_t id;
     call_kind kind;
-    double sent, until;
-    uint64_t conn, term, seq;
-    int n, op;
+    double sent_at, until;
+    uint64_t connection, term, sequence;
+    int count, operation;
     char name[256];
     char *text;                  /* a request kept for a second way */
     char (*names)[TW_NAME_SIZE]; /* trays of a release */
     job_write *records;          /* of a txn */
-    uint64_t *vers;
+    uint64_t *tokens;
     UT_hash_handle hh;
 } call;
 
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -9,26 +9,26 @@
 } zone_use;
 
 static void add(tw_core *core, machine *machine) {
-    core->candidates = tw_grow(core->candidates, core->ncandidates, &core->candidates_cap,
+    core->candidates = tw_grow(core->candidates, core->candidate_count, &core->candidate_capacity,
                                FIRST_CAPACITY, sizeof *core->candidates);
-    core->candidates[core->ncandidates++] = (tw_candidate){.machine = machine};
+    core->candidates[core->candidate_count++] = (tw_candidate){.machine = machine};
 }
 
 void tw_candidates_begin(tw_core *core) {
     zone_use use[TW_MAX_ZONES + 1] = {0};
     machine *machine;
     struct machine *next;
-    core->ncandidates = 0;
+    core->candidate_count = 0;
     HASH_ITER(hh, core->machines, machine, next) {
         if (!tw_machine_usable(core, machine)) continue;
         add(core, machine);
-        if (machine->loaner) continue;
-        const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
-        zone_use *zone = &use[machine->zone < 0 ? TW_MAX_ZONES : machine->zone];
+        if (machine->spot) continue;
+        const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+        zone_use *zone = &use[machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index];
         zone->cores += type->cores;
         zone->gpus += type->gpus;
-        zone->used_cores += machine->used_c;
-        zone->used_gpus += machine->used_g;
+        zone->used_cores += machine->used_cores;
+        zone->used_gpus += machine->used_gpus;
     }
     for (int i = 0; i <= TW_MAX_ZONES; i++) {
         core->zones[i].free_cores = use[i].cores > 0 ? 1 - use[i].used_cores / use[i].cores : 0;
@@ -37,6 +37,6 @@
 }
 
 double tw_candidates_zone_free(const tw_core *core, const machine *machine, int gpus) {
-    const int zone = machine->zone < 0 ? TW_MAX_ZONES : machine->zone;
+    const int zone = machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index;
     return gpus ? core->zones[zone].free_gpus : core->zones[zone].free_cores;
 }
--- a/src/core/choose.c
+++ b/src/core/choose.c
@@ -7,7 +7,7 @@
                      tw_choice *choice) {
     machine *machine = core->candidates[score->candidate].machine;
     if (!tw_constraints_zone(core, demand, machine)) return;
-    const int meets = score->end <= demand->due;
+    const int meets = score->end <= demand->deadline_at;
     const double points = meets ? score->points : -score->total_s;
     if (meets < choice->meets || (meets == choice->meets && points <= choice->points)) return;
     if (!tw_reserve_allows(core, machine, demand->job)) {
@@ -23,9 +23,9 @@
 /* Scores the whole fleet for a kind of task that was not yet looked at in this pass. */
 static void choose_first(tw_core *core, const tw_demand *demand, tw_choice *choice) {
     tw_score_table *table = tw_scores_begin(core, demand);
-    for (int i = 0; i < core->ncandidates; i++) {
+    for (int i = 0; i < core->candidate_count; i++) {
         const tw_score *score = tw_scores_add(core, table, demand, i);
-        core->steps++;
+        core->pass_steps++;
         if (score) consider(core, demand, score, choice);
     }
 }
@@ -39,7 +39,7 @@
     }
     for (int i = 0; i < tw_scores_count(table); i++) {
         const tw_score *score = tw_scores_get(core, table, demand, i);
-        core->steps++;
+        core->pass_steps++;
         if (score) consider(core, demand, score, &choice);
     }
     return choice;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -14,53 +14,53 @@
 /* ---- construction ---- */
 
 static void init_peers(tw_core *core) {
-    const tw_conf *conf = core->cf;
-    core->npeers = conf->npeers;
+    const tw_conf *conf = core->config;
+    core->peer_count = conf->npeers;
     core->peers = tw_zalloc(conf->npeers * sizeof *core->peers);
     for (size_t i = 0; i < conf->npeers; i++) {
         peer *peer = &core->peers[i];
-        peer->cf = conf->peers[i];
-        peer->ok_at = peer->vouched_at = LONG_AGO;
+        peer->config = conf->peers[i];
+        peer->answered_at = peer->vouched_at = LONG_AGO;
     }
     tw_failover_init(core);
 }
 
 /* What the settings want of each class of jobs. */
 static void init_objectives(tw_core *core) {
-    for (size_t i = 0; i < core->cf->nobjectives; i++) {
-        const tw_conf_objective *objective = &core->cf->objectives[i];
+    for (size_t i = 0; i < core->config->nobjectives; i++) {
+        const tw_conf_objective *objective = &core->config->objectives[i];
         if (!*objective->cls) continue;
         lane *class = tw_lane(core, objective->cls);
-        if (strcmp(objective->kind, "wait") == 0) class->within_s = objective->within_s;
-        if (strcmp(objective->kind, "finished") == 0) class->finish_s = objective->within_s;
-        if (strcmp(objective->kind, "deadline") == 0) class->deadline = 1;
+        if (strcmp(objective->kind, "wait") == 0) class->start_within_s = objective->within_s;
+        if (strcmp(objective->kind, "finished") == 0) class->finish_within_s = objective->within_s;
+        if (strcmp(objective->kind, "deadline") == 0) class->has_deadline = 1;
     }
 }
 
 tw_core *tw_core_new(const tw_conf *conf, uint64_t seed, double now, double wall) {
     tw_core *core = tw_zalloc(sizeof *core);
-    core->cf = conf;
+    core->config = conf;
     core->now = now;
     core->wall = wall;
     core->rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(core->rng, (unsigned long)seed);
     core->started_at = now;
-    core->state_ok_at = LONG_AGO;
-    core->ttl = fmax(SHORTEST_TTL_S, conf->tune.election_ratio * conf->lease_s);
+    core->store_answered_at = LONG_AGO;
+    core->leader_lease_s = fmax(SHORTEST_TTL_S, conf->tune.election_ratio * conf->lease_s);
     init_peers(core);
     tw_election_init(core);
     tw_budgets_init(core);
-    core->team_c = tw_zalloc((conf->nteams + 1) * sizeof(double));
-    core->team_g = tw_zalloc((conf->nteams + 1) * sizeof(double));
-    core->reports = tw_wire_heartbeat_cache_new();
+    core->team_cores_used = tw_zalloc((conf->nteams + 1) * sizeof(double));
+    core->team_gpus_used = tw_zalloc((conf->nteams + 1) * sizeof(double));
+    core->heartbeat_cache = tw_wire_heartbeat_cache_new();
     init_objectives(core);
     return core;
 }
 
 static void free_classes(tw_core *core) {
     lane *class, *next;
-    HASH_ITER(hh, core->lanes, class, next) {
-        HASH_DEL(core->lanes, class);
+    HASH_ITER(hh, core->job_classes, class, next) {
+        HASH_DEL(core->job_classes, class);
         free(class);
     }
 }
@@ -73,16 +73,16 @@
     tw_redirect_end(core);
     tw_effects_free(core);
     free_classes(core);
-    free(core->flavors);
-    tw_wire_heartbeat_cache_free(core->reports);
-    free(core->order);
-    free(core->futile);
+    free(core->machine_types);
+    tw_wire_heartbeat_cache_free(core->heartbeat_cache);
+    free(core->command_scratch);
+    free(core->placement_failures);
     free(core->candidates);
     tw_scores_free(core);
-    free(core->offers);
+    free(core->capacity_offers);
     free(core->peers);
-    free(core->team_c);
-    free(core->team_g);
+    free(core->team_cores_used);
+    free(core->team_gpus_used);
     gsl_rng_free(core->rng);
     free(core);
 }
@@ -102,7 +102,7 @@
 /* What follows from any input: placing, writing, sending. */
 static void follow_up(tw_core *core) {
     if (!is_in_command(core)) return;
-    if (core->sched_dirty && core->now >= core->next_sched) tw_schedule(core);
+    if (core->scheduling_due && core->now >= core->next_pass_at) tw_schedule(core);
     tw_jobs_flush(core);
     tw_fleet_direct(core);
 }
@@ -282,7 +282,7 @@
     if (!what || !tw_log_on(TW_LOG_DEBUG)) return;
     tw_log_debug("event=state_read what=%s status=%d revision=%llu took_s=%.3f token=%llu stale=%d",
                  what, status, (unsigned long long)revision_of(status, body, len),
-                 core->now - sent->sent, (unsigned long long)core->token,
+                 core->now - sent->sent_at, (unsigned long long)core->fencing_token,
                  responses[sent->kind].of_term && sent->term != core->term);
 }
 
@@ -300,10 +300,10 @@
 
 /* ---- ticks ---- */
 
-uint64_t tw_core_steps(const tw_core *core) { return core->steps; }
+uint64_t tw_core_steps(const tw_core *core) { return core->pass_steps; }
 
 double tw_core_tick_s(const tw_core *core) {
-    const double interval_s = core->cf->report_s / TICKS_PER_REPORT;
+    const double interval_s = core->config->report_s / TICKS_PER_REPORT;
     return fmin(LONGEST_TICK_S, fmax(SHORTEST_TICK_S, interval_s));
 }
 
@@ -312,8 +312,8 @@
     tw_deputies_tick(core);
     tw_accepted_elsewhere_tick(core);
     tw_fleet_tick(core);
-    if (core->now < core->next_recheck) return;
-    core->next_recheck = core->now + core->cf->tune.recheck_ratio * core->cf->report_s;
+    if (core->now < core->next_recheck_at) return;
+    core->next_recheck_at = core->now + core->config->tune.recheck_ratio * core->config->report_s;
     tw_recheck(core);
 }
 
--- a/src/core/counters.c
+++ b/src/core/counters.c
@@ -26,7 +26,7 @@
     va_end(arguments);
     core->counters.broken[which]++;
     tw_log_error("event=invariant_broken name=%s token=%llu %s", invariant_names[which],
-                 (unsigned long long)core->token, detail);
+                 (unsigned long long)core->fencing_token, detail);
 }
 
 uint64_t tw_core_broken(const tw_core *core) {
@@ -50,9 +50,9 @@
     char line[LONGEST_LINE] = "";
     const char *grounds[END_GROUNDS];
     for (int i = 0; i < END_GROUNDS; i++) grounds[i] = tw_end_ground_name((end_ground)i);
-    add(line, "ended", grounds, core->counters.ended, END_GROUNDS);
+    add(line, "ended", grounds, core->counters.terminated, END_GROUNDS);
     add(line, "kept", grounds, core->counters.kept, END_GROUNDS);
-    add(line, "refused", refusal_names, core->counters.refused, REFUSALS);
+    add(line, "refused", refusal_names, core->counters.rejected, REFUSALS);
     add(line, "broken", invariant_names, core->counters.broken, INVARIANTS);
     tw_log_debug("event=counters%s", line);
 }
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -26,9 +26,9 @@
 } invariant;
 
 typedef struct tw_counters {
-    uint64_t ended[END_GROUNDS]; /* attempts, by ground */
-    uint64_t kept[END_GROUNDS];  /* attempts that the ground did not end */
-    uint64_t refused[REFUSALS];
+    uint64_t terminated[END_GROUNDS]; /* attempts, by ground */
+    uint64_t kept[END_GROUNDS];       /* attempts that the ground did not end */
+    uint64_t rejected[REFUSALS];
     uint64_t broken[INVARIANTS];
 } tw_counters;
 
--- a/src/core/deputies_seen.c
+++ b/src/core/deputies_seen.c
@@ -9,28 +9,28 @@
 
 double tw_deputies_until(const tw_core *core, const char *zone) {
     double until = 0;
-    for (size_t i = 0; i < core->npeers; i++) {
+    for (size_t i = 0; i < core->peer_count; i++) {
         const peer *node = &core->peers[i];
-        if (node->deputy_until > until && (!*zone || !strcmp(zone, node->cf.zone)))
-            until = node->deputy_until;
+        if (node->delegate_until > until && (!*zone || !strcmp(zone, node->config.zone)))
+            until = node->delegate_until;
     }
     return until;
 }
 
 int tw_deputy_conds(const tw_core *core, tw_wire_compare *conds, char (*keys)[TW_DEPUTY_KEY_SIZE]) {
     int count = 0;
-    for (size_t i = 0; i < core->npeers; i++) {
-        tw_deputy_key(keys[count], core->peers[i].cf.name);
-        conds[count] = (tw_wire_compare){keys[count], core->peers[i].dep_stamp};
+    for (size_t i = 0; i < core->peer_count; i++) {
+        tw_deputy_key(keys[count], core->peers[i].config.name);
+        conds[count] = (tw_wire_compare){keys[count], core->peers[i].delegate_revision};
         count++;
     }
     return count;
 }
 
 void tw_deputies_read(tw_core *core) {
-    if (core->deputies_reading) return;
-    core->deputies_reading = 1;
-    tw_call(core, K_DEPUTIES, TW_TO_STATE, core->cf->state, "GET",
+    if (core->delegates_read_in_flight) return;
+    core->delegates_read_in_flight = 1;
+    tw_call(core, K_DEPUTIES, TW_TO_STATE, core->config->state, "GET",
             "/kv?starts=" TW_DEPUTY_KEY "&most=100", NULL, 1);
 }
 
@@ -38,10 +38,10 @@
 static int key_seen(tw_core *core, const tw_wire_entry *entry) {
     const size_t prefix = sizeof TW_DEPUTY_KEY - 1;
     peer *node = strlen(entry->key) > prefix ? tw_peer_of(core, entry->key + prefix) : NULL;
-    if (!node || node->dep_stamp >= entry->mod_revision) return 0;
-    node->dep_stamp = entry->mod_revision;
+    if (!node || node->delegate_revision >= entry->mod_revision) return 0;
+    node->delegate_revision = entry->mod_revision;
     /* One of an earlier term is covered by tw_predecessor_end. */
-    node->deputy_until = core->now + tw_deputy_s(core) * (1 + 2 * core->cf->tune.drift);
+    node->delegate_until = core->now + tw_deputy_s(core) * (1 + 2 * core->config->tune.drift);
     return 1;
 }
 
@@ -49,27 +49,29 @@
     tw_wire_entry *entries;
     int count, more;
     int any_newer = 0;
-    core->deputies_reading = 0;
+    core->delegates_read_in_flight = 0;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) return;
     for (int i = 0; i < count; i++) any_newer |= key_seen(core, &entries[i]);
     tw_wire_entries_free(entries, count);
-    if (any_newer && core->deputies_known && core->lapse_decided_at > core->deputies_checked_at) {
+    if (any_newer && core->delegates_known &&
+        core->expiry_decided_at > core->delegates_checked_at) {
         /* A lease was taken for lapsed while a deputy we did not know of may have renewed it. What
          * was decided since can't be told apart: the next term starts from the records. */
         tw_step_down(core, "an unseen deputy");
         return;
     }
-    core->deputies_checked_at = sent->sent;
-    core->deputies_known = 1;
+    core->delegates_checked_at = sent->sent_at;
+    core->delegates_known = 1;
 }
 
 void tw_deputies_tick(tw_core *core) {
-    int away = !core->deputies_known;
-    for (size_t i = 0; i < core->npeers; i++) {
+    int away = !core->delegates_known;
+    for (size_t i = 0; i < core->peer_count; i++) {
         const peer *node = &core->peers[i];
-        away |= node->ok_at < core->now - 1 - 0.5 * core->ttl || node->deputy_until > core->now;
+        away |= node->answered_at < core->now - 1 - 0.5 * core->leader_lease_s ||
+                node->delegate_until > core->now;
     }
-    if (!away || core->now < core->deputies_next) return;
-    core->deputies_next = core->now + READ_LEASES * core->cf->lease_s;
+    if (!away || core->now < core->next_delegates_read_at) return;
+    core->next_delegates_read_at = core->now + READ_LEASES * core->config->lease_s;
     tw_deputies_read(core);
 }
--- a/src/core/deputy.c
+++ b/src/core/deputy.c
@@ -23,7 +23,7 @@
 #define READ_LEASES 0.4
 #define REFUSED_LEASES 0.05
 
-double tw_deputy_s(const tw_core *core) { return 0.5 * core->cf->lease_s; }
+double tw_deputy_s(const tw_core *core) { return 0.5 * core->config->lease_s; }
 
 void tw_deputy_key(char *key, const char *node) {
     snprintf(key, TW_DEPUTY_KEY_SIZE, TW_DEPUTY_KEY "%s", node);
@@ -32,15 +32,16 @@
 int tw_deputy_entitled(tw_core *core, const char *worker, const char *zone) {
     /* The leader counts on it that only nodes of its own zone renew a machine's lease without it.
      */
-    if (core->role != R_FOLLOWER || strcmp(zone, core->cf->location) != 0) return 0;
-    if (core->grant_token && core->grant_token == core->seen_token && core->now < core->grant_until)
+    if (core->role != R_FOLLOWER || strcmp(zone, core->config->location) != 0) return 0;
+    if (core->delegation_token && core->delegation_token == core->highest_token_seen &&
+        core->now < core->delegation_until)
         return 1;
     expiring *relayed;
-    HASH_FIND_STR(core->relayed, worker, relayed);
+    HASH_FIND_STR(core->forwarded_workers, worker, relayed);
     const double answered_at = relayed ? relayed->at : -INFINITY;
-    const double read_at = core->deputy_read_at > 0 ? core->deputy_read_at : -INFINITY;
-    return core->now < fmax(answered_at, read_at) + tw_blind_s(core) && core->deputy_token &&
-           core->deputy_token == core->seen_token && core->now < core->deputy_until;
+    const double read_at = core->cancelled_read_at > 0 ? core->cancelled_read_at : -INFINITY;
+    return core->now < fmax(answered_at, read_at) + tw_blind_s(core) && core->delegate_token &&
+           core->delegate_token == core->highest_token_seen && core->now < core->delegate_until;
 }
 
 /* ---- sets of names, each with a time ---- */
@@ -84,27 +85,28 @@
 void tw_aborted_note(tw_core *core, uint64_t token, const char *body, size_t len) {
     char(*ids)[TW_WIRE_ID_SIZE];
     int count;
-    if (token != core->seen_token || core->role != R_FOLLOWER) return;
+    if (token != core->highest_token_seen || core->role != R_FOLLOWER) return;
     /* An id is kept for as long as a grant and a lease may last: an answer may be older than a
      * heartbeat that came before it. */
-    forget_older(core, &core->grant_aborted, tw_alone_s(core) + 2 * core->cf->lease_s);
+    forget_older(core, &core->announced_cancelled_jobs,
+                 tw_alone_s(core) + 2 * core->config->lease_s);
     if (tw_wire_cancelled_jobs_parse(&ids, &count, body, len)) return;
-    for (int i = 0; i < count; i++) remember(&core->grant_aborted, ids[i], core->now);
+    for (int i = 0; i < count; i++) remember(&core->announced_cancelled_jobs, ids[i], core->now);
     free(ids);
 }
 
 void tw_deputy_granted(tw_core *core, double sent, uint64_t token, const char *body, size_t len) {
-    if (token != core->seen_token || core->role != R_FOLLOWER) return;
+    if (token != core->highest_token_seen || core->role != R_FOLLOWER) return;
     tw_aborted_note(core, token, body, len);
-    core->grant_token = token;
-    core->grant_until = sent + tw_alone_s(core) * (1 - 2 * core->cf->tune.drift);
+    core->delegation_token = token;
+    core->delegation_until = sent + tw_alone_s(core) * (1 - 2 * core->config->tune.drift);
 }
 
 void tw_deputy_relayed(tw_core *core, const char *worker, double at) {
-    remember(&core->relayed, worker, at);
-    if (core->now < core->relayed_tidy) return;
-    core->relayed_tidy = core->now + core->cf->lease_s;
-    forget_older(core, &core->relayed, tw_blind_s(core));
+    remember(&core->forwarded_workers, worker, at);
+    if (core->now < core->next_forwarded_sweep_at) return;
+    core->next_forwarded_sweep_at = core->now + core->config->lease_s;
+    forget_older(core, &core->forwarded_workers, tw_blind_s(core));
 }
 
 /* ---- cancelled jobs, from the state service ---- */
@@ -112,21 +114,22 @@
 static void list_jobs(tw_core *core) {
     char path[PATH_SIZE];
     const int length = snprintf(path, sizeof path, "/kv?starts=" JOB_KEY "&most=%d", PAGE_SIZE);
-    if (*core->deputy_list_after)
-        snprintf(path + length, sizeof path - (size_t)length, "&since=%s", core->deputy_list_after);
+    if (*core->cancelled_list_cursor)
+        snprintf(path + length, sizeof path - (size_t)length, "&since=%s",
+                 core->cancelled_list_cursor);
     else
-        core->deputy_list_from = core->now;
-    core->deputy_listing = 1;
-    tw_call(core, K_DEP_JOBS, TW_TO_STATE, core->cf->state, "GET", path, NULL, 1);
+        core->cancelled_list_began_at = core->now;
+    core->cancelled_list_in_flight = 1;
+    tw_call(core, K_DEP_JOBS, TW_TO_STATE, core->config->state, "GET", path, NULL, 1);
 }
 
 void tw_deputy_jobs(tw_core *core, int status, const char *body, size_t len) {
     tw_wire_entry *entries;
     int count, more;
-    core->deputy_listing = 0;
+    core->cancelled_list_in_flight = 0;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) {
         /* Goes on where it stopped: under load some request is always refused. */
-        core->deputy_list_next = core->now + REFUSED_LEASES * core->cf->lease_s;
+        core->next_cancelled_list_at = core->now + REFUSED_LEASES * core->config->lease_s;
         return;
     }
     const size_t prefix = sizeof JOB_KEY - 1;
@@ -134,26 +137,27 @@
         const tw_wire_entry *entry = &entries[i];
         if (strlen(entry->key) > prefix &&
             tw_wire_record_state(entry->value, strlen(entry->value)) == TW_JOB_CANCELLED)
-            remember(&core->deputy_aborted, entry->key + prefix, core->now);
+            remember(&core->listed_cancelled_jobs, entry->key + prefix, core->now);
     }
-    *core->deputy_list_after = 0;
+    *core->cancelled_list_cursor = 0;
     if (more && count) {
-        snprintf(core->deputy_list_after, sizeof core->deputy_list_after, "%s",
+        snprintf(core->cancelled_list_cursor, sizeof core->cancelled_list_cursor, "%s",
                  entries[count - 1].key);
         list_jobs(core);
     } else {
-        core->deputy_read_at = fmax(core->deputy_read_at, core->deputy_list_from);
+        core->cancelled_read_at = fmax(core->cancelled_read_at, core->cancelled_list_began_at);
     }
     tw_wire_entries_free(entries, count);
 }
 
 void tw_deputy_tick(tw_core *core) {
-    if (core->role != R_FOLLOWER || core->now >= core->deputy_until) {
-        if (core->deputy_aborted && !core->deputy_listing) forget_all(&core->deputy_aborted);
+    if (core->role != R_FOLLOWER || core->now >= core->delegate_until) {
+        if (core->listed_cancelled_jobs && !core->cancelled_list_in_flight)
+            forget_all(&core->listed_cancelled_jobs);
         return;
     }
-    if (core->deputy_listing || core->now < core->deputy_list_next) return;
-    core->deputy_list_next = core->now + READ_LEASES * core->cf->lease_s;
+    if (core->cancelled_list_in_flight || core->now < core->next_cancelled_list_at) return;
+    core->next_cancelled_list_at = core->now + READ_LEASES * core->config->lease_s;
     list_jobs(core);
 }
 
@@ -162,46 +166,49 @@
 /* Writes this node's key as a deputy. */
 static void become_deputy(tw_core *core) {
     /* Every report that waits asks for it: the state service's limit is shared with the leader. */
-    if (core->deputy_busy || core->now < core->deputy_try || !core->leader_token ||
-        core->leader_token != core->seen_token || core->role != R_FOLLOWER)
+    if (core->delegate_write_in_flight || core->now < core->next_delegate_attempt_at ||
+        !core->leader_token || core->leader_token != core->highest_token_seen ||
+        core->role != R_FOLLOWER)
         return;
     char key[TW_DEPUTY_KEY_SIZE];
     char data[DATA_SIZE];
-    tw_deputy_key(key, core->cf->host_name);
+    tw_deputy_key(key, core->config->host_name);
     snprintf(data, sizeof data, "{\"token\":%llu,\"n\":%llu}",
-             (unsigned long long)core->leader_token, (unsigned long long)++core->deputy_sequence);
+             (unsigned long long)core->leader_token, (unsigned long long)++core->delegate_sequence);
     tw_wire_compare condition = {TW_LEADER_KEY, core->leader_token};
     tw_wire_write written = {key, data, 0};
-    call *sent = tw_call(core, K_DEPUTY, TW_TO_STATE, core->cf->state, "POST", "/txn",
+    call *sent = tw_call(core, K_DEPUTY, TW_TO_STATE, core->config->state, "POST", "/txn",
                          tw_wire_txn_text(&condition, 1, &written, 1), 1);
-    sent->vers = tw_zalloc(sizeof *sent->vers);
-    sent->vers[0] = core->leader_token;
-    core->deputy_busy = 1;
-    core->deputy_try = core->now + ATTEMPT_LEASES * core->cf->lease_s;
+    sent->tokens = tw_zalloc(sizeof *sent->tokens);
+    sent->tokens[0] = core->leader_token;
+    core->delegate_write_in_flight = 1;
+    core->next_delegate_attempt_at = core->now + ATTEMPT_LEASES * core->config->lease_s;
 }
 
 void tw_deputy_response(tw_core *core, call *sent, int status) {
-    core->deputy_busy = 0;
-    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->state_ok_at = core->now;
+    core->delegate_write_in_flight = 0;
+    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
     if (status != TW_HTTP_OK) return;
-    if (core->now >= core->deputy_until)
-        tw_log_info("event=deputy token=%llu", (unsigned long long)sent->vers[0]);
-    core->deputy_token = sent->vers[0];
-    core->deputy_until = sent->sent + tw_deputy_s(core) * (1 - 2 * core->cf->tune.drift);
+    if (core->now >= core->delegate_until)
+        tw_log_info("event=deputy token=%llu", (unsigned long long)sent->tokens[0]);
+    core->delegate_token = sent->tokens[0];
+    core->delegate_until = sent->sent_at + tw_deputy_s(core) * (1 - 2 * core->config->tune.drift);
     tw_relay_retry(core);
     tw_deputy_tick(core);
 }
 
 /* Renews the worker's lease and stops its tasks of cancelled jobs. */
 static void answer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
-    if (core->now > core->deputy_last + core->cf->lease_s)
-        tw_log_info("event=deputising token=%llu", (unsigned long long)core->seen_token);
-    core->deputy_last = core->now;
+    if (core->now > core->delegate_answered_at + core->config->lease_s)
+        tw_log_info("event=deputising token=%llu", (unsigned long long)core->highest_token_seen);
+    core->delegate_answered_at = core->now;
     tw_orders orders = tw_orders_new(core);
     for (int i = 0; i < report->task_count && orders.count < MAX_KILLS; i++) {
         const tw_wire_task *task = &report->tasks[i];
         if (task->state == TW_TASK_EXITED) continue;
-        if (!has(core->deputy_aborted, task->job) && !has(core->grant_aborted, task->job)) continue;
+        if (!has(core->listed_cancelled_jobs, task->job) &&
+            !has(core->announced_cancelled_jobs, task->job))
+            continue;
         const tw_wire_command stop = {
             .kind = TW_COMMAND_STOP, .index = task->index, .attempt = task->attempt};
         tw_orders_add(&orders, stop, task->job);
@@ -215,17 +222,17 @@
 
 int tw_deputy_answers(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
     if (!tw_deputy_entitled(core, report->worker, report->zone)) {
-        if (!strcmp(report->zone, core->cf->location)) become_deputy(core);
+        if (!strcmp(report->zone, core->config->location)) become_deputy(core);
         return 0;
     }
     /* The grant ends; a key, where the state service can be reached, goes on. */
-    if (core->now > core->deputy_until - 0.5 * tw_deputy_s(core)) become_deputy(core);
+    if (core->now > core->delegate_until - 0.5 * tw_deputy_s(core)) become_deputy(core);
     answer(core, conn, report);
     return 1;
 }
 
 void tw_deputy_end(tw_core *core) {
-    forget_all(&core->deputy_aborted);
-    forget_all(&core->grant_aborted);
-    forget_all(&core->relayed);
+    forget_all(&core->listed_cancelled_jobs);
+    forget_all(&core->announced_cancelled_jobs);
+    forget_all(&core->forwarded_workers);
 }
--- a/src/core/effects.c
+++ b/src/core/effects.c
@@ -5,18 +5,18 @@
 
 static void push(tw_core *core, tw_fx *effect) {
     effect->next = NULL;
-    if (core->fx_tail)
-        core->fx_tail->next = effect;
+    if (core->effects_tail)
+        core->effects_tail->next = effect;
     else
-        core->fx_head = effect;
-    core->fx_tail = effect;
+        core->effects_head = effect;
+    core->effects_tail = effect;
 }
 
 tw_fx *tw_core_next(tw_core *core) {
-    tw_fx *effect = core->fx_head;
+    tw_fx *effect = core->effects_head;
     if (!effect) return NULL;
-    core->fx_head = effect->next;
-    if (!core->fx_head) core->fx_tail = NULL;
+    core->effects_head = effect->next;
+    if (!core->effects_head) core->effects_tail = NULL;
     return effect;
 }
 
@@ -51,9 +51,9 @@
               const char *path, char *body, double timeout_s) {
     call *sent = tw_zalloc(sizeof *sent);
     if (to == TW_TO_STATE) core->calls_made[kind]++;
-    sent->id = ++core->next_call;
+    sent->id = ++core->last_call_id;
     sent->kind = kind;
-    sent->sent = core->now;
+    sent->sent_at = core->now;
     sent->term = core->term;
     HASH_ADD(hh, core->calls, id, sizeof sent->id, sent);
     tw_fx *effect = tw_zalloc(sizeof *effect);
@@ -82,7 +82,7 @@
     free(sent->text);
     free(sent->names);
     free(sent->records);
-    free(sent->vers);
+    free(sent->tokens);
     free(sent);
 }
 
@@ -97,13 +97,13 @@
 }
 
 void tw_calls_log(tw_core *core) {
-    if (core->now < core->next_calls_log) return;
-    core->next_calls_log = core->now + core->cf->lease_s;
+    if (core->now < core->next_calls_log_at) return;
+    core->next_calls_log_at = core->now + core->config->lease_s;
     const unsigned *made = core->calls_made;
     tw_log_debug(
         "event=state_calls s=%.0f key=%u watch=%u elect=%u renew=%u txn=%u read=%u load=%u "
         "deputy=%u deputies=%u list=%u news=%u refused=%u",
-        core->cf->lease_s, made[K_LEADER_GET], made[K_LEADER_WATCH],
+        core->config->lease_s, made[K_LEADER_GET], made[K_LEADER_WATCH],
         made[K_GRANT] + made[K_ACQUIRE] + made[K_GRANT_DEL], made[K_RENEW],
         made[K_TXN] + made[K_CREATE] + made[K_PARTS] + made[K_PARTS_REMOVE],
         made[K_JOB_READ] + made[K_LOOKUP], made[K_LOAD], made[K_DEPUTY], made[K_DEPUTIES],
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -53,39 +53,39 @@
 
 /* In which the limit allows a request to each node. */
 static double round_s(const tw_core *core) {
-    return (double)(core->npeers + 1) / core->cf->state_rps;
+    return (double)(core->peer_count + 1) / core->config->state_rps;
 }
 
 void tw_election_init(tw_core *core) {
-    const double rate = core->cf->tune.write_share * FOLLOW_SHARE / round_s(core);
+    const double rate = core->config->tune.write_share * FOLLOW_SHARE / round_s(core);
     const double burst = fmax(ELECTION_REQUESTS, rate);
-    core->follows = tw_budget_of(rate, burst, core->now);
+    core->election_limiter = tw_budget_of(rate, burst, core->now);
 }
 
 double tw_refused_wait_s(tw_core *core, int status) {
     if (status != TW_HTTP_TOO_MANY) return 0;
-    return LEADER_WAIT_REQUESTS / core->cf->state_rps * tw_jitter(core, WAIT_LEAST, WAIT_MOST);
+    return LEADER_WAIT_REQUESTS / core->config->state_rps * tw_jitter(core, WAIT_LEAST, WAIT_MOST);
 }
 
 /* A node whose requests are refused asks ever less often: a limit that all nodes exceed together,
  * each as often as it may, would let none of them through. */
 static void note_limit(tw_core *core, int status) {
     if (status != TW_HTTP_TOO_MANY) {
-        if (status) core->follows_refused = 0;
+        if (status) core->election_refusals = 0;
         return;
     }
     const double wait =
-        ldexp(round_s(core), core->follows_refused) * tw_jitter(core, WAIT_LEAST, WAIT_MOST);
-    if (core->follows_refused < REFUSED_MOST) core->follows_refused++;
-    core->next_poll = fmax(core->next_poll, core->now + wait);
+        ldexp(round_s(core), core->election_refusals) * tw_jitter(core, WAIT_LEAST, WAIT_MOST);
+    if (core->election_refusals < REFUSED_MOST) core->election_refusals++;
+    core->next_leader_read_at = fmax(core->next_leader_read_at, core->now + wait);
 }
 
 /* A request of an election that has begun: it is not broken off for want of budget, which is paid
  * back before the next reading of the key. */
 static void election_call(tw_core *core, call_kind kind, const char *method, const char *path,
                           char *body /* owned */, double timeout_s) {
-    tw_put_back(&core->follows, -1);
-    tw_call(core, kind, TW_TO_STATE, core->cf->state, method, path, body, timeout_s);
+    tw_put_back(&core->election_limiter, -1);
+    tw_call(core, kind, TW_TO_STATE, core->config->state, method, path, body, timeout_s);
 }
 
 /* ---- terms ---- */
@@ -93,90 +93,95 @@
 void tw_step_down(tw_core *core, const char *why) {
     if (core->role != R_LEADER) return;
     tw_log_info("event=step_down token=%llu why=\"%s\" led_s=%.2f authority_left_s=%.3f",
-                (unsigned long long)core->token, why, core->now - core->acquired_at,
-                core->auth_until - core->now);
+                (unsigned long long)core->fencing_token, why, core->now - core->acquired_at,
+                core->authority_until - core->now);
     core->role = R_FOLLOWER;
     core->term++;
-    core->renew_busy = 0;
-    core->hold = 0;
-    if (!strcmp(core->leader, core->cf->host_name)) *core->leader = 0;
+    core->renewals_in_flight = 0;
+    core->lease_id = 0;
+    if (!strcmp(core->leader_name, core->config->host_name)) *core->leader_name = 0;
     tw_term_clear(core);
-    core->watch_since = 0;
-    core->next_poll = core->now + core->ttl * tw_jitter(core, RESIGNED_LEAST, RESIGNED_MOST);
+    core->watch_from_revision = 0;
+    core->next_leader_read_at =
+        core->now + core->leader_lease_s * tw_jitter(core, RESIGNED_LEAST, RESIGNED_MOST);
 }
 
 /* Any sign of a later leader: from the state service, a peer or a worker. */
 void tw_saw_token(tw_core *core, uint64_t token, const char *leader) {
-    if (token > core->seen_token) core->seen_token = token;
+    if (token > core->highest_token_seen) core->highest_token_seen = token;
     if (leader && *leader && token >= core->leader_token) {
         core->leader_token = token;
-        core->leader_seen = core->now;
-        snprintf(core->leader, sizeof core->leader, "%s", leader);
+        core->leader_seen_at = core->now;
+        snprintf(core->leader_name, sizeof core->leader_name, "%s", leader);
     }
-    if (core->role == R_LEADER && token > core->token) tw_step_down(core, "a later leader exists");
+    if (core->role == R_LEADER && token > core->fencing_token)
+        tw_step_down(core, "a later leader exists");
 }
 
 /* Until when the lease, granted or renewed by a request sent then, gives authority. */
 static double authority_end(const tw_core *core, double sent_at) {
-    return sent_at + core->ttl * (1 - 2 * core->cf->tune.drift) - core->ttl * AUTHORITY_MARGIN;
+    return sent_at + core->leader_lease_s * (1 - 2 * core->config->tune.drift) -
+           core->leader_lease_s * AUTHORITY_MARGIN;
 }
 
 static void become_leader(tw_core *core, uint64_t token) {
     core->role = R_LEADER;
     core->term++;
-    core->token = token;
+    core->fencing_token = token;
     core->acquired_at = core->now;
-    core->auth_until = authority_end(core, core->grant_sent);
-    core->next_renew = core->now;
-    core->renew_busy = 0;
-    core->all_confirmed_at = core->npeers ? 0 : core->now;
-    for (size_t i = 0; i < core->npeers; i++) {
-        core->peers[i].next = core->now;
-        core->peers[i].abort_ack = core->peers[i].asked_seq = 0;
-        core->peers[i].grant_until = 0; /* given by us in an earlier term: under an older token */
+    core->authority_until = authority_end(core, core->lease_requested_at);
+    core->next_renewal_at = core->now;
+    core->renewals_in_flight = 0;
+    core->peers_confirmed_at = core->peer_count ? 0 : core->now;
+    for (size_t i = 0; i < core->peer_count; i++) {
+        core->peers[i].next_heartbeat_at = core->now;
+        core->peers[i].cancellations_known = core->peers[i].cancellations_told = 0;
+        core->peers[i].delegation_until =
+            0; /* given by us in an earlier term: under an older token */
     }
-    tw_saw_token(core, token, core->cf->host_name);
+    tw_saw_token(core, token, core->config->host_name);
     tw_log_info("event=leader token=%llu authority_s=%.3f hold_s=%.2f", (unsigned long long)token,
-                core->auth_until - core->now, tw_hold_s(core));
+                core->authority_until - core->now, tw_hold_s(core));
     tw_recover_begin(core);
 }
 
 /* ---- following the leader's key ---- */
 
 static void poll_leader(tw_core *core) {
-    core->poll_busy = 1;
-    tw_call(core, K_LEADER_GET, TW_TO_STATE, core->cf->state, "GET", "/kv/" TW_LEADER_KEY, NULL,
-            fmax(1, core->ttl * ELECTION_TIMEOUT));
+    core->leader_read_in_flight = 1;
+    tw_call(core, K_LEADER_GET, TW_TO_STATE, core->config->state, "GET", "/kv/" TW_LEADER_KEY, NULL,
+            fmax(1, core->leader_lease_s * ELECTION_TIMEOUT));
 }
 
 /* A watch instead of many polls: the state service's limit is for all nodes together, and the end
  * of the leader's key is told at once. Held for no more than a term, since its answer also shows
  * that the state service is there; longer only where the limit allows no watch a term. */
 static void watch_leader(tw_core *core) {
-    const double most_often = WATCH_SHARE * core->follows.rate;
-    const double hold = fmin(fmax(core->ttl, 1 / most_often), WATCH_MOST_S);
+    const double most_often = WATCH_SHARE * core->election_limiter.rate;
+    const double hold = fmin(fmax(core->leader_lease_s, 1 / most_often), WATCH_MOST_S);
     char path[TW_PATH_SIZE];
-    core->poll_busy = 1;
+    core->leader_read_in_flight = 1;
     snprintf(path, sizeof path, "/follow?starts=" TW_LEADER_KEY "&since=%llu&holdMs=%d",
-             (unsigned long long)core->watch_since, (int)(hold * MS));
-    tw_call(core, K_LEADER_WATCH, TW_TO_STATE, core->cf->state, "GET", path, NULL,
-            hold + core->ttl * 0.5 + WATCH_ANSWER_S);
+             (unsigned long long)core->watch_from_revision, (int)(hold * MS));
+    tw_call(core, K_LEADER_WATCH, TW_TO_STATE, core->config->state, "GET", path, NULL,
+            hold + core->leader_lease_s * 0.5 + WATCH_ANSWER_S);
 }
 
 static void on_watch(tw_core *core, int status, const char *body, size_t len) {
     uint64_t ledger;
-    core->poll_busy = 0;
-    core->watch_since = 0;
+    core->leader_read_in_flight = 0;
+    core->watch_from_revision = 0;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&ledger, body, len)) {
-        core->next_poll =
-            core->now + core->ttl * tw_jitter(core, WATCH_RETRY_LEAST, WATCH_RETRY_MOST);
+        core->next_leader_read_at =
+            core->now + core->leader_lease_s * tw_jitter(core, WATCH_RETRY_LEAST, WATCH_RETRY_MOST);
     } else if (tw_wire_watch_has_changes(body, len)) {
         /* Not all followers at the same moment. */
-        const double spread = fmax(core->ttl * CHANGED_SPREAD, round_s(core) * SPREAD_ROUNDS);
-        core->next_poll = core->now + tw_jitter(core, 0, spread);
+        const double spread =
+            fmax(core->leader_lease_s * CHANGED_SPREAD, round_s(core) * SPREAD_ROUNDS);
+        core->next_leader_read_at = core->now + tw_jitter(core, 0, spread);
     } else {
-        core->watch_since = ledger;
-        core->next_poll = core->now;
+        core->watch_from_revision = ledger;
+        core->next_leader_read_at = core->now;
     }
 }
 
@@ -184,10 +189,11 @@
 
 static void start_election(tw_core *core) {
     char body[64];
-    core->electing = 1;
-    core->grant_sent = core->now;
-    snprintf(body, sizeof body, "{\"lifeMs\":%d}", (int)(core->ttl * MS));
-    election_call(core, K_GRANT, "POST", "/grants", strdup(body), core->ttl * ELECTION_TIMEOUT);
+    core->election_in_flight = 1;
+    core->lease_requested_at = core->now;
+    snprintf(body, sizeof body, "{\"lifeMs\":%d}", (int)(core->leader_lease_s * MS));
+    election_call(core, K_GRANT, "POST", "/grants", strdup(body),
+                  core->leader_lease_s * ELECTION_TIMEOUT);
 }
 
 static void drop_grant(tw_core *core, uint64_t hold) {
@@ -202,25 +208,26 @@
     tw_saw_token(core, entry->mod_revision, leader);
     /* Our own name while we don't lead: an earlier life of this node, or an acquisition whose
      * answer was lost. Nobody acts on it any more, so its lease is ended at once. */
-    if (core->role == R_FOLLOWER && !core->electing && !strcmp(leader, core->cf->host_name)) {
+    if (core->role == R_FOLLOWER && !core->election_in_flight &&
+        !strcmp(leader, core->config->host_name)) {
         drop_grant(core, entry->lease_id);
-        *core->leader = 0;
-        core->watch_since = 0;
-        core->next_poll = core->now + OWN_KEY_GONE_S;
+        *core->leader_name = 0;
+        core->watch_from_revision = 0;
+        core->next_leader_read_at = core->now + OWN_KEY_GONE_S;
     }
 }
 
 static void on_leader_key(tw_core *core, int status, const char *body, size_t len) {
-    core->poll_busy = 0;
+    core->leader_read_in_flight = 0;
     if (status == TW_HTTP_NOT_FOUND) {
-        *core->leader = 0;
-        if (core->role == R_FOLLOWER && !core->electing) start_election(core);
+        *core->leader_name = 0;
+        if (core->role == R_FOLLOWER && !core->election_in_flight) start_election(core);
         return;
     }
     tw_wire_entry entry;
     if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, len)) return;
-    core->watch_since = entry.mod_revision;
-    if (core->role == R_FOLLOWER) core->next_poll = core->now;
+    core->watch_from_revision = entry.mod_revision;
+    if (core->role == R_FOLLOWER) core->next_leader_read_at = core->now;
     cJSON *data = cJSON_Parse(entry.value);
     const cJSON *node = cJSON_GetObjectItemCaseSensitive(data, "node");
     if (cJSON_IsString(node) && strlen(node->valuestring) < TW_NAME_SIZE)
@@ -232,61 +239,62 @@
 static void on_grant(tw_core *core, int status, const char *body, size_t len) {
     uint64_t hold;
     if (status != TW_HTTP_OK || tw_wire_lease_id_parse(&hold, body, len)) {
-        core->electing = 0;
+        core->election_in_flight = 0;
         return;
     }
-    core->hold = hold;
+    core->lease_id = hold;
     char data[128];
-    snprintf(data, sizeof data, "{\"node\":\"%s\"}", core->cf->host_name);
+    snprintf(data, sizeof data, "{\"node\":\"%s\"}", core->config->host_name);
     tw_wire_compare absent = {TW_LEADER_KEY, 0};
     tw_wire_write key = {TW_LEADER_KEY, data, hold};
     election_call(core, K_ACQUIRE, "POST", "/txn", tw_wire_txn_text(&absent, 1, &key, 1),
-                  core->ttl * ELECTION_TIMEOUT);
+                  core->leader_lease_s * ELECTION_TIMEOUT);
 }
 
 static void on_acquire(tw_core *core, int status, const char *body, size_t len) {
     uint64_t ledger;
-    core->electing = 0;
+    core->election_in_flight = 0;
     if (status == TW_HTTP_OK && !tw_wire_revision_parse(&ledger, body, len) &&
-        core->now < core->grant_sent + core->ttl * ACQUIRED_LATEST) {
+        core->now < core->lease_requested_at + core->leader_lease_s * ACQUIRED_LATEST) {
         become_leader(core, ledger);
         return;
     }
     /* Lost, or unknown: giving the lease back undoes an acquisition that went through. */
-    drop_grant(core, core->hold);
-    core->hold = 0;
-    core->watch_since = 0;
-    core->next_poll = core->now + core->ttl * tw_jitter(core, LOST_LEAST, LOST_MOST);
+    drop_grant(core, core->lease_id);
+    core->lease_id = 0;
+    core->watch_from_revision = 0;
+    core->next_leader_read_at =
+        core->now + core->leader_lease_s * tw_jitter(core, LOST_LEAST, LOST_MOST);
 }
 
 /* ---- the leader's lease ---- */
 
 static void renew(tw_core *core) {
     char path[TW_PATH_SIZE];
-    snprintf(path, sizeof path, "/grants/%llu/renew", (unsigned long long)core->hold);
-    core->renew_busy++;
-    core->renew_sent = core->now;
-    tw_call(core, K_RENEW, TW_TO_STATE, core->cf->state, "POST", path, strdup("{}"),
-            core->ttl * RENEW_TIMEOUT);
+    snprintf(path, sizeof path, "/grants/%llu/renew", (unsigned long long)core->lease_id);
+    core->renewals_in_flight++;
+    core->renewal_sent_at = core->now;
+    tw_call(core, K_RENEW, TW_TO_STATE, core->config->state, "POST", path, strdup("{}"),
+            core->leader_lease_s * RENEW_TIMEOUT);
 }
 
 static void on_renew(tw_core *core, const call *sent, int status) {
     if (sent->term != core->term || core->role != R_LEADER) return;
-    if (core->renew_busy) core->renew_busy--;
+    if (core->renewals_in_flight) core->renewals_in_flight--;
     if (status == TW_HTTP_OK) {
-        const double until = authority_end(core, sent->sent);
-        if (core->now >= core->auth_until)
-            tw_log_info("event=authority_back token=%llu", (unsigned long long)core->token);
-        tw_log_debug("event=renewed token=%llu authority_s=%.3f", (unsigned long long)core->token,
-                     until - core->now);
-        if (until > core->auth_until) core->auth_until = until;
-        core->next_renew = sent->sent + core->ttl * RENEW_EVERY;
-        core->sched_dirty = 1;
+        const double until = authority_end(core, sent->sent_at);
+        if (core->now >= core->authority_until)
+            tw_log_info("event=authority_back token=%llu", (unsigned long long)core->fencing_token);
+        tw_log_debug("event=renewed token=%llu authority_s=%.3f",
+                     (unsigned long long)core->fencing_token, until - core->now);
+        if (until > core->authority_until) core->authority_until = until;
+        core->next_renewal_at = sent->sent_at + core->leader_lease_s * RENEW_EVERY;
+        core->scheduling_due = 1;
     } else if (status == TW_HTTP_NOT_FOUND) {
         tw_step_down(core, "lease lost");
     } else {
-        core->next_renew =
-            core->now + fmax(core->ttl * RENEW_RETRY, tw_refused_wait_s(core, status));
+        core->next_renewal_at =
+            core->now + fmax(core->leader_lease_s * RENEW_RETRY, tw_refused_wait_s(core, status));
     }
 }
 
@@ -294,7 +302,7 @@
 
 static void note_state(tw_core *core, int status) {
     if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND || status == TW_HTTP_CONFLICT)
-        core->state_ok_at = core->now;
+        core->store_answered_at = core->now;
 }
 
 void tw_election_response(tw_core *core, call *sent, int status, const char *body, size_t len) {
@@ -326,22 +334,25 @@
 }
 
 static void leader_tick(tw_core *core) {
-    const int due = !core->renew_busy && core->now >= core->next_renew;
+    const int due = !core->renewals_in_flight && core->now >= core->next_renewal_at;
     /* A second one when the first is slow: the state service now and then takes long. */
-    const int slow =
-        core->renew_busy == 1 && core->now >= core->renew_sent + core->ttl * RENEW_SLOW;
+    const int slow = core->renewals_in_flight == 1 &&
+                     core->now >= core->renewal_sent_at + core->leader_lease_s * RENEW_SLOW;
     if (due || slow) renew(core);
-    if (core->now >= core->auth_until + tw_hold_s(core) ||
-        (core->phase == PH_LOADING && core->now >= core->auth_until))
+    if (core->now >= core->authority_until + tw_hold_s(core) ||
+        (core->phase == PH_LOADING && core->now >= core->authority_until))
         tw_step_down(core, "no authority");
 }
 
 /* Followers watch the key; a leader without authority looks whether it was replaced. */
 static void follower_tick(tw_core *core) {
-    if (core->poll_busy || core->electing || core->now < core->next_poll) return;
-    if (!tw_take(core, &core->follows, 1)) return;
-    core->next_poll = core->now + core->ttl * tw_jitter(core, POLL_LEAST, POLL_MOST);
-    if (core->watch_since && core->role == R_FOLLOWER)
+    if (core->leader_read_in_flight || core->election_in_flight ||
+        core->now < core->next_leader_read_at)
+        return;
+    if (!tw_take(core, &core->election_limiter, 1)) return;
+    core->next_leader_read_at =
+        core->now + core->leader_lease_s * tw_jitter(core, POLL_LEAST, POLL_MOST);
+    if (core->watch_from_revision && core->role == R_FOLLOWER)
         watch_leader(core);
     else
         poll_leader(core);
--- a/src/core/estimate.c
+++ b/src/core/estimate.c
@@ -7,60 +7,66 @@
 
 /* When its class's start objective is missed, counted anew after a loss; INFINITY: it has none. */
 static double start_due(const job *job) {
-    if (!job->lane || job->lane->within_s <= 0) return INFINITY;
-    return fmax(job->submitted, job->pending_since) + job->lane->within_s;
+    if (!job->job_class || job->job_class->start_within_s <= 0) return INFINITY;
+    return fmax(job->submitted_at, job->pending_since) + job->job_class->start_within_s;
 }
 
 /* A gang has its owner's deadline, else its class's objective for the end; and its start objective,
  * with the run that follows. */
 static double gang_due(const job *job) {
     double due = start_due(job) + tw_estimate(job);
-    if (job->s.deadline_s >= 0)
-        due = fmin(due, job->submitted + job->s.deadline_s);
-    else if (job->lane && job->lane->finish_s > 0)
-        due = fmin(due, job->submitted + job->lane->finish_s);
+    if (job->spec.deadline_s >= 0)
+        due = fmin(due, job->submitted_at + job->spec.deadline_s);
+    else if (job->job_class && job->job_class->finish_within_s > 0)
+        due = fmin(due, job->submitted_at + job->job_class->finish_within_s);
     return due;
 }
 
 double tw_job_due(const tw_core *core, const job *job) {
     (void)core;
-    if (job->s.gang) return gang_due(job);
-    if (!job->s.service && job->s.deadline_s >= 0) return job->submitted + job->s.deadline_s;
+    if (job->spec.gang) return gang_due(job);
+    if (!job->spec.service && job->spec.deadline_s >= 0)
+        return job->submitted_at + job->spec.deadline_s;
     /* A service's deadline is its class's start objective. */
     return start_due(job);
 }
 
-double tw_job_start_due(const job *job) { return job->s.gang ? start_due(job) : INFINITY; }
+double tw_job_start_due(const job *job) { return job->spec.gang ? start_due(job) : INFINITY; }
 
 double tw_estimate(const job *job) {
-    if (job->s.service) return 0;
-    return job->s.expected_run_s * (job->lane ? job->lane->ratio : 1);
+    if (job->spec.service) return 0;
+    return job->spec.expected_run_s * (job->job_class ? job->job_class->run_time_ratio : 1);
 }
 
 double tw_slowness(const tw_core *core, const machine *machine) {
-    return machine->slowness < 0 ? core->flavors[machine->rack].slowness : machine->slowness;
+    return machine->slowness < 0 ? core->machine_types[machine->type_index].slowness
+                                 : machine->slowness;
 }
 
 /* What is still to be fetched of an image, in GB. */
 static double missing_gb(const tw_core *core, const job *job, const machine *machine,
                          const image *image) {
-    if (!image) return job->s.image_gb;
+    if (!image) return job->spec.image_gb;
     if (image->ready_at <= 0) return 0;
-    return fmax(0, image->ready_at - core->now) * core->flavors[machine->rack].f.fetch_gb_s;
+    return fmax(0, image->ready_at - core->now) *
+           core->machine_types[machine->type_index].listed.fetch_gb_s;
 }
 
 tw_prediction tw_predict(const tw_core *core, const tw_demand *demand, const machine *machine) {
     const job *job = demand->job;
-    const flavor *type = &core->flavors[machine->rack];
-    const double delay_s = machine->q < 0 ? type->q : machine->q;
-    const double s_per_gb = machine->p < 0 ? type->p : machine->p;
+    const flavor *type = &core->machine_types[machine->type_index];
+    const double delay_s =
+        machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
+    const double s_per_gb =
+        machine->fetch_s_per_gb < 0 ? type->fetch_s_per_gb : machine->fetch_s_per_gb;
     tw_prediction result = {.image = tw_image(machine, job)};
     const double gb = missing_gb(core, job, machine, result.image);
     result.fetch_s = s_per_gb * gb;
     result.run_s = tw_slowness(core, machine) * demand->estimate_s;
     result.total_s =
         delay_s + result.fetch_s * tw_fetch_slowed(core, machine, result.image) + result.run_s;
-    if (job->s.service) result.margin_s = MARGIN_DEVIATIONS * type->p_dev * s_per_gb * gb;
+    if (job->spec.service)
+        result.margin_s = MARGIN_DEVIATIONS * type->fetch_deviation * s_per_gb * gb;
     return result;
 }
 
@@ -69,8 +75,8 @@
 double tw_predict_end(const tw_core *core, const tw_demand *demand,
                       const tw_prediction *prediction) {
     const double end = core->now + prediction->total_s + prediction->margin_s;
-    if (!demand->job->s.gang || !isfinite(demand->start_due)) return end;
+    if (!demand->job->spec.gang || !isfinite(demand->start_deadline_at)) return end;
     /* A gang that starts late for its start objective is as late at its end. */
     const double start = core->now + prediction->total_s - prediction->run_s;
-    return fmax(end, start + demand->due - demand->start_due);
+    return fmax(end, start + demand->deadline_at - demand->start_deadline_at);
 }
--- a/src/core/failover.c
+++ b/src/core/failover.c
@@ -31,23 +31,24 @@
 /* Whether a worker that reports to the node at this position is answered by another one of its zone
  * before its lease ends. */
 static int is_in_time(const tw_core *core, const node *nodes, size_t position) {
-    const size_t count = core->npeers + 1;
-    double unanswered_s = LONGEST_REPORT * core->cf->report_s + NEXT_NODE_S;
+    const size_t count = core->peer_count + 1;
+    double unanswered_s = LONGEST_REPORT * core->config->report_s + NEXT_NODE_S;
     for (size_t step = 1; step < count; step++) {
         const node *next = &nodes[(position + step) % count];
-        if (!strcmp(next->zone, nodes[position].zone)) return unanswered_s < core->cf->lease_s;
+        if (!strcmp(next->zone, nodes[position].zone)) return unanswered_s < core->config->lease_s;
         unanswered_s += ANSWER_WAIT_S + NEXT_NODE_S;
     }
     return 0;
 }
 
 void tw_failover_init(tw_core *core) {
-    const size_t count = core->npeers + 1;
+    const size_t count = core->peer_count + 1;
     node nodes[count];
-    for (size_t i = 0; i < core->npeers; i++)
-        nodes[i] = (node){core->peers[i].cf.name, core->peers[i].cf.zone,
+    for (size_t i = 0; i < core->peer_count; i++)
+        nodes[i] = (node){core->peers[i].config.name, core->peers[i].config.zone,
                           &core->peers[i].failover_in_time};
-    nodes[core->npeers] = (node){core->cf->host_name, core->cf->location, &core->failover_in_time};
+    nodes[core->peer_count] =
+        (node){core->config->host_name, core->config->location, &core->failover_in_time};
     qsort(nodes, count, sizeof *nodes, by_number);
     for (size_t i = 0; i < count; i++) *nodes[i].in_time = is_in_time(core, nodes, i);
 }
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -19,12 +19,12 @@
 
 static void ask_release(tw_core *core, machine *machine, const char *why) {
     placement *each, *next;
-    if (machine->release) return;
-    machine->release = machine->cordoned = 1;
+    if (machine->return_wanted) return;
+    machine->return_wanted = machine->cordoned = 1;
     core->returns_due = 1;
     tw_log_info("event=release tray=%s why=%s held_s=%.0f", machine->name, why,
-                core->now - machine->born);
-    DL_FOREACH_SAFE(machine->pls, each, next)
+                core->now - machine->known_since);
+    DL_FOREACH_SAFE(machine->placements, each, next)
     if (!tw_attempt_launched(each)) tw_attempt_end_on(core, each, END_NOT_LAUNCHED);
 }
 
@@ -32,20 +32,21 @@
  * the notice leaves time for it, that is waited for. */
 static int waits_to_save(const tw_core *core, const placement *placed, double left_s) {
     const job *job = placed->job;
-    return job->s.gang && job->s.checkpoint_s > 0 && job->gang.state == GANG_RUNNING &&
-           !tw_gang_can_save(core, job) && left_s > job->s.save_s + core->cf->gang_peer_s;
+    return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == GANG_RUNNING &&
+           !tw_gang_can_save(core, job) && left_s > job->spec.save_s + core->config->gang_peer_s;
 }
 
 /* A spot machine will be taken: tasks that won't be done by then save and go elsewhere. */
 static void on_notice(tw_core *core, machine *machine) {
     placement *each, *next;
-    const double left_s = machine->warned_until - core->now;
-    DL_FOREACH_SAFE(machine->pls, each, next) {
-        if (!each->on_job || each->kill) continue;
-        const tw_wire_job *s = &each->job->s;
+    const double left_s = machine->preempted_at - core->now;
+    DL_FOREACH_SAFE(machine->placements, each, next) {
+        if (!each->counted || each->stopping) continue;
+        const tw_wire_job *s = &each->job->spec;
         const double slowness = machine->slowness > 0 ? machine->slowness : 1;
         const double run_s = tw_estimate(each->job) * slowness;
-        const double rest_s = each->run_at > 0 ? run_s - (core->now - each->run_at) : run_s;
+        const double rest_s =
+            each->running_since > 0 ? run_s - (core->now - each->running_since) : run_s;
         if (!s->service && rest_s > 0 && rest_s < DONE_WITHIN_NOTICE * left_s) continue;
         if (waits_to_save(core, each, left_s)) continue;
         tw_placement_kill(core, each, s->checkpoint_s > 0 ? s->save_s : 0, 0);
@@ -56,13 +57,14 @@
 static int launched(const machine *machine) {
     const placement *each;
     int count = 0;
-    DL_FOREACH(machine->pls, each) count += each->on_job && (each->sent || each->inherited);
+    DL_FOREACH(machine->placements, each)
+    count += each->counted && (each->launch_sent || each->inherited);
     return count;
 }
 
 static void lose_unsent(tw_core *core, machine *machine) {
     placement *each, *next;
-    DL_FOREACH_SAFE(machine->pls, each, next)
+    DL_FOREACH_SAFE(machine->placements, each, next)
     if (!tw_attempt_launched(each)) tw_attempt_end_on(core, each, END_NOT_LAUNCHED);
 }
 
@@ -73,68 +75,70 @@
     tw_log_info("event=lapsed tray=%s token=%llu shift=%llu confirmed=%d over_s=%.2f "
                 "answered_s=%.2f deputies_s=%.2f session_s=%.2f loading_s=%.2f predecessor_s=%.2f "
                 "deputies_read_s=%.2f",
-                machine->name, (unsigned long long)core->token, (unsigned long long)machine->shift,
-                machine->confirmed, now - terms.at, now - terms.answered, now - terms.deputies,
-                now - terms.session, now - terms.loading, now - terms.predecessor,
-                now - core->deputies_checked_at);
+                machine->name, (unsigned long long)core->fencing_token,
+                (unsigned long long)machine->incarnation, machine->confirmed,
+                now - terms.expires_at, now - terms.answered_at, now - terms.delegates_until,
+                now - terms.incarnation_at, now - terms.loading_at, now - terms.predecessor_until,
+                now - core->delegates_checked_at);
 }
 
 /* Its lease has surely ended: nothing runs there. */
 static void lapse(tw_core *core, machine *machine) {
     placement *each, *next;
-    if (core->deputies_checked_at < core->now - DEPUTIES_AGE_LEASES * core->cf->lease_s) {
+    if (core->delegates_checked_at < core->now - DEPUTIES_AGE_LEASES * core->config->lease_s) {
         tw_deputies_read(core); /* first see whether a deputy renews it */
         return;
     }
-    core->lapse_decided_at = core->now;
+    core->expiry_decided_at = core->now;
     log_lapse(core, machine);
-    machine->lapsed = 1;
-    DL_FOREACH_SAFE(machine->pls, each, next) tw_attempt_end_on(core, each, END_LAPSED);
+    machine->lease_expired = 1;
+    DL_FOREACH_SAFE(machine->placements, each, next) tw_attempt_end_on(core, each, END_LAPSED);
 }
 
 /* Why a machine is given up; NULL: it is not. */
 static const char *given_up(tw_core *core, const machine *machine, double lapse_at) {
-    if (machine->unresponsive >= TW_DEAF_AT) return "deaf";
-    if (tw_machine_silent(core, machine) && core->now > tw_deputies_until(core, machine->yard) &&
+    if (machine->lost_launches >= TW_DEAF_AT) return "deaf";
+    if (tw_machine_silent(core, machine) && core->now > tw_deputies_until(core, machine->zone) &&
         !tw_zone_cut(core, machine))
         return "silent";
-    if (core->now > fmax(lapse_at, machine->contact) + core->cf->lease_s) return "lost";
+    if (core->now > fmax(lapse_at, machine->last_contact_at) + core->config->lease_s) return "lost";
     return NULL;
 }
 
 /* A machine that gets nothing new goes once it is empty. */
 static void empty(tw_core *core, machine *machine) {
-    if (machine->warned_until > 0) {
+    if (machine->preempted_at > 0) {
         on_notice(core, machine);
         if (!tw_machine_works(machine)) ask_release(core, machine, "notice");
-    } else if (machine->cordoned || machine->closing) {
+    } else if (machine->cordoned || machine->decommissioning) {
         const int live = tw_machine_works(machine);
-        if (!live) ask_release(core, machine, machine->closing ? "drained" : "sick");
+        if (!live) ask_release(core, machine, machine->decommissioning ? "drained" : "sick");
         if (live) tw_sick_tick(core, machine);
     }
 }
 
 static void machine_tick(tw_core *core, machine *machine) {
-    const tw_conf *cf = core->cf;
-    const double boot_s = machine->rack >= 0 ? core->flavors[machine->rack].f.startup_s
-                                             : cf->lease_s * BOOT_UNKNOWN_LEASES;
-    const double age_s = core->now - machine->born;
+    const tw_conf *cf = core->config;
+    const double boot_s = machine->type_index >= 0
+                              ? core->machine_types[machine->type_index].listed.startup_s
+                              : cf->lease_s * BOOT_UNKNOWN_LEASES;
+    const double age_s = core->now - machine->known_since;
     const int sent = launched(machine);
-    if (machine->stage == M_UP && !tw_machine_usable(core, machine)) lose_unsent(core, machine);
-    if (machine->rack < 0 && *machine->rack_name)
-        machine->rack = tw_rack_index(core, machine->rack_name);
+    if (machine->state == M_UP && !tw_machine_usable(core, machine)) lose_unsent(core, machine);
+    if (machine->type_index < 0 && *machine->type_name)
+        machine->type_index = tw_rack_index(core, machine->type_name);
     /* A lease does not end within its length of a report: few machines need a closer look. */
-    const int is_renewed = core->now <= machine->heard + tw_lease_longest_s(core);
+    const int is_renewed = core->now <= machine->answered_at + tw_lease_longest_s(core);
     const double lapse_at = is_renewed ? INFINITY : tw_lapse_at(core, machine);
-    if (sent && core->now > lapse_at && core->deputies_known) lapse(core, machine);
+    if (sent && core->now > lapse_at && core->delegates_known) lapse(core, machine);
     /* One with a predecessor's tasks is up: it is silent, below, if we don't hear of it. */
-    const int boots = machine->stage == M_BOOTING && !sent;
-    if (boots && !machine->overdue && machine->rack >= 0 &&
+    const int boots = machine->state == M_BOOTING && !sent;
+    if (boots && !machine->overdue && machine->type_index >= 0 &&
         age_s > BOOT_OVERDUE * boot_s + cf->report_s) {
         machine->overdue = 1;
         tw_learn_boot(core, machine);
     }
-    if (machine->release) return;
+    if (machine->return_wanted) return;
     if (machine->failed) {
         ask_release(core, machine, "failed");
     } else if (boots) {
@@ -151,19 +155,19 @@
 }
 
 static void forget_returned(tw_core *core) {
-    const double kept_s = RETURNED_S + RETURNED_LIST_LAGS * core->cf->list_lag_s;
+    const double kept_s = RETURNED_S + RETURNED_LIST_LAGS * core->config->list_lag_s;
     expiring *each, *next;
-    HASH_ITER(hh, core->released, each, next) {
+    HASH_ITER(hh, core->returned_machines, each, next) {
         if (core->now - each->at < kept_s) continue;
-        HASH_DEL(core->released, each);
+        HASH_DEL(core->returned_machines, each);
         free(each);
     }
 }
 
 void tw_fleet_tick(tw_core *core) {
     machine *each, *next;
-    if (core->now < core->next_fleet) return;
-    core->next_fleet = core->now + core->cf->report_s / TICKS_PER_REPORT;
+    if (core->now < core->next_machine_scan_at) return;
+    core->next_machine_scan_at = core->now + core->config->report_s / TICKS_PER_REPORT;
     tw_quiet_note(core);
     HASH_ITER(hh, core->machines, each, next) machine_tick(core, each);
     forget_returned(core);
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -36,12 +36,12 @@
 /* When a worker has surely ended its session, if we answer it no more, and the moments up to which
  * its lease may have been renewed, which this rests on (steady time; 0: never). */
 typedef struct {
-    double answered;    /* we answered a report of it */
-    double deputies;    /* a deputy of its zone may have, by its key */
-    double session;     /* we learned of its session */
-    double loading;     /* we answered any machine while the records were read */
-    double predecessor; /* a predecessor may have, or it was first known to refuse that */
-    double at;          /* the end, with the lease's length and the grants of its zone's nodes */
+    double answered_at;       /* we answered a report of it */
+    double delegates_until;   /* a deputy of its zone may have, by its key */
+    double incarnation_at;    /* we learned of its session */
+    double loading_at;        /* we answered any machine while the records were read */
+    double predecessor_until; /* a predecessor may have, or it was first known to refuse that */
+    double expires_at; /* the end, with the lease's length and the grants of its zone's nodes */
 } tw_lapse_terms;
 tw_lapse_terms tw_lapse_terms_of(const tw_core *core, const machine *machine);
 double tw_lapse_at(const tw_core *core, const machine *machine);
--- a/src/core/futile.c
+++ b/src/core/futile.c
@@ -7,50 +7,54 @@
 
 tw_futile tw_futile_kind(const tw_demand *demand) {
     const job *job = demand->job;
-    return (tw_futile){.cores = job->s.cores,
-                       .gpus = job->s.gpus,
-                       .mem = job->s.memory_gb,
-                       .racks = job->rackmask,
-                       .zones = demand->zones,
-                       .loaner = job->s.spot,
-                       .rank = job->s.priority,
-                       .service = job->s.service,
+    return (tw_futile){.cores = job->spec.cores,
+                       .gpus = job->spec.gpus,
+                       .memory_gb = job->spec.memory_gb,
+                       .type_mask = job->type_mask,
+                       .zone_mask = demand->zone_mask,
+                       .spot = job->spec.spot,
+                       .priority = job->spec.priority,
+                       .service = job->spec.service,
                        .any_machine = job->any_machine,
-                       .whole = job->s.gang};
+                       .whole = job->spec.gang};
 }
 
 static int same_amounts(const tw_futile *one, const tw_futile *other) {
-    return one->cores == other->cores && one->gpus == other->gpus && one->mem == other->mem;
+    return one->cores == other->cores && one->gpus == other->gpus &&
+           one->memory_gb == other->memory_gb;
 }
 
 static int same_machines(const tw_futile *one, const tw_futile *other) {
-    return one->racks == other->racks && one->zones == other->zones &&
-           one->loaner == other->loaner && one->any_machine == other->any_machine;
+    return one->type_mask == other->type_mask && one->zone_mask == other->zone_mask &&
+           one->spot == other->spot && one->any_machine == other->any_machine;
 }
 
 int tw_futile_known(const tw_core *core, const tw_futile *kind) {
-    for (int i = 0; i < core->nfutile; i++) {
-        const tw_futile *known = &core->futile[i];
-        if (same_amounts(known, kind) && same_machines(known, kind) && known->rank == kind->rank &&
-            known->service == kind->service && known->whole == kind->whole)
+    for (int i = 0; i < core->placement_failure_count; i++) {
+        const tw_futile *known = &core->placement_failures[i];
+        if (same_amounts(known, kind) && same_machines(known, kind) &&
+            known->priority == kind->priority && known->service == kind->service &&
+            known->whole == kind->whole)
             return 1;
     }
     return 0;
 }
 
 void tw_futile_note(tw_core *core, const tw_futile *kind) {
-    core->futile = tw_grow(core->futile, core->nfutile, &core->futile_cap, FIRST_CAPACITY,
-                           sizeof *core->futile);
-    core->futile[core->nfutile++] = *kind;
+    core->placement_failures = tw_grow(core->placement_failures, core->placement_failure_count,
+                                       &core->placement_failure_capacity, FIRST_CAPACITY,
+                                       sizeof *core->placement_failures);
+    core->placement_failures[core->placement_failure_count++] = *kind;
 }
 
 /* A task with GPUs was placed: what may be taken beside them need not be less now. */
 void tw_futile_forget_without_gpus(tw_core *core) {
     int kept = 0;
-    for (int i = 0; i < core->nfutile; i++)
-        if (core->futile[i].gpus > 0) core->futile[kept++] = core->futile[i];
-    core->nfutile = kept;
+    for (int i = 0; i < core->placement_failure_count; i++)
+        if (core->placement_failures[i].gpus > 0)
+            core->placement_failures[kept++] = core->placement_failures[i];
+    core->placement_failure_count = kept;
 }
 
 /* Room was given back. */
-void tw_futile_forget(tw_core *core) { core->nfutile = 0; }
+void tw_futile_forget(tw_core *core) { core->placement_failure_count = 0; }
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -35,65 +35,68 @@
 
 static void enter(tw_core *core, job *job, gang_state state, const char *why) {
     job->gang.state = state;
-    core->next_tidy = core->now;
+    core->next_job_sweep_at = core->now;
     tw_log_debug("event=gang id=%s try=%llu state=%s live=%d of=%d why=%s", job->id,
-                 (unsigned long long)job->gang.attempt, tw_gang_state_name(job), job->nlive,
-                 job->pieces, why);
+                 (unsigned long long)job->gang.attempt, tw_gang_state_name(job), job->placed_count,
+                 job->task_count, why);
 }
 
 static int is_under_way(const job *job) {
-    return job->has_spec && job->s.gang && job->stage == TW_JOB_PENDING && job->nlive > 0;
+    return job->has_spec && job->spec.gang && job->state == TW_JOB_PENDING && job->placed_count > 0;
 }
 
 /* Tasks that are neither placed nor done. */
-static int missing(const job *job) { return job->pieces - job->ndone - job->nlive; }
+static int missing(const job *job) { return job->task_count - job->done_count - job->placed_count; }
 
 /* ---- start ---- */
 
 /* When a task that was just placed should have its image. */
 static double ready_at(const tw_core *core, const placement *placed) {
-    const machine *machine = placed->m;
+    const machine *machine = placed->machine;
     const image *image = tw_image(machine, placed->job);
     if (image) return fmax(core->now, image->ready_at);
-    const double s_per_gb = machine->p < 0 ? core->flavors[machine->rack].p : machine->p;
-    return core->now + s_per_gb * placed->job->s.image_gb;
+    const double s_per_gb = machine->fetch_s_per_gb < 0
+                                ? core->machine_types[machine->type_index].fetch_s_per_gb
+                                : machine->fetch_s_per_gb;
+    return core->now + s_per_gb * placed->job->spec.image_gb;
 }
 
 /* Those that would be ready so much sooner than the last one that they would give up waiting for it
  * are launched later. */
 static void stagger(const tw_core *core, job *job) {
-    const double spare_s = STAGGER * core->cf->gang_wait_s;
+    const double spare_s = STAGGER * core->config->gang_wait_s;
     double last = 0;
     placement *task;
-    DL_FOREACH2(job->live, task, jnext) last = fmax(last, ready_at(core, task));
-    DL_FOREACH2(job->live, task, jnext)
+    DL_FOREACH2(job->placements, task, job_next) last = fmax(last, ready_at(core, task));
+    DL_FOREACH2(job->placements, task, job_next)
     task->launch_after = last - spare_s - (ready_at(core, task) - core->now);
 }
 
 void tw_gang_placed(tw_core *core, job *job) {
-    job->gang.missing_from = 0;
+    job->gang.missing_since = 0;
     if (job->gang.state != GANG_IDLE) return; /* a task was replaced */
-    job->gang = (gang){.attempt = job->live->attempt};
+    job->gang = (gang){.attempt = job->placements->attempt};
     stagger(core, job);
     enter(core, job, GANG_GATHERING, "placed");
 }
 
 void tw_gang_adopted(job *job) {
     job->gang = (gang){.state = GANG_IDLE};
-    if (!job->nlive) return;
-    job->gang.attempt = job->live->attempt;
+    if (!job->placed_count) return;
+    job->gang.attempt = job->placements->attempt;
     job->gang.state = GANG_GATHERING; /* a report may tell that it has started */
 }
 
 int tw_gang_pending(const job *job) {
     const gang *gang = &job->gang;
-    if (gang->state == GANG_IDLE) return job->nlive == 0;
-    return gang->state == GANG_GATHERING && missing(job) > 0 && gang->nleft < GANG_MOST_REPLACED;
+    if (gang->state == GANG_IDLE) return job->placed_count == 0;
+    return gang->state == GANG_GATHERING && missing(job) > 0 &&
+           gang->vacated_count < GANG_MOST_REPLACED;
 }
 
 int tw_gang_has_left(const job *job, const machine *machine) {
-    for (int i = 0; i < job->gang.nleft; i++)
-        if (job->gang.left[i] == machine) return 1;
+    for (int i = 0; i < job->gang.vacated_count; i++)
+        if (job->gang.vacated[i] == machine) return 1;
     return 0;
 }
 
@@ -104,36 +107,38 @@
     gang *gang = &job->gang;
     if (!is_under_way(job) || placed->attempt != gang->attempt || gang->state != GANG_GATHERING)
         return;
-    if (placed->stage == TW_TASK_WAITING && gang->waits_from <= 0) gang->waits_from = core->now;
-    if (placed->stage == TW_TASK_RUNNING || placed->stage == TW_TASK_SAVING)
+    if (placed->state == TW_TASK_WAITING && gang->waiting_since <= 0)
+        gang->waiting_since = core->now;
+    if (placed->state == TW_TASK_RUNNING || placed->state == TW_TASK_SAVING)
         enter(core, job, GANG_RUNNING, "started");
 }
 
 /* Whether the way in which a task ended shows that its gang had started. */
 static int ended_after_start(const placement *placed) {
-    return placed->stage == TW_TASK_EXITED &&
+    return placed->state == TW_TASK_EXITED &&
            (placed->cause == TW_CAUSE_ERROR || placed->cause == TW_CAUSE_GANG_BROKEN);
 }
 
 static void left_before_start(tw_core *core, job *job, const placement *placed) {
     gang *gang = &job->gang;
-    const int was_there = placed->sent || placed->direct || placed->inherited;
-    if (gang->missing_from <= 0) gang->missing_from = core->now;
-    if (was_there && gang->nleft < GANG_MOST_REPLACED) gang->left[gang->nleft++] = placed->m;
+    const int was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
+    if (gang->missing_since <= 0) gang->missing_since = core->now;
+    if (was_there && gang->vacated_count < GANG_MOST_REPLACED)
+        gang->vacated[gang->vacated_count++] = placed->machine;
 }
 
 void tw_gang_left(tw_core *core, placement *placed) {
     job *job = placed->job;
     gang *gang = &job->gang;
-    if (gang->state == GANG_IDLE || job->stage != TW_JOB_PENDING) return;
+    if (gang->state == GANG_IDLE || job->state != TW_JOB_PENDING) return;
     const int had_started = gang->state == GANG_RUNNING || ended_after_start(placed);
-    if (had_started) job->resumed |= job->s.checkpoint_s > 0;
-    if (!job->nlive) {
+    if (had_started) job->has_checkpoint |= job->spec.checkpoint_s > 0;
+    if (!job->placed_count) {
         enter(core, job, GANG_IDLE, "gone");
-        gang->nleft = 0;
+        gang->vacated_count = 0;
     } else if (gang->state == GANG_STOPPING) {
         if (!gang->saved) gang->grace_s = 0; /* what the others still save is lost */
-        core->next_tidy = core->now;
+        core->next_job_sweep_at = core->now;
     } else if (had_started) {
         tw_gang_stop(core, job, 0);
     } else {
@@ -144,9 +149,10 @@
 void tw_gang_done(tw_core *core, job *job) {
     placement *task;
     placement *next;
-    DL_FOREACH_SAFE2(job->live, task, next, jnext) tw_attempt_end_on(core, task, END_GANG_DONE);
-    memset(job->st, T_DONE, (size_t)job->pieces);
-    job->ndone = job->pieces;
+    DL_FOREACH_SAFE2(job->placements, task, next, job_next)
+    tw_attempt_end_on(core, task, END_GANG_DONE);
+    memset(job->task_states, T_DONE, (size_t)job->task_count);
+    job->done_count = job->task_count;
     enter(core, job, GANG_IDLE, "done");
 }
 
@@ -154,12 +160,13 @@
 
 int tw_gang_can_save(const tw_core *core, const job *job) {
     const placement *task;
-    if (job->s.checkpoint_s <= 0 || missing(job) > 0) return 0;
+    if (job->spec.checkpoint_s <= 0 || missing(job) > 0) return 0;
     if (job->gang.state != GANG_RUNNING && job->gang.state != GANG_STOPPING) return 0;
-    DL_FOREACH2(job->live, task, jnext) {
-        const machine *machine = task->m;
-        if (!machine->confirmed || machine->lapsed || machine->release || machine->unreached ||
-            core->now - machine->contact > TW_IN_TOUCH_REPORTS * core->cf->report_s)
+    DL_FOREACH2(job->placements, task, job_next) {
+        const machine *machine = task->machine;
+        if (!machine->confirmed || machine->lease_expired || machine->return_wanted ||
+            machine->failed_sends ||
+            core->now - machine->last_contact_at > TW_IN_TOUCH_REPORTS * core->config->report_s)
             return 0;
     }
     return 1;
@@ -180,8 +187,8 @@
 static void stop_tasks(tw_core *core, job *job) {
     placement *task;
     placement *next;
-    DL_FOREACH_SAFE2(job->live, task, next, jnext)
-    if (!task->kill || task->mercy_s > job->gang.grace_s)
+    DL_FOREACH_SAFE2(job->placements, task, next, job_next)
+    if (!task->stopping || task->grace_s > job->gang.grace_s)
         tw_placement_kill(core, task, job->gang.grace_s, task->preempted);
 }
 
@@ -191,34 +198,35 @@
 static int is_one_attempt(const job *job) {
     const int stops = job->gang.state == GANG_STOPPING;
     const placement *task;
-    DL_FOREACH2(job->live, task, jnext)
-    if (task->attempt != job->gang.attempt || (task->kill && !stops)) return 0;
+    DL_FOREACH2(job->placements, task, job_next)
+    if (task->attempt != job->gang.attempt || (task->stopping && !stops)) return 0;
     return 1;
 }
 
 /* Whether a task that is gone can't be replaced before the others give up waiting. */
 static int is_hopeless(const tw_core *core, const job *job) {
     const gang *gang = &job->gang;
-    if (gang->missing_from <= 0 || !missing(job)) return 0;
-    if (gang->nleft >= GANG_MOST_REPLACED) return 1;
-    if (gang->waits_from <= 0) return core->now > gang->missing_from + core->cf->gang_wait_s;
+    if (gang->missing_since <= 0 || !missing(job)) return 0;
+    if (gang->vacated_count >= GANG_MOST_REPLACED) return 1;
+    if (gang->waiting_since <= 0)
+        return core->now > gang->missing_since + core->config->gang_wait_s;
     /* Meanwhile the others hold their room for nothing. */
-    return core->now > gang->missing_from + core->cf->gang_peer_s ||
-           core->now > gang->waits_from + core->cf->gang_wait_s;
+    return core->now > gang->missing_since + core->config->gang_peer_s ||
+           core->now > gang->waiting_since + core->config->gang_wait_s;
 }
 
 /* Launches that were put off are due. */
 static void launch_due(tw_core *core, const job *job) {
     const placement *task;
-    DL_FOREACH2(job->live, task, jnext)
-    if (!task->sent && !task->direct && core->now >= task->launch_after &&
-        task->ver <= job->durable_ver)
-        tw_want_direct(core, task->m);
+    DL_FOREACH2(job->placements, task, job_next)
+    if (!task->launch_sent && !task->direct_launches && core->now >= task->launch_after &&
+        task->version <= job->durable_version)
+        tw_want_direct(core, task->machine);
 }
 
 void tw_gang_tick(tw_core *core, job *job) {
     gang *gang = &job->gang;
-    if (!is_under_way(job) || job->aborting) return;
+    if (!is_under_way(job) || job->cancelling) return;
     if (gang->state == GANG_GATHERING) {
         launch_due(core, job);
         if (is_hopeless(core, job)) tw_gang_stop(core, job, 0);
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -24,12 +24,13 @@
 typedef struct gang {
     gang_state state;
     uint64_t attempt;
-    double grace_s;      /* that the tasks get when it is stopped */
-    int saved;           /* while it stops: a task has told that its progress is saved */
-    double waits_from;   /* when a task was first seen to wait for the others; 0: none yet */
-    double missing_from; /* since when a task is to be replaced; 0: none is */
-    struct machine *left[GANG_MOST_REPLACED]; /* where tasks of this attempt were, and are gone */
-    int nleft;
+    double grace_s;       /* that the tasks get when it is stopped */
+    int saved;            /* while it stops: a task has told that its progress is saved */
+    double waiting_since; /* when a task was first seen to wait for the others; 0: none yet */
+    double missing_since; /* since when a task is to be replaced; 0: none is */
+    struct machine
+        *vacated[GANG_MOST_REPLACED]; /* where tasks of this attempt were, and are gone */
+    int vacated_count;
 } gang;
 
 /* gang.c: jobs whose tasks run together or not at all */
--- a/src/core/gang_hold.c
+++ b/src/core/gang_hold.c
@@ -19,46 +19,47 @@
 
 /* Whether the gang has waited for so long, and does not pause after it held room in vain. */
 static int may_hold(const tw_core *core, const job *job) {
-    if (!job->has_spec || !job->s.gang || !tw_job_pending(core, job) || job->nlive) return 0;
-    const double since_s = core->now - fmax(job->submitted, job->pending_since) - HOLD_AFTER_S;
+    if (!job->has_spec || !job->spec.gang || !tw_job_pending(core, job) || job->placed_count)
+        return 0;
+    const double since_s = core->now - fmax(job->submitted_at, job->pending_since) - HOLD_AFTER_S;
     return since_s >= 0 && fmod(since_s, 2 * HOLD_MOST_S) < HOLD_MOST_S;
 }
 
 static job *longest_waiting(tw_core *core) {
     job *best = NULL;
     job *each;
-    DL_FOREACH(core->active, each)
-    if (may_hold(core, each) && (!best || each->submitted < best->submitted)) best = each;
+    DL_FOREACH(core->active_jobs, each)
+    if (may_hold(core, each) && (!best || each->submitted_at < best->submitted_at)) best = each;
     return best;
 }
 
 /* When a task is expected to end; INFINITY: a replica's. */
 static double expected_end(const tw_core *core, const placement *placed) {
-    if (placed->kill) return core->now;
-    if (placed->job->s.service || !placed->job->has_spec) return INFINITY;
-    const double run_s = tw_estimate(placed->job) * tw_slowness(core, placed->m);
-    return fmax(core->now, (placed->run_at > 0 ? placed->run_at : core->now) + run_s);
+    if (placed->stopping) return core->now;
+    if (placed->job->spec.service || !placed->job->has_spec) return INFINITY;
+    const double run_s = tw_estimate(placed->job) * tw_slowness(core, placed->machine);
+    return fmax(core->now, (placed->running_since > 0 ? placed->running_since : core->now) + run_s);
 }
 
 /* How many tasks of the gang a machine should hold soon, and when. */
 static expectation expect(const tw_core *core, const job *job, machine *machine) {
-    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const double horizon = core->now + HOLD_MOST_S;
-    bin room = {.rack = machine->rack,
-                .c = type->cores - machine->used_c,
-                .g = type->gpus - machine->used_g,
-                .mem = type->memory_gb - machine->used_m};
+    bin room = {.type_index = machine->type_index,
+                .cores = type->cores - machine->used_cores,
+                .gpus = type->gpus - machine->used_gpus,
+                .memory_gb = type->memory_gb - machine->used_memory_gb};
     expectation result = {.machine = machine, .at = core->now};
     const placement *placed;
-    DL_FOREACH(machine->pls, placed) {
-        const double end = placed->on_job ? expected_end(core, placed) : INFINITY;
+    DL_FOREACH(machine->placements, placed) {
+        const double end = placed->counted ? expected_end(core, placed) : INFINITY;
         if (end > horizon) continue;
-        tw_bin_give(&room, &placed->job->s);
+        tw_bin_give(&room, &placed->job->spec);
         result.at = fmax(result.at, end);
     }
-    while (result.tasks < job->pieces && tw_bin_fits(&room, &job->s) &&
-           tw_bin_leaves_gpus(core, &room, &job->s, job->any_machine)) {
-        tw_bin_take(&room, &job->s);
+    while (result.tasks < job->task_count && tw_bin_fits(&room, &job->spec) &&
+           tw_bin_leaves_gpus(core, &room, &job->spec, job->any_machine)) {
+        tw_bin_take(&room, &job->spec);
         result.tasks++;
     }
     return result;
@@ -75,37 +76,39 @@
  * INFINITY: there is not enough. mark: else it is only looked at. */
 static double hold_in(tw_core *core, job *job, int zone, int mark) {
     const tw_demand demand = tw_demand_of(core, job);
-    expectation *all = tw_zalloc((size_t)core->ncandidates * sizeof *all);
+    expectation *all = tw_zalloc((size_t)core->candidate_count * sizeof *all);
     int count = 0;
     int tasks = 0;
     double at = INFINITY;
-    for (int i = 0; i < core->ncandidates; i++) {
+    for (int i = 0; i < core->candidate_count; i++) {
         machine *machine = core->candidates[i].machine;
-        core->steps++;
-        if ((zone >= 0 && machine->zone != zone) || !tw_constraints_machine(core, job, machine) ||
+        core->pass_steps++;
+        if ((zone >= 0 && machine->zone_index != zone) ||
+            !tw_constraints_machine(core, job, machine) ||
             !tw_constraints_zone(core, &demand, machine))
             continue;
         all[count] = expect(core, job, machine);
         if (all[count].tasks) count++;
     }
     qsort(all, (size_t)count, sizeof *all, by_time);
-    for (int i = 0; i < count && tasks < job->pieces; i++) {
+    for (int i = 0; i < count && tasks < job->task_count; i++) {
         tasks += all[i].tasks;
-        if (mark) all[i].machine->held_for_gang = 1;
-        if (tasks >= job->pieces) at = all[i].at;
+        if (mark) all[i].machine->reserved_for_gang = 1;
+        if (tasks >= job->task_count) at = all[i].at;
     }
     free(all);
     return at;
 }
 
 void tw_gang_hold(tw_core *core) {
-    for (int i = 0; i < core->ncandidates; i++) core->candidates[i].machine->held_for_gang = 0;
-    core->holder = NULL;
+    for (int i = 0; i < core->candidate_count; i++)
+        core->candidates[i].machine->reserved_for_gang = 0;
+    core->reserving_gang = NULL;
     job *job = longest_waiting(core);
     if (!job) return;
     int best = -1;
-    double soonest = job->s.single_zone ? INFINITY : hold_in(core, job, -1, 0);
-    for (int zone = 0; job->s.single_zone && zone < core->nyards; zone++) {
+    double soonest = job->spec.single_zone ? INFINITY : hold_in(core, job, -1, 0);
+    for (int zone = 0; job->spec.single_zone && zone < core->zone_count; zone++) {
         const double at = hold_in(core, job, zone, 0);
         if (at >= soonest) continue;
         soonest = at;
@@ -113,14 +116,14 @@
     }
     if (!isfinite(soonest)) return;
     hold_in(core, job, best, 1);
-    core->holder = job;
+    core->reserving_gang = job;
     tw_log_debug("event=hold id=%s zone=%d in_s=%.1f", job->id, best, soonest - core->now);
 }
 
 int tw_gang_hold_allows(const tw_core *core, const job *job, const machine *machine) {
-    const struct job *holder = core->holder;
-    if (!holder || !machine->held_for_gang || holder == job || job->s.service) return 1;
-    return job->s.priority > holder->s.priority;
+    const struct job *holder = core->reserving_gang;
+    if (!holder || !machine->reserved_for_gang || holder == job || job->spec.service) return 1;
+    return job->spec.priority > holder->spec.priority;
 }
 
 /* What is left of a limit after so many tasks; 0 as a limit: there is none. */
@@ -129,13 +132,13 @@
 }
 
 int tw_gang_hold_allows_team(const tw_core *core, const job *job) {
-    const struct job *holder = core->holder;
-    if (!holder || holder == job || job->s.service || job->team != holder->team ||
-        job->s.priority > holder->s.priority || job->team < 0)
+    const struct job *holder = core->reserving_gang;
+    if (!holder || holder == job || job->spec.service || job->team != holder->team ||
+        job->spec.priority > holder->spec.priority || job->team < 0)
         return 1;
-    const tw_conf_team *team = &core->cf->teams[job->team];
-    return leaves(team->cpus_max, core->team_c[job->team], job->s.cores,
-                  holder->s.cores * holder->pieces) &&
-           leaves(team->gpus_max, core->team_g[job->team], job->s.gpus,
-                  holder->s.gpus * holder->pieces);
+    const tw_conf_team *team = &core->config->teams[job->team];
+    return leaves(team->cpus_max, core->team_cores_used[job->team], job->spec.cores,
+                  holder->spec.cores * holder->task_count) &&
+           leaves(team->gpus_max, core->team_gpus_used[job->team], job->spec.gpus,
+                  holder->spec.gpus * holder->task_count);
 }
--- a/src/core/gang_room.c
+++ b/src/core/gang_room.c
@@ -16,39 +16,40 @@
 }
 
 static int free_on(const tw_core *core, const machine *machine, const job *job, int most) {
-    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
-    const tw_room room = {type->cores - machine->used_c, type->gpus - machine->used_g,
-                          type->memory_gb - machine->used_m};
-    int count = tasks_in(&room, &job->s, most);
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    const tw_room room = {type->cores - machine->used_cores, type->gpus - machine->used_gpus,
+                          type->memory_gb - machine->used_memory_gb};
+    int count = tasks_in(&room, &job->spec, most);
     while (count > 0 && !tw_leaves_gpus(core, machine, job, count)) count--;
     return count;
 }
 
 /* Whether stopping others makes room there: GPUs that are given back need their cores again. */
 static int gains_by_stopping(const tw_core *core, const machine *machine, const job *job) {
-    return job->s.gpus > 0 || job->any_machine || core->flavors[machine->rack].f.gpus <= 0;
+    return job->spec.gpus > 0 || job->any_machine ||
+           core->machine_types[machine->type_index].listed.gpus <= 0;
 }
 
 /* Room of tasks that are told to stop is promised to others already. */
 static int vacated_on(const tw_core *core, const machine *machine, const job *job, int most) {
-    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
-    tw_room room = {type->cores - machine->used_c + machine->kill_c,
-                    type->gpus - machine->used_g + machine->kill_g,
-                    type->memory_gb - machine->used_m + machine->kill_m};
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    tw_room room = {type->cores - machine->used_cores + machine->vacating_cores,
+                    type->gpus - machine->used_gpus + machine->vacating_gpus,
+                    type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
     const placement *placed;
-    DL_FOREACH(machine->pls, placed) {
+    DL_FOREACH(machine->placements, placed) {
         if (!tw_may_stop(core, job, placed)) continue;
-        room.cores += placed->job->s.cores;
-        room.gpus += placed->job->s.gpus;
-        room.memory_gb += placed->job->s.memory_gb;
+        room.cores += placed->job->spec.cores;
+        room.gpus += placed->job->spec.gpus;
+        room.memory_gb += placed->job->spec.memory_gb;
     }
-    return tasks_in(&room, &job->s, most);
+    return tasks_in(&room, &job->spec, most);
 }
 
 static void add_machine(tw_core *core, const tw_demand *demand, const machine *machine, int tasks,
                         zone_room *zone) {
     const job *job = demand->job;
-    core->steps++;
+    core->pass_steps++;
     if (!tw_constraints_machine(core, job, machine) || !tw_constraints_zone(core, demand, machine))
         return;
     const int free = free_on(core, machine, job, tasks);
@@ -59,12 +60,12 @@
 
 /* How many tasks of a job that spreads over zones may stand in one; else there is no such limit. */
 static int most_in_zone(const job *job) {
-    return job->s.spread ? (job->pieces + 1) / 2 : job->pieces;
+    return job->spec.spread ? (job->task_count + 1) / 2 : job->task_count;
 }
 
 static uint32_t zones_with(const tw_core *core, const zone_rooms rooms, int tasks, int vacated) {
     uint32_t zones = 0;
-    for (int zone = 0; zone < core->nyards; zone++)
+    for (int zone = 0; zone < core->zone_count; zone++)
         if ((vacated ? rooms[zone].vacated : rooms[zone].free) >= tasks) zones |= 1U << zone;
     return zones;
 }
@@ -74,7 +75,7 @@
     const int most = most_in_zone(job);
     int total = 0;
     for (int zone = 0; zone <= TW_MAX_ZONES; zone++) {
-        if (zone >= core->nyards && zone < TW_MAX_ZONES) continue;
+        if (zone >= core->zone_count && zone < TW_MAX_ZONES) continue;
         const int count = vacated ? rooms[zone].vacated : rooms[zone].free;
         total += count < most ? count : most;
     }
@@ -84,16 +85,16 @@
 uint32_t tw_gang_zones(tw_core *core, job *job, int tasks) {
     zone_rooms rooms = {0};
     const tw_demand demand = tw_demand_of(core, job);
-    for (int i = 0; i < core->ncandidates; i++) {
+    for (int i = 0; i < core->candidate_count; i++) {
         const machine *machine = core->candidates[i].machine;
-        const int zone = machine->zone < 0 ? TW_MAX_ZONES : machine->zone;
+        const int zone = machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index;
         add_machine(core, &demand, machine, tasks, &rooms[zone]);
     }
-    const int may_vacate = job->s.priority > TW_PRIORITY_IDLE;
+    const int may_vacate = job->spec.priority > TW_PRIORITY_IDLE;
     for (int vacated = 0; vacated <= may_vacate; vacated++) {
         const uint32_t zones = zones_with(core, rooms, tasks, vacated);
-        if (job->s.single_zone && zones) return zones;
-        if (!job->s.single_zone && sum(core, job, rooms, vacated) >= tasks) return UINT32_MAX;
+        if (job->spec.single_zone && zones) return zones;
+        if (!job->spec.single_zone && sum(core, job, rooms, vacated) >= tasks) return UINT32_MAX;
     }
     return 0;
 }
--- a/src/core/heartbeat.c
+++ b/src/core/heartbeat.c
@@ -18,34 +18,34 @@
 #define MAX_ABORTED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID_SIZE + 3))
 
 peer *tw_peer_of(tw_core *core, const char *name) {
-    for (size_t i = 0; i < core->npeers; i++)
-        if (!strcmp(core->peers[i].cf.name, name)) return &core->peers[i];
+    for (size_t i = 0; i < core->peer_count; i++)
+        if (!strcmp(core->peers[i].config.name, name)) return &core->peers[i];
     return NULL;
 }
 
 int tw_all_read_divided(const tw_core *core) {
-    for (size_t i = 0; i < core->npeers; i++)
+    for (size_t i = 0; i < core->peer_count; i++)
         if (core->peers[i].record_format < TW_RECORD_FORMAT_CHUNKED) return 0;
     return 1;
 }
 
 int tw_heard_old_peer(const tw_core *core) {
-    for (size_t i = 0; i < core->npeers; i++)
+    for (size_t i = 0; i < core->peer_count; i++)
         if (core->peers[i].record_format == TW_RECORD_FORMAT_WHOLE) return 1;
     return 0;
 }
 
 int tw_isolated(const tw_core *core) {
-    const double since = core->now - ISOLATED_LEASES * core->ttl - 1;
-    if (core->state_ok_at > since) return 0;
-    for (size_t i = 0; i < core->npeers; i++)
-        if (core->peers[i].ok_at > since) return 0;
+    const double since = core->now - ISOLATED_LEASES * core->leader_lease_s - 1;
+    if (core->store_answered_at > since) return 0;
+    for (size_t i = 0; i < core->peer_count; i++)
+        if (core->peers[i].answered_at > since) return 0;
     return 1;
 }
 
 /* A heartbeat sent earlier than this, answered, says nothing of whether the peer answers now. */
 static double answers_since(const tw_core *core) {
-    return core->now - ANSWERS_S - ANSWERS_LEASES * core->ttl;
+    return core->now - ANSWERS_S - ANSWERS_LEASES * core->leader_lease_s;
 }
 
 /* Cancelled jobs of which something may still run: whoever answers workers must stop it. Returns
@@ -53,8 +53,9 @@
 static int aborted_live(const tw_core *core, const char **ids) {
     const job *cancelled;
     int count = 0;
-    DL_FOREACH2(core->cancelled, cancelled, cnext) {
-        if ((cancelled->stage != TW_JOB_CANCELLED && !cancelled->aborting) || !cancelled->live)
+    DL_FOREACH2(core->cancelled_jobs, cancelled, cancelled_next) {
+        if ((cancelled->state != TW_JOB_CANCELLED && !cancelled->cancelling) ||
+            !cancelled->placements)
             continue;
         if (count < MAX_ABORTED) ids[count] = cancelled->id;
         count++;
@@ -65,15 +66,15 @@
 /* What this node says of itself to another; aborted: room for the ids a leader sends along. */
 static tw_wire_peer_heartbeat self(const tw_core *core, const char **aborted, int *count) {
     tw_wire_peer_heartbeat message = {
-        .highest_token = core->seen_token,
-        .store_reachable = core->now - core->state_ok_at < 2 * core->ttl,
+        .highest_token = core->highest_token_seen,
+        .store_reachable = core->now - core->store_answered_at < 2 * core->leader_lease_s,
         .uptime_s = core->now - core->started_at,
-        .since_delegate_answer_s = core->now - fmax(core->started_at, core->deputy_last),
+        .since_delegate_answer_s = core->now - fmax(core->started_at, core->delegate_answered_at),
         .is_leader = tw_may(core, RIGHT_COMMAND),
         .record_format = TW_RECORD_FORMAT_CHUNKED};
-    snprintf(message.name, sizeof message.name, "%s", core->cf->host_name);
+    snprintf(message.name, sizeof message.name, "%s", core->config->host_name);
     if (message.is_leader)
-        snprintf(message.leader, sizeof message.leader, "%s", core->cf->host_name);
+        snprintf(message.leader, sizeof message.leader, "%s", core->config->host_name);
     *count = message.is_leader ? aborted_live(core, aborted) : 0;
     return message;
 }
@@ -83,12 +84,12 @@
     int count;
     tw_wire_peer_heartbeat message = self(core, ids, &count);
     const int all_named = count <= MAX_ABORTED;
-    to->busy++;
+    to->heartbeats_in_flight++;
     call *sent =
-        tw_call(core, K_PING, TW_TO_PEER, to->cf.addr, "POST", "/peer/ping",
+        tw_call(core, K_PING, TW_TO_PEER, to->config.addr, "POST", "/peer/ping",
                 tw_wire_peer_heartbeat_text(&message, ids, all_named ? count : 0), TIMEOUT_S);
-    snprintf(sent->name, sizeof sent->name, "%s", to->cf.name);
-    sent->seq = all_named ? core->abort_seq : 0;
+    snprintf(sent->name, sizeof sent->name, "%s", to->config.name);
+    sent->sequence = all_named ? core->cancellation_sequence : 0;
 }
 
 /* ---- cancelling ---- */
@@ -97,8 +98,9 @@
  * for does not know yet that the job is cancelled. */
 static int must_be_told(const peer *node, const machine *where, const job *cancelled,
                         double limit) {
-    return node->grant_until > limit && node->abort_ack < cancelled->abort_seq &&
-           (!*where->yard || !strcmp(where->yard, node->cf.zone));
+    return node->delegation_until > limit &&
+           node->cancellations_known < cancelled->cancellation_sequence &&
+           (!*where->zone || !strcmp(where->zone, node->config.zone));
 }
 
 /* Whether all that may answer the job's machines without us, for longer than a cancellation leaves
@@ -107,17 +109,18 @@
     const double limit = core->now + tw_blind_s(core);
     const placement *task;
     int safe = 1;
-    DL_FOREACH2(cancelled->live, task, jnext) {
-        const machine *where = task->m;
-        if (!task->sent && !task->inherited && !task->direct) continue;
+    DL_FOREACH2(cancelled->placements, task, job_next) {
+        const machine *where = task->machine;
+        if (!task->launch_sent && !task->inherited && !task->direct_launches) continue;
         if (!where->confirmed && tw_predecessor_end(core) > limit) return -1;
-        for (size_t i = 0; i < core->npeers; i++) {
+        for (size_t i = 0; i < core->peer_count; i++) {
             peer *node = &core->peers[i];
             if (!must_be_told(node, where, cancelled, limit)) continue;
             safe = 0;
-            if (node->ok_at < answers_since(core)) return -1;
-            if (!rental_request || node->asked_seq >= cancelled->abort_seq) continue;
-            node->asked_seq = cancelled->abort_seq;
+            if (node->answered_at < answers_since(core)) return -1;
+            if (!rental_request || node->cancellations_told >= cancelled->cancellation_sequence)
+                continue;
+            node->cancellations_told = cancelled->cancellation_sequence;
             ping(core, node);
         }
     }
@@ -127,15 +130,15 @@
 /* ---- hearing from a peer ---- */
 
 static void heard_peer(tw_core *core, peer *from, const tw_wire_peer_heartbeat *message) {
-    if (message->highest_token > from->token) from->token = message->highest_token;
-    from->state_ok = message->store_reachable;
+    if (message->highest_token > from->highest_token) from->highest_token = message->highest_token;
+    from->store_reachable = message->store_reachable;
     from->record_format = message->record_format;
     tw_saw_token(core, message->highest_token, message->is_leader ? message->name : NULL);
-    if (core->role != R_LEADER || core->all_confirmed_at > 0) return;
-    for (size_t i = 0; i < core->npeers; i++)
-        if (core->peers[i].token < core->token) return;
-    core->all_confirmed_at = core->now;
-    tw_log_info("event=peers_confirmed token=%llu", (unsigned long long)core->token);
+    if (core->role != R_LEADER || core->peers_confirmed_at > 0) return;
+    for (size_t i = 0; i < core->peer_count; i++)
+        if (core->peers[i].highest_token < core->fencing_token) return;
+    core->peers_confirmed_at = core->now;
+    tw_log_info("event=peers_confirmed token=%llu", (unsigned long long)core->fencing_token);
 }
 
 void tw_ping_request(tw_core *core, uint64_t conn, const char *body, size_t len) {
@@ -156,7 +159,7 @@
         answer.is_leader = count = 0;
     }
     if (from && answer.is_leader)
-        from->grant_until = core->now + tw_alone_s(core) * (1 + 2 * core->cf->tune.drift);
+        from->delegation_until = core->now + tw_alone_s(core) * (1 + 2 * core->config->tune.drift);
     tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
@@ -167,39 +170,40 @@
 static void vouch(tw_core *core, peer *from, const call *sent,
                   const tw_wire_peer_heartbeat *answer) {
     double known = from->vouched_at;
-    if (core->role == R_LEADER) known = fmax(known, core->auth_until);
-    const double started_by = core->now - answer->uptime_s * (1 - 2 * core->cf->tune.drift);
+    if (core->role == R_LEADER) known = fmax(known, core->authority_until);
+    const double started_by = core->now - answer->uptime_s * (1 - 2 * core->config->tune.drift);
     if (tw_authority(core) || started_by <= known)
-        from->vouched_at = fmax(from->vouched_at, sent->sent);
+        from->vouched_at = fmax(from->vouched_at, sent->sent_at);
 }
 
 void tw_ping_response(tw_core *core, const call *sent, int status, const char *body, size_t len) {
     peer *from = tw_peer_of(core, sent->name);
     tw_wire_peer_heartbeat answer;
     if (!from) return;
-    if (from->busy) from->busy--;
+    if (from->heartbeats_in_flight) from->heartbeats_in_flight--;
     if (status != TW_HTTP_OK || tw_wire_peer_heartbeat_parse(&answer, body, len)) return;
     vouch(core, from, sent, &answer);
-    if (from->ok_at < sent->sent - ANSWERS_S - ANSWERS_LEASES * core->ttl)
+    if (from->answered_at < sent->sent_at - ANSWERS_S - ANSWERS_LEASES * core->leader_lease_s)
         from->back_at = core->now;
-    from->ok_at = sent->sent;
+    from->answered_at = sent->sent_at;
     /* Said after the ping was sent; a late copy of a request would not tell when. */
-    from->deputy_last = core->now - answer.since_delegate_answer_s;
-    from->dep_asof = sent->sent;
+    from->delegate_answered_at = core->now - answer.since_delegate_answer_s;
+    from->delegate_answered_as_of = sent->sent_at;
     heard_peer(core, from, &answer);
-    if (answer.highest_token == core->token && sent->term == core->term &&
-        sent->seq > from->abort_ack) {
-        from->abort_ack = sent->seq;
-        core->next_tidy = core->now;
+    if (answer.highest_token == core->fencing_token && sent->term == core->term &&
+        sent->sequence > from->cancellations_known) {
+        from->cancellations_known = sent->sequence;
+        core->next_job_sweep_at = core->now;
     }
-    if (answer.is_leader) tw_deputy_granted(core, sent->sent, answer.highest_token, body, len);
+    if (answer.is_leader) tw_deputy_granted(core, sent->sent_at, answer.highest_token, body, len);
 }
 
 void tw_ping_tick(tw_core *core) {
-    for (size_t i = 0; i < core->npeers; i++) {
+    for (size_t i = 0; i < core->peer_count; i++) {
         peer *to = &core->peers[i];
-        if (to->busy || core->now < to->next) continue;
-        to->next = core->now + core->ttl * tw_jitter(core, PAUSE_LEAST, PAUSE_MOST);
+        if (to->heartbeats_in_flight || core->now < to->next_heartbeat_at) continue;
+        to->next_heartbeat_at =
+            core->now + core->leader_lease_s * tw_jitter(core, PAUSE_LEAST, PAUSE_MOST);
         ping(core, to);
     }
 }
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -14,7 +14,7 @@
 image *tw_image(const machine *machine, const job *job) {
     image *each;
     DL_FOREACH(machine->images, each)
-    if (each->sum == job->bundle && !strcmp(each->name, job->s.image)) return each;
+    if (each->name_hash == job->image_hash && !strcmp(each->name, job->spec.image)) return each;
     return NULL;
 }
 
@@ -28,18 +28,21 @@
 
 /* How many times as long a fetch takes there beside those under way. */
 double tw_fetch_slowed(const tw_core *core, const machine *machine, const image *but) {
-    const double share = machine->rack < 0 ? 0 : core->flavors[machine->rack].share;
+    const double share =
+        machine->type_index < 0 ? 0 : core->machine_types[machine->type_index].fetch_interference;
     return 1 + share * tw_images_fetching(core, machine, but);
 }
 
 /* Those that no longer fit beside the newest are dropped there, the least recently used first. */
 static void drop_old(const tw_core *core, machine *machine, const image *newest) {
-    const double room_gb = machine->rack < 0 ? INFINITY : core->flavors[machine->rack].f.cache_gb;
+    const double room_gb = machine->type_index < 0
+                               ? INFINITY
+                               : core->machine_types[machine->type_index].listed.cache_gb;
     image *each, *next;
     double total_gb = 0;
     int count = 0;
     DL_FOREACH_SAFE(machine->images, each, next) {
-        total_gb += each->gb;
+        total_gb += each->size_gb;
         count++;
         if (each != newest && (total_gb > room_gb || count > MAX_IMAGES)) {
             DL_DELETE(machine->images, each);
@@ -52,19 +55,20 @@
     image *found = tw_image(machine, job);
     if (!found) {
         found = tw_zalloc(sizeof *found);
-        snprintf(found->name, sizeof found->name, "%s", job->s.image);
-        found->sum = job->bundle;
-        found->gb = job->s.image_gb;
-        double s_per_gb = machine->rack >= 0 ? core->flavors[machine->rack].p : 1;
-        if (machine->p > 0) s_per_gb = machine->p;
+        snprintf(found->name, sizeof found->name, "%s", job->spec.image);
+        found->name_hash = job->image_hash;
+        found->size_gb = job->spec.image_gb;
+        double s_per_gb =
+            machine->type_index >= 0 ? core->machine_types[machine->type_index].fetch_s_per_gb : 1;
+        if (machine->fetch_s_per_gb > 0) s_per_gb = machine->fetch_s_per_gb;
         found->ready_at =
-            core->now + job->s.image_gb * s_per_gb * tw_fetch_slowed(core, machine, NULL);
+            core->now + job->spec.image_gb * s_per_gb * tw_fetch_slowed(core, machine, NULL);
         DL_PREPEND(machine->images, found);
     } else if (machine->images != found) { /* most recently used first, as the machine keeps them */
         DL_DELETE(machine->images, found);
         DL_PREPEND(machine->images, found);
     }
-    found->used = core->now;
+    found->used_at = core->now;
     if (ready) found->ready_at = 0;
     drop_old(core, machine, found);
 }
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -15,133 +15,135 @@
 }
 
 int tw_job_known(tw_core *core, const char *id) {
-    return tw_job_find(core, id) || tw_finished_find(core->finished, id, NULL);
+    return tw_job_find(core, id) || tw_finished_find(core->completed_jobs, id, NULL);
 }
 
 job *tw_job_new(tw_core *core, const char *id) {
     job *job = tw_zalloc(sizeof *job);
     snprintf(job->id, sizeof job->id, "%s", id);
     job->team = -1;
-    job->next_try = 1;
-    job->s.machine_type_count = -1;
+    job->next_attempt = 1;
+    job->spec.machine_type_count = -1;
     HASH_ADD_STR(core->jobs, id, job);
     return job;
 }
 
 static int team_index(const tw_core *core, const char *name) {
-    for (size_t i = 0; i < core->cf->nteams; i++)
-        if (!strcmp(core->cf->teams[i].name, name)) return (int)i;
+    for (size_t i = 0; i < core->config->nteams; i++)
+        if (!strcmp(core->config->teams[i].name, name)) return (int)i;
     return -1;
 }
 
 uint32_t tw_rack_mask(const tw_core *core, const tw_wire_job *spec) {
     uint32_t mask = 0;
-    for (int i = 0; i < core->nflavors; i++) {
+    for (int i = 0; i < core->machine_type_count; i++) {
         int allowed = spec->machine_type_count < 0;
         for (int k = 0; k < spec->machine_type_count; k++)
-            allowed |= !strcmp(spec->machine_types[k], core->flavors[i].f.name);
+            allowed |= !strcmp(spec->machine_types[k], core->machine_types[i].listed.name);
         if (allowed) mask |= 1u << i;
     }
     return mask;
 }
 
 void tw_job_spec(tw_core *core, job *job, tw_wire_job *spec) {
-    job->s = *spec;
+    job->spec = *spec;
     free(job->spec_text);
     job->spec_text = NULL;
     job->spec_bytes = 0;
     memset(spec, 0, sizeof *spec);
     spec->machine_type_count = -1;
     job->has_spec = 1;
-    job->pieces = job->s.task_count;
-    job->team = team_index(core, job->s.team);
-    job->lane = tw_lane(core, job->s.job_class);
-    job->rackmask = tw_rack_mask(core, &job->s);
-    job->bundle = tw_sum(job->s.image);
+    job->task_count = job->spec.task_count;
+    job->team = team_index(core, job->spec.team);
+    job->job_class = tw_lane(core, job->spec.job_class);
+    job->type_mask = tw_rack_mask(core, &job->spec);
+    job->image_hash = tw_sum(job->spec.image);
 }
 
-int tw_job_durable(const job *job) { return job->created; }
+int tw_job_durable(const job *job) { return job->record_exists; }
 
 void tw_job_free(tw_core *core, job *job) {
     HASH_DEL(core->jobs, job);
-    if (core->holder == job) core->holder = NULL;
-    if (job->in_cancelled) DL_DELETE2(core->cancelled, job, cprev, cnext);
-    for (waiter *waiter = job->waiters, *next; waiter; waiter = next) {
+    if (core->reserving_gang == job) core->reserving_gang = NULL;
+    if (job->in_cancelled_list)
+        DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
+    for (waiter *waiter = job->waiting_clients, *next; waiter; waiter = next) {
         next = waiter->next;
         free(waiter);
     }
-    tw_wire_job_free(&job->s);
+    tw_wire_job_free(&job->spec);
     free(job->spec_text);
-    free(job->st);
+    free(job->task_states);
     tw_parts_free(job);
     free(job);
 }
 
 void tw_job_changed(tw_core *core, job *job, int urgent) {
-    job->ver++;
-    if (urgent) job->urgent = 1;
-    if (!job->queued && !job->inflight) {
-        DL_APPEND2(core->dirty, job, wprev, wnext);
-        job->queued = 1;
+    job->version++;
+    if (urgent) job->write_urgent = 1;
+    if (!job->write_queued && !job->write_in_flight) {
+        DL_APPEND2(core->pending_writes, job, write_prev, write_next);
+        job->write_queued = 1;
     }
 }
 
 /* Kept apart: they are told with every ping. */
 void tw_job_cancelled(tw_core *core, job *job) {
-    if (job->in_cancelled) return;
-    job->in_cancelled = 1;
-    DL_APPEND2(core->cancelled, job, cprev, cnext);
+    if (job->in_cancelled_list) return;
+    job->in_cancelled_list = 1;
+    DL_APPEND2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
 }
 
 static void uncancelled(tw_core *core, job *job) {
-    if (!job->in_cancelled) return;
-    job->in_cancelled = 0;
-    DL_DELETE2(core->cancelled, job, cprev, cnext);
+    if (!job->in_cancelled_list) return;
+    job->in_cancelled_list = 0;
+    DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
 }
 
 /* ---- what users are told ---- */
 
 void tw_job_wait(tw_core *core, job *job, uint64_t conn, int cancels) {
     waiter *waiter = tw_zalloc(sizeof *waiter);
-    waiter->conn = conn;
+    waiter->connection = conn;
     waiter->cancels = cancels;
     waiter->until = core->now + ACCEPT_WAIT_S;
-    waiter->next = job->waiters;
-    job->waiters = waiter;
+    waiter->next = job->waiting_clients;
+    job->waiting_clients = waiter;
 }
 
 static int running(const job *job) {
     int count = 0;
     placement *task;
-    DL_FOREACH2(job->live, task, jnext)
-    if (task->seen && (task->stage == TW_TASK_RUNNING || task->stage == TW_TASK_SAVING)) count++;
+    DL_FOREACH2(job->placements, task, job_next)
+    if (task->reported && (task->state == TW_TASK_RUNNING || task->state == TW_TASK_SAVING))
+        count++;
     return count;
 }
 
 char *tw_job_answer(const job *job) {
-    if (job->durable_stage == TW_JOB_CANCELLED || job->durable_stage == TW_JOB_DONE)
-        return tw_wire_job_status_text(job->id, job->durable_stage, job->ndone, 0);
+    if (job->durable_state == TW_JOB_CANCELLED || job->durable_state == TW_JOB_DONE)
+        return tw_wire_job_status_text(job->id, job->durable_state, job->done_count, 0);
     int count = running(job);
     int stage = count ? TW_JOB_RUNNING : TW_JOB_PENDING;
-    return tw_wire_job_status_text(job->id, stage, job->ndone, count);
+    return tw_wire_job_status_text(job->id, stage, job->done_count, count);
 }
 
 /* Whether the state service may hold that the job is over while we don't know it: the write is on
  * its way, or nothing is known of its fate. Another node may have read it and told a user, so that
  * only a read that begins after a question can answer it. */
 static int end_in_doubt(const job *job) {
-    return job->over_sent && job->durable_stage == TW_JOB_PENDING;
+    return job->final_state_sent && job->durable_state == TW_JOB_PENDING;
 }
 
-int tw_job_answerable(const job *job) { return job->created && !end_in_doubt(job); }
+int tw_job_answerable(const job *job) { return job->record_exists && !end_in_doubt(job); }
 
 void tw_job_tell(tw_core *core, job *job, int status) {
-    for (waiter **at = &job->waiters; *at;) {
+    for (waiter **at = &job->waiting_clients; *at;) {
         waiter *waiter = *at;
-        int over = job->durable_stage != TW_JOB_PENDING;
-        if (waiter->cancels ? over : job->created) {
-            tw_reply(core, waiter->conn, waiter->cancels ? TW_HTTP_OK : status, 0,
-                     tw_wire_job_status_text(job->id, job->durable_stage, -1, -1));
+        int over = job->durable_state != TW_JOB_PENDING;
+        if (waiter->cancels ? over : job->record_exists) {
+            tw_reply(core, waiter->connection, waiter->cancels ? TW_HTTP_OK : status, 0,
+                     tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
             *at = waiter->next;
             free(waiter);
         } else {
@@ -153,50 +155,51 @@
 /* ---- end ---- */
 
 void tw_job_finish(tw_core *core, job *job, int stage) {
-    job->stage = stage;
+    job->state = stage;
     if (stage == TW_JOB_CANCELLED) {
         tw_job_cancelled(core, job);
         /* Not first when it is known to be durable: once the write is sent, another node may read
          * the record and tell the user, and we may never learn of it. Whatever the tasks still do
          * is of no use to anybody. */
         placement *p, *t;
-        DL_FOREACH_SAFE2(job->live, p, t, jnext) tw_placement_kill(core, p, 0, 0);
+        DL_FOREACH_SAFE2(job->placements, p, t, job_next) tw_placement_kill(core, p, 0, 0);
     }
     tw_log_debug("event=over id=%s stage=%d", job->id, stage);
     tw_job_changed(core, job, 1);
 }
 
 void tw_job_ended(tw_core *core, const char *id, int stage, int done) {
-    if (!core->finished)
-        core->finished =
-            tw_finished_new((size_t)(FINISHED_SHARE * core->cf->mem_mb * BYTES_PER_MIB));
+    if (!core->completed_jobs)
+        core->completed_jobs =
+            tw_finished_new((size_t)(FINISHED_SHARE * core->config->mem_mb * BYTES_PER_MIB));
     const tw_ending ending = {stage, done};
-    tw_finished_add(core->finished, id, &ending);
+    tw_finished_add(core->completed_jobs, id, &ending);
 }
 
 /* A retired job, of which no machine has anything left to forget: only its end is kept. */
 static void let_go(tw_core *core, job *job) {
-    if (job->st || job->nplacements || job->queued || job->inflight) return;
-    tw_job_ended(core, job->id, job->durable_stage, job->ndone);
+    if (job->task_states || job->placement_refs || job->write_queued || job->write_in_flight)
+        return;
+    tw_job_ended(core, job->id, job->durable_state, job->done_count);
     tw_job_free(core, job);
 }
 
 void tw_job_unplaced(tw_core *core, job *job) {
-    job->nplacements--;
-    if (job->durable_stage != TW_JOB_PENDING) let_go(core, job);
+    job->placement_refs--;
+    if (job->durable_state != TW_JOB_PENDING) let_go(core, job);
 }
 
 void tw_job_retire(tw_core *core, job *job) {
-    if (job->durable_stage == TW_JOB_PENDING || job->live || job->inflight || job->queued ||
-        !job->st || job->ver != job->durable_ver)
+    if (job->durable_state == TW_JOB_PENDING || job->placements || job->write_in_flight ||
+        job->write_queued || !job->task_states || job->version != job->durable_version)
         return;
-    DL_DELETE(core->active, job);
+    DL_DELETE(core->active_jobs, job);
     uncancelled(core, job);
-    free(job->st);
-    job->st = NULL;
-    job->lane = NULL;
+    free(job->task_states);
+    job->task_states = NULL;
+    job->job_class = NULL;
     job->has_spec = 0;
-    tw_wire_job_free(&job->s);
+    tw_wire_job_free(&job->spec);
     free(job->spec_text);
     job->spec_text = NULL;
     let_go(core, job);
@@ -205,40 +208,41 @@
 /* ---- time ---- */
 
 static void abort_tick(tw_core *core, job *job) {
-    if (job->aborting && job->stage == TW_JOB_PENDING && tw_may(core, RIGHT_WRITE) &&
+    if (job->cancelling && job->state == TW_JOB_PENDING && tw_may(core, RIGHT_WRITE) &&
         core->phase == PH_ACTIVE && tw_abort_safe(core, job, 1) > 0)
         tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
 void tw_job_turn_away(tw_core *core, job *job) {
-    for (waiter *waiter = job->waiters, *next; waiter; waiter = next) {
+    for (waiter *waiter = job->waiting_clients, *next; waiter; waiter = next) {
         next = waiter->next;
-        tw_turn_away(core, waiter->conn, job->id, ceil(job->write_after - core->now), "too large");
+        tw_turn_away(core, waiter->connection, job->id, ceil(job->write_after - core->now),
+                     "too large");
         free(waiter);
     }
-    job->waiters = NULL;
+    job->waiting_clients = NULL;
 }
 
 /* Users who waited for as long as they do, or whom we may tell nothing any more. */
 static void waiters_tick(tw_core *core, job *job) {
-    for (waiter **at = &job->waiters; *at;) {
+    for (waiter **at = &job->waiting_clients; *at;) {
         waiter *waiter = *at;
         if (core->now < waiter->until && tw_may(core, RIGHT_TELL)) {
             at = &waiter->next;
             continue;
         }
-        tw_turn_away(core, waiter->conn, job->id, 1, "not durable in time");
+        tw_turn_away(core, waiter->connection, job->id, 1, "not durable in time");
         *at = waiter->next;
         free(waiter);
     }
 }
 
 void tw_jobs_tick(tw_core *core) {
-    if (core->role != R_LEADER || core->now < core->next_tidy) return;
-    core->next_tidy = core->now + TICK_S;
+    if (core->role != R_LEADER || core->now < core->next_job_sweep_at) return;
+    core->next_job_sweep_at = core->now + TICK_S;
     tw_job_store_tick(core);
     job *job, *next;
-    DL_FOREACH_SAFE(core->active, job, next) {
+    DL_FOREACH_SAFE(core->active_jobs, job, next) {
         waiters_tick(core, job);
         abort_tick(core, job);
         tw_gang_tick(core, job);
@@ -262,12 +266,12 @@
 int tw_job_hopeless(tw_core *core, const tw_wire_job *spec) {
     int index = team_index(core, spec->team);
     if (index < 0) return 1;
-    const tw_conf_team *team = &core->cf->teams[index];
+    const tw_conf_team *team = &core->config->teams[index];
     double at_once = spec->service || spec->gang ? spec->task_count : 1; /* what must run at once */
     if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_ROUNDING) return 1;
     if (team->gpus_max > 0 && spec->gpus * at_once > team->gpus_max + TW_ROUNDING) return 1;
     uint32_t mask = tw_rack_mask(core, spec);
-    for (int i = 0; i < core->nflavors; i++)
-        if ((mask & (1u << i)) && type_suits(&core->flavors[i].f, spec)) return 0;
+    for (int i = 0; i < core->machine_type_count; i++)
+        if ((mask & (1u << i)) && type_suits(&core->machine_types[i].listed, spec)) return 0;
     return 1;
 }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -14,7 +14,7 @@
 
 /* A request whose answer waits until the job is durable, or known to be over. */
 typedef struct waiter {
-    uint64_t conn;
+    uint64_t connection;
     int cancels; /* else: a submission */
     double until;
     struct waiter *next;
@@ -23,75 +23,80 @@
 /* A class of jobs: its objectives, and what its jobs were like lately. */
 typedef struct lane {
     char name[TW_NAME_SIZE];
-    double within_s;     /* start objective, 0: none */
-    double finish_s;     /* objective for the end, from the submission; 0: none */
-    int deadline;        /* has a deadline objective */
-    double ratio, dev;   /* EMA of actual over estimated run time, and of its deviation */
-    double rate;         /* EMA of tasks asked per second */
-    double batch_tasks;  /* EMA of tasks per job */
-    double largest_gang; /* tasks of the largest gang so far */
-    double last_arrival;
+    double start_within_s;  /* start objective, 0: none */
+    double finish_within_s; /* objective for the end, from the submission; 0: none */
+    int has_deadline;       /* has a deadline objective */
+    double run_time_ratio,
+        run_time_deviation; /* EMA of actual over estimated run time, and of its deviation */
+    double task_rate;       /* EMA of tasks asked per second */
+    double batch_tasks;     /* EMA of tasks per job */
+    double largest_gang;    /* tasks of the largest gang so far */
+    double last_arrival_at;
     tw_wire_job sample; /* shape of its latest job (no racks) */
     int has_sample;
-    uint32_t sample_racks;
-    int reserve, holes; /* tasks to keep room for, and that there is room for; see reserve.c */
+    uint32_t sample_type_mask;
+    int reserve,
+        reserve_available; /* tasks to keep room for, and that there is room for; see reserve.c */
     UT_hash_handle hh;
 } lane;
 
 typedef struct job {
     char id[TW_WIRE_ID_SIZE];
     int has_spec;
-    tw_wire_job s;
+    tw_wire_job spec;
     char *spec_text;   /* s as in the record, made once; NULL: not yet */
     size_t spec_bytes; /* the length of that text; 0: not measured yet */
     int team;          /* index, -1: unknown */
-    lane *lane;
-    uint32_t rackmask; /* over core->flavors */
-    uint32_t bundle;   /* sum of its image's name */
-    int pieces;
-    int stage; /* TW_JOB_PENDING while unfinished */
-    int durable_stage;
-    double submitted; /* steady clock */
-    double submitted_wall;
-    uint8_t *st; /* per task; NULL once over */
-    int ndone, nlive;
-    int cursor; /* no free task below it */
-    uint64_t next_try;
-    placement *live;
-    int nplacements; /* that point to it: live, or not yet forgotten by their machines */
+    lane *job_class;
+    uint32_t type_mask;  /* over core->flavors */
+    uint32_t image_hash; /* sum of its image's name */
+    int task_count;
+    int state; /* TW_JOB_PENDING while unfinished */
+    int durable_state;
+    double submitted_at; /* steady clock */
+    double submitted_wall_s;
+    uint8_t *task_states; /* per task; NULL once over */
+    int done_count, placed_count;
+    int first_unplaced; /* no free task below it */
+    uint64_t next_attempt;
+    placement *placements;
+    int placement_refs; /* that point to it: live, or not yet forgotten by their machines */
     /* writing */
-    int created; /* its key is known to exist */
-    uint64_t stamp, ver, durable_ver, writing_ver;
-    int inflight, queued, urgent, need_read, reading;
-    int over_sent; /* a record that says it is over may be in the state service */
+    int record_exists; /* its key is known to exist */
+    uint64_t mod_revision, version, durable_version, writing_version;
+    int write_in_flight, write_queued, write_urgent, needs_read, read_in_flight;
+    int final_state_sent; /* a record that says it is over may be in the state service */
     double write_after;
-    char set[TW_WIRE_CHUNK_SET_SIZE]; /* slices that its record names as last known; "": it is whole
-                                       */
-    int slices;                       /* how many */
-    struct record_parts *parts; /* of its next record, while they are written; see record_parts.c */
-    int refusals;               /* of its record for its size, in a row */
-    size_t refused_bytes;       /* the length that was refused */
-    int alone;                  /* to be written in a transaction of its own */
-    waiter *waiters;
+    char chunk_set[TW_WIRE_CHUNK_SET_SIZE]; /* slices that its record names as last known; "": it is
+                                             * whole
+                                             */
+    int chunk_count;                        /* how many */
+    struct record_parts
+        *chunks;          /* of its next record, while they are written; see record_parts.c */
+    int size_refusals;    /* of its record for its size, in a row */
+    size_t refused_bytes; /* the length that was refused */
+    int write_alone;      /* to be written in a transaction of its own */
+    waiter *waiting_clients;
     /* errors */
-    int aborting; /* its user cancels it; not yet safe to tell, see tw_abort_safe */
-    uint64_t abort_seq;
-    int errors; /* in a row */
+    int cancelling; /* its user cancels it; not yet safe to tell, see tw_abort_safe */
+    uint64_t cancellation_sequence;
+    int consecutive_errors; /* in a row */
     double retry_at;
-    struct machine *bad[4]; /* machines it failed on lately, passed over until bad_until */
-    int nbad;
-    double bad_until;
+    struct machine
+        *failed_machines[4]; /* machines it failed on lately, passed over until bad_until */
+    int failed_machine_count;
+    double failed_machines_until;
     double pending_since;
-    int begun;                 /* a task of it has run for a lease */
-    int guaranteed;            /* scratch: within its team's guarantee, see queue.c */
-    int capacity_bound;        /* nothing can be rented for it */
-    int any_machine;           /* without GPUs, but only GPU machines are to be had */
-    int resumed;               /* a task's run time is no longer the whole */
-    gang gang;                 /* of a job whose tasks start together */
-    struct job *prev, *next;   /* core->active */
-    struct job *wprev, *wnext; /* core->dirty */
-    int in_cancelled;
-    struct job *cprev, *cnext; /* core->cancelled */
+    int has_run;                         /* a task of it has run for a lease */
+    int guaranteed;                      /* scratch: within its team's guarantee, see queue.c */
+    int capacity_bound;                  /* nothing can be rented for it */
+    int any_machine;                     /* without GPUs, but only GPU machines are to be had */
+    int has_checkpoint;                  /* a task's run time is no longer the whole */
+    gang gang;                           /* of a job whose tasks start together */
+    struct job *prev, *next;             /* core->active */
+    struct job *write_prev, *write_next; /* core->dirty */
+    int in_cancelled_list;
+    struct job *cancelled_prev, *cancelled_next; /* core->cancelled */
     UT_hash_handle hh;
 } job;
 
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -15,30 +15,31 @@
 
 lane *tw_lane(tw_core *core, const char *name) {
     lane *lane;
-    HASH_FIND_STR(core->lanes, name, lane);
+    HASH_FIND_STR(core->job_classes, name, lane);
     if (lane) return lane;
     lane = tw_zalloc(sizeof *lane);
     snprintf(lane->name, sizeof lane->name, "%s", name);
-    lane->ratio = 1;
-    lane->dev = PRIOR_DEVIATION;
-    HASH_ADD_STR(core->lanes, name, lane);
+    lane->run_time_ratio = 1;
+    lane->run_time_deviation = PRIOR_DEVIATION;
+    HASH_ADD_STR(core->job_classes, name, lane);
     return lane;
 }
 
 void tw_lane_arrival(tw_core *core, lane *lane, const job *job) {
     /* Jobs that stood waiting for the service to come up say nothing of the rate they come at. */
-    int opening = core->fresh && core->now - core->opened_at < OPENING_LEASES * core->cf->lease_s;
-    double gap_s = lane->last_arrival > 0 ? core->now - lane->last_arrival : FIRST_GAP_S;
+    int opening = core->began_without_jobs &&
+                  core->now - core->first_admission_at < OPENING_LEASES * core->config->lease_s;
+    double gap_s = lane->last_arrival_at > 0 ? core->now - lane->last_arrival_at : FIRST_GAP_S;
     double weight = opening ? 0 : 1 - exp(-gap_s / RATE_TIME_S);
-    double tasks = job->pieces;
+    double tasks = job->task_count;
     if (gap_s < SHORTEST_GAP_S) gap_s = SHORTEST_GAP_S;
-    lane->rate += weight * (tasks / gap_s - lane->rate);
+    lane->task_rate += weight * (tasks / gap_s - lane->task_rate);
     lane->batch_tasks += SIZE_WEIGHT * (tasks - lane->batch_tasks);
-    if (job->s.gang) lane->largest_gang = fmax(lane->largest_gang, tasks);
-    lane->last_arrival = core->now;
-    lane->sample = job->s;
+    if (job->spec.gang) lane->largest_gang = fmax(lane->largest_gang, tasks);
+    lane->last_arrival_at = core->now;
+    lane->sample = job->spec;
     lane->sample.machine_types = NULL;
-    lane->sample_racks = job->rackmask;
+    lane->sample_type_mask = job->type_mask;
     lane->has_sample = 1;
     tw_per_gpu_note(core);
 }
--- a/src/core/job_record.c
+++ b/src/core/job_record.c
@@ -5,33 +5,33 @@
 static tw_wire_assignment *live_tasks(const job *job, int *count) {
     const placement *task;
     *count = 0;
-    DL_FOREACH2(job->live, task, jnext)++ *count;
+    DL_FOREACH2(job->placements, task, job_next)++ *count;
     tw_wire_assignment *tasks = tw_zalloc((size_t)*count * sizeof *tasks);
     tw_wire_assignment *at = tasks;
-    DL_FOREACH2(job->live, task, jnext) {
+    DL_FOREACH2(job->placements, task, job_next) {
         at->index = task->index;
         at->attempt = task->attempt;
-        snprintf(at->worker, sizeof at->worker, "%s", task->m->name);
+        snprintf(at->worker, sizeof at->worker, "%s", task->machine->name);
         at++;
     }
     return tasks;
 }
 
 char *tw_job_record(job *job) {
-    tw_wire_record record = {.state = job->stage,
-                             .task_count = job->pieces,
-                             .done_count = job->ndone,
-                             .submitted_at = job->submitted_wall,
-                             .next_attempt = job->next_try};
+    tw_wire_record record = {.state = job->state,
+                             .task_count = job->task_count,
+                             .done_count = job->done_count,
+                             .submitted_at = job->submitted_wall_s,
+                             .next_attempt = job->next_attempt};
     record.assignments = live_tasks(job, &record.assignment_count);
     /* While something may run, a successor needs the job's amounts for the team's limit. */
-    if (job->has_spec && (job->stage == TW_JOB_PENDING || record.assignment_count)) {
-        if (!job->spec_text) job->spec_text = tw_wire_job_text(&job->s);
+    if (job->has_spec && (job->state == TW_JOB_PENDING || record.assignment_count)) {
+        if (!job->spec_text) job->spec_text = tw_wire_job_text(&job->spec);
         record.has_job = 1;
         record.job_text = job->spec_text;
     }
-    if (job->stage == TW_JOB_PENDING)
-        record.done_ranges = tw_ranges_text(job->st, job->pieces, T_DONE);
+    if (job->state == TW_JOB_PENDING)
+        record.done_ranges = tw_ranges_text(job->task_states, job->task_count, T_DONE);
     char *text = tw_wire_record_text(&record);
     free(record.assignments);
     free(record.done_ranges);
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -32,24 +32,24 @@
 /* ---- group commit ---- */
 
 static void enqueue(tw_core *core, job *job) {
-    DL_APPEND2(core->dirty, job, wprev, wnext);
-    job->queued = 1;
+    DL_APPEND2(core->pending_writes, job, write_prev, write_next);
+    job->write_queued = 1;
 }
 
 static void dequeue(tw_core *core, job *job) {
-    DL_DELETE2(core->dirty, job, wprev, wnext);
-    job->queued = 0;
+    DL_DELETE2(core->pending_writes, job, write_prev, write_next);
+    job->write_queued = 0;
 }
 
 static void requeue(tw_core *core, job *job) {
-    if (job->queued || job->inflight) return;
-    if (job->ver == job->durable_ver && job->created) return;
+    if (job->write_queued || job->write_in_flight) return;
+    if (job->version == job->durable_version && job->record_exists) return;
     enqueue(core, job);
 }
 
 /* The text to write under the job's key; NULL: not yet, its slices are to be written first. */
 static char *next_text(tw_core *core, job *job) {
-    if (job->parts) return tw_parts_written(job) ? tw_parts_head(job) : NULL;
+    if (job->chunks) return tw_parts_written(job) ? tw_parts_head(job) : NULL;
     char *text = tw_job_record(job);
     if (!tw_record_divides(core, job, strlen(text))) return text;
     tw_parts_begin(core, job, text);
@@ -74,10 +74,11 @@
 /* Takes queued records into the batch: those that somebody waits for, or the others. */
 static void batch_fill(tw_core *core, batch *batch, int urgent, int most) {
     job *job, *next;
-    DL_FOREACH_SAFE2(core->dirty, job, next, wnext) {
-        if (batch->count >= most || batch->count + 1 > tw_peek(core, &core->writes)) return;
-        if (core->now < job->write_after || job->need_read || urgent != !!job->urgent) continue;
-        if (batch->count && (job->alone || batch->jobs[0]->alone)) continue;
+    DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next) {
+        if (batch->count >= most || batch->count + 1 > tw_peek(core, &core->write_limiter)) return;
+        if (core->now < job->write_after || job->needs_read || urgent != !!job->write_urgent)
+            continue;
+        if (batch->count && (job->write_alone || batch->jobs[0]->write_alone)) continue;
         char *text = next_text(core, job);
         if (!text) continue;
         if (!batch_add(batch, job, text)) return;
@@ -87,61 +88,63 @@
 
 /* What a record says that names slices: what the job was when they were made. */
 static void note_divided(job_write *write, record_parts *parts) {
-    write->ver = parts->ver;
-    write->stage = parts->stage;
-    write->slices = parts->count;
-    snprintf(write->set, sizeof write->set, "%s", parts->set);
-    parts->named = 1;
+    write->version = parts->version;
+    write->state = parts->state;
+    write->chunk_count = parts->count;
+    snprintf(write->chunk_set, sizeof write->chunk_set, "%s", parts->name);
+    parts->record_sent = 1;
 }
 
 /* Notes with the call what each record said, for its answer. */
 static void note_writes(call *call, const batch *batch) {
-    call->n = batch->count;
+    call->count = batch->count;
     call->records = tw_zalloc((size_t)batch->count * sizeof *call->records);
     for (int i = 0; i < batch->count; i++) {
         job *job = batch->jobs[i];
         job_write *write = &call->records[i];
-        *write = (job_write){.ver = job->ver, .stamp = job->stamp, .stage = job->stage};
+        *write = (job_write){
+            .version = job->version, .mod_revision = job->mod_revision, .state = job->state};
         snprintf(write->id, sizeof write->id, "%s", job->id);
-        if (job->parts) note_divided(write, job->parts);
+        if (job->chunks) note_divided(write, job->chunks);
         write->bytes = strlen(batch->texts[i]);
-        job->over_sent |= write->stage != TW_JOB_PENDING;
-        job->inflight = 1;
-        job->writing_ver = write->ver;
-        job->urgent = 0;
+        job->final_state_sent |= write->state != TW_JOB_PENDING;
+        job->write_in_flight = 1;
+        job->writing_version = write->version;
+        job->write_urgent = 0;
     }
 }
 
 static void batch_send(tw_core *core, const batch *batch) {
     const int count = batch->count;
-    tw_take(core, &core->writes, count);
-    tw_take(core, &core->reqs, 1);
-    tw_wire_compare conds[MAX_RECORDS + 1 + core->npeers];
+    tw_take(core, &core->write_limiter, count);
+    tw_take(core, &core->request_limiter, 1);
+    tw_wire_compare conds[MAX_RECORDS + 1 + core->peer_count];
     tw_wire_write writes[MAX_RECORDS];
     for (int i = 0; i < count; i++) {
-        conds[i] = (tw_wire_compare){batch->keys[i], batch->jobs[i]->stamp};
+        conds[i] = (tw_wire_compare){batch->keys[i], batch->jobs[i]->mod_revision};
         writes[i] = (tw_wire_write){batch->keys[i], batch->texts[i], 0};
     }
-    char deputy_keys[core->npeers + 1][TW_DEPUTY_KEY_SIZE];
-    conds[count] = (tw_wire_compare){TW_LEADER_KEY, core->token};
+    char deputy_keys[core->peer_count + 1][TW_DEPUTY_KEY_SIZE];
+    conds[count] = (tw_wire_compare){TW_LEADER_KEY, core->fencing_token};
     int nconds = count + 1 + tw_deputy_conds(core, conds + count + 1, deputy_keys);
-    call *call = tw_call(core, K_TXN, TW_TO_STATE, core->cf->state, "POST", "/txn",
+    call *call = tw_call(core, K_TXN, TW_TO_STATE, core->config->state, "POST", "/txn",
                          tw_wire_txn_text(conds, (size_t)nconds, writes, (size_t)count),
-                         fmax(LEAST_TXN_TIMEOUT_S, core->ttl * TXN_TIMEOUT_RATIO));
+                         fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO));
     note_writes(call, batch);
     for (int i = 0; i < count; i++) free(batch->texts[i]);
-    core->ntxns++;
+    core->transactions_in_flight++;
 }
 
 void tw_jobs_flush(tw_core *core) {
     /* One of the conditions is on our key and one on each deputy's. */
-    const int max_conds = CONDITIONS_PER_CHANGE * core->cf->state_txn_ops - 1 - (int)core->npeers;
-    const int allowed = (int)fmax(1, fmin(core->cf->state_txn_ops, max_conds));
+    const int max_conds =
+        CONDITIONS_PER_CHANGE * core->config->state_txn_ops - 1 - (int)core->peer_count;
+    const int allowed = (int)fmax(1, fmin(core->config->state_txn_ops, max_conds));
     const int most = allowed < MAX_RECORDS ? allowed : MAX_RECORDS;
-    if (!core->deputies_known) return;
+    if (!core->delegates_known) return;
     tw_parts_flush(core, most);
-    while (core->dirty && core->ntxns < TW_MAX_TXNS && tw_peek(core, &core->writes) >= 1 &&
-           tw_peek(core, &core->reqs) >= 1) {
+    while (core->pending_writes && core->transactions_in_flight < TW_MAX_TXNS &&
+           tw_peek(core, &core->write_limiter) >= 1 && tw_peek(core, &core->request_limiter) >= 1) {
         batch batch = {.bytes = FRAME_BYTES};
         batch_fill(core, &batch, 1, most);
         batch_fill(core, &batch, 0, most);
@@ -156,25 +159,26 @@
 
 /* The record under this stamp, the latest one, holds this stage. */
 static void record_known(job *job, int stage, uint64_t stamp) {
-    job->created = 1;
-    job->need_read = 0;
-    job->stamp = stamp;
+    job->record_exists = 1;
+    job->needs_read = 0;
+    job->mod_revision = stamp;
     /* A job that is over never becomes anything else. What counts is the record that was written,
      * not whether the job has changed since: a task may have ended meanwhile. */
-    if (stage != TW_JOB_PENDING) job->stage = job->durable_stage = stage;
+    if (stage != TW_JOB_PENDING) job->state = job->durable_state = stage;
 }
 
 static void durable(tw_core *core, job *job, const job_write *w, uint64_t stamp) {
-    record_known(job, w->stage, stamp);
-    tw_parts_named(core, job, w->set, w->slices);
-    if (*w->set) tw_parts_free(job); /* nothing else is written while it is on its way */
-    job->alone = 0;
-    job->refusals = 0;
+    record_known(job, w->state, stamp);
+    tw_parts_named(core, job, w->chunk_set, w->chunk_count);
+    if (*w->chunk_set) tw_parts_free(job); /* nothing else is written while it is on its way */
+    job->write_alone = 0;
+    job->size_refusals = 0;
     tw_job_tell(core, job, TW_HTTP_CREATED);
-    if (w->ver > job->durable_ver) job->durable_ver = w->ver;
+    if (w->version > job->durable_version) job->durable_version = w->version;
     placement *p;
-    DL_FOREACH2(job->live, p, jnext)
-    if (p->ver <= job->durable_ver && !p->sent && !p->kill) tw_want_direct(core, p->m);
+    DL_FOREACH2(job->placements, p, job_next)
+    if (p->version <= job->durable_version && !p->launch_sent && !p->stopping)
+        tw_want_direct(core, p->machine);
     requeue(core, job);
     tw_job_retire(core, job);
 }
@@ -188,10 +192,11 @@
  * its first record was refused. Nothing of ours was durable; the end holds as its record has it. */
 static void was_over(tw_core *core, job *job, const tw_wire_record *record) {
     placement *task, *next;
-    DL_FOREACH_SAFE2(job->live, task, next, jnext) tw_attempt_end_on(core, task, END_NOT_RECORDED);
-    job->ndone = record->done_count;
-    job->durable_ver = job->ver;
-    if (job->queued) dequeue(core, job);
+    DL_FOREACH_SAFE2(job->placements, task, next, job_next)
+    tw_attempt_end_on(core, task, END_NOT_RECORDED);
+    job->done_count = record->done_count;
+    job->durable_version = job->version;
+    if (job->write_queued) dequeue(core, job);
 }
 
 /* The first record of a job that we were writing ourselves. If another node accepted the job before
@@ -206,18 +211,19 @@
         tw_wire_record_free(&record);
         return;
     }
-    char *ours = spec_text(&job->s), *theirs = spec_text(&record.job);
+    char *ours = spec_text(&job->spec), *theirs = spec_text(&record.job);
     if (record.has_job && strcmp(ours, theirs) != 0) {
         placement *p, *t;
-        DL_FOREACH_SAFE2(job->live, p, t, jnext) tw_attempt_end_on(core, p, END_NOT_RECORDED);
-        tw_wire_job_free(&job->s);
+        DL_FOREACH_SAFE2(job->placements, p, t, job_next)
+        tw_attempt_end_on(core, p, END_NOT_RECORDED);
+        tw_wire_job_free(&job->spec);
         tw_job_spec(core, job, &record.job);
-        free(job->st);
-        job->st = tw_zalloc((size_t)job->pieces);
-        job->cursor = 0;
-        job->submitted_wall = record.submitted_at;
+        free(job->task_states);
+        job->task_states = tw_zalloc((size_t)job->task_count);
+        job->first_unplaced = 0;
+        job->submitted_wall_s = record.submitted_at;
         tw_job_changed(core, job, 1);
-        core->sched_dirty = 1;
+        core->scheduling_due = 1;
     }
     free(ours);
     free(theirs);
@@ -229,14 +235,14 @@
  * since only we write records that exist, and nothing of ours is conditioned on it yet. Writes that
  * are still on their way hold the older stamp, and fail. */
 void tw_job_record_read(tw_core *core, job *job, const tw_wire_entry *entry) {
-    if (entry->mod_revision <= job->stamp) return;
+    if (entry->mod_revision <= job->mod_revision) return;
     tw_wire_record record;
     int stage = tw_wire_record_state(entry->value, strlen(entry->value));
     if (!tw_wire_record_parse(&record, job->id, entry->value, strlen(entry->value))) {
         tw_parts_named(core, job, record.chunk_set, record.chunk_count);
         tw_wire_record_free(&record);
     }
-    if (!job->created) first_record(core, job, entry->value);
+    if (!job->record_exists) first_record(core, job, entry->value);
     record_known(job, stage < 0 ? TW_JOB_PENDING : stage, entry->mod_revision);
     tw_job_tell(core, job, TW_HTTP_OK);
     requeue(core, job);
@@ -247,17 +253,18 @@
 
 static void read_record(tw_core *core, job *job) {
     char path[JOB_PATH_SIZE];
-    job->reading = 1;
+    job->read_in_flight = 1;
     snprintf(path, sizeof path, JOB_PATH "%s", job->id);
-    call *call = tw_call(core, K_JOB_READ, TW_TO_STATE, core->cf->state, "GET", path, NULL, 1);
+    call *call = tw_call(core, K_JOB_READ, TW_TO_STATE, core->config->state, "GET", path, NULL, 1);
     snprintf(call->name, sizeof call->name, "%s", job->id);
 }
 
 void tw_job_store_tick(tw_core *core) {
     job *job, *next;
     if (core->phase == PH_ACTIVE) tw_record_peers(core);
-    DL_FOREACH_SAFE2(core->dirty, job, next, wnext)
-    if (job->need_read && !job->reading && core->now >= job->write_after) read_record(core, job);
+    DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next)
+    if (job->needs_read && !job->read_in_flight && core->now >= job->write_after)
+        read_record(core, job);
 }
 
 /* Keys whose conditions failed, of a transaction's answer. */
@@ -280,17 +287,17 @@
  * through, or still will, one of the two fails. */
 static void not_written(tw_core *core, job *job, const job_write *w, int status,
                         const refusal *refusal, int alone) {
-    job->urgent = 1;
+    job->write_urgent = 1;
     if (status == TW_HTTP_BAD_REQUEST && alone)
-        tw_record_refused(core, job, *w->set ? 0 : w->bytes);
+        tw_record_refused(core, job, *w->chunk_set ? 0 : w->bytes);
     else if (status == TW_HTTP_BAD_REQUEST)
-        job->alone = 1; /* to find out which of them it is for */
+        job->write_alone = 1; /* to find out which of them it is for */
     else if (status != TW_HTTP_CONFLICT)
         job->write_after = core->now + WRITE_RETRY_S;
     /* A read for a user may have told us the record's stamp since. */
-    if (w->stamp == job->stamp && refused(refusal, w)) job->need_read = 1;
+    if (w->mod_revision == job->mod_revision && refused(refusal, w)) job->needs_read = 1;
     requeue(core, job);
-    if (job->need_read && !job->reading) read_record(core, job);
+    if (job->needs_read && !job->read_in_flight) read_record(core, job);
 }
 
 /* Whether our key is still there, by what a transaction was refused for. */
@@ -307,8 +314,8 @@
  * leader's key is among them, and the term is over. */
 static int answered(tw_core *core, int status, const char *body, size_t length, refusal *refusal) {
     *refusal = (struct refusal){NULL, 0};
-    core->ntxns--;
-    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->state_ok_at = core->now;
+    core->transactions_in_flight--;
+    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
     if (status == TW_HTTP_CONFLICT &&
         tw_wire_failed_compares_parse(&refusal->keys, &refusal->count, body, length))
         refusal->count = 0;
@@ -325,10 +332,10 @@
     free(refusal.keys);
     job *job = tw_job_find(core, call->name);
     /* Or they were given up meanwhile. */
-    if (!job || !job->parts || strcmp(job->parts->set, call->text) != 0) return;
-    job->parts->busy = 0;
+    if (!job || !job->chunks || strcmp(job->chunks->name, call->text) != 0) return;
+    job->chunks->write_in_flight = 0;
     if (status == TW_HTTP_OK)
-        job->parts->written += call->n;
+        job->chunks->written += call->count;
     else if (status == TW_HTTP_BAD_REQUEST)
         tw_record_refused(core, job, 0);
     else
@@ -340,16 +347,17 @@
     refusal refusal;
     int ok = status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, length);
     if (!answered(core, status, body, length, &refusal)) return;
-    if (ok && call->sent > core->deputies_checked_at) core->deputies_checked_at = call->sent;
-    for (int i = 0; i < call->n; i++) {
+    if (ok && call->sent_at > core->delegates_checked_at)
+        core->delegates_checked_at = call->sent_at;
+    for (int i = 0; i < call->count; i++) {
         const job_write *write = &call->records[i];
         job *job = tw_job_find(core, write->id);
         if (!job) continue;
-        job->inflight = 0;
+        job->write_in_flight = 0;
         if (ok)
             durable(core, job, write, revision);
         else
-            not_written(core, job, write, status, &refusal, call->n == 1);
+            not_written(core, job, write, status, &refusal, call->count == 1);
     }
     free(refusal.keys);
 }
@@ -358,10 +366,10 @@
 static void read_done(tw_core *core, call *call, int status, const char *body, size_t length) {
     job *job = tw_job_find(core, call->name);
     if (!job) return;
-    job->reading = 0;
+    job->read_in_flight = 0;
     if (status == TW_HTTP_NOT_FOUND) {
-        job->stamp = 0;
-        job->need_read = 0;
+        job->mod_revision = 0;
+        job->needs_read = 0;
         return;
     }
     tw_wire_entry entry;
--- a/src/core/learn.c
+++ b/src/core/learn.c
@@ -25,36 +25,38 @@
  * learned, too: taking it for granted made machines that fetch look slow, and those that had
  * fetched so look fast. */
 static void learn_fetch(tw_core *core, const placement *placed, double fetch_s) {
-    machine *machine = placed->m;
-    flavor *type = &core->flavors[machine->rack];
-    const double weight = core->cf->tune.ema;
-    double s_per_gb = fmax(0, fetch_s) / placed->job->s.image_gb;
+    machine *machine = placed->machine;
+    flavor *type = &core->machine_types[machine->type_index];
+    const double weight = core->config->tune.ema;
+    double s_per_gb = fmax(0, fetch_s) / placed->job->spec.image_gb;
     /* Which a new leader can't know. */
-    if (s_per_gb * type->f.fetch_gb_s < CACHED_RATIO) return;
-    if (placed->sharing) {
-        const double share = (s_per_gb / type->p - 1) / placed->sharing;
-        move_average(&type->share, type->share, fmin(1, fmax(0, share)), weight * SHARE_WEIGHT);
-        s_per_gb /= 1 + type->share * placed->sharing;
+    if (s_per_gb * type->listed.fetch_gb_s < CACHED_RATIO) return;
+    if (placed->concurrent_fetches) {
+        const double share = (s_per_gb / type->fetch_s_per_gb - 1) / placed->concurrent_fetches;
+        move_average(&type->fetch_interference, type->fetch_interference, fmin(1, fmax(0, share)),
+                     weight * SHARE_WEIGHT);
+        s_per_gb /= 1 + type->fetch_interference * placed->concurrent_fetches;
     }
-    move_average(&type->p_dev, type->p_dev, fmin(1, fabs(s_per_gb / type->p - 1)),
-                 weight * TYPE_WEIGHT);
-    move_average(&machine->p, type->p, s_per_gb, weight);
-    move_average(&type->p, type->p, s_per_gb, weight * TYPE_WEIGHT);
+    move_average(&type->fetch_deviation, type->fetch_deviation,
+                 fmin(1, fabs(s_per_gb / type->fetch_s_per_gb - 1)), weight * TYPE_WEIGHT);
+    move_average(&machine->fetch_s_per_gb, type->fetch_s_per_gb, s_per_gb, weight);
+    move_average(&type->fetch_s_per_gb, type->fetch_s_per_gb, s_per_gb, weight * TYPE_WEIGHT);
 }
 
 void tw_learn_start(tw_core *core, placement *placed) {
-    machine *machine = placed->m;
-    if (machine->rack < 0 || placed->inherited || !placed->sent) return;
-    flavor *type = &core->flavors[machine->rack];
+    machine *machine = placed->machine;
+    if (machine->type_index < 0 || placed->inherited || !placed->launch_sent) return;
+    flavor *type = &core->machine_types[machine->type_index];
     /* A launch that was put off is no delay of the machine. */
-    const double delay = core->now - fmax(placed->made_at, placed->launch_after);
-    const double weight = core->cf->tune.ema;
-    const double start_s = machine->q < 0 ? type->q : machine->q;
-    const double long_gb = type->f.fetch_gb_s * 2 * core->cf->report_s;
-    if (placed->warmth > 0) {
-        move_average(&machine->q, type->q, delay, weight);
-        move_average(&type->q, type->q, delay, weight * TYPE_WEIGHT);
-    } else if (!placed->warmth && placed->job->s.image_gb > long_gb) {
+    const double delay = core->now - fmax(placed->placed_at, placed->launch_after);
+    const double weight = core->config->tune.ema;
+    const double start_s =
+        machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
+    const double long_gb = type->listed.fetch_gb_s * 2 * core->config->report_s;
+    if (placed->image_state > 0) {
+        move_average(&machine->queue_delay_s, type->queue_delay_s, delay, weight);
+        move_average(&type->queue_delay_s, type->queue_delay_s, delay, weight * TYPE_WEIGHT);
+    } else if (!placed->image_state && placed->job->spec.image_gb > long_gb) {
         learn_fetch(core, placed, delay - start_s);
     }
 }
@@ -62,42 +64,43 @@
 /* Actual over estimated run time of the class, with the machine's slowness taken out. */
 static void learn_estimate(lane *class, double ratio, double weight) {
     const double own = fmin(RATIO_MOST, fmax(RATIO_LEAST, ratio));
-    class->dev += weight * RUN_WEIGHT * (fabs(own - class->ratio) - class->dev);
-    class->ratio += weight * RUN_WEIGHT * (own - class->ratio);
+    class->run_time_deviation +=
+        weight * RUN_WEIGHT * (fabs(own - class->run_time_ratio) - class->run_time_deviation);
+    class->run_time_ratio += weight * RUN_WEIGHT * (own - class->run_time_ratio);
 }
 
 /* Of the slowest machine that has a task of the gang; `done` has left its job's list. */
 static double gang_slowness(const tw_core *core, const placement *done) {
-    double slowest = tw_slowness(core, done->m);
+    double slowest = tw_slowness(core, done->machine);
     const placement *task;
-    DL_FOREACH2(done->job->live, task, jnext)
-    if (task->m->rack >= 0) slowest = fmax(slowest, tw_slowness(core, task->m));
+    DL_FOREACH2(done->job->placements, task, job_next)
+    if (task->machine->type_index >= 0) slowest = fmax(slowest, tw_slowness(core, task->machine));
     return slowest;
 }
 
 void tw_learn_run(tw_core *core, const placement *placed) {
-    machine *machine = placed->m;
+    machine *machine = placed->machine;
     const job *job = placed->job;
-    lane *class = job->lane;
-    if (machine->rack < 0 || placed->run_at <= 0 || job->s.expected_run_s <= 0 || job->resumed ||
-        !class)
+    lane *class = job->job_class;
+    if (machine->type_index < 0 || placed->running_since <= 0 || job->spec.expected_run_s <= 0 ||
+        job->has_checkpoint || !class)
         return;
-    const double prior = core->flavors[machine->rack].slowness;
-    const double weight = core->cf->tune.ema;
-    const double ratio = (core->now - placed->run_at) / job->s.expected_run_s;
-    if (job->s.gang) { /* it ran at the speed of its slowest machine, whichever that was */
+    const double prior = core->machine_types[machine->type_index].slowness;
+    const double weight = core->config->tune.ema;
+    const double ratio = (core->now - placed->running_since) / job->spec.expected_run_s;
+    if (job->spec.gang) { /* it ran at the speed of its slowest machine, whichever that was */
         learn_estimate(class, ratio / gang_slowness(core, placed), weight);
         return;
     }
     const double slow = tw_slowness(core, machine);
     /* Estimates are often wrong by half: one run tells little of the machine. */
     move_average(&machine->slowness, prior,
-                 fmin(RATIO_MOST, fmax(RATIO_LEAST, ratio / class->ratio)), weight * 0.5);
+                 fmin(RATIO_MOST, fmax(RATIO_LEAST, ratio / class->run_time_ratio)), weight * 0.5);
     learn_estimate(class, ratio / slow, weight);
 }
 
 /* It came up, or is overdue: so many of its type do not come in time. */
 void tw_learn_boot(tw_core *core, const machine *machine) {
-    double *share = &core->flavors[machine->rack].overdue;
-    move_average(share, *share, machine->overdue, BOOT_WEIGHT * core->cf->tune.ema);
+    double *share = &core->machine_types[machine->type_index].overdue_share;
+    move_average(share, *share, machine->overdue, BOOT_WEIGHT * core->config->tune.ema);
 }
--- a/src/core/loaded_parts.c
+++ b/src/core/loaded_parts.c
@@ -8,9 +8,9 @@
 /* The slices of a set. */
 typedef struct loaded_set {
     char name[PART_KEY_SIZE]; /* the job's id, a slash, the set */
-    char **slices;            /* by number; NULL: not there */
-    int room;                 /* one more than the highest number */
-    int named;                /* by a record */
+    char **chunks;            /* by number; NULL: not there */
+    int capacity;             /* one more than the highest number */
+    int referenced;           /* by a record */
     UT_hash_handle hh;
 } loaded_set;
 
@@ -29,25 +29,25 @@
 
 static loaded_set *set_of(tw_core *core, const char *name) {
     loaded_set *set;
-    HASH_FIND_STR(core->loaded_sets, name, set);
+    HASH_FIND_STR(core->loaded_chunk_sets, name, set);
     if (set) return set;
     set = tw_zalloc(sizeof *set);
     snprintf(set->name, sizeof set->name, "%s", name);
-    HASH_ADD_STR(core->loaded_sets, name, set);
+    HASH_ADD_STR(core->loaded_chunk_sets, name, set);
     return set;
 }
 
 static void keep_slice(loaded_set *set, int number, char *text) {
-    if (number >= set->room) {
+    if (number >= set->capacity) {
         const int room = number + 1;
-        char **slices = realloc(set->slices, (size_t)room * sizeof *slices);
+        char **slices = realloc(set->chunks, (size_t)room * sizeof *slices);
         if (!slices) abort();
-        memset(slices + set->room, 0, (size_t)(room - set->room) * sizeof *slices);
-        set->slices = slices;
-        set->room = room;
+        memset(slices + set->capacity, 0, (size_t)(room - set->capacity) * sizeof *slices);
+        set->chunks = slices;
+        set->capacity = room;
     }
-    free(set->slices[number]);
-    set->slices[number] = text;
+    free(set->chunks[number]);
+    set->chunks[number] = text;
 }
 
 int tw_loaded_page(tw_core *core, const char *body, size_t len, int *more, char *last,
@@ -72,38 +72,38 @@
     char name[PART_KEY_SIZE];
     snprintf(name, sizeof name, "%s/%s", id, record->chunk_set);
     loaded_set *set;
-    HASH_FIND_STR(core->loaded_sets, name, set);
+    HASH_FIND_STR(core->loaded_chunk_sets, name, set);
     if (!set) return NULL;
-    set->named = 1;
+    set->referenced = 1;
     size_t length = 0;
     for (int i = 0; i < record->chunk_count; i++) {
-        if (i >= set->room || !set->slices[i]) return NULL;
-        length += strlen(set->slices[i]);
+        if (i >= set->capacity || !set->chunks[i]) return NULL;
+        length += strlen(set->chunks[i]);
     }
     char *text = tw_zalloc(length + 1);
     char *end = text;
-    for (int i = 0; i < record->chunk_count; i++) end = stpcpy(end, set->slices[i]);
+    for (int i = 0; i < record->chunk_count; i++) end = stpcpy(end, set->chunks[i]);
     return text;
 }
 
 void tw_loaded_end(tw_core *core) {
     const loaded_set *set;
-    for (set = core->loaded_sets; set; set = set->hh.next) {
+    for (set = core->loaded_chunk_sets; set; set = set->hh.next) {
         const char *slash = strchr(set->name, '/');
         char id[TW_WIRE_ID_SIZE];
-        if (set->named) continue;
+        if (set->referenced) continue;
         snprintf(id, sizeof id, "%.*s", (int)(slash - set->name), set->name);
-        tw_parts_stale(core, id, slash + 1, set->room);
+        tw_parts_stale(core, id, slash + 1, set->capacity);
     }
     tw_loaded_free(core);
 }
 
 void tw_loaded_free(tw_core *core) {
     loaded_set *set, *next;
-    HASH_ITER(hh, core->loaded_sets, set, next) {
-        HASH_DEL(core->loaded_sets, set);
-        for (int i = 0; i < set->room; i++) free(set->slices[i]);
-        free(set->slices);
+    HASH_ITER(hh, core->loaded_chunk_sets, set, next) {
+        HASH_DEL(core->loaded_chunk_sets, set);
+        for (int i = 0; i < set->capacity; i++) free(set->chunks[i]);
+        free(set->chunks);
         free(set);
     }
 }
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -16,73 +16,77 @@
 /* An image on a machine, cached or on its way. */
 typedef struct image {
     char name[TW_WIRE_NAME_SIZE];
-    uint32_t sum;              /* of the name, compared first */
-    double gb, used, ready_at; /* ready_at 0: cached; else expected */
+    uint32_t name_hash;                /* of the name, compared first */
+    double size_gb, used_at, ready_at; /* ready_at 0: cached; else expected */
     struct image *prev, *next;
 } image;
 
 typedef enum { M_BOOTING, M_UP } machine_stage;
 typedef struct machine {
-    char name[TW_NAME_SIZE], endpoint[TW_NAME_SIZE], yard[TW_NAME_SIZE];
-    int rack; /* index in core->flavors, -1 unknown */
-    char rack_name[TW_NAME_SIZE];
-    int loaner;
-    machine_stage stage;
-    uint64_t shift, tick;
-    double session_at;   /* when we learned of its session: it began no later than that */
-    int confirmed;       /* has seen our token */
-    double confirmed_at; /* when we learned that */
-    double born;         /* known since (rental, or first sight) */
-    double heard;        /* last report that we answered or will answer; 0 never */
-    double contact;      /* last report, also in answer to direct orders */
-    double first_heard;
-    double renewed;      /* an older report was answered then */
-    double warned_until; /* 0: no notice; else when it is taken */
-    int overdue;         /* booting for longer than is usual */
-    int probe_fails;     /* asked in vain, in a row */
-    int unreached;       /* direct orders without an answer, in a row, since the last report */
-    int probed;          /* asked once, since it stood in the list */
-    int listed, missing; /* seen in a list; lists in a row without it */
+    char name[TW_NAME_SIZE], endpoint[TW_NAME_SIZE], zone[TW_NAME_SIZE];
+    int type_index; /* index in core->flavors, -1 unknown */
+    char type_name[TW_NAME_SIZE];
+    int spot;
+    machine_stage state;
+    uint64_t incarnation, sequence;
+    double incarnation_learned_at; /* when we learned of its session: it began no later than that */
+    int confirmed;                 /* has seen our token */
+    double confirmed_at;           /* when we learned that */
+    double known_since;            /* known since (rental, or first sight) */
+    double answered_at;            /* last report that we answered or will answer; 0 never */
+    double last_contact_at;        /* last report, also in answer to direct orders */
+    double first_answered_at;
+    double answered_older_at; /* an older report was answered then */
+    double preempted_at;      /* 0: no notice; else when it is taken */
+    int overdue;              /* booting for longer than is usual */
+    int failed_probes;        /* asked in vain, in a row */
+    int failed_sends;         /* direct orders without an answer, in a row, since the last report */
+    int probed;               /* asked once, since it stood in the list */
+    int listed, lists_without; /* seen in a list; lists in a row without it */
     int failed;
-    int cordoned;           /* nothing new: sick, deaf, returning */
-    int release, releasing; /* to be returned; call in flight */
-    int lapsed;
-    double no_close_until;
-    int closing;       /* its replicas are being moved, to return it */
-    double idle_since; /* 0: not idle */
-    int keep;          /* scratch: needed as headroom */
-    int unresponsive;  /* launches in a row that did not take */
-    int blame;         /* errors in a row, of different jobs, weighed: see sick.c */
-    char err_last[TW_WIRE_ID_SIZE];
-    double failed_at, failed_after_s; /* the last error; the longest that a failed task had run */
-    int trial;                        /* suspect, and tried with one task at a time */
-    double trial_at, sick_pause;
-    double slowness, q, p;         /* EMAs; p in seconds a GB */
-    double step, step_of;          /* what slowness step_of is in steps, see preference.c */
-    double used_c, used_g, used_m; /* by all that may run */
-    double kill_c, kill_g, kill_m; /* part of it that was told to stop for others */
+    int cordoned;                        /* nothing new: sick, deaf, returning */
+    int return_wanted, return_in_flight; /* to be returned; call in flight */
+    int lease_expired;
+    double no_decommission_until;
+    int decommissioning;  /* its replicas are being moved, to return it */
+    double idle_since;    /* 0: not idle */
+    int kept_as_headroom; /* scratch: needed as headroom */
+    int lost_launches;    /* launches in a row that did not take */
+    int failure_score;    /* errors in a row, of different jobs, weighed: see sick.c */
+    char last_failed_job[TW_WIRE_ID_SIZE];
+    double failed_at,
+        longest_failed_run_s; /* the last error; the longest that a failed task had run */
+    int on_probation;         /* suspect, and tried with one task at a time */
+    double probation_at, quarantine_s;
+    double slowness, queue_delay_s, fetch_s_per_gb; /* EMAs; p in seconds a GB */
+    double slowness_step,
+        slowness_step_of; /* what slowness step_of is in steps, see preference.c */
+    double used_cores, used_gpus, used_memory_gb; /* by all that may run */
+    double vacating_cores, vacating_gpus,
+        vacating_memory_gb; /* part of it that was told to stop for others */
     struct {
         double c, g, m;
-    } held[TW_PRIORITY_PROD + 1]; /* the rest of it, by rank */
-    int held_for_gang;            /* scratch of a pass: for core->holder, see gang_hold.c */
-    int zone;                     /* index in core->yards, -1: not known, or too many */
-    int direct_busy, want_direct, want_probe;
-    double direct_after;           /* no direct orders before this */
-    int in_direct;                 /* in core->direct, to be looked at */
-    struct machine *dprev, *dnext; /* there */
+    } used_by_priority[TW_PRIORITY_PROD + 1]; /* the rest of it, by rank */
+    int reserved_for_gang; /* scratch of a pass: for core->holder, see gang_hold.c */
+    int zone_index;        /* index in core->yards, -1: not known, or too many */
+    int command_in_flight, commands_wanted, probe_wanted;
+    double no_commands_before;               /* no direct orders before this */
+    int in_command_queue;                    /* in core->direct, to be looked at */
+    struct machine *queue_prev, *queue_next; /* there */
     image *images;
-    placement *pls;
+    placement *placements;
     UT_hash_handle hh;
 } machine;
 
 /* A machine type, as the cloud lists it, and what was learned of its machines. */
 typedef struct flavor {
-    tw_wire_machine_type f;
-    double slowness, q, p; /* priors pooled by type */
-    double p_dev;          /* EMA of |p of a fetch / p - 1|: a rate differs from fetch to fetch */
-    double overdue;        /* EMA of the share of machines that come up late or never */
-    double late_sum;       /* scratch of a plan */
-    double share;          /* EMA, 0 to 1: how much a fetch is slowed by each other one beside it */
+    tw_wire_machine_type listed;
+    double slowness, queue_delay_s, fetch_s_per_gb; /* priors pooled by type */
+    double fetch_deviation; /* EMA of |p of a fetch / p - 1|: a rate differs from fetch to fetch */
+    double overdue_share;   /* EMA of the share of machines that come up late or never */
+    double late_sum;        /* scratch of a plan */
+    double fetch_interference; /* EMA, 0 to 1: how much a fetch is slowed by each other one beside
+                                  it */
 } flavor;
 
 /* machine.c, lapse.c */
@@ -138,9 +142,9 @@
 
 /* Whether a task fits into what is free on the machine, which is of this type. */
 static inline int tw_fits(const machine *machine, const flavor *type, const tw_wire_job *spec) {
-    return type->f.cores - machine->used_c + TW_ROUNDING >= spec->cores &&
-           type->f.gpus - machine->used_g + TW_ROUNDING >= spec->gpus &&
-           type->f.memory_gb - machine->used_m + TW_ROUNDING >= spec->memory_gb;
+    return type->listed.cores - machine->used_cores + TW_ROUNDING >= spec->cores &&
+           type->listed.gpus - machine->used_gpus + TW_ROUNDING >= spec->gpus &&
+           type->listed.memory_gb - machine->used_memory_gb + TW_ROUNDING >= spec->memory_gb;
 }
 
 #endif
