--- a/src/core/move.c
+++ b/src/core/move.c
@@ -17,34 +17,34 @@
  * still come, or come once more, are not forgotten there for long, and don't keep the machine. */
 static int holds_work(const tw_core *core, const machine *machine) {
     const placement *placed;
-    DL_FOREACH(machine->pls, placed) {
-        if (placed->on_job) return 1;
-        if (!placed->direct && !tw_launch_may_repeat(core, placed)) return 1;
+    DL_FOREACH(machine->placements, placed) {
+        if (placed->counted) return 1;
+        if (!placed->direct_launches && !tw_launch_may_repeat(core, placed)) return 1;
     }
     return 0;
 }
 
 /* Notes since when a machine is idle; returns whether that is for too long. */
 static int idle_too_long(const tw_core *core, machine *machine) {
-    if (holds_work(core, machine) || machine->keep) {
+    if (holds_work(core, machine) || machine->kept_as_headroom) {
         machine->idle_since = 0;
         return 0;
     }
     if (machine->idle_since <= 0) machine->idle_since = core->now;
-    const double startup_s = core->flavors[machine->rack].f.startup_s;
-    return core->now - machine->idle_since >= core->cf->tune.idle_ratio * startup_s;
+    const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
+    return core->now - machine->idle_since >= core->config->tune.idle_ratio * startup_s;
 }
 
 void tw_return_idle(tw_core *core) {
     machine *machine;
     struct machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (machine->stage != M_UP || machine->release || machine->rack < 0) continue;
+        if (machine->state != M_UP || machine->return_wanted || machine->type_index < 0) continue;
         if (!idle_too_long(core, machine)) continue;
-        machine->release = machine->cordoned = 1;
+        machine->return_wanted = machine->cordoned = 1;
         core->returns_due = 1;
         tw_log_info("event=release tray=%s why=idle held_s=%.0f", machine->name,
-                    core->now - machine->born);
+                    core->now - machine->known_since);
     }
 }
 
@@ -55,8 +55,11 @@
     const job *job = placed->job;
     const image *image = tw_image(machine, job);
     if (image) return image->ready_at <= 0;
-    const double s_per_gb = machine->p < 0 ? core->flavors[machine->rack].p : machine->p;
-    return job->lane && s_per_gb * job->s.image_gb <= NEAR_SHARE * job->lane->within_s;
+    const double s_per_gb = machine->fetch_s_per_gb < 0
+                                ? core->machine_types[machine->type_index].fetch_s_per_gb
+                                : machine->fetch_s_per_gb;
+    return job->job_class &&
+           s_per_gb * job->spec.image_gb <= NEAR_SHARE * job->job_class->start_within_s;
 }
 
 /* Whether a task may only move within its zone. */
@@ -67,18 +70,18 @@
 /* Whether a task that runs elsewhere would start at once in this room. */
 static int is_home(const tw_core *core, const bin *bin, const placement *placed) {
     const job *job = placed->job;
-    if (!bin->m || bin->m == placed->m || !bin->busy) return 0;
-    if (!tw_machine_usable(core, bin->m)) return 0;
-    if (!tw_bin_allowed(bin, &job->s, job->rackmask) || !tw_bin_fits(bin, &job->s)) return 0;
-    if (bound_to_zone(&job->s) && strcmp(bin->yard, placed->m->yard) != 0) return 0;
-    return image_near(core, placed, bin->m) &&
-           tw_bin_leaves_gpus(core, bin, &job->s, job->any_machine);
+    if (!bin->machine || bin->machine == placed->machine || !bin->busy) return 0;
+    if (!tw_machine_usable(core, bin->machine)) return 0;
+    if (!tw_bin_allowed(bin, &job->spec, job->type_mask) || !tw_bin_fits(bin, &job->spec)) return 0;
+    if (bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return 0;
+    return image_near(core, placed, bin->machine) &&
+           tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
 }
 
 /* Room for a task elsewhere, where it would start at once; NULL: none. */
 static bin *new_home(const tw_core *core, bins *bins, const placement *placed) {
-    for (int i = 0; i < bins->n; i++)
-        if (is_home(core, &bins->v[i], placed)) return &bins->v[i];
+    for (int i = 0; i < bins->count; i++)
+        if (is_home(core, &bins->items[i], placed)) return &bins->items[i];
     return NULL;
 }
 
@@ -91,10 +94,10 @@
 static int take_rooms(const tw_core *core, bins *bins, const machine *machine, taken_room *taken,
                       int *count) {
     const placement *placed;
-    DL_FOREACH(machine->pls, placed) {
-        const tw_wire_job *spec = &placed->job->s;
-        if (!placed->on_job || !spec->service) continue; /* a batch task ends by itself */
-        if (placed->stage != TW_TASK_RUNNING || placed->kill) return 0;
+    DL_FOREACH(machine->placements, placed) {
+        const tw_wire_job *spec = &placed->job->spec;
+        if (!placed->counted || !spec->service) continue; /* a batch task ends by itself */
+        if (placed->state != TW_TASK_RUNNING || placed->stopping) return 0;
         bin *home = new_home(core, bins, placed);
         if (!home) return 0;
         tw_bin_take(home, spec);
@@ -108,7 +111,7 @@
     const placement *placed;
     int capacity = 0;
     int count = 0;
-    DL_FOREACH(machine->pls, placed) capacity++;
+    DL_FOREACH(machine->placements, placed) capacity++;
     taken_room *taken = tw_zalloc((size_t)capacity * sizeof *taken);
     const int possible = take_rooms(core, bins, machine, taken, &count);
     for (int i = 0; i < count; i++) tw_bin_give(taken[i].bin, taken[i].spec);
@@ -120,13 +123,13 @@
 
 /* All the room of a machine, as if nothing ran on it. */
 static bin whole_of(const tw_core *core, const machine *machine) {
-    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
-    return (bin){.rack = machine->rack,
-                 .loaner = machine->loaner,
-                 .yard = machine->yard,
-                 .c = type->cores,
-                 .g = type->gpus,
-                 .mem = type->memory_gb};
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    return (bin){.type_index = machine->type_index,
+                 .spot = machine->spot,
+                 .zone = machine->zone,
+                 .cores = type->cores,
+                 .gpus = type->gpus,
+                 .memory_gb = type->memory_gb};
 }
 
 /* Whether some job waits that may use the machine once there is room: then it is not emptied, for
@@ -134,12 +137,12 @@
 static int waited_for(const tw_core *core, const machine *machine) {
     const bin whole = whole_of(core, machine);
     const job *job;
-    DL_FOREACH(core->active, job) {
+    DL_FOREACH(core->active_jobs, job) {
         if (!tw_job_pending(core, job) || !tw_quota_allows(core, job, 1)) continue;
-        if (!tw_bin_allowed(&whole, &job->s, job->rackmask)) continue;
-        if (!tw_bin_fits(&whole, &job->s)) continue;
-        if (!tw_zone_allows(core, job, machine->yard)) continue;
-        if (job->s.gpus > 0 || whole.g <= 0 || job->any_machine) return 1;
+        if (!tw_bin_allowed(&whole, &job->spec, job->type_mask)) continue;
+        if (!tw_bin_fits(&whole, &job->spec)) continue;
+        if (!tw_zone_allows(core, job, machine->zone)) continue;
+        if (job->spec.gpus > 0 || whole.gpus <= 0 || job->any_machine) return 1;
     }
     return 0;
 }
@@ -148,10 +151,11 @@
     machine *machine;
     struct machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (!machine->closing || machine->release || machine->rack < 0) continue;
+        if (!machine->decommissioning || machine->return_wanted || machine->type_index < 0)
+            continue;
         if (!waited_for(core, machine)) continue;
-        machine->closing = 0;
-        core->sched_dirty = 1;
+        machine->decommissioning = 0;
+        core->scheduling_due = 1;
         tw_log_info("event=reopened tray=%s", machine->name);
     }
 }
@@ -159,8 +163,8 @@
 /* A batch task that saves its progress goes where it starts again at once; it ends where it is if
  * there is no such room. Stopped for nothing, it would wait, and a machine be rented for it. */
 static void move_batch(tw_core *core, bins *bins, placement *placed, int *moves) {
-    const tw_wire_job *spec = &placed->job->s;
-    if (spec->checkpoint_s <= 0 || placed->stage != TW_TASK_RUNNING) return;
+    const tw_wire_job *spec = &placed->job->spec;
+    if (spec->checkpoint_s <= 0 || placed->state != TW_TASK_RUNNING) return;
     if (spec->gang) return; /* it would stop on all its machines */
     bin *home = new_home(core, bins, placed);
     if (!home) return;
@@ -174,19 +178,19 @@
 static int move_tasks(tw_core *core, bins *bins, machine *machine, int *moves) {
     placement *placed;
     placement *next;
-    DL_FOREACH_SAFE(machine->pls, placed, next) {
+    DL_FOREACH_SAFE(machine->placements, placed, next) {
         if (*moves <= 0) return 0;
-        if (!placed->on_job || placed->kill) continue;
-        if (!placed->job->s.service) {
+        if (!placed->counted || placed->stopping) continue;
+        if (!placed->job->spec.service) {
             move_batch(core, bins, placed, moves);
             continue;
         }
         bin *home = new_home(core, bins, placed);
         if (!home) {
-            machine->closing = 0; /* the room has gone */
+            machine->decommissioning = 0; /* the room has gone */
             break;
         }
-        tw_bin_take(home, &placed->job->s);
+        tw_bin_take(home, &placed->job->spec);
         tw_log_debug("event=move piece=%s/%d from=%s", placed->job->id, placed->index,
                      machine->name);
         tw_placement_kill(core, placed, 0, 0);
@@ -199,23 +203,24 @@
 
 /* Whether it has been up for long enough, and is not one that was just looked at in vain. */
 static int may_close(const tw_core *core, const machine *machine) {
-    if (!tw_machine_usable(core, machine) || machine->loaner) return 0;
+    if (!tw_machine_usable(core, machine) || machine->spot) return 0;
     if (!tw_machine_works(machine)) return 0; /* it goes when it was idle for long enough */
-    if (core->now < machine->no_close_until) return 0;
-    const double startup_s = core->flavors[machine->rack].f.startup_s;
-    const double least_up_s = fmax(startup_s, LEAST_UP_LEASES * core->cf->lease_s);
-    return core->now - machine->first_heard >= least_up_s;
+    if (core->now < machine->no_decommission_until) return 0;
+    const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
+    const double least_up_s = fmax(startup_s, LEAST_UP_LEASES * core->config->lease_s);
+    return core->now - machine->first_answered_at >= least_up_s;
 }
 
 /* What returning a machine saves, for what it costs to empty it. */
 static double close_gain(const tw_core *core, const machine *machine) {
     const placement *placed;
     int replicas = 0, batch = 0;
-    DL_FOREACH(machine->pls, placed) {
-        replicas += placed->on_job && placed->job->s.service;
-        batch += placed->on_job && !placed->job->s.service;
+    DL_FOREACH(machine->placements, placed) {
+        replicas += placed->counted && placed->job->spec.service;
+        batch += placed->counted && !placed->job->spec.service;
     }
-    return core->flavors[machine->rack].f.on_demand_price / (1 + replicas + BATCH_WEIGHT * batch);
+    return core->machine_types[machine->type_index].listed.on_demand_price /
+           (1 + replicas + BATCH_WEIGHT * batch);
 }
 
 static machine *most_to_gain(const tw_core *core) {
@@ -239,7 +244,7 @@
         machine *best = most_to_gain(core);
         if (!best) return NULL;
         if (!waited_for(core, best) && can_empty(core, bins, best)) return best;
-        best->no_close_until = core->now + RETRY_REPORTS * core->cf->report_s;
+        best->no_decommission_until = core->now + RETRY_REPORTS * core->config->report_s;
     }
     return NULL;
 }
@@ -248,30 +253,32 @@
 
 /* Each move ends in a write or two: a share of what may be written in the time between passes. */
 static int moves_allowed(const tw_core *core, double between_s) {
-    return (int)fmax(LEAST_MOVES, ceil(WRITE_SHARE * core->cf->state_write_rps * between_s));
+    return (int)fmax(LEAST_MOVES, ceil(WRITE_SHARE * core->config->state_write_rps * between_s));
 }
 
 /* Whether a machine was asked for that is not there yet. */
 static int awaits_machine(const bins *bins) {
-    for (int i = 0; i < bins->n; i++)
-        if (!bins->v[i].m) return 1;
+    for (int i = 0; i < bins->count; i++)
+        if (!bins->items[i].machine) return 1;
     return 0;
 }
 
 static int service_waits(const tw_core *core) {
     const job *job;
-    DL_FOREACH(core->active, job) {
-        if (job->has_spec && job->s.service && tw_job_pending(core, job)) return 1;
+    DL_FOREACH(core->active_jobs, job) {
+        if (job->has_spec && job->spec.service && tw_job_pending(core, job)) return 1;
     }
     return 0;
 }
 
-static int is_closing(const machine *machine) { return machine->closing && !machine->release; }
+static int is_closing(const machine *machine) {
+    return machine->decommissioning && !machine->return_wanted;
+}
 
 void tw_consolidate(tw_core *core, bins *bins) {
-    const double between_s = PASS_REPORTS * core->cf->report_s;
-    if (core->now < core->next_move) return;
-    core->next_move = core->now + between_s;
+    const double between_s = PASS_REPORTS * core->config->report_s;
+    if (core->now < core->next_consolidation_at) return;
+    core->next_consolidation_at = core->now + between_s;
     if (awaits_machine(bins) || service_waits(core)) return;
     machine *machine;
     struct machine *next;
@@ -284,6 +291,6 @@
     if (closing >= 1 + (int)HASH_COUNT(core->machines) / CLOSING_PART) return;
     struct machine *best = next_to_close(core, bins);
     if (!best) return;
-    best->closing = 1;
-    tw_log_info("event=closing tray=%s rack=%s", best->name, best->rack_name);
+    best->decommissioning = 1;
+    tw_log_info("event=closing tray=%s rack=%s", best->name, best->type_name);
 }
--- a/src/core/offers.c
+++ b/src/core/offers.c
@@ -5,12 +5,12 @@
 #define COST_OF_ONE_MORE 0.001 /* of a price, for each machine of the type that the zone has */
 
 const char *tw_offer_yard(const tw_core *core, const offer *offer) {
-    return core->flavors[offer->rack].f.zones[offer->zone];
+    return core->machine_types[offer->type_index].listed.zones[offer->zone_index];
 }
 
 /* More of an offer than this are not asked for in a round: the next one sees what was granted. */
 static int want_limit(const tw_core *core) {
-    return (int)(TW_RENT_NUMBER * fmax(1, core->cf->cloud_rps));
+    return (int)(TW_RENT_NUMBER * fmax(1, core->config->cloud_rps));
 }
 
 double tw_offer_holds(const tw_wire_machine_type *type, const tw_wire_job *spec) {
@@ -20,10 +20,11 @@
 
 static int may_rent(const tw_core *core, const offer *offer, const tw_wire_job *spec,
                     const tw_offer_filter *filter) {
-    if ((offer->loaner && !spec->spot) || core->now < offer->refused_until ||
-        offer->want >= want_limit(core))
+    if ((offer->spot && !spec->spot) || core->now < offer->refused_until ||
+        offer->wanted >= want_limit(core))
+        return 0;
+    if (filter->spare && spec->gpus <= 0 && core->machine_types[offer->type_index].listed.gpus > 0)
         return 0;
-    if (filter->spare && spec->gpus <= 0 && core->flavors[offer->rack].f.gpus > 0) return 0;
     const char *zone = tw_offer_yard(core, offer);
     return (!*spec->zone || !strcmp(spec->zone, zone)) &&
            (!filter->not_zone || strcmp(filter->not_zone, zone) != 0) &&
@@ -35,14 +36,14 @@
                      const tw_offer_filter *filter) {
     offer *best = NULL;
     double least = INFINITY;
-    for (int i = 0; i < core->noffers; i++) {
-        offer *offer = &core->offers[i];
-        const tw_wire_machine_type *type = &core->flavors[offer->rack].f;
-        if (!(types & (1U << offer->rack)) || !may_rent(core, offer, spec, filter)) continue;
+    for (int i = 0; i < core->capacity_offer_count; i++) {
+        offer *offer = &core->capacity_offers[i];
+        const tw_wire_machine_type *type = &core->machine_types[offer->type_index].listed;
+        if (!(types & (1U << offer->type_index)) || !may_rent(core, offer, spec, filter)) continue;
         const double number = tw_offer_holds(type, spec);
         if (number < 1) continue;
-        double cost = (offer->loaner ? type->spot_price : type->on_demand_price) / number;
-        cost *= 1 + COST_OF_ONE_MORE * offer->have;
+        double cost = (offer->spot ? type->spot_price : type->on_demand_price) / number;
+        cost *= 1 + COST_OF_ONE_MORE * offer->machine_count;
         if (cost < least) {
             least = cost;
             best = offer;
@@ -52,16 +53,16 @@
 }
 
 bin *tw_offer_bin(tw_core *core, bins *bins, offer *offer) {
-    const tw_wire_machine_type *type = &core->flavors[offer->rack].f;
+    const tw_wire_machine_type *type = &core->machine_types[offer->type_index].listed;
     bin *bin = tw_bins_add(bins);
-    *bin = (struct bin){.o = offer,
-                        .rack = offer->rack,
-                        .loaner = offer->loaner,
-                        .yard = tw_offer_yard(core, offer),
-                        .c = type->cores,
-                        .g = type->gpus,
-                        .mem = type->memory_gb};
-    offer->have++;
+    *bin = (struct bin){.offer = offer,
+                        .type_index = offer->type_index,
+                        .spot = offer->spot,
+                        .zone = tw_offer_yard(core, offer),
+                        .cores = type->cores,
+                        .gpus = type->gpus,
+                        .memory_gb = type->memory_gb};
+    offer->machine_count++;
     return bin;
 }
 
@@ -70,22 +71,22 @@
     machine *machine;
     struct machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (offer->want <= 0) break;
-        if (!machine->closing || machine->release || machine->rack != offer->rack ||
-            machine->loaner != offer->loaner)
+        if (offer->wanted <= 0) break;
+        if (!machine->decommissioning || machine->return_wanted ||
+            machine->type_index != offer->type_index || machine->spot != offer->spot)
             continue;
-        machine->closing = 0;
-        core->sched_dirty = 1;
-        offer->want--;
+        machine->decommissioning = 0;
+        core->scheduling_due = 1;
+        offer->wanted--;
     }
 }
 
 void tw_offers_settle(tw_core *core) {
-    for (int i = 0; i < core->noffers; i++) {
-        offer *offer = &core->offers[i];
-        if (offer->want > 0) reopen(core, offer);
-        if (core->now < core->rent_from) offer->want = 0;
-        if (offer->want <= 0)
+    for (int i = 0; i < core->capacity_offer_count; i++) {
+        offer *offer = &core->capacity_offers[i];
+        if (offer->wanted > 0) reopen(core, offer);
+        if (core->now < core->scale_out_from) offer->wanted = 0;
+        if (offer->wanted <= 0)
             offer->wanted_since = 0;
         else if (offer->wanted_since <= 0)
             offer->wanted_since = core->now;
--- a/src/core/orders_text.c
+++ b/src/core/orders_text.c
@@ -32,7 +32,7 @@
         tw_invariant_broken(core, INVARIANT_RIGHT, "orders=%d right=%d", orders->count, right);
         return NULL;
     }
-    return tw_wire_commands_text(core->token, 0, orders->list, (size_t)orders->count);
+    return tw_wire_commands_text(core->fencing_token, 0, orders->list, (size_t)orders->count);
 }
 
 char *tw_orders_direct_text(tw_core *core, const machine *machine, const tw_orders *orders) {
@@ -41,7 +41,8 @@
                             orders->count);
         return NULL;
     }
-    return tw_wire_commands_text(core->token, machine->shift, orders->list, (size_t)orders->count);
+    return tw_wire_commands_text(core->fencing_token, machine->incarnation, orders->list,
+                                 (size_t)orders->count);
 }
 
 char *tw_orders_deputy_text(tw_core *core, const tw_wire_heartbeat *report,
@@ -53,5 +54,5 @@
                             orders->count);
         return NULL;
     }
-    return tw_wire_commands_text(core->seen_token, 0, orders->list, (size_t)orders->count);
+    return tw_wire_commands_text(core->highest_token_seen, 0, orders->list, (size_t)orders->count);
 }
--- a/src/core/peers.h
+++ b/src/core/peers.h
@@ -23,38 +23,40 @@
 
 /* Another node. */
 typedef struct peer {
-    tw_conf_peer cf;
-    int failover_in_time; /* see tw_core */
-    uint64_t token;       /* what it said it had seen */
-    double ok_at;         /* when a ping was last answered (send time) */
-    double back_at;       /* when it answered again after a silence */
-    double vouched_at;    /* the same, and it can't have led since the time before */
-    double next;
-    int busy, state_ok;
-    int record_format;             /* TW_RECORD_* by its last heartbeat; 0: none was heard */
-    uint64_t dep_stamp;            /* of its key as a deputy, 0: none */
-    double deputy_until;           /* it may answer workers until then, by its key */
-    uint64_t abort_ack, asked_seq; /* it knows of the cancellations up to, was told of */
-    double grant_until;            /* and by our answer to its ping, as long as it can't reach us */
-    double deputy_last; /* when it last did, as it said in answer to a ping sent at dep_asof */
-    double dep_asof;
-    double shun_from, shun_until; /* workers sent to it come back, see redirect.c */
-    int came_back;
+    tw_conf_peer config;
+    int failover_in_time;   /* see tw_core */
+    uint64_t highest_token; /* what it said it had seen */
+    double answered_at;     /* when a ping was last answered (send time) */
+    double back_at;         /* when it answered again after a silence */
+    double vouched_at;      /* the same, and it can't have led since the time before */
+    double next_heartbeat_at;
+    int heartbeats_in_flight, store_reachable;
+    int record_format;          /* TW_RECORD_* by its last heartbeat; 0: none was heard */
+    uint64_t delegate_revision; /* of its key as a deputy, 0: none */
+    double delegate_until;      /* it may answer workers until then, by its key */
+    uint64_t cancellations_known,
+        cancellations_told;      /* it knows of the cancellations up to, was told of */
+    double delegation_until;     /* and by our answer to its ping, as long as it can't reach us */
+    double delegate_answered_at; /* when it last did, as it said in answer to a ping sent at
+                                    dep_asof */
+    double delegate_answered_as_of;
+    double avoid_counted_from, avoided_until; /* workers sent to it come back, see redirect.c */
+    int returned_workers;
 } peer;
 
 /* A worker, the node that we told it to report to, and when. */
 typedef struct redirect {
     char name[TW_NAME_SIZE];
-    const peer *to;
+    const peer *target;
     double at;
-    int back; /* and it came back */
+    int came_back; /* and it came back */
     UT_hash_handle hh;
 } redirect;
 
 /* A worker's report that waits for a leader, see relay.c. */
 typedef struct held_report {
-    uint64_t conn;
-    char tray[TW_NAME_SIZE];
+    uint64_t connection;
+    char worker[TW_NAME_SIZE];
     char *body;
     double until;
     struct held_report *prev, *next;
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -6,20 +6,22 @@
 #define BETWEEN_PASSES_S 0.1
 
 static int next_free(job *job) {
-    while (job->cursor < job->pieces && job->st[job->cursor] != T_FREE) job->cursor++;
-    return job->cursor < job->pieces ? job->cursor : -1;
+    while (job->first_unplaced < job->task_count && job->task_states[job->first_unplaced] != T_FREE)
+        job->first_unplaced++;
+    return job->first_unplaced < job->task_count ? job->first_unplaced : -1;
 }
 
 static void log_place(const tw_core *core, const tw_demand *demand, const placement *placed) {
     const job *job = demand->job;
-    const machine *machine = placed->m;
+    const machine *machine = placed->machine;
     if (!tw_log_on(TW_LOG_DEBUG)) return;
     const tw_prediction prediction = tw_predict(core, demand, machine);
     tw_log_debug("event=place piece=%s/%d try=%llu tray=%s lane=%s rack=%s waited_s=%.2f "
                  "start_s=%.2f left_s=%.2f image=%s",
                  job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
-                 job->s.job_class, machine->rack_name, core->now - job->submitted,
-                 prediction.total_s - prediction.run_s, demand->due - core->now, job->s.image);
+                 job->spec.job_class, machine->type_name, core->now - job->submitted_at,
+                 prediction.total_s - prediction.run_s, demand->deadline_at - core->now,
+                 job->spec.image);
 }
 
 /* Places one task on the best machine of the zones given, as bits. 0: no room, or not for its
@@ -27,7 +29,7 @@
 static int place_task(tw_core *core, job *job, int index, uint64_t attempt, uint32_t among) {
     if (!tw_quota_allows(core, job, 1) || !tw_gang_hold_allows_team(core, job)) return 0;
     tw_demand demand = tw_demand_of(core, job);
-    demand.zones &= among;
+    demand.zone_mask &= among;
     const tw_futile kind = tw_futile_kind(&demand);
     if (tw_futile_known(core, &kind)) return 0;
     tw_choice choice = tw_choose(core, &demand);
@@ -35,17 +37,18 @@
         core->candidates[choice.candidate].changes++; /* or none is placed there, to no harm */
     else
         choice.machine = tw_preempt(core, &demand, 0, &choice.kept);
-    if (choice.machine && !choice.meets && job->s.service && job->s.priority == TW_PRIORITY_PROD) {
+    if (choice.machine && !choice.meets && job->spec.service &&
+        job->spec.priority == TW_PRIORITY_PROD) {
         /* Its start objective would be missed there: rather at a batch task's cost. */
         machine *other = tw_preempt(core, &demand, 1, &choice.kept);
         if (other) choice.machine = other;
     }
     if (!choice.machine) {
         /* Not because of what is its own alone, or of holes, which come and go. */
-        if (!choice.kept && !job->nbad) tw_futile_note(core, &kind);
+        if (!choice.kept && !job->failed_machine_count) tw_futile_note(core, &kind);
         return 0;
     }
-    if (job->s.gpus > 0) tw_futile_forget_without_gpus(core);
+    if (job->spec.gpus > 0) tw_futile_forget_without_gpus(core);
     tw_reserve_take(core, choice.machine, job);
     const placement *placed = tw_place(core, job, index, choice.machine, attempt);
     if (!placed) return 0;
@@ -59,8 +62,8 @@
     const int most_live = tw_max_live(core, job);
     int placed = 0;
     int index;
-    while (placed < limit && job->nlive < most_live && (index = next_free(job)) >= 0) {
-        const uint64_t attempt = common_attempt ? common_attempt : job->next_try;
+    while (placed < limit && job->placed_count < most_live && (index = next_free(job)) >= 0) {
+        const uint64_t attempt = common_attempt ? common_attempt : job->next_attempt;
         if (!place_task(core, job, index, attempt, among)) break;
         placed++;
     }
@@ -71,9 +74,9 @@
 static void take_back(tw_core *core, job *job, uint64_t next_try) {
     placement *placed;
     placement *next;
-    DL_FOREACH_SAFE2(job->live, placed, next, jnext)
-    if (placed->ver > job->ver) tw_attempt_end_on(core, placed, END_TAKEN_BACK);
-    job->next_try = next_try;
+    DL_FOREACH_SAFE2(job->placements, placed, next, job_next)
+    if (placed->version > job->version) tw_attempt_end_on(core, placed, END_TAKEN_BACK);
+    job->next_attempt = next_try;
     tw_futile_forget(core);
     tw_scores_forget(core);
 }
@@ -82,9 +85,9 @@
  * must stand in one zone goes where its first task fits best, among the zones with room for all of
  * it. */
 static int place_gang(tw_core *core, job *job) {
-    const int count = job->pieces - job->ndone - job->nlive;
-    const uint64_t next_try = job->next_try;
-    const uint64_t attempt = job->nlive ? job->gang.attempt : next_try;
+    const int count = job->task_count - job->done_count - job->placed_count;
+    const uint64_t next_try = job->next_attempt;
+    const uint64_t attempt = job->placed_count ? job->gang.attempt : next_try;
     if (!tw_gang_pending(job) || !tw_quota_allows(core, job, count)) return 0;
     uint32_t among = tw_gang_zones(core, job, count);
     while (among) {
@@ -93,11 +96,11 @@
             return count;
         }
         /* Less room than the amounts had it: perhaps another zone. */
-        const placement *first = job->live;
-        while (first && first->ver <= job->ver) first = first->jnext;
-        const int zone = first ? first->m->zone : -1;
+        const placement *first = job->placements;
+        while (first && first->version <= job->version) first = first->job_next;
+        const int zone = first ? first->machine->zone_index : -1;
         take_back(core, job, next_try);
-        if (!job->s.single_zone || zone < 0) return 0;
+        if (!job->spec.single_zone || zone < 0) return 0;
         among &= ~(1U << zone);
     }
     return 0;
@@ -106,11 +109,12 @@
 /* Places what it can of a job; the number of tasks placed. */
 static int place_job(tw_core *core, job *job, int limit) {
     const int count =
-        job->s.gang ? place_gang(core, job) : place_tasks(core, job, limit, 0, UINT32_MAX);
+        job->spec.gang ? place_gang(core, job) : place_tasks(core, job, limit, 0, UINT32_MAX);
     if (!count) return 0;
-    tw_job_changed(core, job, job->s.priority >= TW_PRIORITY_PROD);
+    tw_job_changed(core, job, job->spec.priority >= TW_PRIORITY_PROD);
     placement *placed;
-    DL_FOREACH2(job->live, placed, jnext) if (placed->ver > job->ver) placed->ver = job->ver;
+    DL_FOREACH2(job->placements, placed, job_next)
+    if (placed->version > job->version) placed->version = job->version;
     return count;
 }
 
@@ -123,19 +127,19 @@
 }
 
 int tw_place_new(tw_core *core, job *job) {
-    if (job->s.priority < TW_PRIORITY_PROD || !tw_job_pending(core, job)) {
-        core->sched_dirty = 1;
-        core->next_sched = fmin(core->next_sched, core->now);
+    if (job->spec.priority < TW_PRIORITY_PROD || !tw_job_pending(core, job)) {
+        core->scheduling_due = 1;
+        core->next_pass_at = fmin(core->next_pass_at, core->now);
         return 0;
     }
     begin_pass(core);
     place_job(core, job, MOST_IN_PASS);
-    return job->nlive + job->ndone == job->pieces;
+    return job->placed_count + job->done_count == job->task_count;
 }
 
 void tw_schedule(tw_core *core) {
-    core->sched_dirty = 0;
-    core->next_sched = core->now + BETWEEN_PASSES_S;
+    core->scheduling_due = 0;
+    core->next_pass_at = core->now + BETWEEN_PASSES_S;
     tw_turns *turns = tw_turns_new(core, 1);
     int left = MOST_IN_PASS;
     int begun = 0;
@@ -150,6 +154,6 @@
         tw_turns_placed(core, turns, job, count);
         if (count && count == share && tw_job_pending(core, job)) tw_turns_again(turns);
     }
-    if (left <= 0) core->sched_dirty = 1;
+    if (left <= 0) core->scheduling_due = 1;
     tw_turns_free(turns);
 }
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -5,73 +5,73 @@
 
 /* Adds (sign 1) or takes off (-1) what the task holds. */
 void tw_placement_account(tw_core *core, placement *placed, double sign) {
-    const tw_wire_job *s = &placed->job->s;
-    machine *machine = placed->m;
-    machine->used_c += sign * s->cores;
-    machine->used_g += sign * s->gpus;
-    machine->used_m += sign * s->memory_gb;
+    const tw_wire_job *s = &placed->job->spec;
+    machine *machine = placed->machine;
+    machine->used_cores += sign * s->cores;
+    machine->used_gpus += sign * s->gpus;
+    machine->used_memory_gb += sign * s->memory_gb;
     if (placed->preempted) {
-        machine->kill_c += sign * s->cores;
-        machine->kill_g += sign * s->gpus;
-        machine->kill_m += sign * s->memory_gb;
+        machine->vacating_cores += sign * s->cores;
+        machine->vacating_gpus += sign * s->gpus;
+        machine->vacating_memory_gb += sign * s->memory_gb;
     } else if (placed->job->has_spec) {
-        machine->held[s->priority].c += sign * s->cores;
-        machine->held[s->priority].g += sign * s->gpus;
-        machine->held[s->priority].m += sign * s->memory_gb;
+        machine->used_by_priority[s->priority].c += sign * s->cores;
+        machine->used_by_priority[s->priority].g += sign * s->gpus;
+        machine->used_by_priority[s->priority].m += sign * s->memory_gb;
     }
     if (placed->job->team >= 0) {
-        core->team_c[placed->job->team] += sign * s->cores;
-        core->team_g[placed->job->team] += sign * s->gpus;
+        core->team_cores_used[placed->job->team] += sign * s->cores;
+        core->team_gpus_used[placed->job->team] += sign * s->gpus;
     }
 }
 
 /* The caller marks the job changed. */
 placement *tw_place(tw_core *core, job *job, int index, machine *machine, uint64_t attempt) {
-    if (job->st[index] != T_FREE) {
+    if (job->task_states[index] != T_FREE) {
         tw_invariant_broken(core, INVARIANT_PLACED_TWICE, "piece=%s/%d try=%llu tray=%s", job->id,
                             index, (unsigned long long)attempt, machine->name);
         return NULL;
     }
     placement *placed = tw_zalloc(sizeof *placed);
     placed->job = job;
-    placed->m = machine;
+    placed->machine = machine;
     placed->index = index;
     placed->attempt = attempt;
-    placed->ver = job->ver + 1;
-    placed->made_at = core->now;
+    placed->version = job->version + 1;
+    placed->placed_at = core->now;
     const image *image = tw_image(machine, job);
-    placed->sharing = tw_images_fetching(core, machine, image);
-    if (image) placed->warmth = image->ready_at <= 0 ? 1 : -1;
-    placed->on_job = 1;
-    DL_APPEND2(job->live, placed, jprev, jnext);
-    DL_APPEND(machine->pls, placed);
-    job->st[index] = T_LIVE;
-    job->nlive++;
-    job->nplacements++;
-    if (attempt >= job->next_try) job->next_try = attempt + 1;
+    placed->concurrent_fetches = tw_images_fetching(core, machine, image);
+    if (image) placed->image_state = image->ready_at <= 0 ? 1 : -1;
+    placed->counted = 1;
+    DL_APPEND2(job->placements, placed, job_prev, job_next);
+    DL_APPEND(machine->placements, placed);
+    job->task_states[index] = T_LIVE;
+    job->placed_count++;
+    job->placement_refs++;
+    if (attempt >= job->next_attempt) job->next_attempt = attempt + 1;
     tw_placement_account(core, placed, 1);
     machine->idle_since = 0;
     return placed;
 }
 
 void tw_placement_kill(tw_core *core, placement *placed, double grace_s, int preempted) {
-    if (!placed->on_job) return;
-    if (placed->job->s.gang) {
+    if (!placed->counted) return;
+    if (placed->job->spec.gang) {
         /* Before anything changes: whether all of it can be told. */
         if (grace_s > 0 && !tw_gang_can_save(core, placed->job)) grace_s = 0;
         tw_gang_stop(core, placed->job, grace_s);
     }
-    if (!placed->sent && !placed->direct) {
+    if (!placed->launch_sent && !placed->direct_launches) {
         tw_attempt_end_on(core, placed, END_NOT_LAUNCHED);
         return;
     }
-    if (!placed->kill) placed->kill_at = core->now;
-    placed->kill = 1;
-    placed->mercy_s = grace_s;
+    if (!placed->stopping) placed->stopped_at = core->now;
+    placed->stopping = 1;
+    placed->grace_s = grace_s;
     if (preempted && !placed->preempted) {
         tw_placement_account(core, placed, -1);
         placed->preempted = 1;
         tw_placement_account(core, placed, 1);
     }
-    tw_want_direct(core, placed->m);
+    tw_want_direct(core, placed->machine);
 }
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -11,30 +11,30 @@
 
 typedef struct placement {
     struct job *job;
-    struct machine *m;
+    struct machine *machine;
     int index;
     uint64_t attempt;
-    uint64_t ver;       /* job version that holds it: launchable once that is durable */
-    int inherited;      /* written by a predecessor */
-    int sent;           /* a launch went out, and may have reached the machine */
-    int direct;         /* launches sent to /orders whose fate is unknown */
-    double direct_at;   /* when a launch was last sent to /orders; 0: never */
-    uint64_t sent_tick; /* report to whose response the last launch was attached */
-    uint64_t shift;     /* session it was sent in */
-    int misses;         /* launches that did not take */
-    int sharing;        /* other images the machine fetched when it was placed */
-    int warmth;         /* then: its image was cached (1), absent (0) or on its way (-1) */
-    int seen, stage;    /* from reports: TW_TASK_* once seen */
+    uint64_t version;            /* job version that holds it: launchable once that is durable */
+    int inherited;               /* written by a predecessor */
+    int launch_sent;             /* a launch went out, and may have reached the machine */
+    int direct_launches;         /* launches sent to /orders whose fate is unknown */
+    double direct_launch_at;     /* when a launch was last sent to /orders; 0: never */
+    uint64_t launch_sequence;    /* report to whose response the last launch was attached */
+    uint64_t launch_incarnation; /* session it was sent in */
+    int lost_launches;           /* launches that did not take */
+    int concurrent_fetches;      /* other images the machine fetched when it was placed */
+    int image_state;             /* then: its image was cached (1), absent (0) or on its way (-1) */
+    int reported, state;         /* from reports: TW_TASK_* once seen */
     int cause;
-    int kill;      /* to be stopped */
+    int stopping;  /* to be stopped */
     int preempted; /* counts as running until it is gone, but its room is promised */
-    double mercy_s;
-    double made_at, run_at, kill_at; /* run_at 0: not yet */
-    double launch_after;             /* a gang's task: not launched before, see gang.c */
-    uint64_t mark;                   /* scratch: seen in the report in hand */
-    int on_job;                      /* still in the job's list (not exited, not lost) */
-    struct placement *jprev, *jnext; /* job's list */
-    struct placement *prev, *next;   /* machine's list */
+    double grace_s;
+    double placed_at, running_since, stopped_at; /* run_at 0: not yet */
+    double launch_after;                   /* a gang's task: not launched before, see gang.c */
+    uint64_t mark;                         /* scratch: seen in the report in hand */
+    int counted;                           /* still in the job's list (not exited, not lost) */
+    struct placement *job_prev, *job_next; /* job's list */
+    struct placement *prev, *next;         /* machine's list */
 } placement;
 
 /* States of a job's task. */
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -12,10 +12,11 @@
 
 double tw_plan_soonest_s(const tw_core *core, uint32_t types, double image_gb) {
     double soonest = INFINITY;
-    for (int i = 0; i < core->nflavors; i++) {
-        const flavor *type = &core->flavors[i];
+    for (int i = 0; i < core->machine_type_count; i++) {
+        const flavor *type = &core->machine_types[i];
         if (types & (1U << i))
-            soonest = fmin(soonest, BOOT_SPREAD * type->f.startup_s + type->p * image_gb);
+            soonest = fmin(soonest,
+                           BOOT_SPREAD * type->listed.startup_s + type->fetch_s_per_gb * image_gb);
     }
     return soonest;
 }
@@ -23,7 +24,7 @@
 /* Whether to rent for a batch task rather than let it wait until `start`. */
 static int worth_renting(const tw_core *core, const job *job, double start) {
     if (!isfinite(start)) return 1; /* nothing will be given back */
-    if (start <= core->now + tw_plan_soonest_s(core, job->rackmask, job->s.image_gb)) return 0;
+    if (start <= core->now + tw_plan_soonest_s(core, job->type_mask, job->spec.image_gb)) return 0;
     return !(start + tw_estimate(job) * RUN_SPREAD <= tw_job_due(core, job));
 }
 
@@ -49,10 +50,10 @@
 }
 
 static spread spread_of(const job *job) {
-    spread tasks = {.most = job->s.spread ? (job->pieces + 1) / 2 : INT32_MAX};
+    spread tasks = {.most = job->spec.spread ? (job->task_count + 1) / 2 : INT32_MAX};
     const placement *placed;
-    DL_FOREACH2(job->live, placed, jnext) {
-        const int slot = spread_slot(&tasks, placed->m->yard);
+    DL_FOREACH2(job->placements, placed, job_next) {
+        const int slot = spread_slot(&tasks, placed->machine->zone);
         if (slot >= 0) tasks.count[slot]++;
     }
     return tasks;
@@ -61,13 +62,13 @@
 /* How many of `want` tasks the bin takes. */
 static int fill(const tw_core *core, bin *bin, const job *job, spread *tasks, int want) {
     int taken = 0;
-    if (!tw_bin_allowed(bin, &job->s, job->rackmask)) return 0;
-    if (job->s.single_zone && tasks->used && strcmp(tasks->zone[0], bin->yard) != 0) return 0;
-    while (taken < want && tw_bin_fits(bin, &job->s) &&
-           tw_bin_leaves_gpus(core, bin, &job->s, job->any_machine)) {
-        const int slot = spread_slot(tasks, bin->yard);
+    if (!tw_bin_allowed(bin, &job->spec, job->type_mask)) return 0;
+    if (job->spec.single_zone && tasks->used && strcmp(tasks->zone[0], bin->zone) != 0) return 0;
+    while (taken < want && tw_bin_fits(bin, &job->spec) &&
+           tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine)) {
+        const int slot = spread_slot(tasks, bin->zone);
         if (slot < 0 || tasks->count[slot] >= tasks->most) break;
-        tw_bin_take(bin, &job->s);
+        tw_bin_take(bin, &job->spec);
         tasks->count[slot]++;
         taken++;
     }
@@ -76,23 +77,25 @@
 
 /* How many tasks of the job could be placed if there were room. */
 static int placeable(const tw_core *core, job *job) {
-    const tw_conf_team *team = &core->cf->teams[job->team];
-    int count = job->pieces - job->ndone - job->nlive;
-    if (team->gpus_max > 0 && job->s.gpus > 0)
+    const tw_conf_team *team = &core->config->teams[job->team];
+    int count = job->task_count - job->done_count - job->placed_count;
+    if (team->gpus_max > 0 && job->spec.gpus > 0)
         count = (int)fmin(
-            count, floor((team->gpus_max - core->team_g[job->team]) / job->s.gpus + TW_ROUNDING));
-    if (team->cpus_max > 0 && job->s.cores > 0)
+            count, floor((team->gpus_max - core->team_gpus_used[job->team]) / job->spec.gpus +
+                         TW_ROUNDING));
+    if (team->cpus_max > 0 && job->spec.cores > 0)
         count = (int)fmin(
-            count, floor((team->cpus_max - core->team_c[job->team]) / job->s.cores + TW_ROUNDING));
-    const int most = tw_max_live(core, job) - job->nlive;
+            count, floor((team->cpus_max - core->team_cores_used[job->team]) / job->spec.cores +
+                         TW_ROUNDING));
+    const int most = tw_max_live(core, job) - job->placed_count;
     return count > most ? most : count;
 }
 
 int tw_plan_open_gpu_machines(tw_core *core, job *job, const offer *best) {
-    if (job->s.gpus > 0 || job->any_machine) return 0;
-    if (best && core->flavors[best->rack].f.gpus <= 0) return 0;
+    if (job->spec.gpus > 0 || job->any_machine) return 0;
+    if (best && core->machine_types[best->type_index].listed.gpus <= 0) return 0;
     job->any_machine = 1;
-    core->sched_dirty = 1;
+    core->scheduling_due = 1;
     return 1;
 }
 
@@ -101,10 +104,11 @@
 static int needed(tw_core *core, bins *bins, job *job, tw_drain *drain) {
     const int count = placeable(core, job);
     int need = 0;
-    if (job->s.service) return count;
-    if (count > 0 && !drain->v) tw_drain_init(core, drain); /* mostly no batch waits */
-    if (job->s.gang) {
-        if (count < job->pieces - job->ndone - job->nlive) return 0; /* its team's limit */
+    if (job->spec.service) return count;
+    if (count > 0 && !drain->items) tw_drain_init(core, drain); /* mostly no batch waits */
+    if (job->spec.gang) {
+        if (count < job->task_count - job->done_count - job->placed_count)
+            return 0; /* its team's limit */
         const double start = tw_plan_gang_start(core, bins, job, drain, count);
         tw_plan_gang_hurry(core, job, start);
         return worth_renting(core, job, start) ? count : 0;
@@ -119,10 +123,10 @@
 static void rent_for(tw_core *core, bins *bins, job *job, spread *tasks, int need) {
     while (need > 0) {
         tw_offer_filter filter = {.only_zone =
-                                      job->s.single_zone && tasks->used ? tasks->zone[0] : NULL};
+                                      job->spec.single_zone && tasks->used ? tasks->zone[0] : NULL};
         for (int i = 0; i < tasks->used; i++)
             if (tasks->count[i] >= tasks->most) filter.not_zone = tasks->zone[i];
-        offer *offer = tw_offer_best(core, &job->s, job->rackmask, &filter);
+        offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
         job->capacity_bound =
             !offer || offer->refused > 0; /* refused lately: it may be granted again */
         /* Before renting. */
@@ -130,7 +134,7 @@
         if (!offer) return;
         const int taken = fill(core, tw_offer_bin(core, bins, offer), job, tasks, need);
         if (!taken) return;
-        offer->want++;
+        offer->wanted++;
         need -= taken;
     }
 }
@@ -139,15 +143,16 @@
     int need = needed(core, bins, job, drain);
     if (need <= 0) return;
     spread tasks = spread_of(job);
-    if (job->s.gang && job->s.single_zone && !tasks.used) {
+    if (job->spec.gang && job->spec.single_zone && !tasks.used) {
         const char *zone = tw_plan_gang_zone(core, bins, job, need);
         if (zone) spread_slot(&tasks, zone);
     }
     /* Room that placing has tried is of no use to a task, but may be a part of a gang's. */
-    const int first = job->s.gang ? 0 : tw_bins_first(bins, job);
-    for (int i = first; i < bins->n && need > 0; i++) {
-        core->steps++;
-        if (!bins->v[i].tried || job->s.gang) need -= fill(core, &bins->v[i], job, &tasks, need);
+    const int first = job->spec.gang ? 0 : tw_bins_first(bins, job);
+    for (int i = first; i < bins->count && need > 0; i++) {
+        core->pass_steps++;
+        if (!bins->items[i].tried || job->spec.gang)
+            need -= fill(core, &bins->items[i], job, &tasks, need);
     }
     rent_for(core, bins, job, &tasks, need);
 }
@@ -156,14 +161,14 @@
 
 /* Whether a machine's room can be counted on. */
 static int can_count_on(tw_core *core, const machine *machine) {
-    if (machine->rack < 0 || machine->release || machine->cordoned || machine->failed ||
-        machine->closing)
+    if (machine->type_index < 0 || machine->return_wanted || machine->cordoned || machine->failed ||
+        machine->decommissioning)
         return 0;
-    if (machine->stage == M_UP) return machine->warned_until <= 0 && !machine->lapsed;
+    if (machine->state == M_UP) return machine->preempted_at <= 0 && !machine->lease_expired;
     if (machine->overdue) return 0; /* may never come */
     /* Some of those that boot will be late: as many are not counted on. */
-    double *late = &core->flavors[machine->rack].late_sum;
-    *late += core->flavors[machine->rack].overdue;
+    double *late = &core->machine_types[machine->type_index].late_sum;
+    *late += core->machine_types[machine->type_index].overdue_share;
     if (*late >= 1) {
         *late -= 1;
         return 0;
@@ -172,28 +177,30 @@
 }
 
 static void add_machine(tw_core *core, bins *bins, machine *machine) {
-    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
-    *tw_bins_add(bins) = (bin){.m = machine,
-                               .rack = machine->rack,
-                               .loaner = machine->loaner,
-                               .yard = machine->yard,
-                               .busy = tw_machine_works(machine),
-                               /* placing has tried it already */
-                               .tried = machine->stage == M_UP &&
-                                        core->now - machine->first_heard > core->cf->report_s,
-                               .c = type->cores - machine->used_c,
-                               .g = type->gpus - machine->used_g,
-                               .mem = type->memory_gb - machine->used_m};
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    *tw_bins_add(bins) =
+        (bin){.machine = machine,
+              .type_index = machine->type_index,
+              .spot = machine->spot,
+              .zone = machine->zone,
+              .busy = tw_machine_works(machine),
+              /* placing has tried it already */
+              .tried = machine->state == M_UP &&
+                       core->now - machine->first_answered_at > core->config->report_s,
+              .cores = type->cores - machine->used_cores,
+              .gpus = type->gpus - machine->used_gpus,
+              .memory_gb = type->memory_gb - machine->used_memory_gb};
 }
 
 /* What was asked for and isn't answered yet counts as coming. */
 static void add_asked(tw_core *core, bins *bins, const rental_request *rental_request) {
-    for (int i = 0; i < core->noffers; i++) {
-        offer *offer = &core->offers[i];
-        if (offer->rack != rental_request->rack || offer->zone != rental_request->zone ||
-            offer->loaner != rental_request->loaner)
+    for (int i = 0; i < core->capacity_offer_count; i++) {
+        offer *offer = &core->capacity_offers[i];
+        if (offer->type_index != rental_request->type_index ||
+            offer->zone_index != rental_request->zone_index || offer->spot != rental_request->spot)
             continue;
-        for (int k = 0; k < rental_request->number; k++) tw_offer_bin(core, bins, offer)->o = NULL;
+        for (int k = 0; k < rental_request->machine_count; k++)
+            tw_offer_bin(core, bins, offer)->offer = NULL;
     }
 }
 
@@ -204,31 +211,32 @@
 static int have(const tw_core *core, const offer *offer, const bins *bins,
                 const zone_counts *counts) {
     const char *name = tw_offer_yard(core, offer);
-    for (int zone = 0; zone < core->nyards; zone++)
-        if (!strcmp(core->yards[zone], name)) return counts[offer->rack][zone];
+    for (int zone = 0; zone < core->zone_count; zone++)
+        if (!strcmp(core->zone_names[zone], name)) return counts[offer->type_index][zone];
     /* More zones than have numbers: by name. */
     int count = 0;
-    if (!counts[offer->rack][TW_MAX_ZONES]) return 0;
-    for (int i = 0; i < bins->n; i++)
-        count += bins->v[i].rack == offer->rack && !strcmp(bins->v[i].yard, name);
+    if (!counts[offer->type_index][TW_MAX_ZONES]) return 0;
+    for (int i = 0; i < bins->count; i++)
+        count +=
+            bins->items[i].type_index == offer->type_index && !strcmp(bins->items[i].zone, name);
     return count;
 }
 
 static void collect(tw_core *core, bins *bins) {
-    zone_counts *counts = tw_zalloc((size_t)core->nflavors * sizeof *counts);
-    for (int i = 0; i < core->nflavors; i++) core->flavors[i].late_sum = 0;
+    zone_counts *counts = tw_zalloc((size_t)core->machine_type_count * sizeof *counts);
+    for (int i = 0; i < core->machine_type_count; i++) core->machine_types[i].late_sum = 0;
     machine *machine;
     struct machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        machine->keep = 0;
+        machine->kept_as_headroom = 0;
         if (!can_count_on(core, machine)) continue;
         add_machine(core, bins, machine);
-        counts[machine->rack][machine->zone < 0 ? TW_MAX_ZONES : machine->zone]++;
+        counts[machine->type_index][machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index]++;
     }
-    for (int i = 0; i < core->noffers; i++) {
-        offer *offer = &core->offers[i];
-        offer->want = 0;
-        offer->have = have(core, offer, bins, counts);
+    for (int i = 0; i < core->capacity_offer_count; i++) {
+        offer *offer = &core->capacity_offers[i];
+        offer->wanted = 0;
+        offer->machine_count = have(core, offer, bins, counts);
     }
     free(counts);
     const rental_request *rental_request;
@@ -237,9 +245,9 @@
 
 static double price_of(const tw_core *core, const bins *bins) {
     double price = 0;
-    for (int i = 0; i < bins->n; i++) {
-        const tw_wire_machine_type *type = &core->flavors[bins->v[i].rack].f;
-        price += bins->v[i].loaner ? type->spot_price : type->on_demand_price;
+    for (int i = 0; i < bins->count; i++) {
+        const tw_wire_machine_type *type = &core->machine_types[bins->items[i].type_index].listed;
+        price += bins->items[i].spot ? type->spot_price : type->on_demand_price;
     }
     return price;
 }
@@ -248,9 +256,9 @@
 static void plan_turned_away(tw_core *core, bins *bins, tw_drain *drain) {
     turned_away_job *expected;
     turned_away_job *next;
-    HASH_ITER(hh, core->turned_away, expected, next) {
+    HASH_ITER(hh, core->rejected_admissions, expected, next) {
         if (core->now < expected->until)
-            plan_job(core, bins, &expected->j, drain);
+            plan_job(core, bins, &expected->job, drain);
         else
             tw_turned_away_drop(core, expected);
     }
@@ -260,16 +268,16 @@
     bins bins = {0};
     tw_drain drain = {0}; /* filled when a batch waits */
     collect(core, &bins);
-    const int there = bins.n;
+    const int there = bins.count;
     tw_turns *turns = tw_turns_new(core, 0);
     job *job;
     while ((job = tw_turns_next(core, turns))) plan_job(core, &bins, job, &drain);
     tw_turns_free(turns);
     plan_turned_away(core, &bins, &drain);
     const double price = price_of(core, &bins);
-    for (const lane *class = core->lanes; class; class = class->hh.next)
+    for (const lane *class = core->job_classes; class; class = class->hh.next)
         tw_plan_spare(core, &bins, class, price);
-    const int more = bins.n > there;
+    const int more = bins.count > there;
     tw_offers_settle(core);
     tw_return_idle(core);
     tw_reopen(core);
--- a/src/core/plan_gang.c
+++ b/src/core/plan_gang.c
@@ -15,22 +15,22 @@
 void tw_plan_gang_hurry(tw_core *core, job *job, double start) {
     const tw_offer_filter filter = {0};
     const double due = tw_job_start_due(job);
-    const double early = LATE_SHARE * (job->lane ? job->lane->within_s : 0);
+    const double early = LATE_SHARE * (job->job_class ? job->job_class->start_within_s : 0);
     if (start <= due - early && core->now <= due - early) return;
-    tw_plan_open_gpu_machines(core, job, tw_offer_best(core, &job->s, job->rackmask, &filter));
+    tw_plan_open_gpu_machines(core, job, tw_offer_best(core, &job->spec, job->type_mask, &filter));
 }
 
 /* How many tasks of the job the zone's bins hold, at most `most`. */
 static int zone_holds(tw_core *core, bins *bins, const job *job, const char *zone, int most) {
     int count = 0;
-    for (int i = 0; i < bins->n && count < most; i++) {
-        bin room = bins->v[i];
-        core->steps++;
-        if (strcmp(room.yard, zone) != 0 || !tw_bin_allowed(&room, &job->s, job->rackmask))
+    for (int i = 0; i < bins->count && count < most; i++) {
+        bin room = bins->items[i];
+        core->pass_steps++;
+        if (strcmp(room.zone, zone) != 0 || !tw_bin_allowed(&room, &job->spec, job->type_mask))
             continue;
-        while (count < most && tw_bin_fits(&room, &job->s) &&
-               tw_bin_leaves_gpus(core, &room, &job->s, job->any_machine)) {
-            tw_bin_take(&room, &job->s);
+        while (count < most && tw_bin_fits(&room, &job->spec) &&
+               tw_bin_leaves_gpus(core, &room, &job->spec, job->any_machine)) {
+            tw_bin_take(&room, &job->spec);
             count++;
         }
     }
@@ -40,13 +40,13 @@
 const char *tw_plan_gang_zone(tw_core *core, bins *bins, const job *job, int need) {
     const char *best = NULL;
     int most = -1;
-    for (int zone = 0; zone < core->nyards; zone++) {
-        const char *name = core->yards[zone];
+    for (int zone = 0; zone < core->zone_count; zone++) {
+        const char *name = core->zone_names[zone];
         const tw_offer_filter filter = {.only_zone = name};
         if (!tw_zone_allows(core, job, name)) continue;
         const int count = zone_holds(core, bins, job, name, need);
         if (count <= most) continue;
-        if (count < need && !tw_offer_best(core, &job->s, job->rackmask, &filter)) continue;
+        if (count < need && !tw_offer_best(core, &job->spec, job->type_mask, &filter)) continue;
         most = count;
         best = name;
     }
--- a/src/core/plan_spare.c
+++ b/src/core/plan_spare.c
@@ -11,21 +11,23 @@
  */
 static int spare_tasks(const tw_core *core, const lane *class, double fleet_price) {
     const tw_wire_job *sample = &class->sample;
-    if (!class->has_sample || class->within_s <= 0 || !(sample->service || sample->gang)) return 0;
+    if (!class->has_sample || class->start_within_s <= 0 || !(sample->service || sample->gang))
+        return 0;
     const double lead_s =
-        fmax(0, tw_plan_soonest_s(core, class->sample_racks, sample->image_gb) - class->within_s);
-    const double quiet_s = core->now - class->last_arrival;
-    double rate = class->rate;
+        fmax(0, tw_plan_soonest_s(core, class->sample_type_mask, sample->image_gb) -
+                    class->start_within_s);
+    const double quiet_s = core->now - class->last_arrival_at;
+    double rate = class->task_rate;
     if (quiet_s > RATE_FADES_S) rate *= exp(-(quiet_s - RATE_FADES_S) / RATE_FADES_S);
     const double expected = rate * lead_s;
     const double group = fmax(1, class->batch_tasks);
-    double tasks = core->cf->tune.headroom * (HALF_SHARE * expected + sqrt(expected * group));
+    double tasks = core->config->tune.headroom * (HALF_SHARE * expected + sqrt(expected * group));
     /* A late start costs the same whatever the task: where twice the room is nearly free beside
      * what the fleet costs, twice the room. */
     double price = INFINITY;
-    for (int i = 0; i < core->nflavors; i++) {
-        const tw_wire_machine_type *type = &core->flavors[i].f;
-        if (class->sample_racks & (1U << i))
+    for (int i = 0; i < core->machine_type_count; i++) {
+        const tw_wire_machine_type *type = &core->machine_types[i].listed;
+        if (class->sample_type_mask & (1U << i))
             price = fmin(price, type->on_demand_price / tw_offer_holds(type, sample));
     }
     if (2 * tasks * price < NEARLY_FREE * fleet_price) tasks *= 2;
@@ -37,7 +39,7 @@
 typedef enum { BIN_IN_USE, BIN_IDLE, BIN_COMING, BIN_STATES } bin_state;
 
 static bin_state state_of(const bin *bin) {
-    if (!bin->m || bin->m->stage == M_BOOTING) return BIN_COMING;
+    if (!bin->machine || bin->machine->state == M_BOOTING) return BIN_COMING;
     return bin->busy ? BIN_IN_USE : BIN_IDLE;
 }
 
@@ -45,13 +47,14 @@
 static int keep(const tw_core *core, bin *bin, const lane *class, int want, const char *zone) {
     const tw_wire_job *sample = &class->sample;
     int kept = 0;
-    if (!tw_bin_allowed(bin, sample, class->sample_racks)) return 0;
-    if (zone && strcmp(zone, bin->yard) != 0) return 0;
+    if (!tw_bin_allowed(bin, sample, class->sample_type_mask)) return 0;
+    if (zone && strcmp(zone, bin->zone) != 0) return 0;
     /* Room that placing would not give is no spare room. */
-    if (sample->gpus <= 0 && core->flavors[bin->rack].f.gpus > 0 && !bin->busy) return 0;
+    if (sample->gpus <= 0 && core->machine_types[bin->type_index].listed.gpus > 0 && !bin->busy)
+        return 0;
     while (kept < want && tw_bin_fits(bin, sample) && tw_bin_leaves_gpus(core, bin, sample, 0)) {
         tw_bin_take(bin, sample);
-        if (bin->m) bin->m->keep = 1;
+        if (bin->machine) bin->machine->kept_as_headroom = 1;
         kept++;
     }
     return kept;
@@ -62,16 +65,16 @@
     const char *best = NULL;
     int most = 0;
     if (!class->sample.gang || !class->sample.single_zone) return NULL;
-    for (int zone = 0; zone < core->nyards; zone++) {
+    for (int zone = 0; zone < core->zone_count; zone++) {
         int count = 0;
-        for (int i = 0; i < bins->n && count < want; i++) {
-            bin room = bins->v[i];
-            room.m = NULL; /* nothing is kept there yet */
-            count += keep(core, &room, class, want - count, core->yards[zone]);
+        for (int i = 0; i < bins->count && count < want; i++) {
+            bin room = bins->items[i];
+            room.machine = NULL; /* nothing is kept there yet */
+            count += keep(core, &room, class, want - count, core->zone_names[zone]);
         }
         if (count <= most) continue;
         most = count;
-        best = core->yards[zone];
+        best = core->zone_names[zone];
     }
     return best;
 }
@@ -80,14 +83,15 @@
     int want = spare_tasks(core, class, fleet_price);
     const char *zone = spare_zone(core, bins, class, want);
     for (bin_state state = BIN_IN_USE; state < BIN_STATES && want > 0; state++)
-        for (int i = 0; i < bins->n && want > 0; i++)
-            if (state_of(&bins->v[i]) == state) want -= keep(core, &bins->v[i], class, want, zone);
+        for (int i = 0; i < bins->count && want > 0; i++)
+            if (state_of(&bins->items[i]) == state)
+                want -= keep(core, &bins->items[i], class, want, zone);
     const tw_offer_filter filter = {.spare = 1, .only_zone = zone};
     while (want > 0) {
-        offer *offer = tw_offer_best(core, &class->sample, class->sample_racks, &filter);
+        offer *offer = tw_offer_best(core, &class->sample, class->sample_type_mask, &filter);
         if (!offer) return;
         bin *bin = tw_offer_bin(core, bins, offer);
-        offer->want++;
+        offer->wanted++;
         for (; want > 0 && tw_bin_fits(bin, &class->sample); want--)
             tw_bin_take(bin, &class->sample);
     }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -8,10 +8,10 @@
 #define CHOSEN UINT64_MAX /* mark of a task that would be stopped */
 
 static tw_room free_on(const tw_core *core, const machine *machine) {
-    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
-    return (tw_room){type->cores - machine->used_c + machine->kill_c,
-                     type->gpus - machine->used_g + machine->kill_g,
-                     type->memory_gb - machine->used_m + machine->kill_m};
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    return (tw_room){type->cores - machine->used_cores + machine->vacating_cores,
+                     type->gpus - machine->used_gpus + machine->vacating_gpus,
+                     type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
 }
 
 static int is_enough(const tw_room *room, const tw_wire_job *spec, double tolerance) {
@@ -22,55 +22,55 @@
 /* A gang that can't be told as a whole would lose what it has done: it is left alone until then. */
 static int would_lose_gang(const tw_core *core, const placement *placed) {
     const job *job = placed->job;
-    return job->s.gang && job->s.checkpoint_s > 0 && job->gang.state == GANG_RUNNING &&
-           placed->run_at > 0 &&
-           (placed->inherited || core->now - placed->run_at > job->s.save_s) &&
+    return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == GANG_RUNNING &&
+           placed->running_since > 0 &&
+           (placed->inherited || core->now - placed->running_since > job->spec.save_s) &&
            !tw_gang_can_save(core, job);
 }
 
 int tw_may_stop(const tw_core *core, const struct job *job, const placement *placed) {
-    return placed->on_job && !placed->kill && placed->job->has_spec &&
-           placed->job->s.priority < job->s.priority && !would_lose_gang(core, placed);
+    return placed->counted && !placed->stopping && placed->job->has_spec &&
+           placed->job->spec.priority < job->spec.priority && !would_lose_gang(core, placed);
 }
 
 /* Run time of a task that is lost when it is stopped. */
 static double unsaved_s(const tw_core *core, const placement *placed) {
     const job *job = placed->job;
-    const double ran_s = placed->run_at > 0 ? core->now - placed->run_at : 0;
-    if (job->s.checkpoint_s <= 0) return ran_s;
+    const double ran_s = placed->running_since > 0 ? core->now - placed->running_since : 0;
+    if (job->spec.checkpoint_s <= 0) return ran_s;
     /* A gang that can't be told at once falls back to its last checkpoint. */
-    if (job->s.gang && !tw_gang_can_save(core, job)) return fmin(ran_s, job->s.checkpoint_s);
-    return fmin(ran_s, job->s.save_s);
+    if (job->spec.gang && !tw_gang_can_save(core, job)) return fmin(ran_s, job->spec.checkpoint_s);
+    return fmin(ran_s, job->spec.save_s);
 }
 
 /* Work lost when it is stopped, in task seconds. One task of a gang takes all the others with it.
  */
 static double cost_of(const tw_core *core, const placement *placed) {
     const job *job = placed->job;
-    double ran_s = unsaved_s(core, placed) * (job->s.gang ? job->nlive : 1);
+    double ran_s = unsaved_s(core, placed) * (job->spec.gang ? job->placed_count : 1);
     /* Rather one that can start over and still make its deadline. */
     const double estimate_s = tw_estimate(job);
     const double due = tw_job_due(core, job);
     if (isfinite(due) && core->now + RESTART_TIME * estimate_s > due) ran_s += estimate_s;
-    return ran_s + 1 + job->s.priority * COST_OF_RANK;
+    return ran_s + 1 + job->spec.priority * COST_OF_RANK;
 }
 
 /* Whether it may be enough at all, from sums alone. */
 static int may_vacate(const tw_core *core, const machine *machine, const job *job) {
     tw_room room = free_on(core, machine);
-    for (int rank = 0; rank < job->s.priority; rank++) {
-        room.cores += machine->held[rank].c;
-        room.gpus += machine->held[rank].g;
-        room.memory_gb += machine->held[rank].m;
+    for (int rank = 0; rank < job->spec.priority; rank++) {
+        room.cores += machine->used_by_priority[rank].c;
+        room.gpus += machine->used_by_priority[rank].g;
+        room.memory_gb += machine->used_by_priority[rank].m;
     }
-    return is_enough(&room, &job->s, SUM_DRIFT);
+    return is_enough(&room, &job->spec, SUM_DRIFT);
 }
 
 /* Whether a task of the same gang is chosen on the machine: this one costs nothing more. */
 static int gang_is_chosen(const machine *machine, const placement *placed) {
     const placement *other;
-    if (!placed->job->s.gang) return 0;
-    DL_FOREACH(machine->pls, other)
+    if (!placed->job->spec.gang) return 0;
+    DL_FOREACH(machine->placements, other)
     if (other->mark == CHOSEN && other->job == placed->job) return 1;
     return 0;
 }
@@ -81,9 +81,10 @@
     placement *best = NULL;
     placement *placed;
     *least = INFINITY;
-    DL_FOREACH(machine->pls, placed) {
+    DL_FOREACH(machine->placements, placed) {
         if (!tw_may_stop(core, job, placed) || placed->mark == CHOSEN) continue;
-        if (job->s.gpus > 0 && placed->job->s.gpus <= 0 && room->gpus + TW_ROUNDING < job->s.gpus)
+        if (job->spec.gpus > 0 && placed->job->spec.gpus <= 0 &&
+            room->gpus + TW_ROUNDING < job->spec.gpus)
             continue;
         const double cost = gang_is_chosen(machine, placed) ? 0 : cost_of(core, placed);
         if (cost < *least) {
@@ -95,9 +96,9 @@
 }
 
 static void stop(tw_core *core, placement *victim, const job *job) {
-    const tw_wire_job *spec = &victim->job->s;
+    const tw_wire_job *spec = &victim->job->spec;
     tw_log_debug("event=preempt piece=%s/%d for=%s tray=%s", spec->id, victim->index, job->id,
-                 victim->m->name);
+                 victim->machine->name);
     /* Saving takes flush_s: only where the one that needs the room can wait for it. */
     const int saves = spec->checkpoint_s > 0 && core->now + spec->save_s < tw_job_due(core, job);
     tw_placement_kill(core, victim, saves ? spec->save_s : 0, 1);
@@ -114,16 +115,16 @@
                   double *cost) {
     tw_room room = free_on(core, machine);
     *cost = 0;
-    while (!is_enough(&room, &job->s, TW_ROUNDING)) {
+    while (!is_enough(&room, &job->spec, TW_ROUNDING)) {
         double least;
         placement *victim = cheapest(core, machine, job, &room, &least);
         if (!victim) return 0;
         victim->mark = CHOSEN;
         *cost += least;
         if (limit && *cost + limit->penalty >= limit->least) return 0;
-        room.cores += victim->job->s.cores;
-        room.gpus += victim->job->s.gpus;
-        room.memory_gb += victim->job->s.memory_gb;
+        room.cores += victim->job->spec.cores;
+        room.gpus += victim->job->spec.gpus;
+        room.memory_gb += victim->job->spec.memory_gb;
         if (!limit) stop(core, victim, job);
     }
     return 1;
@@ -131,7 +132,7 @@
 
 static void unmark(machine *machine) {
     placement *placed;
-    DL_FOREACH(machine->pls, placed) if (placed->mark == CHOSEN) placed->mark = 0;
+    DL_FOREACH(machine->placements, placed) if (placed->mark == CHOSEN) placed->mark = 0;
 }
 
 struct machine *tw_preempt(tw_core *core, const tw_demand *demand, int in_time, int *kept) {
@@ -139,10 +140,10 @@
     double least = INFINITY;
     double cost;
     machine *best = NULL;
-    if (job->s.priority <= TW_PRIORITY_IDLE) return NULL;
-    for (int i = 0; i < core->ncandidates; i++) {
+    if (job->spec.priority <= TW_PRIORITY_IDLE) return NULL;
+    for (int i = 0; i < core->candidate_count; i++) {
         machine *machine = core->candidates[i].machine;
-        core->steps++;
+        core->pass_steps++;
         if (!may_vacate(core, machine, job) || !tw_constraints_machine(core, job, machine) ||
             !tw_constraints_zone(core, demand, machine) || !tw_leaves_gpus(core, machine, job, 1))
             continue;
@@ -151,7 +152,7 @@
             continue;
         }
         const tw_prediction prediction = tw_predict(core, demand, machine);
-        const int late = !(tw_predict_end(core, demand, &prediction) <= demand->due);
+        const int late = !(tw_predict_end(core, demand, &prediction) <= demand->deadline_at);
         if (late && in_time) continue;
         const cost_limit limit = {late ? COST_OF_LATE : 0, least};
         const int enough = vacate(core, job, machine, &limit, &cost);
--- a/src/core/preference.c
+++ b/src/core/preference.c
@@ -17,28 +17,29 @@
 /* In steps, rounded. */
 static double slowness_step(const tw_core *core, machine *machine) {
     const double slowness = fmax(tw_slowness(core, machine), LEAST_SLOWNESS);
-    if (machine->step_of != slowness) { /* a logarithm is dear: only after it has changed */
-        machine->step_of = slowness;
-        machine->step = floor(log(slowness) / log(SLOWNESS_STEP) + 0.5);
+    if (machine->slowness_step_of !=
+        slowness) { /* a logarithm is dear: only after it has changed */
+        machine->slowness_step_of = slowness;
+        machine->slowness_step = floor(log(slowness) / log(SLOWNESS_STEP) + 0.5);
     }
-    return machine->step;
+    return machine->slowness_step;
 }
 
 /* How full the machine would be, of what is scarce for the task. */
 static double fullness(const tw_core *core, const job *job, const machine *machine) {
-    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
-    if (job->s.gpus > 0) return (machine->used_g + job->s.gpus) / type->gpus;
-    return type->gpus > 0 ? 1 : (machine->used_c + job->s.cores) / type->cores;
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    if (job->spec.gpus > 0) return (machine->used_gpus + job->spec.gpus) / type->gpus;
+    return type->gpus > 0 ? 1 : (machine->used_cores + job->spec.cores) / type->cores;
 }
 
 static double service_preference(const tw_core *core, const job *job, const machine *machine,
                                  const tw_prediction *prediction) {
     double points = 0;
     if (prediction->image) points += prediction->image->ready_at <= 0 ? OF_IMAGE : OF_IMAGE_COMING;
-    points += OF_FREE_ZONE * tw_candidates_zone_free(core, machine, job->s.gpus > 0);
+    points += OF_FREE_ZONE * tw_candidates_zone_free(core, machine, job->spec.gpus > 0);
     /* In time or not, a replica is down while its image comes: no zone is worth a long fetch. */
-    if (job->lane && job->lane->within_s > 0)
-        points -= OF_LONG_FETCH * fmin(1, prediction->fetch_s / job->lane->within_s);
+    if (job->job_class && job->job_class->start_within_s > 0)
+        points -= OF_LONG_FETCH * fmin(1, prediction->fetch_s / job->job_class->start_within_s);
     return points + OF_FULLNESS * fullness(core, job, machine);
 }
 
@@ -50,13 +51,14 @@
     double points = OF_SLOWNESS * slowness_step(core, machine);
     points -=
         OF_FETCH * log(1 + prediction->fetch_s / fmax(demand->estimate_s, 1)) / log(SLOWNESS_STEP);
-    if (machine->loaner) points += OF_SPOT;
+    if (machine->spot) points += OF_SPOT;
     if (prediction->image) points += OF_IMAGE;
     return points + OF_FULLNESS * fullness(core, demand->job, machine);
 }
 
 double tw_preference(const tw_core *core, const tw_demand *demand, machine *machine,
                      const tw_prediction *prediction) {
-    if (demand->job->s.service) return service_preference(core, demand->job, machine, prediction);
+    if (demand->job->spec.service)
+        return service_preference(core, demand->job, machine, prediction);
     return batch_preference(core, demand, machine, prediction);
 }
--- a/src/core/provision.h
+++ b/src/core/provision.h
@@ -12,26 +12,26 @@
 
 /* A kind of machine in a zone, as the cloud has treated us. */
 typedef struct offer {
-    int rack, zone, loaner;
+    int type_index, zone_index, spot;
     double refused_until;
     int refused;
-    int have;            /* scratch: machines of the type in the zone */
-    int want;            /* to be asked for, as of the last plan */
+    int machine_count;   /* scratch: machines of the type in the zone */
+    int wanted;          /* to be asked for, as of the last plan */
     double wanted_since; /* 0: not wanted */
 } offer;
 
 /* Room as the plan sees it: of a machine, or of one that is to come. */
 typedef struct bin {
-    machine *m; /* NULL: to come */
-    offer *o;   /* of one to be rented */
-    int rack, loaner, busy, tried;
-    const char *yard;
-    double c, g, mem;
+    machine *machine; /* NULL: to come */
+    offer *offer;     /* of one to be rented */
+    int type_index, spot, busy, tried;
+    const char *zone;
+    double cores, gpus, memory_gb;
 } bin;
 
 typedef struct bins {
-    bin *v;
-    int n, cap;
+    bin *items;
+    int count, capacity;
     struct bin_start *starts; /* where to begin for a kind of task: see bins.c */
     int nstarts, starts_cap;
 } bins;
@@ -43,14 +43,14 @@
 } tw_release;
 
 typedef struct tw_drain {
-    tw_release *v;
-    int n;
+    tw_release *items;
+    int count;
 } tw_drain;
 
 /* A rental request under way, by its name. */
 typedef struct rental_request {
     char name[TW_NAME_SIZE];
-    int rack, zone, loaner, number, busy;
+    int type_index, zone_index, spot, machine_count, in_flight;
     double next_try;
     struct rental_request *prev, *next;
 } rental_request;
@@ -58,7 +58,7 @@
 /* A submission that was turned away and will come again: machines are rented for it meanwhile. */
 typedef struct turned_away_job {
     char id[TW_WIRE_ID_SIZE];
-    job j; /* not among the jobs: nothing of it is accepted */
+    job job; /* not among the jobs: nothing of it is accepted */
     double until;
     UT_hash_handle hh;
 } turned_away_job;
--- a/src/core/queue.c
+++ b/src/core/queue.c
@@ -26,10 +26,10 @@
     job **jobs; /* by group, then by deadline */
     int count;
     int team_count;
-    range *groups;                /* in jobs; the index is level * team_count + team */
-    int last;                     /* group served last, or SERVED_OVERDUE */
-    job **overdue;                /* by priority, then the longest weighed wait first */
-    range overdue_of[PRIORITIES]; /* in overdue, by priority */
+    range *groups;                         /* in jobs; the index is level * team_count + team */
+    int last;                              /* group served last, or SERVED_OVERDUE */
+    job **overdue;                         /* by priority, then the longest weighed wait first */
+    range overdue_by_priority[PRIORITIES]; /* in overdue, by priority */
 };
 
 static int is_empty(range of) { return of.start >= of.end; }
@@ -42,9 +42,9 @@
 static int priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
 int tw_job_pending(const tw_core *core, const job *job) {
-    return job->has_spec && job->st && job->stage == TW_JOB_PENDING && !job->aborting &&
-           job->team >= 0 && job->ndone + job->nlive < job->pieces && core->now >= job->retry_at &&
-           (!job->s.gang || tw_gang_pending(job));
+    return job->has_spec && job->task_states && job->state == TW_JOB_PENDING && !job->cancelling &&
+           job->team >= 0 && job->done_count + job->placed_count < job->task_count &&
+           core->now >= job->retry_at && (!job->spec.gang || tw_gang_pending(job));
 }
 
 /* ---- which jobs are within their team's guarantee ---- */
@@ -52,22 +52,22 @@
 static int by_submission(const void *left, const void *right) {
     const job *a = *(job *const *)left, *b = *(job *const *)right;
     if (a->team != b->team) return a->team < b->team ? -1 : 1;
-    if (a->submitted != b->submitted) return a->submitted < b->submitted ? -1 : 1;
+    if (a->submitted_at != b->submitted_at) return a->submitted_at < b->submitted_at ? -1 : 1;
     return 0;
 }
 
 static int submitted_together(const job *a, const job *b) {
-    return a->team == b->team && a->submitted == b->submitted;
+    return a->team == b->team && a->submitted_at == b->submitted_at;
 }
 
 /* The unfinished jobs of teams that have a guarantee; none of the others is guaranteed. */
 static int list_with_guarantee(const tw_core *core, job **jobs) {
     int count = 0;
     job *job;
-    DL_FOREACH(core->active, job) {
+    DL_FOREACH(core->active_jobs, job) {
         job->guaranteed = 0;
-        if (job->team < 0 || !job->has_spec || job->stage != TW_JOB_PENDING) continue;
-        const tw_conf_team *team = &core->cf->teams[job->team];
+        if (job->team < 0 || !job->has_spec || job->state != TW_JOB_PENDING) continue;
+        const tw_conf_team *team = &core->config->teams[job->team];
         if (team->gpus > 0 || team->cpus > 0) jobs[count++] = job;
     }
     return count;
@@ -78,24 +78,25 @@
 static void mark_guaranteed(const tw_core *core, job **jobs, int count) {
     double cpus = 0, gpus = 0;
     for (int from = 0, to; from < count; from = to) {
-        const tw_conf_team *team = &core->cf->teams[jobs[from]->team];
+        const tw_conf_team *team = &core->config->teams[jobs[from]->team];
         if (!from || jobs[from]->team != jobs[from - 1]->team) cpus = gpus = 0;
         for (to = from; to < count && submitted_together(jobs[to], jobs[from]); to++) {
-            const int tasks = jobs[to]->pieces - jobs[to]->ndone;
-            cpus += jobs[to]->s.cores * tasks;
-            gpus += jobs[to]->s.gpus * tasks;
+            const int tasks = jobs[to]->task_count - jobs[to]->done_count;
+            cpus += jobs[to]->spec.cores * tasks;
+            gpus += jobs[to]->spec.gpus * tasks;
         }
         const int fits = (team->gpus <= 0 || gpus <= team->gpus + TW_ROUNDING) &&
                          (team->cpus <= 0 || cpus <= team->cpus + TW_ROUNDING);
         for (int i = from; i < to; i++)
-            jobs[i]->guaranteed = fits && (jobs[i]->s.gpus > 0 ? team->gpus > 0 : team->cpus > 0);
+            jobs[i]->guaranteed =
+                fits && (jobs[i]->spec.gpus > 0 ? team->gpus > 0 : team->cpus > 0);
     }
 }
 
 static void note_guaranteed(tw_core *core) {
     int capacity = 0;
     const job *job;
-    DL_FOREACH(core->active, job) capacity++;
+    DL_FOREACH(core->active_jobs, job) capacity++;
     struct job **jobs = tw_zalloc((size_t)capacity * sizeof(struct job *));
     const int count = list_with_guarantee(core, jobs);
     qsort(jobs, (size_t)count, sizeof(struct job *), by_submission);
@@ -121,9 +122,9 @@
 static void group_jobs(const tw_core *core, tw_turns *turns, int capacity) {
     grouped_job *sorted = tw_zalloc((size_t)capacity * sizeof *sorted);
     job *job;
-    DL_FOREACH(core->active, job) {
+    DL_FOREACH(core->active_jobs, job) {
         if (!tw_job_pending(core, job)) continue;
-        const int level = level_of(job->s.priority, job->guaranteed);
+        const int level = level_of(job->spec.priority, job->guaranteed);
         sorted[turns->count++] =
             (grouped_job){job, level * turns->team_count + job->team, tw_job_due(core, job)};
     }
@@ -146,21 +147,21 @@
 
 static int by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
-    if (a->job->s.priority != b->job->s.priority)
-        return a->job->s.priority < b->job->s.priority ? -1 : 1;
+    if (a->job->spec.priority != b->job->spec.priority)
+        return a->job->spec.priority < b->job->spec.priority ? -1 : 1;
     if (a->weight != b->weight) return a->weight > b->weight ? -1 : 1;
     return strcmp(a->job->id, b->job->id);
 }
 
 /* More waits with a larger job: its time weighs more, by the root of its work. */
 static double weighed_wait(const tw_core *core, const job *job) {
-    const double work = job->pieces * fmax(job->s.expected_run_s, core->cf->lease_s);
-    return (core->now - job->submitted) * sqrt(work);
+    const double work = job->task_count * fmax(job->spec.expected_run_s, core->config->lease_s);
+    return (core->now - job->submitted_at) * sqrt(work);
 }
 
 static int is_overdue(const tw_core *core, const job *job) {
-    if (job->begun || job->nlive || job->ndone) return 0;
-    return core->now - job->submitted > OVERDUE_AFTER_S;
+    if (job->has_run || job->placed_count || job->done_count) return 0;
+    return core->now - job->submitted_at > OVERDUE_AFTER_S;
 }
 
 static void note_overdue(const tw_core *core, tw_turns *turns) {
@@ -173,10 +174,11 @@
     }
     qsort(sorted, (size_t)count, sizeof *sorted, by_wait);
     for (int i = 0; i < count; i++) {
-        const int priority = sorted[i].job->s.priority;
+        const int priority = sorted[i].job->spec.priority;
         turns->overdue[i] = sorted[i].job;
-        if (!i || sorted[i - 1].job->s.priority != priority) turns->overdue_of[priority].start = i;
-        turns->overdue_of[priority].end = i + 1;
+        if (!i || sorted[i - 1].job->spec.priority != priority)
+            turns->overdue_by_priority[priority].start = i;
+        turns->overdue_by_priority[priority].end = i + 1;
     }
     free(sorted);
 }
@@ -187,9 +189,9 @@
     tw_turns *turns = tw_zalloc(sizeof *turns);
     int capacity = 0;
     const job *job;
-    DL_FOREACH(core->active, job) capacity += tw_job_pending(core, job);
+    DL_FOREACH(core->active_jobs, job) capacity += tw_job_pending(core, job);
     if (capacity) note_guaranteed(core);
-    turns->team_count = (int)core->cf->nteams;
+    turns->team_count = (int)core->config->nteams;
     turns->jobs = tw_zalloc((size_t)capacity * sizeof(struct job *));
     turns->groups = tw_zalloc((size_t)(LEVELS * turns->team_count) * sizeof *turns->groups);
     group_jobs(core, turns, capacity);
@@ -199,8 +201,8 @@
 
 /* The next overdue job of a priority that may have room now; NULL: none. */
 static job *next_overdue(const tw_core *core, tw_turns *turns, int priority) {
-    range *left = &turns->overdue_of[priority];
-    if (core->old_credit[priority] <= 0 || is_empty(*left)) return NULL;
+    range *left = &turns->overdue_by_priority[priority];
+    if (core->overdue_credit[priority] <= 0 || is_empty(*left)) return NULL;
     turns->last = SERVED_OVERDUE;
     return turns->overdue[left->start++];
 }
@@ -212,8 +214,9 @@
     for (int team = 0; team < turns->team_count; team++) {
         const int group = level * turns->team_count + team;
         if (is_empty(turns->groups[group])) continue;
-        const double in_use = core->team_g[team] * GPU_IN_CORES + core->team_c[team];
-        const double use = in_use / core->cf->teams[team].share;
+        const double in_use =
+            core->team_gpus_used[team] * GPU_IN_CORES + core->team_cores_used[team];
+        const double use = in_use / core->config->teams[team].share;
         if (use < least) {
             least = use;
             best = group;
@@ -236,7 +239,7 @@
 }
 
 void tw_turns_placed(tw_core *core, const tw_turns *turns, const job *job, int count) {
-    int *credit = &core->old_credit[job->s.priority];
+    int *credit = &core->overdue_credit[job->spec.priority];
     if (turns->last == SERVED_OVERDUE)
         *credit -= count > 0;
     else if (count > 0)
@@ -250,7 +253,7 @@
 int tw_turns_contended(const tw_turns *turns) {
     if (turns->last == SERVED_OVERDUE) return 1;
     const int level = turns->last / turns->team_count;
-    if (!is_empty(turns->overdue_of[priority_of(level)])) return 1;
+    if (!is_empty(turns->overdue_by_priority[priority_of(level)])) return 1;
     const int first = level * turns->team_count;
     for (int group = first; group < first + turns->team_count; group++)
         if (group != turns->last && !is_empty(turns->groups[group])) return 1;
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -12,11 +12,11 @@
     const job *job = placed->job;
     const double estimate_s = tw_estimate(job);
     const double due = tw_job_due(core, job);
-    const double ran_s = core->now - placed->run_at;
+    const double ran_s = core->now - placed->running_since;
     if (!isfinite(due) || estimate_s <= 0) return 0;
-    *slowness = fmax(tw_slowness(core, placed->m), ran_s / estimate_s);
+    *slowness = fmax(tw_slowness(core, placed->machine), ran_s / estimate_s);
     const double end =
-        fmax(placed->run_at + estimate_s * *slowness, core->now + LEAST_REST * estimate_s);
+        fmax(placed->running_since + estimate_s * *slowness, core->now + LEAST_REST * estimate_s);
     return end <= due ? 0 : end;
 }
 
@@ -43,13 +43,14 @@
     machine *machine;
     struct machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        core->steps++;
-        if (machine->rack < 0 || !tw_fits(machine, &core->flavors[machine->rack], &job->s) ||
+        core->pass_steps++;
+        if (machine->type_index < 0 ||
+            !tw_fits(machine, &core->machine_types[machine->type_index], &job->spec) ||
             !tw_machine_usable(core, machine) || !tw_constraints_machine(core, job, machine) ||
             !tw_constraints_zone(core, &demand, machine))
             continue;
         const double total_s = tw_predict(core, &demand, machine).total_s;
-        if (core->now + total_s <= demand.due) add(&found, machine, total_s);
+        if (core->now + total_s <= demand.deadline_at) add(&found, machine, total_s);
     }
     return found;
 }
@@ -60,12 +61,12 @@
     const job *job = placed->job;
     for (int i = 0; i < found->count; i++) {
         const alternative *other = &found->items[i];
-        if (other->machine == placed->m || core->now + other->total_s >= end ||
+        if (other->machine == placed->machine || core->now + other->total_s >= end ||
             tw_slowness(core, other->machine) * CLEARLY_FASTER > slowness)
             continue;
         tw_log_info("event=rerun piece=%s/%d from=%s to=%s late_s=%.1f", job->id, placed->index,
-                    placed->m->name, other->machine->name, end - tw_job_due(core, job));
-        tw_placement_kill(core, placed, job->s.checkpoint_s > 0 ? job->s.save_s : 0, 0);
+                    placed->machine->name, other->machine->name, end - tw_job_due(core, job));
+        tw_placement_kill(core, placed, job->spec.checkpoint_s > 0 ? job->spec.save_s : 0, 0);
         return 1;
     }
     return 0;
@@ -78,11 +79,11 @@
     int stopped = 0;
     placement *placed;
     placement *next;
-    DL_FOREACH_SAFE2(job->live, placed, next, jnext) {
+    DL_FOREACH_SAFE2(job->placements, placed, next, job_next) {
         double slowness = 0;
         if (stopped >= most) break;
-        if (placed->kill || placed->run_at <= 0 || placed->stage != TW_TASK_RUNNING ||
-            placed->m->rack < 0)
+        if (placed->stopping || placed->running_since <= 0 || placed->state != TW_TASK_RUNNING ||
+            placed->machine->type_index < 0)
             continue;
         const double end = late_end(core, placed, &slowness);
         if (end <= 0) continue;
@@ -98,12 +99,12 @@
 void tw_recheck(tw_core *core) {
     int left = MOST_RERUNS;
     job *job;
-    DL_FOREACH(core->active, job) {
-        if (job->stage != TW_JOB_PENDING || !job->has_spec || job->s.service || job->s.gang ||
-            job->s.deadline_s < 0)
+    DL_FOREACH(core->active_jobs, job) {
+        if (job->state != TW_JOB_PENDING || !job->has_spec || job->spec.service || job->spec.gang ||
+            job->spec.deadline_s < 0)
             continue;
         left -= recheck_job(core, job, left);
         if (left <= 0) break;
     }
-    core->sched_dirty = 1; /* waits may have ended, too */
+    core->scheduling_due = 1; /* waits may have ended, too */
 }
--- a/src/core/record_parts.c
+++ b/src/core/record_parts.c
@@ -38,14 +38,14 @@
 }
 
 static double txn_timeout_s(const tw_core *core) {
-    return fmax(LEAST_TXN_TIMEOUT_S, core->ttl * TXN_TIMEOUT_RATIO);
+    return fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO);
 }
 
 /* ---- whether ---- */
 
 /* Bytes that a record may have where an old node may have to read it. */
 static size_t room_of_now(const tw_core *core) {
-    return (size_t)(core->cf->state_now.value_kb * KB);
+    return (size_t)(core->config->state_now.value_kb * KB);
 }
 
 size_t tw_record_whole_room(const tw_core *core) {
@@ -56,7 +56,7 @@
     const int refused = job->refused_bytes && length >= job->refused_bytes;
     if (tw_all_read_divided(core)) return refused || length > tw_record_room(core);
     /* One that is divided can't be read by an old node as it is. */
-    return *job->set && (refused || length > room_of_now(core));
+    return *job->chunk_set && (refused || length > room_of_now(core));
 }
 
 /* Bytes of a job's first record at most, whatever its names hold. */
@@ -93,102 +93,104 @@
         free(tw_wire_chunk_text(text + at, room, &taken));
         at += taken;
     }
-    parts->slices = tw_zalloc(most * sizeof *parts->slices);
+    parts->texts = tw_zalloc(most * sizeof *parts->texts);
     for (size_t at = 0; at < length;) {
         size_t taken;
-        parts->slices[parts->count++] = tw_wire_chunk_text(text + at, room, &taken);
+        parts->texts[parts->count++] = tw_wire_chunk_text(text + at, room, &taken);
         at += taken;
     }
-    snprintf(parts->set, sizeof parts->set, "%llu-%llu", (unsigned long long)core->token,
-             (unsigned long long)++core->last_set);
-    parts->ver = job->ver;
-    parts->stage = job->stage;
-    parts->ndone = job->ndone;
-    parts->nlive = job->nlive;
-    job->parts = parts;
-    tw_log_debug("event=divided id=%s set=%s bytes=%zu slices=%d", job->id, parts->set, length,
+    snprintf(parts->name, sizeof parts->name, "%llu-%llu", (unsigned long long)core->fencing_token,
+             (unsigned long long)++core->last_chunk_set);
+    parts->version = job->version;
+    parts->state = job->state;
+    parts->done_count = job->done_count;
+    parts->placed_count = job->placed_count;
+    job->chunks = parts;
+    tw_log_debug("event=divided id=%s set=%s bytes=%zu slices=%d", job->id, parts->name, length,
                  parts->count);
 }
 
-int tw_parts_written(const job *job) { return job->parts->written == job->parts->count; }
+int tw_parts_written(const job *job) { return job->chunks->written == job->chunks->count; }
 
 char *tw_parts_head(const job *job) {
-    const record_parts *parts = job->parts;
-    tw_wire_record record = {.state = parts->stage,
-                             .task_count = job->pieces,
-                             .done_count = parts->ndone,
+    const record_parts *parts = job->chunks;
+    tw_wire_record record = {.state = parts->state,
+                             .task_count = job->task_count,
+                             .done_count = parts->done_count,
                              .chunk_count = parts->count,
-                             .running_count = parts->nlive};
-    snprintf(record.chunk_set, sizeof record.chunk_set, "%s", parts->set);
+                             .running_count = parts->placed_count};
+    snprintf(record.chunk_set, sizeof record.chunk_set, "%s", parts->name);
     return tw_wire_chunked_record_text(&record);
 }
 
 void tw_parts_free(job *job) {
-    record_parts *parts = job->parts;
+    record_parts *parts = job->chunks;
     if (!parts) return;
-    for (int i = 0; i < parts->count; i++) free(parts->slices[i]);
-    free(parts->slices);
+    for (int i = 0; i < parts->count; i++) free(parts->texts[i]);
+    free(parts->texts);
     free(parts);
-    job->parts = NULL;
+    job->chunks = NULL;
 }
 
 void tw_parts_drop(tw_core *core, job *job) {
-    if (!job->parts) return;
-    tw_parts_stale(core, job->id, job->parts->set, job->parts->count);
+    if (!job->chunks) return;
+    tw_parts_stale(core, job->id, job->chunks->name, job->chunks->count);
     tw_parts_free(job);
 }
 
 void tw_parts_named(tw_core *core, job *job, const char *set, int slices) {
-    if (strcmp(job->set, set) != 0) {
-        if (*job->set) tw_parts_stale(core, job->id, job->set, job->slices);
-        snprintf(job->set, sizeof job->set, "%s", set);
+    if (strcmp(job->chunk_set, set) != 0) {
+        if (*job->chunk_set) tw_parts_stale(core, job->id, job->chunk_set, job->chunk_count);
+        snprintf(job->chunk_set, sizeof job->chunk_set, "%s", set);
     }
-    job->slices = slices;
+    job->chunk_count = slices;
 }
 
 /* A transaction of these changes, conditioned on the leader's key alone: what a set holds never
  * changes. */
 static call *send_changes(tw_core *core, call_kind kind, const tw_wire_write *changes, int count) {
-    tw_take(core, &core->writes, count);
-    tw_take(core, &core->reqs, 1);
-    const tw_wire_compare condition = {TW_LEADER_KEY, core->token};
+    tw_take(core, &core->write_limiter, count);
+    tw_take(core, &core->request_limiter, 1);
+    const tw_wire_compare condition = {TW_LEADER_KEY, core->fencing_token};
     call *sent =
-        tw_call(core, kind, TW_TO_STATE, core->cf->state, "POST", "/txn",
+        tw_call(core, kind, TW_TO_STATE, core->config->state, "POST", "/txn",
                 tw_wire_txn_text(&condition, 1, changes, (size_t)count), txn_timeout_s(core));
-    sent->n = count;
-    core->ntxns++;
+    sent->count = count;
+    core->transactions_in_flight++;
     return sent;
 }
 
 static void send_slices(tw_core *core, job *job, int most) {
-    record_parts *parts = job->parts;
+    record_parts *parts = job->chunks;
     char keys[MAX_SLICES][PART_KEY_SIZE];
     tw_wire_write writes[MAX_SLICES];
     size_t bytes = SLICE_FRAME_BYTES;
     int count = 0;
     while (count < most && count < MAX_SLICES && parts->written + count < parts->count) {
         const int number = parts->written + count;
-        bytes += strlen(parts->slices[number]) + SLICE_FRAME_BYTES;
+        bytes += strlen(parts->texts[number]) + SLICE_FRAME_BYTES;
         if (bytes > MAX_TXN_BYTES && count) break;
-        part_key(keys[count], job->id, parts->set, number);
-        writes[count] = (tw_wire_write){keys[count], parts->slices[number], 0};
+        part_key(keys[count], job->id, parts->name, number);
+        writes[count] = (tw_wire_write){keys[count], parts->texts[number], 0};
         count++;
     }
     call *sent = send_changes(core, K_PARTS, writes, count);
     snprintf(sent->name, sizeof sent->name, "%s", job->id);
-    sent->text = strdup(parts->set);
-    parts->busy = 1;
+    sent->text = strdup(parts->name);
+    parts->write_in_flight = 1;
 }
 
 void tw_parts_flush(tw_core *core, int most) {
     job *job;
-    DL_FOREACH2(core->dirty, job, wnext) {
-        const int budget = (int)fmin(most, tw_peek(core, &core->writes));
-        if (core->ntxns >= TW_MAX_TXNS || budget < 1 || tw_peek(core, &core->reqs) < 1) return;
-        if (!job->parts) continue;
+    DL_FOREACH2(core->pending_writes, job, write_next) {
+        const int budget = (int)fmin(most, tw_peek(core, &core->write_limiter));
+        if (core->transactions_in_flight >= TW_MAX_TXNS || budget < 1 ||
+            tw_peek(core, &core->request_limiter) < 1)
+            return;
+        if (!job->chunks) continue;
         /* The end of a job doesn't wait for what it was before. */
-        if (!job->parts->named && job->parts->stage != job->stage) tw_parts_drop(core, job);
-        if (!job->parts || job->parts->busy || tw_parts_written(job)) continue;
+        if (!job->chunks->record_sent && job->chunks->state != job->state) tw_parts_drop(core, job);
+        if (!job->chunks || job->chunks->write_in_flight || tw_parts_written(job)) continue;
         if (core->now >= job->write_after) send_slices(core, job, budget);
     }
 }
@@ -200,25 +202,25 @@
     snprintf(stale->id, sizeof stale->id, "%s", id);
     snprintf(stale->set, sizeof stale->set, "%s", set);
     stale->count = slices;
-    DL_APPEND2(core->stale_sets, stale, prev, next_set);
+    DL_APPEND2(core->stale_chunk_sets, stale, prev, next_set);
 }
 
 void tw_parts_forget_stale(tw_core *core) {
     stale_set *stale, *next;
-    DL_FOREACH_SAFE2(core->stale_sets, stale, next, next_set) {
-        DL_DELETE2(core->stale_sets, stale, prev, next_set);
+    DL_FOREACH_SAFE2(core->stale_chunk_sets, stale, next, next_set) {
+        DL_DELETE2(core->stale_chunk_sets, stale, prev, next_set);
         free(stale);
     }
-    core->stale_busy = 0;
-    core->stale_next = 0;
+    core->chunk_removal_in_flight = 0;
+    core->next_chunk_removal_at = 0;
 }
 
 void tw_parts_remove(tw_core *core, int most) {
-    stale_set *stale = core->stale_sets;
-    if (!stale || core->stale_busy || core->now < core->stale_next || core->ntxns >= TW_MAX_TXNS ||
-        tw_peek(core, &core->reqs) < 1)
+    stale_set *stale = core->stale_chunk_sets;
+    if (!stale || core->chunk_removal_in_flight || core->now < core->next_chunk_removal_at ||
+        core->transactions_in_flight >= TW_MAX_TXNS || tw_peek(core, &core->request_limiter) < 1)
         return;
-    most = (int)fmin(most, fmin(MAX_SLICES, tw_peek(core, &core->writes)));
+    most = (int)fmin(most, fmin(MAX_SLICES, tw_peek(core, &core->write_limiter)));
     const int count = (int)fmin(most, stale->count - stale->next);
     if (count < 1) return;
     char keys[MAX_SLICES][PART_KEY_SIZE];
@@ -228,20 +230,20 @@
         removals[i] = (tw_wire_write){keys[i], NULL, 0};
     }
     send_changes(core, K_PARTS_REMOVE, removals, count);
-    core->stale_busy = 1;
+    core->chunk_removal_in_flight = 1;
 }
 
 void tw_parts_removed(tw_core *core, const call *call, int status) {
-    stale_set *stale = core->stale_sets;
-    core->ntxns--;
-    core->stale_busy = 0;
+    stale_set *stale = core->stale_chunk_sets;
+    core->transactions_in_flight--;
+    core->chunk_removal_in_flight = 0;
     if (!stale) return;
     if (status != TW_HTTP_OK) {
-        core->stale_next = core->now + REMOVAL_RETRY_S;
+        core->next_chunk_removal_at = core->now + REMOVAL_RETRY_S;
         return;
     }
-    stale->next += call->n;
+    stale->next += call->count;
     if (stale->next < stale->count) return;
-    DL_DELETE2(core->stale_sets, stale, prev, next_set);
+    DL_DELETE2(core->stale_chunk_sets, stale, prev, next_set);
     free(stale);
 }
--- a/src/core/record_parts.h
+++ b/src/core/record_parts.h
@@ -11,13 +11,13 @@
 
 /* A record's text on its way into the state service. */
 typedef struct record_parts {
-    char set[TW_WIRE_CHUNK_SET_SIZE];
-    char **slices; /* JSON values */
+    char name[TW_WIRE_CHUNK_SET_SIZE];
+    char **texts; /* JSON values */
     int count, written;
-    int busy;     /* a transaction with some of them is on its way */
-    int named;    /* the record that names them was sent: its fate may be unknown */
-    uint64_t ver; /* of the job, when the text was made */
-    int stage, ndone, nlive;
+    int write_in_flight; /* a transaction with some of them is on its way */
+    int record_sent;     /* the record that names them was sent: its fate may be unknown */
+    uint64_t version;    /* of the job, when the text was made */
+    int state, done_count, placed_count;
 } record_parts;
 
 /* Bytes that a record may have to be written whole. */
--- a/src/core/record_refused.c
+++ b/src/core/record_refused.c
@@ -12,9 +12,9 @@
 void tw_record_refused(tw_core *core, job *job, size_t bytes) {
     if (bytes && (!job->refused_bytes || bytes < job->refused_bytes)) job->refused_bytes = bytes;
     if (bytes && tw_record_divides(core, job, bytes)) return;
-    const int doublings = job->refusals < DOUBLINGS ? job->refusals : DOUBLINGS;
+    const int doublings = job->size_refusals < DOUBLINGS ? job->size_refusals : DOUBLINGS;
     const double pause_s = fmin(LONGEST_PAUSE_S, FIRST_PAUSE_S * (double)(1 << doublings));
-    job->refusals++;
+    job->size_refusals++;
     job->write_after = core->now + pause_s;
     tw_log_error("event=too_large id=%s bytes=%zu pause_s=%.2f", job->id, bytes, pause_s);
     tw_job_turn_away(core, job);
@@ -23,8 +23,8 @@
 /* A node of the old version came back: what it can't read is written whole, if that fits. */
 static void write_whole_again(tw_core *core) {
     job *job;
-    DL_FOREACH(core->active, job) {
-        if (!*job->set) continue;
+    DL_FOREACH(core->active_jobs, job) {
+        if (!*job->chunk_set) continue;
         char *text = tw_job_record(job);
         if (!tw_record_divides(core, job, strlen(text))) tw_job_changed(core, job, 0);
         free(text);
@@ -35,14 +35,14 @@
     const int divides = tw_all_read_divided(core);
     const int heard_old = tw_heard_old_peer(core);
     job *job;
-    if (divides != core->divides) tw_log_info("event=record_format divided=%d", divides);
-    if (divides && !core->divides) {
-        DL_FOREACH2(core->dirty, job, wnext) {
-            if (job->refusals) job->write_after = 0;
-            job->refusals = 0;
+    if (divides != core->peers_read_chunks) tw_log_info("event=record_format divided=%d", divides);
+    if (divides && !core->peers_read_chunks) {
+        DL_FOREACH2(core->pending_writes, job, write_next) {
+            if (job->size_refusals) job->write_after = 0;
+            job->size_refusals = 0;
         }
     }
-    if (heard_old && !core->heard_old) write_whole_again(core);
-    core->divides = divides;
-    core->heard_old = heard_old;
+    if (heard_old && !core->a_peer_lacks_chunks) write_whole_again(core);
+    core->peers_read_chunks = divides;
+    core->a_peer_lacks_chunks = heard_old;
 }
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -22,7 +22,7 @@
 #define DECIMAL 10
 
 size_t tw_record_room(const tw_core *core) {
-    const double bytes = core->cf->state_value_kb * KB;
+    const double bytes = core->config->state_value_kb * KB;
     return (size_t)fmin(MOST_VALUE_BYTES, bytes - bytes / SPARE_PART);
 }
 
@@ -38,25 +38,26 @@
 /* Length of the job as it stands in its record. */
 static size_t spec_bytes(job *job) {
     if (job->spec_bytes || !job->has_spec) return job->spec_bytes;
-    if (!job->spec_text) job->spec_text = tw_wire_job_text(&job->s); /* its record needs it, too */
+    if (!job->spec_text)
+        job->spec_text = tw_wire_job_text(&job->spec); /* its record needs it, too */
     job->spec_bytes = strlen(job->spec_text);
     return job->spec_bytes;
 }
 
 int tw_max_live(const tw_core *core, job *job) {
     /* A gang runs whole: its record is divided where it must be. */
-    if (job->s.gang && tw_all_read_divided(core)) return job->pieces;
-    const int index = digits((uint64_t)job->pieces);
-    const int attempt = digits(job->next_try + (uint64_t)job->pieces);
-    const double task = index + attempt + (double)core->longest_name + TASK_SIGNS;
+    if (job->spec.gang && tw_all_read_divided(core)) return job->task_count;
+    const int index = digits((uint64_t)job->task_count);
+    const int attempt = digits(job->next_attempt + (uint64_t)job->task_count);
+    const double task = index + attempt + (double)core->longest_machine_name + TASK_SIGNS;
     const double range = 2 * index + RANGE_SIGNS;
     const double single = index + 1; /* a range of one task */
     const double room = (double)tw_record_room(core) - FRAME_BYTES - (double)spec_bytes(job);
     /* Bytes of n live tasks: n * task, and of the others, all done, either n + 1 ranges or, where
      * that is less, one for each. Both grow with n. */
     const double by_ranges = (room - range) / (task + range);
-    const double by_tasks = (room - job->pieces * single) / (task - single);
+    const double by_tasks = (room - job->task_count * single) / (task - single);
     const double most = floor(fmax(by_ranges, by_tasks));
     if (most < LEAST_LIVE) return LEAST_LIVE;
-    return (int)fmin(most, job->pieces);
+    return (int)fmin(most, job->task_count);
 }
--- a/src/core/redirect.c
+++ b/src/core/redirect.c
@@ -10,20 +10,21 @@
 #define SHUN_AFTER 3
 
 static int live_in_zone(const tw_core *core, const peer *node, const char *zone) {
-    return !strcmp(node->cf.zone, zone) && node->ok_at > core->now - 1 - 0.5 * core->ttl;
+    return !strcmp(node->config.zone, zone) &&
+           node->answered_at > core->now - 1 - 0.5 * core->leader_lease_s;
 }
 
 int tw_zone_reached(const tw_core *core, const char *zone) {
-    for (size_t i = 0; i < core->npeers; i++)
+    for (size_t i = 0; i < core->peer_count; i++)
         if (live_in_zone(core, &core->peers[i], zone)) return 1;
     return 0;
 }
 
 peer *tw_home_of(tw_core *core, const char *zone) {
     peer *any = NULL;
-    for (size_t i = 0; i < core->npeers; i++) {
+    for (size_t i = 0; i < core->peer_count; i++) {
         peer *node = &core->peers[i];
-        if (!live_in_zone(core, node, zone) || core->now < node->shun_until) continue;
+        if (!live_in_zone(core, node, zone) || core->now < node->avoided_until) continue;
         if (node->failover_in_time) return node;
         if (!any) any = node;
     }
@@ -32,48 +33,48 @@
 
 /* A worker came back from the node. */
 static void note_came_back(tw_core *core, peer *node) {
-    if (core->now > node->shun_from + core->cf->lease_s) {
-        node->shun_from = core->now;
-        node->came_back = 0;
+    if (core->now > node->avoid_counted_from + core->config->lease_s) {
+        node->avoid_counted_from = core->now;
+        node->returned_workers = 0;
     }
-    if (++node->came_back < SHUN_AFTER) return;
-    if (core->now >= node->shun_until) tw_log_info("event=shunned peer=%s", node->cf.name);
-    node->shun_until = core->now + core->cf->lease_s;
+    if (++node->returned_workers < SHUN_AFTER) return;
+    if (core->now >= node->avoided_until) tw_log_info("event=shunned peer=%s", node->config.name);
+    node->avoided_until = core->now + core->config->lease_s;
 }
 
 /* Forgets redirects that are older than a lease, once a lease. */
 static void tidy(tw_core *core) {
     redirect *known, *next;
-    if (core->now < core->redirects_tidy) return;
-    core->redirects_tidy = core->now + core->cf->lease_s;
-    HASH_ITER(hh, core->redirects, known, next) {
-        if (core->now < known->at + core->cf->lease_s) continue;
-        HASH_DEL(core->redirects, known);
+    if (core->now < core->next_redirect_sweep_at) return;
+    core->next_redirect_sweep_at = core->now + core->config->lease_s;
+    HASH_ITER(hh, core->worker_redirects, known, next) {
+        if (core->now < known->at + core->config->lease_s) continue;
+        HASH_DEL(core->worker_redirects, known);
         free(known);
     }
 }
 
 int tw_redirect(tw_core *core, uint64_t conn, const char *worker, peer *to) {
     redirect *last;
-    HASH_FIND_STR(core->redirects, worker, last);
+    HASH_FIND_STR(core->worker_redirects, worker, last);
     /* A worker that is sent between two nodes, each of which names the other, loses its lease. */
-    if (last && last->to == to && core->now < last->at + core->cf->lease_s) {
-        if (!last->back) note_came_back(core, to);
-        last->back = 1;
+    if (last && last->target == to && core->now < last->at + core->config->lease_s) {
+        if (!last->came_back) note_came_back(core, to);
+        last->came_back = 1;
         return 0;
     }
     tidy(core);
-    HASH_FIND_STR(core->redirects, worker, last);
+    HASH_FIND_STR(core->worker_redirects, worker, last);
     if (!last) {
         last = tw_zalloc(sizeof *last);
         snprintf(last->name, sizeof last->name, "%s", worker);
-        HASH_ADD_STR(core->redirects, name, last);
+        HASH_ADD_STR(core->worker_redirects, name, last);
     }
-    last->to = to;
+    last->target = to;
     last->at = core->now;
-    last->back = 0;
-    tw_log_debug("event=sent_off tray=%s to=%s", worker, to->cf.name);
-    tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(to->cf.name));
+    last->came_back = 0;
+    tw_log_debug("event=sent_off tray=%s to=%s", worker, to->config.name);
+    tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(to->config.name));
     return 1;
 }
 
@@ -84,8 +85,8 @@
 
 /* Whether all other nodes answer: no time to redirect workers otherwise. */
 static int all_live(const tw_core *core) {
-    for (size_t i = 0; i < core->npeers; i++)
-        if (!live_in_zone(core, &core->peers[i], core->peers[i].cf.zone)) return 0;
+    for (size_t i = 0; i < core->peer_count; i++)
+        if (!live_in_zone(core, &core->peers[i], core->peers[i].config.zone)) return 0;
     return 1;
 }
 
@@ -97,8 +98,8 @@
 
 void tw_redirect_end(tw_core *core) {
     redirect *known, *next;
-    HASH_ITER(hh, core->redirects, known, next) {
-        HASH_DEL(core->redirects, known);
+    HASH_ITER(hh, core->worker_redirects, known, next) {
+        HASH_DEL(core->worker_redirects, known);
         free(known);
     }
 }
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -18,33 +18,33 @@
  * costs it 5 s each, and its lease. So while the leader changes, a report waits here, well under
  * the worker's 4 s. Takes the body. */
 static void hold(tw_core *core, uint64_t conn, const char *worker, char *body, double until) {
-    if (core->now >= until || core->nheld >= core->cf->sockets / HELD_SHARE) {
+    if (core->now >= until || core->held_count >= core->config->sockets / HELD_SHARE) {
         tw_log_debug("event=unheard tray=%s", worker);
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no leader answers");
         free(body);
         return;
     }
     held_report *held = tw_zalloc(sizeof *held);
-    held->conn = conn;
-    snprintf(held->tray, sizeof held->tray, "%s", worker);
+    held->connection = conn;
+    snprintf(held->worker, sizeof held->worker, "%s", worker);
     held->body = body;
     held->until = until;
-    DL_APPEND(core->held, held);
-    core->nheld++;
+    DL_APPEND(core->held_heartbeats, held);
+    core->held_count++;
 }
 
 /* Hands a report to the leader; else answers it as a deputy, or holds it until the time. Takes the
  * body. */
 static void hand_on(tw_core *core, uint64_t conn, const char *worker, char *body, double until) {
-    const peer *leader = *core->leader ? tw_peer_of(core, core->leader) : NULL;
+    const peer *leader = *core->leader_name ? tw_peer_of(core, core->leader_name) : NULL;
     if (!leader) {
         hold(core, conn, worker, body, until);
         return;
     }
-    if (core->now >= core->relay_bad_until) {
-        call *sent = tw_call(core, K_RELAY, TW_TO_PEER, leader->cf.addr, "POST", "/peer/hello",
+    if (core->now >= core->forwarding_paused_until) {
+        call *sent = tw_call(core, K_RELAY, TW_TO_PEER, leader->config.addr, "POST", "/peer/hello",
                              strdup(body), RELAY_TIMEOUT_S);
-        sent->conn = conn;
+        sent->connection = conn;
         sent->text = body;
         sent->until = until;
         snprintf(sent->name, sizeof sent->name, "%s", worker);
@@ -52,7 +52,7 @@
     }
     /* Read when it came, so it is known by its text, unless it waited long. */
     const tw_wire_heartbeat *report =
-        tw_wire_heartbeat_cache_read(core->reports, body, strlen(body));
+        tw_wire_heartbeat_cache_read(core->heartbeat_cache, body, strlen(body));
     if (!report) {
         tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         free(body);
@@ -75,19 +75,19 @@
 }
 
 void tw_relay_tick(tw_core *core) {
-    if (!core->held || core->now < core->held_next) return;
-    core->held_next = core->now + RETRY_S;
-    held_report *list = core->held, *held, *next;
-    core->held = NULL;
-    core->nheld = 0;
+    if (!core->held_heartbeats || core->now < core->next_held_retry_at) return;
+    core->next_held_retry_at = core->now + RETRY_S;
+    held_report *list = core->held_heartbeats, *held, *next;
+    core->held_heartbeats = NULL;
+    core->held_count = 0;
     DL_FOREACH_SAFE(list, held, next) {
-        take_up(core, held->conn, held->tray, held->body, held->until);
+        take_up(core, held->connection, held->worker, held->body, held->until);
         free(held);
     }
 }
 
 void tw_relay_retry(tw_core *core) {
-    core->held_next = core->now;
+    core->next_held_retry_at = core->now;
     tw_relay_tick(core);
 }
 
@@ -100,18 +100,18 @@
 
 void tw_relay_hello(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report, const char *body,
                     size_t len) {
-    if (!strcmp(report->zone, core->cf->location)) {
+    if (!strcmp(report->zone, core->config->location)) {
         if (tw_redirect_safer(core, conn, report)) return;
     } else {
         if (tw_redirect_home(core, conn, report)) return;
         /* Where its zone has no node that answers it, the leader does; through us, if it comes back
          * from there as well. */
-        peer *leader = *core->leader ? tw_peer_of(core, core->leader) : NULL;
+        peer *leader = *core->leader_name ? tw_peer_of(core, core->leader_name) : NULL;
         if (!leader) {
             tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
         }
-        if (!tw_home_of(core, report->zone) && core->now >= leader->shun_until &&
+        if (!tw_home_of(core, report->zone) && core->now >= leader->avoided_until &&
             tw_redirect(core, conn, report->worker, leader))
             return;
     }
@@ -122,26 +122,26 @@
     char *report = sent->text;
     sent->text = NULL;
     if (core->role != R_FOLLOWER) { /* it is us by now */
-        take_up(core, sent->conn, sent->name, report, sent->until);
+        take_up(core, sent->connection, sent->name, report, sent->until);
     } else if (status == TW_HTTP_OK) {
-        core->relay_bad_until = 0;
-        tw_deputy_relayed(core, sent->name, sent->sent);
-        tw_reply(core, sent->conn, TW_HTTP_OK, 0, copy_of(body, len));
+        core->forwarding_paused_until = 0;
+        tw_deputy_relayed(core, sent->name, sent->sent_at);
+        tw_reply(core, sent->connection, TW_HTTP_OK, 0, copy_of(body, len));
         free(report);
     } else if (!status) {
-        core->relay_bad_until = core->now + RELAY_TIMEOUT_S;
-        hand_on(core, sent->conn, sent->name, report, sent->until);
+        core->forwarding_paused_until = core->now + RELAY_TIMEOUT_S;
+        hand_on(core, sent->connection, sent->name, report, sent->until);
     } else {
-        hold(core, sent->conn, sent->name, report, sent->until);
+        hold(core, sent->connection, sent->name, report, sent->until);
     }
 }
 
 void tw_relay_end(tw_core *core) {
     held_report *held, *next;
-    DL_FOREACH_SAFE(core->held, held, next) {
+    DL_FOREACH_SAFE(core->held_heartbeats, held, next) {
         free(held->body);
         free(held);
     }
-    core->held = NULL;
-    core->nheld = 0;
+    core->held_heartbeats = NULL;
+    core->held_count = 0;
 }
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -23,35 +23,36 @@
     machine *machine;
     struct machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (!machine->release || machine->releasing || count >= RETURNED_AT_ONCE) continue;
+        if (!machine->return_wanted || machine->return_in_flight || count >= RETURNED_AT_ONCE)
+            continue;
         snprintf(names[count++], TW_NAME_SIZE, "%s", machine->name);
     }
     core->returns_due = count > 0; /* until none is left */
-    if (!count || !tw_take(core, &core->cloud, 1)) return;
-    for (int i = 0; i < count; i++) tw_machine(core, names[i])->releasing = 1;
-    call *call = tw_call(core, K_RELEASE, TW_TO_CLOUD, core->cf->cloud, "POST", "/rentals/release",
-                         tw_wire_machine_names_text(names, count), TIMEOUT_S);
-    call->n = count;
+    if (!count || !tw_take(core, &core->cloud_limiter, 1)) return;
+    for (int i = 0; i < count; i++) tw_machine(core, names[i])->return_in_flight = 1;
+    call *call = tw_call(core, K_RELEASE, TW_TO_CLOUD, core->config->cloud, "POST",
+                         "/rentals/release", tw_wire_machine_names_text(names, count), TIMEOUT_S);
+    call->count = count;
     call->names = tw_zalloc((size_t)count * TW_NAME_SIZE);
     memcpy(call->names, names, (size_t)count * TW_NAME_SIZE);
-    core->release_busy = 1;
+    core->return_in_flight = 1;
 }
 
 static void returns_done(tw_core *core, const call *call, int status) {
-    core->release_busy = 0;
-    for (int i = 0; i < call->n; i++) {
+    core->return_in_flight = 0;
+    for (int i = 0; i < call->count; i++) {
         machine *machine = tw_machine(core, call->names[i]);
         if (!machine) continue;
         if (status != TW_HTTP_OK) {
-            machine->releasing = 0; /* asked again: releasing twice is harmless */
+            machine->return_in_flight = 0; /* asked again: releasing twice is harmless */
             core->returns_due = 1;
-            core->release_retry = core->now + RETRY_S;
+            core->next_return_at = core->now + RETRY_S;
             continue;
         }
         expiring *returned = tw_zalloc(sizeof *returned);
         snprintf(returned->name, sizeof returned->name, "%s", machine->name);
         returned->at = core->now;
-        HASH_ADD_STR(core->released, name, returned);
+        HASH_ADD_STR(core->returned_machines, name, returned);
         tw_machine_drop(core, machine, "released");
     }
 }
@@ -60,10 +61,10 @@
 
 /* The offer that a request is for: offers stay, so there is one. */
 static offer *offer_of(const tw_core *core, const rental_request *request) {
-    for (int i = 0; i < core->noffers; i++) {
-        offer *offer = &core->offers[i];
-        if (offer->rack == request->rack && offer->zone == request->zone &&
-            offer->loaner == request->loaner)
+    for (int i = 0; i < core->capacity_offer_count; i++) {
+        offer *offer = &core->capacity_offers[i];
+        if (offer->type_index == request->type_index && offer->zone_index == request->zone_index &&
+            offer->spot == request->spot)
             return offer;
     }
     return NULL;
@@ -71,12 +72,12 @@
 
 static void send_request(tw_core *core, rental_request *request) {
     const offer *offer = offer_of(core, request);
-    request->busy = 1;
-    call *call = tw_call(
-        core, K_RENT, TW_TO_CLOUD, core->cf->cloud, "POST", "/rentals",
-        tw_wire_rental_request_text(request->name, core->flavors[request->rack].f.name,
-                                    tw_offer_yard(core, offer), request->loaner, request->number),
-        TIMEOUT_S);
+    request->in_flight = 1;
+    call *call = tw_call(core, K_RENT, TW_TO_CLOUD, core->config->cloud, "POST", "/rentals",
+                         tw_wire_rental_request_text(
+                             request->name, core->machine_types[request->type_index].listed.name,
+                             tw_offer_yard(core, offer), request->spot, request->machine_count),
+                         TIMEOUT_S);
     snprintf(call->name, sizeof call->name, "%s", request->name);
 }
 
@@ -84,10 +85,10 @@
 static offer *most_wanted(const tw_core *core) {
     offer *best = NULL;
     double most = 0;
-    for (int i = 0; i < core->noffers; i++) {
-        offer *offer = &core->offers[i];
-        if (offer->want <= 0 || core->now < offer->refused_until) continue;
-        const double wanted = offer->want * (core->now - offer->wanted_since + 0.5);
+    for (int i = 0; i < core->capacity_offer_count; i++) {
+        offer *offer = &core->capacity_offers[i];
+        if (offer->wanted <= 0 || core->now < offer->refused_until) continue;
+        const double wanted = offer->wanted * (core->now - offer->wanted_since + 0.5);
         if (wanted <= most) continue;
         most = wanted;
         best = offer;
@@ -98,14 +99,15 @@
 static void request_of(tw_core *core, offer *offer) {
     rental_request *request = tw_zalloc(sizeof *request);
     /* The token makes the name unlike any of another leader's. */
-    snprintf(request->name, sizeof request->name, "r-%llu-%llu", (unsigned long long)core->token,
+    snprintf(request->name, sizeof request->name, "r-%llu-%llu",
+             (unsigned long long)core->fencing_token,
              (unsigned long long)++core->next_rental_request);
-    request->rack = offer->rack;
-    request->zone = offer->zone;
-    request->loaner = offer->loaner;
-    request->number = offer->want > TW_RENT_NUMBER ? TW_RENT_NUMBER : offer->want;
-    offer->want -= request->number;
-    offer->wanted_since = offer->want ? core->now : 0;
+    request->type_index = offer->type_index;
+    request->zone_index = offer->zone_index;
+    request->spot = offer->spot;
+    request->machine_count = offer->wanted > TW_RENT_NUMBER ? TW_RENT_NUMBER : offer->wanted;
+    offer->wanted -= request->machine_count;
+    offer->wanted_since = offer->wanted ? core->now : 0;
     DL_APPEND(core->rental_requests, request);
     send_request(core, request);
 }
@@ -113,15 +115,15 @@
 static void take_rented(tw_core *core, const rental_request *request, const char *name,
                         double sent) {
     const expiring *returned;
-    HASH_FIND_STR(core->released, name, returned);
+    HASH_FIND_STR(core->returned_machines, name, returned);
     if (returned || tw_machine(core, name)) return;
     machine *machine = tw_machine_new(core, name);
-    machine->rack = request->rack;
-    machine->loaner = request->loaner;
-    machine->born = sent;
+    machine->type_index = request->type_index;
+    machine->spot = request->spot;
+    machine->known_since = sent;
     tw_machine_at(core, machine, tw_offer_yard(core, offer_of(core, request)));
-    snprintf(machine->rack_name, sizeof machine->rack_name, "%s",
-             core->flavors[request->rack].f.name);
+    snprintf(machine->type_name, sizeof machine->type_name, "%s",
+             core->machine_types[request->type_index].listed.name);
 }
 
 static void granted(tw_core *core, const rental_request *request, char (*names)[TW_WIRE_NAME_SIZE],
@@ -129,20 +131,21 @@
     offer *offer = offer_of(core, request);
     for (int i = 0; i < count; i++) take_rented(core, request, names[i], sent);
     tw_log_info("event=rented ask=%s rack=%s yard=%s loaner=%d asked=%d got=%d", request->name,
-                core->flavors[request->rack].f.name, tw_offer_yard(core, offer), request->loaner,
-                request->number, count);
-    const int partly = count < request->number;
+                core->machine_types[request->type_index].listed.name, tw_offer_yard(core, offer),
+                request->spot, request->machine_count, count);
+    const int partly = count < request->machine_count;
     offer->refused = partly ? offer->refused + 1 : 0;
-    if (partly) offer->refused_until = core->now + core->cf->list_lag_s * AFTER_PART_LAGS;
+    if (partly) offer->refused_until = core->now + core->config->list_lag_s * AFTER_PART_LAGS;
 }
 
 static void refused(tw_core *core, const rental_request *request) {
     offer *offer = offer_of(core, request);
     offer->refused++;
     offer->refused_until =
-        core->now + core->cf->list_lag_s * fmin(AFTER_REFUSAL_MOST_LAGS, 1 + offer->refused);
-    tw_log_info("event=refused rack=%s yard=%s loaner=%d", core->flavors[request->rack].f.name,
-                tw_offer_yard(core, offer), request->loaner);
+        core->now + core->config->list_lag_s * fmin(AFTER_REFUSAL_MOST_LAGS, 1 + offer->refused);
+    tw_log_info("event=refused rack=%s yard=%s loaner=%d",
+                core->machine_types[request->type_index].listed.name, tw_offer_yard(core, offer),
+                request->spot);
 }
 
 static void request_done(tw_core *core, const call *call, int status, const char *body,
@@ -152,9 +155,9 @@
     int count;
     DL_FOREACH(core->rental_requests, request) if (!strcmp(request->name, call->name)) break;
     if (!request) return;
-    request->busy = 0;
+    request->in_flight = 0;
     if (status == TW_HTTP_OK && !tw_wire_machine_names_parse(&names, &count, body, length)) {
-        granted(core, request, names, count, call->sent);
+        granted(core, request, names, count, call->sent_at);
         free(names);
     } else if (status == TW_HTTP_UNAVAILABLE && strstr(body, "no capacity")) {
         refused(core, request);
@@ -167,7 +170,7 @@
     }
     DL_DELETE(core->rental_requests, request);
     free(request);
-    core->sched_dirty = 1;
+    core->scheduling_due = 1;
 }
 
 /* ---- time ---- */
@@ -179,30 +182,31 @@
 } fleet_part;
 
 static void count_machine(fleet_part *part, const machine *machine) {
-    if (machine->stage == M_BOOTING) {
+    if (machine->state == M_BOOTING) {
         part->coming++;
         return;
     }
     part->up++;
     part->idle += !tw_machine_works(machine);
-    part->cores += machine->used_c;
-    part->gpus += machine->used_g;
+    part->cores += machine->used_cores;
+    part->gpus += machine->used_gpus;
     const placement *placed;
-    DL_FOREACH(machine->pls, placed)
-    if (placed->on_job && !placed->job->s.service) part->batch_gpus += placed->job->s.gpus;
+    DL_FOREACH(machine->placements, placed)
+    if (placed->counted && !placed->job->spec.service) part->batch_gpus += placed->job->spec.gpus;
 }
 
 /* What there is and how full it is, for the operators' eyes. */
 static void log_fleet(const tw_core *core) {
     if (!tw_log_on(TW_LOG_INFO)) return;
-    fleet_part(*parts)[2] = tw_zalloc((size_t)core->nflavors * sizeof *parts);
+    fleet_part(*parts)[2] = tw_zalloc((size_t)core->machine_type_count * sizeof *parts);
     const machine *machine;
     const struct machine *next;
     HASH_ITER(hh, core->machines, machine, next)
-    if (machine->rack >= 0) count_machine(&parts[machine->rack][!!machine->loaner], machine);
-    for (int i = 0; i < core->nflavors; i++)
+    if (machine->type_index >= 0)
+        count_machine(&parts[machine->type_index][!!machine->spot], machine);
+    for (int i = 0; i < core->machine_type_count; i++)
         for (int spot = 0; spot < 2; spot++) {
-            const tw_wire_machine_type *type = &core->flavors[i].f;
+            const tw_wire_machine_type *type = &core->machine_types[i].listed;
             const fleet_part *part = &parts[i][spot];
             if (!part->up && !part->coming) continue;
             tw_log_info("event=fleet rack=%s loaner=%d up=%d idle=%d coming=%d cores=%.2f "
@@ -216,10 +220,11 @@
 }
 
 static void ask_types(tw_core *core) {
-    if (core->flavors_busy || core->now < core->next_flavors || !tw_take(core, &core->cloud, 1))
+    if (core->machine_types_in_flight || core->now < core->next_machine_types_at ||
+        !tw_take(core, &core->cloud_limiter, 1))
         return;
-    core->flavors_busy = 1;
-    tw_call(core, K_FLAVORS, TW_TO_CLOUD, core->cf->cloud, "GET", "/flavors", NULL,
+    core->machine_types_in_flight = 1;
+    tw_call(core, K_FLAVORS, TW_TO_CLOUD, core->config->cloud, "GET", "/flavors", NULL,
             TYPES_TIMEOUT_S);
 }
 
@@ -227,34 +232,37 @@
 static void ask_machines(tw_core *core) {
     rental_request *request;
     DL_FOREACH(core->rental_requests, request)
-    if (!request->busy && core->now >= request->next_try && tw_take(core, &core->cloud, 1))
+    if (!request->in_flight && core->now >= request->next_try &&
+        tw_take(core, &core->cloud_limiter, 1))
         send_request(core, request);
-    for (offer *offer; (offer = most_wanted(core)) && tw_take(core, &core->cloud, 1);)
+    for (offer *offer; (offer = most_wanted(core)) && tw_take(core, &core->cloud_limiter, 1);)
         request_of(core, offer);
 }
 
 void tw_rent_tick(tw_core *core) {
     ask_types(core);
-    if (core->phase != PH_ACTIVE || !tw_may(core, RIGHT_COMMAND) || !core->nflavors) return;
-    if (core->now >= core->next_rent) {
-        core->next_rent = core->now + PLAN_EVERY_S;
+    if (core->phase != PH_ACTIVE || !tw_may(core, RIGHT_COMMAND) || !core->machine_type_count)
+        return;
+    if (core->now >= core->next_plan_at) {
+        core->next_plan_at = core->now + PLAN_EVERY_S;
         tw_plan(core);
     }
-    if (core->now >= core->next_fleet_log) {
-        core->next_fleet_log = core->now + FLEET_LOG_LEASES * core->cf->lease_s;
+    if (core->now >= core->next_fleet_log_at) {
+        core->next_fleet_log_at = core->now + FLEET_LOG_LEASES * core->config->lease_s;
         log_fleet(core);
     }
     ask_machines(core);
-    if (!core->release_busy && core->now >= core->release_retry) send_returns(core);
+    if (!core->return_in_flight && core->now >= core->next_return_at) send_returns(core);
     tw_list_tick(core);
 }
 
 void tw_rent_response(tw_core *core, call *call, int status, const char *body, size_t length) {
     switch (call->kind) {
     case K_FLAVORS:
-        core->flavors_busy = 0;
+        core->machine_types_in_flight = 0;
         if (status == TW_HTTP_OK) tw_types_listed(core, body, length);
-        core->next_flavors = core->now + (core->nflavors ? TYPES_EVERY_S : TYPES_RETRY_S);
+        core->next_machine_types_at =
+            core->now + (core->machine_type_count ? TYPES_EVERY_S : TYPES_RETRY_S);
         break;
     case K_LIST:
         tw_list_page(core, status, body, length);
--- a/src/core/report.c
+++ b/src/core/report.c
@@ -8,7 +8,7 @@
 
 static placement *find(const machine *machine, const tw_wire_task *told) {
     placement *each;
-    DL_FOREACH(machine->pls, each)
+    DL_FOREACH(machine->placements, each)
     if (each->attempt == told->attempt && each->index == told->index &&
         !strcmp(each->job->id, told->job))
         return each;
@@ -17,7 +17,7 @@
 
 /* Many machines that seem not to hear us: then it is us, or the network. */
 static int deaf_believable(tw_core *core) {
-    if (core->now - core->unresponsive_since > core->cf->lease_s) {
+    if (core->now - core->unresponsive_since > core->config->lease_s) {
         core->unresponsive_since = core->now;
         core->unresponsive_count = 0;
     }
@@ -26,18 +26,18 @@
 
 /* The session is over: the worker has killed and forgotten all. */
 static void new_session(tw_core *core, machine *machine, const tw_wire_heartbeat *report) {
-    const attempt_end end = {.ground = END_SESSION, .report = report};
+    const attempt_end end = {.evidence = END_SESSION, .heartbeat = report};
     placement *each, *next;
     int lost = 0;
-    DL_FOREACH_SAFE(machine->pls, each, next) {
-        const int was_on_job = each->on_job;
+    DL_FOREACH_SAFE(machine->placements, each, next) {
+        const int was_on_job = each->counted;
         if (tw_attempt_end(core, each, &end)) lost += was_on_job;
     }
     /* It reported, we answered, and still its lease lapsed: it does not hear us. */
     if (machine->confirmed &&
-        core->now - machine->heard < HEARD_LATELY_LEASES * core->cf->lease_s && !machine->lapsed &&
-        deaf_believable(core)) {
-        machine->unresponsive += TW_DEAF_AT;
+        core->now - machine->answered_at < HEARD_LATELY_LEASES * core->config->lease_s &&
+        !machine->lease_expired && deaf_believable(core)) {
+        machine->lost_launches += TW_DEAF_AT;
         tw_log_info("event=deaf tray=%s shift=%llu lost=%d", machine->name,
                     (unsigned long long)report->incarnation, lost);
     }
@@ -50,42 +50,42 @@
 
 /* What it says of the machine itself. */
 static void note_machine(tw_core *core, machine *machine, const tw_wire_heartbeat *report) {
-    if (report->incarnation != machine->shift) machine->session_at = core->now;
-    machine->shift = report->incarnation;
-    machine->tick = report->sequence;
-    machine->stage = M_UP;
-    machine->contact = core->now;
-    machine->unreached = 0;
-    machine->lapsed = 0;
-    machine->loaner = report->spot;
+    if (report->incarnation != machine->incarnation) machine->incarnation_learned_at = core->now;
+    machine->incarnation = report->incarnation;
+    machine->sequence = report->sequence;
+    machine->state = M_UP;
+    machine->last_contact_at = core->now;
+    machine->failed_sends = 0;
+    machine->lease_expired = 0;
+    machine->spot = report->spot;
     note_text(machine->endpoint, sizeof machine->endpoint, report->endpoint);
     tw_machine_at(core, machine, report->zone);
-    note_text(machine->rack_name, sizeof machine->rack_name, report->machine_type);
-    if (machine->rack < 0) machine->rack = tw_rack_index(core, report->machine_type);
-    if (!machine->confirmed && report->fencing_token >= core->token) {
+    note_text(machine->type_name, sizeof machine->type_name, report->machine_type);
+    if (machine->type_index < 0) machine->type_index = tw_rack_index(core, report->machine_type);
+    if (!machine->confirmed && report->fencing_token >= core->fencing_token) {
         machine->confirmed = 1;
         machine->confirmed_at = core->now;
-        core->sched_dirty = 1;
+        core->scheduling_due = 1;
     }
-    if (report->preemption_notice_s >= 0 && machine->warned_until <= 0) {
-        machine->warned_until = core->now + report->preemption_notice_s;
+    if (report->preemption_notice_s >= 0 && machine->preempted_at <= 0) {
+        machine->preempted_at = core->now + report->preemption_notice_s;
         tw_log_info("event=notice tray=%s s=%.1f", machine->name, report->preemption_notice_s);
     }
 }
 
 /* The answer that held the launch was lost, and is not executed late. */
 static void not_taken(tw_core *core, placement *placed, const tw_wire_heartbeat *report) {
-    machine *machine = placed->m;
-    if (placed->kill) {
-        const attempt_end end = {.ground = END_NOT_TAKEN, .report = report};
+    machine *machine = placed->machine;
+    if (placed->stopping) {
+        const attempt_end end = {.evidence = END_NOT_TAKEN, .heartbeat = report};
         tw_attempt_end(core, placed, &end);
         return;
     }
-    placed->sent = 0;
-    if (++placed->misses >= TW_DEAF_AT && machine->unresponsive < TW_DEAF_AT &&
+    placed->launch_sent = 0;
+    if (++placed->lost_launches >= TW_DEAF_AT && machine->lost_launches < TW_DEAF_AT &&
         deaf_believable(core)) {
-        machine->unresponsive = TW_DEAF_AT;
-        tw_log_info("event=deaf tray=%s misses=%d", machine->name, placed->misses);
+        machine->lost_launches = TW_DEAF_AT;
+        tw_log_info("event=deaf tray=%s misses=%d", machine->name, placed->lost_launches);
     }
 }
 
@@ -93,13 +93,13 @@
 static void absent(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
                    int answers_order) {
     const int not_launched = tw_launch_not_taken(placed, report, answers_order);
-    const int forgotten = placed->stage == TW_TASK_EXITED && placed->seen;
-    const int done_unseen = not_launched && !placed->on_job; /* with its gang */
+    const int forgotten = placed->state == TW_TASK_EXITED && placed->reported;
+    const int done_unseen = not_launched && !placed->counted; /* with its gang */
     if (forgotten || done_unseen) {
         tw_attempt_forget(core, placed);
-    } else if (placed->inherited || placed->seen) {
+    } else if (placed->inherited || placed->reported) {
         const attempt_end end = {
-            .ground = END_ABSENT, .report = report, .answers_order = answers_order};
+            .evidence = END_ABSENT, .heartbeat = report, .answers_command = answers_order};
         tw_attempt_end(core, placed, &end);
     } else if (not_launched) {
         not_taken(core, placed, report);
@@ -108,33 +108,35 @@
 
 int tw_report_take(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
                    tw_orders *orders) {
-    const int same_session = report->incarnation == machine->shift;
-    if (report->incarnation < machine->shift ||
-        (same_session && report->sequence <= machine->tick)) {
-        core->counters.refused[REFUSED_OLDER_REPORT]++;
+    const int same_session = report->incarnation == machine->incarnation;
+    if (report->incarnation < machine->incarnation ||
+        (same_session && report->sequence <= machine->sequence)) {
+        core->counters.rejected[REFUSED_OLDER_REPORT]++;
         return 0;
     }
     /* Its lease has surely lapsed: of that session only late reports can come, held by a cut or
      * sent by a machine that goes on after it hung. Whatever they name runs no more. */
-    if (machine->lapsed && same_session) {
-        core->counters.refused[REFUSED_LAPSED_REPORT]++;
+    if (machine->lease_expired && same_session) {
+        core->counters.rejected[REFUSED_LAPSED_REPORT]++;
         return 0;
     }
-    if (machine->shift && report->incarnation > machine->shift) new_session(core, machine, report);
+    if (machine->incarnation && report->incarnation > machine->incarnation)
+        new_session(core, machine, report);
     note_machine(core, machine, report);
-    core->mark++;
+    core->heartbeat_mark++;
     for (int i = 0; i < report->task_count; i++) {
         placement *placed = find(machine, &report->tasks[i]);
         if (placed) {
-            placed->mark = core->mark;
+            placed->mark = core->heartbeat_mark;
             tw_task_reported(core, placed, report, &report->tasks[i]);
         } else {
             tw_task_stranger(core, machine, report, &report->tasks[i], orders);
         }
     }
     placement *each, *next;
-    DL_FOREACH_SAFE(machine->pls, each, next) {
-        if (each->mark == core->mark || (!each->sent && !each->inherited)) continue;
+    DL_FOREACH_SAFE(machine->placements, each, next) {
+        if (each->mark == core->heartbeat_mark || (!each->launch_sent && !each->inherited))
+            continue;
         absent(core, each, report, orders == NULL);
     }
     return 1;
@@ -154,11 +156,11 @@
  * turned away; the latter must not make a dead machine look alive. */
 static void answer_older(tw_core *core, uint64_t conn, machine *machine,
                          const tw_wire_heartbeat *report) {
-    if (report->incarnation != machine->shift || machine->lapsed) {
+    if (report->incarnation != machine->incarnation || machine->lease_expired) {
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "older than known");
         return;
     }
-    machine->renewed = core->now;
+    machine->answered_older_at = core->now;
     reply_orders(core, conn, &no_orders);
 }
 
@@ -169,15 +171,16 @@
         answer_older(core, conn, machine, report);
         return;
     }
-    machine->heard = core->now;
-    if (machine->first_heard <= 0) {
-        machine->first_heard = core->now;
-        if (machine->rack >= 0 && !machine->overdue) tw_learn_boot(core, machine);
+    machine->answered_at = core->now;
+    if (machine->first_answered_at <= 0) {
+        machine->first_answered_at = core->now;
+        if (machine->type_index >= 0 && !machine->overdue) tw_learn_boot(core, machine);
         tw_log_info("event=machine_up tray=%s rack=%s yard=%s loaner=%d after=%.1f", machine->name,
-                    report->machine_type, report->zone, report->spot, core->now - machine->born);
+                    report->machine_type, report->zone, report->spot,
+                    core->now - machine->known_since);
     }
     tw_orders_due(core, machine, &orders, report->sequence);
-    machine->want_probe = machine->want_direct = 0;
+    machine->probe_wanted = machine->commands_wanted = 0;
     if (!machine->confirmed) tw_want_probe(core, machine);
     reply_orders(core, conn, &orders);
 }
@@ -185,26 +188,26 @@
 /* A late report of a machine that we returned. */
 static int is_returned(tw_core *core, const machine *machine, const char *name) {
     const expiring *returned;
-    HASH_FIND_STR(core->released, name, returned);
-    return returned || (machine && machine->releasing);
+    HASH_FIND_STR(core->returned_machines, name, returned);
+    return returned || (machine && machine->return_in_flight);
 }
 
 /* At a node that may answer workers. */
 static void lead(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report, int from_peer) {
     /* Sent to its own zone, where it is answered even if that is cut off from ours. */
-    const int is_ours = !strcmp(report->zone, core->cf->location);
+    const int is_ours = !strcmp(report->zone, core->config->location);
     if (!from_peer &&
         (is_ours ? tw_redirect_safer(core, conn, report) : tw_redirect_home(core, conn, report)))
         return;
     if (core->phase == PH_LOADING) {
         /* Renewed, nothing more: what should run there is not known yet. */
-        core->load_answered = core->now;
+        core->answered_while_loading_at = core->now;
         reply_orders(core, conn, &no_orders);
         return;
     }
     machine *machine = tw_machine(core, report->worker);
     if (is_returned(core, machine, report->worker)) {
-        core->counters.refused[REFUSED_RETURNED]++;
+        core->counters.rejected[REFUSED_RETURNED]++;
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "returned");
         return;
     }
@@ -217,22 +220,24 @@
 }
 
 void tw_hello(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer) {
-    if (core->now >= core->reports_tidy) {
-        core->reports_tidy = core->now + core->cf->lease_s;
-        tw_wire_heartbeat_cache_sweep(core->reports);
+    if (core->now >= core->next_heartbeat_sweep_at) {
+        core->next_heartbeat_sweep_at = core->now + core->config->lease_s;
+        tw_wire_heartbeat_cache_sweep(core->heartbeat_cache);
     }
-    const tw_wire_heartbeat *report = tw_wire_heartbeat_cache_read(core->reports, body, length);
+    const tw_wire_heartbeat *report =
+        tw_wire_heartbeat_cache_read(core->heartbeat_cache, body, length);
     if (!report) {
         tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         return;
     }
-    if (report->fencing_token > core->seen_token) tw_saw_token(core, report->fencing_token, NULL);
-    if (core->role == R_LEADER && report->fencing_token > core->token)
+    if (report->fencing_token > core->highest_token_seen)
+        tw_saw_token(core, report->fencing_token, NULL);
+    if (core->role == R_LEADER && report->fencing_token > core->fencing_token)
         tw_step_down(core, "a worker saw a later token");
     if (tw_may(core, RIGHT_RENEW))
         lead(core, conn, report, from_peer);
     else if (from_peer) {
-        core->counters.refused[REFUSED_NO_RIGHT]++;
+        core->counters.rejected[REFUSED_NO_RIGHT]++;
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "not the leader");
     } else if (report->fencing_token > core->leader_token) /* somebody we don't know leads by now */
         tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(NULL));
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -16,30 +16,31 @@
 /* What a service of the highest priority may have on a machine: free, or held by work of lower
  * priority. */
 static tw_room room_on(const tw_core *core, const machine *machine) {
-    const tw_wire_machine_type *type = &core->flavors[machine->rack].f;
-    tw_room room = {type->cores - machine->used_c + machine->kill_c,
-                    type->gpus - machine->used_g + machine->kill_g,
-                    type->memory_gb - machine->used_m + machine->kill_m};
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    tw_room room = {type->cores - machine->used_cores + machine->vacating_cores,
+                    type->gpus - machine->used_gpus + machine->vacating_gpus,
+                    type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
     for (int priority = 0; priority < TW_PRIORITY_PROD; priority++) {
-        room.cores += machine->held[priority].c;
-        room.gpus += machine->held[priority].g;
-        room.memory_gb += machine->held[priority].m;
+        room.cores += machine->used_by_priority[priority].c;
+        room.gpus += machine->used_by_priority[priority].g;
+        room.memory_gb += machine->used_by_priority[priority].m;
     }
     return room;
 }
 
 static int counts(const lane *class, const machine *machine) {
-    return class->reserve > 0 && (class->sample_racks & (1U << machine->rack)) &&
-           (!machine->loaner || class->sample.spot);
+    return class->reserve > 0 && (class->sample_type_mask & (1U << machine->type_index)) &&
+           (!machine->spot || class->sample.spot);
 }
 
 /* Whether a task can start in time only where its image is cached. */
 static int needs_warm(const tw_core *core, const lane *class) {
-    for (int i = 0; i < core->nflavors; i++) {
-        const flavor *type = &core->flavors[i];
-        const double fetch_s = type->p * class->sample.image_gb;
-        if ((class->sample_racks & (1U << i)) &&
-            type->q + fetch_s * (1 + 2 * type->p_dev) <= class->within_s)
+    for (int i = 0; i < core->machine_type_count; i++) {
+        const flavor *type = &core->machine_types[i];
+        const double fetch_s = type->fetch_s_per_gb * class->sample.image_gb;
+        if ((class->sample_type_mask & (1U << i)) &&
+            type->queue_delay_s + fetch_s * (1 + 2 * type->fetch_deviation) <=
+                class->start_within_s)
             return 0;
     }
     return 1;
@@ -48,9 +49,9 @@
 /* How many holes to leave for a class. */
 static int reserve_for(const tw_core *core, const lane *class) {
     if (!class->has_sample || !class->sample.service || class->sample.gpus <= 0 ||
-        class->within_s <= 0)
+        class->start_within_s <= 0)
         return 0;
-    double tasks = class->rate * class->within_s;
+    double tasks = class->task_rate * class->start_within_s;
     const double group = fmax(1, class->batch_tasks);
     tasks += sqrt(tasks * group);
     /* A hole is of use to few of the class's images. */
@@ -60,8 +61,8 @@
 
 void tw_reserve_note(tw_core *core) {
     int any = 0;
-    for (lane *class = core->lanes; class; class = class->hh.next) {
-        class->holes = 0;
+    for (lane *class = core->job_classes; class; class = class->hh.next) {
+        class->reserve_available = 0;
         class->reserve = reserve_for(core, class);
         any |= class->reserve > 0;
     }
@@ -71,33 +72,34 @@
     HASH_ITER(hh, core->machines, machine, next) {
         if (!tw_machine_usable(core, machine)) continue;
         const tw_room room = room_on(core, machine);
-        for (lane *class = core->lanes; class; class = class->hh.next)
-            if (counts(class, machine)) class->holes += fit(&room, &class->sample);
+        for (lane *class = core->job_classes; class; class = class->hh.next)
+            if (counts(class, machine)) class->reserve_available += fit(&room, &class->sample);
     }
 }
 
 /* How many holes of the class are lost when a task of the job takes room on the machine. */
 static int lost(const tw_core *core, const machine *machine, const job *job, const lane *class) {
     const tw_room before = room_on(core, machine);
-    const tw_room after = {before.cores - job->s.cores, before.gpus - job->s.gpus,
-                           before.memory_gb - job->s.memory_gb};
+    const tw_room after = {before.cores - job->spec.cores, before.gpus - job->spec.gpus,
+                           before.memory_gb - job->spec.memory_gb};
     return fit(&before, &class->sample) - fit(&after, &class->sample);
 }
 
 int tw_reserve_allows(const tw_core *core, const machine *machine, const job *job) {
-    if (!job->capacity_bound || !job->s.service) return 1;
-    for (const lane *class = core->lanes; class; class = class->hh.next) {
-        if (class == job->lane || class->sample.gpus <= job->s.gpus || !counts(class, machine))
+    if (!job->capacity_bound || !job->spec.service) return 1;
+    for (const lane *class = core->job_classes; class; class = class->hh.next) {
+        if (class == job->job_class || class->sample.gpus <= job->spec.gpus ||
+            !counts(class, machine))
             continue;
         const int holes = lost(core, machine, job, class);
-        if (holes > 0 && class->holes - holes < class->reserve) return 0;
+        if (holes > 0 && class->reserve_available - holes < class->reserve) return 0;
     }
     return 1;
 }
 
 /* Before a task of the job is placed on the machine. */
 void tw_reserve_take(tw_core *core, const machine *machine, const job *job) {
-    if (!job->s.service) return;
-    for (lane *class = core->lanes; class; class = class->hh.next)
-        if (counts(class, machine)) class->holes -= lost(core, machine, job, class);
+    if (!job->spec.service) return;
+    for (lane *class = core->job_classes; class; class = class->hh.next)
+        if (counts(class, machine)) class->reserve_available -= lost(core, machine, job, class);
 }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -13,9 +13,9 @@
 
 /* What makes room of use to a task. One of this shape found none. */
 typedef struct tw_futile {
-    double cores, gpus, mem;
-    uint32_t racks, zones;
-    int loaner, rank, service, any_machine, whole;
+    double cores, gpus, memory_gb;
+    uint32_t type_mask, zone_mask;
+    int spot, priority, service, any_machine, whole;
 } tw_futile;
 
 /* place.c */
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -7,10 +7,11 @@
 /* A task to be placed. What doesn't depend on the machine is worked out once for all of them. */
 typedef struct tw_demand {
     struct job *job;
-    double due;        /* steady time, INFINITY: none */
-    double start_due;  /* of a gang: when it should have started; INFINITY: no such objective */
-    double estimate_s; /* run time on a machine of slowness 1 */
-    uint32_t zones;    /* that it may go to, as bits over the core's zones */
+    double deadline_at; /* steady time, INFINITY: none */
+    double
+        start_deadline_at; /* of a gang: when it should have started; INFINITY: no such objective */
+    double estimate_s;     /* run time on a machine of slowness 1 */
+    uint32_t zone_mask;    /* that it may go to, as bits over the core's zones */
 } tw_demand;
 
 /* GoodServe's T = q + p * missing GB + slowness * expected run time, for a task on a machine. */
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -25,40 +25,42 @@
 
 /* The job, if it has to pass over machines that it failed on, or was on under the same attempt. */
 static const job *own_scores(const tw_core *core, const job *job) {
-    return job->nbad || job->gang.nleft || job == core->holder ? job : NULL;
+    return job->failed_machine_count || job->gang.vacated_count || job == core->reserving_gang
+               ? job
+               : NULL;
 }
 
 static int same_kind(const tw_core *core, const kind *known, const tw_demand *demand) {
     const job *job = demand->job;
-    const tw_wire_job *spec = &job->s;
+    const tw_wire_job *spec = &job->spec;
     if (known->cores != spec->cores || known->gpus != spec->gpus ||
         known->memory_gb != spec->memory_gb || known->image_gb != spec->image_gb ||
         known->estimate_s != demand->estimate_s)
         return 0;
-    if (known->types != job->rackmask || known->spot != spec->spot ||
+    if (known->types != job->type_mask || known->spot != spec->spot ||
         known->service != spec->service || known->any_machine != job->any_machine ||
-        known->class != job->lane || known->rank != job->s.priority ||
+        known->class != job->job_class || known->rank != job->spec.priority ||
         known->own != own_scores(core, job))
         return 0;
-    return known->image_sum == job->bundle && !strcmp(known->image, spec->image);
+    return known->image_sum == job->image_hash && !strcmp(known->image, spec->image);
 }
 
 static kind kind_of(const tw_core *core, const tw_demand *demand) {
     const job *job = demand->job;
-    kind result = {.cores = job->s.cores,
-                   .gpus = job->s.gpus,
-                   .memory_gb = job->s.memory_gb,
-                   .image_gb = job->s.image_gb,
+    kind result = {.cores = job->spec.cores,
+                   .gpus = job->spec.gpus,
+                   .memory_gb = job->spec.memory_gb,
+                   .image_gb = job->spec.image_gb,
                    .estimate_s = demand->estimate_s,
-                   .types = job->rackmask,
-                   .image_sum = job->bundle,
-                   .spot = job->s.spot,
-                   .service = job->s.service,
+                   .types = job->type_mask,
+                   .image_sum = job->image_hash,
+                   .spot = job->spec.spot,
+                   .service = job->spec.service,
                    .any_machine = job->any_machine,
-                   .rank = job->s.priority,
-                   .class = job->lane,
+                   .rank = job->spec.priority,
+                   .class = job->job_class,
                    .own = own_scores(core, job)};
-    snprintf(result.image, sizeof result.image, "%s", job->s.image);
+    snprintf(result.image, sizeof result.image, "%s", job->spec.image);
     return result;
 }
 
@@ -68,7 +70,7 @@
     machine *machine = candidate->machine;
     const job *job = demand->job;
     score->changes = candidate->changes;
-    score->fits = tw_fits(machine, &core->flavors[machine->rack], &job->s) &&
+    score->fits = tw_fits(machine, &core->machine_types[machine->type_index], &job->spec) &&
                   tw_constraints_machine(core, job, machine);
     score->possible = score->fits && tw_leaves_gpus(core, machine, job, 1);
     if (!score->possible) return;
@@ -96,14 +98,14 @@
 static tw_score_table *table_new(tw_core *core) {
     if (!core->score_tables)
         core->score_tables = tw_zalloc(TABLES_MAX * sizeof *core->score_tables);
-    if (core->nscore_tables < TABLES_MAX) return &core->score_tables[core->nscore_tables++];
+    if (core->score_table_count < TABLES_MAX) return &core->score_tables[core->score_table_count++];
     tw_score_table *table = &core->score_tables[core->next_score_table];
     core->next_score_table = (core->next_score_table + 1) % TABLES_MAX;
     return table;
 }
 
 tw_score_table *tw_scores_find(tw_core *core, const tw_demand *demand) {
-    for (int i = 0; i < core->nscore_tables; i++)
+    for (int i = 0; i < core->score_table_count; i++)
         if (same_kind(core, &core->score_tables[i].kind, demand)) return &core->score_tables[i];
     return NULL;
 }
@@ -124,7 +126,7 @@
 }
 
 void tw_scores_forget(tw_core *core) {
-    core->nscore_tables = 0;
+    core->score_table_count = 0;
     core->next_score_table = 0;
 }
 
--- a/src/core/sick.c
+++ b/src/core/sick.c
@@ -10,61 +10,63 @@
 #define LONGEST_PAUSE 8.0 /* between trials, in leases */
 
 static void suspect(tw_core *c, machine *m) {
-    m->sick_pause = m->trial ? 2 * m->sick_pause : c->cf->lease_s;
-    m->sick_pause = fmin(m->sick_pause, LONGEST_PAUSE * c->cf->lease_s);
-    m->trial_at = c->now + m->sick_pause;
+    m->quarantine_s = m->on_probation ? 2 * m->quarantine_s : c->config->lease_s;
+    m->quarantine_s = fmin(m->quarantine_s, LONGEST_PAUSE * c->config->lease_s);
+    m->probation_at = c->now + m->quarantine_s;
     m->cordoned = 1;
-    m->trial = 0;
-    tw_log_info("event=sick tray=%s again_s=%.1f", m->name, m->sick_pause);
+    m->on_probation = 0;
+    tw_log_info("event=sick tray=%s again_s=%.1f", m->name, m->quarantine_s);
 }
 
 /* A task of p's job failed; elsewhere: machines on which the job has failed before. */
 void tw_sick_blame(tw_core *c, const placement *p, int elsewhere) {
-    machine *m = p->m;
-    if (p->run_at > 0) m->failed_after_s = fmax(m->failed_after_s, c->now - p->run_at);
+    machine *m = p->machine;
+    if (p->running_since > 0)
+        m->longest_failed_run_s = fmax(m->longest_failed_run_s, c->now - p->running_since);
     m->failed_at = c->now;
     if (m->cordoned) return;
-    if (m->trial) {
+    if (m->on_probation) {
         suspect(c, m);
-    } else if (strcmp(m->err_last, p->job->id) != 0) {
-        snprintf(m->err_last, sizeof m->err_last, "%s", p->job->id);
-        m->blame += elsewhere ? BLAME_AGAIN : BLAME_FIRST;
-        if (m->blame >= BLAME_MOST) suspect(c, m);
+    } else if (strcmp(m->last_failed_job, p->job->id) != 0) {
+        snprintf(m->last_failed_job, sizeof m->last_failed_job, "%s", p->job->id);
+        m->failure_score += elsewhere ? BLAME_AGAIN : BLAME_FIRST;
+        if (m->failure_score >= BLAME_MOST) suspect(c, m);
     }
 }
 
 void tw_sick_well(tw_core *c, machine *m) {
-    m->blame = 0;
-    *m->err_last = 0;
-    m->failed_after_s = 0;
-    if (m->trial) {
+    m->failure_score = 0;
+    *m->last_failed_job = 0;
+    m->longest_failed_run_s = 0;
+    if (m->on_probation) {
         tw_log_info("event=well tray=%s", m->name);
-        m->trial = 0;
-        c->sched_dirty = 1;
+        m->on_probation = 0;
+        c->scheduling_due = 1;
     }
 }
 
 /* A task that was started after the last error and has run for longer than those that failed shows
  * that the machine works. Services never end, so an end is not waited for. */
 void tw_sick_running(tw_core *c, const placement *p) {
-    machine *m = p->m;
-    if (!m->blame || m->cordoned || p->run_at <= m->failed_at) return;
-    if (c->now - p->run_at > c->cf->report_s + 2 * m->failed_after_s) tw_sick_well(c, m);
+    machine *m = p->machine;
+    if (!m->failure_score || m->cordoned || p->running_since <= m->failed_at) return;
+    if (c->now - p->running_since > c->config->report_s + 2 * m->longest_failed_run_s)
+        tw_sick_well(c, m);
 }
 
 /* Lets a suspect be tried again when its pause is over. */
 void tw_sick_tick(tw_core *c, machine *m) {
-    if (!m->cordoned || m->trial_at <= 0 || c->now < m->trial_at) return;
+    if (!m->cordoned || m->probation_at <= 0 || c->now < m->probation_at) return;
     m->cordoned = 0;
-    m->trial = 1;
-    c->sched_dirty = 1;
+    m->on_probation = 1;
+    c->scheduling_due = 1;
     tw_log_info("event=trial tray=%s", m->name);
 }
 
 /* A machine on trial gets one task, and no other until that one has run for a while. */
 int tw_sick_allows(const machine *m) {
     const placement *p;
-    if (!m->trial) return 1;
-    DL_FOREACH(m->pls, p) if (p->on_job && p->made_at >= m->trial_at) return 0;
+    if (!m->on_probation) return 1;
+    DL_FOREACH(m->placements, p) if (p->counted && p->placed_at >= m->probation_at) return 0;
     return 1;
 }
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -20,132 +20,136 @@
 #define TW_MAX_TXNS 3 /* transactions in flight, over disjoint jobs */
 
 struct tw_core {
-    const tw_conf *cf;
+    const tw_conf *config;
     double now, wall;
     gsl_rng *rng;
-    tw_fx *fx_head, *fx_tail;
+    tw_fx *effects_head, *effects_tail;
     call *calls;
     unsigned calls_made[K_KINDS], calls_refused; /* to the state service, since the last log line */
-    double next_calls_log;
+    double next_calls_log_at;
     tw_counters counters;
-    uint64_t next_call;
+    uint64_t last_call_id;
 
     /* election */
     node_role role;
     leader_phase phase;
-    int commanded, renewed_leases; /* rights when last looked at, for the log */
-    double load_answered;          /* last report answered while the records were read */
-    uint64_t term;                 /* changes with each term: calls of another term are ignored */
-    uint64_t hold, token, seen_token;
-    double ttl, auth_until, acquired_at, next_renew, next_poll;
-    int renew_busy, poll_busy, electing;
-    uint64_t watch_since; /* revision to watch the leader key from; 0: read it first */
-    double grant_sent, renew_sent;
-    tw_budget follows;   /* this node's part of the requests that elections may take */
-    int follows_refused; /* of those, in a row */
-    char leader[TW_NAME_SIZE];
+    int could_command, could_renew;   /* rights when last looked at, for the log */
+    double answered_while_loading_at; /* last report answered while the records were read */
+    uint64_t term; /* changes with each term: calls of another term are ignored */
+    uint64_t lease_id, fencing_token, highest_token_seen;
+    double leader_lease_s, authority_until, acquired_at, next_renewal_at, next_leader_read_at;
+    int renewals_in_flight, leader_read_in_flight, election_in_flight;
+    uint64_t watch_from_revision; /* revision to watch the leader key from; 0: read it first */
+    double lease_requested_at, renewal_sent_at;
+    tw_budget election_limiter; /* this node's part of the requests that elections may take */
+    int election_refusals;      /* of those, in a row */
+    char leader_name[TW_NAME_SIZE];
     uint64_t leader_token;
-    double leader_seen, state_ok_at, started_at;
-    int fresh;               /* this term began without any job */
-    double opened_at;        /* first acceptance in a state service without jobs */
-    double all_confirmed_at; /* 0: not all peers have said that they know our token */
+    double leader_seen_at, store_answered_at, started_at;
+    int began_without_jobs;    /* this term began without any job */
+    double first_admission_at; /* first acceptance in a state service without jobs */
+    double peers_confirmed_at; /* 0: not all peers have said that they know our token */
     peer *peers;
-    size_t npeers;
+    size_t peer_count;
     /* A worker of this node's zone that reports to it finds another node within its lease when it
      * ends, also where no other zone can be reached; see failover.c. */
     int failover_in_time;
 
     /* as a deputy, see deputy.c; reports handed on, see relay.c; redirects, see redirect.c */
-    uint64_t deputy_token, deputy_sequence;
-    double deputy_until, deputy_read_at, relay_bad_until;
-    uint64_t grant_token; /* by the leader's answer to a ping */
-    double grant_until;
-    double deputy_last;       /* when we last answered a worker as a deputy */
-    struct expiring *relayed; /* workers, and when the leader last answered them through us */
-    double relayed_tidy;
-    redirect *redirects; /* workers that were told of another node */
-    double redirects_tidy;
-    int deputy_busy, nheld;
-    double deputy_try; /* no earlier attempt to become one */
-    held_report *held; /* reports that wait for a leader */
-    double held_next;
-    uint64_t abort_seq; /* numbers the cancellations of a term */
-    expiring
-        *deputy_aborted; /* cancelled jobs, whose tasks a deputy stops: read as one by its key */
-    expiring *grant_aborted; /* and named with the leader's last grant */
-    int deputy_listing;
-    double deputy_list_from, deputy_list_next;
-    char deputy_list_after[256];
+    uint64_t delegate_token, delegate_sequence;
+    double delegate_until, cancelled_read_at, forwarding_paused_until;
+    uint64_t delegation_token; /* by the leader's answer to a ping */
+    double delegation_until;
+    double delegate_answered_at; /* when we last answered a worker as a deputy */
+    struct expiring
+        *forwarded_workers; /* workers, and when the leader last answered them through us */
+    double next_forwarded_sweep_at;
+    redirect *worker_redirects; /* workers that were told of another node */
+    double next_redirect_sweep_at;
+    int delegate_write_in_flight, held_count;
+    double next_delegate_attempt_at; /* no earlier attempt to become one */
+    held_report *held_heartbeats;    /* reports that wait for a leader */
+    double next_held_retry_at;
+    uint64_t cancellation_sequence;  /* numbers the cancellations of a term */
+    expiring *listed_cancelled_jobs; /* cancelled jobs, whose tasks a deputy stops: read as one by
+                                        its key */
+    expiring *announced_cancelled_jobs; /* and named with the leader's last grant */
+    int cancelled_list_in_flight;
+    double cancelled_list_began_at, next_cancelled_list_at;
+    char cancelled_list_cursor[256];
     /* deputies, at the leader, see deputies_seen.c */
-    int deputies_reading, deputies_known;
-    double deputies_checked_at, deputies_next, lapse_decided_at;
+    int delegates_read_in_flight, delegates_known;
+    double delegates_checked_at, next_delegates_read_at, expiry_decided_at;
 
     /* jobs */
-    job *jobs, *active, *dirty;
+    job *jobs, *active_jobs, *pending_writes;
     struct tw_finished
-        *finished;  /* jobs that are over and of which nothing may run; see finished.h */
-    job *cancelled; /* those being cancelled, and cancelled ones that may still run */
-    turned_away_job *turned_away;
-    lane *lanes;
-    int ntxns, ndirty_new;
-    uint64_t last_set;            /* numbers the sets of slices that this process writes */
-    struct stale_set *stale_sets; /* that no record names: to be removed */
-    int stale_busy;
-    double stale_next;
-    int divides, heard_old;         /* as of the last look at the peers */
-    struct loaded_set *loaded_sets; /* of divided records, while they are read */
-    int load_parts;                 /* those are being read, before the records */
-    tw_budget writes, reqs, cloud;
-    int old_credit[TW_PRIORITY_PROD + 1]; /* by rank: the next room may go to the longest wait */
-    tw_budget reads, creates;             /* of a node that does not lead */
-    double *team_c, *team_g;              /* in use, or may be */
-    char load_after[256];
-    double load_retry;
-    int load_busy;
-    int elsewhere_busy; /* jobs that other nodes accepted, see accepted_elsewhere.c */
-    expiring
-        *untaken; /* those that we heard of and that aren't among ours yet, and their next read */
-    uint64_t elsewhere_since;
-    double elsewhere_next;
+        *completed_jobs; /* jobs that are over and of which nothing may run; see finished.h */
+    job *cancelled_jobs; /* those being cancelled, and cancelled ones that may still run */
+    turned_away_job *rejected_admissions;
+    lane *job_classes;
+    int transactions_in_flight, pending_admissions;
+    uint64_t last_chunk_set;            /* numbers the sets of slices that this process writes */
+    struct stale_set *stale_chunk_sets; /* that no record names: to be removed */
+    int chunk_removal_in_flight;
+    double next_chunk_removal_at;
+    int peers_read_chunks, a_peer_lacks_chunks; /* as of the last look at the peers */
+    struct loaded_set *loaded_chunk_sets;       /* of divided records, while they are read */
+    int loading_chunks;                         /* those are being read, before the records */
+    tw_budget write_limiter, request_limiter, cloud_limiter;
+    int overdue_credit[TW_PRIORITY_PROD +
+                       1]; /* by rank: the next room may go to the longest wait */
+    tw_budget follower_read_limiter, follower_create_limiter; /* of a node that does not lead */
+    double *team_cores_used, *team_gpus_used;                 /* in use, or may be */
+    char load_cursor[256];
+    double next_load_at;
+    int load_in_flight;
+    int admission_watch_in_flight; /* jobs that other nodes accepted, see accepted_elsewhere.c */
+    expiring *untaken_admissions;  /* those that we heard of and that aren't among ours yet, and
+                                      their next read */
+    uint64_t admission_watch_revision;
+    double next_admission_watch_at;
 
     /* fleet */
-    flavor *flavors;
-    int nflavors;
-    double next_flavors;
-    int flavors_busy;
+    flavor *machine_types;
+    int machine_type_count;
+    double next_machine_types_at;
+    int machine_types_in_flight;
     machine *machines;
-    size_t longest_name;              /* of a machine that was known in this process */
-    machine *direct;                  /* those that may be due for direct orders */
-    int ndirect;                      /* direct orders on their way */
-    double next_direct;               /* no look at all machines before it */
-    tw_wire_heartbeat_cache *reports; /* as they came last */
-    double reports_tidy;
-    tw_wire_command *order; /* scratch: the orders in hand */
-    char yards[TW_MAX_ZONES][TW_NAME_SIZE];
-    int nyards;
-    uint64_t steps;    /* machines looked at in passes over the fleet: what such a pass costs */
-    tw_futile *futile; /* kinds of tasks that found no room in this pass, see futile.c */
-    int nfutile, futile_cap;
-    struct job *holder;              /* gang that machines are held for in this pass; NULL: none */
+    size_t longest_machine_name;              /* of a machine that was known in this process */
+    machine *command_queue;                   /* those that may be due for direct orders */
+    int commands_in_flight;                   /* direct orders on their way */
+    double next_command_scan_at;              /* no look at all machines before it */
+    tw_wire_heartbeat_cache *heartbeat_cache; /* as they came last */
+    double next_heartbeat_sweep_at;
+    tw_wire_command *command_scratch; /* scratch: the orders in hand */
+    char zone_names[TW_MAX_ZONES][TW_NAME_SIZE];
+    int zone_count;
+    uint64_t pass_steps; /* machines looked at in passes over the fleet: what such a pass costs */
+    tw_futile
+        *placement_failures; /* kinds of tasks that found no room in this pass, see futile.c */
+    int placement_failure_count, placement_failure_capacity;
+    struct job *reserving_gang;      /* gang that machines are held for in this pass; NULL: none */
     struct tw_candidate *candidates; /* machines that this pass may use, see candidates.c */
-    int ncandidates, candidates_cap;
+    int candidate_count, candidate_capacity;
     struct tw_score_table *score_tables; /* of this pass, see scores.c */
-    int nscore_tables, next_score_table;
-    double gpu_cores, gpu_mem; /* what a GPU's user takes along at most, by the lanes' samples */
-    expiring *released;
-    int list_busy, list_more, lists;
-    char list_after[TW_NAME_SIZE];
-    double next_list;
-    int release_busy;
+    int score_table_count, next_score_table;
+    double cores_per_gpu,
+        memory_gb_per_gpu; /* what a GPU's user takes along at most, by the lanes' samples */
+    expiring *returned_machines;
+    int machine_list_in_flight, machine_list_has_more, machine_lists_read;
+    char machine_list_cursor[TW_NAME_SIZE];
+    double next_machine_list_at;
+    int return_in_flight;
     int returns_due; /* some machine is to be returned and may not have been asked for */
-    double release_retry;
-    offer *offers;
-    int noffers;
+    double next_return_at;
+    offer *capacity_offers;
+    int capacity_offer_count;
     rental_request *rental_requests;
     uint64_t next_rental_request;
-    double next_rent, rent_from, next_fleet_log;
+    double next_plan_at, scale_out_from, next_fleet_log_at;
 
-    double next_move;
+    double next_consolidation_at;
     struct {
         double free_cores, free_gpus; /* shares */
     } zones[TW_MAX_ZONES + 1]; /* as of the last pass; the last one: machines of no known zone */
@@ -153,14 +157,14 @@
         char yard[TW_NAME_SIZE];
         int all, silent;
         double until; /* taken for cut off until then */
-    } quiet[TW_MAX_ZONES];
-    int nquiet;
-    int sched_dirty;
-    double next_sched, next_recheck;
-    double next_tidy, next_fleet;
+    } silent_zones[TW_MAX_ZONES];
+    int silent_zone_count;
+    int scheduling_due;
+    double next_pass_at, next_recheck_at;
+    double next_job_sweep_at, next_machine_scan_at;
     double unresponsive_since;
     int unresponsive_count;
-    uint64_t mark;
+    uint64_t heartbeat_mark;
 };
 
 #endif
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -14,21 +14,24 @@
 
 static void note_error(tw_core *core, placement *placed, int cause) {
     job *job = placed->job;
-    const machine *machine = placed->m;
-    job->errors++;
+    const machine *machine = placed->machine;
+    job->consecutive_errors++;
     /* Failing on several machines in a row, it is the job; then no machine is blamed for it. */
     int elsewhere = 0;
-    for (int i = 0; i < job->nbad; i++) elsewhere += job->bad[i] && job->bad[i] != machine;
-    const int most = (int)(sizeof job->bad / sizeof job->bad[0]);
-    const int slot = job->nbad < most ? job->nbad++ : job->errors % most;
-    job->bad[slot] = placed->m;
-    const double longest = core->cf->lease_s * RETRY_LONGEST_LEASES;
-    const int doublings = job->errors > RETRY_DOUBLINGS ? RETRY_DOUBLINGS : job->errors;
+    for (int i = 0; i < job->failed_machine_count; i++)
+        elsewhere += job->failed_machines[i] && job->failed_machines[i] != machine;
+    const int most = (int)(sizeof job->failed_machines / sizeof job->failed_machines[0]);
+    const int slot = job->failed_machine_count < most ? job->failed_machine_count++
+                                                      : job->consecutive_errors % most;
+    job->failed_machines[slot] = placed->machine;
+    const double longest = core->config->lease_s * RETRY_LONGEST_LEASES;
+    const int doublings =
+        job->consecutive_errors > RETRY_DOUBLINGS ? RETRY_DOUBLINGS : job->consecutive_errors;
     const double pause = elsewhere < ELSEWHERE_BLAMES_JOB
                              ? RETRY_ELSEWHERE_S
                              : fmin(longest, RETRY_FIRST_S * (double)(1 << doublings));
     /* It may be the only machine that fits, and a fault may pass. */
-    job->bad_until = core->now + longest;
+    job->failed_machines_until = core->now + longest;
     job->retry_at = core->now + pause;
     if (cause == TW_CAUSE_ERROR && elsewhere < ELSEWHERE_BLAMES_JOB)
         tw_sick_blame(core, placed, elsewhere);
@@ -37,19 +40,19 @@
 static void exited(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
                    const tw_wire_task *told) {
     job *job = placed->job;
-    const attempt_end end = {.ground = END_EXITED, .report = report, .told = told};
-    placed->stage = TW_TASK_EXITED;
+    const attempt_end end = {.evidence = END_EXITED, .heartbeat = report, .reported = told};
+    placed->state = TW_TASK_EXITED;
     placed->cause = told->cause;
-    if (!placed->on_job) return;
-    const int over = job->stage != TW_JOB_PENDING;
+    if (!placed->counted) return;
+    const int over = job->state != TW_JOB_PENDING;
     switch (told->cause) {
     case TW_CAUSE_DONE:
         tw_learn_run(core, placed);
-        job->errors = 0;
-        if (placed->run_at > placed->m->failed_at) tw_sick_well(core, placed->m);
+        job->consecutive_errors = 0;
+        if (placed->running_since > placed->machine->failed_at) tw_sick_well(core, placed->machine);
         break;
     case TW_CAUSE_STOPPED:
-        if (told->saved) job->resumed = job->gang.saved = 1;
+        if (told->saved) job->has_checkpoint = job->gang.saved = 1;
         break;
     case TW_CAUSE_GANG_BROKEN: /* no fault of the machine, nor of the job */
     case TW_CAUSE_GANG_INCOMPLETE:
@@ -59,12 +62,12 @@
         if (!over) note_error(core, placed, told->cause);
         break;
     default:
-        job->retry_at = core->now + RETRY_REFUSED_REPORTS * core->cf->report_s;
+        job->retry_at = core->now + RETRY_REFUSED_REPORTS * core->config->report_s;
         break;
     }
     tw_attempt_end(core, placed, &end);
-    if (told->cause == TW_CAUSE_DONE && job->s.gang) tw_gang_done(core, job);
-    if (!over && job->ndone == job->pieces)
+    if (told->cause == TW_CAUSE_DONE && job->spec.gang) tw_gang_done(core, job);
+    if (!over && job->done_count == job->task_count)
         tw_job_finish(core, job, TW_JOB_DONE);
     else
         tw_job_changed(core, job, 0);
@@ -74,57 +77,57 @@
     const job *job = placed->job;
     /* A gang's task that was not seen waiting may have waited for the others: that is no delay of
      * its machine. */
-    if (!job->s.gang) tw_learn_start(core, placed);
-    placed->run_at = core->now;
+    if (!job->spec.gang) tw_learn_start(core, placed);
+    placed->running_since = core->now;
     tw_log_debug("event=running piece=%s/%d lane=%s rack=%s start_s=%.2f waited_s=%.2f", job->id,
-                 placed->index, job->s.job_class, placed->m->rack_name, core->now - placed->made_at,
-                 core->now - job->submitted);
-    tw_image_note(core, placed->m, job, 1);
+                 placed->index, job->spec.job_class, placed->machine->type_name,
+                 core->now - placed->placed_at, core->now - job->submitted_at);
+    tw_image_note(core, placed->machine, job, 1);
 }
 
 void tw_task_reported(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
                       const tw_wire_task *told) {
-    machine *machine = placed->m;
+    machine *machine = placed->machine;
     job *job = placed->job;
-    if (!placed->seen) {
-        machine->unresponsive = 0;
-        placed->misses = 0;
+    if (!placed->reported) {
+        machine->lost_launches = 0;
+        placed->lost_launches = 0;
     }
-    placed->seen = placed->sent = 1;
-    if (placed->stage == TW_TASK_EXITED) return;
+    placed->reported = placed->launch_sent = 1;
+    if (placed->state == TW_TASK_EXITED) return;
     if (told->state == TW_TASK_EXITED) {
         exited(core, placed, report, told);
         return;
     }
-    const int waits = told->state == TW_TASK_WAITING && placed->stage != TW_TASK_WAITING;
-    placed->stage = told->state;
+    const int waits = told->state == TW_TASK_WAITING && placed->state != TW_TASK_WAITING;
+    placed->state = told->state;
     if (!job->has_spec) return;
     if (waits) { /* its image is there */
         tw_learn_start(core, placed);
         tw_image_note(core, machine, job, 1);
     }
-    if (job->s.gang) tw_gang_reported(core, placed);
-    if (told->state == TW_TASK_RUNNING && placed->run_at <= 0)
+    if (job->spec.gang) tw_gang_reported(core, placed);
+    if (told->state == TW_TASK_RUNNING && placed->running_since <= 0)
         started(core, placed);
     else if (told->state == TW_TASK_FETCHING && !tw_image(machine, job))
         tw_image_note(core, machine, job, 0);
     /* A task of a broken gang tells that it runs until it ends: that shows nothing. */
-    if (placed->run_at <= 0 || (job->s.gang && job->gang.state != GANG_RUNNING)) return;
-    const double ran_s = core->now - placed->run_at;
-    if (ran_s > 2 * core->cf->lease_s) job->errors = 0;
+    if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != GANG_RUNNING)) return;
+    const double ran_s = core->now - placed->running_since;
+    if (ran_s > 2 * core->config->lease_s) job->consecutive_errors = 0;
     tw_sick_running(core, placed);
-    if (ran_s > core->cf->lease_s) job->begun = 1;
+    if (ran_s > core->config->lease_s) job->has_run = 1;
 }
 
 /* It ended before we knew of it; its job, unless NULL, still wants it. */
 static void stranger_exited(tw_core *core, const machine *machine, const tw_wire_task *told,
                             job *job, tw_orders *orders) {
     const int done = told->cause == TW_CAUSE_DONE;
-    if (job && done && job->st[told->index] == T_FREE) {
-        job->st[told->index] = T_DONE;
-        job->ndone++;
-        if (job->s.gang) tw_gang_done(core, job);
-        if (job->ndone == job->pieces)
+    if (job && done && job->task_states[told->index] == T_FREE) {
+        job->task_states[told->index] = T_DONE;
+        job->done_count++;
+        if (job->spec.gang) tw_gang_done(core, job);
+        if (job->done_count == job->task_count)
             tw_job_finish(core, job, TW_JOB_DONE);
         else
             tw_job_changed(core, job, 0);
@@ -132,7 +135,7 @@
     /* Only a machine that refuses older tokens can't be made to start it again; and without
      * authority another leader may know of it. */
     if (orders && tw_may(core, RIGHT_COMMAND) && machine->confirmed &&
-        (!job || !done || job->ver == job->durable_ver))
+        (!job || !done || job->version == job->durable_version))
         tw_orders_add(orders,
                       (tw_wire_command){.kind = TW_COMMAND_FORGET,
                                         .index = told->index,
@@ -143,18 +146,20 @@
 void tw_task_stranger(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
                       const tw_wire_task *told, tw_orders *orders) {
     job *job = tw_job_find(core, told->job);
-    if (job && (!job->st || job->stage != TW_JOB_PENDING || told->index >= job->pieces)) job = NULL;
+    if (job &&
+        (!job->task_states || job->state != TW_JOB_PENDING || told->index >= job->task_count))
+        job = NULL;
     if (told->state == TW_TASK_EXITED) {
         stranger_exited(core, machine, told, job, orders);
         return;
     }
-    if (job && job->st[told->index] == T_FREE && tw_zone_allows(core, job, machine->yard) &&
-        tw_quota_allows(core, job, 1)) {
+    if (job && job->task_states[told->index] == T_FREE &&
+        tw_zone_allows(core, job, machine->zone) && tw_quota_allows(core, job, 1)) {
         placement *placed = tw_place(core, job, told->index, machine, told->attempt);
         if (!placed) return;
         placed->inherited = 1;
-        placed->mark = core->mark;
-        if (job->s.gang && job->nlive == 1) tw_gang_adopted(job);
+        placed->mark = core->heartbeat_mark;
+        if (job->spec.gang && job->placed_count == 1) tw_gang_adopted(job);
         tw_task_reported(core, placed, report, told);
         tw_job_changed(core, job, 0);
         tw_log_info("event=adopted piece=%s/%d tray=%s", told->job, told->index, machine->name);
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -11,12 +11,12 @@
 
 /* Turns away all users who wait for the job. */
 static void turn_waiters_away(tw_core *core, job *job) {
-    for (waiter *user = job->waiters, *next; user; user = next) {
+    for (waiter *user = job->waiting_clients, *next; user; user = next) {
         next = user->next;
-        tw_reply_error(core, user->conn, TW_HTTP_UNAVAILABLE, 1, "no leader");
+        tw_reply_error(core, user->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
         free(user);
     }
-    job->waiters = NULL;
+    job->waiting_clients = NULL;
 }
 
 static void forget_jobs_and_machines(tw_core *core) {
@@ -25,21 +25,22 @@
     HASH_ITER(hh, core->jobs, job, next_job) turn_waiters_away(core, job);
     HASH_ITER(hh, core->machines, machine, next_machine) {
         placement *placed, *next;
-        DL_FOREACH_SAFE(machine->pls, placed, next) tw_attempt_end_on(core, placed, END_TERM);
+        DL_FOREACH_SAFE(machine->placements, placed, next)
+        tw_attempt_end_on(core, placed, END_TERM);
         tw_machine_drop(core, machine, NULL);
     }
     HASH_ITER(hh, core->jobs, job, next_job) tw_job_free(core, job);
-    tw_finished_free(core->finished);
-    core->finished = NULL;
-    core->active = NULL;
-    core->dirty = NULL;
-    core->cancelled = NULL;
-    core->nyards = 0;
+    tw_finished_free(core->completed_jobs);
+    core->completed_jobs = NULL;
+    core->active_jobs = NULL;
+    core->pending_writes = NULL;
+    core->cancelled_jobs = NULL;
+    core->zone_count = 0;
 }
 
 static void forget_rentals(tw_core *core) {
     turned_away_job *turned_away_job, *next_turned_away;
-    HASH_ITER(hh, core->turned_away, turned_away_job, next_turned_away)
+    HASH_ITER(hh, core->rejected_admissions, turned_away_job, next_turned_away)
     tw_turned_away_drop(core, turned_away_job);
     rental_request *rental_request, *next_rental_request;
     DL_FOREACH_SAFE(core->rental_requests, rental_request, next_rental_request) {
@@ -47,27 +48,27 @@
         free(rental_request);
     }
     core->next_rental_request = 0;
-    core->list_busy = 0;
-    core->release_busy = 0;
-    core->lists = 0;
-    *core->list_after = 0;
+    core->machine_list_in_flight = 0;
+    core->return_in_flight = 0;
+    core->machine_lists_read = 0;
+    *core->machine_list_cursor = 0;
 }
 
 void tw_term_clear(tw_core *core) {
     forget_jobs_and_machines(core);
-    forget_set(&core->released);
+    forget_set(&core->returned_machines);
     forget_rentals(core);
-    forget_set(&core->untaken);
+    forget_set(&core->untaken_admissions);
     tw_parts_forget_stale(core);
     tw_loaded_free(core);
-    core->divides = core->heard_old = 0;
-    core->nquiet = 0;
-    core->elsewhere_busy = 0;
-    core->elsewhere_since = 0;
-    core->elsewhere_next = 0;
-    core->ntxns = 0;
-    core->ndirty_new = 0;
-    core->load_busy = 0;
-    memset(core->team_c, 0, (core->cf->nteams + 1) * sizeof *core->team_c);
-    memset(core->team_g, 0, (core->cf->nteams + 1) * sizeof *core->team_g);
+    core->peers_read_chunks = core->a_peer_lacks_chunks = 0;
+    core->silent_zone_count = 0;
+    core->admission_watch_in_flight = 0;
+    core->admission_watch_revision = 0;
+    core->next_admission_watch_at = 0;
+    core->transactions_in_flight = 0;
+    core->pending_admissions = 0;
+    core->load_in_flight = 0;
+    memset(core->team_cores_used, 0, (core->config->nteams + 1) * sizeof *core->team_cores_used);
+    memset(core->team_gpus_used, 0, (core->config->nteams + 1) * sizeof *core->team_gpus_used);
 }
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -11,35 +11,37 @@
 #define KINDS 2 /* on-demand, spot */
 
 static flavor type_of(const tw_core *core, const tw_wire_machine_type *listed) {
-    return (flavor){.f = *listed,
+    return (flavor){.listed = *listed,
                     .slowness = 1,
-                    .q = FIRST_DELAY_REPORTS * core->cf->report_s,
-                    .p = FIRST_FETCH_SLOWED / listed->fetch_gb_s,
-                    .p_dev = FIRST_FETCH_DEVIATION,
-                    .overdue = FIRST_OVERDUE_SHARE,
-                    .share = FIRST_INTERFERENCE};
+                    .queue_delay_s = FIRST_DELAY_REPORTS * core->config->report_s,
+                    .fetch_s_per_gb = FIRST_FETCH_SLOWED / listed->fetch_gb_s,
+                    .fetch_deviation = FIRST_FETCH_DEVIATION,
+                    .overdue_share = FIRST_OVERDUE_SHARE,
+                    .fetch_interference = FIRST_INTERFERENCE};
 }
 
 static void make_offers(tw_core *core) {
     int count = 0;
-    for (int i = 0; i < core->nflavors; i++) count += KINDS * core->flavors[i].f.zone_count;
-    core->offers = tw_zalloc((size_t)count * sizeof *core->offers);
-    core->noffers = 0;
-    for (int i = 0; i < core->nflavors; i++)
-        for (int zone = 0; zone < core->flavors[i].f.zone_count; zone++)
+    for (int i = 0; i < core->machine_type_count; i++)
+        count += KINDS * core->machine_types[i].listed.zone_count;
+    core->capacity_offers = tw_zalloc((size_t)count * sizeof *core->capacity_offers);
+    core->capacity_offer_count = 0;
+    for (int i = 0; i < core->machine_type_count; i++)
+        for (int zone = 0; zone < core->machine_types[i].listed.zone_count; zone++)
             for (int spot = 0; spot < KINDS; spot++)
-                core->offers[core->noffers++] = (offer){.rack = i, .zone = zone, .loaner = spot};
+                core->capacity_offers[core->capacity_offer_count++] =
+                    (offer){.type_index = i, .zone_index = zone, .spot = spot};
 }
 
 static void take_first(tw_core *core, const tw_wire_machine_type *listed, int count) {
-    core->flavors = tw_zalloc((size_t)count * sizeof *core->flavors);
-    core->nflavors = count;
-    for (int i = 0; i < count; i++) core->flavors[i] = type_of(core, &listed[i]);
+    core->machine_types = tw_zalloc((size_t)count * sizeof *core->machine_types);
+    core->machine_type_count = count;
+    for (int i = 0; i < count; i++) core->machine_types[i] = type_of(core, &listed[i]);
     make_offers(core);
     /* Records read before the types were known. */
     job *job;
-    DL_FOREACH(core->active, job)
-    if (job->has_spec) job->rackmask = tw_rack_mask(core, &job->s);
+    DL_FOREACH(core->active_jobs, job)
+    if (job->has_spec) job->type_mask = tw_rack_mask(core, &job->spec);
     tw_log_info("event=flavors n=%d", count);
 }
 
@@ -48,8 +50,8 @@
     for (int i = 0; i < count; i++) {
         const int type = tw_rack_index(core, listed[i].name);
         if (type < 0) continue;
-        core->flavors[type].f.on_demand_price = listed[i].on_demand_price;
-        core->flavors[type].f.spot_price = listed[i].spot_price;
+        core->machine_types[type].listed.on_demand_price = listed[i].on_demand_price;
+        core->machine_types[type].listed.spot_price = listed[i].spot_price;
     }
 }
 
@@ -61,7 +63,7 @@
         tw_log_error("event=too_many_racks used=%d of=%d", TYPES_MAX, count);
         count = TYPES_MAX;
     }
-    if (core->nflavors)
+    if (core->machine_type_count)
         take_prices(core, listed, count);
     else
         take_first(core, listed, count);
