--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -27,29 +27,31 @@
 /* ---- by the state service, or by the leader ---- */
 
 void tw_job_lookup(tw_core *core, uint64_t conn, const char *id, user_operation op) {
-    if (!tw_take(core, tw_may(core, RIGHT_WRITE) ? &core->reqs : &core->reads, 1)) {
+    if (!tw_take(core,
+                 tw_may(core, RIGHT_WRITE) ? &core->request_limiter : &core->follower_read_limiter,
+                 1)) {
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "busy");
         return;
     }
     char path[JOB_PATH_SIZE];
     snprintf(path, sizeof path, JOB_PATH "%s", id);
-    call *call =
-        tw_call(core, K_LOOKUP, TW_TO_STATE, core->cf->state, "GET", path, NULL, LOOKUP_TIMEOUT_S);
-    call->conn = conn;
-    call->op = op;
-    call->seq = tw_finished_let_go(core->finished);
+    call *call = tw_call(core, K_LOOKUP, TW_TO_STATE, core->config->state, "GET", path, NULL,
+                         LOOKUP_TIMEOUT_S);
+    call->connection = conn;
+    call->operation = op;
+    call->sequence = tw_finished_let_go(core->completed_jobs);
     snprintf(call->name, sizeof call->name, "%s", id);
 }
 
 /* Hands a request to the leader; 0 if there is none to hand it to. */
 static int proxy(tw_core *core, uint64_t conn, user_operation op, const char *method,
                  const char *path, const char *id, char *body, double timeout_s) {
-    peer *p = *core->leader ? tw_peer_of(core, core->leader) : NULL;
-    if (!p || p->ok_at < core->now - 0.5 * core->ttl - LEADER_SILENT_S) return 0;
-    call *call = tw_call(core, K_PROXY, TW_TO_PEER, p->cf.addr, method, path,
+    peer *p = *core->leader_name ? tw_peer_of(core, core->leader_name) : NULL;
+    if (!p || p->answered_at < core->now - 0.5 * core->leader_lease_s - LEADER_SILENT_S) return 0;
+    call *call = tw_call(core, K_PROXY, TW_TO_PEER, p->config.addr, method, path,
                          body ? strdup(body) : NULL, timeout_s);
-    call->conn = conn;
-    call->op = op;
+    call->connection = conn;
+    call->operation = op;
     call->text = body;
     snprintf(call->name, sizeof call->name, "%s", id);
     return 1;
@@ -58,17 +60,17 @@
 /* ---- at the leader ---- */
 
 static void leader_abort(tw_core *core, uint64_t conn, job *job) {
-    if (job->durable_stage != TW_JOB_PENDING) {
+    if (job->durable_state != TW_JOB_PENDING) {
         tw_reply(core, conn, TW_HTTP_OK, 0,
-                 tw_wire_job_status_text(job->id, job->durable_stage, -1, -1));
+                 tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
         return;
     }
-    if (job->stage == TW_JOB_PENDING && !job->aborting) {
-        job->aborting = 1; /* nothing of it is started any more */
+    if (job->state == TW_JOB_PENDING && !job->cancelling) {
+        job->cancelling = 1; /* nothing of it is started any more */
         tw_job_cancelled(core, job);
-        job->abort_seq = ++core->abort_seq;
+        job->cancellation_sequence = ++core->cancellation_sequence;
     }
-    int safe = job->stage == TW_JOB_PENDING ? tw_abort_safe(core, job, 1) : 1;
+    int safe = job->state == TW_JOB_PENDING ? tw_abort_safe(core, job, 1) : 1;
     if (safe < 0) {
         /* It goes on as soon as it can be promised; the user is not kept waiting for that. */
         tw_log_debug("event=cancel_later id=%s", job->id);
@@ -76,7 +78,7 @@
         return;
     }
     tw_job_wait(core, job, conn, 1);
-    if (safe && job->stage == TW_JOB_PENDING) tw_job_finish(core, job, TW_JOB_CANCELLED);
+    if (safe && job->state == TW_JOB_PENDING) tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
 /* Tells what is in memory of the job; 0: nothing is. */
@@ -87,7 +89,7 @@
         leader_abort(core, conn, job);
     else if (job)
         tw_reply(core, conn, TW_HTTP_OK, 0, tw_job_answer(job));
-    else if (!tw_finished_find(core->finished, id, &ending))
+    else if (!tw_finished_find(core->completed_jobs, id, &ending))
         return 0;
     else if (op == OP_ABORT)
         tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_job_status_text(id, ending.stage, -1, -1));
@@ -107,35 +109,36 @@
 /* A new job: it is told to be accepted once its first record is written. */
 static void accept_job(tw_core *core, uint64_t conn, tw_wire_job *spec) {
     turned_away_job *turned_away_job;
-    HASH_FIND_STR(core->turned_away, spec->id, turned_away_job);
+    HASH_FIND_STR(core->rejected_admissions, spec->id, turned_away_job);
     if (turned_away_job) tw_turned_away_drop(core, turned_away_job);
     job *job = tw_job_new(core, spec->id);
     tw_job_spec(core, job, spec);
-    job->st = tw_zalloc((size_t)job->pieces);
-    job->submitted = job->pending_since = core->now;
-    job->submitted_wall = core->wall;
-    DL_APPEND(core->active, job);
-    if (core->fresh && core->opened_at <= 0) core->opened_at = core->now;
-    tw_lane_arrival(core, job->lane, job);
+    job->task_states = tw_zalloc((size_t)job->task_count);
+    job->submitted_at = job->pending_since = core->now;
+    job->submitted_wall_s = core->wall;
+    DL_APPEND(core->active_jobs, job);
+    if (core->began_without_jobs && core->first_admission_at <= 0)
+        core->first_admission_at = core->now;
+    tw_lane_arrival(core, job->job_class, job);
     tw_job_wait(core, job, conn, 0);
     tw_job_changed(core, job, 1);
     tw_log_debug("event=submitted id=%s lane=%s team=%d pieces=%d cores=%g gpus=%g mem=%g", job->id,
-                 job->s.job_class, job->team, job->pieces, job->s.cores, job->s.gpus,
-                 job->s.memory_gb);
+                 job->spec.job_class, job->team, job->task_count, job->spec.cores, job->spec.gpus,
+                 job->spec.memory_gb);
     /* One write holds the acceptance and the first placements. */
-    if (!tw_place_new(core, job)) core->sched_dirty = 1;
+    if (!tw_place_new(core, job)) core->scheduling_due = 1;
 }
 
 static void leader_submit(tw_core *core, uint64_t conn, tw_wire_job *spec) {
     if (answer(core, conn, spec->id, OP_POLL)) return;
     job *job = tw_job_find(core, spec->id);
-    if (job && job->created) {
+    if (job && job->record_exists) {
         tw_job_lookup(core, conn, spec->id, OP_POLL);
         return;
     }
     if (job) {
         tw_job_wait(core, job, conn, 0);
-        if (job->refusals) tw_job_turn_away(core, job);
+        if (job->size_refusals) tw_job_turn_away(core, job);
         return;
     }
     if (!tw_record_writable(core, spec)) {
@@ -155,7 +158,8 @@
 /* Accepts a job without the leader: its key must not exist. The leader learns of it from a second
  * key, a successor from its load. */
 static void create_direct(tw_core *core, uint64_t conn, tw_wire_job *spec) {
-    if (core->now - core->state_ok_at > 2 * core->ttl || !tw_take(core, &core->creates, 2)) {
+    if (core->now - core->store_answered_at > 2 * core->leader_lease_s ||
+        !tw_take(core, &core->follower_create_limiter, 2)) {
         tw_turn_away(core, conn, spec->id, 1, "no leader");
         return;
     }
@@ -176,9 +180,9 @@
     snprintf(news, sizeof news, ACCEPTED_KEY "%s", spec->id);
     tw_wire_compare condition = {key, 0};
     tw_wire_write writes[2] = {{key, text, 0}, {news, "1", 0}};
-    call *call = tw_call(core, K_CREATE, TW_TO_STATE, core->cf->state, "POST", "/txn",
+    call *call = tw_call(core, K_CREATE, TW_TO_STATE, core->config->state, "POST", "/txn",
                          tw_wire_txn_text(&condition, 1, writes, 2), CREATE_TIMEOUT_S);
-    call->conn = conn;
+    call->connection = conn;
     snprintf(call->name, sizeof call->name, "%s", spec->id);
     free(text);
 }
@@ -190,7 +194,7 @@
         tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, why);
         return;
     }
-    if (!core->nflavors) {
+    if (!core->machine_type_count) {
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "machine types not known yet");
     } else if (tw_job_hopeless(core, &spec)) {
         /* A job accepted once must not be refused later: only proof that it is new allows 422. */
@@ -263,7 +267,7 @@
     if (job)
         tw_job_record_read(core, job, entry);
     else if (!tw_job_known(core, call->name) && call->term == core->term &&
-             call->seq == tw_finished_let_go(core->finished))
+             call->sequence == tw_finished_let_go(core->completed_jobs))
         adopt(core, call->name, entry);
 }
 
@@ -271,41 +275,42 @@
 static void answer_by_record(tw_core *core, const call *call, const tw_wire_entry *entry) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, call->name, entry->value, strlen(entry->value))) {
-        tw_reply_error(core, call->conn, TW_HTTP_UNAVAILABLE, 1, "record can't be read");
+        tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1, "record can't be read");
         return;
     }
     int over = record.state != TW_JOB_PENDING;
     const int live = *record.chunk_set ? record.running_count : record.assignment_count;
     int stage = over ? record.state : live ? TW_JOB_RUNNING : TW_JOB_PENDING;
-    if (call->op == OP_ABORT && !over)
-        tw_reply_error(core, call->conn, TW_HTTP_UNAVAILABLE, 1, "no leader");
-    else if (call->op == OP_ABORT)
-        tw_reply(core, call->conn, TW_HTTP_OK, 0,
+    if (call->operation == OP_ABORT && !over)
+        tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
+    else if (call->operation == OP_ABORT)
+        tw_reply(core, call->connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(call->name, stage, -1, -1));
     else
-        tw_reply(core, call->conn, TW_HTTP_OK, 0,
+        tw_reply(core, call->connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(call->name, stage, record.done_count, over ? 0 : live));
     tw_wire_record_free(&record);
 }
 
 static void lookup_done(tw_core *core, call *call, int status, const char *body, size_t length) {
-    if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND) core->state_ok_at = core->now;
+    if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND) core->store_answered_at = core->now;
     if (status == TW_HTTP_NOT_FOUND) {
-        if (call->op == OP_REFUSE)
-            tw_reply_error(core, call->conn, TW_HTTP_IMPOSSIBLE, 0, "can never run");
+        if (call->operation == OP_REFUSE)
+            tw_reply_error(core, call->connection, TW_HTTP_IMPOSSIBLE, 0, "can never run");
         else
-            tw_reply_error(core, call->conn, TW_HTTP_NOT_FOUND, 0, "no such job");
+            tw_reply_error(core, call->connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
     tw_wire_entry entry;
     if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, length)) {
-        tw_reply_error(core, call->conn, TW_HTTP_UNAVAILABLE, 1, "state service does not answer");
+        tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1,
+                       "state service does not answer");
         return;
     }
     int known = 0;
     if (leads(core)) {
         note_record(core, call, &entry);
-        known = tell(core, call->conn, call->name, call->op);
+        known = tell(core, call->connection, call->name, call->operation);
     }
     if (!known) answer_by_record(core, call, &entry);
     free(entry.value);
@@ -315,36 +320,36 @@
     if (status >= TW_HTTP_OK && status != TW_HTTP_UNAVAILABLE) {
         char *copy = tw_zalloc(length + 1);
         memcpy(copy, body, length);
-        tw_reply(core, call->conn, status, 0, copy);
+        tw_reply(core, call->connection, status, 0, copy);
         return;
     }
-    if (!call->conn) return;
-    if (call->op == OP_POLL || (call->op == OP_ABORT && status == 0)) {
-        tw_job_lookup(core, call->conn, call->name, call->op);
+    if (!call->connection) return;
+    if (call->operation == OP_POLL || (call->operation == OP_ABORT && status == 0)) {
+        tw_job_lookup(core, call->connection, call->name, call->operation);
         return;
     }
     /* A submission may go straight to the state service, even if the leader's write of it still
      * comes: the key's absence decides. */
     tw_wire_job spec;
     const char *why;
-    if (call->op == OP_SUBMIT && status == 0 && call->text &&
+    if (call->operation == OP_SUBMIT && status == 0 && call->text &&
         !tw_wire_job_parse(&spec, call->text, strlen(call->text), &why)) {
-        create_direct(core, call->conn, &spec);
+        create_direct(core, call->connection, &spec);
         tw_wire_job_free(&spec);
         return;
     }
-    tw_turn_away(core, call->conn, call->name, 1, "leader does not answer");
+    tw_turn_away(core, call->connection, call->name, 1, "leader does not answer");
 }
 
 static void create_done(tw_core *core, call *call, int status) {
     if (status == TW_HTTP_OK) {
-        core->state_ok_at = core->now;
-        tw_reply(core, call->conn, TW_HTTP_CREATED, 0,
+        core->store_answered_at = core->now;
+        tw_reply(core, call->connection, TW_HTTP_CREATED, 0,
                  tw_wire_job_status_text(call->name, TW_JOB_PENDING, -1, -1));
     } else if (status == TW_HTTP_CONFLICT) {
-        tw_job_lookup(core, call->conn, call->name, OP_POLL);
+        tw_job_lookup(core, call->connection, call->name, OP_POLL);
     } else {
-        tw_turn_away(core, call->conn, call->name, 1, "state service does not answer");
+        tw_turn_away(core, call->connection, call->name, 1, "state service does not answer");
     }
 }
 
