--- a/bench/bench.h
+++ b/bench/bench.h
@@ -27,7 +27,7 @@
 typedef struct {
     unsigned kinds; /* of tw_bench_kind */
     uint64_t inputs;
-    uint64_t steps; /* tw_core_steps */
+    uint64_t steps; /* tw_core_pass_steps */
     uint64_t allocations;
     uint64_t instructions; /* only where the machine has hardware counters */
     double seconds;        /* processor time */
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -84,11 +84,11 @@
 /* ---- what goes in ---- */
 
 /* Gives the core an input; its effects, in their order. */
-static tw_fx *give(tw_bench_fleet *fleet, const input *in) {
+static tw_effect *give(tw_bench_fleet *fleet, const input *in) {
     const double wall = WALL_START + fleet->now;
     const size_t length = in->body ? strlen(in->body) : 0;
-    tw_fx *effects = NULL;
-    tw_fx **end = &effects;
+    tw_effect *effects = NULL;
+    tw_effect **end = &effects;
     if (in->kind == TW_BENCH_TICK)
         tw_core_tick(fleet->core, fleet->now, wall);
     else if (in->kind & (TW_BENCH_ANSWER | TW_BENCH_RECORDS))
@@ -96,24 +96,24 @@
     else
         tw_core_request(fleet->core, fleet->now, wall, in->port, in->id, in->method, in->path,
                         in->body, length);
-    while ((*end = tw_core_next(fleet->core))) end = &(*end)->next;
+    while ((*end = tw_core_next_effect(fleet->core))) end = &(*end)->next;
     return effects;
 }
 
 /* The measured part, which bench/instructions knows by its name. */
-tw_fx *tw_bench_measured(tw_bench_fleet *fleet, const input *in);
-__attribute__((noinline)) tw_fx *tw_bench_measured(tw_bench_fleet *fleet, const input *in) {
+tw_effect *tw_bench_measured(tw_bench_fleet *fleet, const input *in);
+__attribute__((noinline)) tw_effect *tw_bench_measured(tw_bench_fleet *fleet, const input *in) {
     return give(fleet, in);
 }
 
-static tw_fx *give_measured(tw_bench_fleet *fleet, const input *in) {
+static tw_effect *give_measured(tw_bench_fleet *fleet, const input *in) {
     tw_bench_meter *meter = fleet->meter;
-    const uint64_t steps = tw_core_steps(fleet->core);
+    const uint64_t steps = tw_core_pass_steps(fleet->core);
     const tw_bench_counters before = tw_bench_counters_now();
-    tw_fx *effects = tw_bench_measured(fleet, in);
+    tw_effect *effects = tw_bench_measured(fleet, in);
     const tw_bench_counters after = tw_bench_counters_now();
     meter->inputs++;
-    meter->steps += tw_core_steps(fleet->core) - steps;
+    meter->steps += tw_core_pass_steps(fleet->core) - steps;
     meter->allocations += after.allocations - before.allocations;
     meter->instructions += after.instructions - before.instructions;
     meter->seconds += after.seconds - before.seconds;
@@ -122,7 +122,7 @@
 
 /* ---- what comes out ---- */
 
-static void submission_answered(tw_bench_fleet *fleet, const tw_fx *reply) {
+static void submission_answered(tw_bench_fleet *fleet, const tw_effect *reply) {
     tw_bench_submission *waits;
     HASH_FIND(hh, fleet->submissions, &reply->id, sizeof reply->id, waits);
     if (!waits) return;
@@ -135,8 +135,8 @@
     waits->again_at = fleet->now + (reply->retry_after > 0 ? reply->retry_after : WORST_S);
 }
 
-static void take(tw_bench_fleet *fleet, const tw_fx *effect) {
-    if (effect->kind == TW_FX_CALL) {
+static void take(tw_bench_fleet *fleet, const tw_effect *effect) {
+    if (effect->kind == TW_EFFECT_CALL) {
         tw_bench_pending *answer = tw_bench_alloc(sizeof *answer);
         answer->call = effect->id;
         tw_bench_serve(fleet, effect, answer);
@@ -151,11 +151,11 @@
 
 static void play_input(tw_bench_fleet *fleet, const input *in) {
     const int measured = fleet->meter && (fleet->meter->kinds & in->kind);
-    tw_fx *effects = measured ? give_measured(fleet, in) : give(fleet, in);
+    tw_effect *effects = measured ? give_measured(fleet, in) : give(fleet, in);
     while (effects) {
-        tw_fx *next = effects->next;
+        tw_effect *next = effects->next;
         take(fleet, effects);
-        tw_core_fx_free(effects);
+        tw_core_effect_free(effects);
         effects = next;
     }
 }
--- a/bench/fleet_int.h
+++ b/bench/fleet_int.h
@@ -93,7 +93,7 @@
 /* ---- services.c: what the node's calls are answered ---- */
 
 /* Fills status, body and the time of the answer. */
-void tw_bench_serve(tw_bench_fleet *fleet, const tw_fx *call, tw_bench_pending *answer);
+void tw_bench_serve(tw_bench_fleet *fleet, const tw_effect *call, tw_bench_pending *answer);
 /* What another node says of itself. Free the text. */
 char *tw_bench_peer_text(const tw_bench_fleet *fleet, const char *name);
 
--- a/bench/services.c
+++ b/bench/services.c
@@ -61,7 +61,7 @@
     answer_with(answer, TW_BENCH_OK, revision_text(fleet->revision));
 }
 
-static void serve_state(tw_bench_fleet *fleet, const tw_fx *call, tw_bench_pending *answer) {
+static void serve_state(tw_bench_fleet *fleet, const tw_effect *call, tw_bench_pending *answer) {
     char text[TEXT];
     if (!strncmp(call->path, "/kv?", strlen("/kv?"))) {
         serve_keys(fleet, call->path, answer);
@@ -113,7 +113,7 @@
     return text;
 }
 
-static void serve_cloud(tw_bench_fleet *fleet, const tw_fx *call, tw_bench_pending *answer) {
+static void serve_cloud(tw_bench_fleet *fleet, const tw_effect *call, tw_bench_pending *answer) {
     if (!strcmp(call->path, "/flavors")) {
         answer_with(answer, TW_BENCH_OK, machine_types());
     } else if (!strcmp(call->method, "GET")) {
@@ -145,7 +145,8 @@
     return "";
 }
 
-static void serve_peer(const tw_bench_fleet *fleet, const tw_fx *call, tw_bench_pending *answer) {
+static void serve_peer(const tw_bench_fleet *fleet, const tw_effect *call,
+                       tw_bench_pending *answer) {
     if (!strcmp(call->path, "/peer/ping"))
         answer_with(answer, TW_BENCH_OK, tw_bench_peer_text(fleet, peer_at(fleet, call->addr)));
     else if (!strcmp(call->path, "/peer/hello"))
@@ -154,7 +155,7 @@
         answer_with(answer, TW_BENCH_UNAVAILABLE, copy_of("{}"));
 }
 
-static void serve_worker(tw_bench_fleet *fleet, const tw_fx *call, tw_bench_pending *answer) {
+static void serve_worker(tw_bench_fleet *fleet, const tw_effect *call, tw_bench_pending *answer) {
     int machine = (int)strtol(call->addr + strlen("n-"), NULL, DECIMAL) - 1;
     if (machine < 0 || machine >= fleet->load.machines) {
         answer_with(answer, TW_BENCH_UNKNOWN, copy_of("{}"));
@@ -164,7 +165,7 @@
     answer_with(answer, TW_BENCH_OK, tw_bench_worker_report(fleet, machine));
 }
 
-void tw_bench_serve(tw_bench_fleet *fleet, const tw_fx *call, tw_bench_pending *answer) {
+void tw_bench_serve(tw_bench_fleet *fleet, const tw_effect *call, tw_bench_pending *answer) {
     answer->at = fleet->now + ANSWER_S;
     answer->kind = TW_BENCH_ANSWER;
     switch (call->to) {
--- a/sim/controller.c
+++ b/sim/controller.c
@@ -16,7 +16,7 @@
 
 /* A broken invariant is a fault of the core, whether or not a rule breaks by it. */
 static void check(tw_sim_controller *controller) {
-    if (tw_core_broken(core_of(controller)))
+    if (tw_core_broken_invariants(core_of(controller)))
         controller->failure = "an invariant was broken, see event=invariant_broken";
 }
 
@@ -39,10 +39,12 @@
     check(controller);
 }
 
-static tw_fx *next(tw_sim_controller *controller) { return tw_core_next(core_of(controller)); }
+static tw_effect *next(tw_sim_controller *controller) {
+    return tw_core_next_effect(core_of(controller));
+}
 
 static uint64_t steps(const tw_sim_controller *controller) {
-    return tw_core_steps(core_of(controller));
+    return tw_core_pass_steps(core_of(controller));
 }
 
 static double tick_s(const tw_sim_controller *controller) {
--- a/sim/controller.h
+++ b/sim/controller.h
@@ -17,8 +17,8 @@
     void (*response)(tw_sim_controller *controller, tw_sim_clock clock, uint64_t call, int status,
                      const char *body);
     void (*tick)(tw_sim_controller *controller, tw_sim_clock clock);
-    /* The next effect, or NULL; the caller frees it with tw_core_fx_free. */
-    tw_fx *(*next)(tw_sim_controller *controller);
+    /* The next effect, or NULL; the caller frees it with tw_core_effect_free. */
+    tw_effect *(*next)(tw_sim_controller *controller);
     uint64_t (*steps)(const tw_sim_controller *controller);
     double (*tick_s)(const tw_sim_controller *controller);
     void (*free)(tw_sim_controller *controller);
--- a/sim/controller_remote.c
+++ b/sim/controller_remote.c
@@ -25,10 +25,10 @@
 typedef struct {
     tw_sim_controller base;
     pid_t process;
-    int to;       /* socket to the process */
-    FILE *from;   /* the same for reading */
-    tw_fx *first; /* effects that nobody has taken yet */
-    tw_fx **last;
+    int to;           /* socket to the process */
+    FILE *from;       /* the same for reading */
+    tw_effect *first; /* effects that nobody has taken yet */
+    tw_effect **last;
     uint64_t steps;
     double tick_s;
 } remote_controller;
@@ -65,9 +65,9 @@
 static void end(tw_sim_controller *controller) {
     remote_controller *remote = (remote_controller *)controller;
     while (remote->first) {
-        tw_fx *effect = remote->first;
+        tw_effect *effect = remote->first;
         remote->first = effect->next;
-        tw_core_fx_free(effect);
+        tw_core_effect_free(effect);
     }
     fclose(remote->from);
     if (controller->failure) kill(remote->process, SIGKILL);
@@ -120,7 +120,7 @@
 }
 
 static void read_effect(remote_controller *remote, tw_sim_reader reader) {
-    tw_fx *effect = tw_sim_zeroed(sizeof *effect);
+    tw_effect *effect = tw_sim_zeroed(sizeof *effect);
     char method[TW_SIM_NAME];
     effect->kind = (int)tw_sim_read_int(&reader);
     effect->id = tw_sim_read_count(&reader);
@@ -197,9 +197,9 @@
 
 /* ---- what it says ---- */
 
-static tw_fx *next(tw_sim_controller *controller) {
+static tw_effect *next(tw_sim_controller *controller) {
     remote_controller *remote = (remote_controller *)controller;
-    tw_fx *effect = remote->first;
+    tw_effect *effect = remote->first;
     if (!effect) return NULL;
     remote->first = effect->next;
     if (!remote->first) remote->last = &remote->first;
--- a/sim/network.c
+++ b/sim/network.c
@@ -132,7 +132,7 @@
 /* ---- departures ---- */
 
 static tw_sim_event *carry(tw_sim *sim, double seconds, void (*act)(tw_sim *, tw_sim_event *),
-                           int node, tw_fx *f) {
+                           int node, tw_effect *f) {
     tw_sim_event *e = tw_sim_after(sim, seconds, act);
     e->node = node;
     e->generation = sim->nodes[node].generation;
@@ -170,7 +170,7 @@
     return tw_sim_strikes(sim, &t->lost_writes, TW_SIM_LOST_WRITES, TW_SIM_DRAW_WRITES);
 }
 
-static void call_state(tw_sim *sim, int node, tw_fx *f) {
+static void call_state(tw_sim *sim, int node, tw_effect *f) {
     const tw_sim_node *n = &sim->nodes[node];
     double now = sim->world.now;
     int status = 0;
@@ -201,7 +201,7 @@
     carry(sim, latency, watches ? follow_arrives : state_arrives, node, f)->time = until;
 }
 
-static void call_peer(tw_sim *sim, int node, tw_fx *f) {
+static void call_peer(tw_sim *sim, int node, tw_effect *f) {
     const tw_sim_world *w = &sim->world;
     int to = tw_sim_int(f->addr + strlen("10.0.0.")) - 1;
     if (w->now < sim->trouble.refuse_peers_until) {
@@ -215,7 +215,7 @@
 }
 
 /* Whether a direct command is held up: nobody waits for it any more when it is carried out. */
-static int command_late(tw_sim *sim, int machine, const tw_fx *f, double *seconds) {
+static int command_late(tw_sim *sim, int machine, const tw_effect *f, double *seconds) {
     tw_sim_troubles *t = &sim->trouble;
     if (t->late_commands_to == machine) {
         *seconds = t->late_commands_s;
@@ -231,7 +231,7 @@
 }
 
 /* A direct command that is carried out comes once more later; nobody waits for that answer. */
-static void repeat_command(tw_sim *sim, int node, int machine, const tw_fx *f) {
+static void repeat_command(tw_sim *sim, int node, int machine, const tw_effect *f) {
     const tw_sim_troubles *t = &sim->trouble;
     if (strcmp(f->path, "/orders") != 0 ||
         !tw_sim_strikes(sim, &t->repeated_commands, TW_SIM_REPEATED_COMMANDS, TW_SIM_DRAW_REPEATS))
@@ -247,7 +247,7 @@
     e->body = tw_sim_text(f->body ? f->body : "");
 }
 
-static void call_worker(tw_sim *sim, int node, tw_fx *f) {
+static void call_worker(tw_sim *sim, int node, tw_effect *f) {
     const tw_sim_world *w = &sim->world;
     int to = tw_sim_int(f->addr + strlen("10.1.0.")) - 1;
     if (to < 0 || to >= w->nworkers) return;
@@ -262,7 +262,7 @@
     if (late) e->id = 0;
 }
 
-void tw_sim_call(tw_sim *sim, int node, tw_fx *f) {
+void tw_sim_call(tw_sim *sim, int node, tw_effect *f) {
     tw_sim_respond(sim, node, sim->nodes[node].generation, f->id, 0, NULL, f->timeout_s);
     int leaves_region = f->to == TW_TO_STATE || f->to == TW_TO_CLOUD;
     if (leaves_region && tw_sim_cut_off(sim, sim->world.node_zone[node])) return;
--- a/sim/node.c
+++ b/sim/node.c
@@ -28,7 +28,7 @@
 
 /* ---- what a node does ---- */
 
-static void answer(tw_sim *sim, int node, tw_fx *f) {
+static void answer(tw_sim *sim, int node, tw_effect *f) {
     tw_sim_conn *c;
     HASH_FIND(hh, sim->conns, &f->id, sizeof f->id, c);
     if (!c || c->replied) return;
@@ -70,21 +70,21 @@
 }
 
 /* An effect leaves the node. Takes it. */
-static void send(tw_sim *sim, int node, tw_fx *f) {
-    if (f->kind == TW_FX_REPLY)
+static void send(tw_sim *sim, int node, tw_effect *f) {
+    if (f->kind == TW_EFFECT_REPLY)
         answer(sim, node, f);
     else
         tw_sim_call(sim, node, f);
-    tw_core_fx_free(f);
+    tw_core_effect_free(f);
 }
 
 static void send_unsent(tw_sim *sim, tw_sim_event *e) {
     tw_sim_node *n = &sim->nodes[e->node];
     if (is_over(sim, e->node, e->generation) || sim->world.now < n->sends_late_until) return;
-    tw_fx *unsent = n->unsent;
+    tw_effect *unsent = n->unsent;
     n->unsent = NULL;
     while (unsent) {
-        tw_fx *f = unsent;
+        tw_effect *f = unsent;
         unsent = f->next;
         send(sim, e->node, f);
     }
@@ -97,7 +97,7 @@
     sim->strokes[TW_SIM_LATE_SENDS]++;
 }
 
-static void keep_unsent(tw_sim_node *n, tw_fx *f) {
+static void keep_unsent(tw_sim_node *n, tw_effect *f) {
     if (!n->unsent) n->last_unsent = &n->unsent;
     f->next = NULL;
     *n->last_unsent = f;
@@ -106,7 +106,7 @@
 
 static void drain(tw_sim *sim, int node) {
     tw_sim_controller *controller = sim->nodes[node].controller;
-    tw_fx *f;
+    tw_effect *f;
     while ((f = controller->methods->next(controller))) {
         if (sim->world.now < sim->nodes[node].old_format_until) in_old_format(f->body);
         if (sim->world.now < sim->nodes[node].sends_late_until)
@@ -251,9 +251,9 @@
     n->alive = 0;
     n->still_until = n->sends_late_until = 0;
     while (n->unsent) {
-        tw_fx *f = n->unsent;
+        tw_effect *f = n->unsent;
         n->unsent = f->next;
-        tw_core_fx_free(f);
+        tw_core_effect_free(f);
     }
     tw_sim_conn *c, *next;
     HASH_ITER(hh, sim->conns, c, next) {
--- a/sim/report.c
+++ b/sim/report.c
@@ -41,7 +41,7 @@
     tw_sim_worker_answer(&sim->world, x, e->time, e->session, e->status, e->body);
 }
 
-void tw_sim_report_answered(tw_sim *sim, const tw_sim_conn *c, const tw_fx *f) {
+void tw_sim_report_answered(tw_sim *sim, const tw_sim_conn *c, const tw_effect *f) {
     const tw_sim_worker *x = sim->world.workers[c->target];
     double seconds = tw_sim_travel(sim, sim->world.node_zone[c->node], x->zone);
     if (seconds < 0 || sim->world.now < x->deaf_until ||
--- a/sim/sim_int.h
+++ b/sim/sim_int.h
@@ -41,7 +41,7 @@
     int cut_state_refuses;          /* connections are refused; otherwise they hang */
     double still_from, still_until; /* stands still while its clocks run on */
     double sends_late_until;        /* what it decides leaves only then, while its clocks run on */
-    tw_fx *unsent, **last_unsent;
+    tw_effect *unsent, **last_unsent;
 } tw_sim_node;
 
 enum { TW_SIM_CONN_REPORT, TW_SIM_CONN_USER, TW_SIM_CONN_PEER, TW_SIM_CONN_RAW };
@@ -169,7 +169,7 @@
 /* How long a message between zones takes; < 0: it never arrives. */
 double tw_sim_travel(const tw_sim *sim, const char *from, const char *to);
 /* A node's call goes out; its answer comes to tw_sim_node_response. */
-void tw_sim_call(tw_sim *sim, int node, tw_fx *f);
+void tw_sim_call(tw_sim *sim, int node, tw_effect *f);
 /* An answer to a node's call comes after that time. Takes the body. Later answers to a call are
  * ignored by the core, so that a timeout may simply follow. */
 void tw_sim_respond(tw_sim *sim, int node, int generation, uint64_t call, int status, char *body,
@@ -198,7 +198,7 @@
 /* ---- report.c: workers and their reports ---- */
 /* All machines, twenty times a second. */
 void tw_sim_workers_start(tw_sim *sim);
-void tw_sim_report_answered(tw_sim *sim, const tw_sim_conn *c, const tw_fx *f);
+void tw_sim_report_answered(tw_sim *sim, const tw_sim_conn *c, const tw_effect *f);
 
 /* A new leader has begun, or not: reports that were kept for it arrive. */
 void tw_sim_reports_kept(tw_sim *sim);
@@ -212,7 +212,7 @@
 void tw_sim_user_odd(tw_sim *sim, const char *id, int kind, char *body, int wanted);
 /* A submission with other fields than the job's. */
 void tw_sim_user_submit_as(tw_sim *sim, int job, const tw_wire_job *spec);
-void tw_sim_user_answered(tw_sim *sim, tw_sim_conn *c, tw_fx *f);
+void tw_sim_user_answered(tw_sim *sim, tw_sim_conn *c, tw_effect *f);
 /* The node that had the request ended. */
 void tw_sim_user_unanswered(tw_sim *sim, tw_sim_conn *c);
 char *tw_sim_job_text(const tw_wire_job *spec);
--- a/sim/user.c
+++ b/sim/user.c
@@ -115,7 +115,7 @@
     if (c) told(sim, c, e->status, e->body ? e->body : "");
 }
 
-void tw_sim_user_answered(tw_sim *sim, tw_sim_conn *c, tw_fx *f) {
+void tw_sim_user_answered(tw_sim *sim, tw_sim_conn *c, tw_effect *f) {
     c->replied = 1;
     if (tw_sim_cut_off(sim, sim->world.node_zone[c->node])) return;
     tw_sim_event *e = tw_sim_after(sim, travel(sim), answer_arrives);
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -121,8 +121,8 @@
 
 static double wall(void) { return seconds_of(CLOCK_REALTIME); }
 
-static void carry_out(app *process, const tw_fx *effect) {
-    if (effect->kind == TW_FX_REPLY)
+static void carry_out(app *process, const tw_effect *effect) {
+    if (effect->kind == TW_EFFECT_REPLY)
         tw_net_reply(process->net, effect->id, effect->status, effect->retry_after,
                      effect->body ? effect->body : "", effect->body ? strlen(effect->body) : 0);
     else
@@ -133,12 +133,12 @@
 /* Carries out the core's effects. A call may fail at once, and its response bring us here again:
  * what that adds is carried out by the outer round. */
 static void drain(app *process) {
-    tw_fx *effect;
+    tw_effect *effect;
     if (process->draining) return;
     process->draining = 1;
-    while ((effect = tw_core_next(process->core))) {
+    while ((effect = tw_core_next_effect(process->core))) {
         carry_out(process, effect);
-        tw_core_fx_free(effect);
+        tw_core_effect_free(effect);
     }
     process->draining = 0;
 }
--- a/src/core/accepted_elsewhere.c
+++ b/src/core/accepted_elsewhere.c
@@ -13,47 +13,48 @@
 
 /* Reads a job that another node accepted; once it is known, its key has done its service. An answer
  * may be lost or refused: it stays among the untaken until the key was asked to be removed. */
-static void take_over(tw_core *core, expiring *untaken) {
-    char key[TW_NAME_SIZE + sizeof ACCEPTED_KEY];
-    if (!tw_job_known(core, untaken->name)) {
+static void take_over(tw_core *core, tw_expiring_name *untaken) {
+    char key[TW_NAME_SIZE + sizeof TW_PEER_ADMISSION_KEY];
+    if (!tw_job_is_known(core, untaken->name)) {
         if (core->now < untaken->at) return;
         untaken->at = core->now + LEARN_S;
-        tw_job_lookup(core, 0, untaken->name, OP_POLL);
+        tw_job_look_up(core, 0, untaken->name, TW_OPERATION_QUERY);
         return;
     }
-    if (!tw_take(core, &core->write_limiter, 1)) return;
-    snprintf(key, sizeof key, ACCEPTED_KEY "%s", untaken->name);
+    if (!tw_rate_limiter_try_acquire(core, &core->write_limiter, 1)) return;
+    snprintf(key, sizeof key, TW_PEER_ADMISSION_KEY "%s", untaken->name);
     tw_wire_compare condition = {TW_LEADER_KEY, core->fencing_token};
     tw_wire_write removal = {key, NULL, 0};
-    tw_call(core, K_ACCEPTED_REMOVE, TW_TO_STATE, core->config->state, "POST", "/txn",
-            tw_wire_txn_text(&condition, 1, &removal, 1), 1);
+    tw_call_send(core, TW_CALL_REMOVE_PEER_ADMISSION, TW_TO_STATE, core->config->state, "POST",
+                 "/txn", tw_wire_txn_text(&condition, 1, &removal, 1), 1);
     HASH_DEL(core->untaken_admissions, untaken);
     free(untaken);
 }
 
 static void learn(tw_core *core, const char *key) {
-    const char *id = key + sizeof ACCEPTED_KEY - 1;
-    if (strncmp(key, ACCEPTED_KEY, sizeof ACCEPTED_KEY - 1) != 0 || !tw_wire_id_ok(id, strlen(id)))
+    const char *id = key + sizeof TW_PEER_ADMISSION_KEY - 1;
+    if (strncmp(key, TW_PEER_ADMISSION_KEY, sizeof TW_PEER_ADMISSION_KEY - 1) != 0 ||
+        !tw_wire_id_ok(id, strlen(id)))
         return;
-    expiring *untaken;
+    tw_expiring_name *untaken;
     HASH_FIND_STR(core->untaken_admissions, id, untaken);
     if (!untaken) {
-        untaken = tw_zalloc(sizeof *untaken);
+        untaken = tw_alloc(sizeof *untaken);
         snprintf(untaken->name, sizeof untaken->name, "%s", id);
         HASH_ADD_STR(core->untaken_admissions, name, untaken);
     }
     take_over(core, untaken);
 }
 
-void tw_accepted_elsewhere_response(tw_core *core, call *call, int status, const char *body,
-                                    size_t length) {
+void tw_peer_admissions_response(tw_core *core, tw_call *call, int status, const char *body,
+                                 size_t length) {
     tw_wire_entry *entries;
     int count;
     int more;
     uint64_t revision;
-    if (call->kind == K_ACCEPTED_REMOVE) return;
+    if (call->kind == TW_CALL_REMOVE_PEER_ADMISSION) return;
     core->admission_watch_in_flight = 0;
-    int list = call->kind == K_ACCEPTED_LIST;
+    int list = call->kind == TW_CALL_LIST_PEER_ADMISSIONS;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, length) ||
         (list ? tw_wire_entries_parse(&entries, &count, &more, body, length)
               : tw_wire_watch_keys_parse(&entries, &count, body, length))) {
@@ -66,23 +67,23 @@
     tw_wire_entries_free(entries, count);
 }
 
-void tw_accepted_elsewhere_tick(tw_core *core) {
-    expiring *untaken;
-    expiring *next;
+void tw_peer_admissions_tick(tw_core *core) {
+    tw_expiring_name *untaken;
+    tw_expiring_name *next;
     HASH_ITER(hh, core->untaken_admissions, untaken, next) take_over(core, untaken);
     if (core->admission_watch_in_flight || core->now < core->next_admission_watch_at ||
-        !tw_take(core, &core->request_limiter, 1))
+        !tw_rate_limiter_try_acquire(core, &core->request_limiter, 1))
         return;
     core->admission_watch_in_flight = 1;
     if (!core->admission_watch_revision) {
-        tw_call(core, K_ACCEPTED_LIST, TW_TO_STATE, core->config->state, "GET",
-                "/kv?starts=" ACCEPTED_KEY "&most=100", NULL, 2);
+        tw_call_send(core, TW_CALL_LIST_PEER_ADMISSIONS, TW_TO_STATE, core->config->state, "GET",
+                     "/kv?starts=" TW_PEER_ADMISSION_KEY "&most=100", NULL, 2);
         return;
     }
     char path[PATH_SIZE];
     double hold_s = WATCH_LEASES * core->config->lease_s;
-    snprintf(path, sizeof path, "/follow?starts=" ACCEPTED_KEY "&since=%llu&holdMs=%d",
+    snprintf(path, sizeof path, "/follow?starts=" TW_PEER_ADMISSION_KEY "&since=%llu&holdMs=%d",
              (unsigned long long)core->admission_watch_revision, (int)(hold_s * 1000));
-    tw_call(core, K_ACCEPTED, TW_TO_STATE, core->config->state, "GET", path, NULL,
-            hold_s + WATCH_SLACK_S);
+    tw_call_send(core, TW_CALL_WATCH_PEER_ADMISSIONS, TW_TO_STATE, core->config->state, "GET", path,
+                 NULL, hold_s + WATCH_SLACK_S);
 }
--- a/src/core/attempt_end.c
+++ b/src/core/attempt_end.c
@@ -8,56 +8,56 @@
 #define REPEATED_LEASES 12
 #define REPEATED_DONE_LEASES 2
 
-static const char *const names[END_GROUNDS] = {
-    [END_EXITED] = "exited",
-    [END_ABSENT] = "absent",
-    [END_NOT_TAKEN] = "not_taken",
-    [END_SESSION] = "session",
-    [END_LAPSED] = "lapsed",
-    [END_RETURNED] = "returned",
-    [END_GANG_DONE] = "gang_done",
-    [END_NOT_LAUNCHED] = "not_launched",
-    [END_NOT_RECORDED] = "not_recorded",
-    [END_TAKEN_BACK] = "taken_back",
-    [END_TERM] = "term",
+static const char *const names[TW_EVIDENCE_KINDS] = {
+    [TW_EVIDENCE_EXITED] = "exited",
+    [TW_EVIDENCE_ABSENT] = "absent",
+    [TW_EVIDENCE_LAUNCH_LOST] = "not_taken",
+    [TW_EVIDENCE_NEW_INCARNATION] = "session",
+    [TW_EVIDENCE_LEASE_EXPIRED] = "lapsed",
+    [TW_EVIDENCE_MACHINE_RETURNED] = "returned",
+    [TW_EVIDENCE_GANG_DONE] = "gang_done",
+    [TW_EVIDENCE_NOT_LAUNCHED] = "not_launched",
+    [TW_EVIDENCE_NOT_RECORDED] = "not_recorded",
+    [TW_EVIDENCE_PLACEMENT_UNDONE] = "taken_back",
+    [TW_EVIDENCE_TERM_ENDED] = "term",
 };
 
-const char *tw_end_ground_name(end_ground ground) { return names[ground]; }
+const char *tw_termination_evidence_name(tw_termination_evidence ground) { return names[ground]; }
 
 /* ---- the decision ---- */
 
 /* A report without it. What is known to have been on the machine (reported, or written by a
  * predecessor) is gone if nothing on the way could still start it: the machine refuses older
  * tokens, and no direct launch of ours is under way. */
-static int is_absent(const placement *placed) {
+static int is_absent(const tw_placement *placed) {
     const int was_there = placed->inherited || placed->reported;
     return was_there && placed->machine->confirmed && !placed->direct_launches;
 }
 
 /* The answer that held the launch was lost, and is not executed late. Only the next report proper
  * tells: an answer to direct orders may have overtaken the answer that holds the launch. */
-int tw_launch_not_taken(const placement *placed, const tw_wire_heartbeat *report,
-                        int answers_order) {
+int tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *report,
+                       int answers_order) {
     const int was_there = placed->inherited || placed->reported;
     return !was_there && !answers_order && !placed->direct_launches &&
            placed->launch_sequence < report->sequence;
 }
 
-void tw_launch_answered(placement *placed, int refused) {
+void tw_launch_answered(tw_placement *placed, int refused) {
     if (placed->direct_launches) placed->direct_launches--;
     /* Neither this launch nor another one is under way. */
     if (refused && !placed->reported && !placed->launch_sequence && !placed->direct_launches)
         placed->launch_sent = 0;
 }
 
-int tw_launch_may_repeat(const tw_core *core, const placement *placed) {
+int tw_launch_may_repeat(const tw_core *core, const tw_placement *placed) {
     if (placed->direct_launch_at <= 0) return 0;
     const int is_done = placed->state == TW_TASK_EXITED && placed->cause == TW_CAUSE_DONE;
     const double kept = is_done ? REPEATED_DONE_LEASES : REPEATED_LEASES;
     return core->now < placed->direct_launch_at + kept * core->config->lease_s;
 }
 
-int tw_attempt_launched(const placement *placed) {
+int tw_attempt_was_launched(const tw_placement *placed) {
     return placed->launch_sent || placed->direct_launches || placed->inherited;
 }
 
@@ -65,59 +65,63 @@
  * which one a predecessor launched is not known: it may be the reported one, after this report or
  * by a message still on its way, unless the machine refused the predecessor in an earlier session
  * already. (`confirmed` is as of before this report; one that confirms ends it as absent.) */
-static int is_of_earlier_session(const placement *placed, const tw_wire_heartbeat *report) {
+static int is_of_earlier_session(const tw_placement *placed, const tw_wire_heartbeat *report) {
     if (placed->inherited) return placed->machine->confirmed;
     return placed->launch_sent && placed->launch_incarnation < report->incarnation;
 }
 
 /* Whether the attempt can't run any more, nor be started by what is still on its way. */
-static int holds(const tw_core *core, const placement *placed, const attempt_end *end) {
-    const machine *machine = placed->machine;
+static int holds(const tw_core *core, const tw_placement *placed,
+                 const tw_attempt_termination *end) {
+    const tw_machine *machine = placed->machine;
     switch (end->evidence) {
-    case END_EXITED:
+    case TW_EVIDENCE_EXITED:
         return end->reported && end->reported->state == TW_TASK_EXITED &&
                end->reported->attempt == placed->attempt && end->reported->index == placed->index;
-    case END_ABSENT:
+    case TW_EVIDENCE_ABSENT:
         return is_absent(placed);
-    case END_NOT_TAKEN:
-        return tw_launch_not_taken(placed, end->heartbeat, end->answers_command);
-    case END_SESSION:
+    case TW_EVIDENCE_LAUNCH_LOST:
+        return tw_launch_was_lost(placed, end->heartbeat, end->answers_command);
+    case TW_EVIDENCE_NEW_INCARNATION:
         return is_of_earlier_session(placed, end->heartbeat);
-    case END_LAPSED:
-        return machine->lease_expired && core->now > tw_lapse_at(core, machine);
-    case END_RETURNED:
+    case TW_EVIDENCE_LEASE_EXPIRED:
+        return machine->lease_expired && core->now > tw_lease_expires_at(core, machine);
+    case TW_EVIDENCE_MACHINE_RETURNED:
         return machine->return_in_flight;
-    case END_GANG_DONE:
+    case TW_EVIDENCE_GANG_DONE:
         return placed->job->spec.gang;
-    case END_NOT_LAUNCHED:
-        return !tw_attempt_launched(placed);
-    case END_NOT_RECORDED:
-        return !placed->job->record_exists && (placed->inherited || !tw_attempt_launched(placed));
-    case END_TAKEN_BACK:
-        return placed->version > placed->job->version && !tw_attempt_launched(placed);
-    case END_TERM:
+    case TW_EVIDENCE_NOT_LAUNCHED:
+        return !tw_attempt_was_launched(placed);
+    case TW_EVIDENCE_NOT_RECORDED:
+        return !placed->job->record_exists &&
+               (placed->inherited || !tw_attempt_was_launched(placed));
+    case TW_EVIDENCE_PLACEMENT_UNDONE:
+        return placed->version > placed->job->version && !tw_attempt_was_launched(placed);
+    case TW_EVIDENCE_TERM_ENDED:
         break;
     }
-    return core->role != R_LEADER;
+    return core->role != TW_ROLE_LEADER;
 }
 
 /* Grounds that need not hold: the path that offers them asks just that. With the others the path is
  * wrong. */
-static int may_fail(end_ground ground) {
-    return ground == END_ABSENT || ground == END_NOT_TAKEN || ground == END_SESSION;
+static int may_fail(tw_termination_evidence ground) {
+    return ground == TW_EVIDENCE_ABSENT || ground == TW_EVIDENCE_LAUNCH_LOST ||
+           ground == TW_EVIDENCE_NEW_INCARNATION;
 }
 
 /* ---- what follows ---- */
 
 /* Ends of attempts that never were on a machine, or that nobody decides about, are told at `debug`.
  */
-static int is_told(end_ground ground) {
-    return ground != END_NOT_LAUNCHED && ground != END_NOT_RECORDED && ground != END_TAKEN_BACK &&
-           ground != END_TERM;
+static int is_told(tw_termination_evidence ground) {
+    return ground != TW_EVIDENCE_NOT_LAUNCHED && ground != TW_EVIDENCE_NOT_RECORDED &&
+           ground != TW_EVIDENCE_PLACEMENT_UNDONE && ground != TW_EVIDENCE_TERM_ENDED;
 }
 
-static void log_end(const tw_core *core, const placement *placed, const attempt_end *end) {
-    const machine *machine = placed->machine;
+static void log_end(const tw_core *core, const tw_placement *placed,
+                    const tw_attempt_termination *end) {
+    const tw_machine *machine = placed->machine;
     const tw_wire_heartbeat *report = end->heartbeat;
     const int level = is_told(end->evidence) ? TW_LOG_INFO : TW_LOG_DEBUG;
     if (!placed->counted || !tw_log_on(level)) return;
@@ -137,65 +141,67 @@
 }
 
 /* The task no longer runs there; to: what it is now. */
-static void leave_job(tw_core *core, placement *placed, int to) {
+static void leave_job(tw_core *core, tw_placement *placed, int to) {
     if (!placed->counted) return;
-    job *job = placed->job;
+    tw_job *job = placed->job;
     tw_placement_account(core, placed, -1);
     placed->counted = 0;
     DL_DELETE2(job->placements, placed, job_prev, job_next);
     job->placed_count--;
     if (job->task_states) job->task_states[placed->index] = (uint8_t)to;
-    if (to == T_DONE) job->done_count++;
-    if (to == T_FREE) {
+    if (to == TW_ASSIGNMENT_DONE) job->done_count++;
+    if (to == TW_ASSIGNMENT_NONE) {
         if (placed->index < job->first_unplaced) job->first_unplaced = placed->index;
         job->pending_since = core->now;
-        if (job->spec.gang) tw_gang_left(core, placed);
+        if (job->spec.gang) tw_gang_task_gone(core, placed);
     }
     core->scheduling_due = 1;
 }
 
-void tw_attempt_forget(tw_core *core, placement *placed) {
-    job *job = placed->job;
+void tw_attempt_forget(tw_core *core, tw_placement *placed) {
+    tw_job *job = placed->job;
     if (placed->counted) {
-        tw_invariant_broken(core, INVARIANT_END, "piece=%s/%d tray=%s ground=none", job->id,
-                            placed->index, placed->machine->name);
+        tw_invariant_broken(core, TW_INVARIANT_TERMINATION, "piece=%s/%d tray=%s ground=none",
+                            job->id, placed->index, placed->machine->name);
         return;
     }
     DL_DELETE(placed->machine->placements, placed);
     free(placed);
-    tw_job_unplaced(core, job);
+    tw_job_placement_gone(core, job);
 }
 
 /* The machine may still tell of it, and is to forget it. */
-static int stays_on_machine(end_ground ground) {
-    return ground == END_EXITED || ground == END_GANG_DONE;
+static int stays_on_machine(tw_termination_evidence ground) {
+    return ground == TW_EVIDENCE_EXITED || ground == TW_EVIDENCE_GANG_DONE;
 }
 
-int tw_attempt_end(tw_core *core, placement *placed, const attempt_end *end) {
-    job *job = placed->job;
-    const end_ground ground = end->evidence;
+int tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end) {
+    tw_job *job = placed->job;
+    const tw_termination_evidence ground = end->evidence;
     if (!holds(core, placed, end)) {
         core->counters.kept[ground]++;
         if (!may_fail(ground))
-            tw_invariant_broken(core, INVARIANT_END, "piece=%s/%d try=%llu tray=%s ground=%s",
-                                job->id, placed->index, (unsigned long long)placed->attempt,
-                                placed->machine->name, names[ground]);
+            tw_invariant_broken(core, TW_INVARIANT_TERMINATION,
+                                "piece=%s/%d try=%llu tray=%s ground=%s", job->id, placed->index,
+                                (unsigned long long)placed->attempt, placed->machine->name,
+                                names[ground]);
         return 0;
     }
     const int was_on_job = placed->counted;
-    const int is_done =
-        ground == END_GANG_DONE || (ground == END_EXITED && end->reported->cause == TW_CAUSE_DONE);
+    const int is_done = ground == TW_EVIDENCE_GANG_DONE ||
+                        (ground == TW_EVIDENCE_EXITED && end->reported->cause == TW_CAUSE_DONE);
     core->counters.terminated[ground] += (uint64_t)was_on_job;
     log_end(core, placed, end);
-    leave_job(core, placed, is_done ? T_DONE : T_FREE);
+    leave_job(core, placed, is_done ? TW_ASSIGNMENT_DONE : TW_ASSIGNMENT_NONE);
     if (stays_on_machine(ground)) return 1;
     tw_attempt_forget(core, placed);
     /* The record of one that was taken back was not changed; one of an ended term is not ours. */
-    if (was_on_job && ground != END_TAKEN_BACK && ground != END_TERM) tw_job_changed(core, job, 0);
+    if (was_on_job && ground != TW_EVIDENCE_PLACEMENT_UNDONE && ground != TW_EVIDENCE_TERM_ENDED)
+        tw_job_mark_changed(core, job, 0);
     return 1;
 }
 
-int tw_attempt_end_on(tw_core *core, placement *placed, end_ground ground) {
-    const attempt_end end = {.evidence = ground};
-    return tw_attempt_end(core, placed, &end);
+int tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence ground) {
+    const tw_attempt_termination end = {.evidence = ground};
+    return tw_attempt_terminate(core, placed, &end);
 }
--- a/src/core/bins.c
+++ b/src/core/bins.c
@@ -5,39 +5,40 @@
 #define FIRST_BINS 64
 #define FIRST_STARTS 16
 
-int tw_bin_fits(const bin *bin, const tw_wire_job *spec) {
-    return bin->cores + TW_ROUNDING >= spec->cores && bin->gpus + TW_ROUNDING >= spec->gpus &&
-           bin->memory_gb + TW_ROUNDING >= spec->memory_gb;
+int tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec) {
+    return bin->cores + TW_CAPACITY_ROUNDING >= spec->cores &&
+           bin->gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
+           bin->memory_gb + TW_CAPACITY_ROUNDING >= spec->memory_gb;
 }
 
-int tw_bin_allowed(const bin *bin, const tw_wire_job *spec, uint32_t types) {
+int tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types) {
     return (types & (1U << bin->type_index)) && (!bin->spot || spec->spot) &&
            (!*spec->zone || !strcmp(spec->zone, bin->zone));
 }
 
 /* As when placing: work without GPUs leaves a GPU machine's GPUs their cores. */
-int tw_bin_leaves_gpus(const tw_core *core, const bin *bin, const tw_wire_job *spec,
+int tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
                        int any_machine) {
     const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
     if (spec->gpus > 0 || any_machine || type->gpus <= 0) return 1;
     double cores_per_gpu = core->cores_per_gpu;
     if (cores_per_gpu <= 0) cores_per_gpu = type->cores / type->gpus;
-    return bin->cores - spec->cores + TW_ROUNDING >= bin->gpus * cores_per_gpu;
+    return bin->cores - spec->cores + TW_CAPACITY_ROUNDING >= bin->gpus * cores_per_gpu;
 }
 
-void tw_bin_take(bin *bin, const tw_wire_job *spec) {
+void tw_bin_take(tw_bin *bin, const tw_wire_job *spec) {
     bin->cores -= spec->cores;
     bin->gpus -= spec->gpus;
     bin->memory_gb -= spec->memory_gb;
 }
 
-void tw_bin_give(bin *bin, const tw_wire_job *spec) {
+void tw_bin_give(tw_bin *bin, const tw_wire_job *spec) {
     bin->cores += spec->cores;
     bin->gpus += spec->gpus;
     bin->memory_gb += spec->memory_gb;
 }
 
-bin *tw_bins_add(bins *bins) {
+tw_bin *tw_bins_add(tw_bins *bins) {
     bins->items =
         tw_grow(bins->items, bins->count, &bins->capacity, FIRST_BINS, sizeof *bins->items);
     return &bins->items[bins->count++];
@@ -53,7 +54,7 @@
     int bin, drained; /* where to begin: in the bins, and in the room that is given back */
 };
 
-static int same_kind(const struct bin_start *start, const job *job) {
+static int same_kind(const struct bin_start *start, const tw_job *job) {
     const tw_wire_job *spec = &job->spec;
     return start->cores == spec->cores && start->gpus == spec->gpus &&
            start->memory_gb == spec->memory_gb && start->types == job->type_mask &&
@@ -62,7 +63,7 @@
 }
 
 /* Valid until the next call. */
-static struct bin_start *start_for(bins *bins, const job *job) {
+static struct bin_start *start_for(tw_bins *bins, const tw_job *job) {
     for (int i = 0; i < bins->nstarts; i++)
         if (same_kind(&bins->starts[i], job)) return &bins->starts[i];
     bins->starts =
@@ -78,20 +79,22 @@
     return start;
 }
 
-static int of_use(const bin *bin, const job *job) {
-    return !bin->tried && tw_bin_allowed(bin, &job->spec, job->type_mask) &&
+static int of_use(const tw_bin *bin, const tw_job *job) {
+    return !bin->tried && tw_bin_is_allowed(bin, &job->spec, job->type_mask) &&
            tw_bin_fits(bin, &job->spec);
 }
 
-int tw_bins_first(bins *bins, const job *job) {
+int tw_bins_first(tw_bins *bins, const tw_job *job) {
     struct bin_start *start = start_for(bins, job);
     while (start->bin < bins->count && !of_use(&bins->items[start->bin], job)) start->bin++;
     return start->bin;
 }
 
-int *tw_bins_first_drained(bins *bins, const job *job) { return &start_for(bins, job)->drained; }
+int *tw_bins_first_released(tw_bins *bins, const tw_job *job) {
+    return &start_for(bins, job)->drained;
+}
 
-void tw_bins_free(bins *bins) {
+void tw_bins_free(tw_bins *bins) {
     free(bins->starts);
     free(bins->items);
 }
--- a/src/core/budget.c
+++ b/src/core/budget.c
@@ -12,35 +12,36 @@
 #define OTHERS_LEAST_WRITES 4
 #define CLOUD_BURST_S 2
 
-tw_budget tw_budget_of(double rate, double burst, double now) {
-    return (tw_budget){.tokens = burst, .rate = rate, .burst = burst, .updated_at = now};
+tw_rate_limiter tw_rate_limiter_make(double rate, double burst, double now) {
+    return (tw_rate_limiter){.tokens = burst, .rate = rate, .burst = burst, .updated_at = now};
 }
 
-double tw_peek(tw_core *core, tw_budget *budget) {
+double tw_rate_limiter_available(tw_core *core, tw_rate_limiter *budget) {
     budget->tokens += (core->now - budget->updated_at) * budget->rate;
     if (budget->tokens > budget->burst) budget->tokens = budget->burst;
     budget->updated_at = core->now;
     return budget->tokens;
 }
 
-int tw_take(tw_core *core, tw_budget *budget, double calls) {
-    if (tw_peek(core, budget) < calls) return 0;
+int tw_rate_limiter_try_acquire(tw_core *core, tw_rate_limiter *budget, double calls) {
+    if (tw_rate_limiter_available(core, budget) < calls) return 0;
     budget->tokens -= calls;
     return 1;
 }
 
-void tw_put_back(tw_budget *budget, double calls) { budget->tokens += calls; }
+void tw_rate_limiter_refund(tw_rate_limiter *budget, double calls) { budget->tokens += calls; }
 
 /* The parts that a leader uses. */
 static void init_of_leader(tw_core *core) {
     const tw_conf *conf = core->config;
     const double share = conf->tune.write_share;
     const double writes = share * conf->state_write_rps;
-    core->write_limiter = tw_budget_of(writes, writes * LEADER_WRITES_BURST_S, core->now);
-    core->request_limiter = tw_budget_of(share * conf->state_rps * LEADER_CALLS,
-                                         share * conf->state_rps * LEADER_CALLS_BURST_S, core->now);
+    core->write_limiter = tw_rate_limiter_make(writes, writes * LEADER_WRITES_BURST_S, core->now);
+    core->request_limiter =
+        tw_rate_limiter_make(share * conf->state_rps * LEADER_CALLS,
+                             share * conf->state_rps * LEADER_CALLS_BURST_S, core->now);
     const double cloud = share * conf->cloud_rps;
-    core->cloud_limiter = tw_budget_of(cloud, fmax(1, cloud * CLOUD_BURST_S), core->now);
+    core->cloud_limiter = tw_rate_limiter_make(cloud, fmax(1, cloud * CLOUD_BURST_S), core->now);
 }
 
 /* The parts that a node uses while it does not lead. */
@@ -48,13 +49,14 @@
     const tw_conf *conf = core->config;
     const double share = conf->tune.write_share * OTHERS / (double)(conf->npeers + 1);
     const double reads = share * conf->state_rps;
-    core->follower_read_limiter = tw_budget_of(reads, fmax(OTHERS_LEAST_READS, reads), core->now);
+    core->follower_read_limiter =
+        tw_rate_limiter_make(reads, fmax(OTHERS_LEAST_READS, reads), core->now);
     const double writes = share * conf->state_write_rps;
-    core->follower_create_limiter =
-        tw_budget_of(writes, fmax(OTHERS_LEAST_WRITES, writes * OTHERS_WRITES_BURST_S), core->now);
+    core->follower_create_limiter = tw_rate_limiter_make(
+        writes, fmax(OTHERS_LEAST_WRITES, writes * OTHERS_WRITES_BURST_S), core->now);
 }
 
-void tw_budgets_init(tw_core *core) {
+void tw_rate_limiters_init(tw_core *core) {
     init_of_leader(core);
     init_of_others(core);
 }
--- a/src/core/budget.h
+++ b/src/core/budget.h
@@ -10,18 +10,18 @@
     double rate;   /* tokens gained a second */
     double burst;  /* most tokens that it holds */
     double updated_at;
-} tw_budget;
+} tw_rate_limiter;
 
 /* A full budget. */
-tw_budget tw_budget_of(double rate, double burst, double now);
+tw_rate_limiter tw_rate_limiter_make(double rate, double burst, double now);
 /* The calls that may be made now. */
-double tw_peek(struct tw_core *core, tw_budget *budget);
+double tw_rate_limiter_available(struct tw_core *core, tw_rate_limiter *budget);
 /* Takes so many calls out of the budget, or none and returns 0 if it holds fewer. */
-int tw_take(struct tw_core *core, tw_budget *budget, double calls);
+int tw_rate_limiter_try_acquire(struct tw_core *core, tw_rate_limiter *budget, double calls);
 /* Gives calls back that were taken and not made; below 0: calls that were made without asking. */
-void tw_put_back(tw_budget *budget, double calls);
+void tw_rate_limiter_refund(tw_rate_limiter *budget, double calls);
 
 /* Sets this node's parts of what the state service and the cloud take, by the settings. */
-void tw_budgets_init(struct tw_core *core);
+void tw_rate_limiters_init(struct tw_core *core);
 
 #endif
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -8,7 +8,7 @@
     double cores, used_cores, gpus, used_gpus;
 } zone_use;
 
-static void add(tw_core *core, machine *machine) {
+static void add(tw_core *core, tw_machine *machine) {
     core->candidates = tw_grow(core->candidates, core->candidate_count, &core->candidate_capacity,
                                FIRST_CAPACITY, sizeof *core->candidates);
     core->candidates[core->candidate_count++] = (tw_candidate){.machine = machine};
@@ -16,11 +16,11 @@
 
 void tw_candidates_begin(tw_core *core) {
     zone_use use[TW_MAX_ZONES + 1] = {0};
-    machine *machine;
-    struct machine *next;
+    tw_machine *machine;
+    struct tw_machine *next;
     core->candidate_count = 0;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (!tw_machine_usable(core, machine)) continue;
+        if (!tw_machine_is_usable(core, machine)) continue;
         add(core, machine);
         if (machine->spot) continue;
         const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
@@ -36,7 +36,7 @@
     }
 }
 
-double tw_candidates_zone_free(const tw_core *core, const machine *machine, int gpus) {
+double tw_candidates_zone_free(const tw_core *core, const tw_machine *machine, int gpus) {
     const int zone = machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index;
     return gpus ? core->zones[zone].free_gpus : core->zones[zone].free_cores;
 }
--- a/src/core/choose.c
+++ b/src/core/choose.c
@@ -5,8 +5,8 @@
 /* Takes the machine instead of the one chosen so far, if it is better. */
 static void consider(const tw_core *core, const tw_demand *demand, const tw_score *score,
                      tw_choice *choice) {
-    machine *machine = core->candidates[score->candidate].machine;
-    if (!tw_constraints_zone(core, demand, machine)) return;
+    tw_machine *machine = core->candidates[score->candidate].machine;
+    if (!tw_constraints_allow_machine_zone(core, demand, machine)) return;
     const int meets = score->end <= demand->deadline_at;
     const double points = meets ? score->points : -score->total_s;
     if (meets < choice->meets || (meets == choice->meets && points <= choice->points)) return;
@@ -30,7 +30,7 @@
     }
 }
 
-tw_choice tw_choose(tw_core *core, const tw_demand *demand) {
+tw_choice tw_scheduler_choose(tw_core *core, const tw_demand *demand) {
     tw_choice choice = {.points = -INFINITY};
     tw_score_table *table = tw_scores_find(core, demand);
     if (!table) {
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -10,8 +10,9 @@
 /* A number drawn evenly between the two. */
 double tw_jitter(tw_core *core, double least, double most);
 /* For how long at most, after the end of its authority, a leader renews workers' leases. */
-double tw_hold_s(const tw_core *core);
-void tw_ping_response(tw_core *core, const call *sent, int status, const char *body, size_t len);
-void tw_ping_tick(tw_core *core);
+double tw_renewal_without_authority_s(const tw_core *core);
+void tw_peer_heartbeat_response(tw_core *core, const tw_call *sent, int status, const char *body,
+                                size_t len);
+void tw_peer_heartbeat_tick(tw_core *core);
 
 #endif
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -2,13 +2,13 @@
  * limit, and what work without GPUs leaves to that with GPUs. */
 #include "core/scheduler_int.h"
 
-int tw_zone_allows(const tw_core *core, const job *job, const char *zone) {
+int tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone) {
     (void)core;
     if (*job->spec.zone && strcmp(job->spec.zone, zone) != 0) return 0;
     if (!job->spec.single_zone && !job->spec.spread) return 1;
     const int max = (job->task_count + 1) / 2;
     int here = 0;
-    const placement *placed;
+    const tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next) {
         const int unknown = !*placed->machine->zone; /* may be any zone */
         const int same = unknown || !strcmp(placed->machine->zone, zone);
@@ -18,19 +18,19 @@
     return !job->spec.spread || here < max;
 }
 
-int tw_quota_allows(const tw_core *core, const job *job, int tasks) {
+int tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks) {
     if (job->team < 0) return 0;
     const tw_conf_team *team = &core->config->teams[job->team];
     return (team->cpus_max <= 0 || core->team_cores_used[job->team] + tasks * job->spec.cores <=
-                                       team->cpus_max + TW_ROUNDING) &&
+                                       team->cpus_max + TW_CAPACITY_ROUNDING) &&
            (team->gpus_max <= 0 || core->team_gpus_used[job->team] + tasks * job->spec.gpus <=
-                                       team->gpus_max + TW_ROUNDING);
+                                       team->gpus_max + TW_CAPACITY_ROUNDING);
 }
 
 /* Cores that a GPU's user takes along with it, at the most; the same for memory. */
-void tw_per_gpu_note(tw_core *core) {
+void tw_gpu_share_update(tw_core *core) {
     core->cores_per_gpu = core->memory_gb_per_gpu = 0;
-    for (const lane *class = core->job_classes; class; class = class->hh.next) {
+    for (const tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         const tw_wire_job *sample = &class->sample;
         if (!class->has_sample || sample->gpus <= 0) continue;
         core->cores_per_gpu = fmax(core->cores_per_gpu, sample->cores / sample->gpus);
@@ -38,7 +38,8 @@
     }
 }
 
-int tw_leaves_gpus(const tw_core *core, const machine *machine, const job *job, int tasks) {
+int tw_constraints_leave_gpus(const tw_core *core, const tw_machine *machine, const tw_job *job,
+                              int tasks) {
     const tw_wire_job *spec = &job->spec;
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     if (spec->gpus > 0 || type->gpus <= 0 || job->any_machine) return 1;
@@ -49,38 +50,41 @@
         cores = type->cores / type->gpus;
         memory_gb = type->memory_gb / type->gpus;
     }
-    return type->cores - machine->used_cores - tasks * spec->cores + TW_ROUNDING >=
+    return type->cores - machine->used_cores - tasks * spec->cores + TW_CAPACITY_ROUNDING >=
                free_gpus * cores &&
-           type->memory_gb - machine->used_memory_gb - tasks * spec->memory_gb + TW_ROUNDING >=
+           type->memory_gb - machine->used_memory_gb - tasks * spec->memory_gb +
+                   TW_CAPACITY_ROUNDING >=
                free_gpus * memory_gb;
 }
 
 /* Zones that the job's next task may go to, as bits: the same for all machines. */
-static uint32_t zones_of(const tw_core *core, const job *job) {
+static uint32_t zones_of(const tw_core *core, const tw_job *job) {
     uint32_t zones = 0;
     for (int zone = 0; zone < core->zone_count; zone++)
-        if (tw_zone_allows(core, job, core->zone_names[zone])) zones |= 1U << zone;
+        if (tw_constraints_allow_zone(core, job, core->zone_names[zone])) zones |= 1U << zone;
     return zones;
 }
 
-tw_demand tw_demand_of(const tw_core *core, job *job) {
+tw_demand tw_demand_of(const tw_core *core, tw_job *job) {
     return (tw_demand){.job = job,
-                       .deadline_at = tw_job_due(core, job),
-                       .start_deadline_at = tw_job_start_due(job),
-                       .estimate_s = tw_estimate(job),
+                       .deadline_at = tw_job_deadline(core, job),
+                       .start_deadline_at = tw_job_start_deadline(job),
+                       .estimate_s = tw_job_run_estimate_s(job),
                        .zone_mask = zones_of(core, job)};
 }
 
-int tw_constraints_zone(const tw_core *core, const tw_demand *demand, const machine *machine) {
+int tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
+                                      const tw_machine *machine) {
     if (machine->zone_index >= 0) return !!(demand->zone_mask & (1U << machine->zone_index));
-    return tw_zone_allows(core, demand->job, machine->zone);
+    return tw_constraints_allow_zone(core, demand->job, machine->zone);
 }
 
-int tw_constraints_machine(const tw_core *core, const job *job, const machine *machine) {
+int tw_constraints_allow_machine(const tw_core *core, const tw_job *job,
+                                 const tw_machine *machine) {
     if (!(job->type_mask & (1U << machine->type_index)) || (machine->spot && !job->spec.spot))
         return 0;
-    if (!tw_sick_allows(machine) || tw_gang_has_left(job, machine)) return 0;
-    if (!tw_gang_hold_allows(core, job, machine)) return 0;
+    if (!tw_quarantine_allows(machine) || tw_gang_was_on(job, machine)) return 0;
+    if (!tw_gang_reservation_allows(core, job, machine)) return 0;
     for (int i = 0; i < job->failed_machine_count; i++)
         if (job->failed_machines[i] == machine && core->now < job->failed_machines_until) return 0;
     return 1;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -16,13 +16,13 @@
 static void init_peers(tw_core *core) {
     const tw_conf *conf = core->config;
     core->peer_count = conf->npeers;
-    core->peers = tw_zalloc(conf->npeers * sizeof *core->peers);
+    core->peers = tw_alloc(conf->npeers * sizeof *core->peers);
     for (size_t i = 0; i < conf->npeers; i++) {
-        peer *peer = &core->peers[i];
+        tw_peer *peer = &core->peers[i];
         peer->config = conf->peers[i];
         peer->answered_at = peer->vouched_at = LONG_AGO;
     }
-    tw_failover_init(core);
+    tw_worker_failover_init(core);
 }
 
 /* What the settings want of each class of jobs. */
@@ -30,7 +30,7 @@
     for (size_t i = 0; i < core->config->nobjectives; i++) {
         const tw_conf_objective *objective = &core->config->objectives[i];
         if (!*objective->cls) continue;
-        lane *class = tw_lane(core, objective->cls);
+        tw_job_class *class = tw_job_class_get(core, objective->cls);
         if (strcmp(objective->kind, "wait") == 0) class->start_within_s = objective->within_s;
         if (strcmp(objective->kind, "finished") == 0) class->finish_within_s = objective->within_s;
         if (strcmp(objective->kind, "deadline") == 0) class->has_deadline = 1;
@@ -38,7 +38,7 @@
 }
 
 tw_core *tw_core_new(const tw_conf *conf, uint64_t seed, double now, double wall) {
-    tw_core *core = tw_zalloc(sizeof *core);
+    tw_core *core = tw_alloc(sizeof *core);
     core->config = conf;
     core->now = now;
     core->wall = wall;
@@ -49,16 +49,16 @@
     core->leader_lease_s = fmax(SHORTEST_TTL_S, conf->tune.election_ratio * conf->lease_s);
     init_peers(core);
     tw_election_init(core);
-    tw_budgets_init(core);
-    core->team_cores_used = tw_zalloc((conf->nteams + 1) * sizeof(double));
-    core->team_gpus_used = tw_zalloc((conf->nteams + 1) * sizeof(double));
+    tw_rate_limiters_init(core);
+    core->team_cores_used = tw_alloc((conf->nteams + 1) * sizeof(double));
+    core->team_gpus_used = tw_alloc((conf->nteams + 1) * sizeof(double));
     core->heartbeat_cache = tw_wire_heartbeat_cache_new();
     init_objectives(core);
     return core;
 }
 
 static void free_classes(tw_core *core) {
-    lane *class, *next;
+    tw_job_class *class, *next;
     HASH_ITER(hh, core->job_classes, class, next) {
         HASH_DEL(core->job_classes, class);
         free(class);
@@ -66,11 +66,11 @@
 }
 
 void tw_core_free(tw_core *core) {
-    core->role = R_FOLLOWER;
+    core->role = TW_ROLE_FOLLOWER;
     tw_term_clear(core);
-    tw_relay_end(core);
-    tw_deputy_end(core);
-    tw_redirect_end(core);
+    tw_held_heartbeats_free(core);
+    tw_delegate_free(core);
+    tw_worker_redirects_free(core);
     tw_effects_free(core);
     free_classes(core);
     free(core->machine_types);
@@ -96,15 +96,15 @@
 
 /* Whether this node leads, has read the records of its term and may command. */
 static int is_in_command(const tw_core *core) {
-    return core->phase == PH_ACTIVE && tw_may(core, RIGHT_WRITE);
+    return core->phase == TW_PHASE_ACTIVE && tw_leader_may(core, TW_PERMISSION_WRITE);
 }
 
 /* What follows from any input: placing, writing, sending. */
 static void follow_up(tw_core *core) {
     if (!is_in_command(core)) return;
-    if (core->scheduling_due && core->now >= core->next_pass_at) tw_schedule(core);
-    tw_jobs_flush(core);
-    tw_fleet_direct(core);
+    if (core->scheduling_due && core->now >= core->next_pass_at) tw_scheduler_run(core);
+    tw_job_store_flush(core);
+    tw_commands_send_direct(core);
 }
 
 /* ---- requests ---- */
@@ -121,23 +121,24 @@
 typedef void request_handler(tw_core *core, const request *request);
 
 static void on_heartbeat(tw_core *core, const request *request) {
-    tw_ping_request(core, request->conn, request->body, request->len);
+    tw_peer_heartbeat_receive(core, request->conn, request->body, request->len);
 }
 
 static void on_report(tw_core *core, const request *request) {
-    tw_hello(core, request->conn, request->body, request->len, request->from_peer);
+    tw_worker_heartbeat_receive(core, request->conn, request->body, request->len,
+                                request->from_peer);
 }
 
 /* Useful requests can be served while the state service or another node answers us. */
 static void on_health(tw_core *core, const request *request) {
-    if (tw_isolated(core) && !tw_may(core, RIGHT_TELL))
+    if (tw_node_is_isolated(core) && !tw_leader_may(core, TW_PERMISSION_ANSWER))
         tw_reply_error(core, request->conn, TW_HTTP_UNAVAILABLE, 1, "isolated");
     else
         tw_reply(core, request->conn, TW_HTTP_OK, 0, strdup("{\"up\":true}"));
 }
 
 static void on_submission(tw_core *core, const request *request) {
-    tw_submit(core, request->conn, request->body, request->len, request->from_peer);
+    tw_user_submit(core, request->conn, request->body, request->len, request->from_peer);
 }
 
 enum { API_PORT = 1 << TW_PORT_API, PEER_PORT = 1 << TW_PORT_PEER };
@@ -179,10 +180,10 @@
     snprintf(id, sizeof id, "%s", request->path + sizeof job_prefix - 1);
     char *verb = strchr(id, '/');
     if (!verb && strcmp(request->method, "GET") == 0) {
-        tw_poll(core, request->conn, id, request->from_peer);
+        tw_user_query(core, request->conn, id, request->from_peer);
     } else if (verb && strcmp(request->method, "POST") == 0 && strcmp(verb, "/abort") == 0) {
         *verb = 0;
-        tw_abort_job(core, request->conn, id, request->from_peer);
+        tw_user_cancel(core, request->conn, id, request->from_peer);
     } else {
         tw_reply_error(core, request->conn, verb ? TW_HTTP_NOT_FOUND : TW_HTTP_METHOD_NOT_ALLOWED,
                        0, "no such resource");
@@ -212,22 +213,23 @@
 
 /* ---- responses ---- */
 
-typedef void response_handler(tw_core *core, call *sent, int status, const char *body, size_t len);
+typedef void response_handler(tw_core *core, tw_call *sent, int status, const char *body,
+                              size_t len);
 
-static void on_deputy_key(tw_core *core, call *sent, int status, const char *body, size_t len) {
+static void on_deputy_key(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
     (void)body;
     (void)len;
-    tw_deputy_response(core, sent, status);
+    tw_delegate_key_response(core, sent, status);
 }
 
-static void on_deputy_jobs(tw_core *core, call *sent, int status, const char *body, size_t len) {
+static void on_deputy_jobs(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
     (void)sent;
-    tw_deputy_jobs(core, status, body, len);
+    tw_delegate_cancelled_page(core, status, body, len);
 }
 
-static void on_records(tw_core *core, call *sent, int status, const char *body, size_t len) {
+static void on_records(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
     (void)sent;
-    tw_recover_page(core, status, body, len);
+    tw_failover_page(core, status, body, len);
 }
 
 /* Every kind of call has a line. */
@@ -235,34 +237,34 @@
     response_handler *handle;
     int of_term;       /* nothing to this node once the term it was sent in is over */
     const char *reads; /* what is read by it from the state service; NULL: nothing, for the log */
-} responses[K_KINDS] = {
-    [K_LEADER_GET] = {tw_election_response, 0, "leader"},
-    [K_LEADER_WATCH] = {tw_election_response, 0},
-    [K_GRANT] = {tw_election_response, 0},
-    [K_ACQUIRE] = {tw_election_response, 0},
-    [K_RENEW] = {tw_election_response, 0},
-    [K_GRANT_DEL] = {tw_election_response, 0},
-    [K_PING] = {tw_election_response, 0},
-    [K_LOOKUP] = {tw_users_response, 0, "job"},
-    [K_CREATE] = {tw_users_response, 0},
-    [K_PROXY] = {tw_users_response, 0},
-    [K_RELAY] = {tw_relay_response, 0},
-    [K_DEP_JOBS] = {on_deputy_jobs, 0, "cancelled"},
-    [K_DEPUTY] = {on_deputy_key, 0},
-    [K_FLAVORS] = {tw_rent_response, 0},
-    [K_LIST] = {tw_rent_response, 1},
-    [K_RENT] = {tw_rent_response, 1},
-    [K_RELEASE] = {tw_rent_response, 1},
-    [K_TXN] = {tw_jobs_response, 1},
-    [K_JOB_READ] = {tw_jobs_response, 1, "job"},
-    [K_PARTS] = {tw_jobs_response, 1},
-    [K_PARTS_REMOVE] = {tw_jobs_response, 1},
-    [K_DEPUTIES] = {tw_deputies_page, 1, "deputies"},
-    [K_ACCEPTED_LIST] = {tw_accepted_elsewhere_response, 1, "accepted_list"},
-    [K_ACCEPTED] = {tw_accepted_elsewhere_response, 1, "accepted"},
-    [K_ACCEPTED_REMOVE] = {tw_accepted_elsewhere_response, 1},
-    [K_LOAD] = {on_records, 1, "records"},
-    [K_ORDERS] = {tw_fleet_response, 1},
+} responses[TW_CALL_KINDS] = {
+    [TW_CALL_READ_LEADER] = {tw_election_response, 0, "leader"},
+    [TW_CALL_WATCH_LEADER] = {tw_election_response, 0},
+    [TW_CALL_GRANT_LEASE] = {tw_election_response, 0},
+    [TW_CALL_ACQUIRE_LEADERSHIP] = {tw_election_response, 0},
+    [TW_CALL_RENEW_LEASE] = {tw_election_response, 0},
+    [TW_CALL_REVOKE_LEASE] = {tw_election_response, 0},
+    [TW_CALL_PEER_HEARTBEAT] = {tw_election_response, 0},
+    [TW_CALL_LOOK_UP_JOB] = {tw_user_response, 0, "job"},
+    [TW_CALL_CREATE_RECORD] = {tw_user_response, 0},
+    [TW_CALL_FORWARD_REQUEST] = {tw_user_response, 0},
+    [TW_CALL_FORWARD_HEARTBEAT] = {tw_heartbeat_forward_response, 0},
+    [TW_CALL_LIST_CANCELLED_JOBS] = {on_deputy_jobs, 0, "cancelled"},
+    [TW_CALL_WRITE_DELEGATE_KEY] = {on_deputy_key, 0},
+    [TW_CALL_LIST_MACHINE_TYPES] = {tw_autoscaler_response, 0},
+    [TW_CALL_LIST_MACHINES] = {tw_autoscaler_response, 1},
+    [TW_CALL_RENT_MACHINES] = {tw_autoscaler_response, 1},
+    [TW_CALL_RETURN_MACHINES] = {tw_autoscaler_response, 1},
+    [TW_CALL_WRITE_RECORDS] = {tw_job_store_response, 1},
+    [TW_CALL_READ_RECORD] = {tw_job_store_response, 1, "job"},
+    [TW_CALL_WRITE_CHUNKS] = {tw_job_store_response, 1},
+    [TW_CALL_REMOVE_CHUNKS] = {tw_job_store_response, 1},
+    [TW_CALL_READ_DELEGATE_KEYS] = {tw_delegates_page, 1, "deputies"},
+    [TW_CALL_LIST_PEER_ADMISSIONS] = {tw_peer_admissions_response, 1, "accepted_list"},
+    [TW_CALL_WATCH_PEER_ADMISSIONS] = {tw_peer_admissions_response, 1, "accepted"},
+    [TW_CALL_REMOVE_PEER_ADMISSION] = {tw_peer_admissions_response, 1},
+    [TW_CALL_LOAD_RECORDS] = {on_records, 1, "records"},
+    [TW_CALL_SEND_COMMANDS] = {tw_commands_response, 1},
 };
 
 /* The revision that an answer of the state service tells; 0: none. */
@@ -276,7 +278,7 @@
     return entry.mod_revision;
 }
 
-static void log_read(const tw_core *core, const call *sent, int status, const char *body,
+static void log_read(const tw_core *core, const tw_call *sent, int status, const char *body,
                      size_t len) {
     const char *what = responses[sent->kind].reads;
     if (!what || !tw_log_on(TW_LOG_DEBUG)) return;
@@ -289,7 +291,7 @@
 void tw_core_response(tw_core *core, double now, double wall, uint64_t id, int status,
                       const char *body, size_t len) {
     set_time(core, now, wall);
-    call *sent = tw_call_answered(core, id, status);
+    tw_call *sent = tw_call_answered(core, id, status);
     if (!sent) return;
     log_read(core, sent, status, body, len);
     if (!responses[sent->kind].of_term || sent->term == core->term)
@@ -300,7 +302,7 @@
 
 /* ---- ticks ---- */
 
-uint64_t tw_core_steps(const tw_core *core) { return core->pass_steps; }
+uint64_t tw_core_pass_steps(const tw_core *core) { return core->pass_steps; }
 
 double tw_core_tick_s(const tw_core *core) {
     const double interval_s = core->config->report_s / TICKS_PER_REPORT;
@@ -309,24 +311,24 @@
 
 /* The timed work of a leader that may command. */
 static void tick_in_command(tw_core *core) {
-    tw_deputies_tick(core);
-    tw_accepted_elsewhere_tick(core);
-    tw_fleet_tick(core);
+    tw_delegates_tick(core);
+    tw_peer_admissions_tick(core);
+    tw_machines_tick(core);
     if (core->now < core->next_recheck_at) return;
     core->next_recheck_at = core->now + core->config->tune.recheck_ratio * core->config->report_s;
-    tw_recheck(core);
+    tw_scheduler_recheck(core);
 }
 
 void tw_core_tick(tw_core *core, double now, double wall) {
     set_time(core, now, wall);
-    tw_calls_log(core);
-    tw_rights_log(core);
+    tw_calls_log_counts(core);
+    tw_permissions_log(core);
     tw_election_tick(core);
     tw_jobs_tick(core);
-    tw_relay_tick(core);
-    tw_deputy_tick(core);
-    if (core->role == R_LEADER && core->phase == PH_LOADING) tw_recover_tick(core);
+    tw_held_heartbeats_tick(core);
+    tw_delegate_tick(core);
+    if (core->role == TW_ROLE_LEADER && core->phase == TW_PHASE_LOADING) tw_failover_tick(core);
     if (is_in_command(core)) tick_in_command(core);
-    tw_rent_tick(core);
+    tw_autoscaler_tick(core);
     follow_up(core);
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -11,22 +11,22 @@
 
 /* Where a request came in: users, workers and health checks; other nodes. */
 typedef enum { TW_PORT_API, TW_PORT_PEER } tw_port;
-typedef enum { TW_FX_REPLY, TW_FX_CALL } tw_fx_kind;
+typedef enum { TW_EFFECT_REPLY, TW_EFFECT_CALL } tw_effect_kind;
 /* Whom a call goes to. */
-typedef enum { TW_TO_STATE, TW_TO_CLOUD, TW_TO_PEER, TW_TO_WORKER } tw_fx_target;
+typedef enum { TW_TO_STATE, TW_TO_CLOUD, TW_TO_PEER, TW_TO_WORKER } tw_call_target;
 
-typedef struct tw_fx {
-    tw_fx_kind kind;
+typedef struct tw_effect {
+    tw_effect_kind kind;
     uint64_t id; /* REPLY: the request's conn; CALL: give it back with the response */
     int status;
     double retry_after; /* REPLY: seconds, 0: none */
-    tw_fx_target to;    /* CALL */
+    tw_call_target to;  /* CALL */
     char addr[TW_NAME_SIZE];
     const char *method;
     char *path, *body;
     double timeout_s;
-    struct tw_fx *next;
-} tw_fx;
+    struct tw_effect *next;
+} tw_effect;
 
 /* now: steady seconds; wall: time of day in seconds. */
 tw_core *tw_core_new(const tw_conf *conf, uint64_t seed, double now, double wall);
@@ -37,13 +37,13 @@
 void tw_core_response(tw_core *core, double now, double wall, uint64_t call, int status,
                       const char *body, size_t len);
 void tw_core_tick(tw_core *core, double now, double wall);
-/* The next effect, or NULL; free it with tw_core_fx_free. */
-tw_fx *tw_core_next(tw_core *core);
-void tw_core_fx_free(tw_fx *effect);
+/* The next effect, or NULL; free it with tw_core_effect_free. */
+tw_effect *tw_core_next_effect(tw_core *core);
+void tw_core_effect_free(tw_effect *effect);
 /* Machines and bins looked at in passes over the fleet so far: what their cost grows with. */
-uint64_t tw_core_steps(const tw_core *core);
+uint64_t tw_core_pass_steps(const tw_core *core);
 /* Invariants that were broken so far: faults of this program, each logged as an error. */
-uint64_t tw_core_broken(const tw_core *core);
+uint64_t tw_core_broken_invariants(const tw_core *core);
 /* Logs at `debug` how many attempts ended on which ground, what was refused, what was broken. */
 void tw_core_log_counters(const tw_core *core);
 /* Seconds between ticks that the core needs. */
--- a/src/core/counters.c
+++ b/src/core/counters.c
@@ -5,20 +5,22 @@
 #define LONGEST_DETAIL 400
 #define LONGEST_LINE 700
 
-static const char *const invariant_names[INVARIANTS] = {
-    [INVARIANT_PLACED_TWICE] = "placed_twice",
-    [INVARIANT_LAUNCH] = "launch",
-    [INVARIANT_RIGHT] = "right",
-    [INVARIANT_END] = "end",
+static const char *const invariant_names[TW_INVARIANTS] = {
+    [TW_INVARIANT_PLACED_TWICE] = "placed_twice",
+    [TW_INVARIANT_LAUNCH] = "launch",
+    [TW_INVARIANT_PERMISSION] = "right",
+    [TW_INVARIANT_TERMINATION] = "end",
 };
 
-static const char *const refusal_names[REFUSALS] = {
-    [REFUSED_OLDER_REPORT] = "older_report", [REFUSED_LAPSED_REPORT] = "lapsed_report",
-    [REFUSED_RETURNED] = "returned",         [REFUSED_NO_RIGHT] = "no_right",
-    [REFUSED_COMMANDS] = "commands",
+static const char *const refusal_names[TW_REJECTIONS] = {
+    [TW_REJECTED_OLDER_HEARTBEAT] = "older_report",
+    [TW_REJECTED_EXPIRED_HEARTBEAT] = "lapsed_report",
+    [TW_REJECTED_RETURNED_MACHINE] = "returned",
+    [TW_REJECTED_NO_PERMISSION] = "no_right",
+    [TW_REJECTED_COMMANDS] = "commands",
 };
 
-void tw_invariant_broken(tw_core *core, invariant which, const char *format, ...) {
+void tw_invariant_broken(tw_core *core, tw_invariant which, const char *format, ...) {
     char detail[LONGEST_DETAIL];
     va_list arguments;
     va_start(arguments, format);
@@ -29,9 +31,9 @@
                  (unsigned long long)core->fencing_token, detail);
 }
 
-uint64_t tw_core_broken(const tw_core *core) {
+uint64_t tw_core_broken_invariants(const tw_core *core) {
     uint64_t all = 0;
-    for (int i = 0; i < INVARIANTS; i++) all += core->counters.broken[i];
+    for (int i = 0; i < TW_INVARIANTS; i++) all += core->counters.broken[i];
     return all;
 }
 
@@ -48,11 +50,12 @@
 
 void tw_core_log_counters(const tw_core *core) {
     char line[LONGEST_LINE] = "";
-    const char *grounds[END_GROUNDS];
-    for (int i = 0; i < END_GROUNDS; i++) grounds[i] = tw_end_ground_name((end_ground)i);
-    add(line, "ended", grounds, core->counters.terminated, END_GROUNDS);
-    add(line, "kept", grounds, core->counters.kept, END_GROUNDS);
-    add(line, "refused", refusal_names, core->counters.rejected, REFUSALS);
-    add(line, "broken", invariant_names, core->counters.broken, INVARIANTS);
+    const char *grounds[TW_EVIDENCE_KINDS];
+    for (int i = 0; i < TW_EVIDENCE_KINDS; i++)
+        grounds[i] = tw_termination_evidence_name((tw_termination_evidence)i);
+    add(line, "ended", grounds, core->counters.terminated, TW_EVIDENCE_KINDS);
+    add(line, "kept", grounds, core->counters.kept, TW_EVIDENCE_KINDS);
+    add(line, "refused", refusal_names, core->counters.rejected, TW_REJECTIONS);
+    add(line, "broken", invariant_names, core->counters.broken, TW_INVARIANTS);
     tw_log_debug("event=counters%s", line);
 }
--- a/src/core/deputies_seen.c
+++ b/src/core/deputies_seen.c
@@ -7,45 +7,47 @@
 /* Between two reads of the keys while some node may be a deputy, in leases. */
 #define READ_LEASES 0.1
 
-double tw_deputies_until(const tw_core *core, const char *zone) {
+double tw_delegates_until(const tw_core *core, const char *zone) {
     double until = 0;
     for (size_t i = 0; i < core->peer_count; i++) {
-        const peer *node = &core->peers[i];
+        const tw_peer *node = &core->peers[i];
         if (node->delegate_until > until && (!*zone || !strcmp(zone, node->config.zone)))
             until = node->delegate_until;
     }
     return until;
 }
 
-int tw_deputy_conds(const tw_core *core, tw_wire_compare *conds, char (*keys)[TW_DEPUTY_KEY_SIZE]) {
+int tw_delegates_compares(const tw_core *core, tw_wire_compare *conds,
+                          char (*keys)[TW_DELEGATE_KEY_SIZE]) {
     int count = 0;
     for (size_t i = 0; i < core->peer_count; i++) {
-        tw_deputy_key(keys[count], core->peers[i].config.name);
+        tw_delegate_key(keys[count], core->peers[i].config.name);
         conds[count] = (tw_wire_compare){keys[count], core->peers[i].delegate_revision};
         count++;
     }
     return count;
 }
 
-void tw_deputies_read(tw_core *core) {
+void tw_delegates_read(tw_core *core) {
     if (core->delegates_read_in_flight) return;
     core->delegates_read_in_flight = 1;
-    tw_call(core, K_DEPUTIES, TW_TO_STATE, core->config->state, "GET",
-            "/kv?starts=" TW_DEPUTY_KEY "&most=100", NULL, 1);
+    tw_call_send(core, TW_CALL_READ_DELEGATE_KEYS, TW_TO_STATE, core->config->state, "GET",
+                 "/kv?starts=" TW_DELEGATE_KEY "&most=100", NULL, 1);
 }
 
 /* Takes in a deputy's key; returns whether it is a newer one than is known. */
 static int key_seen(tw_core *core, const tw_wire_entry *entry) {
-    const size_t prefix = sizeof TW_DEPUTY_KEY - 1;
-    peer *node = strlen(entry->key) > prefix ? tw_peer_of(core, entry->key + prefix) : NULL;
+    const size_t prefix = sizeof TW_DELEGATE_KEY - 1;
+    tw_peer *node = strlen(entry->key) > prefix ? tw_peer_find(core, entry->key + prefix) : NULL;
     if (!node || node->delegate_revision >= entry->mod_revision) return 0;
     node->delegate_revision = entry->mod_revision;
-    /* One of an earlier term is covered by tw_predecessor_end. */
-    node->delegate_until = core->now + tw_deputy_s(core) * (1 + 2 * core->config->tune.drift);
+    /* One of an earlier term is covered by tw_predecessor_renewals_end. */
+    node->delegate_until =
+        core->now + tw_delegate_lease_s(core) * (1 + 2 * core->config->tune.drift);
     return 1;
 }
 
-void tw_deputies_page(tw_core *core, call *sent, int status, const char *body, size_t len) {
+void tw_delegates_page(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
     tw_wire_entry *entries;
     int count, more;
     int any_newer = 0;
@@ -57,21 +59,21 @@
         core->expiry_decided_at > core->delegates_checked_at) {
         /* A lease was taken for lapsed while a deputy we did not know of may have renewed it. What
          * was decided since can't be told apart: the next term starts from the records. */
-        tw_step_down(core, "an unseen deputy");
+        tw_leader_step_down(core, "an unseen deputy");
         return;
     }
     core->delegates_checked_at = sent->sent_at;
     core->delegates_known = 1;
 }
 
-void tw_deputies_tick(tw_core *core) {
+void tw_delegates_tick(tw_core *core) {
     int away = !core->delegates_known;
     for (size_t i = 0; i < core->peer_count; i++) {
-        const peer *node = &core->peers[i];
+        const tw_peer *node = &core->peers[i];
         away |= node->answered_at < core->now - 1 - 0.5 * core->leader_lease_s ||
                 node->delegate_until > core->now;
     }
     if (!away || core->now < core->next_delegates_read_at) return;
     core->next_delegates_read_at = core->now + READ_LEASES * core->config->lease_s;
-    tw_deputies_read(core);
+    tw_delegates_read(core);
 }
--- a/src/core/deputy.c
+++ b/src/core/deputy.c
@@ -6,14 +6,14 @@
  *
  * The tasks of a job cancelled meanwhile must be gone cancel_s after its user was told, lapsing
  * included. So a deputy reads, as often as it can, which jobs are cancelled, and stops their tasks;
- * by its key it answers a worker only for tw_blind_s after the leader last did through it, or after
- * it began such a reading. */
+ * by its key it answers a worker only for tw_renewal_if_superseded_s after the leader last did
+ * through it, or after it began such a reading. */
 #include "core/fleet.h"
 #include "core/relay.h"
 
 #define MAX_KILLS 500 /* in an answer, which stays under 64 KiB; the rest in the next one */
 #define PAGE_SIZE 500 /* records a request; the service may send fewer */
-#define JOB_KEY "job/"
+#define TW_JOB_KEY "job/"
 #define PATH_SIZE 400
 #define DATA_SIZE 96
 
@@ -23,39 +23,40 @@
 #define READ_LEASES 0.4
 #define REFUSED_LEASES 0.05
 
-double tw_deputy_s(const tw_core *core) { return 0.5 * core->config->lease_s; }
+double tw_delegate_lease_s(const tw_core *core) { return 0.5 * core->config->lease_s; }
 
-void tw_deputy_key(char *key, const char *node) {
-    snprintf(key, TW_DEPUTY_KEY_SIZE, TW_DEPUTY_KEY "%s", node);
+void tw_delegate_key(char *key, const char *node) {
+    snprintf(key, TW_DELEGATE_KEY_SIZE, TW_DELEGATE_KEY "%s", node);
 }
 
-int tw_deputy_entitled(tw_core *core, const char *worker, const char *zone) {
+int tw_delegate_is_entitled(tw_core *core, const char *worker, const char *zone) {
     /* The leader counts on it that only nodes of its own zone renew a machine's lease without it.
      */
-    if (core->role != R_FOLLOWER || strcmp(zone, core->config->location) != 0) return 0;
+    if (core->role != TW_ROLE_FOLLOWER || strcmp(zone, core->config->location) != 0) return 0;
     if (core->delegation_token && core->delegation_token == core->highest_token_seen &&
         core->now < core->delegation_until)
         return 1;
-    expiring *relayed;
+    tw_expiring_name *relayed;
     HASH_FIND_STR(core->forwarded_workers, worker, relayed);
     const double answered_at = relayed ? relayed->at : -INFINITY;
     const double read_at = core->cancelled_read_at > 0 ? core->cancelled_read_at : -INFINITY;
-    return core->now < fmax(answered_at, read_at) + tw_blind_s(core) && core->delegate_token &&
-           core->delegate_token == core->highest_token_seen && core->now < core->delegate_until;
+    return core->now < fmax(answered_at, read_at) + tw_renewal_if_superseded_s(core) &&
+           core->delegate_token && core->delegate_token == core->highest_token_seen &&
+           core->now < core->delegate_until;
 }
 
 /* ---- sets of names, each with a time ---- */
 
-static void forget_all(expiring **set) {
-    expiring *member, *next;
+static void forget_all(tw_expiring_name **set) {
+    tw_expiring_name *member, *next;
     HASH_ITER(hh, *set, member, next) {
         HASH_DEL(*set, member);
         free(member);
     }
 }
 
-static void forget_older(tw_core *core, expiring **set, double age_s) {
-    expiring *member, *next;
+static void forget_older(tw_core *core, tw_expiring_name **set, double age_s) {
+    tw_expiring_name *member, *next;
     HASH_ITER(hh, *set, member, next) {
         if (core->now < member->at + age_s) continue;
         HASH_DEL(*set, member);
@@ -63,67 +64,69 @@
     }
 }
 
-static void remember(expiring **set, const char *name, double at) {
-    expiring *member;
+static void remember(tw_expiring_name **set, const char *name, double at) {
+    tw_expiring_name *member;
     HASH_FIND_STR(*set, name, member);
     if (!member) {
-        member = tw_zalloc(sizeof *member);
+        member = tw_alloc(sizeof *member);
         snprintf(member->name, sizeof member->name, "%s", name);
         HASH_ADD_STR(*set, name, member);
     }
     member->at = at;
 }
 
-static int has(expiring *set, const char *name) {
-    expiring *member;
+static int has(tw_expiring_name *set, const char *name) {
+    tw_expiring_name *member;
     HASH_FIND_STR(set, name, member);
     return member != NULL;
 }
 
 /* ---- what the leader says ---- */
 
-void tw_aborted_note(tw_core *core, uint64_t token, const char *body, size_t len) {
+void tw_delegate_note_cancelled(tw_core *core, uint64_t token, const char *body, size_t len) {
     char(*ids)[TW_WIRE_ID_SIZE];
     int count;
-    if (token != core->highest_token_seen || core->role != R_FOLLOWER) return;
+    if (token != core->highest_token_seen || core->role != TW_ROLE_FOLLOWER) return;
     /* An id is kept for as long as a grant and a lease may last: an answer may be older than a
      * heartbeat that came before it. */
     forget_older(core, &core->announced_cancelled_jobs,
-                 tw_alone_s(core) + 2 * core->config->lease_s);
+                 tw_renewal_without_contact_s(core) + 2 * core->config->lease_s);
     if (tw_wire_cancelled_jobs_parse(&ids, &count, body, len)) return;
     for (int i = 0; i < count; i++) remember(&core->announced_cancelled_jobs, ids[i], core->now);
     free(ids);
 }
 
-void tw_deputy_granted(tw_core *core, double sent, uint64_t token, const char *body, size_t len) {
-    if (token != core->highest_token_seen || core->role != R_FOLLOWER) return;
-    tw_aborted_note(core, token, body, len);
+void tw_delegate_granted(tw_core *core, double sent, uint64_t token, const char *body, size_t len) {
+    if (token != core->highest_token_seen || core->role != TW_ROLE_FOLLOWER) return;
+    tw_delegate_note_cancelled(core, token, body, len);
     core->delegation_token = token;
-    core->delegation_until = sent + tw_alone_s(core) * (1 - 2 * core->config->tune.drift);
+    core->delegation_until =
+        sent + tw_renewal_without_contact_s(core) * (1 - 2 * core->config->tune.drift);
 }
 
-void tw_deputy_relayed(tw_core *core, const char *worker, double at) {
+void tw_delegate_note_forwarded(tw_core *core, const char *worker, double at) {
     remember(&core->forwarded_workers, worker, at);
     if (core->now < core->next_forwarded_sweep_at) return;
     core->next_forwarded_sweep_at = core->now + core->config->lease_s;
-    forget_older(core, &core->forwarded_workers, tw_blind_s(core));
+    forget_older(core, &core->forwarded_workers, tw_renewal_if_superseded_s(core));
 }
 
 /* ---- cancelled jobs, from the state service ---- */
 
 static void list_jobs(tw_core *core) {
     char path[PATH_SIZE];
-    const int length = snprintf(path, sizeof path, "/kv?starts=" JOB_KEY "&most=%d", PAGE_SIZE);
+    const int length = snprintf(path, sizeof path, "/kv?starts=" TW_JOB_KEY "&most=%d", PAGE_SIZE);
     if (*core->cancelled_list_cursor)
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s",
                  core->cancelled_list_cursor);
     else
         core->cancelled_list_began_at = core->now;
     core->cancelled_list_in_flight = 1;
-    tw_call(core, K_DEP_JOBS, TW_TO_STATE, core->config->state, "GET", path, NULL, 1);
+    tw_call_send(core, TW_CALL_LIST_CANCELLED_JOBS, TW_TO_STATE, core->config->state, "GET", path,
+                 NULL, 1);
 }
 
-void tw_deputy_jobs(tw_core *core, int status, const char *body, size_t len) {
+void tw_delegate_cancelled_page(tw_core *core, int status, const char *body, size_t len) {
     tw_wire_entry *entries;
     int count, more;
     core->cancelled_list_in_flight = 0;
@@ -132,7 +135,7 @@
         core->next_cancelled_list_at = core->now + REFUSED_LEASES * core->config->lease_s;
         return;
     }
-    const size_t prefix = sizeof JOB_KEY - 1;
+    const size_t prefix = sizeof TW_JOB_KEY - 1;
     for (int i = 0; i < count; i++) {
         const tw_wire_entry *entry = &entries[i];
         if (strlen(entry->key) > prefix &&
@@ -150,8 +153,8 @@
     tw_wire_entries_free(entries, count);
 }
 
-void tw_deputy_tick(tw_core *core) {
-    if (core->role != R_FOLLOWER || core->now >= core->delegate_until) {
+void tw_delegate_tick(tw_core *core) {
+    if (core->role != TW_ROLE_FOLLOWER || core->now >= core->delegate_until) {
         if (core->listed_cancelled_jobs && !core->cancelled_list_in_flight)
             forget_all(&core->listed_cancelled_jobs);
         return;
@@ -168,33 +171,34 @@
     /* Every report that waits asks for it: the state service's limit is shared with the leader. */
     if (core->delegate_write_in_flight || core->now < core->next_delegate_attempt_at ||
         !core->leader_token || core->leader_token != core->highest_token_seen ||
-        core->role != R_FOLLOWER)
+        core->role != TW_ROLE_FOLLOWER)
         return;
-    char key[TW_DEPUTY_KEY_SIZE];
+    char key[TW_DELEGATE_KEY_SIZE];
     char data[DATA_SIZE];
-    tw_deputy_key(key, core->config->host_name);
+    tw_delegate_key(key, core->config->host_name);
     snprintf(data, sizeof data, "{\"token\":%llu,\"n\":%llu}",
              (unsigned long long)core->leader_token, (unsigned long long)++core->delegate_sequence);
     tw_wire_compare condition = {TW_LEADER_KEY, core->leader_token};
     tw_wire_write written = {key, data, 0};
-    call *sent = tw_call(core, K_DEPUTY, TW_TO_STATE, core->config->state, "POST", "/txn",
-                         tw_wire_txn_text(&condition, 1, &written, 1), 1);
-    sent->tokens = tw_zalloc(sizeof *sent->tokens);
+    tw_call *sent = tw_call_send(core, TW_CALL_WRITE_DELEGATE_KEY, TW_TO_STATE, core->config->state,
+                                 "POST", "/txn", tw_wire_txn_text(&condition, 1, &written, 1), 1);
+    sent->tokens = tw_alloc(sizeof *sent->tokens);
     sent->tokens[0] = core->leader_token;
     core->delegate_write_in_flight = 1;
     core->next_delegate_attempt_at = core->now + ATTEMPT_LEASES * core->config->lease_s;
 }
 
-void tw_deputy_response(tw_core *core, call *sent, int status) {
+void tw_delegate_key_response(tw_core *core, tw_call *sent, int status) {
     core->delegate_write_in_flight = 0;
     if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
     if (status != TW_HTTP_OK) return;
     if (core->now >= core->delegate_until)
         tw_log_info("event=deputy token=%llu", (unsigned long long)sent->tokens[0]);
     core->delegate_token = sent->tokens[0];
-    core->delegate_until = sent->sent_at + tw_deputy_s(core) * (1 - 2 * core->config->tune.drift);
-    tw_relay_retry(core);
-    tw_deputy_tick(core);
+    core->delegate_until =
+        sent->sent_at + tw_delegate_lease_s(core) * (1 - 2 * core->config->tune.drift);
+    tw_held_heartbeats_retry(core);
+    tw_delegate_tick(core);
 }
 
 /* Renews the worker's lease and stops its tasks of cancelled jobs. */
@@ -202,7 +206,7 @@
     if (core->now > core->delegate_answered_at + core->config->lease_s)
         tw_log_info("event=deputising token=%llu", (unsigned long long)core->highest_token_seen);
     core->delegate_answered_at = core->now;
-    tw_orders orders = tw_orders_new(core);
+    tw_command_list orders = tw_command_list_new(core);
     for (int i = 0; i < report->task_count && orders.count < MAX_KILLS; i++) {
         const tw_wire_task *task = &report->tasks[i];
         if (task->state == TW_TASK_EXITED) continue;
@@ -211,27 +215,27 @@
             continue;
         const tw_wire_command stop = {
             .kind = TW_COMMAND_STOP, .index = task->index, .attempt = task->attempt};
-        tw_orders_add(&orders, stop, task->job);
+        tw_command_list_add(&orders, stop, task->job);
     }
-    char *text = tw_orders_deputy_text(core, report, &orders);
+    char *text = tw_commands_delegate_text(core, report, &orders);
     if (text)
         tw_reply(core, conn, TW_HTTP_OK, 0, text);
     else
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
-int tw_deputy_answers(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
-    if (!tw_deputy_entitled(core, report->worker, report->zone)) {
+int tw_delegate_answer_heartbeat(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
+    if (!tw_delegate_is_entitled(core, report->worker, report->zone)) {
         if (!strcmp(report->zone, core->config->location)) become_deputy(core);
         return 0;
     }
     /* The grant ends; a key, where the state service can be reached, goes on. */
-    if (core->now > core->delegate_until - 0.5 * tw_deputy_s(core)) become_deputy(core);
+    if (core->now > core->delegate_until - 0.5 * tw_delegate_lease_s(core)) become_deputy(core);
     answer(core, conn, report);
     return 1;
 }
 
-void tw_deputy_end(tw_core *core) {
+void tw_delegate_free(tw_core *core) {
     forget_all(&core->listed_cancelled_jobs);
     forget_all(&core->announced_cancelled_jobs);
     forget_all(&core->forwarded_workers);
--- a/src/core/drain.c
+++ b/src/core/drain.c
@@ -7,58 +7,60 @@
 #define START_S 1      /* until a task that does not run yet does */
 
 static int by_time(const void *left, const void *right) {
-    const tw_release *a = left, *b = right;
+    const tw_expected_release *a = left, *b = right;
     return a->at < b->at ? -1 : a->at > b->at;
 }
 
 /* When a task is expected to end. */
-static double end_of(const tw_core *core, const placement *placed) {
+static double end_of(const tw_core *core, const tw_placement *placed) {
     const double slowness = placed->machine->slowness > 0 ? placed->machine->slowness : 1;
-    const double run_s = tw_estimate(placed->job) * slowness;
+    const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
     const double runs_from =
         placed->running_since > 0 ? placed->running_since : core->now + START_S;
     return fmax(runs_from + run_s, core->now + LEAST_REST * run_s);
 }
 
 /* What a task's end is expected to leave on its machine, beside what is free there already. */
-static tw_release release_of(const tw_core *core, const placement *placed) {
-    const machine *machine = placed->machine;
+static tw_expected_release release_of(const tw_core *core, const tw_placement *placed) {
+    const tw_machine *machine = placed->machine;
     const tw_wire_job *spec = &placed->job->spec;
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    return (tw_release){.at = end_of(core, placed),
-                        .room = {.type_index = machine->type_index,
-                                 .spot = machine->spot,
-                                 .zone = machine->zone,
-                                 .cores = spec->cores + fmax(0, type->cores - machine->used_cores),
-                                 .gpus = spec->gpus + fmax(0, type->gpus - machine->used_gpus),
-                                 .memory_gb = spec->memory_gb +
-                                              fmax(0, type->memory_gb - machine->used_memory_gb)}};
+    return (tw_expected_release){
+        .at = end_of(core, placed),
+        .room = {.type_index = machine->type_index,
+                 .spot = machine->spot,
+                 .zone = machine->zone,
+                 .cores = spec->cores + fmax(0, type->cores - machine->used_cores),
+                 .gpus = spec->gpus + fmax(0, type->gpus - machine->used_gpus),
+                 .memory_gb =
+                     spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}};
 }
 
-static int gives_back(const job *job) { return job->has_spec && !job->spec.service; }
+static int gives_back(const tw_job *job) { return job->has_spec && !job->spec.service; }
 
-void tw_drain_init(tw_core *core, tw_drain *drain) {
-    job *job;
+void tw_expected_releases_init(tw_core *core, tw_expected_releases *drain) {
+    tw_job *job;
     int capacity = 0;
     DL_FOREACH(core->active_jobs, job) if (gives_back(job)) capacity += job->placed_count;
-    drain->items = tw_zalloc((size_t)capacity * sizeof *drain->items);
+    drain->items = tw_alloc((size_t)capacity * sizeof *drain->items);
     drain->count = 0;
     DL_FOREACH(core->active_jobs, job) {
         if (!gives_back(job)) continue;
-        const placement *placed;
+        const tw_placement *placed;
         DL_FOREACH2(job->placements, placed, job_next) {
-            if (!tw_machine_usable(core, placed->machine)) continue;
+            if (!tw_machine_is_usable(core, placed->machine)) continue;
             drain->items[drain->count++] = release_of(core, placed);
         }
     }
     qsort(drain->items, (size_t)drain->count, sizeof *drain->items, by_time);
 }
 
-double tw_drain_start(tw_core *core, tw_drain *drain, const job *job, int *from) {
+double tw_expected_releases_start(tw_core *core, tw_expected_releases *drain, const tw_job *job,
+                                  int *from) {
     for (; *from < drain->count; ++*from) {
-        tw_release *release = &drain->items[*from];
+        tw_expected_release *release = &drain->items[*from];
         core->pass_steps++;
-        if (!tw_bin_allowed(&release->room, &job->spec, job->type_mask)) continue;
+        if (!tw_bin_is_allowed(&release->room, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&release->room, &job->spec)) continue;
         /* What is given back beside GPUs that stay free is kept for them. */
         if (!tw_bin_leaves_gpus(core, &release->room, &job->spec, job->any_machine)) continue;
@@ -68,4 +70,4 @@
     return INFINITY;
 }
 
-void tw_drain_free(tw_drain *drain) { free(drain->items); }
+void tw_expected_releases_free(tw_expected_releases *drain) { free(drain->items); }
--- a/src/core/effects.c
+++ b/src/core/effects.c
@@ -3,7 +3,7 @@
 
 #define ERROR_SIZE 160
 
-static void push(tw_core *core, tw_fx *effect) {
+static void push(tw_core *core, tw_effect *effect) {
     effect->next = NULL;
     if (core->effects_tail)
         core->effects_tail->next = effect;
@@ -12,15 +12,15 @@
     core->effects_tail = effect;
 }
 
-tw_fx *tw_core_next(tw_core *core) {
-    tw_fx *effect = core->effects_head;
+tw_effect *tw_core_next_effect(tw_core *core) {
+    tw_effect *effect = core->effects_head;
     if (!effect) return NULL;
     core->effects_head = effect->next;
     if (!core->effects_head) core->effects_tail = NULL;
     return effect;
 }
 
-void tw_core_fx_free(tw_fx *effect) {
+void tw_core_effect_free(tw_effect *effect) {
     free(effect->path);
     free(effect->body);
     free(effect);
@@ -31,8 +31,8 @@
         free(body);
         return;
     }
-    tw_fx *effect = tw_zalloc(sizeof *effect);
-    effect->kind = TW_FX_REPLY;
+    tw_effect *effect = tw_alloc(sizeof *effect);
+    effect->kind = TW_EFFECT_REPLY;
     effect->id = conn;
     effect->status = status;
     effect->retry_after = retry_after;
@@ -47,17 +47,17 @@
     tw_reply(core, conn, status, retry_after, strdup(text));
 }
 
-call *tw_call(tw_core *core, call_kind kind, tw_fx_target to, const char *addr, const char *method,
-              const char *path, char *body, double timeout_s) {
-    call *sent = tw_zalloc(sizeof *sent);
+tw_call *tw_call_send(tw_core *core, tw_call_kind kind, tw_call_target to, const char *addr,
+                      const char *method, const char *path, char *body, double timeout_s) {
+    tw_call *sent = tw_alloc(sizeof *sent);
     if (to == TW_TO_STATE) core->calls_made[kind]++;
     sent->id = ++core->last_call_id;
     sent->kind = kind;
     sent->sent_at = core->now;
     sent->term = core->term;
     HASH_ADD(hh, core->calls, id, sizeof sent->id, sent);
-    tw_fx *effect = tw_zalloc(sizeof *effect);
-    effect->kind = TW_FX_CALL;
+    tw_effect *effect = tw_alloc(sizeof *effect);
+    effect->kind = TW_EFFECT_CALL;
     effect->id = sent->id;
     effect->to = to;
     snprintf(effect->addr, sizeof effect->addr, "%s", addr);
@@ -69,8 +69,8 @@
     return sent;
 }
 
-call *tw_call_answered(tw_core *core, uint64_t id, int status) {
-    call *sent;
+tw_call *tw_call_answered(tw_core *core, uint64_t id, int status) {
+    tw_call *sent;
     HASH_FIND(hh, core->calls, &id, sizeof id, sent);
     if (!sent) return NULL;
     HASH_DEL(core->calls, sent);
@@ -78,7 +78,7 @@
     return sent;
 }
 
-void tw_call_free(call *sent) {
+void tw_call_free(tw_call *sent) {
     free(sent->text);
     free(sent->names);
     free(sent->records);
@@ -87,27 +87,32 @@
 }
 
 void tw_effects_free(tw_core *core) {
-    call *sent, *next;
+    tw_call *sent, *next;
     HASH_ITER(hh, core->calls, sent, next) {
         HASH_DEL(core->calls, sent);
         tw_call_free(sent);
     }
-    tw_fx *effect;
-    while ((effect = tw_core_next(core))) tw_core_fx_free(effect);
+    tw_effect *effect;
+    while ((effect = tw_core_next_effect(core))) tw_core_effect_free(effect);
 }
 
-void tw_calls_log(tw_core *core) {
+void tw_calls_log_counts(tw_core *core) {
     if (core->now < core->next_calls_log_at) return;
     core->next_calls_log_at = core->now + core->config->lease_s;
     const unsigned *made = core->calls_made;
     tw_log_debug(
         "event=state_calls s=%.0f key=%u watch=%u elect=%u renew=%u txn=%u read=%u load=%u "
         "deputy=%u deputies=%u list=%u news=%u refused=%u",
-        core->config->lease_s, made[K_LEADER_GET], made[K_LEADER_WATCH],
-        made[K_GRANT] + made[K_ACQUIRE] + made[K_GRANT_DEL], made[K_RENEW],
-        made[K_TXN] + made[K_CREATE] + made[K_PARTS] + made[K_PARTS_REMOVE],
-        made[K_JOB_READ] + made[K_LOOKUP], made[K_LOAD], made[K_DEPUTY], made[K_DEPUTIES],
-        made[K_DEP_JOBS], made[K_ACCEPTED_LIST] + made[K_ACCEPTED] + made[K_ACCEPTED_REMOVE],
+        core->config->lease_s, made[TW_CALL_READ_LEADER], made[TW_CALL_WATCH_LEADER],
+        made[TW_CALL_GRANT_LEASE] + made[TW_CALL_ACQUIRE_LEADERSHIP] + made[TW_CALL_REVOKE_LEASE],
+        made[TW_CALL_RENEW_LEASE],
+        made[TW_CALL_WRITE_RECORDS] + made[TW_CALL_CREATE_RECORD] + made[TW_CALL_WRITE_CHUNKS] +
+            made[TW_CALL_REMOVE_CHUNKS],
+        made[TW_CALL_READ_RECORD] + made[TW_CALL_LOOK_UP_JOB], made[TW_CALL_LOAD_RECORDS],
+        made[TW_CALL_WRITE_DELEGATE_KEY], made[TW_CALL_READ_DELEGATE_KEYS],
+        made[TW_CALL_LIST_CANCELLED_JOBS],
+        made[TW_CALL_LIST_PEER_ADMISSIONS] + made[TW_CALL_WATCH_PEER_ADMISSIONS] +
+            made[TW_CALL_REMOVE_PEER_ADMISSION],
         core->calls_refused);
     memset(core->calls_made, 0, sizeof core->calls_made);
     core->calls_refused = 0;
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -59,10 +59,10 @@
 void tw_election_init(tw_core *core) {
     const double rate = core->config->tune.write_share * FOLLOW_SHARE / round_s(core);
     const double burst = fmax(ELECTION_REQUESTS, rate);
-    core->election_limiter = tw_budget_of(rate, burst, core->now);
+    core->election_limiter = tw_rate_limiter_make(rate, burst, core->now);
 }
 
-double tw_refused_wait_s(tw_core *core, int status) {
+double tw_rate_limited_wait_s(tw_core *core, int status) {
     if (status != TW_HTTP_TOO_MANY) return 0;
     return LEADER_WAIT_REQUESTS / core->config->state_rps * tw_jitter(core, WAIT_LEAST, WAIT_MOST);
 }
@@ -82,20 +82,20 @@
 
 /* A request of an election that has begun: it is not broken off for want of budget, which is paid
  * back before the next reading of the key. */
-static void election_call(tw_core *core, call_kind kind, const char *method, const char *path,
+static void election_call(tw_core *core, tw_call_kind kind, const char *method, const char *path,
                           char *body /* owned */, double timeout_s) {
-    tw_put_back(&core->election_limiter, -1);
-    tw_call(core, kind, TW_TO_STATE, core->config->state, method, path, body, timeout_s);
+    tw_rate_limiter_refund(&core->election_limiter, -1);
+    tw_call_send(core, kind, TW_TO_STATE, core->config->state, method, path, body, timeout_s);
 }
 
 /* ---- terms ---- */
 
-void tw_step_down(tw_core *core, const char *why) {
-    if (core->role != R_LEADER) return;
+void tw_leader_step_down(tw_core *core, const char *why) {
+    if (core->role != TW_ROLE_LEADER) return;
     tw_log_info("event=step_down token=%llu why=\"%s\" led_s=%.2f authority_left_s=%.3f",
                 (unsigned long long)core->fencing_token, why, core->now - core->acquired_at,
                 core->authority_until - core->now);
-    core->role = R_FOLLOWER;
+    core->role = TW_ROLE_FOLLOWER;
     core->term++;
     core->renewals_in_flight = 0;
     core->lease_id = 0;
@@ -107,15 +107,15 @@
 }
 
 /* Any sign of a later leader: from the state service, a peer or a worker. */
-void tw_saw_token(tw_core *core, uint64_t token, const char *leader) {
+void tw_leader_observe_token(tw_core *core, uint64_t token, const char *leader) {
     if (token > core->highest_token_seen) core->highest_token_seen = token;
     if (leader && *leader && token >= core->leader_token) {
         core->leader_token = token;
         core->leader_seen_at = core->now;
         snprintf(core->leader_name, sizeof core->leader_name, "%s", leader);
     }
-    if (core->role == R_LEADER && token > core->fencing_token)
-        tw_step_down(core, "a later leader exists");
+    if (core->role == TW_ROLE_LEADER && token > core->fencing_token)
+        tw_leader_step_down(core, "a later leader exists");
 }
 
 /* Until when the lease, granted or renewed by a request sent then, gives authority. */
@@ -125,7 +125,7 @@
 }
 
 static void become_leader(tw_core *core, uint64_t token) {
-    core->role = R_LEADER;
+    core->role = TW_ROLE_LEADER;
     core->term++;
     core->fencing_token = token;
     core->acquired_at = core->now;
@@ -139,18 +139,18 @@
         core->peers[i].delegation_until =
             0; /* given by us in an earlier term: under an older token */
     }
-    tw_saw_token(core, token, core->config->host_name);
+    tw_leader_observe_token(core, token, core->config->host_name);
     tw_log_info("event=leader token=%llu authority_s=%.3f hold_s=%.2f", (unsigned long long)token,
-                core->authority_until - core->now, tw_hold_s(core));
-    tw_recover_begin(core);
+                core->authority_until - core->now, tw_renewal_without_authority_s(core));
+    tw_failover_begin(core);
 }
 
 /* ---- following the leader's key ---- */
 
 static void poll_leader(tw_core *core) {
     core->leader_read_in_flight = 1;
-    tw_call(core, K_LEADER_GET, TW_TO_STATE, core->config->state, "GET", "/kv/" TW_LEADER_KEY, NULL,
-            fmax(1, core->leader_lease_s * ELECTION_TIMEOUT));
+    tw_call_send(core, TW_CALL_READ_LEADER, TW_TO_STATE, core->config->state, "GET",
+                 "/kv/" TW_LEADER_KEY, NULL, fmax(1, core->leader_lease_s * ELECTION_TIMEOUT));
 }
 
 /* A watch instead of many polls: the state service's limit is for all nodes together, and the end
@@ -163,8 +163,8 @@
     core->leader_read_in_flight = 1;
     snprintf(path, sizeof path, "/follow?starts=" TW_LEADER_KEY "&since=%llu&holdMs=%d",
              (unsigned long long)core->watch_from_revision, (int)(hold * MS));
-    tw_call(core, K_LEADER_WATCH, TW_TO_STATE, core->config->state, "GET", path, NULL,
-            hold + core->leader_lease_s * 0.5 + WATCH_ANSWER_S);
+    tw_call_send(core, TW_CALL_WATCH_LEADER, TW_TO_STATE, core->config->state, "GET", path, NULL,
+                 hold + core->leader_lease_s * 0.5 + WATCH_ANSWER_S);
 }
 
 static void on_watch(tw_core *core, int status, const char *body, size_t len) {
@@ -192,7 +192,7 @@
     core->election_in_flight = 1;
     core->lease_requested_at = core->now;
     snprintf(body, sizeof body, "{\"lifeMs\":%d}", (int)(core->leader_lease_s * MS));
-    election_call(core, K_GRANT, "POST", "/grants", strdup(body),
+    election_call(core, TW_CALL_GRANT_LEASE, "POST", "/grants", strdup(body),
                   core->leader_lease_s * ELECTION_TIMEOUT);
 }
 
@@ -200,15 +200,15 @@
     char path[TW_PATH_SIZE];
     if (!hold) return;
     snprintf(path, sizeof path, "/grants/%llu", (unsigned long long)hold);
-    election_call(core, K_GRANT_DEL, "DELETE", path, NULL, DROP_TIMEOUT_S);
+    election_call(core, TW_CALL_REVOKE_LEASE, "DELETE", path, NULL, DROP_TIMEOUT_S);
 }
 
 /* The key names a leader, at its revision. */
 static void key_read(tw_core *core, const tw_wire_entry *entry, const char *leader) {
-    tw_saw_token(core, entry->mod_revision, leader);
+    tw_leader_observe_token(core, entry->mod_revision, leader);
     /* Our own name while we don't lead: an earlier life of this node, or an acquisition whose
      * answer was lost. Nobody acts on it any more, so its lease is ended at once. */
-    if (core->role == R_FOLLOWER && !core->election_in_flight &&
+    if (core->role == TW_ROLE_FOLLOWER && !core->election_in_flight &&
         !strcmp(leader, core->config->host_name)) {
         drop_grant(core, entry->lease_id);
         *core->leader_name = 0;
@@ -221,13 +221,13 @@
     core->leader_read_in_flight = 0;
     if (status == TW_HTTP_NOT_FOUND) {
         *core->leader_name = 0;
-        if (core->role == R_FOLLOWER && !core->election_in_flight) start_election(core);
+        if (core->role == TW_ROLE_FOLLOWER && !core->election_in_flight) start_election(core);
         return;
     }
     tw_wire_entry entry;
     if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, len)) return;
     core->watch_from_revision = entry.mod_revision;
-    if (core->role == R_FOLLOWER) core->next_leader_read_at = core->now;
+    if (core->role == TW_ROLE_FOLLOWER) core->next_leader_read_at = core->now;
     cJSON *data = cJSON_Parse(entry.value);
     const cJSON *node = cJSON_GetObjectItemCaseSensitive(data, "node");
     if (cJSON_IsString(node) && strlen(node->valuestring) < TW_NAME_SIZE)
@@ -247,8 +247,8 @@
     snprintf(data, sizeof data, "{\"node\":\"%s\"}", core->config->host_name);
     tw_wire_compare absent = {TW_LEADER_KEY, 0};
     tw_wire_write key = {TW_LEADER_KEY, data, hold};
-    election_call(core, K_ACQUIRE, "POST", "/txn", tw_wire_txn_text(&absent, 1, &key, 1),
-                  core->leader_lease_s * ELECTION_TIMEOUT);
+    election_call(core, TW_CALL_ACQUIRE_LEADERSHIP, "POST", "/txn",
+                  tw_wire_txn_text(&absent, 1, &key, 1), core->leader_lease_s * ELECTION_TIMEOUT);
 }
 
 static void on_acquire(tw_core *core, int status, const char *body, size_t len) {
@@ -274,12 +274,12 @@
     snprintf(path, sizeof path, "/grants/%llu/renew", (unsigned long long)core->lease_id);
     core->renewals_in_flight++;
     core->renewal_sent_at = core->now;
-    tw_call(core, K_RENEW, TW_TO_STATE, core->config->state, "POST", path, strdup("{}"),
-            core->leader_lease_s * RENEW_TIMEOUT);
+    tw_call_send(core, TW_CALL_RENEW_LEASE, TW_TO_STATE, core->config->state, "POST", path,
+                 strdup("{}"), core->leader_lease_s * RENEW_TIMEOUT);
 }
 
-static void on_renew(tw_core *core, const call *sent, int status) {
-    if (sent->term != core->term || core->role != R_LEADER) return;
+static void on_renew(tw_core *core, const tw_call *sent, int status) {
+    if (sent->term != core->term || core->role != TW_ROLE_LEADER) return;
     if (core->renewals_in_flight) core->renewals_in_flight--;
     if (status == TW_HTTP_OK) {
         const double until = authority_end(core, sent->sent_at);
@@ -291,10 +291,10 @@
         core->next_renewal_at = sent->sent_at + core->leader_lease_s * RENEW_EVERY;
         core->scheduling_due = 1;
     } else if (status == TW_HTTP_NOT_FOUND) {
-        tw_step_down(core, "lease lost");
+        tw_leader_step_down(core, "lease lost");
     } else {
-        core->next_renewal_at =
-            core->now + fmax(core->leader_lease_s * RENEW_RETRY, tw_refused_wait_s(core, status));
+        core->next_renewal_at = core->now + fmax(core->leader_lease_s * RENEW_RETRY,
+                                                 tw_rate_limited_wait_s(core, status));
     }
 }
 
@@ -305,26 +305,26 @@
         core->store_answered_at = core->now;
 }
 
-void tw_election_response(tw_core *core, call *sent, int status, const char *body, size_t len) {
-    if (sent->kind == K_PING) {
-        tw_ping_response(core, sent, status, body, len);
+void tw_election_response(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
+    if (sent->kind == TW_CALL_PEER_HEARTBEAT) {
+        tw_peer_heartbeat_response(core, sent, status, body, len);
         return;
     }
     note_state(core, status);
     switch (sent->kind) {
-    case K_LEADER_GET:
+    case TW_CALL_READ_LEADER:
         on_leader_key(core, status, body, len);
         break;
-    case K_LEADER_WATCH:
+    case TW_CALL_WATCH_LEADER:
         on_watch(core, status, body, len);
         break;
-    case K_GRANT:
+    case TW_CALL_GRANT_LEASE:
         on_grant(core, status, body, len);
         break;
-    case K_ACQUIRE:
+    case TW_CALL_ACQUIRE_LEADERSHIP:
         on_acquire(core, status, body, len);
         break;
-    case K_RENEW:
+    case TW_CALL_RENEW_LEASE:
         on_renew(core, sent, status);
         return;
     default:
@@ -339,9 +339,9 @@
     const int slow = core->renewals_in_flight == 1 &&
                      core->now >= core->renewal_sent_at + core->leader_lease_s * RENEW_SLOW;
     if (due || slow) renew(core);
-    if (core->now >= core->authority_until + tw_hold_s(core) ||
-        (core->phase == PH_LOADING && core->now >= core->authority_until))
-        tw_step_down(core, "no authority");
+    if (core->now >= core->authority_until + tw_renewal_without_authority_s(core) ||
+        (core->phase == TW_PHASE_LOADING && core->now >= core->authority_until))
+        tw_leader_step_down(core, "no authority");
 }
 
 /* Followers watch the key; a leader without authority looks whether it was replaced. */
@@ -349,17 +349,17 @@
     if (core->leader_read_in_flight || core->election_in_flight ||
         core->now < core->next_leader_read_at)
         return;
-    if (!tw_take(core, &core->election_limiter, 1)) return;
+    if (!tw_rate_limiter_try_acquire(core, &core->election_limiter, 1)) return;
     core->next_leader_read_at =
         core->now + core->leader_lease_s * tw_jitter(core, POLL_LEAST, POLL_MOST);
-    if (core->watch_from_revision && core->role == R_FOLLOWER)
+    if (core->watch_from_revision && core->role == TW_ROLE_FOLLOWER)
         watch_leader(core);
     else
         poll_leader(core);
 }
 
 void tw_election_tick(tw_core *core) {
-    if (core->role == R_LEADER) leader_tick(core);
-    if (core->role == R_FOLLOWER || !tw_authority(core)) follower_tick(core);
-    tw_ping_tick(core);
+    if (core->role == TW_ROLE_LEADER) leader_tick(core);
+    if (core->role == TW_ROLE_FOLLOWER || !tw_leader_has_authority(core)) follower_tick(core);
+    tw_peer_heartbeat_tick(core);
 }
--- a/src/core/estimate.c
+++ b/src/core/estimate.c
@@ -6,15 +6,15 @@
 #define MARGIN_DEVIATIONS 2 /* of a fetch, that a service has to spare before its deadline */
 
 /* When its class's start objective is missed, counted anew after a loss; INFINITY: it has none. */
-static double start_due(const job *job) {
+static double start_due(const tw_job *job) {
     if (!job->job_class || job->job_class->start_within_s <= 0) return INFINITY;
     return fmax(job->submitted_at, job->pending_since) + job->job_class->start_within_s;
 }
 
 /* A gang has its owner's deadline, else its class's objective for the end; and its start objective,
  * with the run that follows. */
-static double gang_due(const job *job) {
-    double due = start_due(job) + tw_estimate(job);
+static double gang_due(const tw_job *job) {
+    double due = start_due(job) + tw_job_run_estimate_s(job);
     if (job->spec.deadline_s >= 0)
         due = fmin(due, job->submitted_at + job->spec.deadline_s);
     else if (job->job_class && job->job_class->finish_within_s > 0)
@@ -22,7 +22,7 @@
     return due;
 }
 
-double tw_job_due(const tw_core *core, const job *job) {
+double tw_job_deadline(const tw_core *core, const tw_job *job) {
     (void)core;
     if (job->spec.gang) return gang_due(job);
     if (!job->spec.service && job->spec.deadline_s >= 0)
@@ -31,40 +31,43 @@
     return start_due(job);
 }
 
-double tw_job_start_due(const job *job) { return job->spec.gang ? start_due(job) : INFINITY; }
+double tw_job_start_deadline(const tw_job *job) {
+    return job->spec.gang ? start_due(job) : INFINITY;
+}
 
-double tw_estimate(const job *job) {
+double tw_job_run_estimate_s(const tw_job *job) {
     if (job->spec.service) return 0;
     return job->spec.expected_run_s * (job->job_class ? job->job_class->run_time_ratio : 1);
 }
 
-double tw_slowness(const tw_core *core, const machine *machine) {
+double tw_machine_slowness(const tw_core *core, const tw_machine *machine) {
     return machine->slowness < 0 ? core->machine_types[machine->type_index].slowness
                                  : machine->slowness;
 }
 
 /* What is still to be fetched of an image, in GB. */
-static double missing_gb(const tw_core *core, const job *job, const machine *machine,
-                         const image *image) {
+static double missing_gb(const tw_core *core, const tw_job *job, const tw_machine *machine,
+                         const tw_image *image) {
     if (!image) return job->spec.image_gb;
     if (image->ready_at <= 0) return 0;
     return fmax(0, image->ready_at - core->now) *
            core->machine_types[machine->type_index].listed.fetch_gb_s;
 }
 
-tw_prediction tw_predict(const tw_core *core, const tw_demand *demand, const machine *machine) {
-    const job *job = demand->job;
-    const flavor *type = &core->machine_types[machine->type_index];
+tw_prediction tw_predict(const tw_core *core, const tw_demand *demand, const tw_machine *machine) {
+    const tw_job *job = demand->job;
+    const tw_machine_type *type = &core->machine_types[machine->type_index];
     const double delay_s =
         machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
     const double s_per_gb =
         machine->fetch_s_per_gb < 0 ? type->fetch_s_per_gb : machine->fetch_s_per_gb;
-    tw_prediction result = {.image = tw_image(machine, job)};
+    tw_prediction result = {.image = tw_image_find(machine, job)};
     const double gb = missing_gb(core, job, machine, result.image);
     result.fetch_s = s_per_gb * gb;
-    result.run_s = tw_slowness(core, machine) * demand->estimate_s;
-    result.total_s =
-        delay_s + result.fetch_s * tw_fetch_slowed(core, machine, result.image) + result.run_s;
+    result.run_s = tw_machine_slowness(core, machine) * demand->estimate_s;
+    result.total_s = delay_s +
+                     result.fetch_s * tw_image_fetch_slowdown(core, machine, result.image) +
+                     result.run_s;
     if (job->spec.service)
         result.margin_s = MARGIN_DEVIATIONS * type->fetch_deviation * s_per_gb * gb;
     return result;
--- a/src/core/expiring.h
+++ b/src/core/expiring.h
@@ -7,10 +7,10 @@
 #include <uthash.h>
 
 /* A member of an expiring set. */
-typedef struct expiring {
+typedef struct tw_expiring_name {
     char name[TW_NAME_SIZE];
     double at;
     UT_hash_handle hh;
-} expiring;
+} tw_expiring_name;
 
 #endif
--- a/src/core/failover.c
+++ b/src/core/failover.c
@@ -41,7 +41,7 @@
     return 0;
 }
 
-void tw_failover_init(tw_core *core) {
+void tw_worker_failover_init(tw_core *core) {
     const size_t count = core->peer_count + 1;
     node nodes[count];
     for (size_t i = 0; i < core->peer_count; i++)
--- a/src/core/finished.c
+++ b/src/core/finished.c
@@ -28,7 +28,7 @@
     uint32_t count;
 } generation;
 
-struct tw_finished {
+struct tw_completed_jobs {
     uint32_t most_slots; /* of a generation */
     int newest;
     size_t count;
@@ -90,22 +90,22 @@
     *old = grown;
 }
 
-tw_finished *tw_finished_new(size_t most_bytes) {
-    tw_finished *table = allocate(1, sizeof *table);
+tw_completed_jobs *tw_completed_jobs_new(size_t most_bytes) {
+    tw_completed_jobs *table = allocate(1, sizeof *table);
     size_t slots = most_bytes / GENERATIONS / (sizeof(uint64_t) + sizeof(uint32_t));
     if (slots < FIRST_SLOTS) slots = FIRST_SLOTS;
     table->most_slots = slots > UINT32_MAX / 2 ? UINT32_MAX / 2 : (uint32_t)slots;
     return table;
 }
 
-void tw_finished_free(tw_finished *table) {
+void tw_completed_jobs_free(tw_completed_jobs *table) {
     if (!table) return;
     for (int i = 0; i < GENERATIONS; i++) release(&table->generations[i]);
     free(table);
 }
 
 /* The generation that takes the next entry. */
-static generation *with_room(tw_finished *table) {
+static generation *with_room(tw_completed_jobs *table) {
     generation *newest = &table->generations[table->newest];
     if (has_room(newest)) return newest;
     if (newest->slots < table->most_slots) {
@@ -122,15 +122,15 @@
     return oldest;
 }
 
-void tw_finished_add(tw_finished *table, const char *id, const tw_ending *ending) {
-    if (tw_finished_find(table, id, NULL)) return;
+void tw_completed_jobs_add(tw_completed_jobs *table, const char *id, const tw_completion *ending) {
+    if (tw_completed_jobs_find(table, id, NULL)) return;
     uint32_t packed = (uint32_t)ending->done;
     if (ending->stage == TW_JOB_CANCELLED) packed |= ABORTED_BIT;
     put(with_room(table), key_of(id), packed);
     table->count++;
 }
 
-int tw_finished_find(const tw_finished *table, const char *id, tw_ending *ending) {
+int tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending) {
     if (!table || !table->count) return 0;
     const uint64_t key = key_of(id);
     if (!key) return 0;
@@ -149,6 +149,8 @@
     return 0;
 }
 
-size_t tw_finished_count(const tw_finished *table) { return table ? table->count : 0; }
+size_t tw_completed_jobs_count(const tw_completed_jobs *table) { return table ? table->count : 0; }
 
-uint64_t tw_finished_let_go(const tw_finished *table) { return table ? table->let_go : 0; }
+uint64_t tw_completed_jobs_evictions(const tw_completed_jobs *table) {
+    return table ? table->let_go : 0;
+}
--- a/src/core/finished.h
+++ b/src/core/finished.h
@@ -10,25 +10,25 @@
 #include <stddef.h>
 #include <stdint.h>
 
-typedef struct tw_finished tw_finished;
+typedef struct tw_completed_jobs tw_completed_jobs;
 
 /* How a job ended. */
 typedef struct {
     int stage; /* TW_JOB_DONE or TW_JOB_CANCELLED */
     int done;  /* tasks that were done, 0 to TW_WIRE_MAX_TASKS */
-} tw_ending;
+} tw_completion;
 
 /* An empty table that takes most_bytes at most (and never less than a few entries). */
-tw_finished *tw_finished_new(size_t most_bytes);
+tw_completed_jobs *tw_completed_jobs_new(size_t most_bytes);
 /* NULL is a table without entries, here and below. */
-void tw_finished_free(tw_finished *table);
+void tw_completed_jobs_free(tw_completed_jobs *table);
 /* id: a job's, of the protocol's form. One that is there already stays as it is. */
-void tw_finished_add(tw_finished *table, const char *id, const tw_ending *ending);
+void tw_completed_jobs_add(tw_completed_jobs *table, const char *id, const tw_completion *ending);
 /* Whether the job is there, and how it ended; ending may be NULL. */
-int tw_finished_find(const tw_finished *table, const char *id, tw_ending *ending);
+int tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending);
 /* Jobs in the table. */
-size_t tw_finished_count(const tw_finished *table);
+size_t tw_completed_jobs_count(const tw_completed_jobs *table);
 /* How many times a generation was let go. */
-uint64_t tw_finished_let_go(const tw_finished *table);
+uint64_t tw_completed_jobs_evictions(const tw_completed_jobs *table);
 
 #endif
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -17,60 +17,62 @@
 #define RETURNED_S 600
 #define RETURNED_LIST_LAGS 20
 
-static void ask_release(tw_core *core, machine *machine, const char *why) {
-    placement *each, *next;
+static void ask_release(tw_core *core, tw_machine *machine, const char *why) {
+    tw_placement *each, *next;
     if (machine->return_wanted) return;
     machine->return_wanted = machine->cordoned = 1;
     core->returns_due = 1;
     tw_log_info("event=release tray=%s why=%s held_s=%.0f", machine->name, why,
                 core->now - machine->known_since);
     DL_FOREACH_SAFE(machine->placements, each, next)
-    if (!tw_attempt_launched(each)) tw_attempt_end_on(core, each, END_NOT_LAUNCHED);
+    if (!tw_attempt_was_launched(each))
+        tw_attempt_terminate_on(core, each, TW_EVIDENCE_NOT_LAUNCHED);
 }
 
 /* A gang's progress is lost if it is stopped while one of its machines can't be told: as long as
  * the notice leaves time for it, that is waited for. */
-static int waits_to_save(const tw_core *core, const placement *placed, double left_s) {
-    const job *job = placed->job;
-    return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == GANG_RUNNING &&
+static int waits_to_save(const tw_core *core, const tw_placement *placed, double left_s) {
+    const tw_job *job = placed->job;
+    return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            !tw_gang_can_save(core, job) && left_s > job->spec.save_s + core->config->gang_peer_s;
 }
 
 /* A spot machine will be taken: tasks that won't be done by then save and go elsewhere. */
-static void on_notice(tw_core *core, machine *machine) {
-    placement *each, *next;
+static void on_notice(tw_core *core, tw_machine *machine) {
+    tw_placement *each, *next;
     const double left_s = machine->preempted_at - core->now;
     DL_FOREACH_SAFE(machine->placements, each, next) {
         if (!each->counted || each->stopping) continue;
         const tw_wire_job *s = &each->job->spec;
         const double slowness = machine->slowness > 0 ? machine->slowness : 1;
-        const double run_s = tw_estimate(each->job) * slowness;
+        const double run_s = tw_job_run_estimate_s(each->job) * slowness;
         const double rest_s =
             each->running_since > 0 ? run_s - (core->now - each->running_since) : run_s;
         if (!s->service && rest_s > 0 && rest_s < DONE_WITHIN_NOTICE * left_s) continue;
         if (waits_to_save(core, each, left_s)) continue;
-        tw_placement_kill(core, each, s->checkpoint_s > 0 ? s->save_s : 0, 0);
+        tw_placement_stop(core, each, s->checkpoint_s > 0 ? s->save_s : 0, 0);
     }
 }
 
 /* Tasks there that may have been launched. */
-static int launched(const machine *machine) {
-    const placement *each;
+static int launched(const tw_machine *machine) {
+    const tw_placement *each;
     int count = 0;
     DL_FOREACH(machine->placements, each)
     count += each->counted && (each->launch_sent || each->inherited);
     return count;
 }
 
-static void lose_unsent(tw_core *core, machine *machine) {
-    placement *each, *next;
+static void lose_unsent(tw_core *core, tw_machine *machine) {
+    tw_placement *each, *next;
     DL_FOREACH_SAFE(machine->placements, each, next)
-    if (!tw_attempt_launched(each)) tw_attempt_end_on(core, each, END_NOT_LAUNCHED);
+    if (!tw_attempt_was_launched(each))
+        tw_attempt_terminate_on(core, each, TW_EVIDENCE_NOT_LAUNCHED);
 }
 
 /* Ages of what the end of the lease rests on; one that never was is as old as the clock. */
-static void log_lapse(const tw_core *core, const machine *machine) {
-    const tw_lapse_terms terms = tw_lapse_terms_of(core, machine);
+static void log_lapse(const tw_core *core, const tw_machine *machine) {
+    const tw_lease_expiry terms = tw_lease_expiry_of(core, machine);
     const double now = core->now;
     tw_log_info("event=lapsed tray=%s token=%llu shift=%llu confirmed=%d over_s=%.2f "
                 "answered_s=%.2f deputies_s=%.2f session_s=%.2f loading_s=%.2f predecessor_s=%.2f "
@@ -83,60 +85,63 @@
 }
 
 /* Its lease has surely ended: nothing runs there. */
-static void lapse(tw_core *core, machine *machine) {
-    placement *each, *next;
+static void lapse(tw_core *core, tw_machine *machine) {
+    tw_placement *each, *next;
     if (core->delegates_checked_at < core->now - DEPUTIES_AGE_LEASES * core->config->lease_s) {
-        tw_deputies_read(core); /* first see whether a deputy renews it */
+        tw_delegates_read(core); /* first see whether a deputy renews it */
         return;
     }
     core->expiry_decided_at = core->now;
     log_lapse(core, machine);
     machine->lease_expired = 1;
-    DL_FOREACH_SAFE(machine->placements, each, next) tw_attempt_end_on(core, each, END_LAPSED);
+    DL_FOREACH_SAFE(machine->placements, each, next)
+    tw_attempt_terminate_on(core, each, TW_EVIDENCE_LEASE_EXPIRED);
 }
 
 /* Why a machine is given up; NULL: it is not. */
-static const char *given_up(tw_core *core, const machine *machine, double lapse_at) {
-    if (machine->lost_launches >= TW_DEAF_AT) return "deaf";
-    if (tw_machine_silent(core, machine) && core->now > tw_deputies_until(core, machine->zone) &&
-        !tw_zone_cut(core, machine))
+static const char *given_up(tw_core *core, const tw_machine *machine, double lapse_at) {
+    if (machine->lost_launches >= TW_UNRESPONSIVE_AT) return "deaf";
+    if (tw_machine_is_silent(core, machine) &&
+        core->now > tw_delegates_until(core, machine->zone) &&
+        !tw_zone_is_unreachable(core, machine))
         return "silent";
     if (core->now > fmax(lapse_at, machine->last_contact_at) + core->config->lease_s) return "lost";
     return NULL;
 }
 
 /* A machine that gets nothing new goes once it is empty. */
-static void empty(tw_core *core, machine *machine) {
+static void empty(tw_core *core, tw_machine *machine) {
     if (machine->preempted_at > 0) {
         on_notice(core, machine);
-        if (!tw_machine_works(machine)) ask_release(core, machine, "notice");
+        if (!tw_machine_is_occupied(machine)) ask_release(core, machine, "notice");
     } else if (machine->cordoned || machine->decommissioning) {
-        const int live = tw_machine_works(machine);
+        const int live = tw_machine_is_occupied(machine);
         if (!live) ask_release(core, machine, machine->decommissioning ? "drained" : "sick");
-        if (live) tw_sick_tick(core, machine);
+        if (live) tw_quarantine_tick(core, machine);
     }
 }
 
-static void machine_tick(tw_core *core, machine *machine) {
+static void machine_tick(tw_core *core, tw_machine *machine) {
     const tw_conf *cf = core->config;
     const double boot_s = machine->type_index >= 0
                               ? core->machine_types[machine->type_index].listed.startup_s
                               : cf->lease_s * BOOT_UNKNOWN_LEASES;
     const double age_s = core->now - machine->known_since;
     const int sent = launched(machine);
-    if (machine->state == M_UP && !tw_machine_usable(core, machine)) lose_unsent(core, machine);
+    if (machine->state == TW_MACHINE_UP && !tw_machine_is_usable(core, machine))
+        lose_unsent(core, machine);
     if (machine->type_index < 0 && *machine->type_name)
-        machine->type_index = tw_rack_index(core, machine->type_name);
+        machine->type_index = tw_machine_type_index(core, machine->type_name);
     /* A lease does not end within its length of a report: few machines need a closer look. */
-    const int is_renewed = core->now <= machine->answered_at + tw_lease_longest_s(core);
-    const double lapse_at = is_renewed ? INFINITY : tw_lapse_at(core, machine);
+    const int is_renewed = core->now <= machine->answered_at + tw_lease_max_s(core);
+    const double lapse_at = is_renewed ? INFINITY : tw_lease_expires_at(core, machine);
     if (sent && core->now > lapse_at && core->delegates_known) lapse(core, machine);
     /* One with a predecessor's tasks is up: it is silent, below, if we don't hear of it. */
-    const int boots = machine->state == M_BOOTING && !sent;
+    const int boots = machine->state == TW_MACHINE_BOOTING && !sent;
     if (boots && !machine->overdue && machine->type_index >= 0 &&
         age_s > BOOT_OVERDUE * boot_s + cf->report_s) {
         machine->overdue = 1;
-        tw_learn_boot(core, machine);
+        tw_statistics_note_boot(core, machine);
     }
     if (machine->return_wanted) return;
     if (machine->failed) {
@@ -156,7 +161,7 @@
 
 static void forget_returned(tw_core *core) {
     const double kept_s = RETURNED_S + RETURNED_LIST_LAGS * core->config->list_lag_s;
-    expiring *each, *next;
+    tw_expiring_name *each, *next;
     HASH_ITER(hh, core->returned_machines, each, next) {
         if (core->now - each->at < kept_s) continue;
         HASH_DEL(core->returned_machines, each);
@@ -164,11 +169,11 @@
     }
 }
 
-void tw_fleet_tick(tw_core *core) {
-    machine *each, *next;
+void tw_machines_tick(tw_core *core) {
+    tw_machine *each, *next;
     if (core->now < core->next_machine_scan_at) return;
     core->next_machine_scan_at = core->now + core->config->report_s / TICKS_PER_REPORT;
-    tw_quiet_note(core);
+    tw_zone_silence_update(core);
     HASH_ITER(hh, core->machines, each, next) machine_tick(core, each);
     forget_returned(core);
 }
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -15,24 +15,24 @@
 #include "core/core_int.h"
 
 /* A machine that reported within so many intervals hears us; another may act late on a command. */
-#define TW_IN_TOUCH_REPORTS 2.5
+#define TW_IN_TOUCH_HEARTBEATS 2.5
 /* Launches in a row that did not take, from which on a machine counts as unresponsive. */
-#define TW_DEAF_AT 3
+#define TW_UNRESPONSIVE_AT 3
 
 /* Commands under way to one machine. */
 typedef struct {
     tw_wire_command *list; /* the core's scratch: one answer is put together at a time */
     int count;
-} tw_orders;
+} tw_command_list;
 
 /* image.c */
-int tw_images_fetching(const tw_core *core, const machine *machine, const image *but);
+int tw_image_count_fetches(const tw_core *core, const tw_machine *machine, const tw_image *but);
 /* The job's image is used there, or fetched; ready: it is cached by now. */
-void tw_image_note(tw_core *core, machine *machine, const job *job, int ready);
+void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, int ready);
 
 /* lapse.c */
 /* What a worker's lease may last by our clock, from a report that we answered. */
-double tw_lease_longest_s(const tw_core *core);
+double tw_lease_max_s(const tw_core *core);
 /* When a worker has surely ended its session, if we answer it no more, and the moments up to which
  * its lease may have been renewed, which this rests on (steady time; 0: never). */
 typedef struct {
@@ -42,50 +42,51 @@
     double loading_at;        /* we answered any machine while the records were read */
     double predecessor_until; /* a predecessor may have, or it was first known to refuse that */
     double expires_at; /* the end, with the lease's length and the grants of its zone's nodes */
-} tw_lapse_terms;
-tw_lapse_terms tw_lapse_terms_of(const tw_core *core, const machine *machine);
-double tw_lapse_at(const tw_core *core, const machine *machine);
-int tw_zone_cut(tw_core *core, const machine *machine);
-void tw_quiet_note(tw_core *core);
+} tw_lease_expiry;
+tw_lease_expiry tw_lease_expiry_of(const tw_core *core, const tw_machine *machine);
+double tw_lease_expires_at(const tw_core *core, const tw_machine *machine);
+int tw_zone_is_unreachable(tw_core *core, const tw_machine *machine);
+void tw_zone_silence_update(tw_core *core);
 
 /* placement.c */
 /* Adds (sign 1) or takes off (-1) what the task holds. */
-void tw_placement_account(tw_core *core, placement *placed, double sign);
+void tw_placement_account(tw_core *core, tw_placement *placed, double sign);
 
 /* learn.c */
-void tw_learn_start(tw_core *core, placement *placed);
-void tw_learn_run(tw_core *core, const placement *placed);
-void tw_learn_boot(tw_core *core, const machine *machine);
+void tw_statistics_note_start(tw_core *core, tw_placement *placed);
+void tw_statistics_note_run(tw_core *core, const tw_placement *placed);
+void tw_statistics_note_boot(tw_core *core, const tw_machine *machine);
 
 /* task.c */
 /* What the report says of a task that we have a placement for. */
-void tw_task_reported(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
-                      const tw_wire_task *told);
+void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
+                       const tw_wire_task *told);
 /* A task that we have no placement for. orders: NULL in an answer to direct orders. */
-void tw_task_stranger(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
-                      const tw_wire_task *told, tw_orders *orders);
+void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
+                               const tw_wire_task *told, tw_command_list *orders);
 
 /* report.c */
 /* Takes a report in; 0: it is older than what we know. orders: NULL for an answer to direct orders,
  * which may have overtaken the answer to a report. */
-int tw_report_take(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
-                   tw_orders *orders);
+int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
+                              tw_command_list *orders);
 
 /* orders_text.c: messages with orders, under our token. NULL: this node has not the right to give
  * them, which is a fault of the caller; nothing may be sent then. */
 /* In an answer to a report; none renew the lease alone. */
-char *tw_orders_answer_text(tw_core *core, const tw_orders *orders);
+char *tw_commands_reply_text(tw_core *core, const tw_command_list *orders);
 /* To the machine's own address. */
-char *tw_orders_direct_text(tw_core *core, const machine *machine, const tw_orders *orders);
+char *tw_commands_direct_text(tw_core *core, const tw_machine *machine,
+                              const tw_command_list *orders);
 /* In a deputy's answer to a report. */
-char *tw_orders_deputy_text(tw_core *core, const tw_wire_heartbeat *report,
-                            const tw_orders *orders);
+char *tw_commands_delegate_text(tw_core *core, const tw_wire_heartbeat *report,
+                                const tw_command_list *orders);
 
 /* orders.c */
-tw_orders tw_orders_new(tw_core *core);
+tw_command_list tw_command_list_new(tw_core *core);
 /* A command on the task, without effect when the answer is full: it is due again next time. */
-void tw_orders_add(tw_orders *orders, tw_wire_command order, const char *job);
+void tw_command_list_add(tw_command_list *orders, tw_wire_command order, const char *job);
 /* What a machine is to be told. tick: the report that is answered, or 0 for direct orders. */
-void tw_orders_due(tw_core *core, machine *machine, tw_orders *orders, uint64_t tick);
+void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *orders, uint64_t tick);
 
 #endif
--- a/src/core/futile.c
+++ b/src/core/futile.c
@@ -5,33 +5,33 @@
 
 #define FIRST_CAPACITY 16
 
-tw_futile tw_futile_kind(const tw_demand *demand) {
-    const job *job = demand->job;
-    return (tw_futile){.cores = job->spec.cores,
-                       .gpus = job->spec.gpus,
-                       .memory_gb = job->spec.memory_gb,
-                       .type_mask = job->type_mask,
-                       .zone_mask = demand->zone_mask,
-                       .spot = job->spec.spot,
-                       .priority = job->spec.priority,
-                       .service = job->spec.service,
-                       .any_machine = job->any_machine,
-                       .whole = job->spec.gang};
+tw_placement_failure tw_placement_failure_of(const tw_demand *demand) {
+    const tw_job *job = demand->job;
+    return (tw_placement_failure){.cores = job->spec.cores,
+                                  .gpus = job->spec.gpus,
+                                  .memory_gb = job->spec.memory_gb,
+                                  .type_mask = job->type_mask,
+                                  .zone_mask = demand->zone_mask,
+                                  .spot = job->spec.spot,
+                                  .priority = job->spec.priority,
+                                  .service = job->spec.service,
+                                  .any_machine = job->any_machine,
+                                  .whole = job->spec.gang};
 }
 
-static int same_amounts(const tw_futile *one, const tw_futile *other) {
+static int same_amounts(const tw_placement_failure *one, const tw_placement_failure *other) {
     return one->cores == other->cores && one->gpus == other->gpus &&
            one->memory_gb == other->memory_gb;
 }
 
-static int same_machines(const tw_futile *one, const tw_futile *other) {
+static int same_machines(const tw_placement_failure *one, const tw_placement_failure *other) {
     return one->type_mask == other->type_mask && one->zone_mask == other->zone_mask &&
            one->spot == other->spot && one->any_machine == other->any_machine;
 }
 
-int tw_futile_known(const tw_core *core, const tw_futile *kind) {
+int tw_placement_failures_has(const tw_core *core, const tw_placement_failure *kind) {
     for (int i = 0; i < core->placement_failure_count; i++) {
-        const tw_futile *known = &core->placement_failures[i];
+        const tw_placement_failure *known = &core->placement_failures[i];
         if (same_amounts(known, kind) && same_machines(known, kind) &&
             known->priority == kind->priority && known->service == kind->service &&
             known->whole == kind->whole)
@@ -40,7 +40,7 @@
     return 0;
 }
 
-void tw_futile_note(tw_core *core, const tw_futile *kind) {
+void tw_placement_failures_add(tw_core *core, const tw_placement_failure *kind) {
     core->placement_failures = tw_grow(core->placement_failures, core->placement_failure_count,
                                        &core->placement_failure_capacity, FIRST_CAPACITY,
                                        sizeof *core->placement_failures);
@@ -48,7 +48,7 @@
 }
 
 /* A task with GPUs was placed: what may be taken beside them need not be less now. */
-void tw_futile_forget_without_gpus(tw_core *core) {
+void tw_placement_failures_forget_cpu(tw_core *core) {
     int kept = 0;
     for (int i = 0; i < core->placement_failure_count; i++)
         if (core->placement_failures[i].gpus > 0)
@@ -57,4 +57,4 @@
 }
 
 /* Room was given back. */
-void tw_futile_forget(tw_core *core) { core->placement_failure_count = 0; }
+void tw_placement_failures_forget(tw_core *core) { core->placement_failure_count = 0; }
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -28,12 +28,12 @@
  * than the last one leave of it. */
 #define STAGGER 0.5
 
-const char *tw_gang_state_name(const job *job) {
+const char *tw_gang_state_name(const tw_job *job) {
     static const char *const names[] = {"idle", "gathering", "running", "stopping"};
     return names[job->gang.state];
 }
 
-static void enter(tw_core *core, job *job, gang_state state, const char *why) {
+static void enter(tw_core *core, tw_job *job, tw_gang_state state, const char *why) {
     job->gang.state = state;
     core->next_job_sweep_at = core->now;
     tw_log_debug("event=gang id=%s try=%llu state=%s live=%d of=%d why=%s", job->id,
@@ -41,19 +41,21 @@
                  job->task_count, why);
 }
 
-static int is_under_way(const job *job) {
+static int is_under_way(const tw_job *job) {
     return job->has_spec && job->spec.gang && job->state == TW_JOB_PENDING && job->placed_count > 0;
 }
 
 /* Tasks that are neither placed nor done. */
-static int missing(const job *job) { return job->task_count - job->done_count - job->placed_count; }
+static int missing(const tw_job *job) {
+    return job->task_count - job->done_count - job->placed_count;
+}
 
 /* ---- start ---- */
 
 /* When a task that was just placed should have its image. */
-static double ready_at(const tw_core *core, const placement *placed) {
-    const machine *machine = placed->machine;
-    const image *image = tw_image(machine, placed->job);
+static double ready_at(const tw_core *core, const tw_placement *placed) {
+    const tw_machine *machine = placed->machine;
+    const tw_image *image = tw_image_find(machine, placed->job);
     if (image) return fmax(core->now, image->ready_at);
     const double s_per_gb = machine->fetch_s_per_gb < 0
                                 ? core->machine_types[machine->type_index].fetch_s_per_gb
@@ -63,38 +65,38 @@
 
 /* Those that would be ready so much sooner than the last one that they would give up waiting for it
  * are launched later. */
-static void stagger(const tw_core *core, job *job) {
+static void stagger(const tw_core *core, tw_job *job) {
     const double spare_s = STAGGER * core->config->gang_wait_s;
     double last = 0;
-    placement *task;
+    tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) last = fmax(last, ready_at(core, task));
     DL_FOREACH2(job->placements, task, job_next)
     task->launch_after = last - spare_s - (ready_at(core, task) - core->now);
 }
 
-void tw_gang_placed(tw_core *core, job *job) {
+void tw_gang_placed(tw_core *core, tw_job *job) {
     job->gang.missing_since = 0;
-    if (job->gang.state != GANG_IDLE) return; /* a task was replaced */
-    job->gang = (gang){.attempt = job->placements->attempt};
+    if (job->gang.state != TW_GANG_IDLE) return; /* a task was replaced */
+    job->gang = (tw_gang){.attempt = job->placements->attempt};
     stagger(core, job);
-    enter(core, job, GANG_GATHERING, "placed");
+    enter(core, job, TW_GANG_GATHERING, "placed");
 }
 
-void tw_gang_adopted(job *job) {
-    job->gang = (gang){.state = GANG_IDLE};
+void tw_gang_restored(tw_job *job) {
+    job->gang = (tw_gang){.state = TW_GANG_IDLE};
     if (!job->placed_count) return;
     job->gang.attempt = job->placements->attempt;
-    job->gang.state = GANG_GATHERING; /* a report may tell that it has started */
+    job->gang.state = TW_GANG_GATHERING; /* a report may tell that it has started */
 }
 
-int tw_gang_pending(const job *job) {
-    const gang *gang = &job->gang;
-    if (gang->state == GANG_IDLE) return job->placed_count == 0;
-    return gang->state == GANG_GATHERING && missing(job) > 0 &&
-           gang->vacated_count < GANG_MOST_REPLACED;
+int tw_gang_is_pending(const tw_job *job) {
+    const tw_gang *gang = &job->gang;
+    if (gang->state == TW_GANG_IDLE) return job->placed_count == 0;
+    return gang->state == TW_GANG_GATHERING && missing(job) > 0 &&
+           gang->vacated_count < TW_GANG_MAX_REPLACED;
 }
 
-int tw_gang_has_left(const job *job, const machine *machine) {
+int tw_gang_was_on(const tw_job *job, const tw_machine *machine) {
     for (int i = 0; i < job->gang.vacated_count; i++)
         if (job->gang.vacated[i] == machine) return 1;
     return 0;
@@ -102,41 +104,41 @@
 
 /* ---- what reports tell ---- */
 
-void tw_gang_reported(tw_core *core, placement *placed) {
-    job *job = placed->job;
-    gang *gang = &job->gang;
-    if (!is_under_way(job) || placed->attempt != gang->attempt || gang->state != GANG_GATHERING)
+void tw_gang_task_reported(tw_core *core, tw_placement *placed) {
+    tw_job *job = placed->job;
+    tw_gang *gang = &job->gang;
+    if (!is_under_way(job) || placed->attempt != gang->attempt || gang->state != TW_GANG_GATHERING)
         return;
     if (placed->state == TW_TASK_WAITING && gang->waiting_since <= 0)
         gang->waiting_since = core->now;
     if (placed->state == TW_TASK_RUNNING || placed->state == TW_TASK_SAVING)
-        enter(core, job, GANG_RUNNING, "started");
+        enter(core, job, TW_GANG_RUNNING, "started");
 }
 
 /* Whether the way in which a task ended shows that its gang had started. */
-static int ended_after_start(const placement *placed) {
+static int ended_after_start(const tw_placement *placed) {
     return placed->state == TW_TASK_EXITED &&
            (placed->cause == TW_CAUSE_ERROR || placed->cause == TW_CAUSE_GANG_BROKEN);
 }
 
-static void left_before_start(tw_core *core, job *job, const placement *placed) {
-    gang *gang = &job->gang;
+static void left_before_start(tw_core *core, tw_job *job, const tw_placement *placed) {
+    tw_gang *gang = &job->gang;
     const int was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
     if (gang->missing_since <= 0) gang->missing_since = core->now;
-    if (was_there && gang->vacated_count < GANG_MOST_REPLACED)
+    if (was_there && gang->vacated_count < TW_GANG_MAX_REPLACED)
         gang->vacated[gang->vacated_count++] = placed->machine;
 }
 
-void tw_gang_left(tw_core *core, placement *placed) {
-    job *job = placed->job;
-    gang *gang = &job->gang;
-    if (gang->state == GANG_IDLE || job->state != TW_JOB_PENDING) return;
-    const int had_started = gang->state == GANG_RUNNING || ended_after_start(placed);
+void tw_gang_task_gone(tw_core *core, tw_placement *placed) {
+    tw_job *job = placed->job;
+    tw_gang *gang = &job->gang;
+    if (gang->state == TW_GANG_IDLE || job->state != TW_JOB_PENDING) return;
+    const int had_started = gang->state == TW_GANG_RUNNING || ended_after_start(placed);
     if (had_started) job->has_checkpoint |= job->spec.checkpoint_s > 0;
     if (!job->placed_count) {
-        enter(core, job, GANG_IDLE, "gone");
+        enter(core, job, TW_GANG_IDLE, "gone");
         gang->vacated_count = 0;
-    } else if (gang->state == GANG_STOPPING) {
+    } else if (gang->state == TW_GANG_STOPPING) {
         if (!gang->saved) gang->grace_s = 0; /* what the others still save is lost */
         core->next_job_sweep_at = core->now;
     } else if (had_started) {
@@ -146,68 +148,68 @@
     }
 }
 
-void tw_gang_done(tw_core *core, job *job) {
-    placement *task;
-    placement *next;
+void tw_gang_done(tw_core *core, tw_job *job) {
+    tw_placement *task;
+    tw_placement *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next)
-    tw_attempt_end_on(core, task, END_GANG_DONE);
-    memset(job->task_states, T_DONE, (size_t)job->task_count);
+    tw_attempt_terminate_on(core, task, TW_EVIDENCE_GANG_DONE);
+    memset(job->task_states, TW_ASSIGNMENT_DONE, (size_t)job->task_count);
     job->done_count = job->task_count;
-    enter(core, job, GANG_IDLE, "done");
+    enter(core, job, TW_GANG_IDLE, "done");
 }
 
 /* ---- stop ---- */
 
-int tw_gang_can_save(const tw_core *core, const job *job) {
-    const placement *task;
+int tw_gang_can_save(const tw_core *core, const tw_job *job) {
+    const tw_placement *task;
     if (job->spec.checkpoint_s <= 0 || missing(job) > 0) return 0;
-    if (job->gang.state != GANG_RUNNING && job->gang.state != GANG_STOPPING) return 0;
+    if (job->gang.state != TW_GANG_RUNNING && job->gang.state != TW_GANG_STOPPING) return 0;
     DL_FOREACH2(job->placements, task, job_next) {
-        const machine *machine = task->machine;
+        const tw_machine *machine = task->machine;
         if (!machine->confirmed || machine->lease_expired || machine->return_wanted ||
             machine->failed_sends ||
-            core->now - machine->last_contact_at > TW_IN_TOUCH_REPORTS * core->config->report_s)
+            core->now - machine->last_contact_at > TW_IN_TOUCH_HEARTBEATS * core->config->report_s)
             return 0;
     }
     return 1;
 }
 
-void tw_gang_stop(tw_core *core, job *job, double grace_s) {
-    gang *gang = &job->gang;
+void tw_gang_stop(tw_core *core, tw_job *job, double grace_s) {
+    tw_gang *gang = &job->gang;
     if (!is_under_way(job)) return;
-    if (gang->state == GANG_STOPPING) {
+    if (gang->state == TW_GANG_STOPPING) {
         gang->grace_s = fmin(gang->grace_s, grace_s);
         return;
     }
     gang->grace_s = grace_s;
     gang->saved = 0;
-    enter(core, job, GANG_STOPPING, grace_s > 0 ? "saves" : "at once");
+    enter(core, job, TW_GANG_STOPPING, grace_s > 0 ? "saves" : "at once");
 }
 
-static void stop_tasks(tw_core *core, job *job) {
-    placement *task;
-    placement *next;
+static void stop_tasks(tw_core *core, tw_job *job) {
+    tw_placement *task;
+    tw_placement *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next)
     if (!task->stopping || task->grace_s > job->gang.grace_s)
-        tw_placement_kill(core, task, job->gang.grace_s, task->preempted);
+        tw_placement_stop(core, task, job->gang.grace_s, task->preempted);
 }
 
 /* ---- time ---- */
 
 /* Whether all that may run belongs to the attempt, and none of it is to stop by itself. */
-static int is_one_attempt(const job *job) {
-    const int stops = job->gang.state == GANG_STOPPING;
-    const placement *task;
+static int is_one_attempt(const tw_job *job) {
+    const int stops = job->gang.state == TW_GANG_STOPPING;
+    const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next)
     if (task->attempt != job->gang.attempt || (task->stopping && !stops)) return 0;
     return 1;
 }
 
 /* Whether a task that is gone can't be replaced before the others give up waiting. */
-static int is_hopeless(const tw_core *core, const job *job) {
-    const gang *gang = &job->gang;
+static int is_hopeless(const tw_core *core, const tw_job *job) {
+    const tw_gang *gang = &job->gang;
     if (gang->missing_since <= 0 || !missing(job)) return 0;
-    if (gang->vacated_count >= GANG_MOST_REPLACED) return 1;
+    if (gang->vacated_count >= TW_GANG_MAX_REPLACED) return 1;
     if (gang->waiting_since <= 0)
         return core->now > gang->missing_since + core->config->gang_wait_s;
     /* Meanwhile the others hold their room for nothing. */
@@ -216,22 +218,22 @@
 }
 
 /* Launches that were put off are due. */
-static void launch_due(tw_core *core, const job *job) {
-    const placement *task;
+static void launch_due(tw_core *core, const tw_job *job) {
+    const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next)
     if (!task->launch_sent && !task->direct_launches && core->now >= task->launch_after &&
         task->version <= job->durable_version)
-        tw_want_direct(core, task->machine);
+        tw_machine_want_commands(core, task->machine);
 }
 
-void tw_gang_tick(tw_core *core, job *job) {
-    gang *gang = &job->gang;
+void tw_gang_tick(tw_core *core, tw_job *job) {
+    tw_gang *gang = &job->gang;
     if (!is_under_way(job) || job->cancelling) return;
-    if (gang->state == GANG_GATHERING) {
+    if (gang->state == TW_GANG_GATHERING) {
         launch_due(core, job);
         if (is_hopeless(core, job)) tw_gang_stop(core, job, 0);
     }
     if (!is_one_attempt(job)) tw_gang_stop(core, job, 0);
-    if (gang->state == GANG_RUNNING && missing(job) > 0) tw_gang_stop(core, job, 0);
-    if (gang->state == GANG_STOPPING) stop_tasks(core, job);
+    if (gang->state == TW_GANG_RUNNING && missing(job) > 0) tw_gang_stop(core, job, 0);
+    if (gang->state == TW_GANG_STOPPING) stop_tasks(core, job);
 }
--- a/src/core/gang_hold.c
+++ b/src/core/gang_hold.c
@@ -8,49 +8,50 @@
  */
 #include "core/scheduler_int.h"
 
-#define HOLD_AFTER_S (TW_BEGIN_S / 8)
-#define HOLD_MOST_S (TW_BEGIN_S / 4)
+#define HOLD_AFTER_S (TW_MAX_START_DELAY_S / 8)
+#define HOLD_MOST_S (TW_MAX_START_DELAY_S / 4)
 
 typedef struct {
-    machine *machine;
+    tw_machine *machine;
     int tasks; /* of the gang that it will hold */
     double at; /* when */
 } expectation;
 
 /* Whether the gang has waited for so long, and does not pause after it held room in vain. */
-static int may_hold(const tw_core *core, const job *job) {
-    if (!job->has_spec || !job->spec.gang || !tw_job_pending(core, job) || job->placed_count)
+static int may_hold(const tw_core *core, const tw_job *job) {
+    if (!job->has_spec || !job->spec.gang || !tw_job_is_pending(core, job) || job->placed_count)
         return 0;
     const double since_s = core->now - fmax(job->submitted_at, job->pending_since) - HOLD_AFTER_S;
     return since_s >= 0 && fmod(since_s, 2 * HOLD_MOST_S) < HOLD_MOST_S;
 }
 
-static job *longest_waiting(tw_core *core) {
-    job *best = NULL;
-    job *each;
+static tw_job *longest_waiting(tw_core *core) {
+    tw_job *best = NULL;
+    tw_job *each;
     DL_FOREACH(core->active_jobs, each)
     if (may_hold(core, each) && (!best || each->submitted_at < best->submitted_at)) best = each;
     return best;
 }
 
 /* When a task is expected to end; INFINITY: a replica's. */
-static double expected_end(const tw_core *core, const placement *placed) {
+static double expected_end(const tw_core *core, const tw_placement *placed) {
     if (placed->stopping) return core->now;
     if (placed->job->spec.service || !placed->job->has_spec) return INFINITY;
-    const double run_s = tw_estimate(placed->job) * tw_slowness(core, placed->machine);
+    const double run_s =
+        tw_job_run_estimate_s(placed->job) * tw_machine_slowness(core, placed->machine);
     return fmax(core->now, (placed->running_since > 0 ? placed->running_since : core->now) + run_s);
 }
 
 /* How many tasks of the gang a machine should hold soon, and when. */
-static expectation expect(const tw_core *core, const job *job, machine *machine) {
+static expectation expect(const tw_core *core, const tw_job *job, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const double horizon = core->now + HOLD_MOST_S;
-    bin room = {.type_index = machine->type_index,
-                .cores = type->cores - machine->used_cores,
-                .gpus = type->gpus - machine->used_gpus,
-                .memory_gb = type->memory_gb - machine->used_memory_gb};
+    tw_bin room = {.type_index = machine->type_index,
+                   .cores = type->cores - machine->used_cores,
+                   .gpus = type->gpus - machine->used_gpus,
+                   .memory_gb = type->memory_gb - machine->used_memory_gb};
     expectation result = {.machine = machine, .at = core->now};
-    const placement *placed;
+    const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const double end = placed->counted ? expected_end(core, placed) : INFINITY;
         if (end > horizon) continue;
@@ -74,18 +75,18 @@
 
 /* Holds the machines in the zone (-1: in all) where the room comes soonest. Returns when that is;
  * INFINITY: there is not enough. mark: else it is only looked at. */
-static double hold_in(tw_core *core, job *job, int zone, int mark) {
+static double hold_in(tw_core *core, tw_job *job, int zone, int mark) {
     const tw_demand demand = tw_demand_of(core, job);
-    expectation *all = tw_zalloc((size_t)core->candidate_count * sizeof *all);
+    expectation *all = tw_alloc((size_t)core->candidate_count * sizeof *all);
     int count = 0;
     int tasks = 0;
     double at = INFINITY;
     for (int i = 0; i < core->candidate_count; i++) {
-        machine *machine = core->candidates[i].machine;
+        tw_machine *machine = core->candidates[i].machine;
         core->pass_steps++;
         if ((zone >= 0 && machine->zone_index != zone) ||
-            !tw_constraints_machine(core, job, machine) ||
-            !tw_constraints_zone(core, &demand, machine))
+            !tw_constraints_allow_machine(core, job, machine) ||
+            !tw_constraints_allow_machine_zone(core, &demand, machine))
             continue;
         all[count] = expect(core, job, machine);
         if (all[count].tasks) count++;
@@ -100,11 +101,11 @@
     return at;
 }
 
-void tw_gang_hold(tw_core *core) {
+void tw_gang_reservation_update(tw_core *core) {
     for (int i = 0; i < core->candidate_count; i++)
         core->candidates[i].machine->reserved_for_gang = 0;
     core->reserving_gang = NULL;
-    job *job = longest_waiting(core);
+    tw_job *job = longest_waiting(core);
     if (!job) return;
     int best = -1;
     double soonest = job->spec.single_zone ? INFINITY : hold_in(core, job, -1, 0);
@@ -120,19 +121,19 @@
     tw_log_debug("event=hold id=%s zone=%d in_s=%.1f", job->id, best, soonest - core->now);
 }
 
-int tw_gang_hold_allows(const tw_core *core, const job *job, const machine *machine) {
-    const struct job *holder = core->reserving_gang;
+int tw_gang_reservation_allows(const tw_core *core, const tw_job *job, const tw_machine *machine) {
+    const struct tw_job *holder = core->reserving_gang;
     if (!holder || !machine->reserved_for_gang || holder == job || job->spec.service) return 1;
     return job->spec.priority > holder->spec.priority;
 }
 
 /* What is left of a limit after so many tasks; 0 as a limit: there is none. */
 static int leaves(double limit, double used, double taken, double held) {
-    return limit <= 0 || used + taken + held <= limit + TW_ROUNDING;
+    return limit <= 0 || used + taken + held <= limit + TW_CAPACITY_ROUNDING;
 }
 
-int tw_gang_hold_allows_team(const tw_core *core, const job *job) {
-    const struct job *holder = core->reserving_gang;
+int tw_gang_reservation_allows_team(const tw_core *core, const tw_job *job) {
+    const struct tw_job *holder = core->reserving_gang;
     if (!holder || holder == job || job->spec.service || job->team != holder->team ||
         job->spec.priority > holder->spec.priority || job->team < 0)
         return 1;
--- a/src/core/gang_room.c
+++ b/src/core/gang_room.c
@@ -10,35 +10,35 @@
 
 typedef zone_room zone_rooms[TW_MAX_ZONES + 1]; /* the last one: machines of no known zone */
 
-static int tasks_in(const tw_room *room, const tw_wire_job *spec, int most) {
-    const double count = fmin(most, tw_room_holds(room, spec));
+static int tasks_in(const tw_capacity *room, const tw_wire_job *spec, int most) {
+    const double count = fmin(most, tw_capacity_task_count(room, spec));
     return count > 0 ? (int)count : 0;
 }
 
-static int free_on(const tw_core *core, const machine *machine, const job *job, int most) {
+static int free_on(const tw_core *core, const tw_machine *machine, const tw_job *job, int most) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    const tw_room room = {type->cores - machine->used_cores, type->gpus - machine->used_gpus,
-                          type->memory_gb - machine->used_memory_gb};
+    const tw_capacity room = {type->cores - machine->used_cores, type->gpus - machine->used_gpus,
+                              type->memory_gb - machine->used_memory_gb};
     int count = tasks_in(&room, &job->spec, most);
-    while (count > 0 && !tw_leaves_gpus(core, machine, job, count)) count--;
+    while (count > 0 && !tw_constraints_leave_gpus(core, machine, job, count)) count--;
     return count;
 }
 
 /* Whether stopping others makes room there: GPUs that are given back need their cores again. */
-static int gains_by_stopping(const tw_core *core, const machine *machine, const job *job) {
+static int gains_by_stopping(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     return job->spec.gpus > 0 || job->any_machine ||
            core->machine_types[machine->type_index].listed.gpus <= 0;
 }
 
 /* Room of tasks that are told to stop is promised to others already. */
-static int vacated_on(const tw_core *core, const machine *machine, const job *job, int most) {
+static int vacated_on(const tw_core *core, const tw_machine *machine, const tw_job *job, int most) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_room room = {type->cores - machine->used_cores + machine->vacating_cores,
-                    type->gpus - machine->used_gpus + machine->vacating_gpus,
-                    type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
-    const placement *placed;
+    tw_capacity room = {type->cores - machine->used_cores + machine->vacating_cores,
+                        type->gpus - machine->used_gpus + machine->vacating_gpus,
+                        type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
+    const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
-        if (!tw_may_stop(core, job, placed)) continue;
+        if (!tw_preemption_allowed(core, job, placed)) continue;
         room.cores += placed->job->spec.cores;
         room.gpus += placed->job->spec.gpus;
         room.memory_gb += placed->job->spec.memory_gb;
@@ -46,11 +46,12 @@
     return tasks_in(&room, &job->spec, most);
 }
 
-static void add_machine(tw_core *core, const tw_demand *demand, const machine *machine, int tasks,
-                        zone_room *zone) {
-    const job *job = demand->job;
+static void add_machine(tw_core *core, const tw_demand *demand, const tw_machine *machine,
+                        int tasks, zone_room *zone) {
+    const tw_job *job = demand->job;
     core->pass_steps++;
-    if (!tw_constraints_machine(core, job, machine) || !tw_constraints_zone(core, demand, machine))
+    if (!tw_constraints_allow_machine(core, job, machine) ||
+        !tw_constraints_allow_machine_zone(core, demand, machine))
         return;
     const int free = free_on(core, machine, job, tasks);
     zone->free += free;
@@ -59,7 +60,7 @@
 }
 
 /* How many tasks of a job that spreads over zones may stand in one; else there is no such limit. */
-static int most_in_zone(const job *job) {
+static int most_in_zone(const tw_job *job) {
     return job->spec.spread ? (job->task_count + 1) / 2 : job->task_count;
 }
 
@@ -71,7 +72,7 @@
 }
 
 /* Machines of no known zone count towards each: one of them may fill a zone. */
-static int sum(const tw_core *core, const job *job, const zone_rooms rooms, int vacated) {
+static int sum(const tw_core *core, const tw_job *job, const zone_rooms rooms, int vacated) {
     const int most = most_in_zone(job);
     int total = 0;
     for (int zone = 0; zone <= TW_MAX_ZONES; zone++) {
@@ -82,11 +83,11 @@
     return total;
 }
 
-uint32_t tw_gang_zones(tw_core *core, job *job, int tasks) {
+uint32_t tw_gang_candidate_zones(tw_core *core, tw_job *job, int tasks) {
     zone_rooms rooms = {0};
     const tw_demand demand = tw_demand_of(core, job);
     for (int i = 0; i < core->candidate_count; i++) {
-        const machine *machine = core->candidates[i].machine;
+        const tw_machine *machine = core->candidates[i].machine;
         const int zone = machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index;
         add_machine(core, &demand, machine, tasks, &rooms[zone]);
     }
--- a/src/core/heartbeat.c
+++ b/src/core/heartbeat.c
@@ -17,25 +17,25 @@
 /* Ids in a heartbeat: a request's body must hold them. With more of them no grant is given. */
 #define MAX_ABORTED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID_SIZE + 3))
 
-peer *tw_peer_of(tw_core *core, const char *name) {
+tw_peer *tw_peer_find(tw_core *core, const char *name) {
     for (size_t i = 0; i < core->peer_count; i++)
         if (!strcmp(core->peers[i].config.name, name)) return &core->peers[i];
     return NULL;
 }
 
-int tw_all_read_divided(const tw_core *core) {
+int tw_peers_all_read_chunks(const tw_core *core) {
     for (size_t i = 0; i < core->peer_count; i++)
         if (core->peers[i].record_format < TW_RECORD_FORMAT_CHUNKED) return 0;
     return 1;
 }
 
-int tw_heard_old_peer(const tw_core *core) {
+int tw_peers_any_lacks_chunks(const tw_core *core) {
     for (size_t i = 0; i < core->peer_count; i++)
         if (core->peers[i].record_format == TW_RECORD_FORMAT_WHOLE) return 1;
     return 0;
 }
 
-int tw_isolated(const tw_core *core) {
+int tw_node_is_isolated(const tw_core *core) {
     const double since = core->now - ISOLATED_LEASES * core->leader_lease_s - 1;
     if (core->store_answered_at > since) return 0;
     for (size_t i = 0; i < core->peer_count; i++)
@@ -51,7 +51,7 @@
 /* Cancelled jobs of which something may still run: whoever answers workers must stop it. Returns
  * how many there are; `ids` holds the first MAX_ABORTED of them. */
 static int aborted_live(const tw_core *core, const char **ids) {
-    const job *cancelled;
+    const tw_job *cancelled;
     int count = 0;
     DL_FOREACH2(core->cancelled_jobs, cancelled, cancelled_next) {
         if ((cancelled->state != TW_JOB_CANCELLED && !cancelled->cancelling) ||
@@ -70,7 +70,7 @@
         .store_reachable = core->now - core->store_answered_at < 2 * core->leader_lease_s,
         .uptime_s = core->now - core->started_at,
         .since_delegate_answer_s = core->now - fmax(core->started_at, core->delegate_answered_at),
-        .is_leader = tw_may(core, RIGHT_COMMAND),
+        .is_leader = tw_leader_may(core, TW_PERMISSION_COMMAND),
         .record_format = TW_RECORD_FORMAT_CHUNKED};
     snprintf(message.name, sizeof message.name, "%s", core->config->host_name);
     if (message.is_leader)
@@ -79,15 +79,15 @@
     return message;
 }
 
-static void ping(tw_core *core, peer *to) {
+static void ping(tw_core *core, tw_peer *to) {
     const char *ids[MAX_ABORTED];
     int count;
     tw_wire_peer_heartbeat message = self(core, ids, &count);
     const int all_named = count <= MAX_ABORTED;
     to->heartbeats_in_flight++;
-    call *sent =
-        tw_call(core, K_PING, TW_TO_PEER, to->config.addr, "POST", "/peer/ping",
-                tw_wire_peer_heartbeat_text(&message, ids, all_named ? count : 0), TIMEOUT_S);
+    tw_call *sent = tw_call_send(
+        core, TW_CALL_PEER_HEARTBEAT, TW_TO_PEER, to->config.addr, "POST", "/peer/ping",
+        tw_wire_peer_heartbeat_text(&message, ids, all_named ? count : 0), TIMEOUT_S);
     snprintf(sent->name, sizeof sent->name, "%s", to->config.name);
     sent->sequence = all_named ? core->cancellation_sequence : 0;
 }
@@ -96,7 +96,7 @@
 
 /* Whether a peer that may answer a machine without us for longer than a cancellation leaves time
  * for does not know yet that the job is cancelled. */
-static int must_be_told(const peer *node, const machine *where, const job *cancelled,
+static int must_be_told(const tw_peer *node, const tw_machine *where, const tw_job *cancelled,
                         double limit) {
     return node->delegation_until > limit &&
            node->cancellations_known < cancelled->cancellation_sequence &&
@@ -105,16 +105,16 @@
 
 /* Whether all that may answer the job's machines without us, for longer than a cancellation leaves
  * time for, know that it is cancelled. 0 asks them; -1: some can't be asked now. */
-int tw_abort_safe(tw_core *core, const job *cancelled, int rental_request) {
-    const double limit = core->now + tw_blind_s(core);
-    const placement *task;
+int tw_cancellation_safety(tw_core *core, const tw_job *cancelled, int rental_request) {
+    const double limit = core->now + tw_renewal_if_superseded_s(core);
+    const tw_placement *task;
     int safe = 1;
     DL_FOREACH2(cancelled->placements, task, job_next) {
-        const machine *where = task->machine;
+        const tw_machine *where = task->machine;
         if (!task->launch_sent && !task->inherited && !task->direct_launches) continue;
-        if (!where->confirmed && tw_predecessor_end(core) > limit) return -1;
+        if (!where->confirmed && tw_predecessor_renewals_end(core) > limit) return -1;
         for (size_t i = 0; i < core->peer_count; i++) {
-            peer *node = &core->peers[i];
+            tw_peer *node = &core->peers[i];
             if (!must_be_told(node, where, cancelled, limit)) continue;
             safe = 0;
             if (node->answered_at < answers_since(core)) return -1;
@@ -129,27 +129,29 @@
 
 /* ---- hearing from a peer ---- */
 
-static void heard_peer(tw_core *core, peer *from, const tw_wire_peer_heartbeat *message) {
+static void heard_peer(tw_core *core, tw_peer *from, const tw_wire_peer_heartbeat *message) {
     if (message->highest_token > from->highest_token) from->highest_token = message->highest_token;
     from->store_reachable = message->store_reachable;
     from->record_format = message->record_format;
-    tw_saw_token(core, message->highest_token, message->is_leader ? message->name : NULL);
-    if (core->role != R_LEADER || core->peers_confirmed_at > 0) return;
+    tw_leader_observe_token(core, message->highest_token,
+                            message->is_leader ? message->name : NULL);
+    if (core->role != TW_ROLE_LEADER || core->peers_confirmed_at > 0) return;
     for (size_t i = 0; i < core->peer_count; i++)
         if (core->peers[i].highest_token < core->fencing_token) return;
     core->peers_confirmed_at = core->now;
     tw_log_info("event=peers_confirmed token=%llu", (unsigned long long)core->fencing_token);
 }
 
-void tw_ping_request(tw_core *core, uint64_t conn, const char *body, size_t len) {
+void tw_peer_heartbeat_receive(tw_core *core, uint64_t conn, const char *body, size_t len) {
     tw_wire_peer_heartbeat message;
     if (tw_wire_peer_heartbeat_parse(&message, body, len)) {
         tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed ping");
         return;
     }
-    peer *from = tw_peer_of(core, message.name);
+    tw_peer *from = tw_peer_find(core, message.name);
     if (from) heard_peer(core, from, &message);
-    if (from && message.is_leader) tw_aborted_note(core, message.highest_token, body, len);
+    if (from && message.is_leader)
+        tw_delegate_note_cancelled(core, message.highest_token, body, len);
     /* With this answer it may renew leases in its zone for a while, should it lose us. */
     const char *ids[MAX_ABORTED];
     int count;
@@ -159,7 +161,8 @@
         answer.is_leader = count = 0;
     }
     if (from && answer.is_leader)
-        from->delegation_until = core->now + tw_alone_s(core) * (1 + 2 * core->config->tune.drift);
+        from->delegation_until =
+            core->now + tw_renewal_without_contact_s(core) * (1 + 2 * core->config->tune.drift);
     tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
@@ -167,17 +170,18 @@
  * sent, unless it started anew since it last vouched. Nobody else can lead while we have authority,
  * so a peer that was up before our authority ended counts as having vouched until then: a leader
  * that loses the state service early in its first term is vouched for, too. */
-static void vouch(tw_core *core, peer *from, const call *sent,
+static void vouch(tw_core *core, tw_peer *from, const tw_call *sent,
                   const tw_wire_peer_heartbeat *answer) {
     double known = from->vouched_at;
-    if (core->role == R_LEADER) known = fmax(known, core->authority_until);
+    if (core->role == TW_ROLE_LEADER) known = fmax(known, core->authority_until);
     const double started_by = core->now - answer->uptime_s * (1 - 2 * core->config->tune.drift);
-    if (tw_authority(core) || started_by <= known)
+    if (tw_leader_has_authority(core) || started_by <= known)
         from->vouched_at = fmax(from->vouched_at, sent->sent_at);
 }
 
-void tw_ping_response(tw_core *core, const call *sent, int status, const char *body, size_t len) {
-    peer *from = tw_peer_of(core, sent->name);
+void tw_peer_heartbeat_response(tw_core *core, const tw_call *sent, int status, const char *body,
+                                size_t len) {
+    tw_peer *from = tw_peer_find(core, sent->name);
     tw_wire_peer_heartbeat answer;
     if (!from) return;
     if (from->heartbeats_in_flight) from->heartbeats_in_flight--;
@@ -195,12 +199,12 @@
         from->cancellations_known = sent->sequence;
         core->next_job_sweep_at = core->now;
     }
-    if (answer.is_leader) tw_deputy_granted(core, sent->sent_at, answer.highest_token, body, len);
+    if (answer.is_leader) tw_delegate_granted(core, sent->sent_at, answer.highest_token, body, len);
 }
 
-void tw_ping_tick(tw_core *core) {
+void tw_peer_heartbeat_tick(tw_core *core) {
     for (size_t i = 0; i < core->peer_count; i++) {
-        peer *to = &core->peers[i];
+        tw_peer *to = &core->peers[i];
         if (to->heartbeats_in_flight || core->now < to->next_heartbeat_at) continue;
         to->next_heartbeat_at =
             core->now + core->leader_lease_s * tw_jitter(core, PAUSE_LEAST, PAUSE_MOST);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -8,18 +8,18 @@
 #define FINISHED_SHARE 0.25
 #define BYTES_PER_MIB (1024 * 1024)
 
-job *tw_job_find(tw_core *core, const char *id) {
-    job *job;
+tw_job *tw_job_find(tw_core *core, const char *id) {
+    tw_job *job;
     HASH_FIND_STR(core->jobs, id, job);
     return job;
 }
 
-int tw_job_known(tw_core *core, const char *id) {
-    return tw_job_find(core, id) || tw_finished_find(core->completed_jobs, id, NULL);
+int tw_job_is_known(tw_core *core, const char *id) {
+    return tw_job_find(core, id) || tw_completed_jobs_find(core->completed_jobs, id, NULL);
 }
 
-job *tw_job_new(tw_core *core, const char *id) {
-    job *job = tw_zalloc(sizeof *job);
+tw_job *tw_job_new(tw_core *core, const char *id) {
+    tw_job *job = tw_alloc(sizeof *job);
     snprintf(job->id, sizeof job->id, "%s", id);
     job->team = -1;
     job->next_attempt = 1;
@@ -34,7 +34,7 @@
     return -1;
 }
 
-uint32_t tw_rack_mask(const tw_core *core, const tw_wire_job *spec) {
+uint32_t tw_machine_type_mask(const tw_core *core, const tw_wire_job *spec) {
     uint32_t mask = 0;
     for (int i = 0; i < core->machine_type_count; i++) {
         int allowed = spec->machine_type_count < 0;
@@ -45,7 +45,7 @@
     return mask;
 }
 
-void tw_job_spec(tw_core *core, job *job, tw_wire_job *spec) {
+void tw_job_set_spec(tw_core *core, tw_job *job, tw_wire_job *spec) {
     job->spec = *spec;
     free(job->spec_text);
     job->spec_text = NULL;
@@ -55,30 +55,30 @@
     job->has_spec = 1;
     job->task_count = job->spec.task_count;
     job->team = team_index(core, job->spec.team);
-    job->job_class = tw_lane(core, job->spec.job_class);
-    job->type_mask = tw_rack_mask(core, &job->spec);
-    job->image_hash = tw_sum(job->spec.image);
+    job->job_class = tw_job_class_get(core, job->spec.job_class);
+    job->type_mask = tw_machine_type_mask(core, &job->spec);
+    job->image_hash = tw_image_hash(job->spec.image);
 }
 
-int tw_job_durable(const job *job) { return job->record_exists; }
+int tw_job_is_durable(const tw_job *job) { return job->record_exists; }
 
-void tw_job_free(tw_core *core, job *job) {
+void tw_job_free(tw_core *core, tw_job *job) {
     HASH_DEL(core->jobs, job);
     if (core->reserving_gang == job) core->reserving_gang = NULL;
     if (job->in_cancelled_list)
         DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
-    for (waiter *waiter = job->waiting_clients, *next; waiter; waiter = next) {
+    for (tw_waiting_client *waiter = job->waiting_clients, *next; waiter; waiter = next) {
         next = waiter->next;
         free(waiter);
     }
     tw_wire_job_free(&job->spec);
     free(job->spec_text);
     free(job->task_states);
-    tw_parts_free(job);
+    tw_chunks_free(job);
     free(job);
 }
 
-void tw_job_changed(tw_core *core, job *job, int urgent) {
+void tw_job_mark_changed(tw_core *core, tw_job *job, int urgent) {
     job->version++;
     if (urgent) job->write_urgent = 1;
     if (!job->write_queued && !job->write_in_flight) {
@@ -88,13 +88,13 @@
 }
 
 /* Kept apart: they are told with every ping. */
-void tw_job_cancelled(tw_core *core, job *job) {
+void tw_job_note_cancelled(tw_core *core, tw_job *job) {
     if (job->in_cancelled_list) return;
     job->in_cancelled_list = 1;
     DL_APPEND2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
 }
 
-static void uncancelled(tw_core *core, job *job) {
+static void uncancelled(tw_core *core, tw_job *job) {
     if (!job->in_cancelled_list) return;
     job->in_cancelled_list = 0;
     DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
@@ -102,25 +102,25 @@
 
 /* ---- what users are told ---- */
 
-void tw_job_wait(tw_core *core, job *job, uint64_t conn, int cancels) {
-    waiter *waiter = tw_zalloc(sizeof *waiter);
+void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t conn, int cancels) {
+    tw_waiting_client *waiter = tw_alloc(sizeof *waiter);
     waiter->connection = conn;
     waiter->cancels = cancels;
-    waiter->until = core->now + ACCEPT_WAIT_S;
+    waiter->until = core->now + TW_ADMISSION_WAIT_S;
     waiter->next = job->waiting_clients;
     job->waiting_clients = waiter;
 }
 
-static int running(const job *job) {
+static int running(const tw_job *job) {
     int count = 0;
-    placement *task;
+    tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next)
     if (task->reported && (task->state == TW_TASK_RUNNING || task->state == TW_TASK_SAVING))
         count++;
     return count;
 }
 
-char *tw_job_answer(const job *job) {
+char *tw_job_status_text(const tw_job *job) {
     if (job->durable_state == TW_JOB_CANCELLED || job->durable_state == TW_JOB_DONE)
         return tw_wire_job_status_text(job->id, job->durable_state, job->done_count, 0);
     int count = running(job);
@@ -131,15 +131,15 @@
 /* Whether the state service may hold that the job is over while we don't know it: the write is on
  * its way, or nothing is known of its fate. Another node may have read it and told a user, so that
  * only a read that begins after a question can answer it. */
-static int end_in_doubt(const job *job) {
+static int end_in_doubt(const tw_job *job) {
     return job->final_state_sent && job->durable_state == TW_JOB_PENDING;
 }
 
-int tw_job_answerable(const job *job) { return job->record_exists && !end_in_doubt(job); }
+int tw_job_is_answerable(const tw_job *job) { return job->record_exists && !end_in_doubt(job); }
 
-void tw_job_tell(tw_core *core, job *job, int status) {
-    for (waiter **at = &job->waiting_clients; *at;) {
-        waiter *waiter = *at;
+void tw_job_answer_waiting_clients(tw_core *core, tw_job *job, int status) {
+    for (tw_waiting_client **at = &job->waiting_clients; *at;) {
+        tw_waiting_client *waiter = *at;
         int over = job->durable_state != TW_JOB_PENDING;
         if (waiter->cancels ? over : job->record_exists) {
             tw_reply(core, waiter->connection, waiter->cancels ? TW_HTTP_OK : status, 0,
@@ -154,42 +154,42 @@
 
 /* ---- end ---- */
 
-void tw_job_finish(tw_core *core, job *job, int stage) {
+void tw_job_finish(tw_core *core, tw_job *job, int stage) {
     job->state = stage;
     if (stage == TW_JOB_CANCELLED) {
-        tw_job_cancelled(core, job);
+        tw_job_note_cancelled(core, job);
         /* Not first when it is known to be durable: once the write is sent, another node may read
          * the record and tell the user, and we may never learn of it. Whatever the tasks still do
          * is of no use to anybody. */
-        placement *p, *t;
-        DL_FOREACH_SAFE2(job->placements, p, t, job_next) tw_placement_kill(core, p, 0, 0);
+        tw_placement *p, *t;
+        DL_FOREACH_SAFE2(job->placements, p, t, job_next) tw_placement_stop(core, p, 0, 0);
     }
     tw_log_debug("event=over id=%s stage=%d", job->id, stage);
-    tw_job_changed(core, job, 1);
+    tw_job_mark_changed(core, job, 1);
 }
 
-void tw_job_ended(tw_core *core, const char *id, int stage, int done) {
+void tw_job_note_completed(tw_core *core, const char *id, int stage, int done) {
     if (!core->completed_jobs)
         core->completed_jobs =
-            tw_finished_new((size_t)(FINISHED_SHARE * core->config->mem_mb * BYTES_PER_MIB));
-    const tw_ending ending = {stage, done};
-    tw_finished_add(core->completed_jobs, id, &ending);
+            tw_completed_jobs_new((size_t)(FINISHED_SHARE * core->config->mem_mb * BYTES_PER_MIB));
+    const tw_completion ending = {stage, done};
+    tw_completed_jobs_add(core->completed_jobs, id, &ending);
 }
 
 /* A retired job, of which no machine has anything left to forget: only its end is kept. */
-static void let_go(tw_core *core, job *job) {
+static void let_go(tw_core *core, tw_job *job) {
     if (job->task_states || job->placement_refs || job->write_queued || job->write_in_flight)
         return;
-    tw_job_ended(core, job->id, job->durable_state, job->done_count);
+    tw_job_note_completed(core, job->id, job->durable_state, job->done_count);
     tw_job_free(core, job);
 }
 
-void tw_job_unplaced(tw_core *core, job *job) {
+void tw_job_placement_gone(tw_core *core, tw_job *job) {
     job->placement_refs--;
     if (job->durable_state != TW_JOB_PENDING) let_go(core, job);
 }
 
-void tw_job_retire(tw_core *core, job *job) {
+void tw_job_release(tw_core *core, tw_job *job) {
     if (job->durable_state == TW_JOB_PENDING || job->placements || job->write_in_flight ||
         job->write_queued || !job->task_states || job->version != job->durable_version)
         return;
@@ -207,46 +207,47 @@
 
 /* ---- time ---- */
 
-static void abort_tick(tw_core *core, job *job) {
-    if (job->cancelling && job->state == TW_JOB_PENDING && tw_may(core, RIGHT_WRITE) &&
-        core->phase == PH_ACTIVE && tw_abort_safe(core, job, 1) > 0)
+static void abort_tick(tw_core *core, tw_job *job) {
+    if (job->cancelling && job->state == TW_JOB_PENDING &&
+        tw_leader_may(core, TW_PERMISSION_WRITE) && core->phase == TW_PHASE_ACTIVE &&
+        tw_cancellation_safety(core, job, 1) > 0)
         tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
-void tw_job_turn_away(tw_core *core, job *job) {
-    for (waiter *waiter = job->waiting_clients, *next; waiter; waiter = next) {
+void tw_job_reject_waiting_clients(tw_core *core, tw_job *job) {
+    for (tw_waiting_client *waiter = job->waiting_clients, *next; waiter; waiter = next) {
         next = waiter->next;
-        tw_turn_away(core, waiter->connection, job->id, ceil(job->write_after - core->now),
-                     "too large");
+        tw_admission_reject(core, waiter->connection, job->id, ceil(job->write_after - core->now),
+                            "too large");
         free(waiter);
     }
     job->waiting_clients = NULL;
 }
 
 /* Users who waited for as long as they do, or whom we may tell nothing any more. */
-static void waiters_tick(tw_core *core, job *job) {
-    for (waiter **at = &job->waiting_clients; *at;) {
-        waiter *waiter = *at;
-        if (core->now < waiter->until && tw_may(core, RIGHT_TELL)) {
+static void waiters_tick(tw_core *core, tw_job *job) {
+    for (tw_waiting_client **at = &job->waiting_clients; *at;) {
+        tw_waiting_client *waiter = *at;
+        if (core->now < waiter->until && tw_leader_may(core, TW_PERMISSION_ANSWER)) {
             at = &waiter->next;
             continue;
         }
-        tw_turn_away(core, waiter->connection, job->id, 1, "not durable in time");
+        tw_admission_reject(core, waiter->connection, job->id, 1, "not durable in time");
         *at = waiter->next;
         free(waiter);
     }
 }
 
 void tw_jobs_tick(tw_core *core) {
-    if (core->role != R_LEADER || core->now < core->next_job_sweep_at) return;
+    if (core->role != TW_ROLE_LEADER || core->now < core->next_job_sweep_at) return;
     core->next_job_sweep_at = core->now + TICK_S;
     tw_job_store_tick(core);
-    job *job, *next;
+    tw_job *job, *next;
     DL_FOREACH_SAFE(core->active_jobs, job, next) {
         waiters_tick(core, job);
         abort_tick(core, job);
         tw_gang_tick(core, job);
-        tw_job_retire(core, job);
+        tw_job_release(core, job);
     }
 }
 
@@ -254,8 +255,9 @@
 
 /* Whether a machine of the type would hold a task where the job may run. */
 static int type_suits(const tw_wire_machine_type *type, const tw_wire_job *spec) {
-    if (type->cores + TW_ROUNDING < spec->cores || type->gpus + TW_ROUNDING < spec->gpus ||
-        type->memory_gb + TW_ROUNDING < spec->memory_gb)
+    if (type->cores + TW_CAPACITY_ROUNDING < spec->cores ||
+        type->gpus + TW_CAPACITY_ROUNDING < spec->gpus ||
+        type->memory_gb + TW_CAPACITY_ROUNDING < spec->memory_gb)
         return 0;
     if (!*spec->zone) return 1;
     for (int i = 0; i < type->zone_count; i++)
@@ -263,14 +265,16 @@
     return 0;
 }
 
-int tw_job_hopeless(tw_core *core, const tw_wire_job *spec) {
+int tw_job_is_impossible(tw_core *core, const tw_wire_job *spec) {
     int index = team_index(core, spec->team);
     if (index < 0) return 1;
     const tw_conf_team *team = &core->config->teams[index];
     double at_once = spec->service || spec->gang ? spec->task_count : 1; /* what must run at once */
-    if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_ROUNDING) return 1;
-    if (team->gpus_max > 0 && spec->gpus * at_once > team->gpus_max + TW_ROUNDING) return 1;
-    uint32_t mask = tw_rack_mask(core, spec);
+    if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_CAPACITY_ROUNDING)
+        return 1;
+    if (team->gpus_max > 0 && spec->gpus * at_once > team->gpus_max + TW_CAPACITY_ROUNDING)
+        return 1;
+    uint32_t mask = tw_machine_type_mask(core, spec);
     for (int i = 0; i < core->machine_type_count; i++)
         if ((mask & (1u << i)) && type_suits(&core->machine_types[i].listed, spec)) return 0;
     return 1;
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -9,19 +9,19 @@
 #include "wire/wire.h"
 #include <uthash.h>
 
-typedef struct call call;
-typedef struct turned_away_job turned_away_job;
+typedef struct tw_call tw_call;
+typedef struct tw_rejected_admission tw_rejected_admission;
 
 /* A request whose answer waits until the job is durable, or known to be over. */
-typedef struct waiter {
+typedef struct tw_waiting_client {
     uint64_t connection;
     int cancels; /* else: a submission */
     double until;
-    struct waiter *next;
-} waiter;
+    struct tw_waiting_client *next;
+} tw_waiting_client;
 
 /* A class of jobs: its objectives, and what its jobs were like lately. */
-typedef struct lane {
+typedef struct tw_job_class {
     char name[TW_NAME_SIZE];
     double start_within_s;  /* start objective, 0: none */
     double finish_within_s; /* objective for the end, from the submission; 0: none */
@@ -38,16 +38,16 @@
     int reserve,
         reserve_available; /* tasks to keep room for, and that there is room for; see reserve.c */
     UT_hash_handle hh;
-} lane;
+} tw_job_class;
 
-typedef struct job {
+typedef struct tw_job {
     char id[TW_WIRE_ID_SIZE];
     int has_spec;
     tw_wire_job spec;
     char *spec_text;   /* s as in the record, made once; NULL: not yet */
     size_t spec_bytes; /* the length of that text; 0: not measured yet */
     int team;          /* index, -1: unknown */
-    lane *job_class;
+    tw_job_class *job_class;
     uint32_t type_mask;  /* over core->flavors */
     uint32_t image_hash; /* sum of its image's name */
     int task_count;
@@ -59,7 +59,7 @@
     int done_count, placed_count;
     int first_unplaced; /* no free task below it */
     uint64_t next_attempt;
-    placement *placements;
+    tw_placement *placements;
     int placement_refs; /* that point to it: live, or not yet forgotten by their machines */
     /* writing */
     int record_exists; /* its key is known to exist */
@@ -71,119 +71,120 @@
                                              * whole
                                              */
     int chunk_count;                        /* how many */
-    struct record_parts
+    struct tw_record_chunks
         *chunks;          /* of its next record, while they are written; see record_parts.c */
     int size_refusals;    /* of its record for its size, in a row */
     size_t refused_bytes; /* the length that was refused */
     int write_alone;      /* to be written in a transaction of its own */
-    waiter *waiting_clients;
+    tw_waiting_client *waiting_clients;
     /* errors */
-    int cancelling; /* its user cancels it; not yet safe to tell, see tw_abort_safe */
+    int cancelling; /* its user cancels it; not yet safe to tell, see tw_cancellation_safety */
     uint64_t cancellation_sequence;
     int consecutive_errors; /* in a row */
     double retry_at;
-    struct machine
+    struct tw_machine
         *failed_machines[4]; /* machines it failed on lately, passed over until bad_until */
     int failed_machine_count;
     double failed_machines_until;
     double pending_since;
-    int has_run;                         /* a task of it has run for a lease */
-    int guaranteed;                      /* scratch: within its team's guarantee, see queue.c */
-    int capacity_bound;                  /* nothing can be rented for it */
-    int any_machine;                     /* without GPUs, but only GPU machines are to be had */
-    int has_checkpoint;                  /* a task's run time is no longer the whole */
-    gang gang;                           /* of a job whose tasks start together */
-    struct job *prev, *next;             /* core->active */
-    struct job *write_prev, *write_next; /* core->dirty */
+    int has_run;                            /* a task of it has run for a lease */
+    int guaranteed;                         /* scratch: within its team's guarantee, see queue.c */
+    int capacity_bound;                     /* nothing can be rented for it */
+    int any_machine;                        /* without GPUs, but only GPU machines are to be had */
+    int has_checkpoint;                     /* a task's run time is no longer the whole */
+    tw_gang gang;                           /* of a job whose tasks start together */
+    struct tw_job *prev, *next;             /* core->active */
+    struct tw_job *write_prev, *write_next; /* core->dirty */
     int in_cancelled_list;
-    struct job *cancelled_prev, *cancelled_next; /* core->cancelled */
+    struct tw_job *cancelled_prev, *cancelled_next; /* core->cancelled */
     UT_hash_handle hh;
-} job;
+} tw_job;
 
 /* job.c */
 /* An unfinished job, or one that something still points to; NULL: none of that id. */
-job *tw_job_find(tw_core *core, const char *id);
+tw_job *tw_job_find(tw_core *core, const char *id);
 /* A job without contents, among the jobs. */
-job *tw_job_new(tw_core *core, const char *id);
+tw_job *tw_job_new(tw_core *core, const char *id);
 /* Gives the job its contents. */
-void tw_job_spec(tw_core *core, job *job, tw_wire_job *spec /* taken */);
+void tw_job_set_spec(tw_core *core, tw_job *job, tw_wire_job *spec /* taken */);
 /* Its record is to be written; urgent: before those that nobody waits for. */
-void tw_job_changed(tw_core *core, job *job, int urgent);
+void tw_job_mark_changed(tw_core *core, tw_job *job, int urgent);
 /* Frees the job, of which no placement may be left. */
-void tw_job_free(tw_core *core, job *job);
+void tw_job_free(tw_core *core, tw_job *job);
 /* A placement of the job is no more; the job may be none either after it. */
-void tw_job_unplaced(tw_core *core, job *job);
+void tw_job_placement_gone(tw_core *core, tw_job *job);
 /* The job is over, at this stage; that is not durable yet. */
-void tw_job_finish(tw_core *core, job *job, int stage);
+void tw_job_finish(tw_core *core, tw_job *job, int stage);
 /* Notes it among the cancelled jobs, which heartbeats tell of. */
-void tw_job_cancelled(tw_core *core, job *job);
+void tw_job_note_cancelled(tw_core *core, tw_job *job);
 /* Whether some record of it is known to exist. */
-int tw_job_durable(const job *job);
+int tw_job_is_durable(const tw_job *job);
 /* What its user is told; the caller frees it. */
-char *tw_job_answer(const job *job);
+char *tw_job_status_text(const tw_job *job);
 /* Timed work of the leader on all unfinished jobs. */
 void tw_jobs_tick(tw_core *core);
 /* Whether it can never run: refused with TW_HTTP_IMPOSSIBLE. */
-int tw_job_hopeless(tw_core *core, const tw_wire_job *spec);
+int tw_job_is_impossible(tw_core *core, const tw_wire_job *spec);
 /* The machine types that a job allows, a bit each, over core->flavors. */
-uint32_t tw_rack_mask(const tw_core *core, const tw_wire_job *spec);
+uint32_t tw_machine_type_mask(const tw_core *core, const tw_wire_job *spec);
 
 /* job_class.c */
 /* The class of that name, made when it is first named. */
-lane *tw_lane(tw_core *core, const char *name);
+tw_job_class *tw_job_class_get(tw_core *core, const char *name);
 
 /* job_record.c */
 /* The text of its record; the caller frees it. */
-char *tw_job_record(job *job);
+char *tw_job_record_text(tw_job *job);
 
 /* job_store.c */
 /* Writes queued records, as far as the limits of writes have room. */
-void tw_jobs_flush(tw_core *core);
+void tw_job_store_flush(tw_core *core);
 /* The state service answered a write or a read of records. */
-void tw_jobs_response(tw_core *core, call *sent, int status, const char *body, size_t length);
+void tw_job_store_response(tw_core *core, tw_call *sent, int status, const char *body,
+                           size_t length);
 
 /* turned_away.c */
 /* Forgets a submission that was turned away. */
-void tw_turned_away_drop(tw_core *core, turned_away_job *expected);
+void tw_rejected_admission_drop(tw_core *core, tw_rejected_admission *expected);
 
 /* user_requests.c */
 /* Requests of users: a submission, a query, a cancellation. from_peer: handed on by another node.
  */
-void tw_submit(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer);
-void tw_poll(tw_core *core, uint64_t conn, const char *id, int from_peer);
-void tw_abort_job(tw_core *core, uint64_t conn, const char *id, int from_peer);
+void tw_user_submit(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer);
+void tw_user_query(tw_core *core, uint64_t conn, const char *id, int from_peer);
+void tw_user_cancel(tw_core *core, uint64_t conn, const char *id, int from_peer);
 /* A call that was made for a user was answered. */
-void tw_users_response(tw_core *core, call *sent, int status, const char *body, size_t length);
+void tw_user_response(tw_core *core, tw_call *sent, int status, const char *body, size_t length);
 
 /* accepted_elsewhere.c */
 /* Takes over jobs that other nodes accepted, and watches for more. */
-void tw_accepted_elsewhere_tick(tw_core *core);
+void tw_peer_admissions_tick(tw_core *core);
 /* The state service answered with their keys, or their removal. */
-void tw_accepted_elsewhere_response(tw_core *core, call *sent, int status, const char *body,
-                                    size_t length);
+void tw_peer_admissions_response(tw_core *core, tw_call *sent, int status, const char *body,
+                                 size_t length);
 
 /* task_ranges.c: states of tasks as text, "0-5,7" */
 /* The tasks in the wanted state as text, which the caller frees. */
-char *tw_ranges_text(const uint8_t *states, int count, int want);
+char *tw_task_ranges_text(const uint8_t *states, int count, int want);
 /* Puts the text's tasks into a state; returns how many changed. */
-int tw_ranges_apply(uint8_t *states, int count, const char *text, int to);
+int tw_task_ranges_apply(uint8_t *states, int count, const char *text, int to);
 
 /* record_size.c */
 /* Bytes that a record's text may have to be written as one value, under the smaller limit. */
-size_t tw_record_room(const tw_core *core);
+size_t tw_record_value_size(const tw_core *core);
 /* How many tasks of the job may be live at once for its record to fit into one value. */
-int tw_max_live(const tw_core *core, job *job);
+int tw_record_max_running(const tw_core *core, tw_job *job);
 
 /* recover.c */
 /* A term begins: the records are read. */
-void tw_recover_begin(tw_core *core);
+void tw_failover_begin(tw_core *core);
 /* Asks for the next page, unless that is under way. */
-void tw_recover_tick(tw_core *core);
+void tw_failover_tick(tw_core *core);
 /* The state service answered with a page of records. */
-void tw_recover_page(tw_core *core, int status, const char *body, size_t length);
+void tw_failover_page(tw_core *core, int status, const char *body, size_t length);
 /* A job as its record has it, among the jobs or, if it is over and nothing of it may run, among the
  * finished ones. Takes what the job was submitted with out of the record. */
-void tw_adopt(tw_core *core, const char *id, tw_wire_record *record, uint64_t stamp);
+void tw_job_restore(tw_core *core, const char *id, tw_wire_record *record, uint64_t stamp);
 
 /* term.c */
 /* Everything that belongs to a term is forgotten with it. */
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -13,11 +13,11 @@
 /* Jobs that stood waiting for the service to come up arrive within so many leases. */
 #define OPENING_LEASES 4
 
-lane *tw_lane(tw_core *core, const char *name) {
-    lane *lane;
+tw_job_class *tw_job_class_get(tw_core *core, const char *name) {
+    tw_job_class *lane;
     HASH_FIND_STR(core->job_classes, name, lane);
     if (lane) return lane;
-    lane = tw_zalloc(sizeof *lane);
+    lane = tw_alloc(sizeof *lane);
     snprintf(lane->name, sizeof lane->name, "%s", name);
     lane->run_time_ratio = 1;
     lane->run_time_deviation = PRIOR_DEVIATION;
@@ -25,7 +25,7 @@
     return lane;
 }
 
-void tw_lane_arrival(tw_core *core, lane *lane, const job *job) {
+void tw_job_class_note_arrival(tw_core *core, tw_job_class *lane, const tw_job *job) {
     /* Jobs that stood waiting for the service to come up say nothing of the rate they come at. */
     int opening = core->began_without_jobs &&
                   core->now - core->first_admission_at < OPENING_LEASES * core->config->lease_s;
@@ -41,5 +41,5 @@
     lane->sample.machine_types = NULL;
     lane->sample_type_mask = job->type_mask;
     lane->has_sample = 1;
-    tw_per_gpu_note(core);
+    tw_gpu_share_update(core);
 }
--- a/src/core/job_record.c
+++ b/src/core/job_record.c
@@ -2,11 +2,11 @@
 #include "core/core_int.h"
 
 /* The tasks that may run; the caller frees them. */
-static tw_wire_assignment *live_tasks(const job *job, int *count) {
-    const placement *task;
+static tw_wire_assignment *live_tasks(const tw_job *job, int *count) {
+    const tw_placement *task;
     *count = 0;
     DL_FOREACH2(job->placements, task, job_next)++ *count;
-    tw_wire_assignment *tasks = tw_zalloc((size_t)*count * sizeof *tasks);
+    tw_wire_assignment *tasks = tw_alloc((size_t)*count * sizeof *tasks);
     tw_wire_assignment *at = tasks;
     DL_FOREACH2(job->placements, task, job_next) {
         at->index = task->index;
@@ -17,7 +17,7 @@
     return tasks;
 }
 
-char *tw_job_record(job *job) {
+char *tw_job_record_text(tw_job *job) {
     tw_wire_record record = {.state = job->state,
                              .task_count = job->task_count,
                              .done_count = job->done_count,
@@ -31,7 +31,8 @@
         record.job_text = job->spec_text;
     }
     if (job->state == TW_JOB_PENDING)
-        record.done_ranges = tw_ranges_text(job->task_states, job->task_count, T_DONE);
+        record.done_ranges =
+            tw_task_ranges_text(job->task_states, job->task_count, TW_ASSIGNMENT_DONE);
     char *text = tw_wire_record_text(&record);
     free(record.assignments);
     free(record.done_ranges);
