--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -24,41 +24,41 @@
 typedef struct {
     int count;
     size_t bytes; /* of the transaction's text, at most */
-    job *jobs[MAX_RECORDS];
-    char keys[MAX_RECORDS][JOB_KEY_SIZE];
+    tw_job *jobs[MAX_RECORDS];
+    char keys[MAX_RECORDS][TW_JOB_KEY_SIZE];
     char *texts[MAX_RECORDS];
 } batch;
 
 /* ---- group commit ---- */
 
-static void enqueue(tw_core *core, job *job) {
+static void enqueue(tw_core *core, tw_job *job) {
     DL_APPEND2(core->pending_writes, job, write_prev, write_next);
     job->write_queued = 1;
 }
 
-static void dequeue(tw_core *core, job *job) {
+static void dequeue(tw_core *core, tw_job *job) {
     DL_DELETE2(core->pending_writes, job, write_prev, write_next);
     job->write_queued = 0;
 }
 
-static void requeue(tw_core *core, job *job) {
+static void requeue(tw_core *core, tw_job *job) {
     if (job->write_queued || job->write_in_flight) return;
     if (job->version == job->durable_version && job->record_exists) return;
     enqueue(core, job);
 }
 
 /* The text to write under the job's key; NULL: not yet, its slices are to be written first. */
-static char *next_text(tw_core *core, job *job) {
-    if (job->chunks) return tw_parts_written(job) ? tw_parts_head(job) : NULL;
-    char *text = tw_job_record(job);
-    if (!tw_record_divides(core, job, strlen(text))) return text;
-    tw_parts_begin(core, job, text);
+static char *next_text(tw_core *core, tw_job *job) {
+    if (job->chunks) return tw_chunks_all_written(job) ? tw_chunks_record_text(job) : NULL;
+    char *text = tw_job_record_text(job);
+    if (!tw_record_needs_chunks(core, job, strlen(text))) return text;
+    tw_chunks_begin(core, job, text);
     free(text);
     return NULL;
 }
 
 /* Adds the job's record, taking the text; 0: there is no room for it. */
-static int batch_add(batch *batch, job *job, char *text) {
+static int batch_add(batch *batch, tw_job *job, char *text) {
     size_t bytes = strlen(text) + RECORD_FRAME_BYTES;
     if (batch->bytes + bytes > MAX_TXN_BYTES && batch->count) {
         free(text);
@@ -66,16 +66,18 @@
     }
     batch->bytes += bytes;
     batch->texts[batch->count] = text;
-    snprintf(batch->keys[batch->count], JOB_KEY_SIZE, JOB_KEY "%s", job->id);
+    snprintf(batch->keys[batch->count], TW_JOB_KEY_SIZE, TW_JOB_KEY "%s", job->id);
     batch->jobs[batch->count++] = job;
     return 1;
 }
 
 /* Takes queued records into the batch: those that somebody waits for, or the others. */
 static void batch_fill(tw_core *core, batch *batch, int urgent, int most) {
-    job *job, *next;
+    tw_job *job, *next;
     DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next) {
-        if (batch->count >= most || batch->count + 1 > tw_peek(core, &core->write_limiter)) return;
+        if (batch->count >= most ||
+            batch->count + 1 > tw_rate_limiter_available(core, &core->write_limiter))
+            return;
         if (core->now < job->write_after || job->needs_read || urgent != !!job->write_urgent)
             continue;
         if (batch->count && (job->write_alone || batch->jobs[0]->write_alone)) continue;
@@ -87,7 +89,7 @@
 }
 
 /* What a record says that names slices: what the job was when they were made. */
-static void note_divided(job_write *write, record_parts *parts) {
+static void note_divided(tw_record_write *write, tw_record_chunks *parts) {
     write->version = parts->version;
     write->state = parts->state;
     write->chunk_count = parts->count;
@@ -96,13 +98,13 @@
 }
 
 /* Notes with the call what each record said, for its answer. */
-static void note_writes(call *call, const batch *batch) {
+static void note_writes(tw_call *call, const batch *batch) {
     call->count = batch->count;
-    call->records = tw_zalloc((size_t)batch->count * sizeof *call->records);
+    call->records = tw_alloc((size_t)batch->count * sizeof *call->records);
     for (int i = 0; i < batch->count; i++) {
-        job *job = batch->jobs[i];
-        job_write *write = &call->records[i];
-        *write = (job_write){
+        tw_job *job = batch->jobs[i];
+        tw_record_write *write = &call->records[i];
+        *write = (tw_record_write){
             .version = job->version, .mod_revision = job->mod_revision, .state = job->state};
         snprintf(write->id, sizeof write->id, "%s", job->id);
         if (job->chunks) note_divided(write, job->chunks);
@@ -116,49 +118,51 @@
 
 static void batch_send(tw_core *core, const batch *batch) {
     const int count = batch->count;
-    tw_take(core, &core->write_limiter, count);
-    tw_take(core, &core->request_limiter, 1);
+    tw_rate_limiter_try_acquire(core, &core->write_limiter, count);
+    tw_rate_limiter_try_acquire(core, &core->request_limiter, 1);
     tw_wire_compare conds[MAX_RECORDS + 1 + core->peer_count];
     tw_wire_write writes[MAX_RECORDS];
     for (int i = 0; i < count; i++) {
         conds[i] = (tw_wire_compare){batch->keys[i], batch->jobs[i]->mod_revision};
         writes[i] = (tw_wire_write){batch->keys[i], batch->texts[i], 0};
     }
-    char deputy_keys[core->peer_count + 1][TW_DEPUTY_KEY_SIZE];
+    char deputy_keys[core->peer_count + 1][TW_DELEGATE_KEY_SIZE];
     conds[count] = (tw_wire_compare){TW_LEADER_KEY, core->fencing_token};
-    int nconds = count + 1 + tw_deputy_conds(core, conds + count + 1, deputy_keys);
-    call *call = tw_call(core, K_TXN, TW_TO_STATE, core->config->state, "POST", "/txn",
-                         tw_wire_txn_text(conds, (size_t)nconds, writes, (size_t)count),
-                         fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO));
+    int nconds = count + 1 + tw_delegates_compares(core, conds + count + 1, deputy_keys);
+    tw_call *call =
+        tw_call_send(core, TW_CALL_WRITE_RECORDS, TW_TO_STATE, core->config->state, "POST", "/txn",
+                     tw_wire_txn_text(conds, (size_t)nconds, writes, (size_t)count),
+                     fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO));
     note_writes(call, batch);
     for (int i = 0; i < count; i++) free(batch->texts[i]);
     core->transactions_in_flight++;
 }
 
-void tw_jobs_flush(tw_core *core) {
+void tw_job_store_flush(tw_core *core) {
     /* One of the conditions is on our key and one on each deputy's. */
     const int max_conds =
         CONDITIONS_PER_CHANGE * core->config->state_txn_ops - 1 - (int)core->peer_count;
     const int allowed = (int)fmax(1, fmin(core->config->state_txn_ops, max_conds));
     const int most = allowed < MAX_RECORDS ? allowed : MAX_RECORDS;
     if (!core->delegates_known) return;
-    tw_parts_flush(core, most);
-    while (core->pending_writes && core->transactions_in_flight < TW_MAX_TXNS &&
-           tw_peek(core, &core->write_limiter) >= 1 && tw_peek(core, &core->request_limiter) >= 1) {
+    tw_chunks_flush(core, most);
+    while (core->pending_writes && core->transactions_in_flight < TW_MAX_TRANSACTIONS &&
+           tw_rate_limiter_available(core, &core->write_limiter) >= 1 &&
+           tw_rate_limiter_available(core, &core->request_limiter) >= 1) {
         batch batch = {.bytes = FRAME_BYTES};
         batch_fill(core, &batch, 1, most);
         batch_fill(core, &batch, 0, most);
         if (batch.count) batch_send(core, &batch);
-        tw_parts_flush(core, most);
+        tw_chunks_flush(core, most);
         if (!batch.count) break;
     }
-    tw_parts_remove(core, most);
+    tw_chunks_remove_stale(core, most);
 }
 
 /* ---- what is known to be written ---- */
 
 /* The record under this stamp, the latest one, holds this stage. */
-static void record_known(job *job, int stage, uint64_t stamp) {
+static void record_known(tw_job *job, int stage, uint64_t stamp) {
     job->record_exists = 1;
     job->needs_read = 0;
     job->mod_revision = stamp;
@@ -167,20 +171,20 @@
     if (stage != TW_JOB_PENDING) job->state = job->durable_state = stage;
 }
 
-static void durable(tw_core *core, job *job, const job_write *w, uint64_t stamp) {
+static void durable(tw_core *core, tw_job *job, const tw_record_write *w, uint64_t stamp) {
     record_known(job, w->state, stamp);
-    tw_parts_named(core, job, w->chunk_set, w->chunk_count);
-    if (*w->chunk_set) tw_parts_free(job); /* nothing else is written while it is on its way */
+    tw_chunks_set_current(core, job, w->chunk_set, w->chunk_count);
+    if (*w->chunk_set) tw_chunks_free(job); /* nothing else is written while it is on its way */
     job->write_alone = 0;
     job->size_refusals = 0;
-    tw_job_tell(core, job, TW_HTTP_CREATED);
+    tw_job_answer_waiting_clients(core, job, TW_HTTP_CREATED);
     if (w->version > job->durable_version) job->durable_version = w->version;
-    placement *p;
+    tw_placement *p;
     DL_FOREACH2(job->placements, p, job_next)
     if (p->version <= job->durable_version && !p->launch_sent && !p->stopping)
-        tw_want_direct(core, p->machine);
+        tw_machine_want_commands(core, p->machine);
     requeue(core, job);
-    tw_job_retire(core, job);
+    tw_job_release(core, job);
 }
 
 static char *spec_text(const tw_wire_job *spec) {
@@ -190,10 +194,10 @@
 
 /* A job that was over and let go from memory (finished.h) was submitted again, and what we took for
  * its first record was refused. Nothing of ours was durable; the end holds as its record has it. */
-static void was_over(tw_core *core, job *job, const tw_wire_record *record) {
-    placement *task, *next;
+static void was_over(tw_core *core, tw_job *job, const tw_wire_record *record) {
+    tw_placement *task, *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next)
-    tw_attempt_end_on(core, task, END_NOT_RECORDED);
+    tw_attempt_terminate_on(core, task, TW_EVIDENCE_NOT_RECORDED);
     job->done_count = record->done_count;
     job->durable_version = job->version;
     if (job->write_queued) dequeue(core, job);
@@ -201,11 +205,11 @@
 
 /* The first record of a job that we were writing ourselves. If another node accepted the job before
  * us, with other fields, those hold; of ours nothing was durable, so that nothing was launched. */
-static void first_record(tw_core *core, job *job, const char *data) {
+static void first_record(tw_core *core, tw_job *job, const char *data) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, job->id, data, strlen(data))) return;
     if (*record.chunk_set) return; /* our own: only a leader divides records */
-    tw_parts_drop(core, job);
+    tw_chunks_drop(core, job);
     if (record.state != TW_JOB_PENDING && !record.assignment_count) {
         was_over(core, job, &record);
         tw_wire_record_free(&record);
@@ -213,16 +217,16 @@
     }
     char *ours = spec_text(&job->spec), *theirs = spec_text(&record.job);
     if (record.has_job && strcmp(ours, theirs) != 0) {
-        placement *p, *t;
+        tw_placement *p, *t;
         DL_FOREACH_SAFE2(job->placements, p, t, job_next)
-        tw_attempt_end_on(core, p, END_NOT_RECORDED);
+        tw_attempt_terminate_on(core, p, TW_EVIDENCE_NOT_RECORDED);
         tw_wire_job_free(&job->spec);
-        tw_job_spec(core, job, &record.job);
+        tw_job_set_spec(core, job, &record.job);
         free(job->task_states);
-        job->task_states = tw_zalloc((size_t)job->task_count);
+        job->task_states = tw_alloc((size_t)job->task_count);
         job->first_unplaced = 0;
         job->submitted_wall_s = record.submitted_at;
-        tw_job_changed(core, job, 1);
+        tw_job_mark_changed(core, job, 1);
         core->scheduling_due = 1;
     }
     free(ours);
@@ -234,34 +238,35 @@
  * answer was lost. Stamps grow, so a greater one than ours is of a later record; it is the latest,
  * since only we write records that exist, and nothing of ours is conditioned on it yet. Writes that
  * are still on their way hold the older stamp, and fail. */
-void tw_job_record_read(tw_core *core, job *job, const tw_wire_entry *entry) {
+void tw_job_store_record_read(tw_core *core, tw_job *job, const tw_wire_entry *entry) {
     if (entry->mod_revision <= job->mod_revision) return;
     tw_wire_record record;
     int stage = tw_wire_record_state(entry->value, strlen(entry->value));
     if (!tw_wire_record_parse(&record, job->id, entry->value, strlen(entry->value))) {
-        tw_parts_named(core, job, record.chunk_set, record.chunk_count);
+        tw_chunks_set_current(core, job, record.chunk_set, record.chunk_count);
         tw_wire_record_free(&record);
     }
     if (!job->record_exists) first_record(core, job, entry->value);
     record_known(job, stage < 0 ? TW_JOB_PENDING : stage, entry->mod_revision);
-    tw_job_tell(core, job, TW_HTTP_OK);
+    tw_job_answer_waiting_clients(core, job, TW_HTTP_OK);
     requeue(core, job);
-    tw_job_retire(core, job);
+    tw_job_release(core, job);
 }
 
 /* ---- answers ---- */
 
-static void read_record(tw_core *core, job *job) {
-    char path[JOB_PATH_SIZE];
+static void read_record(tw_core *core, tw_job *job) {
+    char path[TW_JOB_PATH_SIZE];
     job->read_in_flight = 1;
-    snprintf(path, sizeof path, JOB_PATH "%s", job->id);
-    call *call = tw_call(core, K_JOB_READ, TW_TO_STATE, core->config->state, "GET", path, NULL, 1);
+    snprintf(path, sizeof path, TW_JOB_PATH "%s", job->id);
+    tw_call *call = tw_call_send(core, TW_CALL_READ_RECORD, TW_TO_STATE, core->config->state, "GET",
+                                 path, NULL, 1);
     snprintf(call->name, sizeof call->name, "%s", job->id);
 }
 
 void tw_job_store_tick(tw_core *core) {
-    job *job, *next;
-    if (core->phase == PH_ACTIVE) tw_record_peers(core);
+    tw_job *job, *next;
+    if (core->phase == TW_PHASE_ACTIVE) tw_record_format_update(core);
     DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next)
     if (job->needs_read && !job->read_in_flight && core->now >= job->write_after)
         read_record(core, job);
@@ -274,18 +279,18 @@
 } refusal;
 
 /* Whether the job's record is not of the revision that the write was conditioned on. */
-static int refused(const refusal *refusal, const job_write *write) {
-    const size_t prefix = sizeof JOB_KEY - 1;
+static int refused(const refusal *refusal, const tw_record_write *write) {
+    const size_t prefix = sizeof TW_JOB_KEY - 1;
     for (int i = 0; i < refusal->count; i++) {
         const char *key = refusal->keys[i];
-        if (!strncmp(key, JOB_KEY, prefix) && !strcmp(key + prefix, write->id)) return 1;
+        if (!strncmp(key, TW_JOB_KEY, prefix) && !strcmp(key + prefix, write->id)) return 1;
     }
     return 0;
 }
 
 /* Not carried out, or unknown. A retry under the same stamps is safe either way: if the first went
  * through, or still will, one of the two fails. */
-static void not_written(tw_core *core, job *job, const job_write *w, int status,
+static void not_written(tw_core *core, tw_job *job, const tw_record_write *w, int status,
                         const refusal *refusal, int alone) {
     job->write_urgent = 1;
     if (status == TW_HTTP_BAD_REQUEST && alone)
@@ -303,8 +308,8 @@
 /* Whether our key is still there, by what a transaction was refused for. */
 static int key_kept(tw_core *core, const refusal *refusal) {
     for (int i = 0; i < refusal->count; i++) {
-        if (!strncmp(refusal->keys[i], TW_DEPUTY_KEY, sizeof TW_DEPUTY_KEY - 1))
-            tw_deputies_read(core);
+        if (!strncmp(refusal->keys[i], TW_DELEGATE_KEY, sizeof TW_DELEGATE_KEY - 1))
+            tw_delegates_read(core);
         if (!strcmp(refusal->keys[i], TW_LEADER_KEY)) return 0;
     }
     return 1;
@@ -322,15 +327,15 @@
     if (status == TW_HTTP_BAD_REQUEST) tw_log_error("event=txn_refused body=\"%.200s\"", body);
     if (key_kept(core, refusal)) return 1;
     free(refusal->keys);
-    tw_step_down(core, "leader key lost");
+    tw_leader_step_down(core, "leader key lost");
     return 0;
 }
 
-static void slices_done(tw_core *core, call *call, int status, const char *body, size_t length) {
+static void slices_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
     refusal refusal;
     if (!answered(core, status, body, length, &refusal)) return;
     free(refusal.keys);
-    job *job = tw_job_find(core, call->name);
+    tw_job *job = tw_job_find(core, call->name);
     /* Or they were given up meanwhile. */
     if (!job || !job->chunks || strcmp(job->chunks->name, call->text) != 0) return;
     job->chunks->write_in_flight = 0;
@@ -342,7 +347,7 @@
         job->write_after = core->now + WRITE_RETRY_S;
 }
 
-static void txn_done(tw_core *core, call *call, int status, const char *body, size_t length) {
+static void txn_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
     uint64_t revision = 0;
     refusal refusal;
     int ok = status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, length);
@@ -350,8 +355,8 @@
     if (ok && call->sent_at > core->delegates_checked_at)
         core->delegates_checked_at = call->sent_at;
     for (int i = 0; i < call->count; i++) {
-        const job_write *write = &call->records[i];
-        job *job = tw_job_find(core, write->id);
+        const tw_record_write *write = &call->records[i];
+        tw_job *job = tw_job_find(core, write->id);
         if (!job) continue;
         job->write_in_flight = 0;
         if (ok)
@@ -363,8 +368,8 @@
 }
 
 /* A write of ours that was thought lost went through, or another node accepted the job first. */
-static void read_done(tw_core *core, call *call, int status, const char *body, size_t length) {
-    job *job = tw_job_find(core, call->name);
+static void read_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
+    tw_job *job = tw_job_find(core, call->name);
     if (!job) return;
     job->read_in_flight = 0;
     if (status == TW_HTTP_NOT_FOUND) {
@@ -377,17 +382,18 @@
         job->write_after = core->now + READ_RETRY_S;
         return; /* tw_job_store_tick asks again */
     }
-    tw_job_record_read(core, job, &entry);
+    tw_job_store_record_read(core, job, &entry);
     free(entry.value);
 }
 
-void tw_jobs_response(tw_core *core, call *call, int status, const char *body, size_t length) {
-    if (call->kind == K_TXN)
+void tw_job_store_response(tw_core *core, tw_call *call, int status, const char *body,
+                           size_t length) {
+    if (call->kind == TW_CALL_WRITE_RECORDS)
         txn_done(core, call, status, body, length);
-    else if (call->kind == K_PARTS)
+    else if (call->kind == TW_CALL_WRITE_CHUNKS)
         slices_done(core, call, status, body, length);
-    else if (call->kind == K_PARTS_REMOVE)
-        tw_parts_removed(core, call, status);
+    else if (call->kind == TW_CALL_REMOVE_CHUNKS)
+        tw_chunks_removal_response(core, call, status);
     else
         read_done(core, call, status, body, length);
 }
--- a/src/core/lapse.c
+++ b/src/core/lapse.c
@@ -14,7 +14,7 @@
 /* Of fewer machines, most being silent says nothing. */
 #define FEW_MACHINES 2
 
-int tw_machine_silent(const tw_core *core, const machine *machine) {
+int tw_machine_is_silent(const tw_core *core, const tw_machine *machine) {
     const int unanswered = !machine->last_contact_at && machine->failed_probes >= ASKED_IN_VAIN;
     const double grace_leases = unanswered ? -1 : FIND_LEADER_LEASES;
     const double found_us = core->acquired_at + grace_leases * core->config->lease_s;
@@ -22,25 +22,25 @@
     const double most_s = core->config->tune.silent_ratio * core->config->lease_s;
     /* Deputies are looked at only for a machine that we haven't heard of ourselves. */
     return core->now - heard > most_s &&
-           core->now - tw_deputies_until(core, machine->zone) > most_s;
+           core->now - tw_delegates_until(core, machine->zone) > most_s;
 }
 
-int tw_machine_usable(const tw_core *core, const machine *machine) {
-    return machine->state == M_UP && machine->confirmed && machine->type_index >= 0 &&
+int tw_machine_is_usable(const tw_core *core, const tw_machine *machine) {
+    return machine->state == TW_MACHINE_UP && machine->confirmed && machine->type_index >= 0 &&
            !machine->cordoned && !machine->return_wanted && !machine->decommissioning &&
            !machine->lease_expired && !machine->failed && machine->preempted_at <= 0 &&
-           core->now - machine->last_contact_at < TW_IN_TOUCH_REPORTS * core->config->report_s;
+           core->now - machine->last_contact_at < TW_IN_TOUCH_HEARTBEATS * core->config->report_s;
 }
 
-double tw_lease_longest_s(const tw_core *core) {
+double tw_lease_max_s(const tw_core *core) {
     const tw_conf *cf = core->config;
     return cf->lease_s * (1 + 2 * cf->tune.drift + cf->tune.margin_ratio);
 }
 
 /* A worker that has not seen our token may still have been answered by a predecessor. */
-tw_lapse_terms tw_lapse_terms_of(const tw_core *core, const machine *machine) {
-    tw_lapse_terms terms = {.answered_at = fmax(machine->answered_at, machine->answered_older_at),
-                            .delegates_until = tw_deputies_until(core, machine->zone)};
+tw_lease_expiry tw_lease_expiry_of(const tw_core *core, const tw_machine *machine) {
+    tw_lease_expiry terms = {.answered_at = fmax(machine->answered_at, machine->answered_older_at),
+                             .delegates_until = tw_delegates_until(core, machine->zone)};
     /* A session has a full lease from its beginning, also one that no report of was ever answered:
      * the machine may be known from direct orders only. */
     terms.incarnation_at = machine->incarnation_learned_at;
@@ -48,17 +48,18 @@
     terms.loading_at = core->answered_while_loading_at;
     /* Once it knows our token, a predecessor's answers no longer count; until then they may have.
      */
-    terms.predecessor_until = machine->confirmed ? machine->confirmed_at : tw_predecessor_end(core);
+    terms.predecessor_until =
+        machine->confirmed ? machine->confirmed_at : tw_predecessor_renewals_end(core);
     double from = fmax(terms.answered_at, terms.delegates_until);
     from = fmax(from, terms.incarnation_at);
     from = fmax(from, terms.loading_at);
     from = fmax(from, terms.predecessor_until);
-    const double lease = tw_lease_longest_s(core);
+    const double lease = tw_lease_max_s(core);
     terms.expires_at = from + lease;
     /* Nodes of its zone that may have answered it while they could not reach us: either one said
      * later that it had not, or its grant is over. */
     for (size_t i = 0; i < core->peer_count; i++) {
-        const peer *peer = &core->peers[i];
+        const tw_peer *peer = &core->peers[i];
         if (peer->delegation_until <= 0 ||
             (*machine->zone && strcmp(machine->zone, peer->config.zone) != 0))
             continue;
@@ -70,19 +71,19 @@
     return terms;
 }
 
-double tw_lapse_at(const tw_core *core, const machine *machine) {
-    return tw_lapse_terms_of(core, machine).expires_at;
+double tw_lease_expires_at(const tw_core *core, const tw_machine *machine) {
+    return tw_lease_expiry_of(core, machine).expires_at;
 }
 
 /* Most machines of its zone silent as well, or we don't reach its nodes, or only just again: rather
  * the network than the machine. */
-int tw_zone_cut(tw_core *core, const machine *machine) {
+int tw_zone_is_unreachable(tw_core *core, const tw_machine *machine) {
     const double back = BACK_REPORTS * core->config->report_s;
     for (size_t i = 0; i < core->peer_count; i++) {
-        const peer *peer = &core->peers[i];
+        const tw_peer *peer = &core->peers[i];
         if (!strcmp(peer->config.zone, machine->zone) &&
             strcmp(machine->zone, core->config->location) != 0 &&
-            (!tw_zone_reached(core, machine->zone) || core->now < peer->back_at + back))
+            (!tw_zone_has_live_peer(core, machine->zone) || core->now < peer->back_at + back))
             return 1;
     }
     for (int zone = 0; zone < core->silent_zone_count; zone++)
@@ -106,17 +107,18 @@
  * those that are cut off with it were heard up to a report later: so much less counts as silent.
  * But one that looks for another node is late by half a report. After a cut they need a while to
  * find a node that answers. */
-void tw_quiet_note(tw_core *core) {
+void tw_zone_silence_update(tw_core *core) {
     const double report = core->config->report_s;
     const double silent = core->config->tune.silent_ratio * core->config->lease_s;
     const double late =
         fmin(LATE_MOST_REPORTS * report, fmax(LATE_LEAST_REPORTS * report, silent - report));
     const double found_us = core->acquired_at + FIND_LEADER_LEASES * core->config->lease_s;
-    machine *each, *next;
+    tw_machine *each, *next;
     for (int i = 0; i < core->silent_zone_count; i++)
         core->silent_zones[i].all = core->silent_zones[i].silent = 0;
     HASH_ITER(hh, core->machines, each, next) {
-        if ((each->state != M_UP && !tw_machine_works(each)) || each->failed) continue;
+        if ((each->state != TW_MACHINE_UP && !tw_machine_is_occupied(each)) || each->failed)
+            continue;
         const int zone = quiet_index(core, each->zone);
         if (zone == TW_MAX_ZONES) continue;
         core->silent_zones[zone].all++;
--- a/src/core/learn.c
+++ b/src/core/learn.c
@@ -24,9 +24,9 @@
  * report tells mostly how long the report took. Whether fetches beside each other share the rate is
  * learned, too: taking it for granted made machines that fetch look slow, and those that had
  * fetched so look fast. */
-static void learn_fetch(tw_core *core, const placement *placed, double fetch_s) {
-    machine *machine = placed->machine;
-    flavor *type = &core->machine_types[machine->type_index];
+static void learn_fetch(tw_core *core, const tw_placement *placed, double fetch_s) {
+    tw_machine *machine = placed->machine;
+    tw_machine_type *type = &core->machine_types[machine->type_index];
     const double weight = core->config->tune.ema;
     double s_per_gb = fmax(0, fetch_s) / placed->job->spec.image_gb;
     /* Which a new leader can't know. */
@@ -43,10 +43,10 @@
     move_average(&type->fetch_s_per_gb, type->fetch_s_per_gb, s_per_gb, weight * TYPE_WEIGHT);
 }
 
-void tw_learn_start(tw_core *core, placement *placed) {
-    machine *machine = placed->machine;
+void tw_statistics_note_start(tw_core *core, tw_placement *placed) {
+    tw_machine *machine = placed->machine;
     if (machine->type_index < 0 || placed->inherited || !placed->launch_sent) return;
-    flavor *type = &core->machine_types[machine->type_index];
+    tw_machine_type *type = &core->machine_types[machine->type_index];
     /* A launch that was put off is no delay of the machine. */
     const double delay = core->now - fmax(placed->placed_at, placed->launch_after);
     const double weight = core->config->tune.ema;
@@ -62,7 +62,7 @@
 }
 
 /* Actual over estimated run time of the class, with the machine's slowness taken out. */
-static void learn_estimate(lane *class, double ratio, double weight) {
+static void learn_estimate(tw_job_class *class, double ratio, double weight) {
     const double own = fmin(RATIO_MOST, fmax(RATIO_LEAST, ratio));
     class->run_time_deviation +=
         weight * RUN_WEIGHT * (fabs(own - class->run_time_ratio) - class->run_time_deviation);
@@ -70,18 +70,19 @@
 }
 
 /* Of the slowest machine that has a task of the gang; `done` has left its job's list. */
-static double gang_slowness(const tw_core *core, const placement *done) {
-    double slowest = tw_slowness(core, done->machine);
-    const placement *task;
+static double gang_slowness(const tw_core *core, const tw_placement *done) {
+    double slowest = tw_machine_slowness(core, done->machine);
+    const tw_placement *task;
     DL_FOREACH2(done->job->placements, task, job_next)
-    if (task->machine->type_index >= 0) slowest = fmax(slowest, tw_slowness(core, task->machine));
+    if (task->machine->type_index >= 0)
+        slowest = fmax(slowest, tw_machine_slowness(core, task->machine));
     return slowest;
 }
 
-void tw_learn_run(tw_core *core, const placement *placed) {
-    machine *machine = placed->machine;
-    const job *job = placed->job;
-    lane *class = job->job_class;
+void tw_statistics_note_run(tw_core *core, const tw_placement *placed) {
+    tw_machine *machine = placed->machine;
+    const tw_job *job = placed->job;
+    tw_job_class *class = job->job_class;
     if (machine->type_index < 0 || placed->running_since <= 0 || job->spec.expected_run_s <= 0 ||
         job->has_checkpoint || !class)
         return;
@@ -92,7 +93,7 @@
         learn_estimate(class, ratio / gang_slowness(core, placed), weight);
         return;
     }
-    const double slow = tw_slowness(core, machine);
+    const double slow = tw_machine_slowness(core, machine);
     /* Estimates are often wrong by half: one run tells little of the machine. */
     move_average(&machine->slowness, prior,
                  fmin(RATIO_MOST, fmax(RATIO_LEAST, ratio / class->run_time_ratio)), weight * 0.5);
@@ -100,7 +101,7 @@
 }
 
 /* It came up, or is overdue: so many of its type do not come in time. */
-void tw_learn_boot(tw_core *core, const machine *machine) {
+void tw_statistics_note_boot(tw_core *core, const tw_machine *machine) {
     double *share = &core->machine_types[machine->type_index].overdue_share;
     move_average(share, *share, machine->overdue, BOOT_WEIGHT * core->config->tune.ema);
 }
--- a/src/core/list.c
+++ b/src/core/list.c
@@ -10,10 +10,10 @@
 enum { RENTAL_UP = 1, RENTAL_FAILED = 2 }; /* tw_wire_rented_machine.stage */
 
 static void take_machine(tw_core *core, const tw_wire_rented_machine *listed) {
-    const expiring *released;
+    const tw_expiring_name *released;
     HASH_FIND_STR(core->returned_machines, listed->id, released);
     if (released) return;
-    machine *machine = tw_machine(core, listed->id);
+    tw_machine *machine = tw_machine_find(core, listed->id);
     if (!machine) {
         machine = tw_machine_new(core, listed->id);
         machine->known_since = core->now - listed->rented_s;
@@ -21,27 +21,28 @@
     machine->listed = 1;
     machine->lists_without = 0;
     machine->spot = listed->spot;
-    if (!*machine->zone) tw_machine_at(core, machine, listed->zone);
+    if (!*machine->zone) tw_machine_set_zone(core, machine, listed->zone);
     if (strcmp(machine->type_name, listed->machine_type) != 0)
         snprintf(machine->type_name, sizeof machine->type_name, "%s", listed->machine_type);
-    if (machine->type_index < 0) machine->type_index = tw_rack_index(core, listed->machine_type);
+    if (machine->type_index < 0)
+        machine->type_index = tw_machine_type_index(core, listed->machine_type);
     if (!*machine->endpoint && *listed->endpoint)
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
     if (listed->state == RENTAL_FAILED) machine->failed = 1;
     /* After a change of leader we need not wait until the worker has found us. */
     if (listed->state == RENTAL_UP && !machine->last_contact_at && !machine->probed) {
         machine->probed = 1;
-        tw_want_probe(core, machine);
+        tw_machine_want_probe(core, machine);
     }
 }
 
 static void begin_list(tw_core *core) {
-    machine *machine;
-    struct machine *next;
+    tw_machine *machine;
+    struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) machine->lists_without++;
 }
 
-void tw_list_page(tw_core *core, int status, const char *body, size_t length) {
+void tw_machine_list_page(tw_core *core, int status, const char *body, size_t length) {
     tw_wire_rented_machine *listed;
     int count;
     int more;
@@ -66,9 +67,9 @@
     free(listed);
 }
 
-void tw_list_tick(tw_core *core) {
+void tw_machine_list_tick(tw_core *core) {
     if (core->machine_list_in_flight || core->now < core->next_machine_list_at ||
-        !tw_take(core, &core->cloud_limiter, 1))
+        !tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
         return;
     char path[PATH_SIZE];
     const int length = snprintf(path, sizeof path, "/rentals?most=%d", PAGE);
@@ -76,5 +77,6 @@
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s",
                  core->machine_list_cursor);
     core->machine_list_in_flight = 1;
-    tw_call(core, K_LIST, TW_TO_CLOUD, core->config->cloud, "GET", path, NULL, TIMEOUT_S);
+    tw_call_send(core, TW_CALL_LIST_MACHINES, TW_TO_CLOUD, core->config->cloud, "GET", path, NULL,
+                 TIMEOUT_S);
 }
--- a/src/core/loaded_parts.c
+++ b/src/core/loaded_parts.c
@@ -6,19 +6,19 @@
 #define DECIMAL 10
 
 /* The slices of a set. */
-typedef struct loaded_set {
-    char name[PART_KEY_SIZE]; /* the job's id, a slash, the set */
-    char **chunks;            /* by number; NULL: not there */
-    int capacity;             /* one more than the highest number */
-    int referenced;           /* by a record */
+typedef struct tw_loaded_chunk_set {
+    char name[TW_CHUNK_KEY_SIZE]; /* the job's id, a slash, the set */
+    char **chunks;                /* by number; NULL: not there */
+    int capacity;                 /* one more than the highest number */
+    int referenced;               /* by a record */
     UT_hash_handle hh;
-} loaded_set;
+} tw_loaded_chunk_set;
 
 /* Splits a key; the slice's number, or -1: it is none of a slice. */
 static int split_key(const char *key, char *name, size_t size) {
-    const size_t prefix = sizeof PART_KEY - 1;
+    const size_t prefix = sizeof TW_CHUNK_KEY - 1;
     const char *slash = strrchr(key, '/');
-    if (strncmp(key, PART_KEY, prefix) != 0 || slash < key + prefix) return -1;
+    if (strncmp(key, TW_CHUNK_KEY, prefix) != 0 || slash < key + prefix) return -1;
     char *end;
     const long number = strtol(slash + 1, &end, DECIMAL);
     if (end == slash + 1 || *end || number < 0 || number >= TW_WIRE_MAX_TASKS) return -1;
@@ -27,17 +27,17 @@
     return length < (int)size && strchr(name, '/') ? (int)number : -1;
 }
 
-static loaded_set *set_of(tw_core *core, const char *name) {
-    loaded_set *set;
+static tw_loaded_chunk_set *set_of(tw_core *core, const char *name) {
+    tw_loaded_chunk_set *set;
     HASH_FIND_STR(core->loaded_chunk_sets, name, set);
     if (set) return set;
-    set = tw_zalloc(sizeof *set);
+    set = tw_alloc(sizeof *set);
     snprintf(set->name, sizeof set->name, "%s", name);
     HASH_ADD_STR(core->loaded_chunk_sets, name, set);
     return set;
 }
 
-static void keep_slice(loaded_set *set, int number, char *text) {
+static void keep_slice(tw_loaded_chunk_set *set, int number, char *text) {
     if (number >= set->capacity) {
         const int room = number + 1;
         char **slices = realloc(set->chunks, (size_t)room * sizeof *slices);
@@ -50,13 +50,13 @@
     set->chunks[number] = text;
 }
 
-int tw_loaded_page(tw_core *core, const char *body, size_t len, int *more, char *last,
-                   size_t size) {
+int tw_chunk_loader_page(tw_core *core, const char *body, size_t len, int *more, char *last,
+                         size_t size) {
     tw_wire_entry *entries;
     int count;
     if (tw_wire_entries_parse(&entries, &count, more, body, len)) return -1;
     for (int i = 0; i < count; i++) {
-        char name[PART_KEY_SIZE];
+        char name[TW_CHUNK_KEY_SIZE];
         const int number = split_key(entries[i].key, name, sizeof name);
         if (number < 0)
             tw_log_error("event=bad_slice key=%.64s", entries[i].key);
@@ -68,10 +68,10 @@
     return count;
 }
 
-char *tw_loaded_text(tw_core *core, const char *id, const tw_wire_record *record) {
-    char name[PART_KEY_SIZE];
+char *tw_chunk_loader_text(tw_core *core, const char *id, const tw_wire_record *record) {
+    char name[TW_CHUNK_KEY_SIZE];
     snprintf(name, sizeof name, "%s/%s", id, record->chunk_set);
-    loaded_set *set;
+    tw_loaded_chunk_set *set;
     HASH_FIND_STR(core->loaded_chunk_sets, name, set);
     if (!set) return NULL;
     set->referenced = 1;
@@ -80,26 +80,26 @@
         if (i >= set->capacity || !set->chunks[i]) return NULL;
         length += strlen(set->chunks[i]);
     }
-    char *text = tw_zalloc(length + 1);
+    char *text = tw_alloc(length + 1);
     char *end = text;
     for (int i = 0; i < record->chunk_count; i++) end = stpcpy(end, set->chunks[i]);
     return text;
 }
 
-void tw_loaded_end(tw_core *core) {
-    const loaded_set *set;
+void tw_chunk_loader_finish(tw_core *core) {
+    const tw_loaded_chunk_set *set;
     for (set = core->loaded_chunk_sets; set; set = set->hh.next) {
         const char *slash = strchr(set->name, '/');
         char id[TW_WIRE_ID_SIZE];
         if (set->referenced) continue;
         snprintf(id, sizeof id, "%.*s", (int)(slash - set->name), set->name);
-        tw_parts_stale(core, id, slash + 1, set->capacity);
+        tw_chunks_add_stale(core, id, slash + 1, set->capacity);
     }
-    tw_loaded_free(core);
+    tw_chunk_loader_free(core);
 }
 
-void tw_loaded_free(tw_core *core) {
-    loaded_set *set, *next;
+void tw_chunk_loader_free(tw_core *core) {
+    tw_loaded_chunk_set *set, *next;
     HASH_ITER(hh, core->loaded_chunk_sets, set, next) {
         HASH_DEL(core->loaded_chunk_sets, set);
         for (int i = 0; i < set->capacity; i++) free(set->chunks[i]);
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -1,20 +1,20 @@
 /* Machines, by name: where each stands and of which type it is. */
 #include "core/fleet.h"
 
-int tw_rack_index(const tw_core *core, const char *label) {
+int tw_machine_type_index(const tw_core *core, const char *label) {
     for (int i = 0; i < core->machine_type_count; i++)
         if (!strcmp(core->machine_types[i].listed.name, label)) return i;
     return -1;
 }
 
-machine *tw_machine(tw_core *core, const char *name) {
-    machine *found;
+tw_machine *tw_machine_find(tw_core *core, const char *name) {
+    tw_machine *found;
     HASH_FIND_STR(core->machines, name, found);
     return found;
 }
 
-machine *tw_machine_new(tw_core *core, const char *name) {
-    machine *added = tw_zalloc(sizeof *added);
+tw_machine *tw_machine_new(tw_core *core, const char *name) {
+    tw_machine *added = tw_alloc(sizeof *added);
     snprintf(added->name, sizeof added->name, "%s", name);
     added->type_index = -1;
     added->known_since = core->now;
@@ -27,7 +27,7 @@
 }
 
 /* Zones by number, so that a pass over the fleet compares no names. */
-void tw_machine_at(tw_core *core, machine *machine, const char *zone) {
+void tw_machine_set_zone(tw_core *core, tw_machine *machine, const char *zone) {
     if (machine->zone_index >= 0 && !strcmp(machine->zone, zone)) return;
     snprintf(machine->zone, sizeof machine->zone, "%s", zone);
     machine->zone_index = -1;
@@ -40,14 +40,14 @@
     machine->zone_index = index;
 }
 
-int tw_machine_works(const machine *machine) {
-    const placement *placed;
+int tw_machine_is_occupied(const tw_machine *machine) {
+    const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) if (placed->counted) return 1;
     return 0;
 }
 
-static void forget_failures(tw_core *core, const machine *dropped) {
-    job *each;
+static void forget_failures(tw_core *core, const tw_machine *dropped) {
+    tw_job *each;
     DL_FOREACH(core->active_jobs, each) {
         for (int i = 0; i < each->failed_machine_count; i++)
             if (each->failed_machines[i] == dropped) each->failed_machines[i] = NULL;
@@ -56,15 +56,16 @@
     }
 }
 
-void tw_machine_drop(tw_core *core, machine *machine, const char *why) {
-    placement *placed, *next_placed;
-    image *image, *next_image;
+void tw_machine_forget(tw_core *core, tw_machine *machine, const char *why) {
+    tw_placement *placed, *next_placed;
+    tw_image *image, *next_image;
     if (machine->in_command_queue) DL_DELETE2(core->command_queue, machine, queue_prev, queue_next);
     core->commands_in_flight -= machine->command_in_flight;
     machine->in_command_queue = machine->command_in_flight = 0;
     if (why) tw_log_info("event=machine_gone tray=%s why=%s", machine->name, why);
     DL_FOREACH_SAFE(machine->placements, placed, next_placed)
-    tw_attempt_end_on(core, placed, why ? END_RETURNED : END_TERM);
+    tw_attempt_terminate_on(core, placed,
+                            why ? TW_EVIDENCE_MACHINE_RETURNED : TW_EVIDENCE_TERM_ENDED);
     DL_FOREACH_SAFE(machine->images, image, next_image) {
         DL_DELETE(machine->images, image);
         free(image);
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -11,23 +11,23 @@
 #include "wire/wire.h"
 #include <uthash.h>
 
-typedef struct call call;
+typedef struct tw_call tw_call;
 
 /* An image on a machine, cached or on its way. */
-typedef struct image {
+typedef struct tw_image {
     char name[TW_WIRE_NAME_SIZE];
     uint32_t name_hash;                /* of the name, compared first */
     double size_gb, used_at, ready_at; /* ready_at 0: cached; else expected */
-    struct image *prev, *next;
-} image;
+    struct tw_image *prev, *next;
+} tw_image;
 
-typedef enum { M_BOOTING, M_UP } machine_stage;
-typedef struct machine {
+typedef enum { TW_MACHINE_BOOTING, TW_MACHINE_UP } tw_machine_state;
+typedef struct tw_machine {
     char name[TW_NAME_SIZE], endpoint[TW_NAME_SIZE], zone[TW_NAME_SIZE];
     int type_index; /* index in core->flavors, -1 unknown */
     char type_name[TW_NAME_SIZE];
     int spot;
-    machine_stage state;
+    tw_machine_state state;
     uint64_t incarnation, sequence;
     double incarnation_learned_at; /* when we learned of its session: it began no later than that */
     int confirmed;                 /* has seen our token */
@@ -70,16 +70,16 @@
     int reserved_for_gang; /* scratch of a pass: for core->holder, see gang_hold.c */
     int zone_index;        /* index in core->yards, -1: not known, or too many */
     int command_in_flight, commands_wanted, probe_wanted;
-    double no_commands_before;               /* no direct orders before this */
-    int in_command_queue;                    /* in core->direct, to be looked at */
-    struct machine *queue_prev, *queue_next; /* there */
-    image *images;
-    placement *placements;
+    double no_commands_before;                  /* no direct orders before this */
+    int in_command_queue;                       /* in core->direct, to be looked at */
+    struct tw_machine *queue_prev, *queue_next; /* there */
+    tw_image *images;
+    tw_placement *placements;
     UT_hash_handle hh;
-} machine;
+} tw_machine;
 
 /* A machine type, as the cloud lists it, and what was learned of its machines. */
-typedef struct flavor {
+typedef struct tw_machine_type {
     tw_wire_machine_type listed;
     double slowness, queue_delay_s, fetch_s_per_gb; /* priors pooled by type */
     double fetch_deviation; /* EMA of |p of a fetch / p - 1|: a rate differs from fetch to fetch */
@@ -87,64 +87,68 @@
     double late_sum;        /* scratch of a plan */
     double fetch_interference; /* EMA, 0 to 1: how much a fetch is slowed by each other one beside
                                   it */
-} flavor;
+} tw_machine_type;
 
 /* machine.c, lapse.c */
 /* The machine of that name; NULL: none is known. */
-machine *tw_machine(tw_core *core, const char *name);
+tw_machine *tw_machine_find(tw_core *core, const char *name);
 /* A machine of which nothing but the name is known. */
-machine *tw_machine_new(tw_core *core, const char *name);
+tw_machine *tw_machine_new(tw_core *core, const char *name);
 /* Forgets the machine and all on it; why: for the log, NULL: none. */
-void tw_machine_drop(tw_core *core, machine *machine, const char *why);
+void tw_machine_forget(tw_core *core, tw_machine *machine, const char *why);
 /* Notes the machine's zone. */
-void tw_machine_at(tw_core *core, machine *machine, const char *zone);
+void tw_machine_set_zone(tw_core *core, tw_machine *machine, const char *zone);
 /* The number of a machine type; -1: unknown. */
-int tw_rack_index(const tw_core *core, const char *label);
+int tw_machine_type_index(const tw_core *core, const char *label);
 /* Whether it has not been heard from for so long that its tasks may be given up. */
-int tw_machine_silent(const tw_core *core, const machine *machine);
+int tw_machine_is_silent(const tw_core *core, const tw_machine *machine);
 /* Whether a task runs there, or may: not one that only is to be forgotten. */
-int tw_machine_works(const machine *machine);
+int tw_machine_is_occupied(const tw_machine *machine);
 /* Whether new tasks may go to it. */
-int tw_machine_usable(const tw_core *core, const machine *machine);
+int tw_machine_is_usable(const tw_core *core, const tw_machine *machine);
 
 /* image.c */
 /* Sum of an image's name, compared before the names are. */
-uint32_t tw_sum(const char *name);
+uint32_t tw_image_hash(const char *name);
 /* The job's image on the machine, cached or on its way; NULL: absent. */
-image *tw_image(const machine *machine, const job *job);
+tw_image *tw_image_find(const tw_machine *machine, const tw_job *job);
 /* How many times as long a fetch takes there beside the others, this one apart. */
-double tw_fetch_slowed(const tw_core *core, const machine *machine, const image *but);
+double tw_image_fetch_slowdown(const tw_core *core, const tw_machine *machine, const tw_image *but);
 
 /* report.c, orders.c, fleet.c */
 /* A worker's report. from_peer: handed on by another node. */
-void tw_hello(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer);
+void tw_worker_heartbeat_receive(tw_core *core, uint64_t conn, const char *body, size_t length,
+                                 int from_peer);
 /* Commands for the machine are to be sent to its own address; a probe asks for its state alone. */
-void tw_want_direct(tw_core *core, machine *machine);
-void tw_want_probe(tw_core *core, machine *machine);
+void tw_machine_want_commands(tw_core *core, tw_machine *machine);
+void tw_machine_want_probe(tw_core *core, tw_machine *machine);
 /* Sends the direct commands that are due. */
-void tw_fleet_direct(tw_core *core);
+void tw_commands_send_direct(tw_core *core);
 /* A machine answered direct commands or a probe. */
-void tw_fleet_response(tw_core *core, call *sent, int status, const char *body, size_t length);
+void tw_commands_response(tw_core *core, tw_call *sent, int status, const char *body,
+                          size_t length);
 /* Timed work over all machines. */
-void tw_fleet_tick(tw_core *core);
+void tw_machines_tick(tw_core *core);
 
 /* sick.c */
 /* A task failed there; elsewhere: machines on which its job has failed before. */
-void tw_sick_blame(tw_core *core, const placement *placed, int elsewhere);
+void tw_quarantine_note_failure(tw_core *core, const tw_placement *placed, int elsewhere);
 /* The machine has shown that it works. */
-void tw_sick_well(tw_core *core, machine *machine);
+void tw_quarantine_clear(tw_core *core, tw_machine *machine);
 /* A task runs: for longer than those that failed, it shows that the machine works. */
-void tw_sick_running(tw_core *core, const placement *placed);
+void tw_quarantine_note_running(tw_core *core, const tw_placement *placed);
 /* Lets a suspect be tried again when its pause is over. */
-void tw_sick_tick(tw_core *core, machine *machine);
+void tw_quarantine_tick(tw_core *core, tw_machine *machine);
 /* Whether it may get a task: on trial it gets one at a time. */
-int tw_sick_allows(const machine *machine);
+int tw_quarantine_allows(const tw_machine *machine);
 
 /* Whether a task fits into what is free on the machine, which is of this type. */
-static inline int tw_fits(const machine *machine, const flavor *type, const tw_wire_job *spec) {
-    return type->listed.cores - machine->used_cores + TW_ROUNDING >= spec->cores &&
-           type->listed.gpus - machine->used_gpus + TW_ROUNDING >= spec->gpus &&
-           type->listed.memory_gb - machine->used_memory_gb + TW_ROUNDING >= spec->memory_gb;
+static inline int tw_machine_has_room(const tw_machine *machine, const tw_machine_type *type,
+                                      const tw_wire_job *spec) {
+    return type->listed.cores - machine->used_cores + TW_CAPACITY_ROUNDING >= spec->cores &&
+           type->listed.gpus - machine->used_gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
+           type->listed.memory_gb - machine->used_memory_gb + TW_CAPACITY_ROUNDING >=
+               spec->memory_gb;
 }
 
 #endif
--- a/src/core/memory.c
+++ b/src/core/memory.c
@@ -1,7 +1,7 @@
 #include "core/memory.h"
 #include <stdlib.h>
 
-void *tw_zalloc(size_t size) {
+void *tw_alloc(size_t size) {
     void *zeroed = calloc(1, size ? size : 1);
     if (!zeroed) abort();
     return zeroed;
--- a/src/core/memory.h
+++ b/src/core/memory.h
@@ -5,7 +5,7 @@
 #include <stddef.h>
 
 /* Zeroed memory, to be freed by the caller; valid also for a size of 0. */
-void *tw_zalloc(size_t size);
+void *tw_alloc(size_t size);
 
 /* Makes room for one item more in an array of count items of this size, and returns the array,
  * which may have moved. The first room, at items NULL and capacity 0, is for so many items. */
--- a/src/core/move.c
+++ b/src/core/move.c
@@ -15,8 +15,8 @@
 
 /* Tasks that ended stay in the list until the machine forgot them; those whose direct launch may
  * still come, or come once more, are not forgotten there for long, and don't keep the machine. */
-static int holds_work(const tw_core *core, const machine *machine) {
-    const placement *placed;
+static int holds_work(const tw_core *core, const tw_machine *machine) {
+    const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (placed->counted) return 1;
         if (!placed->direct_launches && !tw_launch_may_repeat(core, placed)) return 1;
@@ -25,7 +25,7 @@
 }
 
 /* Notes since when a machine is idle; returns whether that is for too long. */
-static int idle_too_long(const tw_core *core, machine *machine) {
+static int idle_too_long(const tw_core *core, tw_machine *machine) {
     if (holds_work(core, machine) || machine->kept_as_headroom) {
         machine->idle_since = 0;
         return 0;
@@ -35,11 +35,12 @@
     return core->now - machine->idle_since >= core->config->tune.idle_ratio * startup_s;
 }
 
-void tw_return_idle(tw_core *core) {
-    machine *machine;
-    struct machine *next;
+void tw_scale_in_idle(tw_core *core) {
+    tw_machine *machine;
+    struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (machine->state != M_UP || machine->return_wanted || machine->type_index < 0) continue;
+        if (machine->state != TW_MACHINE_UP || machine->return_wanted || machine->type_index < 0)
+            continue;
         if (!idle_too_long(core, machine)) continue;
         machine->return_wanted = machine->cordoned = 1;
         core->returns_due = 1;
@@ -51,9 +52,9 @@
 /* ---- room elsewhere ---- */
 
 /* Whether its image is there, or comes so fast that a start objective would still be met. */
-static int image_near(const tw_core *core, const placement *placed, const machine *machine) {
-    const job *job = placed->job;
-    const image *image = tw_image(machine, job);
+static int image_near(const tw_core *core, const tw_placement *placed, const tw_machine *machine) {
+    const tw_job *job = placed->job;
+    const tw_image *image = tw_image_find(machine, job);
     if (image) return image->ready_at <= 0;
     const double s_per_gb = machine->fetch_s_per_gb < 0
                                 ? core->machine_types[machine->type_index].fetch_s_per_gb
@@ -68,37 +69,38 @@
 }
 
 /* Whether a task that runs elsewhere would start at once in this room. */
-static int is_home(const tw_core *core, const bin *bin, const placement *placed) {
-    const job *job = placed->job;
+static int is_home(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
+    const tw_job *job = placed->job;
     if (!bin->machine || bin->machine == placed->machine || !bin->busy) return 0;
-    if (!tw_machine_usable(core, bin->machine)) return 0;
-    if (!tw_bin_allowed(bin, &job->spec, job->type_mask) || !tw_bin_fits(bin, &job->spec)) return 0;
+    if (!tw_machine_is_usable(core, bin->machine)) return 0;
+    if (!tw_bin_is_allowed(bin, &job->spec, job->type_mask) || !tw_bin_fits(bin, &job->spec))
+        return 0;
     if (bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return 0;
     return image_near(core, placed, bin->machine) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
 }
 
 /* Room for a task elsewhere, where it would start at once; NULL: none. */
-static bin *new_home(const tw_core *core, bins *bins, const placement *placed) {
+static tw_bin *new_home(const tw_core *core, tw_bins *bins, const tw_placement *placed) {
     for (int i = 0; i < bins->count; i++)
         if (is_home(core, &bins->items[i], placed)) return &bins->items[i];
     return NULL;
 }
 
 typedef struct {
-    bin *bin;
+    tw_bin *bin;
     const tw_wire_job *spec;
 } taken_room;
 
 /* Takes room for all replicas of a machine; returns 0 if there is none for one of them. */
-static int take_rooms(const tw_core *core, bins *bins, const machine *machine, taken_room *taken,
-                      int *count) {
-    const placement *placed;
+static int take_rooms(const tw_core *core, tw_bins *bins, const tw_machine *machine,
+                      taken_room *taken, int *count) {
+    const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const tw_wire_job *spec = &placed->job->spec;
         if (!placed->counted || !spec->service) continue; /* a batch task ends by itself */
         if (placed->state != TW_TASK_RUNNING || placed->stopping) return 0;
-        bin *home = new_home(core, bins, placed);
+        tw_bin *home = new_home(core, bins, placed);
         if (!home) return 0;
         tw_bin_take(home, spec);
         taken[(*count)++] = (taken_room){home, spec};
@@ -107,12 +109,12 @@
 }
 
 /* Whether all that runs on a machine could go elsewhere; the room stays as it was. */
-static int can_empty(const tw_core *core, bins *bins, const machine *machine) {
-    const placement *placed;
+static int can_empty(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
+    const tw_placement *placed;
     int capacity = 0;
     int count = 0;
     DL_FOREACH(machine->placements, placed) capacity++;
-    taken_room *taken = tw_zalloc((size_t)capacity * sizeof *taken);
+    taken_room *taken = tw_alloc((size_t)capacity * sizeof *taken);
     const int possible = take_rooms(core, bins, machine, taken, &count);
     for (int i = 0; i < count; i++) tw_bin_give(taken[i].bin, taken[i].spec);
     free(taken);
@@ -122,34 +124,34 @@
 /* ---- machines that are being emptied ---- */
 
 /* All the room of a machine, as if nothing ran on it. */
-static bin whole_of(const tw_core *core, const machine *machine) {
+static tw_bin whole_of(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    return (bin){.type_index = machine->type_index,
-                 .spot = machine->spot,
-                 .zone = machine->zone,
-                 .cores = type->cores,
-                 .gpus = type->gpus,
-                 .memory_gb = type->memory_gb};
+    return (tw_bin){.type_index = machine->type_index,
+                    .spot = machine->spot,
+                    .zone = machine->zone,
+                    .cores = type->cores,
+                    .gpus = type->gpus,
+                    .memory_gb = type->memory_gb};
 }
 
 /* Whether some job waits that may use the machine once there is room: then it is not emptied, for
  * where no more can be rented nothing would replace it. */
-static int waited_for(const tw_core *core, const machine *machine) {
-    const bin whole = whole_of(core, machine);
-    const job *job;
+static int waited_for(const tw_core *core, const tw_machine *machine) {
+    const tw_bin whole = whole_of(core, machine);
+    const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
-        if (!tw_job_pending(core, job) || !tw_quota_allows(core, job, 1)) continue;
-        if (!tw_bin_allowed(&whole, &job->spec, job->type_mask)) continue;
+        if (!tw_job_is_pending(core, job) || !tw_quota_allows_tasks(core, job, 1)) continue;
+        if (!tw_bin_is_allowed(&whole, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&whole, &job->spec)) continue;
-        if (!tw_zone_allows(core, job, machine->zone)) continue;
+        if (!tw_constraints_allow_zone(core, job, machine->zone)) continue;
         if (job->spec.gpus > 0 || whole.gpus <= 0 || job->any_machine) return 1;
     }
     return 0;
 }
 
-void tw_reopen(tw_core *core) {
-    machine *machine;
-    struct machine *next;
+void tw_scale_in_reopen(tw_core *core) {
+    tw_machine *machine;
+    struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         if (!machine->decommissioning || machine->return_wanted || machine->type_index < 0)
             continue;
@@ -162,22 +164,22 @@
 
 /* A batch task that saves its progress goes where it starts again at once; it ends where it is if
  * there is no such room. Stopped for nothing, it would wait, and a machine be rented for it. */
-static void move_batch(tw_core *core, bins *bins, placement *placed, int *moves) {
+static void move_batch(tw_core *core, tw_bins *bins, tw_placement *placed, int *moves) {
     const tw_wire_job *spec = &placed->job->spec;
     if (spec->checkpoint_s <= 0 || placed->state != TW_TASK_RUNNING) return;
     if (spec->gang) return; /* it would stop on all its machines */
-    bin *home = new_home(core, bins, placed);
+    tw_bin *home = new_home(core, bins, placed);
     if (!home) return;
     tw_bin_take(home, spec);
-    tw_placement_kill(core, placed, spec->save_s, 0);
+    tw_placement_stop(core, placed, spec->save_s, 0);
     (*moves)--;
 }
 
 /* Moves what runs on a machine that is being emptied, a task at a time, so that its start elsewhere
  * is not held up. 0: no more may be moved in this pass. */
-static int move_tasks(tw_core *core, bins *bins, machine *machine, int *moves) {
-    placement *placed;
-    placement *next;
+static int move_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves) {
+    tw_placement *placed;
+    tw_placement *next;
     DL_FOREACH_SAFE(machine->placements, placed, next) {
         if (*moves <= 0) return 0;
         if (!placed->counted || placed->stopping) continue;
@@ -185,7 +187,7 @@
             move_batch(core, bins, placed, moves);
             continue;
         }
-        bin *home = new_home(core, bins, placed);
+        tw_bin *home = new_home(core, bins, placed);
         if (!home) {
             machine->decommissioning = 0; /* the room has gone */
             break;
@@ -193,7 +195,7 @@
         tw_bin_take(home, &placed->job->spec);
         tw_log_debug("event=move piece=%s/%d from=%s", placed->job->id, placed->index,
                      machine->name);
-        tw_placement_kill(core, placed, 0, 0);
+        tw_placement_stop(core, placed, 0, 0);
         (*moves)--;
     }
     return 1;
@@ -202,9 +204,9 @@
 /* ---- which machine to empty next ---- */
 
 /* Whether it has been up for long enough, and is not one that was just looked at in vain. */
-static int may_close(const tw_core *core, const machine *machine) {
-    if (!tw_machine_usable(core, machine) || machine->spot) return 0;
-    if (!tw_machine_works(machine)) return 0; /* it goes when it was idle for long enough */
+static int may_close(const tw_core *core, const tw_machine *machine) {
+    if (!tw_machine_is_usable(core, machine) || machine->spot) return 0;
+    if (!tw_machine_is_occupied(machine)) return 0; /* it goes when it was idle for long enough */
     if (core->now < machine->no_decommission_until) return 0;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
     const double least_up_s = fmax(startup_s, LEAST_UP_LEASES * core->config->lease_s);
@@ -212,8 +214,8 @@
 }
 
 /* What returning a machine saves, for what it costs to empty it. */
-static double close_gain(const tw_core *core, const machine *machine) {
-    const placement *placed;
+static double close_gain(const tw_core *core, const tw_machine *machine) {
+    const tw_placement *placed;
     int replicas = 0, batch = 0;
     DL_FOREACH(machine->placements, placed) {
         replicas += placed->counted && placed->job->spec.service;
@@ -223,10 +225,10 @@
            (1 + replicas + BATCH_WEIGHT * batch);
 }
 
-static machine *most_to_gain(const tw_core *core) {
-    machine *machine;
-    struct machine *next;
-    struct machine *best = NULL;
+static tw_machine *most_to_gain(const tw_core *core) {
+    tw_machine *machine;
+    struct tw_machine *next;
+    struct tw_machine *best = NULL;
     double most = 0;
     HASH_ITER(hh, core->machines, machine, next) {
         if (!may_close(core, machine)) continue;
@@ -239,9 +241,9 @@
 }
 
 /* The next machine to empty, of the few that are looked at in a pass; NULL: none. */
-static machine *next_to_close(const tw_core *core, bins *bins) {
+static tw_machine *next_to_close(const tw_core *core, tw_bins *bins) {
     for (int i = 0; i < TRIES; i++) {
-        machine *best = most_to_gain(core);
+        tw_machine *best = most_to_gain(core);
         if (!best) return NULL;
         if (!waited_for(core, best) && can_empty(core, bins, best)) return best;
         best->no_decommission_until = core->now + RETRY_REPORTS * core->config->report_s;
@@ -257,31 +259,31 @@
 }
 
 /* Whether a machine was asked for that is not there yet. */
-static int awaits_machine(const bins *bins) {
+static int awaits_machine(const tw_bins *bins) {
     for (int i = 0; i < bins->count; i++)
         if (!bins->items[i].machine) return 1;
     return 0;
 }
 
 static int service_waits(const tw_core *core) {
-    const job *job;
+    const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
-        if (job->has_spec && job->spec.service && tw_job_pending(core, job)) return 1;
+        if (job->has_spec && job->spec.service && tw_job_is_pending(core, job)) return 1;
     }
     return 0;
 }
 
-static int is_closing(const machine *machine) {
+static int is_closing(const tw_machine *machine) {
     return machine->decommissioning && !machine->return_wanted;
 }
 
-void tw_consolidate(tw_core *core, bins *bins) {
+void tw_scale_in_consolidate(tw_core *core, tw_bins *bins) {
     const double between_s = PASS_REPORTS * core->config->report_s;
     if (core->now < core->next_consolidation_at) return;
     core->next_consolidation_at = core->now + between_s;
     if (awaits_machine(bins) || service_waits(core)) return;
-    machine *machine;
-    struct machine *next;
+    tw_machine *machine;
+    struct tw_machine *next;
     int moves = moves_allowed(core, between_s);
     int closing = 0;
     HASH_ITER(hh, core->machines, machine, next) closing += is_closing(machine);
@@ -289,7 +291,7 @@
         if (is_closing(machine) && !move_tasks(core, bins, machine, &moves)) return;
     }
     if (closing >= 1 + (int)HASH_COUNT(core->machines) / CLOSING_PART) return;
-    struct machine *best = next_to_close(core, bins);
+    struct tw_machine *best = next_to_close(core, bins);
     if (!best) return;
     best->decommissioning = 1;
     tw_log_info("event=closing tray=%s rack=%s", best->name, best->type_name);
--- a/src/core/offers.c
+++ b/src/core/offers.c
@@ -4,43 +4,43 @@
 
 #define COST_OF_ONE_MORE 0.001 /* of a price, for each machine of the type that the zone has */
 
-const char *tw_offer_yard(const tw_core *core, const offer *offer) {
+const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer) {
     return core->machine_types[offer->type_index].listed.zones[offer->zone_index];
 }
 
 /* More of an offer than this are not asked for in a round: the next one sees what was granted. */
 static int want_limit(const tw_core *core) {
-    return (int)(TW_RENT_NUMBER * fmax(1, core->config->cloud_rps));
+    return (int)(TW_MAX_RENTAL * fmax(1, core->config->cloud_rps));
 }
 
-double tw_offer_holds(const tw_wire_machine_type *type, const tw_wire_job *spec) {
-    const tw_room room = {type->cores, type->gpus, type->memory_gb};
-    return tw_room_holds(&room, spec);
+double tw_offer_task_count(const tw_wire_machine_type *type, const tw_wire_job *spec) {
+    const tw_capacity room = {type->cores, type->gpus, type->memory_gb};
+    return tw_capacity_task_count(&room, spec);
 }
 
-static int may_rent(const tw_core *core, const offer *offer, const tw_wire_job *spec,
+static int may_rent(const tw_core *core, const tw_capacity_offer *offer, const tw_wire_job *spec,
                     const tw_offer_filter *filter) {
     if ((offer->spot && !spec->spot) || core->now < offer->refused_until ||
         offer->wanted >= want_limit(core))
         return 0;
     if (filter->spare && spec->gpus <= 0 && core->machine_types[offer->type_index].listed.gpus > 0)
         return 0;
-    const char *zone = tw_offer_yard(core, offer);
+    const char *zone = tw_offer_zone(core, offer);
     return (!*spec->zone || !strcmp(spec->zone, zone)) &&
            (!filter->not_zone || strcmp(filter->not_zone, zone) != 0) &&
            (!filter->only_zone || !strcmp(filter->only_zone, zone));
 }
 
 /* Least cost a task, then the zone that has fewest of the type. */
-offer *tw_offer_best(tw_core *core, const tw_wire_job *spec, uint32_t types,
-                     const tw_offer_filter *filter) {
-    offer *best = NULL;
+tw_capacity_offer *tw_offer_best(tw_core *core, const tw_wire_job *spec, uint32_t types,
+                                 const tw_offer_filter *filter) {
+    tw_capacity_offer *best = NULL;
     double least = INFINITY;
     for (int i = 0; i < core->capacity_offer_count; i++) {
-        offer *offer = &core->capacity_offers[i];
+        tw_capacity_offer *offer = &core->capacity_offers[i];
         const tw_wire_machine_type *type = &core->machine_types[offer->type_index].listed;
         if (!(types & (1U << offer->type_index)) || !may_rent(core, offer, spec, filter)) continue;
-        const double number = tw_offer_holds(type, spec);
+        const double number = tw_offer_task_count(type, spec);
         if (number < 1) continue;
         double cost = (offer->spot ? type->spot_price : type->on_demand_price) / number;
         cost *= 1 + COST_OF_ONE_MORE * offer->machine_count;
@@ -52,24 +52,24 @@
     return best;
 }
 
-bin *tw_offer_bin(tw_core *core, bins *bins, offer *offer) {
+tw_bin *tw_offer_bin(tw_core *core, tw_bins *bins, tw_capacity_offer *offer) {
     const tw_wire_machine_type *type = &core->machine_types[offer->type_index].listed;
-    bin *bin = tw_bins_add(bins);
-    *bin = (struct bin){.offer = offer,
-                        .type_index = offer->type_index,
-                        .spot = offer->spot,
-                        .zone = tw_offer_yard(core, offer),
-                        .cores = type->cores,
-                        .gpus = type->gpus,
-                        .memory_gb = type->memory_gb};
+    tw_bin *bin = tw_bins_add(bins);
+    *bin = (struct tw_bin){.offer = offer,
+                           .type_index = offer->type_index,
+                           .spot = offer->spot,
+                           .zone = tw_offer_zone(core, offer),
+                           .cores = type->cores,
+                           .gpus = type->gpus,
+                           .memory_gb = type->memory_gb};
     offer->machine_count++;
     return bin;
 }
 
 /* Takes machines that were about to be returned before new ones are asked for. */
-static void reopen(tw_core *core, offer *offer) {
-    machine *machine;
-    struct machine *next;
+static void reopen(tw_core *core, tw_capacity_offer *offer) {
+    tw_machine *machine;
+    struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         if (offer->wanted <= 0) break;
         if (!machine->decommissioning || machine->return_wanted ||
@@ -81,9 +81,9 @@
     }
 }
 
-void tw_offers_settle(tw_core *core) {
+void tw_offers_update_wanted(tw_core *core) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
-        offer *offer = &core->capacity_offers[i];
+        tw_capacity_offer *offer = &core->capacity_offers[i];
         if (offer->wanted > 0) reopen(core, offer);
         if (core->now < core->scale_out_from) offer->wanted = 0;
         if (offer->wanted <= 0)
--- a/src/core/orders.c
+++ b/src/core/orders.c
@@ -11,34 +11,34 @@
 #define PAUSE_MOST_REPORTS 8 /* between direct orders to one that doesn't answer */
 #define MOST_PROBES 4
 
-static void take(tw_room *from, const tw_wire_job *s) {
+static void take(tw_capacity *from, const tw_wire_job *s) {
     from->cores -= s->cores;
     from->gpus -= s->gpus;
     from->memory_gb -= s->memory_gb;
 }
 
-tw_orders tw_orders_new(tw_core *core) {
+tw_command_list tw_command_list_new(tw_core *core) {
     if (!core->command_scratch)
-        core->command_scratch = tw_zalloc(MAX_ORDERS * sizeof *core->command_scratch);
-    return (tw_orders){core->command_scratch, 0};
+        core->command_scratch = tw_alloc(MAX_ORDERS * sizeof *core->command_scratch);
+    return (tw_command_list){core->command_scratch, 0};
 }
 
-void tw_orders_add(tw_orders *orders, tw_wire_command order, const char *job) {
+void tw_command_list_add(tw_command_list *orders, tw_wire_command order, const char *job) {
     if (orders->count >= MAX_ORDERS) return;
     snprintf(order.job, sizeof order.job, "%s", job);
     orders->list[orders->count++] = order;
 }
 
-static void add(tw_orders *orders, int verb, const placement *placed) {
-    tw_orders_add(orders,
-                  (tw_wire_command){.kind = verb,
-                                    .index = placed->index,
-                                    .attempt = placed->attempt,
-                                    .grace_s = verb == TW_COMMAND_STOP ? placed->grace_s : 0},
-                  placed->job->id);
+static void add(tw_command_list *orders, int verb, const tw_placement *placed) {
+    tw_command_list_add(orders,
+                        (tw_wire_command){.kind = verb,
+                                          .index = placed->index,
+                                          .attempt = placed->attempt,
+                                          .grace_s = verb == TW_COMMAND_STOP ? placed->grace_s : 0},
+                        placed->job->id);
 }
 
-static int may_launch(const placement *placed) {
+static int may_launch(const tw_placement *placed) {
     /* A predecessor's is never launched again: whether it still comes is settled first, and then
      * the task gets a new attempt. */
     return !placed->inherited && !placed->reported && !placed->stopping && placed->counted &&
@@ -47,13 +47,14 @@
 }
 
 /* A gang's task whose image is there long before the last one's is launched later. */
-static int is_early(const tw_core *core, const placement *placed) {
+static int is_early(const tw_core *core, const tw_placement *placed) {
     return core->now < placed->launch_after;
 }
 
 /* Takes off `room` what tasks that still save hold, though they count as gone. */
-static void stops(const machine *machine, tw_orders *orders, uint64_t tick, tw_room *room) {
-    const placement *each;
+static void stops(const tw_machine *machine, tw_command_list *orders, uint64_t tick,
+                  tw_capacity *room) {
+    const tw_placement *each;
     DL_FOREACH(machine->placements, each) {
         if (!each->counted || !each->stopping) continue;
         if (!each->reported && each->direct_launches && tick &&
@@ -71,31 +72,32 @@
 
 /* An earlier attempt of the task has ended, or this one would not be placed: checked again where it
  * is launched, since a task that runs twice starts here. */
-static int is_only_attempt(tw_core *core, const placement *placed) {
-    const job *job = placed->job;
-    if (placed->counted && !placed->inherited && job->task_states[placed->index] == T_LIVE)
+static int is_only_attempt(tw_core *core, const tw_placement *placed) {
+    const tw_job *job = placed->job;
+    if (placed->counted && !placed->inherited &&
+        job->task_states[placed->index] == TW_ASSIGNMENT_PLACED)
         return 1;
-    tw_invariant_broken(core, INVARIANT_LAUNCH, "piece=%s/%d try=%llu tray=%s", job->id,
+    tw_invariant_broken(core, TW_INVARIANT_LAUNCH, "piece=%s/%d try=%llu tray=%s", job->id,
                         placed->index, (unsigned long long)placed->attempt, placed->machine->name);
     return 0;
 }
 
-static void log_launch(const placement *placed, uint64_t tick) {
+static void log_launch(const tw_placement *placed, uint64_t tick) {
     tw_log_debug("event=launch piece=%s/%d try=%llu tray=%s shift=%llu tick=%llu direct=%d",
                  placed->job->id, placed->index, (unsigned long long)placed->attempt,
                  placed->machine->name, (unsigned long long)placed->machine->incarnation,
                  (unsigned long long)tick, !tick);
 }
 
-static void note_direct(const tw_core *core, placement *placed) {
+static void note_direct(const tw_core *core, tw_placement *placed) {
     placed->direct_launches++;
     placed->direct_launch_at = core->now;
 }
 
 /* room: all of the machine's, less what still saves. */
-static void launches(tw_core *core, machine *machine, tw_orders *orders, uint64_t tick,
-                     tw_room room) {
-    placement *each;
+static void launches(tw_core *core, tw_machine *machine, tw_command_list *orders, uint64_t tick,
+                     tw_capacity room) {
+    tw_placement *each;
     DL_FOREACH(machine->placements, each) {
         if (!each->counted || each->preempted) continue;
         if (may_launch(each) && !each->launch_sent) continue;
@@ -106,8 +108,9 @@
         const tw_wire_job *s = &each->job->spec;
         if (each->launch_sent && !tick) continue; /* its first launch is on the way */
         if (!each->launch_sent) {
-            if (room.cores + TW_ROUNDING < s->cores || room.gpus + TW_ROUNDING < s->gpus ||
-                room.memory_gb + TW_ROUNDING < s->memory_gb)
+            if (room.cores + TW_CAPACITY_ROUNDING < s->cores ||
+                room.gpus + TW_CAPACITY_ROUNDING < s->gpus ||
+                room.memory_gb + TW_CAPACITY_ROUNDING < s->memory_gb)
                 continue;
             take(&room, s);
         }
@@ -124,16 +127,16 @@
     }
 }
 
-static int count_exited(const machine *machine) {
-    const placement *each;
+static int count_exited(const tw_machine *machine) {
+    const tw_placement *each;
     int count = 0;
     DL_FOREACH(machine->placements, each) count += each->state == TW_TASK_EXITED;
     return count;
 }
 
-static void forgets(const tw_core *core, const machine *machine, tw_orders *orders) {
+static void forgets(const tw_core *core, const tw_machine *machine, tw_command_list *orders) {
     int too_many = count_exited(machine) - MOST_EXITED; /* the oldest stand first */
-    const placement *each;
+    const tw_placement *each;
     DL_FOREACH(machine->placements, each) {
         if (each->state != TW_TASK_EXITED || !each->reported || each->direct_launches) continue;
         /* A repeated launch starts what the machine has forgotten. */
@@ -151,15 +154,15 @@
  * - a kill names one attempt, which is never started again;
  * - a forget is not sent directly, nor for an attempt whose direct launch is still under way, or
  * was sent so lately that it may come once more. */
-void tw_orders_due(tw_core *core, machine *machine, tw_orders *orders, uint64_t tick) {
-    tw_room room = {0, 0, 0};
+void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *orders, uint64_t tick) {
+    tw_capacity room = {0, 0, 0};
     if (machine->type_index >= 0) {
         const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-        room = (tw_room){type->cores, type->gpus, type->memory_gb};
+        room = (tw_capacity){type->cores, type->gpus, type->memory_gb};
     }
     stops(machine, orders, tick, &room);
-    if (!tw_may(core, RIGHT_COMMAND)) {
-        core->counters.rejected[REFUSED_COMMANDS]++;
+    if (!tw_leader_may(core, TW_PERMISSION_COMMAND)) {
+        core->counters.rejected[TW_REJECTED_COMMANDS]++;
         return;
     }
     if (machine->type_index < 0) return;
@@ -169,26 +172,26 @@
 
 /* ---- direct orders ---- */
 
-static void look_at(tw_core *core, machine *machine) {
+static void look_at(tw_core *core, tw_machine *machine) {
     if (machine->in_command_queue) return;
     machine->in_command_queue = 1;
     DL_APPEND2(core->command_queue, machine, queue_prev, queue_next);
 }
 
-void tw_want_direct(tw_core *core, machine *machine) {
+void tw_machine_want_commands(tw_core *core, tw_machine *machine) {
     machine->commands_wanted = 1;
     look_at(core, machine);
 }
 
-void tw_want_probe(tw_core *core, machine *machine) {
+void tw_machine_want_probe(tw_core *core, tw_machine *machine) {
     machine->probe_wanted = 1;
     look_at(core, machine);
 }
 
-static call *send(tw_core *core, machine *machine, const char *method, const char *path,
-                  char *body) {
-    call *call =
-        tw_call(core, K_ORDERS, TW_TO_WORKER, machine->endpoint, method, path, body, DIRECT_S);
+static tw_call *send(tw_core *core, tw_machine *machine, const char *method, const char *path,
+                     char *body) {
+    tw_call *call = tw_call_send(core, TW_CALL_SEND_COMMANDS, TW_TO_WORKER, machine->endpoint,
+                                 method, path, body, DIRECT_S);
     snprintf(call->name, sizeof call->name, "%s", machine->name);
     machine->command_in_flight = 1;
     core->commands_in_flight++;
@@ -196,9 +199,9 @@
 }
 
 /* Which tasks are launched by these orders: their fate is unknown until the answer. */
-static void note_launches(call *call, const tw_orders *orders) {
-    call->names = tw_zalloc((size_t)orders->count * TW_NAME_SIZE);
-    call->tokens = tw_zalloc((size_t)orders->count * sizeof *call->tokens);
+static void note_launches(tw_call *call, const tw_command_list *orders) {
+    call->names = tw_alloc((size_t)orders->count * TW_NAME_SIZE);
+    call->tokens = tw_alloc((size_t)orders->count * sizeof *call->tokens);
     for (int i = 0; i < orders->count; i++) {
         const tw_wire_command *order = &orders->list[i];
         if (order->kind != TW_COMMAND_LAUNCH) continue;
@@ -209,24 +212,25 @@
 
 /* Orders that order nothing make a machine know our token, and tell what is on it. Commands go only
  * to one that answered lately: others might carry them out late. */
-static void direct(tw_core *core, machine *machine) {
+static void direct(tw_core *core, tw_machine *machine) {
     if (machine->command_in_flight || core->now < machine->no_commands_before ||
         (!machine->commands_wanted && !machine->probe_wanted))
         return;
     const int probe = machine->probe_wanted;
     const double silent_s = core->now - machine->last_contact_at;
-    const double in_touch_s = TW_IN_TOUCH_REPORTS * core->config->report_s;
+    const double in_touch_s = TW_IN_TOUCH_HEARTBEATS * core->config->report_s;
     machine->commands_wanted = machine->probe_wanted = 0;
     if (machine->return_wanted || !*machine->endpoint) return;
-    if (!probe && (machine->state != M_UP || !machine->confirmed || silent_s > in_touch_s)) return;
+    if (!probe && (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > in_touch_s))
+        return;
     if (!machine->incarnation) { /* its session is not known yet */
         send(core, machine, "GET", "/inspect", NULL);
         return;
     }
-    tw_orders orders = tw_orders_new(core);
-    if (machine->confirmed && silent_s < in_touch_s) tw_orders_due(core, machine, &orders, 0);
+    tw_command_list orders = tw_command_list_new(core);
+    if (machine->confirmed && silent_s < in_touch_s) tw_commands_due(core, machine, &orders, 0);
     if (!orders.count && !probe) return;
-    char *body = tw_orders_direct_text(core, machine, &orders);
+    char *body = tw_commands_direct_text(core, machine, &orders);
     if (!body) return;
     note_launches(send(core, machine, "POST", "/orders", body), &orders);
 }
@@ -234,11 +238,11 @@
 static void look_at_all(tw_core *core) {
     const int most = (int)(MAX_ASKED * core->config->sockets);
     int asked = core->commands_in_flight;
-    machine *each, *next;
+    tw_machine *each, *next;
     HASH_ITER(hh, core->machines, each, next) {
         if (each->command_in_flight || core->now < each->no_commands_before) continue;
         /* Its reports may reach a node that can't reach us, while we reach the machine. */
-        if (each->state == M_UP &&
+        if (each->state == TW_MACHINE_UP &&
             core->now - each->last_contact_at > SILENT_REPORTS * core->config->report_s &&
             asked < most) {
             each->probe_wanted = 1;
@@ -250,8 +254,8 @@
 
 /* Runs after every input, so it looks only at machines that something was wanted of; at all of them
  * once a tick. */
-void tw_fleet_direct(tw_core *core) {
-    machine *due;
+void tw_commands_send_direct(tw_core *core) {
+    tw_machine *due;
     if (core->now + SPARE_TTL * core->leader_lease_s > core->authority_until) return;
     if (core->now >= core->next_command_scan_at) {
         core->next_command_scan_at = core->now + tw_core_tick_s(core);
@@ -265,8 +269,9 @@
 }
 
 /* A launch that was sent so is no longer under way; refused: it won't start. */
-static void settle_launch(const machine *machine, const char *task, uint64_t attempt, int refused) {
-    placement *each;
+static void settle_launch(const tw_machine *machine, const char *task, uint64_t attempt,
+                          int refused) {
+    tw_placement *each;
     char name[TW_NAME_SIZE];
     DL_FOREACH(machine->placements, each) {
         snprintf(name, sizeof name, "%s/%d", each->job->id, each->index);
@@ -276,8 +281,9 @@
     }
 }
 
-void tw_fleet_response(tw_core *core, call *call, int status, const char *body, size_t length) {
-    machine *machine = tw_machine(core, call->name);
+void tw_commands_response(tw_core *core, tw_call *call, int status, const char *body,
+                          size_t length) {
+    tw_machine *machine = tw_machine_find(core, call->name);
     if (!machine) return;
     core->commands_in_flight -= machine->command_in_flight;
     machine->command_in_flight = 0;
@@ -288,7 +294,7 @@
             machine->last_contact_at ? fmin(1 + machine->failed_sends, PAUSE_MOST_REPORTS) : 1;
         machine->no_commands_before = core->now + pause * core->config->report_s;
         if (!machine->last_contact_at && ++machine->failed_probes < MOST_PROBES)
-            tw_want_probe(core, machine);
+            tw_machine_want_probe(core, machine);
         return; /* may still arrive: the placements keep their mark */
     }
     for (int i = 0; i < call->count; i++)
@@ -298,10 +304,11 @@
         tw_wire_heartbeat_parse(&report, body, length))
         return;
     if (report.fencing_token > core->fencing_token) {
-        tw_saw_token(core, report.fencing_token, NULL);
+        tw_leader_observe_token(core, report.fencing_token, NULL);
     } else if (!strcmp(report.worker, machine->name)) {
-        tw_report_take(core, machine, &report, NULL);
-        if (!machine->confirmed && machine->probed++ < MOST_PROBES) tw_want_probe(core, machine);
+        tw_worker_heartbeat_apply(core, machine, &report, NULL);
+        if (!machine->confirmed && machine->probed++ < MOST_PROBES)
+            tw_machine_want_probe(core, machine);
     }
     tw_wire_heartbeat_free(&report);
 }
--- a/src/core/orders_text.c
+++ b/src/core/orders_text.c
@@ -5,7 +5,7 @@
 
 /* A launch that is stopped by a later order of the same message settles one whose fate is unknown;
  * it starts nothing. */
-static int is_stopped_at_once(const tw_orders *orders, int launch) {
+static int is_stopped_at_once(const tw_command_list *orders, int launch) {
     const tw_wire_command *launched = &orders->list[launch];
     for (int i = launch + 1; i < orders->count; i++) {
         const tw_wire_command *order = &orders->list[i];
@@ -17,27 +17,30 @@
 }
 
 /* The right that the orders need in an answer to a report. */
-static node_right needed(const tw_orders *orders) {
+static tw_permission needed(const tw_command_list *orders) {
     for (int i = 0; i < orders->count; i++) {
         const int verb = orders->list[i].kind;
-        if (verb == TW_COMMAND_FORGET) return RIGHT_COMMAND;
-        if (verb == TW_COMMAND_LAUNCH && !is_stopped_at_once(orders, i)) return RIGHT_COMMAND;
+        if (verb == TW_COMMAND_FORGET) return TW_PERMISSION_COMMAND;
+        if (verb == TW_COMMAND_LAUNCH && !is_stopped_at_once(orders, i))
+            return TW_PERMISSION_COMMAND;
     }
-    return RIGHT_RENEW;
+    return TW_PERMISSION_RENEW;
 }
 
-char *tw_orders_answer_text(tw_core *core, const tw_orders *orders) {
-    const node_right right = needed(orders);
-    if (!tw_may(core, right)) {
-        tw_invariant_broken(core, INVARIANT_RIGHT, "orders=%d right=%d", orders->count, right);
+char *tw_commands_reply_text(tw_core *core, const tw_command_list *orders) {
+    const tw_permission right = needed(orders);
+    if (!tw_leader_may(core, right)) {
+        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "orders=%d right=%d", orders->count,
+                            right);
         return NULL;
     }
     return tw_wire_commands_text(core->fencing_token, 0, orders->list, (size_t)orders->count);
 }
 
-char *tw_orders_direct_text(tw_core *core, const machine *machine, const tw_orders *orders) {
-    if (!tw_may(core, RIGHT_COMMAND)) {
-        tw_invariant_broken(core, INVARIANT_RIGHT, "tray=%s orders=%d", machine->name,
+char *tw_commands_direct_text(tw_core *core, const tw_machine *machine,
+                              const tw_command_list *orders) {
+    if (!tw_leader_may(core, TW_PERMISSION_COMMAND)) {
+        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "tray=%s orders=%d", machine->name,
                             orders->count);
         return NULL;
     }
@@ -45,13 +48,13 @@
                                  (size_t)orders->count);
 }
 
-char *tw_orders_deputy_text(tw_core *core, const tw_wire_heartbeat *report,
-                            const tw_orders *orders) {
+char *tw_commands_delegate_text(tw_core *core, const tw_wire_heartbeat *report,
+                                const tw_command_list *orders) {
     int stops_only = 1;
     for (int i = 0; i < orders->count; i++) stops_only &= orders->list[i].kind == TW_COMMAND_STOP;
-    if (!stops_only || !tw_deputy_entitled(core, report->worker, report->zone)) {
-        tw_invariant_broken(core, INVARIANT_RIGHT, "tray=%s deputy=1 orders=%d", report->worker,
-                            orders->count);
+    if (!stops_only || !tw_delegate_is_entitled(core, report->worker, report->zone)) {
+        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "tray=%s deputy=1 orders=%d",
+                            report->worker, orders->count);
         return NULL;
     }
     return tw_wire_commands_text(core->highest_token_seen, 0, orders->list, (size_t)orders->count);
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -5,15 +5,16 @@
 #define MOST_IN_PASS 300 /* tasks; the rest in the next pass */
 #define BETWEEN_PASSES_S 0.1
 
-static int next_free(job *job) {
-    while (job->first_unplaced < job->task_count && job->task_states[job->first_unplaced] != T_FREE)
+static int next_free(tw_job *job) {
+    while (job->first_unplaced < job->task_count &&
+           job->task_states[job->first_unplaced] != TW_ASSIGNMENT_NONE)
         job->first_unplaced++;
     return job->first_unplaced < job->task_count ? job->first_unplaced : -1;
 }
 
-static void log_place(const tw_core *core, const tw_demand *demand, const placement *placed) {
-    const job *job = demand->job;
-    const machine *machine = placed->machine;
+static void log_place(const tw_core *core, const tw_demand *demand, const tw_placement *placed) {
+    const tw_job *job = demand->job;
+    const tw_machine *machine = placed->machine;
     if (!tw_log_on(TW_LOG_DEBUG)) return;
     const tw_prediction prediction = tw_predict(core, demand, machine);
     tw_log_debug("event=place piece=%s/%d try=%llu tray=%s lane=%s rack=%s waited_s=%.2f "
@@ -26,40 +27,41 @@
 
 /* Places one task on the best machine of the zones given, as bits. 0: no room, or not for its
  * team. */
-static int place_task(tw_core *core, job *job, int index, uint64_t attempt, uint32_t among) {
-    if (!tw_quota_allows(core, job, 1) || !tw_gang_hold_allows_team(core, job)) return 0;
+static int place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t among) {
+    if (!tw_quota_allows_tasks(core, job, 1) || !tw_gang_reservation_allows_team(core, job))
+        return 0;
     tw_demand demand = tw_demand_of(core, job);
     demand.zone_mask &= among;
-    const tw_futile kind = tw_futile_kind(&demand);
-    if (tw_futile_known(core, &kind)) return 0;
-    tw_choice choice = tw_choose(core, &demand);
+    const tw_placement_failure kind = tw_placement_failure_of(&demand);
+    if (tw_placement_failures_has(core, &kind)) return 0;
+    tw_choice choice = tw_scheduler_choose(core, &demand);
     if (choice.machine)
         core->candidates[choice.candidate].changes++; /* or none is placed there, to no harm */
     else
-        choice.machine = tw_preempt(core, &demand, 0, &choice.kept);
+        choice.machine = tw_scheduler_preempt(core, &demand, 0, &choice.kept);
     if (choice.machine && !choice.meets && job->spec.service &&
         job->spec.priority == TW_PRIORITY_PROD) {
         /* Its start objective would be missed there: rather at a batch task's cost. */
-        machine *other = tw_preempt(core, &demand, 1, &choice.kept);
+        tw_machine *other = tw_scheduler_preempt(core, &demand, 1, &choice.kept);
         if (other) choice.machine = other;
     }
     if (!choice.machine) {
         /* Not because of what is its own alone, or of holes, which come and go. */
-        if (!choice.kept && !job->failed_machine_count) tw_futile_note(core, &kind);
+        if (!choice.kept && !job->failed_machine_count) tw_placement_failures_add(core, &kind);
         return 0;
     }
-    if (job->spec.gpus > 0) tw_futile_forget_without_gpus(core);
+    if (job->spec.gpus > 0) tw_placement_failures_forget_cpu(core);
     tw_reserve_take(core, choice.machine, job);
-    const placement *placed = tw_place(core, job, index, choice.machine, attempt);
+    const tw_placement *placed = tw_placement_new(core, job, index, choice.machine, attempt);
     if (!placed) return 0;
     log_place(core, &demand, placed);
     return 1;
 }
 
 /* Places up to limit tasks, each under an attempt of its own, or all under the one given. */
-static int place_tasks(tw_core *core, job *job, int limit, uint64_t common_attempt,
+static int place_tasks(tw_core *core, tw_job *job, int limit, uint64_t common_attempt,
                        uint32_t among) {
-    const int most_live = tw_max_live(core, job);
+    const int most_live = tw_record_max_running(core, job);
     int placed = 0;
     int index;
     while (placed < limit && job->placed_count < most_live && (index = next_free(job)) >= 0) {
@@ -71,32 +73,33 @@
 }
 
 /* Undoes what was placed of a gang since its record last changed. */
-static void take_back(tw_core *core, job *job, uint64_t next_try) {
-    placement *placed;
-    placement *next;
+static void take_back(tw_core *core, tw_job *job, uint64_t next_try) {
+    tw_placement *placed;
+    tw_placement *next;
     DL_FOREACH_SAFE2(job->placements, placed, next, job_next)
-    if (placed->version > job->version) tw_attempt_end_on(core, placed, END_TAKEN_BACK);
+    if (placed->version > job->version)
+        tw_attempt_terminate_on(core, placed, TW_EVIDENCE_PLACEMENT_UNDONE);
     job->next_attempt = next_try;
-    tw_futile_forget(core);
+    tw_placement_failures_forget(core);
     tw_scores_forget(core);
 }
 
 /* Places a gang whole or not at all, or all that is missing of one that has not started. One that
  * must stand in one zone goes where its first task fits best, among the zones with room for all of
  * it. */
-static int place_gang(tw_core *core, job *job) {
+static int place_gang(tw_core *core, tw_job *job) {
     const int count = job->task_count - job->done_count - job->placed_count;
     const uint64_t next_try = job->next_attempt;
     const uint64_t attempt = job->placed_count ? job->gang.attempt : next_try;
-    if (!tw_gang_pending(job) || !tw_quota_allows(core, job, count)) return 0;
-    uint32_t among = tw_gang_zones(core, job, count);
+    if (!tw_gang_is_pending(job) || !tw_quota_allows_tasks(core, job, count)) return 0;
+    uint32_t among = tw_gang_candidate_zones(core, job, count);
     while (among) {
         if (place_tasks(core, job, count, attempt, among) == count) {
             tw_gang_placed(core, job);
             return count;
         }
         /* Less room than the amounts had it: perhaps another zone. */
-        const placement *first = job->placements;
+        const tw_placement *first = job->placements;
         while (first && first->version <= job->version) first = first->job_next;
         const int zone = first ? first->machine->zone_index : -1;
         take_back(core, job, next_try);
@@ -107,12 +110,12 @@
 }
 
 /* Places what it can of a job; the number of tasks placed. */
-static int place_job(tw_core *core, job *job, int limit) {
+static int place_job(tw_core *core, tw_job *job, int limit) {
     const int count =
         job->spec.gang ? place_gang(core, job) : place_tasks(core, job, limit, 0, UINT32_MAX);
     if (!count) return 0;
-    tw_job_changed(core, job, job->spec.priority >= TW_PRIORITY_PROD);
-    placement *placed;
+    tw_job_mark_changed(core, job, job->spec.priority >= TW_PRIORITY_PROD);
+    tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next)
     if (placed->version > job->version) placed->version = job->version;
     return count;
@@ -120,14 +123,14 @@
 
 static void begin_pass(tw_core *core) {
     tw_candidates_begin(core);
-    tw_gang_hold(core);
-    tw_reserve_note(core);
-    tw_futile_forget(core);
+    tw_gang_reservation_update(core);
+    tw_reserve_update(core);
+    tw_placement_failures_forget(core);
     tw_scores_forget(core);
 }
 
-int tw_place_new(tw_core *core, job *job) {
-    if (job->spec.priority < TW_PRIORITY_PROD || !tw_job_pending(core, job)) {
+int tw_scheduler_place_now(tw_core *core, tw_job *job) {
+    if (job->spec.priority < TW_PRIORITY_PROD || !tw_job_is_pending(core, job)) {
         core->scheduling_due = 1;
         core->next_pass_at = fmin(core->next_pass_at, core->now);
         return 0;
@@ -137,23 +140,23 @@
     return job->placed_count + job->done_count == job->task_count;
 }
 
-void tw_schedule(tw_core *core) {
+void tw_scheduler_run(tw_core *core) {
     core->scheduling_due = 0;
     core->next_pass_at = core->now + BETWEEN_PASSES_S;
-    tw_turns *turns = tw_turns_new(core, 1);
+    tw_job_queue *turns = tw_job_queue_new(core, 1);
     int left = MOST_IN_PASS;
     int begun = 0;
-    job *job;
-    while (left > 0 && (job = tw_turns_next(core, turns))) {
+    tw_job *job;
+    while (left > 0 && (job = tw_job_queue_next(core, turns))) {
         if (!begun) begin_pass(core); /* mostly nothing waits: then the fleet isn't looked at */
         begun = 1;
         /* A task a turn while others wait. */
-        const int share = tw_turns_contended(turns) ? 1 : left;
+        const int share = tw_job_queue_is_contended(turns) ? 1 : left;
         const int count = place_job(core, job, share);
         left -= count;
-        tw_turns_placed(core, turns, job, count);
-        if (count && count == share && tw_job_pending(core, job)) tw_turns_again(turns);
+        tw_job_queue_note_placed(core, turns, job, count);
+        if (count && count == share && tw_job_is_pending(core, job)) tw_job_queue_requeue(turns);
     }
     if (left <= 0) core->scheduling_due = 1;
-    tw_turns_free(turns);
+    tw_job_queue_free(turns);
 }
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -4,9 +4,9 @@
 #include "core/fleet.h"
 
 /* Adds (sign 1) or takes off (-1) what the task holds. */
-void tw_placement_account(tw_core *core, placement *placed, double sign) {
+void tw_placement_account(tw_core *core, tw_placement *placed, double sign) {
     const tw_wire_job *s = &placed->job->spec;
-    machine *machine = placed->machine;
+    tw_machine *machine = placed->machine;
     machine->used_cores += sign * s->cores;
     machine->used_gpus += sign * s->gpus;
     machine->used_memory_gb += sign * s->memory_gb;
@@ -26,26 +26,27 @@
 }
 
 /* The caller marks the job changed. */
-placement *tw_place(tw_core *core, job *job, int index, machine *machine, uint64_t attempt) {
-    if (job->task_states[index] != T_FREE) {
-        tw_invariant_broken(core, INVARIANT_PLACED_TWICE, "piece=%s/%d try=%llu tray=%s", job->id,
-                            index, (unsigned long long)attempt, machine->name);
+tw_placement *tw_placement_new(tw_core *core, tw_job *job, int index, tw_machine *machine,
+                               uint64_t attempt) {
+    if (job->task_states[index] != TW_ASSIGNMENT_NONE) {
+        tw_invariant_broken(core, TW_INVARIANT_PLACED_TWICE, "piece=%s/%d try=%llu tray=%s",
+                            job->id, index, (unsigned long long)attempt, machine->name);
         return NULL;
     }
-    placement *placed = tw_zalloc(sizeof *placed);
+    tw_placement *placed = tw_alloc(sizeof *placed);
     placed->job = job;
     placed->machine = machine;
     placed->index = index;
     placed->attempt = attempt;
     placed->version = job->version + 1;
     placed->placed_at = core->now;
-    const image *image = tw_image(machine, job);
-    placed->concurrent_fetches = tw_images_fetching(core, machine, image);
+    const tw_image *image = tw_image_find(machine, job);
+    placed->concurrent_fetches = tw_image_count_fetches(core, machine, image);
     if (image) placed->image_state = image->ready_at <= 0 ? 1 : -1;
     placed->counted = 1;
     DL_APPEND2(job->placements, placed, job_prev, job_next);
     DL_APPEND(machine->placements, placed);
-    job->task_states[index] = T_LIVE;
+    job->task_states[index] = TW_ASSIGNMENT_PLACED;
     job->placed_count++;
     job->placement_refs++;
     if (attempt >= job->next_attempt) job->next_attempt = attempt + 1;
@@ -54,7 +55,7 @@
     return placed;
 }
 
-void tw_placement_kill(tw_core *core, placement *placed, double grace_s, int preempted) {
+void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, int preempted) {
     if (!placed->counted) return;
     if (placed->job->spec.gang) {
         /* Before anything changes: whether all of it can be told. */
@@ -62,7 +63,7 @@
         tw_gang_stop(core, placed->job, grace_s);
     }
     if (!placed->launch_sent && !placed->direct_launches) {
-        tw_attempt_end_on(core, placed, END_NOT_LAUNCHED);
+        tw_attempt_terminate_on(core, placed, TW_EVIDENCE_NOT_LAUNCHED);
         return;
     }
     if (!placed->stopping) placed->stopped_at = core->now;
@@ -73,5 +74,5 @@
         placed->preempted = 1;
         tw_placement_account(core, placed, 1);
     }
-    tw_want_direct(core, placed->machine);
+    tw_machine_want_commands(core, placed->machine);
 }
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -6,12 +6,12 @@
 #define TW_CORE_PLACEMENT_H
 #include "core/core.h"
 
-typedef struct job job;
-typedef struct machine machine;
+typedef struct tw_job tw_job;
+typedef struct tw_machine tw_machine;
 
-typedef struct placement {
-    struct job *job;
-    struct machine *machine;
+typedef struct tw_placement {
+    struct tw_job *job;
+    struct tw_machine *machine;
     int index;
     uint64_t attempt;
     uint64_t version;            /* job version that holds it: launchable once that is durable */
@@ -30,22 +30,23 @@
     int preempted; /* counts as running until it is gone, but its room is promised */
     double grace_s;
     double placed_at, running_since, stopped_at; /* run_at 0: not yet */
-    double launch_after;                   /* a gang's task: not launched before, see gang.c */
-    uint64_t mark;                         /* scratch: seen in the report in hand */
-    int counted;                           /* still in the job's list (not exited, not lost) */
-    struct placement *job_prev, *job_next; /* job's list */
-    struct placement *prev, *next;         /* machine's list */
-} placement;
+    double launch_after;                      /* a gang's task: not launched before, see gang.c */
+    uint64_t mark;                            /* scratch: seen in the report in hand */
+    int counted;                              /* still in the job's list (not exited, not lost) */
+    struct tw_placement *job_prev, *job_next; /* job's list */
+    struct tw_placement *prev, *next;         /* machine's list */
+} tw_placement;
 
 /* States of a job's task. */
-enum { T_FREE, T_LIVE, T_DONE };
+enum { TW_ASSIGNMENT_NONE, TW_ASSIGNMENT_PLACED, TW_ASSIGNMENT_DONE };
 
 /* placement.c */
 /* Places a task, whose amounts count from now on; the caller marks the job changed. NULL: an
  * attempt of the task has not ended (attempt_end.h), which is a fault of the caller. */
-placement *tw_place(tw_core *core, job *job, int index, machine *machine, uint64_t attempt);
+tw_placement *tw_placement_new(tw_core *core, tw_job *job, int index, tw_machine *machine,
+                               uint64_t attempt);
 /* The task is to be stopped, a gang with all its tasks; preempted: its room is promised to others.
  */
-void tw_placement_kill(tw_core *core, placement *placed, double grace_s, int preempted);
+void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, int preempted);
 
 #endif
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -10,10 +10,10 @@
 
 /* ---- packing ---- */
 
-double tw_plan_soonest_s(const tw_core *core, uint32_t types, double image_gb) {
+double tw_autoscaler_soonest_s(const tw_core *core, uint32_t types, double image_gb) {
     double soonest = INFINITY;
     for (int i = 0; i < core->machine_type_count; i++) {
-        const flavor *type = &core->machine_types[i];
+        const tw_machine_type *type = &core->machine_types[i];
         if (types & (1U << i))
             soonest = fmin(soonest,
                            BOOT_SPREAD * type->listed.startup_s + type->fetch_s_per_gb * image_gb);
@@ -22,10 +22,11 @@
 }
 
 /* Whether to rent for a batch task rather than let it wait until `start`. */
-static int worth_renting(const tw_core *core, const job *job, double start) {
+static int worth_renting(const tw_core *core, const tw_job *job, double start) {
     if (!isfinite(start)) return 1; /* nothing will be given back */
-    if (start <= core->now + tw_plan_soonest_s(core, job->type_mask, job->spec.image_gb)) return 0;
-    return !(start + tw_estimate(job) * RUN_SPREAD <= tw_job_due(core, job));
+    if (start <= core->now + tw_autoscaler_soonest_s(core, job->type_mask, job->spec.image_gb))
+        return 0;
+    return !(start + tw_job_run_estimate_s(job) * RUN_SPREAD <= tw_job_deadline(core, job));
 }
 
 /* Tasks of a job by zone, placed and planned. */
@@ -49,9 +50,9 @@
     return slot;
 }
 
-static spread spread_of(const job *job) {
+static spread spread_of(const tw_job *job) {
     spread tasks = {.most = job->spec.spread ? (job->task_count + 1) / 2 : INT32_MAX};
-    const placement *placed;
+    const tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next) {
         const int slot = spread_slot(&tasks, placed->machine->zone);
         if (slot >= 0) tasks.count[slot]++;
@@ -60,9 +61,9 @@
 }
 
 /* How many of `want` tasks the bin takes. */
-static int fill(const tw_core *core, bin *bin, const job *job, spread *tasks, int want) {
+static int fill(const tw_core *core, tw_bin *bin, const tw_job *job, spread *tasks, int want) {
     int taken = 0;
-    if (!tw_bin_allowed(bin, &job->spec, job->type_mask)) return 0;
+    if (!tw_bin_is_allowed(bin, &job->spec, job->type_mask)) return 0;
     if (job->spec.single_zone && tasks->used && strcmp(tasks->zone[0], bin->zone) != 0) return 0;
     while (taken < want && tw_bin_fits(bin, &job->spec) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine)) {
@@ -76,22 +77,22 @@
 }
 
 /* How many tasks of the job could be placed if there were room. */
-static int placeable(const tw_core *core, job *job) {
+static int placeable(const tw_core *core, tw_job *job) {
     const tw_conf_team *team = &core->config->teams[job->team];
     int count = job->task_count - job->done_count - job->placed_count;
     if (team->gpus_max > 0 && job->spec.gpus > 0)
         count = (int)fmin(
             count, floor((team->gpus_max - core->team_gpus_used[job->team]) / job->spec.gpus +
-                         TW_ROUNDING));
+                         TW_CAPACITY_ROUNDING));
     if (team->cpus_max > 0 && job->spec.cores > 0)
         count = (int)fmin(
             count, floor((team->cpus_max - core->team_cores_used[job->team]) / job->spec.cores +
-                         TW_ROUNDING));
-    const int most = tw_max_live(core, job) - job->placed_count;
+                         TW_CAPACITY_ROUNDING));
+    const int most = tw_record_max_running(core, job) - job->placed_count;
     return count > most ? most : count;
 }
 
-int tw_plan_open_gpu_machines(tw_core *core, job *job, const offer *best) {
+int tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
     if (job->spec.gpus > 0 || job->any_machine) return 0;
     if (best && core->machine_types[best->type_index].listed.gpus <= 0) return 0;
     job->any_machine = 1;
@@ -101,36 +102,37 @@
 
 /* How many of them to find or rent room for: of a batch, those that had better not wait; of a gang,
  * all or none. */
-static int needed(tw_core *core, bins *bins, job *job, tw_drain *drain) {
+static int needed(tw_core *core, tw_bins *bins, tw_job *job, tw_expected_releases *drain) {
     const int count = placeable(core, job);
     int need = 0;
     if (job->spec.service) return count;
-    if (count > 0 && !drain->items) tw_drain_init(core, drain); /* mostly no batch waits */
+    if (count > 0 && !drain->items)
+        tw_expected_releases_init(core, drain); /* mostly no batch waits */
     if (job->spec.gang) {
         if (count < job->task_count - job->done_count - job->placed_count)
             return 0; /* its team's limit */
-        const double start = tw_plan_gang_start(core, bins, job, drain, count);
-        tw_plan_gang_hurry(core, job, start);
+        const double start = tw_autoscaler_gang_start(core, bins, job, drain, count);
+        tw_autoscaler_gang_hurry(core, job, start);
         return worth_renting(core, job, start) ? count : 0;
     }
-    int *from = tw_bins_first_drained(bins, job);
+    int *from = tw_bins_first_released(bins, job);
     for (int i = 0; i < count; i++)
-        need += worth_renting(core, job, tw_drain_start(core, drain, job, from));
+        need += worth_renting(core, job, tw_expected_releases_start(core, drain, job, from));
     return need;
 }
 
 /* Rents for `need` tasks of the job. */
-static void rent_for(tw_core *core, bins *bins, job *job, spread *tasks, int need) {
+static void rent_for(tw_core *core, tw_bins *bins, tw_job *job, spread *tasks, int need) {
     while (need > 0) {
         tw_offer_filter filter = {.only_zone =
                                       job->spec.single_zone && tasks->used ? tasks->zone[0] : NULL};
         for (int i = 0; i < tasks->used; i++)
             if (tasks->count[i] >= tasks->most) filter.not_zone = tasks->zone[i];
-        offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
+        tw_capacity_offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
         job->capacity_bound =
             !offer || offer->refused > 0; /* refused lately: it may be granted again */
         /* Before renting. */
-        if (tw_plan_open_gpu_machines(core, job, offer)) return;
+        if (tw_autoscaler_open_gpu_machines(core, job, offer)) return;
         if (!offer) return;
         const int taken = fill(core, tw_offer_bin(core, bins, offer), job, tasks, need);
         if (!taken) return;
@@ -139,12 +141,12 @@
     }
 }
 
-static void plan_job(tw_core *core, bins *bins, job *job, tw_drain *drain) {
+static void plan_job(tw_core *core, tw_bins *bins, tw_job *job, tw_expected_releases *drain) {
     int need = needed(core, bins, job, drain);
     if (need <= 0) return;
     spread tasks = spread_of(job);
     if (job->spec.gang && job->spec.single_zone && !tasks.used) {
-        const char *zone = tw_plan_gang_zone(core, bins, job, need);
+        const char *zone = tw_autoscaler_gang_zone(core, bins, job, need);
         if (zone) spread_slot(&tasks, zone);
     }
     /* Room that placing has tried is of no use to a task, but may be a part of a gang's. */
@@ -160,11 +162,12 @@
 /* ---- the round ---- */
 
 /* Whether a machine's room can be counted on. */
-static int can_count_on(tw_core *core, const machine *machine) {
+static int can_count_on(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->return_wanted || machine->cordoned || machine->failed ||
         machine->decommissioning)
         return 0;
-    if (machine->state == M_UP) return machine->preempted_at <= 0 && !machine->lease_expired;
+    if (machine->state == TW_MACHINE_UP)
+        return machine->preempted_at <= 0 && !machine->lease_expired;
     if (machine->overdue) return 0; /* may never come */
     /* Some of those that boot will be late: as many are not counted on. */
     double *late = &core->machine_types[machine->type_index].late_sum;
@@ -176,26 +179,26 @@
     return 1;
 }
 
-static void add_machine(tw_core *core, bins *bins, machine *machine) {
+static void add_machine(tw_core *core, tw_bins *bins, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     *tw_bins_add(bins) =
-        (bin){.machine = machine,
-              .type_index = machine->type_index,
-              .spot = machine->spot,
-              .zone = machine->zone,
-              .busy = tw_machine_works(machine),
-              /* placing has tried it already */
-              .tried = machine->state == M_UP &&
-                       core->now - machine->first_answered_at > core->config->report_s,
-              .cores = type->cores - machine->used_cores,
-              .gpus = type->gpus - machine->used_gpus,
-              .memory_gb = type->memory_gb - machine->used_memory_gb};
+        (tw_bin){.machine = machine,
+                 .type_index = machine->type_index,
+                 .spot = machine->spot,
+                 .zone = machine->zone,
+                 .busy = tw_machine_is_occupied(machine),
+                 /* placing has tried it already */
+                 .tried = machine->state == TW_MACHINE_UP &&
+                          core->now - machine->first_answered_at > core->config->report_s,
+                 .cores = type->cores - machine->used_cores,
+                 .gpus = type->gpus - machine->used_gpus,
+                 .memory_gb = type->memory_gb - machine->used_memory_gb};
 }
 
 /* What was asked for and isn't answered yet counts as coming. */
-static void add_asked(tw_core *core, bins *bins, const rental_request *rental_request) {
+static void add_asked(tw_core *core, tw_bins *bins, const tw_rental_request *rental_request) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
-        offer *offer = &core->capacity_offers[i];
+        tw_capacity_offer *offer = &core->capacity_offers[i];
         if (offer->type_index != rental_request->type_index ||
             offer->zone_index != rental_request->zone_index || offer->spot != rental_request->spot)
             continue;
@@ -208,9 +211,9 @@
 typedef int zone_counts[TW_MAX_ZONES + 1];
 
 /* How many machines of the offer's type its zone has. */
-static int have(const tw_core *core, const offer *offer, const bins *bins,
+static int have(const tw_core *core, const tw_capacity_offer *offer, const tw_bins *bins,
                 const zone_counts *counts) {
-    const char *name = tw_offer_yard(core, offer);
+    const char *name = tw_offer_zone(core, offer);
     for (int zone = 0; zone < core->zone_count; zone++)
         if (!strcmp(core->zone_names[zone], name)) return counts[offer->type_index][zone];
     /* More zones than have numbers: by name. */
@@ -222,11 +225,11 @@
     return count;
 }
 
-static void collect(tw_core *core, bins *bins) {
-    zone_counts *counts = tw_zalloc((size_t)core->machine_type_count * sizeof *counts);
+static void collect(tw_core *core, tw_bins *bins) {
+    zone_counts *counts = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
     for (int i = 0; i < core->machine_type_count; i++) core->machine_types[i].late_sum = 0;
-    machine *machine;
-    struct machine *next;
+    tw_machine *machine;
+    struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         machine->kept_as_headroom = 0;
         if (!can_count_on(core, machine)) continue;
@@ -234,16 +237,16 @@
         counts[machine->type_index][machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index]++;
     }
     for (int i = 0; i < core->capacity_offer_count; i++) {
-        offer *offer = &core->capacity_offers[i];
+        tw_capacity_offer *offer = &core->capacity_offers[i];
         offer->wanted = 0;
         offer->machine_count = have(core, offer, bins, counts);
     }
     free(counts);
-    const rental_request *rental_request;
+    const tw_rental_request *rental_request;
     DL_FOREACH(core->rental_requests, rental_request) add_asked(core, bins, rental_request);
 }
 
-static double price_of(const tw_core *core, const bins *bins) {
+static double price_of(const tw_core *core, const tw_bins *bins) {
     double price = 0;
     for (int i = 0; i < bins->count; i++) {
         const tw_wire_machine_type *type = &core->machine_types[bins->items[i].type_index].listed;
@@ -253,35 +256,35 @@
 }
 
 /* Turned-away submissions are planned for until they have not come again for long. */
-static void plan_turned_away(tw_core *core, bins *bins, tw_drain *drain) {
-    turned_away_job *expected;
-    turned_away_job *next;
+static void plan_turned_away(tw_core *core, tw_bins *bins, tw_expected_releases *drain) {
+    tw_rejected_admission *expected;
+    tw_rejected_admission *next;
     HASH_ITER(hh, core->rejected_admissions, expected, next) {
         if (core->now < expected->until)
             plan_job(core, bins, &expected->job, drain);
         else
-            tw_turned_away_drop(core, expected);
+            tw_rejected_admission_drop(core, expected);
     }
 }
 
-void tw_plan(tw_core *core) {
-    bins bins = {0};
-    tw_drain drain = {0}; /* filled when a batch waits */
+void tw_autoscaler_plan(tw_core *core) {
+    tw_bins bins = {0};
+    tw_expected_releases drain = {0}; /* filled when a batch waits */
     collect(core, &bins);
     const int there = bins.count;
-    tw_turns *turns = tw_turns_new(core, 0);
-    job *job;
-    while ((job = tw_turns_next(core, turns))) plan_job(core, &bins, job, &drain);
-    tw_turns_free(turns);
+    tw_job_queue *turns = tw_job_queue_new(core, 0);
+    tw_job *job;
+    while ((job = tw_job_queue_next(core, turns))) plan_job(core, &bins, job, &drain);
+    tw_job_queue_free(turns);
     plan_turned_away(core, &bins, &drain);
     const double price = price_of(core, &bins);
-    for (const lane *class = core->job_classes; class; class = class->hh.next)
-        tw_plan_spare(core, &bins, class, price);
+    for (const tw_job_class *class = core->job_classes; class; class = class->hh.next)
+        tw_autoscaler_keep_headroom(core, &bins, class, price);
     const int more = bins.count > there;
-    tw_offers_settle(core);
-    tw_return_idle(core);
-    tw_reopen(core);
-    if (!more) tw_consolidate(core, &bins); /* else more room is needed, not less */
-    tw_drain_free(&drain);
+    tw_offers_update_wanted(core);
+    tw_scale_in_idle(core);
+    tw_scale_in_reopen(core);
+    if (!more) tw_scale_in_consolidate(core, &bins); /* else more room is needed, not less */
+    tw_expected_releases_free(&drain);
     tw_bins_free(&bins);
 }
--- a/src/core/plan_spare.c
+++ b/src/core/plan_spare.c
@@ -9,12 +9,12 @@
 
 /* How many tasks to keep room for, of a class whose tasks must start sooner than a machine boots.
  */
-static int spare_tasks(const tw_core *core, const lane *class, double fleet_price) {
+static int spare_tasks(const tw_core *core, const tw_job_class *class, double fleet_price) {
     const tw_wire_job *sample = &class->sample;
     if (!class->has_sample || class->start_within_s <= 0 || !(sample->service || sample->gang))
         return 0;
     const double lead_s =
-        fmax(0, tw_plan_soonest_s(core, class->sample_type_mask, sample->image_gb) -
+        fmax(0, tw_autoscaler_soonest_s(core, class->sample_type_mask, sample->image_gb) -
                     class->start_within_s);
     const double quiet_s = core->now - class->last_arrival_at;
     double rate = class->task_rate;
@@ -28,7 +28,7 @@
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_wire_machine_type *type = &core->machine_types[i].listed;
         if (class->sample_type_mask & (1U << i))
-            price = fmin(price, type->on_demand_price / tw_offer_holds(type, sample));
+            price = fmin(price, type->on_demand_price / tw_offer_task_count(type, sample));
     }
     if (2 * tasks * price < NEARLY_FREE * fleet_price) tasks *= 2;
     if (sample->gang) tasks = fmax(tasks, class->largest_gang);
@@ -38,16 +38,17 @@
 /* The order in which spare room is looked for. */
 typedef enum { BIN_IN_USE, BIN_IDLE, BIN_COMING, BIN_STATES } bin_state;
 
-static bin_state state_of(const bin *bin) {
-    if (!bin->machine || bin->machine->state == M_BOOTING) return BIN_COMING;
+static bin_state state_of(const tw_bin *bin) {
+    if (!bin->machine || bin->machine->state == TW_MACHINE_BOOTING) return BIN_COMING;
     return bin->busy ? BIN_IN_USE : BIN_IDLE;
 }
 
 /* How many of `want` tasks of the class the bin has spare room for. zone: NULL: any. */
-static int keep(const tw_core *core, bin *bin, const lane *class, int want, const char *zone) {
+static int keep(const tw_core *core, tw_bin *bin, const tw_job_class *class, int want,
+                const char *zone) {
     const tw_wire_job *sample = &class->sample;
     int kept = 0;
-    if (!tw_bin_allowed(bin, sample, class->sample_type_mask)) return 0;
+    if (!tw_bin_is_allowed(bin, sample, class->sample_type_mask)) return 0;
     if (zone && strcmp(zone, bin->zone) != 0) return 0;
     /* Room that placing would not give is no spare room. */
     if (sample->gpus <= 0 && core->machine_types[bin->type_index].listed.gpus > 0 && !bin->busy)
@@ -61,14 +62,15 @@
 }
 
 /* Where to keep room for gangs that stand in one zone: where most of it is. NULL: anywhere. */
-static const char *spare_zone(tw_core *core, const bins *bins, const lane *class, int want) {
+static const char *spare_zone(tw_core *core, const tw_bins *bins, const tw_job_class *class,
+                              int want) {
     const char *best = NULL;
     int most = 0;
     if (!class->sample.gang || !class->sample.single_zone) return NULL;
     for (int zone = 0; zone < core->zone_count; zone++) {
         int count = 0;
         for (int i = 0; i < bins->count && count < want; i++) {
-            bin room = bins->items[i];
+            tw_bin room = bins->items[i];
             room.machine = NULL; /* nothing is kept there yet */
             count += keep(core, &room, class, want - count, core->zone_names[zone]);
         }
@@ -79,7 +81,8 @@
     return best;
 }
 
-void tw_plan_spare(tw_core *core, bins *bins, const lane *class, double fleet_price) {
+void tw_autoscaler_keep_headroom(tw_core *core, tw_bins *bins, const tw_job_class *class,
+                                 double fleet_price) {
     int want = spare_tasks(core, class, fleet_price);
     const char *zone = spare_zone(core, bins, class, want);
     for (bin_state state = BIN_IN_USE; state < BIN_STATES && want > 0; state++)
@@ -88,9 +91,10 @@
                 want -= keep(core, &bins->items[i], class, want, zone);
     const tw_offer_filter filter = {.spare = 1, .only_zone = zone};
     while (want > 0) {
-        offer *offer = tw_offer_best(core, &class->sample, class->sample_type_mask, &filter);
+        tw_capacity_offer *offer =
+            tw_offer_best(core, &class->sample, class->sample_type_mask, &filter);
         if (!offer) return;
-        bin *bin = tw_offer_bin(core, bins, offer);
+        tw_bin *bin = tw_offer_bin(core, bins, offer);
         offer->wanted++;
         for (; want > 0 && tw_bin_fits(bin, &class->sample); want--)
             tw_bin_take(bin, &class->sample);
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -7,35 +7,36 @@
 #define RESTART_TIME 1.3  /* of the estimate, to be done in time if started over */
 #define CHOSEN UINT64_MAX /* mark of a task that would be stopped */
 
-static tw_room free_on(const tw_core *core, const machine *machine) {
+static tw_capacity free_on(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    return (tw_room){type->cores - machine->used_cores + machine->vacating_cores,
-                     type->gpus - machine->used_gpus + machine->vacating_gpus,
-                     type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
+    return (tw_capacity){type->cores - machine->used_cores + machine->vacating_cores,
+                         type->gpus - machine->used_gpus + machine->vacating_gpus,
+                         type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
 }
 
-static int is_enough(const tw_room *room, const tw_wire_job *spec, double tolerance) {
+static int is_enough(const tw_capacity *room, const tw_wire_job *spec, double tolerance) {
     return room->cores + tolerance >= spec->cores && room->gpus + tolerance >= spec->gpus &&
            room->memory_gb + tolerance >= spec->memory_gb;
 }
 
 /* A gang that can't be told as a whole would lose what it has done: it is left alone until then. */
-static int would_lose_gang(const tw_core *core, const placement *placed) {
-    const job *job = placed->job;
-    return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == GANG_RUNNING &&
+static int would_lose_gang(const tw_core *core, const tw_placement *placed) {
+    const tw_job *job = placed->job;
+    return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            placed->running_since > 0 &&
            (placed->inherited || core->now - placed->running_since > job->spec.save_s) &&
            !tw_gang_can_save(core, job);
 }
 
-int tw_may_stop(const tw_core *core, const struct job *job, const placement *placed) {
+int tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
+                          const tw_placement *placed) {
     return placed->counted && !placed->stopping && placed->job->has_spec &&
            placed->job->spec.priority < job->spec.priority && !would_lose_gang(core, placed);
 }
 
 /* Run time of a task that is lost when it is stopped. */
-static double unsaved_s(const tw_core *core, const placement *placed) {
-    const job *job = placed->job;
+static double unsaved_s(const tw_core *core, const tw_placement *placed) {
+    const tw_job *job = placed->job;
     const double ran_s = placed->running_since > 0 ? core->now - placed->running_since : 0;
     if (job->spec.checkpoint_s <= 0) return ran_s;
     /* A gang that can't be told at once falls back to its last checkpoint. */
@@ -45,19 +46,19 @@
 
 /* Work lost when it is stopped, in task seconds. One task of a gang takes all the others with it.
  */
-static double cost_of(const tw_core *core, const placement *placed) {
-    const job *job = placed->job;
+static double cost_of(const tw_core *core, const tw_placement *placed) {
+    const tw_job *job = placed->job;
     double ran_s = unsaved_s(core, placed) * (job->spec.gang ? job->placed_count : 1);
     /* Rather one that can start over and still make its deadline. */
-    const double estimate_s = tw_estimate(job);
-    const double due = tw_job_due(core, job);
+    const double estimate_s = tw_job_run_estimate_s(job);
+    const double due = tw_job_deadline(core, job);
     if (isfinite(due) && core->now + RESTART_TIME * estimate_s > due) ran_s += estimate_s;
     return ran_s + 1 + job->spec.priority * COST_OF_RANK;
 }
 
 /* Whether it may be enough at all, from sums alone. */
-static int may_vacate(const tw_core *core, const machine *machine, const job *job) {
-    tw_room room = free_on(core, machine);
+static int may_vacate(const tw_core *core, const tw_machine *machine, const tw_job *job) {
+    tw_capacity room = free_on(core, machine);
     for (int rank = 0; rank < job->spec.priority; rank++) {
         room.cores += machine->used_by_priority[rank].c;
         room.gpus += machine->used_by_priority[rank].g;
@@ -67,8 +68,8 @@
 }
 
 /* Whether a task of the same gang is chosen on the machine: this one costs nothing more. */
-static int gang_is_chosen(const machine *machine, const placement *placed) {
-    const placement *other;
+static int gang_is_chosen(const tw_machine *machine, const tw_placement *placed) {
+    const tw_placement *other;
     if (!placed->job->spec.gang) return 0;
     DL_FOREACH(machine->placements, other)
     if (other->mark == CHOSEN && other->job == placed->job) return 1;
@@ -76,15 +77,15 @@
 }
 
 /* The one that costs least of those not chosen yet; NULL: none is left. */
-static placement *cheapest(const tw_core *core, const machine *machine, const job *job,
-                           const tw_room *room, double *least) {
-    placement *best = NULL;
-    placement *placed;
+static tw_placement *cheapest(const tw_core *core, const tw_machine *machine, const tw_job *job,
+                              const tw_capacity *room, double *least) {
+    tw_placement *best = NULL;
+    tw_placement *placed;
     *least = INFINITY;
     DL_FOREACH(machine->placements, placed) {
-        if (!tw_may_stop(core, job, placed) || placed->mark == CHOSEN) continue;
+        if (!tw_preemption_allowed(core, job, placed) || placed->mark == CHOSEN) continue;
         if (job->spec.gpus > 0 && placed->job->spec.gpus <= 0 &&
-            room->gpus + TW_ROUNDING < job->spec.gpus)
+            room->gpus + TW_CAPACITY_ROUNDING < job->spec.gpus)
             continue;
         const double cost = gang_is_chosen(machine, placed) ? 0 : cost_of(core, placed);
         if (cost < *least) {
@@ -95,13 +96,14 @@
     return best;
 }
 
-static void stop(tw_core *core, placement *victim, const job *job) {
+static void stop(tw_core *core, tw_placement *victim, const tw_job *job) {
     const tw_wire_job *spec = &victim->job->spec;
     tw_log_debug("event=preempt piece=%s/%d for=%s tray=%s", spec->id, victim->index, job->id,
                  victim->machine->name);
     /* Saving takes flush_s: only where the one that needs the room can wait for it. */
-    const int saves = spec->checkpoint_s > 0 && core->now + spec->save_s < tw_job_due(core, job);
-    tw_placement_kill(core, victim, saves ? spec->save_s : 0, 1);
+    const int saves =
+        spec->checkpoint_s > 0 && core->now + spec->save_s < tw_job_deadline(core, job);
+    tw_placement_stop(core, victim, saves ? spec->save_s : 0, 1);
 }
 
 /* What stopping tasks may cost to be worth it: with the penalty less than the least so far. */
@@ -111,13 +113,13 @@
 
 /* Marks tasks to be stopped until there is room; without a limit stops them at once. 0: there is
  * not enough, or it costs too much. */
-static int vacate(tw_core *core, const job *job, machine *machine, const cost_limit *limit,
+static int vacate(tw_core *core, const tw_job *job, tw_machine *machine, const cost_limit *limit,
                   double *cost) {
-    tw_room room = free_on(core, machine);
+    tw_capacity room = free_on(core, machine);
     *cost = 0;
-    while (!is_enough(&room, &job->spec, TW_ROUNDING)) {
+    while (!is_enough(&room, &job->spec, TW_CAPACITY_ROUNDING)) {
         double least;
-        placement *victim = cheapest(core, machine, job, &room, &least);
+        tw_placement *victim = cheapest(core, machine, job, &room, &least);
         if (!victim) return 0;
         victim->mark = CHOSEN;
         *cost += least;
@@ -130,22 +132,24 @@
     return 1;
 }
 
-static void unmark(machine *machine) {
-    placement *placed;
+static void unmark(tw_machine *machine) {
+    tw_placement *placed;
     DL_FOREACH(machine->placements, placed) if (placed->mark == CHOSEN) placed->mark = 0;
 }
 
-struct machine *tw_preempt(tw_core *core, const tw_demand *demand, int in_time, int *kept) {
-    const job *job = demand->job;
+struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, int in_time,
+                                        int *kept) {
+    const tw_job *job = demand->job;
     double least = INFINITY;
     double cost;
-    machine *best = NULL;
+    tw_machine *best = NULL;
     if (job->spec.priority <= TW_PRIORITY_IDLE) return NULL;
     for (int i = 0; i < core->candidate_count; i++) {
-        machine *machine = core->candidates[i].machine;
+        tw_machine *machine = core->candidates[i].machine;
         core->pass_steps++;
-        if (!may_vacate(core, machine, job) || !tw_constraints_machine(core, job, machine) ||
-            !tw_constraints_zone(core, demand, machine) || !tw_leaves_gpus(core, machine, job, 1))
+        if (!may_vacate(core, machine, job) || !tw_constraints_allow_machine(core, job, machine) ||
+            !tw_constraints_allow_machine_zone(core, demand, machine) ||
+            !tw_constraints_leave_gpus(core, machine, job, 1))
             continue;
         if (!tw_reserve_allows(core, machine, job)) {
             *kept = 1;
@@ -165,7 +169,7 @@
     vacate(core, job, best, NULL, &cost);
     unmark(best);
     /* More may have been stopped than it needs. */
-    tw_futile_forget(core);
+    tw_placement_failures_forget(core);
     tw_scores_forget(core);
     return best;
 }
--- a/src/core/preference.c
+++ b/src/core/preference.c
@@ -15,8 +15,8 @@
 #define OF_FULLNESS 10
 
 /* In steps, rounded. */
-static double slowness_step(const tw_core *core, machine *machine) {
-    const double slowness = fmax(tw_slowness(core, machine), LEAST_SLOWNESS);
+static double slowness_step(const tw_core *core, tw_machine *machine) {
+    const double slowness = fmax(tw_machine_slowness(core, machine), LEAST_SLOWNESS);
     if (machine->slowness_step_of !=
         slowness) { /* a logarithm is dear: only after it has changed */
         machine->slowness_step_of = slowness;
@@ -26,13 +26,13 @@
 }
 
 /* How full the machine would be, of what is scarce for the task. */
-static double fullness(const tw_core *core, const job *job, const machine *machine) {
+static double fullness(const tw_core *core, const tw_job *job, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     if (job->spec.gpus > 0) return (machine->used_gpus + job->spec.gpus) / type->gpus;
     return type->gpus > 0 ? 1 : (machine->used_cores + job->spec.cores) / type->cores;
 }
 
-static double service_preference(const tw_core *core, const job *job, const machine *machine,
+static double service_preference(const tw_core *core, const tw_job *job, const tw_machine *machine,
                                  const tw_prediction *prediction) {
     double points = 0;
     if (prediction->image) points += prediction->image->ready_at <= 0 ? OF_IMAGE : OF_IMAGE_COMING;
@@ -43,7 +43,7 @@
     return points + OF_FULLNESS * fullness(core, job, machine);
 }
 
-static double batch_preference(const tw_core *core, const tw_demand *demand, machine *machine,
+static double batch_preference(const tw_core *core, const tw_demand *demand, tw_machine *machine,
                                const tw_prediction *prediction) {
     /* The slowest that is just enough. A slow machine leaves the fast ones to others; a fetch
      * leaves nobody anything: what it adds to the run counts against the machine, in the same
@@ -56,7 +56,7 @@
     return points + OF_FULLNESS * fullness(core, demand->job, machine);
 }
 
-double tw_preference(const tw_core *core, const tw_demand *demand, machine *machine,
+double tw_preference(const tw_core *core, const tw_demand *demand, tw_machine *machine,
                      const tw_prediction *prediction) {
     if (demand->job->spec.service)
         return service_preference(core, demand->job, machine, prediction);
--- a/src/core/queue.c
+++ b/src/core/queue.c
@@ -13,22 +13,22 @@
 #define PRIORITIES (TW_PRIORITY_PROD + 1)
 #define LEVELS (2 * PRIORITIES) /* within the guarantee or not, of each priority */
 #define OVERDUE_AFTER_S                                                                            \
-    (0.5 * TW_BEGIN_S)      /* a job that waits longer for its first task is overdue */
-#define GPU_IN_CORES 16     /* what a GPU counts in a team's use */
-#define SERVED_OVERDUE (-1) /* instead of a group: an overdue job was served last */
+    (0.5 * TW_MAX_START_DELAY_S) /* a job that waits longer for its first task is overdue */
+#define GPU_IN_CORES 16          /* what a GPU counts in a team's use */
+#define SERVED_OVERDUE (-1)      /* instead of a group: an overdue job was served last */
 
 /* The jobs of a group or a priority that are still to be served, as a range of an array. */
 typedef struct {
     int start, end;
 } range;
 
-struct tw_turns {
-    job **jobs; /* by group, then by deadline */
+struct tw_job_queue {
+    tw_job **jobs; /* by group, then by deadline */
     int count;
     int team_count;
     range *groups;                         /* in jobs; the index is level * team_count + team */
     int last;                              /* group served last, or SERVED_OVERDUE */
-    job **overdue;                         /* by priority, then the longest weighed wait first */
+    tw_job **overdue;                      /* by priority, then the longest weighed wait first */
     range overdue_by_priority[PRIORITIES]; /* in overdue, by priority */
 };
 
@@ -41,29 +41,29 @@
 
 static int priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
-int tw_job_pending(const tw_core *core, const job *job) {
+int tw_job_is_pending(const tw_core *core, const tw_job *job) {
     return job->has_spec && job->task_states && job->state == TW_JOB_PENDING && !job->cancelling &&
            job->team >= 0 && job->done_count + job->placed_count < job->task_count &&
-           core->now >= job->retry_at && (!job->spec.gang || tw_gang_pending(job));
+           core->now >= job->retry_at && (!job->spec.gang || tw_gang_is_pending(job));
 }
 
 /* ---- which jobs are within their team's guarantee ---- */
 
 static int by_submission(const void *left, const void *right) {
-    const job *a = *(job *const *)left, *b = *(job *const *)right;
+    const tw_job *a = *(tw_job *const *)left, *b = *(tw_job *const *)right;
     if (a->team != b->team) return a->team < b->team ? -1 : 1;
     if (a->submitted_at != b->submitted_at) return a->submitted_at < b->submitted_at ? -1 : 1;
     return 0;
 }
 
-static int submitted_together(const job *a, const job *b) {
+static int submitted_together(const tw_job *a, const tw_job *b) {
     return a->team == b->team && a->submitted_at == b->submitted_at;
 }
 
 /* The unfinished jobs of teams that have a guarantee; none of the others is guaranteed. */
-static int list_with_guarantee(const tw_core *core, job **jobs) {
+static int list_with_guarantee(const tw_core *core, tw_job **jobs) {
     int count = 0;
-    job *job;
+    tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         job->guaranteed = 0;
         if (job->team < 0 || !job->has_spec || job->state != TW_JOB_PENDING) continue;
@@ -75,7 +75,7 @@
 
 /* Marks the jobs that fit into their team's guarantee together with the team's earlier ones, in the
  * order of their submission. Those of the same moment count for each other. */
-static void mark_guaranteed(const tw_core *core, job **jobs, int count) {
+static void mark_guaranteed(const tw_core *core, tw_job **jobs, int count) {
     double cpus = 0, gpus = 0;
     for (int from = 0, to; from < count; from = to) {
         const tw_conf_team *team = &core->config->teams[jobs[from]->team];
@@ -85,8 +85,8 @@
             cpus += jobs[to]->spec.cores * tasks;
             gpus += jobs[to]->spec.gpus * tasks;
         }
-        const int fits = (team->gpus <= 0 || gpus <= team->gpus + TW_ROUNDING) &&
-                         (team->cpus <= 0 || cpus <= team->cpus + TW_ROUNDING);
+        const int fits = (team->gpus <= 0 || gpus <= team->gpus + TW_CAPACITY_ROUNDING) &&
+                         (team->cpus <= 0 || cpus <= team->cpus + TW_CAPACITY_ROUNDING);
         for (int i = from; i < to; i++)
             jobs[i]->guaranteed =
                 fits && (jobs[i]->spec.gpus > 0 ? team->gpus > 0 : team->cpus > 0);
@@ -95,11 +95,11 @@
 
 static void note_guaranteed(tw_core *core) {
     int capacity = 0;
-    const job *job;
+    const tw_job *job;
     DL_FOREACH(core->active_jobs, job) capacity++;
-    struct job **jobs = tw_zalloc((size_t)capacity * sizeof(struct job *));
+    struct tw_job **jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
     const int count = list_with_guarantee(core, jobs);
-    qsort(jobs, (size_t)count, sizeof(struct job *), by_submission);
+    qsort(jobs, (size_t)count, sizeof(struct tw_job *), by_submission);
     mark_guaranteed(core, jobs, count);
     free(jobs);
 }
@@ -107,7 +107,7 @@
 /* ---- groups ---- */
 
 typedef struct {
-    job *job;
+    tw_job *job;
     int group;
     double due;
 } grouped_job;
@@ -119,14 +119,14 @@
     return strcmp(a->job->id, b->job->id);
 }
 
-static void group_jobs(const tw_core *core, tw_turns *turns, int capacity) {
-    grouped_job *sorted = tw_zalloc((size_t)capacity * sizeof *sorted);
-    job *job;
+static void group_jobs(const tw_core *core, tw_job_queue *turns, int capacity) {
+    grouped_job *sorted = tw_alloc((size_t)capacity * sizeof *sorted);
+    tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
-        if (!tw_job_pending(core, job)) continue;
+        if (!tw_job_is_pending(core, job)) continue;
         const int level = level_of(job->spec.priority, job->guaranteed);
         sorted[turns->count++] =
-            (grouped_job){job, level * turns->team_count + job->team, tw_job_due(core, job)};
+            (grouped_job){job, level * turns->team_count + job->team, tw_job_deadline(core, job)};
     }
     qsort(sorted, (size_t)turns->count, sizeof *sorted, by_group);
     for (int i = 0; i < turns->count; i++) {
@@ -141,7 +141,7 @@
 /* ---- overdue jobs ---- */
 
 typedef struct {
-    job *job;
+    tw_job *job;
     double weight;
 } waiting_job;
 
@@ -154,22 +154,22 @@
 }
 
 /* More waits with a larger job: its time weighs more, by the root of its work. */
-static double weighed_wait(const tw_core *core, const job *job) {
+static double weighed_wait(const tw_core *core, const tw_job *job) {
     const double work = job->task_count * fmax(job->spec.expected_run_s, core->config->lease_s);
     return (core->now - job->submitted_at) * sqrt(work);
 }
 
-static int is_overdue(const tw_core *core, const job *job) {
+static int is_overdue(const tw_core *core, const tw_job *job) {
     if (job->has_run || job->placed_count || job->done_count) return 0;
     return core->now - job->submitted_at > OVERDUE_AFTER_S;
 }
 
-static void note_overdue(const tw_core *core, tw_turns *turns) {
+static void note_overdue(const tw_core *core, tw_job_queue *turns) {
     int count = 0;
-    waiting_job *sorted = tw_zalloc((size_t)turns->count * sizeof *sorted);
-    turns->overdue = tw_zalloc((size_t)turns->count * sizeof(job *));
+    waiting_job *sorted = tw_alloc((size_t)turns->count * sizeof *sorted);
+    turns->overdue = tw_alloc((size_t)turns->count * sizeof(tw_job *));
     for (int i = 0; i < turns->count; i++) {
-        job *job = turns->jobs[i];
+        tw_job *job = turns->jobs[i];
         if (is_overdue(core, job)) sorted[count++] = (waiting_job){job, weighed_wait(core, job)};
     }
     qsort(sorted, (size_t)count, sizeof *sorted, by_wait);
@@ -185,22 +185,22 @@
 
 /* ---- turns ---- */
 
-tw_turns *tw_turns_new(tw_core *core, int with_overdue) {
-    tw_turns *turns = tw_zalloc(sizeof *turns);
+tw_job_queue *tw_job_queue_new(tw_core *core, int with_overdue) {
+    tw_job_queue *turns = tw_alloc(sizeof *turns);
     int capacity = 0;
-    const job *job;
-    DL_FOREACH(core->active_jobs, job) capacity += tw_job_pending(core, job);
+    const tw_job *job;
+    DL_FOREACH(core->active_jobs, job) capacity += tw_job_is_pending(core, job);
     if (capacity) note_guaranteed(core);
     turns->team_count = (int)core->config->nteams;
-    turns->jobs = tw_zalloc((size_t)capacity * sizeof(struct job *));
-    turns->groups = tw_zalloc((size_t)(LEVELS * turns->team_count) * sizeof *turns->groups);
+    turns->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
+    turns->groups = tw_alloc((size_t)(LEVELS * turns->team_count) * sizeof *turns->groups);
     group_jobs(core, turns, capacity);
     if (with_overdue) note_overdue(core, turns);
     return turns;
 }
 
 /* The next overdue job of a priority that may have room now; NULL: none. */
-static job *next_overdue(const tw_core *core, tw_turns *turns, int priority) {
+static tw_job *next_overdue(const tw_core *core, tw_job_queue *turns, int priority) {
     range *left = &turns->overdue_by_priority[priority];
     if (core->overdue_credit[priority] <= 0 || is_empty(*left)) return NULL;
     turns->last = SERVED_OVERDUE;
@@ -208,7 +208,7 @@
 }
 
 /* The group of a level whose team has the least in use for its share; -1: none of it waits. */
-static int next_group(const tw_core *core, const tw_turns *turns, int level) {
+static int next_group(const tw_core *core, const tw_job_queue *turns, int level) {
     int best = -1;
     double least = INFINITY;
     for (int team = 0; team < turns->team_count; team++) {
@@ -225,10 +225,10 @@
     return best;
 }
 
-job *tw_turns_next(tw_core *core, tw_turns *turns) {
+tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *turns) {
     for (int level = 0; level < LEVELS; level++) {
         /* Before the first level of each priority. */
-        job *overdue = level % 2 ? NULL : next_overdue(core, turns, priority_of(level));
+        tw_job *overdue = level % 2 ? NULL : next_overdue(core, turns, priority_of(level));
         if (overdue) return overdue;
         const int group = next_group(core, turns, level);
         if (group < 0) continue;
@@ -238,7 +238,8 @@
     return NULL;
 }
 
-void tw_turns_placed(tw_core *core, const tw_turns *turns, const job *job, int count) {
+void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *turns, const tw_job *job,
+                              int count) {
     int *credit = &core->overdue_credit[job->spec.priority];
     if (turns->last == SERVED_OVERDUE)
         *credit -= count > 0;
@@ -246,11 +247,11 @@
         *credit = 1;
 }
 
-void tw_turns_again(tw_turns *turns) {
+void tw_job_queue_requeue(tw_job_queue *turns) {
     if (turns->last != SERVED_OVERDUE) turns->groups[turns->last].start--;
 }
 
-int tw_turns_contended(const tw_turns *turns) {
+int tw_job_queue_is_contended(const tw_job_queue *turns) {
     if (turns->last == SERVED_OVERDUE) return 1;
     const int level = turns->last / turns->team_count;
     if (!is_empty(turns->overdue_by_priority[priority_of(level)])) return 1;
@@ -260,7 +261,7 @@
     return 0;
 }
 
-void tw_turns_free(tw_turns *turns) {
+void tw_job_queue_free(tw_job_queue *turns) {
     free(turns->jobs);
     free(turns->overdue);
     free(turns->groups);
--- a/src/core/record_parts.c
+++ b/src/core/record_parts.c
@@ -13,7 +13,7 @@
  * 64 KiB; room for the frame and for what stands around a slice. */
 #define MAX_SLICES 60
 #define MAX_TXN_BYTES ((size_t)60 * KB)
-#define SLICE_FRAME_BYTES (PART_KEY_SIZE + 40)
+#define SLICE_FRAME_BYTES (TW_CHUNK_KEY_SIZE + 40)
 /* Of a job's first record: everything but its names, with all numbers at their longest; what stands
  * around a machine type's name; and a byte of a name, escaped. */
 #define SPEC_FRAME_BYTES 700
@@ -26,15 +26,15 @@
 #define REMOVAL_RETRY_S 1.0
 
 /* A set to be removed. */
-typedef struct stale_set {
+typedef struct tw_stale_chunk_set {
     char id[TW_WIRE_ID_SIZE];
     char set[TW_WIRE_CHUNK_SET_SIZE];
     int next, count; /* slices before `next` are removed */
-    struct stale_set *prev, *next_set;
-} stale_set;
+    struct tw_stale_chunk_set *prev, *next_set;
+} tw_stale_chunk_set;
 
 static void part_key(char *key, const char *id, const char *set, int number) {
-    snprintf(key, PART_KEY_SIZE, PART_KEY "%s/%s/%d", id, set, number);
+    snprintf(key, TW_CHUNK_KEY_SIZE, TW_CHUNK_KEY "%s/%s/%d", id, set, number);
 }
 
 static double txn_timeout_s(const tw_core *core) {
@@ -48,13 +48,13 @@
     return (size_t)(core->config->state_now.value_kb * KB);
 }
 
-size_t tw_record_whole_room(const tw_core *core) {
-    return tw_all_read_divided(core) ? tw_record_room(core) : room_of_now(core);
+size_t tw_record_whole_size(const tw_core *core) {
+    return tw_peers_all_read_chunks(core) ? tw_record_value_size(core) : room_of_now(core);
 }
 
-int tw_record_divides(const tw_core *core, const job *job, size_t length) {
+int tw_record_needs_chunks(const tw_core *core, const tw_job *job, size_t length) {
     const int refused = job->refused_bytes && length >= job->refused_bytes;
-    if (tw_all_read_divided(core)) return refused || length > tw_record_room(core);
+    if (tw_peers_all_read_chunks(core)) return refused || length > tw_record_value_size(core);
     /* One that is divided can't be read by an old node as it is. */
     return *job->chunk_set && (refused || length > room_of_now(core));
 }
@@ -68,8 +68,8 @@
     return SPEC_FRAME_BYTES + LONGEST_ESCAPED * signs;
 }
 
-int tw_record_writable(const tw_core *core, const tw_wire_job *spec) {
-    if (tw_all_read_divided(core) || first_record_most(spec) <= room_of_now(core)) return 1;
+int tw_record_is_writable(const tw_core *core, const tw_wire_job *spec) {
+    if (tw_peers_all_read_chunks(core) || first_record_most(spec) <= room_of_now(core)) return 1;
     const tw_wire_record record = {.has_job = 1,
                                    .job = *spec,
                                    .task_count = spec->task_count,
@@ -83,17 +83,17 @@
 
 /* ---- a set on its way ---- */
 
-void tw_parts_begin(tw_core *core, job *job, const char *text) {
-    record_parts *parts = tw_zalloc(sizeof *parts);
+void tw_chunks_begin(tw_core *core, tw_job *job, const char *text) {
+    tw_record_chunks *parts = tw_alloc(sizeof *parts);
     const size_t length = strlen(text);
-    const size_t room = tw_record_room(core);
+    const size_t room = tw_record_value_size(core);
     size_t most = 1; /* slices: of the smallest ones that there may be */
     for (size_t at = 0; at < length; most++) {
         size_t taken;
         free(tw_wire_chunk_text(text + at, room, &taken));
         at += taken;
     }
-    parts->texts = tw_zalloc(most * sizeof *parts->texts);
+    parts->texts = tw_alloc(most * sizeof *parts->texts);
     for (size_t at = 0; at < length;) {
         size_t taken;
         parts->texts[parts->count++] = tw_wire_chunk_text(text + at, room, &taken);
@@ -110,10 +110,10 @@
                  parts->count);
 }
 
-int tw_parts_written(const job *job) { return job->chunks->written == job->chunks->count; }
+int tw_chunks_all_written(const tw_job *job) { return job->chunks->written == job->chunks->count; }
 
-char *tw_parts_head(const job *job) {
-    const record_parts *parts = job->chunks;
+char *tw_chunks_record_text(const tw_job *job) {
+    const tw_record_chunks *parts = job->chunks;
     tw_wire_record record = {.state = parts->state,
                              .task_count = job->task_count,
                              .done_count = parts->done_count,
@@ -123,8 +123,8 @@
     return tw_wire_chunked_record_text(&record);
 }
 
-void tw_parts_free(job *job) {
-    record_parts *parts = job->chunks;
+void tw_chunks_free(tw_job *job) {
+    tw_record_chunks *parts = job->chunks;
     if (!parts) return;
     for (int i = 0; i < parts->count; i++) free(parts->texts[i]);
     free(parts->texts);
@@ -132,15 +132,15 @@
     job->chunks = NULL;
 }
 
-void tw_parts_drop(tw_core *core, job *job) {
+void tw_chunks_drop(tw_core *core, tw_job *job) {
     if (!job->chunks) return;
-    tw_parts_stale(core, job->id, job->chunks->name, job->chunks->count);
-    tw_parts_free(job);
+    tw_chunks_add_stale(core, job->id, job->chunks->name, job->chunks->count);
+    tw_chunks_free(job);
 }
 
-void tw_parts_named(tw_core *core, job *job, const char *set, int slices) {
+void tw_chunks_set_current(tw_core *core, tw_job *job, const char *set, int slices) {
     if (strcmp(job->chunk_set, set) != 0) {
-        if (*job->chunk_set) tw_parts_stale(core, job->id, job->chunk_set, job->chunk_count);
+        if (*job->chunk_set) tw_chunks_add_stale(core, job->id, job->chunk_set, job->chunk_count);
         snprintf(job->chunk_set, sizeof job->chunk_set, "%s", set);
     }
     job->chunk_count = slices;
@@ -148,21 +148,22 @@
 
 /* A transaction of these changes, conditioned on the leader's key alone: what a set holds never
  * changes. */
-static call *send_changes(tw_core *core, call_kind kind, const tw_wire_write *changes, int count) {
-    tw_take(core, &core->write_limiter, count);
-    tw_take(core, &core->request_limiter, 1);
+static tw_call *send_changes(tw_core *core, tw_call_kind kind, const tw_wire_write *changes,
+                             int count) {
+    tw_rate_limiter_try_acquire(core, &core->write_limiter, count);
+    tw_rate_limiter_try_acquire(core, &core->request_limiter, 1);
     const tw_wire_compare condition = {TW_LEADER_KEY, core->fencing_token};
-    call *sent =
-        tw_call(core, kind, TW_TO_STATE, core->config->state, "POST", "/txn",
-                tw_wire_txn_text(&condition, 1, changes, (size_t)count), txn_timeout_s(core));
+    tw_call *sent =
+        tw_call_send(core, kind, TW_TO_STATE, core->config->state, "POST", "/txn",
+                     tw_wire_txn_text(&condition, 1, changes, (size_t)count), txn_timeout_s(core));
     sent->count = count;
     core->transactions_in_flight++;
     return sent;
 }
 
-static void send_slices(tw_core *core, job *job, int most) {
-    record_parts *parts = job->chunks;
-    char keys[MAX_SLICES][PART_KEY_SIZE];
+static void send_slices(tw_core *core, tw_job *job, int most) {
+    tw_record_chunks *parts = job->chunks;
+    char keys[MAX_SLICES][TW_CHUNK_KEY_SIZE];
     tw_wire_write writes[MAX_SLICES];
     size_t bytes = SLICE_FRAME_BYTES;
     int count = 0;
@@ -174,39 +175,40 @@
         writes[count] = (tw_wire_write){keys[count], parts->texts[number], 0};
         count++;
     }
-    call *sent = send_changes(core, K_PARTS, writes, count);
+    tw_call *sent = send_changes(core, TW_CALL_WRITE_CHUNKS, writes, count);
     snprintf(sent->name, sizeof sent->name, "%s", job->id);
     sent->text = strdup(parts->name);
     parts->write_in_flight = 1;
 }
 
-void tw_parts_flush(tw_core *core, int most) {
-    job *job;
+void tw_chunks_flush(tw_core *core, int most) {
+    tw_job *job;
     DL_FOREACH2(core->pending_writes, job, write_next) {
-        const int budget = (int)fmin(most, tw_peek(core, &core->write_limiter));
-        if (core->transactions_in_flight >= TW_MAX_TXNS || budget < 1 ||
-            tw_peek(core, &core->request_limiter) < 1)
+        const int budget = (int)fmin(most, tw_rate_limiter_available(core, &core->write_limiter));
+        if (core->transactions_in_flight >= TW_MAX_TRANSACTIONS || budget < 1 ||
+            tw_rate_limiter_available(core, &core->request_limiter) < 1)
             return;
         if (!job->chunks) continue;
         /* The end of a job doesn't wait for what it was before. */
-        if (!job->chunks->record_sent && job->chunks->state != job->state) tw_parts_drop(core, job);
-        if (!job->chunks || job->chunks->write_in_flight || tw_parts_written(job)) continue;
+        if (!job->chunks->record_sent && job->chunks->state != job->state)
+            tw_chunks_drop(core, job);
+        if (!job->chunks || job->chunks->write_in_flight || tw_chunks_all_written(job)) continue;
         if (core->now >= job->write_after) send_slices(core, job, budget);
     }
 }
 
 /* ---- removing ---- */
 
-void tw_parts_stale(tw_core *core, const char *id, const char *set, int slices) {
-    stale_set *stale = tw_zalloc(sizeof *stale);
+void tw_chunks_add_stale(tw_core *core, const char *id, const char *set, int slices) {
+    tw_stale_chunk_set *stale = tw_alloc(sizeof *stale);
     snprintf(stale->id, sizeof stale->id, "%s", id);
     snprintf(stale->set, sizeof stale->set, "%s", set);
     stale->count = slices;
     DL_APPEND2(core->stale_chunk_sets, stale, prev, next_set);
 }
 
-void tw_parts_forget_stale(tw_core *core) {
-    stale_set *stale, *next;
+void tw_chunks_forget_stale(tw_core *core) {
+    tw_stale_chunk_set *stale, *next;
     DL_FOREACH_SAFE2(core->stale_chunk_sets, stale, next, next_set) {
         DL_DELETE2(core->stale_chunk_sets, stale, prev, next_set);
         free(stale);
@@ -215,26 +217,27 @@
     core->next_chunk_removal_at = 0;
 }
 
-void tw_parts_remove(tw_core *core, int most) {
-    stale_set *stale = core->stale_chunk_sets;
+void tw_chunks_remove_stale(tw_core *core, int most) {
+    tw_stale_chunk_set *stale = core->stale_chunk_sets;
     if (!stale || core->chunk_removal_in_flight || core->now < core->next_chunk_removal_at ||
-        core->transactions_in_flight >= TW_MAX_TXNS || tw_peek(core, &core->request_limiter) < 1)
+        core->transactions_in_flight >= TW_MAX_TRANSACTIONS ||
+        tw_rate_limiter_available(core, &core->request_limiter) < 1)
         return;
-    most = (int)fmin(most, fmin(MAX_SLICES, tw_peek(core, &core->write_limiter)));
+    most = (int)fmin(most, fmin(MAX_SLICES, tw_rate_limiter_available(core, &core->write_limiter)));
     const int count = (int)fmin(most, stale->count - stale->next);
     if (count < 1) return;
-    char keys[MAX_SLICES][PART_KEY_SIZE];
+    char keys[MAX_SLICES][TW_CHUNK_KEY_SIZE];
     tw_wire_write removals[MAX_SLICES];
     for (int i = 0; i < count; i++) {
         part_key(keys[i], stale->id, stale->set, stale->next + i);
         removals[i] = (tw_wire_write){keys[i], NULL, 0};
     }
-    send_changes(core, K_PARTS_REMOVE, removals, count);
+    send_changes(core, TW_CALL_REMOVE_CHUNKS, removals, count);
     core->chunk_removal_in_flight = 1;
 }
 
-void tw_parts_removed(tw_core *core, const call *call, int status) {
-    stale_set *stale = core->stale_chunk_sets;
+void tw_chunks_removal_response(tw_core *core, const tw_call *call, int status) {
+    tw_stale_chunk_set *stale = core->stale_chunk_sets;
     core->transactions_in_flight--;
     core->chunk_removal_in_flight = 0;
     if (!stale) return;
--- a/src/core/record_refused.c
+++ b/src/core/record_refused.c
@@ -9,32 +9,32 @@
 #define LONGEST_PAUSE_S 10.0
 #define DOUBLINGS 8
 
-void tw_record_refused(tw_core *core, job *job, size_t bytes) {
+void tw_record_refused(tw_core *core, tw_job *job, size_t bytes) {
     if (bytes && (!job->refused_bytes || bytes < job->refused_bytes)) job->refused_bytes = bytes;
-    if (bytes && tw_record_divides(core, job, bytes)) return;
+    if (bytes && tw_record_needs_chunks(core, job, bytes)) return;
     const int doublings = job->size_refusals < DOUBLINGS ? job->size_refusals : DOUBLINGS;
     const double pause_s = fmin(LONGEST_PAUSE_S, FIRST_PAUSE_S * (double)(1 << doublings));
     job->size_refusals++;
     job->write_after = core->now + pause_s;
     tw_log_error("event=too_large id=%s bytes=%zu pause_s=%.2f", job->id, bytes, pause_s);
-    tw_job_turn_away(core, job);
+    tw_job_reject_waiting_clients(core, job);
 }
 
 /* A node of the old version came back: what it can't read is written whole, if that fits. */
 static void write_whole_again(tw_core *core) {
-    job *job;
+    tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (!*job->chunk_set) continue;
-        char *text = tw_job_record(job);
-        if (!tw_record_divides(core, job, strlen(text))) tw_job_changed(core, job, 0);
+        char *text = tw_job_record_text(job);
+        if (!tw_record_needs_chunks(core, job, strlen(text))) tw_job_mark_changed(core, job, 0);
         free(text);
     }
 }
 
-void tw_record_peers(tw_core *core) {
-    const int divides = tw_all_read_divided(core);
-    const int heard_old = tw_heard_old_peer(core);
-    job *job;
+void tw_record_format_update(tw_core *core) {
+    const int divides = tw_peers_all_read_chunks(core);
+    const int heard_old = tw_peers_any_lacks_chunks(core);
+    tw_job *job;
     if (divides != core->peers_read_chunks) tw_log_info("event=record_format divided=%d", divides);
     if (divides && !core->peers_read_chunks) {
         DL_FOREACH2(core->pending_writes, job, write_next) {
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -21,7 +21,7 @@
 #define LEAST_LIVE 2
 #define DECIMAL 10
 
-size_t tw_record_room(const tw_core *core) {
+size_t tw_record_value_size(const tw_core *core) {
     const double bytes = core->config->state_value_kb * KB;
     return (size_t)fmin(MOST_VALUE_BYTES, bytes - bytes / SPARE_PART);
 }
@@ -36,7 +36,7 @@
 }
 
 /* Length of the job as it stands in its record. */
-static size_t spec_bytes(job *job) {
+static size_t spec_bytes(tw_job *job) {
     if (job->spec_bytes || !job->has_spec) return job->spec_bytes;
     if (!job->spec_text)
         job->spec_text = tw_wire_job_text(&job->spec); /* its record needs it, too */
@@ -44,15 +44,15 @@
     return job->spec_bytes;
 }
 
-int tw_max_live(const tw_core *core, job *job) {
+int tw_record_max_running(const tw_core *core, tw_job *job) {
     /* A gang runs whole: its record is divided where it must be. */
-    if (job->spec.gang && tw_all_read_divided(core)) return job->task_count;
+    if (job->spec.gang && tw_peers_all_read_chunks(core)) return job->task_count;
     const int index = digits((uint64_t)job->task_count);
     const int attempt = digits(job->next_attempt + (uint64_t)job->task_count);
     const double task = index + attempt + (double)core->longest_machine_name + TASK_SIGNS;
     const double range = 2 * index + RANGE_SIGNS;
     const double single = index + 1; /* a range of one task */
-    const double room = (double)tw_record_room(core) - FRAME_BYTES - (double)spec_bytes(job);
+    const double room = (double)tw_record_value_size(core) - FRAME_BYTES - (double)spec_bytes(job);
     /* Bytes of n live tasks: n * task, and of the others, all done, either n + 1 ranges or, where
      * that is less, one for each. Both grow with n. */
     const double by_ranges = (room - range) / (task + range);
--- a/src/core/recover.c
+++ b/src/core/recover.c
@@ -14,8 +14,8 @@
 /* Machines rented by a predecessor are surely in the list after so many times its lag. */
 #define LIST_LAGS 1.2
 
-void tw_recover_begin(tw_core *core) {
-    core->phase = PH_LOADING;
+void tw_failover_begin(tw_core *core) {
+    core->phase = TW_PHASE_LOADING;
     *core->load_cursor = 0;
     core->loading_chunks = 1;
     core->load_in_flight = 0;
@@ -27,27 +27,28 @@
     core->expiry_decided_at = 0;
     core->next_delegates_read_at = 0;
     for (size_t i = 0; i < core->peer_count; i++) core->peers[i].delegate_revision = 0;
-    tw_deputies_read(core);
-    tw_recover_tick(core);
+    tw_delegates_read(core);
+    tw_failover_tick(core);
 }
 
-void tw_recover_tick(tw_core *core) {
+void tw_failover_tick(tw_core *core) {
     if (core->load_in_flight || core->now < core->next_load_at) return;
     char path[PATH_SIZE];
     const int length = snprintf(path, sizeof path, "/kv?starts=%s&most=%d",
-                                core->loading_chunks ? PART_KEY : JOB_KEY, PAGE_SIZE);
+                                core->loading_chunks ? TW_CHUNK_KEY : TW_JOB_KEY, PAGE_SIZE);
     if (*core->load_cursor)
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s", core->load_cursor);
     core->load_in_flight = 1;
-    tw_call(core, K_LOAD, TW_TO_STATE, core->config->state, "GET", path, NULL, PAGE_TIMEOUT_S);
+    tw_call_send(core, TW_CALL_LOAD_RECORDS, TW_TO_STATE, core->config->state, "GET", path, NULL,
+                 PAGE_TIMEOUT_S);
 }
 
 /* All records are read: decisions begin. */
 static void begin_deciding(tw_core *core) {
-    const size_t finished = tw_finished_count(core->completed_jobs);
+    const size_t finished = tw_completed_jobs_count(core->completed_jobs);
     const int any = core->jobs || finished;
-    core->phase = PH_ACTIVE;
-    tw_loaded_end(core);
+    core->phase = TW_PHASE_ACTIVE;
+    tw_chunk_loader_finish(core);
     core->scheduling_due = 1;
     core->next_pass_at = core->now;
     core->next_machine_list_at = core->now;
@@ -63,36 +64,36 @@
 static void adopt_divided(tw_core *core, const char *id, const tw_wire_record *head,
                           uint64_t stamp) {
     tw_wire_record record;
-    char *text = tw_loaded_text(core, id, head);
+    char *text = tw_chunk_loader_text(core, id, head);
     if (!text || tw_wire_record_parse(&record, id, text, strlen(text))) {
-        tw_log_error("event=bad_record key=" JOB_KEY "%.32s set=%s", id, head->chunk_set);
+        tw_log_error("event=bad_record key=" TW_JOB_KEY "%.32s set=%s", id, head->chunk_set);
         free(text);
         return;
     }
     free(text);
-    tw_adopt(core, id, &record, stamp);
+    tw_job_restore(core, id, &record, stamp);
     tw_wire_record_free(&record);
-    job *job = tw_job_find(core, id);
-    if (job) tw_parts_named(core, job, head->chunk_set, head->chunk_count);
+    tw_job *job = tw_job_find(core, id);
+    if (job) tw_chunks_set_current(core, job, head->chunk_set, head->chunk_count);
 }
 
 static void adopt_listed(tw_core *core, tw_wire_listed_record *listed) {
-    const char *id = listed->key + sizeof JOB_KEY - 1;
+    const char *id = listed->key + sizeof TW_JOB_KEY - 1;
     if (!listed->readable)
         tw_log_error("event=bad_record key=%.32s", listed->key);
-    else if (tw_job_known(core, id))
+    else if (tw_job_is_known(core, id))
         return;
     else if (*listed->record.chunk_set)
         adopt_divided(core, id, &listed->record, listed->mod_revision);
     else
-        tw_adopt(core, id, &listed->record, listed->mod_revision);
+        tw_job_restore(core, id, &listed->record, listed->mod_revision);
 }
 
 /* -1: it can't be read. */
 static int take_slices(tw_core *core, const char *body, size_t len) {
     int more;
     const int count =
-        tw_loaded_page(core, body, len, &more, core->load_cursor, sizeof core->load_cursor);
+        tw_chunk_loader_page(core, body, len, &more, core->load_cursor, sizeof core->load_cursor);
     if (count < 0) return -1;
     if (more && count) return 0;
     core->loading_chunks = 0;
@@ -104,7 +105,7 @@
 static int take_records(tw_core *core, const char *body, size_t len) {
     tw_wire_listed_record *listed;
     int count, more;
-    if (tw_wire_records_parse(&listed, &count, &more, JOB_KEY, body, len)) return -1;
+    if (tw_wire_records_parse(&listed, &count, &more, TW_JOB_KEY, body, len)) return -1;
     for (int i = 0; i < count; i++) adopt_listed(core, &listed[i]);
     if (count) snprintf(core->load_cursor, sizeof core->load_cursor, "%s", listed[count - 1].key);
     tw_wire_records_free(listed, count);
@@ -112,49 +113,50 @@
     return 0;
 }
 
-void tw_recover_page(tw_core *core, int status, const char *body, size_t len) {
+void tw_failover_page(tw_core *core, int status, const char *body, size_t len) {
     core->load_in_flight = 0;
     const int slices = core->loading_chunks;
     if (status != TW_HTTP_OK ||
         (slices ? take_slices(core, body, len) : take_records(core, body, len))) {
         /* Retries at the limit would leave this term's own renewals no room. */
         core->next_load_at = core->now + fmax(core->leader_lease_s * REFUSED_LEASES,
-                                              tw_refused_wait_s(core, status));
+                                              tw_rate_limited_wait_s(core, status));
         return;
     }
     core->store_answered_at = core->now;
-    if (core->phase == PH_LOADING) tw_recover_tick(core);
+    if (core->phase == TW_PHASE_LOADING) tw_failover_tick(core);
 }
 
 /* The tasks that are done, and those that may run, as the record has them. */
-static void adopt_tasks(tw_core *core, job *job, const tw_wire_record *record) {
+static void adopt_tasks(tw_core *core, tw_job *job, const tw_wire_record *record) {
     const int cancelled = record->state == TW_JOB_CANCELLED;
-    job->task_states = tw_zalloc((size_t)job->task_count);
-    job->done_count = record->done_ranges ? tw_ranges_apply(job->task_states, job->task_count,
-                                                            record->done_ranges, T_DONE)
-                                          : 0;
+    job->task_states = tw_alloc((size_t)job->task_count);
+    job->done_count = record->done_ranges
+                          ? tw_task_ranges_apply(job->task_states, job->task_count,
+                                                 record->done_ranges, TW_ASSIGNMENT_DONE)
+                          : 0;
     for (int i = 0; i < record->assignment_count; i++) {
         const tw_wire_assignment *live = &record->assignments[i];
-        machine *machine = tw_machine(core, live->worker);
+        tw_machine *machine = tw_machine_find(core, live->worker);
         if (!machine) machine = tw_machine_new(core, live->worker);
-        if (job->task_states[live->index] != T_FREE) continue;
-        placement *placed = tw_place(core, job, live->index, machine, live->attempt);
+        if (job->task_states[live->index] != TW_ASSIGNMENT_NONE) continue;
+        tw_placement *placed = tw_placement_new(core, job, live->index, machine, live->attempt);
         if (!placed) continue;
         placed->inherited = 1;
         placed->launch_sent = 1;
         placed->version = 0;
         if (cancelled) placed->stopping = 1;
     }
-    if (job->spec.gang) tw_gang_adopted(job);
-    if (cancelled) tw_job_cancelled(core, job);
+    if (job->spec.gang) tw_gang_restored(job);
+    if (cancelled) tw_job_note_cancelled(core, job);
 }
 
-void tw_adopt(tw_core *core, const char *id, tw_wire_record *record, uint64_t stamp) {
+void tw_job_restore(tw_core *core, const char *id, tw_wire_record *record, uint64_t stamp) {
     if (record->state != TW_JOB_PENDING && !record->assignment_count) {
-        tw_job_ended(core, id, record->state, record->done_count);
+        tw_job_note_completed(core, id, record->state, record->done_count);
         return;
     }
-    job *job = tw_job_new(core, id);
+    tw_job *job = tw_job_new(core, id);
     job->record_exists = 1;
     job->mod_revision = stamp;
     job->task_count = record->task_count;
@@ -167,7 +169,7 @@
     job->durable_state = record->state;
     job->version = 1;
     job->durable_version = 1;
-    if (record->has_job) tw_job_spec(core, job, &record->job);
+    if (record->has_job) tw_job_set_spec(core, job, &record->job);
     adopt_tasks(core, job, record);
     DL_APPEND(core->active_jobs, job);
     core->scheduling_due = 1;
--- a/src/core/redirect.c
+++ b/src/core/redirect.c
@@ -9,21 +9,21 @@
 /* Workers that came back from a node within a lease, from which on none is sent there. */
 #define SHUN_AFTER 3
 
-static int live_in_zone(const tw_core *core, const peer *node, const char *zone) {
+static int live_in_zone(const tw_core *core, const tw_peer *node, const char *zone) {
     return !strcmp(node->config.zone, zone) &&
            node->answered_at > core->now - 1 - 0.5 * core->leader_lease_s;
 }
 
-int tw_zone_reached(const tw_core *core, const char *zone) {
+int tw_zone_has_live_peer(const tw_core *core, const char *zone) {
     for (size_t i = 0; i < core->peer_count; i++)
         if (live_in_zone(core, &core->peers[i], zone)) return 1;
     return 0;
 }
 
-peer *tw_home_of(tw_core *core, const char *zone) {
-    peer *any = NULL;
+tw_peer *tw_worker_home_find(tw_core *core, const char *zone) {
+    tw_peer *any = NULL;
     for (size_t i = 0; i < core->peer_count; i++) {
-        peer *node = &core->peers[i];
+        tw_peer *node = &core->peers[i];
         if (!live_in_zone(core, node, zone) || core->now < node->avoided_until) continue;
         if (node->failover_in_time) return node;
         if (!any) any = node;
@@ -32,7 +32,7 @@
 }
 
 /* A worker came back from the node. */
-static void note_came_back(tw_core *core, peer *node) {
+static void note_came_back(tw_core *core, tw_peer *node) {
     if (core->now > node->avoid_counted_from + core->config->lease_s) {
         node->avoid_counted_from = core->now;
         node->returned_workers = 0;
@@ -44,7 +44,7 @@
 
 /* Forgets redirects that are older than a lease, once a lease. */
 static void tidy(tw_core *core) {
-    redirect *known, *next;
+    tw_worker_redirect *known, *next;
     if (core->now < core->next_redirect_sweep_at) return;
     core->next_redirect_sweep_at = core->now + core->config->lease_s;
     HASH_ITER(hh, core->worker_redirects, known, next) {
@@ -54,8 +54,8 @@
     }
 }
 
-int tw_redirect(tw_core *core, uint64_t conn, const char *worker, peer *to) {
-    redirect *last;
+int tw_worker_redirect_to(tw_core *core, uint64_t conn, const char *worker, tw_peer *to) {
+    tw_worker_redirect *last;
     HASH_FIND_STR(core->worker_redirects, worker, last);
     /* A worker that is sent between two nodes, each of which names the other, loses its lease. */
     if (last && last->target == to && core->now < last->at + core->config->lease_s) {
@@ -66,7 +66,7 @@
     tidy(core);
     HASH_FIND_STR(core->worker_redirects, worker, last);
     if (!last) {
-        last = tw_zalloc(sizeof *last);
+        last = tw_alloc(sizeof *last);
         snprintf(last->name, sizeof last->name, "%s", worker);
         HASH_ADD_STR(core->worker_redirects, name, last);
     }
@@ -78,9 +78,9 @@
     return 1;
 }
 
-int tw_redirect_home(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
-    peer *home = tw_home_of(core, report->zone);
-    return home && tw_redirect(core, conn, report->worker, home);
+int tw_worker_redirect_home(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
+    tw_peer *home = tw_worker_home_find(core, report->zone);
+    return home && tw_worker_redirect_to(core, conn, report->worker, home);
 }
 
 /* Whether all other nodes answer: no time to redirect workers otherwise. */
@@ -90,14 +90,15 @@
     return 1;
 }
 
-int tw_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
+int tw_worker_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
     if (core->failover_in_time || !all_live(core)) return 0;
-    peer *safer = tw_home_of(core, report->zone);
-    return safer && safer->failover_in_time && tw_redirect(core, conn, report->worker, safer);
+    tw_peer *safer = tw_worker_home_find(core, report->zone);
+    return safer && safer->failover_in_time &&
+           tw_worker_redirect_to(core, conn, report->worker, safer);
 }
 
-void tw_redirect_end(tw_core *core) {
-    redirect *known, *next;
+void tw_worker_redirects_free(tw_core *core) {
+    tw_worker_redirect *known, *next;
     HASH_ITER(hh, core->worker_redirects, known, next) {
         HASH_DEL(core->worker_redirects, known);
         free(known);
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -24,7 +24,7 @@
         free(body);
         return;
     }
-    held_report *held = tw_zalloc(sizeof *held);
+    tw_held_heartbeat *held = tw_alloc(sizeof *held);
     held->connection = conn;
     snprintf(held->worker, sizeof held->worker, "%s", worker);
     held->body = body;
@@ -36,14 +36,15 @@
 /* Hands a report to the leader; else answers it as a deputy, or holds it until the time. Takes the
  * body. */
 static void hand_on(tw_core *core, uint64_t conn, const char *worker, char *body, double until) {
-    const peer *leader = *core->leader_name ? tw_peer_of(core, core->leader_name) : NULL;
+    const tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
     if (!leader) {
         hold(core, conn, worker, body, until);
         return;
     }
     if (core->now >= core->forwarding_paused_until) {
-        call *sent = tw_call(core, K_RELAY, TW_TO_PEER, leader->config.addr, "POST", "/peer/hello",
-                             strdup(body), RELAY_TIMEOUT_S);
+        tw_call *sent =
+            tw_call_send(core, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader->config.addr, "POST",
+                         "/peer/hello", strdup(body), RELAY_TIMEOUT_S);
         sent->connection = conn;
         sent->text = body;
         sent->until = until;
@@ -56,7 +57,7 @@
     if (!report) {
         tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         free(body);
-    } else if (tw_deputy_answers(core, conn, report)) {
+    } else if (tw_delegate_answer_heartbeat(core, conn, report)) {
         free(body);
     } else {
         hold(core, conn, worker, body, until);
@@ -66,18 +67,18 @@
 /* A report that waited: answered by this node where it leads by now. Takes the body. */
 static void take_up(tw_core *core, uint64_t conn, const char *worker, char *body, double until) {
     /* A leader without power to answer must not let a report wait anew: its worker waits 4 s. */
-    if (!tw_may(core, RIGHT_RENEW)) {
+    if (!tw_leader_may(core, TW_PERMISSION_RENEW)) {
         hand_on(core, conn, worker, body, until);
         return;
     }
-    tw_hello(core, conn, body, strlen(body), 0);
+    tw_worker_heartbeat_receive(core, conn, body, strlen(body), 0);
     free(body);
 }
 
-void tw_relay_tick(tw_core *core) {
+void tw_held_heartbeats_tick(tw_core *core) {
     if (!core->held_heartbeats || core->now < core->next_held_retry_at) return;
     core->next_held_retry_at = core->now + RETRY_S;
-    held_report *list = core->held_heartbeats, *held, *next;
+    tw_held_heartbeat *list = core->held_heartbeats, *held, *next;
     core->held_heartbeats = NULL;
     core->held_count = 0;
     DL_FOREACH_SAFE(list, held, next) {
@@ -86,46 +87,47 @@
     }
 }
 
-void tw_relay_retry(tw_core *core) {
+void tw_held_heartbeats_retry(tw_core *core) {
     core->next_held_retry_at = core->now;
-    tw_relay_tick(core);
+    tw_held_heartbeats_tick(core);
 }
 
 /* The text, with an end, in memory of its own. */
 static char *copy_of(const char *text, size_t len) {
-    char *copy = tw_zalloc(len + 1);
+    char *copy = tw_alloc(len + 1);
     memcpy(copy, text, len);
     return copy;
 }
 
-void tw_relay_hello(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report, const char *body,
-                    size_t len) {
+void tw_heartbeat_forward(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report,
+                          const char *body, size_t len) {
     if (!strcmp(report->zone, core->config->location)) {
-        if (tw_redirect_safer(core, conn, report)) return;
+        if (tw_worker_redirect_safer(core, conn, report)) return;
     } else {
-        if (tw_redirect_home(core, conn, report)) return;
+        if (tw_worker_redirect_home(core, conn, report)) return;
         /* Where its zone has no node that answers it, the leader does; through us, if it comes back
          * from there as well. */
-        peer *leader = *core->leader_name ? tw_peer_of(core, core->leader_name) : NULL;
+        tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
         if (!leader) {
             tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
         }
-        if (!tw_home_of(core, report->zone) && core->now >= leader->avoided_until &&
-            tw_redirect(core, conn, report->worker, leader))
+        if (!tw_worker_home_find(core, report->zone) && core->now >= leader->avoided_until &&
+            tw_worker_redirect_to(core, conn, report->worker, leader))
             return;
     }
     hand_on(core, conn, report->worker, copy_of(body, len), core->now + HOLD_S);
 }
 
-void tw_relay_response(tw_core *core, call *sent, int status, const char *body, size_t len) {
+void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
+                                   size_t len) {
     char *report = sent->text;
     sent->text = NULL;
-    if (core->role != R_FOLLOWER) { /* it is us by now */
+    if (core->role != TW_ROLE_FOLLOWER) { /* it is us by now */
         take_up(core, sent->connection, sent->name, report, sent->until);
     } else if (status == TW_HTTP_OK) {
         core->forwarding_paused_until = 0;
-        tw_deputy_relayed(core, sent->name, sent->sent_at);
+        tw_delegate_note_forwarded(core, sent->name, sent->sent_at);
         tw_reply(core, sent->connection, TW_HTTP_OK, 0, copy_of(body, len));
         free(report);
     } else if (!status) {
@@ -136,8 +138,8 @@
     }
 }
 
-void tw_relay_end(tw_core *core) {
-    held_report *held, *next;
+void tw_held_heartbeats_free(tw_core *core) {
+    tw_held_heartbeat *held, *next;
     DL_FOREACH_SAFE(core->held_heartbeats, held, next) {
         free(held->body);
         free(held);
--- a/src/core/relay.h
+++ b/src/core/relay.h
@@ -8,21 +8,21 @@
 /* redirect.c */
 /* Names the node that a worker should report to, unless it comes back from there: 0, it is to be
  * answered here. */
-int tw_redirect(tw_core *core, uint64_t conn, const char *worker, peer *to);
+int tw_worker_redirect_to(tw_core *core, uint64_t conn, const char *worker, tw_peer *to);
 
 /* deputy.c */
 /* Writes the key of the node as a deputy. */
-void tw_deputy_key(char *key, const char *node);
+void tw_delegate_key(char *key, const char *node);
 /* The leader answered the worker through this node, to a report sent to it at that time. */
-void tw_deputy_relayed(tw_core *core, const char *worker, double at);
+void tw_delegate_note_forwarded(tw_core *core, const char *worker, double at);
 /* Whether this node may answer the worker in the leader's place. */
-int tw_deputy_entitled(tw_core *core, const char *worker, const char *zone);
+int tw_delegate_is_entitled(tw_core *core, const char *worker, const char *zone);
 /* Answers a report in the leader's place, if this node is entitled to; 0: it is not, and asks to be
  * where the worker is of its zone. */
-int tw_deputy_answers(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
+int tw_delegate_answer_heartbeat(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
 
 /* relay.c */
 /* Tries all held reports again at once. */
-void tw_relay_retry(tw_core *core);
+void tw_held_heartbeats_retry(tw_core *core);
 
 #endif
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -20,28 +20,29 @@
     char names[RETURNED_AT_ONCE][TW_NAME_SIZE];
     int count = 0;
     if (!core->returns_due) return;
-    machine *machine;
-    struct machine *next;
+    tw_machine *machine;
+    struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         if (!machine->return_wanted || machine->return_in_flight || count >= RETURNED_AT_ONCE)
             continue;
         snprintf(names[count++], TW_NAME_SIZE, "%s", machine->name);
     }
     core->returns_due = count > 0; /* until none is left */
-    if (!count || !tw_take(core, &core->cloud_limiter, 1)) return;
-    for (int i = 0; i < count; i++) tw_machine(core, names[i])->return_in_flight = 1;
-    call *call = tw_call(core, K_RELEASE, TW_TO_CLOUD, core->config->cloud, "POST",
-                         "/rentals/release", tw_wire_machine_names_text(names, count), TIMEOUT_S);
+    if (!count || !tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1)) return;
+    for (int i = 0; i < count; i++) tw_machine_find(core, names[i])->return_in_flight = 1;
+    tw_call *call =
+        tw_call_send(core, TW_CALL_RETURN_MACHINES, TW_TO_CLOUD, core->config->cloud, "POST",
+                     "/rentals/release", tw_wire_machine_names_text(names, count), TIMEOUT_S);
     call->count = count;
-    call->names = tw_zalloc((size_t)count * TW_NAME_SIZE);
+    call->names = tw_alloc((size_t)count * TW_NAME_SIZE);
     memcpy(call->names, names, (size_t)count * TW_NAME_SIZE);
     core->return_in_flight = 1;
 }
 
-static void returns_done(tw_core *core, const call *call, int status) {
+static void returns_done(tw_core *core, const tw_call *call, int status) {
     core->return_in_flight = 0;
     for (int i = 0; i < call->count; i++) {
-        machine *machine = tw_machine(core, call->names[i]);
+        tw_machine *machine = tw_machine_find(core, call->names[i]);
         if (!machine) continue;
         if (status != TW_HTTP_OK) {
             machine->return_in_flight = 0; /* asked again: releasing twice is harmless */
@@ -49,20 +50,20 @@
             core->next_return_at = core->now + RETRY_S;
             continue;
         }
-        expiring *returned = tw_zalloc(sizeof *returned);
+        tw_expiring_name *returned = tw_alloc(sizeof *returned);
         snprintf(returned->name, sizeof returned->name, "%s", machine->name);
         returned->at = core->now;
         HASH_ADD_STR(core->returned_machines, name, returned);
-        tw_machine_drop(core, machine, "released");
+        tw_machine_forget(core, machine, "released");
     }
 }
 
 /* ---- rental requests ---- */
 
 /* The offer that a request is for: offers stay, so there is one. */
-static offer *offer_of(const tw_core *core, const rental_request *request) {
+static tw_capacity_offer *offer_of(const tw_core *core, const tw_rental_request *request) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
-        offer *offer = &core->capacity_offers[i];
+        tw_capacity_offer *offer = &core->capacity_offers[i];
         if (offer->type_index == request->type_index && offer->zone_index == request->zone_index &&
             offer->spot == request->spot)
             return offer;
@@ -70,23 +71,24 @@
     return NULL;
 }
 
-static void send_request(tw_core *core, rental_request *request) {
-    const offer *offer = offer_of(core, request);
+static void send_request(tw_core *core, tw_rental_request *request) {
+    const tw_capacity_offer *offer = offer_of(core, request);
     request->in_flight = 1;
-    call *call = tw_call(core, K_RENT, TW_TO_CLOUD, core->config->cloud, "POST", "/rentals",
-                         tw_wire_rental_request_text(
-                             request->name, core->machine_types[request->type_index].listed.name,
-                             tw_offer_yard(core, offer), request->spot, request->machine_count),
-                         TIMEOUT_S);
+    tw_call *call = tw_call_send(
+        core, TW_CALL_RENT_MACHINES, TW_TO_CLOUD, core->config->cloud, "POST", "/rentals",
+        tw_wire_rental_request_text(
+            request->name, core->machine_types[request->type_index].listed.name,
+            tw_offer_zone(core, offer), request->spot, request->machine_count),
+        TIMEOUT_S);
     snprintf(call->name, sizeof call->name, "%s", request->name);
 }
 
 /* The offer that most machines have been wanted of for longest. */
-static offer *most_wanted(const tw_core *core) {
-    offer *best = NULL;
+static tw_capacity_offer *most_wanted(const tw_core *core) {
+    tw_capacity_offer *best = NULL;
     double most = 0;
     for (int i = 0; i < core->capacity_offer_count; i++) {
-        offer *offer = &core->capacity_offers[i];
+        tw_capacity_offer *offer = &core->capacity_offers[i];
         if (offer->wanted <= 0 || core->now < offer->refused_until) continue;
         const double wanted = offer->wanted * (core->now - offer->wanted_since + 0.5);
         if (wanted <= most) continue;
@@ -96,8 +98,8 @@
     return best;
 }
 
-static void request_of(tw_core *core, offer *offer) {
-    rental_request *request = tw_zalloc(sizeof *request);
+static void request_of(tw_core *core, tw_capacity_offer *offer) {
+    tw_rental_request *request = tw_alloc(sizeof *request);
     /* The token makes the name unlike any of another leader's. */
     snprintf(request->name, sizeof request->name, "r-%llu-%llu",
              (unsigned long long)core->fencing_token,
@@ -105,52 +107,52 @@
     request->type_index = offer->type_index;
     request->zone_index = offer->zone_index;
     request->spot = offer->spot;
-    request->machine_count = offer->wanted > TW_RENT_NUMBER ? TW_RENT_NUMBER : offer->wanted;
+    request->machine_count = offer->wanted > TW_MAX_RENTAL ? TW_MAX_RENTAL : offer->wanted;
     offer->wanted -= request->machine_count;
     offer->wanted_since = offer->wanted ? core->now : 0;
     DL_APPEND(core->rental_requests, request);
     send_request(core, request);
 }
 
-static void take_rented(tw_core *core, const rental_request *request, const char *name,
+static void take_rented(tw_core *core, const tw_rental_request *request, const char *name,
                         double sent) {
-    const expiring *returned;
+    const tw_expiring_name *returned;
     HASH_FIND_STR(core->returned_machines, name, returned);
-    if (returned || tw_machine(core, name)) return;
-    machine *machine = tw_machine_new(core, name);
+    if (returned || tw_machine_find(core, name)) return;
+    tw_machine *machine = tw_machine_new(core, name);
     machine->type_index = request->type_index;
     machine->spot = request->spot;
     machine->known_since = sent;
-    tw_machine_at(core, machine, tw_offer_yard(core, offer_of(core, request)));
+    tw_machine_set_zone(core, machine, tw_offer_zone(core, offer_of(core, request)));
     snprintf(machine->type_name, sizeof machine->type_name, "%s",
              core->machine_types[request->type_index].listed.name);
 }
 
-static void granted(tw_core *core, const rental_request *request, char (*names)[TW_WIRE_NAME_SIZE],
-                    int count, double sent) {
-    offer *offer = offer_of(core, request);
+static void granted(tw_core *core, const tw_rental_request *request,
+                    char (*names)[TW_WIRE_NAME_SIZE], int count, double sent) {
+    tw_capacity_offer *offer = offer_of(core, request);
     for (int i = 0; i < count; i++) take_rented(core, request, names[i], sent);
     tw_log_info("event=rented ask=%s rack=%s yard=%s loaner=%d asked=%d got=%d", request->name,
-                core->machine_types[request->type_index].listed.name, tw_offer_yard(core, offer),
+                core->machine_types[request->type_index].listed.name, tw_offer_zone(core, offer),
                 request->spot, request->machine_count, count);
     const int partly = count < request->machine_count;
     offer->refused = partly ? offer->refused + 1 : 0;
     if (partly) offer->refused_until = core->now + core->config->list_lag_s * AFTER_PART_LAGS;
 }
 
-static void refused(tw_core *core, const rental_request *request) {
-    offer *offer = offer_of(core, request);
+static void refused(tw_core *core, const tw_rental_request *request) {
+    tw_capacity_offer *offer = offer_of(core, request);
     offer->refused++;
     offer->refused_until =
         core->now + core->config->list_lag_s * fmin(AFTER_REFUSAL_MOST_LAGS, 1 + offer->refused);
     tw_log_info("event=refused rack=%s yard=%s loaner=%d",
-                core->machine_types[request->type_index].listed.name, tw_offer_yard(core, offer),
+                core->machine_types[request->type_index].listed.name, tw_offer_zone(core, offer),
                 request->spot);
 }
 
-static void request_done(tw_core *core, const call *call, int status, const char *body,
+static void request_done(tw_core *core, const tw_call *call, int status, const char *body,
                          size_t length) {
-    rental_request *request;
+    tw_rental_request *request;
     char(*names)[TW_WIRE_NAME_SIZE];
     int count;
     DL_FOREACH(core->rental_requests, request) if (!strcmp(request->name, call->name)) break;
@@ -181,16 +183,16 @@
     double cores, gpus, batch_gpus;
 } fleet_part;
 
-static void count_machine(fleet_part *part, const machine *machine) {
-    if (machine->state == M_BOOTING) {
+static void count_machine(fleet_part *part, const tw_machine *machine) {
+    if (machine->state == TW_MACHINE_BOOTING) {
         part->coming++;
         return;
     }
     part->up++;
-    part->idle += !tw_machine_works(machine);
+    part->idle += !tw_machine_is_occupied(machine);
     part->cores += machine->used_cores;
     part->gpus += machine->used_gpus;
-    const placement *placed;
+    const tw_placement *placed;
     DL_FOREACH(machine->placements, placed)
     if (placed->counted && !placed->job->spec.service) part->batch_gpus += placed->job->spec.gpus;
 }
@@ -198,9 +200,9 @@
 /* What there is and how full it is, for the operators' eyes. */
 static void log_fleet(const tw_core *core) {
     if (!tw_log_on(TW_LOG_INFO)) return;
-    fleet_part(*parts)[2] = tw_zalloc((size_t)core->machine_type_count * sizeof *parts);
-    const machine *machine;
-    const struct machine *next;
+    fleet_part(*parts)[2] = tw_alloc((size_t)core->machine_type_count * sizeof *parts);
+    const tw_machine *machine;
+    const struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next)
     if (machine->type_index >= 0)
         count_machine(&parts[machine->type_index][!!machine->spot], machine);
@@ -221,31 +223,33 @@
 
 static void ask_types(tw_core *core) {
     if (core->machine_types_in_flight || core->now < core->next_machine_types_at ||
-        !tw_take(core, &core->cloud_limiter, 1))
+        !tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
         return;
     core->machine_types_in_flight = 1;
-    tw_call(core, K_FLAVORS, TW_TO_CLOUD, core->config->cloud, "GET", "/flavors", NULL,
-            TYPES_TIMEOUT_S);
+    tw_call_send(core, TW_CALL_LIST_MACHINE_TYPES, TW_TO_CLOUD, core->config->cloud, "GET",
+                 "/flavors", NULL, TYPES_TIMEOUT_S);
 }
 
 /* Little may be asked of the cloud: what is wanted gathers until a request may go. */
 static void ask_machines(tw_core *core) {
-    rental_request *request;
+    tw_rental_request *request;
     DL_FOREACH(core->rental_requests, request)
     if (!request->in_flight && core->now >= request->next_try &&
-        tw_take(core, &core->cloud_limiter, 1))
+        tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
         send_request(core, request);
-    for (offer *offer; (offer = most_wanted(core)) && tw_take(core, &core->cloud_limiter, 1);)
+    for (tw_capacity_offer *offer;
+         (offer = most_wanted(core)) && tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1);)
         request_of(core, offer);
 }
 
-void tw_rent_tick(tw_core *core) {
+void tw_autoscaler_tick(tw_core *core) {
     ask_types(core);
-    if (core->phase != PH_ACTIVE || !tw_may(core, RIGHT_COMMAND) || !core->machine_type_count)
+    if (core->phase != TW_PHASE_ACTIVE || !tw_leader_may(core, TW_PERMISSION_COMMAND) ||
+        !core->machine_type_count)
         return;
     if (core->now >= core->next_plan_at) {
         core->next_plan_at = core->now + PLAN_EVERY_S;
-        tw_plan(core);
+        tw_autoscaler_plan(core);
     }
     if (core->now >= core->next_fleet_log_at) {
         core->next_fleet_log_at = core->now + FLEET_LOG_LEASES * core->config->lease_s;
@@ -253,24 +257,25 @@
     }
     ask_machines(core);
     if (!core->return_in_flight && core->now >= core->next_return_at) send_returns(core);
-    tw_list_tick(core);
+    tw_machine_list_tick(core);
 }
 
-void tw_rent_response(tw_core *core, call *call, int status, const char *body, size_t length) {
+void tw_autoscaler_response(tw_core *core, tw_call *call, int status, const char *body,
+                            size_t length) {
     switch (call->kind) {
-    case K_FLAVORS:
+    case TW_CALL_LIST_MACHINE_TYPES:
         core->machine_types_in_flight = 0;
-        if (status == TW_HTTP_OK) tw_types_listed(core, body, length);
+        if (status == TW_HTTP_OK) tw_machine_types_response(core, body, length);
         core->next_machine_types_at =
             core->now + (core->machine_type_count ? TYPES_EVERY_S : TYPES_RETRY_S);
         break;
-    case K_LIST:
-        tw_list_page(core, status, body, length);
+    case TW_CALL_LIST_MACHINES:
+        tw_machine_list_page(core, status, body, length);
         break;
-    case K_RENT:
+    case TW_CALL_RENT_MACHINES:
         request_done(core, call, status, body, length);
         break;
-    case K_RELEASE:
+    case TW_CALL_RETURN_MACHINES:
         returns_done(core, call, status);
         break;
     default:
