--- a/src/core/report.c
+++ b/src/core/report.c
@@ -6,8 +6,8 @@
 /* A lease that lapsed although we answered less than this ago, in leases. */
 #define HEARD_LATELY_LEASES 0.5
 
-static placement *find(const machine *machine, const tw_wire_task *told) {
-    placement *each;
+static tw_placement *find(const tw_machine *machine, const tw_wire_task *told) {
+    tw_placement *each;
     DL_FOREACH(machine->placements, each)
     if (each->attempt == told->attempt && each->index == told->index &&
         !strcmp(each->job->id, told->job))
@@ -25,19 +25,20 @@
 }
 
 /* The session is over: the worker has killed and forgotten all. */
-static void new_session(tw_core *core, machine *machine, const tw_wire_heartbeat *report) {
-    const attempt_end end = {.evidence = END_SESSION, .heartbeat = report};
-    placement *each, *next;
+static void new_session(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report) {
+    const tw_attempt_termination end = {.evidence = TW_EVIDENCE_NEW_INCARNATION,
+                                        .heartbeat = report};
+    tw_placement *each, *next;
     int lost = 0;
     DL_FOREACH_SAFE(machine->placements, each, next) {
         const int was_on_job = each->counted;
-        if (tw_attempt_end(core, each, &end)) lost += was_on_job;
+        if (tw_attempt_terminate(core, each, &end)) lost += was_on_job;
     }
     /* It reported, we answered, and still its lease lapsed: it does not hear us. */
     if (machine->confirmed &&
         core->now - machine->answered_at < HEARD_LATELY_LEASES * core->config->lease_s &&
         !machine->lease_expired && deaf_believable(core)) {
-        machine->lost_launches += TW_DEAF_AT;
+        machine->lost_launches += TW_UNRESPONSIVE_AT;
         tw_log_info("event=deaf tray=%s shift=%llu lost=%d", machine->name,
                     (unsigned long long)report->incarnation, lost);
     }
@@ -49,19 +50,20 @@
 }
 
 /* What it says of the machine itself. */
-static void note_machine(tw_core *core, machine *machine, const tw_wire_heartbeat *report) {
+static void note_machine(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report) {
     if (report->incarnation != machine->incarnation) machine->incarnation_learned_at = core->now;
     machine->incarnation = report->incarnation;
     machine->sequence = report->sequence;
-    machine->state = M_UP;
+    machine->state = TW_MACHINE_UP;
     machine->last_contact_at = core->now;
     machine->failed_sends = 0;
     machine->lease_expired = 0;
     machine->spot = report->spot;
     note_text(machine->endpoint, sizeof machine->endpoint, report->endpoint);
-    tw_machine_at(core, machine, report->zone);
+    tw_machine_set_zone(core, machine, report->zone);
     note_text(machine->type_name, sizeof machine->type_name, report->machine_type);
-    if (machine->type_index < 0) machine->type_index = tw_rack_index(core, report->machine_type);
+    if (machine->type_index < 0)
+        machine->type_index = tw_machine_type_index(core, report->machine_type);
     if (!machine->confirmed && report->fencing_token >= core->fencing_token) {
         machine->confirmed = 1;
         machine->confirmed_at = core->now;
@@ -74,50 +76,51 @@
 }
 
 /* The answer that held the launch was lost, and is not executed late. */
-static void not_taken(tw_core *core, placement *placed, const tw_wire_heartbeat *report) {
-    machine *machine = placed->machine;
+static void not_taken(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report) {
+    tw_machine *machine = placed->machine;
     if (placed->stopping) {
-        const attempt_end end = {.evidence = END_NOT_TAKEN, .heartbeat = report};
-        tw_attempt_end(core, placed, &end);
+        const tw_attempt_termination end = {.evidence = TW_EVIDENCE_LAUNCH_LOST,
+                                            .heartbeat = report};
+        tw_attempt_terminate(core, placed, &end);
         return;
     }
     placed->launch_sent = 0;
-    if (++placed->lost_launches >= TW_DEAF_AT && machine->lost_launches < TW_DEAF_AT &&
-        deaf_believable(core)) {
-        machine->lost_launches = TW_DEAF_AT;
+    if (++placed->lost_launches >= TW_UNRESPONSIVE_AT &&
+        machine->lost_launches < TW_UNRESPONSIVE_AT && deaf_believable(core)) {
+        machine->lost_launches = TW_UNRESPONSIVE_AT;
         tw_log_info("event=deaf tray=%s misses=%d", machine->name, placed->lost_launches);
     }
 }
 
 /* A task that the report doesn't name. answers_order: the report answers direct orders. */
-static void absent(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
+static void absent(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
                    int answers_order) {
-    const int not_launched = tw_launch_not_taken(placed, report, answers_order);
+    const int not_launched = tw_launch_was_lost(placed, report, answers_order);
     const int forgotten = placed->state == TW_TASK_EXITED && placed->reported;
     const int done_unseen = not_launched && !placed->counted; /* with its gang */
     if (forgotten || done_unseen) {
         tw_attempt_forget(core, placed);
     } else if (placed->inherited || placed->reported) {
-        const attempt_end end = {
-            .evidence = END_ABSENT, .heartbeat = report, .answers_command = answers_order};
-        tw_attempt_end(core, placed, &end);
+        const tw_attempt_termination end = {
+            .evidence = TW_EVIDENCE_ABSENT, .heartbeat = report, .answers_command = answers_order};
+        tw_attempt_terminate(core, placed, &end);
     } else if (not_launched) {
         not_taken(core, placed, report);
     }
 }
 
-int tw_report_take(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
-                   tw_orders *orders) {
+int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
+                              tw_command_list *orders) {
     const int same_session = report->incarnation == machine->incarnation;
     if (report->incarnation < machine->incarnation ||
         (same_session && report->sequence <= machine->sequence)) {
-        core->counters.rejected[REFUSED_OLDER_REPORT]++;
+        core->counters.rejected[TW_REJECTED_OLDER_HEARTBEAT]++;
         return 0;
     }
     /* Its lease has surely lapsed: of that session only late reports can come, held by a cut or
      * sent by a machine that goes on after it hung. Whatever they name runs no more. */
     if (machine->lease_expired && same_session) {
-        core->counters.rejected[REFUSED_LAPSED_REPORT]++;
+        core->counters.rejected[TW_REJECTED_EXPIRED_HEARTBEAT]++;
         return 0;
     }
     if (machine->incarnation && report->incarnation > machine->incarnation)
@@ -125,15 +128,15 @@
     note_machine(core, machine, report);
     core->heartbeat_mark++;
     for (int i = 0; i < report->task_count; i++) {
-        placement *placed = find(machine, &report->tasks[i]);
+        tw_placement *placed = find(machine, &report->tasks[i]);
         if (placed) {
             placed->mark = core->heartbeat_mark;
-            tw_task_reported(core, placed, report, &report->tasks[i]);
+            tw_reconcile_task(core, placed, report, &report->tasks[i]);
         } else {
-            tw_task_stranger(core, machine, report, &report->tasks[i], orders);
+            tw_reconcile_unknown_task(core, machine, report, &report->tasks[i], orders);
         }
     }
-    placement *each, *next;
+    tw_placement *each, *next;
     DL_FOREACH_SAFE(machine->placements, each, next) {
         if (each->mark == core->heartbeat_mark || (!each->launch_sent && !each->inherited))
             continue;
@@ -142,10 +145,10 @@
     return 1;
 }
 
-static const tw_orders no_orders = {NULL, 0};
+static const tw_command_list no_orders = {NULL, 0};
 
-static void reply_orders(tw_core *core, uint64_t conn, const tw_orders *orders) {
-    char *text = tw_orders_answer_text(core, orders);
+static void reply_orders(tw_core *core, uint64_t conn, const tw_command_list *orders) {
+    char *text = tw_commands_reply_text(core, orders);
     if (text)
         tw_reply(core, conn, TW_HTTP_OK, 0, text);
     else
@@ -154,7 +157,7 @@
 
 /* Overtaken by the answer to direct orders, or a late copy. The worker of the former must not be
  * turned away; the latter must not make a dead machine look alive. */
-static void answer_older(tw_core *core, uint64_t conn, machine *machine,
+static void answer_older(tw_core *core, uint64_t conn, tw_machine *machine,
                          const tw_wire_heartbeat *report) {
     if (report->incarnation != machine->incarnation || machine->lease_expired) {
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "older than known");
@@ -164,30 +167,30 @@
     reply_orders(core, conn, &no_orders);
 }
 
-static void answer(tw_core *core, uint64_t conn, machine *machine,
+static void answer(tw_core *core, uint64_t conn, tw_machine *machine,
                    const tw_wire_heartbeat *report) {
-    tw_orders orders = tw_orders_new(core);
-    if (!tw_report_take(core, machine, report, &orders)) {
+    tw_command_list orders = tw_command_list_new(core);
+    if (!tw_worker_heartbeat_apply(core, machine, report, &orders)) {
         answer_older(core, conn, machine, report);
         return;
     }
     machine->answered_at = core->now;
     if (machine->first_answered_at <= 0) {
         machine->first_answered_at = core->now;
-        if (machine->type_index >= 0 && !machine->overdue) tw_learn_boot(core, machine);
+        if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
         tw_log_info("event=machine_up tray=%s rack=%s yard=%s loaner=%d after=%.1f", machine->name,
                     report->machine_type, report->zone, report->spot,
                     core->now - machine->known_since);
     }
-    tw_orders_due(core, machine, &orders, report->sequence);
+    tw_commands_due(core, machine, &orders, report->sequence);
     machine->probe_wanted = machine->commands_wanted = 0;
-    if (!machine->confirmed) tw_want_probe(core, machine);
+    if (!machine->confirmed) tw_machine_want_probe(core, machine);
     reply_orders(core, conn, &orders);
 }
 
 /* A late report of a machine that we returned. */
-static int is_returned(tw_core *core, const machine *machine, const char *name) {
-    const expiring *returned;
+static int is_returned(tw_core *core, const tw_machine *machine, const char *name) {
+    const tw_expiring_name *returned;
     HASH_FIND_STR(core->returned_machines, name, returned);
     return returned || (machine && machine->return_in_flight);
 }
@@ -196,18 +199,18 @@
 static void lead(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report, int from_peer) {
     /* Sent to its own zone, where it is answered even if that is cut off from ours. */
     const int is_ours = !strcmp(report->zone, core->config->location);
-    if (!from_peer &&
-        (is_ours ? tw_redirect_safer(core, conn, report) : tw_redirect_home(core, conn, report)))
+    if (!from_peer && (is_ours ? tw_worker_redirect_safer(core, conn, report)
+                               : tw_worker_redirect_home(core, conn, report)))
         return;
-    if (core->phase == PH_LOADING) {
+    if (core->phase == TW_PHASE_LOADING) {
         /* Renewed, nothing more: what should run there is not known yet. */
         core->answered_while_loading_at = core->now;
         reply_orders(core, conn, &no_orders);
         return;
     }
-    machine *machine = tw_machine(core, report->worker);
+    tw_machine *machine = tw_machine_find(core, report->worker);
     if (is_returned(core, machine, report->worker)) {
-        core->counters.rejected[REFUSED_RETURNED]++;
+        core->counters.rejected[TW_REJECTED_RETURNED_MACHINE]++;
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "returned");
         return;
     }
@@ -219,7 +222,8 @@
     answer(core, conn, machine, report);
 }
 
-void tw_hello(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer) {
+void tw_worker_heartbeat_receive(tw_core *core, uint64_t conn, const char *body, size_t length,
+                                 int from_peer) {
     if (core->now >= core->next_heartbeat_sweep_at) {
         core->next_heartbeat_sweep_at = core->now + core->config->lease_s;
         tw_wire_heartbeat_cache_sweep(core->heartbeat_cache);
@@ -231,16 +235,16 @@
         return;
     }
     if (report->fencing_token > core->highest_token_seen)
-        tw_saw_token(core, report->fencing_token, NULL);
-    if (core->role == R_LEADER && report->fencing_token > core->fencing_token)
-        tw_step_down(core, "a worker saw a later token");
-    if (tw_may(core, RIGHT_RENEW))
+        tw_leader_observe_token(core, report->fencing_token, NULL);
+    if (core->role == TW_ROLE_LEADER && report->fencing_token > core->fencing_token)
+        tw_leader_step_down(core, "a worker saw a later token");
+    if (tw_leader_may(core, TW_PERMISSION_RENEW))
         lead(core, conn, report, from_peer);
     else if (from_peer) {
-        core->counters.rejected[REFUSED_NO_RIGHT]++;
+        core->counters.rejected[TW_REJECTED_NO_PERMISSION]++;
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "not the leader");
     } else if (report->fencing_token > core->leader_token) /* somebody we don't know leads by now */
         tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(NULL));
     else
-        tw_relay_hello(core, conn, report, body, length);
+        tw_heartbeat_forward(core, conn, report, body, length);
 }
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -8,18 +8,18 @@
 #define ROUND_DOWN 0.3 /* of a task: as little is not rounded up */
 
 /* How many tasks of a shape fit into this room. */
-static int fit(const tw_room *room, const tw_wire_job *spec) {
-    const double count = tw_room_holds(room, spec);
+static int fit(const tw_capacity *room, const tw_wire_job *spec) {
+    const double count = tw_capacity_task_count(room, spec);
     return count > 0 ? (int)count : 0;
 }
 
 /* What a service of the highest priority may have on a machine: free, or held by work of lower
  * priority. */
-static tw_room room_on(const tw_core *core, const machine *machine) {
+static tw_capacity room_on(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_room room = {type->cores - machine->used_cores + machine->vacating_cores,
-                    type->gpus - machine->used_gpus + machine->vacating_gpus,
-                    type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
+    tw_capacity room = {type->cores - machine->used_cores + machine->vacating_cores,
+                        type->gpus - machine->used_gpus + machine->vacating_gpus,
+                        type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
     for (int priority = 0; priority < TW_PRIORITY_PROD; priority++) {
         room.cores += machine->used_by_priority[priority].c;
         room.gpus += machine->used_by_priority[priority].g;
@@ -28,15 +28,15 @@
     return room;
 }
 
-static int counts(const lane *class, const machine *machine) {
+static int counts(const tw_job_class *class, const tw_machine *machine) {
     return class->reserve > 0 && (class->sample_type_mask & (1U << machine->type_index)) &&
            (!machine->spot || class->sample.spot);
 }
 
 /* Whether a task can start in time only where its image is cached. */
-static int needs_warm(const tw_core *core, const lane *class) {
+static int needs_warm(const tw_core *core, const tw_job_class *class) {
     for (int i = 0; i < core->machine_type_count; i++) {
-        const flavor *type = &core->machine_types[i];
+        const tw_machine_type *type = &core->machine_types[i];
         const double fetch_s = type->fetch_s_per_gb * class->sample.image_gb;
         if ((class->sample_type_mask & (1U << i)) &&
             type->queue_delay_s + fetch_s * (1 + 2 * type->fetch_deviation) <=
@@ -47,7 +47,7 @@
 }
 
 /* How many holes to leave for a class. */
-static int reserve_for(const tw_core *core, const lane *class) {
+static int reserve_for(const tw_core *core, const tw_job_class *class) {
     if (!class->has_sample || !class->sample.service || class->sample.gpus <= 0 ||
         class->start_within_s <= 0)
         return 0;
@@ -59,35 +59,36 @@
     return (int)ceil(tasks - ROUND_DOWN);
 }
 
-void tw_reserve_note(tw_core *core) {
+void tw_reserve_update(tw_core *core) {
     int any = 0;
-    for (lane *class = core->job_classes; class; class = class->hh.next) {
+    for (tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         class->reserve_available = 0;
         class->reserve = reserve_for(core, class);
         any |= class->reserve > 0;
     }
     if (!any) return;
-    machine *machine;
-    struct machine *next;
+    tw_machine *machine;
+    struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (!tw_machine_usable(core, machine)) continue;
-        const tw_room room = room_on(core, machine);
-        for (lane *class = core->job_classes; class; class = class->hh.next)
+        if (!tw_machine_is_usable(core, machine)) continue;
+        const tw_capacity room = room_on(core, machine);
+        for (tw_job_class *class = core->job_classes; class; class = class->hh.next)
             if (counts(class, machine)) class->reserve_available += fit(&room, &class->sample);
     }
 }
 
 /* How many holes of the class are lost when a task of the job takes room on the machine. */
-static int lost(const tw_core *core, const machine *machine, const job *job, const lane *class) {
-    const tw_room before = room_on(core, machine);
-    const tw_room after = {before.cores - job->spec.cores, before.gpus - job->spec.gpus,
-                           before.memory_gb - job->spec.memory_gb};
+static int lost(const tw_core *core, const tw_machine *machine, const tw_job *job,
+                const tw_job_class *class) {
+    const tw_capacity before = room_on(core, machine);
+    const tw_capacity after = {before.cores - job->spec.cores, before.gpus - job->spec.gpus,
+                               before.memory_gb - job->spec.memory_gb};
     return fit(&before, &class->sample) - fit(&after, &class->sample);
 }
 
-int tw_reserve_allows(const tw_core *core, const machine *machine, const job *job) {
+int tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     if (!job->capacity_bound || !job->spec.service) return 1;
-    for (const lane *class = core->job_classes; class; class = class->hh.next) {
+    for (const tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         if (class == job->job_class || class->sample.gpus <= job->spec.gpus ||
             !counts(class, machine))
             continue;
@@ -98,8 +99,8 @@
 }
 
 /* Before a task of the job is placed on the machine. */
-void tw_reserve_take(tw_core *core, const machine *machine, const job *job) {
+void tw_reserve_take(tw_core *core, const tw_machine *machine, const tw_job *job) {
     if (!job->spec.service) return;
-    for (lane *class = core->job_classes; class; class = class->hh.next)
+    for (tw_job_class *class = core->job_classes; class; class = class->hh.next)
         if (counts(class, machine)) class->reserve_available -= lost(core, machine, job, class);
 }
--- a/src/core/room.c
+++ b/src/core/room.c
@@ -5,10 +5,10 @@
 
 /* As often as an amount is contained in what there is. */
 static double whole_times(double there, double amount) {
-    return floor(there / amount + TW_ROUNDING);
+    return floor(there / amount + TW_CAPACITY_ROUNDING);
 }
 
-double tw_room_holds(const tw_room *room, const tw_wire_job *spec) {
+double tw_capacity_task_count(const tw_capacity *room, const tw_wire_job *spec) {
     double count = ANY_NUMBER;
     if (spec->cores > 0) count = fmin(count, whole_times(room->cores, spec->cores));
     if (spec->gpus > 0) count = fmin(count, whole_times(room->gpus, spec->gpus));
--- a/src/core/room.h
+++ b/src/core/room.h
@@ -4,14 +4,14 @@
 #include "wire/wire.h"
 
 /* Amounts are sums of many, which drift by less. */
-#define TW_ROUNDING 1e-6
+#define TW_CAPACITY_ROUNDING 1e-6
 
 typedef struct {
     double cores, gpus, memory_gb;
-} tw_room;
+} tw_capacity;
 
 /* How many of the job's tasks fit into this room, a whole number; below 0 if it is less than none.
  */
-double tw_room_holds(const tw_room *room, const tw_wire_job *spec);
+double tw_capacity_task_count(const tw_capacity *room, const tw_wire_job *spec);
 
 #endif
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -9,55 +9,58 @@
 #include "core/machine.h"
 
 /* By the protocol, once troubles are over: the largest jobs begin within this, too. */
-#define TW_BEGIN_S 240.0
+#define TW_MAX_START_DELAY_S 240.0
 
 /* What makes room of use to a task. One of this shape found none. */
-typedef struct tw_futile {
+typedef struct tw_placement_failure {
     double cores, gpus, memory_gb;
     uint32_t type_mask, zone_mask;
     int spot, priority, service, any_machine, whole;
-} tw_futile;
+} tw_placement_failure;
 
 /* place.c */
 /* A pass over the queue. */
-void tw_schedule(tw_core *core);
+void tw_scheduler_run(tw_core *core);
 /* Places a job of the highest priority at once; returns whether all its tasks are placed. */
-int tw_place_new(tw_core *core, job *job);
+int tw_scheduler_place_now(tw_core *core, tw_job *job);
 
 /* recheck.c */
 /* Stops tasks that will miss their deadline where a full rerun elsewhere makes it. */
-void tw_recheck(tw_core *core);
+void tw_scheduler_recheck(tw_core *core);
 
 /* estimate.c */
-double tw_job_due(const tw_core *core, const job *job); /* steady time; INFINITY: none */
-double tw_job_start_due(const job *job); /* of a gang: its start objective; INFINITY: none */
-double tw_estimate(const job *job);      /* run time on a machine of slowness 1 */
+double tw_job_deadline(const tw_core *core, const tw_job *job); /* steady time; INFINITY: none */
+double
+tw_job_start_deadline(const tw_job *job); /* of a gang: its start objective; INFINITY: none */
+double tw_job_run_estimate_s(const tw_job *job); /* run time on a machine of slowness 1 */
 
 /* constraints.c */
 /* Whether the job's zone, spread and single zone allow one more task there. */
-int tw_zone_allows(const tw_core *core, const job *job, const char *zone);
+int tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone);
 /* Whether the team's limit allows so many more tasks of the job. */
-int tw_quota_allows(const tw_core *core, const job *job, int tasks);
+int tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks);
 /* Notes the cores and memory that a GPU's user takes along with it, at the most. */
-void tw_per_gpu_note(tw_core *core);
+void tw_gpu_share_update(tw_core *core);
 
 /* queue.c: pending jobs, in the order in which they should be served */
-typedef struct tw_turns tw_turns;
+typedef struct tw_job_queue tw_job_queue;
 /* The jobs that are pending now, which have to outlive it. With overdue ones, the jobs that have
- * waited too long for their first task are served between the others. Free it with tw_turns_free.
+ * waited too long for their first task are served between the others. Free it with
+ * tw_job_queue_free.
  */
-tw_turns *tw_turns_new(tw_core *core, int with_overdue);
+tw_job_queue *tw_job_queue_new(tw_core *core, int with_overdue);
 /* The next job; NULL: all have been served. */
-job *tw_turns_next(tw_core *core, tw_turns *turns);
+tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *turns);
 /* That so many tasks of the job that was served last were placed. */
-void tw_turns_placed(tw_core *core, const tw_turns *turns, const job *job, int count);
+void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *turns, const tw_job *job,
+                              int count);
 /* Puts the last job back at its team's head: it may get more when its team's turn comes again. */
-void tw_turns_again(tw_turns *turns);
+void tw_job_queue_requeue(tw_job_queue *turns);
 /* Whether another team waits at the same level as the job served last, or an overdue job of its
  * priority, or the last one was overdue itself. */
-int tw_turns_contended(const tw_turns *turns);
-void tw_turns_free(tw_turns *turns);
+int tw_job_queue_is_contended(const tw_job_queue *turns);
+void tw_job_queue_free(tw_job_queue *turns);
 /* Whether a job has tasks that may be placed now. */
-int tw_job_pending(const tw_core *core, const job *job);
+int tw_job_is_pending(const tw_core *core, const tw_job *job);
 
 #endif
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -6,7 +6,7 @@
 
 /* A task to be placed. What doesn't depend on the machine is worked out once for all of them. */
 typedef struct tw_demand {
-    struct job *job;
+    struct tw_job *job;
     double deadline_at; /* steady time, INFINITY: none */
     double
         start_deadline_at; /* of a gang: when it should have started; INFINITY: no such objective */
@@ -16,8 +16,8 @@
 
 /* GoodServe's T = q + p * missing GB + slowness * expected run time, for a task on a machine. */
 typedef struct tw_prediction {
-    const struct image *image; /* its image there, cached or on its way; NULL: absent */
-    double fetch_s;            /* for what is missing of the image, by itself on the machine */
+    const struct tw_image *image; /* its image there, cached or on its way; NULL: absent */
+    double fetch_s;               /* for what is missing of the image, by itself on the machine */
     double run_s;
     double total_s;  /* T */
     double margin_s; /* to spare before the deadline, since fetches vary */
@@ -25,44 +25,44 @@
 
 /* estimate.c */
 tw_prediction tw_predict(const tw_core *core, const tw_demand *demand,
-                         const struct machine *machine);
+                         const struct tw_machine *machine);
 /* T and its margin from now: the deadline is met if it is not before that. */
 double tw_predict_end(const tw_core *core, const tw_demand *demand,
                       const tw_prediction *prediction);
-double tw_slowness(const tw_core *core, const struct machine *machine);
+double tw_machine_slowness(const tw_core *core, const struct tw_machine *machine);
 
 /* constraints.c */
-tw_demand tw_demand_of(const tw_core *core, struct job *job);
+tw_demand tw_demand_of(const tw_core *core, struct tw_job *job);
 /* Whether the machine's zone is one that the demand allows. */
-int tw_constraints_zone(const tw_core *core, const tw_demand *demand,
-                        const struct machine *machine);
+int tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
+                                      const struct tw_machine *machine);
 /* Whether the job's tasks may go to a machine that is usable, whatever its zone and room. */
-int tw_constraints_machine(const tw_core *core, const struct job *job,
-                           const struct machine *machine);
+int tw_constraints_allow_machine(const tw_core *core, const struct tw_job *job,
+                                 const struct tw_machine *machine);
 /* Whether so many tasks without GPUs leave the machine's GPUs their cores and memory. */
-int tw_leaves_gpus(const tw_core *core, const struct machine *machine, const struct job *job,
-                   int tasks);
+int tw_constraints_leave_gpus(const tw_core *core, const struct tw_machine *machine,
+                              const struct tw_job *job, int tasks);
 
 /* futile.c: kinds of tasks for which a pass has found no room. */
-tw_futile tw_futile_kind(const tw_demand *demand);
-int tw_futile_known(const tw_core *core, const tw_futile *kind);
-void tw_futile_note(tw_core *core, const tw_futile *kind);
-void tw_futile_forget_without_gpus(tw_core *core);
-void tw_futile_forget(tw_core *core);
+tw_placement_failure tw_placement_failure_of(const tw_demand *demand);
+int tw_placement_failures_has(const tw_core *core, const tw_placement_failure *kind);
+void tw_placement_failures_add(tw_core *core, const tw_placement_failure *kind);
+void tw_placement_failures_forget_cpu(tw_core *core);
+void tw_placement_failures_forget(tw_core *core);
 
 /* candidates.c: the machines that a pass may use, in the order of the fleet, and how full the zones
  * are as it begins. */
 typedef struct tw_candidate {
-    struct machine *machine;
+    struct tw_machine *machine;
     int changes; /* tasks placed there in this pass */
 } tw_candidate;
 void tw_candidates_begin(tw_core *core);
 /* The free share of the machine's zone, of GPUs or of cores. */
-double tw_candidates_zone_free(const tw_core *core, const struct machine *machine, int gpus);
+double tw_candidates_zone_free(const tw_core *core, const struct tw_machine *machine, int gpus);
 
 /* preference.c */
 /* Points among machines that meet the deadline; the most is taken. */
-double tw_preference(const tw_core *core, const tw_demand *demand, struct machine *machine,
+double tw_preference(const tw_core *core, const tw_demand *demand, struct tw_machine *machine,
                      const tw_prediction *prediction);
 
 /* scores.c: what each candidate is worth to a kind of task. */
@@ -92,36 +92,39 @@
 
 /* What was found for a task. */
 typedef struct tw_choice {
-    struct machine *machine; /* NULL: none */
-    double points;           /* the most, or where no deadline is met the least overshoot */
-    int candidate;           /* its number */
-    int meets;               /* it is expected to meet the deadline there */
-    int kept;                /* none, and some room was not given, since it is kept for others */
+    struct tw_machine *machine; /* NULL: none */
+    double points;              /* the most, or where no deadline is met the least overshoot */
+    int candidate;              /* its number */
+    int meets;                  /* it is expected to meet the deadline there */
+    int kept;                   /* none, and some room was not given, since it is kept for others */
 } tw_choice;
 
 /* choose.c */
-tw_choice tw_choose(tw_core *core, const tw_demand *demand);
+tw_choice tw_scheduler_choose(tw_core *core, const tw_demand *demand);
 
 /* gang_room.c */
 /* The zones, as bits, in which so many tasks of a gang may be placed: free room is enough, or else
  * room with what work of lower rank holds. Where its tasks may stand in different zones, all that
  * together have the room. 0: none. */
-uint32_t tw_gang_zones(tw_core *core, struct job *job, int tasks);
+uint32_t tw_gang_candidate_zones(tw_core *core, struct tw_job *job, int tasks);
 
 /* gang_hold.c */
 /* A pass begins, its candidates are known: which machines are held for a gang that waits. */
-void tw_gang_hold(tw_core *core);
+void tw_gang_reservation_update(tw_core *core);
 /* Whether the job may use the machine although it may be held for another. */
-int tw_gang_hold_allows(const tw_core *core, const struct job *job, const struct machine *machine);
+int tw_gang_reservation_allows(const tw_core *core, const struct tw_job *job,
+                               const struct tw_machine *machine);
 
 /* Whether a task of the job leaves the gang that waits its part of their team's limit. */
-int tw_gang_hold_allows_team(const tw_core *core, const struct job *job);
+int tw_gang_reservation_allows_team(const tw_core *core, const struct tw_job *job);
 
 /* preempt.c */
 /* A machine where stopping work of lower rank makes room, at the least loss; the work is told to
  * stop. in_time: only one where the deadline is met. *kept is set as in tw_choice. */
 /* Whether the task may be stopped to make room for the job. */
-int tw_may_stop(const tw_core *core, const struct job *job, const placement *placed);
-struct machine *tw_preempt(tw_core *core, const tw_demand *demand, int in_time, int *kept);
+int tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
+                          const tw_placement *placed);
+struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, int in_time,
+                                        int *kept);
 
 #endif
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -13,8 +13,8 @@
     uint32_t types, image_sum;
     char image[TW_WIRE_NAME_SIZE];
     int spot, service, any_machine, rank;
-    const lane *class;
-    const job *own; /* a job that passes some machines over shares its scores with none */
+    const tw_job_class *class;
+    const tw_job *own; /* a job that passes some machines over shares its scores with none */
 } kind;
 
 struct tw_score_table {
@@ -24,14 +24,14 @@
 };
 
 /* The job, if it has to pass over machines that it failed on, or was on under the same attempt. */
-static const job *own_scores(const tw_core *core, const job *job) {
+static const tw_job *own_scores(const tw_core *core, const tw_job *job) {
     return job->failed_machine_count || job->gang.vacated_count || job == core->reserving_gang
                ? job
                : NULL;
 }
 
 static int same_kind(const tw_core *core, const kind *known, const tw_demand *demand) {
-    const job *job = demand->job;
+    const tw_job *job = demand->job;
     const tw_wire_job *spec = &job->spec;
     if (known->cores != spec->cores || known->gpus != spec->gpus ||
         known->memory_gb != spec->memory_gb || known->image_gb != spec->image_gb ||
@@ -46,7 +46,7 @@
 }
 
 static kind kind_of(const tw_core *core, const tw_demand *demand) {
-    const job *job = demand->job;
+    const tw_job *job = demand->job;
     kind result = {.cores = job->spec.cores,
                    .gpus = job->spec.gpus,
                    .memory_gb = job->spec.memory_gb,
@@ -67,12 +67,13 @@
 /* Works a score out, at first and after a task was placed on its machine. */
 static void renew(tw_core *core, const tw_demand *demand, tw_score *score) {
     const tw_candidate *candidate = &core->candidates[score->candidate];
-    machine *machine = candidate->machine;
-    const job *job = demand->job;
+    tw_machine *machine = candidate->machine;
+    const tw_job *job = demand->job;
     score->changes = candidate->changes;
-    score->fits = tw_fits(machine, &core->machine_types[machine->type_index], &job->spec) &&
-                  tw_constraints_machine(core, job, machine);
-    score->possible = score->fits && tw_leaves_gpus(core, machine, job, 1);
+    score->fits =
+        tw_machine_has_room(machine, &core->machine_types[machine->type_index], &job->spec) &&
+        tw_constraints_allow_machine(core, job, machine);
+    score->possible = score->fits && tw_constraints_leave_gpus(core, machine, job, 1);
     if (!score->possible) return;
     const tw_prediction prediction = tw_predict(core, demand, machine);
     score->end = tw_predict_end(core, demand, &prediction);
@@ -96,8 +97,7 @@
 
 /* Room for a table: one that is not in use, else the one filled longest ago. */
 static tw_score_table *table_new(tw_core *core) {
-    if (!core->score_tables)
-        core->score_tables = tw_zalloc(TABLES_MAX * sizeof *core->score_tables);
+    if (!core->score_tables) core->score_tables = tw_alloc(TABLES_MAX * sizeof *core->score_tables);
     if (core->score_table_count < TABLES_MAX) return &core->score_tables[core->score_table_count++];
     tw_score_table *table = &core->score_tables[core->next_score_table];
     core->next_score_table = (core->next_score_table + 1) % TABLES_MAX;
--- a/src/core/sick.c
+++ b/src/core/sick.c
@@ -9,7 +9,7 @@
 #define BLAME_MOST 4      /* suspect from here on */
 #define LONGEST_PAUSE 8.0 /* between trials, in leases */
 
-static void suspect(tw_core *c, machine *m) {
+static void suspect(tw_core *c, tw_machine *m) {
     m->quarantine_s = m->on_probation ? 2 * m->quarantine_s : c->config->lease_s;
     m->quarantine_s = fmin(m->quarantine_s, LONGEST_PAUSE * c->config->lease_s);
     m->probation_at = c->now + m->quarantine_s;
@@ -19,8 +19,8 @@
 }
 
 /* A task of p's job failed; elsewhere: machines on which the job has failed before. */
-void tw_sick_blame(tw_core *c, const placement *p, int elsewhere) {
-    machine *m = p->machine;
+void tw_quarantine_note_failure(tw_core *c, const tw_placement *p, int elsewhere) {
+    tw_machine *m = p->machine;
     if (p->running_since > 0)
         m->longest_failed_run_s = fmax(m->longest_failed_run_s, c->now - p->running_since);
     m->failed_at = c->now;
@@ -34,7 +34,7 @@
     }
 }
 
-void tw_sick_well(tw_core *c, machine *m) {
+void tw_quarantine_clear(tw_core *c, tw_machine *m) {
     m->failure_score = 0;
     *m->last_failed_job = 0;
     m->longest_failed_run_s = 0;
@@ -47,15 +47,15 @@
 
 /* A task that was started after the last error and has run for longer than those that failed shows
  * that the machine works. Services never end, so an end is not waited for. */
-void tw_sick_running(tw_core *c, const placement *p) {
-    machine *m = p->machine;
+void tw_quarantine_note_running(tw_core *c, const tw_placement *p) {
+    tw_machine *m = p->machine;
     if (!m->failure_score || m->cordoned || p->running_since <= m->failed_at) return;
     if (c->now - p->running_since > c->config->report_s + 2 * m->longest_failed_run_s)
-        tw_sick_well(c, m);
+        tw_quarantine_clear(c, m);
 }
 
 /* Lets a suspect be tried again when its pause is over. */
-void tw_sick_tick(tw_core *c, machine *m) {
+void tw_quarantine_tick(tw_core *c, tw_machine *m) {
     if (!m->cordoned || m->probation_at <= 0 || c->now < m->probation_at) return;
     m->cordoned = 0;
     m->on_probation = 1;
@@ -64,8 +64,8 @@
 }
 
 /* A machine on trial gets one task, and no other until that one has run for a while. */
-int tw_sick_allows(const machine *m) {
-    const placement *p;
+int tw_quarantine_allows(const tw_machine *m) {
+    const tw_placement *p;
     if (!m->on_probation) return 1;
     DL_FOREACH(m->placements, p) if (p->counted && p->placed_at >= m->probation_at) return 0;
     return 1;
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -17,22 +17,23 @@
 
 /* Zones with a number of their own; those beyond are known by name. */
 #define TW_MAX_ZONES 16
-#define TW_MAX_TXNS 3 /* transactions in flight, over disjoint jobs */
+#define TW_MAX_TRANSACTIONS 3 /* transactions in flight, over disjoint jobs */
 
 struct tw_core {
     const tw_conf *config;
     double now, wall;
     gsl_rng *rng;
-    tw_fx *effects_head, *effects_tail;
-    call *calls;
-    unsigned calls_made[K_KINDS], calls_refused; /* to the state service, since the last log line */
+    tw_effect *effects_head, *effects_tail;
+    tw_call *calls;
+    unsigned calls_made[TW_CALL_KINDS],
+        calls_refused; /* to the state service, since the last log line */
     double next_calls_log_at;
     tw_counters counters;
     uint64_t last_call_id;
 
     /* election */
-    node_role role;
-    leader_phase phase;
+    tw_role role;
+    tw_leader_phase phase;
     int could_command, could_renew;   /* rights when last looked at, for the log */
     double answered_while_loading_at; /* last report answered while the records were read */
     uint64_t term; /* changes with each term: calls of another term are ignored */
@@ -41,15 +42,15 @@
     int renewals_in_flight, leader_read_in_flight, election_in_flight;
     uint64_t watch_from_revision; /* revision to watch the leader key from; 0: read it first */
     double lease_requested_at, renewal_sent_at;
-    tw_budget election_limiter; /* this node's part of the requests that elections may take */
-    int election_refusals;      /* of those, in a row */
+    tw_rate_limiter election_limiter; /* this node's part of the requests that elections may take */
+    int election_refusals;            /* of those, in a row */
     char leader_name[TW_NAME_SIZE];
     uint64_t leader_token;
     double leader_seen_at, store_answered_at, started_at;
     int began_without_jobs;    /* this term began without any job */
     double first_admission_at; /* first acceptance in a state service without jobs */
     double peers_confirmed_at; /* 0: not all peers have said that they know our token */
-    peer *peers;
+    tw_peer *peers;
     size_t peer_count;
     /* A worker of this node's zone that reports to it finds another node within its lease when it
      * ends, also where no other zone can be reached; see failover.c. */
@@ -61,19 +62,19 @@
     uint64_t delegation_token; /* by the leader's answer to a ping */
     double delegation_until;
     double delegate_answered_at; /* when we last answered a worker as a deputy */
-    struct expiring
+    struct tw_expiring_name
         *forwarded_workers; /* workers, and when the leader last answered them through us */
     double next_forwarded_sweep_at;
-    redirect *worker_redirects; /* workers that were told of another node */
+    tw_worker_redirect *worker_redirects; /* workers that were told of another node */
     double next_redirect_sweep_at;
     int delegate_write_in_flight, held_count;
-    double next_delegate_attempt_at; /* no earlier attempt to become one */
-    held_report *held_heartbeats;    /* reports that wait for a leader */
+    double next_delegate_attempt_at;    /* no earlier attempt to become one */
+    tw_held_heartbeat *held_heartbeats; /* reports that wait for a leader */
     double next_held_retry_at;
-    uint64_t cancellation_sequence;  /* numbers the cancellations of a term */
-    expiring *listed_cancelled_jobs; /* cancelled jobs, whose tasks a deputy stops: read as one by
-                                        its key */
-    expiring *announced_cancelled_jobs; /* and named with the leader's last grant */
+    uint64_t cancellation_sequence;          /* numbers the cancellations of a term */
+    tw_expiring_name *listed_cancelled_jobs; /* cancelled jobs, whose tasks a deputy stops: read as
+                                        one by its key */
+    tw_expiring_name *announced_cancelled_jobs; /* and named with the leader's last grant */
     int cancelled_list_in_flight;
     double cancelled_list_began_at, next_cancelled_list_at;
     char cancelled_list_cursor[256];
@@ -82,42 +83,43 @@
     double delegates_checked_at, next_delegates_read_at, expiry_decided_at;
 
     /* jobs */
-    job *jobs, *active_jobs, *pending_writes;
-    struct tw_finished
-        *completed_jobs; /* jobs that are over and of which nothing may run; see finished.h */
-    job *cancelled_jobs; /* those being cancelled, and cancelled ones that may still run */
-    turned_away_job *rejected_admissions;
-    lane *job_classes;
+    tw_job *jobs, *active_jobs, *pending_writes;
+    struct tw_completed_jobs
+        *completed_jobs;    /* jobs that are over and of which nothing may run; see finished.h */
+    tw_job *cancelled_jobs; /* those being cancelled, and cancelled ones that may still run */
+    tw_rejected_admission *rejected_admissions;
+    tw_job_class *job_classes;
     int transactions_in_flight, pending_admissions;
-    uint64_t last_chunk_set;            /* numbers the sets of slices that this process writes */
-    struct stale_set *stale_chunk_sets; /* that no record names: to be removed */
+    uint64_t last_chunk_set; /* numbers the sets of slices that this process writes */
+    struct tw_stale_chunk_set *stale_chunk_sets; /* that no record names: to be removed */
     int chunk_removal_in_flight;
     double next_chunk_removal_at;
-    int peers_read_chunks, a_peer_lacks_chunks; /* as of the last look at the peers */
-    struct loaded_set *loaded_chunk_sets;       /* of divided records, while they are read */
-    int loading_chunks;                         /* those are being read, before the records */
-    tw_budget write_limiter, request_limiter, cloud_limiter;
+    int peers_read_chunks, a_peer_lacks_chunks;    /* as of the last look at the peers */
+    struct tw_loaded_chunk_set *loaded_chunk_sets; /* of divided records, while they are read */
+    int loading_chunks;                            /* those are being read, before the records */
+    tw_rate_limiter write_limiter, request_limiter, cloud_limiter;
     int overdue_credit[TW_PRIORITY_PROD +
                        1]; /* by rank: the next room may go to the longest wait */
-    tw_budget follower_read_limiter, follower_create_limiter; /* of a node that does not lead */
-    double *team_cores_used, *team_gpus_used;                 /* in use, or may be */
+    tw_rate_limiter follower_read_limiter,
+        follower_create_limiter;              /* of a node that does not lead */
+    double *team_cores_used, *team_gpus_used; /* in use, or may be */
     char load_cursor[256];
     double next_load_at;
     int load_in_flight;
     int admission_watch_in_flight; /* jobs that other nodes accepted, see accepted_elsewhere.c */
-    expiring *untaken_admissions;  /* those that we heard of and that aren't among ours yet, and
-                                      their next read */
+    tw_expiring_name *untaken_admissions; /* those that we heard of and that aren't among ours yet,
+                                     and their next read */
     uint64_t admission_watch_revision;
     double next_admission_watch_at;
 
     /* fleet */
-    flavor *machine_types;
+    tw_machine_type *machine_types;
     int machine_type_count;
     double next_machine_types_at;
     int machine_types_in_flight;
-    machine *machines;
+    tw_machine *machines;
     size_t longest_machine_name;              /* of a machine that was known in this process */
-    machine *command_queue;                   /* those that may be due for direct orders */
+    tw_machine *command_queue;                /* those that may be due for direct orders */
     int commands_in_flight;                   /* direct orders on their way */
     double next_command_scan_at;              /* no look at all machines before it */
     tw_wire_heartbeat_cache *heartbeat_cache; /* as they came last */
@@ -126,26 +128,26 @@
     char zone_names[TW_MAX_ZONES][TW_NAME_SIZE];
     int zone_count;
     uint64_t pass_steps; /* machines looked at in passes over the fleet: what such a pass costs */
-    tw_futile
+    tw_placement_failure
         *placement_failures; /* kinds of tasks that found no room in this pass, see futile.c */
     int placement_failure_count, placement_failure_capacity;
-    struct job *reserving_gang;      /* gang that machines are held for in this pass; NULL: none */
+    struct tw_job *reserving_gang;   /* gang that machines are held for in this pass; NULL: none */
     struct tw_candidate *candidates; /* machines that this pass may use, see candidates.c */
     int candidate_count, candidate_capacity;
     struct tw_score_table *score_tables; /* of this pass, see scores.c */
     int score_table_count, next_score_table;
     double cores_per_gpu,
         memory_gb_per_gpu; /* what a GPU's user takes along at most, by the lanes' samples */
-    expiring *returned_machines;
+    tw_expiring_name *returned_machines;
     int machine_list_in_flight, machine_list_has_more, machine_lists_read;
     char machine_list_cursor[TW_NAME_SIZE];
     double next_machine_list_at;
     int return_in_flight;
     int returns_due; /* some machine is to be returned and may not have been asked for */
     double next_return_at;
-    offer *capacity_offers;
+    tw_capacity_offer *capacity_offers;
     int capacity_offer_count;
-    rental_request *rental_requests;
+    tw_rental_request *rental_requests;
     uint64_t next_rental_request;
     double next_plan_at, scale_out_from, next_fleet_log_at;
 
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -12,9 +12,9 @@
 /* Refused for want of room: the report that shows why is near. */
 #define RETRY_REFUSED_REPORTS 0.3
 
-static void note_error(tw_core *core, placement *placed, int cause) {
-    job *job = placed->job;
-    const machine *machine = placed->machine;
+static void note_error(tw_core *core, tw_placement *placed, int cause) {
+    tw_job *job = placed->job;
+    const tw_machine *machine = placed->machine;
     job->consecutive_errors++;
     /* Failing on several machines in a row, it is the job; then no machine is blamed for it. */
     int elsewhere = 0;
@@ -34,22 +34,24 @@
     job->failed_machines_until = core->now + longest;
     job->retry_at = core->now + pause;
     if (cause == TW_CAUSE_ERROR && elsewhere < ELSEWHERE_BLAMES_JOB)
-        tw_sick_blame(core, placed, elsewhere);
+        tw_quarantine_note_failure(core, placed, elsewhere);
 }
 
-static void exited(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
+static void exited(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
                    const tw_wire_task *told) {
-    job *job = placed->job;
-    const attempt_end end = {.evidence = END_EXITED, .heartbeat = report, .reported = told};
+    tw_job *job = placed->job;
+    const tw_attempt_termination end = {
+        .evidence = TW_EVIDENCE_EXITED, .heartbeat = report, .reported = told};
     placed->state = TW_TASK_EXITED;
     placed->cause = told->cause;
     if (!placed->counted) return;
     const int over = job->state != TW_JOB_PENDING;
     switch (told->cause) {
     case TW_CAUSE_DONE:
-        tw_learn_run(core, placed);
+        tw_statistics_note_run(core, placed);
         job->consecutive_errors = 0;
-        if (placed->running_since > placed->machine->failed_at) tw_sick_well(core, placed->machine);
+        if (placed->running_since > placed->machine->failed_at)
+            tw_quarantine_clear(core, placed->machine);
         break;
     case TW_CAUSE_STOPPED:
         if (told->saved) job->has_checkpoint = job->gang.saved = 1;
@@ -65,30 +67,30 @@
         job->retry_at = core->now + RETRY_REFUSED_REPORTS * core->config->report_s;
         break;
     }
-    tw_attempt_end(core, placed, &end);
+    tw_attempt_terminate(core, placed, &end);
     if (told->cause == TW_CAUSE_DONE && job->spec.gang) tw_gang_done(core, job);
     if (!over && job->done_count == job->task_count)
         tw_job_finish(core, job, TW_JOB_DONE);
     else
-        tw_job_changed(core, job, 0);
+        tw_job_mark_changed(core, job, 0);
 }
 
-static void started(tw_core *core, placement *placed) {
-    const job *job = placed->job;
+static void started(tw_core *core, tw_placement *placed) {
+    const tw_job *job = placed->job;
     /* A gang's task that was not seen waiting may have waited for the others: that is no delay of
      * its machine. */
-    if (!job->spec.gang) tw_learn_start(core, placed);
+    if (!job->spec.gang) tw_statistics_note_start(core, placed);
     placed->running_since = core->now;
     tw_log_debug("event=running piece=%s/%d lane=%s rack=%s start_s=%.2f waited_s=%.2f", job->id,
                  placed->index, job->spec.job_class, placed->machine->type_name,
                  core->now - placed->placed_at, core->now - job->submitted_at);
-    tw_image_note(core, placed->machine, job, 1);
+    tw_image_note_use(core, placed->machine, job, 1);
 }
 
-void tw_task_reported(tw_core *core, placement *placed, const tw_wire_heartbeat *report,
-                      const tw_wire_task *told) {
-    machine *machine = placed->machine;
-    job *job = placed->job;
+void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
+                       const tw_wire_task *told) {
+    tw_machine *machine = placed->machine;
+    tw_job *job = placed->job;
     if (!placed->reported) {
         machine->lost_launches = 0;
         placed->lost_launches = 0;
@@ -103,49 +105,50 @@
     placed->state = told->state;
     if (!job->has_spec) return;
     if (waits) { /* its image is there */
-        tw_learn_start(core, placed);
-        tw_image_note(core, machine, job, 1);
+        tw_statistics_note_start(core, placed);
+        tw_image_note_use(core, machine, job, 1);
     }
-    if (job->spec.gang) tw_gang_reported(core, placed);
+    if (job->spec.gang) tw_gang_task_reported(core, placed);
     if (told->state == TW_TASK_RUNNING && placed->running_since <= 0)
         started(core, placed);
-    else if (told->state == TW_TASK_FETCHING && !tw_image(machine, job))
-        tw_image_note(core, machine, job, 0);
+    else if (told->state == TW_TASK_FETCHING && !tw_image_find(machine, job))
+        tw_image_note_use(core, machine, job, 0);
     /* A task of a broken gang tells that it runs until it ends: that shows nothing. */
-    if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != GANG_RUNNING)) return;
+    if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != TW_GANG_RUNNING))
+        return;
     const double ran_s = core->now - placed->running_since;
     if (ran_s > 2 * core->config->lease_s) job->consecutive_errors = 0;
-    tw_sick_running(core, placed);
+    tw_quarantine_note_running(core, placed);
     if (ran_s > core->config->lease_s) job->has_run = 1;
 }
 
 /* It ended before we knew of it; its job, unless NULL, still wants it. */
-static void stranger_exited(tw_core *core, const machine *machine, const tw_wire_task *told,
-                            job *job, tw_orders *orders) {
+static void stranger_exited(tw_core *core, const tw_machine *machine, const tw_wire_task *told,
+                            tw_job *job, tw_command_list *orders) {
     const int done = told->cause == TW_CAUSE_DONE;
-    if (job && done && job->task_states[told->index] == T_FREE) {
-        job->task_states[told->index] = T_DONE;
+    if (job && done && job->task_states[told->index] == TW_ASSIGNMENT_NONE) {
+        job->task_states[told->index] = TW_ASSIGNMENT_DONE;
         job->done_count++;
         if (job->spec.gang) tw_gang_done(core, job);
         if (job->done_count == job->task_count)
             tw_job_finish(core, job, TW_JOB_DONE);
         else
-            tw_job_changed(core, job, 0);
+            tw_job_mark_changed(core, job, 0);
     }
     /* Only a machine that refuses older tokens can't be made to start it again; and without
      * authority another leader may know of it. */
-    if (orders && tw_may(core, RIGHT_COMMAND) && machine->confirmed &&
+    if (orders && tw_leader_may(core, TW_PERMISSION_COMMAND) && machine->confirmed &&
         (!job || !done || job->version == job->durable_version))
-        tw_orders_add(orders,
-                      (tw_wire_command){.kind = TW_COMMAND_FORGET,
-                                        .index = told->index,
-                                        .attempt = told->attempt},
-                      told->job);
+        tw_command_list_add(orders,
+                            (tw_wire_command){.kind = TW_COMMAND_FORGET,
+                                              .index = told->index,
+                                              .attempt = told->attempt},
+                            told->job);
 }
 
-void tw_task_stranger(tw_core *core, machine *machine, const tw_wire_heartbeat *report,
-                      const tw_wire_task *told, tw_orders *orders) {
-    job *job = tw_job_find(core, told->job);
+void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
+                               const tw_wire_task *told, tw_command_list *orders) {
+    tw_job *job = tw_job_find(core, told->job);
     if (job &&
         (!job->task_states || job->state != TW_JOB_PENDING || told->index >= job->task_count))
         job = NULL;
@@ -153,23 +156,25 @@
         stranger_exited(core, machine, told, job, orders);
         return;
     }
-    if (job && job->task_states[told->index] == T_FREE &&
-        tw_zone_allows(core, job, machine->zone) && tw_quota_allows(core, job, 1)) {
-        placement *placed = tw_place(core, job, told->index, machine, told->attempt);
+    if (job && job->task_states[told->index] == TW_ASSIGNMENT_NONE &&
+        tw_constraints_allow_zone(core, job, machine->zone) &&
+        tw_quota_allows_tasks(core, job, 1)) {
+        tw_placement *placed = tw_placement_new(core, job, told->index, machine, told->attempt);
         if (!placed) return;
         placed->inherited = 1;
         placed->mark = core->heartbeat_mark;
-        if (job->spec.gang && job->placed_count == 1) tw_gang_adopted(job);
-        tw_task_reported(core, placed, report, told);
-        tw_job_changed(core, job, 0);
+        if (job->spec.gang && job->placed_count == 1) tw_gang_restored(job);
+        tw_reconcile_task(core, placed, report, told);
+        tw_job_mark_changed(core, job, 0);
         tw_log_info("event=adopted piece=%s/%d tray=%s", told->job, told->index, machine->name);
         return;
     }
     tw_log_info("event=stray piece=%s/%d try=%llu tray=%s", told->job, told->index,
                 (unsigned long long)told->attempt, machine->name);
     if (orders)
-        tw_orders_add(orders,
-                      (tw_wire_command){
-                          .kind = TW_COMMAND_STOP, .index = told->index, .attempt = told->attempt},
-                      told->job);
+        tw_command_list_add(orders,
+                            (tw_wire_command){.kind = TW_COMMAND_STOP,
+                                              .index = told->index,
+                                              .attempt = told->attempt},
+                            told->job);
 }
--- a/src/core/task_ranges.c
+++ b/src/core/task_ranges.c
@@ -6,10 +6,10 @@
 #define LONGEST_RANGE 32
 #define DECIMAL 10
 
-char *tw_ranges_text(const uint8_t *states, int count, int want) {
+char *tw_task_ranges_text(const uint8_t *states, int count, int want) {
     size_t room = FIRST_ROOM;
     size_t length = 0;
-    char *text = tw_zalloc(room);
+    char *text = tw_alloc(room);
     /* Of a large job most tasks are in another state: memchr passes over them. */
     const uint8_t *at = count ? memchr(states, want, (size_t)count) : NULL;
     while (at) {
@@ -33,7 +33,7 @@
     return text;
 }
 
-int tw_ranges_apply(uint8_t *states, int count, const char *text, int to) {
+int tw_task_ranges_apply(uint8_t *states, int count, const char *text, int to) {
     int changed = 0;
     while (*text) {
         char *end;
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -1,8 +1,8 @@
 /* The end of a term: everything that belongs to it is forgotten. */
 #include "core/record_parts.h"
 
-static void forget_set(expiring **set) {
-    expiring *member, *next;
+static void forget_set(tw_expiring_name **set) {
+    tw_expiring_name *member, *next;
     HASH_ITER(hh, *set, member, next) {
         HASH_DEL(*set, member);
         free(member);
@@ -10,8 +10,8 @@
 }
 
 /* Turns away all users who wait for the job. */
-static void turn_waiters_away(tw_core *core, job *job) {
-    for (waiter *user = job->waiting_clients, *next; user; user = next) {
+static void turn_waiters_away(tw_core *core, tw_job *job) {
+    for (tw_waiting_client *user = job->waiting_clients, *next; user; user = next) {
         next = user->next;
         tw_reply_error(core, user->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
         free(user);
@@ -20,17 +20,17 @@
 }
 
 static void forget_jobs_and_machines(tw_core *core) {
-    machine *machine, *next_machine;
-    job *job, *next_job;
+    tw_machine *machine, *next_machine;
+    tw_job *job, *next_job;
     HASH_ITER(hh, core->jobs, job, next_job) turn_waiters_away(core, job);
     HASH_ITER(hh, core->machines, machine, next_machine) {
-        placement *placed, *next;
+        tw_placement *placed, *next;
         DL_FOREACH_SAFE(machine->placements, placed, next)
-        tw_attempt_end_on(core, placed, END_TERM);
-        tw_machine_drop(core, machine, NULL);
+        tw_attempt_terminate_on(core, placed, TW_EVIDENCE_TERM_ENDED);
+        tw_machine_forget(core, machine, NULL);
     }
     HASH_ITER(hh, core->jobs, job, next_job) tw_job_free(core, job);
-    tw_finished_free(core->completed_jobs);
+    tw_completed_jobs_free(core->completed_jobs);
     core->completed_jobs = NULL;
     core->active_jobs = NULL;
     core->pending_writes = NULL;
@@ -39,10 +39,10 @@
 }
 
 static void forget_rentals(tw_core *core) {
-    turned_away_job *turned_away_job, *next_turned_away;
+    tw_rejected_admission *turned_away_job, *next_turned_away;
     HASH_ITER(hh, core->rejected_admissions, turned_away_job, next_turned_away)
-    tw_turned_away_drop(core, turned_away_job);
-    rental_request *rental_request, *next_rental_request;
+    tw_rejected_admission_drop(core, turned_away_job);
+    tw_rental_request *rental_request, *next_rental_request;
     DL_FOREACH_SAFE(core->rental_requests, rental_request, next_rental_request) {
         DL_DELETE(core->rental_requests, rental_request);
         free(rental_request);
@@ -59,8 +59,8 @@
     forget_set(&core->returned_machines);
     forget_rentals(core);
     forget_set(&core->untaken_admissions);
-    tw_parts_forget_stale(core);
-    tw_loaded_free(core);
+    tw_chunks_forget_stale(core);
+    tw_chunk_loader_free(core);
     core->peers_read_chunks = core->a_peer_lacks_chunks = 0;
     core->silent_zone_count = 0;
     core->admission_watch_in_flight = 0;
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -10,52 +10,52 @@
 #define FIRST_INTERFERENCE 0.5
 #define KINDS 2 /* on-demand, spot */
 
-static flavor type_of(const tw_core *core, const tw_wire_machine_type *listed) {
-    return (flavor){.listed = *listed,
-                    .slowness = 1,
-                    .queue_delay_s = FIRST_DELAY_REPORTS * core->config->report_s,
-                    .fetch_s_per_gb = FIRST_FETCH_SLOWED / listed->fetch_gb_s,
-                    .fetch_deviation = FIRST_FETCH_DEVIATION,
-                    .overdue_share = FIRST_OVERDUE_SHARE,
-                    .fetch_interference = FIRST_INTERFERENCE};
+static tw_machine_type type_of(const tw_core *core, const tw_wire_machine_type *listed) {
+    return (tw_machine_type){.listed = *listed,
+                             .slowness = 1,
+                             .queue_delay_s = FIRST_DELAY_REPORTS * core->config->report_s,
+                             .fetch_s_per_gb = FIRST_FETCH_SLOWED / listed->fetch_gb_s,
+                             .fetch_deviation = FIRST_FETCH_DEVIATION,
+                             .overdue_share = FIRST_OVERDUE_SHARE,
+                             .fetch_interference = FIRST_INTERFERENCE};
 }
 
 static void make_offers(tw_core *core) {
     int count = 0;
     for (int i = 0; i < core->machine_type_count; i++)
         count += KINDS * core->machine_types[i].listed.zone_count;
-    core->capacity_offers = tw_zalloc((size_t)count * sizeof *core->capacity_offers);
+    core->capacity_offers = tw_alloc((size_t)count * sizeof *core->capacity_offers);
     core->capacity_offer_count = 0;
     for (int i = 0; i < core->machine_type_count; i++)
         for (int zone = 0; zone < core->machine_types[i].listed.zone_count; zone++)
             for (int spot = 0; spot < KINDS; spot++)
                 core->capacity_offers[core->capacity_offer_count++] =
-                    (offer){.type_index = i, .zone_index = zone, .spot = spot};
+                    (tw_capacity_offer){.type_index = i, .zone_index = zone, .spot = spot};
 }
 
 static void take_first(tw_core *core, const tw_wire_machine_type *listed, int count) {
-    core->machine_types = tw_zalloc((size_t)count * sizeof *core->machine_types);
+    core->machine_types = tw_alloc((size_t)count * sizeof *core->machine_types);
     core->machine_type_count = count;
     for (int i = 0; i < count; i++) core->machine_types[i] = type_of(core, &listed[i]);
     make_offers(core);
     /* Records read before the types were known. */
-    job *job;
+    tw_job *job;
     DL_FOREACH(core->active_jobs, job)
-    if (job->has_spec) job->type_mask = tw_rack_mask(core, &job->spec);
+    if (job->has_spec) job->type_mask = tw_machine_type_mask(core, &job->spec);
     tw_log_info("event=flavors n=%d", count);
 }
 
 /* Only prices move; an index never changes its meaning. */
 static void take_prices(tw_core *core, const tw_wire_machine_type *listed, int count) {
     for (int i = 0; i < count; i++) {
-        const int type = tw_rack_index(core, listed[i].name);
+        const int type = tw_machine_type_index(core, listed[i].name);
         if (type < 0) continue;
         core->machine_types[type].listed.on_demand_price = listed[i].on_demand_price;
         core->machine_types[type].listed.spot_price = listed[i].spot_price;
     }
 }
 
-void tw_types_listed(tw_core *core, const char *body, size_t length) {
+void tw_machine_types_response(tw_core *core, const char *body, size_t length) {
     tw_wire_machine_type *listed;
     int count;
     if (tw_wire_machine_types_parse(&listed, &count, body, length) || !count) return;
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -21,35 +21,37 @@
 
 /* At the leader, authority is what counts; see docs/design.md, "What users are told". */
 static int leads(const tw_core *core) {
-    return core->phase == PH_ACTIVE && tw_may(core, RIGHT_TELL);
+    return core->phase == TW_PHASE_ACTIVE && tw_leader_may(core, TW_PERMISSION_ANSWER);
 }
 
 /* ---- by the state service, or by the leader ---- */
 
-void tw_job_lookup(tw_core *core, uint64_t conn, const char *id, user_operation op) {
-    if (!tw_take(core,
-                 tw_may(core, RIGHT_WRITE) ? &core->request_limiter : &core->follower_read_limiter,
-                 1)) {
+void tw_job_look_up(tw_core *core, uint64_t conn, const char *id, tw_user_operation op) {
+    if (!tw_rate_limiter_try_acquire(core,
+                                     tw_leader_may(core, TW_PERMISSION_WRITE)
+                                         ? &core->request_limiter
+                                         : &core->follower_read_limiter,
+                                     1)) {
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "busy");
         return;
     }
-    char path[JOB_PATH_SIZE];
-    snprintf(path, sizeof path, JOB_PATH "%s", id);
-    call *call = tw_call(core, K_LOOKUP, TW_TO_STATE, core->config->state, "GET", path, NULL,
-                         LOOKUP_TIMEOUT_S);
+    char path[TW_JOB_PATH_SIZE];
+    snprintf(path, sizeof path, TW_JOB_PATH "%s", id);
+    tw_call *call = tw_call_send(core, TW_CALL_LOOK_UP_JOB, TW_TO_STATE, core->config->state, "GET",
+                                 path, NULL, LOOKUP_TIMEOUT_S);
     call->connection = conn;
     call->operation = op;
-    call->sequence = tw_finished_let_go(core->completed_jobs);
+    call->sequence = tw_completed_jobs_evictions(core->completed_jobs);
     snprintf(call->name, sizeof call->name, "%s", id);
 }
 
 /* Hands a request to the leader; 0 if there is none to hand it to. */
-static int proxy(tw_core *core, uint64_t conn, user_operation op, const char *method,
+static int proxy(tw_core *core, uint64_t conn, tw_user_operation op, const char *method,
                  const char *path, const char *id, char *body, double timeout_s) {
-    peer *p = *core->leader_name ? tw_peer_of(core, core->leader_name) : NULL;
+    tw_peer *p = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
     if (!p || p->answered_at < core->now - 0.5 * core->leader_lease_s - LEADER_SILENT_S) return 0;
-    call *call = tw_call(core, K_PROXY, TW_TO_PEER, p->config.addr, method, path,
-                         body ? strdup(body) : NULL, timeout_s);
+    tw_call *call = tw_call_send(core, TW_CALL_FORWARD_REQUEST, TW_TO_PEER, p->config.addr, method,
+                                 path, body ? strdup(body) : NULL, timeout_s);
     call->connection = conn;
     call->operation = op;
     call->text = body;
@@ -59,7 +61,7 @@
 
 /* ---- at the leader ---- */
 
-static void leader_abort(tw_core *core, uint64_t conn, job *job) {
+static void leader_abort(tw_core *core, uint64_t conn, tw_job *job) {
     if (job->durable_state != TW_JOB_PENDING) {
         tw_reply(core, conn, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
@@ -67,31 +69,31 @@
     }
     if (job->state == TW_JOB_PENDING && !job->cancelling) {
         job->cancelling = 1; /* nothing of it is started any more */
-        tw_job_cancelled(core, job);
+        tw_job_note_cancelled(core, job);
         job->cancellation_sequence = ++core->cancellation_sequence;
     }
-    int safe = job->state == TW_JOB_PENDING ? tw_abort_safe(core, job, 1) : 1;
+    int safe = job->state == TW_JOB_PENDING ? tw_cancellation_safety(core, job, 1) : 1;
     if (safe < 0) {
         /* It goes on as soon as it can be promised; the user is not kept waiting for that. */
         tw_log_debug("event=cancel_later id=%s", job->id);
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "machines of it can't be reached");
         return;
     }
-    tw_job_wait(core, job, conn, 1);
+    tw_job_add_waiting_client(core, job, conn, 1);
     if (safe && job->state == TW_JOB_PENDING) tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
 /* Tells what is in memory of the job; 0: nothing is. */
-static int tell(tw_core *core, uint64_t conn, const char *id, user_operation op) {
-    tw_ending ending;
-    job *job = tw_job_find(core, id);
-    if (job && op == OP_ABORT)
+static int tell(tw_core *core, uint64_t conn, const char *id, tw_user_operation op) {
+    tw_completion ending;
+    tw_job *job = tw_job_find(core, id);
+    if (job && op == TW_OPERATION_CANCEL)
         leader_abort(core, conn, job);
     else if (job)
-        tw_reply(core, conn, TW_HTTP_OK, 0, tw_job_answer(job));
-    else if (!tw_finished_find(core->completed_jobs, id, &ending))
+        tw_reply(core, conn, TW_HTTP_OK, 0, tw_job_status_text(job));
+    else if (!tw_completed_jobs_find(core->completed_jobs, id, &ending))
         return 0;
-    else if (op == OP_ABORT)
+    else if (op == TW_OPERATION_CANCEL)
         tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_job_status_text(id, ending.stage, -1, -1));
     else
         tw_reply(core, conn, TW_HTTP_OK, 0,
@@ -100,56 +102,56 @@
 }
 
 /* The same, if it is as new as anything that any node has told of the job. */
-static int answer(tw_core *core, uint64_t conn, const char *id, user_operation op) {
-    const job *job = tw_job_find(core, id);
-    if (job && !tw_job_answerable(job)) return 0;
+static int answer(tw_core *core, uint64_t conn, const char *id, tw_user_operation op) {
+    const tw_job *job = tw_job_find(core, id);
+    if (job && !tw_job_is_answerable(job)) return 0;
     return tell(core, conn, id, op);
 }
 
 /* A new job: it is told to be accepted once its first record is written. */
 static void accept_job(tw_core *core, uint64_t conn, tw_wire_job *spec) {
-    turned_away_job *turned_away_job;
+    tw_rejected_admission *turned_away_job;
     HASH_FIND_STR(core->rejected_admissions, spec->id, turned_away_job);
-    if (turned_away_job) tw_turned_away_drop(core, turned_away_job);
-    job *job = tw_job_new(core, spec->id);
-    tw_job_spec(core, job, spec);
-    job->task_states = tw_zalloc((size_t)job->task_count);
+    if (turned_away_job) tw_rejected_admission_drop(core, turned_away_job);
+    tw_job *job = tw_job_new(core, spec->id);
+    tw_job_set_spec(core, job, spec);
+    job->task_states = tw_alloc((size_t)job->task_count);
     job->submitted_at = job->pending_since = core->now;
     job->submitted_wall_s = core->wall;
     DL_APPEND(core->active_jobs, job);
     if (core->began_without_jobs && core->first_admission_at <= 0)
         core->first_admission_at = core->now;
-    tw_lane_arrival(core, job->job_class, job);
-    tw_job_wait(core, job, conn, 0);
-    tw_job_changed(core, job, 1);
+    tw_job_class_note_arrival(core, job->job_class, job);
+    tw_job_add_waiting_client(core, job, conn, 0);
+    tw_job_mark_changed(core, job, 1);
     tw_log_debug("event=submitted id=%s lane=%s team=%d pieces=%d cores=%g gpus=%g mem=%g", job->id,
                  job->spec.job_class, job->team, job->task_count, job->spec.cores, job->spec.gpus,
                  job->spec.memory_gb);
     /* One write holds the acceptance and the first placements. */
-    if (!tw_place_new(core, job)) core->scheduling_due = 1;
+    if (!tw_scheduler_place_now(core, job)) core->scheduling_due = 1;
 }
 
 static void leader_submit(tw_core *core, uint64_t conn, tw_wire_job *spec) {
-    if (answer(core, conn, spec->id, OP_POLL)) return;
-    job *job = tw_job_find(core, spec->id);
+    if (answer(core, conn, spec->id, TW_OPERATION_QUERY)) return;
+    tw_job *job = tw_job_find(core, spec->id);
     if (job && job->record_exists) {
-        tw_job_lookup(core, conn, spec->id, OP_POLL);
+        tw_job_look_up(core, conn, spec->id, TW_OPERATION_QUERY);
         return;
     }
     if (job) {
-        tw_job_wait(core, job, conn, 0);
-        if (job->size_refusals) tw_job_turn_away(core, job);
+        tw_job_add_waiting_client(core, job, conn, 0);
+        if (job->size_refusals) tw_job_reject_waiting_clients(core, job);
         return;
     }
-    if (!tw_record_writable(core, spec)) {
-        tw_turn_away(core, conn, spec->id, TOO_LARGE_RETRY_S, "too large for now");
+    if (!tw_record_is_writable(core, spec)) {
+        tw_admission_reject(core, conn, spec->id, TOO_LARGE_RETRY_S, "too large for now");
         return;
     }
     double wait_s = tw_write_backlog_s(core);
-    if (wait_s > ACCEPT_WAIT_S * WAIT_RATIO) {
+    if (wait_s > TW_ADMISSION_WAIT_S * WAIT_RATIO) {
         const double retry_s = fmin(LONGEST_RETRY_S, ceil(wait_s));
-        tw_turn_away(core, conn, spec->id, retry_s, "too many submissions");
-        tw_turned_away_note(core, spec, retry_s);
+        tw_admission_reject(core, conn, spec->id, retry_s, "too many submissions");
+        tw_rejected_admission_note(core, spec, retry_s);
         return;
     }
     accept_job(core, conn, spec);
@@ -159,35 +161,36 @@
  * key, a successor from its load. */
 static void create_direct(tw_core *core, uint64_t conn, tw_wire_job *spec) {
     if (core->now - core->store_answered_at > 2 * core->leader_lease_s ||
-        !tw_take(core, &core->follower_create_limiter, 2)) {
-        tw_turn_away(core, conn, spec->id, 1, "no leader");
+        !tw_rate_limiter_try_acquire(core, &core->follower_create_limiter, 2)) {
+        tw_admission_reject(core, conn, spec->id, 1, "no leader");
         return;
     }
-    char key[JOB_KEY_SIZE];
-    snprintf(key, sizeof key, JOB_KEY "%s", spec->id);
+    char key[TW_JOB_KEY_SIZE];
+    snprintf(key, sizeof key, TW_JOB_KEY "%s", spec->id);
     tw_wire_record record = {.has_job = 1,
                              .job = *spec,
                              .task_count = spec->task_count,
                              .submitted_at = core->wall,
                              .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
-    if (strlen(text) > tw_record_whole_room(core)) {
-        tw_turn_away(core, conn, spec->id, TOO_LARGE_RETRY_S, "too large without a leader");
+    if (strlen(text) > tw_record_whole_size(core)) {
+        tw_admission_reject(core, conn, spec->id, TOO_LARGE_RETRY_S, "too large without a leader");
         free(text);
         return;
     }
-    char news[ACCEPTED_KEY_SIZE];
-    snprintf(news, sizeof news, ACCEPTED_KEY "%s", spec->id);
+    char news[TW_PEER_ADMISSION_KEY_SIZE];
+    snprintf(news, sizeof news, TW_PEER_ADMISSION_KEY "%s", spec->id);
     tw_wire_compare condition = {key, 0};
     tw_wire_write writes[2] = {{key, text, 0}, {news, "1", 0}};
-    call *call = tw_call(core, K_CREATE, TW_TO_STATE, core->config->state, "POST", "/txn",
-                         tw_wire_txn_text(&condition, 1, writes, 2), CREATE_TIMEOUT_S);
+    tw_call *call =
+        tw_call_send(core, TW_CALL_CREATE_RECORD, TW_TO_STATE, core->config->state, "POST", "/txn",
+                     tw_wire_txn_text(&condition, 1, writes, 2), CREATE_TIMEOUT_S);
     call->connection = conn;
     snprintf(call->name, sizeof call->name, "%s", spec->id);
     free(text);
 }
 
-void tw_submit(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer) {
+void tw_user_submit(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer) {
     tw_wire_job spec;
     const char *why = "";
     if (tw_wire_job_parse(&spec, body, length, &why)) {
@@ -196,18 +199,19 @@
     }
     if (!core->machine_type_count) {
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "machine types not known yet");
-    } else if (tw_job_hopeless(core, &spec)) {
+    } else if (tw_job_is_impossible(core, &spec)) {
         /* A job accepted once must not be refused later: only proof that it is new allows 422. */
-        if (!leads(core) || !answer(core, conn, spec.id, OP_POLL))
-            tw_job_lookup(core, conn, spec.id, OP_REFUSE);
+        if (!leads(core) || !answer(core, conn, spec.id, TW_OPERATION_QUERY))
+            tw_job_look_up(core, conn, spec.id, TW_OPERATION_REFUSE);
     } else if (leads(core)) {
         leader_submit(core, conn, &spec);
     } else if (from_peer) {
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "not the leader");
     } else {
-        char *copy = tw_zalloc(length + 1);
+        char *copy = tw_alloc(length + 1);
         memcpy(copy, body, length);
-        if (!proxy(core, conn, OP_SUBMIT, "POST", "/v1/jobs", spec.id, copy, PROXY_SUBMIT_S)) {
+        if (!proxy(core, conn, TW_OPERATION_SUBMIT, "POST", "/v1/jobs", spec.id, copy,
+                   PROXY_SUBMIT_S)) {
             free(copy);
             create_direct(core, conn, &spec);
         }
@@ -215,37 +219,41 @@
     tw_wire_job_free(&spec);
 }
 
-void tw_poll(tw_core *core, uint64_t conn, const char *id, int from_peer) {
+void tw_user_query(tw_core *core, uint64_t conn, const char *id, int from_peer) {
     if (!tw_wire_id_ok(id, strlen(id))) { /* no such id can have been accepted */
         tw_reply_error(core, conn, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
     if (leads(core)) {
-        if (!answer(core, conn, id, OP_POLL)) tw_job_lookup(core, conn, id, OP_POLL);
+        if (!answer(core, conn, id, TW_OPERATION_QUERY))
+            tw_job_look_up(core, conn, id, TW_OPERATION_QUERY);
         return;
     }
     char path[PATH_SIZE];
     snprintf(path, sizeof path, "/v1/jobs/%s", id);
-    if (from_peer || !proxy(core, conn, OP_POLL, "GET", path, id, NULL, PROXY_POLL_S))
-        tw_job_lookup(core, conn, id, OP_POLL);
+    if (from_peer || !proxy(core, conn, TW_OPERATION_QUERY, "GET", path, id, NULL, PROXY_POLL_S))
+        tw_job_look_up(core, conn, id, TW_OPERATION_QUERY);
 }
 
-void tw_abort_job(tw_core *core, uint64_t conn, const char *id, int from_peer) {
+void tw_user_cancel(tw_core *core, uint64_t conn, const char *id, int from_peer) {
     if (!tw_wire_id_ok(id, strlen(id))) {
         tw_reply_error(core, conn, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
     if (leads(core)) {
-        if (!answer(core, conn, id, OP_ABORT)) tw_job_lookup(core, conn, id, OP_ABORT);
+        if (!answer(core, conn, id, TW_OPERATION_CANCEL))
+            tw_job_look_up(core, conn, id, TW_OPERATION_CANCEL);
         return;
     }
     char path[PATH_SIZE];
     snprintf(path, sizeof path, "/v1/jobs/%s/abort", id);
     char *body = strdup("{}");
-    if (!from_peer && proxy(core, conn, OP_ABORT, "POST", path, id, body, PROXY_CANCEL_S)) return;
+    if (!from_peer &&
+        proxy(core, conn, TW_OPERATION_CANCEL, "POST", path, id, body, PROXY_CANCEL_S))
+        return;
     free(body);
     /* Without the leader nothing can be cancelled, but what is over can be told. */
-    tw_job_lookup(core, conn, id, OP_ABORT);
+    tw_job_look_up(core, conn, id, TW_OPERATION_CANCEL);
 }
 
 static void adopt(tw_core *core, const char *id, const tw_wire_entry *entry) {
@@ -255,24 +263,24 @@
         return;
     }
     /* Of a divided one the slices are missing; it is one that was over and let go. */
-    if (!*record.chunk_set) tw_adopt(core, id, &record, entry->mod_revision);
+    if (!*record.chunk_set) tw_job_restore(core, id, &record, entry->mod_revision);
     tw_wire_record_free(&record);
 }
 
 /* At the leader: takes in a record that was read. Of a job that isn't known, one read before this
  * term began may be old, and so may one that was read before finished jobs were let go: the job may
  * have been among them. */
-static void note_record(tw_core *core, const call *call, const tw_wire_entry *entry) {
-    job *job = tw_job_find(core, call->name);
+static void note_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
+    tw_job *job = tw_job_find(core, call->name);
     if (job)
-        tw_job_record_read(core, job, entry);
-    else if (!tw_job_known(core, call->name) && call->term == core->term &&
-             call->sequence == tw_finished_let_go(core->completed_jobs))
+        tw_job_store_record_read(core, job, entry);
+    else if (!tw_job_is_known(core, call->name) && call->term == core->term &&
+             call->sequence == tw_completed_jobs_evictions(core->completed_jobs))
         adopt(core, call->name, entry);
 }
 
 /* An answer by a record that was read after the question came. */
-static void answer_by_record(tw_core *core, const call *call, const tw_wire_entry *entry) {
+static void answer_by_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, call->name, entry->value, strlen(entry->value))) {
         tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1, "record can't be read");
@@ -281,9 +289,9 @@
     int over = record.state != TW_JOB_PENDING;
     const int live = *record.chunk_set ? record.running_count : record.assignment_count;
     int stage = over ? record.state : live ? TW_JOB_RUNNING : TW_JOB_PENDING;
-    if (call->operation == OP_ABORT && !over)
+    if (call->operation == TW_OPERATION_CANCEL && !over)
         tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
-    else if (call->operation == OP_ABORT)
+    else if (call->operation == TW_OPERATION_CANCEL)
         tw_reply(core, call->connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(call->name, stage, -1, -1));
     else
@@ -292,10 +300,10 @@
     tw_wire_record_free(&record);
 }
 
-static void lookup_done(tw_core *core, call *call, int status, const char *body, size_t length) {
+static void lookup_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
     if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND) core->store_answered_at = core->now;
     if (status == TW_HTTP_NOT_FOUND) {
-        if (call->operation == OP_REFUSE)
+        if (call->operation == TW_OPERATION_REFUSE)
             tw_reply_error(core, call->connection, TW_HTTP_IMPOSSIBLE, 0, "can never run");
         else
             tw_reply_error(core, call->connection, TW_HTTP_NOT_FOUND, 0, "no such job");
@@ -316,47 +324,48 @@
     free(entry.value);
 }
 
-static void proxy_done(tw_core *core, call *call, int status, const char *body, size_t length) {
+static void proxy_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
     if (status >= TW_HTTP_OK && status != TW_HTTP_UNAVAILABLE) {
-        char *copy = tw_zalloc(length + 1);
+        char *copy = tw_alloc(length + 1);
         memcpy(copy, body, length);
         tw_reply(core, call->connection, status, 0, copy);
         return;
     }
     if (!call->connection) return;
-    if (call->operation == OP_POLL || (call->operation == OP_ABORT && status == 0)) {
-        tw_job_lookup(core, call->connection, call->name, call->operation);
+    if (call->operation == TW_OPERATION_QUERY ||
+        (call->operation == TW_OPERATION_CANCEL && status == 0)) {
+        tw_job_look_up(core, call->connection, call->name, call->operation);
         return;
     }
     /* A submission may go straight to the state service, even if the leader's write of it still
      * comes: the key's absence decides. */
     tw_wire_job spec;
     const char *why;
-    if (call->operation == OP_SUBMIT && status == 0 && call->text &&
+    if (call->operation == TW_OPERATION_SUBMIT && status == 0 && call->text &&
         !tw_wire_job_parse(&spec, call->text, strlen(call->text), &why)) {
         create_direct(core, call->connection, &spec);
         tw_wire_job_free(&spec);
         return;
     }
-    tw_turn_away(core, call->connection, call->name, 1, "leader does not answer");
+    tw_admission_reject(core, call->connection, call->name, 1, "leader does not answer");
 }
 
-static void create_done(tw_core *core, call *call, int status) {
+static void create_done(tw_core *core, tw_call *call, int status) {
     if (status == TW_HTTP_OK) {
         core->store_answered_at = core->now;
         tw_reply(core, call->connection, TW_HTTP_CREATED, 0,
                  tw_wire_job_status_text(call->name, TW_JOB_PENDING, -1, -1));
     } else if (status == TW_HTTP_CONFLICT) {
-        tw_job_lookup(core, call->connection, call->name, OP_POLL);
+        tw_job_look_up(core, call->connection, call->name, TW_OPERATION_QUERY);
     } else {
-        tw_turn_away(core, call->connection, call->name, 1, "state service does not answer");
+        tw_admission_reject(core, call->connection, call->name, 1, "state service does not answer");
     }
 }
 
-void tw_users_response(tw_core *core, call *call, int status, const char *body, size_t length) {
-    if (call->kind == K_LOOKUP)
+void tw_user_response(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
+    if (call->kind == TW_CALL_LOOK_UP_JOB)
         lookup_done(core, call, status, body, length);
-    else if (call->kind == K_PROXY)
+    else if (call->kind == TW_CALL_FORWARD_REQUEST)
         proxy_done(core, call, status, body, length);
     else
         create_done(core, call, status);
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -16,14 +16,14 @@
     return (tw_sim_clock){.steady = STEADY_START + c->now, .wall = WALL_START + c->now};
 }
 
-static double answered_after(const tw_fx *effect) {
+static double answered_after(const tw_effect *effect) {
     const char *hold = strstr(effect->path, "holdMs=");
     return hold ? tw_sim_number(hold + strlen("holdMs=")) / 1000 : LATENCY;
 }
 
 /* Heartbeats are many and differ in their times: those that say the same in a row are shown once.
  */
-static int is_shown(conversation *c, const tw_fx *effect) {
+static int is_shown(conversation *c, const tw_effect *effect) {
     if (strcmp(effect->path, "/peer/ping") != 0) return 1;
     const char *times = strstr(effect->body, "\"upS\"");
     const size_t length = times ? (size_t)(times - effect->body) : strlen(effect->body);
@@ -32,7 +32,7 @@
     return 1;
 }
 
-static void show_call(conversation *c, const tw_fx *effect) {
+static void show_call(conversation *c, const tw_effect *effect) {
     const char *body = effect->body ? effect->body : "";
     if (effect->to == TW_TO_STATE && !strcmp(effect->path, "/txn"))
         printf("write %s\n", body);
@@ -42,7 +42,7 @@
         printf("worker %s %s %s\n", effect->addr, effect->path, body);
 }
 
-static void take_call(conversation *c, tw_fx *effect) {
+static void take_call(conversation *c, tw_effect *effect) {
     if (c->count == CONVERSATION_MAX_WAITING) abort();
     show_call(c, effect);
     c->waiting[c->count++] = (waiting_call){.id = effect->id,
@@ -56,14 +56,14 @@
 
 static void take_effects(conversation *c) {
     const tw_sim_controller_methods *methods = c->controller->methods;
-    tw_fx *effect;
+    tw_effect *effect;
     while ((effect = methods->next(c->controller))) {
-        if (effect->kind == TW_FX_REPLY)
+        if (effect->kind == TW_EFFECT_REPLY)
             printf("reply %llu %d %s\n", (unsigned long long)effect->id, effect->status,
                    effect->body ? effect->body : "");
         else
             take_call(c, effect);
-        tw_core_fx_free(effect);
+        tw_core_effect_free(effect);
     }
     if (!c->controller->failure) return;
     printf("%s\n", c->controller->failure);
--- a/tools/core_server/main.c
+++ b/tools/core_server/main.c
@@ -16,6 +16,9 @@
  *                           address, path and body follow; size -1: there is none; METHOD -: none
  *   done STEPS TICK_S */
 #include "core/core.h"
+#ifdef TW_CORE_EARLIER
+#include "earlier_names.h"
+#endif
 #include "log/log.h"
 #include "words.h"
 #include <inttypes.h>
@@ -44,8 +47,8 @@
 }
 
 static void answer(tw_core *core) {
-    tw_fx *effect;
-    while ((effect = tw_core_next(core))) {
+    tw_effect *effect;
+    while ((effect = tw_core_next_effect(core))) {
         printf("effect %d %" PRIu64 " %d %a %d %a %s %ld %ld %ld\n", effect->kind, effect->id,
                effect->status, effect->retry_after, effect->to, effect->timeout_s,
                effect->method ? effect->method : "-", size_of(effect->addr), size_of(effect->path),
@@ -53,9 +56,9 @@
         write_text(effect->addr);
         write_text(effect->path);
         write_text(effect->body);
-        tw_core_fx_free(effect);
+        tw_core_effect_free(effect);
     }
-    printf("done %" PRIu64 " %a\n", tw_core_steps(core), tw_core_tick_s(core));
+    printf("done %" PRIu64 " %a\n", tw_core_pass_steps(core), tw_core_tick_s(core));
     fflush(stdout);
 }
 
