--- a/src/app/main.c
+++ b/src/app/main.c
@@ -159,7 +159,7 @@
 static void log_statistics(app *process, double now) {
     if (now < process->next_statistics || !tw_log_on(TW_LOG_DEBUG)) return;
     process->next_statistics = now + STATISTICS_S;
-    tw_log_debug("event=stats tick_lag_mean_s=%.4f tick_lag_sd_s=%.4f heap_kb=%zu",
+    tw_log_debug("event=statistics_sampled tick_lag_mean_s=%.4f tick_lag_sd_s=%.4f heap_kb=%zu",
                  gsl_histogram_mean(process->lag), gsl_histogram_sigma(process->lag),
                  mallinfo2().uordblks / 1024);
     gsl_histogram_reset(process->lag);
@@ -244,10 +244,10 @@
     if (listen_on(process, "api_addr", conf->api_addr, TW_PORT_API) ||
         listen_on(process, "peer_bind", conf->peer_bind, TW_PORT_PEER))
         return EXIT_LISTEN;
-    tw_log_info("event=start version=" TW_VERSION " zone=%s", conf->location);
+    tw_log_info("event=process_started version=" TW_VERSION " zone=%s", conf->location);
     start_watchers(process);
     ev_run(process->loop, 0);
-    tw_log_info("event=end");
+    tw_log_info("event=process_stopped");
     tw_net_free(process->net);
     tw_core_free(process->core);
     tw_conf_free(&process->conf);
--- a/src/core/attempt_end.c
+++ b/src/core/attempt_end.c
@@ -11,15 +11,15 @@
 static const char *const names[TW_EVIDENCE_KINDS] = {
     [TW_EVIDENCE_EXITED] = "exited",
     [TW_EVIDENCE_ABSENT] = "absent",
-    [TW_EVIDENCE_LAUNCH_LOST] = "not_taken",
-    [TW_EVIDENCE_NEW_INCARNATION] = "session",
-    [TW_EVIDENCE_LEASE_EXPIRED] = "lapsed",
-    [TW_EVIDENCE_MACHINE_RETURNED] = "returned",
+    [TW_EVIDENCE_LAUNCH_LOST] = "launch_lost",
+    [TW_EVIDENCE_NEW_INCARNATION] = "new_incarnation",
+    [TW_EVIDENCE_LEASE_EXPIRED] = "lease_expired",
+    [TW_EVIDENCE_MACHINE_RETURNED] = "machine_returned",
     [TW_EVIDENCE_GANG_DONE] = "gang_done",
     [TW_EVIDENCE_NOT_LAUNCHED] = "not_launched",
     [TW_EVIDENCE_NOT_RECORDED] = "not_recorded",
-    [TW_EVIDENCE_PLACEMENT_UNDONE] = "taken_back",
-    [TW_EVIDENCE_TERM_ENDED] = "term",
+    [TW_EVIDENCE_PLACEMENT_UNDONE] = "placement_undone",
+    [TW_EVIDENCE_TERM_ENDED] = "term_ended",
 };
 
 const char *tw_termination_evidence_name(tw_termination_evidence ground) { return names[ground]; }
@@ -126,9 +126,11 @@
     const int level = is_told(end->evidence) ? TW_LOG_INFO : TW_LOG_DEBUG;
     if (!placed->counted || !tw_log_on(level)) return;
     tw_log_write(level,
-                 "event=attempt_end piece=%s/%d try=%llu tray=%s ground=%s cause=%d token=%llu "
-                 "inherited=%d launch_shift=%llu launch_tick=%llu direct=%d shift=%llu tick=%llu "
-                 "report_token=%llu confirmed=%d lived_s=%.2f",
+                 "event=attempt_terminated task=%s/%d attempt=%llu worker=%s evidence=%s cause=%d "
+                 "token=%llu "
+                 "inherited=%d launch_incarnation=%llu launch_sequence=%llu direct_launches=%d "
+                 "incarnation=%llu sequence=%llu "
+                 "heartbeat_token=%llu confirmed=%d age_s=%.2f",
                  placed->job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
                  names[end->evidence], end->reported ? end->reported->cause : 0,
                  (unsigned long long)core->fencing_token, placed->inherited,
@@ -161,7 +163,7 @@
 void tw_attempt_forget(tw_core *core, tw_placement *placed) {
     tw_job *job = placed->job;
     if (placed->counted) {
-        tw_invariant_broken(core, TW_INVARIANT_TERMINATION, "piece=%s/%d tray=%s ground=none",
+        tw_invariant_broken(core, TW_INVARIANT_TERMINATION, "task=%s/%d worker=%s evidence=none",
                             job->id, placed->index, placed->machine->name);
         return;
     }
@@ -182,9 +184,9 @@
         core->counters.kept[ground]++;
         if (!may_fail(ground))
             tw_invariant_broken(core, TW_INVARIANT_TERMINATION,
-                                "piece=%s/%d try=%llu tray=%s ground=%s", job->id, placed->index,
-                                (unsigned long long)placed->attempt, placed->machine->name,
-                                names[ground]);
+                                "task=%s/%d attempt=%llu worker=%s evidence=%s", job->id,
+                                placed->index, (unsigned long long)placed->attempt,
+                                placed->machine->name, names[ground]);
         return 0;
     }
     const int was_on_job = placed->counted;
--- a/src/core/authority.c
+++ b/src/core/authority.c
@@ -71,10 +71,11 @@
     const int renews = tw_leader_may(core, TW_PERMISSION_RENEW);
     const unsigned long long token = core->fencing_token;
     if (core->role == TW_ROLE_LEADER && core->could_command && !commands)
-        tw_log_info("event=authority_over token=%llu led_s=%.2f over_since_s=%.3f renews=%d", token,
-                    core->now - core->acquired_at, core->now - core->authority_until, renews);
+        tw_log_info("event=authority_expired token=%llu led_s=%.2f over_since_s=%.3f renews=%d",
+                    token, core->now - core->acquired_at, core->now - core->authority_until,
+                    renews);
     if (core->role == TW_ROLE_LEADER && core->could_renew && !renews)
-        tw_log_info("event=renewing_over token=%llu without_authority_s=%.2f", token,
+        tw_log_info("event=lease_renewals_ended token=%llu without_authority_s=%.2f", token,
                     core->now - core->authority_until);
     core->could_command = commands;
     core->could_renew = renews;
--- a/src/core/counters.c
+++ b/src/core/counters.c
@@ -8,15 +8,15 @@
 static const char *const invariant_names[TW_INVARIANTS] = {
     [TW_INVARIANT_PLACED_TWICE] = "placed_twice",
     [TW_INVARIANT_LAUNCH] = "launch",
-    [TW_INVARIANT_PERMISSION] = "right",
-    [TW_INVARIANT_TERMINATION] = "end",
+    [TW_INVARIANT_PERMISSION] = "permission",
+    [TW_INVARIANT_TERMINATION] = "termination",
 };
 
 static const char *const refusal_names[TW_REJECTIONS] = {
-    [TW_REJECTED_OLDER_HEARTBEAT] = "older_report",
-    [TW_REJECTED_EXPIRED_HEARTBEAT] = "lapsed_report",
-    [TW_REJECTED_RETURNED_MACHINE] = "returned",
-    [TW_REJECTED_NO_PERMISSION] = "no_right",
+    [TW_REJECTED_OLDER_HEARTBEAT] = "older_heartbeat",
+    [TW_REJECTED_EXPIRED_HEARTBEAT] = "expired_heartbeat",
+    [TW_REJECTED_RETURNED_MACHINE] = "returned_machine",
+    [TW_REJECTED_NO_PERMISSION] = "no_permission",
     [TW_REJECTED_COMMANDS] = "commands",
 };
 
@@ -53,9 +53,9 @@
     const char *grounds[TW_EVIDENCE_KINDS];
     for (int i = 0; i < TW_EVIDENCE_KINDS; i++)
         grounds[i] = tw_termination_evidence_name((tw_termination_evidence)i);
-    add(line, "ended", grounds, core->counters.terminated, TW_EVIDENCE_KINDS);
+    add(line, "terminated", grounds, core->counters.terminated, TW_EVIDENCE_KINDS);
     add(line, "kept", grounds, core->counters.kept, TW_EVIDENCE_KINDS);
-    add(line, "refused", refusal_names, core->counters.rejected, TW_REJECTIONS);
+    add(line, "rejected", refusal_names, core->counters.rejected, TW_REJECTIONS);
     add(line, "broken", invariant_names, core->counters.broken, TW_INVARIANTS);
-    tw_log_debug("event=counters%s", line);
+    tw_log_debug("event=counters_logged%s", line);
 }
--- a/src/core/deputy.c
+++ b/src/core/deputy.c
@@ -193,7 +193,7 @@
     if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
     if (status != TW_HTTP_OK) return;
     if (core->now >= core->delegate_until)
-        tw_log_info("event=deputy token=%llu", (unsigned long long)sent->tokens[0]);
+        tw_log_info("event=delegate_key_written token=%llu", (unsigned long long)sent->tokens[0]);
     core->delegate_token = sent->tokens[0];
     core->delegate_until =
         sent->sent_at + tw_delegate_lease_s(core) * (1 - 2 * core->config->tune.drift);
@@ -204,7 +204,8 @@
 /* Renews the worker's lease and stops its tasks of cancelled jobs. */
 static void answer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
     if (core->now > core->delegate_answered_at + core->config->lease_s)
-        tw_log_info("event=deputising token=%llu", (unsigned long long)core->highest_token_seen);
+        tw_log_info("event=delegate_took_over token=%llu",
+                    (unsigned long long)core->highest_token_seen);
     core->delegate_answered_at = core->now;
     tw_command_list orders = tw_command_list_new(core);
     for (int i = 0; i < report->task_count && orders.count < MAX_KILLS; i++) {
--- a/src/core/effects.c
+++ b/src/core/effects.c
@@ -101,8 +101,8 @@
     core->next_calls_log_at = core->now + core->config->lease_s;
     const unsigned *made = core->calls_made;
     tw_log_debug(
-        "event=state_calls s=%.0f key=%u watch=%u elect=%u renew=%u txn=%u read=%u load=%u "
-        "deputy=%u deputies=%u list=%u news=%u refused=%u",
+        "event=store_calls_counted s=%.0f key=%u watch=%u elect=%u renew=%u txn=%u read=%u load=%u "
+        "delegate=%u delegates=%u list=%u peer_admissions=%u refused=%u",
         core->config->lease_s, made[TW_CALL_READ_LEADER], made[TW_CALL_WATCH_LEADER],
         made[TW_CALL_GRANT_LEASE] + made[TW_CALL_ACQUIRE_LEADERSHIP] + made[TW_CALL_REVOKE_LEASE],
         made[TW_CALL_RENEW_LEASE],
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -92,7 +92,7 @@
 
 void tw_leader_step_down(tw_core *core, const char *why) {
     if (core->role != TW_ROLE_LEADER) return;
-    tw_log_info("event=step_down token=%llu why=\"%s\" led_s=%.2f authority_left_s=%.3f",
+    tw_log_info("event=leader_stepped_down token=%llu why=\"%s\" led_s=%.2f authority_left_s=%.3f",
                 (unsigned long long)core->fencing_token, why, core->now - core->acquired_at,
                 core->authority_until - core->now);
     core->role = TW_ROLE_FOLLOWER;
@@ -140,8 +140,9 @@
             0; /* given by us in an earlier term: under an older token */
     }
     tw_leader_observe_token(core, token, core->config->host_name);
-    tw_log_info("event=leader token=%llu authority_s=%.3f hold_s=%.2f", (unsigned long long)token,
-                core->authority_until - core->now, tw_renewal_without_authority_s(core));
+    tw_log_info("event=leader_elected token=%llu authority_s=%.3f renewal_limit_s=%.2f",
+                (unsigned long long)token, core->authority_until - core->now,
+                tw_renewal_without_authority_s(core));
     tw_failover_begin(core);
 }
 
@@ -284,8 +285,9 @@
     if (status == TW_HTTP_OK) {
         const double until = authority_end(core, sent->sent_at);
         if (core->now >= core->authority_until)
-            tw_log_info("event=authority_back token=%llu", (unsigned long long)core->fencing_token);
-        tw_log_debug("event=renewed token=%llu authority_s=%.3f",
+            tw_log_info("event=authority_regained token=%llu",
+                        (unsigned long long)core->fencing_token);
+        tw_log_debug("event=leader_lease_renewed token=%llu authority_s=%.3f",
                      (unsigned long long)core->fencing_token, until - core->now);
         if (until > core->authority_until) core->authority_until = until;
         core->next_renewal_at = sent->sent_at + core->leader_lease_s * RENEW_EVERY;
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -22,7 +22,7 @@
     if (machine->return_wanted) return;
     machine->return_wanted = machine->cordoned = 1;
     core->returns_due = 1;
-    tw_log_info("event=release tray=%s why=%s held_s=%.0f", machine->name, why,
+    tw_log_info("event=machine_return_requested worker=%s why=%s rented_s=%.0f", machine->name, why,
                 core->now - machine->known_since);
     DL_FOREACH_SAFE(machine->placements, each, next)
     if (!tw_attempt_was_launched(each))
@@ -74,14 +74,14 @@
 static void log_lapse(const tw_core *core, const tw_machine *machine) {
     const tw_lease_expiry terms = tw_lease_expiry_of(core, machine);
     const double now = core->now;
-    tw_log_info("event=lapsed tray=%s token=%llu shift=%llu confirmed=%d over_s=%.2f "
-                "answered_s=%.2f deputies_s=%.2f session_s=%.2f loading_s=%.2f predecessor_s=%.2f "
-                "deputies_read_s=%.2f",
-                machine->name, (unsigned long long)core->fencing_token,
-                (unsigned long long)machine->incarnation, machine->confirmed,
-                now - terms.expires_at, now - terms.answered_at, now - terms.delegates_until,
-                now - terms.incarnation_at, now - terms.loading_at, now - terms.predecessor_until,
-                now - core->delegates_checked_at);
+    tw_log_info(
+        "event=lease_expired worker=%s token=%llu incarnation=%llu confirmed=%d over_s=%.2f "
+        "answered_s=%.2f delegates_s=%.2f incarnation_s=%.2f loading_s=%.2f predecessor_s=%.2f "
+        "delegates_read_s=%.2f",
+        machine->name, (unsigned long long)core->fencing_token,
+        (unsigned long long)machine->incarnation, machine->confirmed, now - terms.expires_at,
+        now - terms.answered_at, now - terms.delegates_until, now - terms.incarnation_at,
+        now - terms.loading_at, now - terms.predecessor_until, now - core->delegates_checked_at);
 }
 
 /* Its lease has surely ended: nothing runs there. */
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -36,9 +36,9 @@
 static void enter(tw_core *core, tw_job *job, tw_gang_state state, const char *why) {
     job->gang.state = state;
     core->next_job_sweep_at = core->now;
-    tw_log_debug("event=gang id=%s try=%llu state=%s live=%d of=%d why=%s", job->id,
-                 (unsigned long long)job->gang.attempt, tw_gang_state_name(job), job->placed_count,
-                 job->task_count, why);
+    tw_log_debug("event=gang_state_changed id=%s attempt=%llu state=%s placed=%d tasks=%d why=%s",
+                 job->id, (unsigned long long)job->gang.attempt, tw_gang_state_name(job),
+                 job->placed_count, job->task_count, why);
 }
 
 static int is_under_way(const tw_job *job) {
--- a/src/core/gang_hold.c
+++ b/src/core/gang_hold.c
@@ -118,7 +118,8 @@
     if (!isfinite(soonest)) return;
     hold_in(core, job, best, 1);
     core->reserving_gang = job;
-    tw_log_debug("event=hold id=%s zone=%d in_s=%.1f", job->id, best, soonest - core->now);
+    tw_log_debug("event=gang_room_reserved id=%s zone=%d in_s=%.1f", job->id, best,
+                 soonest - core->now);
 }
 
 int tw_gang_reservation_allows(const tw_core *core, const tw_job *job, const tw_machine *machine) {
--- a/src/core/heartbeat.c
+++ b/src/core/heartbeat.c
@@ -157,7 +157,7 @@
     int count;
     tw_wire_peer_heartbeat answer = self(core, ids, &count);
     if (count > MAX_ABORTED) {
-        tw_log_info("event=no_grant aborted=%d", count);
+        tw_log_info("event=delegation_withheld cancelled=%d", count);
         answer.is_leader = count = 0;
     }
     if (from && answer.is_leader)
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -164,7 +164,7 @@
         tw_placement *p, *t;
         DL_FOREACH_SAFE2(job->placements, p, t, job_next) tw_placement_stop(core, p, 0, 0);
     }
-    tw_log_debug("event=over id=%s stage=%d", job->id, stage);
+    tw_log_debug("event=job_ended id=%s state=%d", job->id, stage);
     tw_job_mark_changed(core, job, 1);
 }
 
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -324,7 +324,8 @@
     if (status == TW_HTTP_CONFLICT &&
         tw_wire_failed_compares_parse(&refusal->keys, &refusal->count, body, length))
         refusal->count = 0;
-    if (status == TW_HTTP_BAD_REQUEST) tw_log_error("event=txn_refused body=\"%.200s\"", body);
+    if (status == TW_HTTP_BAD_REQUEST)
+        tw_log_error("event=transaction_refused body=\"%.200s\"", body);
     if (key_kept(core, refusal)) return 1;
     free(refusal->keys);
     tw_leader_step_down(core, "leader key lost");
--- a/src/core/loaded_parts.c
+++ b/src/core/loaded_parts.c
@@ -59,7 +59,7 @@
         char name[TW_CHUNK_KEY_SIZE];
         const int number = split_key(entries[i].key, name, sizeof name);
         if (number < 0)
-            tw_log_error("event=bad_slice key=%.64s", entries[i].key);
+            tw_log_error("event=chunk_unreadable key=%.64s", entries[i].key);
         else
             keep_slice(set_of(core, name), number, tw_wire_chunk_parse(entries[i].value));
     }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -62,7 +62,7 @@
     if (machine->in_command_queue) DL_DELETE2(core->command_queue, machine, queue_prev, queue_next);
     core->commands_in_flight -= machine->command_in_flight;
     machine->in_command_queue = machine->command_in_flight = 0;
-    if (why) tw_log_info("event=machine_gone tray=%s why=%s", machine->name, why);
+    if (why) tw_log_info("event=machine_removed worker=%s why=%s", machine->name, why);
     DL_FOREACH_SAFE(machine->placements, placed, next_placed)
     tw_attempt_terminate_on(core, placed,
                             why ? TW_EVIDENCE_MACHINE_RETURNED : TW_EVIDENCE_TERM_ENDED);
--- a/src/core/move.c
+++ b/src/core/move.c
@@ -44,8 +44,8 @@
         if (!idle_too_long(core, machine)) continue;
         machine->return_wanted = machine->cordoned = 1;
         core->returns_due = 1;
-        tw_log_info("event=release tray=%s why=idle held_s=%.0f", machine->name,
-                    core->now - machine->known_since);
+        tw_log_info("event=machine_return_requested worker=%s why=idle rented_s=%.0f",
+                    machine->name, core->now - machine->known_since);
     }
 }
 
@@ -158,7 +158,7 @@
         if (!waited_for(core, machine)) continue;
         machine->decommissioning = 0;
         core->scheduling_due = 1;
-        tw_log_info("event=reopened tray=%s", machine->name);
+        tw_log_info("event=decommission_cancelled worker=%s", machine->name);
     }
 }
 
@@ -193,7 +193,7 @@
             break;
         }
         tw_bin_take(home, &placed->job->spec);
-        tw_log_debug("event=move piece=%s/%d from=%s", placed->job->id, placed->index,
+        tw_log_debug("event=task_evicted task=%s/%d from=%s", placed->job->id, placed->index,
                      machine->name);
         tw_placement_stop(core, placed, 0, 0);
         (*moves)--;
@@ -294,5 +294,6 @@
     struct tw_machine *best = next_to_close(core, bins);
     if (!best) return;
     best->decommissioning = 1;
-    tw_log_info("event=closing tray=%s rack=%s", best->name, best->type_name);
+    tw_log_info("event=decommission_started worker=%s machine_type=%s", best->name,
+                best->type_name);
 }
--- a/src/core/orders.c
+++ b/src/core/orders.c
@@ -77,13 +77,14 @@
     if (placed->counted && !placed->inherited &&
         job->task_states[placed->index] == TW_ASSIGNMENT_PLACED)
         return 1;
-    tw_invariant_broken(core, TW_INVARIANT_LAUNCH, "piece=%s/%d try=%llu tray=%s", job->id,
+    tw_invariant_broken(core, TW_INVARIANT_LAUNCH, "task=%s/%d attempt=%llu worker=%s", job->id,
                         placed->index, (unsigned long long)placed->attempt, placed->machine->name);
     return 0;
 }
 
 static void log_launch(const tw_placement *placed, uint64_t tick) {
-    tw_log_debug("event=launch piece=%s/%d try=%llu tray=%s shift=%llu tick=%llu direct=%d",
+    tw_log_debug("event=task_launched task=%s/%d attempt=%llu worker=%s incarnation=%llu "
+                 "sequence=%llu direct=%d",
                  placed->job->id, placed->index, (unsigned long long)placed->attempt,
                  placed->machine->name, (unsigned long long)placed->machine->incarnation,
                  (unsigned long long)tick, !tick);
--- a/src/core/orders_text.c
+++ b/src/core/orders_text.c
@@ -30,8 +30,8 @@
 char *tw_commands_reply_text(tw_core *core, const tw_command_list *orders) {
     const tw_permission right = needed(orders);
     if (!tw_leader_may(core, right)) {
-        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "orders=%d right=%d", orders->count,
-                            right);
+        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "commands=%d permission=%d",
+                            orders->count, right);
         return NULL;
     }
     return tw_wire_commands_text(core->fencing_token, 0, orders->list, (size_t)orders->count);
@@ -40,7 +40,7 @@
 char *tw_commands_direct_text(tw_core *core, const tw_machine *machine,
                               const tw_command_list *orders) {
     if (!tw_leader_may(core, TW_PERMISSION_COMMAND)) {
-        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "tray=%s orders=%d", machine->name,
+        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "worker=%s commands=%d", machine->name,
                             orders->count);
         return NULL;
     }
@@ -53,7 +53,7 @@
     int stops_only = 1;
     for (int i = 0; i < orders->count; i++) stops_only &= orders->list[i].kind == TW_COMMAND_STOP;
     if (!stops_only || !tw_delegate_is_entitled(core, report->worker, report->zone)) {
-        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "tray=%s deputy=1 orders=%d",
+        tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "worker=%s delegate=1 commands=%d",
                             report->worker, orders->count);
         return NULL;
     }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -17,7 +17,8 @@
     const tw_machine *machine = placed->machine;
     if (!tw_log_on(TW_LOG_DEBUG)) return;
     const tw_prediction prediction = tw_predict(core, demand, machine);
-    tw_log_debug("event=place piece=%s/%d try=%llu tray=%s lane=%s rack=%s waited_s=%.2f "
+    tw_log_debug("event=task_placed task=%s/%d attempt=%llu worker=%s class=%s machine_type=%s "
+                 "waited_s=%.2f "
                  "start_s=%.2f left_s=%.2f image=%s",
                  job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
                  job->spec.job_class, machine->type_name, core->now - job->submitted_at,
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -29,7 +29,7 @@
 tw_placement *tw_placement_new(tw_core *core, tw_job *job, int index, tw_machine *machine,
                                uint64_t attempt) {
     if (job->task_states[index] != TW_ASSIGNMENT_NONE) {
-        tw_invariant_broken(core, TW_INVARIANT_PLACED_TWICE, "piece=%s/%d try=%llu tray=%s",
+        tw_invariant_broken(core, TW_INVARIANT_PLACED_TWICE, "task=%s/%d attempt=%llu worker=%s",
                             job->id, index, (unsigned long long)attempt, machine->name);
         return NULL;
     }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -98,8 +98,8 @@
 
 static void stop(tw_core *core, tw_placement *victim, const tw_job *job) {
     const tw_wire_job *spec = &victim->job->spec;
-    tw_log_debug("event=preempt piece=%s/%d for=%s tray=%s", spec->id, victim->index, job->id,
-                 victim->machine->name);
+    tw_log_debug("event=task_preempted task=%s/%d for=%s worker=%s", spec->id, victim->index,
+                 job->id, victim->machine->name);
     /* Saving takes flush_s: only where the one that needs the room can wait for it. */
     const int saves =
         spec->checkpoint_s > 0 && core->now + spec->save_s < tw_job_deadline(core, job);
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -65,8 +65,9 @@
         if (other->machine == placed->machine || core->now + other->total_s >= end ||
             tw_machine_slowness(core, other->machine) * CLEARLY_FASTER > slowness)
             continue;
-        tw_log_info("event=rerun piece=%s/%d from=%s to=%s late_s=%.1f", job->id, placed->index,
-                    placed->machine->name, other->machine->name, end - tw_job_deadline(core, job));
+        tw_log_info("event=task_rescheduled task=%s/%d from=%s to=%s late_s=%.1f", job->id,
+                    placed->index, placed->machine->name, other->machine->name,
+                    end - tw_job_deadline(core, job));
         tw_placement_stop(core, placed, job->spec.checkpoint_s > 0 ? job->spec.save_s : 0, 0);
         return 1;
     }
--- a/src/core/record_parts.c
+++ b/src/core/record_parts.c
@@ -106,8 +106,8 @@
     parts->done_count = job->done_count;
     parts->placed_count = job->placed_count;
     job->chunks = parts;
-    tw_log_debug("event=divided id=%s set=%s bytes=%zu slices=%d", job->id, parts->name, length,
-                 parts->count);
+    tw_log_debug("event=record_chunked id=%s chunk_set=%s bytes=%zu chunks=%d", job->id,
+                 parts->name, length, parts->count);
 }
 
 int tw_chunks_all_written(const tw_job *job) { return job->chunks->written == job->chunks->count; }
--- a/src/core/record_refused.c
+++ b/src/core/record_refused.c
@@ -16,7 +16,7 @@
     const double pause_s = fmin(LONGEST_PAUSE_S, FIRST_PAUSE_S * (double)(1 << doublings));
     job->size_refusals++;
     job->write_after = core->now + pause_s;
-    tw_log_error("event=too_large id=%s bytes=%zu pause_s=%.2f", job->id, bytes, pause_s);
+    tw_log_error("event=record_refused id=%s bytes=%zu pause_s=%.2f", job->id, bytes, pause_s);
     tw_job_reject_waiting_clients(core, job);
 }
 
@@ -35,7 +35,8 @@
     const int divides = tw_peers_all_read_chunks(core);
     const int heard_old = tw_peers_any_lacks_chunks(core);
     tw_job *job;
-    if (divides != core->peers_read_chunks) tw_log_info("event=record_format divided=%d", divides);
+    if (divides != core->peers_read_chunks)
+        tw_log_info("event=record_format_changed chunked=%d", divides);
     if (divides && !core->peers_read_chunks) {
         DL_FOREACH2(core->pending_writes, job, write_next) {
             if (job->size_refusals) job->write_after = 0;
--- a/src/core/recover.c
+++ b/src/core/recover.c
@@ -56,8 +56,9 @@
     core->first_admission_at = 0;
     /* Machines rented by a predecessor show in the list only after its lag. */
     core->scale_out_from = any ? core->now + LIST_LAGS * core->config->list_lag_s : core->now;
-    tw_log_info("event=active jobs=%zu token=%llu load_s=%.3f", HASH_COUNT(core->jobs) + finished,
-                (unsigned long long)core->fencing_token, core->now - core->acquired_at);
+    tw_log_info("event=leader_activated jobs=%zu token=%llu load_s=%.3f",
+                HASH_COUNT(core->jobs) + finished, (unsigned long long)core->fencing_token,
+                core->now - core->acquired_at);
 }
 
 /* A divided record; its text is in slices that were read before. */
@@ -66,7 +67,8 @@
     tw_wire_record record;
     char *text = tw_chunk_loader_text(core, id, head);
     if (!text || tw_wire_record_parse(&record, id, text, strlen(text))) {
-        tw_log_error("event=bad_record key=" TW_JOB_KEY "%.32s set=%s", id, head->chunk_set);
+        tw_log_error("event=record_unreadable key=" TW_JOB_KEY "%.32s chunk_set=%s", id,
+                     head->chunk_set);
         free(text);
         return;
     }
@@ -80,7 +82,7 @@
 static void adopt_listed(tw_core *core, tw_wire_listed_record *listed) {
     const char *id = listed->key + sizeof TW_JOB_KEY - 1;
     if (!listed->readable)
-        tw_log_error("event=bad_record key=%.32s", listed->key);
+        tw_log_error("event=record_unreadable key=%.32s", listed->key);
     else if (tw_job_is_known(core, id))
         return;
     else if (*listed->record.chunk_set)
--- a/src/core/redirect.c
+++ b/src/core/redirect.c
@@ -38,7 +38,8 @@
         node->returned_workers = 0;
     }
     if (++node->returned_workers < SHUN_AFTER) return;
-    if (core->now >= node->avoided_until) tw_log_info("event=shunned peer=%s", node->config.name);
+    if (core->now >= node->avoided_until)
+        tw_log_info("event=peer_avoided peer=%s", node->config.name);
     node->avoided_until = core->now + core->config->lease_s;
 }
 
@@ -73,7 +74,7 @@
     last->target = to;
     last->at = core->now;
     last->came_back = 0;
-    tw_log_debug("event=sent_off tray=%s to=%s", worker, to->config.name);
+    tw_log_debug("event=worker_redirected worker=%s to=%s", worker, to->config.name);
     tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(to->config.name));
     return 1;
 }
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -19,7 +19,7 @@
  * the worker's 4 s. Takes the body. */
 static void hold(tw_core *core, uint64_t conn, const char *worker, char *body, double until) {
     if (core->now >= until || core->held_count >= core->config->sockets / HELD_SHARE) {
-        tw_log_debug("event=unheard tray=%s", worker);
+        tw_log_debug("event=heartbeat_rejected worker=%s", worker);
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no leader answers");
         free(body);
         return;
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -132,9 +132,9 @@
                     char (*names)[TW_WIRE_NAME_SIZE], int count, double sent) {
     tw_capacity_offer *offer = offer_of(core, request);
     for (int i = 0; i < count; i++) take_rented(core, request, names[i], sent);
-    tw_log_info("event=rented ask=%s rack=%s yard=%s loaner=%d asked=%d got=%d", request->name,
-                core->machine_types[request->type_index].listed.name, tw_offer_zone(core, offer),
-                request->spot, request->machine_count, count);
+    tw_log_info("event=machines_rented request=%s machine_type=%s zone=%s spot=%d asked=%d got=%d",
+                request->name, core->machine_types[request->type_index].listed.name,
+                tw_offer_zone(core, offer), request->spot, request->machine_count, count);
     const int partly = count < request->machine_count;
     offer->refused = partly ? offer->refused + 1 : 0;
     if (partly) offer->refused_until = core->now + core->config->list_lag_s * AFTER_PART_LAGS;
@@ -145,7 +145,7 @@
     offer->refused++;
     offer->refused_until =
         core->now + core->config->list_lag_s * fmin(AFTER_REFUSAL_MOST_LAGS, 1 + offer->refused);
-    tw_log_info("event=refused rack=%s yard=%s loaner=%d",
+    tw_log_info("event=rental_refused machine_type=%s zone=%s spot=%d",
                 core->machine_types[request->type_index].listed.name, tw_offer_zone(core, offer),
                 request->spot);
 }
@@ -164,7 +164,7 @@
     } else if (status == TW_HTTP_UNAVAILABLE && strstr(body, "no capacity")) {
         refused(core, request);
     } else if (status == TW_HTTP_BAD_REQUEST) {
-        tw_log_error("event=rent_malformed ask=%s", request->name);
+        tw_log_error("event=rental_answer_malformed request=%s", request->name);
         offer_of(core, request)->refused_until = core->now + AFTER_MALFORMED_S;
     } else { /* unknown: the same name again gets the same answer */
         request->next_try = core->now + RETRY_S;
@@ -211,12 +211,13 @@
             const tw_wire_machine_type *type = &core->machine_types[i].listed;
             const fleet_part *part = &parts[i][spot];
             if (!part->up && !part->coming) continue;
-            tw_log_info("event=fleet rack=%s loaner=%d up=%d idle=%d coming=%d cores=%.2f "
-                        "gpus=%.2f batch_gpus=%.0f",
-                        type->name, spot, part->up, part->idle, part->coming,
-                        part->up ? part->cores / (part->up * type->cores) : 0,
-                        part->up && type->gpus > 0 ? part->gpus / (part->up * type->gpus) : 0,
-                        part->batch_gpus);
+            tw_log_info(
+                "event=fleet_counted machine_type=%s spot=%d up=%d idle=%d coming=%d cores=%.2f "
+                "gpus=%.2f batch_gpus=%.0f",
+                type->name, spot, part->up, part->idle, part->coming,
+                part->up ? part->cores / (part->up * type->cores) : 0,
+                part->up && type->gpus > 0 ? part->gpus / (part->up * type->gpus) : 0,
+                part->batch_gpus);
         }
     free(parts);
 }
--- a/src/core/report.c
+++ b/src/core/report.c
@@ -39,8 +39,8 @@
         core->now - machine->answered_at < HEARD_LATELY_LEASES * core->config->lease_s &&
         !machine->lease_expired && deaf_believable(core)) {
         machine->lost_launches += TW_UNRESPONSIVE_AT;
-        tw_log_info("event=deaf tray=%s shift=%llu lost=%d", machine->name,
-                    (unsigned long long)report->incarnation, lost);
+        tw_log_info("event=machine_unresponsive worker=%s incarnation=%llu lost_tasks=%d",
+                    machine->name, (unsigned long long)report->incarnation, lost);
     }
 }
 
@@ -71,7 +71,8 @@
     }
     if (report->preemption_notice_s >= 0 && machine->preempted_at <= 0) {
         machine->preempted_at = core->now + report->preemption_notice_s;
-        tw_log_info("event=notice tray=%s s=%.1f", machine->name, report->preemption_notice_s);
+        tw_log_info("event=preemption_notified worker=%s s=%.1f", machine->name,
+                    report->preemption_notice_s);
     }
 }
 
@@ -88,7 +89,8 @@
     if (++placed->lost_launches >= TW_UNRESPONSIVE_AT &&
         machine->lost_launches < TW_UNRESPONSIVE_AT && deaf_believable(core)) {
         machine->lost_launches = TW_UNRESPONSIVE_AT;
-        tw_log_info("event=deaf tray=%s misses=%d", machine->name, placed->lost_launches);
+        tw_log_info("event=machine_unresponsive worker=%s lost_launches=%d", machine->name,
+                    placed->lost_launches);
     }
 }
 
@@ -178,8 +180,8 @@
     if (machine->first_answered_at <= 0) {
         machine->first_answered_at = core->now;
         if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
-        tw_log_info("event=machine_up tray=%s rack=%s yard=%s loaner=%d after=%.1f", machine->name,
-                    report->machine_type, report->zone, report->spot,
+        tw_log_info("event=machine_started worker=%s machine_type=%s zone=%s spot=%d after=%.1f",
+                    machine->name, report->machine_type, report->zone, report->spot,
                     core->now - machine->known_since);
     }
     tw_commands_due(core, machine, &orders, report->sequence);
@@ -216,7 +218,7 @@
     }
     if (!machine) {
         machine = tw_machine_new(core, report->worker);
-        tw_log_info("event=machine_new tray=%s rack=%s yard=%s", report->worker,
+        tw_log_info("event=machine_discovered worker=%s machine_type=%s zone=%s", report->worker,
                     report->machine_type, report->zone);
     }
     answer(core, conn, machine, report);
--- a/src/core/sick.c
+++ b/src/core/sick.c
@@ -15,7 +15,7 @@
     m->probation_at = c->now + m->quarantine_s;
     m->cordoned = 1;
     m->on_probation = 0;
-    tw_log_info("event=sick tray=%s again_s=%.1f", m->name, m->quarantine_s);
+    tw_log_info("event=machine_quarantined worker=%s quarantine_s=%.1f", m->name, m->quarantine_s);
 }
 
 /* A task of p's job failed; elsewhere: machines on which the job has failed before. */
@@ -39,7 +39,7 @@
     *m->last_failed_job = 0;
     m->longest_failed_run_s = 0;
     if (m->on_probation) {
-        tw_log_info("event=well tray=%s", m->name);
+        tw_log_info("event=machine_recovered worker=%s", m->name);
         m->on_probation = 0;
         c->scheduling_due = 1;
     }
@@ -60,7 +60,7 @@
     m->cordoned = 0;
     m->on_probation = 1;
     c->scheduling_due = 1;
-    tw_log_info("event=trial tray=%s", m->name);
+    tw_log_info("event=machine_probation_started worker=%s", m->name);
 }
 
 /* A machine on trial gets one task, and no other until that one has run for a while. */
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -81,9 +81,10 @@
      * its machine. */
     if (!job->spec.gang) tw_statistics_note_start(core, placed);
     placed->running_since = core->now;
-    tw_log_debug("event=running piece=%s/%d lane=%s rack=%s start_s=%.2f waited_s=%.2f", job->id,
-                 placed->index, job->spec.job_class, placed->machine->type_name,
-                 core->now - placed->placed_at, core->now - job->submitted_at);
+    tw_log_debug(
+        "event=task_started task=%s/%d class=%s machine_type=%s start_s=%.2f waited_s=%.2f",
+        job->id, placed->index, job->spec.job_class, placed->machine->type_name,
+        core->now - placed->placed_at, core->now - job->submitted_at);
     tw_image_note_use(core, placed->machine, job, 1);
 }
 
@@ -166,11 +167,12 @@
         if (job->spec.gang && job->placed_count == 1) tw_gang_restored(job);
         tw_reconcile_task(core, placed, report, told);
         tw_job_mark_changed(core, job, 0);
-        tw_log_info("event=adopted piece=%s/%d tray=%s", told->job, told->index, machine->name);
+        tw_log_info("event=unknown_task_adopted task=%s/%d worker=%s", told->job, told->index,
+                    machine->name);
         return;
     }
-    tw_log_info("event=stray piece=%s/%d try=%llu tray=%s", told->job, told->index,
-                (unsigned long long)told->attempt, machine->name);
+    tw_log_info("event=unknown_task_stopped task=%s/%d attempt=%llu worker=%s", told->job,
+                told->index, (unsigned long long)told->attempt, machine->name);
     if (orders)
         tw_command_list_add(orders,
                             (tw_wire_command){.kind = TW_COMMAND_STOP,
--- a/src/core/turned_away.c
+++ b/src/core/turned_away.c
@@ -10,7 +10,7 @@
 
 void tw_admission_reject(tw_core *core, uint64_t conn, const char *id, double retry_s,
                          const char *why) {
-    tw_log_debug("event=turned_away id=%s why=\"%s\"", id, why);
+    tw_log_debug("event=submission_rejected id=%s why=\"%s\"", id, why);
     tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, retry_s, why);
 }
 
@@ -40,7 +40,7 @@
     HASH_FIND_STR(core->rejected_admissions, spec->id, turned_away_job);
     if (!turned_away_job) {
         if (HASH_COUNT(core->rejected_admissions) >= most_turned_away(core)) {
-            tw_log_debug("event=wish_dropped id=%s of=%u", spec->id,
+            tw_log_debug("event=rejected_submission_dropped id=%s capacity=%u", spec->id,
                          HASH_COUNT(core->rejected_admissions));
             return;
         }
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -42,7 +42,7 @@
     tw_job *job;
     DL_FOREACH(core->active_jobs, job)
     if (job->has_spec) job->type_mask = tw_machine_type_mask(core, &job->spec);
-    tw_log_info("event=flavors n=%d", count);
+    tw_log_info("event=machine_types_listed n=%d", count);
 }
 
 /* Only prices move; an index never changes its meaning. */
@@ -60,7 +60,7 @@
     int count;
     if (tw_wire_machine_types_parse(&listed, &count, body, length) || !count) return;
     if (count > TYPES_MAX) {
-        tw_log_error("event=too_many_racks used=%d of=%d", TYPES_MAX, count);
+        tw_log_error("event=machine_types_ignored used=%d listed=%d", TYPES_MAX, count);
         count = TYPES_MAX;
     }
     if (core->machine_type_count)
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -75,7 +75,7 @@
     int safe = job->state == TW_JOB_PENDING ? tw_cancellation_safety(core, job, 1) : 1;
     if (safe < 0) {
         /* It goes on as soon as it can be promised; the user is not kept waiting for that. */
-        tw_log_debug("event=cancel_later id=%s", job->id);
+        tw_log_debug("event=cancellation_deferred id=%s", job->id);
         tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "machines of it can't be reached");
         return;
     }
@@ -124,9 +124,9 @@
     tw_job_class_note_arrival(core, job->job_class, job);
     tw_job_add_waiting_client(core, job, conn, 0);
     tw_job_mark_changed(core, job, 1);
-    tw_log_debug("event=submitted id=%s lane=%s team=%d pieces=%d cores=%g gpus=%g mem=%g", job->id,
-                 job->spec.job_class, job->team, job->task_count, job->spec.cores, job->spec.gpus,
-                 job->spec.memory_gb);
+    tw_log_debug("event=job_submitted id=%s class=%s team=%d tasks=%d cores=%g gpus=%g mem=%g",
+                 job->id, job->spec.job_class, job->team, job->task_count, job->spec.cores,
+                 job->spec.gpus, job->spec.memory_gb);
     /* One write holds the acceptance and the first placements. */
     if (!tw_scheduler_place_now(core, job)) core->scheduling_due = 1;
 }
@@ -259,7 +259,7 @@
 static void adopt(tw_core *core, const char *id, const tw_wire_entry *entry) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, id, entry->value, strlen(entry->value))) {
-        tw_log_error("event=bad_record id=%.32s", id);
+        tw_log_error("event=record_unreadable id=%.32s", id);
         return;
     }
     /* Of a divided one the slices are missing; it is one that was over and let go. */
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -218,9 +218,9 @@
     node.server = tw_rpc_server_start(settings->control, wake_called, &node);
     const int started = node.server != NULL;
     if (started) {
-        tw_log_info("event=start control=%s", settings->control);
+        tw_log_info("event=process_started control=%s", settings->control);
         ev_run(node.loop, 0);
-        tw_log_info("event=end");
+        tw_log_info("event=process_stopped");
         release_lease(&node);
     }
     free_node(&node);
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -153,13 +153,14 @@
 
 static void hold_back(tw_standby *standby, checked *machine, const char *reason) {
     if (!machine->announced)
-        tw_standby_say(standby, "event=held_back machine=%s reason=%s", machine->name, reason);
+        tw_standby_say(standby, "event=machine_quarantined machine=%s reason=%s", machine->name,
+                       reason);
     machine->announced = 1;
 }
 
 static void accept(tw_standby *standby, checked *machine) {
     if (machine->announced)
-        tw_standby_say(standby, "event=answers_again machine=%s", machine->name);
+        tw_standby_say(standby, "event=machine_confirmed machine=%s", machine->name);
     tw_shares_checked(standby->table, standby->now, machine->name);
     forget(standby, machine);
 }
@@ -167,7 +168,8 @@
 static void differs(tw_standby *standby, const tw_shares_tell *recorded,
                     const tw_standby_machine *answer) {
     standby->differences++;
-    tw_standby_say(standby, "event=differs machine=%s recorded=%s epoch=%lu open=%lu started=%d",
+    tw_standby_say(standby,
+                   "event=machine_differed machine=%s recorded=%s epoch=%lu open=%lu started=%d",
                    recorded->machine, tw_shares_state_name(recorded->state),
                    (unsigned long)recorded->epoch, (unsigned long)answer->newest, answer->started);
 }
--- a/src/standby/feed.c
+++ b/src/standby/feed.c
@@ -124,7 +124,7 @@
 
 static int same_digest(tw_standby *standby, const tw_standby_message *message) {
     if (standby->view.digest == message->digest) return 1;
-    tw_standby_say(standby, "event=wrong_digest number=%lu", (unsigned long)message->number);
+    tw_standby_say(standby, "event=digest_mismatched number=%lu", (unsigned long)message->number);
     standby->view.loaded = 0; /* nothing of it may be decided by */
     return 0;
 }
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -107,7 +107,7 @@
     const tw_standby_state state = state_of(standby);
     if (state == standby->state) return;
     standby->state = state;
-    tw_standby_say(standby, "event=standby state=%s term=%lu number=%lu",
+    tw_standby_say(standby, "event=standby_state_changed state=%s term=%lu number=%lu",
                    tw_standby_state_name(state), (unsigned long)standby->heard_term,
                    (unsigned long)standby->view.number);
 }
@@ -115,7 +115,7 @@
 /* ---- terms ---- */
 
 static void begin_term(tw_standby *standby) {
-    tw_standby_say(standby, "event=leader token=%lu", (unsigned long)standby->lease.token);
+    tw_standby_say(standby, "event=leader_elected token=%lu", (unsigned long)standby->lease.token);
     standby->leads = 1;
     standby->began_checking = standby->term_reads = 0;
     standby->differences = 0;
@@ -135,7 +135,7 @@
 
 /* Nothing that was to be ordered under the term goes out any more. */
 static void end_term(tw_standby *standby) {
-    tw_standby_say(standby, "event=step_down");
+    tw_standby_say(standby, "event=leader_stepped_down");
     standby->leads = 0;
     tw_shares_resign(standby->table);
     tw_standby_check_clear(standby);
@@ -162,7 +162,7 @@
     }
     if (tw_shares_deciding(standby->table) || !check_is_over(standby)) return;
     tw_standby_check_silent(standby);
-    tw_standby_say(standby, "event=deciding term=%lu held_back=%d differences=%ld",
+    tw_standby_say(standby, "event=decisions_started term=%lu quarantined=%d differences=%ld",
                    (unsigned long)standby->lease.token, tw_shares_unchecked(standby->table),
                    standby->differences);
     tw_shares_decide(standby->table, standby->now);
@@ -291,7 +291,7 @@
         answer_promotion(standby, id, verdict);
         return;
     }
-    tw_standby_say(standby, "event=hand_over to=%s number=%lu", node,
+    tw_standby_say(standby, "event=leadership_handed_over to=%s number=%lu", node,
                    (unsigned long)standby->view.number);
     standby->promotion = id;
     tw_standby_resign(standby, now);
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -302,7 +302,7 @@
             break;
         case TW_STANDBY_LOG_LINE:
             tw_log_debug("t=%.3f node=%s %s", world->now, world->nodes[at].name, effect->line);
-            if (strstr(effect->line, "event=deciding")) {
+            if (strstr(effect->line, "event=decisions_started")) {
                 world->decided_after_s = world->now - world->term_at;
                 tw_judge_view(world, at);
             }
