--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -47,7 +47,7 @@
     tw_bench_fleet *fleet = tw_bench_alloc(sizeof *fleet);
     tw_log_init("error", "bench");
     fleet->load = *load;
-    if (tw_conf_parse(&fleet->conf, settings, error, sizeof error)) {
+    if (tw_config_parse(&fleet->conf, settings, error, sizeof error)) {
         fprintf(stderr, "settings of the fleet: %s\n", error);
         abort();
     }
@@ -75,7 +75,7 @@
         free(waits);
     }
     tw_bench_workers_free(fleet);
-    tw_conf_free(&fleet->conf);
+    tw_config_free(&fleet->conf);
     free(fleet);
 }
 
--- a/bench/fleet_int.h
+++ b/bench/fleet_int.h
@@ -1,7 +1,7 @@
 /* What the parts of the made-up fleet share. Not for the cases. */
 #ifndef TW_BENCH_FLEET_INT_H
 #define TW_BENCH_FLEET_INT_H
-#include "conf/conf.h"
+#include "config/config.h"
 #include "core/core.h"
 #include "fleet.h"
 #include <uthash.h>
@@ -51,7 +51,7 @@
 
 struct tw_bench_fleet {
     tw_bench_load load;
-    tw_conf conf;
+    tw_config conf;
     tw_core *core;
     tw_bench_meter *meter;
     double now;
--- a/emu/main.c
+++ b/emulator/main.c
@@ -1,5 +1,5 @@
-/* tw_emu: stand-ins over loopback for the daemon's tests. One process serves a state service on
- * PORT, and COUNT replicas on the ports after it, each with the guard that a machine has:
+/* tw_emulator: stand-ins over loopback for the daemon's tests. One process serves a state service
+ * on PORT, and COUNT replicas on the ports after it, each with the guard that a machine has:
  *
  *   POST /check {"term":N}    a leader asks what the machine has, and announces its term
  *   POST /start {"term":N,"life":N,"floor":N}  the last epoch before its own, for one life of it
@@ -12,7 +12,7 @@
  *
  * Listens on 127.0.0.1 only and ends by itself after SECONDS. */
 #include "net/net.h"
-#include "shares/shares.h"
+#include "shards/shards.h"
 #include "world.h"
 #include <cjson/cJSON.h>
 #include <signal.h>
@@ -28,7 +28,7 @@
 enum { OK = 200, CONFLICT = 409, ABSENT = 404, EXIT_USAGE = 64, ARGUMENTS = 4 };
 
 typedef struct {
-    tw_shares_guard guard;
+    tw_shards_guard guard;
     uint64_t first, last;            /* epochs of requests that were taken; 0: none */
     uint64_t last_term, last_opened; /* of orders that were taken */
     long orders, refused_orders;
@@ -37,7 +37,7 @@
 } replica;
 
 static tw_net *net;
-static tw_sim_state state;
+static tw_simulator_state state;
 static replica replicas[MOST_REPLICAS];
 
 static double now_s(void) {
@@ -55,8 +55,8 @@
 }
 
 /* Keeps a record of the orders taken that does not rest on the guard. */
-static int note_order(replica *at, tw_shares_guard_verdict verdict, uint64_t term, uint64_t epoch) {
-    if (verdict != TW_SHARES_GUARD_RAISED && verdict != TW_SHARES_GUARD_REPEATED) {
+static int note_order(replica *at, tw_shards_guard_verdict verdict, uint64_t term, uint64_t epoch) {
+    if (verdict != TW_SHARDS_GUARD_RAISED && verdict != TW_SHARDS_GUARD_REPEATED) {
         at->refused_orders++;
         return CONFLICT;
     }
@@ -68,17 +68,17 @@
 }
 
 static int take_order(replica *at, const char *path, const char *body) {
-    tw_shares_guard *guard = &at->guard;
+    tw_shards_guard *guard = &at->guard;
     const uint64_t term = number_in(body, "term");
     const uint64_t epoch = number_in(body, "epoch");
-    if (!strcmp(path, "/check")) return note_order(at, tw_shares_guard_check(guard, term), term, 0);
+    if (!strcmp(path, "/check")) return note_order(at, tw_shards_guard_check(guard, term), term, 0);
     if (!strcmp(path, "/open"))
-        return note_order(at, tw_shares_guard_open(guard, term, epoch), term, epoch);
+        return note_order(at, tw_shards_guard_open(guard, term, epoch), term, epoch);
     if (!strcmp(path, "/stop"))
-        return note_order(at, tw_shares_guard_stop(guard, term, epoch), term, 0);
+        return note_order(at, tw_shards_guard_stop(guard, term, epoch), term, 0);
     const uint64_t life = number_in(body, "life");
     const uint64_t floor = number_in(body, "floor");
-    return note_order(at, tw_shares_guard_start(guard, term, life, floor), term, 0);
+    return note_order(at, tw_shards_guard_start(guard, term, life, floor), term, 0);
 }
 
 static int is_order(const char *path) {
@@ -91,12 +91,12 @@
 /* A life is another number each time; the stand-in's own lives are far apart from one another. */
 static void restart(replica *at) {
     const uint64_t life = at->guard.life + 1;
-    tw_shares_guard_boot(&at->guard, life);
+    tw_shards_guard_boot(&at->guard, life);
     at->last_term = 0; /* what it has not heard of in this life, it can't hold against anybody */
 }
 
 static int run_request(replica *at, uint64_t epoch) {
-    if (!tw_shares_guard_accepts(&at->guard, epoch)) {
+    if (!tw_shards_guard_accepts(&at->guard, epoch)) {
         at->refused++;
         return CONFLICT;
     }
@@ -108,7 +108,7 @@
 }
 
 static int answer_replica(replica *at, const char *path, const char *body, char *answer) {
-    const tw_shares_guard *guard = &at->guard;
+    const tw_shards_guard *guard = &at->guard;
     if (is_order(path)) {
         const int status = take_order(at, path, body);
         snprintf(answer, ANSWER_SIZE,
@@ -148,7 +148,7 @@
     }
     char *answer = NULL;
     const int status =
-        tw_sim_state_request(&state, now_s(), method, path, body ? body : "", &answer);
+        tw_simulator_state_request(&state, now_s(), method, path, body ? body : "", &answer);
     tw_net_reply(net, connection, status, 0, answer, strlen(answer));
     free(answer);
 }
@@ -182,7 +182,7 @@
         .max_server = 1024, .max_client = 1, .idle_s = 600, .max_response = 1024};
     ev_timer end;
     if (count != ARGUMENTS) {
-        fprintf(stderr, "usage: tw_emu PORT REPLICAS SECONDS\n");
+        fprintf(stderr, "usage: tw_emulator PORT REPLICAS SECONDS\n");
         return EXIT_USAGE;
     }
     const int port = (int)strtol(arguments[1], NULL, DECIMAL);
@@ -190,14 +190,14 @@
     if (nreplicas < 0 || nreplicas > MOST_REPLICAS) return EXIT_USAGE;
     signal(SIGPIPE, SIG_IGN);
     struct ev_loop *loop = ev_default_loop(EVFLAG_AUTO);
-    tw_sim_state_init(&state);
-    for (int i = 0; i < nreplicas; i++) tw_shares_guard_boot(&replicas[i].guard, 1);
+    tw_simulator_state_init(&state);
+    for (int i = 0; i < nreplicas; i++) tw_shards_guard_boot(&replicas[i].guard, 1);
     net = tw_net_new(loop, &limits, &handler, NULL);
     if (listen_on(port, nreplicas)) return 1;
     ev_timer_init(&end, on_end, strtod(arguments[3], NULL), 0);
     ev_timer_start(loop, &end);
     ev_run(loop, 0);
     tw_net_free(net);
-    tw_sim_state_free(&state);
+    tw_simulator_state_free(&state);
     return 0;
 }
--- a/search/day.c
+++ b/fuzz/day.c
@@ -1,6 +1,6 @@
 /* The lines of a day: kept, ordered, written and read. */
 #include "line.h"
-#include "search.h"
+#include "fuzz.h"
 #include <errno.h>
 #include <limits.h>
 #include <stdarg.h>
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <unistd.h>
 
-static void append(tw_search_day *day, char *line) {
+static void append(tw_fuzz_day *day, char *line) {
     if (day->count == day->capacity) {
         day->capacity = day->capacity ? 2 * day->capacity : 64;
         day->lines = realloc(day->lines, day->capacity * sizeof *day->lines);
@@ -18,7 +18,7 @@
     day->lines[day->count++] = line;
 }
 
-void tw_search_day_add(tw_search_day *day, const char *format, ...) {
+void tw_fuzz_day_add(tw_fuzz_day *day, const char *format, ...) {
     va_list arguments;
     char *line = NULL;
     va_start(arguments, format);
@@ -27,32 +27,32 @@
     append(day, line);
 }
 
-void tw_search_day_copy(tw_search_day *to, const tw_search_day *from) {
-    *to = (tw_search_day){0};
-    for (size_t i = 0; i < from->count; i++) tw_search_day_add(to, "%s", from->lines[i]);
+void tw_fuzz_day_copy(tw_fuzz_day *to, const tw_fuzz_day *from) {
+    *to = (tw_fuzz_day){0};
+    for (size_t i = 0; i < from->count; i++) tw_fuzz_day_add(to, "%s", from->lines[i]);
 }
 
-void tw_search_day_free(tw_search_day *day) {
+void tw_fuzz_day_free(tw_fuzz_day *day) {
     for (size_t i = 0; i < day->count; i++) free(day->lines[i]);
     free(day->lines);
-    *day = (tw_search_day){0};
+    *day = (tw_fuzz_day){0};
 }
 
-int tw_search_line_is(const char *line, const char *beginning) {
+int tw_fuzz_line_is(const char *line, const char *beginning) {
     return strncmp(line, beginning, strlen(beginning)) == 0;
 }
 
-long tw_search_line_hundredths(const char *seconds) {
+long tw_fuzz_line_hundredths(const char *seconds) {
     return (long)(strtod(seconds, NULL) * 100 + 0.5);
 }
 
 /* Settings come first, then the `at` lines by time, then the end. */
 static long place_of(const char *line) {
-    if (tw_search_line_is(line, "at ")) return tw_search_line_hundredths(line + 3);
-    return tw_search_line_is(line, "end ") ? LONG_MAX : -1;
+    if (tw_fuzz_line_is(line, "at ")) return tw_fuzz_line_hundredths(line + 3);
+    return tw_fuzz_line_is(line, "end ") ? LONG_MAX : -1;
 }
 
-void tw_search_day_sort(tw_search_day *day) {
+void tw_fuzz_day_sort(tw_fuzz_day *day) {
     for (size_t i = 1; i < day->count; i++) {
         char *line = day->lines[i];
         const long place = place_of(line);
@@ -62,7 +62,7 @@
     }
 }
 
-int tw_search_day_write(const tw_search_day *day, const char *comment, const char *path) {
+int tw_fuzz_day_write(const tw_fuzz_day *day, const char *comment, const char *path) {
     char unfinished[PATH_MAX];
     snprintf(unfinished, sizeof unfinished, "%s.%ld", path, (long)getpid());
     FILE *file = fopen(unfinished, "w");
@@ -79,14 +79,14 @@
     return 0;
 }
 
-int tw_search_day_read(tw_search_day *day, const char *path) {
+int tw_fuzz_day_read(tw_fuzz_day *day, const char *path) {
     char *line = NULL;
     size_t capacity = 0;
     FILE *file = fopen(path, "r");
     if (!file) return -1;
     while (getline(&line, &capacity, file) >= 0) {
         line[strcspn(line, "\n")] = 0;
-        if (*line && *line != '#') tw_search_day_add(day, "%s", line);
+        if (*line && *line != '#') tw_fuzz_day_add(day, "%s", line);
     }
     free(line);
     return fclose(file) ? -1 : 0;
--- a/search/search.h
+++ b/fuzz/fuzz.h
@@ -2,83 +2,83 @@
  * (tests/scenarios/README.md): one seed draws one day, the simulated world plays and judges it, and
  * a day that breaks a rule is shrunk while the same rule still breaks. Draws use whole numbers
  * only, so that a seed gives the same day on any machine. Nothing here prints or reads a clock. */
-#ifndef TW_SEARCH_H
-#define TW_SEARCH_H
-#include "sim/sim.h"
+#ifndef TW_FUZZ_H
+#define TW_FUZZ_H
+#include "simulator/simulator.h"
 #include <stddef.h>
 #include <stdint.h>
 
 /* What a day is said to have broken when the process that played it ended by a signal, or used up
  * its time. */
-#define TW_SEARCH_CRASH "crash"
-#define TW_SEARCH_STUCK "stuck"
+#define TW_FUZZ_CRASH "crash"
+#define TW_FUZZ_STUCK "stuck"
 /* A line that says what must hold did not; a line is not of the language. */
-#define TW_SEARCH_EXPECTED "expected"
-#define TW_SEARCH_NOT_TAKEN "not_taken"
+#define TW_FUZZ_EXPECTED "expected"
+#define TW_FUZZ_NOT_TAKEN "not_taken"
 /* Seeds are 1 to this. */
-#define TW_SEARCH_SEED_MAX UINT32_MAX
+#define TW_FUZZ_SEED_MAX UINT32_MAX
 
 /* The lines of a day, in the order in which they are played. */
 typedef struct {
     char **lines;
     size_t count, capacity;
-} tw_search_day;
+} tw_fuzz_day;
 
 /* A copy of a line, formatted, at the end of the day. */
-void tw_search_day_add(tw_search_day *day, const char *format, ...)
+void tw_fuzz_day_add(tw_fuzz_day *day, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-void tw_search_day_copy(tw_search_day *to, const tw_search_day *from);
-void tw_search_day_free(tw_search_day *day);
+void tw_fuzz_day_copy(tw_fuzz_day *to, const tw_fuzz_day *from);
+void tw_fuzz_day_free(tw_fuzz_day *day);
 /* Orders the `at` lines by time and leaves the settings before them; lines of one time keep their
  * order. */
-void tw_search_day_sort(tw_search_day *day);
+void tw_fuzz_day_sort(tw_fuzz_day *day);
 /* Writes the day as a scenario file, after the lines of `comment`; the file appears whole or not at
  * all. 0, or -1 with errno. */
-int tw_search_day_write(const tw_search_day *day, const char *comment, const char *path);
+int tw_fuzz_day_write(const tw_fuzz_day *day, const char *comment, const char *path);
 /* Reads a scenario file. 0, or -1 with errno. */
-int tw_search_day_read(tw_search_day *day, const char *path);
+int tw_fuzz_day_read(tw_fuzz_day *day, const char *path);
 
 /* Draws the day of a seed into an empty day. */
-typedef void tw_search_draw_function(uint32_t seed, tw_search_day *day);
-tw_search_draw_function tw_search_draw;
+typedef void tw_fuzz_draw_function(uint32_t seed, tw_fuzz_day *day);
+tw_fuzz_draw_function tw_fuzz_draw;
 /* The same day, with nodes of the earlier version that are upgraded one after the other. */
-tw_search_draw_function tw_search_draw_upgrade;
+tw_fuzz_draw_function tw_fuzz_draw_upgrade;
 
 /* Plays a day in this process. A line that the world does not take is a
  * verdict as well. */
-void tw_search_play(const tw_search_day *day, tw_sim_verdict *verdict);
+void tw_fuzz_play(const tw_fuzz_day *day, tw_simulator_verdict *verdict);
 /* Plays a day in a process of its own: what ends that process is a verdict as well. */
-void tw_search_play_apart(const tw_search_day *day, tw_sim_verdict *verdict);
+void tw_fuzz_play_apart(const tw_fuzz_day *day, tw_simulator_verdict *verdict);
 
 /* Makes a day that breaks `rule` smaller while it still breaks it, with at most `plays_max` plays.
  * `verdict` is that of the day that is left; returns how many plays it took. */
-unsigned tw_search_shrink(tw_search_day *day, const char *rule, unsigned plays_max,
-                          tw_sim_verdict *verdict);
+unsigned tw_fuzz_shrink(tw_fuzz_day *day, const char *rule, unsigned plays_max,
+                        tw_simulator_verdict *verdict);
 
 /* ---- days in parallel, in processes of their own ---- */
 
-typedef struct tw_search_pool tw_search_pool;
+typedef struct tw_fuzz_pool tw_fuzz_pool;
 
 typedef struct {
     uint32_t seed;
-    int shrunk;             /* this is a day after shrinking, written to `path` */
-    unsigned plays, lines;  /* of the shrinking */
-    char path[1024];        /* "": the file could not be written */
-    tw_sim_verdict verdict; /* verdict.failed: the day broke verdict.rule */
-} tw_search_result;
+    int shrunk;                   /* this is a day after shrinking, written to `path` */
+    unsigned plays, lines;        /* of the shrinking */
+    char path[1024];              /* "": the file could not be written */
+    tw_simulator_verdict verdict; /* verdict.failed: the day broke verdict.rule */
+} tw_fuzz_result;
 
 /* `draw`: which days the seeds are; `directory`: where shrunk days are written. NULL if no process
  * could be started. */
-tw_search_pool *tw_search_pool_new(unsigned workers, tw_search_draw_function *draw,
-                                   const char *directory);
+tw_fuzz_pool *tw_fuzz_pool_new(unsigned workers, tw_fuzz_draw_function *draw,
+                               const char *directory);
 /* How many workers have nothing to do. */
-unsigned tw_search_pool_idle(const tw_search_pool *pool);
-unsigned tw_search_pool_busy(const tw_search_pool *pool);
+unsigned tw_fuzz_pool_idle(const tw_fuzz_pool *pool);
+unsigned tw_fuzz_pool_busy(const tw_fuzz_pool *pool);
 /* Gives an idle worker a seed to play, or to play and shrink. */
-void tw_search_pool_give(tw_search_pool *pool, uint32_t seed, int shrink);
+void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, int shrink);
 /* Waits for a result for at most so long: 1 with a result, 0 without one (also after a signal). */
-int tw_search_pool_wait(tw_search_pool *pool, int milliseconds, tw_search_result *result);
+int tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result);
 /* Ends the workers, whatever they do. */
-void tw_search_pool_free(tw_search_pool *pool);
+void tw_fuzz_pool_free(tw_fuzz_pool *pool);
 
 #endif
--- a/search/play.c
+++ b/fuzz/play.c
@@ -10,33 +10,33 @@
 
 enum { TEXT_SIZE = 256, DAY_CPU_S = 120 }; /* processor time after which a day counts as stuck */
 
-void tw_search_play(const tw_search_day *day, tw_sim_verdict *verdict) {
+void tw_fuzz_play(const tw_fuzz_day *day, tw_simulator_verdict *verdict) {
     char error[TEXT_SIZE];
-    tw_sim *sim = tw_sim_new(NULL);
+    tw_simulator *sim = tw_simulator_new(NULL);
     memset(verdict, 0, sizeof *verdict);
     for (size_t i = 0; i < day->count; i++) {
-        if (!tw_sim_line(sim, day->lines[i], error, sizeof error)) continue;
+        if (!tw_simulator_line(sim, day->lines[i], error, sizeof error)) continue;
         verdict->failed = 1;
-        snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_SEARCH_NOT_TAKEN);
+        snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_NOT_TAKEN);
         snprintf(verdict->detail, sizeof verdict->detail, "%.200s: %.200s", error, day->lines[i]);
-        tw_sim_free(sim);
+        tw_simulator_free(sim);
         return;
     }
-    tw_sim_run(sim, verdict);
-    tw_sim_free(sim);
+    tw_simulator_run(sim, verdict);
+    tw_simulator_free(sim);
     if (!*verdict->rule && verdict->failed)
-        snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_SEARCH_EXPECTED);
+        snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_EXPECTED);
     verdict->failed = *verdict->rule != 0;
 }
 
-void tw_search_limit_time(void) {
+void tw_fuzz_limit_time(void) {
     const struct itimerval limit = {.it_value = {.tv_sec = DAY_CPU_S}};
     setitimer(ITIMER_VIRTUAL, &limit, NULL); /* SIGVTALRM ends the process */
 }
 
-void tw_search_ended_by(int status, tw_sim_verdict *verdict) {
+void tw_fuzz_ended_by(int status, tw_simulator_verdict *verdict) {
     const int signal_number = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
-    const char *rule = signal_number == SIGVTALRM ? TW_SEARCH_STUCK : TW_SEARCH_CRASH;
+    const char *rule = signal_number == SIGVTALRM ? TW_FUZZ_STUCK : TW_FUZZ_CRASH;
     memset(verdict, 0, sizeof *verdict);
     verdict->failed = 1;
     snprintf(verdict->rule, sizeof verdict->rule, "%s", rule);
@@ -47,15 +47,15 @@
         snprintf(verdict->detail, sizeof verdict->detail, "exit code %d", WEXITSTATUS(status));
 }
 
-void tw_search_play_apart(const tw_search_day *day, tw_sim_verdict *verdict) {
+void tw_fuzz_play_apart(const tw_fuzz_day *day, tw_simulator_verdict *verdict) {
     int ends[2], status = 0;
     if (pipe(ends)) abort();
     const pid_t child = fork();
     if (child < 0) abort();
     if (!child) {
         close(ends[0]);
-        tw_search_limit_time();
-        tw_search_play(day, verdict);
+        tw_fuzz_limit_time();
+        tw_fuzz_play(day, verdict);
         const ssize_t written = write(ends[1], verdict, sizeof *verdict);
         _exit(written == (ssize_t)sizeof *verdict ? 0 : 1);
     }
@@ -64,5 +64,5 @@
         read(ends[0], verdict, sizeof *verdict); /* less than a pipe's atomic write */
     close(ends[0]);
     while (waitpid(child, &status, 0) < 0) continue;
-    if (got != (ssize_t)sizeof *verdict) tw_search_ended_by(status, verdict);
+    if (got != (ssize_t)sizeof *verdict) tw_fuzz_ended_by(status, verdict);
 }
--- a/search/pool.c
+++ b/fuzz/pool.c
@@ -25,50 +25,49 @@
     request given;
 } worker;
 
-struct tw_search_pool {
+struct tw_fuzz_pool {
     worker *workers;
     unsigned count;
-    tw_search_draw_function *draw;
+    tw_fuzz_draw_function *draw;
     char directory[512];
 };
 
 /* ---- in the worker ---- */
 
-static void write_shrunk(const char *directory, const tw_search_day *day,
-                         tw_search_result *result) {
+static void write_shrunk(const char *directory, const tw_fuzz_day *day, tw_fuzz_result *result) {
     char comment[COMMENT_SIZE];
-    const tw_sim_verdict *verdict = &result->verdict;
+    const tw_simulator_verdict *verdict = &result->verdict;
     snprintf(result->path, sizeof result->path, "%s/%s-%u.txt", directory, verdict->rule,
              result->seed);
     snprintf(comment, sizeof comment, "# %s: drawn from seed %u and shrunk.\n# %.500s\n",
              verdict->rule, result->seed, verdict->detail);
-    if (tw_search_day_write(day, comment, result->path)) *result->path = 0;
+    if (tw_fuzz_day_write(day, comment, result->path)) *result->path = 0;
 }
 
-static void work_on(const request *given, tw_search_draw_function *draw, const char *directory,
-                    tw_search_result *result) {
-    tw_search_day day = {0};
+static void work_on(const request *given, tw_fuzz_draw_function *draw, const char *directory,
+                    tw_fuzz_result *result) {
+    tw_fuzz_day day = {0};
     memset(result, 0, sizeof *result);
     result->seed = given->seed;
     result->shrunk = given->shrink;
     draw(given->seed, &day);
     if (!given->shrink) {
-        tw_search_limit_time();
-        tw_search_play(&day, &result->verdict);
+        tw_fuzz_limit_time();
+        tw_fuzz_play(&day, &result->verdict);
     } else {
         char rule[sizeof result->verdict.rule];
-        tw_search_play_apart(&day, &result->verdict);
+        tw_fuzz_play_apart(&day, &result->verdict);
         memcpy(rule, result->verdict.rule, sizeof rule);
-        result->plays = tw_search_shrink(&day, rule, SHRINK_PLAYS_MAX, &result->verdict);
+        result->plays = tw_fuzz_shrink(&day, rule, SHRINK_PLAYS_MAX, &result->verdict);
         result->lines = (unsigned)day.count;
         if (*rule) write_shrunk(directory, &day, result);
     }
-    tw_search_day_free(&day);
+    tw_fuzz_day_free(&day);
 }
 
-static _Noreturn void work(int requests, int results, const tw_search_pool *pool, pid_t parent) {
+static _Noreturn void work(int requests, int results, const tw_fuzz_pool *pool, pid_t parent) {
     request given;
-    tw_search_result result;
+    tw_fuzz_result result;
     signal(SIGINT, SIG_IGN); /* the parent ends us */
     signal(SIGTERM, SIG_DFL);
     prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -82,7 +81,7 @@
 
 /* ---- in the parent ---- */
 
-static int start(worker *started, const tw_search_pool *pool) {
+static int start(worker *started, const tw_fuzz_pool *pool) {
     int requests[2], results[2];
     const pid_t parent = getpid();
     if (pipe(requests)) return -1;
@@ -117,9 +116,9 @@
     return status;
 }
 
-tw_search_pool *tw_search_pool_new(unsigned workers, tw_search_draw_function *draw,
-                                   const char *directory) {
-    tw_search_pool *pool = calloc(1, sizeof *pool);
+tw_fuzz_pool *tw_fuzz_pool_new(unsigned workers, tw_fuzz_draw_function *draw,
+                               const char *directory) {
+    tw_fuzz_pool *pool = calloc(1, sizeof *pool);
     if (!pool) abort();
     pool->workers = calloc(workers, sizeof *pool->workers);
     if (!pool->workers) abort();
@@ -127,21 +126,21 @@
     snprintf(pool->directory, sizeof pool->directory, "%s", directory);
     while (pool->count < workers && !start(&pool->workers[pool->count], pool)) pool->count++;
     if (pool->count) return pool;
-    tw_search_pool_free(pool);
+    tw_fuzz_pool_free(pool);
     return NULL;
 }
 
-unsigned tw_search_pool_busy(const tw_search_pool *pool) {
+unsigned tw_fuzz_pool_busy(const tw_fuzz_pool *pool) {
     unsigned busy = 0;
     for (unsigned i = 0; i < pool->count; i++) busy += (unsigned)pool->workers[i].busy;
     return busy;
 }
 
-unsigned tw_search_pool_idle(const tw_search_pool *pool) {
-    return pool->count - tw_search_pool_busy(pool);
+unsigned tw_fuzz_pool_idle(const tw_fuzz_pool *pool) {
+    return pool->count - tw_fuzz_pool_busy(pool);
 }
 
-void tw_search_pool_give(tw_search_pool *pool, uint32_t seed, int shrink) {
+void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, int shrink) {
     for (unsigned i = 0; i < pool->count; i++) {
         worker *idle = &pool->workers[i];
         if (idle->busy) continue;
@@ -156,17 +155,17 @@
 }
 
 /* The result of a worker, or what ended it. */
-static void take(tw_search_pool *pool, worker *from, tw_search_result *result) {
+static void take(tw_fuzz_pool *pool, worker *from, tw_fuzz_result *result) {
     from->busy = 0;
     if (read(from->results, result, sizeof *result) == (ssize_t)sizeof *result) return;
     memset(result, 0, sizeof *result);
     result->seed = from->given.seed;
     result->shrunk = from->given.shrink;
-    tw_search_ended_by(end(from), &result->verdict);
+    tw_fuzz_ended_by(end(from), &result->verdict);
     if (start(from, pool)) *from = pool->workers[--pool->count];
 }
 
-int tw_search_pool_wait(tw_search_pool *pool, int milliseconds, tw_search_result *result) {
+int tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result) {
     struct pollfd waiting[pool->count];
     unsigned of[pool->count], count = 0;
     for (unsigned i = 0; i < pool->count; i++) {
@@ -183,7 +182,7 @@
     return 0;
 }
 
-void tw_search_pool_free(tw_search_pool *pool) {
+void tw_fuzz_pool_free(tw_fuzz_pool *pool) {
     for (unsigned i = 0; i < pool->count; i++) {
         kill(pool->workers[i].process, SIGKILL);
         end(&pool->workers[i]);
--- a/search/shrink.c
+++ b/fuzz/shrink.c
@@ -1,7 +1,7 @@
 /* Makes a day that breaks a rule smaller while it still breaks the same rule: lines go, first
  * halves of them and then one by one; what is left gets shorter, smaller and earlier. */
 #include "line.h"
-#include "search.h"
+#include "fuzz.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,40 +10,39 @@
 enum { FIRST_S = 2 }; /* nothing to gain in the first seconds, in which a leader is found */
 
 typedef struct {
-    tw_search_day *day; /* breaks the rule; every step replaces it by a smaller one that does too */
+    tw_fuzz_day *day; /* breaks the rule; every step replaces it by a smaller one that does too */
     const char *rule;
     unsigned plays, plays_max;
-    tw_sim_verdict verdict;
+    tw_simulator_verdict verdict;
 } shrinking;
 
-static int breaks(shrinking *state, const tw_search_day *day) {
-    tw_sim_verdict verdict;
+static int breaks(shrinking *state, const tw_fuzz_day *day) {
+    tw_simulator_verdict verdict;
     if (state->plays >= state->plays_max) return 0;
     state->plays++;
-    tw_search_play_apart(day, &verdict); /* a day with less in it may end its process */
+    tw_fuzz_play_apart(day, &verdict); /* a day with less in it may end its process */
     if (!verdict.failed || strcmp(verdict.rule, state->rule) != 0) return 0;
     state->verdict = verdict;
     return 1;
 }
 
 /* Takes the candidate instead of the day if it still breaks the rule; frees what is not kept. */
-static int keep_if_it_breaks(shrinking *state, tw_search_day *candidate) {
-    tw_search_day *loser = candidate;
+static int keep_if_it_breaks(shrinking *state, tw_fuzz_day *candidate) {
+    tw_fuzz_day *loser = candidate;
     const int kept = breaks(state, candidate);
     if (kept) {
-        const tw_search_day smaller = *candidate;
+        const tw_fuzz_day smaller = *candidate;
         *candidate = *state->day;
         *state->day = smaller;
     }
-    tw_search_day_free(loser);
+    tw_fuzz_day_free(loser);
     return kept;
 }
 
 static int without_lines(shrinking *state, size_t from, size_t count) {
-    tw_search_day candidate = {0};
+    tw_fuzz_day candidate = {0};
     for (size_t i = 0; i < state->day->count; i++)
-        if (i < from || i >= from + count)
-            tw_search_day_add(&candidate, "%s", state->day->lines[i]);
+        if (i < from || i >= from + count) tw_fuzz_day_add(&candidate, "%s", state->day->lines[i]);
     return keep_if_it_breaks(state, &candidate);
 }
 
@@ -63,11 +62,11 @@
 }
 
 static int with_line(shrinking *state, size_t index, const char *line) {
-    tw_search_day candidate = {0};
+    tw_fuzz_day candidate = {0};
     if (!strcmp(line, state->day->lines[index])) return 0;
     for (size_t i = 0; i < state->day->count; i++)
-        tw_search_day_add(&candidate, "%s", i == index ? line : state->day->lines[i]);
-    tw_search_day_sort(&candidate);
+        tw_fuzz_day_add(&candidate, "%s", i == index ? line : state->day->lines[i]);
+    tw_fuzz_day_sort(&candidate);
     return keep_if_it_breaks(state, &candidate);
 }
 
@@ -75,10 +74,10 @@
 static int end_early(shrinking *state) {
     char line[64];
     const size_t last = state->day->count - 1;
-    if (!tw_search_line_is(state->day->lines[last], "end ")) return 0;
+    if (!tw_fuzz_line_is(state->day->lines[last], "end ")) return 0;
     const int end_s = (int)state->verdict.end_s + 1;
     if (state->verdict.end_s <= 0 ||
-        100L * end_s >= tw_search_line_hundredths(state->day->lines[last] + 4))
+        100L * end_s >= tw_fuzz_line_hundredths(state->day->lines[last] + 4))
         return 0;
     snprintf(line, sizeof line, "end %d", end_s);
     return with_line(state, last, line);
@@ -102,7 +101,7 @@
     char instead[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
     const int whole = !memchr(word, '.', length);
-    const long value = tw_search_line_hundredths(word);
+    const long value = tw_fuzz_line_hundredths(word);
     const long least = whole ? 100 : 1;
     const long tries[] = {least, value / 4, value / 2, value * 3 / 4, value - 100};
     for (size_t i = 0; i < sizeof tries / sizeof *tries; i++) {
@@ -122,7 +121,7 @@
     char instead[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
     if (!memchr(word, '.', length)) return 0;
-    const long value = tw_search_line_hundredths(word);
+    const long value = tw_fuzz_line_hundredths(word);
     if (value % 100 == 0) return 0;
     snprintf(instead, sizeof instead, "%ld.00", value / 100);
     if (value >= 100 && with_words(state, index, at, length, instead)) return 1;
@@ -152,8 +151,8 @@
 /* The words of a line from the third on (of `at` lines: after the moment and the command). */
 static int smaller_line(shrinking *state, size_t index) {
     int changed = 0;
-    size_t at = tw_search_line_is(state->day->lines[index], "at ") ? 3 : 0, word = 0;
-    if (tw_search_line_is(state->day->lines[index], "end ")) return 0;
+    size_t at = tw_fuzz_line_is(state->day->lines[index], "at ") ? 3 : 0, word = 0;
+    if (tw_fuzz_line_is(state->day->lines[index], "end ")) return 0;
     while (state->day->lines[index][at]) {
         const size_t length = strcspn(state->day->lines[index] + at, " ");
         if (word++ && smaller_word(state, index, at, length)) {
@@ -174,18 +173,18 @@
 
 /* Everything from a moment on comes so much earlier. */
 static int earlier_from(shrinking *state, long moment, long by) {
-    tw_search_day candidate = {0};
+    tw_fuzz_day candidate = {0};
     for (size_t i = 0; i < state->day->count; i++) {
         const char *line = state->day->lines[i], *rest = line + 3;
-        const long when = tw_search_line_hundredths(rest);
-        if (!tw_search_line_is(line, "at ") || when < moment) {
-            tw_search_day_add(&candidate, "%s", line);
+        const long when = tw_fuzz_line_hundredths(rest);
+        if (!tw_fuzz_line_is(line, "at ") || when < moment) {
+            tw_fuzz_day_add(&candidate, "%s", line);
             continue;
         }
         rest += strcspn(rest, " ");
-        tw_search_day_add(&candidate, "at %ld.%02ld%s", (when - by) / 100, (when - by) % 100, rest);
+        tw_fuzz_day_add(&candidate, "at %ld.%02ld%s", (when - by) / 100, (when - by) % 100, rest);
     }
-    tw_search_day_sort(&candidate);
+    tw_fuzz_day_sort(&candidate);
     return keep_if_it_breaks(state, &candidate);
 }
 
@@ -195,25 +194,25 @@
     long before = 100L * FIRST_S;
     for (size_t i = 0; i < state->day->count; i++) {
         const char *line = state->day->lines[i];
-        if (!tw_search_line_is(line, "at ")) continue;
-        const long when = tw_search_line_hundredths(line + 3), gap = when - before;
+        if (!tw_fuzz_line_is(line, "at ")) continue;
+        const long when = tw_fuzz_line_hundredths(line + 3), gap = when - before;
         const long tries[] = {gap, gap / 2, gap / 4, 100};
         for (size_t k = 0; gap > 100 && k < sizeof tries / sizeof *tries; k++) {
             if (!earlier_from(state, when, tries[k])) continue;
             changed++;
             break;
         }
-        before = tw_search_line_hundredths(state->day->lines[i] + 3);
+        before = tw_fuzz_line_hundredths(state->day->lines[i] + 3);
     }
     return changed;
 }
 
-unsigned tw_search_shrink(tw_search_day *day, const char *rule, unsigned plays_max,
-                          tw_sim_verdict *verdict) {
+unsigned tw_fuzz_shrink(tw_fuzz_day *day, const char *rule, unsigned plays_max,
+                        tw_simulator_verdict *verdict) {
     shrinking state = {.day = day, .rule = rule, .plays_max = plays_max};
     if (breaks(&state, day)) {
         int changed =
-            strcmp(rule, TW_SEARCH_EXPECTED) != 0; /* with less in it, less can be expected */
+            strcmp(rule, TW_FUZZ_EXPECTED) != 0; /* with less in it, less can be expected */
         for (int round = 0; changed && round < ROUNDS_MAX; round++) {
             changed = end_early(&state);
             changed += drop_lines(&state);
--- a/sim/cloud.c
+++ b/simulator/cloud.c
@@ -8,15 +8,17 @@
 #define FAST_BOOT_LEAST_S 0.2
 #define FAST_BOOT_MOST_S 2.0
 
-tw_sim_worker *tw_sim_worker_by_id(const tw_sim_world *w, const char *id) {
-    int i = strncmp(id, "n-", 2) ? -1 : tw_sim_int(id + 2) - 1; /* names are given in order */
+tw_simulator_worker *tw_simulator_worker_by_id(const tw_simulator_world *w, const char *id) {
+    int i = strncmp(id, "n-", 2) ? -1 : tw_simulator_int(id + 2) - 1; /* names are given in order */
     if (i < 0 || i >= w->nworkers || strcmp(w->workers[i]->id, id) != 0) return NULL;
     return w->workers[i];
 }
 
-tw_sim_worker *tw_sim_rent(tw_sim_world *w, int type, const char *zone, int spot, double boot_s) {
-    tw_sim_worker *x = tw_sim_zeroed(sizeof *x);
-    w->workers = tw_sim_grow(w->workers, w->nworkers, &w->workers_cap, sizeof(tw_sim_worker *));
+tw_simulator_worker *tw_simulator_rent(tw_simulator_world *w, int type, const char *zone, int spot,
+                                       double boot_s) {
+    tw_simulator_worker *x = tw_simulator_zeroed(sizeof *x);
+    w->workers =
+        tw_simulator_grow(w->workers, w->nworkers, &w->workers_cap, sizeof(tw_simulator_worker *));
     w->workers[w->nworkers++] = x;
     snprintf(x->id, sizeof x->id, "n-%06d", w->nworkers);
     snprintf(x->endpoint, sizeof x->endpoint, "10.1.0.%d:9000", w->nworkers);
@@ -49,22 +51,23 @@
     return o;
 }
 
-static int list_types(const tw_sim_world *w, char **out) {
+static int list_types(const tw_simulator_world *w, char **out) {
     cJSON *o = cJSON_CreateObject(), *types = cJSON_AddArrayToObject(o, "racks");
     for (int i = 0; i < w->ntypes; i++) cJSON_AddItemToArray(types, type_json(&w->types[i]));
-    *out = tw_sim_json_print(o);
-    return TW_SIM_OK;
+    *out = tw_simulator_json_print(o);
+    return TW_SIMULATOR_OK;
 }
 
-static double boot_time(tw_sim_world *w) {
+static double boot_time(tw_simulator_world *w) {
     if (w->now >= w->fast_until) return w->boot_s;
-    return tw_sim_draw(w, TW_SIM_DRAW_BOOT, FAST_BOOT_LEAST_S, FAST_BOOT_MOST_S);
+    return tw_simulator_draw(w, TW_SIMULATOR_DRAW_BOOT, FAST_BOOT_LEAST_S, FAST_BOOT_MOST_S);
 }
 
 /* Rents up to n machines; the answer, or NULL if there is no capacity. */
-static char *rent_some(tw_sim_world *w, const cJSON *request) {
-    int type = 0, n = (int)tw_sim_json_number(request, "number"), have = 0;
-    while (type < w->ntypes && strcmp(w->types[type].name, tw_sim_json_text(request, "rack")) != 0)
+static char *rent_some(tw_simulator_world *w, const cJSON *request) {
+    int type = 0, n = (int)tw_simulator_json_number(request, "number"), have = 0;
+    while (type < w->ntypes &&
+           strcmp(w->types[type].name, tw_simulator_json_text(request, "rack")) != 0)
         type++;
     for (int i = 0; i < w->nworkers; i++)
         have += !w->workers[i]->gone && w->workers[i]->type_index == type;
@@ -74,52 +77,54 @@
     for (int i = 0; i < n && have < w->capacity[type]; i++, have++) {
         double boot = w->never_up > 0 ? NEVER : boot_time(w);
         if (w->never_up > 0) w->never_up--;
-        tw_sim_worker *x = tw_sim_rent(w, type, tw_sim_json_text(request, "yard"), spot, boot);
+        tw_simulator_worker *x =
+            tw_simulator_rent(w, type, tw_simulator_json_text(request, "yard"), spot, boot);
         cJSON_AddItemToArray(ids, cJSON_CreateString(x->id));
     }
-    return tw_sim_json_print(o);
+    return tw_simulator_json_print(o);
 }
 
-static int rent(tw_sim_world *w, const char *body, char **out) {
+static int rent(tw_simulator_world *w, const char *body, char **out) {
     cJSON *request = cJSON_Parse(body);
-    const char *name = tw_sim_json_text(request, "ask");
+    const char *name = tw_simulator_json_text(request, "ask");
     int i = 0;
     while (i < w->nrentals && strcmp(w->rentals[i].request, name) != 0) i++;
     if (i < w->nrentals) { /* repeated: the same answer, nothing rented */
-        *out = tw_sim_text(w->rentals[i].answer);
+        *out = tw_simulator_text(w->rentals[i].answer);
         cJSON_Delete(request);
-        return TW_SIM_OK;
+        return TW_SIMULATOR_OK;
     }
     *out = rent_some(w, request);
     if (*out) {
-        w->rentals = tw_sim_grow(w->rentals, w->nrentals, &w->rentals_cap, sizeof *w->rentals);
-        tw_sim_rental *r = &w->rentals[w->nrentals++];
+        w->rentals =
+            tw_simulator_grow(w->rentals, w->nrentals, &w->rentals_cap, sizeof *w->rentals);
+        tw_simulator_rental *r = &w->rentals[w->nrentals++];
         snprintf(r->request, sizeof r->request, "%s", name);
-        r->answer = tw_sim_text(*out);
+        r->answer = tw_simulator_text(*out);
     }
     cJSON_Delete(request);
-    if (*out) return TW_SIM_OK;
-    *out = tw_sim_text("{\"error\":\"no capacity\"}");
-    return TW_SIM_UNAVAILABLE;
+    if (*out) return TW_SIMULATOR_OK;
+    *out = tw_simulator_text("{\"error\":\"no capacity\"}");
+    return TW_SIMULATOR_UNAVAILABLE;
 }
 
-static int release(tw_sim_world *w, const char *body, char **out) {
+static int release(tw_simulator_world *w, const char *body, char **out) {
     char(*names)[TW_WIRE_NAME_SIZE];
     int n;
-    *out = tw_sim_text("{}");
-    if (tw_wire_machine_names_parse(&names, &n, body, strlen(body))) return TW_SIM_MALFORMED;
+    *out = tw_simulator_text("{}");
+    if (tw_wire_machine_names_parse(&names, &n, body, strlen(body))) return TW_SIMULATOR_MALFORMED;
     for (int i = 0; i < n; i++) {
-        tw_sim_worker *x = tw_sim_worker_by_id(w, names[i]);
+        tw_simulator_worker *x = tw_simulator_worker_by_id(w, names[i]);
         if (x) x->gone = 1;
     }
     free(names);
-    return TW_SIM_OK;
+    return TW_SIMULATOR_OK;
 }
 
-static int list_machines(const tw_sim_world *w, char **out) {
+static int list_machines(const tw_simulator_world *w, char **out) {
     cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "trays");
     for (int i = 0; i < w->nworkers; i++) {
-        const tw_sim_worker *x = w->workers[i];
+        const tw_simulator_worker *x = w->workers[i];
         if (x->gone) continue;
         cJSON *t = cJSON_CreateObject();
         cJSON_AddStringToObject(t, "id", x->id);
@@ -132,12 +137,12 @@
         cJSON_AddItemToArray(list, t);
     }
     cJSON_AddBoolToObject(o, "more", 0);
-    *out = tw_sim_json_print(o);
-    return TW_SIM_OK;
+    *out = tw_simulator_json_print(o);
+    return TW_SIMULATOR_OK;
 }
 
-int tw_sim_cloud_request(tw_sim_world *w, const char *method, const char *path, const char *body,
-                         char **out) {
+int tw_simulator_cloud_request(tw_simulator_world *w, const char *method, const char *path,
+                               const char *body, char **out) {
     if (!strcmp(path, "/flavors")) return list_types(w, out);
     if (!strcmp(path, "/rentals/release")) return release(w, body, out);
     if (!strcmp(method, "POST")) return rent(w, body, out);
--- a/sim/controller_remote.c
+++ b/simulator/controller_remote.c
@@ -23,7 +23,7 @@
 #define NOT_UNDERSTOOD "the process of the other version gave an answer that has no meaning"
 
 typedef struct {
-    tw_sim_controller base;
+    tw_simulator_controller base;
     pid_t process;
     int to;           /* socket to the process */
     FILE *from;       /* the same for reading */
@@ -62,7 +62,7 @@
 }
 
 /* The process ends when its input does, unless it has failed to answer. */
-static void end(tw_sim_controller *controller) {
+static void end(tw_simulator_controller *controller) {
     remote_controller *remote = (remote_controller *)controller;
     while (remote->first) {
         tw_effect *effect = remote->first;
@@ -104,7 +104,7 @@
 /* A text of that length; NULL for a negative one or if it doesn't come. */
 static char *read_text(remote_controller *remote, long size) {
     if (size < 0) return NULL;
-    char *text = tw_sim_zeroed((size_t)size + 1);
+    char *text = tw_simulator_zeroed((size_t)size + 1);
     if (fread(text, 1, (size_t)size, remote->from) == (size_t)size) return text;
     remote->base.failure = ENDED;
     free(text);
@@ -119,22 +119,23 @@
     return NULL;
 }
 
-static void read_effect(remote_controller *remote, tw_sim_reader reader) {
-    tw_effect *effect = tw_sim_zeroed(sizeof *effect);
-    char method[TW_SIM_NAME];
-    effect->kind = (int)tw_sim_read_int(&reader);
-    effect->id = tw_sim_read_count(&reader);
-    effect->status = (int)tw_sim_read_int(&reader);
-    effect->retry_after = tw_sim_read_number(&reader);
-    effect->to = (int)tw_sim_read_int(&reader);
-    effect->timeout_s = tw_sim_read_number(&reader);
-    tw_sim_read_word(&reader, method, sizeof method);
+static void read_effect(remote_controller *remote, tw_simulator_reader reader) {
+    tw_effect *effect = tw_simulator_zeroed(sizeof *effect);
+    char method[TW_SIMULATOR_NAME];
+    effect->kind = (int)tw_simulator_read_int(&reader);
+    effect->id = tw_simulator_read_count(&reader);
+    effect->status = (int)tw_simulator_read_int(&reader);
+    effect->retry_after = tw_simulator_read_number(&reader);
+    effect->to = (int)tw_simulator_read_int(&reader);
+    effect->timeout_s = tw_simulator_read_number(&reader);
+    tw_simulator_read_word(&reader, method, sizeof method);
     effect->method = method_named(method);
-    const long address_size = tw_sim_read_int(&reader), path_size = tw_sim_read_int(&reader);
-    const long body_size = tw_sim_read_int(&reader);
+    const long address_size = tw_simulator_read_int(&reader),
+               path_size = tw_simulator_read_int(&reader);
+    const long body_size = tw_simulator_read_int(&reader);
     *remote->last = effect;
     remote->last = &effect->next;
-    if (!tw_sim_read_all(&reader)) {
+    if (!tw_simulator_read_all(&reader)) {
         remote->base.failure = NOT_UNDERSTOOD;
         return;
     }
@@ -153,23 +154,23 @@
             remote->base.failure = ENDED;
             return;
         }
-        const tw_sim_reader effect = tw_sim_read_line(head, "effect");
+        const tw_simulator_reader effect = tw_simulator_read_line(head, "effect");
         if (!effect.bad) {
             read_effect(remote, effect);
             continue;
         }
-        tw_sim_reader done = tw_sim_read_line(head, "done");
-        remote->steps = tw_sim_read_count(&done);
-        remote->tick_s = tw_sim_read_number(&done);
-        if (!tw_sim_read_all(&done)) remote->base.failure = NOT_UNDERSTOOD;
+        tw_simulator_reader done = tw_simulator_read_line(head, "done");
+        remote->steps = tw_simulator_read_count(&done);
+        remote->tick_s = tw_simulator_read_number(&done);
+        if (!tw_simulator_read_all(&done)) remote->base.failure = NOT_UNDERSTOOD;
         return;
     }
 }
 
 /* ---- inputs ---- */
 
-static void request(tw_sim_controller *controller, tw_sim_clock clock, int port, uint64_t conn,
-                    const char *method, const char *path, const char *body) {
+static void request(tw_simulator_controller *controller, tw_simulator_clock clock, int port,
+                    uint64_t conn, const char *method, const char *path, const char *body) {
     remote_controller *remote = (remote_controller *)controller;
     const size_t path_size = strlen(path), body_size = strlen(body);
     send_head(remote, "request %a %a %d %" PRIu64 " %s %zu %zu\n", clock.steady, clock.wall, port,
@@ -179,8 +180,8 @@
     read_answer(remote);
 }
 
-static void response(tw_sim_controller *controller, tw_sim_clock clock, uint64_t call, int status,
-                     const char *body) {
+static void response(tw_simulator_controller *controller, tw_simulator_clock clock, uint64_t call,
+                     int status, const char *body) {
     remote_controller *remote = (remote_controller *)controller;
     const size_t size = strlen(body);
     send_head(remote, "response %a %a %" PRIu64 " %d %zu\n", clock.steady, clock.wall, call, status,
@@ -189,7 +190,7 @@
     read_answer(remote);
 }
 
-static void tick(tw_sim_controller *controller, tw_sim_clock clock) {
+static void tick(tw_simulator_controller *controller, tw_simulator_clock clock) {
     remote_controller *remote = (remote_controller *)controller;
     send_head(remote, "tick %a %a\n", clock.steady, clock.wall);
     read_answer(remote);
@@ -197,7 +198,7 @@
 
 /* ---- what it says ---- */
 
-static tw_effect *next(tw_sim_controller *controller) {
+static tw_effect *next(tw_simulator_controller *controller) {
     remote_controller *remote = (remote_controller *)controller;
     tw_effect *effect = remote->first;
     if (!effect) return NULL;
@@ -207,26 +208,26 @@
     return effect;
 }
 
-static uint64_t steps(const tw_sim_controller *controller) {
+static uint64_t steps(const tw_simulator_controller *controller) {
     return ((const remote_controller *)controller)->steps;
 }
 
-static double tick_s(const tw_sim_controller *controller) {
+static double tick_s(const tw_simulator_controller *controller) {
     return ((const remote_controller *)controller)->tick_s;
 }
 
-static const tw_sim_controller_methods remote_methods = {.request = request,
-                                                         .response = response,
-                                                         .tick = tick,
-                                                         .next = next,
-                                                         .steps = steps,
-                                                         .tick_s = tick_s,
-                                                         .free = end};
-
-tw_sim_controller *tw_sim_controller_remote(const char *program,
-                                            const tw_sim_controller_start *start, char *error,
-                                            size_t error_size) {
-    remote_controller *remote = tw_sim_zeroed(sizeof *remote);
+static const tw_simulator_controller_methods remote_methods = {.request = request,
+                                                               .response = response,
+                                                               .tick = tick,
+                                                               .next = next,
+                                                               .steps = steps,
+                                                               .tick_s = tick_s,
+                                                               .free = end};
+
+tw_simulator_controller *tw_simulator_controller_remote(const char *program,
+                                                        const tw_simulator_controller_start *start,
+                                                        char *error, size_t error_size) {
+    remote_controller *remote = tw_simulator_zeroed(sizeof *remote);
     remote->base.methods = &remote_methods;
     remote->last = &remote->first;
     const int result = spawn(remote, program);
--- a/sim/draw.c
+++ b/simulator/draw.c
@@ -6,7 +6,7 @@
 
 #define SEED_STEP 8 /* not the number of streams: one more must not change the others */
 
-double tw_sim_draw(tw_sim_world *w, int kind, double from, double to) {
+double tw_simulator_draw(tw_simulator_world *w, int kind, double from, double to) {
     if (!w->draws[kind]) {
         w->draws[kind] = gsl_rng_alloc(gsl_rng_taus2);
         if (!w->draws[kind]) abort();
@@ -15,10 +15,12 @@
     return from + (to - from) * gsl_rng_uniform(w->draws[kind]);
 }
 
-int tw_sim_draw_index(tw_sim_world *w, int kind, int n) { return (int)tw_sim_draw(w, kind, 0, n); }
+int tw_simulator_draw_index(tw_simulator_world *w, int kind, int n) {
+    return (int)tw_simulator_draw(w, kind, 0, n);
+}
 
-void tw_sim_draws_free(tw_sim_world *w) {
-    for (int i = 0; i < TW_SIM_DRAWS; i++) {
+void tw_simulator_draws_free(tw_simulator_world *w) {
+    for (int i = 0; i < TW_SIMULATOR_DRAWS; i++) {
         if (w->draws[i]) gsl_rng_free(w->draws[i]);
         w->draws[i] = NULL;
     }
--- a/sim/event.c
+++ b/simulator/event.c
@@ -1,48 +1,52 @@
 /* Events: a heap by time, then by order of coming. */
-#include "sim_int.h"
+#include "simulator_int.h"
 #include <stdlib.h>
 
 #define FIRST_CAP 256
 
-static int before(const tw_sim_event *a, const tw_sim_event *b) {
+static int before(const tw_simulator_event *a, const tw_simulator_event *b) {
     return a->at < b->at || (a->at == b->at && a->seq < b->seq);
 }
 
-static void push(tw_sim *sim, tw_sim_event *e, double at) {
+static void push(tw_simulator *sim, tw_simulator_event *e, double at) {
     e->at = at > sim->world.now ? at : sim->world.now;
     e->seq = ++sim->seq;
     e->queued = 1;
     if (sim->nheap == sim->heap_cap) {
         sim->heap_cap = sim->heap_cap ? 2 * sim->heap_cap : FIRST_CAP;
-        sim->heap = realloc(sim->heap, sim->heap_cap * sizeof(tw_sim_event *));
+        sim->heap = realloc(sim->heap, sim->heap_cap * sizeof(tw_simulator_event *));
         if (!sim->heap) abort();
     }
-    tw_sim_event **heap = sim->heap;
+    tw_simulator_event **heap = sim->heap;
     size_t i = sim->nheap++;
     for (; i && before(e, heap[(i - 1) / 2]); i = (i - 1) / 2) heap[i] = heap[(i - 1) / 2];
     heap[i] = e;
 }
 
-tw_sim_event *tw_sim_at(tw_sim *sim, double at, void (*act)(tw_sim *sim, tw_sim_event *e)) {
-    tw_sim_event *e = tw_sim_zeroed(sizeof *e);
+tw_simulator_event *tw_simulator_at(tw_simulator *sim, double at,
+                                    void (*act)(tw_simulator *sim, tw_simulator_event *e)) {
+    tw_simulator_event *e = tw_simulator_zeroed(sizeof *e);
     e->act = act;
     push(sim, e, at);
     return e;
 }
 
-tw_sim_event *tw_sim_after(tw_sim *sim, double seconds, void (*act)(tw_sim *sim, tw_sim_event *e)) {
-    return tw_sim_at(sim, sim->world.now + seconds, act);
+tw_simulator_event *tw_simulator_after(tw_simulator *sim, double seconds,
+                                       void (*act)(tw_simulator *sim, tw_simulator_event *e)) {
+    return tw_simulator_at(sim, sim->world.now + seconds, act);
 }
 
-void tw_sim_again(tw_sim *sim, tw_sim_event *e, double seconds) {
+void tw_simulator_again(tw_simulator *sim, tw_simulator_event *e, double seconds) {
     push(sim, e, sim->world.now + seconds);
 }
 
-void tw_sim_again_at(tw_sim *sim, tw_sim_event *e, double at) { push(sim, e, at); }
+void tw_simulator_again_at(tw_simulator *sim, tw_simulator_event *e, double at) {
+    push(sim, e, at);
+}
 
-tw_sim_event *tw_sim_next_event(tw_sim *sim) {
+tw_simulator_event *tw_simulator_next_event(tw_simulator *sim) {
     if (!sim->nheap) return NULL;
-    tw_sim_event **heap = sim->heap, *first = heap[0], *last = heap[--sim->nheap];
+    tw_simulator_event **heap = sim->heap, *first = heap[0], *last = heap[--sim->nheap];
     size_t i = 0;
     for (size_t k; (k = 2 * i + 1) < sim->nheap; i = k) {
         if (k + 1 < sim->nheap && before(heap[k + 1], heap[k])) k++;
@@ -54,7 +58,7 @@
     return first;
 }
 
-void tw_sim_event_free(tw_sim_event *e) {
+void tw_simulator_event_free(tw_simulator_event *e) {
     free(e->path);
     free(e->body);
     free(e);
--- a/sim/judge_live.c
+++ b/simulator/judge_live.c
@@ -15,11 +15,11 @@
 
 /* ---- unanswered ---- */
 
-static void judge_answers(tw_sim_world *w, const tw_sim_job *job) {
+static void judge_answers(tw_simulator_world *w, const tw_simulator_job *job) {
     double since = fmax(w->troubles_end, fmax(job->accepted_at, job->answered_at));
     if (job->accepted && w->now > since + UNANSWERED_S)
-        tw_sim_break(w, "unanswered", "%s: no question is answered since %.2f", job->spec.id,
-                     since);
+        tw_simulator_break(w, "unanswered", "%s: no question is answered since %.2f", job->spec.id,
+                           since);
 }
 
 /* ---- stuck ---- */
@@ -28,25 +28,27 @@
     double cpus, gpus, memory;
 } room;
 
-static int is_on_machine(const tw_sim_task *t) { return t->job && t->stage != TW_TASK_EXITED; }
+static int is_on_machine(const tw_simulator_task *t) {
+    return t->job && t->stage != TW_TASK_EXITED;
+}
 
-static int has_begun(const tw_sim_task *t) {
+static int has_begun(const tw_simulator_task *t) {
     return t->stage != TW_TASK_FETCHING && t->stage != TW_TASK_WAITING;
 }
 
 /* What each machine can still take (less than nothing: no task may start there). Counts each job's
  * tasks on machines. */
-static room *free_rooms(tw_sim_world *w) {
-    room *rooms = tw_sim_zeroed((size_t)(w->nworkers + 1) * sizeof *rooms);
+static room *free_rooms(tw_simulator_world *w) {
+    room *rooms = tw_simulator_zeroed((size_t)(w->nworkers + 1) * sizeof *rooms);
     for (int i = 0; i < w->njobs; i++) w->jobs[i]->on_machine = w->jobs[i]->unstarted = 0;
     for (int i = 0; i < w->nworkers; i++) {
-        const tw_sim_worker *x = w->workers[i];
+        const tw_simulator_worker *x = w->workers[i];
         const tw_wire_machine_type *f = &w->types[x->type_index];
         rooms[i] = (room){f->cores, f->gpus, f->memory_gb};
         if (x->gone || !x->up || x->faulty || x->warned_at >= 0 || w->now < x->hung_until)
             rooms[i].cpus = -1;
         for (int k = 0; k < x->ntasks && !x->gone; k++) {
-            tw_sim_job *job = x->tasks[k].job;
+            tw_simulator_job *job = x->tasks[k].job;
             if (!is_on_machine(&x->tasks[k])) continue;
             job->on_machine++;
             job->unstarted += job->spec.gang && !has_begun(&x->tasks[k]);
@@ -58,7 +60,7 @@
     return rooms;
 }
 
-static int is_allowed(const tw_sim_worker *x, const tw_wire_job *spec) {
+static int is_allowed(const tw_simulator_worker *x, const tw_wire_job *spec) {
     int type = spec->machine_type_count < 0;
     for (int i = 0; i < spec->machine_type_count; i++)
         type |= !strcmp(spec->machine_types[i], x->type);
@@ -78,11 +80,11 @@
 }
 
 /* Whether the machines of a zone (NULL: of all zones) have room for so many tasks. */
-static int has_room(const tw_sim_world *w, const room *rooms, const tw_wire_job *spec,
+static int has_room(const tw_simulator_world *w, const room *rooms, const tw_wire_job *spec,
                     const char *zone, int wanted) {
     int n = 0;
     for (int i = 0; i < w->nworkers && n < wanted; i++) {
-        const tw_sim_worker *x = w->workers[i];
+        const tw_simulator_worker *x = w->workers[i];
         if (rooms[i].cpus < 0 || !is_allowed(x, spec) || (zone && strcmp(zone, x->zone) != 0))
             continue;
         n += tasks_that_fit(&rooms[i], spec, wanted - n);
@@ -92,13 +94,14 @@
 
 /* So many tasks must start together, or one. Those of a gang that wait already have their room; in
  * one zone they may be in the wrong one. */
-static int tasks_at_once(const tw_sim_job *job) {
+static int tasks_at_once(const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     if (spec->gang && !spec->single_zone) return spec->task_count - job->unstarted;
     return spec->gang || (spec->service && spec->single_zone) ? spec->task_count : 1;
 }
 
-static int could_start(const tw_sim_world *w, const room *rooms, const tw_sim_job *job) {
+static int could_start(const tw_simulator_world *w, const room *rooms,
+                       const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_at_once(job);
     if (wanted > 1 && spec->spread) return 0; /* not judged */
@@ -108,14 +111,14 @@
     return 0;
 }
 
-static int is_under_limit(const tw_sim_world *w, const tw_sim_job *job) {
+static int is_under_limit(const tw_simulator_world *w, const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_at_once(job), i = 0;
     while (i < w->nteams && strcmp(w->teams[i].name, spec->team) != 0) i++;
     if (i == w->nteams) return 0;
     double cpus = wanted * spec->cores, gpus = wanted * spec->gpus;
     for (int k = 0; k < w->nworkers; k++) {
-        const tw_sim_worker *x = w->workers[k];
+        const tw_simulator_worker *x = w->workers[k];
         for (int t = 0; t < x->ntasks && !x->gone; t++) {
             if (!is_on_machine(&x->tasks[t])) continue;
             const tw_wire_job *other = &x->tasks[t].job->spec;
@@ -124,22 +127,22 @@
             gpus += other->gpus;
         }
     }
-    const tw_sim_team *team = &w->teams[i];
+    const tw_simulator_team *team = &w->teams[i];
     return (team->cpus_max <= 0 || cpus <= team->cpus_max + EPSILON) &&
            (team->gpus_max <= 0 || gpus <= team->gpus_max + EPSILON);
 }
 
 /* Tasks on machines that do something useful there, or will by themselves. */
-static int useful(const tw_sim_job *job) { return job->on_machine - job->unstarted; }
+static int useful(const tw_simulator_job *job) { return job->on_machine - job->unstarted; }
 
 /* Accepted, not cancelled, not over, and no task of it is on a machine, or only such that wait for
  * the rest of their gang. */
-static int is_waiting(const tw_sim_job *job) {
+static int is_waiting(const tw_simulator_job *job) {
     return job->accepted && job->cancel_asked_at <= 0 && !job->fails && !job->told_over &&
            job->ndone < job->spec.task_count && !useful(job);
 }
 
-static void judge_waiting(tw_sim_world *w, tw_sim_job *job, const room *rooms) {
+static void judge_waiting(tw_simulator_world *w, tw_simulator_job *job, const room *rooms) {
     int waits = w->now >= w->troubles_end && is_waiting(job) && could_start(w, rooms, job) &&
                 is_under_limit(w, job);
     if (!waits)
@@ -147,11 +150,11 @@
     else if (job->waits_since <= 0)
         job->waits_since = w->now;
     else if (w->now > job->waits_since + STUCK_S)
-        tw_sim_break(w, "stuck", "%s waits since %.2f while a machine has room", job->spec.id,
-                     job->waits_since);
+        tw_simulator_break(w, "stuck", "%s waits since %.2f while a machine has room", job->spec.id,
+                           job->waits_since);
 }
 
-void tw_sim_judge_live(tw_sim_world *w) {
+void tw_simulator_judge_live(tw_simulator_world *w) {
     room *rooms = free_rooms(w);
     for (int i = 0; i < w->njobs; i++) {
         judge_answers(w, w->jobs[i]);
@@ -167,18 +170,19 @@
 }
 
 /* Jobs that count: old enough, not refused as impossible, not cancelled, without a mistake. */
-static int counts(const tw_sim_world *w, const tw_sim_job *job) {
-    int refused = job->last_status == TW_SIM_MALFORMED || job->last_status == TW_SIM_IMPOSSIBLE;
+static int counts(const tw_simulator_world *w, const tw_simulator_job *job) {
+    int refused =
+        job->last_status == TW_SIMULATOR_MALFORMED || job->last_status == TW_SIMULATOR_IMPOSSIBLE;
     return job->submitted && !refused && job->cancel_asked_at <= 0 && !job->fails &&
            w->now >= job->first_try + w->served_age_s;
 }
 
 /* At least half of its tasks are done or on a machine. */
-static int is_served(const tw_sim_job *job) {
+static int is_served(const tw_simulator_job *job) {
     return job->ndone + useful(job) >= LEAST_SERVED * job->spec.task_count;
 }
 
-static int began_in_time(const tw_sim_job *job) {
+static int began_in_time(const tw_simulator_job *job) {
     return job->begun_at > 0 && job->begun_at <= job->first_try + LARGEST_BEGIN_S;
 }
 
@@ -193,20 +197,20 @@
            (!k->team || !strcmp(k->team, spec->team)) && size_of(spec) >= k->least_size;
 }
 
-static void judge_kind(tw_sim_world *w, const kind *k, const char *what, const char *name) {
+static void judge_kind(tw_simulator_world *w, const kind *k, const char *what, const char *name) {
     int all = 0, served = 0;
     for (int i = 0; i < w->njobs; i++) {
-        const tw_sim_job *job = w->jobs[i];
+        const tw_simulator_job *job = w->jobs[i];
         if (!counts(w, job) || !is_of(k, &job->spec)) continue;
         all++;
         served += is_served(job) && (k->least_size <= 0 || began_in_time(job));
     }
     if (served < LEAST_SERVED * all)
-        tw_sim_break(w, "unserved", "%s %s: %d of %d jobs", what, name, served, all);
+        tw_simulator_break(w, "unserved", "%s %s: %d of %d jobs", what, name, served, all);
 }
 
 /* The first that counts of its class or team. */
-static int is_first(const tw_sim_world *w, const tw_sim_job *job, int by_team) {
+static int is_first(const tw_simulator_world *w, const tw_simulator_job *job, int by_team) {
     for (int i = 0; i < job->index; i++) {
         const tw_wire_job *a = &w->jobs[i]->spec, *b = &job->spec;
         if (counts(w, w->jobs[i]) &&
@@ -216,20 +220,20 @@
     return 1;
 }
 
-static kind largest_of(const tw_sim_world *w, const char *class) {
+static kind largest_of(const tw_simulator_world *w, const char *class) {
     kind k = {.class = class};
     for (int i = 0; i < w->njobs; i++) {
-        const tw_sim_job *job = w->jobs[i];
+        const tw_simulator_job *job = w->jobs[i];
         if (counts(w, job) && !strcmp(job->spec.job_class, class))
             k.least_size = fmax(k.least_size, LARGEST_SHARE * size_of(&job->spec));
     }
     return k;
 }
 
-void tw_sim_judge_served(tw_sim_world *w) {
+void tw_simulator_judge_served(tw_simulator_world *w) {
     free(free_rooms(w)); /* counts tasks on machines */
     for (int i = 0; i < w->njobs; i++) {
-        const tw_sim_job *job = w->jobs[i];
+        const tw_simulator_job *job = w->jobs[i];
         const char *class = job->spec.job_class, *team = job->spec.team;
         if (!counts(w, job)) continue;
         if (is_first(w, job, 1)) judge_kind(w, &(kind){.team = team}, "team", team);
--- a/sim/odd.c
+++ b/simulator/odd.c
@@ -1,7 +1,7 @@
 /* Requests that make no sense: repeated submissions of unfinished jobs, with the same fields and
  * with others, cancellations of jobs that are done, jobs that fit no machine or lack a field, and
  * questions about jobs that nobody submitted. */
-#include "sim_int.h"
+#include "simulator_int.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,28 +11,28 @@
 #define FIRST_ODD_ID 900000
 #define TOO_MUCH 1e6
 
-static int draw_index(tw_sim *sim, int n) {
-    return tw_sim_draw_index(&sim->world, TW_SIM_DRAW_ODD, n);
+static int draw_index(tw_simulator *sim, int n) {
+    return tw_simulator_draw_index(&sim->world, TW_SIMULATOR_DRAW_ODD, n);
 }
 
 /* Some accepted job that was told to be over in that way (0: not over), or NULL. */
-static tw_sim_job *pick_job(tw_sim *sim, int told_over) {
-    tw_sim_world *w = &sim->world;
+static tw_simulator_job *pick_job(tw_simulator *sim, int told_over) {
+    tw_simulator_world *w = &sim->world;
     int first = w->njobs ? draw_index(sim, w->njobs) : 0;
     for (int i = 0; i < w->njobs; i++) {
-        tw_sim_job *job = w->jobs[(first + i) % w->njobs];
+        tw_simulator_job *job = w->jobs[(first + i) % w->njobs];
         if (job->submitted && job->accepted && job->told_over == told_over) return job;
     }
     return NULL;
 }
 
-static void repeat(tw_sim *sim) {
-    const tw_sim_job *job = pick_job(sim, 0);
-    if (job) tw_sim_user_send_to(sim, job->index, TW_SIM_SUBMIT, -1);
+static void repeat(tw_simulator *sim) {
+    const tw_simulator_job *job = pick_job(sim, 0);
+    if (job) tw_simulator_user_send_to(sim, job->index, TW_SIMULATOR_SUBMIT, -1);
 }
 
-static void repeat_with_other_fields(tw_sim *sim) {
-    const tw_sim_job *job = pick_job(sim, 0);
+static void repeat_with_other_fields(tw_simulator *sim) {
+    const tw_simulator_job *job = pick_job(sim, 0);
     if (!job) return;
     tw_wire_job spec = job->spec;
     switch (draw_index(sim, 4)) {
@@ -49,15 +49,15 @@
     default:
         spec.cores /= 2;
     }
-    tw_sim_user_submit_as(sim, job->index, &spec);
+    tw_simulator_user_submit_as(sim, job->index, &spec);
 }
 
-static void cancel_done(tw_sim *sim) {
-    const tw_sim_job *job = pick_job(sim, TW_JOB_DONE);
-    if (job) tw_sim_user_send_to(sim, job->index, TW_SIM_CANCEL, -1);
+static void cancel_done(tw_simulator *sim) {
+    const tw_simulator_job *job = pick_job(sim, TW_JOB_DONE);
+    if (job) tw_simulator_user_send_to(sim, job->index, TW_SIMULATOR_CANCEL, -1);
 }
 
-static tw_wire_job odd_job(tw_sim *sim) {
+static tw_wire_job odd_job(tw_simulator *sim) {
     tw_wire_job spec = {.job_class = "lane",
                         .image = "img-1",
                         .priority = TW_PRIORITY_HIGH,
@@ -73,7 +73,7 @@
     return spec;
 }
 
-static void fits_nothing(tw_sim *sim) {
+static void fits_nothing(tw_simulator *sim) {
     tw_wire_job spec = odd_job(sim);
     switch (draw_index(sim, 3)) {
     case 0:
@@ -85,33 +85,36 @@
     default:
         snprintf(spec.team, sizeof spec.team, "nobody");
     }
-    tw_sim_user_odd(sim, spec.id, TW_SIM_SUBMIT, tw_sim_job_text(&spec), TW_SIM_IMPOSSIBLE);
+    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_SUBMIT, tw_simulator_job_text(&spec),
+                          TW_SIMULATOR_IMPOSSIBLE);
 }
 
-static void lacks_field(tw_sim *sim) {
+static void lacks_field(tw_simulator *sim) {
     static const char *const needed[] = {"lane",   "crew",  "shape",    "rank",
                                          "pieces", "cores", "memoryGb", "bundle"};
     tw_wire_job spec = odd_job(sim);
-    char *text = tw_sim_job_text(&spec);
+    char *text = tw_simulator_job_text(&spec);
     cJSON *o = cJSON_Parse(text);
     cJSON_DeleteItemFromObjectCaseSensitive(
         o, needed[draw_index(sim, sizeof needed / sizeof *needed)]);
     free(text);
-    tw_sim_user_odd(sim, spec.id, TW_SIM_SUBMIT, tw_sim_json_print(o), TW_SIM_MALFORMED);
+    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_SUBMIT, tw_simulator_json_print(o),
+                          TW_SIMULATOR_MALFORMED);
 }
 
-static void ask_unknown(tw_sim *sim) {
+static void ask_unknown(tw_simulator *sim) {
     tw_wire_job spec = odd_job(sim);
-    tw_sim_user_odd(sim, spec.id, TW_SIM_POLL, NULL, TW_SIM_UNKNOWN);
+    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_POLL, NULL, TW_SIMULATOR_UNKNOWN);
 }
 
-static void next(tw_sim *sim, tw_sim_event *e) {
-    static void (*const kinds[])(tw_sim *) = {
+static void next(tw_simulator *sim, tw_simulator_event *e) {
+    static void (*const kinds[])(tw_simulator *) = {
         repeat, repeat_with_other_fields, cancel_done, fits_nothing, lacks_field, ask_unknown};
     if (sim->world.now >= sim->trouble.odd_requests_until) return;
-    sim->strokes[TW_SIM_ODD_REQUESTS]++;
+    sim->strokes[TW_SIMULATOR_ODD_REQUESTS]++;
     kinds[draw_index(sim, sizeof kinds / sizeof *kinds)](sim);
-    tw_sim_again(sim, e, tw_sim_draw(&sim->world, TW_SIM_DRAW_ODD, EVERY_LEAST_S, EVERY_MOST_S));
+    tw_simulator_again(
+        sim, e, tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_ODD, EVERY_LEAST_S, EVERY_MOST_S));
 }
 
-void tw_sim_odd_start(tw_sim *sim) { tw_sim_after(sim, 0, next); }
+void tw_simulator_odd_start(tw_simulator *sim) { tw_simulator_after(sim, 0, next); }
--- a/sim/sim.c
+++ b/simulator/simulator.c
@@ -1,5 +1,5 @@
 /* A simulation from its first line to its verdict. */
-#include "sim_int.h"
+#include "simulator_int.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,14 +8,14 @@
 #define HASH_START 14695981039346656037u
 #define HASH_PRIME 1099511628211u
 
-tw_sim *tw_sim_new(const char *name) {
-    tw_sim *sim = tw_sim_zeroed(sizeof *sim);
+tw_simulator *tw_simulator_new(const char *name) {
+    tw_simulator *sim = tw_simulator_zeroed(sizeof *sim);
     snprintf(sim->name, sizeof sim->name, "%s", name ? name : "");
     sim->quiet = !name;
     sim->trace = name && getenv("TW_TRACE");
-    tw_sim_earlier_version(sim, getenv("TW_EARLIER_CORE"));
-    tw_sim_world_init(&sim->world);
-    sim->world.job_ended = tw_sim_job_ended;
+    tw_simulator_earlier_version(sim, getenv("TW_EARLIER_CORE"));
+    tw_simulator_world_init(&sim->world);
+    sim->world.job_ended = tw_simulator_job_ended;
     sim->world.context = sim;
     sim->trouble.late_commands_to = -1;
     sim->trouble.copy_report_of = -1;
@@ -26,46 +26,48 @@
     return sim;
 }
 
-void tw_sim_earlier_version(tw_sim *sim, const char *program) {
+void tw_simulator_earlier_version(tw_simulator *sim, const char *program) {
     sim->earlier = program && *program ? program : NULL;
 }
 
-int tw_sim_lacks_earlier_version(const tw_sim *sim) { return sim->needs_earlier && !sim->earlier; }
+int tw_simulator_lacks_earlier_version(const tw_simulator *sim) {
+    return sim->needs_earlier && !sim->earlier;
+}
 
-void tw_sim_fail(tw_sim *sim, const char *what, const char *detail) {
-    tw_sim_world *w = &sim->world;
+void tw_simulator_fail(tw_simulator *sim, const char *what, const char *detail) {
+    tw_simulator_world *w = &sim->world;
     if (!sim->failed++ && !*w->rule)
         snprintf(w->detail, sizeof w->detail, "t=%.2f %s %s", w->now, what, detail);
     if (!sim->quiet) printf("FAIL %s: t=%.2f %s %s\n", sim->name, w->now, what, detail);
 }
 
-static void hash(tw_sim *sim, const void *bytes, size_t size) {
+static void hash(tw_simulator *sim, const void *bytes, size_t size) {
     const unsigned char *p = bytes;
     for (size_t i = 0; i < size; i++) sim->digest = (sim->digest ^ p[i]) * HASH_PRIME;
 }
 
-void tw_sim_digest(tw_sim *sim, int kind, int who, int status, const char *body) {
+void tw_simulator_digest(tw_simulator *sim, int kind, int who, int status, const char *body) {
     const int numbers[] = {kind, who, status};
     hash(sim, &sim->world.now, sizeof sim->world.now);
     hash(sim, numbers, sizeof numbers);
     if (body) hash(sim, body, strlen(body));
 }
 
-void tw_sim_run(tw_sim *sim, tw_sim_verdict *verdict) {
-    tw_sim_world *w = &sim->world;
-    tw_sim_event *e;
-    for (int i = 0; i < w->nnodes; i++) tw_sim_node_start_after(sim, i, 0);
-    tw_sim_workers_start(sim);
-    while (w->nnodes && !*w->rule && (e = tw_sim_next_event(sim))) {
+void tw_simulator_run(tw_simulator *sim, tw_simulator_verdict *verdict) {
+    tw_simulator_world *w = &sim->world;
+    tw_simulator_event *e;
+    for (int i = 0; i < w->nnodes; i++) tw_simulator_node_start_after(sim, i, 0);
+    tw_simulator_workers_start(sim);
+    while (w->nnodes && !*w->rule && (e = tw_simulator_next_event(sim))) {
         int over = e->at > sim->end_s;
         if (!over) {
             w->now = e->at;
             e->act(sim, e);
         }
-        if (!e->queued) tw_sim_event_free(e);
+        if (!e->queued) tw_simulator_event_free(e);
         if (over) break;
     }
-    if (w->served_age_s > 0 && !*w->rule) tw_sim_judge_served(w);
+    if (w->served_age_s > 0 && !*w->rule) tw_simulator_judge_served(w);
     memset(verdict, 0, sizeof *verdict);
     memcpy(verdict->rule, w->rule, sizeof verdict->rule);
     memcpy(verdict->detail, w->detail, sizeof verdict->detail);
@@ -75,12 +77,12 @@
     verdict->digest = sim->digest;
 }
 
-void tw_sim_free(tw_sim *sim) {
+void tw_simulator_free(tw_simulator *sim) {
     if (!sim) return;
-    for (int i = 0; i < sim->world.nnodes; i++) tw_sim_node_kill(sim, i); /* adds events */
-    for (size_t i = 0; i < sim->nheap; i++) tw_sim_event_free(sim->heap[i]);
+    for (int i = 0; i < sim->world.nnodes; i++) tw_simulator_node_kill(sim, i); /* adds events */
+    for (size_t i = 0; i < sim->nheap; i++) tw_simulator_event_free(sim->heap[i]);
     free(sim->heap);
-    tw_sim_conn *c, *next;
+    tw_simulator_conn *c, *next;
     HASH_ITER(hh, sim->conns, c, next) {
         HASH_DEL(sim->conns, c);
         free(c);
@@ -90,6 +92,6 @@
     free(sim->teams);
     free(sim->objectives);
     free(sim->next_limits);
-    tw_sim_world_free(&sim->world);
+    tw_simulator_world_free(&sim->world);
     free(sim);
 }
--- a/sim/sim_int.h
+++ b/simulator/simulator_int.h
@@ -1,25 +1,25 @@
 /* The parts of a simulation: events, network, controllers, users, scenario language. Internal. */
-#ifndef TW_SIM_INT_H
-#define TW_SIM_INT_H
+#ifndef TW_SIMULATOR_INT_H
+#define TW_SIMULATOR_INT_H
 #include "controller.h"
-#include "sim.h"
+#include "simulator.h"
 #include "world.h"
 
-#define TW_SIM_LATENCY 0.002
-#define TW_SIM_MAX_WORDS 64
-#define TW_SIM_POLL_S 5.0
+#define TW_SIMULATOR_LATENCY 0.002
+#define TW_SIMULATOR_MAX_WORDS 64
+#define TW_SIMULATOR_POLL_S 5.0
 /* A message that is held up. */
-#define TW_SIM_HELD_LEAST_S 2.0
-#define TW_SIM_WRITE_HELD_MOST_S 12.0
-#define TW_SIM_COMMAND_HELD_MOST_S 16.0
-#define TW_SIM_REPORT_HELD_MOST_LEASES 2.5
+#define TW_SIMULATOR_HELD_LEAST_S 2.0
+#define TW_SIMULATOR_WRITE_HELD_MOST_S 12.0
+#define TW_SIMULATOR_COMMAND_HELD_MOST_S 16.0
+#define TW_SIMULATOR_REPORT_HELD_MOST_LEASES 2.5
 
 /* Something that happens at a time. What the fields hold is up to `act`. */
-typedef struct tw_sim_event {
+typedef struct tw_simulator_event {
     double at;
     uint64_t seq; /* events of one moment happen in the order of their coming */
     int queued;
-    void (*act)(tw_sim *sim, struct tw_sim_event *e);
+    void (*act)(tw_simulator *sim, struct tw_simulator_event *e);
     int node, generation; /* of the node that called */
     int target;           /* node, machine or job */
     int kind, status;
@@ -27,10 +27,10 @@
     uint64_t id, session;
     const char *method;
     char *path, *body;
-} tw_sim_event;
+} tw_simulator_event;
 
 typedef struct {
-    tw_sim_controller *controller;
+    tw_simulator_controller *controller;
     int alive, generation;
     int old;                        /* starts with the earlier version */
     double no_state_until;          /* the state service gives 503 to this node only */
@@ -42,9 +42,14 @@
     double still_from, still_until; /* stands still while its clocks run on */
     double sends_late_until;        /* what it decides leaves only then, while its clocks run on */
     tw_effect *unsent, **last_unsent;
-} tw_sim_node;
+} tw_simulator_node;
 
-enum { TW_SIM_CONN_REPORT, TW_SIM_CONN_USER, TW_SIM_CONN_PEER, TW_SIM_CONN_RAW };
+enum {
+    TW_SIMULATOR_CONN_REPORT,
+    TW_SIMULATOR_CONN_USER,
+    TW_SIMULATOR_CONN_PEER,
+    TW_SIMULATOR_CONN_RAW
+};
 /* A request that a node has got and not answered yet. */
 typedef struct {
     uint64_t id;
@@ -57,14 +62,14 @@
     int wanted;                    /* raw and odd requests: the status it must get */
     double sent;
     uint64_t session, call;
-    char what[TW_SIM_TITLE];
+    char what[TW_SIMULATOR_TITLE];
     UT_hash_handle hh;
-} tw_sim_conn;
+} tw_simulator_conn;
 
 /* A share of messages is struck until some time. */
 typedef struct {
     double share, until;
-} tw_sim_share;
+} tw_simulator_share;
 
 /* A report kept for the next leader, or for a later one. */
 typedef struct {
@@ -73,186 +78,190 @@
     uint64_t session;
     double sent;
     char *body;
-} tw_sim_kept;
+} tw_simulator_kept;
 
 /* Troubles and habits whose strokes are counted, by the names of their commands. */
 enum {
-    TW_SIM_LATE_WRITES,
-    TW_SIM_LOST_WRITES,
-    TW_SIM_LATE_REPORTS,
-    TW_SIM_MUTE,
-    TW_SIM_DEAF,
-    TW_SIM_LATE_COMMANDS,
-    TW_SIM_CUT_STATE,
-    TW_SIM_SLOW_NODE,
-    TW_SIM_LATE_SENDS,
-    TW_SIM_REPEATED_COMMANDS,
-    TW_SIM_CLOSE_LOOKS,
-    TW_SIM_CANCEL_AT_END,
-    TW_SIM_CANCEL_NOW,
-    TW_SIM_ODD_REQUESTS,
-    TW_SIM_STROKES
+    TW_SIMULATOR_LATE_WRITES,
+    TW_SIMULATOR_LOST_WRITES,
+    TW_SIMULATOR_LATE_REPORTS,
+    TW_SIMULATOR_MUTE,
+    TW_SIMULATOR_DEAF,
+    TW_SIMULATOR_LATE_COMMANDS,
+    TW_SIMULATOR_CUT_STATE,
+    TW_SIMULATOR_SLOW_NODE,
+    TW_SIMULATOR_LATE_SENDS,
+    TW_SIMULATOR_REPEATED_COMMANDS,
+    TW_SIMULATOR_CLOSE_LOOKS,
+    TW_SIMULATOR_CANCEL_AT_END,
+    TW_SIMULATOR_CANCEL_NOW,
+    TW_SIMULATOR_ODD_REQUESTS,
+    TW_SIMULATOR_STROKES
 };
 
 /* Troubles that are on. */
 typedef struct {
-    tw_sim_share late_writes, lost_writes, late_reports, late_commands, repeated_commands;
+    tw_simulator_share late_writes, lost_writes, late_reports, late_commands, repeated_commands;
     int late_reports_kept; /* the copies are kept for that many leaders; 0: they aren't */
-    tw_sim_kept *kept;
+    tw_simulator_kept *kept;
     int nkept, kept_cap;
     uint64_t leader_version; /* of the leader's key, when last looked at */
     double close_looks_until, odd_requests_until;
-    tw_sim_share cancel_at_end;
+    tw_simulator_share cancel_at_end;
     int lose_txns;        /* so many answers of transactions */
     double late_txn_s;    /* the next transaction is applied that late */
     int late_commands_to; /* the next direct command to this machine; -1: none */
     double late_commands_s;
     int copy_report_of; /* the next report of this machine comes again; -1: none */
     double copy_report_s;
-    char cut_from[TW_SIM_NAME], cut_to[TW_SIM_NAME];
+    char cut_from[TW_SIMULATOR_NAME], cut_to[TW_SIMULATOR_NAME];
     int cut_holds; /* messages are delivered at its end */
     double cut_until;
-    char island[TW_SIM_NAME]; /* zone cut off from everything, also from what belongs to no zone */
+    char island[TW_SIMULATOR_NAME]; /* zone cut off from everything, also from what belongs to no
+                                       zone */
     double island_until;
     double refuse_peers_until;
     double slow_state_until, slow_state_s;
     double no_cloud_until; /* the cloud answers 503 */
-} tw_sim_troubles;
+} tw_simulator_troubles;
 
-struct tw_sim {
-    char name[TW_SIM_TITLE];
+struct tw_simulator {
+    char name[TW_SIMULATOR_TITLE];
     int quiet, trace;
     const char *earlier; /* program of the earlier version (tw_core_server), or NULL */
     int needs_earlier;   /* a line asks for a node of the earlier version */
-    tw_sim_world world;
-    tw_sim_node nodes[TW_SIM_MAX_NODES];
-    tw_sim_troubles trouble;
+    tw_simulator_world world;
+    tw_simulator_node nodes[TW_SIMULATOR_MAX_NODES];
+    tw_simulator_troubles trouble;
     double rps, request_tokens, requests_at; /* the state service's limit of requests */
     char *objectives, *teams;                /* settings text */
     char *next_limits;                       /* the same, of the state service's limits to come */
     double end_s;
-    tw_sim_event **heap;
+    tw_simulator_event **heap;
     size_t nheap, heap_cap;
     uint64_t seq, last_conn, last_flight;
-    tw_sim_conn *conns;
+    tw_simulator_conn *conns;
     int next_node; /* the load balancer's */
     int failed;
     uint64_t digest;
-    unsigned strokes[TW_SIM_STROKES];
+    unsigned strokes[TW_SIMULATOR_STROKES];
     int next_odd; /* number of the next job that can't be taken */
 };
 
 /* A line of the scenario language, in words. */
 typedef struct {
-    char *word[TW_SIM_MAX_WORDS];
+    char *word[TW_SIMULATOR_MAX_WORDS];
     int n;
     const char *line; /* all of it */
-} tw_sim_words;
+} tw_simulator_words;
 
 /* ---- sim.c: messages and digest ---- */
-void tw_sim_fail(tw_sim *sim, const char *what, const char *detail);
-void tw_sim_digest(tw_sim *sim, int kind, int who, int status, const char *body);
+void tw_simulator_fail(tw_simulator *sim, const char *what, const char *detail);
+void tw_simulator_digest(tw_simulator *sim, int kind, int who, int status, const char *body);
 
 /* ---- event.c ---- */
-tw_sim_event *tw_sim_after(tw_sim *sim, double seconds, void (*act)(tw_sim *sim, tw_sim_event *e));
-tw_sim_event *tw_sim_at(tw_sim *sim, double at, void (*act)(tw_sim *sim, tw_sim_event *e));
+tw_simulator_event *tw_simulator_after(tw_simulator *sim, double seconds,
+                                       void (*act)(tw_simulator *sim, tw_simulator_event *e));
+tw_simulator_event *tw_simulator_at(tw_simulator *sim, double at,
+                                    void (*act)(tw_simulator *sim, tw_simulator_event *e));
 /* The event that happens now does so again. */
-void tw_sim_again(tw_sim *sim, tw_sim_event *e, double seconds);
-void tw_sim_again_at(tw_sim *sim, tw_sim_event *e, double at);
+void tw_simulator_again(tw_simulator *sim, tw_simulator_event *e, double seconds);
+void tw_simulator_again_at(tw_simulator *sim, tw_simulator_event *e, double at);
 /* NULL: there is none. */
-tw_sim_event *tw_sim_next_event(tw_sim *sim);
-void tw_sim_event_free(tw_sim_event *e);
+tw_simulator_event *tw_simulator_next_event(tw_simulator *sim);
+void tw_simulator_event_free(tw_simulator_event *e);
 
 /* ---- network.c ---- */
 /* Whether a zone is cut off from everything. */
-int tw_sim_cut_off(const tw_sim *sim, const char *zone);
+int tw_simulator_cut_off(const tw_simulator *sim, const char *zone);
 /* How long a message between zones takes; < 0: it never arrives. */
-double tw_sim_travel(const tw_sim *sim, const char *from, const char *to);
-/* A node's call goes out; its answer comes to tw_sim_node_response. */
-void tw_sim_call(tw_sim *sim, int node, tw_effect *f);
+double tw_simulator_travel(const tw_simulator *sim, const char *from, const char *to);
+/* A node's call goes out; its answer comes to tw_simulator_node_response. */
+void tw_simulator_call(tw_simulator *sim, int node, tw_effect *f);
 /* An answer to a node's call comes after that time. Takes the body. Later answers to a call are
  * ignored by the core, so that a timeout may simply follow. */
-void tw_sim_respond(tw_sim *sim, int node, int generation, uint64_t call, int status, char *body,
-                    double seconds);
+void tw_simulator_respond(tw_simulator *sim, int node, int generation, uint64_t call, int status,
+                          char *body, double seconds);
 
 /* Whether answers of the state service reach a node. */
-int tw_sim_reaches_state(const tw_sim *sim, int node);
+int tw_simulator_reaches_state(const tw_simulator *sim, int node);
 
 /* ---- node.c ---- */
-int tw_sim_node_start(tw_sim *sim, int node, char *error, size_t error_size);
-void tw_sim_node_start_after(tw_sim *sim, int node, double seconds);
-void tw_sim_node_kill(tw_sim *sim, int node);
+int tw_simulator_node_start(tw_simulator *sim, int node, char *error, size_t error_size);
+void tw_simulator_node_start_after(tw_simulator *sim, int node, double seconds);
+void tw_simulator_node_kill(tw_simulator *sim, int node);
 /* What the node has decided leaves when its `sends_late_until` has come. */
-void tw_sim_node_sends_late(tw_sim *sim, int node);
+void tw_simulator_node_sends_late(tw_simulator *sim, int node);
 /* The node that holds the leader's key; -1: none. */
-int tw_sim_leader(tw_sim *sim);
+int tw_simulator_leader(tw_simulator *sim);
 /* By name, or "leader"; -1: none. */
-int tw_sim_node_find(tw_sim *sim, const char *name);
-tw_sim_conn *tw_sim_conn_new(tw_sim *sim, int node, int kind);
-void tw_sim_node_request(tw_sim *sim, int node, int port, uint64_t conn, const char *method,
-                         const char *path, const char *body);
+int tw_simulator_node_find(tw_simulator *sim, const char *name);
+tw_simulator_conn *tw_simulator_conn_new(tw_simulator *sim, int node, int kind);
+void tw_simulator_node_request(tw_simulator *sim, int node, int port, uint64_t conn,
+                               const char *method, const char *path, const char *body);
 
 /* The answer to a call of a node arrives. */
-void tw_sim_node_response(tw_sim *sim, tw_sim_event *e);
+void tw_simulator_node_response(tw_simulator *sim, tw_simulator_event *e);
 
 /* ---- report.c: workers and their reports ---- */
 /* All machines, twenty times a second. */
-void tw_sim_workers_start(tw_sim *sim);
-void tw_sim_report_answered(tw_sim *sim, const tw_sim_conn *c, const tw_effect *f);
+void tw_simulator_workers_start(tw_simulator *sim);
+void tw_simulator_report_answered(tw_simulator *sim, const tw_simulator_conn *c,
+                                  const tw_effect *f);
 
 /* A new leader has begun, or not: reports that were kept for it arrive. */
-void tw_sim_reports_kept(tw_sim *sim);
+void tw_simulator_reports_kept(tw_simulator *sim);
 
 /* ---- user.c ---- */
-void tw_sim_user_send(tw_sim *sim, int job, int kind);
+void tw_simulator_user_send(tw_simulator *sim, int job, int kind);
 /* Once, through that node; < 0: through the load balancer. */
-void tw_sim_user_send_to(tw_sim *sim, int job, int kind, int node);
-void tw_sim_user_cancel(tw_sim *sim, int job);
+void tw_simulator_user_send_to(tw_simulator *sim, int job, int kind, int node);
+void tw_simulator_user_cancel(tw_simulator *sim, int job);
 /* A request about a job that nobody submitted; the request must get that status. */
-void tw_sim_user_odd(tw_sim *sim, const char *id, int kind, char *body, int wanted);
+void tw_simulator_user_odd(tw_simulator *sim, const char *id, int kind, char *body, int wanted);
 /* A submission with other fields than the job's. */
-void tw_sim_user_submit_as(tw_sim *sim, int job, const tw_wire_job *spec);
-void tw_sim_user_answered(tw_sim *sim, tw_sim_conn *c, tw_effect *f);
+void tw_simulator_user_submit_as(tw_simulator *sim, int job, const tw_wire_job *spec);
+void tw_simulator_user_answered(tw_simulator *sim, tw_simulator_conn *c, tw_effect *f);
 /* The node that had the request ended. */
-void tw_sim_user_unanswered(tw_sim *sim, tw_sim_conn *c);
-char *tw_sim_job_text(const tw_wire_job *spec);
+void tw_simulator_user_unanswered(tw_simulator *sim, tw_simulator_conn *c);
+char *tw_simulator_job_text(const tw_wire_job *spec);
 /* The node that a user's new connection comes to; -1: none can be reached. */
-int tw_sim_pick_node(tw_sim *sim);
+int tw_simulator_pick_node(tw_simulator *sim);
 
 /* ---- looks.c: users that look closely, or cancel at the worst moment ---- */
 /* A job was accepted, ended, or told to be over. */
-void tw_sim_look_closely(tw_sim *sim, int job, int may_cancel);
+void tw_simulator_look_closely(tw_simulator *sim, int job, int may_cancel);
 /* A job's last task completed. */
-void tw_sim_job_ended(void *sim, tw_sim_job *job);
+void tw_simulator_job_ended(void *sim, tw_simulator_job *job);
 
 /* ---- odd.c: requests that make no sense ---- */
-void tw_sim_odd_start(tw_sim *sim);
+void tw_simulator_odd_start(tw_simulator *sim);
 
 /* ---- script.c, command.c, trouble.c, upgrade.c, expect.c ---- */
 typedef struct {
     const char *name;
     int min_words; /* with the name */
     int seconds;   /* the word that says how long a trouble lasts, 0: none does */
-    void (*run)(tw_sim *sim, const tw_sim_words *w);
-} tw_sim_command;
-enum { TW_SIM_NO_TROUBLE = -1 };
+    void (*run)(tw_simulator *sim, const tw_simulator_words *w);
+} tw_simulator_command;
+enum { TW_SIMULATOR_NO_TROUBLE = -1 };
 /* Tables end with a NULL name. */
-extern const tw_sim_command tw_sim_commands[];
-extern const tw_sim_command tw_sim_trouble_commands[];
-extern const tw_sim_command tw_sim_habit_commands[];
-extern const tw_sim_command tw_sim_upgrade_commands[];
+extern const tw_simulator_command tw_simulator_commands[];
+extern const tw_simulator_command tw_simulator_trouble_commands[];
+extern const tw_simulator_command tw_simulator_habit_commands[];
+extern const tw_simulator_command tw_simulator_upgrade_commands[];
 /* A trouble lasts at least that much longer. */
-void tw_sim_trouble_for(tw_sim *sim, double seconds);
+void tw_simulator_trouble_for(tw_simulator *sim, double seconds);
 /* Whether a message is struck; counted. */
-int tw_sim_strikes(tw_sim *sim, const tw_sim_share *share, int stroke, int draw);
+int tw_simulator_strikes(tw_simulator *sim, const tw_simulator_share *share, int stroke, int draw);
 /* The node begins as one of the earlier version; -1: there is no such node. */
-int tw_sim_node_old(tw_sim *sim, const char *name);
-void tw_sim_expect(tw_sim *sim, const tw_sim_words *w);
+int tw_simulator_node_old(tw_simulator *sim, const char *name);
+void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *w);
 /* The state service's limits to come, as nodes that start are told: value=KB ops=N write_rps=N
  * rps=N. */
-void tw_sim_set_next(tw_sim *sim, const tw_sim_words *w);
+void tw_simulator_set_next(tw_simulator *sim, const tw_simulator_words *w);
 /* The value of `key=`, or NULL. */
-const char *tw_sim_option(const tw_sim_words *w, const char *key);
-double tw_sim_option_number(const tw_sim_words *w, const char *key, double otherwise);
+const char *tw_simulator_option(const tw_simulator_words *w, const char *key);
+double tw_simulator_option_number(const tw_simulator_words *w, const char *key, double otherwise);
 
 #endif
--- a/sim/words.c
+++ b/simulator/words.c
@@ -7,39 +7,39 @@
 #define SPACE " \n"
 
 /* Goes on behind a number that ended there. */
-static void took(tw_sim_reader *reader, const char *end) {
+static void took(tw_simulator_reader *reader, const char *end) {
     if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->bad = 1;
     reader->at = end;
 }
 
-tw_sim_reader tw_sim_read_line(const char *line, const char *first) {
+tw_simulator_reader tw_simulator_read_line(const char *line, const char *first) {
     const size_t size = strlen(first);
     const int same = !strncmp(line, first, size) && line[size] == ' ';
-    return (tw_sim_reader){.at = same ? line + size : "", .bad = !same};
+    return (tw_simulator_reader){.at = same ? line + size : "", .bad = !same};
 }
 
-double tw_sim_read_number(tw_sim_reader *reader) {
+double tw_simulator_read_number(tw_simulator_reader *reader) {
     char *end;
     const double value = strtod(reader->at, &end);
     took(reader, end);
     return value;
 }
 
-uint64_t tw_sim_read_count(tw_sim_reader *reader) {
+uint64_t tw_simulator_read_count(tw_simulator_reader *reader) {
     char *end;
     const uint64_t value = strtoull(reader->at, &end, DECIMAL);
     took(reader, end);
     return value;
 }
 
-long tw_sim_read_int(tw_sim_reader *reader) {
+long tw_simulator_read_int(tw_simulator_reader *reader) {
     char *end;
     const long value = strtol(reader->at, &end, DECIMAL);
     took(reader, end);
     return value;
 }
 
-void tw_sim_read_word(tw_sim_reader *reader, char *to, size_t size) {
+void tw_simulator_read_word(tw_simulator_reader *reader, char *to, size_t size) {
     reader->at += strspn(reader->at, " ");
     const size_t length = strcspn(reader->at, SPACE);
     if (!length || length >= size) reader->bad = 1;
@@ -47,6 +47,6 @@
     reader->at += length;
 }
 
-int tw_sim_read_all(const tw_sim_reader *reader) {
+int tw_simulator_read_all(const tw_simulator_reader *reader) {
     return !reader->bad && !strcmp(reader->at, "\n");
 }
--- a/sim/world.c
+++ b/simulator/world.c
@@ -9,22 +9,22 @@
 #define DEFAULT_BOOT_S 5
 #define DECIMAL 10
 
-int tw_sim_int(const char *text) { return (int)strtol(text, NULL, DECIMAL); }
-double tw_sim_number(const char *text) { return strtod(text, NULL); }
+int tw_simulator_int(const char *text) { return (int)strtol(text, NULL, DECIMAL); }
+double tw_simulator_number(const char *text) { return strtod(text, NULL); }
 
-char *tw_sim_text(const char *text) {
+char *tw_simulator_text(const char *text) {
     char *copy = strdup(text);
     if (!copy) abort();
     return copy;
 }
 
-void *tw_sim_zeroed(size_t size) {
+void *tw_simulator_zeroed(size_t size) {
     void *p = calloc(1, size);
     if (!p) abort();
     return p;
 }
 
-void *tw_sim_grow(void *items, int n, int *cap, size_t size) {
+void *tw_simulator_grow(void *items, int n, int *cap, size_t size) {
     if (n < *cap) return items;
     *cap = *cap ? 2 * *cap : 8;
     items = realloc(items, (size_t)*cap * size);
@@ -32,26 +32,26 @@
     return items;
 }
 
-const char *tw_sim_json_text(const cJSON *object, const char *field) {
+const char *tw_simulator_json_text(const cJSON *object, const char *field) {
     const cJSON *v = cJSON_GetObjectItemCaseSensitive(object, field);
     return cJSON_IsString(v) ? v->valuestring : "";
 }
 
-double tw_sim_json_number(const cJSON *object, const char *field) {
+double tw_simulator_json_number(const cJSON *object, const char *field) {
     const cJSON *v = cJSON_GetObjectItemCaseSensitive(object, field);
     return cJSON_IsNumber(v) ? v->valuedouble : 0;
 }
 
-char *tw_sim_json_print(cJSON *object) {
+char *tw_simulator_json_print(cJSON *object) {
     char *text = cJSON_PrintUnformatted(object);
     if (!text) abort();
     cJSON_Delete(object);
     return text;
 }
 
-void tw_sim_world_init(tw_sim_world *w) {
+void tw_simulator_world_init(tw_simulator_world *w) {
     memset(w, 0, sizeof *w);
-    tw_sim_state_init(&w->state);
+    tw_simulator_state_init(&w->state);
     w->seed = 1;
     w->report_s = DEFAULT_REPORT_S;
     w->lease_s = DEFAULT_LEASE_S;
@@ -59,9 +59,9 @@
     w->boot_s = DEFAULT_BOOT_S;
 }
 
-void tw_sim_world_free(tw_sim_world *w) {
-    tw_sim_state_free(&w->state);
-    tw_sim_draws_free(w);
+void tw_simulator_world_free(tw_simulator_world *w) {
+    tw_simulator_state_free(&w->state);
+    tw_simulator_draws_free(w);
     for (int i = 0; i < w->nrentals; i++) free(w->rentals[i].answer);
     free(w->rentals);
     for (int i = 0; i < w->nworkers; i++) {
@@ -80,31 +80,31 @@
     free(w->jobs);
 }
 
-tw_sim_job *tw_sim_job_find(const tw_sim_world *w, const char *id) {
-    tw_sim_job *job;
+tw_simulator_job *tw_simulator_job_find(const tw_simulator_world *w, const char *id) {
+    tw_simulator_job *job;
     HASH_FIND_STR(w->jobs_by_id, id, job);
     return job;
 }
 
-tw_sim_job *tw_sim_job_new(tw_sim_world *w, const char *id) {
-    tw_sim_job *job = tw_sim_zeroed(sizeof *job);
+tw_simulator_job *tw_simulator_job_new(tw_simulator_world *w, const char *id) {
+    tw_simulator_job *job = tw_simulator_zeroed(sizeof *job);
     strncpy(job->spec.id, id, sizeof job->spec.id - 1);
     job->spec.machine_type_count = -1;
     job->index = w->njobs;
-    w->jobs = tw_sim_grow(w->jobs, w->njobs, &w->jobs_cap, sizeof(tw_sim_job *));
+    w->jobs = tw_simulator_grow(w->jobs, w->njobs, &w->jobs_cap, sizeof(tw_simulator_job *));
     w->jobs[w->njobs++] = job;
     HASH_ADD_STR(w->jobs_by_id, spec.id, job);
     return job;
 }
 
-int tw_sim_job_running(const tw_sim_world *w, const char *id) {
-    return tw_sim_job_in(w, id, TW_TASK_RUNNING);
+int tw_simulator_job_running(const tw_simulator_world *w, const char *id) {
+    return tw_simulator_job_in(w, id, TW_TASK_RUNNING);
 }
 
-int tw_sim_job_in(const tw_sim_world *w, const char *id, int stage) {
+int tw_simulator_job_in(const tw_simulator_world *w, const char *id, int stage) {
     int n = 0;
     for (int i = 0; i < w->nworkers; i++) {
-        const tw_sim_worker *x = w->workers[i];
+        const tw_simulator_worker *x = w->workers[i];
         for (int k = 0; k < x->ntasks && !x->gone; k++)
             n += !strcmp(x->tasks[k].job_id, id) && x->tasks[k].stage == stage;
     }
--- /dev/null
+++ b/simulator/world.h
@@ -0,0 +1,326 @@
+/* Stand-ins for what is around the controllers: state service, cloud, workers; and the judge of
+ * the protocol's rules. They answer requests as text and keep no time of their own, so that the
+ * simulation and the end-to-end test over loopback share them. */
+#ifndef TW_SIMULATOR_WORLD_H
+#define TW_SIMULATOR_WORLD_H
+#include "wire/wire.h"
+#include <cjson/cJSON.h>
+#include <gsl/gsl_rng.h>
+#include <stdint.h>
+#include <uthash.h>
+
+#define TW_SIMULATOR_MAX_NODES 8
+#define TW_SIMULATOR_MAX_TYPES 8
+#define TW_SIMULATOR_MAX_TEAMS 8
+#define TW_SIMULATOR_MAX_REMOVALS 64 /* removals that a watch can still see */
+#define TW_SIMULATOR_MAX_IMAGES 16
+#define TW_SIMULATOR_NAME 64
+#define TW_SIMULATOR_KEY 200
+#define TW_SIMULATOR_TITLE 160
+#define TW_SIMULATOR_MESSAGE 400
+
+/* What requests are answered. */
+enum {
+    TW_SIMULATOR_OK = 200,
+    TW_SIMULATOR_CREATED = 201,
+    TW_SIMULATOR_MALFORMED = 400,
+    TW_SIMULATOR_UNKNOWN = 404,
+    TW_SIMULATOR_CONFLICT = 409,
+    TW_SIMULATOR_ELSEWHERE = 421,
+    TW_SIMULATOR_IMPOSSIBLE = 422,
+    TW_SIMULATOR_TOO_MANY = 429,
+    TW_SIMULATOR_FAILURES = 500, /* from here on */
+    TW_SIMULATOR_UNAVAILABLE = 503
+};
+
+/* ---- state service ---- */
+
+typedef struct {
+    char *key, *value;
+    uint64_t version, lease;
+} tw_simulator_key;
+typedef struct {
+    char key[TW_SIMULATOR_KEY];
+    uint64_t revision;
+} tw_simulator_removal;
+typedef struct {
+    uint64_t id;
+    double ttl, until;
+} tw_simulator_lease;
+typedef struct {
+    double write_rps;         /* puts and deletes a second */
+    double value_kb, txn_ops; /* largest value, in KiB; puts and deletes in a transaction */
+} tw_simulator_limits;
+typedef struct {
+    tw_simulator_key *keys; /* in key order */
+    size_t nkeys, keys_cap;
+    tw_simulator_removal removals[TW_SIMULATOR_MAX_REMOVALS];
+    int nremovals;
+    uint64_t revision, last_lease;
+    tw_simulator_lease *leases;
+    int nleases, leases_cap;
+    double down_since; /* < 0: up */
+    double write_tokens, write_at;
+    tw_simulator_limits limits; /* that hold now */
+    tw_simulator_limits told;   /* as the nodes' settings have them */
+    int too_large;              /* transactions refused for what they hold */
+} tw_simulator_state;
+
+/* ---- machines and jobs ---- */
+
+/* An attempt of a gang; see gang.c. */
+enum {
+    TW_SIMULATOR_GANG_GATHERING,
+    TW_SIMULATOR_GANG_RUNNING,
+    TW_SIMULATOR_GANG_STOPPING,
+    TW_SIMULATOR_GANG_SAVED,
+    TW_SIMULATOR_GANG_BROKEN,
+    TW_SIMULATOR_GANG_DONE
+};
+typedef struct {
+    uint64_t attempt;
+    int state;
+    double progress_s, advanced_at; /* of the job, up to that moment */
+    double slow;                    /* of its slowest machine */
+    double first_stop_at;           /* when the first task was told to save */
+    /* Counted anew all the time: tasks that wait; that run or save; that save; and the slowest. */
+    int nwaiting, nmembers, nsaving;
+    double slowest;
+} tw_simulator_gang;
+
+typedef struct {
+    tw_wire_job spec;
+    double run_s;                       /* what a task really takes */
+    int fails;                          /* every task fails */
+    int submitted, accepted, told_over; /* told_over: TW_JOB_* */
+    double first_try, accepted_at, begun_at, told_over_at, told_cancel_at, cancel_asked_at;
+    uint8_t *done; /* by task */
+    double *saved; /* run time in checkpoints, by task; NULL: none yet */
+    int ndone;
+    tw_simulator_gang *gangs; /* of a gang: its attempts */
+    int ngangs, gangs_cap;
+    double gang_saved_s;       /* run time in checkpoints */
+    int gang_starts;           /* times that all tasks began together */
+    int exits[TW_CAUSE_OTHER]; /* by cause */
+    int started;
+    int last_status;    /* of the last submission */
+    int cancel_status;  /* of the last cancellation */
+    double answered_at; /* the last question about it */
+    int on_machine;     /* tasks on machines, counted by judge_live.c */
+    int unstarted;      /* those of them whose gang has not begun */
+    double waits_since; /* > 0: it could have run and doesn't */
+    int index;          /* in world.jobs */
+    UT_hash_handle hh;
+} tw_simulator_job;
+
+typedef struct {
+    char job_id[TW_WIRE_ID_SIZE];
+    tw_simulator_job *job;          /* NULL: no such job */
+    int index, stage, cause, saved; /* TW_TASK_*, TW_CAUSE_* */
+    uint64_t attempt;
+    double ready_at, started_at, end_at;
+    double from_s;       /* run time saved before it started */
+    double stopped_at_s; /* run time reached when it was told to stop */
+    double peers_at;     /* > 0: finds out then that its gang is broken */
+} tw_simulator_task;
+
+typedef struct {
+    char id[TW_SIMULATOR_NAME], type[TW_SIMULATOR_NAME], zone[TW_SIMULATOR_NAME],
+        endpoint[TW_SIMULATOR_NAME];
+    int spot, type_index, up, gone;
+    double rented_at, up_at;
+    uint64_t session, tick, token;
+    double lease_from;  /* when the last answered report was sent */
+    int node;           /* that it reports to */
+    uint64_t in_flight; /* number of the report that waits for its answer, 0: none */
+    int changed;
+    double next_report, last_report;
+    double hung_until, slow, warned_at;
+    double deaf_until;  /* answers and direct commands don't arrive */
+    double mute_until;  /* reports reach no controller */
+    int faulty;         /* every task fails */
+    double hold_next_s; /* the next report comes that much later */
+    tw_simulator_task *tasks;
+    int ntasks, tasks_cap;
+    char images[TW_SIMULATOR_MAX_IMAGES][TW_SIMULATOR_NAME];
+    int nimages;
+} tw_simulator_worker;
+
+typedef struct {
+    char name[TW_SIMULATOR_NAME];
+    double gpus_max, cpus_max;
+} tw_simulator_team;
+
+typedef struct {
+    char request[TW_SIMULATOR_NAME];
+    char *answer;
+} tw_simulator_rental;
+
+/* Streams of draws. */
+enum {
+    TW_SIMULATOR_DRAW_TRAVEL,
+    TW_SIMULATOR_DRAW_WRITES,
+    TW_SIMULATOR_DRAW_REPORTS,
+    TW_SIMULATOR_DRAW_COMMANDS,
+    TW_SIMULATOR_DRAW_BOOT,
+    TW_SIMULATOR_DRAW_LOOKS,
+    TW_SIMULATOR_DRAW_CANCELS,
+    TW_SIMULATOR_DRAW_ODD,
+    TW_SIMULATOR_DRAW_GANGS,
+    TW_SIMULATOR_DRAW_REPEATS,
+    TW_SIMULATOR_DRAWS
+};
+
+typedef struct {
+    double now;
+    unsigned seed;
+    gsl_rng *draws[TW_SIMULATOR_DRAWS]; /* made when first used */
+    double report_s, lease_s, cancel_s;
+    double gang_wait_s, gang_peer_s; /* 0: in proportion to the lease */
+    double mem_mb;                   /* memory of a node, 0: as in its settings */
+    int nnodes;
+    char nodes[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME],
+        node_zone[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME];
+    tw_simulator_team teams[TW_SIMULATOR_MAX_TEAMS];
+    int nteams;
+    tw_simulator_state state;
+    /* cloud */
+    tw_wire_machine_type types[TW_SIMULATOR_MAX_TYPES];
+    int ntypes, capacity[TW_SIMULATOR_MAX_TYPES];
+    int refuse;        /* no capacity */
+    double fast_until; /* machines rented until then are up within two seconds */
+    int never_up;      /* that many of the next machines never boot */
+    double boot_s;
+    tw_simulator_rental *rentals;
+    int nrentals, rentals_cap;
+    tw_simulator_worker **workers;
+    int nworkers, workers_cap;
+    /* users */
+    tw_simulator_job **jobs;
+    int njobs, jobs_cap;
+    tw_simulator_job *jobs_by_id;
+    void (*job_ended)(void *context,
+                      tw_simulator_job *job); /* its last task completed; may be NULL */
+    void *context;
+    unsigned crossings; /* older answers to requests sent before the newer answer was told */
+    /* judge */
+    double troubles_end; /* of those that have begun */
+    double served_age_s; /* > 0: jobs older than that must be served at the end */
+    /* the first broken rule */
+    char rule[32], detail[512];
+} tw_simulator_world;
+
+/* The number at the start of a text; 0: there is none. */
+int tw_simulator_int(const char *text);
+double tw_simulator_number(const char *text);
+/* Helpers: abort when memory is out. */
+char *tw_simulator_text(const char *text);
+void *tw_simulator_zeroed(size_t size);
+/* Makes room for one more item in an array. */
+void *tw_simulator_grow(void *items, int n, int *cap, size_t size);
+const char *tw_simulator_json_text(const cJSON *object, const char *field);
+double tw_simulator_json_number(const cJSON *object, const char *field);
+/* Prints and deletes. */
+char *tw_simulator_json_print(cJSON *object);
+
+void tw_simulator_world_init(tw_simulator_world *w);
+void tw_simulator_world_free(tw_simulator_world *w);
+
+/* ---- draw.c: from the seed, which must not change after the first draw ---- */
+
+double tw_simulator_draw(tw_simulator_world *w, int kind, double from, double to);
+int tw_simulator_draw_index(tw_simulator_world *w, int kind, int n); /* 0 .. n - 1 */
+void tw_simulator_draws_free(tw_simulator_world *w);
+
+/* ---- state service: status, and the body in *out (free it) ---- */
+
+void tw_simulator_state_init(tw_simulator_state *s);
+void tw_simulator_state_free(tw_simulator_state *s);
+int tw_simulator_state_request(tw_simulator_state *s, double now, const char *method,
+                               const char *path, const char *body, char **out);
+/* Ends the leases whose time is over. */
+void tw_simulator_state_expire(tw_simulator_state *s, double now);
+void tw_simulator_state_outage(tw_simulator_state *s, double now, int on);
+/* The value of a key as it stands, also during an outage; NULL: there is none. */
+/* The version of a key; 0: there is none. */
+uint64_t tw_simulator_state_version(const tw_simulator_state *s, const char *key);
+const char *tw_simulator_state_value(const tw_simulator_state *s, const char *key);
+
+/* ---- cloud ---- */
+
+int tw_simulator_cloud_request(tw_simulator_world *w, const char *method, const char *path,
+                               const char *body, char **out);
+tw_simulator_worker *tw_simulator_rent(tw_simulator_world *w, int type, const char *zone, int spot,
+                                       double boot_s);
+tw_simulator_worker *tw_simulator_worker_by_id(const tw_simulator_world *w, const char *id);
+
+/* ---- workers ---- */
+
+char *tw_simulator_worker_report(const tw_simulator_world *w, tw_simulator_worker *x);
+/* The answer to a report sent at `sent` in that session. */
+void tw_simulator_worker_answer(tw_simulator_world *w, tw_simulator_worker *x, double sent,
+                                uint64_t session, int status, const char *body);
+/* A direct request of a controller. */
+int tw_simulator_worker_request(tw_simulator_world *w, tw_simulator_worker *x, const char *method,
+                                const char *path, const char *body, char **out);
+/* Time passes: tasks go on, leases end. */
+void tw_simulator_worker_tick(tw_simulator_world *w, tw_simulator_worker *x);
+/* Whether a report is due now. */
+int tw_simulator_worker_due(const tw_simulator_world *w, const tw_simulator_worker *x);
+extern const char *const tw_simulator_causes[TW_CAUSE_OTHER];
+/* On its machine: waiting for its gang, running or saving. */
+int tw_simulator_task_active(const tw_simulator_task *t);
+
+void tw_simulator_task_exit(tw_simulator_worker *x, tw_simulator_task *t, int cause);
+void tw_simulator_task_done(tw_simulator_world *w, tw_simulator_job *job, int index);
+
+/* ---- gang.c ---- */
+
+double tw_simulator_gang_wait_s(const tw_simulator_world *w);
+double tw_simulator_gang_peer_s(const tw_simulator_world *w);
+/* A task of a gang has its image; is told to stop (it hasn't exited); lives on. */
+void tw_simulator_gang_image_there(tw_simulator_world *w, tw_simulator_worker *x,
+                                   tw_simulator_task *t);
+void tw_simulator_gang_stop(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
+                            double grace_s);
+void tw_simulator_gang_task_tick(tw_simulator_world *w, tw_simulator_worker *x,
+                                 tw_simulator_task *t);
+/* Time passes for all gangs; call it before the workers' turns. */
+void tw_simulator_gangs_tick(tw_simulator_world *w);
+
+/* ---- jobs ---- */
+
+tw_simulator_job *tw_simulator_job_find(const tw_simulator_world *w, const char *id);
+/* A new one that nobody has submitted yet. */
+tw_simulator_job *tw_simulator_job_new(tw_simulator_world *w, const char *id);
+int tw_simulator_job_running(const tw_simulator_world *w, const char *id);
+/* How many of its tasks are in that state on their machines. */
+int tw_simulator_job_in(const tw_simulator_world *w, const char *id, int stage);
+
+/* ---- judge ---- */
+
+enum { TW_SIMULATOR_SUBMIT = 's', TW_SIMULATOR_POLL = 'p', TW_SIMULATOR_CANCEL = 'a' };
+/* A rule was broken; the first one counts. */
+void tw_simulator_break(tw_simulator_world *w, const char *rule, const char *fmt, ...)
+    __attribute__((format(printf, 3, 4)));
+/* What a user was told in answer to a request sent at `sent`. An answer is older than another only
+ * if its request was sent after the other answer was told; what merely crosses it is counted in
+ * `crossings`. job NULL: nobody submitted it. */
+void tw_simulator_judge_told(tw_simulator_world *w, tw_simulator_job *job, const char *id, int kind,
+                             double sent, int status, const char *body);
+/* What is told of a job that can't be taken. */
+void tw_simulator_judge_bad(tw_simulator_world *w, const char *id, int status);
+/* A task has its image and starts. */
+void tw_simulator_judge_start(tw_simulator_world *w, const tw_simulator_worker *x,
+                              const tw_simulator_task *t);
+/* What must hold at any time. */
+void tw_simulator_judge_now(tw_simulator_world *w);
+
+/* ---- judge_live.c: what must hold once all troubles are over ---- */
+
+/* Call it about once a second. */
+void tw_simulator_judge_live(tw_simulator_world *w);
+/* At the end, if the scenario asks for it. */
+void tw_simulator_judge_served(tw_simulator_world *w);
+
+#endif
--- a/src/conf/conf.c
+++ b/src/config/config.c
@@ -1,7 +1,7 @@
 /* The platform's settings. */
-#include "conf/conf.h"
-#include "conf/setting.h"
-#include "conf/toml_shim.h"
+#include "config/config.h"
+#include "config/setting.h"
+#include "config/toml_shim.h"
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -40,83 +40,83 @@
     }
 
 static const tw_setting node_rows[] = {
-    NAME("host_name", tw_conf, host_name, "name of this node"),
-    NAME("location", tw_conf, location, "its zone"),
-    ADDRESS("api_addr", tw_conf, api_addr, "where users, workers and health checks reach it"),
-    ADDRESS("peer_bind", tw_conf, peer_bind, "where the other nodes reach it"),
+    NAME("host_name", tw_config, host_name, "name of this node"),
+    NAME("location", tw_config, location, "its zone"),
+    ADDRESS("api_addr", tw_config, api_addr, "where users, workers and health checks reach it"),
+    ADDRESS("peer_bind", tw_config, peer_bind, "where the other nodes reach it"),
 };
 static const tw_setting peer_rows[] = {
-    NAME("host_name", tw_conf_peer, name, "another node"),
-    NAME("location", tw_conf_peer, zone, "its zone"),
-    ADDRESS("endpoint", tw_conf_peer, addr, "its `peer_bind`"),
+    NAME("host_name", tw_config_peer, name, "another node"),
+    NAME("location", tw_config_peer, zone, "its zone"),
+    ADDRESS("endpoint", tw_config_peer, addr, "its `peer_bind`"),
 };
 static const tw_setting external_rows[] = {
-    ADDRESS("cloud", tw_conf, cloud, "the cloud"),
-    ADDRESS("state", tw_conf, state, "the state service"),
+    ADDRESS("cloud", tw_config, cloud, "the cloud"),
+    ADDRESS("state", tw_config, state, "the state service"),
 };
 static const tw_setting clock_rows[] = {
-    OPTIONAL("time_bound_ms", tw_conf, time_bound_ms, 0, 3.6e6, 1000,
+    OPTIONAL("time_bound_ms", tw_config, time_bound_ms, 0, 3.6e6, 1000,
              "how far the time of day may be from true time"),
 };
 static const tw_setting team_rows[] = {
-    NAME("name", tw_conf_team, name, "a team"),
-    OPTIONAL("cpus", tw_conf_team, cpus, 0, 1e9, 0, "cores that it is guaranteed"),
-    OPTIONAL("cpus_max", tw_conf_team, cpus_max, 0, 1e9, 0, "most cores at a time; 0: no limit"),
-    OPTIONAL("gpus", tw_conf_team, gpus, 0, 1e9, 0, "GPUs that it is guaranteed"),
-    OPTIONAL("gpus_max", tw_conf_team, gpus_max, 0, 1e9, 0, "most GPUs at a time; 0: no limit"),
+    NAME("name", tw_config_team, name, "a team"),
+    OPTIONAL("cpus", tw_config_team, cpus, 0, 1e9, 0, "cores that it is guaranteed"),
+    OPTIONAL("cpus_max", tw_config_team, cpus_max, 0, 1e9, 0, "most cores at a time; 0: no limit"),
+    OPTIONAL("gpus", tw_config_team, gpus, 0, 1e9, 0, "GPUs that it is guaranteed"),
+    OPTIONAL("gpus_max", tw_config_team, gpus_max, 0, 1e9, 0, "most GPUs at a time; 0: no limit"),
 };
 static const tw_setting objective_rows[] = {
-    LABEL("kind", tw_conf_objective, kind, "`wait`, `deadline`, `finished` or `guarantee`"),
-    LABEL("class", tw_conf_objective, cls, "class of jobs that it is for"),
-    OPTIONAL("within_s", tw_conf_objective, within_s, 0, 1e9, 0,
+    LABEL("kind", tw_config_objective, kind, "`wait`, `deadline`, `finished` or `guarantee`"),
+    LABEL("class", tw_config_objective, cls, "class of jobs that it is for"),
+    OPTIONAL("within_s", tw_config_objective, within_s, 0, 1e9, 0,
              "tasks should start within it, or jobs be finished (`finished`)"),
-    OPTIONAL("share", tw_conf_objective, share, 0, 1, 0.9, "share of jobs that should meet it"),
-    OPTIONAL("times", tw_conf_objective, times, 0, 1e9, 1, "scales the deadline"),
+    OPTIONAL("share", tw_config_objective, share, 0, 1, 0.9, "share of jobs that should meet it"),
+    OPTIONAL("times", tw_config_objective, times, 0, 1e9, 1, "scales the deadline"),
 };
 static const tw_setting worker_rows[] = {
-    NEEDED(TW_SETTING_NUMBER, "report_s", tw_conf, report_s, 0.01, 3600, "time between reports"),
-    NEEDED(TW_SETTING_NUMBER, "lease_s", tw_conf, lease_s, 0.1, 86400,
+    NEEDED(TW_SETTING_NUMBER, "report_s", tw_config, report_s, 0.01, 3600, "time between reports"),
+    NEEDED(TW_SETTING_NUMBER, "lease_s", tw_config, lease_s, 0.1, 86400,
            "lease of a worker; at least twice `report_s`"),
-    NEEDED(TW_SETTING_NUMBER, "cancel_s", tw_conf, cancel_s, 0.1, 86400,
+    NEEDED(TW_SETTING_NUMBER, "cancel_s", tw_config, cancel_s, 0.1, 86400,
            "time in which a cancelled job's tasks must be gone"),
-    OPTIONAL("gang_wait_s", tw_conf, gang_wait_s, 0.01, 86400, 0,
+    OPTIONAL("gang_wait_s", tw_config, gang_wait_s, 0.01, 86400, 0,
              "a gang's task waits so long for the others; 0: 1.5 times `lease_s`"),
-    OPTIONAL("gang_peer_s", tw_conf, gang_peer_s, 0.01, 86400, 0,
+    OPTIONAL("gang_peer_s", tw_config, gang_peer_s, 0.01, 86400, 0,
              "a gang's tasks notice within this that one is gone; 0: a quarter of `lease_s`"),
 };
 static const tw_setting state_rows[] = {
-    NEEDED(TW_SETTING_NUMBER, "rps", tw_conf_state_limits, rps, 1, 1e6, "requests per second"),
-    NEEDED(TW_SETTING_NUMBER, "write_rps", tw_conf_state_limits, write_rps, 1, 1e6,
+    NEEDED(TW_SETTING_NUMBER, "rps", tw_config_state_limits, rps, 1, 1e6, "requests per second"),
+    NEEDED(TW_SETTING_NUMBER, "write_rps", tw_config_state_limits, write_rps, 1, 1e6,
            "puts and deletes per second"),
-    NEEDED(TW_SETTING_NUMBER, "value_kb", tw_conf_state_limits, value_kb, 1, 1e6,
+    NEEDED(TW_SETTING_NUMBER, "value_kb", tw_config_state_limits, value_kb, 1, 1e6,
            "largest value, in KiB"),
-    NEEDED(TW_SETTING_INTEGER, "txn_ops", tw_conf_state_limits, txn_ops, 1, 10000,
+    NEEDED(TW_SETTING_INTEGER, "txn_ops", tw_config_state_limits, txn_ops, 1, 10000,
            "puts and deletes in a transaction"),
 };
 static const tw_setting state_next_rows[] = {
-    OPTIONAL("rps", tw_conf_state_limits, rps, 1, 1e6, 0,
+    OPTIONAL("rps", tw_config_state_limits, rps, 1, 1e6, 0,
              "the limit that will hold from some moment on; 0: as it is"),
-    OPTIONAL("write_rps", tw_conf_state_limits, write_rps, 1, 1e6, 0, "the same"),
-    OPTIONAL("value_kb", tw_conf_state_limits, value_kb, 1, 1e6, 0, "the same"),
+    OPTIONAL("write_rps", tw_config_state_limits, write_rps, 1, 1e6, 0, "the same"),
+    OPTIONAL("value_kb", tw_config_state_limits, value_kb, 1, 1e6, 0, "the same"),
     {
         .name = "txn_ops",
         .type = TW_SETTING_INTEGER,
-        .offset = offsetof(tw_conf_state_limits, txn_ops),
+        .offset = offsetof(tw_config_state_limits, txn_ops),
         .min = 1,
         .max = 10000,
         .meaning = "the same",
     },
 };
 static const tw_setting cloud_rows[] = {
-    NEEDED(TW_SETTING_NUMBER, "rps", tw_conf, cloud_rps, 0.01, 1e6, "requests per second"),
-    NEEDED(TW_SETTING_NUMBER, "list_lag_s", tw_conf, list_lag_s, 0, 86400,
+    NEEDED(TW_SETTING_NUMBER, "rps", tw_config, cloud_rps, 0.01, 1e6, "requests per second"),
+    NEEDED(TW_SETTING_NUMBER, "list_lag_s", tw_config, list_lag_s, 0, 86400,
            "age of the list of machines"),
 };
 static const tw_setting limit_rows[] = {
-    NEEDED(TW_SETTING_NUMBER, "cpu_share", tw_conf, cpu_share, 0.001, 1024,
+    NEEDED(TW_SETTING_NUMBER, "cpu_share", tw_config, cpu_share, 0.001, 1024,
            "share of a core that the process gets"),
-    NEEDED(TW_SETTING_NUMBER, "mem_mb", tw_conf, mem_mb, 8, 1e7, "memory that it gets, in MiB"),
-    NEEDED(TW_SETTING_INTEGER, "sockets", tw_conf, sockets, 32, 1e6, "sockets that it gets"),
+    NEEDED(TW_SETTING_NUMBER, "mem_mb", tw_config, mem_mb, 8, 1e7, "memory that it gets, in MiB"),
+    NEEDED(TW_SETTING_INTEGER, "sockets", tw_config, sockets, 32, 1e6, "sockets that it gets"),
 };
 
 static const tw_section node_section = TW_SECTION("", node_rows);
@@ -131,7 +131,7 @@
 static const tw_section cloud_section = TW_SECTION("settings.cloud.", cloud_rows);
 static const tw_section limit_section = TW_SECTION("settings.limits.", limit_rows);
 
-void tw_conf_describe(FILE *out) {
+void tw_config_describe(FILE *out) {
     const tw_section *const sections[] = {
         &node_section,       &peer_section,      &external_section, &clock_section,
         &team_section,       &objective_section, &worker_section,   &state_section,
@@ -151,19 +151,19 @@
 
 static size_t list_length(const cJSON *list) { return list ? (size_t)cJSON_GetArraySize(list) : 0; }
 
-static void read_peers(tw_complaint *complaint, tw_conf *conf, const cJSON *root) {
+static void read_peers(tw_complaint *complaint, tw_config *conf, const cJSON *root) {
     const cJSON *list = tw_setting_list(complaint, root, "", "known");
     const cJSON *item = NULL;
     conf->peers = tw_setting_alloc(list_length(list), sizeof *conf->peers);
     while ((item = next_item(complaint, list, item))) {
-        tw_conf_peer *peer = &conf->peers[conf->npeers++];
+        tw_config_peer *peer = &conf->peers[conf->npeers++];
         tw_section_read(complaint, &peer_section, item, peer);
         if (!strcmp(peer->name, conf->host_name))
             tw_complain(complaint, "setting known names this host itself");
     }
 }
 
-static void read_zones(tw_complaint *complaint, tw_conf *conf, const cJSON *settings) {
+static void read_zones(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
     const cJSON *list = tw_setting_list(complaint, settings, "settings.", "zones");
     const cJSON *item = NULL;
     conf->zones = tw_setting_alloc(list_length(list), sizeof *conf->zones);
@@ -175,29 +175,29 @@
     }
 }
 
-static void check_team(tw_complaint *complaint, const tw_conf *conf, const tw_conf_team *team) {
+static void check_team(tw_complaint *complaint, const tw_config *conf, const tw_config_team *team) {
     if ((team->cpus_max > 0 && team->cpus > team->cpus_max) ||
         (team->gpus_max > 0 && team->gpus > team->gpus_max))
         tw_complain(complaint, "setting settings.teams: %s is guaranteed more than its maximum",
                     team->name);
-    for (const tw_conf_team *other = conf->teams; other < team; other++)
+    for (const tw_config_team *other = conf->teams; other < team; other++)
         if (!strcmp(other->name, team->name))
             tw_complain(complaint, "setting settings.teams names %s twice", team->name);
 }
 
-static void read_teams(tw_complaint *complaint, tw_conf *conf, const cJSON *settings) {
+static void read_teams(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
     const cJSON *list = tw_setting_list(complaint, settings, "settings.", "teams");
     const cJSON *item = NULL;
     conf->teams = tw_setting_alloc(list_length(list), sizeof *conf->teams);
     while ((item = next_item(complaint, list, item))) {
-        tw_conf_team *team = &conf->teams[conf->nteams++];
+        tw_config_team *team = &conf->teams[conf->nteams++];
         tw_section_read(complaint, &team_section, item, team);
         team->share = 1;
         check_team(complaint, conf, team);
     }
 }
 
-static void read_objectives(tw_complaint *complaint, tw_conf *conf, const cJSON *settings) {
+static void read_objectives(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
     const cJSON *list = tw_setting_list(complaint, settings, "settings.", "objectives");
     const cJSON *item = NULL;
     conf->objectives = tw_setting_alloc(list_length(list), sizeof *conf->objectives);
@@ -208,7 +208,7 @@
 
 /* ---- the file ---- */
 
-static void read_table(tw_complaint *complaint, const tw_section *section, tw_conf *conf,
+static void read_table(tw_complaint *complaint, const tw_section *section, tw_config *conf,
                        const cJSON *settings, const char *key) {
     const cJSON *table = tw_setting_table(complaint, settings, "settings.", key);
     tw_section_read(complaint, section, table, conf);
@@ -218,7 +218,7 @@
 
 /* The limits that hold, those that are announced (any of them may be missing), and of each pair the
  * smaller one. */
-static void read_state(tw_complaint *complaint, tw_conf *conf, const cJSON *settings) {
+static void read_state(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
     const cJSON *table = tw_setting_table(complaint, settings, "settings.", "state");
     const cJSON *announced = cJSON_GetObjectItemCaseSensitive(table, "next");
     tw_section_read(complaint, &state_section, table, &conf->state_now);
@@ -227,8 +227,8 @@
         const cJSON *next = tw_setting_table(complaint, table, "settings.state.", "next");
         tw_section_read(complaint, &state_next_section, next, &conf->state_next);
     }
-    const tw_conf_state_limits *now = &conf->state_now;
-    const tw_conf_state_limits *next = &conf->state_next;
+    const tw_config_state_limits *now = &conf->state_now;
+    const tw_config_state_limits *next = &conf->state_next;
     conf->state_rps = smaller(now->rps, next->rps);
     conf->state_write_rps = smaller(now->write_rps, next->write_rps);
     conf->state_value_kb = smaller(now->value_kb, next->value_kb);
@@ -236,12 +236,12 @@
 }
 
 /* Where the platform's file doesn't say how long the tasks of a gang wait for each other. */
-static void derive_gang_times(tw_conf *conf) {
+static void derive_gang_times(tw_config *conf) {
     if (conf->gang_wait_s <= 0) conf->gang_wait_s = GANG_WAIT_LEASES * conf->lease_s;
     if (conf->gang_peer_s <= 0) conf->gang_peer_s = GANG_PEER_LEASES * conf->lease_s;
 }
 
-static void read_settings(tw_complaint *complaint, tw_conf *conf, const cJSON *settings) {
+static void read_settings(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
     read_zones(complaint, conf, settings);
     tw_section_read(complaint, &clock_section, settings, conf);
     read_teams(complaint, conf, settings);
@@ -255,7 +255,7 @@
     read_table(complaint, &limit_section, conf, settings, "limits");
 }
 
-static void read_root(tw_complaint *complaint, tw_conf *conf, const cJSON *root) {
+static void read_root(tw_complaint *complaint, tw_config *conf, const cJSON *root) {
     tw_section_read(complaint, &node_section, root, conf);
     read_peers(complaint, conf, root);
     const cJSON *external = tw_setting_table(complaint, root, "", "external");
@@ -267,20 +267,20 @@
 /* The file's text as a tree, or NULL and a complaint. */
 static cJSON *parse_toml(tw_complaint *complaint, const char *text) {
     char why[LONGEST_PARSER_ERROR] = "";
-    cJSON *root = tw_conf_toml_parse(text, why, sizeof why);
+    cJSON *root = tw_config_toml_parse(text, why, sizeof why);
     if (!root) tw_complain(complaint, "settings file is not valid TOML: %s", why);
     return root;
 }
 
-int tw_conf_parse(tw_conf *conf, const char *text, char *err, size_t errlen) {
+int tw_config_parse(tw_config *conf, const char *text, char *err, size_t errlen) {
     tw_complaint complaint = {err, errlen, 0};
     memset(conf, 0, sizeof *conf);
-    tw_conf_tuning_defaults(&conf->tune);
+    tw_config_tuning_defaults(&conf->tune);
     cJSON *root = parse_toml(&complaint, text);
     if (!root) return -1;
     read_root(&complaint, conf, root);
     cJSON_Delete(root);
-    if (complaint.failed) tw_conf_free(conf);
+    if (complaint.failed) tw_config_free(conf);
     return complaint.failed ? -1 : 0;
 }
 
@@ -302,15 +302,15 @@
     return NULL;
 }
 
-int tw_conf_load(tw_conf *conf, const char *path, char *err, size_t errlen) {
+int tw_config_load(tw_config *conf, const char *path, char *err, size_t errlen) {
     char *text = read_file(path, err, errlen);
     if (!text) return -1;
-    int result = tw_conf_parse(conf, text, err, errlen);
+    int result = tw_config_parse(conf, text, err, errlen);
     free(text);
     return result;
 }
 
-void tw_conf_free(tw_conf *conf) {
+void tw_config_free(tw_config *conf) {
     free(conf->peers);
     free(conf->zones);
     free(conf->teams);
--- a/src/conf/setting.c
+++ b/src/config/setting.c
@@ -1,5 +1,5 @@
-#include "conf/setting.h"
-#include "conf/conf.h"
+#include "config/setting.h"
+#include "config/config.h"
 #include <math.h>
 #include <stdarg.h>
 #include <stdlib.h>
--- a/src/conf/setting.h
+++ b/src/config/setting.h
@@ -3,8 +3,8 @@
  * A section is a table of settings that stand side by side in a file and fill one struct. From the
  * same rows come the checks, the messages about what is wrong, and the tables of the operators'
  * page. */
-#ifndef TW_CONF_SETTING_H
-#define TW_CONF_SETTING_H
+#ifndef TW_CONFIG_SETTING_H
+#define TW_CONFIG_SETTING_H
 #include <cjson/cJSON.h>
 #include <stddef.h>
 #include <stdio.h>
--- a/src/conf/toml_shim.cpp
+++ b/src/config/toml_shim.cpp
@@ -1,4 +1,4 @@
-#include "conf/toml_shim.h"
+#include "config/toml_shim.h"
 #include <cmath>
 #include <cstdio>
 #include <sstream>
@@ -47,7 +47,7 @@
     }
 }
 
-extern "C" cJSON *tw_conf_toml_parse(const char *text, char *err, size_t errlen) {
+extern "C" cJSON *tw_config_toml_parse(const char *text, char *err, size_t errlen) {
     try {
         return tree_of(toml::parse(std::string_view(text)));
     } catch (const toml::parse_error &e) {
--- a/src/conf/toml_shim.h
+++ b/src/config/toml_shim.h
@@ -1,6 +1,6 @@
 /* TOML as a cJSON tree. Debian has no C library for today's TOML: this wraps toml++ in one call. */
-#ifndef TW_CONF_TOML_SHIM_H
-#define TW_CONF_TOML_SHIM_H
+#ifndef TW_CONFIG_TOML_SHIM_H
+#define TW_CONFIG_TOML_SHIM_H
 #include <cjson/cJSON.h>
 #include <stddef.h>
 #ifdef __cplusplus
@@ -8,7 +8,7 @@
 #endif
 /* The document (delete it), or NULL with the parser's complaint in err. Numbers become doubles;
  * those that are not finite, dates and times become strings. */
-cJSON *tw_conf_toml_parse(const char *text, char *err, size_t errlen);
+cJSON *tw_config_toml_parse(const char *text, char *err, size_t errlen);
 #ifdef __cplusplus
 }
 #endif
--- a/src/conf/yaml.c
+++ b/src/config/yaml.c
@@ -1,6 +1,6 @@
 /* The operators' own settings. Two levels at most: `key: number` and `shares: {team: number}`. */
-#include "conf/conf.h"
-#include "conf/setting.h"
+#include "config/config.h"
+#include "config/setting.h"
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 
 #define TUNING(member, least, most, standard, text)                                                \
     {                                                                                              \
-        .name = #member, .type = TW_SETTING_NUMBER, .offset = offsetof(tw_conf_tuning, member),    \
+        .name = #member, .type = TW_SETTING_NUMBER, .offset = offsetof(tw_config_tuning, member),  \
         .min = (least), .max = (most), .fallback = (standard), .meaning = (text)                   \
     }
 static const tw_setting tuning_rows[] = {
@@ -40,11 +40,11 @@
 };
 static const tw_section share_section = {"shares: ", &share_setting, 1};
 
-void tw_conf_tuning_defaults(tw_conf_tuning *tuning) {
+void tw_config_tuning_defaults(tw_config_tuning *tuning) {
     tw_section_defaults(&tuning_section, tuning);
 }
 
-void tw_conf_describe_tuning(FILE *out) {
+void tw_config_describe_tuning(FILE *out) {
     tw_section_describe(&tuning_section, out);
     tw_section_describe(&share_section, out);
 }
@@ -65,27 +65,28 @@
     return (const char *)node->data.scalar.value;
 }
 
-static tw_conf_team *find_team(tw_conf *conf, const char *name) {
+static tw_config_team *find_team(tw_config *conf, const char *name) {
     for (size_t i = 0; i < conf->nteams; i++)
         if (!strcmp(conf->teams[i].name, name)) return &conf->teams[i];
     return NULL;
 }
 
-static void read_share(tw_complaint *complaint, tw_conf *conf, const char *name, const char *text) {
+static void read_share(tw_complaint *complaint, tw_config *conf, const char *name,
+                       const char *text) {
     double share;
     if (!name || !parse_number(&share_setting, text, &share)) {
         tw_complain(complaint, "operators' setting shares.%s must be a number from %g to %g",
                     name ? name : "?", share_setting.min, share_setting.max);
         return;
     }
-    tw_conf_team *team = find_team(conf, name);
+    tw_config_team *team = find_team(conf, name);
     if (team)
         team->share = share;
     else
         tw_complain(complaint, "operators' setting shares names an unknown team: %s", name);
 }
 
-static void read_shares(tw_complaint *complaint, tw_conf *conf, yaml_document_t *document,
+static void read_shares(tw_complaint *complaint, tw_config *conf, yaml_document_t *document,
                         const yaml_node_t *node) {
     if (node->type != YAML_MAPPING_NODE) {
         tw_complain(complaint, "operators' setting shares must map teams to numbers");
@@ -96,7 +97,7 @@
         read_share(complaint, conf, scalar(document, pair->key), scalar(document, pair->value));
 }
 
-static void read_tuning(tw_complaint *complaint, tw_conf *conf, const char *name,
+static void read_tuning(tw_complaint *complaint, tw_config *conf, const char *name,
                         const char *text) {
     const tw_setting *setting = tw_section_find(&tuning_section, name);
     double number;
@@ -112,7 +113,7 @@
     memcpy((char *)&conf->tune + setting->offset, &number, sizeof number);
 }
 
-static void read_document(tw_complaint *complaint, tw_conf *conf, yaml_document_t *document,
+static void read_document(tw_complaint *complaint, tw_config *conf, yaml_document_t *document,
                           const char *path) {
     const yaml_node_t *root = yaml_document_get_root_node(document);
     if (!root) return;
@@ -131,7 +132,7 @@
     }
 }
 
-static void read_yaml(tw_complaint *complaint, tw_conf *conf, FILE *file, const char *path) {
+static void read_yaml(tw_complaint *complaint, tw_config *conf, FILE *file, const char *path) {
     yaml_parser_t parser;
     yaml_document_t document;
     if (!yaml_parser_initialize(&parser)) abort();
@@ -147,7 +148,7 @@
     yaml_parser_delete(&parser);
 }
 
-int tw_conf_load_yaml(tw_conf *conf, const char *path, char *err, size_t errlen) {
+int tw_config_load_yaml(tw_config *conf, const char *path, char *err, size_t errlen) {
     tw_complaint complaint = {err, errlen, 0};
     FILE *file = fopen(path, "rb");
     if (!file) {
--- a/src/app/main.c
+++ b/src/controller/main.c
@@ -1,6 +1,6 @@
 /* The program: turns what comes from sockets, clocks and signals into inputs of the core, and the
  * core's effects into messages. */
-#include "conf/conf.h"
+#include "config/config.h"
 #include "core/core.h"
 #include "log/log.h"
 #include "net/net.h"
@@ -86,11 +86,11 @@
 }
 
 /* 0, or -1 and a message on standard error. */
-static int load_settings(tw_conf *conf, const arguments *given) {
+static int load_settings(tw_config *conf, const arguments *given) {
     char error[LONGEST_ERROR] = "";
-    int result = tw_conf_load(conf, given->config, error, sizeof error);
+    int result = tw_config_load(conf, given->config, error, sizeof error);
     if (!result && given->options)
-        result = tw_conf_load_yaml(conf, given->options, error, sizeof error);
+        result = tw_config_load_yaml(conf, given->options, error, sizeof error);
     if (result) fprintf(stderr, "traywall: %s\n", error);
     return result;
 }
@@ -98,7 +98,7 @@
 /* ---- the process ---- */
 
 typedef struct {
-    tw_conf conf;
+    tw_config conf;
     tw_core *core;
     tw_net *net;
     struct ev_loop *loop;
@@ -198,7 +198,7 @@
 }
 
 static void open_net(app *process) {
-    const tw_conf *conf = &process->conf;
+    const tw_config *conf = &process->conf;
     const tw_net_limits limits = {.max_server = (int)(conf->sockets * SERVER_SHARE),
                                   .max_client = (int)(conf->sockets * CLIENT_SHARE),
                                   .idle_s = IDLE_LEASES * conf->lease_s,
@@ -236,7 +236,7 @@
 
 /* Serves until a signal ends it. The process's exit code. */
 static int run(app *process) {
-    const tw_conf *conf = &process->conf;
+    const tw_config *conf = &process->conf;
     process->lag = gsl_histogram_alloc(LAG_BINS);
     gsl_histogram_set_ranges_uniform(process->lag, LEAST_LAG_S, MOST_LAG_S);
     open_net(process);
@@ -250,7 +250,7 @@
     tw_log_info("event=process_stopped");
     tw_net_free(process->net);
     tw_core_free(process->core);
-    tw_conf_free(&process->conf);
+    tw_config_free(&process->conf);
     gsl_histogram_free(process->lag);
     return EXIT_SUCCESS;
 }
@@ -261,7 +261,7 @@
     if (load_settings(&process.conf, &given)) return EXIT_SETTINGS;
     if (given.check) {
         printf("traywall: settings of %s are good\n", process.conf.host_name);
-        tw_conf_free(&process.conf);
+        tw_config_free(&process.conf);
         return EXIT_SUCCESS;
     }
     signal(SIGPIPE, SIG_IGN);
--- a/src/core/attempt_end.c
+++ b/src/core/attempt_termination.c
@@ -1,6 +1,6 @@
 /* The decision that an attempt can no longer run, and what follows from it for the task, its job
  * and its machine. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 /* How long after a direct launch was sent it may still be carried out once more, in leases.
  * Meanwhile the machine must list the attempt. One that is done is kept for less: started again it
--- a/src/core/attempt_end.h
+++ b/src/core/attempt_termination.h
@@ -1,8 +1,8 @@
-/* The decision that an attempt to run a task can no longer run (attempt_end.c): a typed ground goes
- * in, a verdict comes out. Every path that ends an attempt goes through here, and nobody else frees
- * a task for another attempt. Invariant: an attempt that may still run, or may still be started by
- * a message on its way, is never ended. The proof is in docs/design.md, "Why each rule holds". Not
- * for other packages. */
+/* The decision that an attempt to run a task can no longer run (attempt_termination.c): a typed
+ * ground goes in, a verdict comes out. Every path that ends an attempt goes through here, and
+ * nobody else frees a task for another attempt. Invariant: an attempt that may still run, or may
+ * still be started by a message on its way, is never ended. The proof is in docs/design.md, "Why
+ * each rule holds". Not for other packages. */
 #ifndef TW_CORE_ATTEMPT_END_H
 #define TW_CORE_ATTEMPT_END_H
 #include "core/core.h"
--- a/src/core/authority.c
+++ b/src/core/authority.c
@@ -22,7 +22,7 @@
 /* A job cancelled at another node must be gone cancel_s later, even where nobody can say so: by its
  * machine's lease. So whoever cannot exclude that another leads answers for this long at most. */
 double tw_renewal_if_superseded_s(const tw_core *core) {
-    const tw_conf *settings = core->config;
+    const tw_config *settings = core->config;
     const double lease_by_any_clock =
         settings->lease_s *
         (1 + CANCEL_MARGIN * settings->tune.margin_ratio + 2 * settings->tune.drift);
--- a/src/core/provision.h
+++ b/src/core/autoscaler.h
@@ -1,5 +1,5 @@
 /* Provisioning: offers of the cloud, requests for machines, the room that a plan packs, and what
- * the whole core may ask of it; what its modules share among themselves stands in provision_int.h.
+ * the whole core may ask of it; what its modules share among themselves stands in autoscaler_int.h.
  * Invariants: a request's name is never used twice; a bin's free amounts only get less while a plan
  * packs, but by tw_bin_give; room kept for a class that needs scarce room is not given to services
  * that need less. Not for other packages. */
@@ -32,7 +32,7 @@
 typedef struct tw_bins {
     tw_bin *items;
     int count, capacity;
-    struct bin_start *starts; /* where to begin for a kind of task: see bins.c */
+    struct bin_start *starts; /* where to begin for a kind of task: see bin_packing.c */
     int nstarts, starts_cap;
 } tw_bins;
 
@@ -63,7 +63,7 @@
     UT_hash_handle hh;
 } tw_rejected_admission;
 
-/* plan.c */
+/* autoscaler_plan.c */
 /* Works out what to rent, to empty and to return. */
 void tw_autoscaler_plan(tw_core *core);
 
@@ -75,7 +75,7 @@
 /* Before a task of the job is placed on the machine. */
 void tw_reserve_take(tw_core *core, const tw_machine *machine, const tw_job *job);
 
-/* bins.c */
+/* bin_packing.c */
 /* Whether a task fits into what is free. */
 int tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec);
 /* Whether the bin's type, kind and zone are such that the job allows. */
@@ -87,7 +87,7 @@
 void tw_bin_take(tw_bin *bin, const tw_wire_job *spec);
 void tw_bin_give(tw_bin *bin, const tw_wire_job *spec);
 
-/* drain.c */
+/* expected_releases.c */
 /* Lists the room that running batch tasks are expected to give back, the earliest first. Free it
  * with tw_expected_releases_free. */
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *drain);
@@ -98,7 +98,7 @@
                                   int *from);
 void tw_expected_releases_free(tw_expected_releases *drain);
 
-/* move.c */
+/* scale_in.c */
 /* Notes which machines are idle, and has those returned that were for too long. */
 void tw_scale_in_idle(tw_core *core);
 /* Machines that are being emptied are used again as soon as somebody waits for them. */
@@ -107,11 +107,11 @@
  * machines there are; room in them is taken for what moves. */
 void tw_scale_in_consolidate(tw_core *core, tw_bins *bins);
 
-/* offers.c */
+/* capacity_offers.c */
 /* The name of the offer's zone. */
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer);
 
-/* rent.c */
+/* scale_out.c */
 /* Plans and sends requests for machines when they are due. */
 void tw_autoscaler_tick(tw_core *core);
 /* The cloud answered. */
--- a/src/core/plan_gang.c
+++ b/src/core/autoscaler_gang.c
@@ -1,6 +1,6 @@
 /* What the plan does for gangs, whose tasks are rented for all together or not at all: when one
  * would start on room that is given back, and the zone for one that must stand in a single one. */
-#include "core/provision_int.h"
+#include "core/autoscaler_int.h"
 
 #define LATE_SHARE 0.5 /* of a start objective: what a gang that has to wait leaves of it */
 
--- a/src/core/plan_spare.c
+++ b/src/core/autoscaler_headroom.c
@@ -1,6 +1,6 @@
 /* Spare room that the plan keeps for classes of jobs whose tasks must start sooner than a machine
  * boots: as much as the arrivals that are expected meanwhile need. */
-#include "core/provision_int.h"
+#include "core/autoscaler_int.h"
 
 #define NEARLY_FREE 0.02 /* share of the fleet's price */
 #define RATE_FADES_S 60  /* without arrivals, before their rate is taken to fall, and how fast */
--- a/src/core/provision_int.h
+++ b/src/core/autoscaler_int.h
@@ -4,7 +4,7 @@
 #define TW_PROVISION_INT_H
 #include "core/core_int.h"
 
-/* bins.c */
+/* bin_packing.c */
 /* An empty bin at the end; it is valid until the next one is added. */
 tw_bin *tw_bins_add(tw_bins *bins);
 /* The first bin that may be of use to a job: those before it are too full or not allowed. */
@@ -20,7 +20,7 @@
     int spare;             /* room without a task yet: none on GPU machines unless it needs GPUs */
 } tw_offer_filter;
 
-/* offers.c */
+/* capacity_offers.c */
 /* How many of these a machine of the type holds. */
 double tw_offer_task_count(const tw_wire_machine_type *type, const tw_wire_job *spec);
 /* The offer at which a task costs least, NULL: none. */
@@ -31,14 +31,14 @@
 /* Turns what the plan wants of each offer into what is asked of the cloud. */
 void tw_offers_update_wanted(tw_core *core);
 
-/* plan.c */
+/* autoscaler_plan.c */
 /* When a machine rented now would run a task, at the soonest, from now. */
 double tw_autoscaler_soonest_s(const tw_core *core, uint32_t types, double image_gb);
 /* Work without GPUs for which nothing but GPU machines can be rented may use those that are there,
  * and the cores that are kept for their GPUs. Returns whether it may only now. */
 int tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best);
 
-/* plan_gang.c */
+/* autoscaler_gang.c */
 /* When a gang would start on room that is given back: with the last of so many tasks. */
 double tw_autoscaler_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
                                 tw_expected_releases *drain, int count);
@@ -48,16 +48,16 @@
  * of those where the rest can be rented. NULL: none. */
 const char *tw_autoscaler_gang_zone(tw_core *core, tw_bins *bins, const tw_job *job, int need);
 
-/* plan_spare.c */
+/* autoscaler_headroom.c */
 /* Keeps spare room for the class, and wants machines for what is missing. fleet_price: of all the
  * room there is or will be. */
 void tw_autoscaler_keep_headroom(tw_core *core, tw_bins *bins, const tw_job_class *class,
                                  double fleet_price);
 
-/* types.c */
+/* machine_types.c */
 void tw_machine_types_response(tw_core *core, const char *body, size_t length);
 
-/* list.c */
+/* machine_list.c */
 void tw_machine_list_page(tw_core *core, int status, const char *body, size_t length);
 void tw_machine_list_tick(tw_core *core);
 
--- a/src/core/plan.c
+++ b/src/core/autoscaler_plan.c
@@ -1,9 +1,9 @@
 /* How many machines to rent. Each round packs what waits, and the spare room that arrivals are
- * expected to need while a machine boots (plan_spare.c), into the room that is there or coming;
- * what does not fit is to be rented where a task costs least. What differs for gangs stands in
- * plan_gang.c. Room is taken bin by bin, so that a round costs jobs times bins, not tasks times
- * bins. */
-#include "core/provision_int.h"
+ * expected to need while a machine boots (autoscaler_headroom.c), into the room that is there or
+ * coming; what does not fit is to be rented where a task costs least. What differs for gangs stands
+ * in autoscaler_gang.c. Room is taken bin by bin, so that a round costs jobs times bins, not tasks
+ * times bins. */
+#include "core/autoscaler_int.h"
 
 #define BOOT_SPREAD 1.2 /* of a type's boot time: most machines are up by then */
 #define RUN_SPREAD 1.1  /* of an estimated run time */
@@ -78,7 +78,7 @@
 
 /* How many tasks of the job could be placed if there were room. */
 static int placeable(const tw_core *core, tw_job *job) {
-    const tw_conf_team *team = &core->config->teams[job->team];
+    const tw_config_team *team = &core->config->teams[job->team];
     int count = job->task_count - job->done_count - job->placed_count;
     if (team->gpus_max > 0 && job->spec.gpus > 0)
         count = (int)fmin(
--- a/src/core/bins.c
+++ b/src/core/bin_packing.c
@@ -1,6 +1,6 @@
 /* Room as a plan sees it: bins, one for each machine that is there or coming, which tasks are taken
  * into. */
-#include "core/provision_int.h"
+#include "core/autoscaler_int.h"
 
 #define FIRST_BINS 64
 #define FIRST_STARTS 16
--- a/src/core/room.c
+++ b/src/core/capacity.c
@@ -1,4 +1,4 @@
-#include "core/room.h"
+#include "core/capacity.h"
 #include <math.h>
 
 #define ANY_NUMBER 1e6 /* of tasks that ask for nothing */
--- a/src/core/offers.c
+++ b/src/core/capacity_offers.c
@@ -1,6 +1,6 @@
 /* Offers: a machine type in a zone, as spot or on-demand. Which of them a task is rented from, and
  * what is asked of the cloud. */
-#include "core/provision_int.h"
+#include "core/autoscaler_int.h"
 
 #define COST_OF_ONE_MORE 0.001 /* of a price, for each machine of the type that the zone has */
 
--- a/src/core/loaded_parts.c
+++ b/src/core/chunk_loader.c
@@ -1,7 +1,7 @@
 /* Slices of divided records, while a new leader reads all records: the slices are read first, so
  * that a record that names a set finds it. Nobody else writes either of them by then. Sets that no
  * record names were left by a predecessor, and are removed. */
-#include "core/record_parts.h"
+#include "core/record_chunks.h"
 
 #define DECIMAL 10
 
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -1,5 +1,5 @@
 /* What the modules of the cluster share: who leads (election.c), who may command and answer workers
- * until when (authority.c), heartbeats between nodes (heartbeat.c). Not for other packages. */
+ * until when (authority.c), heartbeats between nodes (peer_heartbeat.c). Not for other packages. */
 #ifndef TW_CORE_CLUSTER_H
 #define TW_CORE_CLUSTER_H
 #include "core/core_int.h"
--- a/src/core/orders_text.c
+++ b/src/core/command_messages.c
@@ -1,7 +1,7 @@
 /* The text of orders, with the check that this node may give them. Every message with orders is
  * made here, so that no path can give one under another token, or when its right has lapsed. */
-#include "core/fleet.h"
-#include "core/relay.h"
+#include "core/workers.h"
+#include "core/heartbeat_forwarder.h"
 
 /* A launch that is stopped by a later order of the same message settles one whose fate is unknown;
  * it starts nothing. */
--- a/src/core/finished.c
+++ b/src/core/completed_jobs.c
@@ -1,6 +1,6 @@
-/* See finished.h. A generation is a hash table with open addressing: two arrays, probed in order.
- * It doubles as it fills, up to its share of the memory. */
-#include "core/finished.h"
+/* See completed_jobs.h. A generation is a hash table with open addressing: two arrays, probed in
+ * order. It doubles as it fills, up to its share of the memory. */
+#include "core/completed_jobs.h"
 #include "wire/wire.h"
 #include <stdlib.h>
 #include <string.h>
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -20,7 +20,7 @@
 
 int tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks) {
     if (job->team < 0) return 0;
-    const tw_conf_team *team = &core->config->teams[job->team];
+    const tw_config_team *team = &core->config->teams[job->team];
     return (team->cpus_max <= 0 || core->team_cores_used[job->team] + tasks * job->spec.cores <=
                                        team->cpus_max + TW_CAPACITY_ROUNDING) &&
            (team->gpus_max <= 0 || core->team_gpus_used[job->team] + tasks * job->spec.gpus <=
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -14,7 +14,7 @@
 /* ---- construction ---- */
 
 static void init_peers(tw_core *core) {
-    const tw_conf *conf = core->config;
+    const tw_config *conf = core->config;
     core->peer_count = conf->npeers;
     core->peers = tw_alloc(conf->npeers * sizeof *core->peers);
     for (size_t i = 0; i < conf->npeers; i++) {
@@ -28,7 +28,7 @@
 /* What the settings want of each class of jobs. */
 static void init_objectives(tw_core *core) {
     for (size_t i = 0; i < core->config->nobjectives; i++) {
-        const tw_conf_objective *objective = &core->config->objectives[i];
+        const tw_config_objective *objective = &core->config->objectives[i];
         if (!*objective->cls) continue;
         tw_job_class *class = tw_job_class_get(core, objective->cls);
         if (strcmp(objective->kind, "wait") == 0) class->start_within_s = objective->within_s;
@@ -37,7 +37,7 @@
     }
 }
 
-tw_core *tw_core_new(const tw_conf *conf, uint64_t seed, double now, double wall) {
+tw_core *tw_core_new(const tw_config *conf, uint64_t seed, double now, double wall) {
     tw_core *core = tw_alloc(sizeof *core);
     core->config = conf;
     core->now = now;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -3,7 +3,7 @@
  * global state, so that a test can drive it through any order of events. */
 #ifndef TW_CORE_H
 #define TW_CORE_H
-#include "conf/conf.h"
+#include "config/config.h"
 #include <stddef.h>
 #include <stdint.h>
 
@@ -29,7 +29,7 @@
 } tw_effect;
 
 /* now: steady seconds; wall: time of day in seconds. */
-tw_core *tw_core_new(const tw_conf *conf, uint64_t seed, double now, double wall);
+tw_core *tw_core_new(const tw_config *conf, uint64_t seed, double now, double wall);
 void tw_core_free(tw_core *core);
 void tw_core_request(tw_core *core, double now, double wall, tw_port port, uint64_t conn,
                      const char *method, const char *path, const char *body, size_t len);
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -3,7 +3,7 @@
  */
 #ifndef TW_CORE_COUNTERS_H
 #define TW_CORE_COUNTERS_H
-#include "core/attempt_end.h"
+#include "core/attempt_termination.h"
 #include <stdint.h>
 
 /* Why something that came in was not acted on. */
--- a/src/core/deputies_seen.c
+++ b/src/core/delegate_registry.c
@@ -2,7 +2,7 @@
  *
  * Every write of the leader is conditioned on these keys being as it knows them, so that it can't
  * act on a lapsed lease that a deputy has renewed unseen. */
-#include "core/relay.h"
+#include "core/heartbeat_forwarder.h"
 
 /* Between two reads of the keys while some node may be a deputy, in leases. */
 #define READ_LEASES 0.1
--- a/src/core/expiring.h
+++ b/src/core/expiring_name.h
@@ -3,7 +3,7 @@
  * packages. */
 #ifndef TW_CORE_EXPIRING_H
 #define TW_CORE_EXPIRING_H
-#include "conf/conf.h"
+#include "config/config.h"
 #include <uthash.h>
 
 /* A member of an expiring set. */
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -22,7 +22,7 @@
  * machine of the gang has reported lately; else tasks are stopped without a grace period. That a
  * task tells that it runs proves only that the gang had started, for it goes on telling so until it
  * notices that another is gone. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 /* Of the time that a task waits for the others, what the launches of tasks that are ready sooner
  * than the last one leave of it. */
--- a/src/core/gang_hold.c
+++ b/src/core/gang_reservation.c
@@ -138,7 +138,7 @@
     if (!holder || holder == job || job->spec.service || job->team != holder->team ||
         job->spec.priority > holder->spec.priority || job->team < 0)
         return 1;
-    const tw_conf_team *team = &core->config->teams[job->team];
+    const tw_config_team *team = &core->config->teams[job->team];
     return leaves(team->cpus_max, core->team_cores_used[job->team], job->spec.cores,
                   holder->spec.cores * holder->task_count) &&
            leaves(team->gpus_max, core->team_gpus_used[job->team], job->spec.gpus,
--- a/src/core/relay.c
+++ b/src/core/heartbeat_forwarder.c
@@ -1,8 +1,8 @@
 /* Reports at a node that does not lead: handed to the leader, and its answer back to the worker.
  *
- * Where the leader can't be reached, a deputy answers (deputy.c); while none is known, or this node
- * is no deputy yet, the report is held for a while. */
-#include "core/relay.h"
+ * Where the leader can't be reached, a deputy answers (lease_delegate.c); while none is known, or
+ * this node is no deputy yet, the report is held for a while. */
+#include "core/heartbeat_forwarder.h"
 
 /* A worker waits 4 s, by the protocol: this leaves time to become a deputy. */
 #define RELAY_TIMEOUT_S 1.0
--- a/src/core/relay.h
+++ b/src/core/heartbeat_forwarder.h
@@ -1,16 +1,16 @@
-/* What the modules of reports at a node that does not lead share: redirects (redirect.c), deputies
- * (deputy.c), reports handed to the leader (relay.c), deputies as the leader knows them
- * (deputies_seen.c). Not for the rest of the core. */
+/* What the modules of reports at a node that does not lead share: redirects (worker_routing.c),
+ * deputies (lease_delegate.c), reports handed to the leader (heartbeat_forwarder.c), deputies as
+ * the leader knows them (delegate_registry.c). Not for the rest of the core. */
 #ifndef TW_CORE_RELAY_H
 #define TW_CORE_RELAY_H
 #include "core/core_int.h"
 
-/* redirect.c */
+/* worker_routing.c */
 /* Names the node that a worker should report to, unless it comes back from there: 0, it is to be
  * answered here. */
 int tw_worker_redirect_to(tw_core *core, uint64_t conn, const char *worker, tw_peer *to);
 
-/* deputy.c */
+/* lease_delegate.c */
 /* Writes the key of the node as a deputy. */
 void tw_delegate_key(char *key, const char *node);
 /* The leader answered the worker through this node, to a report sent to it at that time. */
@@ -21,7 +21,7 @@
  * where the worker is of its zone. */
 int tw_delegate_answer_heartbeat(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
 
-/* relay.c */
+/* heartbeat_forwarder.c */
 /* Tries all held reports again at once. */
 void tw_held_heartbeats_retry(tw_core *core);
 
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -1,5 +1,5 @@
 /* Images on machines: which are cached or on their way, and how much fetches slow each other. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 #define MAX_IMAGES 64 /* remembered of a machine */
 
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,6 +1,6 @@
 /* Life cycle of jobs: how they are made from a submission or a record, what is told of them, how
  * they end. Nothing here writes records (job_store.c) or takes requests (user_requests.c). */
-#include "core/record_parts.h"
+#include "core/record_chunks.h"
 
 /* Time between two passes over the unfinished jobs. */
 #define TICK_S 0.25
@@ -268,7 +268,7 @@
 int tw_job_is_impossible(tw_core *core, const tw_wire_job *spec) {
     int index = team_index(core, spec->team);
     if (index < 0) return 1;
-    const tw_conf_team *team = &core->config->teams[index];
+    const tw_config_team *team = &core->config->teams[index];
     double at_once = spec->service || spec->gang ? spec->task_count : 1; /* what must run at once */
     if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_CAPACITY_ROUNDING)
         return 1;
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -72,7 +72,7 @@
                                              */
     int chunk_count;                        /* how many */
     struct tw_record_chunks
-        *chunks;          /* of its next record, while they are written; see record_parts.c */
+        *chunks;          /* of its next record, while they are written; see record_chunks.c */
     int size_refusals;    /* of its record for its size, in a row */
     size_t refused_bytes; /* the length that was refused */
     int write_alone;      /* to be written in a transaction of its own */
@@ -87,13 +87,13 @@
     int failed_machine_count;
     double failed_machines_until;
     double pending_since;
-    int has_run;                            /* a task of it has run for a lease */
-    int guaranteed;                         /* scratch: within its team's guarantee, see queue.c */
-    int capacity_bound;                     /* nothing can be rented for it */
-    int any_machine;                        /* without GPUs, but only GPU machines are to be had */
-    int has_checkpoint;                     /* a task's run time is no longer the whole */
-    tw_gang gang;                           /* of a job whose tasks start together */
-    struct tw_job *prev, *next;             /* core->active */
+    int has_run;                /* a task of it has run for a lease */
+    int guaranteed;             /* scratch: within its team's guarantee, see job_queue.c */
+    int capacity_bound;         /* nothing can be rented for it */
+    int any_machine;            /* without GPUs, but only GPU machines are to be had */
+    int has_checkpoint;         /* a task's run time is no longer the whole */
+    tw_gang gang;               /* of a job whose tasks start together */
+    struct tw_job *prev, *next; /* core->active */
     struct tw_job *write_prev, *write_next; /* core->dirty */
     int in_cancelled_list;
     struct tw_job *cancelled_prev, *cancelled_next; /* core->cancelled */
@@ -143,7 +143,7 @@
 void tw_job_store_response(tw_core *core, tw_call *sent, int status, const char *body,
                            size_t length);
 
-/* turned_away.c */
+/* rejected_admissions.c */
 /* Forgets a submission that was turned away. */
 void tw_rejected_admission_drop(tw_core *core, tw_rejected_admission *expected);
 
@@ -156,7 +156,7 @@
 /* A call that was made for a user was answered. */
 void tw_user_response(tw_core *core, tw_call *sent, int status, const char *body, size_t length);
 
-/* accepted_elsewhere.c */
+/* peer_admissions.c */
 /* Takes over jobs that other nodes accepted, and watches for more. */
 void tw_peer_admissions_tick(tw_core *core);
 /* The state service answered with their keys, or their removal. */
@@ -175,7 +175,7 @@
 /* How many tasks of the job may be live at once for its record to fit into one value. */
 int tw_record_max_running(const tw_core *core, tw_job *job);
 
-/* recover.c */
+/* leader_failover.c */
 /* A term begins: the records are read. */
 void tw_failover_begin(tw_core *core);
 /* Asks for the next page, unless that is under way. */
--- a/src/core/queue.c
+++ b/src/core/job_queue.c
@@ -67,7 +67,7 @@
     DL_FOREACH(core->active_jobs, job) {
         job->guaranteed = 0;
         if (job->team < 0 || !job->has_spec || job->state != TW_JOB_PENDING) continue;
-        const tw_conf_team *team = &core->config->teams[job->team];
+        const tw_config_team *team = &core->config->teams[job->team];
         if (team->gpus > 0 || team->cpus > 0) jobs[count++] = job;
     }
     return count;
@@ -78,7 +78,7 @@
 static void mark_guaranteed(const tw_core *core, tw_job **jobs, int count) {
     double cpus = 0, gpus = 0;
     for (int from = 0, to; from < count; from = to) {
-        const tw_conf_team *team = &core->config->teams[jobs[from]->team];
+        const tw_config_team *team = &core->config->teams[jobs[from]->team];
         if (!from || jobs[from]->team != jobs[from - 1]->team) cpus = gpus = 0;
         for (to = from; to < count && submitted_together(jobs[to], jobs[from]); to++) {
             const int tasks = jobs[to]->task_count - jobs[to]->done_count;
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -2,7 +2,7 @@
  * their text is made in job_record.c. Whatever a user is told is durable first. Each write is
  * conditioned on the leader's key and on the job's own revision, so that neither a deposed leader
  * nor a late copy of an older write can undo a newer one. */
-#include "core/record_parts.h"
+#include "core/record_chunks.h"
 
 /* Most records in a transaction, whatever the state service allows. */
 #define MAX_RECORDS 60
@@ -192,8 +192,9 @@
     return tw_wire_record_text(&record);
 }
 
-/* A job that was over and let go from memory (finished.h) was submitted again, and what we took for
- * its first record was refused. Nothing of ours was durable; the end holds as its record has it. */
+/* A job that was over and let go from memory (completed_jobs.h) was submitted again, and what we
+ * took for its first record was refused. Nothing of ours was durable; the end holds as its record
+ * has it. */
 static void was_over(tw_core *core, tw_job *job, const tw_wire_record *record) {
     tw_placement *task, *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next)
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -1,10 +1,10 @@
 /* What the modules of jobs share: life cycle (job.c), records (job_record.c, job_store.c), requests
- * of users (user_requests.c), submissions turned away (turned_away.c), jobs that other nodes
- * accepted (accepted_elsewhere.c). Not for other packages. */
+ * of users (user_requests.c), submissions turned away (rejected_admissions.c), jobs that other
+ * nodes accepted (peer_admissions.c). Not for other packages. */
 #ifndef TW_CORE_JOBS_H
 #define TW_CORE_JOBS_H
 #include "core/core_int.h"
-#include "core/finished.h"
+#include "core/completed_jobs.h"
 
 /* What a request of a user is about, kept with the call that was made for it. */
 typedef enum {
@@ -53,7 +53,7 @@
 /* Asks for records whose revision isn't known. */
 void tw_job_store_tick(tw_core *core);
 
-/* turned_away.c */
+/* rejected_admissions.c */
 /* Refuses a submission that can't be taken now: at once, with the time to come back. */
 void tw_admission_reject(tw_core *core, uint64_t conn, const char *id, double retry_s,
                          const char *why);
--- a/src/core/recover.c
+++ b/src/core/leader_failover.c
@@ -1,7 +1,7 @@
 /* Taking over: every job is read from the state service before anything is decided. What the
  * records say may run is taken to run until its machine, its release or its lease says otherwise.
  */
-#include "core/record_parts.h"
+#include "core/record_chunks.h"
 
 /* Records a request, and how long it may take. */
 #define PAGE_SIZE 100
--- a/src/core/deputy.c
+++ b/src/core/lease_delegate.c
@@ -8,8 +8,8 @@
  * included. So a deputy reads, as often as it can, which jobs are cancelled, and stops their tasks;
  * by its key it answers a worker only for tw_renewal_if_superseded_s after the leader last did
  * through it, or after it began such a reading. */
-#include "core/fleet.h"
-#include "core/relay.h"
+#include "core/workers.h"
+#include "core/heartbeat_forwarder.h"
 
 #define MAX_KILLS 500 /* in an answer, which stays under 64 KiB; the rest in the next one */
 #define PAGE_SIZE 500 /* records a request; the service may send fewer */
--- a/src/core/lapse.c
+++ b/src/core/lease_expiry.c
@@ -1,6 +1,6 @@
 /* Machines that are not heard from: when one is silent, when its lease has surely ended, and
  * whether the network rather than the machines is at fault. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 /* After a change of leader, workers need a while to find us, in leases. */
 #define FIND_LEADER_LEASES 0.3
@@ -33,7 +33,7 @@
 }
 
 double tw_lease_max_s(const tw_core *core) {
-    const tw_conf *cf = core->config;
+    const tw_config *cf = core->config;
     return cf->lease_s * (1 + 2 * cf->tune.drift + cf->tune.margin_ratio);
 }
 
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -1,5 +1,5 @@
 /* Machines, by name: where each stands and of which type it is. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 int tw_machine_type_index(const tw_core *core, const char *label) {
     for (int i = 0; i < core->machine_type_count; i++)
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -1,5 +1,5 @@
 /* Machines, their types and the images on them, and what the whole core may ask of the modules that
- * follow their reports; what these share among themselves stands in fleet.h. Invariants: a
+ * follow their reports; what these share among themselves stands in workers.h. Invariants: a
  * machine's sums of used amounts are those of the placements in its list; what may run on it counts
  * until a newer report, its return or the end of its lease says otherwise. Not for other packages.
  */
@@ -7,7 +7,7 @@
 #define TW_CORE_MACHINE_H
 #include "core/job.h"
 #include "core/placement.h"
-#include "core/room.h"
+#include "core/capacity.h"
 #include "wire/wire.h"
 #include <uthash.h>
 
@@ -52,7 +52,7 @@
     double idle_since;    /* 0: not idle */
     int kept_as_headroom; /* scratch: needed as headroom */
     int lost_launches;    /* launches in a row that did not take */
-    int failure_score;    /* errors in a row, of different jobs, weighed: see sick.c */
+    int failure_score;    /* errors in a row, of different jobs, weighed: see quarantine.c */
     char last_failed_job[TW_WIRE_ID_SIZE];
     double failed_at,
         longest_failed_run_s; /* the last error; the longest that a failed task had run */
@@ -67,7 +67,7 @@
     struct {
         double c, g, m;
     } used_by_priority[TW_PRIORITY_PROD + 1]; /* the rest of it, by rank */
-    int reserved_for_gang; /* scratch of a pass: for core->holder, see gang_hold.c */
+    int reserved_for_gang; /* scratch of a pass: for core->holder, see gang_reservation.c */
     int zone_index;        /* index in core->yards, -1: not known, or too many */
     int command_in_flight, commands_wanted, probe_wanted;
     double no_commands_before;                  /* no direct orders before this */
@@ -89,7 +89,7 @@
                                   it */
 } tw_machine_type;
 
-/* machine.c, lapse.c */
+/* machine.c, lease_expiry.c */
 /* The machine of that name; NULL: none is known. */
 tw_machine *tw_machine_find(tw_core *core, const char *name);
 /* A machine of which nothing but the name is known. */
@@ -115,7 +115,7 @@
 /* How many times as long a fetch takes there beside the others, this one apart. */
 double tw_image_fetch_slowdown(const tw_core *core, const tw_machine *machine, const tw_image *but);
 
-/* report.c, orders.c, fleet.c */
+/* worker_heartbeat.c, worker_commands.c, machine_upkeep.c */
 /* A worker's report. from_peer: handed on by another node. */
 void tw_worker_heartbeat_receive(tw_core *core, uint64_t conn, const char *body, size_t length,
                                  int from_peer);
@@ -130,7 +130,7 @@
 /* Timed work over all machines. */
 void tw_machines_tick(tw_core *core);
 
-/* sick.c */
+/* quarantine.c */
 /* A task failed there; elsewhere: machines on which its job has failed before. */
 void tw_quarantine_note_failure(tw_core *core, const tw_placement *placed, int elsewhere);
 /* The machine has shown that it works. */
--- a/src/core/list.c
+++ b/src/core/machine_list.c
@@ -1,5 +1,5 @@
 /* The cloud's list of the machines that we hold, read page by page. */
-#include "core/provision_int.h"
+#include "core/autoscaler_int.h"
 
 #define PAGE 500
 #define PATH_SIZE 200
--- a/src/core/learn.c
+++ b/src/core/machine_statistics.c
@@ -1,6 +1,6 @@
 /* What starts, runs and boots teach: moving averages by machine, with priors pooled by machine type
  * (GoodServe, section 3.3; see docs/design.md for what is learned from which starts). */
-#include "core/fleet.h"
+#include "core/workers.h"
 #include "core/scheduler_int.h"
 
 /* Weights, as shares of the setting's. */
--- a/src/core/types.c
+++ b/src/core/machine_types.c
@@ -1,5 +1,5 @@
 /* Machine types and their prices, as the cloud lists them. */
-#include "core/provision_int.h"
+#include "core/autoscaler_int.h"
 
 #define TYPES_MAX 31 /* a job's types are bits of a word */
 /* What is taken of a type until something has been learned of it. */
--- a/src/core/fleet.c
+++ b/src/core/machine_upkeep.c
@@ -1,6 +1,6 @@
 /* What is due over all machines with time: leases that end, and machines to be returned because
  * they failed, are silent, or were asked to be empty and are. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 #define TICKS_PER_REPORT 6
 /* A boot that takes so many times as long as its type's counts as overdue, and as failed. */
@@ -122,7 +122,7 @@
 }
 
 static void machine_tick(tw_core *core, tw_machine *machine) {
-    const tw_conf *cf = core->config;
+    const tw_config *cf = core->config;
     const double boot_s = machine->type_index >= 0
                               ? core->machine_types[machine->type_index].listed.startup_s
                               : cf->lease_s * BOOT_UNKNOWN_LEASES;
--- a/src/core/peers.h
+++ b/src/core/peers.h
@@ -1,11 +1,11 @@
 /* The nodes of the cluster and what the whole core may ask of the modules that know who leads, who
  * may answer workers, and until when; what these share among themselves stands in cluster.h and
- * relay.h. Invariants: a leader's authority ends before its lease can, and at once when it learns
- * of a higher token; what a peer is entitled to is noted as ending no earlier than the peer itself
- * takes it to end. Not for other packages. */
+ * heartbeat_forwarder.h. Invariants: a leader's authority ends before its lease can, and at once
+ * when it learns of a higher token; what a peer is entitled to is noted as ending no earlier than
+ * the peer itself takes it to end. Not for other packages. */
 #ifndef TW_CORE_PEERS_H
 #define TW_CORE_PEERS_H
-#include "conf/conf.h"
+#include "config/config.h"
 #include "core/call.h"
 #include "core/job.h"
 #include "wire/wire.h"
@@ -23,7 +23,7 @@
 
 /* Another node. */
 typedef struct tw_peer {
-    tw_conf_peer config;
+    tw_config_peer config;
     int failover_in_time;   /* see tw_core */
     uint64_t highest_token; /* what it said it had seen */
     double answered_at;     /* when a ping was last answered (send time) */
@@ -40,7 +40,8 @@
     double delegate_answered_at; /* when it last did, as it said in answer to a ping sent at
                                     dep_asof */
     double delegate_answered_as_of;
-    double avoid_counted_from, avoided_until; /* workers sent to it come back, see redirect.c */
+    double avoid_counted_from,
+        avoided_until; /* workers sent to it come back, see worker_routing.c */
     int returned_workers;
 } tw_peer;
 
@@ -53,7 +54,7 @@
     UT_hash_handle hh;
 } tw_worker_redirect;
 
-/* A worker's report that waits for a leader, see relay.c. */
+/* A worker's report that waits for a leader, see heartbeat_forwarder.c. */
 typedef struct tw_held_heartbeat {
     uint64_t connection;
     char worker[TW_NAME_SIZE];
@@ -98,7 +99,7 @@
 /* How long a node may answer workers by its last authority or grant, without hearing more. */
 double tw_renewal_without_contact_s(const tw_core *core);
 
-/* heartbeat.c */
+/* peer_heartbeat.c */
 /* Whether all that may answer the job's machines without us know that it is cancelled. 0 asks
  * them, if ask is set; -1: some can't be asked now. */
 int tw_cancellation_safety(tw_core *core, const tw_job *job, int rental_request);
@@ -113,11 +114,11 @@
 int tw_peers_all_read_chunks(const tw_core *core);
 int tw_peers_any_lacks_chunks(const tw_core *core);
 
-/* failover.c */
+/* worker_failover_paths.c */
 /* Works out failover_in_time of this node and its peers, from their names and zones alone. */
 void tw_worker_failover_init(tw_core *core);
 
-/* redirect.c: which node a worker is told to report to */
+/* worker_routing.c: which node a worker is told to report to */
 /* A live node of that zone, for workers to report to, rather one whose end they survive; NULL: none
  * known. */
 tw_peer *tw_worker_home_find(tw_core *core, const char *zone);
@@ -131,7 +132,7 @@
 int tw_worker_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
 void tw_worker_redirects_free(tw_core *core);
 
-/* deputy.c: renews leases for a leader that can't be reached */
+/* lease_delegate.c: renews leases for a leader that can't be reached */
 /* How long a deputy's entitlement lasts from the sending of its write. */
 double tw_delegate_lease_s(const tw_core *core);
 /* Cancelled jobs, as the leader says: their tasks are stopped by whoever answers their machines. */
@@ -147,7 +148,7 @@
 void tw_delegate_tick(tw_core *core);
 void tw_delegate_free(tw_core *core);
 
-/* relay.c: reports handed to the leader and its answers back, held reports */
+/* heartbeat_forwarder.c: reports handed to the leader and its answers back, held reports */
 /* A report at a node that does not lead. */
 void tw_heartbeat_forward(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report,
                           const char *body, size_t length);
@@ -157,7 +158,7 @@
 void tw_held_heartbeats_tick(tw_core *core);
 void tw_held_heartbeats_free(tw_core *core);
 
-/* deputies_seen.c: deputies, at the leader */
+/* delegate_registry.c: deputies, at the leader */
 /* Until when some deputy of the zone (empty: of any) may have answered workers. */
 double tw_delegates_until(const tw_core *core, const char *zone);
 /* Conditions that the deputies' keys are as they are known; returns how many. */
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -1,7 +1,7 @@
 /* Placements: what may run on a machine, and the amounts that this takes of it and of its team's
  * limit. A task that may run somewhere counts as running there until a newer report, its machine's
  * return or a lapsed lease says otherwise. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 /* Adds (sign 1) or takes off (-1) what the task holds. */
 void tw_placement_account(tw_core *core, tw_placement *placed, double sign) {
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,7 +1,8 @@
 /* Placements: a task that runs, or may run, on a machine (placement.c). Invariants: a placement
  * stands in its machine's list until the machine surely doesn't run the task, and its amounts are
- * in use until then; it stands in its job's list until its attempt has ended (attempt_end.h); no
- * two of a job have the same attempt and index. Not for other packages. */
+ * in use until then; it stands in its job's list until its attempt has ended
+ * (attempt_termination.h); no two of a job have the same attempt and index. Not for other packages.
+ */
 #ifndef TW_CORE_PLACEMENT_H
 #define TW_CORE_PLACEMENT_H
 #include "core/core.h"
@@ -42,7 +43,7 @@
 
 /* placement.c */
 /* Places a task, whose amounts count from now on; the caller marks the job changed. NULL: an
- * attempt of the task has not ended (attempt_end.h), which is a fault of the caller. */
+ * attempt of the task has not ended (attempt_termination.h), which is a fault of the caller. */
 tw_placement *tw_placement_new(tw_core *core, tw_job *job, int index, tw_machine *machine,
                                uint64_t attempt);
 /* The task is to be stopped, a gang with all its tasks; preempted: its room is promised to others.
--- a/src/core/budget.c
+++ b/src/core/rate_limiter.c
@@ -33,7 +33,7 @@
 
 /* The parts that a leader uses. */
 static void init_of_leader(tw_core *core) {
-    const tw_conf *conf = core->config;
+    const tw_config *conf = core->config;
     const double share = conf->tune.write_share;
     const double writes = share * conf->state_write_rps;
     core->write_limiter = tw_rate_limiter_make(writes, writes * LEADER_WRITES_BURST_S, core->now);
@@ -46,7 +46,7 @@
 
 /* The parts that a node uses while it does not lead. */
 static void init_of_others(tw_core *core) {
-    const tw_conf *conf = core->config;
+    const tw_config *conf = core->config;
     const double share = conf->tune.write_share * OTHERS / (double)(conf->npeers + 1);
     const double reads = share * conf->state_rps;
     core->follower_read_limiter =
--- a/src/core/record_parts.c
+++ b/src/core/record_chunks.c
@@ -6,7 +6,7 @@
  * write is known the set stays, and is named again by each repetition. A set that a record no
  * longer names can't be named again: whatever still comes late is conditioned on an older revision.
  */
-#include "core/record_parts.h"
+#include "core/record_chunks.h"
 
 #define KB 1024
 /* Slices in a transaction, and the bytes that they may have together: the state service takes
--- a/src/core/record_parts.h
+++ b/src/core/record_chunks.h
@@ -50,7 +50,7 @@
 /* Lets go a job's slices in memory. */
 void tw_chunks_free(tw_job *job);
 
-/* record_refused.c */
+/* record_refusal.c */
 /* A record, or a slice of it (bytes 0), was refused for its size, alone in its transaction. The
  * record is divided, if it may be; else it is tried again after growing pauses, and nobody is left
  * waiting for it. */
@@ -58,7 +58,7 @@
 /* Looks whether the other nodes have changed in what they read. */
 void tw_record_format_update(tw_core *core);
 
-/* loaded_parts.c: slices, while the records are read */
+/* chunk_loader.c: slices, while the records are read */
 /* A page of slices was read: their number, or -1: it can't be read. *more, and *last: the last key.
  */
 int tw_chunk_loader_page(tw_core *core, const char *body, size_t len, int *more, char *last,
--- a/src/core/record_refused.c
+++ b/src/core/record_refusal.c
@@ -2,7 +2,7 @@
  * divided while all other nodes read divided records, and written whole again for one that does
  * not.
  */
-#include "core/record_parts.h"
+#include "core/record_chunks.h"
 
 /* Until such a record is tried again: growing up to the longest. */
 #define FIRST_PAUSE_S 0.15
--- a/src/core/rent.c
+++ b/src/core/scale_out.c
@@ -1,5 +1,5 @@
 /* Dealing with the cloud: what is asked of it and when, rental requests, and returns. */
-#include "core/provision_int.h"
+#include "core/autoscaler_int.h"
 
 #define TIMEOUT_S 5
 #define TYPES_TIMEOUT_S 3
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -18,7 +18,7 @@
     int spot, priority, service, any_machine, whole;
 } tw_placement_failure;
 
-/* place.c */
+/* placement_pass.c */
 /* A pass over the queue. */
 void tw_scheduler_run(tw_core *core);
 /* Places a job of the highest priority at once; returns whether all its tasks are placed. */
@@ -28,7 +28,7 @@
 /* Stops tasks that will miss their deadline where a full rerun elsewhere makes it. */
 void tw_scheduler_recheck(tw_core *core);
 
-/* estimate.c */
+/* run_estimate.c */
 double tw_job_deadline(const tw_core *core, const tw_job *job); /* steady time; INFINITY: none */
 double
 tw_job_start_deadline(const tw_job *job); /* of a gang: its start objective; INFINITY: none */
@@ -42,7 +42,7 @@
 /* Notes the cores and memory that a GPU's user takes along with it, at the most. */
 void tw_gpu_share_update(tw_core *core);
 
-/* queue.c: pending jobs, in the order in which they should be served */
+/* job_queue.c: pending jobs, in the order in which they should be served */
 typedef struct tw_job_queue tw_job_queue;
 /* The jobs that are pending now, which have to outlive it. With overdue ones, the jobs that have
  * waited too long for their first task are served between the others. Free it with
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -23,7 +23,7 @@
     double margin_s; /* to spare before the deadline, since fetches vary */
 } tw_prediction;
 
-/* estimate.c */
+/* run_estimate.c */
 tw_prediction tw_predict(const tw_core *core, const tw_demand *demand,
                          const struct tw_machine *machine);
 /* T and its margin from now: the deadline is met if it is not before that. */
@@ -43,7 +43,7 @@
 int tw_constraints_leave_gpus(const tw_core *core, const struct tw_machine *machine,
                               const struct tw_job *job, int tasks);
 
-/* futile.c: kinds of tasks for which a pass has found no room. */
+/* placement_failures.c: kinds of tasks for which a pass has found no room. */
 tw_placement_failure tw_placement_failure_of(const tw_demand *demand);
 int tw_placement_failures_has(const tw_core *core, const tw_placement_failure *kind);
 void tw_placement_failures_add(tw_core *core, const tw_placement_failure *kind);
@@ -99,16 +99,16 @@
     int kept;                   /* none, and some room was not given, since it is kept for others */
 } tw_choice;
 
-/* choose.c */
+/* machine_choice.c */
 tw_choice tw_scheduler_choose(tw_core *core, const tw_demand *demand);
 
-/* gang_room.c */
+/* gang_zones.c */
 /* The zones, as bits, in which so many tasks of a gang may be placed: free room is enough, or else
  * room with what work of lower rank holds. Where its tasks may stand in different zones, all that
  * together have the room. 0: none. */
 uint32_t tw_gang_candidate_zones(tw_core *core, struct tw_job *job, int tasks);
 
-/* gang_hold.c */
+/* gang_reservation.c */
 /* A pass begins, its candidates are known: which machines are held for a gang that waits. */
 void tw_gang_reservation_update(tw_core *core);
 /* Whether the job may use the machine although it may be held for another. */
@@ -118,7 +118,7 @@
 /* Whether a task of the job leaves the gang that waits its part of their team's limit. */
 int tw_gang_reservation_allows_team(const tw_core *core, const struct tw_job *job);
 
-/* preempt.c */
+/* preemption.c */
 /* A machine where stopping work of lower rank makes room, at the least loss; the work is told to
  * stop. in_time: only one where the deadline is met. *kept is set as in tw_choice. */
 /* Whether the task may be stopped to make room for the job. */
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -3,15 +3,15 @@
  * is forgotten by tw_term_clear. Not for other packages. */
 #ifndef TW_CORE_STATE_H
 #define TW_CORE_STATE_H
-#include "core/budget.h"
+#include "core/rate_limiter.h"
 #include "core/call.h"
 #include "core/core.h"
 #include "core/counters.h"
-#include "core/expiring.h"
+#include "core/expiring_name.h"
 #include "core/job.h"
 #include "core/machine.h"
 #include "core/peers.h"
-#include "core/provision.h"
+#include "core/autoscaler.h"
 #include "core/scheduler.h"
 #include <gsl/gsl_rng.h>
 
@@ -20,7 +20,7 @@
 #define TW_MAX_TRANSACTIONS 3 /* transactions in flight, over disjoint jobs */
 
 struct tw_core {
-    const tw_conf *config;
+    const tw_config *config;
     double now, wall;
     gsl_rng *rng;
     tw_effect *effects_head, *effects_tail;
@@ -53,10 +53,11 @@
     tw_peer *peers;
     size_t peer_count;
     /* A worker of this node's zone that reports to it finds another node within its lease when it
-     * ends, also where no other zone can be reached; see failover.c. */
+     * ends, also where no other zone can be reached; see worker_failover_paths.c. */
     int failover_in_time;
 
-    /* as a deputy, see deputy.c; reports handed on, see relay.c; redirects, see redirect.c */
+    /* as a deputy, see lease_delegate.c; reports handed on, see heartbeat_forwarder.c; redirects,
+     * see worker_routing.c */
     uint64_t delegate_token, delegate_sequence;
     double delegate_until, cancelled_read_at, forwarding_paused_until;
     uint64_t delegation_token; /* by the leader's answer to a ping */
@@ -78,14 +79,14 @@
     int cancelled_list_in_flight;
     double cancelled_list_began_at, next_cancelled_list_at;
     char cancelled_list_cursor[256];
-    /* deputies, at the leader, see deputies_seen.c */
+    /* deputies, at the leader, see delegate_registry.c */
     int delegates_read_in_flight, delegates_known;
     double delegates_checked_at, next_delegates_read_at, expiry_decided_at;
 
     /* jobs */
     tw_job *jobs, *active_jobs, *pending_writes;
     struct tw_completed_jobs
-        *completed_jobs;    /* jobs that are over and of which nothing may run; see finished.h */
+        *completed_jobs; /* jobs that are over and of which nothing may run; see completed_jobs.h */
     tw_job *cancelled_jobs; /* those being cancelled, and cancelled ones that may still run */
     tw_rejected_admission *rejected_admissions;
     tw_job_class *job_classes;
@@ -106,7 +107,7 @@
     char load_cursor[256];
     double next_load_at;
     int load_in_flight;
-    int admission_watch_in_flight; /* jobs that other nodes accepted, see accepted_elsewhere.c */
+    int admission_watch_in_flight; /* jobs that other nodes accepted, see peer_admissions.c */
     tw_expiring_name *untaken_admissions; /* those that we heard of and that aren't among ours yet,
                                      and their next read */
     uint64_t admission_watch_revision;
@@ -128,8 +129,8 @@
     char zone_names[TW_MAX_ZONES][TW_NAME_SIZE];
     int zone_count;
     uint64_t pass_steps; /* machines looked at in passes over the fleet: what such a pass costs */
-    tw_placement_failure
-        *placement_failures; /* kinds of tasks that found no room in this pass, see futile.c */
+    tw_placement_failure *placement_failures; /* kinds of tasks that found no room in this pass, see
+                                                 placement_failures.c */
     int placement_failure_count, placement_failure_capacity;
     struct tw_job *reserving_gang;   /* gang that machines are held for in this pass; NULL: none */
     struct tw_candidate *candidates; /* machines that this pass may use, see candidates.c */
--- a/src/core/task.c
+++ b/src/core/task_reconciliation.c
@@ -1,5 +1,5 @@
 /* What a report says of one task: it is fetched, runs, has ended, or is one that we don't know. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 /* A job that failed on so many other machines is at fault itself. */
 #define ELSEWHERE_BLAMES_JOB 2
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -1,5 +1,5 @@
 /* The end of a term: everything that belongs to it is forgotten. */
-#include "core/record_parts.h"
+#include "core/record_chunks.h"
 
 static void forget_set(tw_expiring_name **set) {
     tw_expiring_name *member, *next;
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -1,6 +1,6 @@
 /* What users ask: submissions, questions and cancellations. A node that does not lead hands them to
  * the leader, or answers by the state service (docs/design.md, "What users are told"). */
-#include "core/record_parts.h"
+#include "core/record_chunks.h"
 
 /* The answer to a question that is read from the state service, or handed to the leader, comes
  * within these times; less than the 2 s that users wait. */
--- a/src/core/orders.c
+++ b/src/core/worker_commands.c
@@ -1,6 +1,6 @@
 /* Commands to machines: those in the answers to their reports, and those sent to their own
  * address. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 #define MAX_ORDERS 500  /* keeps an answer under the protocol's 64 KiB; the rest in the next one */
 #define MOST_EXITED 200 /* on a machine: keeps its report far under the protocol's 64 KiB */
--- a/src/core/report.c
+++ b/src/core/worker_heartbeat.c
@@ -1,5 +1,5 @@
 /* Taking a worker's report in, and answering it. */
-#include "core/fleet.h"
+#include "core/workers.h"
 
 /* Among so many machines, one that seems not to hear us is believed to. */
 #define MACHINES_PER_DEAF 15
--- a/src/core/redirect.c
+++ b/src/core/worker_routing.c
@@ -4,7 +4,7 @@
  * reports elsewhere is redirected, unless it comes back from the node that it was sent to: a node
  * that answers other nodes need not answer its workers. Where several come back within a lease, no
  * more are sent there for a while. */
-#include "core/relay.h"
+#include "core/heartbeat_forwarder.h"
 
 /* Workers that came back from a node within a lease, from which on none is sent there. */
 #define SHUN_AFTER 3
--- a/src/core/fleet.h
+++ b/src/core/workers.h
@@ -2,14 +2,14 @@
  *
  * image.c      images on a machine
  * machine.c    machines by name, type and zone
- * lapse.c      silence, leases that have ended, zones that are cut off
+ * lease_expiry.c      silence, leases that have ended, zones that are cut off
  * placement.c  what may run where, and the amounts that this takes
- * attempt_end.c  when an attempt can no longer run (attempt_end.h)
- * learn.c      moving averages, from starts, runs and boots
- * task.c       what a report says of one task
- * report.c     taking a report in and answering it
- * orders.c     commands, in answers and direct
- * fleet.c      timed work over all machines */
+ * attempt_termination.c  when an attempt can no longer run (attempt_termination.h)
+ * machine_statistics.c      moving averages, from starts, runs and boots
+ * task_reconciliation.c       what a report says of one task
+ * worker_heartbeat.c     taking a report in and answering it
+ * worker_commands.c     commands, in answers and direct
+ * machine_upkeep.c      timed work over all machines */
 #ifndef TW_CORE_FLEET_H
 #define TW_CORE_FLEET_H
 #include "core/core_int.h"
@@ -30,7 +30,7 @@
 /* The job's image is used there, or fetched; ready: it is cached by now. */
 void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, int ready);
 
-/* lapse.c */
+/* lease_expiry.c */
 /* What a worker's lease may last by our clock, from a report that we answered. */
 double tw_lease_max_s(const tw_core *core);
 /* When a worker has surely ended its session, if we answer it no more, and the moments up to which
@@ -52,12 +52,12 @@
 /* Adds (sign 1) or takes off (-1) what the task holds. */
 void tw_placement_account(tw_core *core, tw_placement *placed, double sign);
 
-/* learn.c */
+/* machine_statistics.c */
 void tw_statistics_note_start(tw_core *core, tw_placement *placed);
 void tw_statistics_note_run(tw_core *core, const tw_placement *placed);
 void tw_statistics_note_boot(tw_core *core, const tw_machine *machine);
 
-/* task.c */
+/* task_reconciliation.c */
 /* What the report says of a task that we have a placement for. */
 void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
                        const tw_wire_task *told);
@@ -65,14 +65,14 @@
 void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
                                const tw_wire_task *told, tw_command_list *orders);
 
-/* report.c */
+/* worker_heartbeat.c */
 /* Takes a report in; 0: it is older than what we know. orders: NULL for an answer to direct orders,
  * which may have overtaken the answer to a report. */
 int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
                               tw_command_list *orders);
 
-/* orders_text.c: messages with orders, under our token. NULL: this node has not the right to give
- * them, which is a fault of the caller; nothing may be sent then. */
+/* command_messages.c: messages with orders, under our token. NULL: this node has not the right to
+ * give them, which is a fault of the caller; nothing may be sent then. */
 /* In an answer to a report; none renew the lease alone. */
 char *tw_commands_reply_text(tw_core *core, const tw_command_list *orders);
 /* To the machine's own address. */
@@ -82,7 +82,7 @@
 char *tw_commands_delegate_text(tw_core *core, const tw_wire_heartbeat *report,
                                 const tw_command_list *orders);
 
-/* orders.c */
+/* worker_commands.c */
 tw_command_list tw_command_list_new(tw_core *core);
 /* A command on the task, without effect when the answer is full: it is due again next time. */
 void tw_command_list_add(tw_command_list *orders, tw_wire_command order, const char *job);
--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -48,7 +48,7 @@
 }
 
 void tw_daemon_order_machine(daemon_node *node, call_kind kind, const char *path,
-                             const tw_shares_owner_effect *effect) {
+                             const tw_shards_owner_effect *effect) {
     char body[BODY_SIZE];
     snprintf(body, sizeof body, "{\"term\":%lu,\"epoch\":%lu}", (unsigned long)effect->term,
              (unsigned long)effect->epoch);
@@ -94,7 +94,7 @@
         break;
     }
     case CALL_OPEN:
-        if (status == OK) tw_shares_owner_confirmed(node->owner, ended->machine, ended->about);
+        if (status == OK) tw_shards_owner_confirmed(node->owner, ended->machine, ended->about);
         break;
     case CALL_OTHER:
         break;
--- a/src/daemon/clients.c
+++ b/src/daemon/clients.c
@@ -10,12 +10,12 @@
     tw_standby_leader(node->standby, tw_daemon_steady_s(), answer->leader, &answer->retry_after_s);
 }
 
-void tw_daemon_answer(daemon_node *node, const tw_shares_effect *effect) {
+void tw_daemon_answer(daemon_node *node, const tw_shards_effect *effect) {
     tw_rpc_answer answer = {.verdict = effect->verdict,
                             .revision = effect->revision,
                             .floor = effect->floor,
                             .progress = effect->progress};
-    if (effect->verdict == TW_SHARES_NOT_LEADER) name_leader(node, &answer);
+    if (effect->verdict == TW_SHARDS_NOT_LEADER) name_leader(node, &answer);
     tw_rpc_answer_call(node->server, effect->id, &answer);
 }
 
@@ -23,18 +23,18 @@
 
 static void answer_show(daemon_node *node, const tw_rpc_call *asked) {
     const int ready = tw_standby_decides(node->standby, tw_daemon_steady_s());
-    const int nshares = ready ? tw_shares_count(node->shares) : 0;
-    const int nmachines = ready && asked->show_machines ? tw_shares_machines(node->shares) : 0;
-    tw_rpc_answer answer = {.verdict = ready ? TW_SHARES_OK : TW_SHARES_NOT_LEADER,
-                            .revision = ready ? tw_shares_revision(node->shares) : 0};
+    const int nshares = ready ? tw_shards_count(node->shares) : 0;
+    const int nmachines = ready && asked->show_machines ? tw_shards_machines(node->shares) : 0;
+    tw_rpc_answer answer = {.verdict = ready ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER,
+                            .revision = ready ? tw_shards_revision(node->shares) : 0};
     name_leader(node, &answer);
     answer.shares = tw_daemon_alloc(sizeof *answer.shares * (size_t)nshares);
     answer.tells = tw_daemon_alloc(sizeof *answer.tells * (size_t)nmachines);
     for (int i = 0; i < nshares; i++)
-        answer.shares[answer.nshares++] = tw_shares_view_of(node->shares, i);
+        answer.shares[answer.nshares++] = tw_shards_view_of(node->shares, i);
     for (int i = 0; i < nmachines; i++) {
-        const tw_shares_tell machine = tw_shares_machine(node->shares, i);
-        if (machine.state != TW_SHARES_ABSENT) answer.tells[answer.ntells++] = machine;
+        const tw_shards_tell machine = tw_shards_machine(node->shares, i);
+        if (machine.state != TW_SHARDS_ABSENT) answer.tells[answer.ntells++] = machine;
     }
     tw_rpc_answer_call(node->server, asked->id, &answer);
     tw_rpc_answer_free(&answer);
@@ -42,17 +42,17 @@
 
 static void take_owner_report(daemon_node *node, const tw_rpc_call *asked) {
     const int decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
-    tw_rpc_answer answer = {.verdict = decides ? TW_SHARES_OK : TW_SHARES_NOT_LEADER};
+    tw_rpc_answer answer = {.verdict = decides ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER};
     tw_standby_heard(node->standby, tw_daemon_steady_s(), asked->owner, asked->position.term,
                      asked->position.number);
     for (int i = 0; i < asked->nmessages && decides; i++) {
         const tw_rpc_message *message = &asked->messages[i];
-        if (message->kind == TW_SHARES_OWNER_SYNC)
-            tw_shares_sync(node->shares, asked->owner);
-        else if (message->kind == TW_SHARES_OWNER_DRAINED)
-            tw_shares_drained(node->shares, asked->owner, message->machine, message->epoch);
+        if (message->kind == TW_SHARDS_OWNER_SYNC)
+            tw_shards_sync(node->shares, asked->owner);
+        else if (message->kind == TW_SHARDS_OWNER_DRAINED)
+            tw_shards_drained(node->shares, asked->owner, message->machine, message->epoch);
         else
-            tw_shares_opened(node->shares, asked->owner, message->machine, message->epoch);
+            tw_shards_opened(node->shares, asked->owner, message->machine, message->epoch);
     }
     tw_daemon_settle(node);
     /* What is kept is of the term at hand: it is dropped when the term ends. */
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -53,7 +53,7 @@
         break;
     case TW_STANDBY_TELL:
         if (!strcmp(effect->table->tell.owner, node->settings->name))
-            tw_shares_owner_told(node->owner, tw_daemon_steady_s(), &effect->table->tell);
+            tw_shards_owner_told(node->owner, tw_daemon_steady_s(), &effect->table->tell);
         else
             tw_daemon_keep_tell(node, &effect->table->tell);
         break;
@@ -119,7 +119,7 @@
     (void)loop;
     (void)events;
     tw_standby_tick(node->standby, now, wall_s());
-    tw_shares_owner_tick(node->owner, now);
+    tw_shards_owner_tick(node->owner, now);
     tw_daemon_settle(node);
     tw_daemon_follow(node);
     tw_daemon_report(node);
@@ -190,8 +190,8 @@
     tw_subscriber_stop(node->subscriber);
     tw_net_free(node->net);
     tw_standby_free(node->standby);
-    tw_shares_free(node->shares);
-    tw_shares_owner_free(node->owner);
+    tw_shards_free(node->shares);
+    tw_shards_owner_free(node->owner);
     tw_daemon_free_tells(node);
     HASH_ITER(hh, node->calls, each, after) {
         HASH_DEL(node->calls, each);
@@ -205,9 +205,9 @@
     const tw_standby_settings standby = {
         .name = settings->name, .control = settings->control, .lease_s = settings->lease_s};
     signal(SIGPIPE, SIG_IGN);
-    node.shares = tw_shares_new(&settings->shares);
+    node.shares = tw_shards_new(&settings->shares);
     node.standby = tw_standby_new(&standby, node.shares, tw_daemon_steady_s());
-    node.owner = tw_shares_owner_new(settings->shares.retry_s);
+    node.owner = tw_shards_owner_new(settings->shares.retry_s);
     node.messages = tw_daemon_alloc(sizeof *node.messages * MOST_TELLS);
     start_net(&node);
     start_watchers(&node);
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -17,14 +17,14 @@
     uint64_t id;
     call_kind kind;
     uint64_t about; /* STATE: number of the standby's call; MACHINE: the term; OPEN: the epoch */
-    char machine[TW_SHARES_NAME];
+    char machine[TW_SHARDS_NAME];
     UT_hash_handle hh;
 } call;
 
 /* What an owner is to be told with its next report. */
 typedef struct owner_tells {
-    char owner[TW_SHARES_NAME];
-    tw_shares_tell *tells;
+    char owner[TW_SHARDS_NAME];
+    tw_shards_tell *tells;
     int count;
     UT_hash_handle hh;
 } owner_tells;
@@ -39,8 +39,8 @@
     char followed[TW_RPC_ADDRESS]; /* whose feed is read; "": nobody's */
     double follow_at, backoff_s;   /* when a feed that ended is opened again */
     tw_standby *standby;
-    tw_shares *shares;
-    tw_shares_owner *owner;
+    tw_shards *shares;
+    tw_shards_owner *owner;
     int decided; /* when looked at last */
     uint64_t last_call;
     call *calls;
@@ -65,12 +65,12 @@
 void tw_daemon_start_machine(daemon_node *node, const tw_standby_effect *effect);
 /* An owner's order, /open or /stop. */
 void tw_daemon_order_machine(daemon_node *node, call_kind kind, const char *path,
-                             const tw_shares_owner_effect *effect);
+                             const tw_shards_owner_effect *effect);
 void tw_daemon_on_response(void *context, uint64_t id, int status, const char *body, size_t length);
 
 /* owners.c: this node as an owner, and what other owners are told */
 owner_tells *tw_daemon_tells_of(daemon_node *node, const char *owner);
-void tw_daemon_keep_tell(daemon_node *node, const tw_shares_tell *tell);
+void tw_daemon_keep_tell(daemon_node *node, const tw_shards_tell *tell);
 void tw_daemon_free_tells(daemon_node *node);
 void tw_daemon_take_owner_effects(daemon_node *node);
 /* Sends what there is to say to another node that leads; takes its answer. */
@@ -82,7 +82,7 @@
 void tw_daemon_take_feed(daemon_node *node);
 
 /* clients.c: calls over the control interface, and effects that answer them */
-void tw_daemon_answer(daemon_node *node, const tw_shares_effect *effect);
+void tw_daemon_answer(daemon_node *node, const tw_shards_effect *effect);
 void tw_daemon_on_called(struct ev_loop *loop, ev_async *watcher, int events);
 
 #endif
