--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -17,7 +17,7 @@
     return found;
 }
 
-void tw_daemon_keep_tell(daemon_node *node, const tw_shares_tell *tell) {
+void tw_daemon_keep_tell(daemon_node *node, const tw_shards_tell *tell) {
     owner_tells *of = tw_daemon_tells_of(node, tell->owner);
     for (int i = 0; i < of->count; i++) {
         if (strcmp(of->tells[i].machine, tell->machine) != 0) continue;
@@ -40,15 +40,15 @@
 /* ---- effects of the owner ---- */
 
 /* Tells the leader, which may be this node. */
-static void say(daemon_node *node, const tw_shares_owner_effect *effect) {
+static void say(daemon_node *node, const tw_shards_owner_effect *effect) {
     if (tw_standby_decides(node->standby, tw_daemon_steady_s())) {
         const char *owner = node->settings->name;
-        if (effect->kind == TW_SHARES_OWNER_SYNC)
-            tw_shares_sync(node->shares, owner);
-        else if (effect->kind == TW_SHARES_OWNER_DRAINED)
-            tw_shares_drained(node->shares, owner, effect->machine, effect->epoch);
+        if (effect->kind == TW_SHARDS_OWNER_SYNC)
+            tw_shards_sync(node->shares, owner);
+        else if (effect->kind == TW_SHARDS_OWNER_DRAINED)
+            tw_shards_drained(node->shares, owner, effect->machine, effect->epoch);
         else
-            tw_shares_opened(node->shares, owner, effect->machine, effect->epoch);
+            tw_shards_opened(node->shares, owner, effect->machine, effect->epoch);
         return;
     }
     if (node->nmessages == MOST_TELLS) return; /* said again later */
@@ -59,13 +59,13 @@
 }
 
 void tw_daemon_take_owner_effects(daemon_node *node) {
-    tw_shares_owner_effect *effect;
-    while ((effect = tw_shares_owner_next(node->owner))) {
+    tw_shards_owner_effect *effect;
+    while ((effect = tw_shards_owner_next(node->owner))) {
         switch (effect->kind) {
-        case TW_SHARES_OWNER_OPEN:
+        case TW_SHARDS_OWNER_OPEN:
             tw_daemon_order_machine(node, CALL_OPEN, "/open", effect);
             break;
-        case TW_SHARES_OWNER_STOP:
+        case TW_SHARDS_OWNER_STOP:
             tw_daemon_order_machine(node, CALL_OTHER, "/stop", effect);
             break;
         default:
@@ -91,7 +91,7 @@
     tw_rpc_answer answer;
     if (!tw_reporter_answer(node->reporter, &answer)) return;
     for (int i = 0; i < answer.ntells; i++)
-        tw_shares_owner_told(node->owner, tw_daemon_steady_s(), &answer.tells[i]);
+        tw_shards_owner_told(node->owner, tw_daemon_steady_s(), &answer.tells[i]);
     tw_rpc_answer_free(&answer);
     tw_daemon_take_owner_effects(node);
 }
--- a/src/daemon/reporter.c
+++ b/src/daemon/reporter.c
@@ -16,7 +16,7 @@
     reporter_state state;
     int stopping, failed;
     double timeout_s;
-    char owner[TW_SHARES_NAME], address[TW_RPC_ADDRESS];
+    char owner[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
     tw_standby_position position;
     tw_rpc_message *messages;
     int nmessages;
@@ -107,7 +107,7 @@
     const int answered = reporter->state == REPORTER_ANSWERED;
     if (answered) {
         *answer = reporter->answer;
-        if (reporter->failed) answer->verdict = TW_SHARES_NOT_LEADER;
+        if (reporter->failed) answer->verdict = TW_SHARDS_NOT_LEADER;
         reporter->state = REPORTER_IDLE;
     }
     pthread_mutex_unlock(&reporter->mutex);
--- a/src/daemon/subscriber.c
+++ b/src/daemon/subscriber.c
@@ -13,7 +13,7 @@
     pthread_cond_t changed;
     void (*wake)(void *context);
     void *context;
-    char node[TW_SHARES_NAME], address[TW_RPC_ADDRESS];
+    char node[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
     double pause_s;
     tw_standby_position position;
     int stopping, wanted; /* wanted: a feed is to be opened */
--- a/src/route/pick.c
+++ b/src/router/pick.c
@@ -1,7 +1,7 @@
 /* Which replica gets a request (GoodServe, section 3.4): of those that are expected to meet the
  * deadline the slowest, which saves the fast ones for urgent requests; where none is, the one that
  * misses it by least. Only replicas with a free slot count, so nothing waits at a replica. */
-#include "route/route_int.h"
+#include "router/router_int.h"
 
 /* Whether the first is to be preferred; expected: when each would end. */
 static int better(const replica *first, const replica *second, double deadline, double now) {
@@ -14,7 +14,7 @@
     return first->running < second->running;
 }
 
-replica *tw_route_pick(const tw_route *route, const request *of, double now) {
+replica *tw_router_pick(const tw_router *route, const request *of, double now) {
     replica *best = NULL;
     replica *each;
     replica *after;
--- a/src/route/route.c
+++ b/src/router/router.c
@@ -1,26 +1,26 @@
 /* The ledger: requests from their coming to their one final answer. */
-#include "route/route_int.h"
+#include "router/router_int.h"
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
 
-void *tw_route_alloc(size_t size) {
+void *tw_router_alloc(size_t size) {
     void *memory = calloc(1, size);
     if (!memory) abort();
     return memory;
 }
 
 static void copy_name(char *to, const char *from) {
-    const size_t length = strnlen(from, TW_ROUTE_NAME - 1);
+    const size_t length = strnlen(from, TW_ROUTER_NAME - 1);
     memcpy(to, from, length);
     to[length] = 0;
 }
 
 /* ---- effects ---- */
 
-static tw_route_effect *emit(tw_route *route, tw_route_effect_kind kind, const request *about) {
-    tw_route_effect *effect = tw_route_alloc(sizeof *effect);
+static tw_router_effect *emit(tw_router *route, tw_router_effect_kind kind, const request *about) {
+    tw_router_effect *effect = tw_router_alloc(sizeof *effect);
     effect->kind = kind;
     effect->request = about->number;
     effect->attempt = about->attempt;
@@ -28,8 +28,8 @@
     return effect;
 }
 
-tw_route_effect *tw_route_next(tw_route *route) {
-    tw_route_effect *first = route->effects;
+tw_router_effect *tw_router_next(tw_router *route) {
+    tw_router_effect *first = route->effects;
     if (!first) return NULL;
     route->effects = first->next;
     first->next = NULL;
@@ -38,21 +38,21 @@
 
 /* ---- begin and end ---- */
 
-tw_route *tw_route_new(const tw_route_settings *settings) {
-    tw_route *route = tw_route_alloc(sizeof *route);
+tw_router *tw_router_new(const tw_router_settings *settings) {
+    tw_router *route = tw_router_alloc(sizeof *route);
     route->settings = *settings;
     route->retries = settings->retry_burst;
     return route;
 }
 
-void tw_route_free(tw_route *route) {
+void tw_router_free(tw_router *route) {
     request *each;
     request *after;
     replica *one;
     replica *next;
     team *of;
     team *other;
-    tw_route_effect *effect;
+    tw_router_effect *effect;
     if (!route) return;
     HASH_ITER(hh, route->requests, each, after) {
         HASH_DEL(route->requests, each);
@@ -66,30 +66,30 @@
         HASH_DEL(route->teams, of);
         free(of);
     }
-    while ((effect = tw_route_next(route))) free(effect);
+    while ((effect = tw_router_next(route))) free(effect);
     free(route);
 }
 
 /* ---- teams ---- */
 
-static team *team_named(tw_route *route, const char *name) {
+static team *team_named(tw_router *route, const char *name) {
     team *found;
     HASH_FIND_STR(route->teams, name, found);
     if (found) return found;
-    found = tw_route_alloc(sizeof *found);
+    found = tw_router_alloc(sizeof *found);
     copy_name(found->name, name);
     found->share = 1;
     HASH_ADD_STR(route->teams, name, found);
     return found;
 }
 
-void tw_route_team(tw_route *route, const char *name, double share) {
+void tw_router_team(tw_router *route, const char *name, double share) {
     team_named(route, name)->share = share;
 }
 
 /* The team whose turn it is: that has been served least for its share; NULL: nobody waits. A team
  * that had nothing waiting does not save up turns. */
-static team *next_team(tw_route *route) {
+static team *next_team(tw_router *route) {
     team *best = NULL;
     team *each;
     team *after;
@@ -99,7 +99,7 @@
     return best;
 }
 
-static void enqueue(tw_route *route, request *waits, int at_front) {
+static void enqueue(tw_router *route, request *waits, int at_front) {
     team *of = waits->team;
     const team *least = next_team(route);
     if (!of->waiting && least) of->served = fmax(of->served, least->served);
@@ -118,7 +118,7 @@
 
 /* ---- one final answer ---- */
 
-static double time_to_come_back(const tw_route *route) {
+static double time_to_come_back(const tw_router *route) {
     const replica *each;
     const replica *after;
     double shortest = INFINITY;
@@ -128,30 +128,30 @@
     return isfinite(shortest) ? fmax(1, ceil(shortest)) : 1;
 }
 
-static void leave_replica(tw_route *route, const request *left) {
+static void leave_replica(tw_router *route, const request *left) {
     replica *at;
     HASH_FIND_STR(route->replicas, left->replica, at);
     if (at && at->running) at->running--;
 }
 
 /* Gives the final answer and forgets the request: what comes of it later is not known any more. */
-static void answer(tw_route *route, request *over, tw_route_status status) {
-    tw_route_effect *effect = emit(route, TW_ROUTE_ANSWER, over);
+static void answer(tw_router *route, request *over, tw_router_status status) {
+    tw_router_effect *effect = emit(route, TW_ROUTER_ANSWER, over);
     effect->status = status;
-    if (status != TW_ROUTE_OK) effect->retry_after_s = time_to_come_back(route);
+    if (status != TW_ROUTER_OK) effect->retry_after_s = time_to_come_back(route);
     if (over->state == REQUEST_WAITING) dequeue(over);
     HASH_DEL(route->requests, over);
     free(over);
 }
 
-static void cancel(tw_route *route, const request *sent) {
-    tw_route_effect *effect = emit(route, TW_ROUTE_CANCEL, sent);
+static void cancel(tw_router *route, const request *sent) {
+    tw_router_effect *effect = emit(route, TW_ROUTER_CANCEL, sent);
     copy_name(effect->replica, sent->replica);
 }
 
 /* ---- sending ---- */
 
-static void send_to(tw_route *route, request *sent, replica *to, double now) {
+static void send_to(tw_router *route, request *sent, replica *to, double now) {
     dequeue(sent);
     sent->state = REQUEST_SENT;
     sent->attempt++;
@@ -159,16 +159,16 @@
     copy_name(sent->replica, to->name);
     to->running++;
     sent->team->served += 1 / sent->team->share;
-    tw_route_effect *effect = emit(route, TW_ROUTE_SEND, sent);
+    tw_router_effect *effect = emit(route, TW_ROUTER_SEND, sent);
     copy_name(effect->replica, to->name);
     effect->epoch = to->epoch;
 }
 
 /* As long as the team whose turn it is finds a replica. */
-static void send_waiting(tw_route *route, double now) {
+static void send_waiting(tw_router *route, double now) {
     team *turn;
     while ((turn = next_team(route))) {
-        replica *to = tw_route_pick(route, turn->waiting, now);
+        replica *to = tw_router_pick(route, turn->waiting, now);
         if (!to) return;
         send_to(route, turn->waiting, to, now);
     }
@@ -176,12 +176,12 @@
 
 /* ---- inputs ---- */
 
-void tw_route_replica(tw_route *route, double now, const char *name, uint64_t epoch, int slots,
-                      double service_s) {
+void tw_router_replica(tw_router *route, double now, const char *name, uint64_t epoch, int slots,
+                       double service_s) {
     replica *changed;
     HASH_FIND_STR(route->replicas, name, changed);
     if (!changed) {
-        changed = tw_route_alloc(sizeof *changed);
+        changed = tw_router_alloc(sizeof *changed);
         copy_name(changed->name, name);
         changed->service_s = service_s;
         HASH_ADD_STR(route->replicas, name, changed);
@@ -191,9 +191,9 @@
     send_waiting(route, now);
 }
 
-void tw_route_request(tw_route *route, double now, uint64_t number, const char *team_name,
-                      double deadline) {
-    request *came = tw_route_alloc(sizeof *came);
+void tw_router_request(tw_router *route, double now, uint64_t number, const char *team_name,
+                       double deadline) {
+    request *came = tw_router_alloc(sizeof *came);
     came->number = number;
     came->team = team_named(route, team_name);
     came->deadline = deadline;
@@ -202,7 +202,7 @@
     route->retries =
         fmin(route->settings.retry_burst, route->retries + route->settings.retry_ratio);
     if (came->team->count >= route->settings.most_waiting) {
-        answer(route, came, TW_ROUTE_FULL);
+        answer(route, came, TW_ROUTER_FULL);
         return;
     }
     enqueue(route, came, 0);
@@ -210,54 +210,55 @@
 }
 
 /* The request, if this is its present attempt. What earlier ones say is dropped. */
-static request *current(const tw_route *route, uint64_t number, int attempt) {
+static request *current(const tw_router *route, uint64_t number, int attempt) {
     request *found;
     HASH_FIND(hh, route->requests, &number, sizeof number, found);
     if (!found || found->state != REQUEST_SENT || found->attempt != attempt) return NULL;
     return found;
 }
 
-void tw_route_part(tw_route *route, double now, uint64_t number, int attempt) {
+void tw_router_part(tw_router *route, double now, uint64_t number, int attempt) {
     request *found = current(route, number, attempt);
     (void)now;
     if (!found) return;
     found->passed_on = 1;
-    emit(route, TW_ROUTE_PART, found);
+    emit(route, TW_ROUTER_PART, found);
 }
 
 /* Whether another attempt may be made; it is then paid for. */
-static int may_retry(tw_route *route, const request *failed, double now) {
+static int may_retry(tw_router *route, const request *failed, double now) {
     if (failed->passed_on || failed->attempt >= route->settings.most_attempts) return 0;
     if (now >= failed->deadline || route->retries < 1) return 0;
     route->retries -= 1;
     return 1;
 }
 
-static void learn(const tw_route *route, const request *done, double now) {
+static void learn(const tw_router *route, const request *done, double now) {
     replica *at;
     const double weight = route->settings.average_ratio;
     HASH_FIND_STR(route->replicas, done->replica, at);
     if (at) at->service_s += weight * (now - done->sent_at - at->service_s);
 }
 
-void tw_route_ended(tw_route *route, double now, uint64_t number, int attempt, tw_route_end end) {
+void tw_router_ended(tw_router *route, double now, uint64_t number, int attempt,
+                     tw_router_end end) {
     request *found = current(route, number, attempt);
     if (!found) return;
     leave_replica(route, found);
-    if (end == TW_ROUTE_DONE) {
+    if (end == TW_ROUTER_DONE) {
         learn(route, found, now);
-        answer(route, found, TW_ROUTE_OK);
+        answer(route, found, TW_ROUTER_OK);
     } else if (may_retry(route, found, now)) {
-        if (end == TW_ROUTE_LOST) cancel(route, found);
+        if (end == TW_ROUTER_LOST) cancel(route, found);
         enqueue(route, found, 1);
     } else {
-        if (end == TW_ROUTE_LOST) cancel(route, found);
-        answer(route, found, now >= found->deadline ? TW_ROUTE_LATE : TW_ROUTE_FAILED);
+        if (end == TW_ROUTER_LOST) cancel(route, found);
+        answer(route, found, now >= found->deadline ? TW_ROUTER_LATE : TW_ROUTER_FAILED);
     }
     send_waiting(route, now);
 }
 
-void tw_route_tick(tw_route *route, double now) {
+void tw_router_tick(tw_router *route, double now) {
     request *each;
     request *after;
     HASH_ITER(hh, route->requests, each, after) {
@@ -266,14 +267,14 @@
             leave_replica(route, each);
             cancel(route, each);
         }
-        answer(route, each, TW_ROUTE_LATE);
+        answer(route, each, TW_ROUTER_LATE);
     }
     send_waiting(route, now);
 }
 
-int tw_route_open(const tw_route *route) { return (int)HASH_COUNT(route->requests); }
+int tw_router_open(const tw_router *route) { return (int)HASH_COUNT(route->requests); }
 
-int tw_route_waiting(const tw_route *route) {
+int tw_router_waiting(const tw_router *route) {
     const team *each;
     const team *after;
     int waiting = 0;
--- a/src/rpc/convert.cpp
+++ b/src/rpc/convert.cpp
@@ -5,27 +5,27 @@
 
 namespace {
 
-tw_shares_verdict read_verdict(const std::string &name) {
-    for (int i = TW_SHARES_OK; i <= TW_SHARES_BEHIND; i++) {
-        const auto verdict = static_cast<tw_shares_verdict>(i);
-        if (name == tw_shares_verdict_name(verdict)) return verdict;
+tw_shards_verdict read_verdict(const std::string &name) {
+    for (int i = TW_SHARDS_OK; i <= TW_SHARDS_BEHIND; i++) {
+        const auto verdict = static_cast<tw_shards_verdict>(i);
+        if (name == tw_shards_verdict_name(verdict)) return verdict;
     }
-    return TW_SHARES_INVALID;
+    return TW_SHARDS_INVALID;
 }
 
-tw_shares_state read_state(const std::string &name) {
-    for (int i = TW_SHARES_ABSENT; i <= TW_SHARES_RELEASED; i++) {
-        const auto state = static_cast<tw_shares_state>(i);
-        if (name == tw_shares_state_name(state)) return state;
+tw_shards_state read_state(const std::string &name) {
+    for (int i = TW_SHARDS_ABSENT; i <= TW_SHARDS_RELEASED; i++) {
+        const auto state = static_cast<tw_shards_state>(i);
+        if (name == tw_shards_state_name(state)) return state;
     }
-    return TW_SHARES_ABSENT;
+    return TW_SHARDS_ABSENT;
 }
 
 } // namespace
 
-bool read_change(const messages::ChangeRequest &from, tw_shares_request &to) {
+bool read_change(const messages::ChangeRequest &from, tw_shards_request &to) {
     to = {};
-    to.kind = static_cast<tw_shares_request_kind>(from.kind());
+    to.kind = static_cast<tw_shards_request_kind>(from.kind());
     to.least = from.least();
     to.spread = from.spread() ? 1 : 0;
     to.count = from.count();
@@ -36,7 +36,7 @@
                       copy_text(to.image, from.image());
     if (!fits || from.kind() > messages::ChangeRequest::WATCH) return false;
     if (from.machines_size() == 0) return true;
-    using name = char[TW_SHARES_NAME];
+    using name = char[TW_SHARDS_NAME];
     to.machines = new_items<name>(from.machines_size());
     for (const std::string &each : from.machines())
         if (!copy_text(to.machines[to.nmachines++], each)) {
@@ -46,7 +46,7 @@
     return true;
 }
 
-void write_change(const tw_shares_request &from, messages::ChangeRequest &to) {
+void write_change(const tw_shards_request &from, messages::ChangeRequest &to) {
     to.set_kind(static_cast<messages::ChangeRequest::Kind>(from.kind));
     to.set_share(from.share);
     to.set_owner(from.owner);
@@ -63,8 +63,8 @@
 }
 
 void write_reply(const tw_rpc_answer &from, messages::ChangeReply &to) {
-    const tw_shares_progress &progress = from.progress;
-    to.set_verdict(tw_shares_verdict_name(from.verdict));
+    const tw_shards_progress &progress = from.progress;
+    to.set_verdict(tw_shards_verdict_name(from.verdict));
     to.set_leader(from.leader);
     to.set_revision(from.revision);
     to.set_floor(from.floor);
@@ -97,12 +97,12 @@
 }
 
 void write_show(const tw_rpc_answer &from, messages::ShowReply &to) {
-    to.set_verdict(tw_shares_verdict_name(from.verdict));
+    to.set_verdict(tw_shards_verdict_name(from.verdict));
     to.set_leader(from.leader);
     to.set_revision(from.revision);
     to.set_retry_after_s(from.retry_after_s);
     for (int i = 0; i < from.nshares; i++) {
-        const tw_shares_view &view = from.shares[i];
+        const tw_shards_view &view = from.shares[i];
         messages::Share *share = to.add_shares();
         share->set_name(view.name);
         share->set_owner(view.owner);
@@ -113,12 +113,12 @@
         share->set_draining(view.draining);
     }
     for (int i = 0; i < from.ntells; i++) {
-        const tw_shares_tell &tell = from.tells[i];
+        const tw_shards_tell &tell = from.tells[i];
         messages::Machine *machine = to.add_machines();
         machine->set_name(tell.machine);
         machine->set_share(tell.share);
         machine->set_owner(tell.owner);
-        machine->set_state(tw_shares_state_name(tell.state));
+        machine->set_state(tw_shards_state_name(tell.state));
         machine->set_epoch(tell.epoch);
     }
 }
@@ -129,10 +129,10 @@
     copy_text(to.leader, from.leader());
     to.revision = from.revision();
     to.retry_after_s = from.retry_after_s();
-    to.shares = new_items<tw_shares_view>(from.shares_size());
-    to.tells = new_items<tw_shares_tell>(from.machines_size());
+    to.shares = new_items<tw_shards_view>(from.shares_size());
+    to.tells = new_items<tw_shards_tell>(from.machines_size());
     for (const messages::Share &share : from.shares()) {
-        tw_shares_view &view = to.shares[to.nshares++];
+        tw_shards_view &view = to.shares[to.nshares++];
         copy_text(view.name, share.name());
         copy_text(view.owner, share.owner());
         view.least = share.least();
@@ -142,7 +142,7 @@
         view.draining = share.draining();
     }
     for (const messages::Machine &machine : from.machines()) {
-        tw_shares_tell &tell = to.tells[to.ntells++];
+        tw_shards_tell &tell = to.tells[to.ntells++];
         copy_text(tell.machine, machine.name());
         copy_text(tell.share, machine.share());
         copy_text(tell.owner, machine.owner());
@@ -152,8 +152,8 @@
 }
 
 bool read_report(const messages::ReportRequest &from, tw_rpc_call &to) {
-    static const tw_shares_owner_effect_kind kinds[] = {
-        TW_SHARES_OWNER_SYNC, TW_SHARES_OWNER_DRAINED, TW_SHARES_OWNER_OPENED};
+    static const tw_shards_owner_effect_kind kinds[] = {
+        TW_SHARDS_OWNER_SYNC, TW_SHARDS_OWNER_DRAINED, TW_SHARDS_OWNER_OPENED};
     if (!copy_text(to.owner, from.owner())) return false;
     to.position.term = from.term();
     to.position.number = from.number();
@@ -175,8 +175,8 @@
     for (int i = 0; i < from.nmessages; i++) {
         const tw_rpc_message &message = from.messages[i];
         messages::OwnerMessage *each = to.add_messages();
-        each->set_kind(message.kind == TW_SHARES_OWNER_DRAINED  ? messages::OwnerMessage::DRAINED
-                       : message.kind == TW_SHARES_OWNER_OPENED ? messages::OwnerMessage::OPENED
+        each->set_kind(message.kind == TW_SHARDS_OWNER_DRAINED  ? messages::OwnerMessage::DRAINED
+                       : message.kind == TW_SHARDS_OWNER_OPENED ? messages::OwnerMessage::OPENED
                                                                 : messages::OwnerMessage::SYNC);
         each->set_machine(message.machine);
         each->set_epoch(message.epoch);
@@ -184,9 +184,9 @@
 }
 
 void write_tells(const tw_rpc_answer &from, messages::ReportReply &to) {
-    to.set_leads(from.verdict == TW_SHARES_OK);
+    to.set_leads(from.verdict == TW_SHARDS_OK);
     for (int i = 0; i < from.ntells; i++) {
-        const tw_shares_tell &tell = from.tells[i];
+        const tw_shards_tell &tell = from.tells[i];
         messages::Tell *each = to.add_tells();
         each->set_share(tell.share);
         each->set_machine(tell.machine);
@@ -199,12 +199,12 @@
 
 void read_tells(const messages::ReportReply &from, tw_rpc_answer &to) {
     to = {};
-    to.verdict = from.leads() ? TW_SHARES_OK : TW_SHARES_NOT_LEADER;
-    to.tells = new_items<tw_shares_tell>(from.tells_size());
+    to.verdict = from.leads() ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER;
+    to.tells = new_items<tw_shards_tell>(from.tells_size());
     for (const messages::Tell &each : from.tells()) {
-        if (each.state() < TW_SHARES_ABSENT || each.state() > TW_SHARES_RELEASED) continue;
-        tw_shares_tell &tell = to.tells[to.ntells];
-        tell.state = static_cast<tw_shares_state>(each.state());
+        if (each.state() < TW_SHARDS_ABSENT || each.state() > TW_SHARDS_RELEASED) continue;
+        tw_shards_tell &tell = to.tells[to.ntells];
+        tell.state = static_cast<tw_shards_state>(each.state());
         tell.epoch = each.epoch();
         tell.drain_s = each.drain_s();
         tell.term = each.term();
--- a/src/rpc/convert.hpp
+++ b/src/rpc/convert.hpp
@@ -22,8 +22,8 @@
     return true;
 }
 
-bool read_change(const messages::ChangeRequest &from, tw_shares_request &to);
-void write_change(const tw_shares_request &from, messages::ChangeRequest &to);
+bool read_change(const messages::ChangeRequest &from, tw_shards_request &to);
+void write_change(const tw_shards_request &from, messages::ChangeRequest &to);
 void write_reply(const tw_rpc_answer &from, messages::ChangeReply &to);
 void read_reply(const messages::ChangeReply &from, tw_rpc_answer &to);
 void write_show(const tw_rpc_answer &from, messages::ShowReply &to);
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -5,7 +5,7 @@
  * its number, for at most TW_RPC_WAIT_S; then the client gets UNAVAILABLE and may ask again. */
 #ifndef TW_RPC_H
 #define TW_RPC_H
-#include "shares/shares.h"
+#include "shards/shards.h"
 #include "standby/standby.h"
 
 #define TW_RPC_ADDRESS 64
@@ -22,8 +22,8 @@
 
 /* An owner's message to the leader: OWNER_SYNC, OWNER_DRAINED or OWNER_OPENED. */
 typedef struct {
-    tw_shares_owner_effect_kind kind;
-    char machine[TW_SHARES_NAME];
+    tw_shards_owner_effect_kind kind;
+    char machine[TW_SHARDS_NAME];
     uint64_t epoch;
 } tw_rpc_message;
 
@@ -32,8 +32,8 @@
     uint64_t id;
     tw_rpc_method method;
     int show_machines;            /* SHOW */
-    tw_shares_request request;    /* CHANGE; its machines belong to the call */
-    char owner[TW_SHARES_NAME];   /* REPORT; FOLLOW, PROMOTE: the standby's name */
+    tw_shards_request request;    /* CHANGE; its machines belong to the call */
+    char owner[TW_SHARDS_NAME];   /* REPORT; FOLLOW, PROMOTE: the standby's name */
     tw_standby_position position; /* FOLLOW; REPORT: term and number */
     tw_rpc_message *messages;     /* REPORT */
     int nmessages;
@@ -42,17 +42,17 @@
 
 /* What a call is answered with; the arrays belong to the answer. */
 typedef struct {
-    tw_shares_verdict verdict;
+    tw_shards_verdict verdict;
     char leader[TW_RPC_ADDRESS]; /* its control address; "": not known */
     double retry_after_s;        /* above 0: ask again after it */
     uint64_t revision, floor;
-    tw_shares_progress progress; /* CHANGE */
-    tw_shares_view *shares;      /* SHOW */
+    tw_shards_progress progress; /* CHANGE */
+    tw_shards_view *shares;      /* SHOW */
     int nshares;
-    tw_shares_tell *tells; /* SHOW: machines; REPORT: what the owner is told */
+    tw_shards_tell *tells; /* SHOW: machines; REPORT: what the owner is told */
     int ntells;
     tw_standby_message message; /* FOLLOW */
-    char node[TW_SHARES_NAME];  /* STANDBY */
+    char node[TW_SHARDS_NAME];  /* STANDBY */
     tw_standby_status status;   /* STANDBY */
     tw_standby_follower *followers;
     int nfollowers;
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -47,8 +47,8 @@
 
   private:
     tw_rpc_answer answer = {};
-    std::vector<tw_shares_view> shares;
-    std::vector<tw_shares_tell> tells;
+    std::vector<tw_shards_view> shares;
+    std::vector<tw_shards_tell> tells;
     std::vector<tw_standby_follower> followers;
     messages::FollowMessage feed;
 };
@@ -163,7 +163,7 @@
             tw_rpc_call call = {};
             owned_answer answer;
             call.method = TW_RPC_CHANGE;
-            call.request.kind = TW_SHARES_WATCH;
+            call.request.kind = TW_SHARDS_WATCH;
             if (!copy_text(call.request.key, request->key())) return malformed();
             if (!calls.ask(call, answer)) return unavailable();
             messages::ChangeReply reply;
@@ -171,7 +171,7 @@
             const std::string text = reply.SerializeAsString();
             if (text != last && !writer->Write(reply)) return grpc::Status::OK;
             last = text;
-            if (reply.done() || answer.view().verdict != TW_SHARES_OK) return grpc::Status::OK;
+            if (reply.done() || answer.view().verdict != TW_SHARDS_OK) return grpc::Status::OK;
             std::this_thread::sleep_for(watch_pause);
         }
         return unavailable();
--- a/src/shares/choose.c
+++ b/src/shards/choose.c
@@ -1,6 +1,6 @@
 /* Which machines of a share go first: those with the fewest requests, of these the ones that hold
  * the wanted image, and never the last machine of a zone where the share is to stay spread. */
-#include "shares/shares_int.h"
+#include "shards/shards_int.h"
 #include <stdlib.h>
 
 typedef struct {
@@ -17,9 +17,9 @@
 }
 
 /* Machines that the share has in each zone and keeps for now; the caller frees it. */
-static int *sizes_by_zone(const tw_shares *shares, int share_index) {
+static int *sizes_by_zone(const tw_shards *shares, int share_index) {
     const share_sets *sets = &shares->sets[share_index];
-    int *sizes = tw_shares_alloc(sizeof *sizes * (size_t)shares->nzones);
+    int *sizes = tw_shards_alloc(sizeof *sizes * (size_t)shares->nzones);
     for (int zone = 0; zone < shares->nzones; zone++) {
         const roaring_bitmap_t *machines = shares->zones[zone].machines;
         sizes[zone] = (int)(roaring_bitmap_and_cardinality(sets->open, machines) +
@@ -29,22 +29,22 @@
 }
 
 /* The machines that may go, as a set that the caller frees. */
-static roaring_bitmap_t *allowed(const tw_shares *shares, const move_record *record) {
+static roaring_bitmap_t *allowed(const tw_shards *shares, const move_record *record) {
     const roaring_bitmap_t *open = shares->sets[record->from].open;
     roaring_bitmap_t *set =
-        record->only ? tw_shares_ranges_parse(record->only) : roaring_bitmap_copy(open);
+        record->only ? tw_shards_ranges_parse(record->only) : roaring_bitmap_copy(open);
     if (!set) return roaring_bitmap_create();
     roaring_bitmap_and_inplace(set, open);
     roaring_bitmap_andnot_inplace(set, shares->unchecked);
     return set;
 }
 
-int tw_shares_choose(const tw_shares *shares, const move_record *record, int most,
+int tw_shards_choose(const tw_shards *shares, const move_record *record, int most,
                      machine ***chosen) {
     roaring_bitmap_t *set = allowed(shares, record);
     const size_t room = (size_t)roaring_bitmap_get_cardinality(set);
-    candidate *candidates = tw_shares_alloc(sizeof *candidates * room);
-    const named_set *image = record->image[0] ? tw_shares_find_image(shares, record->image) : NULL;
+    candidate *candidates = tw_shards_alloc(sizeof *candidates * room);
+    const named_set *image = record->image[0] ? tw_shards_find_image(shares, record->image) : NULL;
     int count = 0;
     roaring_uint32_iterator_t each;
     roaring_init_iterator(set, &each);
@@ -57,7 +57,7 @@
     int *left = sizes_by_zone(shares, record->from);
     const int spread = shares->header.shares[record->from].spread;
     int taken = 0;
-    *chosen = tw_shares_alloc(sizeof(machine *) * (size_t)count);
+    *chosen = tw_shards_alloc(sizeof(machine *) * (size_t)count);
     for (int i = 0; i < count && taken < most; i++) {
         machine *each_machine = candidates[i].machine;
         if (spread && left[each_machine->zone] <= 1) continue;
--- /dev/null
+++ b/src/shards/guard.c
@@ -0,0 +1,58 @@
+/* What stands on a machine and lets only the newest epoch run, by orders of the newest term only.
+ */
+#include "shards/shards.h"
+
+const char *tw_shards_guard_verdict_name(tw_shards_guard_verdict verdict) {
+    static const char *const names[] = {"raised",   "repeated",   "old_epoch",
+                                        "old_term", "other_life", "not_started"};
+    return names[verdict];
+}
+
+void tw_shards_guard_boot(tw_shards_guard *guard, uint64_t life) {
+    *guard = (tw_shards_guard){.life = life};
+}
+
+/* Whether the order's term is not overtaken; the machine then knows it. A leader that was deposed
+ * may have orders on their way, or send them when its process goes on: they are to change nothing
+ * once the next leader has been heard. */
+static int takes_term(tw_shards_guard *guard, uint64_t term) {
+    if (term < guard->term) return 0;
+    guard->term = term;
+    return 1;
+}
+
+tw_shards_guard_verdict tw_shards_guard_check(tw_shards_guard *guard, uint64_t term) {
+    return takes_term(guard, term) ? TW_SHARDS_GUARD_REPEATED : TW_SHARDS_GUARD_OLD_TERM;
+}
+
+tw_shards_guard_verdict tw_shards_guard_start(tw_shards_guard *guard, uint64_t term, uint64_t life,
+                                              uint64_t floor) {
+    if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
+    /* A floor that was drawn for an earlier life of the machine is too low: epochs of that life
+     * could be opened again. */
+    if (life != guard->life) return TW_SHARDS_GUARD_OTHER_LIFE;
+    if (guard->started) return TW_SHARDS_GUARD_REPEATED;
+    guard->started = 1;
+    guard->floor = floor;
+    return TW_SHARDS_GUARD_RAISED;
+}
+
+tw_shards_guard_verdict tw_shards_guard_open(tw_shards_guard *guard, uint64_t term,
+                                             uint64_t epoch) {
+    if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
+    if (!guard->started) return TW_SHARDS_GUARD_NOT_STARTED;
+    if (epoch <= guard->floor || epoch < guard->newest) return TW_SHARDS_GUARD_OLD;
+    if (epoch == guard->newest) return TW_SHARDS_GUARD_REPEATED;
+    guard->newest = epoch;
+    return TW_SHARDS_GUARD_RAISED;
+}
+
+tw_shards_guard_verdict tw_shards_guard_stop(tw_shards_guard *guard, uint64_t term,
+                                             uint64_t epoch) {
+    if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
+    return epoch && epoch == guard->newest ? TW_SHARDS_GUARD_REPEATED : TW_SHARDS_GUARD_OLD;
+}
+
+int tw_shards_guard_accepts(const tw_shards_guard *guard, uint64_t epoch) {
+    return epoch && epoch == guard->newest;
+}
--- a/src/shares/memory.c
+++ b/src/shards/memory.c
@@ -1,18 +1,18 @@
 /* Memory and names. Memory that can't be had ends the program. */
-#include "shares/shares_int.h"
+#include "shards/shards_int.h"
 #include <stdlib.h>
 #include <string.h>
 
 #define FIRST_ROOM 16
 
-void *tw_shares_alloc(size_t size) {
+void *tw_shards_alloc(size_t size) {
     void *memory = calloc(1, size ? size : 1);
     if (!memory) abort();
     return memory;
 }
 
 /* Room for one item more; new room is not zeroed. */
-void *tw_shares_grow(void *items, int count, int *room, size_t size) {
+void *tw_shards_grow(void *items, int count, int *room, size_t size) {
     if (count < *room) return items;
     *room = *room ? *room * 2 : FIRST_ROOM;
     void *grown = realloc(items, (size_t)*room * size);
@@ -21,8 +21,8 @@
 }
 
 /* Cuts a name that is too long; requests are checked for that before. */
-void tw_shares_copy_name(char *to, const char *from) {
-    size_t length = strnlen(from, TW_SHARES_NAME - 1);
+void tw_shards_copy_name(char *to, const char *from) {
+    size_t length = strnlen(from, TW_SHARDS_NAME - 1);
     memmove(to, from, length);
     to[length] = 0;
 }
--- a/src/shares/owner.c
+++ b/src/shards/owner.c
@@ -1,6 +1,6 @@
 /* An owner of shares: which of its machines may get requests, under which epoch, and what it has
  * to tell. It keeps nothing that must outlive it; after a start it asks the leader. */
-#include "shares/shares_int.h"
+#include "shards/shards_int.h"
 #include <stdlib.h>
 #include <string.h>
 
@@ -9,10 +9,10 @@
 #define FORGET_RETRIES 100
 
 typedef struct owned {
-    char name[TW_SHARES_NAME];
+    char name[TW_SHARDS_NAME];
     uint64_t epoch;
     uint64_t term; /* of the leader that was heard last about it */
-    tw_shares_state state;
+    tw_shards_state state;
     int running;   /* requests under this epoch that may still run */
     int followed;  /* since it was opened: `running` counts all of them */
     int confirmed; /* the machine is open under this epoch */
@@ -22,26 +22,26 @@
     UT_hash_handle hh;
 } owned;
 
-struct tw_shares_owner {
+struct tw_shards_owner {
     double retry_s, synced_at;
     uint64_t term; /* the newest of all leaders that were heard */
     int synced;
     owned *machines;
-    tw_shares_owner_effect *effects, *last_effect;
+    tw_shards_owner_effect *effects, *last_effect;
 };
 
-tw_shares_owner *tw_shares_owner_new(double retry_s) {
-    tw_shares_owner *owner = tw_shares_alloc(sizeof *owner);
+tw_shards_owner *tw_shards_owner_new(double retry_s) {
+    tw_shards_owner *owner = tw_shards_alloc(sizeof *owner);
     owner->retry_s = retry_s;
     return owner;
 }
 
-void tw_shares_owner_free(tw_shares_owner *owner) {
+void tw_shards_owner_free(tw_shards_owner *owner) {
     owned *each;
     owned *after;
-    tw_shares_owner_effect *effect;
+    tw_shards_owner_effect *effect;
     if (!owner) return;
-    while ((effect = tw_shares_owner_next(owner))) free(effect);
+    while ((effect = tw_shards_owner_next(owner))) free(effect);
     HASH_ITER(hh, owner->machines, each, after) {
         HASH_DEL(owner->machines, each);
         free(each);
@@ -49,11 +49,11 @@
     free(owner);
 }
 
-static void emit(tw_shares_owner *owner, tw_shares_owner_effect_kind kind, const owned *about) {
-    tw_shares_owner_effect *effect = tw_shares_alloc(sizeof *effect);
+static void emit(tw_shards_owner *owner, tw_shards_owner_effect_kind kind, const owned *about) {
+    tw_shards_owner_effect *effect = tw_shards_alloc(sizeof *effect);
     effect->kind = kind;
     if (about) {
-        tw_shares_copy_name(effect->machine, about->name);
+        tw_shards_copy_name(effect->machine, about->name);
         effect->epoch = about->epoch;
         effect->term = about->term;
     }
@@ -64,8 +64,8 @@
     owner->last_effect = effect;
 }
 
-tw_shares_owner_effect *tw_shares_owner_next(tw_shares_owner *owner) {
-    tw_shares_owner_effect *first = owner->effects;
+tw_shards_owner_effect *tw_shards_owner_next(tw_shards_owner *owner) {
+    tw_shards_owner_effect *first = owner->effects;
     if (!first) return NULL;
     owner->effects = first->next;
     if (!owner->effects) owner->last_effect = NULL;
@@ -73,34 +73,34 @@
     return first;
 }
 
-static owned *find(const tw_shares_owner *owner, const char *name) {
+static owned *find(const tw_shards_owner *owner, const char *name) {
     owned *found;
     HASH_FIND_STR(owner->machines, name, found);
     return found;
 }
 
 /* What there is to say of a machine now; said again until the leader's word changes it. */
-static void say(tw_shares_owner *owner, double now, owned *machine) {
+static void say(tw_shards_owner *owner, double now, owned *machine) {
     machine->said_at = now;
-    if (machine->state == TW_SHARES_TAKEN)
-        emit(owner, machine->confirmed ? TW_SHARES_OWNER_OPENED : TW_SHARES_OWNER_OPEN, machine);
-    if (machine->state == TW_SHARES_DRAINING && machine->followed && !machine->running)
-        emit(owner, TW_SHARES_OWNER_DRAINED, machine);
+    if (machine->state == TW_SHARDS_TAKEN)
+        emit(owner, machine->confirmed ? TW_SHARDS_OWNER_OPENED : TW_SHARDS_OWNER_OPEN, machine);
+    if (machine->state == TW_SHARDS_DRAINING && machine->followed && !machine->running)
+        emit(owner, TW_SHARDS_OWNER_DRAINED, machine);
 }
 
-static void forget(tw_shares_owner *owner, owned *machine) {
+static void forget(tw_shards_owner *owner, owned *machine) {
     HASH_DEL(owner->machines, machine);
     free(machine);
 }
 
-static owned *make(tw_shares_owner *owner, const char *name) {
-    owned *made = tw_shares_alloc(sizeof *made);
-    tw_shares_copy_name(made->name, name);
+static owned *make(tw_shards_owner *owner, const char *name) {
+    owned *made = tw_shards_alloc(sizeof *made);
+    tw_shards_copy_name(made->name, name);
     HASH_ADD_STR(owner->machines, name, made);
     return made;
 }
 
-void tw_shares_owner_told(tw_shares_owner *owner, double now, const tw_shares_tell *tell) {
+void tw_shards_owner_told(tw_shards_owner *owner, double now, const tw_shards_tell *tell) {
     owned *machine = find(owner, tell->machine);
     /* A deposed leader may go on telling what held in its term. */
     if (tell->term < owner->term) return;
@@ -108,71 +108,71 @@
     if (machine && (tell->epoch < machine->epoch ||
                     (tell->epoch == machine->epoch && tell->state < machine->state)))
         return; /* late, or repeated by a leader that is behind */
-    if (!machine && tell->state == TW_SHARES_RELEASED) return;
+    if (!machine && tell->state == TW_SHARDS_RELEASED) return;
     if (!machine) machine = make(owner, tell->machine);
     if (tell->epoch != machine->epoch) {
         machine->running = machine->confirmed = machine->stopped = 0;
         machine->epoch = tell->epoch;
         /* An owner that first hears of a machine that was open before can't vouch for what an
          * earlier life of it has running there. */
-        machine->followed = tell->state == TW_SHARES_TAKEN;
+        machine->followed = tell->state == TW_SHARDS_TAKEN;
     }
     /* An order that waits for its answer goes out again under the new leader's term: the machine
      * may refuse the one that was sent. */
-    const int next_leader = machine->term != tell->term && tell->state == TW_SHARES_TAKEN;
+    const int next_leader = machine->term != tell->term && tell->state == TW_SHARDS_TAKEN;
     machine->term = tell->term;
     const int changed = tell->state != machine->state || next_leader;
     machine->state = tell->state;
-    if (tell->state == TW_SHARES_DRAINING) machine->drain_until = now + tell->drain_s;
-    if (changed || machine->state == TW_SHARES_DRAINING) say(owner, now, machine);
+    if (tell->state == TW_SHARDS_DRAINING) machine->drain_until = now + tell->drain_s;
+    if (changed || machine->state == TW_SHARDS_DRAINING) say(owner, now, machine);
     if (changed) machine->said_at = now;
 }
 
-void tw_shares_owner_confirmed(tw_shares_owner *owner, const char *name, uint64_t epoch) {
+void tw_shards_owner_confirmed(tw_shards_owner *owner, const char *name, uint64_t epoch) {
     owned *machine = find(owner, name);
     if (!machine || machine->epoch != epoch) return;
     machine->confirmed = 1;
-    if (machine->state == TW_SHARES_TAKEN) emit(owner, TW_SHARES_OWNER_OPENED, machine);
+    if (machine->state == TW_SHARDS_TAKEN) emit(owner, TW_SHARDS_OWNER_OPENED, machine);
 }
 
-uint64_t tw_shares_owner_epoch(const tw_shares_owner *owner, const char *name) {
+uint64_t tw_shards_owner_epoch(const tw_shards_owner *owner, const char *name) {
     const owned *machine = find(owner, name);
-    return machine && machine->state == TW_SHARES_OPEN ? machine->epoch : 0;
+    return machine && machine->state == TW_SHARDS_OPEN ? machine->epoch : 0;
 }
 
-void tw_shares_owner_sent(tw_shares_owner *owner, const char *name, uint64_t epoch) {
+void tw_shards_owner_sent(tw_shards_owner *owner, const char *name, uint64_t epoch) {
     owned *machine = find(owner, name);
     if (machine && machine->epoch == epoch) machine->running++;
 }
 
-void tw_shares_owner_refused(tw_shares_owner *owner, const char *name, uint64_t epoch) {
+void tw_shards_owner_refused(tw_shards_owner *owner, const char *name, uint64_t epoch) {
     owned *machine = find(owner, name);
-    if (machine && machine->epoch == epoch) machine->state = TW_SHARES_RELEASED;
+    if (machine && machine->epoch == epoch) machine->state = TW_SHARDS_RELEASED;
 }
 
-void tw_shares_owner_ended(tw_shares_owner *owner, const char *name, uint64_t epoch) {
+void tw_shards_owner_ended(tw_shards_owner *owner, const char *name, uint64_t epoch) {
     owned *machine = find(owner, name);
     if (!machine || machine->epoch != epoch || !machine->running) return;
     machine->running--;
-    if (machine->state == TW_SHARES_DRAINING && machine->followed && !machine->running)
-        emit(owner, TW_SHARES_OWNER_DRAINED, machine);
+    if (machine->state == TW_SHARDS_DRAINING && machine->followed && !machine->running)
+        emit(owner, TW_SHARDS_OWNER_DRAINED, machine);
 }
 
-void tw_shares_owner_tick(tw_shares_owner *owner, double now) {
+void tw_shards_owner_tick(tw_shards_owner *owner, double now) {
     owned *machine;
     owned *after;
     if (!owner->synced || now >= owner->synced_at + owner->retry_s) {
         owner->synced = 1;
         owner->synced_at = now;
-        emit(owner, TW_SHARES_OWNER_SYNC, NULL);
+        emit(owner, TW_SHARDS_OWNER_SYNC, NULL);
     }
     HASH_ITER(hh, owner->machines, machine, after) {
-        if (machine->state == TW_SHARES_DRAINING && machine->running && !machine->stopped &&
+        if (machine->state == TW_SHARDS_DRAINING && machine->running && !machine->stopped &&
             now >= machine->drain_until) {
             machine->stopped = 1;
-            emit(owner, TW_SHARES_OWNER_STOP, machine);
+            emit(owner, TW_SHARDS_OWNER_STOP, machine);
         }
-        if (machine->state == TW_SHARES_RELEASED) {
+        if (machine->state == TW_SHARDS_RELEASED) {
             if (now >= machine->said_at + FORGET_RETRIES * owner->retry_s) forget(owner, machine);
         } else if (now >= machine->said_at + owner->retry_s) {
             say(owner, now, machine);
--- a/src/shares/record.c
+++ b/src/shards/record.c
@@ -6,7 +6,7 @@
  *   shares/move/KEY     a move
  *
  * A parser returns 0, or -1 for a text that is none of these. */
-#include "shares/shares_int.h"
+#include "shards/shards_int.h"
 #include <cjson/cJSON.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -50,8 +50,8 @@
 
 static int read_name(const cJSON *object, const char *name, char *to) {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
-    if (!cJSON_IsString(item) || strlen(item->valuestring) >= TW_SHARES_NAME) return -1;
-    tw_shares_copy_name(to, item->valuestring);
+    if (!cJSON_IsString(item) || strlen(item->valuestring) >= TW_SHARDS_NAME) return -1;
+    tw_shards_copy_name(to, item->valuestring);
     return 0;
 }
 
@@ -61,9 +61,9 @@
 
 /* ---- ranges ---- */
 
-char *tw_shares_ranges(const roaring_bitmap_t *set) {
+char *tw_shards_ranges(const roaring_bitmap_t *set) {
     size_t size = 1;
-    char *text = tw_shares_alloc(size);
+    char *text = tw_shards_alloc(size);
     roaring_uint32_iterator_t each;
     roaring_init_iterator(set, &each);
     while (each.has_value) {
@@ -94,7 +94,7 @@
 }
 
 /* NULL: the text is none. */
-roaring_bitmap_t *tw_shares_ranges_parse(const char *text) {
+roaring_bitmap_t *tw_shards_ranges_parse(const char *text) {
     roaring_bitmap_t *set = roaring_bitmap_create();
     const char *at = text;
     while (*at) {
@@ -117,7 +117,7 @@
 
 /* ---- the table ---- */
 
-char *tw_shares_header_text(const header *header) {
+char *tw_shards_header_text(const header *header) {
     cJSON *object = cJSON_CreateObject();
     add_number(object, "revision", (double)header->revision);
     add_number(object, "epoch", (double)header->epoch);
@@ -144,7 +144,7 @@
                : 0;
 }
 
-int tw_shares_header_parse(header *header, const char *text) {
+int tw_shards_header_parse(header *header, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "shares");
     const cJSON *item;
@@ -154,7 +154,7 @@
     header->shares = NULL;
     header->nshares = 0;
     if (!failed) {
-        header->shares = tw_shares_alloc(sizeof *header->shares * (size_t)cJSON_GetArraySize(list));
+        header->shares = tw_shards_alloc(sizeof *header->shares * (size_t)cJSON_GetArraySize(list));
         cJSON_ArrayForEach(item, list) {
             failed = failed || read_share(item, &header->shares[header->nshares++]);
         }
@@ -182,9 +182,9 @@
 
 static void add_cells(cJSON *list, const cell *has, const roaring_bitmap_t *machines) {
     cJSON *item = cJSON_CreateObject();
-    char *ranges = tw_shares_ranges(machines);
+    char *ranges = tw_shards_ranges(machines);
     add_number(item, "share", has->share);
-    cJSON_AddStringToObject(item, "state", tw_shares_state_name(has->state));
+    cJSON_AddStringToObject(item, "state", tw_shards_state_name(has->state));
     add_number(item, "epoch", (double)has->epoch);
     if (has->move) add_number(item, "move", (double)has->move);
     cJSON_AddStringToObject(item, "machines", ranges);
@@ -192,7 +192,7 @@
     free(ranges);
 }
 
-char *tw_shares_cells_text(const tw_shares *shares, int block) {
+char *tw_shards_cells_text(const tw_shards *shares, int block) {
     const int first = block * BLOCK;
     const int end = first + BLOCK < shares->nmachines ? first + BLOCK : shares->nmachines;
     cJSON *object = cJSON_CreateObject();
@@ -200,7 +200,7 @@
     uint64_t listed = 0;
     for (int i = first; i < end; i++) {
         const cell *has = coming(shares->machines[i]);
-        if (has->state == TW_SHARES_ABSENT || (listed >> (i - first) & 1)) continue;
+        if (has->state == TW_SHARDS_ABSENT || (listed >> (i - first) & 1)) continue;
         roaring_bitmap_t *same = roaring_bitmap_create();
         for (int j = i; j < end; j++) {
             if (!alike(has, coming(shares->machines[j]))) continue;
@@ -213,17 +213,17 @@
     return finish(object);
 }
 
-static int read_state(const cJSON *item, tw_shares_state *state) {
-    char name[TW_SHARES_NAME];
+static int read_state(const cJSON *item, tw_shards_state *state) {
+    char name[TW_SHARDS_NAME];
     if (read_name(item, "state", name)) return -1;
-    for (int i = TW_SHARES_TAKEN; i <= TW_SHARES_RELEASED; i++) {
-        *state = (tw_shares_state)i;
-        if (!strcmp(name, tw_shares_state_name(*state))) return 0;
+    for (int i = TW_SHARDS_TAKEN; i <= TW_SHARDS_RELEASED; i++) {
+        *state = (tw_shards_state)i;
+        if (!strcmp(name, tw_shards_state_name(*state))) return 0;
     }
     return -1;
 }
 
-static int read_cell(const tw_shares *shares, const cJSON *item, cell *to) {
+static int read_cell(const tw_shards *shares, const cJSON *item, cell *to) {
     *to = (cell){0};
     if (read_int(item, "share", &to->share) || read_count(item, "epoch", &to->epoch)) return -1;
     if (to->share >= shares->header.nshares || read_state(item, &to->state)) return -1;
@@ -233,7 +233,7 @@
 }
 
 /* Sets the cells of the block's machines, which must have been named. */
-int tw_shares_cells_parse(tw_shares *shares, int block, const char *text) {
+int tw_shards_cells_parse(tw_shards *shares, int block, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "cells");
     const cJSON *item;
@@ -241,7 +241,7 @@
     cJSON_ArrayForEach(item, list) {
         const cJSON *ranges = cJSON_GetObjectItemCaseSensitive(item, "machines");
         roaring_bitmap_t *set =
-            cJSON_IsString(ranges) ? tw_shares_ranges_parse(ranges->valuestring) : NULL;
+            cJSON_IsString(ranges) ? tw_shards_ranges_parse(ranges->valuestring) : NULL;
         cell to;
         failed = failed || !set || read_cell(shares, item, &to);
         if (!failed) {
@@ -251,7 +251,7 @@
                 const int index = (int)each.current_value;
                 failed = index / BLOCK != block || index >= shares->nmachines ||
                          !shares->machines[index]->name[0];
-                if (!failed) tw_shares_set_cell(shares, shares->machines[index], to);
+                if (!failed) tw_shards_set_cell(shares, shares->machines[index], to);
             }
         }
         if (set) roaring_bitmap_free(set);
@@ -262,13 +262,13 @@
 
 /* ---- names ---- */
 
-char *tw_shares_names_text(const tw_shares *shares, int block) {
+char *tw_shards_names_text(const tw_shards *shares, int block) {
     const int first = block * BLOCK;
     const int end = first + BLOCK < shares->nmachines ? first + BLOCK : shares->nmachines;
     cJSON *object = cJSON_CreateObject();
     for (int i = first; i < end; i++) {
         const machine *each = shares->machines[i];
-        if (coming(each)->state == TW_SHARES_ABSENT) continue;
+        if (coming(each)->state == TW_SHARDS_ABSENT) continue;
         char index[RANGE_SIZE];
         snprintf(index, sizeof index, "%d", i);
         const char *const pair[] = {each->name, shares->zones[each->zone].name};
@@ -277,22 +277,22 @@
     return finish(object);
 }
 
-static int read_named(tw_shares *shares, int block, const cJSON *item) {
+static int read_named(tw_shards *shares, int block, const cJSON *item) {
     const cJSON *name = cJSON_GetArrayItem(item, 0);
     const cJSON *zone = cJSON_GetArrayItem(item, 1);
     const char *at = item->string;
     uint32_t index;
     if (read_index(&at, &index) || *at || (int)index / BLOCK != block) return -1;
-    if (!cJSON_IsString(name) || strlen(name->valuestring) >= TW_SHARES_NAME) return -1;
-    if (!cJSON_IsString(zone) || strlen(zone->valuestring) >= TW_SHARES_NAME) return -1;
-    if (!name->valuestring[0] || tw_shares_find(shares, name->valuestring)) return -1;
-    machine *slot = tw_shares_slot(shares, (int)index);
-    const int zone_index = tw_shares_zone_index(shares, zone->valuestring);
-    tw_shares_name_machine(shares, slot, name->valuestring, zone_index);
+    if (!cJSON_IsString(name) || strlen(name->valuestring) >= TW_SHARDS_NAME) return -1;
+    if (!cJSON_IsString(zone) || strlen(zone->valuestring) >= TW_SHARDS_NAME) return -1;
+    if (!name->valuestring[0] || tw_shards_find(shares, name->valuestring)) return -1;
+    machine *slot = tw_shards_slot(shares, (int)index);
+    const int zone_index = tw_shards_zone_index(shares, zone->valuestring);
+    tw_shards_name_machine(shares, slot, name->valuestring, zone_index);
     return 0;
 }
 
-int tw_shares_names_parse(tw_shares *shares, int block, const char *text) {
+int tw_shards_names_parse(tw_shards *shares, int block, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *item;
     int failed = !cJSON_IsObject(object);
@@ -303,7 +303,7 @@
 
 /* ---- moves ---- */
 
-char *tw_shares_move_text(const move_record *record) {
+char *tw_shards_move_text(const move_record *record) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "key", record->key);
     cJSON_AddStringToObject(object, "image", record->image);
@@ -323,7 +323,7 @@
     return finish(object);
 }
 
-int tw_shares_move_parse(move_record *record, const char *text) {
+int tw_shards_move_parse(move_record *record, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *only = cJSON_GetObjectItemCaseSensitive(object, "only");
     *record = (move_record){0};
--- a/src/shares/step.c
+++ b/src/shards/step.c
@@ -1,23 +1,23 @@
 /* The steps of moves. What is due follows from the records and from what owners have said since,
  * so a new leader goes on with a half-made move like the one that began it. */
-#include "shares/shares_int.h"
+#include "shards/shards_int.h"
 #include <stdlib.h>
 #include <utlist.h>
 
 /* Adds machines to a move whose record is in the transaction, as many as there is room for. */
-void tw_shares_mark(tw_shares *shares, move *marked, machine **chosen, int count) {
+void tw_shards_mark(tw_shards *shares, move *marked, machine **chosen, int count) {
     for (int i = 0; i < count; i++) {
-        if (!tw_shares_has_room(shares, chosen[i], CELLS, 3)) continue;
+        if (!tw_shards_has_room(shares, chosen[i], CELLS, 3)) continue;
         cell to = chosen[i]->cell;
-        to.state = TW_SHARES_DRAINING;
+        to.state = TW_SHARDS_DRAINING;
         to.move = marked->next.number;
-        tw_shares_change(shares, chosen[i], to);
+        tw_shards_change(shares, chosen[i], to);
         marked->next.marked++;
     }
 }
 
 /* Machines that the share can give without falling below its least size. */
-static int may_give(const tw_shares *shares, int index) {
+static int may_give(const tw_shards *shares, int index) {
     const share_sets *sets = &shares->sets[index];
     return (int)(roaring_bitmap_get_cardinality(sets->open) +
                  roaring_bitmap_get_cardinality(sets->taken)) -
@@ -26,43 +26,43 @@
 
 /* Machines that didn't fit into the transaction that began the move, or are gone since. Where no
  * more can be had, the move is content with those it has. */
-static void mark_more(tw_shares *shares, move *of) {
+static void mark_more(tw_shards *shares, move *of) {
     const int missing = of->next.wanted - of->next.marked;
     const int spare = may_give(shares, of->now.from);
     machine **chosen;
     if (missing <= 0 || of->next.cancelled) return;
     const int count =
-        tw_shares_choose(shares, &of->now, missing < spare ? missing : spare, &chosen);
+        tw_shards_choose(shares, &of->now, missing < spare ? missing : spare, &chosen);
     if (count)
-        tw_shares_mark(shares, of, chosen, count);
-    else if (!tw_shares_any_held_back(shares, of->now.from))
+        tw_shards_mark(shares, of, chosen, count);
+    else if (!tw_shards_any_held_back(shares, of->now.from))
         of->next.wanted = of->next.marked;
     free(chosen);
 }
 
 /* Whether the old owner is not to be waited for: it said that nothing runs there, or had its time.
  */
-static int drained(const tw_shares *shares, const move *of, const machine *machine) {
-    return machine->drained == tw_shares_epoch_of(shares, machine) ||
+static int drained(const tw_shards *shares, const move *of, const machine *machine) {
+    return machine->drained == tw_shards_epoch_of(shares, machine) ||
            shares->wall >= of->now.deadline + shares->settings.grace_s;
 }
 
 /* The cell after the machine's next step; returns 0 if none is due. */
-static int next_cell(tw_shares *shares, move *of, machine *machine, cell *to) {
+static int next_cell(tw_shards *shares, move *of, machine *machine, cell *to) {
     const int back = of->now.cancelled;
     *to = machine->cell;
     switch (machine->cell.state) {
-    case TW_SHARES_DRAINING:
+    case TW_SHARDS_DRAINING:
         if (!back && !drained(shares, of, machine)) return 0;
-        to->state = TW_SHARES_RELEASED;
+        to->state = TW_SHARDS_RELEASED;
         return 1;
-    case TW_SHARES_RELEASED:
-        to->state = TW_SHARES_TAKEN;
+    case TW_SHARDS_RELEASED:
+        to->state = TW_SHARDS_TAKEN;
         to->share = back ? of->now.from : of->now.to;
         return 1;
-    case TW_SHARES_TAKEN:
-        if (machine->opened != tw_shares_epoch_of(shares, machine)) return 0;
-        to->state = TW_SHARES_OPEN;
+    case TW_SHARDS_TAKEN:
+        if (machine->opened != tw_shards_epoch_of(shares, machine)) return 0;
+        to->state = TW_SHARDS_OPEN;
         to->epoch = machine->opened;
         to->move = 0;
         if (to->share == of->now.to)
@@ -75,61 +75,61 @@
     }
 }
 
-static void step_machine(tw_shares *shares, move *of, machine *machine) {
+static void step_machine(tw_shards *shares, move *of, machine *machine) {
     cell to;
     /* A machine that has not answered this leader may have taken later orders of an earlier one. */
-    if (!tw_shares_is_checked(shares, machine)) return;
-    if (machine->changing || !tw_shares_has_room(shares, machine, CELLS, 2)) return;
+    if (!tw_shards_is_checked(shares, machine)) return;
+    if (machine->changing || !tw_shards_has_room(shares, machine, CELLS, 2)) return;
     if (!next_cell(shares, of, machine, &to)) return;
-    if (to.state == TW_SHARES_TAKEN) {
-        header *next = tw_shares_change_header(shares);
+    if (to.state == TW_SHARDS_TAKEN) {
+        header *next = tw_shards_change_header(shares);
         if (next->epoch == shares->header.epoch) next->epoch++;
         to.epoch = next->epoch;
     }
-    tw_shares_change(shares, machine, to);
+    tw_shards_change(shares, machine, to);
 }
 
 static int differs(const move *of) {
     return of->next.wanted != of->now.wanted || of->next.marked != of->now.marked;
 }
 
-static int step_move(tw_shares *shares, move *of) {
+static int step_move(tw_shards *shares, move *of) {
     roaring_uint32_iterator_t each;
-    tw_shares_begin(shares);
-    tw_shares_change_move(shares, of);
+    tw_shards_begin(shares);
+    tw_shards_change_move(shares, of);
     roaring_init_iterator(of->machines, &each);
     for (; each.has_value; roaring_advance_uint32_iterator(&each))
         step_machine(shares, of, shares->machines[each.current_value]);
     mark_more(shares, of);
-    if ((shares->txn.nmachines || differs(of)) && !tw_shares_commit(shares)) return 1;
-    tw_shares_abandon(shares);
+    if ((shares->txn.nmachines || differs(of)) && !tw_shards_commit(shares)) return 1;
+    tw_shards_abandon(shares);
     return 0;
 }
 
 /* Machines that were opened without a move: new, restarted, or of a share that changed hands. */
-static int step_opened(tw_shares *shares) {
-    tw_shares_begin(shares);
+static int step_opened(tw_shards *shares) {
+    tw_shards_begin(shares);
     for (int i = 0; i < shares->nmachines; i++) {
         machine *each = shares->machines[i];
-        if (each->cell.state == TW_SHARES_ABSENT || each->cell.move || !each->opened) continue;
-        if (tw_shares_state_of(shares, each) != TW_SHARES_TAKEN) continue;
-        if (each->opened != tw_shares_epoch_of(shares, each)) continue;
-        if (!tw_shares_is_checked(shares, each)) continue;
-        if (!tw_shares_has_room(shares, each, CELLS, 0)) continue;
+        if (each->cell.state == TW_SHARDS_ABSENT || each->cell.move || !each->opened) continue;
+        if (tw_shards_state_of(shares, each) != TW_SHARDS_TAKEN) continue;
+        if (each->opened != tw_shards_epoch_of(shares, each)) continue;
+        if (!tw_shards_is_checked(shares, each)) continue;
+        if (!tw_shards_has_room(shares, each, CELLS, 0)) continue;
         cell to = each->cell;
-        to.state = TW_SHARES_OPEN;
+        to.state = TW_SHARDS_OPEN;
         to.epoch = each->opened;
-        tw_shares_change(shares, each, to);
+        tw_shards_change(shares, each, to);
     }
-    if (shares->txn.nmachines && !tw_shares_commit(shares)) return 1;
-    tw_shares_abandon(shares);
+    if (shares->txn.nmachines && !tw_shards_commit(shares)) return 1;
+    tw_shards_abandon(shares);
     return 0;
 }
 
 /* Whether the move may have a step to make now. */
 static int may_step(const move *of) { return !of->now.done; }
 
-int tw_shares_step_moves(tw_shares *shares) {
+int tw_shards_step_moves(tw_shards *shares) {
     move *each;
     DL_FOREACH2(shares->moves, each, link) {
         if (may_step(each) && step_move(shares, each)) return 1;
--- a/src/shares/table.c
+++ b/src/shards/table.c
@@ -1,18 +1,18 @@
 /* The table as it is recorded: machines by index and name, their sets by share, zone and image,
- * and moves. Whatever changes a cell goes through tw_shares_set_cell, which keeps the sets. */
-#include "shares/shares_int.h"
+ * and moves. Whatever changes a cell goes through tw_shards_set_cell, which keeps the sets. */
+#include "shards/shards_int.h"
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
 
 /* ---- names of states and verdicts ---- */
 
-const char *tw_shares_state_name(tw_shares_state state) {
+const char *tw_shards_state_name(tw_shards_state state) {
     static const char *const names[] = {"absent", "taken", "open", "draining", "released"};
     return names[state];
 }
 
-const char *tw_shares_verdict_name(tw_shares_verdict verdict) {
+const char *tw_shards_verdict_name(tw_shards_verdict verdict) {
     static const char *const names[] = {"ok",
                                         "not_leader",
                                         "stale_revision",
@@ -35,53 +35,53 @@
 
 /* ---- what holds for a machine ---- */
 
-uint64_t tw_shares_epoch_of(const tw_shares *shares, const machine *machine) {
+uint64_t tw_shards_epoch_of(const tw_shards *shares, const machine *machine) {
     const uint64_t of_share = shares->header.shares[machine->cell.share].epoch;
     return machine->cell.epoch > of_share ? machine->cell.epoch : of_share;
 }
 
 /* A share that changes hands costs one record: its open machines count as taken until the new
  * owner has opened each of them. */
-tw_shares_state tw_shares_state_of(const tw_shares *shares, const machine *machine) {
+tw_shards_state tw_shards_state_of(const tw_shards *shares, const machine *machine) {
     const cell *has = &machine->cell;
-    if (has->state == TW_SHARES_OPEN && has->epoch < shares->header.shares[has->share].epoch)
-        return TW_SHARES_TAKEN;
+    if (has->state == TW_SHARDS_OPEN && has->epoch < shares->header.shares[has->share].epoch)
+        return TW_SHARDS_TAKEN;
     return has->state;
 }
 
 /* The set that the machine is in by its state; NULL: none. */
-static roaring_bitmap_t *set_of(const tw_shares *shares, const machine *machine) {
-    const tw_shares_state state = tw_shares_state_of(shares, machine);
+static roaring_bitmap_t *set_of(const tw_shards *shares, const machine *machine) {
+    const tw_shards_state state = tw_shards_state_of(shares, machine);
     const share_sets *sets = &shares->sets[machine->cell.share];
     switch (state) {
-    case TW_SHARES_OPEN:
+    case TW_SHARDS_OPEN:
         return sets->open;
-    case TW_SHARES_TAKEN:
+    case TW_SHARDS_TAKEN:
         return sets->taken;
-    case TW_SHARES_DRAINING:
+    case TW_SHARDS_DRAINING:
         return sets->draining;
     default:
         return NULL;
     }
 }
 
-static void leave_sets(tw_shares *shares, const machine *machine) {
-    if (machine->cell.state == TW_SHARES_ABSENT) return;
+static void leave_sets(tw_shards *shares, const machine *machine) {
+    if (machine->cell.state == TW_SHARDS_ABSENT) return;
     roaring_bitmap_t *set = set_of(shares, machine);
     if (set) roaring_bitmap_remove(set, (uint32_t)machine->index);
 }
 
-static void enter_sets(tw_shares *shares, const machine *machine) {
-    if (machine->cell.state == TW_SHARES_ABSENT) return;
+static void enter_sets(tw_shards *shares, const machine *machine) {
+    if (machine->cell.state == TW_SHARDS_ABSENT) return;
     roaring_bitmap_t *set = set_of(shares, machine);
     if (set) roaring_bitmap_add(set, (uint32_t)machine->index);
 }
 
-void tw_shares_set_cell(tw_shares *shares, machine *machine, cell to) {
+void tw_shards_set_cell(tw_shards *shares, machine *machine, cell to) {
     const uint32_t index = (uint32_t)machine->index;
     if (machine->cell.move != to.move) {
-        move *from_move = tw_shares_move_by_number(shares, machine->cell.move);
-        move *to_move = tw_shares_move_by_number(shares, to.move);
+        move *from_move = tw_shards_move_by_number(shares, machine->cell.move);
+        move *to_move = tw_shards_move_by_number(shares, to.move);
         if (from_move) roaring_bitmap_remove(from_move->machines, index);
         if (to_move) roaring_bitmap_add(to_move->machines, index);
     }
@@ -92,13 +92,13 @@
 
 /* ---- machines ---- */
 
-machine *tw_shares_find(const tw_shares *shares, const char *name) {
+machine *tw_shards_find(const tw_shards *shares, const char *name) {
     machine *found;
     HASH_FIND_STR(shares->by_name, name, found);
     return found;
 }
 
-static void add_blocks(tw_shares *shares, int count) {
+static void add_blocks(tw_shards *shares, int count) {
     const size_t size = sizeof(uint64_t) * (size_t)count;
     uint64_t *cells = realloc(shares->cell_stamps, size);
     if (!cells) abort();
@@ -111,11 +111,11 @@
 }
 
 /* The machine of that index, made with all before it where it doesn't exist. */
-machine *tw_shares_slot(tw_shares *shares, int index) {
+machine *tw_shards_slot(tw_shards *shares, int index) {
     while (shares->nmachines <= index) {
-        shares->machines = tw_shares_grow(shares->machines, shares->nmachines,
+        shares->machines = tw_shards_grow(shares->machines, shares->nmachines,
                                           &shares->machines_room, sizeof(machine *));
-        machine *made = tw_shares_alloc(sizeof *made);
+        machine *made = tw_shards_alloc(sizeof *made);
         made->index = shares->nmachines;
         shares->machines[shares->nmachines++] = made;
     }
@@ -123,14 +123,14 @@
     return shares->machines[index];
 }
 
-void tw_shares_name_machine(tw_shares *shares, machine *machine, const char *name, int zone) {
-    tw_shares_copy_name(machine->name, name);
+void tw_shards_name_machine(tw_shards *shares, machine *machine, const char *name, int zone) {
+    tw_shards_copy_name(machine->name, name);
     machine->zone = zone;
     HASH_ADD_STR(shares->by_name, name, machine);
     roaring_bitmap_add(shares->zones[zone].machines, (uint32_t)machine->index);
 }
 
-void tw_shares_unname_machine(tw_shares *shares, machine *machine) {
+void tw_shards_unname_machine(tw_shards *shares, machine *machine) {
     const uint32_t index = (uint32_t)machine->index;
     HASH_DEL(shares->by_name, machine);
     roaring_bitmap_remove(shares->zones[machine->zone].machines, index);
@@ -154,23 +154,23 @@
     named_set *grown = realloc(*sets, sizeof *grown * (size_t)(*count + 1));
     if (!grown) abort();
     *sets = grown;
-    tw_shares_copy_name(grown[*count].name, name);
+    tw_shards_copy_name(grown[*count].name, name);
     grown[*count].machines = roaring_bitmap_create();
     return (*count)++;
 }
 
-int tw_shares_zone_index(tw_shares *shares, const char *name) {
+int tw_shards_zone_index(tw_shards *shares, const char *name) {
     const int found = find_set(shares->zones, shares->nzones, name);
     return found >= 0 ? found : add_set(&shares->zones, &shares->nzones, name);
 }
 
-named_set *tw_shares_find_image(const tw_shares *shares, const char *name) {
+named_set *tw_shards_find_image(const tw_shards *shares, const char *name) {
     const int found = find_set(shares->images, shares->nimages, name);
     return found < 0 ? NULL : &shares->images[found];
 }
 
-named_set *tw_shares_make_image(tw_shares *shares, const char *name) {
-    named_set *found = tw_shares_find_image(shares, name);
+named_set *tw_shards_make_image(tw_shards *shares, const char *name) {
+    named_set *found = tw_shards_find_image(shares, name);
     if (found) return found;
     const int added = add_set(&shares->images, &shares->nimages, name);
     return &shares->images[added];
@@ -178,14 +178,14 @@
 
 /* ---- shares ---- */
 
-int tw_shares_share_index(const tw_shares *shares, const char *name) {
+int tw_shards_share_index(const tw_shards *shares, const char *name) {
     for (int i = 0; i < shares->header.nshares; i++)
         if (!strcmp(shares->header.shares[i].name, name)) return i;
     return -1;
 }
 
 /* Takes over the other header's list of shares. */
-void tw_shares_set_header(tw_shares *shares, const header *to) {
+void tw_shards_set_header(tw_shards *shares, const header *to) {
     const int before = shares->header.nshares;
     for (int i = 0; i < shares->nmachines; i++) leave_sets(shares, shares->machines[i]);
     if (shares->header.shares != to->shares) free(shares->header.shares);
@@ -203,7 +203,7 @@
 
 /* ---- moves ---- */
 
-move *tw_shares_move_by_key(const tw_shares *shares, const char *key) {
+move *tw_shards_move_by_key(const tw_shards *shares, const char *key) {
     move *found;
     DL_FOREACH2(shares->moves, found, link) {
         if (!strcmp(found->now.key, key)) return found;
@@ -211,7 +211,7 @@
     return NULL;
 }
 
-move *tw_shares_move_by_number(const tw_shares *shares, uint64_t number) {
+move *tw_shards_move_by_number(const tw_shards *shares, uint64_t number) {
     move *found;
     if (!number) return NULL;
     DL_FOREACH2(shares->moves, found, link) {
@@ -224,28 +224,28 @@
     return (first->now.number > second->now.number) - (first->now.number < second->now.number);
 }
 
-void tw_shares_sort_moves(tw_shares *shares) { DL_SORT2(shares->moves, by_number, prev, link); }
+void tw_shards_sort_moves(tw_shards *shares) { DL_SORT2(shares->moves, by_number, prev, link); }
 
 /* Takes over the record's text. Machines that it holds are added as their cells are set. */
-move *tw_shares_add_move(tw_shares *shares, const move_record *record) {
-    move *added = tw_shares_alloc(sizeof *added);
+move *tw_shards_add_move(tw_shards *shares, const move_record *record) {
+    move *added = tw_shards_alloc(sizeof *added);
     added->now = *record;
     added->machines = roaring_bitmap_create();
     DL_APPEND2(shares->moves, added, prev, link);
-    tw_shares_sort_moves(shares);
+    tw_shards_sort_moves(shares);
     return added;
 }
 
-void tw_shares_drop_move(tw_shares *shares, move *dropped) {
+void tw_shards_drop_move(tw_shards *shares, move *dropped) {
     DL_DELETE2(shares->moves, dropped, prev, link);
     roaring_bitmap_free(dropped->machines);
     free(dropped->now.only);
     free(dropped);
 }
 
-tw_shares_progress tw_shares_progress_of(const tw_shares *shares, const move *move) {
+tw_shards_progress tw_shards_progress_of(const tw_shards *shares, const move *move) {
     const move_record *record = &move->now;
-    tw_shares_progress progress = {.done = record->done,
+    tw_shards_progress progress = {.done = record->done,
                                    .wanted = record->wanted,
                                    .moved = record->moved,
                                    .returned = record->returned,
@@ -253,10 +253,10 @@
     roaring_uint32_iterator_t each;
     roaring_init_iterator(move->machines, &each);
     for (; each.has_value; roaring_advance_uint32_iterator(&each)) {
-        const tw_shares_state state = shares->machines[each.current_value]->cell.state;
-        progress.draining += state == TW_SHARES_DRAINING;
-        progress.released += state == TW_SHARES_RELEASED;
-        progress.taken += state == TW_SHARES_TAKEN;
+        const tw_shards_state state = shares->machines[each.current_value]->cell.state;
+        progress.draining += state == TW_SHARDS_DRAINING;
+        progress.released += state == TW_SHARDS_RELEASED;
+        progress.taken += state == TW_SHARDS_TAKEN;
     }
     return progress;
 }
@@ -271,7 +271,7 @@
 }
 
 /* Forgets all that stands in records; hints of images and loads go with it. */
-void tw_shares_clear(tw_shares *shares) {
+void tw_shards_clear(tw_shards *shares) {
     move *each;
     move *after;
     HASH_CLEAR(hh, shares->by_name);
@@ -295,5 +295,5 @@
     shares->nblocks = 0;
     clear_named(&shares->zones, &shares->nzones);
     clear_named(&shares->images, &shares->nimages);
-    DL_FOREACH_SAFE2(shares->moves, each, after, link) tw_shares_drop_move(shares, each);
+    DL_FOREACH_SAFE2(shares->moves, each, after, link) tw_shards_drop_move(shares, each);
 }
--- a/src/shares/transaction.c
+++ b/src/shards/transaction.c
@@ -3,7 +3,7 @@
  * Every transaction is conditioned on the leader's key, so that a deposed leader's fails, and on
  * the revision of each record that it writes, so that one which is carried out late fails as soon
  * as anything newer was written. */
-#include "shares/shares_int.h"
+#include "shards/shards_int.h"
 #include "wire/wire.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -22,7 +22,7 @@
     int too_large;
 } body;
 
-void tw_shares_begin(tw_shares *shares) {
+void tw_shards_begin(tw_shards *shares) {
     transaction *txn = &shares->txn;
     txn->ops = 0;
     txn->nmachines = 0;
@@ -31,13 +31,13 @@
     txn->header_changed = 0;
     txn->removed_move = 0;
     txn->floor = shares->header.epoch;
-    txn->verdict = TW_SHARES_OK;
+    txn->verdict = TW_SHARDS_OK;
 }
 
 /* ---- what it changes ---- */
 
 /* Which records of a block it changes: CELLS, NAMES. */
-static int marks_of(const tw_shares *shares, int block) {
+static int marks_of(const tw_shards *shares, int block) {
     return block < shares->txn.marks_room ? shares->txn.marks[block] : 0;
 }
 
@@ -55,38 +55,38 @@
     txn->marks[block] |= (unsigned char)marks;
 }
 
-int tw_shares_has_room(const tw_shares *shares, const machine *machine, record_kinds records,
+int tw_shards_has_room(const tw_shards *shares, const machine *machine, record_kinds records,
                        int others) {
     const int marks = marks_of(shares, machine->index / BLOCK);
     const int more = (records & CELLS && !(marks & CELLS)) + (records & NAMES && !(marks & NAMES));
     return shares->txn.block_ops + more + others <= shares->settings.txn_ops;
 }
 
-void tw_shares_change(tw_shares *shares, machine *machine, cell to) {
+void tw_shards_change(tw_shards *shares, machine *machine, cell to) {
     transaction *txn = &shares->txn;
     txn->machines =
-        tw_shares_grow(txn->machines, txn->nmachines, &txn->machines_room, sizeof *txn->machines);
+        tw_shards_grow(txn->machines, txn->nmachines, &txn->machines_room, sizeof *txn->machines);
     txn->machines[txn->nmachines++] = machine->index;
-    const int named = machine->cell.state != TW_SHARES_ABSENT;
-    const int stays_named = to.state != TW_SHARES_ABSENT;
+    const int named = machine->cell.state != TW_SHARDS_ABSENT;
+    const int stays_named = to.state != TW_SHARDS_ABSENT;
     machine->next = to;
     machine->changing = 1;
     mark_block(txn, machine->index / BLOCK, CELLS | (named != stays_named ? NAMES : 0));
 }
 
-header *tw_shares_change_header(tw_shares *shares) {
+header *tw_shards_change_header(tw_shards *shares) {
     const header *now = &shares->header;
     header *next = &shares->next_header;
     if (shares->txn.header_changed) return next;
     *next = *now;
-    next->shares = tw_shares_alloc(sizeof *next->shares * ((size_t)now->nshares + 1));
+    next->shares = tw_shards_alloc(sizeof *next->shares * ((size_t)now->nshares + 1));
     if (now->nshares)
         memcpy(next->shares, now->shares, sizeof *next->shares * (size_t)now->nshares);
     shares->txn.header_changed = 1;
     return next;
 }
 
-move_record *tw_shares_change_move(tw_shares *shares, move *changed) {
+move_record *tw_shards_change_move(tw_shards *shares, move *changed) {
     (void)shares;
     if (!changed->changing) changed->next = changed->now;
     changed->changing = 1;
@@ -95,10 +95,10 @@
 
 /* ---- its text ---- */
 
-static void add_write(const tw_shares *shares, body *to, const char *key, uint64_t stamp,
+static void add_write(const tw_shards *shares, body *to, const char *key, uint64_t stamp,
                       char *data) {
     const int i = to->count++;
-    snprintf(to->keys[i], KEY_SIZE, "%s%s", TW_SHARES_PREFIX, key);
+    snprintf(to->keys[i], KEY_SIZE, "%s%s", TW_SHARDS_PREFIX, key);
     to->conditions[i + 1] = (tw_wire_compare){to->keys[i], stamp};
     to->writes[i] = (tw_wire_write){to->keys[i], data, 0};
     if (!data) return;
@@ -107,25 +107,25 @@
     if (length > shares->settings.value_bytes || to->bytes > MOST_BODY) to->too_large = 1;
 }
 
-static void add_blocks(const tw_shares *shares, body *to) {
+static void add_blocks(const tw_shards *shares, body *to) {
     char key[KEY_SIZE];
     for (int block = 0; block < shares->nblocks; block++) {
         const int marks = marks_of(shares, block);
         if (marks & CELLS) {
             snprintf(key, sizeof key, "cells/%04d", block);
             add_write(shares, to, key, shares->cell_stamps[block],
-                      tw_shares_cells_text(shares, block));
+                      tw_shards_cells_text(shares, block));
         }
         if (marks & NAMES) {
             snprintf(key, sizeof key, "names/%04d", block);
             add_write(shares, to, key, shares->name_stamps[block],
-                      tw_shares_names_text(shares, block));
+                      tw_shards_names_text(shares, block));
         }
     }
 }
 
 /* Whether the move is over once the transaction is applied. */
-static int over(const tw_shares *shares, const move *of) {
+static int over(const tw_shards *shares, const move *of) {
     const transaction *txn = &shares->txn;
     int held = (int)roaring_bitmap_get_cardinality(of->machines);
     for (int i = 0; i < txn->nmachines; i++) {
@@ -135,7 +135,7 @@
     return !held && (of->next.cancelled || of->next.marked >= of->next.wanted);
 }
 
-static void add_moves(tw_shares *shares, body *to) {
+static void add_moves(tw_shards *shares, body *to) {
     char key[KEY_SIZE];
     move *each;
     DL_FOREACH2(shares->moves, each, link) {
@@ -143,7 +143,7 @@
         char *text = NULL;
         if (each->changing) {
             each->next.done = over(shares, each);
-            text = tw_shares_move_text(&each->next);
+            text = tw_shards_move_text(&each->next);
         }
         snprintf(key, sizeof key, "move/%s", each->changing ? each->next.key : each->now.key);
         add_write(shares, to, key, each->stamp, text);
@@ -157,31 +157,31 @@
     free(to->keys);
 }
 
-static body body_of(tw_shares *shares) {
+static body body_of(tw_shards *shares) {
     body to = {.room = shares->settings.txn_ops + FINISHED_KEPT + 2 * shares->nblocks + 2};
     move *each;
     DL_FOREACH2(shares->moves, each, link) to.room += each->changing;
     const size_t room = (size_t)to.room;
-    to.conditions = tw_shares_alloc(sizeof *to.conditions * (room + 1));
-    to.writes = tw_shares_alloc(sizeof *to.writes * room);
-    to.keys = tw_shares_alloc(sizeof *to.keys * room);
+    to.conditions = tw_shards_alloc(sizeof *to.conditions * (room + 1));
+    to.writes = tw_shards_alloc(sizeof *to.writes * room);
+    to.keys = tw_shards_alloc(sizeof *to.keys * room);
     to.conditions[0] = (tw_wire_compare){shares->leader_key, shares->token};
     if (shares->txn.header_changed)
         add_write(shares, &to, "table", shares->header_stamp,
-                  tw_shares_header_text(&shares->next_header));
+                  tw_shards_header_text(&shares->next_header));
     add_moves(shares, &to);
     add_blocks(shares, &to);
     return to;
 }
 
-int tw_shares_commit(tw_shares *shares) {
+int tw_shards_commit(tw_shards *shares) {
     transaction *txn = &shares->txn;
     body to = body_of(shares);
     if (to.too_large || to.count > shares->settings.txn_ops) {
         free_body(&to);
         return -1;
     }
-    tw_shares_effect *effect = tw_shares_emit(shares, TW_SHARES_WRITE);
+    tw_shards_effect *effect = tw_shards_emit(shares, TW_SHARDS_WRITE);
     effect->text =
         tw_wire_txn_text(to.conditions, (size_t)to.count + 1, to.writes, (size_t)to.count);
     effect->ops = txn->ops = to.count;
@@ -194,7 +194,7 @@
 
 /* ---- its end ---- */
 
-static void settle_machines(tw_shares *shares, uint64_t revision) {
+static void settle_machines(tw_shards *shares, uint64_t revision) {
     const transaction *txn = &shares->txn;
     for (int block = 0; block < shares->nblocks; block++) {
         const int marks = marks_of(shares, block);
@@ -204,49 +204,49 @@
     for (int i = 0; i < txn->nmachines; i++) {
         machine *each = shares->machines[txn->machines[i]];
         each->changing = 0;
-        tw_shares_set_cell(shares, each, each->next);
-        if (each->cell.state == TW_SHARES_ABSENT)
-            tw_shares_unname_machine(shares, each);
+        tw_shards_set_cell(shares, each, each->next);
+        if (each->cell.state == TW_SHARDS_ABSENT)
+            tw_shards_unname_machine(shares, each);
         else
-            tw_shares_emit_tell(shares, each);
+            tw_shards_emit_tell(shares, each);
     }
 }
 
-static void settle_moves(tw_shares *shares, uint64_t revision) {
+static void settle_moves(tw_shards *shares, uint64_t revision) {
     move *each;
     move *after;
     DL_FOREACH_SAFE2(shares->moves, each, after, link) {
         if (each->now.number && each->now.number == shares->txn.removed_move) {
-            tw_shares_drop_move(shares, each);
+            tw_shards_drop_move(shares, each);
         } else if (each->changing) {
             each->now = each->next;
             each->changing = 0;
             each->stamp = revision;
         }
     }
-    tw_shares_sort_moves(shares);
+    tw_shards_sort_moves(shares);
 }
 
 /* Owners of shares that have just changed hands are told of all machines. */
-static void tell_new_owners(tw_shares *shares, const header *before) {
+static void tell_new_owners(tw_shards *shares, const header *before) {
     for (int i = 0; i < shares->nmachines; i++) {
         machine *each = shares->machines[i];
         const int of = each->cell.share;
-        if (each->cell.state == TW_SHARES_ABSENT || of >= before->nshares) continue;
+        if (each->cell.state == TW_SHARDS_ABSENT || of >= before->nshares) continue;
         if (shares->header.shares[of].epoch != before->shares[of].epoch)
-            tw_shares_emit_tell(shares, each);
+            tw_shards_emit_tell(shares, each);
     }
 }
 
-void tw_shares_apply(tw_shares *shares, uint64_t revision) {
+void tw_shards_apply(tw_shards *shares, uint64_t revision) {
     settle_moves(shares, revision);
     if (shares->txn.header_changed) {
         header before = shares->header;
-        before.shares = tw_shares_alloc(sizeof *before.shares * (size_t)before.nshares);
+        before.shares = tw_shards_alloc(sizeof *before.shares * (size_t)before.nshares);
         if (before.nshares)
             memcpy(before.shares, shares->header.shares,
                    sizeof *before.shares * (size_t)before.nshares);
-        tw_shares_set_header(shares, &shares->next_header);
+        tw_shards_set_header(shares, &shares->next_header);
         shares->next_header = (header){0};
         shares->header_stamp = revision;
         tell_new_owners(shares, &before);
@@ -258,14 +258,14 @@
 }
 
 /* Where nothing was sent: machines that were to be added lose their names again. */
-void tw_shares_abandon(tw_shares *shares) {
+void tw_shards_abandon(tw_shards *shares) {
     transaction *txn = &shares->txn;
     move *each;
     move *after;
     for (int i = 0; i < txn->nmachines; i++) {
         machine *changed = shares->machines[txn->machines[i]];
         changed->changing = 0;
-        if (changed->cell.state == TW_SHARES_ABSENT) tw_shares_unname_machine(shares, changed);
+        if (changed->cell.state == TW_SHARDS_ABSENT) tw_shards_unname_machine(shares, changed);
     }
     txn->nmachines = 0;
     if (txn->header_changed) free(shares->next_header.shares);
@@ -276,6 +276,6 @@
         each->changing = 0;
         if (each->now.number) continue;
         free(each->next.only); /* of a move that was to begin */
-        tw_shares_drop_move(shares, each);
+        tw_shards_drop_move(shares, each);
     }
 }
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -58,9 +58,9 @@
 
 void tw_standby_check_all(tw_standby *standby) {
     standby->checking_since = standby->now;
-    for (int i = 0; i < tw_shares_machines(standby->table); i++) {
-        const tw_shares_tell recorded = tw_shares_machine(standby->table, i);
-        if (recorded.state != TW_SHARES_ABSENT) ask(standby, make(standby, recorded.machine));
+    for (int i = 0; i < tw_shards_machines(standby->table); i++) {
+        const tw_shards_tell recorded = tw_shards_machine(standby->table, i);
+        if (recorded.state != TW_SHARDS_ABSENT) ask(standby, make(standby, recorded.machine));
     }
 }
 
@@ -73,7 +73,7 @@
 
 /* ---- registrations ---- */
 
-static registration *keep(tw_standby *standby, const tw_shares_request *request) {
+static registration *keep(tw_standby *standby, const tw_shards_request *request) {
     registration *kept = tw_standby_alloc(sizeof *kept);
     kept->request = *request;
     kept->request.machines = NULL;
@@ -86,15 +86,15 @@
 static void pass_to_table(tw_standby *standby, registration *kept, uint64_t life) {
     kept->passed = 1;
     kept->life = life;
-    tw_shares_request_in(standby->table, standby->now, &kept->request);
+    tw_shards_request_in(standby->table, standby->now, &kept->request);
 }
 
-int tw_standby_register(tw_standby *standby, const tw_shares_request *request) {
-    const int comes = request->kind == TW_SHARES_ADD || request->kind == TW_SHARES_RENEW;
+int tw_standby_register(tw_standby *standby, const tw_shards_request *request) {
+    const int comes = request->kind == TW_SHARDS_ADD || request->kind == TW_SHARDS_RENEW;
     if (!comes || !standby->leads || !request->machine[0]) return 0;
     registration *kept = keep(standby, request);
     /* A table that is being read takes the request up later; the machine is asked after that. */
-    if (tw_shares_deciding(standby->table))
+    if (tw_shards_deciding(standby->table))
         ask(standby, make(standby, request->machine));
     else
         pass_to_table(standby, kept, 0);
@@ -116,7 +116,7 @@
 
 /* A machine that has restarted, or lost what it had open, needs the next epoch. */
 static void renew(tw_standby *standby, checked *machine, uint64_t life) {
-    tw_shares_request request = {.kind = TW_SHARES_RENEW,
+    tw_shards_request request = {.kind = TW_SHARDS_RENEW,
                                  .id = OWN_REQUEST + ++standby->last_request};
     strcpy(request.machine, machine->name);
     machine->step = MACHINE_RENEWING;
@@ -124,8 +124,8 @@
 }
 
 static void take_floor(tw_standby *standby, const registration *answered,
-                       const tw_shares_effect *answer) {
-    if (answer->verdict == TW_SHARES_OK) {
+                       const tw_shards_effect *answer) {
+    if (answer->verdict == TW_SHARDS_OK) {
         checked *machine = make(standby, answered->request.machine);
         if (answered->life)
             start_machine(standby, machine, answered->life, answer->floor);
@@ -137,7 +137,7 @@
     if (refused && refused->step == MACHINE_RENEWING) ask(standby, refused);
 }
 
-int tw_standby_registered(tw_standby *standby, const tw_shares_effect *answer) {
+int tw_standby_registered(tw_standby *standby, const tw_shards_effect *answer) {
     registration *found;
     DL_FOREACH(standby->registrations, found) {
         if (found->passed && found->request.id == answer->id) break;
@@ -161,25 +161,25 @@
 static void accept(tw_standby *standby, checked *machine) {
     if (machine->announced)
         tw_standby_say(standby, "event=machine_confirmed machine=%s", machine->name);
-    tw_shares_checked(standby->table, standby->now, machine->name);
+    tw_shards_checked(standby->table, standby->now, machine->name);
     forget(standby, machine);
 }
 
-static void differs(tw_standby *standby, const tw_shares_tell *recorded,
+static void differs(tw_standby *standby, const tw_shards_tell *recorded,
                     const tw_standby_machine *answer) {
     standby->differences++;
     tw_standby_say(standby,
                    "event=machine_differed machine=%s recorded=%s epoch=%lu open=%lu started=%d",
-                   recorded->machine, tw_shares_state_name(recorded->state),
+                   recorded->machine, tw_shards_state_name(recorded->state),
                    (unsigned long)recorded->epoch, (unsigned long)answer->newest, answer->started);
 }
 
 /* Compares what the machine has open with its record. */
 static void compare_with_record(tw_standby *standby, checked *machine,
                                 const tw_standby_machine *answer) {
-    const tw_shares_tell recorded = tw_shares_machine_named(standby->table, machine->name);
-    const int was_open = recorded.state == TW_SHARES_OPEN || recorded.state == TW_SHARES_DRAINING;
-    if (recorded.state == TW_SHARES_ABSENT) {
+    const tw_shards_tell recorded = tw_shards_machine_named(standby->table, machine->name);
+    const int was_open = recorded.state == TW_SHARDS_OPEN || recorded.state == TW_SHARDS_DRAINING;
+    if (recorded.state == TW_SHARDS_ABSENT) {
         forget(standby, machine);
     } else if (answer->newest > recorded.epoch) {
         differs(standby, &recorded, answer);
@@ -219,7 +219,7 @@
     checked *machine = find(standby, name);
     /* While the table is read again there is nothing to compare with: the machine is asked again.
      */
-    const int readable = standby->leads && tw_shares_ready(standby->table);
+    const int readable = standby->leads && tw_shards_ready(standby->table);
     if (answer && machine && readable && term == standby->lease.token)
         take_answer(standby, machine, answer);
     tw_standby_step(standby);
@@ -241,12 +241,12 @@
 void tw_standby_check_tick(tw_standby *standby) {
     checked *each;
     checked *after;
-    if (!standby->leads || !tw_shares_ready(standby->table)) return;
+    if (!standby->leads || !tw_shards_ready(standby->table)) return;
     pass_overdue(standby);
     HASH_ITER(hh, standby->machines, each, after) {
         if (each->step == MACHINE_RENEWING || standby->now < each->next_at) continue;
-        const tw_shares_tell recorded = tw_shares_machine_named(standby->table, each->name);
-        if (recorded.state == TW_SHARES_ABSENT && !standby->registrations)
+        const tw_shards_tell recorded = tw_shards_machine_named(standby->table, each->name);
+        if (recorded.state == TW_SHARDS_ABSENT && !standby->registrations)
             forget(standby, each); /* it was removed meanwhile */
         else
             send_order(standby, each);
@@ -266,7 +266,7 @@
     HASH_ITER(hh, standby->machines, each, next_machine) { forget(standby, each); }
     DL_FOREACH_SAFE(standby->registrations, kept, next_kept) {
         /* those that the table has it refuses itself */
-        if (!kept->passed) tw_shares_request_in(standby->table, standby->now, &kept->request);
+        if (!kept->passed) tw_shards_request_in(standby->table, standby->now, &kept->request);
         DL_DELETE(standby->registrations, kept);
         free(kept);
     }
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -45,7 +45,7 @@
 
 void tw_standby_effect_free(tw_standby_effect *effect) {
     if (!effect) return;
-    tw_shares_effect_free(effect->table);
+    tw_shards_effect_free(effect->table);
     free(effect->body);
     free(effect);
 }
@@ -96,7 +96,7 @@
 
 static tw_standby_state state_of(const tw_standby *standby) {
     if (standby->leads)
-        return tw_shares_deciding(standby->table) ? TW_STANDBY_DECIDING : TW_STANDBY_CHECKING;
+        return tw_shards_deciding(standby->table) ? TW_STANDBY_DECIDING : TW_STANDBY_CHECKING;
     if (standby->lease.state == LEASE_GRANTING || standby->lease.state == LEASE_WRITING)
         return TW_STANDBY_FENCING;
     if (tw_standby_silent(standby)) return TW_STANDBY_SUSPECTING;
@@ -121,7 +121,7 @@
     standby->differences = 0;
     standby->successor[0] = 0;
     standby->heard_term = standby->lease.token;
-    tw_shares_lead(standby->table, standby->now, TW_STANDBY_KEY, standby->lease.token);
+    tw_shards_lead(standby->table, standby->now, TW_STANDBY_KEY, standby->lease.token);
 }
 
 static void forget_followers(tw_standby *standby) {
@@ -137,7 +137,7 @@
 static void end_term(tw_standby *standby) {
     tw_standby_say(standby, "event=leader_stepped_down");
     standby->leads = 0;
-    tw_shares_resign(standby->table);
+    tw_shards_resign(standby->table);
     tw_standby_check_clear(standby);
     tw_standby_log_clear(&standby->log);
     forget_followers(standby);
@@ -155,17 +155,17 @@
 /* Checking begins once the table is read, and ends when the machines have answered or their time is
  * over; those that have not are held back alone. */
 static void step_checking(tw_standby *standby) {
-    if (!standby->leads || !tw_shares_ready(standby->table)) return;
+    if (!standby->leads || !tw_shards_ready(standby->table)) return;
     if (!standby->began_checking) {
         standby->began_checking = 1;
         tw_standby_check_all(standby);
     }
-    if (tw_shares_deciding(standby->table) || !check_is_over(standby)) return;
+    if (tw_shards_deciding(standby->table) || !check_is_over(standby)) return;
     tw_standby_check_silent(standby);
     tw_standby_say(standby, "event=decisions_started term=%lu quarantined=%d differences=%ld",
-                   (unsigned long)standby->lease.token, tw_shares_unchecked(standby->table),
+                   (unsigned long)standby->lease.token, tw_shards_unchecked(standby->table),
                    standby->differences);
-    tw_shares_decide(standby->table, standby->now);
+    tw_shards_decide(standby->table, standby->now);
 }
 
 void tw_standby_refresh(tw_standby *standby, double now) {
@@ -174,7 +174,7 @@
     const int other_term = standby->leads && standby->heard_term != standby->lease.token;
     if (standby->leads && (!leads || other_term)) end_term(standby);
     if (leads && !standby->leads) begin_term(standby);
-    if (leads) tw_shares_authority(standby->table, standby->lease.authority_until);
+    if (leads) tw_shards_authority(standby->table, standby->lease.authority_until);
 }
 
 /* ---- lease ---- */
@@ -212,14 +212,14 @@
 
 void tw_standby_tick(tw_standby *standby, double now, double wall) {
     tw_standby_refresh(standby, now);
-    tw_shares_tick(standby->table, now, wall);
+    tw_shards_tick(standby->table, now, wall);
     tw_standby_check_tick(standby);
     tw_standby_step(standby);
 }
 
-static void answer_promotion(tw_standby *standby, uint64_t id, tw_shares_verdict verdict) {
-    tw_shares_effect *answer = tw_standby_alloc(sizeof *answer);
-    *answer = (tw_shares_effect){.kind = TW_SHARES_ANSWER, .id = id, .verdict = verdict};
+static void answer_promotion(tw_standby *standby, uint64_t id, tw_shards_verdict verdict) {
+    tw_shards_effect *answer = tw_standby_alloc(sizeof *answer);
+    *answer = (tw_shards_effect){.kind = TW_SHARDS_ANSWER, .id = id, .verdict = verdict};
     tw_standby_emit(standby, TW_STANDBY_ANSWER)->table = answer;
 }
 
@@ -228,7 +228,7 @@
 static void release_answered(tw_standby *standby, int status) {
     const int released = status == STATUS_OK || status == STATUS_ABSENT;
     if (!standby->promotion) return;
-    answer_promotion(standby, standby->promotion, released ? TW_SHARES_OK : TW_SHARES_NOT_LEADER);
+    answer_promotion(standby, standby->promotion, released ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER);
     standby->promotion = 0;
 }
 
@@ -249,15 +249,15 @@
     tw_standby_step(standby);
 }
 
-void tw_standby_request(tw_standby *standby, double now, const tw_shares_request *request) {
+void tw_standby_request(tw_standby *standby, double now, const tw_shards_request *request) {
     tw_standby_refresh(standby, now);
-    if (!tw_standby_register(standby, request)) tw_shares_request_in(standby->table, now, request);
+    if (!tw_standby_register(standby, request)) tw_shards_request_in(standby->table, now, request);
     tw_standby_step(standby);
 }
 
 int tw_standby_decides(tw_standby *standby, double now) {
     tw_standby_refresh(standby, now);
-    return standby->leads && tw_shares_deciding(standby->table);
+    return standby->leads && tw_shards_deciding(standby->table);
 }
 
 /* ---- planned handover ---- */
@@ -272,22 +272,22 @@
     note_state(standby);
 }
 
-static tw_shares_verdict judge_promotion(const tw_standby *standby, const char *node) {
+static tw_shards_verdict judge_promotion(const tw_standby *standby, const char *node) {
     const follower *found;
-    if (!standby->leads || !tw_shares_deciding(standby->table) || standby->promotion)
-        return TW_SHARES_NOT_LEADER;
-    if (!strcmp(node, standby->settings.name)) return TW_SHARES_OK;
+    if (!standby->leads || !tw_shards_deciding(standby->table) || standby->promotion)
+        return TW_SHARDS_NOT_LEADER;
+    if (!strcmp(node, standby->settings.name)) return TW_SHARDS_OK;
     HASH_FIND_STR(standby->followers, node, found);
-    if (!found) return TW_SHARES_UNKNOWN_NODE;
+    if (!found) return TW_SHARDS_UNKNOWN_NODE;
     if (standby->now > found->seen_at + standby->settings.lease_s * SUSPECT_RATIO)
-        return TW_SHARES_NOT_FOLLOWING;
-    return found->number == standby->view.number ? TW_SHARES_OK : TW_SHARES_BEHIND;
+        return TW_SHARDS_NOT_FOLLOWING;
+    return found->number == standby->view.number ? TW_SHARDS_OK : TW_SHARDS_BEHIND;
 }
 
 void tw_standby_promote(tw_standby *standby, double now, uint64_t id, const char *node) {
     tw_standby_refresh(standby, now);
-    const tw_shares_verdict verdict = judge_promotion(standby, node);
-    if (verdict != TW_SHARES_OK || !strcmp(node, standby->settings.name)) {
+    const tw_shards_verdict verdict = judge_promotion(standby, node);
+    if (verdict != TW_SHARDS_OK || !strcmp(node, standby->settings.name)) {
         answer_promotion(standby, id, verdict);
         return;
     }
@@ -320,7 +320,7 @@
                                .digest = standby->view.digest,
                                .lag = lags ? standby->active_number - standby->view.number : 0,
                                .held_back =
-                                   standby->leads ? tw_shares_unchecked(standby->table) : 0,
+                                   standby->leads ? tw_shards_unchecked(standby->table) : 0,
                                .records = (int)HASH_COUNT(standby->view.records),
                                .differences = standby->differences,
                                .snapshots = standby->snapshots,
@@ -329,7 +329,7 @@
 
 /* ---- begin and end ---- */
 
-tw_standby *tw_standby_new(const tw_standby_settings *settings, tw_shares *table, double now) {
+tw_standby *tw_standby_new(const tw_standby_settings *settings, tw_shards *table, double now) {
     tw_standby *standby = tw_standby_alloc(sizeof *standby);
     standby->settings = *settings;
     standby->table = table;
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -1,6 +1,6 @@
 /* Active and standby controllers: which one of several keeps the table of shares.
  *
- * A state machine around the table's (src/shares), inputs and time in, effects out; no I/O, clock
+ * A state machine around the table's (src/shards), inputs and time in, effects out; no I/O, clock
  * or global state. The active controller holds the leader's key of the state service by a lease and
  * feeds its records to the standbys as numbered changes. A standby that hears nothing suspects the
  * active one and polls the key; it decides nothing on suspicion. Once the state service has let the
@@ -12,7 +12,7 @@
  * docs/standby.md has the ways weighed, the proof and the sum of waits. Times are in seconds. */
 #ifndef TW_STANDBY_H
 #define TW_STANDBY_H
-#include "shares/shares.h"
+#include "shards/shards.h"
 #include "wire/wire.h"
 
 #define TW_STANDBY_ADDRESS 64
@@ -37,7 +37,7 @@
 
 typedef struct tw_standby tw_standby;
 /* The table is driven by the standby from now on; it still belongs to the caller. */
-tw_standby *tw_standby_new(const tw_standby_settings *settings, tw_shares *table, double now);
+tw_standby *tw_standby_new(const tw_standby_settings *settings, tw_shards *table, double now);
 void tw_standby_free(tw_standby *standby);
 
 /* ---- effects ---- */
@@ -57,9 +57,9 @@
     const char *method;
     char path[TW_STANDBY_PATH];
     char *body; /* CALL; NULL: none */
-    char machine[TW_SHARES_NAME];
+    char machine[TW_SHARDS_NAME];
     uint64_t term, life, floor; /* CHECK: term; START */
-    tw_shares_effect *table;    /* TELL, ANSWER */
+    tw_shards_effect *table;    /* TELL, ANSWER */
     char line[TW_STANDBY_LOG];  /* LOG_LINE: key=value */
     struct tw_standby_effect *next;
 } tw_standby_effect;
@@ -74,7 +74,7 @@
 void tw_standby_answered(tw_standby *standby, double now, uint64_t id, int status, const char *body,
                          size_t length);
 /* A client's request to the table. Refused at once where this node does not decide. */
-void tw_standby_request(tw_standby *standby, double now, const tw_shares_request *request);
+void tw_standby_request(tw_standby *standby, double now, const tw_shards_request *request);
 /* Hands over to a standby: OK is answered once the lease is given back. */
 void tw_standby_promote(tw_standby *standby, double now, uint64_t id, const char *node);
 /* Stops deciding and gives the lease back, as at an ordered end. */
@@ -121,7 +121,7 @@
     int count;
     int more;                       /* SNAPSHOT: further parts follow */
     char after[TW_WIRE_KEY_SIZE];   /* SNAPSHOT: the part begins after this key */
-    char successor[TW_SHARES_NAME]; /* DENIED: who is to be active next; "": whoever comes first */
+    char successor[TW_SHARDS_NAME]; /* DENIED: who is to be active next; "": whoever comes first */
 } tw_standby_message;
 void tw_standby_message_free(tw_standby_message *message);
 
@@ -153,7 +153,7 @@
 tw_standby_status tw_standby_status_of(tw_standby *standby, double now);
 
 typedef struct {
-    char name[TW_SHARES_NAME];
+    char name[TW_SHARDS_NAME];
     uint64_t lag;
     double silent_s;
 } tw_standby_follower;
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -29,7 +29,7 @@
 } lease_state;
 
 typedef struct {
-    char name[TW_SHARES_NAME], control[TW_STANDBY_ADDRESS]; /* of this node */
+    char name[TW_SHARDS_NAME], control[TW_STANDBY_ADDRESS]; /* of this node */
     double ttl_s;
     double poll_s;  /* between two reads of the key */
     double yield_s; /* from seeing the key absent to asking for a lease */
@@ -45,7 +45,7 @@
     int busy;
     double next_at; /* no call before it */
     /* as read last; "" and 0: nobody */
-    char leader_name[TW_SHARES_NAME], leader_control[TW_STANDBY_ADDRESS];
+    char leader_name[TW_SHARDS_NAME], leader_control[TW_STANDBY_ADDRESS];
     uint64_t leader_token;
 } lease;
 
@@ -111,7 +111,7 @@
 /* A machine on the way to being used under this term. */
 typedef enum { MACHINE_ASKED, MACHINE_RENEWING, MACHINE_STARTING } machine_step;
 typedef struct checked {
-    char name[TW_SHARES_NAME];
+    char name[TW_SHARDS_NAME];
     machine_step step;
     uint64_t life, floor; /* STARTING */
     int announced;        /* that it is held back was logged */
@@ -121,7 +121,7 @@
 
 /* A client's request for a machine whose life has to be asked for first. */
 typedef struct registration {
-    tw_shares_request request;
+    tw_shards_request request;
     int passed;    /* to the table */
     uint64_t life; /* of the machine when it was asked; 0: it did not answer */
     double since;
@@ -129,7 +129,7 @@
 } registration;
 
 typedef struct follower {
-    char name[TW_SHARES_NAME];
+    char name[TW_SHARDS_NAME];
     uint64_t number;
     double seen_at;
     UT_hash_handle hh;
@@ -137,7 +137,7 @@
 
 struct tw_standby {
     tw_standby_settings settings;
-    tw_shares *table;
+    tw_shards *table;
     double now;
     lease lease;
     tw_standby_state state;
@@ -146,7 +146,7 @@
     uint64_t heard_term;
     uint64_t active_number; /* of its last change */
     double lag_since;       /* 0: there is none */
-    char successor[TW_SHARES_NAME];
+    char successor[TW_SHARDS_NAME];
     view view, staged; /* staged: a snapshot that is not complete */
     tw_standby_position position;
     change_log log;
@@ -190,9 +190,9 @@
 /* Machines that have not answered under this term. */
 int tw_standby_check_waiting(const tw_standby *standby);
 /* Whether the request is about a machine whose life is asked for first. */
-int tw_standby_register(tw_standby *standby, const tw_shares_request *request);
+int tw_standby_register(tw_standby *standby, const tw_shards_request *request);
 /* An answer of the table to a registration of ours, or of a client: START follows. Returns whether
  * it was our own, of which no client hears. */
-int tw_standby_registered(tw_standby *standby, const tw_shares_effect *answer);
+int tw_standby_registered(tw_standby *standby, const tw_shards_effect *answer);
 
 #endif
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -21,8 +21,8 @@
 
 static void read_records(tw_standby *standby, const char *after) {
     char path[TW_STANDBY_PATH];
-    snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARES_PREFIX,
-             after[0] ? "&since=" : "", after, TW_SHARES_PAGE);
+    snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARDS_PREFIX,
+             after[0] ? "&since=" : "", after, TW_SHARDS_PAGE);
     if (!after[0]) tw_standby_view_clear(&standby->view);
     standby->read_call = tw_standby_call(standby, "GET", path, NULL);
 }
@@ -31,14 +31,14 @@
  * the condition of each write to it. */
 static void confirm_view(tw_standby *standby) {
     char path[TW_STANDBY_PATH];
-    snprintf(path, sizeof path, "/follow?starts=%s&since=%lu&holdMs=0", TW_SHARES_PREFIX,
+    snprintf(path, sizeof path, "/follow?starts=%s&since=%lu&holdMs=0", TW_SHARDS_PREFIX,
              (unsigned long)standby->view.ledger);
     standby->confirm_call = tw_standby_call(standby, "GET", path, NULL);
 }
 
 /* The table wants its records. A term's first reading is of the view that was followed; all later
  * ones follow from an unknown outcome and are of the state service. */
-static void begin_read(tw_standby *standby, const tw_shares_effect *effect) {
+static void begin_read(tw_standby *standby, const tw_shards_effect *effect) {
     standby->read_id = effect->id;
     const int first = !standby->term_reads++;
     if (first && standby->view.loaded)
@@ -71,7 +71,7 @@
         if (!more) renumber(standby);
     }
     tw_wire_entries_free(entries, count);
-    tw_shares_page(standby->table, standby->now, standby->read_id, good ? body : NULL, length);
+    tw_shards_page(standby->table, standby->now, standby->read_id, good ? body : NULL, length);
 }
 
 /* The view is the records' as of a revision not before the term: writes of earlier terms fail from
@@ -96,16 +96,16 @@
     tw_standby_say(standby, "event=view_confirmed revision=%lu changes=%d", (unsigned long)ledger,
                    count);
     char *list = tw_standby_view_list(&standby->view);
-    tw_shares_page(standby->table, standby->now, standby->read_id, list, strlen(list));
+    tw_shards_page(standby->table, standby->now, standby->read_id, list, strlen(list));
     free(list);
-    if (tw_shares_ready(standby->table)) return;
+    if (tw_shards_ready(standby->table)) return;
     tw_standby_say(standby, "event=view_unreadable");
     tw_standby_view_clear(&standby->view);
 }
 
 /* ---- writing ---- */
 
-static void begin_write(tw_standby *standby, tw_shares_effect *effect) {
+static void begin_write(tw_standby *standby, tw_shards_effect *effect) {
     standby->write_id = effect->id;
     free(standby->write_body);
     standby->write_body = strdup(effect->text);
@@ -113,11 +113,11 @@
     standby->write_call = tw_standby_call(standby, "POST", "/txn", effect->text);
 }
 
-static tw_shares_outcome outcome_of(int status) {
-    if (status == STATUS_OK) return TW_SHARES_APPLIED;
-    if (status == STATUS_CONFLICT || status == STATUS_BAD) return TW_SHARES_REFUSED;
-    return status == STATUS_TOO_MANY || status >= STATUS_FAILURE ? TW_SHARES_PUT_OFF
-                                                                 : TW_SHARES_UNKNOWN;
+static tw_shards_outcome outcome_of(int status) {
+    if (status == STATUS_OK) return TW_SHARDS_APPLIED;
+    if (status == STATUS_CONFLICT || status == STATUS_BAD) return TW_SHARDS_REFUSED;
+    return status == STATUS_TOO_MANY || status >= STATUS_FAILURE ? TW_SHARDS_PUT_OFF
+                                                                 : TW_SHARDS_UNKNOWN;
 }
 
 /* The next numbered change: what the transaction wrote. */
@@ -135,40 +135,40 @@
 
 void tw_standby_write_answered(tw_standby *standby, int status, const char *body, size_t length) {
     uint64_t revision = 0;
-    tw_shares_outcome outcome = outcome_of(status);
-    if (outcome == TW_SHARES_APPLIED && tw_wire_revision_parse(&revision, body, length))
-        outcome = TW_SHARES_UNKNOWN;
-    if (outcome == TW_SHARES_APPLIED) add_change(standby, revision);
-    tw_shares_written(standby->table, standby->now, standby->write_id, outcome, revision);
+    tw_shards_outcome outcome = outcome_of(status);
+    if (outcome == TW_SHARDS_APPLIED && tw_wire_revision_parse(&revision, body, length))
+        outcome = TW_SHARDS_UNKNOWN;
+    if (outcome == TW_SHARDS_APPLIED) add_change(standby, revision);
+    tw_shards_written(standby->table, standby->now, standby->write_id, outcome, revision);
 }
 
 /* ---- effects of the table ---- */
 
-static void pass_on(tw_standby *standby, tw_standby_effect_kind kind, tw_shares_effect *effect) {
+static void pass_on(tw_standby *standby, tw_standby_effect_kind kind, tw_shards_effect *effect) {
     tw_standby_emit(standby, kind)->table = effect;
 }
 
 /* Until nothing more follows. */
 void tw_standby_take_table(tw_standby *standby) {
-    tw_shares_effect *effect;
-    while ((effect = tw_shares_next(standby->table))) {
+    tw_shards_effect *effect;
+    while ((effect = tw_shards_next(standby->table))) {
         int kept = 0;
         switch (effect->kind) {
-        case TW_SHARES_READ:
+        case TW_SHARDS_READ:
             begin_read(standby, effect);
             break;
-        case TW_SHARES_WRITE:
+        case TW_SHARDS_WRITE:
             begin_write(standby, effect);
             break;
-        case TW_SHARES_TELL:
+        case TW_SHARDS_TELL:
             pass_on(standby, TW_STANDBY_TELL, effect);
             kept = 1;
             break;
-        case TW_SHARES_ANSWER:
+        case TW_SHARDS_ANSWER:
             kept = !tw_standby_registered(standby, effect);
             if (kept) pass_on(standby, TW_STANDBY_ANSWER, effect);
             break;
         }
-        if (!kept) tw_shares_effect_free(effect);
+        if (!kept) tw_shards_effect_free(effect);
     }
 }
--- a/tests/daemon/lib.sh
+++ b/tests/daemon/lib.sh
@@ -15,7 +15,7 @@
 # The stand-ins, on ports that are free.
 for try in 1 2 3 4 5; do
   port=$((21000 + ($$ * 97 + try * 211) % 9000))
-  "$build/emu/tw_emu" "$port" "$replicas" "${emu_seconds:-240}" & pids[emu]=$!
+  "$build/emulator/tw_emulator" "$port" "$replicas" "${emu_seconds:-240}" & pids[emu]=$!
   sleep 0.3
   kill -0 "${pids[emu]}" 2>/dev/null && break
 done
--- a/tests/route/properties.cpp
+++ b/tests/router/properties.cpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 extern "C" {
-#include "route/route.h"
+#include "router/router.h"
 }
 
 namespace {
@@ -51,7 +51,7 @@
 
 std::string replica_name(int number) { return "r" + std::to_string(number % replica_count); }
 
-void take_send(history &seen, const tw_route_effect *effect) {
+void take_send(history &seen, const tw_router_effect *effect) {
     RC_ASSERT(seen.answers[effect->request] == 0);
     RC_ASSERT(seen.parts_of.count(effect->request) == 0U);
     RC_ASSERT(effect->epoch != 0);
@@ -61,66 +61,66 @@
     seen.sent.push_back({effect->request, effect->attempt, effect->replica, false});
 }
 
-void take_answer(history &seen, const tw_route_effect *effect) {
+void take_answer(history &seen, const tw_router_effect *effect) {
     seen.answers[effect->request]++;
     RC_ASSERT(seen.answers[effect->request] == 1);
-    RC_ASSERT(effect->status == TW_ROUTE_OK || effect->retry_after_s >= 1);
+    RC_ASSERT(effect->status == TW_ROUTER_OK || effect->retry_after_s >= 1);
 }
 
-void take_effects(history &seen, tw_route *route) {
-    while (tw_route_effect *effect = tw_route_next(route)) {
-        const tw_route_effect taken = *effect;
+void take_effects(history &seen, tw_router *route) {
+    while (tw_router_effect *effect = tw_router_next(route)) {
+        const tw_router_effect taken = *effect;
         std::free(effect);
-        RC_ASSERT(taken.kind == TW_ROUTE_SEND || taken.request != seen.stale);
+        RC_ASSERT(taken.kind == TW_ROUTER_SEND || taken.request != seen.stale);
         switch (taken.kind) {
-        case TW_ROUTE_SEND:
+        case TW_ROUTER_SEND:
             take_send(seen, &taken);
             break;
-        case TW_ROUTE_PART:
+        case TW_ROUTER_PART:
             RC_ASSERT(seen.answers[taken.request] == 0);
             RC_ASSERT(seen.parts_of.count(taken.request) == 0U ||
                       seen.parts_of[taken.request] == taken.attempt);
             seen.parts_of[taken.request] = taken.attempt;
             break;
-        case TW_ROUTE_ANSWER:
+        case TW_ROUTER_ANSWER:
             take_answer(seen, &taken);
             break;
-        case TW_ROUTE_CANCEL:
+        case TW_ROUTER_CANCEL:
             break;
         }
     }
 }
 
 /// An attempt ends, or speaks once more though it has ended before (a late answer).
-void end_attempt(history &seen, tw_route *route, const step &drawn, tw_route_end end) {
+void end_attempt(history &seen, tw_router *route, const step &drawn, tw_router_end end) {
     if (seen.sent.empty()) return;
     const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
     if (about.number != seen.latest[about.request]) seen.stale = about.request;
-    tw_route_ended(route, seen.now, about.request, about.number, end);
+    tw_router_ended(route, seen.now, about.request, about.number, end);
 }
 
-void send_part(history &seen, tw_route *route, const step &drawn) {
+void send_part(history &seen, tw_router *route, const step &drawn) {
     if (seen.sent.empty()) return;
     const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
     if (about.number != seen.latest[about.request]) seen.stale = about.request;
-    tw_route_part(route, seen.now, about.request, about.number);
+    tw_router_part(route, seen.now, about.request, about.number);
 }
 
-void change_replica(history &seen, tw_route *route, const step &drawn) {
+void change_replica(history &seen, tw_router *route, const step &drawn) {
     const std::string name = replica_name(drawn.which);
     seen.epochs[name] = drawn.other % 3 == 0 ? 0 : static_cast<uint64_t>(drawn.other);
-    tw_route_replica(route, seen.now, name.c_str(), seen.epochs[name], slots, 1);
+    tw_router_replica(route, seen.now, name.c_str(), seen.epochs[name], slots, 1);
 }
 
-void make_request(history &seen, tw_route *route, const step &drawn) {
+void make_request(history &seen, tw_router *route, const step &drawn) {
     seen.answers[++seen.last_request] = 0;
     const char *team = drawn.which % 2 == 0 ? "front" : "letters";
-    tw_route_request(route, seen.now, seen.last_request, team, seen.now + deadline_s);
+    tw_router_request(route, seen.now, seen.last_request, team, seen.now + deadline_s);
 }
 
-void play(history &seen, tw_route *route, const step &drawn) {
-    static const tw_route_end ends[] = {TW_ROUTE_DONE, TW_ROUTE_REFUSED, TW_ROUTE_BROKEN,
-                                        TW_ROUTE_LOST};
+void play(history &seen, tw_router *route, const step &drawn) {
+    static const tw_router_end ends[] = {TW_ROUTER_DONE, TW_ROUTER_REFUSED, TW_ROUTER_BROKEN,
+                                         TW_ROUTER_LOST};
     switch (drawn.kind) {
     case 0:
     case 1:
@@ -135,35 +135,35 @@
         break;
     case 5:
         seen.now += step_s;
-        tw_route_tick(route, seen.now);
+        tw_router_tick(route, seen.now);
         break;
     default:
         end_attempt(seen, route, drawn, ends[drawn.other % 4]);
     }
     take_effects(seen, route);
     seen.stale = 0;
-    RC_ASSERT(tw_route_waiting(route) <= 2 * (most_waiting + replica_count * slots));
+    RC_ASSERT(tw_router_waiting(route) <= 2 * (most_waiting + replica_count * slots));
 }
 
-tw_route *new_route() {
-    const tw_route_settings settings = {most_waiting, most_attempts, 0.5, 4, 0.25};
-    return tw_route_new(&settings);
+tw_router *new_route() {
+    const tw_router_settings settings = {most_waiting, most_attempts, 0.5, 4, 0.25};
+    return tw_router_new(&settings);
 }
 
 void check_history(const std::vector<step> &steps) {
     history seen;
-    tw_route *route = new_route();
+    tw_router *route = new_route();
     for (int i = 0; i < replica_count; i++) {
         seen.epochs[replica_name(i)] = 1;
-        tw_route_replica(route, 0, replica_name(i).c_str(), 1, slots, 1);
+        tw_router_replica(route, 0, replica_name(i).c_str(), 1, slots, 1);
     }
     for (const step &drawn : steps) play(seen, route, drawn);
     seen.now += 2 * deadline_s;
-    tw_route_tick(route, seen.now);
+    tw_router_tick(route, seen.now);
     take_effects(seen, route);
     for (const auto &each : seen.answers) RC_ASSERT(each.second == 1);
-    RC_ASSERT(tw_route_open(route) == 0);
-    tw_route_free(route);
+    RC_ASSERT(tw_router_open(route) == 0);
+    tw_router_free(route);
 }
 
 /// With one slot and both teams waiting, the team with three times the share is sent three times as
@@ -171,66 +171,66 @@
 void check_shares() {
     constexpr unsigned share = 3;
     constexpr unsigned rounds = 8;
-    const tw_route_settings settings = {static_cast<int>(rounds * (share + 1)), 1, 0, 0, 0.25};
-    tw_route *route = tw_route_new(&settings);
+    const tw_router_settings settings = {static_cast<int>(rounds * (share + 1)), 1, 0, 0, 0.25};
+    tw_router *route = tw_router_new(&settings);
     const uint64_t most = uint64_t{2} * rounds * (share + 1);
     unsigned front = 0;
-    tw_route_team(route, "front", share);
+    tw_router_team(route, "front", share);
     for (uint64_t number = 1; number <= most; number++)
-        tw_route_request(route, 0, number, number % 2 == 0 ? "front" : "letters", deadline_s);
-    tw_route_replica(route, 0, "r0", 1, 1, 1);
+        tw_router_request(route, 0, number, number % 2 == 0 ? "front" : "letters", deadline_s);
+    tw_router_replica(route, 0, "r0", 1, 1, 1);
     for (unsigned i = 0; i < rounds * (share + 1); i++) {
-        tw_route_effect *effect = tw_route_next(route);
-        while (effect != nullptr && effect->kind != TW_ROUTE_SEND) {
+        tw_router_effect *effect = tw_router_next(route);
+        while (effect != nullptr && effect->kind != TW_ROUTER_SEND) {
             std::free(effect);
-            effect = tw_route_next(route);
+            effect = tw_router_next(route);
         }
         RC_ASSERT(effect != nullptr);
         front += effect->request % 2 == 0;
-        tw_route_ended(route, 0, effect->request, effect->attempt, TW_ROUTE_DONE);
+        tw_router_ended(route, 0, effect->request, effect->attempt, TW_ROUTER_DONE);
         std::free(effect);
     }
     RC_ASSERT(front >= rounds * share - 1 && front <= rounds * share + 1);
-    tw_route_free(route);
+    tw_router_free(route);
 }
 
 /// Past its room a team is refused at once, with the time to come back; a request that is retried
 /// goes before those that came after it.
 void check_queue() {
-    tw_route *route = new_route();
+    tw_router *route = new_route();
     for (uint64_t number = 1; number <= most_waiting + 1U; number++)
-        tw_route_request(route, 0, number, "front", deadline_s);
-    tw_route_effect *refused = tw_route_next(route);
-    RC_ASSERT(refused != nullptr && refused->kind == TW_ROUTE_ANSWER);
+        tw_router_request(route, 0, number, "front", deadline_s);
+    tw_router_effect *refused = tw_router_next(route);
+    RC_ASSERT(refused != nullptr && refused->kind == TW_ROUTER_ANSWER);
     RC_ASSERT(refused->request == most_waiting + 1U);
-    RC_ASSERT(refused->status == TW_ROUTE_FULL && refused->retry_after_s >= 1);
+    RC_ASSERT(refused->status == TW_ROUTER_FULL && refused->retry_after_s >= 1);
     std::free(refused);
-    tw_route_replica(route, 0, "r0", 1, 1, 1);
-    std::free(tw_route_next(route));
-    tw_route_ended(route, 0, 1, 1, TW_ROUTE_REFUSED);
-    tw_route_effect *again = tw_route_next(route);
-    RC_ASSERT(again != nullptr && again->kind == TW_ROUTE_SEND);
+    tw_router_replica(route, 0, "r0", 1, 1, 1);
+    std::free(tw_router_next(route));
+    tw_router_ended(route, 0, 1, 1, TW_ROUTER_REFUSED);
+    tw_router_effect *again = tw_router_next(route);
+    RC_ASSERT(again != nullptr && again->kind == TW_ROUTER_SEND);
     RC_ASSERT(again->request == 1 && again->attempt == 2);
     std::free(again);
-    tw_route_free(route);
+    tw_router_free(route);
 }
 
 /// The slowest replica that meets the deadline; where none does, the fastest.
 void check_pick() {
-    tw_route *route = new_route();
-    tw_route_replica(route, 0, "fast", 1, 1, 1);
-    tw_route_replica(route, 0, "slow", 1, 1, 3);
-    tw_route_replica(route, 0, "slowest", 1, 1, 9);
-    tw_route_request(route, 0, 1, "front", 4);
-    tw_route_request(route, 0, 2, "front", 0.5);
+    tw_router *route = new_route();
+    tw_router_replica(route, 0, "fast", 1, 1, 1);
+    tw_router_replica(route, 0, "slow", 1, 1, 3);
+    tw_router_replica(route, 0, "slowest", 1, 1, 9);
+    tw_router_request(route, 0, 1, "front", 4);
+    tw_router_request(route, 0, 2, "front", 0.5);
     const char *const expected[] = {"slow", "fast"};
     for (const char *name : expected) {
-        tw_route_effect *effect = tw_route_next(route);
+        tw_router_effect *effect = tw_router_next(route);
         RC_ASSERT(effect != nullptr);
         RC_ASSERT(std::string(effect->replica) == name);
         std::free(effect);
     }
-    tw_route_free(route);
+    tw_router_free(route);
 }
 
 } // namespace
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -74,14 +74,14 @@
     uint64_t session;
 };
 
-static tw_sim_world world;
+static tw_simulator_world world;
 static tw_net *net;
 static tw_loopback_nodes nodes;
 static int base_port;
 static enum step step;
 static int user_waits; /* a user's request has no answer yet */
 static double started_at;
-static char killed_leader[TW_SIM_NAME];
+static char killed_leader[TW_SIMULATOR_NAME];
 static struct sent_call calls[MAX_CALLS];
 static uint64_t call_count;
 
@@ -111,12 +111,12 @@
     (void)len;
     world.now = now();
     if (port == PORT_STATE)
-        status = tw_sim_state_request(&world.state, world.now, method, path, body, &answer);
+        status = tw_simulator_state_request(&world.state, world.now, method, path, body, &answer);
     else if (port == PORT_CLOUD)
-        status = tw_sim_cloud_request(&world, method, path, body, &answer);
+        status = tw_simulator_cloud_request(&world, method, path, body, &answer);
     else
-        status = tw_sim_worker_request(&world, world.workers[port - PORT_WORKER], method, path,
-                                       body, &answer);
+        status = tw_simulator_worker_request(&world, world.workers[port - PORT_WORKER], method,
+                                             path, body, &answer);
     tw_net_reply(net, conn, status, 0, answer, strlen(answer));
     free(answer);
 }
@@ -137,13 +137,14 @@
 }
 
 /* The leader by its key in the state service; empty: there is none. */
-static void read_leader(char name[TW_SIM_NAME]) {
+static void read_leader(char name[TW_SIMULATOR_NAME]) {
     char *answer = NULL;
     *name = 0;
-    if (tw_sim_state_request(&world.state, world.now, "GET", "/kv/leader", "", &answer) == 200) {
+    if (tw_simulator_state_request(&world.state, world.now, "GET", "/kv/leader", "", &answer) ==
+        200) {
         cJSON *key = cJSON_Parse(answer);
         const cJSON *node = cJSON_GetObjectItem(cJSON_GetObjectItem(key, "data"), "node");
-        if (cJSON_IsString(node)) snprintf(name, TW_SIM_NAME, "%s", node->valuestring);
+        if (cJSON_IsString(node)) snprintf(name, TW_SIMULATOR_NAME, "%s", node->valuestring);
         cJSON_Delete(key);
     }
     free(answer);
@@ -177,9 +178,9 @@
         if (is_awaited(status, body)) step++;
         return;
     }
-    tw_sim_worker *worker = world.workers[call->worker];
+    tw_simulator_worker *worker = world.workers[call->worker];
     worker->in_flight = 0;
-    tw_sim_worker_answer(&world, worker, call->sent, call->session, status, body);
+    tw_simulator_worker_answer(&world, worker, call->sent, call->session, status, body);
 }
 
 /* The index of a node by its name; -1: none of them. */
@@ -200,11 +201,11 @@
 static void run_service(int node) {
     static int submissions;
     if (submissions++ < SERVICE_SUBMISSIONS) ask_as_user(node, "POST", "/v1/jobs", service_text);
-    if (tw_sim_job_running(&world, SERVICE_ID) == SERVICE_REPLICAS) kill_leader();
+    if (tw_simulator_job_running(&world, SERVICE_ID) == SERVICE_REPLICAS) kill_leader();
 }
 
 static void await_new_leader(void) {
-    char name[TW_SIM_NAME];
+    char name[TW_SIMULATOR_NAME];
     read_leader(name);
     if (*name && strcmp(name, killed_leader) != 0) step++;
 }
@@ -239,18 +240,18 @@
         ask_as_user(node, "POST", "/v1/jobs/" SERVICE_ID "/abort", "{}");
         break;
     case STEP_GONE:
-        if (tw_sim_job_running(&world, SERVICE_ID) == 0) step++;
+        if (tw_simulator_job_running(&world, SERVICE_ID) == 0) step++;
         break;
     case STEP_END: {
-        const tw_sim_job *service = tw_sim_job_find(&world, SERVICE_ID);
+        const tw_simulator_job *service = tw_simulator_job_find(&world, SERVICE_ID);
         finish(service->started == SERVICE_REPLICAS ? NULL : "a replica was started again");
     }
     }
 }
 
 static void send_report(int index) {
-    tw_sim_worker *worker = world.workers[index];
-    char *body = tw_sim_worker_report(&world, worker);
+    tw_simulator_worker *worker = world.workers[index];
+    char *body = tw_simulator_worker_report(&world, worker);
     struct sent_call *call = call_node(worker->node, "POST", "/hello", body, REPORT_TIMEOUT_S);
     free(body);
     call->worker = index;
@@ -269,10 +270,10 @@
     (void)events;
     world.now = now();
     if (world.now > LIMIT_S) finish("no progress");
-    tw_sim_gangs_tick(&world);
+    tw_simulator_gangs_tick(&world);
     for (int i = 0; i < world.nworkers; i++) {
-        tw_sim_worker_tick(&world, world.workers[i]);
-        if (tw_sim_worker_due(&world, world.workers[i])) send_report(i);
+        tw_simulator_worker_tick(&world, world.workers[i]);
+        if (tw_simulator_worker_due(&world, world.workers[i])) send_report(i);
     }
     if (*world.rule) finish(world.detail);
     if (!user_waits && world.now >= next_act) {
@@ -283,20 +284,20 @@
 
 static void add_job(const char *id, const char *text, int tasks) {
     const char *why;
-    tw_sim_job *job = tw_sim_job_new(&world, id);
+    tw_simulator_job *job = tw_simulator_job_new(&world, id);
     if (tw_wire_job_parse(&job->spec, text, strlen(text), &why)) finish(why);
     job->run_s = 0.5;
     job->submitted = 1;
-    job->done = tw_sim_zeroed((size_t)tasks);
+    job->done = tw_simulator_zeroed((size_t)tasks);
 }
 
 static void init_world(void) {
-    tw_sim_world_init(&world);
+    tw_simulator_world_init(&world);
     world.report_s = REPORT_S;
     world.lease_s = LEASE_S;
     world.nnodes = NODES;
     for (int node = 0; node < NODES; node++)
-        snprintf(world.nodes[node], TW_SIM_NAME, "tray-%d", node);
+        snprintf(world.nodes[node], TW_SIMULATOR_NAME, "tray-%d", node);
     world.ntypes = 1;
     world.types[0] = (tw_wire_machine_type){.name = "cpu",
                                             .cores = 4,
@@ -333,7 +334,7 @@
 
 static void rent_workers(void) {
     for (int i = 0; i < WORKERS; i++) {
-        tw_sim_worker *worker = tw_sim_rent(&world, 0, i ? "b" : "a", 0, 0);
+        tw_simulator_worker *worker = tw_simulator_rent(&world, 0, i ? "b" : "a", 0, 0);
         snprintf(worker->endpoint, sizeof worker->endpoint, "127.0.0.1:%d",
                  base_port + STAND_IN_PORTS + PORT_WORKER + i);
     }
--- a/tests/runner/search_test.c
+++ b/tests/runner/fuzz_test.c
@@ -1,7 +1,7 @@
 /* The search for days that break a rule: a seed gives one day, on any machine; what it draws is of
  * the language; shrinking keeps the rule broken; a play in a process of its own is the same play.
  */
-#include "search/search.h"
+#include "fuzz/fuzz.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -22,7 +22,7 @@
     failures++;
 }
 
-static uint64_t digest_of(const tw_search_day *day, uint64_t digest) {
+static uint64_t digest_of(const tw_fuzz_day *day, uint64_t digest) {
     for (size_t i = 0; i < day->count; i++)
         for (const char *at = day->lines[i]; *at; at++)
             digest = (digest ^ (unsigned char)*at) * HASH_PRIME;
@@ -33,14 +33,14 @@
     uint64_t digest = HASH_START;
     char error[256];
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
-        tw_search_day day = {0};
-        tw_search_draw(seed, &day);
+        tw_fuzz_day day = {0};
+        tw_fuzz_draw(seed, &day);
         digest = digest_of(&day, digest);
-        tw_sim *sim = tw_sim_new(NULL);
+        tw_simulator *sim = tw_simulator_new(NULL);
         for (size_t i = 0; i < day.count; i++)
-            check(!tw_sim_line(sim, day.lines[i], error, sizeof error), error);
-        tw_sim_free(sim);
-        tw_search_day_free(&day);
+            check(!tw_simulator_line(sim, day.lines[i], error, sizeof error), error);
+        tw_simulator_free(sim);
+        tw_fuzz_day_free(&day);
     }
     if (digest != DRAWN_DIGEST) printf("drawn digest %lluu\n", (unsigned long long)digest);
     check(digest == DRAWN_DIGEST, "the seeds draw other days than they did");
@@ -52,38 +52,38 @@
     char error[256];
     int upgrades = 0;
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
-        tw_search_day day = {0};
+        tw_fuzz_day day = {0};
         int old = 0, upgraded = 0;
-        tw_search_draw_upgrade(seed, &day);
-        tw_sim *sim = tw_sim_new(NULL);
+        tw_fuzz_draw_upgrade(seed, &day);
+        tw_simulator *sim = tw_simulator_new(NULL);
         for (size_t i = 0; i < day.count; i++) {
-            check(!tw_sim_line(sim, day.lines[i], error, sizeof error), error);
+            check(!tw_simulator_line(sim, day.lines[i], error, sizeof error), error);
             old |= !strncmp(day.lines[i], "old ", strlen("old "));
             upgraded |= strstr(day.lines[i], " upgrade ") != NULL;
         }
         check(old, "a day of two versions has no old node");
         upgrades += upgraded;
-        tw_sim_free(sim);
-        tw_search_day_free(&day);
+        tw_simulator_free(sim);
+        tw_fuzz_day_free(&day);
     }
     check(upgrades > SEEDS * 3 / 4 && upgrades < SEEDS, "upgrades are too few or never stop");
 }
 
 static void test_plays(void) {
     for (uint32_t seed = 1; seed <= PLAYED_SEEDS; seed++) {
-        tw_search_day day = {0};
-        tw_sim_verdict here, apart;
-        tw_search_draw(seed, &day);
-        tw_search_play(&day, &here);
-        tw_search_play_apart(&day, &apart);
+        tw_fuzz_day day = {0};
+        tw_simulator_verdict here, apart;
+        tw_fuzz_draw(seed, &day);
+        tw_fuzz_play(&day, &here);
+        tw_fuzz_play_apart(&day, &apart);
         check(here.digest == apart.digest, "a day goes otherwise in a process of its own");
-        tw_search_day_free(&day);
+        tw_fuzz_day_free(&day);
     }
 }
 
 /* No scheduler can keep this: a task must be gone a second after its job was cancelled, and its
  * machine hangs. */
-static void impossible_day(tw_search_day *day) {
+static void impossible_day(tw_fuzz_day *day) {
     static const char *const lines[] = {
         "node tray-0 a",
         "node tray-1 b",
@@ -108,42 +108,41 @@
         "at 20.40 poll run-000001",
         "at 25.00 submit run-000002",
         "end 80.00"};
-    for (size_t i = 0; i < sizeof lines / sizeof *lines; i++)
-        tw_search_day_add(day, "%s", lines[i]);
+    for (size_t i = 0; i < sizeof lines / sizeof *lines; i++) tw_fuzz_day_add(day, "%s", lines[i]);
 }
 
 static void test_shrinks(void) {
-    tw_search_day day = {0}, read = {0};
-    tw_sim_verdict verdict;
-    char path[] = "/tmp/tw_search_test_XXXXXX";
+    tw_fuzz_day day = {0}, read = {0};
+    tw_simulator_verdict verdict;
+    char path[] = "/tmp/tw_fuzz_test_XXXXXX";
     impossible_day(&day);
-    tw_search_play(&day, &verdict);
+    tw_fuzz_play(&day, &verdict);
     check(!strcmp(verdict.rule, "ran_cancelled"), "the impossible day breaks no rule, or another");
-    const unsigned plays = tw_search_shrink(&day, "ran_cancelled", SHRINK_PLAYS, &verdict);
+    const unsigned plays = tw_fuzz_shrink(&day, "ran_cancelled", SHRINK_PLAYS, &verdict);
     check(plays > 10 && plays <= SHRINK_PLAYS, "shrinking takes no play or too many");
     check(day.count <= 8, "lines are left that do nothing");
     check(!strcmp(verdict.rule, "ran_cancelled"), "the day that is left breaks another rule");
     const int file = mkstemp(path);
-    check(file >= 0 && !tw_search_day_write(&day, "# a comment\n", path), "a day can't be written");
-    check(!tw_search_day_read(&read, path), "a day can't be read");
-    tw_search_play(&read, &verdict);
+    check(file >= 0 && !tw_fuzz_day_write(&day, "# a comment\n", path), "a day can't be written");
+    check(!tw_fuzz_day_read(&read, path), "a day can't be read");
+    tw_fuzz_play(&read, &verdict);
     check(!strcmp(verdict.rule, "ran_cancelled"), "the day that was written breaks another rule");
     remove(path);
-    tw_search_day_free(&day);
-    tw_search_day_free(&read);
+    tw_fuzz_day_free(&day);
+    tw_fuzz_day_free(&read);
 }
 
 static void test_pool(void) {
-    tw_search_pool *pool = tw_search_pool_new(2, tw_search_draw, "/tmp");
-    tw_search_result result;
+    tw_fuzz_pool *pool = tw_fuzz_pool_new(2, tw_fuzz_draw, "/tmp");
+    tw_fuzz_result result;
     unsigned got = 0;
-    check(pool && tw_search_pool_idle(pool) == 2, "no workers");
+    check(pool && tw_fuzz_pool_idle(pool) == 2, "no workers");
     if (!pool) return;
-    for (uint32_t seed = 1; seed <= 2; seed++) tw_search_pool_give(pool, seed, 0);
-    while (tw_search_pool_busy(pool))
-        if (tw_search_pool_wait(pool, 1000, &result)) got |= 1u << result.seed;
+    for (uint32_t seed = 1; seed <= 2; seed++) tw_fuzz_pool_give(pool, seed, 0);
+    while (tw_fuzz_pool_busy(pool))
+        if (tw_fuzz_pool_wait(pool, 1000, &result)) got |= 1u << result.seed;
     check(got == (1u << 1 | 1u << 2), "a result is missing");
-    tw_search_pool_free(pool);
+    tw_fuzz_pool_free(pool);
 }
 
 int main(void) {
--- a/tests/runner/runner.c
+++ b/tests/runner/runner.c
@@ -5,7 +5,7 @@
  * A file may have variants, each played like a file of its own: a line `with NAME ...` belongs to
  * the variant NAME only, a line `plain ...` to none of them, and all other lines to each. */
 #include "log/log.h"
-#include "sim.h"
+#include "simulator.h"
 #include <getopt.h>
 #include <inttypes.h>
 #include <stdio.h>
@@ -42,35 +42,35 @@
 }
 
 /* Returns -1 for a file that can't be played, NOT_RUN for one that needs what isn't at hand. */
-static int play(const scenario *played, const char *said_as, tw_sim_verdict *verdict) {
+static int play(const scenario *played, const char *said_as, tw_simulator_verdict *verdict) {
     char line[MAX_LINE], error[500];
     FILE *f = fopen(played->path, "r");
     if (!f) {
         printf("FAIL %s: can't be read\n", played->name);
         return -1;
     }
-    tw_sim *sim = tw_sim_new(said_as);
+    tw_simulator *sim = tw_simulator_new(said_as);
     int result = 0;
     while (!result && fgets(line, sizeof line, f)) {
         const char *text = line_in(line, played->variant);
-        if (text) result = tw_sim_line(sim, text, error, sizeof error);
+        if (text) result = tw_simulator_line(sim, text, error, sizeof error);
         if (result) printf("FAIL %s: %s\n", played->name, error);
     }
     fclose(f);
-    if (!result && played->more) result = tw_sim_line(sim, played->more, error, sizeof error);
-    if (!result && tw_sim_lacks_earlier_version(sim)) {
+    if (!result && played->more) result = tw_simulator_line(sim, played->more, error, sizeof error);
+    if (!result && tw_simulator_lacks_earlier_version(sim)) {
         printf("not run %s: TW_EARLIER_CORE names no program of the earlier version\n",
                played->name);
         result = NOT_RUN;
     }
-    if (!result) tw_sim_run(sim, verdict);
-    tw_sim_free(sim);
+    if (!result) tw_simulator_run(sim, verdict);
+    tw_simulator_free(sim);
     return result;
 }
 
 /* 0: it passes, 1: it doesn't, else it can't be played, or is not run. */
 static int check(const scenario *played) {
-    tw_sim_verdict first, second;
+    tw_simulator_verdict first, second;
     const char *name = played->name;
     const int result = play(played, name, &first);
     if (result) return result == NOT_RUN ? NOT_RUN : CANT_PLAY;
--- a/tests/runner/sim_gang_test.c
+++ b/tests/runner/simulator_gang_test.c
@@ -27,13 +27,13 @@
 /* ---- a world of four machines, two in each zone, and a gang of three tasks ---- */
 
 typedef struct {
-    tw_sim_world w;
-    tw_sim_job *job;
+    tw_simulator_world w;
+    tw_simulator_job *job;
 } fixture;
 
 static void begin(fixture *f) {
-    tw_sim_world *w = &f->w;
-    tw_sim_world_init(w);
+    tw_simulator_world *w = &f->w;
+    tw_simulator_world_init(w);
     w->nnodes = 1;
     w->lease_s = LEASE_S;
     w->gang_wait_s = WAIT_S;
@@ -44,13 +44,13 @@
     w->nteams = 1;
     strcpy(w->teams[0].name, "crew");
     for (int i = 0; i < MACHINES; i++) {
-        tw_sim_worker *x = tw_sim_rent(w, 0, i < MACHINES / 2 ? "a" : "b", 0, 0);
+        tw_simulator_worker *x = tw_simulator_rent(w, 0, i < MACHINES / 2 ? "a" : "b", 0, 0);
         x->up = 1;
         x->session = 1;
         x->slow = 1;
     }
     w->now = 1;
-    f->job = tw_sim_job_new(w, ID);
+    f->job = tw_simulator_job_new(w, ID);
     tw_wire_job *spec = &f->job->spec;
     strcpy(spec->job_class, "lane");
     strcpy(spec->team, "crew");
@@ -63,23 +63,23 @@
     spec->save_s = FLUSH_S;
     f->job->run_s = RUN_S;
     f->job->submitted = f->job->accepted = 1;
-    f->job->done = tw_sim_zeroed(TASKS);
+    f->job->done = tw_simulator_zeroed(TASKS);
 }
 
 /* Ends the world; rule: the one that must be broken, "" for none. */
 static void end(fixture *f, const char *rule, const char *what) {
     if (strcmp(f->w.rule, rule) != 0) printf("%s\n", f->w.detail);
     check(!strcmp(f->w.rule, rule), what);
-    tw_sim_world_free(&f->w);
+    tw_simulator_world_free(&f->w);
 }
 
 static void pass(fixture *f, double seconds) {
     int steps = (int)lround(seconds / STEP_S);
     for (int step = 0; step < steps; step++) {
         f->w.now += STEP_S;
-        tw_sim_gangs_tick(&f->w);
-        for (int i = 0; i < MACHINES; i++) tw_sim_worker_tick(&f->w, f->w.workers[i]);
-        tw_sim_judge_now(&f->w);
+        tw_simulator_gangs_tick(&f->w);
+        for (int i = 0; i < MACHINES; i++) tw_simulator_worker_tick(&f->w, f->w.workers[i]);
+        tw_simulator_judge_now(&f->w);
     }
 }
 
@@ -91,8 +91,8 @@
              "/%d\",\"try\":%d,\"mercyS\":%g}]}",
              (int)f->w.workers[machine]->session, verb, index, attempt, grace_s);
     int status =
-        tw_sim_worker_request(&f->w, f->w.workers[machine], "POST", "/orders", body, &answer);
-    check(status == TW_SIM_OK, "an order is refused");
+        tw_simulator_worker_request(&f->w, f->w.workers[machine], "POST", "/orders", body, &answer);
+    check(status == TW_SIMULATOR_OK, "an order is refused");
     free(answer);
 }
 
@@ -116,20 +116,20 @@
     pass(f, seconds);
 }
 
-static const tw_sim_task *task(const fixture *f, int machine, int attempt) {
-    const tw_sim_worker *x = f->w.workers[machine];
+static const tw_simulator_task *task(const fixture *f, int machine, int attempt) {
+    const tw_simulator_worker *x = f->w.workers[machine];
     for (int i = 0; i < x->ntasks; i++)
         if (x->tasks[i].attempt == (uint64_t)attempt) return &x->tasks[i];
     return NULL;
 }
 
 static int is_in(const fixture *f, int machine, int attempt, int stage) {
-    const tw_sim_task *t = task(f, machine, attempt);
+    const tw_simulator_task *t = task(f, machine, attempt);
     return t && t->stage == stage;
 }
 
 static int has_exited(const fixture *f, int machine, int attempt, int cause, int saved) {
-    const tw_sim_task *t = task(f, machine, attempt);
+    const tw_simulator_task *t = task(f, machine, attempt);
     return t && t->stage == TW_TASK_EXITED && t->cause == cause && t->saved == saved;
 }
 
@@ -146,7 +146,7 @@
 }
 
 static int reports(fixture *f, int machine, const char *text) {
-    char *report = tw_sim_worker_report(&f->w, f->w.workers[machine]);
+    char *report = tw_simulator_worker_report(&f->w, f->w.workers[machine]);
     int found = strstr(report, text) != NULL;
     free(report);
     return found;
@@ -393,7 +393,7 @@
     pass(&f, 1);
     how(&f);
     pass(&f, PEER_S + STEP_S);
-    const tw_sim_task *t = task(&f, 0, 1);
+    const tw_simulator_task *t = task(&f, 0, 1);
     check(t && t->stage == TW_TASK_EXITED && !t->saved, what);
     check(is_about(f.job->gang_saved_s, SNAPSHOT_S), what);
     end(&f, "", what);
--- a/tests/runner/sim_test.c
+++ b/tests/runner/simulator_test.c
@@ -1,6 +1,6 @@
 /* The simulation itself: equal lines give equal runs, whatever else ran in between; lines that
  * can't be taken are told; and the judge complains where it must, and only there. */
-#include "sim.h"
+#include "simulator.h"
 #include "world.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,14 +16,14 @@
 
 /* ---- the library ---- */
 
-static void line(tw_sim *sim, const char *text) {
+static void line(tw_simulator *sim, const char *text) {
     char error[200];
-    if (!tw_sim_line(sim, text, error, sizeof error)) return;
+    if (!tw_simulator_line(sim, text, error, sizeof error)) return;
     printf("FAIL sim: %s\n", error);
     failures++;
 }
 
-static tw_sim *small_day(int seed) {
+static tw_simulator *small_day(int seed) {
     static const char *const lines[] = {"node tray-0 a",
                                         "node tray-1 b",
                                         "node tray-2 a",
@@ -39,17 +39,17 @@
                                         "at 25 oddrequests 10",
                                         "end 50"};
     char text[40];
-    tw_sim *sim = tw_sim_new(NULL);
+    tw_simulator *sim = tw_simulator_new(NULL);
     snprintf(text, sizeof text, "set seed %d", seed);
     line(sim, text);
     for (size_t i = 0; i < sizeof lines / sizeof *lines; i++) line(sim, lines[i]);
     return sim;
 }
 
-static uint64_t run(tw_sim *sim) {
-    tw_sim_verdict v;
-    tw_sim_run(sim, &v);
-    tw_sim_free(sim);
+static uint64_t run(tw_simulator *sim) {
+    tw_simulator_verdict v;
+    tw_simulator_run(sim, &v);
+    tw_simulator_free(sim);
     check(!*v.rule && !v.failed, v.detail);
     check(v.end_s > 49, "a run ends too early");
     return v.digest;
@@ -57,7 +57,7 @@
 
 static void test_equal_runs(void) {
     uint64_t alone = run(small_day(7));
-    tw_sim *first = small_day(7);
+    tw_simulator *first = small_day(7);
     uint64_t other = run(small_day(8)); /* while the first is open */
     check(run(first) == alone, "equal lines give different runs");
     check(other != alone, "another seed gives the same run");
@@ -69,16 +69,16 @@
     const uint64_t alone = run(small_day(7));
     static const char *const mixes[] = {"old tray-0", "old tray-0 tray-1 tray-2"};
     for (size_t i = 0; i < sizeof mixes / sizeof *mixes; i++) {
-        tw_sim *sim = small_day(7);
-        tw_sim_earlier_version(sim, server);
+        tw_simulator *sim = small_day(7);
+        tw_simulator_earlier_version(sim, server);
         line(sim, mixes[i]);
         check(run(sim) == alone, mixes[i]);
     }
 }
 
 static void test_upgrades(const char *server) {
-    tw_sim *sim = small_day(7);
-    tw_sim_earlier_version(sim, server);
+    tw_simulator *sim = small_day(7);
+    tw_simulator_earlier_version(sim, server);
     line(sim, "old tray-0 tray-1 tray-2");
     line(sim, "at 7 expect led old");
     line(sim, "at 8 upgrade leader 3");
@@ -96,27 +96,29 @@
 /* Without a program of the earlier version a day with old nodes is not played as if they were new.
  */
 static void test_without_earlier_version(void) {
-    tw_sim_verdict v;
-    tw_sim *sim = small_day(7);
-    tw_sim_earlier_version(sim, NULL);
-    check(!tw_sim_lacks_earlier_version(sim), "a day without old nodes needs no earlier version");
+    tw_simulator_verdict v;
+    tw_simulator *sim = small_day(7);
+    tw_simulator_earlier_version(sim, NULL);
+    check(!tw_simulator_lacks_earlier_version(sim),
+          "a day without old nodes needs no earlier version");
     line(sim, "at 5 downgrade tray-0 1");
-    check(tw_sim_lacks_earlier_version(sim), "a day with a downgrade needs the earlier version");
-    tw_sim_run(sim, &v);
+    check(tw_simulator_lacks_earlier_version(sim),
+          "a day with a downgrade needs the earlier version");
+    tw_simulator_run(sim, &v);
     check(v.failed == 1, "a node can't start and nobody is told");
-    tw_sim_free(sim);
+    tw_simulator_free(sim);
 }
 
 /* A process that ends by itself, here one that is no tw_core_server, is a broken rule or a node
  * that can't start. */
 static void test_process_that_ends(void) {
-    tw_sim_verdict v;
-    tw_sim *sim = small_day(7);
-    tw_sim_earlier_version(sim, "/bin/false");
+    tw_simulator_verdict v;
+    tw_simulator *sim = small_day(7);
+    tw_simulator_earlier_version(sim, "/bin/false");
     line(sim, "old tray-1");
-    tw_sim_run(sim, &v);
+    tw_simulator_run(sim, &v);
     check(v.failed == 1, "a process that ends at once goes unnoticed");
-    tw_sim_free(sim);
+    tw_simulator_free(sim);
 }
 
 static void test_bad_lines(void) {
@@ -124,56 +126,56 @@
         "nonsense",      "at 5 nonsense 1", "at 5 kill",         "at 5",
         "node tray-0",   "set nothing 1",   "at 1 cutstate x 3", "machine none a",
         "judge nothing", "old tray-9",      "node tray-0 a new", "at 5 upgrade"};
-    tw_sim *sim = tw_sim_new(NULL);
+    tw_simulator *sim = tw_simulator_new(NULL);
     for (size_t i = 0; i < sizeof bad / sizeof *bad; i++) {
         char error[200] = "";
-        check(tw_sim_line(sim, bad[i], error, sizeof error) == -1 && *error, bad[i]);
+        check(tw_simulator_line(sim, bad[i], error, sizeof error) == -1 && *error, bad[i]);
     }
     line(sim, "# comment");
     line(sim, "");
-    tw_sim_free(sim);
+    tw_simulator_free(sim);
 }
 
 /* What a line breaks at a world of its own: expectations that don't hold are counted. */
 static void test_failed_lines(void) {
-    tw_sim_verdict v;
-    tw_sim *sim = small_day(7);
+    tw_simulator_verdict v;
+    tw_simulator *sim = small_day(7);
     line(sim, "at 30 expect done run-000099");
     line(sim, "at 30 raw GET /up 404");
-    tw_sim_run(sim, &v);
+    tw_simulator_run(sim, &v);
     check(v.failed == 2, "lines that don't hold aren't counted");
-    tw_sim_free(sim);
+    tw_simulator_free(sim);
 }
 
 /* A day without nodes, as a search may make it of a smaller one. */
 static void test_no_nodes(void) {
-    tw_sim_verdict v;
-    tw_sim *sim = tw_sim_new(NULL);
+    tw_simulator_verdict v;
+    tw_simulator *sim = tw_simulator_new(NULL);
     line(sim, "rack cpu cores=16");
     line(sim, "machine cpu a");
     line(sim, "at 5 submit run-000001");
     line(sim, "at 6 kill leader");
-    tw_sim_run(sim, &v);
+    tw_simulator_run(sim, &v);
     check(!*v.rule && !v.failed && v.end_s <= 0, "something happens without nodes");
-    tw_sim_free(sim);
+    tw_simulator_free(sim);
 }
 
 /* ---- the judge ---- */
 
-static void world_of_one_machine(tw_sim_world *w) {
-    tw_sim_world_init(w);
+static void world_of_one_machine(tw_simulator_world *w) {
+    tw_simulator_world_init(w);
     w->nnodes = 1;
     w->ntypes = 1;
     w->types[0] =
         (tw_wire_machine_type){.name = "cpu", .cores = 4, .memory_gb = 16, .fetch_gb_s = 1};
     w->nteams = 1;
     strcpy(w->teams[0].name, "crew");
-    tw_sim_rent(w, 0, "a", 0, 0)->up = 1;
+    tw_simulator_rent(w, 0, "a", 0, 0)->up = 1;
     w->now = 1;
 }
 
-static tw_sim_job *accepted_job(tw_sim_world *w, const char *id, int cores) {
-    tw_sim_job *job = tw_sim_job_new(w, id);
+static tw_simulator_job *accepted_job(tw_simulator_world *w, const char *id, int cores) {
+    tw_simulator_job *job = tw_simulator_job_new(w, id);
     strcpy(job->spec.job_class, "lane");
     strcpy(job->spec.team, "crew");
     job->spec.task_count = 1;
@@ -182,33 +184,33 @@
     job->submitted = job->accepted = 1;
     job->accepted_at = job->answered_at = w->now;
     job->first_try = w->now;
-    job->done = tw_sim_zeroed(1);
+    job->done = tw_simulator_zeroed(1);
     return job;
 }
 
-static void put_on_machine(tw_sim_world *w, tw_sim_job *job) {
-    tw_sim_worker *x = w->workers[0];
-    x->tasks = tw_sim_grow(x->tasks, x->ntasks, &x->tasks_cap, sizeof *x->tasks);
-    x->tasks[x->ntasks] = (tw_sim_task){.job = job, .stage = TW_TASK_RUNNING, .attempt = 1};
+static void put_on_machine(tw_simulator_world *w, tw_simulator_job *job) {
+    tw_simulator_worker *x = w->workers[0];
+    x->tasks = tw_simulator_grow(x->tasks, x->ntasks, &x->tasks_cap, sizeof *x->tasks);
+    x->tasks[x->ntasks] = (tw_simulator_task){.job = job, .stage = TW_TASK_RUNNING, .attempt = 1};
     strcpy(x->tasks[x->ntasks++].job_id, job->spec.id);
 }
 
-static void pass(tw_sim_world *w, int seconds, int answered) {
+static void pass(tw_simulator_world *w, int seconds, int answered) {
     for (int second = 0; second < seconds; second++) {
         for (int i = 0; i < w->njobs && answered; i++) w->jobs[i]->answered_at = w->now;
-        tw_sim_judge_live(w);
+        tw_simulator_judge_live(w);
         w->now += 1;
     }
 }
 
 /* The rule that is broken in that time; "" for none. Ends the world. */
-static void expect_rule(tw_sim_world *w, const char *rule, const char *what) {
+static void expect_rule(tw_simulator_world *w, const char *rule, const char *what) {
     check(!strcmp(w->rule, rule), what);
-    tw_sim_world_free(w);
+    tw_simulator_world_free(w);
 }
 
 static void test_unanswered(void) {
-    tw_sim_world w;
+    tw_simulator_world w;
     world_of_one_machine(&w);
     put_on_machine(&w, accepted_job(&w, "run-000001", 1));
     pass(&w, 74, 0);
@@ -226,12 +228,12 @@
 /* limit: of the team's cores; the job takes 2 of the machine's 4. */
 static void stuck_case(int taken, double limit, int cancelled, double troubles_end,
                        const char *rule, const char *what) {
-    tw_sim_world w;
+    tw_simulator_world w;
     world_of_one_machine(&w);
     w.teams[0].cpus_max = limit;
     w.troubles_end = troubles_end;
     if (taken) put_on_machine(&w, accepted_job(&w, "run-000001", taken));
-    tw_sim_job *job = accepted_job(&w, "run-000002", 2);
+    tw_simulator_job *job = accepted_job(&w, "run-000002", 2);
     if (cancelled) job->cancel_asked_at = w.now;
     pass(&w, 120, 1);
     expect_rule(&w, rule, what);
@@ -239,9 +241,9 @@
 
 /* One task of a gang of three waits, and its machine has room for so many more. */
 static void waiting_gang_case(int free_tasks, const char *rule, const char *what) {
-    tw_sim_world w;
+    tw_simulator_world w;
     world_of_one_machine(&w);
-    tw_sim_job *gang = accepted_job(&w, "run-000003", 1);
+    tw_simulator_job *gang = accepted_job(&w, "run-000003", 1);
     gang->spec.gang = 1;
     gang->spec.cores = 4.0 / (1 + free_tasks);
     gang->spec.task_count = 3;
@@ -259,9 +261,9 @@
     stuck_case(2, 4, 0, 0, "stuck", "a team just under its limit");
     stuck_case(0, 0, 1, 0, "", "a cancelled job");
     stuck_case(0, 0, 0, 60, "", "troubles that are over for a minute only");
-    tw_sim_world w;
+    tw_simulator_world w;
     world_of_one_machine(&w);
-    tw_sim_job *gang = accepted_job(&w, "run-000003", 2);
+    tw_simulator_job *gang = accepted_job(&w, "run-000003", 2);
     gang->spec.gang = 1;
     gang->spec.task_count = 3;
     pass(&w, 120, 1);
@@ -292,18 +294,18 @@
 /* Of four jobs so many are done, the last one is the largest. */
 static void served_case(int done, double begun_at, double age_s, const char *rule,
                         const char *what) {
-    tw_sim_world w;
+    tw_simulator_world w;
     char id[32];
     world_of_one_machine(&w);
     w.served_age_s = age_s;
     for (int i = 0; i < 4; i++) {
         snprintf(id, sizeof id, "run-%06d", i + 1);
-        tw_sim_job *job = accepted_job(&w, id, i == 3 ? 4 : 1);
+        tw_simulator_job *job = accepted_job(&w, id, i == 3 ? 4 : 1);
         job->ndone = i >= 4 - done;
         job->begun_at = begun_at;
     }
     w.now = 300;
-    tw_sim_judge_served(&w);
+    tw_simulator_judge_served(&w);
     expect_rule(&w, rule, what);
 }
 
@@ -315,33 +317,33 @@
 }
 
 static void test_took_bad(void) {
-    tw_sim_world w;
+    tw_simulator_world w;
     world_of_one_machine(&w);
-    tw_sim_judge_bad(&w, "run-900001", 422);
-    tw_sim_judge_bad(&w, "run-900001", 503);
+    tw_simulator_judge_bad(&w, "run-900001", 422);
+    tw_simulator_judge_bad(&w, "run-900001", 503);
     check(!*w.rule, "a refusal is taken for an acceptance");
-    tw_sim_judge_bad(&w, "run-900001", 201);
+    tw_simulator_judge_bad(&w, "run-900001", 201);
     expect_rule(&w, "took_bad", "a job that can't run is accepted");
 }
 
 static void test_told(void) {
-    tw_sim_world w;
+    tw_simulator_world w;
     const char *done = "{\"stage\":\"done\"}", *pending = "{\"stage\":\"pending\"}";
     world_of_one_machine(&w);
-    tw_sim_job *job = accepted_job(&w, "run-000001", 1);
+    tw_simulator_job *job = accepted_job(&w, "run-000001", 1);
     job->done[0] = 1;
     w.now = 10;
-    tw_sim_judge_told(&w, job, job->spec.id, TW_SIM_POLL, 9, 200, done);
+    tw_simulator_judge_told(&w, job, job->spec.id, TW_SIMULATOR_POLL, 9, 200, done);
     w.now = 11;
-    tw_sim_judge_told(&w, job, job->spec.id, TW_SIM_POLL, 9.5, 200, pending);
+    tw_simulator_judge_told(&w, job, job->spec.id, TW_SIMULATOR_POLL, 9.5, 200, pending);
     check(!*w.rule && w.crossings == 1, "an answer that crosses a newer one");
-    tw_sim_judge_told(&w, job, job->spec.id, TW_SIM_POLL, 10.5, 200, pending);
+    tw_simulator_judge_told(&w, job, job->spec.id, TW_SIMULATOR_POLL, 10.5, 200, pending);
     expect_rule(&w, "went_back", "an answer that is older");
 }
 
 int main(int argc, char **argv) {
     if (argc != 2) {
-        fprintf(stderr, "usage: tw_sim_test TW_CORE_SERVER\n");
+        fprintf(stderr, "usage: tw_simulator_test TW_CORE_SERVER\n");
         return 2;
     }
     test_equal_runs();
--- a/tests/shares/expect.c
+++ b/tests/shards/expect.c
@@ -46,34 +46,34 @@
 }
 
 static void expect_size(world *world, const words *read) {
-    tw_shares *reader = tw_judge_read(world);
+    tw_shards *reader = tw_judge_read(world);
     int size = -1;
-    for (int i = 0; i < tw_shares_count(reader); i++) {
-        const tw_shares_view view = tw_shares_view_of(reader, i);
+    for (int i = 0; i < tw_shards_count(reader); i++) {
+        const tw_shards_view view = tw_shards_view_of(reader, i);
         if (!strcmp(view.name, read->words[2])) size = view.open + view.taken + view.draining;
     }
-    tw_shares_free(reader);
+    tw_shards_free(reader);
     expect_range(world, read->words[2], size, number(read, 3), number(read, 4));
 }
 
 static void expect_owner(world *world, const words *read) {
-    tw_shares *reader = tw_judge_read(world);
+    tw_shards *reader = tw_judge_read(world);
     int found = 0;
-    for (int i = 0; i < tw_shares_machines(reader); i++) {
-        const tw_shares_tell cell = tw_shares_machine(reader, i);
+    for (int i = 0; i < tw_shards_machines(reader); i++) {
+        const tw_shards_tell cell = tw_shards_machine(reader, i);
         if (strcmp(cell.machine, read->words[2]) != 0) continue;
         found = 1;
         if (strcmp(cell.share, read->words[3]) != 0)
             tw_world_fail(world, "%s is in %s", cell.machine, cell.share);
     }
-    tw_shares_free(reader);
+    tw_shards_free(reader);
     if (!found) tw_world_fail(world, "%s is in no share", read->words[2]);
 }
 
 static void expect_answer(world *world, const words *read) {
     const client *asked = tw_script_client(world, read->words[2]);
     const char *got = "none";
-    if (asked && asked->answered) got = tw_shares_verdict_name(asked->verdict);
+    if (asked && asked->answered) got = tw_shards_verdict_name(asked->verdict);
     if (strcmp(got, read->words[3]) != 0)
         tw_world_fail(world, "%s was answered %s", read->words[2], got);
 }
@@ -84,7 +84,7 @@
     for (int i = 0; i < world->nclients; i++) {
         const client *each = &world->clients[i];
         if (!strcmp(each->request.key, read->words[2]) && each->answered)
-            got = tw_shares_verdict_name(each->verdict);
+            got = tw_shards_verdict_name(each->verdict);
     }
     if (strcmp(got, read->words[3]) != 0)
         tw_world_fail(world, "%s was answered %s at last", read->words[2], got);
@@ -128,7 +128,7 @@
     else if (!strcmp(what, "terms"))
         expect_range(world, "terms", world->terms, number(read, 2), number(read, 2));
     else if (!strcmp(what, "promoted")) {
-        const char *got = world->promotions ? tw_shares_verdict_name(world->promoted) : "none";
+        const char *got = world->promotions ? tw_shards_verdict_name(world->promoted) : "none";
         if (strcmp(got, read->words[2]) != 0) tw_world_fail(world, "promotion: %s", got);
     } else if (!strcmp(what, "changes"))
         expect_range(world, "changes written", world->changes, 0, number(read, 2));
--- a/tests/shares/gateways.c
+++ b/tests/shards/gateways.c
@@ -1,5 +1,5 @@
 /* Gateways, which route the requests of a controller's shares, and users. */
-#include "shares_world.h"
+#include "shards_world.h"
 #include <stdlib.h>
 #include <string.h>
 
@@ -11,14 +11,14 @@
 
 /* Tells the route under which epoch the machine may get requests now. */
 void tw_world_refresh_replica(world *world, int at, const char *name) {
-    const uint64_t epoch = tw_shares_owner_epoch(world->nodes[at].owner, name);
-    tw_route_replica(world->nodes[at].route, world->now, name, epoch, SLOTS, FIRST_SERVICE_S);
+    const uint64_t epoch = tw_shards_owner_epoch(world->nodes[at].owner, name);
+    tw_router_replica(world->nodes[at].route, world->now, name, epoch, SLOTS, FIRST_SERVICE_S);
 }
 
-static void send_work(world *world, int at, const tw_route_effect *effect) {
+static void send_work(world *world, int at, const tw_router_effect *effect) {
     const int to = tw_world_machine_index(world, effect->replica);
     tw_judge_use(world, at, to, effect->epoch);
-    tw_shares_owner_sent(world->nodes[at].owner, effect->replica, effect->epoch);
+    tw_shards_owner_sent(world->nodes[at].owner, effect->replica, effect->epoch);
     const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S) + world->slow_s;
     event *sent = tw_world_event(world, after, EVENT_WORK);
     sent->node = at;
@@ -29,7 +29,7 @@
     sent->epoch = effect->epoch;
 }
 
-static void reply_to_user(world *world, int at, const tw_route_effect *effect) {
+static void reply_to_user(world *world, int at, const tw_router_effect *effect) {
     const int times = world->plant_double ? 2 : !world->plant_drop;
     for (int i = 0; i < times; i++) {
         const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S);
@@ -43,44 +43,44 @@
 }
 
 void tw_world_route_effects(world *world, int at) {
-    tw_route_effect *effect;
-    while ((effect = tw_route_next(world->nodes[at].route))) {
-        if (effect->kind == TW_ROUTE_SEND) send_work(world, at, effect);
-        if (effect->kind == TW_ROUTE_ANSWER) reply_to_user(world, at, effect);
+    tw_router_effect *effect;
+    while ((effect = tw_router_next(world->nodes[at].route))) {
+        if (effect->kind == TW_ROUTER_SEND) send_work(world, at, effect);
+        if (effect->kind == TW_ROUTER_ANSWER) reply_to_user(world, at, effect);
         free(effect);
     }
 }
 
-static tw_route_end end_of(int status) {
-    if (status == OK) return TW_ROUTE_DONE;
-    if (status == BAD) return TW_ROUTE_REFUSED;
-    return status ? TW_ROUTE_BROKEN : TW_ROUTE_LOST;
+static tw_router_end end_of(int status) {
+    if (status == OK) return TW_ROUTER_DONE;
+    if (status == BAD) return TW_ROUTER_REFUSED;
+    return status ? TW_ROUTER_BROKEN : TW_ROUTER_LOST;
 }
 
 void tw_world_handle_worked(world *world, const event *answer) {
     const node *at = &world->nodes[answer->node];
     const char *name = world->machines[answer->machine].name;
     if (answer->status == BAD) {
-        tw_shares_owner_refused(at->owner, name, answer->epoch);
+        tw_shards_owner_refused(at->owner, name, answer->epoch);
         tw_world_refresh_replica(world, answer->node, name);
     }
-    tw_shares_owner_ended(at->owner, name, answer->epoch);
-    tw_route_ended(at->route, world->now, (uint64_t)answer->number, answer->attempt,
-                   end_of(answer->status));
+    tw_shards_owner_ended(at->owner, name, answer->epoch);
+    tw_router_ended(at->route, world->now, (uint64_t)answer->number, answer->attempt,
+                    end_of(answer->status));
 }
 
 /* ---- users ---- */
 
 /* The node that owns the share by the records; -1: none. */
 static int read_owner(world *world, const char *share) {
-    tw_shares *reader = tw_judge_read(world);
+    tw_shards *reader = tw_judge_read(world);
     int owner = -1;
-    for (int i = 0; i < tw_shares_count(reader); i++) {
-        const tw_shares_view view = tw_shares_view_of(reader, i);
+    for (int i = 0; i < tw_shards_count(reader); i++) {
+        const tw_shards_view view = tw_shards_view_of(reader, i);
         for (int j = 0; j < world->nnodes; j++)
             if (!strcmp(view.name, share) && !strcmp(view.owner, world->nodes[j].name)) owner = j;
     }
-    tw_shares_free(reader);
+    tw_shards_free(reader);
     return owner;
 }
 
@@ -121,8 +121,8 @@
     asked->node = to;
     asked->life = world->nodes[to].life;
     asked->sent_at = world->now;
-    tw_route_request(world->nodes[to].route, world->now, (uint64_t)due->number, of->share,
-                     world->now + USER_DEADLINE_S);
+    tw_router_request(world->nodes[to].route, world->now, (uint64_t)due->number, of->share,
+                      world->now + USER_DEADLINE_S);
     tw_world_route_effects(world, to);
 }
 
--- a/tests/shares/judge.c
+++ b/tests/shards/judge.c
@@ -8,7 +8,7 @@
  *     the view that stands in the records, and changes no machine that has not heard its term;
  *   - in the end every move is over, every machine is open in one share, every client is answered.
  */
-#include "shares_world.h"
+#include "shards_world.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -61,13 +61,13 @@
 
 /* A state that a leader changed on its own, of a machine that has not heard of its term. Renewed
  * epochs, and those of a share's new owner, are for machines that take nothing else. */
-static void judge_checked(world *world, const machine *of, const tw_shares_tell *cell) {
-    const int decided = cell->state == TW_SHARES_DRAINING || cell->state == TW_SHARES_RELEASED ||
-                        (cell->state == TW_SHARES_OPEN && cell->epoch == of->recorded_epoch);
+static void judge_checked(world *world, const machine *of, const tw_shards_tell *cell) {
+    const int decided = cell->state == TW_SHARDS_DRAINING || cell->state == TW_SHARDS_RELEASED ||
+                        (cell->state == TW_SHARDS_OPEN && cell->epoch == of->recorded_epoch);
     if (world->lease_s <= 0 || cell->state == of->recorded_state || !decided) return;
     if (!of->alive || !of->guard.started || of->guard.term >= world->newest_term) return;
     tw_world_fail(world, "unchecked: %s is made %s under term %lu, and knows %lu", of->name,
-                  tw_shares_state_name(cell->state), (unsigned long)world->newest_term,
+                  tw_shards_state_name(cell->state), (unsigned long)world->newest_term,
                   (unsigned long)of->guard.term);
 }
 
@@ -88,32 +88,32 @@
     if (gap > world->longest_gap) world->longest_gap = gap;
 }
 
-tw_shares *tw_judge_read(world *world) {
-    tw_shares *reader = tw_shares_new(&world->settings);
+tw_shards *tw_judge_read(world *world) {
+    tw_shards *reader = tw_shards_new(&world->settings);
     char after[TEXT] = "";
-    tw_shares_effect *effect;
-    tw_shares_lead(reader, world->now, "leader", 1);
-    tw_shares_authority(reader, world->end + 1);
-    while ((effect = tw_shares_next(reader))) {
-        if (effect->kind == TW_SHARES_READ) {
+    tw_shards_effect *effect;
+    tw_shards_lead(reader, world->now, "leader", 1);
+    tw_shards_authority(reader, world->end + 1);
+    while ((effect = tw_shards_next(reader))) {
+        if (effect->kind == TW_SHARDS_READ) {
             char path[PATH_SIZE];
             char *answer = NULL;
-            snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARES_PREFIX,
-                     effect->text[0] ? "&since=" : "", effect->text, TW_SHARES_PAGE);
+            snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARDS_PREFIX,
+                     effect->text[0] ? "&since=" : "", effect->text, TW_SHARDS_PAGE);
             const double down = world->state.down_since;
             world->state.down_since = -1;
             const int status =
-                tw_sim_state_request(&world->state, world->now, "GET", path, "", &answer);
+                tw_simulator_state_request(&world->state, world->now, "GET", path, "", &answer);
             world->state.down_since = down;
             if (status != OK) tw_world_fail(world, "the judge can't read %s", after);
-            tw_shares_page(reader, world->now, effect->id, answer, strlen(answer));
+            tw_shards_page(reader, world->now, effect->id, answer, strlen(answer));
             free(answer);
         }
-        tw_shares_effect_free(effect);
+        tw_shards_effect_free(effect);
     }
-    if (!tw_shares_ready(reader)) tw_world_fail(world, "the records can't be read");
-    tw_shares_tick(reader, world->now, world->now);
-    tw_shares_decide(reader, world->now);
+    if (!tw_shards_ready(reader)) tw_world_fail(world, "the records can't be read");
+    tw_shards_tick(reader, world->now, world->now);
+    tw_shards_decide(reader, world->now);
     return reader;
 }
 
@@ -142,14 +142,14 @@
     return NULL;
 }
 
-static void judge_cell(world *world, const tw_shares_tell *cell) {
+static void judge_cell(world *world, const tw_shards_tell *cell) {
     machine *of = machine_named(world, cell->machine);
     if (!of) return;
     if (cell->epoch < of->recorded_epoch ||
         (cell->epoch == of->recorded_epoch && cell->state < of->recorded_state))
         tw_world_fail(world, "went_back: %s is %s under %lu, was %s under %lu", of->name,
-                      tw_shares_state_name(cell->state), (unsigned long)cell->epoch,
-                      tw_shares_state_name(of->recorded_state), (unsigned long)of->recorded_epoch);
+                      tw_shards_state_name(cell->state), (unsigned long)cell->epoch,
+                      tw_shards_state_name(of->recorded_state), (unsigned long)of->recorded_epoch);
     judge_checked(world, of, cell);
     of->recorded_epoch = cell->epoch;
     of->recorded_state = cell->state;
@@ -157,49 +157,49 @@
 
 void tw_judge_records(world *world) {
     if (world->nmachines > JUDGED_ALWAYS && world->transactions % JUDGED_EVERY) return;
-    tw_shares *reader = tw_judge_read(world);
-    for (int i = 0; i < tw_shares_machines(reader); i++) {
-        const tw_shares_tell cell = tw_shares_machine(reader, i);
-        if (cell.state != TW_SHARES_ABSENT) judge_cell(world, &cell);
+    tw_shards *reader = tw_judge_read(world);
+    for (int i = 0; i < tw_shards_machines(reader); i++) {
+        const tw_shards_tell cell = tw_shards_machine(reader, i);
+        if (cell.state != TW_SHARDS_ABSENT) judge_cell(world, &cell);
     }
-    tw_shares_free(reader);
+    tw_shards_free(reader);
 }
 
 void tw_judge_view(world *world, int at) {
-    const tw_shares *table = world->nodes[at].leader;
-    tw_shares *reader = tw_judge_read(world);
-    if (tw_shares_revision(table) != tw_shares_revision(reader) ||
-        tw_shares_machines(table) != tw_shares_machines(reader))
+    const tw_shards *table = world->nodes[at].leader;
+    tw_shards *reader = tw_judge_read(world);
+    if (tw_shards_revision(table) != tw_shards_revision(reader) ||
+        tw_shards_machines(table) != tw_shards_machines(reader))
         tw_world_fail(world, "stale_view: %s decides by revision %lu of %lu", world->nodes[at].name,
-                      (unsigned long)tw_shares_revision(table),
-                      (unsigned long)tw_shares_revision(reader));
-    for (int i = 0; i < tw_shares_machines(reader) && !world->failure[0]; i++) {
-        const tw_shares_tell has = tw_shares_machine(table, i);
-        const tw_shares_tell recorded = tw_shares_machine(reader, i);
+                      (unsigned long)tw_shards_revision(table),
+                      (unsigned long)tw_shards_revision(reader));
+    for (int i = 0; i < tw_shards_machines(reader) && !world->failure[0]; i++) {
+        const tw_shards_tell has = tw_shards_machine(table, i);
+        const tw_shards_tell recorded = tw_shards_machine(reader, i);
         if (has.state != recorded.state || has.epoch != recorded.epoch)
             tw_world_fail(world, "stale_view: %s has %s as %s", world->nodes[at].name,
-                          recorded.machine, tw_shares_state_name(has.state));
+                          recorded.machine, tw_shards_state_name(has.state));
     }
-    tw_shares_free(reader);
+    tw_shards_free(reader);
 }
 
 /* ---- at the end ---- */
 
 /* Counts how often each machine stands in the table, and that it is open there. */
-static void judge_machines(world *world, const tw_shares *reader) {
+static void judge_machines(world *world, const tw_shards *reader) {
     int *seen = calloc((size_t)world->nmachines + 1, sizeof *seen);
     if (!seen) abort();
-    for (int i = 0; i < tw_shares_machines(reader); i++) {
-        const tw_shares_tell cell = tw_shares_machine(reader, i);
+    for (int i = 0; i < tw_shards_machines(reader); i++) {
+        const tw_shards_tell cell = tw_shards_machine(reader, i);
         const machine *of = machine_named(world, cell.machine);
-        if (cell.state == TW_SHARES_ABSENT || !of) continue;
+        if (cell.state == TW_SHARDS_ABSENT || !of) continue;
         seen[of - world->machines]++;
         if (world->lease_s > 0 && of->alive && of->guard.newest != cell.epoch)
             tw_world_fail(world, "stuck: %s has epoch %lu open, recorded is %lu", of->name,
                           (unsigned long)of->guard.newest, (unsigned long)cell.epoch);
-        if (cell.state != TW_SHARES_OPEN)
+        if (cell.state != TW_SHARDS_OPEN)
             tw_world_fail(world, "stuck: %s is %s of %s", of->name,
-                          tw_shares_state_name(cell.state), cell.owner);
+                          tw_shards_state_name(cell.state), cell.owner);
     }
     for (int i = 0; i < world->nmachines; i++)
         if (seen[i] != world->machines[i].alive)
@@ -208,42 +208,42 @@
     free(seen);
 }
 
-static tw_shares_progress watch(const world *world, tw_shares *reader, const char *key,
-                                tw_shares_verdict *verdict) {
-    tw_shares_request request = {.kind = TW_SHARES_WATCH, .id = 1};
-    tw_shares_progress progress = {0};
-    tw_shares_effect *effect;
-    *verdict = TW_SHARES_NOT_LEADER;
+static tw_shards_progress watch(const world *world, tw_shards *reader, const char *key,
+                                tw_shards_verdict *verdict) {
+    tw_shards_request request = {.kind = TW_SHARDS_WATCH, .id = 1};
+    tw_shards_progress progress = {0};
+    tw_shards_effect *effect;
+    *verdict = TW_SHARDS_NOT_LEADER;
     snprintf(request.key, sizeof request.key, "%s", key);
-    tw_shares_request_in(reader, world->now, &request);
-    while ((effect = tw_shares_next(reader))) {
-        if (effect->kind == TW_SHARES_ANSWER) {
+    tw_shards_request_in(reader, world->now, &request);
+    while ((effect = tw_shards_next(reader))) {
+        if (effect->kind == TW_SHARDS_ANSWER) {
             progress = effect->progress;
             *verdict = effect->verdict;
         }
-        tw_shares_effect_free(effect);
+        tw_shards_effect_free(effect);
     }
     return progress;
 }
 
-static int is_defined(const tw_shares *reader, const char *share) {
-    for (int i = 0; i < tw_shares_count(reader); i++)
-        if (!strcmp(tw_shares_view_of(reader, i).name, share)) return 1;
+static int is_defined(const tw_shards *reader, const char *share) {
+    for (int i = 0; i < tw_shards_count(reader); i++)
+        if (!strcmp(tw_shards_view_of(reader, i).name, share)) return 1;
     return 0;
 }
 
-static void judge_client(world *world, tw_shares *reader, const client *asked) {
-    tw_shares_verdict verdict;
+static void judge_client(world *world, tw_shards *reader, const client *asked) {
+    tw_shards_verdict verdict;
     if (!asked->answered) {
         tw_world_fail(world, "unanswered: %s %s", asked->request.key, asked->request.share);
         return;
     }
-    if (asked->request.kind == TW_SHARES_DEFINE && asked->verdict == TW_SHARES_OK &&
+    if (asked->request.kind == TW_SHARDS_DEFINE && asked->verdict == TW_SHARDS_OK &&
         !is_defined(reader, asked->request.share))
         tw_world_fail(world, "lost: share %s was accepted", asked->request.share);
-    if (asked->request.kind != TW_SHARES_MOVE || asked->verdict != TW_SHARES_OK) return;
-    const tw_shares_progress progress = watch(world, reader, asked->request.key, &verdict);
-    if (verdict == TW_SHARES_UNKNOWN_MOVE) return; /* over for long */
+    if (asked->request.kind != TW_SHARDS_MOVE || asked->verdict != TW_SHARDS_OK) return;
+    const tw_shards_progress progress = watch(world, reader, asked->request.key, &verdict);
+    if (verdict == TW_SHARDS_UNKNOWN_MOVE) return; /* over for long */
     if (!progress.done) tw_world_fail(world, "stuck: move %s is not over", asked->request.key);
     if (progress.moved + progress.returned + progress.lost != progress.wanted && !progress.returned)
         tw_world_fail(world, "move %s: %d moved, %d returned, %d lost of %d", asked->request.key,
@@ -252,8 +252,8 @@
 
 void tw_judge_end(world *world) {
     tw_judge_requests(world);
-    tw_shares *reader = tw_judge_read(world);
+    tw_shards *reader = tw_judge_read(world);
     judge_machines(world, reader);
     for (int i = 0; i < world->nclients; i++) judge_client(world, reader, &world->clients[i]);
-    tw_shares_free(reader);
+    tw_shards_free(reader);
 }
--- a/tests/shares/machines.c
+++ b/tests/shards/machines.c
@@ -1,5 +1,5 @@
 /* Machines: orders of owners, and users' requests that run there. */
-#include "shares_world.h"
+#include "shards_world.h"
 #include <stdlib.h>
 #include <string.h>
 
@@ -23,9 +23,9 @@
     ends->life++; /* their ends no longer count */
 }
 
-int tw_world_order(world *world, int at, uint64_t term, tw_shares_guard_verdict verdict) {
+int tw_world_order(world *world, int at, uint64_t term, tw_shards_guard_verdict verdict) {
     machine *takes = &world->machines[at];
-    if (verdict != TW_SHARES_GUARD_RAISED && verdict != TW_SHARES_GUARD_REPEATED) return 0;
+    if (verdict != TW_SHARDS_GUARD_RAISED && verdict != TW_SHARDS_GUARD_REPEATED) return 0;
     tw_judge_order(world, at, term);
     takes->judged_term = term;
     return 1;
@@ -40,10 +40,10 @@
     machine *opened = &world->machines[order->machine];
     if (!opened->alive || !opened->registered) return;
     forget_term(world, opened);
-    const tw_shares_guard_verdict verdict =
-        tw_shares_guard_open(&opened->guard, order->term, order->epoch);
+    const tw_shards_guard_verdict verdict =
+        tw_shards_guard_open(&opened->guard, order->term, order->epoch);
     if (!tw_world_order(world, order->machine, order->term, verdict)) return;
-    if (verdict == TW_SHARES_GUARD_RAISED) tw_world_end_running(world, order->machine, CONFLICT);
+    if (verdict == TW_SHARDS_GUARD_RAISED) tw_world_end_running(world, order->machine, CONFLICT);
     if (order->epoch < opened->judged_epoch)
         tw_world_fail(world, "%s confirms epoch %lu after %lu", opened->name,
                       (unsigned long)order->epoch, (unsigned long)opened->judged_epoch);
@@ -63,7 +63,7 @@
                          .node = order->node,
                          .life = order->life,
                          .epoch = order->epoch};
-    const int accepts = tw_shares_guard_accepts(&at->guard, order->epoch) || world->plant_old;
+    const int accepts = tw_shards_guard_accepts(&at->guard, order->epoch) || world->plant_old;
     if (!at->alive || !accepts) {
         world->refused += at->alive;
         answer_work(world, &work, order->machine, BAD);
@@ -98,8 +98,8 @@
 void tw_world_handle_stop(world *world, const event *order) {
     machine *at = &world->machines[order->machine];
     forget_term(world, at);
-    const tw_shares_guard_verdict verdict =
-        tw_shares_guard_stop(&at->guard, order->term, order->epoch);
+    const tw_shards_guard_verdict verdict =
+        tw_shards_guard_stop(&at->guard, order->term, order->epoch);
     if (!tw_world_order(world, order->machine, order->term, verdict)) return;
     if (at->nrunning && at->running[0].epoch == order->epoch)
         tw_world_end_running(world, order->machine, CONFLICT);
--- a/tests/shares/properties.cpp
+++ b/tests/shards/properties.cpp
@@ -148,7 +148,7 @@
         const int seed = *rc::gen::inRange(0, 1000);
         const std::string scenario = scenario_of(actions, seed, elects);
         char reason[reason_size];
-        if (tw_shares_play(scenario.c_str(), reason, sizeof reason) != 0) {
+        if (tw_shards_play(scenario.c_str(), reason, sizeof reason) != 0) {
             RC_LOG() << scenario;
             RC_FAIL(reason);
         }
--- a/tests/shares/runner.c
+++ b/tests/shards/runner.c
@@ -1,5 +1,5 @@
 /* Plays scenario files, each twice: both plays must end alike. Prints what broke. */
-#include "shares_world.h"
+#include "shards_world.h"
 #include "log/log.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -59,8 +59,8 @@
         char again[TEXT];
         char *text = read_scenario(names[i]);
         if (!text) return 2;
-        int broken = tw_shares_play(text, why, sizeof why);
-        tw_shares_play(text, again, sizeof again);
+        int broken = tw_shards_play(text, why, sizeof why);
+        tw_shards_play(text, again, sizeof again);
         char *planted = planted_in(text);
         if (planted) {
             broken = !strstr(why, planted);
--- a/tests/shares/script.c
+++ b/tests/shards/script.c
@@ -20,7 +20,7 @@
     return read;
 }
 
-static void copy_name(char *to, const char *from) { snprintf(to, TW_SHARES_NAME, "%s", from); }
+static void copy_name(char *to, const char *from) { snprintf(to, TW_SHARDS_NAME, "%s", from); }
 
 int tw_script_node(const world *world, const char *name) {
     for (int i = 0; !strcmp(name, "leader") && world->lease_s > 0 && i < world->nnodes; i++) {
@@ -40,7 +40,7 @@
 
 /* move KEY FROM TO COUNT|MACHINE,... [image=NAME] [revision=N] */
 static int do_move(world *world, const words *read) {
-    tw_shares_request request = {.kind = TW_SHARES_MOVE};
+    tw_shards_request request = {.kind = TW_SHARDS_MOVE};
     if (read->count < 5) return -1;
     copy_name(request.key, read->words[1]);
     copy_name(request.share, read->words[2]);
@@ -66,7 +66,7 @@
 }
 
 static int do_cancel(world *world, const words *read) {
-    tw_shares_request request = {.kind = TW_SHARES_CANCEL};
+    tw_shards_request request = {.kind = TW_SHARDS_CANCEL};
     if (read->count != 2) return -1;
     copy_name(request.key, read->words[1]);
     tw_world_client(world, &request);
@@ -75,7 +75,7 @@
 
 /* share NAME OWNER LEAST [spread] */
 static int do_share(world *world, const words *read) {
-    tw_shares_request request = {.kind = TW_SHARES_DEFINE, .spread = read->count > 4};
+    tw_shards_request request = {.kind = TW_SHARDS_DEFINE, .spread = read->count > 4};
     if (read->count < 4) return -1;
     copy_name(request.share, read->words[1]);
     copy_name(request.owner, read->words[2]);
@@ -102,7 +102,7 @@
         copy_name(added->share, read->words[2]);
         copy_name(added->zone, read->words[3]);
         added->alive = 1;
-        tw_shares_guard_boot(&added->guard, added->boot + 1);
+        tw_shards_guard_boot(&added->guard, added->boot + 1);
         register_machine(world, at, 0.1);
     }
     return 0;
@@ -117,7 +117,7 @@
     struck->boot++;
     struck->registered = struck->accepted = 0;
     struck->judged_term = 0; /* it knows of none in this life */
-    tw_shares_guard_boot(&struck->guard, struck->boot + 1);
+    tw_shards_guard_boot(&struck->guard, struck->boot + 1);
     struck->alive = strcmp(read->words[0], "take") != 0;
     if (strcmp(read->words[0], "reboot") != 0) register_machine(world, at, 0.1);
     return 0;
@@ -180,7 +180,7 @@
 
 static int do_outage(world *world, const words *read) {
     const int on = read->count > 1 && number(read, 1) > 0;
-    tw_sim_state_outage(&world->state, world->now, on);
+    tw_simulator_state_outage(&world->state, world->now, on);
     if (!on) return 0;
     event *end = tw_world_event(world, number(read, 1), EVENT_COMMAND);
     end->text = strdup("outage 0");
@@ -254,9 +254,9 @@
 
 /* holds MACHINE IMAGE: the leader hears that the machine holds the image */
 static int do_holds(world *world, const words *read) {
-    tw_shares *leader = world->nodes[world->leading].leader;
+    tw_shards *leader = world->nodes[world->leading].leader;
     if (read->count != 3 || !leader) return -1;
-    tw_shares_holds(leader, read->words[1], read->words[2], 1);
+    tw_shards_holds(leader, read->words[1], read->words[2], 1);
     return 0;
 }
 
@@ -416,7 +416,7 @@
     }
     for (int i = 0; i < world->nnodes; i++) tw_world_end_node(world, i, -1);
     for (int i = 0; i < world->nclients; i++) free(world->clients[i].named);
-    tw_sim_state_free(&world->state);
+    tw_simulator_state_free(&world->state);
     gsl_rng_free(world->rng);
     for (int i = 0; i < world->nmachines; i++) free(world->machines[i].running);
     free(world->requests);
@@ -443,12 +443,12 @@
     }
 }
 
-int tw_shares_play(const char *text, char *why, size_t size) {
+int tw_shards_play(const char *text, char *why, size_t size) {
     world *played = calloc(1, sizeof *played);
     if (!played) abort();
     played->machines = calloc(MOST_MACHINES, sizeof *played->machines);
     if (!played->machines) abort();
-    played->settings = (tw_shares_settings){.drain_s = 3,
+    played->settings = (tw_shards_settings){.drain_s = 3,
                                             .grace_s = 2,
                                             .retry_s = 1,
                                             .value_bytes = DEFAULT_VALUE_BYTES,
@@ -456,7 +456,7 @@
                                             .write_rps = 100};
     played->rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(played->rng, DEFAULT_SEED);
-    tw_sim_state_init(&played->state);
+    tw_simulator_state_init(&played->state);
     read_text(played, text);
     play(played);
     snprintf(why, size, "%s", played->failure);
--- a/tests/shares/script_int.h
+++ b/tests/shards/script_int.h
@@ -1,7 +1,7 @@
 /* What the files of the scenario reader share. */
-#ifndef TW_SHARES_SCRIPT_H
-#define TW_SHARES_SCRIPT_H
-#include "shares_world.h"
+#ifndef TW_SHARDS_SCRIPT_H
+#define TW_SHARDS_SCRIPT_H
+#include "shards_world.h"
 #include <stdlib.h>
 
 #define MOST_WORDS 12
--- a/tests/shares/shares_world.h
+++ b/tests/shards/shards_world.h
@@ -1,10 +1,11 @@
 /* A simulated world for shares: controllers (a leader's and an owner's state machine each),
- * machines with guards, the state service's stand-in of sim/, messages that take time, get lost or
- * come late. Everything random follows from one seed. Scenario commands: tests/shares/README.md. */
-#ifndef TW_SHARES_WORLD_H
-#define TW_SHARES_WORLD_H
-#include "route/route.h"
-#include "shares/shares.h"
+ * machines with guards, the state service's stand-in of simulator/, messages that take time, get
+ * lost or come late. Everything random follows from one seed. Scenario commands:
+ * tests/shards/README.md. */
+#ifndef TW_SHARDS_WORLD_H
+#define TW_SHARDS_WORLD_H
+#include "router/router.h"
+#include "shards/shards.h"
 #include "shares_play.h"
 #include "standby/standby.h"
 #include "world.h"
@@ -55,8 +56,8 @@
     event_kind kind;
     int node, machine, number, attempt;
     uint64_t id, epoch, life; /* life: of the node that it is for; 0: any */
-    tw_shares_tell tell;
-    tw_shares_request_kind report;
+    tw_shards_tell tell;
+    tw_shards_request_kind report;
     int flag, status;
     char *text;
     uint64_t term, floor;
@@ -69,10 +70,10 @@
 } event;
 
 typedef struct {
-    char name[TW_SHARES_NAME];
-    tw_shares *leader;
-    tw_shares_owner *owner;
-    tw_route *route;
+    char name[TW_SHARDS_NAME];
+    tw_shards *leader;
+    tw_shards_owner *owner;
+    tw_router *route;
     uint64_t token; /* it leads by */
     uint64_t life;  /* 0: ended */
     double hung_until;
@@ -87,8 +88,8 @@
 } cut;
 
 typedef struct {
-    char name[TW_SHARES_NAME], share[TW_SHARES_NAME], zone[TW_SHARES_NAME];
-    tw_shares_guard guard;
+    char name[TW_SHARDS_NAME], share[TW_SHARDS_NAME], zone[TW_SHARDS_NAME];
+    tw_shards_guard guard;
     int alive, registered;
     int accepted;          /* whoever registered it heard so, and does not ask again */
     uint64_t boot;         /* counts its starts */
@@ -96,7 +97,7 @@
     uint64_t judged_epoch; /* the highest that it confirmed */
     uint64_t judged_term;  /* of the orders it took in this life */
     uint64_t recorded_epoch;
-    tw_shares_state recorded_state;
+    tw_shards_state recorded_state;
     struct served *running; /* requests that run there */
     int nrunning;
 } machine;
@@ -120,11 +121,11 @@
 
 /* A client's request to the leader. */
 typedef struct {
-    tw_shares_request request;
-    char (*named)[TW_SHARES_NAME];
+    tw_shards_request request;
+    char (*named)[TW_SHARDS_NAME];
     int answered, answers;
-    tw_shares_verdict verdict;
-    tw_shares_progress progress;
+    tw_shards_verdict verdict;
+    tw_shards_progress progress;
     uint64_t revision;
     uint64_t attempt; /* only the last one's answer is heard */
     int follow;       /* goes on asking until the move is done */
@@ -135,14 +136,14 @@
 } client;
 
 typedef struct {
-    char share[TW_SHARES_NAME];
+    char share[TW_SHARDS_NAME];
     double rate, service_s, until;
     int owner, owner_known_at; /* as read after so many transactions, plus one */
 } load;
 
 /* Strikes once, when a transaction with this text is handled by the state service. */
 typedef struct {
-    char text[TW_SHARES_NAME], command[TEXT];
+    char text[TW_SHARDS_NAME], command[TEXT];
     int used;
     double from;
 } trigger;
@@ -158,8 +159,8 @@
     uint64_t order, next_life, next_id;
     event *events;
     gsl_rng *rng;
-    tw_sim_state state;
-    tw_shares_settings settings;
+    tw_simulator_state state;
+    tw_shards_settings settings;
     node nodes[MOST_NODES];
     int nnodes, leading, electing; /* until the next leader begins, nobody's lease is renewed */
     machine *machines;
@@ -174,7 +175,7 @@
     int nuses, uses_room;
     double loss, late_share, late_s, slow_s;    /* of messages between nodes and machines */
     int lose_answers, drop_writes, late_writes; /* next transactions with the text below */
-    char strike_text[TW_SHARES_NAME];
+    char strike_text[TW_SHARDS_NAME];
     double late_write_s;
     int transactions, changes;
     double last_change_s; /* when a transaction of shares was last applied */
@@ -195,7 +196,7 @@
     double feed_cpu_s;      /* of the active controller's process, for the feed */
     double decided_after_s; /* of the last term, from its record to its first decision */
     double term_at;
-    tw_shares_verdict promoted;
+    tw_shards_verdict promoted;
     int promotions;
     long refused, completed, moved, failed;
     char failure[TEXT];
@@ -212,7 +213,7 @@
 double tw_world_draw(world *world, double from, double to);
 /* Ends all that runs there; status: what its senders hear. */
 void tw_world_end_running(world *world, int machine, int status);
-client *tw_world_client(world *world, const tw_shares_request *request);
+client *tw_world_client(world *world, const tw_shards_request *request);
 /* A message that takes its time; NULL: it is lost. */
 event *tw_world_message(world *world, event_kind kind);
 void tw_world_free_event(event *event);
@@ -220,13 +221,13 @@
 char *tw_world_text(const char *text);
 void tw_world_effects(world *world, int node);
 void tw_world_call_state(world *world, int node, event *call);
-void tw_world_take_answer(world *world, const tw_shares_effect *effect);
-void tw_world_tell_owner(world *world, int from, const tw_shares_tell *tell);
+void tw_world_take_answer(world *world, const tw_shards_effect *effect);
+void tw_world_tell_owner(world *world, int from, const tw_shards_tell *tell);
 int tw_world_machine_index(const world *world, const char *name);
 int tw_world_node_index(const world *world, const char *name);
 /* A machine's verdict on an order, with the judge's own record and planted faults. Returns whether
  * it was taken. */
-int tw_world_order(world *world, int machine, uint64_t term, tw_shares_guard_verdict verdict);
+int tw_world_order(world *world, int machine, uint64_t term, tw_shards_guard_verdict verdict);
 /* state_calls.c: calls to the state service and their answers */
 void tw_world_handle_state(world *world, const event *call);
 void tw_world_handle_answer(world *world, const event *answer);
@@ -247,11 +248,11 @@
 void tw_elections_end(world *world, int node);
 void tw_elections_tick(world *world, int node);
 void tw_elections_effects(world *world, int node);
-void tw_elections_report(world *world, int from, tw_shares_owner_effect_kind kind,
+void tw_elections_report(world *world, int from, tw_shards_owner_effect_kind kind,
                          const char *machine, uint64_t epoch);
 void tw_elections_client(world *world, int number);
 void tw_elections_refused(world *world, client *asked);
-void tw_elections_machine(world *world, const tw_shares_request *request);
+void tw_elections_machine(world *world, const tw_shards_request *request);
 void tw_elections_handle(world *world, event *event);
 int tw_elections_is_cut(const world *world, int one, int other);
 /* A node's clocks. */
@@ -270,7 +271,7 @@
 void tw_judge_unanswered(world *world, int request);
 void tw_judge_records(world *world);
 void tw_judge_end(world *world);
-/* What stands in the state service, read by a node of the judge's own; free with tw_shares_free. */
-tw_shares *tw_judge_read(world *world);
+/* What stands in the state service, read by a node of the judge's own; free with tw_shards_free. */
+tw_shards *tw_judge_read(world *world);
 
 #endif
--- a/tests/shares/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -1,5 +1,5 @@
 /* Calls of controllers to the state service, what strikes them, and their answers. */
-#include "shares_world.h"
+#include "shards_world.h"
 #include "log/log.h"
 #include "wire/wire.h"
 #include <stdio.h>
@@ -61,7 +61,7 @@
     }
     const int lost = !call->number && struck(&world->lose_answers, world, call->text);
     const int status =
-        tw_sim_state_request(&world->state, world->now, "POST", "/txn", call->text, &answer);
+        tw_simulator_state_request(&world->state, world->now, "POST", "/txn", call->text, &answer);
     tw_log_debug("t=%.3f node=%s status=%d txn=%.600s", world->now, world->nodes[call->node].name,
                  status, call->text);
     /* A leader's key that comes late is refused with its lease, which is over by then. */
@@ -84,7 +84,7 @@
 static int skip_fence(const world *world, const event *call, char **answer) {
     const char *key = TW_STANDBY_KEY;
     char text[TEXT];
-    const uint64_t recorded = tw_sim_state_version(&world->state, key);
+    const uint64_t recorded = tw_simulator_state_version(&world->state, key);
     const int reads = !strcmp(call->path, "/kv/" TW_STANDBY_KEY);
     const int writes = !strcmp(call->path, "/txn") && strstr(call->text, "\"write\":\"traywalld/");
     const tw_standby *asks = world->nodes[call->node].standby;
@@ -107,13 +107,14 @@
         answer_call(world, call, skipped, answer);
     } else if (!strcmp(call->path, "/txn")) {
         handle_transaction(world, call);
-        const uint64_t recorded = tw_sim_state_version(&world->state, TW_STANDBY_KEY);
+        const uint64_t recorded = tw_simulator_state_version(&world->state, TW_STANDBY_KEY);
         world->terms += recorded > world->newest_term;
         if (recorded > world->newest_term) world->term_at = world->now;
         if (recorded > world->newest_term) world->newest_term = recorded;
     } else {
-        const int status = tw_sim_state_request(&world->state, world->now, call->method, call->path,
-                                                call->text ? call->text : "", &answer);
+        const int status =
+            tw_simulator_state_request(&world->state, world->now, call->method, call->path,
+                                       call->text ? call->text : "", &answer);
         tw_log_debug("t=%.3f node=%s %s %s status=%d", world->now, world->nodes[call->node].name,
                      call->method, call->path, status);
         world->state_calls++;
@@ -133,14 +134,14 @@
         return;
     }
     const int status =
-        tw_sim_state_request(&world->state, world->now, "GET", call->text, "", &answer);
+        tw_simulator_state_request(&world->state, world->now, "GET", call->text, "", &answer);
     answer_call(world, call, status, answer);
 }
 
-static tw_shares_outcome outcome_of(int status) {
-    if (status == OK) return TW_SHARES_APPLIED;
-    if (status == CONFLICT || status == BAD) return TW_SHARES_REFUSED;
-    return status ? TW_SHARES_PUT_OFF : TW_SHARES_UNKNOWN;
+static tw_shards_outcome outcome_of(int status) {
+    if (status == OK) return TW_SHARDS_APPLIED;
+    if (status == CONFLICT || status == BAD) return TW_SHARDS_REFUSED;
+    return status ? TW_SHARDS_PUT_OFF : TW_SHARDS_UNKNOWN;
 }
 
 void tw_world_handle_answer(world *world, const event *answer) {
@@ -153,17 +154,17 @@
         return;
     }
     if (answer->flag) {
-        const tw_shares_outcome outcome = outcome_of(answer->status);
-        if (outcome == TW_SHARES_APPLIED) tw_wire_revision_parse(&revision, text, strlen(text));
+        const tw_shards_outcome outcome = outcome_of(answer->status);
+        if (outcome == TW_SHARDS_APPLIED) tw_wire_revision_parse(&revision, text, strlen(text));
         /* a node that finds the leader's key changed gives up, as the service's election does */
-        if (outcome == TW_SHARES_REFUSED &&
-            tw_sim_state_version(&world->state, "leader") != at->token) {
+        if (outcome == TW_SHARDS_REFUSED &&
+            tw_simulator_state_version(&world->state, "leader") != at->token) {
             at->token = 0;
-            tw_shares_resign(at->leader);
+            tw_shards_resign(at->leader);
         }
-        tw_shares_written(at->leader, world->now, answer->id, outcome, revision);
+        tw_shards_written(at->leader, world->now, answer->id, outcome, revision);
     } else {
         const int has = answer->status == OK;
-        tw_shares_page(at->leader, world->now, answer->id, has ? text : NULL, strlen(text));
+        tw_shards_page(at->leader, world->now, answer->id, has ? text : NULL, strlen(text));
     }
 }
