--- a/tests/shares/world.c
+++ b/tests/shards/world.c
@@ -1,5 +1,5 @@
 /* The world's nodes, machines and messages. */
-#include "shares_world.h"
+#include "shards_world.h"
 #include "log/log.h"
 #include "wire/wire.h"
 #include <stdarg.h>
@@ -65,56 +65,56 @@
 
 /* ---- effects of a node ---- */
 
-static void call_state(world *world, int at, const tw_shares_effect *effect) {
+static void call_state(world *world, int at, const tw_shards_effect *effect) {
     event *call = tw_world_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
     char path[PATH_SIZE];
     call->node = at;
     call->life = world->nodes[at].life;
     call->id = effect->id;
-    call->flag = effect->kind == TW_SHARES_WRITE;
+    call->flag = effect->kind == TW_SHARDS_WRITE;
     if (call->flag) {
         call->text = tw_world_text(effect->text);
         return;
     }
-    snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARES_PREFIX,
-             effect->text[0] ? "&since=" : "", effect->text, TW_SHARES_PAGE);
+    snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARDS_PREFIX,
+             effect->text[0] ? "&since=" : "", effect->text, TW_SHARDS_PAGE);
     call->text = tw_world_text(path);
 }
 
-void tw_world_take_answer(world *world, const tw_shares_effect *effect) {
+void tw_world_take_answer(world *world, const tw_shards_effect *effect) {
     tw_log_debug("t=%.3f answer=%lu verdict=%s moved=%d", world->now, (unsigned long)effect->id,
-                 tw_shares_verdict_name(effect->verdict), effect->progress.moved);
+                 tw_shards_verdict_name(effect->verdict), effect->progress.moved);
     client *asked = &world->clients[effect->id % MOST_REQUESTS];
     if (effect->id / MOST_REQUESTS != asked->attempt) return;
     asked->heard = 1;
-    if (world->lease_s > 0 && effect->verdict == TW_SHARES_NOT_LEADER)
+    if (world->lease_s > 0 && effect->verdict == TW_SHARDS_NOT_LEADER)
         tw_elections_refused(world, asked);
-    if (effect->verdict == TW_SHARES_NOT_LEADER || effect->verdict == TW_SHARES_OVERLOADED ||
-        effect->verdict == TW_SHARES_HELD_BACK)
+    if (effect->verdict == TW_SHARDS_NOT_LEADER || effect->verdict == TW_SHARDS_OVERLOADED ||
+        effect->verdict == TW_SHARDS_HELD_BACK)
         return;
     if (effect->progress.done && !asked->done_at) asked->done_at = world->now;
     if (!asked->answered) asked->verdict = effect->verdict;
     if (asked->answered && asked->verdict != effect->verdict)
         tw_world_fail(world, "%s was told %s, now %s", asked->request.key,
-                      tw_shares_verdict_name(asked->verdict),
-                      tw_shares_verdict_name(effect->verdict));
+                      tw_shards_verdict_name(asked->verdict),
+                      tw_shards_verdict_name(effect->verdict));
     asked->answered = 1;
     asked->progress = effect->progress;
     asked->revision = effect->revision;
 }
 
 /* The answer to a machine that registers: it may be opened from now on. */
-static void take_registration(world *world, const tw_shares_effect *effect) {
+static void take_registration(world *world, const tw_shards_effect *effect) {
     const uint64_t id = effect->id - FIRST_MACHINE_ID;
     machine *registered = &world->machines[id % MOST_MACHINES];
-    if (effect->verdict != TW_SHARES_OK || registered->registered) return;
+    if (effect->verdict != TW_SHARDS_OK || registered->registered) return;
     if (id / MOST_MACHINES != registered->boot) return; /* to an earlier start of it */
     registered->registered = 1;
-    tw_shares_guard_start(&registered->guard, world->nodes[world->leading].token,
+    tw_shards_guard_start(&registered->guard, world->nodes[world->leading].token,
                           registered->guard.life, effect->floor);
 }
 
-void tw_world_tell_owner(world *world, int from, const tw_shares_tell *tell) {
+void tw_world_tell_owner(world *world, int from, const tw_shards_tell *tell) {
     for (int i = 0; i < world->nnodes; i++) {
         if (strcmp(world->nodes[i].name, tell->owner) != 0) continue;
         if (i != from && tw_elections_is_cut(world, from, i)) return;
@@ -138,7 +138,7 @@
 }
 
 static void to_machine(world *world, int from, event_kind kind,
-                       const tw_shares_owner_effect *order) {
+                       const tw_shards_owner_effect *order) {
     event *sent =
         tw_elections_is_cut(world, from, END_MACHINES) ? NULL : tw_world_message(world, kind);
     if (!sent) return;
@@ -149,7 +149,7 @@
     sent->term = order->term;
 }
 
-static void report(world *world, int from, tw_shares_owner_effect_kind kind, const char *name,
+static void report(world *world, int from, tw_shards_owner_effect_kind kind, const char *name,
                    uint64_t epoch) {
     if (world->lease_s > 0) {
         tw_elections_report(world, from, kind, name, epoch);
@@ -164,14 +164,14 @@
 }
 
 static void owner_effects(world *world, int at) {
-    tw_shares_owner_effect *effect;
-    while ((effect = tw_shares_owner_next(world->nodes[at].owner))) {
+    tw_shards_owner_effect *effect;
+    while ((effect = tw_shards_owner_next(world->nodes[at].owner))) {
         switch (effect->kind) {
-        case TW_SHARES_OWNER_OPEN:
+        case TW_SHARDS_OWNER_OPEN:
             tw_judge_use(world, at, tw_world_machine_index(world, effect->machine), effect->epoch);
             to_machine(world, at, EVENT_OPEN, effect);
             break;
-        case TW_SHARES_OWNER_STOP:
+        case TW_SHARDS_OWNER_STOP:
             to_machine(world, at, EVENT_STOP, effect);
             break;
         default:
@@ -183,33 +183,33 @@
 
 /* Where leaders are named by the scenario, machines need not be asked by them. */
 static void decide_at_once(world *world, int at) {
-    tw_shares *table = world->nodes[at].leader;
-    if (!tw_shares_ready(table) || tw_shares_deciding(table)) return;
-    for (int i = 0; i < tw_shares_machines(table); i++)
-        tw_shares_checked(table, world->now, tw_shares_machine(table, i).machine);
-    tw_shares_decide(table, world->now);
+    tw_shards *table = world->nodes[at].leader;
+    if (!tw_shards_ready(table) || tw_shards_deciding(table)) return;
+    for (int i = 0; i < tw_shards_machines(table); i++)
+        tw_shards_checked(table, world->now, tw_shards_machine(table, i).machine);
+    tw_shards_decide(table, world->now);
 }
 
 static void table_effects(world *world, int at) {
-    tw_shares_effect *effect;
+    tw_shards_effect *effect;
     decide_at_once(world, at);
-    while ((effect = tw_shares_next(world->nodes[at].leader))) {
+    while ((effect = tw_shards_next(world->nodes[at].leader))) {
         switch (effect->kind) {
-        case TW_SHARES_READ:
-        case TW_SHARES_WRITE:
+        case TW_SHARDS_READ:
+        case TW_SHARDS_WRITE:
             call_state(world, at, effect);
             break;
-        case TW_SHARES_TELL:
+        case TW_SHARDS_TELL:
             tw_world_tell_owner(world, at, &effect->tell);
             break;
-        case TW_SHARES_ANSWER:
+        case TW_SHARDS_ANSWER:
             if (effect->id >= FIRST_MACHINE_ID)
                 take_registration(world, effect);
             else
                 tw_world_take_answer(world, effect);
             break;
         }
-        tw_shares_effect_free(effect);
+        tw_shards_effect_free(effect);
     }
 }
 
@@ -225,17 +225,17 @@
 
 /* ---- life of nodes ---- */
 
-static const tw_route_settings route_settings = {.most_waiting = 1000,
-                                                 .most_attempts = 5,
-                                                 .retry_ratio = 0.5,
-                                                 .retry_burst = 50,
-                                                 .average_ratio = 0.2};
+static const tw_router_settings route_settings = {.most_waiting = 1000,
+                                                  .most_attempts = 5,
+                                                  .retry_ratio = 0.5,
+                                                  .retry_burst = 50,
+                                                  .average_ratio = 0.2};
 
 void tw_world_start_node(world *world, int at) {
     node *started = &world->nodes[at];
-    started->leader = tw_shares_new(&world->settings);
-    started->owner = tw_shares_owner_new(world->settings.retry_s);
-    started->route = tw_route_new(&route_settings);
+    started->leader = tw_shards_new(&world->settings);
+    started->owner = tw_shards_owner_new(world->settings.retry_s);
+    started->route = tw_router_new(&route_settings);
     started->life = ++world->next_life;
     started->token = 0;
     started->hung_until = 0;
@@ -256,9 +256,9 @@
     node *ended = &world->nodes[at];
     if (!ended->life) return;
     if (ended->standby) tw_elections_end(world, at);
-    tw_shares_free(ended->leader);
-    tw_shares_owner_free(ended->owner);
-    tw_route_free(ended->route);
+    tw_shards_free(ended->leader);
+    tw_shards_owner_free(ended->owner);
+    tw_router_free(ended->route);
     ended->route = NULL;
     ended->leader = NULL;
     ended->owner = NULL;
@@ -286,7 +286,7 @@
     snprintf(body, sizeof body, "{\"if\":[],\"apply\":[{\"write\":\"leader\",\"data\":\"%s\"}]}",
              leader->name);
     const int status =
-        tw_sim_state_request(&world->state, world->now, "POST", "/txn", body, &answer);
+        tw_simulator_state_request(&world->state, world->now, "POST", "/txn", body, &answer);
     const int failed = status != OK || tw_wire_revision_parse(&token, answer, strlen(answer));
     free(answer);
     if (failed) {
@@ -294,11 +294,11 @@
         return;
     }
     world->leading = at;
-    if (leader->token) tw_shares_resign(leader->leader);
+    if (leader->token) tw_shards_resign(leader->leader);
     leader->token = token;
     world->electing = 0;
-    tw_shares_lead(leader->leader, world->now, "leader", token);
-    tw_shares_authority(leader->leader, world->now + AUTHORITY_S);
+    tw_shards_lead(leader->leader, world->now, "leader", token);
+    tw_shards_authority(leader->leader, world->now + AUTHORITY_S);
     tw_world_effects(world, at);
 }
 
@@ -308,12 +308,12 @@
     node *leader = &world->nodes[world->leading];
     const char *owner = world->nodes[said->machine].name;
     if (!leader->life || leader->hung_until > world->now) return;
-    if (said->number == TW_SHARES_OWNER_SYNC)
-        tw_shares_sync(leader->leader, owner);
-    else if (said->number == TW_SHARES_OWNER_DRAINED)
-        tw_shares_drained(leader->leader, owner, said->text, said->epoch);
+    if (said->number == TW_SHARDS_OWNER_SYNC)
+        tw_shards_sync(leader->leader, owner);
+    else if (said->number == TW_SHARDS_OWNER_DRAINED)
+        tw_shards_drained(leader->leader, owner, said->text, said->epoch);
     else
-        tw_shares_opened(leader->leader, owner, said->text, said->epoch);
+        tw_shards_opened(leader->leader, owner, said->text, said->epoch);
     tw_world_effects(world, world->leading);
 }
 
@@ -324,19 +324,19 @@
         return;
     }
     node *leader = &world->nodes[world->leading];
-    if (asks->answered && (!asks->follow || asks->verdict != TW_SHARES_OK || asks->done_at)) return;
+    if (asks->answered && (!asks->follow || asks->verdict != TW_SHARDS_OK || asks->done_at)) return;
     const int due_again =
         asks->answered || !asks->attempt || world->now >= asks->tried_at + CLIENT_RETRY_S;
     if (due_again && leader->life && leader->hung_until <= world->now) {
         asks->tried_at = world->now;
         asks->request.id = ++asks->attempt * MOST_REQUESTS + (uint64_t)due->number;
-        tw_shares_request_in(leader->leader, world->now, &asks->request);
+        tw_shards_request_in(leader->leader, world->now, &asks->request);
         tw_world_effects(world, world->leading);
     }
     tw_world_event(world, FOLLOW_S, EVENT_CLIENT)->number = due->number;
 }
 
-client *tw_world_client(world *world, const tw_shares_request *request) {
+client *tw_world_client(world *world, const tw_shards_request *request) {
     if (world->nclients == MOST_REQUESTS - 1) abort();
     client *added = &world->clients[world->nclients++];
     added->request = *request;
@@ -348,7 +348,7 @@
 static void handle_machine(world *world, const event *due) {
     machine *about = &world->machines[due->machine];
     const node *leader = &world->nodes[world->leading];
-    tw_shares_request request = {.kind = about->alive ? TW_SHARES_ADD : TW_SHARES_REMOVE,
+    tw_shards_request request = {.kind = about->alive ? TW_SHARDS_ADD : TW_SHARDS_REMOVE,
                                  .id = FIRST_MACHINE_ID + about->boot * MOST_MACHINES +
                                        (uint64_t)due->machine};
     if (due->life != about->boot || about->accepted) return;
@@ -359,8 +359,8 @@
     if (world->lease_s > 0) {
         tw_elections_machine(world, &request);
     } else if (leader->life && leader->hung_until <= world->now &&
-               tw_shares_ready(leader->leader)) {
-        tw_shares_request_in(leader->leader, world->now, &request);
+               tw_shards_ready(leader->leader)) {
+        tw_shards_request_in(leader->leader, world->now, &request);
         tw_world_effects(world, world->leading);
     }
     event *again = tw_world_event(world, 2 * CLIENT_RETRY_S, EVENT_MACHINE);
@@ -380,17 +380,17 @@
         (at->standby && tw_standby_decides(at->standby, tw_elections_now(world, due->node)));
     for (int i = 0; i < world->nmachines && leads; i++)
         if (world->machines[i].alive)
-            tw_shares_load(at->leader, world->machines[i].name, world->machines[i].nrunning);
+            tw_shards_load(at->leader, world->machines[i].name, world->machines[i].nrunning);
     /* The lease is renewed: the key still stands, and nobody is being elected. */
     if (at->token && !world->electing && world->state.down_since < 0 &&
-        tw_sim_state_version(&world->state, "leader") == at->token)
-        tw_shares_authority(at->leader, world->now + AUTHORITY_S);
+        tw_simulator_state_version(&world->state, "leader") == at->token)
+        tw_shards_authority(at->leader, world->now + AUTHORITY_S);
     if (at->standby)
         tw_elections_tick(world, due->node);
     else
-        tw_shares_tick(at->leader, world->now, world->now);
-    tw_shares_owner_tick(at->owner, world->now);
-    tw_route_tick(at->route, world->now);
+        tw_shards_tick(at->leader, world->now, world->now);
+    tw_shards_owner_tick(at->owner, world->now);
+    tw_router_tick(at->route, world->now);
 }
 
 /* Whether the event is for a node that has ended, or was started anew since. */
@@ -468,7 +468,7 @@
         tw_world_handle_answer(world, event);
         break;
     case EVENT_TELL:
-        tw_shares_owner_told(world->nodes[event->node].owner, world->now, &event->tell);
+        tw_shards_owner_told(world->nodes[event->node].owner, world->now, &event->tell);
         tw_world_refresh_replica(world, event->node, event->tell.machine);
         break;
     case EVENT_REPORT:
@@ -478,7 +478,7 @@
         tw_world_handle_open(world, event);
         break;
     case EVENT_OPENED:
-        tw_shares_owner_confirmed(world->nodes[event->node].owner, event->text, event->epoch);
+        tw_shards_owner_confirmed(world->nodes[event->node].owner, event->text, event->epoch);
         break;
     case EVENT_WORK:
         tw_world_handle_work(world, event);
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -40,7 +40,7 @@
 static void strike_machines(soak *run, const soak_fault *fault) {
     const double until = run->world.now + fault->lasts_s;
     for (int i = 0; i < run->world.nworkers; i++) {
-        tw_sim_worker *worker = run->world.workers[i];
+        tw_simulator_worker *worker = run->world.workers[i];
         if (worker->gone || !worker->up || soak_draw(run, 0, 1) > fault->share / 2) continue;
         if (fault->kind == FAULT_DEAF) worker->deaf_until = until;
         if (fault->kind == FAULT_MUTE) worker->mute_until = until;
@@ -100,7 +100,7 @@
 }
 
 static void strike_outage(soak *run, const soak_fault *fault) {
-    tw_sim_state_outage(&run->world.state, run->world.now, 1);
+    tw_simulator_state_outage(&run->world.state, run->world.now, 1);
     run->outage_until = end_of(run, fault);
 }
 
@@ -192,7 +192,7 @@
     }
     if (run->outage_until > 0 && run->world.now >= run->outage_until) {
         run->outage_until = 0;
-        tw_sim_state_outage(&run->world.state, run->world.now, 0);
+        tw_simulator_state_outage(&run->world.state, run->world.now, 0);
     }
     soak_cuts_tick(run);
 }
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -96,7 +96,7 @@
 }
 
 void soak_after(soak *of, double seconds, void (*act)(soak *of, void *data), void *data) {
-    delayed *due = tw_sim_zeroed(sizeof *due);
+    delayed *due = tw_simulator_zeroed(sizeof *due);
     due->of = of;
     due->act = act;
     due->data = data;
@@ -137,7 +137,7 @@
 }
 
 int soak_leader(soak *of) {
-    const char *value = tw_sim_state_value(&of->world.state, "leader");
+    const char *value = tw_simulator_state_value(&of->world.state, "leader");
     for (int node = 0; value && node < of->plan.nodes; node++) {
         char text[SOAK_TEXT + 16];
         snprintf(text, sizeof text, "\"node\":\"%s\"", of->world.nodes[node]);
@@ -224,7 +224,7 @@
 
 static void kill_series(soak *of) {
     static uint64_t killed;
-    const uint64_t version = tw_sim_state_version(&of->world.state, "leader");
+    const uint64_t version = tw_simulator_state_version(&of->world.state, "leader");
     const int leader = soak_leader(of);
     if (!of->leaders_to_kill || leader < 0 || version == killed || !of->nodes.pid[leader]) return;
     killed = version;
@@ -257,7 +257,7 @@
 
 /* ---- set-up ---- */
 
-static void init_types(tw_sim_world *world, int zones, int machines) {
+static void init_types(tw_simulator_world *world, int zones, int machines) {
     static const tw_wire_machine_type types[MACHINE_TYPES] = {{.name = "cpu",
                                                                .cores = 16,
                                                                .memory_gb = 64,
@@ -288,8 +288,8 @@
 }
 
 static void init_world(soak *of) {
-    tw_sim_world *world = &of->world;
-    tw_sim_world_init(world);
+    tw_simulator_world *world = &of->world;
+    tw_simulator_world_init(world);
     world->seed = of->seed;
     world->report_s = REPORT_S;
     world->lease_s = LEASE_S;
@@ -300,18 +300,18 @@
     world->job_ended = soak_job_ended;
     world->context = of;
     world->nteams = 2;
-    world->teams[0] = (tw_sim_team){"crew-0", 16, 150};
-    world->teams[1] = (tw_sim_team){"crew-1", 24, 250};
+    world->teams[0] = (tw_simulator_team){"crew-0", 16, 150};
+    world->teams[1] = (tw_simulator_team){"crew-1", 24, 250};
     world->nnodes = of->plan.nodes;
     for (int node = 0; node < of->plan.nodes; node++) {
         name_node(world->nodes[node], node);
-        snprintf(world->node_zone[node], TW_SIM_NAME, "%c", 'a' + node % of->plan.zones);
+        snprintf(world->node_zone[node], TW_SIMULATOR_NAME, "%c", 'a' + node % of->plan.zones);
     }
     init_types(world, of->plan.zones, of->plan.machines);
     /* Half of the machines are there at the start. */
     for (int i = 0; i < of->plan.machines / 2; i++) {
         char zone[2] = {(char)('a' + i % of->plan.zones), 0};
-        tw_sim_rent(world, i % 3 == 2, zone, 0, 0);
+        tw_simulator_rent(world, i % 3 == 2, zone, 0, 0);
     }
 }
 
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,6 +1,6 @@
 /* The soak: controllers as real processes over loopback, against the stand-ins and the judge of
- * sim/. Every message between controllers, state service, cloud and workers passes links.c, where
- * it can be lost, held or answered with 503. Internal. */
+ * simulator/. Every message between controllers, state service, cloud and workers passes links.c,
+ * where it can be lost, held or answered with 503. Internal. */
 #ifndef TW_SOAK_H
 #define TW_SOAK_H
 #include "net/net.h"
@@ -103,7 +103,7 @@
     const char *directory; /* of this run */
     struct ev_loop *loop;
     tw_net *net;
-    tw_sim_world world;
+    tw_simulator_world world;
     tw_loopback_nodes nodes;
     soak_plan plan;
     gsl_rng *rng;
@@ -191,6 +191,6 @@
 void soak_users_tick(soak *run);
 /* Whether all that was accepted is over or runs; says what isn't. */
 int soak_users_served(soak *run, char *what, size_t size);
-void soak_job_ended(void *context, tw_sim_job *job);
+void soak_job_ended(void *context, tw_simulator_job *job);
 
 #endif
--- a/tests/soak/stand_ins.c
+++ b/tests/soak/stand_ins.c
@@ -1,6 +1,6 @@
 /* What controllers ask of the state service, the cloud, machines and each other: it passes a link,
- * is carried out by the stand-ins of sim/ or handed to the other controller, and its answer passes
- * the link back. */
+ * is carried out by the stand-ins of simulator/ or handed to the other controller, and its answer
+ * passes the link back. */
 #include "soak.h"
 #include <stdlib.h>
 #include <string.h>
@@ -71,7 +71,7 @@
 }
 
 static void look_for_leader(soak *run) {
-    const uint64_t version = tw_sim_state_version(&run->world.state, "leader");
+    const uint64_t version = tw_simulator_state_version(&run->world.state, "leader");
     if (!version || version == run->leader_version) return;
     run->leader_version = version;
     run->leaders++;
@@ -81,9 +81,10 @@
 
 static void watch(soak *run, passage *request) {
     const char *hold = strstr(request->path, "holdMs=");
-    soak_watch *added = tw_sim_zeroed(sizeof *added);
+    soak_watch *added = tw_simulator_zeroed(sizeof *added);
     added->request = request;
-    added->until = run->world.now + (hold ? tw_sim_number(hold + strlen("holdMs=")) / 1000 : 0);
+    added->until =
+        run->world.now + (hold ? tw_simulator_number(hold + strlen("holdMs=")) / 1000 : 0);
     added->next = run->watches;
     run->watches = added;
 }
@@ -91,13 +92,14 @@
 /* Whether the watch has ended, and was answered. */
 static int watch_over(soak *run, soak_watch *watched) {
     passage *request = watched->request;
-    tw_sim_state *state = &run->world.state;
+    tw_simulator_state *state = &run->world.state;
     const int open = run->world.now < watched->until;
     if (is_refused(run, request->caller) || state->down_since >= 0) return 0;
-    tw_sim_state_expire(state, run->world.now);
+    tw_simulator_state_expire(state, run->world.now);
     if (open && state->revision == watched->looked_at) return 0;
     char *body;
-    const int status = tw_sim_state_request(state, run->world.now, "GET", request->path, "", &body);
+    const int status =
+        tw_simulator_state_request(state, run->world.now, "GET", request->path, "", &body);
     if (open && strstr(body, "\"log\":[]")) {
         watched->looked_at = state->revision;
         free(body);
@@ -122,8 +124,8 @@
 static void carry_out_state(soak *run, void *data) {
     passage *request = data;
     char *body;
-    const int status = tw_sim_state_request(&run->world.state, run->world.now, request->method,
-                                            request->path, request->body, &body);
+    const int status = tw_simulator_state_request(
+        &run->world.state, run->world.now, request->method, request->path, request->body, &body);
     look_for_leader(run);
     answer(run, request, status, body);
 }
@@ -133,7 +135,7 @@
     if (!strncmp(request->path, "/follow?", strlen("/follow?"))) {
         watch(run, request);
     } else if (is_refused(run, request->caller)) {
-        answer(run, request, TW_SIM_UNAVAILABLE, tw_sim_text("{}"));
+        answer(run, request, TW_SIMULATOR_UNAVAILABLE, tw_simulator_text("{}"));
     } else if (changes && soak_strikes(run, &run->late_writes)) {
         request->unanswered = 1;
         soak_after(run, soak_draw(run, LEAST_HELD_S, MOST_HELD_S), carry_out_state, request);
@@ -167,8 +169,8 @@
     const int most = (int)(2 * LIST_LAG_S / SNAPSHOT_S);
     int age = soak_draw_index(run, most);
     if (age >= run->list_count) age = run->list_count - 1;
-    return tw_sim_text(run->list_count ? run->lists[run->list_count - 1 - age]
-                                       : "{\"trays\":[],\"more\":false}");
+    return tw_simulator_text(run->list_count ? run->lists[run->list_count - 1 - age]
+                                             : "{\"trays\":[],\"more\":false}");
 }
 
 static void take_snapshot(soak *run) {
@@ -176,7 +178,7 @@
     char *body;
     if (run->world.now < run->next_snapshot) return;
     run->next_snapshot = run->world.now + SNAPSHOT_S;
-    tw_sim_cloud_request(&run->world, "GET", "/rentals", "", &body);
+    tw_simulator_cloud_request(&run->world, "GET", "/rentals", "", &body);
     if (run->list_count == most) {
         free(run->lists[0]);
         memmove(run->lists, run->lists + 1, (size_t)--run->list_count * sizeof *run->lists);
@@ -186,14 +188,14 @@
 
 static void ask_cloud(soak *run, passage *request) {
     char *body;
-    int status = TW_SIM_OK;
+    int status = TW_SIMULATOR_OK;
     run->world.refuse = run->world.nworkers >= MOST_MACHINES;
     if (!strcmp(request->method, "GET") &&
         strncmp(request->path, "/flavors", strlen("/flavors")) != 0)
         body = lagging_list(run);
     else
-        status =
-            tw_sim_cloud_request(&run->world, request->method, request->path, request->body, &body);
+        status = tw_simulator_cloud_request(&run->world, request->method, request->path,
+                                            request->body, &body);
     soak_listen(run);
     endpoints_for(run, body, request->caller);
     answer(run, request, status, body);
@@ -203,7 +205,7 @@
 
 static void ask_machine(soak *run, void *data) {
     passage *request = data;
-    tw_sim_worker *worker = run->world.workers[request->target - SOAK_WORKERS];
+    tw_simulator_worker *worker = run->world.workers[request->target - SOAK_WORKERS];
     if (worker->gone || !worker->up || run->world.now < worker->deaf_until) {
         end(request);
         return;
@@ -213,9 +215,9 @@
         return;
     }
     char *body;
-    tw_sim_worker_tick(&run->world, worker); /* a lease that has ended ends first */
-    const int status = tw_sim_worker_request(&run->world, worker, request->method, request->path,
-                                             request->body, &body);
+    tw_simulator_worker_tick(&run->world, worker); /* a lease that has ended ends first */
+    const int status = tw_simulator_worker_request(&run->world, worker, request->method,
+                                                   request->path, request->body, &body);
     if (strstr(request->body, "\"launch\"")) soak_moment_came(run, MOMENT_LAUNCH);
     endpoints_for(run, body, request->caller);
     answer(run, request, status, body);
@@ -223,10 +225,10 @@
 
 /* The same once more, for whose answer nobody waits. */
 static void repeat_later(soak *run, const passage *request) {
-    passage *copy = tw_sim_zeroed(sizeof *copy);
+    passage *copy = tw_simulator_zeroed(sizeof *copy);
     *copy = *request;
-    copy->path = tw_sim_text(request->path);
-    copy->body = tw_sim_text(request->body);
+    copy->path = tw_simulator_text(request->path);
+    copy->body = tw_simulator_text(request->body);
     copy->unanswered = 1;
     soak_after(run, soak_draw(run, LEAST_HELD_S, MOST_REPEATED_S), ask_machine, copy);
 }
@@ -247,7 +249,7 @@
 static void peer_answered(soak *run, void *data, int status, const char *body) {
     passage *request = data;
     if (status)
-        answer(run, request, status, tw_sim_text(body));
+        answer(run, request, status, tw_simulator_text(body));
     else
         end(request); /* it is gone, or stands still */
 }
@@ -277,13 +279,13 @@
     soak *run = context;
     (void)length;
     run->world.now = soak_now() - run->started_at;
-    passage *request = tw_sim_zeroed(sizeof *request);
+    passage *request = tw_simulator_zeroed(sizeof *request);
     request->conn = conn;
     request->caller = port / KNOWN_PORTS;
     request->target = port % KNOWN_PORTS;
     snprintf(request->method, sizeof request->method, "%s", method);
-    request->path = tw_sim_text(path);
-    request->body = tw_sim_text(body);
+    request->path = tw_simulator_text(path);
+    request->body = tw_simulator_text(body);
     const double seconds = soak_travel(run, request->caller, request->target);
     soak_note(run, "node", request->caller, "party", request->target, seconds < 0 ? "lost" : path,
               body);
@@ -317,7 +319,7 @@
             well &= listen_for(run, node, SOAK_WORKERS + i, SOAK_MACHINE_PORT + i);
     }
     for (; run->listening < run->world.nworkers; run->listening++) {
-        tw_sim_worker *worker = run->world.workers[run->listening];
+        tw_simulator_worker *worker = run->world.workers[run->listening];
         soak_address(run, worker->endpoint, SOAK_STAND_IN_HOST, SOAK_MACHINE_PORT + run->listening);
     }
     if (!run->next_snapshot) take_snapshot(run);
@@ -325,7 +327,7 @@
 }
 
 void soak_stand_ins_tick(soak *run) {
-    tw_sim_state_expire(&run->world.state, run->world.now);
+    tw_simulator_state_expire(&run->world.state, run->world.now);
     watches_tick(run);
     take_snapshot(run);
 }
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -46,35 +46,37 @@
 static void told(soak *run, void *data, int status, const char *body) {
     request *asked = data;
     user_job *user = asked->user;
-    tw_sim_job *job = run->world.jobs[user->index];
+    tw_simulator_job *job = run->world.jobs[user->index];
     const int was_accepted = job->accepted, was_over = job->told_over;
     soak_note(run, "user", asked->kind, "job", user->index, job->spec.id, body);
     if (status)
-        tw_sim_judge_told(&run->world, job, job->spec.id, asked->kind, asked->sent, status, body);
-    if (!asked->once && asked->kind == TW_SIM_SUBMIT) user->submitting = 0;
-    if (!asked->once && asked->kind == TW_SIM_POLL) user->polling = 0;
-    if (!asked->once && asked->kind == TW_SIM_CANCEL) user->cancelling = 0;
-    if (asked->kind == TW_SIM_CANCEL && job->told_over != was_over)
+        tw_simulator_judge_told(&run->world, job, job->spec.id, asked->kind, asked->sent, status,
+                                body);
+    if (!asked->once && asked->kind == TW_SIMULATOR_SUBMIT) user->submitting = 0;
+    if (!asked->once && asked->kind == TW_SIMULATOR_POLL) user->polling = 0;
+    if (!asked->once && asked->kind == TW_SIMULATOR_CANCEL) user->cancelling = 0;
+    if (asked->kind == TW_SIMULATOR_CANCEL && job->told_over != was_over)
         soak_moment_came(run, MOMENT_CANCEL);
     free(asked);
     if (was_accepted != job->accepted || was_over != job->told_over) look_closely(run, user);
 }
 
 static void ask(soak *run, user_job *user, int kind, int node, int once) {
-    const tw_sim_job *job = run->world.jobs[user->index];
+    const tw_simulator_job *job = run->world.jobs[user->index];
     char path[SOAK_PATH];
-    request *asked = tw_sim_zeroed(sizeof *asked);
+    request *asked = tw_simulator_zeroed(sizeof *asked);
     *asked = (request){user, kind, once, run->world.now};
-    snprintf(path, sizeof path, "/v1/jobs%s%s%s", kind == TW_SIM_SUBMIT ? "" : "/",
-             kind == TW_SIM_SUBMIT ? "" : job->spec.id, kind == TW_SIM_CANCEL ? "/abort" : "");
+    snprintf(path, sizeof path, "/v1/jobs%s%s%s", kind == TW_SIMULATOR_SUBMIT ? "" : "/",
+             kind == TW_SIMULATOR_SUBMIT ? "" : job->spec.id,
+             kind == TW_SIMULATOR_CANCEL ? "/abort" : "");
     tw_wire_record record = {.has_job = 1, .job = job->spec, .task_count = job->spec.task_count};
-    char *text = kind == TW_SIM_SUBMIT ? tw_wire_record_text(&record) : NULL;
+    char *text = kind == TW_SIMULATOR_SUBMIT ? tw_wire_record_text(&record) : NULL;
     cJSON *whole = text ? cJSON_Parse(text) : NULL;
     char *body =
         whole ? cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(whole, "j")) : NULL;
-    soak_call_node(run, node, SOAK_API_PORT, kind == TW_SIM_POLL ? "GET" : "POST", path,
-                   body ? body : "", kind == TW_SIM_POLL ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S, told,
-                   asked);
+    soak_call_node(run, node, SOAK_API_PORT, kind == TW_SIMULATOR_POLL ? "GET" : "POST", path,
+                   body ? body : "", kind == TW_SIMULATOR_POLL ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S,
+                   told, asked);
     cJSON_Delete(whole);
     free(text);
     free(body);
@@ -85,8 +87,8 @@
 static void look(soak *run, void *data) {
     user_job *user = data;
     for (int node = 0; node < run->plan.nodes; node++) {
-        ask(run, user, TW_SIM_POLL, node, 1);
-        if (soak_draw(run, 0, 1) < 0.2) ask(run, user, TW_SIM_SUBMIT, node, 1);
+        ask(run, user, TW_SIMULATOR_POLL, node, 1);
+        if (soak_draw(run, 0, 1) < 0.2) ask(run, user, TW_SIMULATOR_SUBMIT, node, 1);
     }
 }
 
@@ -95,13 +97,13 @@
 }
 
 static void cancel(soak *run, user_job *user) {
-    tw_sim_job *job = run->world.jobs[user->index];
+    tw_simulator_job *job = run->world.jobs[user->index];
     if (job->cancel_asked_at <= 0) job->cancel_asked_at = run->world.now;
     user->cancelling = 1;
-    ask(run, user, TW_SIM_CANCEL, any_node(run), 0);
+    ask(run, user, TW_SIMULATOR_CANCEL, any_node(run), 0);
 }
 
-void soak_job_ended(void *context, tw_sim_job *job) {
+void soak_job_ended(void *context, tw_simulator_job *job) {
     soak *run = context;
     if (!job->accepted || job->told_over || soak_draw(run, 0, 1) > CANCEL_AT_END_SHARE) return;
     for (user_job *user = run->user_jobs; user; user = user->next)
@@ -142,7 +144,7 @@
         kinds[kind].least + soak_draw_index(run, kinds[kind].most - kinds[kind].least + 1),
         1 + soak_draw_index(run, 4), soak_draw_index(run, 3) ? 0 : 1, soak_draw_index(run, 5),
         soak_draw_index(run, 4) ? "false" : "true", run_s, soak_draw_index(run, 2));
-    tw_sim_job *job = tw_sim_job_new(&run->world, id);
+    tw_simulator_job *job = tw_simulator_job_new(&run->world, id);
     const char *why;
     if (tw_wire_job_parse(&job->spec, text, strlen(text), &why)) {
         soak_finish(run, "FAIL", why);
@@ -151,29 +153,29 @@
     job->run_s = run_s;
     job->submitted = 1;
     job->first_try = run->world.now;
-    job->done = tw_sim_zeroed((size_t)job->spec.task_count);
-    user_job *user = tw_sim_zeroed(sizeof *user);
+    job->done = tw_simulator_zeroed((size_t)job->spec.task_count);
+    user_job *user = tw_simulator_zeroed(sizeof *user);
     user->index = job->index;
     const int cancels = job->spec.service || soak_draw(run, 0, 1) < CANCEL_SHARE;
     if (cancels) user->cancel_at = run->world.now + soak_draw(run, 1, 15);
     user->next = run->user_jobs;
     run->user_jobs = user;
     user->submitting = 1;
-    ask(run, user, TW_SIM_SUBMIT, any_node(run), 0);
+    ask(run, user, TW_SIMULATOR_SUBMIT, any_node(run), 0);
 }
 
 /* ---- time ---- */
 
 static void user_tick(soak *run, user_job *user) {
-    const tw_sim_job *job = run->world.jobs[user->index];
+    const tw_simulator_job *job = run->world.jobs[user->index];
     if (run->world.now < user->next_poll || (job->told_over && soak_draw(run, 0, 1) > 0.05)) return;
     user->next_poll = run->world.now + POLL_EVERY_S;
     if (!job->accepted && !user->submitting) {
         user->submitting = 1;
-        ask(run, user, TW_SIM_SUBMIT, any_node(run), 0);
+        ask(run, user, TW_SIMULATOR_SUBMIT, any_node(run), 0);
     } else if (job->accepted && !user->polling) {
         user->polling = 1;
-        ask(run, user, TW_SIM_POLL, any_node(run), 0);
+        ask(run, user, TW_SIMULATOR_POLL, any_node(run), 0);
     }
     const int wants_end =
         (user->cancel_at > 0 && run->world.now >= user->cancel_at) || job->cancel_asked_at > 0;
@@ -190,14 +192,15 @@
 
 int soak_users_served(soak *run, char *what, size_t size) {
     for (int i = 0; i < run->world.njobs; i++) {
-        const tw_sim_job *job = run->world.jobs[i];
+        const tw_simulator_job *job = run->world.jobs[i];
         const int is_over = job->told_over;
-        const int runs = job->accepted && job->spec.service && job->cancel_asked_at <= 0 &&
-                         tw_sim_job_running(&run->world, job->spec.id) == job->spec.task_count;
+        const int runs =
+            job->accepted && job->spec.service && job->cancel_asked_at <= 0 &&
+            tw_simulator_job_running(&run->world, job->spec.id) == job->spec.task_count;
         if (is_over || runs) continue;
         snprintf(what, size, "%s: accepted=%d done=%d of %d cancelled=%d running=%d", job->spec.id,
                  job->accepted, job->ndone, job->spec.task_count, job->cancel_asked_at > 0,
-                 tw_sim_job_running(&run->world, job->spec.id));
+                 tw_simulator_job_running(&run->world, job->spec.id));
         return 0;
     }
     return 1;
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -31,21 +31,21 @@
 
 static void answer_arrives(soak *run, void *data) {
     report *sent = data;
-    tw_sim_worker *worker = run->world.workers[sent->machine];
+    tw_simulator_worker *worker = run->world.workers[sent->machine];
     const int awaited = sent->flight && worker->in_flight == sent->flight;
     if (awaited && run->world.now >= worker->hung_until) {
         worker->in_flight = 0;
-        tw_sim_worker_tick(&run->world, worker); /* a lease that has ended ends first */
+        tw_simulator_worker_tick(&run->world, worker); /* a lease that has ended ends first */
         if (strstr(sent->answer, "\"launch\"")) soak_moment_came(run, MOMENT_LAUNCH);
-        tw_sim_worker_answer(&run->world, worker, sent->sent, sent->session, sent->status,
-                             sent->answer);
+        tw_simulator_worker_answer(&run->world, worker, sent->sent, sent->session, sent->status,
+                                   sent->answer);
     }
     end(sent);
 }
 
 static void answered(soak *run, void *data, int status, const char *body) {
     report *sent = data;
-    const tw_sim_worker *worker = run->world.workers[sent->machine];
+    const tw_simulator_worker *worker = run->world.workers[sent->machine];
     const double seconds = soak_travel(run, sent->node, SOAK_WORKERS + sent->machine);
     const int deaf = status && run->world.now < worker->deaf_until;
     const int late = run->world.now + seconds >= sent->sent + ANSWER_TIMEOUT_S;
@@ -56,7 +56,7 @@
         return;
     }
     sent->status = status;
-    sent->answer = tw_sim_text(body);
+    sent->answer = tw_simulator_text(body);
     if (seconds > 0)
         soak_after(run, seconds, answer_arrives, sent);
     else
@@ -65,7 +65,7 @@
 
 static void given_up(soak *run, void *data) {
     report *sent = data;
-    tw_sim_worker *worker = run->world.workers[sent->machine];
+    tw_simulator_worker *worker = run->world.workers[sent->machine];
     if (worker->in_flight == sent->flight) {
         worker->in_flight = 0;
         worker->node = (worker->node + 1) % run->world.nnodes;
@@ -85,13 +85,13 @@
 }
 
 static report *make(const soak *run, int machine, int node, const char *body, uint64_t flight) {
-    report *made = tw_sim_zeroed(sizeof *made);
+    report *made = tw_simulator_zeroed(sizeof *made);
     made->machine = machine;
     made->node = node;
     made->flight = flight;
     made->session = run->world.workers[machine]->session;
     made->sent = run->world.now;
-    made->body = tw_sim_text(body);
+    made->body = tw_simulator_text(body);
     /* The endpoint as this controller sees it. */
     char host[SOAK_TEXT], digits[SOAK_TEXT];
     soak_address(run, host, SOAK_STAND_IN_HOST, 0);
@@ -109,9 +109,10 @@
                    copy);
     }
     if (soak_strikes(run, &run->kept_reports)) {
-        run->kept = tw_sim_grow(run->kept, run->kept_count, &run->kept_cap, sizeof *run->kept);
+        run->kept =
+            tw_simulator_grow(run->kept, run->kept_count, &run->kept_cap, sizeof *run->kept);
         const int leaders = 1 + soak_draw_index(run, KEPT_MOST_LEADERS);
-        run->kept[run->kept_count++] = (soak_kept){machine, leaders, tw_sim_text(body)};
+        run->kept[run->kept_count++] = (soak_kept){machine, leaders, tw_simulator_text(body)};
     }
 }
 
@@ -132,9 +133,9 @@
 }
 
 static void send_report(soak *run, int machine) {
-    tw_sim_world *world = &run->world;
-    tw_sim_worker *worker = world->workers[machine];
-    char *body = tw_sim_worker_report(world, worker);
+    tw_simulator_world *world = &run->world;
+    tw_simulator_worker *worker = world->workers[machine];
+    char *body = tw_simulator_worker_report(world, worker);
     worker->changed = 0;
     worker->in_flight = ++run->last_flight;
     worker->last_report = world->now;
@@ -155,10 +156,10 @@
 }
 
 void soak_workers_tick(soak *run) {
-    tw_sim_gangs_tick(&run->world);
+    tw_simulator_gangs_tick(&run->world);
     for (int i = 0; i < run->world.nworkers; i++) {
-        tw_sim_worker_tick(&run->world, run->world.workers[i]);
-        if (tw_sim_worker_due(&run->world, run->world.workers[i])) send_report(run, i);
+        tw_simulator_worker_tick(&run->world, run->world.workers[i]);
+        if (tw_simulator_worker_due(&run->world, run->world.workers[i])) send_report(run, i);
     }
-    tw_sim_judge_now(&run->world);
+    tw_simulator_judge_now(&run->world);
 }
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -1,6 +1,6 @@
-/* Controllers that elect their leader: the standby's state machine in the world of tests/shares. A
+/* Controllers that elect their leader: the standby's state machine in the world of tests/shards. A
  * controller's control address is its name. */
-#include "shares_world.h"
+#include "shards_world.h"
 #include "log/log.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -118,7 +118,7 @@
         ask_feed(world, came->node);
 }
 
-void tw_elections_report(world *world, int from, tw_shares_owner_effect_kind kind,
+void tw_elections_report(world *world, int from, tw_shards_owner_effect_kind kind,
                          const char *machine, uint64_t epoch) {
     event *sent = to_node(world, from, active_of(world, from), EVENT_REPORTED);
     if (!sent) return;
@@ -132,12 +132,12 @@
     const node *to = &world->nodes[said->node];
     const char *owner = world->nodes[said->number].name;
     if (!tw_standby_decides(to->standby, tw_elections_now(world, said->node))) return;
-    if (said->machine == TW_SHARES_OWNER_SYNC)
-        tw_shares_sync(to->leader, owner);
-    else if (said->machine == TW_SHARES_OWNER_DRAINED)
-        tw_shares_drained(to->leader, owner, said->text, said->epoch);
+    if (said->machine == TW_SHARDS_OWNER_SYNC)
+        tw_shards_sync(to->leader, owner);
+    else if (said->machine == TW_SHARDS_OWNER_DRAINED)
+        tw_shards_drained(to->leader, owner, said->text, said->epoch);
     else
-        tw_shares_opened(to->leader, owner, said->text, said->epoch);
+        tw_shards_opened(to->leader, owner, said->text, said->epoch);
 }
 
 /* ---- machines ---- */
@@ -182,12 +182,12 @@
 
 static void handle_order(world *world, const event *order) {
     machine *at = &world->machines[order->machine];
-    tw_shares_guard *guard = &at->guard;
+    tw_shards_guard *guard = &at->guard;
     if (!at->alive) return;
     if (world->plant_term) guard->term = 0;
-    const tw_shares_guard_verdict verdict =
-        order->flag ? tw_shares_guard_start(guard, order->term, order->id, order->floor)
-                    : tw_shares_guard_check(guard, order->term);
+    const tw_shards_guard_verdict verdict =
+        order->flag ? tw_shards_guard_start(guard, order->term, order->id, order->floor)
+                    : tw_shards_guard_check(guard, order->term);
     const int taken = tw_world_order(world, order->machine, order->term, verdict);
     if (order->flag && taken && order->id != at->boot + 1)
         tw_world_fail(world, "other_life: %s takes a floor for life %lu in its life %lu", at->name,
@@ -204,7 +204,7 @@
     answer->said = machine_says(at);
 }
 
-void tw_elections_machine(world *world, const tw_shares_request *request) {
+void tw_elections_machine(world *world, const tw_shards_request *request) {
     for (int i = 0; i < world->nnodes; i++) {
         const node *each = &world->nodes[i];
         if (!each->life || each->hung_until > world->now) continue;
@@ -220,7 +220,7 @@
 /* Asks one controller after the other, and goes where one of them sends it. */
 void tw_elections_client(world *world, int number) {
     client *asks = &world->clients[number];
-    if (asks->answered && (!asks->follow || asks->verdict != TW_SHARES_OK || asks->done_at)) return;
+    if (asks->answered && (!asks->follow || asks->verdict != TW_SHARDS_OK || asks->done_at)) return;
     tw_world_event(world, PAUSE_S, EVENT_CLIENT)->number = number;
     if (asks->attempt && !asks->heard && world->now < asks->tried_at + TRY_S) return;
     if (asks->attempt && !asks->heard) asks->server = (asks->server + 1) % world->nnodes;
@@ -235,7 +235,7 @@
 }
 
 static void handle_asked(world *world, const event *asked) {
-    tw_shares_request request = world->clients[asked->number].request;
+    tw_shards_request request = world->clients[asked->number].request;
     request.id = asked->id;
     tw_standby_request(world->nodes[asked->node].standby, tw_elections_now(world, asked->node),
                        &request);
@@ -270,13 +270,13 @@
     effect->body = NULL;
 }
 
-static void take_answer(world *world, const tw_shares_effect *answer) {
+static void take_answer(world *world, const tw_shards_effect *answer) {
     if (answer->id == FIRST_MACHINE_ID - 1) {
         world->promoted = answer->verdict;
         world->promotions++;
     } else if (answer->id < FIRST_MACHINE_ID) {
         tw_world_take_answer(world, answer);
-    } else if (answer->verdict == TW_SHARES_OK) {
+    } else if (answer->verdict == TW_SHARDS_OK) {
         const uint64_t id = answer->id - FIRST_MACHINE_ID;
         machine *registered = &world->machines[id % MOST_MACHINES];
         if (id / MOST_MACHINES == registered->boot) registered->accepted = 1;
--- a/tests/unit/conf_test.c
+++ b/tests/unit/config_test.c
@@ -1,9 +1,9 @@
 /* Writes what the settings' parsers make of good and bad settings, to be compared with
- * conf_golden.txt: the platform's file as it is, then with each of its lines left out or its value
- * replaced; the operators' file with each key at values in and out of its range. With --describe:
- * the rows of the tables in docs/operations.md. */
+ * config_golden.txt: the platform's file as it is, then with each of its lines left out or its
+ * value replaced; the operators' file with each key at values in and out of its range. With
+ * --describe: the rows of the tables in docs/operations.md. */
 #include "outcome.h"
-#include "conf/conf.h"
+#include "config/config.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -145,30 +145,30 @@
 };
 static const size_t operators_value_count = sizeof operators_values / sizeof *operators_values;
 
-static void dump_lists(FILE *out, const tw_conf *conf) {
+static void dump_lists(FILE *out, const tw_config *conf) {
     for (size_t i = 0; i < conf->npeers; i++)
         fprintf(out, " peer=%s,%s,%s", conf->peers[i].name, conf->peers[i].zone,
                 conf->peers[i].addr);
     for (size_t i = 0; i < conf->nzones; i++) fprintf(out, " zone=%s", conf->zones[i]);
     for (size_t i = 0; i < conf->nteams; i++) {
-        const tw_conf_team *team = &conf->teams[i];
+        const tw_config_team *team = &conf->teams[i];
         fprintf(out, " team=%s,%g,%g,%g,%g,%g", team->name, team->cpus, team->cpus_max, team->gpus,
                 team->gpus_max, team->share);
     }
     for (size_t i = 0; i < conf->nobjectives; i++) {
-        const tw_conf_objective *objective = &conf->objectives[i];
+        const tw_config_objective *objective = &conf->objectives[i];
         fprintf(out, " objective=%s,%s,%g,%g,%g", objective->kind, objective->cls,
                 objective->within_s, objective->share, objective->times);
     }
 }
 
-static void dump_limits(FILE *out, const char *name, const tw_conf_state_limits *limits) {
+static void dump_limits(FILE *out, const char *name, const tw_config_state_limits *limits) {
     fprintf(out, " %s=%g,%g,%g,%d", name, limits->rps, limits->write_rps, limits->value_kb,
             limits->txn_ops);
 }
 
-static void dump(FILE *out, const tw_conf *conf) {
-    const tw_conf_tuning *tune = &conf->tune;
+static void dump(FILE *out, const tw_config *conf) {
+    const tw_config_tuning *tune = &conf->tune;
     fprintf(out, "%s %s %s %s %s %s", conf->host_name, conf->location, conf->api_addr,
             conf->peer_bind, conf->cloud, conf->state);
     dump_lists(out, conf);
@@ -198,13 +198,13 @@
     size_t size = 0;
     FILE *out = open_memstream(&outcome, &size);
     char why[400] = "";
-    tw_conf conf;
+    tw_config conf;
     if (!out) abort();
-    if (tw_conf_parse(&conf, text, why, sizeof why)) {
+    if (tw_config_parse(&conf, text, why, sizeof why)) {
         fprintf(out, "%s", why);
     } else {
         dump(out, &conf);
-        tw_conf_free(&conf);
+        tw_config_free(&conf);
     }
     fclose(out);
     return outcome;
@@ -232,20 +232,20 @@
     FILE *out = open_memstream(&outcome, &size);
     char platform[LONGEST];
     char why[400] = "";
-    tw_conf conf;
+    tw_config conf;
     FILE *file = fopen(path, "w");
     if (!out || !file) abort();
     fputs(text, file);
     fclose(file);
     join(platform, good_count, NULL);
-    if (tw_conf_parse(&conf, platform, why, sizeof why)) abort();
-    if (tw_conf_load_yaml(&conf, path, why, sizeof why)) {
+    if (tw_config_parse(&conf, platform, why, sizeof why)) abort();
+    if (tw_config_load_yaml(&conf, path, why, sizeof why)) {
         const char *name = strstr(why, path); /* differs from run to run */
         fprintf(out, "%s", name ? name + strlen(path) : why);
     } else {
         dump(out, &conf);
     }
-    tw_conf_free(&conf);
+    tw_config_free(&conf);
     fclose(out);
     return outcome;
 }
@@ -271,12 +271,12 @@
 
 int main(int argc, char **argv) {
     if (argc > 1 && !strcmp(argv[1], "--describe")) {
-        tw_conf_describe(stdout);
-        tw_conf_describe_tuning(stdout);
+        tw_config_describe(stdout);
+        tw_config_describe_tuning(stdout);
         return 0;
     }
     char text[LONGEST];
-    char path[] = "/tmp/tw_conf_test_XXXXXX";
+    char path[] = "/tmp/tw_config_test_XXXXXX";
     join(text, good_count, NULL);
     char *usual = platform_outcome(text);
     outcome_show("", "good", platform_outcome(text), "");
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -12,13 +12,13 @@
 
 /* ---- the controller and what is around it ---- */
 
-static tw_sim_clock clock_of(const conversation *c) {
-    return (tw_sim_clock){.steady = STEADY_START + c->now, .wall = WALL_START + c->now};
+static tw_simulator_clock clock_of(const conversation *c) {
+    return (tw_simulator_clock){.steady = STEADY_START + c->now, .wall = WALL_START + c->now};
 }
 
 static double answered_after(const tw_effect *effect) {
     const char *hold = strstr(effect->path, "holdMs=");
-    return hold ? tw_sim_number(hold + strlen("holdMs=")) / 1000 : LATENCY;
+    return hold ? tw_simulator_number(hold + strlen("holdMs=")) / 1000 : LATENCY;
 }
 
 /* Heartbeats are many and differ in their times: those that say the same in a row are shown once.
@@ -55,7 +55,7 @@
 }
 
 static void take_effects(conversation *c) {
-    const tw_sim_controller_methods *methods = c->controller->methods;
+    const tw_simulator_controller_methods *methods = c->controller->methods;
     tw_effect *effect;
     while ((effect = methods->next(c->controller))) {
         if (effect->kind == TW_EFFECT_REPLY)
@@ -72,19 +72,20 @@
 
 /* What a node that knows nobody answers to a heartbeat. */
 static char *heartbeat_answer(void) {
-    return tw_sim_text("{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
-                       "\"upS\":500,\"deputyS\":500}");
+    return tw_simulator_text("{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
+                             "\"upS\":500,\"deputyS\":500}");
 }
 
 static int answer_to(conversation *c, const waiting_call *call, char **body) {
     const char *sent = call->body ? call->body : "";
     if (call->to == TW_TO_STATE)
-        return tw_sim_state_request(&c->world.state, c->now, call->method, call->path, sent, body);
+        return tw_simulator_state_request(&c->world.state, c->now, call->method, call->path, sent,
+                                          body);
     if (call->to == TW_TO_CLOUD)
-        return tw_sim_cloud_request(&c->world, call->method, call->path, sent, body);
+        return tw_simulator_cloud_request(&c->world, call->method, call->path, sent, body);
     const int heartbeat = !strcmp(call->path, "/peer/ping");
-    *body = heartbeat ? heartbeat_answer() : tw_sim_text("{}");
-    return TW_SIM_OK;
+    *body = heartbeat ? heartbeat_answer() : tw_simulator_text("{}");
+    return TW_SIMULATOR_OK;
 }
 
 static void answer(conversation *c, int i) {
@@ -139,14 +140,14 @@
     char body[MAX_LINE], *answer_body;
     snprintf(body, sizeof body, "{\"if\":[],\"apply\":[{\"write\":\"%s\",\"data\":%s}]}", key,
              value);
-    if (tw_sim_state_request(&c->world.state, c->now, "POST", "/txn", body, &answer_body) !=
-        TW_SIM_OK)
+    if (tw_simulator_state_request(&c->world.state, c->now, "POST", "/txn", body, &answer_body) !=
+        TW_SIMULATOR_OK)
         abort();
     free(answer_body);
 }
 
 void conversation_show_record(const conversation *c, const char *key) {
-    const char *value = tw_sim_state_value(&c->world.state, key);
+    const char *value = tw_simulator_state_value(&c->world.state, key);
     printf("record %s %s\n", key, value ? value : "-");
 }
 
@@ -163,11 +164,11 @@
 
 /* A new state service, one machine up, and the node has just started. */
 void conversation_begin(conversation *c, const char *program) {
-    char error[TW_SIM_MESSAGE];
-    const tw_sim_controller_start start = {
+    char error[TW_SIMULATOR_MESSAGE];
+    const tw_simulator_controller_start start = {
         .settings = settings, .seed = SEED, .clock = clock_of(c)};
-    c->controller = program ? tw_sim_controller_remote(program, &start, error, sizeof error)
-                            : tw_sim_controller_local(&start, error, sizeof error);
+    c->controller = program ? tw_simulator_controller_remote(program, &start, error, sizeof error)
+                            : tw_simulator_controller_local(&start, error, sizeof error);
     if (c->controller) {
         take_effects(c);
         return;
@@ -177,8 +178,8 @@
 }
 
 void conversation_around(conversation *c) {
-    tw_sim_world *w = &c->world;
-    tw_sim_world_init(w);
+    tw_simulator_world *w = &c->world;
+    tw_simulator_world_init(w);
     w->ntypes = 1;
     w->types[0] = (tw_wire_machine_type){.name = "cpu",
                                          .cores = 16,
@@ -190,7 +191,7 @@
                                          .startup_s = 20,
                                          .zone_count = 1,
                                          .zones = {"a"}};
-    tw_sim_worker *machine = tw_sim_rent(w, 0, "a", 0, 0);
+    tw_simulator_worker *machine = tw_simulator_rent(w, 0, "a", 0, 0);
     machine->up = 1;
     w->refuse = 1;
     w->state.write_tokens = w->state.limits.write_rps;
@@ -202,5 +203,5 @@
         free(c->waiting[i].path);
         free(c->waiting[i].body);
     }
-    tw_sim_world_free(&c->world);
+    tw_simulator_world_free(&c->world);
 }
--- a/tests/unit/conversation.h
+++ b/tests/unit/conversation.h
@@ -17,13 +17,13 @@
 } waiting_call;
 
 typedef struct {
-    tw_sim_controller *controller;
-    tw_sim_world world;
+    tw_simulator_controller *controller;
+    tw_simulator_world world;
     double now, next_tick;
     waiting_call waiting[CONVERSATION_MAX_WAITING];
     int count;
     uint64_t last_conn;
-    char heartbeat[TW_SIM_MESSAGE]; /* the last one shown, without its times */
+    char heartbeat[TW_SIMULATOR_MESSAGE]; /* the last one shown, without its times */
 } conversation;
 
 /* The state service is empty, the machine is up. */
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -119,13 +119,13 @@
                       "run-000002/0", "1", "\"stage\":\"exited\",\"cause\":\"stopped\"")));
     conversation_until(c, 6);
     for (int i = 1; i <= 5; i++) {
-        char path[TW_SIM_NAME];
+        char path[TW_SIMULATOR_NAME];
         snprintf(path, sizeof path, "/v1/jobs/run-%06d", i);
         poll(c, path);
     }
     conversation_until(c, 7);
     for (int i = 1; i <= 4; i++) {
-        char key[TW_SIM_NAME];
+        char key[TW_SIMULATOR_NAME];
         snprintf(key, sizeof key, "job/run-%06d", i);
         conversation_show_record(c, key);
     }
--- a/tools/core_server/earlier_names.h
+++ b/tools/core_server/earlier_names.h
@@ -8,5 +8,8 @@
 #define tw_core_next_effect tw_core_next
 #define tw_core_effect_free tw_core_fx_free
 #define tw_core_pass_steps tw_core_steps
+#define tw_config tw_conf
+#define tw_config_parse tw_conf_parse
+#define tw_config_free tw_conf_free
 
 #endif
--- a/tools/core_server/main.c
+++ b/tools/core_server/main.c
@@ -1,6 +1,6 @@
 /* tw_core_server: a core in a process of its own, driven by messages on standard input, so that a
- * simulation (sim/controller_remote.c) can play nodes of the version that it was built with. It
- * uses only what every version's core/core.h has. It ends with its input.
+ * simulation (simulator/controller_remote.c) can play nodes of the version that it was built with.
+ * It uses only what every version's core/core.h has. It ends with its input.
  *
  * A message is a line of words and, as its last words say, so many bytes of text after it; times
  * are hexadecimal floating-point numbers, so that they come over exactly:
@@ -63,23 +63,23 @@
 }
 
 /* Reads the times that a message begins with. */
-static void read_times(tw_sim_reader *reader, double *steady, double *wall) {
-    *steady = tw_sim_read_number(reader);
-    *wall = tw_sim_read_number(reader);
+static void read_times(tw_simulator_reader *reader, double *steady, double *wall) {
+    *steady = tw_simulator_read_number(reader);
+    *wall = tw_simulator_read_number(reader);
 }
 
 /* NULL: the line is not a `new` message. */
-static tw_core *take_new(const char *head, tw_conf *conf) {
+static tw_core *take_new(const char *head, tw_config *conf) {
     double steady, wall;
     char error[MAX_ERROR];
-    tw_sim_reader reader = tw_sim_read_line(head, "new");
+    tw_simulator_reader reader = tw_simulator_read_line(head, "new");
     read_times(&reader, &steady, &wall);
-    const uint64_t seed = tw_sim_read_count(&reader);
-    const double mem_mb = tw_sim_read_number(&reader);
-    const size_t size = tw_sim_read_count(&reader);
-    if (!tw_sim_read_all(&reader)) return NULL;
+    const uint64_t seed = tw_simulator_read_count(&reader);
+    const double mem_mb = tw_simulator_read_number(&reader);
+    const size_t size = tw_simulator_read_count(&reader);
+    if (!tw_simulator_read_all(&reader)) return NULL;
     char *settings = read_text(size);
-    if (tw_conf_parse(conf, settings, error, sizeof error)) stop("settings", error, NO_SETTINGS);
+    if (tw_config_parse(conf, settings, error, sizeof error)) stop("settings", error, NO_SETTINGS);
     free(settings);
     if (mem_mb > 0) conf->mem_mb = mem_mb;
     return tw_core_new(conf, seed, steady, wall);
@@ -88,13 +88,14 @@
 static int take_request(const char *head, tw_core *core) {
     double steady, wall;
     char method[MAX_METHOD];
-    tw_sim_reader reader = tw_sim_read_line(head, "request");
+    tw_simulator_reader reader = tw_simulator_read_line(head, "request");
     read_times(&reader, &steady, &wall);
-    const int port = (int)tw_sim_read_int(&reader);
-    const uint64_t conn = tw_sim_read_count(&reader);
-    tw_sim_read_word(&reader, method, sizeof method);
-    const size_t path_size = tw_sim_read_count(&reader), body_size = tw_sim_read_count(&reader);
-    if (!tw_sim_read_all(&reader)) return 0;
+    const int port = (int)tw_simulator_read_int(&reader);
+    const uint64_t conn = tw_simulator_read_count(&reader);
+    tw_simulator_read_word(&reader, method, sizeof method);
+    const size_t path_size = tw_simulator_read_count(&reader),
+                 body_size = tw_simulator_read_count(&reader);
+    if (!tw_simulator_read_all(&reader)) return 0;
     char *path = read_text(path_size), *body = read_text(body_size);
     tw_core_request(core, steady, wall, port, conn, method, path, body, body_size);
     free(path);
@@ -104,12 +105,12 @@
 
 static int take_response(const char *head, tw_core *core) {
     double steady, wall;
-    tw_sim_reader reader = tw_sim_read_line(head, "response");
+    tw_simulator_reader reader = tw_simulator_read_line(head, "response");
     read_times(&reader, &steady, &wall);
-    const uint64_t call = tw_sim_read_count(&reader);
-    const int status = (int)tw_sim_read_int(&reader);
-    const size_t size = tw_sim_read_count(&reader);
-    if (!tw_sim_read_all(&reader)) return 0;
+    const uint64_t call = tw_simulator_read_count(&reader);
+    const int status = (int)tw_simulator_read_int(&reader);
+    const size_t size = tw_simulator_read_count(&reader);
+    if (!tw_simulator_read_all(&reader)) return 0;
     char *body = read_text(size);
     tw_core_response(core, steady, wall, call, status, body, size);
     free(body);
@@ -118,9 +119,9 @@
 
 static int take_tick(const char *head, tw_core *core) {
     double steady, wall;
-    tw_sim_reader reader = tw_sim_read_line(head, "tick");
+    tw_simulator_reader reader = tw_simulator_read_line(head, "tick");
     read_times(&reader, &steady, &wall);
-    if (!tw_sim_read_all(&reader)) return 0;
+    if (!tw_simulator_read_all(&reader)) return 0;
     tw_core_tick(core, steady, wall);
     return 1;
 }
@@ -128,7 +129,7 @@
 int main(void) {
     char head[MAX_HEAD];
     const char *level = getenv("LOG_LEVEL");
-    tw_conf conf;
+    tw_config conf;
     tw_log_init(level ? level : "error", "core_server");
     if (!fgets(head, sizeof head, stdin)) return 0;
     tw_core *core = take_new(head, &conf);
@@ -140,6 +141,6 @@
         answer(core);
     }
     tw_core_free(core);
-    tw_conf_free(&conf);
+    tw_config_free(&conf);
     return 0;
 }
--- a/tools/explore/explore.c
+++ b/tools/explore/explore.c
@@ -1,7 +1,7 @@
 /* tw_explore: draws days from seeds, plays them on all cores, shrinks those that break a rule and
  * writes them as scenario files. Exit codes: 0 nothing broke, 1 something did, 2 it could not work,
  * 64 usage. */
-#include "search/search.h"
+#include "fuzz/fuzz.h"
 #include <argp.h>
 #include <errno.h>
 #include <signal.h>
@@ -32,7 +32,7 @@
 
 typedef struct {
     options options;
-    tw_search_pool *pool;
+    tw_fuzz_pool *pool;
     uint64_t next; /* seed to be played next */
     uint64_t played, broken;
     rule_count rules[RULES_MAX];
@@ -76,8 +76,8 @@
 static uint32_t seed_of(struct argp_state *state, const char *text, char **rest) {
     errno = 0;
     const unsigned long long value = strtoull(text, rest, 10);
-    if (errno || *rest == text || value < 1 || value > TW_SEARCH_SEED_MAX)
-        argp_error(state, "not a seed from 1 to %lu: %s", (unsigned long)TW_SEARCH_SEED_MAX, text);
+    if (errno || *rest == text || value < 1 || value > TW_FUZZ_SEED_MAX)
+        argp_error(state, "not a seed from 1 to %lu: %s", (unsigned long)TW_FUZZ_SEED_MAX, text);
     return (uint32_t)value;
 }
 
@@ -103,7 +103,7 @@
     clock_gettime(CLOCK_REALTIME, &now);
     const uint64_t mixed =
         ((uint64_t)now.tv_sec * 1000 + (uint64_t)now.tv_nsec / 1000000) * 2654435761u;
-    chosen->first = 1 + (uint32_t)(mixed % (TW_SEARCH_SEED_MAX - days));
+    chosen->first = 1 + (uint32_t)(mixed % (TW_FUZZ_SEED_MAX - days));
     chosen->last = chosen->first + (uint32_t)days - 1;
 }
 
@@ -202,7 +202,7 @@
     return count;
 }
 
-static void take_broken(exploration *run, const tw_search_result *result) {
+static void take_broken(exploration *run, const tw_fuzz_result *result) {
     rule_count *count = count_of(run, result->verdict.rule);
     clear_progress(run);
     printf("BROKE seed %u: %s\n", result->seed, result->verdict.detail);
@@ -215,14 +215,14 @@
     run->queue[run->queued++] = result->seed;
 }
 
-static void tell_day(const exploration *run, const tw_search_result *result) {
-    const tw_sim_verdict *verdict = &result->verdict;
+static void tell_day(const exploration *run, const tw_fuzz_result *result) {
+    const tw_simulator_verdict *verdict = &result->verdict;
     clear_progress(run);
     printf("day %u %016llx %s\n", result->seed, (unsigned long long)verdict->digest,
            verdict->failed ? verdict->rule : "-");
 }
 
-static void take(exploration *run, const tw_search_result *result) {
+static void take(exploration *run, const tw_fuzz_result *result) {
     if (!result->shrunk) {
         run->played++;
         if (run->options.each) tell_day(run, result);
@@ -246,23 +246,23 @@
 }
 
 static void give_work(exploration *run) {
-    while (tw_search_pool_idle(run->pool)) {
+    while (tw_fuzz_pool_idle(run->pool)) {
         if (run->queued)
-            tw_search_pool_give(run->pool, run->queue[--run->queued], 1);
+            tw_fuzz_pool_give(run->pool, run->queue[--run->queued], 1);
         else if (may_begin(run))
-            tw_search_pool_give(run->pool, (uint32_t)run->next++, 0);
+            tw_fuzz_pool_give(run->pool, (uint32_t)run->next++, 0);
         else
             return;
     }
 }
 
 static void explore(exploration *run) {
-    tw_search_result result;
+    tw_fuzz_result result;
     run->began = run->told = steady_s();
     while (!stopped) {
         give_work(run);
-        if (!tw_search_pool_busy(run->pool)) break;
-        if (tw_search_pool_wait(run->pool, WAIT_MS, &result)) take(run, &result);
+        if (!tw_fuzz_pool_busy(run->pool)) break;
+        if (tw_fuzz_pool_wait(run->pool, WAIT_MS, &result)) take(run, &result);
         tell_progress(run, 0);
     }
     tell_sum(run);
@@ -270,25 +270,25 @@
 
 /* ---- single days ---- */
 
-static int print_day(uint32_t seed, tw_search_draw_function *draw) {
-    tw_search_day day = {0};
+static int print_day(uint32_t seed, tw_fuzz_draw_function *draw) {
+    tw_fuzz_day day = {0};
     draw(seed, &day);
     for (size_t i = 0; i < day.count; i++) puts(day.lines[i]);
-    tw_search_day_free(&day);
+    tw_fuzz_day_free(&day);
     return 0;
 }
 
 static int play_file(const char *path) {
-    tw_search_day day = {0};
-    tw_sim_verdict verdict;
-    if (tw_search_day_read(&day, path)) {
+    tw_fuzz_day day = {0};
+    tw_simulator_verdict verdict;
+    if (tw_fuzz_day_read(&day, path)) {
         fprintf(stderr, "%s: %s\n", path, strerror(errno));
         return 2;
     }
-    tw_search_play_apart(&day, &verdict);
+    tw_fuzz_play_apart(&day, &verdict);
     if (verdict.failed) printf("BROKE %s: %s %s\n", path, verdict.rule, verdict.detail);
     printf("%d passed, %d failed\n", !verdict.failed, verdict.failed != 0);
-    tw_search_day_free(&day);
+    tw_fuzz_day_free(&day);
     return verdict.failed != 0;
 }
 
@@ -319,7 +319,7 @@
     fresh_seeds(DAYS_DEFAULT, &run.options);
     argp_err_exit_status = USAGE;
     argp_parse(&argp, argc, argv, 0, 0, &run.options);
-    tw_search_draw_function *draw = run.options.upgrade ? tw_search_draw_upgrade : tw_search_draw;
+    tw_fuzz_draw_function *draw = run.options.upgrade ? tw_fuzz_draw_upgrade : tw_fuzz_draw;
     if (run.options.print) return print_day(run.options.print, draw);
     if (run.options.play) return play_file(run.options.play);
     if (run.options.upgrade && !getenv("TW_EARLIER_CORE")) {
@@ -337,12 +337,12 @@
     run.next = run.options.first;
     run.terminal = isatty(STDERR_FILENO);
     run.pool =
-        tw_search_pool_new(run.options.jobs ? run.options.jobs : 1, draw, run.options.directory);
+        tw_fuzz_pool_new(run.options.jobs ? run.options.jobs : 1, draw, run.options.directory);
     if (!run.pool) {
         fprintf(stderr, "no process could be started: %s\n", strerror(errno));
         return 2;
     }
     explore(&run);
-    tw_search_pool_free(run.pool);
+    tw_fuzz_pool_free(run.pool);
     return run.broken != 0;
 }
--- a/tools/traywallctl/ask.c
+++ b/tools/traywallctl/ask.c
@@ -63,7 +63,7 @@
 /* Whether the answer, or that there is none, is what the client gets. */
 static int is_final(const servers *servers, const search *at, tw_rpc_status status,
                     const tw_rpc_answer *answer, double left_s) {
-    if (status == TW_RPC_OK && answer->verdict != TW_SHARES_NOT_LEADER) return 1;
+    if (status == TW_RPC_OK && answer->verdict != TW_SHARDS_NOT_LEADER) return 1;
     const int nobody_there = at->in_round >= servers->count && at->unreachable == at->in_round;
     return left_s <= SHORTEST_PAUSE_S || nobody_there;
 }
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -25,7 +25,7 @@
     int json, spread, wait;
     const char *image;
     uint64_t revision;
-    char machines[MOST_MACHINES][TW_SHARES_NAME];
+    char machines[MOST_MACHINES][TW_SHARDS_NAME];
     int nmachines;
     const char *arguments[MOST_ARGUMENTS];
     int narguments;
@@ -47,8 +47,8 @@
 
 static void add_machine(struct argp_state *state, options *chosen, const char *name) {
     if (chosen->nmachines == MOST_MACHINES) argp_error(state, "too many machines");
-    if (strlen(name) >= TW_SHARES_NAME) argp_error(state, "name too long: %s", name);
-    snprintf(chosen->machines[chosen->nmachines++], TW_SHARES_NAME, "%s", name);
+    if (strlen(name) >= TW_SHARDS_NAME) argp_error(state, "name too long: %s", name);
+    snprintf(chosen->machines[chosen->nmachines++], TW_SHARDS_NAME, "%s", name);
 }
 
 static error_t parse(int key, char *text, struct argp_state *state) {
@@ -82,7 +82,7 @@
         break;
     case ARGP_KEY_ARG:
         if (chosen->narguments == MOST_ARGUMENTS) argp_error(state, "too many arguments");
-        if (strlen(text) >= TW_SHARES_NAME) argp_error(state, "name too long: %s", text);
+        if (strlen(text) >= TW_SHARDS_NAME) argp_error(state, "name too long: %s", text);
         chosen->arguments[chosen->narguments++] = text;
         break;
     default:
@@ -98,7 +98,7 @@
     if (status == TW_RPC_UNAVAILABLE) fprintf(stderr, "no answer in time: ask again\n");
     if (status == TW_RPC_UNREACHABLE) return EXIT_UNREACHABLE;
     if (status == TW_RPC_UNAVAILABLE) return EXIT_UNAVAILABLE;
-    return answer->verdict == TW_SHARES_OK ? EXIT_SUCCESS : EXIT_REFUSED;
+    return answer->verdict == TW_SHARDS_OK ? EXIT_SUCCESS : EXIT_REFUSED;
 }
 
 static int show(const options *chosen, int machines) {
@@ -106,7 +106,7 @@
     tw_rpc_answer answer = {0};
     char asked[TW_RPC_ADDRESS];
     const tw_rpc_status status = ask_leader(&chosen->servers, &call, &answer, asked);
-    if (status == TW_RPC_OK && answer.verdict != TW_SHARES_OK)
+    if (status == TW_RPC_OK && answer.verdict != TW_SHARDS_OK)
         print_change(chosen->json, &answer);
     else if (status == TW_RPC_OK && chosen->json)
         print_shares_json(&answer);
@@ -125,18 +125,18 @@
 static int watched(void *context, const tw_rpc_answer *answer) {
     watching *watch = context;
     watch->last = *answer;
-    if (answer->verdict != TW_SHARES_NOT_LEADER) print_change(watch->chosen->json, answer);
+    if (answer->verdict != TW_SHARDS_NOT_LEADER) print_change(watch->chosen->json, answer);
     return 0;
 }
 
 /* Whether the watch ended because its daemon did, or gave way, and not because the move is over. */
 static int interrupted(tw_rpc_status status, const tw_rpc_answer *last) {
-    return status != TW_RPC_OK || last->verdict == TW_SHARES_NOT_LEADER;
+    return status != TW_RPC_OK || last->verdict == TW_SHARDS_NOT_LEADER;
 }
 
 /* Goes on at the daemon that leads now, as long as one is found within the time limit. */
 static int follow_move(const options *chosen, const char *server, const char *key) {
-    tw_rpc_call call = {.method = TW_RPC_CHANGE, .request.kind = TW_SHARES_WATCH};
+    tw_rpc_call call = {.method = TW_RPC_CHANGE, .request.kind = TW_SHARDS_WATCH};
     char asked[TW_RPC_ADDRESS];
     snprintf(call.request.key, sizeof call.request.key, "%s", key);
     snprintf(asked, sizeof asked, "%s", server);
@@ -147,19 +147,19 @@
         tw_rpc_client_free(client);
         if (!interrupted(status, &watch.last)) return exit_code(status, &watch.last);
         status = ask_leader(&chosen->servers, &call, &watch.last, asked);
-        if (status == TW_RPC_OK && watch.last.verdict == TW_SHARES_OK) continue;
+        if (status == TW_RPC_OK && watch.last.verdict == TW_SHARDS_OK) continue;
         if (status == TW_RPC_OK) print_change(chosen->json, &watch.last);
         return exit_code(status, &watch.last);
     }
 }
 
-static int change(const options *chosen, const tw_shares_request *request) {
+static int change(const options *chosen, const tw_shards_request *request) {
     const tw_rpc_call call = {.method = TW_RPC_CHANGE, .request = *request};
     tw_rpc_answer answer = {0};
     char asked[TW_RPC_ADDRESS];
     const tw_rpc_status status = ask_leader(&chosen->servers, &call, &answer, asked);
-    const int accepted = status == TW_RPC_OK && answer.verdict == TW_SHARES_OK;
-    const int waits = request->kind == TW_SHARES_WATCH || (chosen->wait && request->key[0]);
+    const int accepted = status == TW_RPC_OK && answer.verdict == TW_SHARDS_OK;
+    const int waits = request->kind == TW_SHARDS_WATCH || (chosen->wait && request->key[0]);
     if (accepted && waits) return follow_move(chosen, asked, request->key);
     if (status == TW_RPC_OK) print_change(chosen->json, &answer);
     return exit_code(status, &answer);
@@ -199,10 +199,10 @@
 
 /* ---- commands ---- */
 
-static void copy(char *to, const char *from) { snprintf(to, TW_SHARES_NAME, "%s", from); }
+static void copy(char *to, const char *from) { snprintf(to, TW_SHARDS_NAME, "%s", from); }
 
 static int do_move(options *chosen, const char *const *words) {
-    tw_shares_request request = {.kind = TW_SHARES_MOVE, .revision = chosen->revision};
+    tw_shards_request request = {.kind = TW_SHARDS_MOVE, .revision = chosen->revision};
     copy(request.key, words[1]);
     copy(request.share, words[2]);
     copy(request.to, words[3]);
@@ -215,13 +215,13 @@
 
 static int do_key(options *chosen, const char *const *words) {
     const int cancels = !strcmp(words[0], "cancel");
-    tw_shares_request request = {.kind = cancels ? TW_SHARES_CANCEL : TW_SHARES_WATCH};
+    tw_shards_request request = {.kind = cancels ? TW_SHARDS_CANCEL : TW_SHARDS_WATCH};
     copy(request.key, words[1]);
     return change(chosen, &request);
 }
 
 static int do_define(options *chosen, const char *const *words) {
-    tw_shares_request request = {.kind = TW_SHARES_DEFINE, .spread = chosen->spread};
+    tw_shards_request request = {.kind = TW_SHARDS_DEFINE, .spread = chosen->spread};
     copy(request.share, words[1]);
     copy(request.owner, words[2]);
     request.least = (int)strtol(words[3], NULL, DECIMAL);
@@ -229,7 +229,7 @@
 }
 
 static int do_add(options *chosen, const char *const *words) {
-    tw_shares_request request = {.kind = TW_SHARES_ADD};
+    tw_shards_request request = {.kind = TW_SHARDS_ADD};
     copy(request.machine, words[1]);
     copy(request.share, words[2]);
     copy(request.zone, words[3]);
@@ -237,7 +237,7 @@
 }
 
 static int do_remove(options *chosen, const char *const *words) {
-    tw_shares_request request = {.kind = TW_SHARES_REMOVE};
+    tw_shards_request request = {.kind = TW_SHARDS_REMOVE};
     copy(request.machine, words[1]);
     return change(chosen, &request);
 }
--- a/tools/traywallctl/print.c
+++ b/tools/traywallctl/print.c
@@ -15,20 +15,20 @@
     printf("revision %lu\n", (unsigned long)answer->revision);
     printf("%-20s %-20s %6s %6s %6s %8s\n", "SHARE", "OWNER", "LEAST", "OPEN", "TAKEN", "DRAINING");
     for (int i = 0; i < answer->nshares; i++) {
-        const tw_shares_view *each = &answer->shares[i];
+        const tw_shards_view *each = &answer->shares[i];
         printf("%-20s %-20s %6d %6d %6d %8d%s\n", each->name, each->owner, each->least, each->open,
                each->taken, each->draining, each->spread ? " spread" : "");
     }
     if (answer->ntells)
         printf("%-24s %-20s %-20s %-9s %s\n", "MACHINE", "SHARE", "OWNER", "STATE", "EPOCH");
     for (int i = 0; i < answer->ntells; i++) {
-        const tw_shares_tell *each = &answer->tells[i];
+        const tw_shards_tell *each = &answer->tells[i];
         printf("%-24s %-20s %-20s %-9s %lu\n", each->machine, each->share, each->owner,
-               tw_shares_state_name(each->state), (unsigned long)each->epoch);
+               tw_shards_state_name(each->state), (unsigned long)each->epoch);
     }
 }
 
-static cJSON *share_json(const tw_shares_view *share) {
+static cJSON *share_json(const tw_shards_view *share) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "name", share->name);
     cJSON_AddStringToObject(object, "owner", share->owner);
@@ -40,12 +40,12 @@
     return object;
 }
 
-static cJSON *machine_json(const tw_shares_tell *machine) {
+static cJSON *machine_json(const tw_shards_tell *machine) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "name", machine->machine);
     cJSON_AddStringToObject(object, "share", machine->share);
     cJSON_AddStringToObject(object, "owner", machine->owner);
-    cJSON_AddStringToObject(object, "state", tw_shares_state_name(machine->state));
+    cJSON_AddStringToObject(object, "state", tw_shards_state_name(machine->state));
     cJSON_AddNumberToObject(object, "epoch", (double)machine->epoch);
     return object;
 }
@@ -63,10 +63,10 @@
 }
 
 static void print_change_json(const tw_rpc_answer *answer) {
-    const tw_shares_progress *progress = &answer->progress;
+    const tw_shards_progress *progress = &answer->progress;
     cJSON *object = cJSON_CreateObject();
-    cJSON_AddStringToObject(object, "verdict", tw_shares_verdict_name(answer->verdict));
-    if (answer->verdict == TW_SHARES_NOT_LEADER)
+    cJSON_AddStringToObject(object, "verdict", tw_shards_verdict_name(answer->verdict));
+    if (answer->verdict == TW_SHARDS_NOT_LEADER)
         cJSON_AddStringToObject(object, "leader", answer->leader);
     cJSON_AddNumberToObject(object, "revision", (double)answer->revision);
     cJSON_AddBoolToObject(object, "done", progress->done);
@@ -81,11 +81,11 @@
 }
 
 void print_change(int json, const tw_rpc_answer *answer) {
-    const tw_shares_progress *progress = &answer->progress;
+    const tw_shards_progress *progress = &answer->progress;
     if (json) {
         print_change_json(answer);
-    } else if (answer->verdict != TW_SHARES_OK) {
-        printf("refused: %s%s%s\n", tw_shares_verdict_name(answer->verdict),
+    } else if (answer->verdict != TW_SHARDS_OK) {
+        printf("refused: %s%s%s\n", tw_shards_verdict_name(answer->verdict),
                answer->leader[0] ? ", leader " : "", answer->leader);
     } else if (progress->wanted) {
         printf("%s: %d of %d moved, %d draining, %d released, %d taken, %d returned, %d lost\n",
@@ -114,7 +114,7 @@
 
 void print_standby_json(const tw_rpc_answer *answer, const char *address) {
     const tw_standby_status *status = &answer->status;
-    char digest[TW_SHARES_NAME];
+    char digest[TW_SHARDS_NAME];
     cJSON *object = cJSON_CreateObject();
     snprintf(digest, sizeof digest, "%016lx", (unsigned long)status->digest);
     cJSON_AddStringToObject(object, "server", address);
