--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -22,25 +22,27 @@
     [TW_EVIDENCE_TERM_ENDED] = "term_ended",
 };
 
-const char *tw_termination_evidence_name(tw_termination_evidence ground) { return names[ground]; }
+const char *tw_termination_evidence_name(tw_termination_evidence evidence) {
+    return names[evidence];
+}
 
 /* ---- the decision ---- */
 
 /* A report without it. What is known to have been on the machine (reported, or written by a
  * predecessor) is gone if nothing on the way could still start it: the machine refuses older
  * tokens, and no direct launch of ours is under way. */
-static int is_absent(const tw_placement *placed) {
+static int is_certainly_absent(const tw_placement *placed) {
     const int was_there = placed->inherited || placed->reported;
     return was_there && placed->machine->confirmed && !placed->direct_launches;
 }
 
 /* The answer that held the launch was lost, and is not executed late. Only the next report proper
  * tells: an answer to direct orders may have overtaken the answer that holds the launch. */
-int tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *report,
+int tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
                        int answers_order) {
     const int was_there = placed->inherited || placed->reported;
     return !was_there && !answers_order && !placed->direct_launches &&
-           placed->launch_sequence < report->sequence;
+           placed->launch_sequence < heartbeat->sequence;
 }
 
 void tw_launch_answered(tw_placement *placed, int refused) {
@@ -65,25 +67,26 @@
  * which one a predecessor launched is not known: it may be the reported one, after this report or
  * by a message still on its way, unless the machine refused the predecessor in an earlier session
  * already. (`confirmed` is as of before this report; one that confirms ends it as absent.) */
-static int is_of_earlier_session(const tw_placement *placed, const tw_wire_heartbeat *report) {
+static int is_of_earlier_incarnation(const tw_placement *placed,
+                                     const tw_wire_heartbeat *heartbeat) {
     if (placed->inherited) return placed->machine->confirmed;
-    return placed->launch_sent && placed->launch_incarnation < report->incarnation;
+    return placed->launch_sent && placed->launch_incarnation < heartbeat->incarnation;
 }
 
 /* Whether the attempt can't run any more, nor be started by what is still on its way. */
-static int holds(const tw_core *core, const tw_placement *placed,
-                 const tw_attempt_termination *end) {
+static int evidence_holds(const tw_core *core, const tw_placement *placed,
+                          const tw_attempt_termination *end) {
     const tw_machine *machine = placed->machine;
     switch (end->evidence) {
     case TW_EVIDENCE_EXITED:
         return end->reported && end->reported->state == TW_TASK_EXITED &&
                end->reported->attempt == placed->attempt && end->reported->index == placed->index;
     case TW_EVIDENCE_ABSENT:
-        return is_absent(placed);
+        return is_certainly_absent(placed);
     case TW_EVIDENCE_LAUNCH_LOST:
         return tw_launch_was_lost(placed, end->heartbeat, end->answers_command);
     case TW_EVIDENCE_NEW_INCARNATION:
-        return is_of_earlier_session(placed, end->heartbeat);
+        return is_of_earlier_incarnation(placed, end->heartbeat);
     case TW_EVIDENCE_LEASE_EXPIRED:
         return machine->lease_expired && core->now > tw_lease_expires_at(core, machine);
     case TW_EVIDENCE_MACHINE_RETURNED:
@@ -105,25 +108,25 @@
 
 /* Grounds that need not hold: the path that offers them asks just that. With the others the path is
  * wrong. */
-static int may_fail(tw_termination_evidence ground) {
-    return ground == TW_EVIDENCE_ABSENT || ground == TW_EVIDENCE_LAUNCH_LOST ||
-           ground == TW_EVIDENCE_NEW_INCARNATION;
+static int may_be_refuted(tw_termination_evidence evidence) {
+    return evidence == TW_EVIDENCE_ABSENT || evidence == TW_EVIDENCE_LAUNCH_LOST ||
+           evidence == TW_EVIDENCE_NEW_INCARNATION;
 }
 
 /* ---- what follows ---- */
 
 /* Ends of attempts that never were on a machine, or that nobody decides about, are told at `debug`.
  */
-static int is_told(tw_termination_evidence ground) {
-    return ground != TW_EVIDENCE_NOT_LAUNCHED && ground != TW_EVIDENCE_NOT_RECORDED &&
-           ground != TW_EVIDENCE_PLACEMENT_UNDONE && ground != TW_EVIDENCE_TERM_ENDED;
+static int is_logged_at_info(tw_termination_evidence evidence) {
+    return evidence != TW_EVIDENCE_NOT_LAUNCHED && evidence != TW_EVIDENCE_NOT_RECORDED &&
+           evidence != TW_EVIDENCE_PLACEMENT_UNDONE && evidence != TW_EVIDENCE_TERM_ENDED;
 }
 
-static void log_end(const tw_core *core, const tw_placement *placed,
-                    const tw_attempt_termination *end) {
+static void log_termination(const tw_core *core, const tw_placement *placed,
+                            const tw_attempt_termination *end) {
     const tw_machine *machine = placed->machine;
-    const tw_wire_heartbeat *report = end->heartbeat;
-    const int level = is_told(end->evidence) ? TW_LOG_INFO : TW_LOG_DEBUG;
+    const tw_wire_heartbeat *heartbeat = end->heartbeat;
+    const int level = is_logged_at_info(end->evidence) ? TW_LOG_INFO : TW_LOG_DEBUG;
     if (!placed->counted || !tw_log_on(level)) return;
     tw_log_write(level,
                  "event=attempt_terminated task=%s/%d attempt=%llu worker=%s evidence=%s cause=%d "
@@ -136,14 +139,14 @@
                  (unsigned long long)core->fencing_token, placed->inherited,
                  (unsigned long long)placed->launch_incarnation,
                  (unsigned long long)placed->launch_sequence, placed->direct_launches,
-                 (unsigned long long)(report ? report->incarnation : machine->incarnation),
-                 (unsigned long long)(report ? report->sequence : machine->sequence),
-                 (unsigned long long)(report ? report->fencing_token : 0), machine->confirmed,
+                 (unsigned long long)(heartbeat ? heartbeat->incarnation : machine->incarnation),
+                 (unsigned long long)(heartbeat ? heartbeat->sequence : machine->sequence),
+                 (unsigned long long)(heartbeat ? heartbeat->fencing_token : 0), machine->confirmed,
                  core->now - placed->placed_at);
 }
 
 /* The task no longer runs there; to: what it is now. */
-static void leave_job(tw_core *core, tw_placement *placed, int to) {
+static void stop_counting(tw_core *core, tw_placement *placed, int to) {
     if (!placed->counted) return;
     tw_job *job = placed->job;
     tw_placement_account(core, placed, -1);
@@ -173,37 +176,38 @@
 }
 
 /* The machine may still tell of it, and is to forget it. */
-static int stays_on_machine(tw_termination_evidence ground) {
-    return ground == TW_EVIDENCE_EXITED || ground == TW_EVIDENCE_GANG_DONE;
+static int stays_on_machine(tw_termination_evidence evidence) {
+    return evidence == TW_EVIDENCE_EXITED || evidence == TW_EVIDENCE_GANG_DONE;
 }
 
 int tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end) {
     tw_job *job = placed->job;
-    const tw_termination_evidence ground = end->evidence;
-    if (!holds(core, placed, end)) {
-        core->counters.kept[ground]++;
-        if (!may_fail(ground))
+    const tw_termination_evidence evidence = end->evidence;
+    if (!evidence_holds(core, placed, end)) {
+        core->counters.kept[evidence]++;
+        if (!may_be_refuted(evidence))
             tw_invariant_broken(core, TW_INVARIANT_TERMINATION,
                                 "task=%s/%d attempt=%llu worker=%s evidence=%s", job->id,
                                 placed->index, (unsigned long long)placed->attempt,
-                                placed->machine->name, names[ground]);
+                                placed->machine->name, names[evidence]);
         return 0;
     }
     const int was_on_job = placed->counted;
-    const int is_done = ground == TW_EVIDENCE_GANG_DONE ||
-                        (ground == TW_EVIDENCE_EXITED && end->reported->cause == TW_CAUSE_DONE);
-    core->counters.terminated[ground] += (uint64_t)was_on_job;
-    log_end(core, placed, end);
-    leave_job(core, placed, is_done ? TW_ASSIGNMENT_DONE : TW_ASSIGNMENT_NONE);
-    if (stays_on_machine(ground)) return 1;
+    const int is_done = evidence == TW_EVIDENCE_GANG_DONE ||
+                        (evidence == TW_EVIDENCE_EXITED && end->reported->cause == TW_CAUSE_DONE);
+    core->counters.terminated[evidence] += (uint64_t)was_on_job;
+    log_termination(core, placed, end);
+    stop_counting(core, placed, is_done ? TW_ASSIGNMENT_DONE : TW_ASSIGNMENT_NONE);
+    if (stays_on_machine(evidence)) return 1;
     tw_attempt_forget(core, placed);
     /* The record of one that was taken back was not changed; one of an ended term is not ours. */
-    if (was_on_job && ground != TW_EVIDENCE_PLACEMENT_UNDONE && ground != TW_EVIDENCE_TERM_ENDED)
+    if (was_on_job && evidence != TW_EVIDENCE_PLACEMENT_UNDONE &&
+        evidence != TW_EVIDENCE_TERM_ENDED)
         tw_job_mark_changed(core, job, 0);
     return 1;
 }
 
-int tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence ground) {
-    const tw_attempt_termination end = {.evidence = ground};
+int tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence evidence) {
+    const tw_attempt_termination end = {.evidence = evidence};
     return tw_attempt_terminate(core, placed, &end);
 }
--- a/src/core/attempt_termination.h
+++ b/src/core/attempt_termination.h
@@ -36,7 +36,7 @@
     int answers_command;                /* the report came as the answer to a direct order */
 } tw_attempt_termination;
 
-const char *tw_termination_evidence_name(tw_termination_evidence ground);
+const char *tw_termination_evidence_name(tw_termination_evidence evidence);
 
 /* Ends the attempt if the ground holds for it: its task is free again, or done, and it counts no
  * longer. Returns whether it was ended. After TW_EVIDENCE_EXITED and TW_EVIDENCE_GANG_DONE the
@@ -46,14 +46,14 @@
 int tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end);
 
 /* The same for a ground that rests on no message. */
-int tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence ground);
+int tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence evidence);
 
 /* Whether a launch of it went out, or of a predecessor's may have. */
 int tw_attempt_was_launched(const tw_placement *placed);
 
 /* Whether the report, which does not name it, tells that the answer with its launch was not taken.
  */
-int tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *report,
+int tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
                        int answers_order);
 
 /* The machine answered a direct launch of it; refused: it was not carried out. */
--- a/src/core/authority.c
+++ b/src/core/authority.c
@@ -40,7 +40,7 @@
 
 /* Until when surely no other node had led: when all of them last said that they know of no token
  * later than ours (see vouch). */
-static double sole_until(const tw_core *core) {
+static double sole_leader_until(const tw_core *core) {
     double until = INFINITY;
     for (size_t i = 0; i < core->peer_count; i++) until = fmin(until, core->peers[i].vouched_at);
     return until;
@@ -54,8 +54,8 @@
         core->now < core->authority_until)
         return 0;
     return core->now < core->authority_until + tw_renewal_without_authority_s(core) &&
-           core->now <
-               fmax(core->authority_until, sole_until(core)) + tw_renewal_without_contact_s(core);
+           core->now < fmax(core->authority_until, sole_leader_until(core)) +
+                           tw_renewal_without_contact_s(core);
 }
 
 /* Until when some earlier leader may have answered a worker that has not seen our token. */
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -79,14 +79,14 @@
     return start;
 }
 
-static int of_use(const tw_bin *bin, const tw_job *job) {
+static int bin_is_useful(const tw_bin *bin, const tw_job *job) {
     return !bin->tried && tw_bin_is_allowed(bin, &job->spec, job->type_mask) &&
            tw_bin_fits(bin, &job->spec);
 }
 
 int tw_bins_first(tw_bins *bins, const tw_job *job) {
     struct bin_start *start = start_for(bins, job);
-    while (start->bin < bins->count && !of_use(&bins->items[start->bin], job)) start->bin++;
+    while (start->bin < bins->count && !bin_is_useful(&bins->items[start->bin], job)) start->bin++;
     return start->bin;
 }
 
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -67,8 +67,9 @@
 
 /* effects.c: replies to requests, and calls until their responses come. The body is taken. */
 /* retry_after: seconds, 0: none. conn 0: nobody waits for the reply. */
-void tw_reply(tw_core *core, uint64_t conn, int status, double retry_after, char *body);
-void tw_reply_error(tw_core *core, uint64_t conn, int status, double retry_after, const char *what);
+void tw_reply(tw_core *core, uint64_t connection, int status, double retry_after, char *body);
+void tw_reply_error(tw_core *core, uint64_t connection, int status, double retry_after,
+                    const char *what);
 /* Returns what is known of the call until its response, to be filled in. */
 tw_call *tw_call_send(tw_core *core, tw_call_kind kind, tw_call_target to, const char *addr,
                       const char *method, const char *path, char *body, double timeout_s);
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -8,7 +8,7 @@
     double cores, used_cores, gpus, used_gpus;
 } zone_use;
 
-static void add(tw_core *core, tw_machine *machine) {
+static void add_candidate(tw_core *core, tw_machine *machine) {
     core->candidates = tw_grow(core->candidates, core->candidate_count, &core->candidate_capacity,
                                FIRST_CAPACITY, sizeof *core->candidates);
     core->candidates[core->candidate_count++] = (tw_candidate){.machine = machine};
@@ -21,7 +21,7 @@
     core->candidate_count = 0;
     HASH_ITER(hh, core->machines, machine, next) {
         if (!tw_machine_is_usable(core, machine)) continue;
-        add(core, machine);
+        add_candidate(core, machine);
         if (machine->spot) continue;
         const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
         zone_use *zone = &use[machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index];
--- a/src/core/chunk_loader.c
+++ b/src/core/chunk_loader.c
@@ -27,7 +27,7 @@
     return length < (int)size && strchr(name, '/') ? (int)number : -1;
 }
 
-static tw_loaded_chunk_set *set_of(tw_core *core, const char *name) {
+static tw_loaded_chunk_set *get_set(tw_core *core, const char *name) {
     tw_loaded_chunk_set *set;
     HASH_FIND_STR(core->loaded_chunk_sets, name, set);
     if (set) return set;
@@ -37,7 +37,7 @@
     return set;
 }
 
-static void keep_slice(tw_loaded_chunk_set *set, int number, char *text) {
+static void keep_chunk(tw_loaded_chunk_set *set, int number, char *text) {
     if (number >= set->capacity) {
         const int room = number + 1;
         char **slices = realloc(set->chunks, (size_t)room * sizeof *slices);
@@ -61,7 +61,7 @@
         if (number < 0)
             tw_log_error("event=chunk_unreadable key=%.64s", entries[i].key);
         else
-            keep_slice(set_of(core, name), number, tw_wire_chunk_parse(entries[i].value));
+            keep_chunk(get_set(core, name), number, tw_wire_chunk_parse(entries[i].value));
     }
     if (count) snprintf(last, size, "%s", entries[count - 1].key);
     tw_wire_entries_free(entries, count);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -14,12 +14,12 @@
 /* ---- construction ---- */
 
 static void init_peers(tw_core *core) {
-    const tw_config *conf = core->config;
-    core->peer_count = conf->npeers;
-    core->peers = tw_alloc(conf->npeers * sizeof *core->peers);
-    for (size_t i = 0; i < conf->npeers; i++) {
+    const tw_config *config = core->config;
+    core->peer_count = config->npeers;
+    core->peers = tw_alloc(config->npeers * sizeof *core->peers);
+    for (size_t i = 0; i < config->npeers; i++) {
         tw_peer *peer = &core->peers[i];
-        peer->config = conf->peers[i];
+        peer->config = config->peers[i];
         peer->answered_at = peer->vouched_at = LONG_AGO;
     }
     tw_worker_failover_init(core);
@@ -37,21 +37,21 @@
     }
 }
 
-tw_core *tw_core_new(const tw_config *conf, uint64_t seed, double now, double wall) {
+tw_core *tw_core_new(const tw_config *config, uint64_t seed, double now, double wall) {
     tw_core *core = tw_alloc(sizeof *core);
-    core->config = conf;
+    core->config = config;
     core->now = now;
     core->wall = wall;
     core->rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(core->rng, (unsigned long)seed);
     core->started_at = now;
     core->store_answered_at = LONG_AGO;
-    core->leader_lease_s = fmax(SHORTEST_TTL_S, conf->tune.election_ratio * conf->lease_s);
+    core->leader_lease_s = fmax(SHORTEST_TTL_S, config->tune.election_ratio * config->lease_s);
     init_peers(core);
     tw_election_init(core);
     tw_rate_limiters_init(core);
-    core->team_cores_used = tw_alloc((conf->nteams + 1) * sizeof(double));
-    core->team_gpus_used = tw_alloc((conf->nteams + 1) * sizeof(double));
+    core->team_cores_used = tw_alloc((config->nteams + 1) * sizeof(double));
+    core->team_gpus_used = tw_alloc((config->nteams + 1) * sizeof(double));
     core->heartbeat_cache = tw_wire_heartbeat_cache_new();
     init_objectives(core);
     return core;
@@ -100,7 +100,7 @@
 }
 
 /* What follows from any input: placing, writing, sending. */
-static void follow_up(tw_core *core) {
+static void run_follow_up(tw_core *core) {
     if (!is_in_command(core)) return;
     if (core->scheduling_due && core->now >= core->next_pass_at) tw_scheduler_run(core);
     tw_job_store_flush(core);
@@ -120,11 +120,11 @@
 
 typedef void request_handler(tw_core *core, const request *request);
 
-static void on_heartbeat(tw_core *core, const request *request) {
+static void on_peer_heartbeat(tw_core *core, const request *request) {
     tw_peer_heartbeat_receive(core, request->conn, request->body, request->len);
 }
 
-static void on_report(tw_core *core, const request *request) {
+static void on_worker_heartbeat(tw_core *core, const request *request) {
     tw_worker_heartbeat_receive(core, request->conn, request->body, request->len,
                                 request->from_peer);
 }
@@ -148,9 +148,9 @@
     const char *method, *path;
     request_handler *handle;
 } routes[] = {
-    {API_PORT, "POST", "/hello", on_report},
-    {PEER_PORT, "POST", "/peer/hello", on_report},
-    {PEER_PORT, "POST", "/peer/ping", on_heartbeat},
+    {API_PORT, "POST", "/hello", on_worker_heartbeat},
+    {PEER_PORT, "POST", "/peer/hello", on_worker_heartbeat},
+    {PEER_PORT, "POST", "/peer/ping", on_peer_heartbeat},
     {API_PORT | PEER_PORT, "GET", "/up", on_health},
     {API_PORT | PEER_PORT, "POST", "/v1/jobs", on_submission},
 };
@@ -190,12 +190,12 @@
     }
 }
 
-void tw_core_request(tw_core *core, double now, double wall, tw_port port, uint64_t conn,
+void tw_core_request(tw_core *core, double now, double wall, tw_port port, uint64_t connection,
                      const char *method, const char *path, const char *body, size_t len) {
     set_time(core, now, wall);
     char path_only[PATH_SIZE];
     snprintf(path_only, sizeof path_only, "%.*s", (int)strcspn(path, "?#"), path);
-    const request request = {.conn = conn,
+    const request request = {.conn = connection,
                              .from_peer = port == TW_PORT_PEER,
                              .method = method,
                              .path = path_only,
@@ -207,8 +207,8 @@
     else if (is_about_job(&request))
         on_job_request(core, &request);
     else
-        tw_reply_error(core, conn, TW_HTTP_NOT_FOUND, 0, "no such resource");
-    follow_up(core);
+        tw_reply_error(core, connection, TW_HTTP_NOT_FOUND, 0, "no such resource");
+    run_follow_up(core);
 }
 
 /* ---- responses ---- */
@@ -216,13 +216,15 @@
 typedef void response_handler(tw_core *core, tw_call *sent, int status, const char *body,
                               size_t len);
 
-static void on_deputy_key(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
+static void on_delegate_key(tw_core *core, tw_call *sent, int status, const char *body,
+                            size_t len) {
     (void)body;
     (void)len;
     tw_delegate_key_response(core, sent, status);
 }
 
-static void on_deputy_jobs(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
+static void on_cancelled_jobs(tw_core *core, tw_call *sent, int status, const char *body,
+                              size_t len) {
     (void)sent;
     tw_delegate_cancelled_page(core, status, body, len);
 }
@@ -249,8 +251,8 @@
     [TW_CALL_CREATE_RECORD] = {tw_user_response, 0},
     [TW_CALL_FORWARD_REQUEST] = {tw_user_response, 0},
     [TW_CALL_FORWARD_HEARTBEAT] = {tw_heartbeat_forward_response, 0},
-    [TW_CALL_LIST_CANCELLED_JOBS] = {on_deputy_jobs, 0, "cancelled"},
-    [TW_CALL_WRITE_DELEGATE_KEY] = {on_deputy_key, 0},
+    [TW_CALL_LIST_CANCELLED_JOBS] = {on_cancelled_jobs, 0, "cancelled"},
+    [TW_CALL_WRITE_DELEGATE_KEY] = {on_delegate_key, 0},
     [TW_CALL_LIST_MACHINE_TYPES] = {tw_autoscaler_response, 0},
     [TW_CALL_LIST_MACHINES] = {tw_autoscaler_response, 1},
     [TW_CALL_RENT_MACHINES] = {tw_autoscaler_response, 1},
@@ -297,7 +299,7 @@
     if (!responses[sent->kind].of_term || sent->term == core->term)
         responses[sent->kind].handle(core, sent, status, body, len);
     tw_call_free(sent);
-    follow_up(core);
+    run_follow_up(core);
 }
 
 /* ---- ticks ---- */
@@ -330,5 +332,5 @@
     if (core->role == TW_ROLE_LEADER && core->phase == TW_PHASE_LOADING) tw_failover_tick(core);
     if (is_in_command(core)) tick_in_command(core);
     tw_autoscaler_tick(core);
-    follow_up(core);
+    run_follow_up(core);
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -29,9 +29,9 @@
 } tw_effect;
 
 /* now: steady seconds; wall: time of day in seconds. */
-tw_core *tw_core_new(const tw_config *conf, uint64_t seed, double now, double wall);
+tw_core *tw_core_new(const tw_config *config, uint64_t seed, double now, double wall);
 void tw_core_free(tw_core *core);
-void tw_core_request(tw_core *core, double now, double wall, tw_port port, uint64_t conn,
+void tw_core_request(tw_core *core, double now, double wall, tw_port port, uint64_t connection,
                      const char *method, const char *path, const char *body, size_t len);
 /* status 0: no response. */
 void tw_core_response(tw_core *core, double now, double wall, uint64_t call, int status,
--- a/src/core/counters.c
+++ b/src/core/counters.c
@@ -12,7 +12,7 @@
     [TW_INVARIANT_TERMINATION] = "termination",
 };
 
-static const char *const refusal_names[TW_REJECTIONS] = {
+static const char *const rejection_names[TW_REJECTIONS] = {
     [TW_REJECTED_OLDER_HEARTBEAT] = "older_heartbeat",
     [TW_REJECTED_EXPIRED_HEARTBEAT] = "expired_heartbeat",
     [TW_REJECTED_RETURNED_MACHINE] = "returned_machine",
@@ -38,8 +38,8 @@
 }
 
 /* Adds ` PREFIX_NAME=COUNT` to the line for each counter that isn't 0. */
-static void add(char *line, const char *prefix, const char *const *names, const uint64_t *counts,
-                int count) {
+static void append_counters(char *line, const char *prefix, const char *const *names,
+                            const uint64_t *counts, int count) {
     for (int i = 0; i < count; i++) {
         const size_t length = strlen(line);
         if (!counts[i]) continue;
@@ -53,9 +53,9 @@
     const char *grounds[TW_EVIDENCE_KINDS];
     for (int i = 0; i < TW_EVIDENCE_KINDS; i++)
         grounds[i] = tw_termination_evidence_name((tw_termination_evidence)i);
-    add(line, "terminated", grounds, core->counters.terminated, TW_EVIDENCE_KINDS);
-    add(line, "kept", grounds, core->counters.kept, TW_EVIDENCE_KINDS);
-    add(line, "rejected", refusal_names, core->counters.rejected, TW_REJECTIONS);
-    add(line, "broken", invariant_names, core->counters.broken, TW_INVARIANTS);
+    append_counters(line, "terminated", grounds, core->counters.terminated, TW_EVIDENCE_KINDS);
+    append_counters(line, "kept", grounds, core->counters.kept, TW_EVIDENCE_KINDS);
+    append_counters(line, "rejected", rejection_names, core->counters.rejected, TW_REJECTIONS);
+    append_counters(line, "broken", invariant_names, core->counters.broken, TW_INVARIANTS);
     tw_log_debug("event=counters_logged%s", line);
 }
--- a/src/core/delegate_registry.c
+++ b/src/core/delegate_registry.c
@@ -17,12 +17,12 @@
     return until;
 }
 
-int tw_delegates_compares(const tw_core *core, tw_wire_compare *conds,
+int tw_delegates_compares(const tw_core *core, tw_wire_compare *compares,
                           char (*keys)[TW_DELEGATE_KEY_SIZE]) {
     int count = 0;
     for (size_t i = 0; i < core->peer_count; i++) {
         tw_delegate_key(keys[count], core->peers[i].config.name);
-        conds[count] = (tw_wire_compare){keys[count], core->peers[i].delegate_revision};
+        compares[count] = (tw_wire_compare){keys[count], core->peers[i].delegate_revision};
         count++;
     }
     return count;
@@ -36,7 +36,7 @@
 }
 
 /* Takes in a deputy's key; returns whether it is a newer one than is known. */
-static int key_seen(tw_core *core, const tw_wire_entry *entry) {
+static int note_key(tw_core *core, const tw_wire_entry *entry) {
     const size_t prefix = sizeof TW_DELEGATE_KEY - 1;
     tw_peer *node = strlen(entry->key) > prefix ? tw_peer_find(core, entry->key + prefix) : NULL;
     if (!node || node->delegate_revision >= entry->mod_revision) return 0;
@@ -53,7 +53,7 @@
     int any_newer = 0;
     core->delegates_read_in_flight = 0;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) return;
-    for (int i = 0; i < count; i++) any_newer |= key_seen(core, &entries[i]);
+    for (int i = 0; i < count; i++) any_newer |= note_key(core, &entries[i]);
     tw_wire_entries_free(entries, count);
     if (any_newer && core->delegates_known &&
         core->expiry_decided_at > core->delegates_checked_at) {
--- a/src/core/effects.c
+++ b/src/core/effects.c
@@ -3,7 +3,7 @@
 
 #define ERROR_SIZE 160
 
-static void push(tw_core *core, tw_effect *effect) {
+static void append_effect(tw_core *core, tw_effect *effect) {
     effect->next = NULL;
     if (core->effects_tail)
         core->effects_tail->next = effect;
@@ -26,25 +26,25 @@
     free(effect);
 }
 
-void tw_reply(tw_core *core, uint64_t conn, int status, double retry_after, char *body) {
-    if (!conn) {
+void tw_reply(tw_core *core, uint64_t connection, int status, double retry_after, char *body) {
+    if (!connection) {
         free(body);
         return;
     }
     tw_effect *effect = tw_alloc(sizeof *effect);
     effect->kind = TW_EFFECT_REPLY;
-    effect->id = conn;
+    effect->id = connection;
     effect->status = status;
     effect->retry_after = retry_after;
     effect->body = body;
-    push(core, effect);
+    append_effect(core, effect);
 }
 
-void tw_reply_error(tw_core *core, uint64_t conn, int status, double retry_after,
+void tw_reply_error(tw_core *core, uint64_t connection, int status, double retry_after,
                     const char *what) {
     char text[ERROR_SIZE];
     snprintf(text, sizeof text, "{\"error\":\"%s\"}", what);
-    tw_reply(core, conn, status, retry_after, strdup(text));
+    tw_reply(core, connection, status, retry_after, strdup(text));
 }
 
 tw_call *tw_call_send(tw_core *core, tw_call_kind kind, tw_call_target to, const char *addr,
@@ -65,7 +65,7 @@
     effect->path = strdup(path);
     effect->body = body;
     effect->timeout_s = timeout_s;
-    push(core, effect);
+    append_effect(core, effect);
     return sent;
 }
 
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -52,12 +52,12 @@
 }
 
 /* In which the limit allows a request to each node. */
-static double round_s(const tw_core *core) {
+static double request_round_s(const tw_core *core) {
     return (double)(core->peer_count + 1) / core->config->state_rps;
 }
 
 void tw_election_init(tw_core *core) {
-    const double rate = core->config->tune.write_share * FOLLOW_SHARE / round_s(core);
+    const double rate = core->config->tune.write_share * FOLLOW_SHARE / request_round_s(core);
     const double burst = fmax(ELECTION_REQUESTS, rate);
     core->election_limiter = tw_rate_limiter_make(rate, burst, core->now);
 }
@@ -69,13 +69,13 @@
 
 /* A node whose requests are refused asks ever less often: a limit that all nodes exceed together,
  * each as often as it may, would let none of them through. */
-static void note_limit(tw_core *core, int status) {
+static void note_rate_limit(tw_core *core, int status) {
     if (status != TW_HTTP_TOO_MANY) {
         if (status) core->election_refusals = 0;
         return;
     }
-    const double wait =
-        ldexp(round_s(core), core->election_refusals) * tw_jitter(core, WAIT_LEAST, WAIT_MOST);
+    const double wait = ldexp(request_round_s(core), core->election_refusals) *
+                        tw_jitter(core, WAIT_LEAST, WAIT_MOST);
     if (core->election_refusals < REFUSED_MOST) core->election_refusals++;
     core->next_leader_read_at = fmax(core->next_leader_read_at, core->now + wait);
 }
@@ -148,7 +148,7 @@
 
 /* ---- following the leader's key ---- */
 
-static void poll_leader(tw_core *core) {
+static void read_leader_key(tw_core *core) {
     core->leader_read_in_flight = 1;
     tw_call_send(core, TW_CALL_READ_LEADER, TW_TO_STATE, core->config->state, "GET",
                  "/kv/" TW_LEADER_KEY, NULL, fmax(1, core->leader_lease_s * ELECTION_TIMEOUT));
@@ -157,7 +157,7 @@
 /* A watch instead of many polls: the state service's limit is for all nodes together, and the end
  * of the leader's key is told at once. Held for no more than a term, since its answer also shows
  * that the state service is there; longer only where the limit allows no watch a term. */
-static void watch_leader(tw_core *core) {
+static void watch_leader_key(tw_core *core) {
     const double most_often = WATCH_SHARE * core->election_limiter.rate;
     const double hold = fmin(fmax(core->leader_lease_s, 1 / most_often), WATCH_MOST_S);
     char path[TW_PATH_SIZE];
@@ -169,19 +169,19 @@
 }
 
 static void on_watch(tw_core *core, int status, const char *body, size_t len) {
-    uint64_t ledger;
+    uint64_t revision;
     core->leader_read_in_flight = 0;
     core->watch_from_revision = 0;
-    if (status != TW_HTTP_OK || tw_wire_revision_parse(&ledger, body, len)) {
+    if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len)) {
         core->next_leader_read_at =
             core->now + core->leader_lease_s * tw_jitter(core, WATCH_RETRY_LEAST, WATCH_RETRY_MOST);
     } else if (tw_wire_watch_has_changes(body, len)) {
         /* Not all followers at the same moment. */
         const double spread =
-            fmax(core->leader_lease_s * CHANGED_SPREAD, round_s(core) * SPREAD_ROUNDS);
+            fmax(core->leader_lease_s * CHANGED_SPREAD, request_round_s(core) * SPREAD_ROUNDS);
         core->next_leader_read_at = core->now + tw_jitter(core, 0, spread);
     } else {
-        core->watch_from_revision = ledger;
+        core->watch_from_revision = revision;
         core->next_leader_read_at = core->now;
     }
 }
@@ -197,21 +197,21 @@
                   core->leader_lease_s * ELECTION_TIMEOUT);
 }
 
-static void drop_grant(tw_core *core, uint64_t hold) {
+static void revoke_lease(tw_core *core, uint64_t lease_id) {
     char path[TW_PATH_SIZE];
-    if (!hold) return;
-    snprintf(path, sizeof path, "/grants/%llu", (unsigned long long)hold);
+    if (!lease_id) return;
+    snprintf(path, sizeof path, "/grants/%llu", (unsigned long long)lease_id);
     election_call(core, TW_CALL_REVOKE_LEASE, "DELETE", path, NULL, DROP_TIMEOUT_S);
 }
 
 /* The key names a leader, at its revision. */
-static void key_read(tw_core *core, const tw_wire_entry *entry, const char *leader) {
+static void note_leader_key(tw_core *core, const tw_wire_entry *entry, const char *leader) {
     tw_leader_observe_token(core, entry->mod_revision, leader);
     /* Our own name while we don't lead: an earlier life of this node, or an acquisition whose
      * answer was lost. Nobody acts on it any more, so its lease is ended at once. */
     if (core->role == TW_ROLE_FOLLOWER && !core->election_in_flight &&
         !strcmp(leader, core->config->host_name)) {
-        drop_grant(core, entry->lease_id);
+        revoke_lease(core, entry->lease_id);
         *core->leader_name = 0;
         core->watch_from_revision = 0;
         core->next_leader_read_at = core->now + OWN_KEY_GONE_S;
@@ -232,36 +232,36 @@
     cJSON *data = cJSON_Parse(entry.value);
     const cJSON *node = cJSON_GetObjectItemCaseSensitive(data, "node");
     if (cJSON_IsString(node) && strlen(node->valuestring) < TW_NAME_SIZE)
-        key_read(core, &entry, node->valuestring);
+        note_leader_key(core, &entry, node->valuestring);
     cJSON_Delete(data);
     free(entry.value);
 }
 
 static void on_grant(tw_core *core, int status, const char *body, size_t len) {
-    uint64_t hold;
-    if (status != TW_HTTP_OK || tw_wire_lease_id_parse(&hold, body, len)) {
+    uint64_t lease_id;
+    if (status != TW_HTTP_OK || tw_wire_lease_id_parse(&lease_id, body, len)) {
         core->election_in_flight = 0;
         return;
     }
-    core->lease_id = hold;
+    core->lease_id = lease_id;
     char data[128];
     snprintf(data, sizeof data, "{\"node\":\"%s\"}", core->config->host_name);
     tw_wire_compare absent = {TW_LEADER_KEY, 0};
-    tw_wire_write key = {TW_LEADER_KEY, data, hold};
+    tw_wire_write key = {TW_LEADER_KEY, data, lease_id};
     election_call(core, TW_CALL_ACQUIRE_LEADERSHIP, "POST", "/txn",
                   tw_wire_txn_text(&absent, 1, &key, 1), core->leader_lease_s * ELECTION_TIMEOUT);
 }
 
 static void on_acquire(tw_core *core, int status, const char *body, size_t len) {
-    uint64_t ledger;
+    uint64_t revision;
     core->election_in_flight = 0;
-    if (status == TW_HTTP_OK && !tw_wire_revision_parse(&ledger, body, len) &&
+    if (status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, len) &&
         core->now < core->lease_requested_at + core->leader_lease_s * ACQUIRED_LATEST) {
-        become_leader(core, ledger);
+        become_leader(core, revision);
         return;
     }
     /* Lost, or unknown: giving the lease back undoes an acquisition that went through. */
-    drop_grant(core, core->lease_id);
+    revoke_lease(core, core->lease_id);
     core->lease_id = 0;
     core->watch_from_revision = 0;
     core->next_leader_read_at =
@@ -270,7 +270,7 @@
 
 /* ---- the leader's lease ---- */
 
-static void renew(tw_core *core) {
+static void renew_lease(tw_core *core) {
     char path[TW_PATH_SIZE];
     snprintf(path, sizeof path, "/grants/%llu/renew", (unsigned long long)core->lease_id);
     core->renewals_in_flight++;
@@ -302,7 +302,7 @@
 
 /* ---- inputs ---- */
 
-static void note_state(tw_core *core, int status) {
+static void note_store_answer(tw_core *core, int status) {
     if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND || status == TW_HTTP_CONFLICT)
         core->store_answered_at = core->now;
 }
@@ -312,7 +312,7 @@
         tw_peer_heartbeat_response(core, sent, status, body, len);
         return;
     }
-    note_state(core, status);
+    note_store_answer(core, status);
     switch (sent->kind) {
     case TW_CALL_READ_LEADER:
         on_leader_key(core, status, body, len);
@@ -332,7 +332,7 @@
     default:
         break;
     }
-    note_limit(core, status);
+    note_rate_limit(core, status);
 }
 
 static void leader_tick(tw_core *core) {
@@ -340,7 +340,7 @@
     /* A second one when the first is slow: the state service now and then takes long. */
     const int slow = core->renewals_in_flight == 1 &&
                      core->now >= core->renewal_sent_at + core->leader_lease_s * RENEW_SLOW;
-    if (due || slow) renew(core);
+    if (due || slow) renew_lease(core);
     if (core->now >= core->authority_until + tw_renewal_without_authority_s(core) ||
         (core->phase == TW_PHASE_LOADING && core->now >= core->authority_until))
         tw_leader_step_down(core, "no authority");
@@ -355,9 +355,9 @@
     core->next_leader_read_at =
         core->now + core->leader_lease_s * tw_jitter(core, POLL_LEAST, POLL_MOST);
     if (core->watch_from_revision && core->role == TW_ROLE_FOLLOWER)
-        watch_leader(core);
+        watch_leader_key(core);
     else
-        poll_leader(core);
+        read_leader_key(core);
 }
 
 void tw_election_tick(tw_core *core) {
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -12,7 +12,7 @@
 }
 
 /* When a task is expected to end. */
-static double end_of(const tw_core *core, const tw_placement *placed) {
+static double expected_end(const tw_core *core, const tw_placement *placed) {
     const double slowness = placed->machine->slowness > 0 ? placed->machine->slowness : 1;
     const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
     const double runs_from =
@@ -26,7 +26,7 @@
     const tw_wire_job *spec = &placed->job->spec;
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_expected_release){
-        .at = end_of(core, placed),
+        .at = expected_end(core, placed),
         .room = {.type_index = machine->type_index,
                  .spot = machine->spot,
                  .zone = machine->zone,
@@ -36,16 +36,16 @@
                      spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}};
 }
 
-static int gives_back(const tw_job *job) { return job->has_spec && !job->spec.service; }
+static int returns_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
 
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *drain) {
     tw_job *job;
     int capacity = 0;
-    DL_FOREACH(core->active_jobs, job) if (gives_back(job)) capacity += job->placed_count;
+    DL_FOREACH(core->active_jobs, job) if (returns_capacity(job)) capacity += job->placed_count;
     drain->items = tw_alloc((size_t)capacity * sizeof *drain->items);
     drain->count = 0;
     DL_FOREACH(core->active_jobs, job) {
-        if (!gives_back(job)) continue;
+        if (!returns_capacity(job)) continue;
         const tw_placement *placed;
         DL_FOREACH2(job->placements, placed, job_next) {
             if (!tw_machine_is_usable(core, placed->machine)) continue;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -33,7 +33,7 @@
     return names[job->gang.state];
 }
 
-static void enter(tw_core *core, tw_job *job, tw_gang_state state, const char *why) {
+static void enter_state(tw_core *core, tw_job *job, tw_gang_state state, const char *why) {
     job->gang.state = state;
     core->next_job_sweep_at = core->now;
     tw_log_debug("event=gang_state_changed id=%s attempt=%llu state=%s placed=%d tasks=%d why=%s",
@@ -46,7 +46,7 @@
 }
 
 /* Tasks that are neither placed nor done. */
-static int missing(const tw_job *job) {
+static int missing_tasks(const tw_job *job) {
     return job->task_count - job->done_count - job->placed_count;
 }
 
@@ -65,7 +65,7 @@
 
 /* Those that would be ready so much sooner than the last one that they would give up waiting for it
  * are launched later. */
-static void stagger(const tw_core *core, tw_job *job) {
+static void stagger_launches(const tw_core *core, tw_job *job) {
     const double spare_s = STAGGER * core->config->gang_wait_s;
     double last = 0;
     tw_placement *task;
@@ -78,8 +78,8 @@
     job->gang.missing_since = 0;
     if (job->gang.state != TW_GANG_IDLE) return; /* a task was replaced */
     job->gang = (tw_gang){.attempt = job->placements->attempt};
-    stagger(core, job);
-    enter(core, job, TW_GANG_GATHERING, "placed");
+    stagger_launches(core, job);
+    enter_state(core, job, TW_GANG_GATHERING, "placed");
 }
 
 void tw_gang_restored(tw_job *job) {
@@ -92,7 +92,7 @@
 int tw_gang_is_pending(const tw_job *job) {
     const tw_gang *gang = &job->gang;
     if (gang->state == TW_GANG_IDLE) return job->placed_count == 0;
-    return gang->state == TW_GANG_GATHERING && missing(job) > 0 &&
+    return gang->state == TW_GANG_GATHERING && missing_tasks(job) > 0 &&
            gang->vacated_count < TW_GANG_MAX_REPLACED;
 }
 
@@ -112,7 +112,7 @@
     if (placed->state == TW_TASK_WAITING && gang->waiting_since <= 0)
         gang->waiting_since = core->now;
     if (placed->state == TW_TASK_RUNNING || placed->state == TW_TASK_SAVING)
-        enter(core, job, TW_GANG_RUNNING, "started");
+        enter_state(core, job, TW_GANG_RUNNING, "started");
 }
 
 /* Whether the way in which a task ended shows that its gang had started. */
@@ -121,7 +121,7 @@
            (placed->cause == TW_CAUSE_ERROR || placed->cause == TW_CAUSE_GANG_BROKEN);
 }
 
-static void left_before_start(tw_core *core, tw_job *job, const tw_placement *placed) {
+static void note_vacated(tw_core *core, tw_job *job, const tw_placement *placed) {
     tw_gang *gang = &job->gang;
     const int was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
     if (gang->missing_since <= 0) gang->missing_since = core->now;
@@ -136,7 +136,7 @@
     const int had_started = gang->state == TW_GANG_RUNNING || ended_after_start(placed);
     if (had_started) job->has_checkpoint |= job->spec.checkpoint_s > 0;
     if (!job->placed_count) {
-        enter(core, job, TW_GANG_IDLE, "gone");
+        enter_state(core, job, TW_GANG_IDLE, "gone");
         gang->vacated_count = 0;
     } else if (gang->state == TW_GANG_STOPPING) {
         if (!gang->saved) gang->grace_s = 0; /* what the others still save is lost */
@@ -144,7 +144,7 @@
     } else if (had_started) {
         tw_gang_stop(core, job, 0);
     } else {
-        left_before_start(core, job, placed);
+        note_vacated(core, job, placed);
     }
 }
 
@@ -155,14 +155,14 @@
     tw_attempt_terminate_on(core, task, TW_EVIDENCE_GANG_DONE);
     memset(job->task_states, TW_ASSIGNMENT_DONE, (size_t)job->task_count);
     job->done_count = job->task_count;
-    enter(core, job, TW_GANG_IDLE, "done");
+    enter_state(core, job, TW_GANG_IDLE, "done");
 }
 
 /* ---- stop ---- */
 
 int tw_gang_can_save(const tw_core *core, const tw_job *job) {
     const tw_placement *task;
-    if (job->spec.checkpoint_s <= 0 || missing(job) > 0) return 0;
+    if (job->spec.checkpoint_s <= 0 || missing_tasks(job) > 0) return 0;
     if (job->gang.state != TW_GANG_RUNNING && job->gang.state != TW_GANG_STOPPING) return 0;
     DL_FOREACH2(job->placements, task, job_next) {
         const tw_machine *machine = task->machine;
@@ -183,7 +183,7 @@
     }
     gang->grace_s = grace_s;
     gang->saved = 0;
-    enter(core, job, TW_GANG_STOPPING, grace_s > 0 ? "saves" : "at once");
+    enter_state(core, job, TW_GANG_STOPPING, grace_s > 0 ? "saves" : "at once");
 }
 
 static void stop_tasks(tw_core *core, tw_job *job) {
@@ -208,7 +208,7 @@
 /* Whether a task that is gone can't be replaced before the others give up waiting. */
 static int is_hopeless(const tw_core *core, const tw_job *job) {
     const tw_gang *gang = &job->gang;
-    if (gang->missing_since <= 0 || !missing(job)) return 0;
+    if (gang->missing_since <= 0 || !missing_tasks(job)) return 0;
     if (gang->vacated_count >= TW_GANG_MAX_REPLACED) return 1;
     if (gang->waiting_since <= 0)
         return core->now > gang->missing_since + core->config->gang_wait_s;
@@ -218,7 +218,7 @@
 }
 
 /* Launches that were put off are due. */
-static void launch_due(tw_core *core, const tw_job *job) {
+static void send_due_launches(tw_core *core, const tw_job *job) {
     const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next)
     if (!task->launch_sent && !task->direct_launches && core->now >= task->launch_after &&
@@ -230,10 +230,10 @@
     tw_gang *gang = &job->gang;
     if (!is_under_way(job) || job->cancelling) return;
     if (gang->state == TW_GANG_GATHERING) {
-        launch_due(core, job);
+        send_due_launches(core, job);
         if (is_hopeless(core, job)) tw_gang_stop(core, job, 0);
     }
     if (!is_one_attempt(job)) tw_gang_stop(core, job, 0);
-    if (gang->state == TW_GANG_RUNNING && missing(job) > 0) tw_gang_stop(core, job, 0);
+    if (gang->state == TW_GANG_RUNNING && missing_tasks(job) > 0) tw_gang_stop(core, job, 0);
     if (gang->state == TW_GANG_STOPPING) stop_tasks(core, job);
 }
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -17,15 +17,16 @@
 /* Holds a report. A worker that is turned away tries the other nodes; with its zone cut off that
  * costs it 5 s each, and its lease. So while the leader changes, a report waits here, well under
  * the worker's 4 s. Takes the body. */
-static void hold(tw_core *core, uint64_t conn, const char *worker, char *body, double until) {
+static void hold_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
+                           double until) {
     if (core->now >= until || core->held_count >= core->config->sockets / HELD_SHARE) {
         tw_log_debug("event=heartbeat_rejected worker=%s", worker);
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no leader answers");
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no leader answers");
         free(body);
         return;
     }
     tw_held_heartbeat *held = tw_alloc(sizeof *held);
-    held->connection = conn;
+    held->connection = connection;
     snprintf(held->worker, sizeof held->worker, "%s", worker);
     held->body = body;
     held->until = until;
@@ -35,43 +36,45 @@
 
 /* Hands a report to the leader; else answers it as a deputy, or holds it until the time. Takes the
  * body. */
-static void hand_on(tw_core *core, uint64_t conn, const char *worker, char *body, double until) {
+static void forward_or_hold(tw_core *core, uint64_t connection, const char *worker, char *body,
+                            double until) {
     const tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
     if (!leader) {
-        hold(core, conn, worker, body, until);
+        hold_heartbeat(core, connection, worker, body, until);
         return;
     }
     if (core->now >= core->forwarding_paused_until) {
         tw_call *sent =
             tw_call_send(core, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader->config.addr, "POST",
                          "/peer/hello", strdup(body), RELAY_TIMEOUT_S);
-        sent->connection = conn;
+        sent->connection = connection;
         sent->text = body;
         sent->until = until;
         snprintf(sent->name, sizeof sent->name, "%s", worker);
         return;
     }
     /* Read when it came, so it is known by its text, unless it waited long. */
-    const tw_wire_heartbeat *report =
+    const tw_wire_heartbeat *heartbeat =
         tw_wire_heartbeat_cache_read(core->heartbeat_cache, body, strlen(body));
-    if (!report) {
-        tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed report");
+    if (!heartbeat) {
+        tw_reply_error(core, connection, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         free(body);
-    } else if (tw_delegate_answer_heartbeat(core, conn, report)) {
+    } else if (tw_delegate_answer_heartbeat(core, connection, heartbeat)) {
         free(body);
     } else {
-        hold(core, conn, worker, body, until);
+        hold_heartbeat(core, connection, worker, body, until);
     }
 }
 
 /* A report that waited: answered by this node where it leads by now. Takes the body. */
-static void take_up(tw_core *core, uint64_t conn, const char *worker, char *body, double until) {
+static void retry_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
+                            double until) {
     /* A leader without power to answer must not let a report wait anew: its worker waits 4 s. */
     if (!tw_leader_may(core, TW_PERMISSION_RENEW)) {
-        hand_on(core, conn, worker, body, until);
+        forward_or_hold(core, connection, worker, body, until);
         return;
     }
-    tw_worker_heartbeat_receive(core, conn, body, strlen(body), 0);
+    tw_worker_heartbeat_receive(core, connection, body, strlen(body), 0);
     free(body);
 }
 
@@ -82,7 +85,7 @@
     core->held_heartbeats = NULL;
     core->held_count = 0;
     DL_FOREACH_SAFE(list, held, next) {
-        take_up(core, held->connection, held->worker, held->body, held->until);
+        retry_heartbeat(core, held->connection, held->worker, held->body, held->until);
         free(held);
     }
 }
@@ -99,24 +102,24 @@
     return copy;
 }
 
-void tw_heartbeat_forward(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report,
+void tw_heartbeat_forward(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat,
                           const char *body, size_t len) {
-    if (!strcmp(report->zone, core->config->location)) {
-        if (tw_worker_redirect_safer(core, conn, report)) return;
+    if (!strcmp(heartbeat->zone, core->config->location)) {
+        if (tw_worker_redirect_safer(core, connection, heartbeat)) return;
     } else {
-        if (tw_worker_redirect_home(core, conn, report)) return;
+        if (tw_worker_redirect_home(core, connection, heartbeat)) return;
         /* Where its zone has no node that answers it, the leader does; through us, if it comes back
          * from there as well. */
         tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
         if (!leader) {
-            tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no leader");
+            tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
         }
-        if (!tw_worker_home_find(core, report->zone) && core->now >= leader->avoided_until &&
-            tw_worker_redirect_to(core, conn, report->worker, leader))
+        if (!tw_worker_home_find(core, heartbeat->zone) && core->now >= leader->avoided_until &&
+            tw_worker_redirect_to(core, connection, heartbeat->worker, leader))
             return;
     }
-    hand_on(core, conn, report->worker, copy_of(body, len), core->now + HOLD_S);
+    forward_or_hold(core, connection, heartbeat->worker, copy_of(body, len), core->now + HOLD_S);
 }
 
 void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
@@ -124,7 +127,7 @@
     char *report = sent->text;
     sent->text = NULL;
     if (core->role != TW_ROLE_FOLLOWER) { /* it is us by now */
-        take_up(core, sent->connection, sent->name, report, sent->until);
+        retry_heartbeat(core, sent->connection, sent->name, report, sent->until);
     } else if (status == TW_HTTP_OK) {
         core->forwarding_paused_until = 0;
         tw_delegate_note_forwarded(core, sent->name, sent->sent_at);
@@ -132,9 +135,9 @@
         free(report);
     } else if (!status) {
         core->forwarding_paused_until = core->now + RELAY_TIMEOUT_S;
-        hand_on(core, sent->connection, sent->name, report, sent->until);
+        forward_or_hold(core, sent->connection, sent->name, report, sent->until);
     } else {
-        hold(core, sent->connection, sent->name, report, sent->until);
+        hold_heartbeat(core, sent->connection, sent->name, report, sent->until);
     }
 }
 
--- a/src/core/heartbeat_forwarder.h
+++ b/src/core/heartbeat_forwarder.h
@@ -8,7 +8,7 @@
 /* worker_routing.c */
 /* Names the node that a worker should report to, unless it comes back from there: 0, it is to be
  * answered here. */
-int tw_worker_redirect_to(tw_core *core, uint64_t conn, const char *worker, tw_peer *to);
+int tw_worker_redirect_to(tw_core *core, uint64_t connection, const char *worker, tw_peer *to);
 
 /* lease_delegate.c */
 /* Writes the key of the node as a deputy. */
@@ -19,7 +19,8 @@
 int tw_delegate_is_entitled(tw_core *core, const char *worker, const char *zone);
 /* Answers a report in the leader's place, if this node is entitled to; 0: it is not, and asks to be
  * where the worker is of its zone. */
-int tw_delegate_answer_heartbeat(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
+int tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
+                                 const tw_wire_heartbeat *heartbeat);
 
 /* heartbeat_forwarder.c */
 /* Tries all held reports again at once. */
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -67,9 +67,9 @@
     if (core->reserving_gang == job) core->reserving_gang = NULL;
     if (job->in_cancelled_list)
         DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
-    for (tw_waiting_client *waiter = job->waiting_clients, *next; waiter; waiter = next) {
-        next = waiter->next;
-        free(waiter);
+    for (tw_waiting_client *client = job->waiting_clients, *next; client; client = next) {
+        next = client->next;
+        free(client);
     }
     tw_wire_job_free(&job->spec);
     free(job->spec_text);
@@ -94,7 +94,7 @@
     DL_APPEND2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
 }
 
-static void uncancelled(tw_core *core, tw_job *job) {
+static void remove_from_cancelled(tw_core *core, tw_job *job) {
     if (!job->in_cancelled_list) return;
     job->in_cancelled_list = 0;
     DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
@@ -102,16 +102,16 @@
 
 /* ---- what users are told ---- */
 
-void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t conn, int cancels) {
-    tw_waiting_client *waiter = tw_alloc(sizeof *waiter);
-    waiter->connection = conn;
-    waiter->cancels = cancels;
-    waiter->until = core->now + TW_ADMISSION_WAIT_S;
-    waiter->next = job->waiting_clients;
-    job->waiting_clients = waiter;
+void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, int cancels) {
+    tw_waiting_client *client = tw_alloc(sizeof *client);
+    client->connection = connection;
+    client->cancels = cancels;
+    client->until = core->now + TW_ADMISSION_WAIT_S;
+    client->next = job->waiting_clients;
+    job->waiting_clients = client;
 }
 
-static int running(const tw_job *job) {
+static int count_running(const tw_job *job) {
     int count = 0;
     tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next)
@@ -123,61 +123,61 @@
 char *tw_job_status_text(const tw_job *job) {
     if (job->durable_state == TW_JOB_CANCELLED || job->durable_state == TW_JOB_DONE)
         return tw_wire_job_status_text(job->id, job->durable_state, job->done_count, 0);
-    int count = running(job);
-    int stage = count ? TW_JOB_RUNNING : TW_JOB_PENDING;
-    return tw_wire_job_status_text(job->id, stage, job->done_count, count);
+    int count = count_running(job);
+    int state = count ? TW_JOB_RUNNING : TW_JOB_PENDING;
+    return tw_wire_job_status_text(job->id, state, job->done_count, count);
 }
 
 /* Whether the state service may hold that the job is over while we don't know it: the write is on
  * its way, or nothing is known of its fate. Another node may have read it and told a user, so that
  * only a read that begins after a question can answer it. */
-static int end_in_doubt(const tw_job *job) {
+static int end_is_uncertain(const tw_job *job) {
     return job->final_state_sent && job->durable_state == TW_JOB_PENDING;
 }
 
-int tw_job_is_answerable(const tw_job *job) { return job->record_exists && !end_in_doubt(job); }
+int tw_job_is_answerable(const tw_job *job) { return job->record_exists && !end_is_uncertain(job); }
 
 void tw_job_answer_waiting_clients(tw_core *core, tw_job *job, int status) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
-        tw_waiting_client *waiter = *at;
+        tw_waiting_client *client = *at;
         int over = job->durable_state != TW_JOB_PENDING;
-        if (waiter->cancels ? over : job->record_exists) {
-            tw_reply(core, waiter->connection, waiter->cancels ? TW_HTTP_OK : status, 0,
+        if (client->cancels ? over : job->record_exists) {
+            tw_reply(core, client->connection, client->cancels ? TW_HTTP_OK : status, 0,
                      tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
-            *at = waiter->next;
-            free(waiter);
+            *at = client->next;
+            free(client);
         } else {
-            at = &waiter->next;
+            at = &client->next;
         }
     }
 }
 
 /* ---- end ---- */
 
-void tw_job_finish(tw_core *core, tw_job *job, int stage) {
-    job->state = stage;
-    if (stage == TW_JOB_CANCELLED) {
+void tw_job_finish(tw_core *core, tw_job *job, int state) {
+    job->state = state;
+    if (state == TW_JOB_CANCELLED) {
         tw_job_note_cancelled(core, job);
         /* Not first when it is known to be durable: once the write is sent, another node may read
          * the record and tell the user, and we may never learn of it. Whatever the tasks still do
          * is of no use to anybody. */
-        tw_placement *p, *t;
-        DL_FOREACH_SAFE2(job->placements, p, t, job_next) tw_placement_stop(core, p, 0, 0);
+        tw_placement *task, *next;
+        DL_FOREACH_SAFE2(job->placements, task, next, job_next) tw_placement_stop(core, task, 0, 0);
     }
-    tw_log_debug("event=job_ended id=%s state=%d", job->id, stage);
+    tw_log_debug("event=job_ended id=%s state=%d", job->id, state);
     tw_job_mark_changed(core, job, 1);
 }
 
-void tw_job_note_completed(tw_core *core, const char *id, int stage, int done) {
+void tw_job_note_completed(tw_core *core, const char *id, int state, int done) {
     if (!core->completed_jobs)
         core->completed_jobs =
             tw_completed_jobs_new((size_t)(FINISHED_SHARE * core->config->mem_mb * BYTES_PER_MIB));
-    const tw_completion ending = {stage, done};
+    const tw_completion ending = {state, done};
     tw_completed_jobs_add(core->completed_jobs, id, &ending);
 }
 
 /* A retired job, of which no machine has anything left to forget: only its end is kept. */
-static void let_go(tw_core *core, tw_job *job) {
+static void evict_when_unused(tw_core *core, tw_job *job) {
     if (job->task_states || job->placement_refs || job->write_queued || job->write_in_flight)
         return;
     tw_job_note_completed(core, job->id, job->durable_state, job->done_count);
@@ -186,7 +186,7 @@
 
 void tw_job_placement_gone(tw_core *core, tw_job *job) {
     job->placement_refs--;
-    if (job->durable_state != TW_JOB_PENDING) let_go(core, job);
+    if (job->durable_state != TW_JOB_PENDING) evict_when_unused(core, job);
 }
 
 void tw_job_release(tw_core *core, tw_job *job) {
@@ -194,7 +194,7 @@
         job->write_queued || !job->task_states || job->version != job->durable_version)
         return;
     DL_DELETE(core->active_jobs, job);
-    uncancelled(core, job);
+    remove_from_cancelled(core, job);
     free(job->task_states);
     job->task_states = NULL;
     job->job_class = NULL;
@@ -202,12 +202,12 @@
     tw_wire_job_free(&job->spec);
     free(job->spec_text);
     job->spec_text = NULL;
-    let_go(core, job);
+    evict_when_unused(core, job);
 }
 
 /* ---- time ---- */
 
-static void abort_tick(tw_core *core, tw_job *job) {
+static void cancellation_tick(tw_core *core, tw_job *job) {
     if (job->cancelling && job->state == TW_JOB_PENDING &&
         tw_leader_may(core, TW_PERMISSION_WRITE) && core->phase == TW_PHASE_ACTIVE &&
         tw_cancellation_safety(core, job, 1) > 0)
@@ -215,26 +215,26 @@
 }
 
 void tw_job_reject_waiting_clients(tw_core *core, tw_job *job) {
-    for (tw_waiting_client *waiter = job->waiting_clients, *next; waiter; waiter = next) {
-        next = waiter->next;
-        tw_admission_reject(core, waiter->connection, job->id, ceil(job->write_after - core->now),
+    for (tw_waiting_client *client = job->waiting_clients, *next; client; client = next) {
+        next = client->next;
+        tw_admission_reject(core, client->connection, job->id, ceil(job->write_after - core->now),
                             "too large");
-        free(waiter);
+        free(client);
     }
     job->waiting_clients = NULL;
 }
 
 /* Users who waited for as long as they do, or whom we may tell nothing any more. */
-static void waiters_tick(tw_core *core, tw_job *job) {
+static void waiting_clients_tick(tw_core *core, tw_job *job) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
-        tw_waiting_client *waiter = *at;
-        if (core->now < waiter->until && tw_leader_may(core, TW_PERMISSION_ANSWER)) {
-            at = &waiter->next;
+        tw_waiting_client *client = *at;
+        if (core->now < client->until && tw_leader_may(core, TW_PERMISSION_ANSWER)) {
+            at = &client->next;
             continue;
         }
-        tw_admission_reject(core, waiter->connection, job->id, 1, "not durable in time");
-        *at = waiter->next;
-        free(waiter);
+        tw_admission_reject(core, client->connection, job->id, 1, "not durable in time");
+        *at = client->next;
+        free(client);
     }
 }
 
@@ -244,8 +244,8 @@
     tw_job_store_tick(core);
     tw_job *job, *next;
     DL_FOREACH_SAFE(core->active_jobs, job, next) {
-        waiters_tick(core, job);
-        abort_tick(core, job);
+        waiting_clients_tick(core, job);
+        cancellation_tick(core, job);
         tw_gang_tick(core, job);
         tw_job_release(core, job);
     }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -114,7 +114,7 @@
 /* A placement of the job is no more; the job may be none either after it. */
 void tw_job_placement_gone(tw_core *core, tw_job *job);
 /* The job is over, at this stage; that is not durable yet. */
-void tw_job_finish(tw_core *core, tw_job *job, int stage);
+void tw_job_finish(tw_core *core, tw_job *job, int state);
 /* Notes it among the cancelled jobs, which heartbeats tell of. */
 void tw_job_note_cancelled(tw_core *core, tw_job *job);
 /* Whether some record of it is known to exist. */
@@ -150,9 +150,10 @@
 /* user_requests.c */
 /* Requests of users: a submission, a query, a cancellation. from_peer: handed on by another node.
  */
-void tw_user_submit(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer);
-void tw_user_query(tw_core *core, uint64_t conn, const char *id, int from_peer);
-void tw_user_cancel(tw_core *core, uint64_t conn, const char *id, int from_peer);
+void tw_user_submit(tw_core *core, uint64_t connection, const char *body, size_t length,
+                    int from_peer);
+void tw_user_query(tw_core *core, uint64_t connection, const char *id, int from_peer);
+void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, int from_peer);
 /* A call that was made for a user was answered. */
 void tw_user_response(tw_core *core, tw_call *sent, int status, const char *body, size_t length);
 
@@ -184,7 +185,7 @@
 void tw_failover_page(tw_core *core, int status, const char *body, size_t length);
 /* A job as its record has it, among the jobs or, if it is over and nothing of it may run, among the
  * finished ones. Takes what the job was submitted with out of the record. */
-void tw_job_restore(tw_core *core, const char *id, tw_wire_record *record, uint64_t stamp);
+void tw_job_restore(tw_core *core, const char *id, tw_wire_record *record, uint64_t revision);
 
 /* term.c */
 /* Everything that belongs to a term is forgotten with it. */
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -14,32 +14,32 @@
 #define OPENING_LEASES 4
 
 tw_job_class *tw_job_class_get(tw_core *core, const char *name) {
-    tw_job_class *lane;
-    HASH_FIND_STR(core->job_classes, name, lane);
-    if (lane) return lane;
-    lane = tw_alloc(sizeof *lane);
-    snprintf(lane->name, sizeof lane->name, "%s", name);
-    lane->run_time_ratio = 1;
-    lane->run_time_deviation = PRIOR_DEVIATION;
-    HASH_ADD_STR(core->job_classes, name, lane);
-    return lane;
+    tw_job_class *class;
+    HASH_FIND_STR(core->job_classes, name, class);
+    if (class) return class;
+    class = tw_alloc(sizeof *class);
+    snprintf(class->name, sizeof class->name, "%s", name);
+    class->run_time_ratio = 1;
+    class->run_time_deviation = PRIOR_DEVIATION;
+    HASH_ADD_STR(core->job_classes, name, class);
+    return class;
 }
 
-void tw_job_class_note_arrival(tw_core *core, tw_job_class *lane, const tw_job *job) {
+void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job) {
     /* Jobs that stood waiting for the service to come up say nothing of the rate they come at. */
     int opening = core->began_without_jobs &&
                   core->now - core->first_admission_at < OPENING_LEASES * core->config->lease_s;
-    double gap_s = lane->last_arrival_at > 0 ? core->now - lane->last_arrival_at : FIRST_GAP_S;
+    double gap_s = class->last_arrival_at > 0 ? core->now - class->last_arrival_at : FIRST_GAP_S;
     double weight = opening ? 0 : 1 - exp(-gap_s / RATE_TIME_S);
     double tasks = job->task_count;
     if (gap_s < SHORTEST_GAP_S) gap_s = SHORTEST_GAP_S;
-    lane->task_rate += weight * (tasks / gap_s - lane->task_rate);
-    lane->batch_tasks += SIZE_WEIGHT * (tasks - lane->batch_tasks);
-    if (job->spec.gang) lane->largest_gang = fmax(lane->largest_gang, tasks);
-    lane->last_arrival_at = core->now;
-    lane->sample = job->spec;
-    lane->sample.machine_types = NULL;
-    lane->sample_type_mask = job->type_mask;
-    lane->has_sample = 1;
+    class->task_rate += weight * (tasks / gap_s - class->task_rate);
+    class->batch_tasks += SIZE_WEIGHT * (tasks - class->batch_tasks);
+    if (job->spec.gang) class->largest_gang = fmax(class->largest_gang, tasks);
+    class->last_arrival_at = core->now;
+    class->sample = job->spec;
+    class->sample.machine_types = NULL;
+    class->sample_type_mask = job->type_mask;
+    class->has_sample = 1;
     tw_gpu_share_update(core);
 }
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -89,7 +89,7 @@
 }
 
 /* What a record says that names slices: what the job was when they were made. */
-static void note_divided(tw_record_write *write, tw_record_chunks *parts) {
+static void note_chunked(tw_record_write *write, tw_record_chunks *parts) {
     write->version = parts->version;
     write->state = parts->state;
     write->chunk_count = parts->count;
@@ -107,7 +107,7 @@
         *write = (tw_record_write){
             .version = job->version, .mod_revision = job->mod_revision, .state = job->state};
         snprintf(write->id, sizeof write->id, "%s", job->id);
-        if (job->chunks) note_divided(write, job->chunks);
+        if (job->chunks) note_chunked(write, job->chunks);
         write->bytes = strlen(batch->texts[i]);
         job->final_state_sent |= write->state != TW_JOB_PENDING;
         job->write_in_flight = 1;
@@ -120,18 +120,19 @@
     const int count = batch->count;
     tw_rate_limiter_try_acquire(core, &core->write_limiter, count);
     tw_rate_limiter_try_acquire(core, &core->request_limiter, 1);
-    tw_wire_compare conds[MAX_RECORDS + 1 + core->peer_count];
+    tw_wire_compare compares[MAX_RECORDS + 1 + core->peer_count];
     tw_wire_write writes[MAX_RECORDS];
     for (int i = 0; i < count; i++) {
-        conds[i] = (tw_wire_compare){batch->keys[i], batch->jobs[i]->mod_revision};
+        compares[i] = (tw_wire_compare){batch->keys[i], batch->jobs[i]->mod_revision};
         writes[i] = (tw_wire_write){batch->keys[i], batch->texts[i], 0};
     }
-    char deputy_keys[core->peer_count + 1][TW_DELEGATE_KEY_SIZE];
-    conds[count] = (tw_wire_compare){TW_LEADER_KEY, core->fencing_token};
-    int nconds = count + 1 + tw_delegates_compares(core, conds + count + 1, deputy_keys);
+    char delegate_keys[core->peer_count + 1][TW_DELEGATE_KEY_SIZE];
+    compares[count] = (tw_wire_compare){TW_LEADER_KEY, core->fencing_token};
+    int compare_count =
+        count + 1 + tw_delegates_compares(core, compares + count + 1, delegate_keys);
     tw_call *call =
         tw_call_send(core, TW_CALL_WRITE_RECORDS, TW_TO_STATE, core->config->state, "POST", "/txn",
-                     tw_wire_txn_text(conds, (size_t)nconds, writes, (size_t)count),
+                     tw_wire_txn_text(compares, (size_t)compare_count, writes, (size_t)count),
                      fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO));
     note_writes(call, batch);
     for (int i = 0; i < count; i++) free(batch->texts[i]);
@@ -140,9 +141,9 @@
 
 void tw_job_store_flush(tw_core *core) {
     /* One of the conditions is on our key and one on each deputy's. */
-    const int max_conds =
+    const int max_compares =
         CONDITIONS_PER_CHANGE * core->config->state_txn_ops - 1 - (int)core->peer_count;
-    const int allowed = (int)fmax(1, fmin(core->config->state_txn_ops, max_conds));
+    const int allowed = (int)fmax(1, fmin(core->config->state_txn_ops, max_compares));
     const int most = allowed < MAX_RECORDS ? allowed : MAX_RECORDS;
     if (!core->delegates_known) return;
     tw_chunks_flush(core, most);
@@ -162,27 +163,28 @@
 /* ---- what is known to be written ---- */
 
 /* The record under this stamp, the latest one, holds this stage. */
-static void record_known(tw_job *job, int stage, uint64_t stamp) {
+static void note_record(tw_job *job, int state, uint64_t revision) {
     job->record_exists = 1;
     job->needs_read = 0;
-    job->mod_revision = stamp;
+    job->mod_revision = revision;
     /* A job that is over never becomes anything else. What counts is the record that was written,
      * not whether the job has changed since: a task may have ended meanwhile. */
-    if (stage != TW_JOB_PENDING) job->state = job->durable_state = stage;
+    if (state != TW_JOB_PENDING) job->state = job->durable_state = state;
 }
 
-static void durable(tw_core *core, tw_job *job, const tw_record_write *w, uint64_t stamp) {
-    record_known(job, w->state, stamp);
-    tw_chunks_set_current(core, job, w->chunk_set, w->chunk_count);
-    if (*w->chunk_set) tw_chunks_free(job); /* nothing else is written while it is on its way */
+static void note_durable(tw_core *core, tw_job *job, const tw_record_write *write,
+                         uint64_t revision) {
+    note_record(job, write->state, revision);
+    tw_chunks_set_current(core, job, write->chunk_set, write->chunk_count);
+    if (*write->chunk_set) tw_chunks_free(job); /* nothing else is written while it is on its way */
     job->write_alone = 0;
     job->size_refusals = 0;
     tw_job_answer_waiting_clients(core, job, TW_HTTP_CREATED);
-    if (w->version > job->durable_version) job->durable_version = w->version;
-    tw_placement *p;
-    DL_FOREACH2(job->placements, p, job_next)
-    if (p->version <= job->durable_version && !p->launch_sent && !p->stopping)
-        tw_machine_want_commands(core, p->machine);
+    if (write->version > job->durable_version) job->durable_version = write->version;
+    tw_placement *task;
+    DL_FOREACH2(job->placements, task, job_next)
+    if (task->version <= job->durable_version && !task->launch_sent && !task->stopping)
+        tw_machine_want_commands(core, task->machine);
     requeue(core, job);
     tw_job_release(core, job);
 }
@@ -195,7 +197,7 @@
 /* A job that was over and let go from memory (completed_jobs.h) was submitted again, and what we
  * took for its first record was refused. Nothing of ours was durable; the end holds as its record
  * has it. */
-static void was_over(tw_core *core, tw_job *job, const tw_wire_record *record) {
+static void restore_completed(tw_core *core, tw_job *job, const tw_wire_record *record) {
     tw_placement *task, *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next)
     tw_attempt_terminate_on(core, task, TW_EVIDENCE_NOT_RECORDED);
@@ -206,21 +208,21 @@
 
 /* The first record of a job that we were writing ourselves. If another node accepted the job before
  * us, with other fields, those hold; of ours nothing was durable, so that nothing was launched. */
-static void first_record(tw_core *core, tw_job *job, const char *data) {
+static void take_first_record(tw_core *core, tw_job *job, const char *data) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, job->id, data, strlen(data))) return;
     if (*record.chunk_set) return; /* our own: only a leader divides records */
     tw_chunks_drop(core, job);
     if (record.state != TW_JOB_PENDING && !record.assignment_count) {
-        was_over(core, job, &record);
+        restore_completed(core, job, &record);
         tw_wire_record_free(&record);
         return;
     }
     char *ours = spec_text(&job->spec), *theirs = spec_text(&record.job);
     if (record.has_job && strcmp(ours, theirs) != 0) {
-        tw_placement *p, *t;
-        DL_FOREACH_SAFE2(job->placements, p, t, job_next)
-        tw_attempt_terminate_on(core, p, TW_EVIDENCE_NOT_RECORDED);
+        tw_placement *task, *next;
+        DL_FOREACH_SAFE2(job->placements, task, next, job_next)
+        tw_attempt_terminate_on(core, task, TW_EVIDENCE_NOT_RECORDED);
         tw_wire_job_free(&job->spec);
         tw_job_set_spec(core, job, &record.job);
         free(job->task_states);
@@ -242,13 +244,13 @@
 void tw_job_store_record_read(tw_core *core, tw_job *job, const tw_wire_entry *entry) {
     if (entry->mod_revision <= job->mod_revision) return;
     tw_wire_record record;
-    int stage = tw_wire_record_state(entry->value, strlen(entry->value));
+    int state = tw_wire_record_state(entry->value, strlen(entry->value));
     if (!tw_wire_record_parse(&record, job->id, entry->value, strlen(entry->value))) {
         tw_chunks_set_current(core, job, record.chunk_set, record.chunk_count);
         tw_wire_record_free(&record);
     }
-    if (!job->record_exists) first_record(core, job, entry->value);
-    record_known(job, stage < 0 ? TW_JOB_PENDING : stage, entry->mod_revision);
+    if (!job->record_exists) take_first_record(core, job, entry->value);
+    note_record(job, state < 0 ? TW_JOB_PENDING : state, entry->mod_revision);
     tw_job_answer_waiting_clients(core, job, TW_HTTP_OK);
     requeue(core, job);
     tw_job_release(core, job);
@@ -280,7 +282,7 @@
 } refusal;
 
 /* Whether the job's record is not of the revision that the write was conditioned on. */
-static int refused(const refusal *refusal, const tw_record_write *write) {
+static int compare_failed(const refusal *refusal, const tw_record_write *write) {
     const size_t prefix = sizeof TW_JOB_KEY - 1;
     for (int i = 0; i < refusal->count; i++) {
         const char *key = refusal->keys[i];
@@ -291,23 +293,24 @@
 
 /* Not carried out, or unknown. A retry under the same stamps is safe either way: if the first went
  * through, or still will, one of the two fails. */
-static void not_written(tw_core *core, tw_job *job, const tw_record_write *w, int status,
-                        const refusal *refusal, int alone) {
+static void note_not_written(tw_core *core, tw_job *job, const tw_record_write *write, int status,
+                             const refusal *refusal, int alone) {
     job->write_urgent = 1;
     if (status == TW_HTTP_BAD_REQUEST && alone)
-        tw_record_refused(core, job, *w->chunk_set ? 0 : w->bytes);
+        tw_record_refused(core, job, *write->chunk_set ? 0 : write->bytes);
     else if (status == TW_HTTP_BAD_REQUEST)
         job->write_alone = 1; /* to find out which of them it is for */
     else if (status != TW_HTTP_CONFLICT)
         job->write_after = core->now + WRITE_RETRY_S;
     /* A read for a user may have told us the record's stamp since. */
-    if (w->mod_revision == job->mod_revision && refused(refusal, w)) job->needs_read = 1;
+    if (write->mod_revision == job->mod_revision && compare_failed(refusal, write))
+        job->needs_read = 1;
     requeue(core, job);
     if (job->needs_read && !job->read_in_flight) read_record(core, job);
 }
 
 /* Whether our key is still there, by what a transaction was refused for. */
-static int key_kept(tw_core *core, const refusal *refusal) {
+static int leader_key_is_kept(tw_core *core, const refusal *refusal) {
     for (int i = 0; i < refusal->count; i++) {
         if (!strncmp(refusal->keys[i], TW_DELEGATE_KEY, sizeof TW_DELEGATE_KEY - 1))
             tw_delegates_read(core);
@@ -318,7 +321,8 @@
 
 /* A transaction of records or slices was answered: the keys that it was refused for. 0: the
  * leader's key is among them, and the term is over. */
-static int answered(tw_core *core, int status, const char *body, size_t length, refusal *refusal) {
+static int note_answer(tw_core *core, int status, const char *body, size_t length,
+                       refusal *refusal) {
     *refusal = (struct refusal){NULL, 0};
     core->transactions_in_flight--;
     if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
@@ -327,15 +331,16 @@
         refusal->count = 0;
     if (status == TW_HTTP_BAD_REQUEST)
         tw_log_error("event=transaction_refused body=\"%.200s\"", body);
-    if (key_kept(core, refusal)) return 1;
+    if (leader_key_is_kept(core, refusal)) return 1;
     free(refusal->keys);
     tw_leader_step_down(core, "leader key lost");
     return 0;
 }
 
-static void slices_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
+static void chunks_response(tw_core *core, tw_call *call, int status, const char *body,
+                            size_t length) {
     refusal refusal;
-    if (!answered(core, status, body, length, &refusal)) return;
+    if (!note_answer(core, status, body, length, &refusal)) return;
     free(refusal.keys);
     tw_job *job = tw_job_find(core, call->name);
     /* Or they were given up meanwhile. */
@@ -349,11 +354,12 @@
         job->write_after = core->now + WRITE_RETRY_S;
 }
 
-static void txn_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
+static void records_response(tw_core *core, tw_call *call, int status, const char *body,
+                             size_t length) {
     uint64_t revision = 0;
     refusal refusal;
     int ok = status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, length);
-    if (!answered(core, status, body, length, &refusal)) return;
+    if (!note_answer(core, status, body, length, &refusal)) return;
     if (ok && call->sent_at > core->delegates_checked_at)
         core->delegates_checked_at = call->sent_at;
     for (int i = 0; i < call->count; i++) {
@@ -362,15 +368,16 @@
         if (!job) continue;
         job->write_in_flight = 0;
         if (ok)
-            durable(core, job, write, revision);
+            note_durable(core, job, write, revision);
         else
-            not_written(core, job, write, status, &refusal, call->count == 1);
+            note_not_written(core, job, write, status, &refusal, call->count == 1);
     }
     free(refusal.keys);
 }
 
 /* A write of ours that was thought lost went through, or another node accepted the job first. */
-static void read_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
+static void read_response(tw_core *core, tw_call *call, int status, const char *body,
+                          size_t length) {
     tw_job *job = tw_job_find(core, call->name);
     if (!job) return;
     job->read_in_flight = 0;
@@ -391,11 +398,11 @@
 void tw_job_store_response(tw_core *core, tw_call *call, int status, const char *body,
                            size_t length) {
     if (call->kind == TW_CALL_WRITE_RECORDS)
-        txn_done(core, call, status, body, length);
+        records_response(core, call, status, body, length);
     else if (call->kind == TW_CALL_WRITE_CHUNKS)
-        slices_done(core, call, status, body, length);
+        chunks_response(core, call, status, body, length);
     else if (call->kind == TW_CALL_REMOVE_CHUNKS)
         tw_chunks_removal_response(core, call, status);
     else
-        read_done(core, call, status, body, length);
+        read_response(core, call, status, body, length);
 }
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -28,7 +28,7 @@
 
 /* job.c */
 /* The user at conn waits until the job is durable, or (cancels) known to be over. */
-void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t conn, int cancels);
+void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, int cancels);
 /* Turns away all who wait for the job: its record can't be written. */
 void tw_job_reject_waiting_clients(tw_core *core, tw_job *job);
 /* Answers all who waited for what is durable now; status: of accepted submissions, 201 or 200. */
@@ -37,7 +37,7 @@
  * itself once no machine has to forget a task of it. The caller doesn't use the job after it. */
 void tw_job_release(tw_core *core, tw_job *job);
 /* Notes a job that is over, by its record, and of which nothing may run. */
-void tw_job_note_completed(tw_core *core, const char *id, int stage, int done);
+void tw_job_note_completed(tw_core *core, const char *id, int state, int done);
 /* Whether the leader has the job in memory, finished or not. */
 int tw_job_is_known(tw_core *core, const char *id);
 /* Whether what the leader has in memory is as new as anything that any node has told of the job. */
@@ -45,7 +45,7 @@
 
 /* job_class.c */
 /* Notes that a job of the class was submitted: its rate, size and shape are expected again. */
-void tw_job_class_note_arrival(tw_core *core, tw_job_class *lane, const tw_job *job);
+void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job);
 
 /* job_store.c */
 /* The job's record was read at the state service. */
@@ -55,7 +55,7 @@
 
 /* rejected_admissions.c */
 /* Refuses a submission that can't be taken now: at once, with the time to come back. */
-void tw_admission_reject(tw_core *core, uint64_t conn, const char *id, double retry_s,
+void tw_admission_reject(tw_core *core, uint64_t connection, const char *id, double retry_s,
                          const char *why);
 /* How long a new write would wait behind those queued. */
 double tw_write_backlog_s(tw_core *core);
@@ -64,6 +64,7 @@
 
 /* user_requests.c */
 /* Reads a job's record for the user at conn (0: for ourselves). */
-void tw_job_look_up(tw_core *core, uint64_t conn, const char *id, tw_user_operation op);
+void tw_job_look_up(tw_core *core, uint64_t connection, const char *id,
+                    tw_user_operation operation);
 
 #endif
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -44,7 +44,7 @@
 }
 
 /* All records are read: decisions begin. */
-static void begin_deciding(tw_core *core) {
+static void activate_leader(tw_core *core) {
     const size_t finished = tw_completed_jobs_count(core->completed_jobs);
     const int any = core->jobs || finished;
     core->phase = TW_PHASE_ACTIVE;
@@ -62,8 +62,8 @@
 }
 
 /* A divided record; its text is in slices that were read before. */
-static void adopt_divided(tw_core *core, const char *id, const tw_wire_record *head,
-                          uint64_t stamp) {
+static void restore_chunked(tw_core *core, const char *id, const tw_wire_record *head,
+                            uint64_t revision) {
     tw_wire_record record;
     char *text = tw_chunk_loader_text(core, id, head);
     if (!text || tw_wire_record_parse(&record, id, text, strlen(text))) {
@@ -73,26 +73,26 @@
         return;
     }
     free(text);
-    tw_job_restore(core, id, &record, stamp);
+    tw_job_restore(core, id, &record, revision);
     tw_wire_record_free(&record);
     tw_job *job = tw_job_find(core, id);
     if (job) tw_chunks_set_current(core, job, head->chunk_set, head->chunk_count);
 }
 
-static void adopt_listed(tw_core *core, tw_wire_listed_record *listed) {
+static void restore_listed(tw_core *core, tw_wire_listed_record *listed) {
     const char *id = listed->key + sizeof TW_JOB_KEY - 1;
     if (!listed->readable)
         tw_log_error("event=record_unreadable key=%.32s", listed->key);
     else if (tw_job_is_known(core, id))
         return;
     else if (*listed->record.chunk_set)
-        adopt_divided(core, id, &listed->record, listed->mod_revision);
+        restore_chunked(core, id, &listed->record, listed->mod_revision);
     else
         tw_job_restore(core, id, &listed->record, listed->mod_revision);
 }
 
 /* -1: it can't be read. */
-static int take_slices(tw_core *core, const char *body, size_t len) {
+static int take_chunks(tw_core *core, const char *body, size_t len) {
     int more;
     const int count =
         tw_chunk_loader_page(core, body, len, &more, core->load_cursor, sizeof core->load_cursor);
@@ -108,10 +108,10 @@
     tw_wire_listed_record *listed;
     int count, more;
     if (tw_wire_records_parse(&listed, &count, &more, TW_JOB_KEY, body, len)) return -1;
-    for (int i = 0; i < count; i++) adopt_listed(core, &listed[i]);
+    for (int i = 0; i < count; i++) restore_listed(core, &listed[i]);
     if (count) snprintf(core->load_cursor, sizeof core->load_cursor, "%s", listed[count - 1].key);
     tw_wire_records_free(listed, count);
-    if (!more || !count) begin_deciding(core);
+    if (!more || !count) activate_leader(core);
     return 0;
 }
 
@@ -119,7 +119,7 @@
     core->load_in_flight = 0;
     const int slices = core->loading_chunks;
     if (status != TW_HTTP_OK ||
-        (slices ? take_slices(core, body, len) : take_records(core, body, len))) {
+        (slices ? take_chunks(core, body, len) : take_records(core, body, len))) {
         /* Retries at the limit would leave this term's own renewals no room. */
         core->next_load_at = core->now + fmax(core->leader_lease_s * REFUSED_LEASES,
                                               tw_rate_limited_wait_s(core, status));
@@ -130,7 +130,7 @@
 }
 
 /* The tasks that are done, and those that may run, as the record has them. */
-static void adopt_tasks(tw_core *core, tw_job *job, const tw_wire_record *record) {
+static void restore_tasks(tw_core *core, tw_job *job, const tw_wire_record *record) {
     const int cancelled = record->state == TW_JOB_CANCELLED;
     job->task_states = tw_alloc((size_t)job->task_count);
     job->done_count = record->done_ranges
@@ -153,14 +153,14 @@
     if (cancelled) tw_job_note_cancelled(core, job);
 }
 
-void tw_job_restore(tw_core *core, const char *id, tw_wire_record *record, uint64_t stamp) {
+void tw_job_restore(tw_core *core, const char *id, tw_wire_record *record, uint64_t revision) {
     if (record->state != TW_JOB_PENDING && !record->assignment_count) {
         tw_job_note_completed(core, id, record->state, record->done_count);
         return;
     }
     tw_job *job = tw_job_new(core, id);
     job->record_exists = 1;
-    job->mod_revision = stamp;
+    job->mod_revision = revision;
     job->task_count = record->task_count;
     job->next_attempt = record->next_attempt;
     job->submitted_wall_s = record->submitted_at;
@@ -172,7 +172,7 @@
     job->version = 1;
     job->durable_version = 1;
     if (record->has_job) tw_job_set_spec(core, job, &record->job);
-    adopt_tasks(core, job, record);
+    restore_tasks(core, job, record);
     DL_APPEND(core->active_jobs, job);
     core->scheduling_due = 1;
 }
--- a/src/core/lease_delegate.c
+++ b/src/core/lease_delegate.c
@@ -47,7 +47,7 @@
 
 /* ---- sets of names, each with a time ---- */
 
-static void forget_all(tw_expiring_name **set) {
+static void clear_names(tw_expiring_name **set) {
     tw_expiring_name *member, *next;
     HASH_ITER(hh, *set, member, next) {
         HASH_DEL(*set, member);
@@ -55,7 +55,7 @@
     }
 }
 
-static void forget_older(tw_core *core, tw_expiring_name **set, double age_s) {
+static void expire_names(tw_core *core, tw_expiring_name **set, double age_s) {
     tw_expiring_name *member, *next;
     HASH_ITER(hh, *set, member, next) {
         if (core->now < member->at + age_s) continue;
@@ -64,7 +64,7 @@
     }
 }
 
-static void remember(tw_expiring_name **set, const char *name, double at) {
+static void add_name(tw_expiring_name **set, const char *name, double at) {
     tw_expiring_name *member;
     HASH_FIND_STR(*set, name, member);
     if (!member) {
@@ -75,7 +75,7 @@
     member->at = at;
 }
 
-static int has(tw_expiring_name *set, const char *name) {
+static int has_name(tw_expiring_name *set, const char *name) {
     tw_expiring_name *member;
     HASH_FIND_STR(set, name, member);
     return member != NULL;
@@ -89,10 +89,10 @@
     if (token != core->highest_token_seen || core->role != TW_ROLE_FOLLOWER) return;
     /* An id is kept for as long as a grant and a lease may last: an answer may be older than a
      * heartbeat that came before it. */
-    forget_older(core, &core->announced_cancelled_jobs,
+    expire_names(core, &core->announced_cancelled_jobs,
                  tw_renewal_without_contact_s(core) + 2 * core->config->lease_s);
     if (tw_wire_cancelled_jobs_parse(&ids, &count, body, len)) return;
-    for (int i = 0; i < count; i++) remember(&core->announced_cancelled_jobs, ids[i], core->now);
+    for (int i = 0; i < count; i++) add_name(&core->announced_cancelled_jobs, ids[i], core->now);
     free(ids);
 }
 
@@ -105,15 +105,15 @@
 }
 
 void tw_delegate_note_forwarded(tw_core *core, const char *worker, double at) {
-    remember(&core->forwarded_workers, worker, at);
+    add_name(&core->forwarded_workers, worker, at);
     if (core->now < core->next_forwarded_sweep_at) return;
     core->next_forwarded_sweep_at = core->now + core->config->lease_s;
-    forget_older(core, &core->forwarded_workers, tw_renewal_if_superseded_s(core));
+    expire_names(core, &core->forwarded_workers, tw_renewal_if_superseded_s(core));
 }
 
 /* ---- cancelled jobs, from the state service ---- */
 
-static void list_jobs(tw_core *core) {
+static void list_cancelled_jobs(tw_core *core) {
     char path[PATH_SIZE];
     const int length = snprintf(path, sizeof path, "/kv?starts=" TW_JOB_KEY "&most=%d", PAGE_SIZE);
     if (*core->cancelled_list_cursor)
@@ -140,13 +140,13 @@
         const tw_wire_entry *entry = &entries[i];
         if (strlen(entry->key) > prefix &&
             tw_wire_record_state(entry->value, strlen(entry->value)) == TW_JOB_CANCELLED)
-            remember(&core->listed_cancelled_jobs, entry->key + prefix, core->now);
+            add_name(&core->listed_cancelled_jobs, entry->key + prefix, core->now);
     }
     *core->cancelled_list_cursor = 0;
     if (more && count) {
         snprintf(core->cancelled_list_cursor, sizeof core->cancelled_list_cursor, "%s",
                  entries[count - 1].key);
-        list_jobs(core);
+        list_cancelled_jobs(core);
     } else {
         core->cancelled_read_at = fmax(core->cancelled_read_at, core->cancelled_list_began_at);
     }
@@ -156,18 +156,18 @@
 void tw_delegate_tick(tw_core *core) {
     if (core->role != TW_ROLE_FOLLOWER || core->now >= core->delegate_until) {
         if (core->listed_cancelled_jobs && !core->cancelled_list_in_flight)
-            forget_all(&core->listed_cancelled_jobs);
+            clear_names(&core->listed_cancelled_jobs);
         return;
     }
     if (core->cancelled_list_in_flight || core->now < core->next_cancelled_list_at) return;
     core->next_cancelled_list_at = core->now + READ_LEASES * core->config->lease_s;
-    list_jobs(core);
+    list_cancelled_jobs(core);
 }
 
 /* ---- the key, and answers by it ---- */
 
 /* Writes this node's key as a deputy. */
-static void become_deputy(tw_core *core) {
+static void write_delegate_key(tw_core *core) {
     /* Every report that waits asks for it: the state service's limit is shared with the leader. */
     if (core->delegate_write_in_flight || core->now < core->next_delegate_attempt_at ||
         !core->leader_token || core->leader_token != core->highest_token_seen ||
@@ -178,10 +178,10 @@
     tw_delegate_key(key, core->config->host_name);
     snprintf(data, sizeof data, "{\"token\":%llu,\"n\":%llu}",
              (unsigned long long)core->leader_token, (unsigned long long)++core->delegate_sequence);
-    tw_wire_compare condition = {TW_LEADER_KEY, core->leader_token};
+    tw_wire_compare compare = {TW_LEADER_KEY, core->leader_token};
     tw_wire_write written = {key, data, 0};
     tw_call *sent = tw_call_send(core, TW_CALL_WRITE_DELEGATE_KEY, TW_TO_STATE, core->config->state,
-                                 "POST", "/txn", tw_wire_txn_text(&condition, 1, &written, 1), 1);
+                                 "POST", "/txn", tw_wire_txn_text(&compare, 1, &written, 1), 1);
     sent->tokens = tw_alloc(sizeof *sent->tokens);
     sent->tokens[0] = core->leader_token;
     core->delegate_write_in_flight = 1;
@@ -202,42 +202,44 @@
 }
 
 /* Renews the worker's lease and stops its tasks of cancelled jobs. */
-static void answer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
+static void answer_worker(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat) {
     if (core->now > core->delegate_answered_at + core->config->lease_s)
         tw_log_info("event=delegate_took_over token=%llu",
                     (unsigned long long)core->highest_token_seen);
     core->delegate_answered_at = core->now;
-    tw_command_list orders = tw_command_list_new(core);
-    for (int i = 0; i < report->task_count && orders.count < MAX_KILLS; i++) {
-        const tw_wire_task *task = &report->tasks[i];
+    tw_command_list commands = tw_command_list_new(core);
+    for (int i = 0; i < heartbeat->task_count && commands.count < MAX_KILLS; i++) {
+        const tw_wire_task *task = &heartbeat->tasks[i];
         if (task->state == TW_TASK_EXITED) continue;
-        if (!has(core->listed_cancelled_jobs, task->job) &&
-            !has(core->announced_cancelled_jobs, task->job))
+        if (!has_name(core->listed_cancelled_jobs, task->job) &&
+            !has_name(core->announced_cancelled_jobs, task->job))
             continue;
         const tw_wire_command stop = {
             .kind = TW_COMMAND_STOP, .index = task->index, .attempt = task->attempt};
-        tw_command_list_add(&orders, stop, task->job);
+        tw_command_list_add(&commands, stop, task->job);
     }
-    char *text = tw_commands_delegate_text(core, report, &orders);
+    char *text = tw_commands_delegate_text(core, heartbeat, &commands);
     if (text)
-        tw_reply(core, conn, TW_HTTP_OK, 0, text);
+        tw_reply(core, connection, TW_HTTP_OK, 0, text);
     else
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
-int tw_delegate_answer_heartbeat(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
-    if (!tw_delegate_is_entitled(core, report->worker, report->zone)) {
-        if (!strcmp(report->zone, core->config->location)) become_deputy(core);
+int tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
+                                 const tw_wire_heartbeat *heartbeat) {
+    if (!tw_delegate_is_entitled(core, heartbeat->worker, heartbeat->zone)) {
+        if (!strcmp(heartbeat->zone, core->config->location)) write_delegate_key(core);
         return 0;
     }
     /* The grant ends; a key, where the state service can be reached, goes on. */
-    if (core->now > core->delegate_until - 0.5 * tw_delegate_lease_s(core)) become_deputy(core);
-    answer(core, conn, report);
+    if (core->now > core->delegate_until - 0.5 * tw_delegate_lease_s(core))
+        write_delegate_key(core);
+    answer_worker(core, connection, heartbeat);
     return 1;
 }
 
 void tw_delegate_free(tw_core *core) {
-    forget_all(&core->listed_cancelled_jobs);
-    forget_all(&core->announced_cancelled_jobs);
-    forget_all(&core->forwarded_workers);
+    clear_names(&core->listed_cancelled_jobs);
+    clear_names(&core->announced_cancelled_jobs);
+    clear_names(&core->forwarded_workers);
 }
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -33,8 +33,8 @@
 }
 
 double tw_lease_max_s(const tw_core *core) {
-    const tw_config *cf = core->config;
-    return cf->lease_s * (1 + 2 * cf->tune.drift + cf->tune.margin_ratio);
+    const tw_config *config = core->config;
+    return config->lease_s * (1 + 2 * config->tune.drift + config->tune.margin_ratio);
 }
 
 /* A worker that has not seen our token may still have been answered by a predecessor. */
@@ -87,19 +87,19 @@
             return 1;
     }
     for (int zone = 0; zone < core->silent_zone_count; zone++)
-        if (!strcmp(core->silent_zones[zone].yard, machine->zone))
+        if (!strcmp(core->silent_zones[zone].zone, machine->zone))
             return core->now < core->silent_zones[zone].until;
     return 0;
 }
 
 /* The zone's number among those counted, or TW_MAX_ZONES where there are too many. */
-static int quiet_index(tw_core *core, const char *name) {
+static int silent_zone_index(tw_core *core, const char *name) {
     int zone = 0;
-    while (zone < core->silent_zone_count && strcmp(core->silent_zones[zone].yard, name) != 0)
+    while (zone < core->silent_zone_count && strcmp(core->silent_zones[zone].zone, name) != 0)
         zone++;
     if (zone == TW_MAX_ZONES || zone < core->silent_zone_count) return zone;
     memset(&core->silent_zones[zone], 0, sizeof core->silent_zones[zone]);
-    snprintf(core->silent_zones[core->silent_zone_count++].yard, TW_NAME_SIZE, "%s", name);
+    snprintf(core->silent_zones[core->silent_zone_count++].zone, TW_NAME_SIZE, "%s", name);
     return zone;
 }
 
@@ -119,7 +119,7 @@
     HASH_ITER(hh, core->machines, each, next) {
         if ((each->state != TW_MACHINE_UP && !tw_machine_is_occupied(each)) || each->failed)
             continue;
-        const int zone = quiet_index(core, each->zone);
+        const int zone = silent_zone_index(core, each->zone);
         if (zone == TW_MAX_ZONES) continue;
         core->silent_zones[zone].all++;
         core->silent_zones[zone].silent += core->now - fmax(each->answered_at, found_us) > late;
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -117,8 +117,8 @@
 
 /* worker_heartbeat.c, worker_commands.c, machine_upkeep.c */
 /* A worker's report. from_peer: handed on by another node. */
-void tw_worker_heartbeat_receive(tw_core *core, uint64_t conn, const char *body, size_t length,
-                                 int from_peer);
+void tw_worker_heartbeat_receive(tw_core *core, uint64_t connection, const char *body,
+                                 size_t length, int from_peer);
 /* Commands for the machine are to be sent to its own address; a probe asks for its state alone. */
 void tw_machine_want_commands(tw_core *core, tw_machine *machine);
 void tw_machine_want_probe(tw_core *core, tw_machine *machine);
--- a/src/core/machine_choice.c
+++ b/src/core/machine_choice.c
@@ -3,8 +3,8 @@
 #include "core/scheduler_int.h"
 
 /* Takes the machine instead of the one chosen so far, if it is better. */
-static void consider(const tw_core *core, const tw_demand *demand, const tw_score *score,
-                     tw_choice *choice) {
+static void consider_candidate(const tw_core *core, const tw_demand *demand, const tw_score *score,
+                               tw_choice *choice) {
     tw_machine *machine = core->candidates[score->candidate].machine;
     if (!tw_constraints_allow_machine_zone(core, demand, machine)) return;
     const int meets = score->end <= demand->deadline_at;
@@ -26,7 +26,7 @@
     for (int i = 0; i < core->candidate_count; i++) {
         const tw_score *score = tw_scores_add(core, table, demand, i);
         core->pass_steps++;
-        if (score) consider(core, demand, score, choice);
+        if (score) consider_candidate(core, demand, score, choice);
     }
 }
 
@@ -40,7 +40,7 @@
     for (int i = 0; i < tw_scores_count(table); i++) {
         const tw_score *score = tw_scores_get(core, table, demand, i);
         core->pass_steps++;
-        if (score) consider(core, demand, score, &choice);
+        if (score) consider_candidate(core, demand, score, &choice);
     }
     return choice;
 }
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -17,7 +17,7 @@
 #define RETURNED_S 600
 #define RETURNED_LIST_LAGS 20
 
-static void ask_release(tw_core *core, tw_machine *machine, const char *why) {
+static void request_return(tw_core *core, tw_machine *machine, const char *why) {
     tw_placement *each, *next;
     if (machine->return_wanted) return;
     machine->return_wanted = machine->cordoned = 1;
@@ -38,24 +38,24 @@
 }
 
 /* A spot machine will be taken: tasks that won't be done by then save and go elsewhere. */
-static void on_notice(tw_core *core, tw_machine *machine) {
+static void handle_preemption_notice(tw_core *core, tw_machine *machine) {
     tw_placement *each, *next;
     const double left_s = machine->preempted_at - core->now;
     DL_FOREACH_SAFE(machine->placements, each, next) {
         if (!each->counted || each->stopping) continue;
-        const tw_wire_job *s = &each->job->spec;
+        const tw_wire_job *spec = &each->job->spec;
         const double slowness = machine->slowness > 0 ? machine->slowness : 1;
         const double run_s = tw_job_run_estimate_s(each->job) * slowness;
         const double rest_s =
             each->running_since > 0 ? run_s - (core->now - each->running_since) : run_s;
-        if (!s->service && rest_s > 0 && rest_s < DONE_WITHIN_NOTICE * left_s) continue;
+        if (!spec->service && rest_s > 0 && rest_s < DONE_WITHIN_NOTICE * left_s) continue;
         if (waits_to_save(core, each, left_s)) continue;
-        tw_placement_stop(core, each, s->checkpoint_s > 0 ? s->save_s : 0, 0);
+        tw_placement_stop(core, each, spec->checkpoint_s > 0 ? spec->save_s : 0, 0);
     }
 }
 
 /* Tasks there that may have been launched. */
-static int launched(const tw_machine *machine) {
+static int count_launched(const tw_machine *machine) {
     const tw_placement *each;
     int count = 0;
     DL_FOREACH(machine->placements, each)
@@ -63,7 +63,7 @@
     return count;
 }
 
-static void lose_unsent(tw_core *core, tw_machine *machine) {
+static void terminate_unlaunched(tw_core *core, tw_machine *machine) {
     tw_placement *each, *next;
     DL_FOREACH_SAFE(machine->placements, each, next)
     if (!tw_attempt_was_launched(each))
@@ -71,7 +71,7 @@
 }
 
 /* Ages of what the end of the lease rests on; one that never was is as old as the clock. */
-static void log_lapse(const tw_core *core, const tw_machine *machine) {
+static void log_lease_expiry(const tw_core *core, const tw_machine *machine) {
     const tw_lease_expiry terms = tw_lease_expiry_of(core, machine);
     const double now = core->now;
     tw_log_info(
@@ -85,77 +85,78 @@
 }
 
 /* Its lease has surely ended: nothing runs there. */
-static void lapse(tw_core *core, tw_machine *machine) {
+static void expire_lease(tw_core *core, tw_machine *machine) {
     tw_placement *each, *next;
     if (core->delegates_checked_at < core->now - DEPUTIES_AGE_LEASES * core->config->lease_s) {
         tw_delegates_read(core); /* first see whether a deputy renews it */
         return;
     }
     core->expiry_decided_at = core->now;
-    log_lapse(core, machine);
+    log_lease_expiry(core, machine);
     machine->lease_expired = 1;
     DL_FOREACH_SAFE(machine->placements, each, next)
     tw_attempt_terminate_on(core, each, TW_EVIDENCE_LEASE_EXPIRED);
 }
 
 /* Why a machine is given up; NULL: it is not. */
-static const char *given_up(tw_core *core, const tw_machine *machine, double lapse_at) {
+static const char *reason_to_give_up(tw_core *core, const tw_machine *machine, double expires_at) {
     if (machine->lost_launches >= TW_UNRESPONSIVE_AT) return "deaf";
     if (tw_machine_is_silent(core, machine) &&
         core->now > tw_delegates_until(core, machine->zone) &&
         !tw_zone_is_unreachable(core, machine))
         return "silent";
-    if (core->now > fmax(lapse_at, machine->last_contact_at) + core->config->lease_s) return "lost";
+    if (core->now > fmax(expires_at, machine->last_contact_at) + core->config->lease_s)
+        return "lost";
     return NULL;
 }
 
 /* A machine that gets nothing new goes once it is empty. */
-static void empty(tw_core *core, tw_machine *machine) {
+static void return_when_empty(tw_core *core, tw_machine *machine) {
     if (machine->preempted_at > 0) {
-        on_notice(core, machine);
-        if (!tw_machine_is_occupied(machine)) ask_release(core, machine, "notice");
+        handle_preemption_notice(core, machine);
+        if (!tw_machine_is_occupied(machine)) request_return(core, machine, "notice");
     } else if (machine->cordoned || machine->decommissioning) {
         const int live = tw_machine_is_occupied(machine);
-        if (!live) ask_release(core, machine, machine->decommissioning ? "drained" : "sick");
+        if (!live) request_return(core, machine, machine->decommissioning ? "drained" : "sick");
         if (live) tw_quarantine_tick(core, machine);
     }
 }
 
 static void machine_tick(tw_core *core, tw_machine *machine) {
-    const tw_config *cf = core->config;
+    const tw_config *config = core->config;
     const double boot_s = machine->type_index >= 0
                               ? core->machine_types[machine->type_index].listed.startup_s
-                              : cf->lease_s * BOOT_UNKNOWN_LEASES;
+                              : config->lease_s * BOOT_UNKNOWN_LEASES;
     const double age_s = core->now - machine->known_since;
-    const int sent = launched(machine);
+    const int sent = count_launched(machine);
     if (machine->state == TW_MACHINE_UP && !tw_machine_is_usable(core, machine))
-        lose_unsent(core, machine);
+        terminate_unlaunched(core, machine);
     if (machine->type_index < 0 && *machine->type_name)
         machine->type_index = tw_machine_type_index(core, machine->type_name);
     /* A lease does not end within its length of a report: few machines need a closer look. */
     const int is_renewed = core->now <= machine->answered_at + tw_lease_max_s(core);
-    const double lapse_at = is_renewed ? INFINITY : tw_lease_expires_at(core, machine);
-    if (sent && core->now > lapse_at && core->delegates_known) lapse(core, machine);
+    const double expires_at = is_renewed ? INFINITY : tw_lease_expires_at(core, machine);
+    if (sent && core->now > expires_at && core->delegates_known) expire_lease(core, machine);
     /* One with a predecessor's tasks is up: it is silent, below, if we don't hear of it. */
     const int boots = machine->state == TW_MACHINE_BOOTING && !sent;
     if (boots && !machine->overdue && machine->type_index >= 0 &&
-        age_s > BOOT_OVERDUE * boot_s + cf->report_s) {
+        age_s > BOOT_OVERDUE * boot_s + config->report_s) {
         machine->overdue = 1;
         tw_statistics_note_boot(core, machine);
     }
     if (machine->return_wanted) return;
     if (machine->failed) {
-        ask_release(core, machine, "failed");
+        request_return(core, machine, "failed");
     } else if (boots) {
-        if (age_s > BOOT_FAILED * boot_s + cf->list_lag_s &&
-            core->now - core->acquired_at > cf->lease_s)
-            ask_release(core, machine, "never_up");
+        if (age_s > BOOT_FAILED * boot_s + config->list_lag_s &&
+            core->now - core->acquired_at > config->lease_s)
+            request_return(core, machine, "never_up");
     } else {
-        const char *why = given_up(core, machine, lapse_at);
+        const char *why = reason_to_give_up(core, machine, expires_at);
         if (why)
-            ask_release(core, machine, why);
+            request_return(core, machine, why);
         else
-            empty(core, machine);
+            return_when_empty(core, machine);
     }
 }
 
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -13,7 +13,7 @@
 
 /* Reads a job that another node accepted; once it is known, its key has done its service. An answer
  * may be lost or refused: it stays among the untaken until the key was asked to be removed. */
-static void take_over(tw_core *core, tw_expiring_name *untaken) {
+static void take_admission(tw_core *core, tw_expiring_name *untaken) {
     char key[TW_NAME_SIZE + sizeof TW_PEER_ADMISSION_KEY];
     if (!tw_job_is_known(core, untaken->name)) {
         if (core->now < untaken->at) return;
@@ -23,15 +23,15 @@
     }
     if (!tw_rate_limiter_try_acquire(core, &core->write_limiter, 1)) return;
     snprintf(key, sizeof key, TW_PEER_ADMISSION_KEY "%s", untaken->name);
-    tw_wire_compare condition = {TW_LEADER_KEY, core->fencing_token};
+    tw_wire_compare compare = {TW_LEADER_KEY, core->fencing_token};
     tw_wire_write removal = {key, NULL, 0};
     tw_call_send(core, TW_CALL_REMOVE_PEER_ADMISSION, TW_TO_STATE, core->config->state, "POST",
-                 "/txn", tw_wire_txn_text(&condition, 1, &removal, 1), 1);
+                 "/txn", tw_wire_txn_text(&compare, 1, &removal, 1), 1);
     HASH_DEL(core->untaken_admissions, untaken);
     free(untaken);
 }
 
-static void learn(tw_core *core, const char *key) {
+static void note_admission(tw_core *core, const char *key) {
     const char *id = key + sizeof TW_PEER_ADMISSION_KEY - 1;
     if (strncmp(key, TW_PEER_ADMISSION_KEY, sizeof TW_PEER_ADMISSION_KEY - 1) != 0 ||
         !tw_wire_id_ok(id, strlen(id)))
@@ -43,7 +43,7 @@
         snprintf(untaken->name, sizeof untaken->name, "%s", id);
         HASH_ADD_STR(core->untaken_admissions, name, untaken);
     }
-    take_over(core, untaken);
+    take_admission(core, untaken);
 }
 
 void tw_peer_admissions_response(tw_core *core, tw_call *call, int status, const char *body,
@@ -63,14 +63,14 @@
         return;
     }
     core->admission_watch_revision = revision;
-    for (int i = 0; i < count; i++) learn(core, entries[i].key);
+    for (int i = 0; i < count; i++) note_admission(core, entries[i].key);
     tw_wire_entries_free(entries, count);
 }
 
 void tw_peer_admissions_tick(tw_core *core) {
     tw_expiring_name *untaken;
     tw_expiring_name *next;
-    HASH_ITER(hh, core->untaken_admissions, untaken, next) take_over(core, untaken);
+    HASH_ITER(hh, core->untaken_admissions, untaken, next) take_admission(core, untaken);
     if (core->admission_watch_in_flight || core->now < core->next_admission_watch_at ||
         !tw_rate_limiter_try_acquire(core, &core->request_limiter, 1))
         return;
--- a/src/core/peer_heartbeat.c
+++ b/src/core/peer_heartbeat.c
@@ -50,7 +50,7 @@
 
 /* Cancelled jobs of which something may still run: whoever answers workers must stop it. Returns
  * how many there are; `ids` holds the first MAX_ABORTED of them. */
-static int aborted_live(const tw_core *core, const char **ids) {
+static int list_cancelled_running(const tw_core *core, const char **ids) {
     const tw_job *cancelled;
     int count = 0;
     DL_FOREACH2(core->cancelled_jobs, cancelled, cancelled_next) {
@@ -64,7 +64,8 @@
 }
 
 /* What this node says of itself to another; aborted: room for the ids a leader sends along. */
-static tw_wire_peer_heartbeat self(const tw_core *core, const char **aborted, int *count) {
+static tw_wire_peer_heartbeat describe_self(const tw_core *core, const char **cancelled,
+                                            int *count) {
     tw_wire_peer_heartbeat message = {
         .highest_token = core->highest_token_seen,
         .store_reachable = core->now - core->store_answered_at < 2 * core->leader_lease_s,
@@ -75,14 +76,14 @@
     snprintf(message.name, sizeof message.name, "%s", core->config->host_name);
     if (message.is_leader)
         snprintf(message.leader, sizeof message.leader, "%s", core->config->host_name);
-    *count = message.is_leader ? aborted_live(core, aborted) : 0;
+    *count = message.is_leader ? list_cancelled_running(core, cancelled) : 0;
     return message;
 }
 
-static void ping(tw_core *core, tw_peer *to) {
+static void send_heartbeat(tw_core *core, tw_peer *to) {
     const char *ids[MAX_ABORTED];
     int count;
-    tw_wire_peer_heartbeat message = self(core, ids, &count);
+    tw_wire_peer_heartbeat message = describe_self(core, ids, &count);
     const int all_named = count <= MAX_ABORTED;
     to->heartbeats_in_flight++;
     tw_call *sent = tw_call_send(
@@ -96,8 +97,8 @@
 
 /* Whether a peer that may answer a machine without us for longer than a cancellation leaves time
  * for does not know yet that the job is cancelled. */
-static int must_be_told(const tw_peer *node, const tw_machine *where, const tw_job *cancelled,
-                        double limit) {
+static int must_know_cancellation(const tw_peer *node, const tw_machine *where,
+                                  const tw_job *cancelled, double limit) {
     return node->delegation_until > limit &&
            node->cancellations_known < cancelled->cancellation_sequence &&
            (!*where->zone || !strcmp(where->zone, node->config.zone));
@@ -115,13 +116,13 @@
         if (!where->confirmed && tw_predecessor_renewals_end(core) > limit) return -1;
         for (size_t i = 0; i < core->peer_count; i++) {
             tw_peer *node = &core->peers[i];
-            if (!must_be_told(node, where, cancelled, limit)) continue;
+            if (!must_know_cancellation(node, where, cancelled, limit)) continue;
             safe = 0;
             if (node->answered_at < answers_since(core)) return -1;
             if (!rental_request || node->cancellations_told >= cancelled->cancellation_sequence)
                 continue;
             node->cancellations_told = cancelled->cancellation_sequence;
-            ping(core, node);
+            send_heartbeat(core, node);
         }
     }
     return safe;
@@ -129,7 +130,7 @@
 
 /* ---- hearing from a peer ---- */
 
-static void heard_peer(tw_core *core, tw_peer *from, const tw_wire_peer_heartbeat *message) {
+static void note_peer(tw_core *core, tw_peer *from, const tw_wire_peer_heartbeat *message) {
     if (message->highest_token > from->highest_token) from->highest_token = message->highest_token;
     from->store_reachable = message->store_reachable;
     from->record_format = message->record_format;
@@ -142,20 +143,20 @@
     tw_log_info("event=peers_confirmed token=%llu", (unsigned long long)core->fencing_token);
 }
 
-void tw_peer_heartbeat_receive(tw_core *core, uint64_t conn, const char *body, size_t len) {
+void tw_peer_heartbeat_receive(tw_core *core, uint64_t connection, const char *body, size_t len) {
     tw_wire_peer_heartbeat message;
     if (tw_wire_peer_heartbeat_parse(&message, body, len)) {
-        tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed ping");
+        tw_reply_error(core, connection, TW_HTTP_BAD_REQUEST, 0, "malformed ping");
         return;
     }
     tw_peer *from = tw_peer_find(core, message.name);
-    if (from) heard_peer(core, from, &message);
+    if (from) note_peer(core, from, &message);
     if (from && message.is_leader)
         tw_delegate_note_cancelled(core, message.highest_token, body, len);
     /* With this answer it may renew leases in its zone for a while, should it lose us. */
     const char *ids[MAX_ABORTED];
     int count;
-    tw_wire_peer_heartbeat answer = self(core, ids, &count);
+    tw_wire_peer_heartbeat answer = describe_self(core, ids, &count);
     if (count > MAX_ABORTED) {
         tw_log_info("event=delegation_withheld cancelled=%d", count);
         answer.is_leader = count = 0;
@@ -163,15 +164,15 @@
     if (from && answer.is_leader)
         from->delegation_until =
             core->now + tw_renewal_without_contact_s(core) * (1 + 2 * core->config->tune.drift);
-    tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_peer_heartbeat_text(&answer, ids, count));
+    tw_reply(core, connection, TW_HTTP_OK, 0, tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
 /* A peer answered a ping and knows of no token later than ours: it has not led until the ping was
  * sent, unless it started anew since it last vouched. Nobody else can lead while we have authority,
  * so a peer that was up before our authority ended counts as having vouched until then: a leader
  * that loses the state service early in its first term is vouched for, too. */
-static void vouch(tw_core *core, tw_peer *from, const tw_call *sent,
-                  const tw_wire_peer_heartbeat *answer) {
+static void note_vouching(tw_core *core, tw_peer *from, const tw_call *sent,
+                          const tw_wire_peer_heartbeat *answer) {
     double known = from->vouched_at;
     if (core->role == TW_ROLE_LEADER) known = fmax(known, core->authority_until);
     const double started_by = core->now - answer->uptime_s * (1 - 2 * core->config->tune.drift);
@@ -186,14 +187,14 @@
     if (!from) return;
     if (from->heartbeats_in_flight) from->heartbeats_in_flight--;
     if (status != TW_HTTP_OK || tw_wire_peer_heartbeat_parse(&answer, body, len)) return;
-    vouch(core, from, sent, &answer);
+    note_vouching(core, from, sent, &answer);
     if (from->answered_at < sent->sent_at - ANSWERS_S - ANSWERS_LEASES * core->leader_lease_s)
         from->back_at = core->now;
     from->answered_at = sent->sent_at;
     /* Said after the ping was sent; a late copy of a request would not tell when. */
     from->delegate_answered_at = core->now - answer.since_delegate_answer_s;
     from->delegate_answered_as_of = sent->sent_at;
-    heard_peer(core, from, &answer);
+    note_peer(core, from, &answer);
     if (answer.highest_token == core->fencing_token && sent->term == core->term &&
         sent->sequence > from->cancellations_known) {
         from->cancellations_known = sent->sequence;
@@ -208,6 +209,6 @@
         if (to->heartbeats_in_flight || core->now < to->next_heartbeat_at) continue;
         to->next_heartbeat_at =
             core->now + core->leader_lease_s * tw_jitter(core, PAUSE_LEAST, PAUSE_MOST);
-        ping(core, to);
+        send_heartbeat(core, to);
     }
 }
--- a/src/core/peers.h
+++ b/src/core/peers.h
@@ -104,7 +104,7 @@
  * them, if ask is set; -1: some can't be asked now. */
 int tw_cancellation_safety(tw_core *core, const tw_job *job, int rental_request);
 /* Another node's heartbeat. */
-void tw_peer_heartbeat_receive(tw_core *core, uint64_t conn, const char *body, size_t length);
+void tw_peer_heartbeat_receive(tw_core *core, uint64_t connection, const char *body, size_t length);
 /* The node of that name; NULL: none. */
 tw_peer *tw_peer_find(tw_core *core, const char *name);
 /* Whether neither the state service nor any node answers. */
@@ -125,11 +125,12 @@
 /* Whether some node of that zone answers us. */
 int tw_zone_has_live_peer(const tw_core *core, const char *zone);
 /* A worker of another zone: redirected to a node of its own; 0: none, or none that answers it. */
-int tw_worker_redirect_home(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
+int tw_worker_redirect_home(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat);
 /* A worker of this node's zone, at a node whose end would cost it its lease if the zone is cut off:
  * redirected to another one of the zone where that is not so; 0: there is none, or it is answered
  * here. */
-int tw_worker_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report);
+int tw_worker_redirect_safer(tw_core *core, uint64_t connection,
+                             const tw_wire_heartbeat *heartbeat);
 void tw_worker_redirects_free(tw_core *core);
 
 /* lease_delegate.c: renews leases for a leader that can't be reached */
@@ -150,7 +151,7 @@
 
 /* heartbeat_forwarder.c: reports handed to the leader and its answers back, held reports */
 /* A report at a node that does not lead. */
-void tw_heartbeat_forward(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report,
+void tw_heartbeat_forward(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat,
                           const char *body, size_t length);
 /* The leader answered a report that was handed to it. */
 void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
@@ -162,7 +163,7 @@
 /* Until when some deputy of the zone (empty: of any) may have answered workers. */
 double tw_delegates_until(const tw_core *core, const char *zone);
 /* Conditions that the deputies' keys are as they are known; returns how many. */
-int tw_delegates_compares(const tw_core *core, tw_wire_compare *conds,
+int tw_delegates_compares(const tw_core *core, tw_wire_compare *compares,
                           char (*keys)[TW_DELEGATE_KEY_SIZE]);
 /* Reads the deputies' keys, unless that is under way. */
 void tw_delegates_read(tw_core *core);
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -5,23 +5,23 @@
 
 /* Adds (sign 1) or takes off (-1) what the task holds. */
 void tw_placement_account(tw_core *core, tw_placement *placed, double sign) {
-    const tw_wire_job *s = &placed->job->spec;
+    const tw_wire_job *spec = &placed->job->spec;
     tw_machine *machine = placed->machine;
-    machine->used_cores += sign * s->cores;
-    machine->used_gpus += sign * s->gpus;
-    machine->used_memory_gb += sign * s->memory_gb;
+    machine->used_cores += sign * spec->cores;
+    machine->used_gpus += sign * spec->gpus;
+    machine->used_memory_gb += sign * spec->memory_gb;
     if (placed->preempted) {
-        machine->vacating_cores += sign * s->cores;
-        machine->vacating_gpus += sign * s->gpus;
-        machine->vacating_memory_gb += sign * s->memory_gb;
+        machine->vacating_cores += sign * spec->cores;
+        machine->vacating_gpus += sign * spec->gpus;
+        machine->vacating_memory_gb += sign * spec->memory_gb;
     } else if (placed->job->has_spec) {
-        machine->used_by_priority[s->priority].c += sign * s->cores;
-        machine->used_by_priority[s->priority].g += sign * s->gpus;
-        machine->used_by_priority[s->priority].m += sign * s->memory_gb;
+        machine->used_by_priority[spec->priority].c += sign * spec->cores;
+        machine->used_by_priority[spec->priority].g += sign * spec->gpus;
+        machine->used_by_priority[spec->priority].m += sign * spec->memory_gb;
     }
     if (placed->job->team >= 0) {
-        core->team_cores_used[placed->job->team] += sign * s->cores;
-        core->team_gpus_used[placed->job->team] += sign * s->gpus;
+        core->team_cores_used[placed->job->team] += sign * spec->cores;
+        core->team_gpus_used[placed->job->team] += sign * spec->gpus;
     }
 }
 
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -59,10 +59,10 @@
 /* Whether it may be enough at all, from sums alone. */
 static int may_vacate(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     tw_capacity room = free_on(core, machine);
-    for (int rank = 0; rank < job->spec.priority; rank++) {
-        room.cores += machine->used_by_priority[rank].c;
-        room.gpus += machine->used_by_priority[rank].g;
-        room.memory_gb += machine->used_by_priority[rank].m;
+    for (int priority = 0; priority < job->spec.priority; priority++) {
+        room.cores += machine->used_by_priority[priority].c;
+        room.gpus += machine->used_by_priority[priority].g;
+        room.memory_gb += machine->used_by_priority[priority].m;
     }
     return is_enough(&room, &job->spec, SUM_DRIFT);
 }
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -9,64 +9,71 @@
 #define BLAME_MOST 4      /* suspect from here on */
 #define LONGEST_PAUSE 8.0 /* between trials, in leases */
 
-static void suspect(tw_core *c, tw_machine *m) {
-    m->quarantine_s = m->on_probation ? 2 * m->quarantine_s : c->config->lease_s;
-    m->quarantine_s = fmin(m->quarantine_s, LONGEST_PAUSE * c->config->lease_s);
-    m->probation_at = c->now + m->quarantine_s;
-    m->cordoned = 1;
-    m->on_probation = 0;
-    tw_log_info("event=machine_quarantined worker=%s quarantine_s=%.1f", m->name, m->quarantine_s);
+static void quarantine_machine(tw_core *core, tw_machine *machine) {
+    machine->quarantine_s =
+        machine->on_probation ? 2 * machine->quarantine_s : core->config->lease_s;
+    machine->quarantine_s = fmin(machine->quarantine_s, LONGEST_PAUSE * core->config->lease_s);
+    machine->probation_at = core->now + machine->quarantine_s;
+    machine->cordoned = 1;
+    machine->on_probation = 0;
+    tw_log_info("event=machine_quarantined worker=%s quarantine_s=%.1f", machine->name,
+                machine->quarantine_s);
 }
 
 /* A task of p's job failed; elsewhere: machines on which the job has failed before. */
-void tw_quarantine_note_failure(tw_core *c, const tw_placement *p, int elsewhere) {
-    tw_machine *m = p->machine;
-    if (p->running_since > 0)
-        m->longest_failed_run_s = fmax(m->longest_failed_run_s, c->now - p->running_since);
-    m->failed_at = c->now;
-    if (m->cordoned) return;
-    if (m->on_probation) {
-        suspect(c, m);
-    } else if (strcmp(m->last_failed_job, p->job->id) != 0) {
-        snprintf(m->last_failed_job, sizeof m->last_failed_job, "%s", p->job->id);
-        m->failure_score += elsewhere ? BLAME_AGAIN : BLAME_FIRST;
-        if (m->failure_score >= BLAME_MOST) suspect(c, m);
+void tw_quarantine_note_failure(tw_core *core, const tw_placement *placed, int elsewhere) {
+    tw_machine *machine = placed->machine;
+    if (placed->running_since > 0)
+        machine->longest_failed_run_s =
+            fmax(machine->longest_failed_run_s, core->now - placed->running_since);
+    machine->failed_at = core->now;
+    if (machine->cordoned) return;
+    if (machine->on_probation) {
+        quarantine_machine(core, machine);
+    } else if (strcmp(machine->last_failed_job, placed->job->id) != 0) {
+        snprintf(machine->last_failed_job, sizeof machine->last_failed_job, "%s", placed->job->id);
+        machine->failure_score += elsewhere ? BLAME_AGAIN : BLAME_FIRST;
+        if (machine->failure_score >= BLAME_MOST) quarantine_machine(core, machine);
     }
 }
 
-void tw_quarantine_clear(tw_core *c, tw_machine *m) {
-    m->failure_score = 0;
-    *m->last_failed_job = 0;
-    m->longest_failed_run_s = 0;
-    if (m->on_probation) {
-        tw_log_info("event=machine_recovered worker=%s", m->name);
-        m->on_probation = 0;
-        c->scheduling_due = 1;
+void tw_quarantine_clear(tw_core *core, tw_machine *machine) {
+    machine->failure_score = 0;
+    *machine->last_failed_job = 0;
+    machine->longest_failed_run_s = 0;
+    if (machine->on_probation) {
+        tw_log_info("event=machine_recovered worker=%s", machine->name);
+        machine->on_probation = 0;
+        core->scheduling_due = 1;
     }
 }
 
 /* A task that was started after the last error and has run for longer than those that failed shows
  * that the machine works. Services never end, so an end is not waited for. */
-void tw_quarantine_note_running(tw_core *c, const tw_placement *p) {
-    tw_machine *m = p->machine;
-    if (!m->failure_score || m->cordoned || p->running_since <= m->failed_at) return;
-    if (c->now - p->running_since > c->config->report_s + 2 * m->longest_failed_run_s)
-        tw_quarantine_clear(c, m);
+void tw_quarantine_note_running(tw_core *core, const tw_placement *placed) {
+    tw_machine *machine = placed->machine;
+    if (!machine->failure_score || machine->cordoned || placed->running_since <= machine->failed_at)
+        return;
+    if (core->now - placed->running_since >
+        core->config->report_s + 2 * machine->longest_failed_run_s)
+        tw_quarantine_clear(core, machine);
 }
 
 /* Lets a suspect be tried again when its pause is over. */
-void tw_quarantine_tick(tw_core *c, tw_machine *m) {
-    if (!m->cordoned || m->probation_at <= 0 || c->now < m->probation_at) return;
-    m->cordoned = 0;
-    m->on_probation = 1;
-    c->scheduling_due = 1;
-    tw_log_info("event=machine_probation_started worker=%s", m->name);
+void tw_quarantine_tick(tw_core *core, tw_machine *machine) {
+    if (!machine->cordoned || machine->probation_at <= 0 || core->now < machine->probation_at)
+        return;
+    machine->cordoned = 0;
+    machine->on_probation = 1;
+    core->scheduling_due = 1;
+    tw_log_info("event=machine_probation_started worker=%s", machine->name);
 }
 
 /* A machine on trial gets one task, and no other until that one has run for a while. */
-int tw_quarantine_allows(const tw_machine *m) {
-    const tw_placement *p;
-    if (!m->on_probation) return 1;
-    DL_FOREACH(m->placements, p) if (p->counted && p->placed_at >= m->probation_at) return 0;
+int tw_quarantine_allows(const tw_machine *machine) {
+    const tw_placement *placed;
+    if (!machine->on_probation) return 1;
+    DL_FOREACH(machine->placements, placed)
+    if (placed->counted && placed->placed_at >= machine->probation_at) return 0;
     return 1;
 }
--- a/src/core/rate_limiter.c
+++ b/src/core/rate_limiter.c
@@ -33,25 +33,25 @@
 
 /* The parts that a leader uses. */
 static void init_of_leader(tw_core *core) {
-    const tw_config *conf = core->config;
-    const double share = conf->tune.write_share;
-    const double writes = share * conf->state_write_rps;
+    const tw_config *config = core->config;
+    const double share = config->tune.write_share;
+    const double writes = share * config->state_write_rps;
     core->write_limiter = tw_rate_limiter_make(writes, writes * LEADER_WRITES_BURST_S, core->now);
     core->request_limiter =
-        tw_rate_limiter_make(share * conf->state_rps * LEADER_CALLS,
-                             share * conf->state_rps * LEADER_CALLS_BURST_S, core->now);
-    const double cloud = share * conf->cloud_rps;
+        tw_rate_limiter_make(share * config->state_rps * LEADER_CALLS,
+                             share * config->state_rps * LEADER_CALLS_BURST_S, core->now);
+    const double cloud = share * config->cloud_rps;
     core->cloud_limiter = tw_rate_limiter_make(cloud, fmax(1, cloud * CLOUD_BURST_S), core->now);
 }
 
 /* The parts that a node uses while it does not lead. */
 static void init_of_others(tw_core *core) {
-    const tw_config *conf = core->config;
-    const double share = conf->tune.write_share * OTHERS / (double)(conf->npeers + 1);
-    const double reads = share * conf->state_rps;
+    const tw_config *config = core->config;
+    const double share = config->tune.write_share * OTHERS / (double)(config->npeers + 1);
+    const double reads = share * config->state_rps;
     core->follower_read_limiter =
         tw_rate_limiter_make(reads, fmax(OTHERS_LEAST_READS, reads), core->now);
-    const double writes = share * conf->state_write_rps;
+    const double writes = share * config->state_write_rps;
     core->follower_create_limiter = tw_rate_limiter_make(
         writes, fmax(OTHERS_LEAST_WRITES, writes * OTHERS_WRITES_BURST_S), core->now);
 }
--- a/src/core/record_chunks.c
+++ b/src/core/record_chunks.c
@@ -33,7 +33,7 @@
     struct tw_stale_chunk_set *prev, *next_set;
 } tw_stale_chunk_set;
 
-static void part_key(char *key, const char *id, const char *set, int number) {
+static void chunk_key(char *key, const char *id, const char *set, int number) {
     snprintf(key, TW_CHUNK_KEY_SIZE, TW_CHUNK_KEY "%s/%s/%d", id, set, number);
 }
 
@@ -44,19 +44,19 @@
 /* ---- whether ---- */
 
 /* Bytes that a record may have where an old node may have to read it. */
-static size_t room_of_now(const tw_core *core) {
+static size_t current_value_size(const tw_core *core) {
     return (size_t)(core->config->state_now.value_kb * KB);
 }
 
 size_t tw_record_whole_size(const tw_core *core) {
-    return tw_peers_all_read_chunks(core) ? tw_record_value_size(core) : room_of_now(core);
+    return tw_peers_all_read_chunks(core) ? tw_record_value_size(core) : current_value_size(core);
 }
 
 int tw_record_needs_chunks(const tw_core *core, const tw_job *job, size_t length) {
     const int refused = job->refused_bytes && length >= job->refused_bytes;
     if (tw_peers_all_read_chunks(core)) return refused || length > tw_record_value_size(core);
     /* One that is divided can't be read by an old node as it is. */
-    return *job->chunk_set && (refused || length > room_of_now(core));
+    return *job->chunk_set && (refused || length > current_value_size(core));
 }
 
 /* Bytes of a job's first record at most, whatever its names hold. */
@@ -69,14 +69,15 @@
 }
 
 int tw_record_is_writable(const tw_core *core, const tw_wire_job *spec) {
-    if (tw_peers_all_read_chunks(core) || first_record_most(spec) <= room_of_now(core)) return 1;
+    if (tw_peers_all_read_chunks(core) || first_record_most(spec) <= current_value_size(core))
+        return 1;
     const tw_wire_record record = {.has_job = 1,
                                    .job = *spec,
                                    .task_count = spec->task_count,
                                    .submitted_at = core->wall,
                                    .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
-    const int fits = strlen(text) <= room_of_now(core);
+    const int fits = strlen(text) <= current_value_size(core);
     free(text);
     return fits;
 }
@@ -152,16 +153,16 @@
                              int count) {
     tw_rate_limiter_try_acquire(core, &core->write_limiter, count);
     tw_rate_limiter_try_acquire(core, &core->request_limiter, 1);
-    const tw_wire_compare condition = {TW_LEADER_KEY, core->fencing_token};
+    const tw_wire_compare compare = {TW_LEADER_KEY, core->fencing_token};
     tw_call *sent =
         tw_call_send(core, kind, TW_TO_STATE, core->config->state, "POST", "/txn",
-                     tw_wire_txn_text(&condition, 1, changes, (size_t)count), txn_timeout_s(core));
+                     tw_wire_txn_text(&compare, 1, changes, (size_t)count), txn_timeout_s(core));
     sent->count = count;
     core->transactions_in_flight++;
     return sent;
 }
 
-static void send_slices(tw_core *core, tw_job *job, int most) {
+static void send_chunks(tw_core *core, tw_job *job, int most) {
     tw_record_chunks *parts = job->chunks;
     char keys[MAX_SLICES][TW_CHUNK_KEY_SIZE];
     tw_wire_write writes[MAX_SLICES];
@@ -171,7 +172,7 @@
         const int number = parts->written + count;
         bytes += strlen(parts->texts[number]) + SLICE_FRAME_BYTES;
         if (bytes > MAX_TXN_BYTES && count) break;
-        part_key(keys[count], job->id, parts->name, number);
+        chunk_key(keys[count], job->id, parts->name, number);
         writes[count] = (tw_wire_write){keys[count], parts->texts[number], 0};
         count++;
     }
@@ -193,7 +194,7 @@
         if (!job->chunks->record_sent && job->chunks->state != job->state)
             tw_chunks_drop(core, job);
         if (!job->chunks || job->chunks->write_in_flight || tw_chunks_all_written(job)) continue;
-        if (core->now >= job->write_after) send_slices(core, job, budget);
+        if (core->now >= job->write_after) send_chunks(core, job, budget);
     }
 }
 
@@ -229,7 +230,7 @@
     char keys[MAX_SLICES][TW_CHUNK_KEY_SIZE];
     tw_wire_write removals[MAX_SLICES];
     for (int i = 0; i < count; i++) {
-        part_key(keys[i], stale->id, stale->set, stale->next + i);
+        chunk_key(keys[i], stale->id, stale->set, stale->next + i);
         removals[i] = (tw_wire_write){keys[i], NULL, 0};
     }
     send_changes(core, TW_CALL_REMOVE_CHUNKS, removals, count);
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -157,7 +157,7 @@
         double free_cores, free_gpus; /* shares */
     } zones[TW_MAX_ZONES + 1]; /* as of the last pass; the last one: machines of no known zone */
     struct {
-        char yard[TW_NAME_SIZE];
+        char zone[TW_NAME_SIZE];
         int all, silent;
         double until; /* taken for cut off until then */
     } silent_zones[TW_MAX_ZONES];
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -12,7 +12,7 @@
 /* Refused for want of room: the report that shows why is near. */
 #define RETRY_REFUSED_REPORTS 0.3
 
-static void note_error(tw_core *core, tw_placement *placed, int cause) {
+static void note_task_error(tw_core *core, tw_placement *placed, int cause) {
     tw_job *job = placed->job;
     const tw_machine *machine = placed->machine;
     job->consecutive_errors++;
@@ -37,16 +37,17 @@
         tw_quarantine_note_failure(core, placed, elsewhere);
 }
 
-static void exited(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
-                   const tw_wire_task *told) {
+static void reconcile_exited_task(tw_core *core, tw_placement *placed,
+                                  const tw_wire_heartbeat *heartbeat,
+                                  const tw_wire_task *reported) {
     tw_job *job = placed->job;
     const tw_attempt_termination end = {
-        .evidence = TW_EVIDENCE_EXITED, .heartbeat = report, .reported = told};
+        .evidence = TW_EVIDENCE_EXITED, .heartbeat = heartbeat, .reported = reported};
     placed->state = TW_TASK_EXITED;
-    placed->cause = told->cause;
+    placed->cause = reported->cause;
     if (!placed->counted) return;
     const int over = job->state != TW_JOB_PENDING;
-    switch (told->cause) {
+    switch (reported->cause) {
     case TW_CAUSE_DONE:
         tw_statistics_note_run(core, placed);
         job->consecutive_errors = 0;
@@ -54,28 +55,28 @@
             tw_quarantine_clear(core, placed->machine);
         break;
     case TW_CAUSE_STOPPED:
-        if (told->saved) job->has_checkpoint = job->gang.saved = 1;
+        if (reported->saved) job->has_checkpoint = job->gang.saved = 1;
         break;
     case TW_CAUSE_GANG_BROKEN: /* no fault of the machine, nor of the job */
     case TW_CAUSE_GANG_INCOMPLETE:
         break;
     case TW_CAUSE_ERROR:
     case TW_CAUSE_UNKNOWN_TASK:
-        if (!over) note_error(core, placed, told->cause);
+        if (!over) note_task_error(core, placed, reported->cause);
         break;
     default:
         job->retry_at = core->now + RETRY_REFUSED_REPORTS * core->config->report_s;
         break;
     }
     tw_attempt_terminate(core, placed, &end);
-    if (told->cause == TW_CAUSE_DONE && job->spec.gang) tw_gang_done(core, job);
+    if (reported->cause == TW_CAUSE_DONE && job->spec.gang) tw_gang_done(core, job);
     if (!over && job->done_count == job->task_count)
         tw_job_finish(core, job, TW_JOB_DONE);
     else
         tw_job_mark_changed(core, job, 0);
 }
 
-static void started(tw_core *core, tw_placement *placed) {
+static void note_task_started(tw_core *core, tw_placement *placed) {
     const tw_job *job = placed->job;
     /* A gang's task that was not seen waiting may have waited for the others: that is no delay of
      * its machine. */
@@ -88,8 +89,8 @@
     tw_image_note_use(core, placed->machine, job, 1);
 }
 
-void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
-                       const tw_wire_task *told) {
+void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *heartbeat,
+                       const tw_wire_task *reported) {
     tw_machine *machine = placed->machine;
     tw_job *job = placed->job;
     if (!placed->reported) {
@@ -98,21 +99,21 @@
     }
     placed->reported = placed->launch_sent = 1;
     if (placed->state == TW_TASK_EXITED) return;
-    if (told->state == TW_TASK_EXITED) {
-        exited(core, placed, report, told);
+    if (reported->state == TW_TASK_EXITED) {
+        reconcile_exited_task(core, placed, heartbeat, reported);
         return;
     }
-    const int waits = told->state == TW_TASK_WAITING && placed->state != TW_TASK_WAITING;
-    placed->state = told->state;
+    const int waits = reported->state == TW_TASK_WAITING && placed->state != TW_TASK_WAITING;
+    placed->state = reported->state;
     if (!job->has_spec) return;
     if (waits) { /* its image is there */
         tw_statistics_note_start(core, placed);
         tw_image_note_use(core, machine, job, 1);
     }
     if (job->spec.gang) tw_gang_task_reported(core, placed);
-    if (told->state == TW_TASK_RUNNING && placed->running_since <= 0)
-        started(core, placed);
-    else if (told->state == TW_TASK_FETCHING && !tw_image_find(machine, job))
+    if (reported->state == TW_TASK_RUNNING && placed->running_since <= 0)
+        note_task_started(core, placed);
+    else if (reported->state == TW_TASK_FETCHING && !tw_image_find(machine, job))
         tw_image_note_use(core, machine, job, 0);
     /* A task of a broken gang tells that it runs until it ends: that shows nothing. */
     if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != TW_GANG_RUNNING))
@@ -124,11 +125,12 @@
 }
 
 /* It ended before we knew of it; its job, unless NULL, still wants it. */
-static void stranger_exited(tw_core *core, const tw_machine *machine, const tw_wire_task *told,
-                            tw_job *job, tw_command_list *orders) {
-    const int done = told->cause == TW_CAUSE_DONE;
-    if (job && done && job->task_states[told->index] == TW_ASSIGNMENT_NONE) {
-        job->task_states[told->index] = TW_ASSIGNMENT_DONE;
+static void reconcile_unknown_exit(tw_core *core, const tw_machine *machine,
+                                   const tw_wire_task *reported, tw_job *job,
+                                   tw_command_list *commands) {
+    const int done = reported->cause == TW_CAUSE_DONE;
+    if (job && done && job->task_states[reported->index] == TW_ASSIGNMENT_NONE) {
+        job->task_states[reported->index] = TW_ASSIGNMENT_DONE;
         job->done_count++;
         if (job->spec.gang) tw_gang_done(core, job);
         if (job->done_count == job->task_count)
@@ -138,45 +140,47 @@
     }
     /* Only a machine that refuses older tokens can't be made to start it again; and without
      * authority another leader may know of it. */
-    if (orders && tw_leader_may(core, TW_PERMISSION_COMMAND) && machine->confirmed &&
+    if (commands && tw_leader_may(core, TW_PERMISSION_COMMAND) && machine->confirmed &&
         (!job || !done || job->version == job->durable_version))
-        tw_command_list_add(orders,
+        tw_command_list_add(commands,
                             (tw_wire_command){.kind = TW_COMMAND_FORGET,
-                                              .index = told->index,
-                                              .attempt = told->attempt},
-                            told->job);
+                                              .index = reported->index,
+                                              .attempt = reported->attempt},
+                            reported->job);
 }
 
-void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
-                               const tw_wire_task *told, tw_command_list *orders) {
-    tw_job *job = tw_job_find(core, told->job);
+void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine,
+                               const tw_wire_heartbeat *heartbeat, const tw_wire_task *reported,
+                               tw_command_list *commands) {
+    tw_job *job = tw_job_find(core, reported->job);
     if (job &&
-        (!job->task_states || job->state != TW_JOB_PENDING || told->index >= job->task_count))
+        (!job->task_states || job->state != TW_JOB_PENDING || reported->index >= job->task_count))
         job = NULL;
-    if (told->state == TW_TASK_EXITED) {
-        stranger_exited(core, machine, told, job, orders);
+    if (reported->state == TW_TASK_EXITED) {
+        reconcile_unknown_exit(core, machine, reported, job, commands);
         return;
     }
-    if (job && job->task_states[told->index] == TW_ASSIGNMENT_NONE &&
+    if (job && job->task_states[reported->index] == TW_ASSIGNMENT_NONE &&
         tw_constraints_allow_zone(core, job, machine->zone) &&
         tw_quota_allows_tasks(core, job, 1)) {
-        tw_placement *placed = tw_placement_new(core, job, told->index, machine, told->attempt);
+        tw_placement *placed =
+            tw_placement_new(core, job, reported->index, machine, reported->attempt);
         if (!placed) return;
         placed->inherited = 1;
         placed->mark = core->heartbeat_mark;
         if (job->spec.gang && job->placed_count == 1) tw_gang_restored(job);
-        tw_reconcile_task(core, placed, report, told);
+        tw_reconcile_task(core, placed, heartbeat, reported);
         tw_job_mark_changed(core, job, 0);
-        tw_log_info("event=unknown_task_adopted task=%s/%d worker=%s", told->job, told->index,
-                    machine->name);
+        tw_log_info("event=unknown_task_adopted task=%s/%d worker=%s", reported->job,
+                    reported->index, machine->name);
         return;
     }
-    tw_log_info("event=unknown_task_stopped task=%s/%d attempt=%llu worker=%s", told->job,
-                told->index, (unsigned long long)told->attempt, machine->name);
-    if (orders)
-        tw_command_list_add(orders,
+    tw_log_info("event=unknown_task_stopped task=%s/%d attempt=%llu worker=%s", reported->job,
+                reported->index, (unsigned long long)reported->attempt, machine->name);
+    if (commands)
+        tw_command_list_add(commands,
                             (tw_wire_command){.kind = TW_COMMAND_STOP,
-                                              .index = told->index,
-                                              .attempt = told->attempt},
-                            told->job);
+                                              .index = reported->index,
+                                              .attempt = reported->attempt},
+                            reported->job);
 }
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -10,7 +10,7 @@
 }
 
 /* Turns away all users who wait for the job. */
-static void turn_waiters_away(tw_core *core, tw_job *job) {
+static void reject_waiting_clients(tw_core *core, tw_job *job) {
     for (tw_waiting_client *user = job->waiting_clients, *next; user; user = next) {
         next = user->next;
         tw_reply_error(core, user->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
@@ -22,7 +22,7 @@
 static void forget_jobs_and_machines(tw_core *core) {
     tw_machine *machine, *next_machine;
     tw_job *job, *next_job;
-    HASH_ITER(hh, core->jobs, job, next_job) turn_waiters_away(core, job);
+    HASH_ITER(hh, core->jobs, job, next_job) reject_waiting_clients(core, job);
     HASH_ITER(hh, core->machines, machine, next_machine) {
         tw_placement *placed, *next;
         DL_FOREACH_SAFE(machine->placements, placed, next)
@@ -39,9 +39,9 @@
 }
 
 static void forget_rentals(tw_core *core) {
-    tw_rejected_admission *turned_away_job, *next_turned_away;
-    HASH_ITER(hh, core->rejected_admissions, turned_away_job, next_turned_away)
-    tw_rejected_admission_drop(core, turned_away_job);
+    tw_rejected_admission *rejected, *next_turned_away;
+    HASH_ITER(hh, core->rejected_admissions, rejected, next_turned_away)
+    tw_rejected_admission_drop(core, rejected);
     tw_rental_request *rental_request, *next_rental_request;
     DL_FOREACH_SAFE(core->rental_requests, rental_request, next_rental_request) {
         DL_DELETE(core->rental_requests, rental_request);
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -20,40 +20,43 @@
 #define PATH_SIZE 64
 
 /* At the leader, authority is what counts; see docs/design.md, "What users are told". */
-static int leads(const tw_core *core) {
+static int may_answer_as_leader(const tw_core *core) {
     return core->phase == TW_PHASE_ACTIVE && tw_leader_may(core, TW_PERMISSION_ANSWER);
 }
 
 /* ---- by the state service, or by the leader ---- */
 
-void tw_job_look_up(tw_core *core, uint64_t conn, const char *id, tw_user_operation op) {
+void tw_job_look_up(tw_core *core, uint64_t connection, const char *id,
+                    tw_user_operation operation) {
     if (!tw_rate_limiter_try_acquire(core,
                                      tw_leader_may(core, TW_PERMISSION_WRITE)
                                          ? &core->request_limiter
                                          : &core->follower_read_limiter,
                                      1)) {
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "busy");
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "busy");
         return;
     }
     char path[TW_JOB_PATH_SIZE];
     snprintf(path, sizeof path, TW_JOB_PATH "%s", id);
     tw_call *call = tw_call_send(core, TW_CALL_LOOK_UP_JOB, TW_TO_STATE, core->config->state, "GET",
                                  path, NULL, LOOKUP_TIMEOUT_S);
-    call->connection = conn;
-    call->operation = op;
+    call->connection = connection;
+    call->operation = operation;
     call->sequence = tw_completed_jobs_evictions(core->completed_jobs);
     snprintf(call->name, sizeof call->name, "%s", id);
 }
 
 /* Hands a request to the leader; 0 if there is none to hand it to. */
-static int proxy(tw_core *core, uint64_t conn, tw_user_operation op, const char *method,
-                 const char *path, const char *id, char *body, double timeout_s) {
-    tw_peer *p = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
-    if (!p || p->answered_at < core->now - 0.5 * core->leader_lease_s - LEADER_SILENT_S) return 0;
-    tw_call *call = tw_call_send(core, TW_CALL_FORWARD_REQUEST, TW_TO_PEER, p->config.addr, method,
-                                 path, body ? strdup(body) : NULL, timeout_s);
-    call->connection = conn;
-    call->operation = op;
+static int forward_to_leader(tw_core *core, uint64_t connection, tw_user_operation operation,
+                             const char *method, const char *path, const char *id, char *body,
+                             double timeout_s) {
+    tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
+    if (!leader || leader->answered_at < core->now - 0.5 * core->leader_lease_s - LEADER_SILENT_S)
+        return 0;
+    tw_call *call = tw_call_send(core, TW_CALL_FORWARD_REQUEST, TW_TO_PEER, leader->config.addr,
+                                 method, path, body ? strdup(body) : NULL, timeout_s);
+    call->connection = connection;
+    call->operation = operation;
     call->text = body;
     snprintf(call->name, sizeof call->name, "%s", id);
     return 1;
@@ -61,9 +64,9 @@
 
 /* ---- at the leader ---- */
 
-static void leader_abort(tw_core *core, uint64_t conn, tw_job *job) {
+static void leader_cancel(tw_core *core, uint64_t connection, tw_job *job) {
     if (job->durable_state != TW_JOB_PENDING) {
-        tw_reply(core, conn, TW_HTTP_OK, 0,
+        tw_reply(core, connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
         return;
     }
@@ -76,43 +79,46 @@
     if (safe < 0) {
         /* It goes on as soon as it can be promised; the user is not kept waiting for that. */
         tw_log_debug("event=cancellation_deferred id=%s", job->id);
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "machines of it can't be reached");
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "machines of it can't be reached");
         return;
     }
-    tw_job_add_waiting_client(core, job, conn, 1);
+    tw_job_add_waiting_client(core, job, connection, 1);
     if (safe && job->state == TW_JOB_PENDING) tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
 /* Tells what is in memory of the job; 0: nothing is. */
-static int tell(tw_core *core, uint64_t conn, const char *id, tw_user_operation op) {
+static int tell_from_memory(tw_core *core, uint64_t connection, const char *id,
+                            tw_user_operation operation) {
     tw_completion ending;
     tw_job *job = tw_job_find(core, id);
-    if (job && op == TW_OPERATION_CANCEL)
-        leader_abort(core, conn, job);
+    if (job && operation == TW_OPERATION_CANCEL)
+        leader_cancel(core, connection, job);
     else if (job)
-        tw_reply(core, conn, TW_HTTP_OK, 0, tw_job_status_text(job));
+        tw_reply(core, connection, TW_HTTP_OK, 0, tw_job_status_text(job));
     else if (!tw_completed_jobs_find(core->completed_jobs, id, &ending))
         return 0;
-    else if (op == TW_OPERATION_CANCEL)
-        tw_reply(core, conn, TW_HTTP_OK, 0, tw_wire_job_status_text(id, ending.stage, -1, -1));
+    else if (operation == TW_OPERATION_CANCEL)
+        tw_reply(core, connection, TW_HTTP_OK, 0,
+                 tw_wire_job_status_text(id, ending.stage, -1, -1));
     else
-        tw_reply(core, conn, TW_HTTP_OK, 0,
+        tw_reply(core, connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(id, ending.stage, ending.done, 0));
     return 1;
 }
 
 /* The same, if it is as new as anything that any node has told of the job. */
-static int answer(tw_core *core, uint64_t conn, const char *id, tw_user_operation op) {
+static int answer_from_memory(tw_core *core, uint64_t connection, const char *id,
+                              tw_user_operation operation) {
     const tw_job *job = tw_job_find(core, id);
     if (job && !tw_job_is_answerable(job)) return 0;
-    return tell(core, conn, id, op);
+    return tell_from_memory(core, connection, id, operation);
 }
 
 /* A new job: it is told to be accepted once its first record is written. */
-static void accept_job(tw_core *core, uint64_t conn, tw_wire_job *spec) {
-    tw_rejected_admission *turned_away_job;
-    HASH_FIND_STR(core->rejected_admissions, spec->id, turned_away_job);
-    if (turned_away_job) tw_rejected_admission_drop(core, turned_away_job);
+static void admit_job(tw_core *core, uint64_t connection, tw_wire_job *spec) {
+    tw_rejected_admission *rejected;
+    HASH_FIND_STR(core->rejected_admissions, spec->id, rejected);
+    if (rejected) tw_rejected_admission_drop(core, rejected);
     tw_job *job = tw_job_new(core, spec->id);
     tw_job_set_spec(core, job, spec);
     job->task_states = tw_alloc((size_t)job->task_count);
@@ -122,7 +128,7 @@
     if (core->began_without_jobs && core->first_admission_at <= 0)
         core->first_admission_at = core->now;
     tw_job_class_note_arrival(core, job->job_class, job);
-    tw_job_add_waiting_client(core, job, conn, 0);
+    tw_job_add_waiting_client(core, job, connection, 0);
     tw_job_mark_changed(core, job, 1);
     tw_log_debug("event=job_submitted id=%s class=%s team=%d tasks=%d cores=%g gpus=%g mem=%g",
                  job->id, job->spec.job_class, job->team, job->task_count, job->spec.cores,
@@ -131,38 +137,38 @@
     if (!tw_scheduler_place_now(core, job)) core->scheduling_due = 1;
 }
 
-static void leader_submit(tw_core *core, uint64_t conn, tw_wire_job *spec) {
-    if (answer(core, conn, spec->id, TW_OPERATION_QUERY)) return;
+static void leader_submit(tw_core *core, uint64_t connection, tw_wire_job *spec) {
+    if (answer_from_memory(core, connection, spec->id, TW_OPERATION_QUERY)) return;
     tw_job *job = tw_job_find(core, spec->id);
     if (job && job->record_exists) {
-        tw_job_look_up(core, conn, spec->id, TW_OPERATION_QUERY);
+        tw_job_look_up(core, connection, spec->id, TW_OPERATION_QUERY);
         return;
     }
     if (job) {
-        tw_job_add_waiting_client(core, job, conn, 0);
+        tw_job_add_waiting_client(core, job, connection, 0);
         if (job->size_refusals) tw_job_reject_waiting_clients(core, job);
         return;
     }
     if (!tw_record_is_writable(core, spec)) {
-        tw_admission_reject(core, conn, spec->id, TOO_LARGE_RETRY_S, "too large for now");
+        tw_admission_reject(core, connection, spec->id, TOO_LARGE_RETRY_S, "too large for now");
         return;
     }
     double wait_s = tw_write_backlog_s(core);
     if (wait_s > TW_ADMISSION_WAIT_S * WAIT_RATIO) {
         const double retry_s = fmin(LONGEST_RETRY_S, ceil(wait_s));
-        tw_admission_reject(core, conn, spec->id, retry_s, "too many submissions");
+        tw_admission_reject(core, connection, spec->id, retry_s, "too many submissions");
         tw_rejected_admission_note(core, spec, retry_s);
         return;
     }
-    accept_job(core, conn, spec);
+    admit_job(core, connection, spec);
 }
 
 /* Accepts a job without the leader: its key must not exist. The leader learns of it from a second
  * key, a successor from its load. */
-static void create_direct(tw_core *core, uint64_t conn, tw_wire_job *spec) {
+static void admit_without_leader(tw_core *core, uint64_t connection, tw_wire_job *spec) {
     if (core->now - core->store_answered_at > 2 * core->leader_lease_s ||
         !tw_rate_limiter_try_acquire(core, &core->follower_create_limiter, 2)) {
-        tw_admission_reject(core, conn, spec->id, 1, "no leader");
+        tw_admission_reject(core, connection, spec->id, 1, "no leader");
         return;
     }
     char key[TW_JOB_KEY_SIZE];
@@ -174,89 +180,93 @@
                              .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
     if (strlen(text) > tw_record_whole_size(core)) {
-        tw_admission_reject(core, conn, spec->id, TOO_LARGE_RETRY_S, "too large without a leader");
+        tw_admission_reject(core, connection, spec->id, TOO_LARGE_RETRY_S,
+                            "too large without a leader");
         free(text);
         return;
     }
     char news[TW_PEER_ADMISSION_KEY_SIZE];
     snprintf(news, sizeof news, TW_PEER_ADMISSION_KEY "%s", spec->id);
-    tw_wire_compare condition = {key, 0};
+    tw_wire_compare compare = {key, 0};
     tw_wire_write writes[2] = {{key, text, 0}, {news, "1", 0}};
     tw_call *call =
         tw_call_send(core, TW_CALL_CREATE_RECORD, TW_TO_STATE, core->config->state, "POST", "/txn",
-                     tw_wire_txn_text(&condition, 1, writes, 2), CREATE_TIMEOUT_S);
-    call->connection = conn;
+                     tw_wire_txn_text(&compare, 1, writes, 2), CREATE_TIMEOUT_S);
+    call->connection = connection;
     snprintf(call->name, sizeof call->name, "%s", spec->id);
     free(text);
 }
 
-void tw_user_submit(tw_core *core, uint64_t conn, const char *body, size_t length, int from_peer) {
+void tw_user_submit(tw_core *core, uint64_t connection, const char *body, size_t length,
+                    int from_peer) {
     tw_wire_job spec;
     const char *why = "";
     if (tw_wire_job_parse(&spec, body, length, &why)) {
-        tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, why);
+        tw_reply_error(core, connection, TW_HTTP_BAD_REQUEST, 0, why);
         return;
     }
     if (!core->machine_type_count) {
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "machine types not known yet");
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "machine types not known yet");
     } else if (tw_job_is_impossible(core, &spec)) {
         /* A job accepted once must not be refused later: only proof that it is new allows 422. */
-        if (!leads(core) || !answer(core, conn, spec.id, TW_OPERATION_QUERY))
-            tw_job_look_up(core, conn, spec.id, TW_OPERATION_REFUSE);
-    } else if (leads(core)) {
-        leader_submit(core, conn, &spec);
+        if (!may_answer_as_leader(core) ||
+            !answer_from_memory(core, connection, spec.id, TW_OPERATION_QUERY))
+            tw_job_look_up(core, connection, spec.id, TW_OPERATION_REFUSE);
+    } else if (may_answer_as_leader(core)) {
+        leader_submit(core, connection, &spec);
     } else if (from_peer) {
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "not the leader");
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "not the leader");
     } else {
         char *copy = tw_alloc(length + 1);
         memcpy(copy, body, length);
-        if (!proxy(core, conn, TW_OPERATION_SUBMIT, "POST", "/v1/jobs", spec.id, copy,
-                   PROXY_SUBMIT_S)) {
+        if (!forward_to_leader(core, connection, TW_OPERATION_SUBMIT, "POST", "/v1/jobs", spec.id,
+                               copy, PROXY_SUBMIT_S)) {
             free(copy);
-            create_direct(core, conn, &spec);
+            admit_without_leader(core, connection, &spec);
         }
     }
     tw_wire_job_free(&spec);
 }
 
-void tw_user_query(tw_core *core, uint64_t conn, const char *id, int from_peer) {
+void tw_user_query(tw_core *core, uint64_t connection, const char *id, int from_peer) {
     if (!tw_wire_id_ok(id, strlen(id))) { /* no such id can have been accepted */
-        tw_reply_error(core, conn, TW_HTTP_NOT_FOUND, 0, "no such job");
+        tw_reply_error(core, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
-    if (leads(core)) {
-        if (!answer(core, conn, id, TW_OPERATION_QUERY))
-            tw_job_look_up(core, conn, id, TW_OPERATION_QUERY);
+    if (may_answer_as_leader(core)) {
+        if (!answer_from_memory(core, connection, id, TW_OPERATION_QUERY))
+            tw_job_look_up(core, connection, id, TW_OPERATION_QUERY);
         return;
     }
     char path[PATH_SIZE];
     snprintf(path, sizeof path, "/v1/jobs/%s", id);
-    if (from_peer || !proxy(core, conn, TW_OPERATION_QUERY, "GET", path, id, NULL, PROXY_POLL_S))
-        tw_job_look_up(core, conn, id, TW_OPERATION_QUERY);
+    if (from_peer || !forward_to_leader(core, connection, TW_OPERATION_QUERY, "GET", path, id, NULL,
+                                        PROXY_POLL_S))
+        tw_job_look_up(core, connection, id, TW_OPERATION_QUERY);
 }
 
-void tw_user_cancel(tw_core *core, uint64_t conn, const char *id, int from_peer) {
+void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, int from_peer) {
     if (!tw_wire_id_ok(id, strlen(id))) {
-        tw_reply_error(core, conn, TW_HTTP_NOT_FOUND, 0, "no such job");
+        tw_reply_error(core, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
-    if (leads(core)) {
-        if (!answer(core, conn, id, TW_OPERATION_CANCEL))
-            tw_job_look_up(core, conn, id, TW_OPERATION_CANCEL);
+    if (may_answer_as_leader(core)) {
+        if (!answer_from_memory(core, connection, id, TW_OPERATION_CANCEL))
+            tw_job_look_up(core, connection, id, TW_OPERATION_CANCEL);
         return;
     }
     char path[PATH_SIZE];
     snprintf(path, sizeof path, "/v1/jobs/%s/abort", id);
     char *body = strdup("{}");
-    if (!from_peer &&
-        proxy(core, conn, TW_OPERATION_CANCEL, "POST", path, id, body, PROXY_CANCEL_S))
+    if (!from_peer && forward_to_leader(core, connection, TW_OPERATION_CANCEL, "POST", path, id,
+                                        body, PROXY_CANCEL_S))
         return;
     free(body);
     /* Without the leader nothing can be cancelled, but what is over can be told. */
-    tw_job_look_up(core, conn, id, TW_OPERATION_CANCEL);
+    tw_job_look_up(core, connection, id, TW_OPERATION_CANCEL);
 }
 
-static void adopt(tw_core *core, const char *id, const tw_wire_entry *entry) {
+static void restore_record(tw_core *core, const char *id, const tw_wire_entry *entry) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, id, entry->value, strlen(entry->value))) {
         tw_log_error("event=record_unreadable id=%.32s", id);
@@ -276,7 +286,7 @@
         tw_job_store_record_read(core, job, entry);
     else if (!tw_job_is_known(core, call->name) && call->term == core->term &&
              call->sequence == tw_completed_jobs_evictions(core->completed_jobs))
-        adopt(core, call->name, entry);
+        restore_record(core, call->name, entry);
 }
 
 /* An answer by a record that was read after the question came. */
@@ -288,19 +298,20 @@
     }
     int over = record.state != TW_JOB_PENDING;
     const int live = *record.chunk_set ? record.running_count : record.assignment_count;
-    int stage = over ? record.state : live ? TW_JOB_RUNNING : TW_JOB_PENDING;
+    int state = over ? record.state : live ? TW_JOB_RUNNING : TW_JOB_PENDING;
     if (call->operation == TW_OPERATION_CANCEL && !over)
         tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
     else if (call->operation == TW_OPERATION_CANCEL)
         tw_reply(core, call->connection, TW_HTTP_OK, 0,
-                 tw_wire_job_status_text(call->name, stage, -1, -1));
+                 tw_wire_job_status_text(call->name, state, -1, -1));
     else
         tw_reply(core, call->connection, TW_HTTP_OK, 0,
-                 tw_wire_job_status_text(call->name, stage, record.done_count, over ? 0 : live));
+                 tw_wire_job_status_text(call->name, state, record.done_count, over ? 0 : live));
     tw_wire_record_free(&record);
 }
 
-static void lookup_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
+static void look_up_response(tw_core *core, tw_call *call, int status, const char *body,
+                             size_t length) {
     if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND) core->store_answered_at = core->now;
     if (status == TW_HTTP_NOT_FOUND) {
         if (call->operation == TW_OPERATION_REFUSE)
@@ -316,15 +327,16 @@
         return;
     }
     int known = 0;
-    if (leads(core)) {
+    if (may_answer_as_leader(core)) {
         note_record(core, call, &entry);
-        known = tell(core, call->connection, call->name, call->operation);
+        known = tell_from_memory(core, call->connection, call->name, call->operation);
     }
     if (!known) answer_by_record(core, call, &entry);
     free(entry.value);
 }
 
-static void proxy_done(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
+static void forward_response(tw_core *core, tw_call *call, int status, const char *body,
+                             size_t length) {
     if (status >= TW_HTTP_OK && status != TW_HTTP_UNAVAILABLE) {
         char *copy = tw_alloc(length + 1);
         memcpy(copy, body, length);
@@ -343,14 +355,14 @@
     const char *why;
     if (call->operation == TW_OPERATION_SUBMIT && status == 0 && call->text &&
         !tw_wire_job_parse(&spec, call->text, strlen(call->text), &why)) {
-        create_direct(core, call->connection, &spec);
+        admit_without_leader(core, call->connection, &spec);
         tw_wire_job_free(&spec);
         return;
     }
     tw_admission_reject(core, call->connection, call->name, 1, "leader does not answer");
 }
 
-static void create_done(tw_core *core, tw_call *call, int status) {
+static void admission_response(tw_core *core, tw_call *call, int status) {
     if (status == TW_HTTP_OK) {
         core->store_answered_at = core->now;
         tw_reply(core, call->connection, TW_HTTP_CREATED, 0,
@@ -364,9 +376,9 @@
 
 void tw_user_response(tw_core *core, tw_call *call, int status, const char *body, size_t length) {
     if (call->kind == TW_CALL_LOOK_UP_JOB)
-        lookup_done(core, call, status, body, length);
+        look_up_response(core, call, status, body, length);
     else if (call->kind == TW_CALL_FORWARD_REQUEST)
-        proxy_done(core, call, status, body, length);
+        forward_response(core, call, status, body, length);
     else
-        create_done(core, call, status);
+        admission_response(core, call, status);
 }
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -11,10 +11,10 @@
 #define PAUSE_MOST_REPORTS 8 /* between direct orders to one that doesn't answer */
 #define MOST_PROBES 4
 
-static void take(tw_capacity *from, const tw_wire_job *s) {
-    from->cores -= s->cores;
-    from->gpus -= s->gpus;
-    from->memory_gb -= s->memory_gb;
+static void subtract_capacity(tw_capacity *from, const tw_wire_job *spec) {
+    from->cores -= spec->cores;
+    from->gpus -= spec->gpus;
+    from->memory_gb -= spec->memory_gb;
 }
 
 tw_command_list tw_command_list_new(tw_core *core) {
@@ -23,14 +23,14 @@
     return (tw_command_list){core->command_scratch, 0};
 }
 
-void tw_command_list_add(tw_command_list *orders, tw_wire_command order, const char *job) {
-    if (orders->count >= MAX_ORDERS) return;
-    snprintf(order.job, sizeof order.job, "%s", job);
-    orders->list[orders->count++] = order;
+void tw_command_list_add(tw_command_list *commands, tw_wire_command command, const char *job) {
+    if (commands->count >= MAX_ORDERS) return;
+    snprintf(command.job, sizeof command.job, "%s", job);
+    commands->list[commands->count++] = command;
 }
 
-static void add(tw_command_list *orders, int verb, const tw_placement *placed) {
-    tw_command_list_add(orders,
+static void add_command(tw_command_list *commands, int verb, const tw_placement *placed) {
+    tw_command_list_add(commands,
                         (tw_wire_command){.kind = verb,
                                           .index = placed->index,
                                           .attempt = placed->attempt,
@@ -52,21 +52,23 @@
 }
 
 /* Takes off `room` what tasks that still save hold, though they count as gone. */
-static void stops(const tw_machine *machine, tw_command_list *orders, uint64_t tick,
-                  tw_capacity *room) {
+static void add_stops(const tw_machine *machine, tw_command_list *commands, uint64_t sequence,
+                      tw_capacity *room) {
     const tw_placement *each;
     DL_FOREACH(machine->placements, each) {
         if (!each->counted || !each->stopping) continue;
-        if (!each->reported && each->direct_launches && tick &&
-            (each->launch_sequence ? each->launch_sequence < tick : !machine->command_in_flight))
+        if (!each->reported && each->direct_launches && sequence &&
+            (each->launch_sequence ? each->launch_sequence < sequence
+                                   : !machine->command_in_flight))
             /* A direct launch got no answer and may still come: started and stopped here, it
              * can't start then. Without that a lost one would leave the task in between for
              * ever: a kill of what the machine doesn't have tells nothing. */
-            add(orders, TW_COMMAND_LAUNCH, each);
-        if (each->state != TW_TASK_SAVING || each->grace_s <= 0) add(orders, TW_COMMAND_STOP, each);
+            add_command(commands, TW_COMMAND_LAUNCH, each);
+        if (each->state != TW_TASK_SAVING || each->grace_s <= 0)
+            add_command(commands, TW_COMMAND_STOP, each);
         const int saves = each->grace_s > 0 && each->job->spec.checkpoint_s > 0 &&
                           each->state != TW_TASK_FETCHING;
-        if (saves && each->preempted) take(room, &each->job->spec);
+        if (saves && each->preempted) subtract_capacity(room, &each->job->spec);
     }
 }
 
@@ -82,49 +84,49 @@
     return 0;
 }
 
-static void log_launch(const tw_placement *placed, uint64_t tick) {
+static void log_launch(const tw_placement *placed, uint64_t sequence) {
     tw_log_debug("event=task_launched task=%s/%d attempt=%llu worker=%s incarnation=%llu "
                  "sequence=%llu direct=%d",
                  placed->job->id, placed->index, (unsigned long long)placed->attempt,
                  placed->machine->name, (unsigned long long)placed->machine->incarnation,
-                 (unsigned long long)tick, !tick);
+                 (unsigned long long)sequence, !sequence);
 }
 
-static void note_direct(const tw_core *core, tw_placement *placed) {
+static void note_direct_launch(const tw_core *core, tw_placement *placed) {
     placed->direct_launches++;
     placed->direct_launch_at = core->now;
 }
 
 /* room: all of the machine's, less what still saves. */
-static void launches(tw_core *core, tw_machine *machine, tw_command_list *orders, uint64_t tick,
-                     tw_capacity room) {
+static void add_launches(tw_core *core, tw_machine *machine, tw_command_list *commands,
+                         uint64_t sequence, tw_capacity room) {
     tw_placement *each;
     DL_FOREACH(machine->placements, each) {
         if (!each->counted || each->preempted) continue;
         if (may_launch(each) && !each->launch_sent) continue;
-        take(&room, &each->job->spec);
+        subtract_capacity(&room, &each->job->spec);
     }
     DL_FOREACH(machine->placements, each) {
         if (!may_launch(each) || is_early(core, each)) continue;
-        const tw_wire_job *s = &each->job->spec;
-        if (each->launch_sent && !tick) continue; /* its first launch is on the way */
+        const tw_wire_job *spec = &each->job->spec;
+        if (each->launch_sent && !sequence) continue; /* its first launch is on the way */
         if (!each->launch_sent) {
-            if (room.cores + TW_CAPACITY_ROUNDING < s->cores ||
-                room.gpus + TW_CAPACITY_ROUNDING < s->gpus ||
-                room.memory_gb + TW_CAPACITY_ROUNDING < s->memory_gb)
+            if (room.cores + TW_CAPACITY_ROUNDING < spec->cores ||
+                room.gpus + TW_CAPACITY_ROUNDING < spec->gpus ||
+                room.memory_gb + TW_CAPACITY_ROUNDING < spec->memory_gb)
                 continue;
-            take(&room, s);
+            subtract_capacity(&room, spec);
         }
-        if (orders->count >= MAX_ORDERS) break;
+        if (commands->count >= MAX_ORDERS) break;
         if (!is_only_attempt(core, each)) continue;
-        add(orders, TW_COMMAND_LAUNCH, each);
-        log_launch(each, tick);
+        add_command(commands, TW_COMMAND_LAUNCH, each);
+        log_launch(each, sequence);
         each->launch_sent = 1;
         each->launch_incarnation = machine->incarnation;
-        if (tick)
-            each->launch_sequence = tick;
+        if (sequence)
+            each->launch_sequence = sequence;
         else
-            note_direct(core, each);
+            note_direct_launch(core, each);
     }
 }
 
@@ -135,7 +137,7 @@
     return count;
 }
 
-static void forgets(const tw_core *core, const tw_machine *machine, tw_command_list *orders) {
+static void add_forgets(const tw_core *core, const tw_machine *machine, tw_command_list *commands) {
     int too_many = count_exited(machine) - MOST_EXITED; /* the oldest stand first */
     const tw_placement *each;
     DL_FOREACH(machine->placements, each) {
@@ -145,7 +147,7 @@
         if (each->cause == TW_CAUSE_DONE && each->job->durable_version != each->job->version &&
             each->job->durable_state == TW_JOB_PENDING)
             continue; /* not durable yet */
-        add(orders, TW_COMMAND_FORGET, each);
+        add_command(commands, TW_COMMAND_FORGET, each);
     }
 }
 
@@ -155,25 +157,26 @@
  * - a kill names one attempt, which is never started again;
  * - a forget is not sent directly, nor for an attempt whose direct launch is still under way, or
  * was sent so lately that it may come once more. */
-void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *orders, uint64_t tick) {
+void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
+                     uint64_t sequence) {
     tw_capacity room = {0, 0, 0};
     if (machine->type_index >= 0) {
         const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
         room = (tw_capacity){type->cores, type->gpus, type->memory_gb};
     }
-    stops(machine, orders, tick, &room);
+    add_stops(machine, commands, sequence, &room);
     if (!tw_leader_may(core, TW_PERMISSION_COMMAND)) {
         core->counters.rejected[TW_REJECTED_COMMANDS]++;
         return;
     }
     if (machine->type_index < 0) return;
-    launches(core, machine, orders, tick, room);
-    if (tick) forgets(core, machine, orders);
+    add_launches(core, machine, commands, sequence, room);
+    if (sequence) add_forgets(core, machine, commands);
 }
 
 /* ---- direct orders ---- */
 
-static void look_at(tw_core *core, tw_machine *machine) {
+static void queue_machine(tw_core *core, tw_machine *machine) {
     if (machine->in_command_queue) return;
     machine->in_command_queue = 1;
     DL_APPEND2(core->command_queue, machine, queue_prev, queue_next);
@@ -181,16 +184,16 @@
 
 void tw_machine_want_commands(tw_core *core, tw_machine *machine) {
     machine->commands_wanted = 1;
-    look_at(core, machine);
+    queue_machine(core, machine);
 }
 
 void tw_machine_want_probe(tw_core *core, tw_machine *machine) {
     machine->probe_wanted = 1;
-    look_at(core, machine);
+    queue_machine(core, machine);
 }
 
-static tw_call *send(tw_core *core, tw_machine *machine, const char *method, const char *path,
-                     char *body) {
+static tw_call *send_to_machine(tw_core *core, tw_machine *machine, const char *method,
+                                const char *path, char *body) {
     tw_call *call = tw_call_send(core, TW_CALL_SEND_COMMANDS, TW_TO_WORKER, machine->endpoint,
                                  method, path, body, DIRECT_S);
     snprintf(call->name, sizeof call->name, "%s", machine->name);
@@ -200,20 +203,20 @@
 }
 
 /* Which tasks are launched by these orders: their fate is unknown until the answer. */
-static void note_launches(tw_call *call, const tw_command_list *orders) {
-    call->names = tw_alloc((size_t)orders->count * TW_NAME_SIZE);
-    call->tokens = tw_alloc((size_t)orders->count * sizeof *call->tokens);
-    for (int i = 0; i < orders->count; i++) {
-        const tw_wire_command *order = &orders->list[i];
-        if (order->kind != TW_COMMAND_LAUNCH) continue;
-        snprintf(call->names[call->count], TW_NAME_SIZE, "%s/%d", order->job, order->index);
-        call->tokens[call->count++] = order->attempt;
+static void note_launches(tw_call *call, const tw_command_list *commands) {
+    call->names = tw_alloc((size_t)commands->count * TW_NAME_SIZE);
+    call->tokens = tw_alloc((size_t)commands->count * sizeof *call->tokens);
+    for (int i = 0; i < commands->count; i++) {
+        const tw_wire_command *command = &commands->list[i];
+        if (command->kind != TW_COMMAND_LAUNCH) continue;
+        snprintf(call->names[call->count], TW_NAME_SIZE, "%s/%d", command->job, command->index);
+        call->tokens[call->count++] = command->attempt;
     }
 }
 
 /* Orders that order nothing make a machine know our token, and tell what is on it. Commands go only
  * to one that answered lately: others might carry them out late. */
-static void direct(tw_core *core, tw_machine *machine) {
+static void send_direct_commands(tw_core *core, tw_machine *machine) {
     if (machine->command_in_flight || core->now < machine->no_commands_before ||
         (!machine->commands_wanted && !machine->probe_wanted))
         return;
@@ -225,18 +228,18 @@
     if (!probe && (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > in_touch_s))
         return;
     if (!machine->incarnation) { /* its session is not known yet */
-        send(core, machine, "GET", "/inspect", NULL);
+        send_to_machine(core, machine, "GET", "/inspect", NULL);
         return;
     }
-    tw_command_list orders = tw_command_list_new(core);
-    if (machine->confirmed && silent_s < in_touch_s) tw_commands_due(core, machine, &orders, 0);
-    if (!orders.count && !probe) return;
-    char *body = tw_commands_direct_text(core, machine, &orders);
+    tw_command_list commands = tw_command_list_new(core);
+    if (machine->confirmed && silent_s < in_touch_s) tw_commands_due(core, machine, &commands, 0);
+    if (!commands.count && !probe) return;
+    char *body = tw_commands_direct_text(core, machine, &commands);
     if (!body) return;
-    note_launches(send(core, machine, "POST", "/orders", body), &orders);
+    note_launches(send_to_machine(core, machine, "POST", "/orders", body), &commands);
 }
 
-static void look_at_all(tw_core *core) {
+static void scan_machines(tw_core *core) {
     const int most = (int)(MAX_ASKED * core->config->sockets);
     int asked = core->commands_in_flight;
     tw_machine *each, *next;
@@ -249,7 +252,7 @@
             each->probe_wanted = 1;
             asked++;
         }
-        if (each->commands_wanted || each->probe_wanted) look_at(core, each);
+        if (each->commands_wanted || each->probe_wanted) queue_machine(core, each);
     }
 }
 
@@ -260,12 +263,12 @@
     if (core->now + SPARE_TTL * core->leader_lease_s > core->authority_until) return;
     if (core->now >= core->next_command_scan_at) {
         core->next_command_scan_at = core->now + tw_core_tick_s(core);
-        look_at_all(core);
+        scan_machines(core);
     }
     while ((due = core->command_queue)) {
         DL_DELETE2(core->command_queue, due, queue_prev, queue_next);
         due->in_command_queue = 0;
-        direct(core, due);
+        send_direct_commands(core, due);
     }
 }
 
@@ -288,7 +291,7 @@
     if (!machine) return;
     core->commands_in_flight -= machine->command_in_flight;
     machine->command_in_flight = 0;
-    if (machine->commands_wanted || machine->probe_wanted) look_at(core, machine);
+    if (machine->commands_wanted || machine->probe_wanted) queue_machine(core, machine);
     if (status == 0) {
         machine->failed_sends++;
         const double pause =
@@ -300,16 +303,16 @@
     }
     for (int i = 0; i < call->count; i++)
         settle_launch(machine, call->names[i], call->tokens[i], status != TW_HTTP_OK);
-    tw_wire_heartbeat report;
+    tw_wire_heartbeat heartbeat;
     if ((status != TW_HTTP_OK && status != TW_HTTP_CONFLICT) ||
-        tw_wire_heartbeat_parse(&report, body, length))
+        tw_wire_heartbeat_parse(&heartbeat, body, length))
         return;
-    if (report.fencing_token > core->fencing_token) {
-        tw_leader_observe_token(core, report.fencing_token, NULL);
-    } else if (!strcmp(report.worker, machine->name)) {
-        tw_worker_heartbeat_apply(core, machine, &report, NULL);
+    if (heartbeat.fencing_token > core->fencing_token) {
+        tw_leader_observe_token(core, heartbeat.fencing_token, NULL);
+    } else if (!strcmp(heartbeat.worker, machine->name)) {
+        tw_worker_heartbeat_apply(core, machine, &heartbeat, NULL);
         if (!machine->confirmed && machine->probed++ < MOST_PROBES)
             tw_machine_want_probe(core, machine);
     }
-    tw_wire_heartbeat_free(&report);
+    tw_wire_heartbeat_free(&heartbeat);
 }
