--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -6,17 +6,17 @@
 /* A lease that lapsed although we answered less than this ago, in leases. */
 #define HEARD_LATELY_LEASES 0.5
 
-static tw_placement *find(const tw_machine *machine, const tw_wire_task *told) {
+static tw_placement *find_placement(const tw_machine *machine, const tw_wire_task *reported) {
     tw_placement *each;
     DL_FOREACH(machine->placements, each)
-    if (each->attempt == told->attempt && each->index == told->index &&
-        !strcmp(each->job->id, told->job))
+    if (each->attempt == reported->attempt && each->index == reported->index &&
+        !strcmp(each->job->id, reported->job))
         return each;
     return NULL;
 }
 
 /* Many machines that seem not to hear us: then it is us, or the network. */
-static int deaf_believable(tw_core *core) {
+static int silence_is_credible(tw_core *core) {
     if (core->now - core->unresponsive_since > core->config->lease_s) {
         core->unresponsive_since = core->now;
         core->unresponsive_count = 0;
@@ -25,9 +25,10 @@
 }
 
 /* The session is over: the worker has killed and forgotten all. */
-static void new_session(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report) {
+static void on_new_incarnation(tw_core *core, tw_machine *machine,
+                               const tw_wire_heartbeat *heartbeat) {
     const tw_attempt_termination end = {.evidence = TW_EVIDENCE_NEW_INCARNATION,
-                                        .heartbeat = report};
+                                        .heartbeat = heartbeat};
     tw_placement *each, *next;
     int lost = 0;
     DL_FOREACH_SAFE(machine->placements, each, next) {
@@ -37,57 +38,58 @@
     /* It reported, we answered, and still its lease lapsed: it does not hear us. */
     if (machine->confirmed &&
         core->now - machine->answered_at < HEARD_LATELY_LEASES * core->config->lease_s &&
-        !machine->lease_expired && deaf_believable(core)) {
+        !machine->lease_expired && silence_is_credible(core)) {
         machine->lost_launches += TW_UNRESPONSIVE_AT;
         tw_log_info("event=machine_unresponsive worker=%s incarnation=%llu lost_tasks=%d",
-                    machine->name, (unsigned long long)report->incarnation, lost);
+                    machine->name, (unsigned long long)heartbeat->incarnation, lost);
     }
 }
 
 /* Nearly always it says what is known: to compare costs a tenth of printing it anew. */
-static void note_text(char *known, size_t size, const char *told) {
+static void copy_if_changed(char *known, size_t size, const char *told) {
     if (strcmp(known, told) != 0) snprintf(known, size, "%s", told);
 }
 
 /* What it says of the machine itself. */
-static void note_machine(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report) {
-    if (report->incarnation != machine->incarnation) machine->incarnation_learned_at = core->now;
-    machine->incarnation = report->incarnation;
-    machine->sequence = report->sequence;
+static void note_machine(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *heartbeat) {
+    if (heartbeat->incarnation != machine->incarnation) machine->incarnation_learned_at = core->now;
+    machine->incarnation = heartbeat->incarnation;
+    machine->sequence = heartbeat->sequence;
     machine->state = TW_MACHINE_UP;
     machine->last_contact_at = core->now;
     machine->failed_sends = 0;
     machine->lease_expired = 0;
-    machine->spot = report->spot;
-    note_text(machine->endpoint, sizeof machine->endpoint, report->endpoint);
-    tw_machine_set_zone(core, machine, report->zone);
-    note_text(machine->type_name, sizeof machine->type_name, report->machine_type);
+    machine->spot = heartbeat->spot;
+    copy_if_changed(machine->endpoint, sizeof machine->endpoint, heartbeat->endpoint);
+    tw_machine_set_zone(core, machine, heartbeat->zone);
+    copy_if_changed(machine->type_name, sizeof machine->type_name, heartbeat->machine_type);
     if (machine->type_index < 0)
-        machine->type_index = tw_machine_type_index(core, report->machine_type);
-    if (!machine->confirmed && report->fencing_token >= core->fencing_token) {
+        machine->type_index = tw_machine_type_index(core, heartbeat->machine_type);
+    if (!machine->confirmed && heartbeat->fencing_token >= core->fencing_token) {
         machine->confirmed = 1;
         machine->confirmed_at = core->now;
         core->scheduling_due = 1;
     }
-    if (report->preemption_notice_s >= 0 && machine->preempted_at <= 0) {
-        machine->preempted_at = core->now + report->preemption_notice_s;
+    if (heartbeat->preemption_notice_s >= 0 && machine->preempted_at <= 0) {
+        machine->preempted_at = core->now + heartbeat->preemption_notice_s;
         tw_log_info("event=preemption_notified worker=%s s=%.1f", machine->name,
-                    report->preemption_notice_s);
+                    heartbeat->preemption_notice_s);
     }
 }
 
 /* The answer that held the launch was lost, and is not executed late. */
-static void not_taken(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report) {
+static void handle_lost_launch(tw_core *core, tw_placement *placed,
+                               const tw_wire_heartbeat *heartbeat) {
     tw_machine *machine = placed->machine;
     if (placed->stopping) {
         const tw_attempt_termination end = {.evidence = TW_EVIDENCE_LAUNCH_LOST,
-                                            .heartbeat = report};
+                                            .heartbeat = heartbeat};
         tw_attempt_terminate(core, placed, &end);
         return;
     }
     placed->launch_sent = 0;
     if (++placed->lost_launches >= TW_UNRESPONSIVE_AT &&
-        machine->lost_launches < TW_UNRESPONSIVE_AT && deaf_believable(core)) {
+        machine->lost_launches < TW_UNRESPONSIVE_AT && silence_is_credible(core)) {
         machine->lost_launches = TW_UNRESPONSIVE_AT;
         tw_log_info("event=machine_unresponsive worker=%s lost_launches=%d", machine->name,
                     placed->lost_launches);
@@ -95,27 +97,28 @@
 }
 
 /* A task that the report doesn't name. answers_order: the report answers direct orders. */
-static void absent(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
-                   int answers_order) {
-    const int not_launched = tw_launch_was_lost(placed, report, answers_order);
+static void reconcile_missing_task(tw_core *core, tw_placement *placed,
+                                   const tw_wire_heartbeat *heartbeat, int answers_order) {
+    const int not_launched = tw_launch_was_lost(placed, heartbeat, answers_order);
     const int forgotten = placed->state == TW_TASK_EXITED && placed->reported;
     const int done_unseen = not_launched && !placed->counted; /* with its gang */
     if (forgotten || done_unseen) {
         tw_attempt_forget(core, placed);
     } else if (placed->inherited || placed->reported) {
-        const tw_attempt_termination end = {
-            .evidence = TW_EVIDENCE_ABSENT, .heartbeat = report, .answers_command = answers_order};
+        const tw_attempt_termination end = {.evidence = TW_EVIDENCE_ABSENT,
+                                            .heartbeat = heartbeat,
+                                            .answers_command = answers_order};
         tw_attempt_terminate(core, placed, &end);
     } else if (not_launched) {
-        not_taken(core, placed, report);
+        handle_lost_launch(core, placed, heartbeat);
     }
 }
 
-int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
-                              tw_command_list *orders) {
-    const int same_session = report->incarnation == machine->incarnation;
-    if (report->incarnation < machine->incarnation ||
-        (same_session && report->sequence <= machine->sequence)) {
+int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
+                              const tw_wire_heartbeat *heartbeat, tw_command_list *commands) {
+    const int same_session = heartbeat->incarnation == machine->incarnation;
+    if (heartbeat->incarnation < machine->incarnation ||
+        (same_session && heartbeat->sequence <= machine->sequence)) {
         core->counters.rejected[TW_REJECTED_OLDER_HEARTBEAT]++;
         return 0;
     }
@@ -125,55 +128,55 @@
         core->counters.rejected[TW_REJECTED_EXPIRED_HEARTBEAT]++;
         return 0;
     }
-    if (machine->incarnation && report->incarnation > machine->incarnation)
-        new_session(core, machine, report);
-    note_machine(core, machine, report);
+    if (machine->incarnation && heartbeat->incarnation > machine->incarnation)
+        on_new_incarnation(core, machine, heartbeat);
+    note_machine(core, machine, heartbeat);
     core->heartbeat_mark++;
-    for (int i = 0; i < report->task_count; i++) {
-        tw_placement *placed = find(machine, &report->tasks[i]);
+    for (int i = 0; i < heartbeat->task_count; i++) {
+        tw_placement *placed = find_placement(machine, &heartbeat->tasks[i]);
         if (placed) {
             placed->mark = core->heartbeat_mark;
-            tw_reconcile_task(core, placed, report, &report->tasks[i]);
+            tw_reconcile_task(core, placed, heartbeat, &heartbeat->tasks[i]);
         } else {
-            tw_reconcile_unknown_task(core, machine, report, &report->tasks[i], orders);
+            tw_reconcile_unknown_task(core, machine, heartbeat, &heartbeat->tasks[i], commands);
         }
     }
     tw_placement *each, *next;
     DL_FOREACH_SAFE(machine->placements, each, next) {
         if (each->mark == core->heartbeat_mark || (!each->launch_sent && !each->inherited))
             continue;
-        absent(core, each, report, orders == NULL);
+        reconcile_missing_task(core, each, heartbeat, commands == NULL);
     }
     return 1;
 }
 
-static const tw_command_list no_orders = {NULL, 0};
+static const tw_command_list no_commands = {NULL, 0};
 
-static void reply_orders(tw_core *core, uint64_t conn, const tw_command_list *orders) {
-    char *text = tw_commands_reply_text(core, orders);
+static void reply_commands(tw_core *core, uint64_t connection, const tw_command_list *commands) {
+    char *text = tw_commands_reply_text(core, commands);
     if (text)
-        tw_reply(core, conn, TW_HTTP_OK, 0, text);
+        tw_reply(core, connection, TW_HTTP_OK, 0, text);
     else
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
 /* Overtaken by the answer to direct orders, or a late copy. The worker of the former must not be
  * turned away; the latter must not make a dead machine look alive. */
-static void answer_older(tw_core *core, uint64_t conn, tw_machine *machine,
-                         const tw_wire_heartbeat *report) {
-    if (report->incarnation != machine->incarnation || machine->lease_expired) {
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "older than known");
+static void answer_older_heartbeat(tw_core *core, uint64_t connection, tw_machine *machine,
+                                   const tw_wire_heartbeat *heartbeat) {
+    if (heartbeat->incarnation != machine->incarnation || machine->lease_expired) {
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "older than known");
         return;
     }
     machine->answered_older_at = core->now;
-    reply_orders(core, conn, &no_orders);
+    reply_commands(core, connection, &no_commands);
 }
 
-static void answer(tw_core *core, uint64_t conn, tw_machine *machine,
-                   const tw_wire_heartbeat *report) {
-    tw_command_list orders = tw_command_list_new(core);
-    if (!tw_worker_heartbeat_apply(core, machine, report, &orders)) {
-        answer_older(core, conn, machine, report);
+static void answer_heartbeat(tw_core *core, uint64_t connection, tw_machine *machine,
+                             const tw_wire_heartbeat *heartbeat) {
+    tw_command_list commands = tw_command_list_new(core);
+    if (!tw_worker_heartbeat_apply(core, machine, heartbeat, &commands)) {
+        answer_older_heartbeat(core, connection, machine, heartbeat);
         return;
     }
     machine->answered_at = core->now;
@@ -181,13 +184,13 @@
         machine->first_answered_at = core->now;
         if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
         tw_log_info("event=machine_started worker=%s machine_type=%s zone=%s spot=%d after=%.1f",
-                    machine->name, report->machine_type, report->zone, report->spot,
+                    machine->name, heartbeat->machine_type, heartbeat->zone, heartbeat->spot,
                     core->now - machine->known_since);
     }
-    tw_commands_due(core, machine, &orders, report->sequence);
+    tw_commands_due(core, machine, &commands, heartbeat->sequence);
     machine->probe_wanted = machine->commands_wanted = 0;
     if (!machine->confirmed) tw_machine_want_probe(core, machine);
-    reply_orders(core, conn, &orders);
+    reply_commands(core, connection, &commands);
 }
 
 /* A late report of a machine that we returned. */
@@ -198,55 +201,57 @@
 }
 
 /* At a node that may answer workers. */
-static void lead(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report, int from_peer) {
+static void receive_as_leader(tw_core *core, uint64_t connection,
+                              const tw_wire_heartbeat *heartbeat, int from_peer) {
     /* Sent to its own zone, where it is answered even if that is cut off from ours. */
-    const int is_ours = !strcmp(report->zone, core->config->location);
-    if (!from_peer && (is_ours ? tw_worker_redirect_safer(core, conn, report)
-                               : tw_worker_redirect_home(core, conn, report)))
+    const int is_ours = !strcmp(heartbeat->zone, core->config->location);
+    if (!from_peer && (is_ours ? tw_worker_redirect_safer(core, connection, heartbeat)
+                               : tw_worker_redirect_home(core, connection, heartbeat)))
         return;
     if (core->phase == TW_PHASE_LOADING) {
         /* Renewed, nothing more: what should run there is not known yet. */
         core->answered_while_loading_at = core->now;
-        reply_orders(core, conn, &no_orders);
+        reply_commands(core, connection, &no_commands);
         return;
     }
-    tw_machine *machine = tw_machine_find(core, report->worker);
-    if (is_returned(core, machine, report->worker)) {
+    tw_machine *machine = tw_machine_find(core, heartbeat->worker);
+    if (is_returned(core, machine, heartbeat->worker)) {
         core->counters.rejected[TW_REJECTED_RETURNED_MACHINE]++;
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "returned");
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "returned");
         return;
     }
     if (!machine) {
-        machine = tw_machine_new(core, report->worker);
-        tw_log_info("event=machine_discovered worker=%s machine_type=%s zone=%s", report->worker,
-                    report->machine_type, report->zone);
+        machine = tw_machine_new(core, heartbeat->worker);
+        tw_log_info("event=machine_discovered worker=%s machine_type=%s zone=%s", heartbeat->worker,
+                    heartbeat->machine_type, heartbeat->zone);
     }
-    answer(core, conn, machine, report);
+    answer_heartbeat(core, connection, machine, heartbeat);
 }
 
-void tw_worker_heartbeat_receive(tw_core *core, uint64_t conn, const char *body, size_t length,
-                                 int from_peer) {
+void tw_worker_heartbeat_receive(tw_core *core, uint64_t connection, const char *body,
+                                 size_t length, int from_peer) {
     if (core->now >= core->next_heartbeat_sweep_at) {
         core->next_heartbeat_sweep_at = core->now + core->config->lease_s;
         tw_wire_heartbeat_cache_sweep(core->heartbeat_cache);
     }
-    const tw_wire_heartbeat *report =
+    const tw_wire_heartbeat *heartbeat =
         tw_wire_heartbeat_cache_read(core->heartbeat_cache, body, length);
-    if (!report) {
-        tw_reply_error(core, conn, TW_HTTP_BAD_REQUEST, 0, "malformed report");
+    if (!heartbeat) {
+        tw_reply_error(core, connection, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         return;
     }
-    if (report->fencing_token > core->highest_token_seen)
-        tw_leader_observe_token(core, report->fencing_token, NULL);
-    if (core->role == TW_ROLE_LEADER && report->fencing_token > core->fencing_token)
+    if (heartbeat->fencing_token > core->highest_token_seen)
+        tw_leader_observe_token(core, heartbeat->fencing_token, NULL);
+    if (core->role == TW_ROLE_LEADER && heartbeat->fencing_token > core->fencing_token)
         tw_leader_step_down(core, "a worker saw a later token");
     if (tw_leader_may(core, TW_PERMISSION_RENEW))
-        lead(core, conn, report, from_peer);
+        receive_as_leader(core, connection, heartbeat, from_peer);
     else if (from_peer) {
         core->counters.rejected[TW_REJECTED_NO_PERMISSION]++;
-        tw_reply_error(core, conn, TW_HTTP_UNAVAILABLE, 1, "not the leader");
-    } else if (report->fencing_token > core->leader_token) /* somebody we don't know leads by now */
-        tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(NULL));
+        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "not the leader");
+    } else if (heartbeat->fencing_token >
+               core->leader_token) /* somebody we don't know leads by now */
+        tw_reply(core, connection, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(NULL));
     else
-        tw_heartbeat_forward(core, conn, report, body, length);
+        tw_heartbeat_forward(core, connection, heartbeat, body, length);
 }
--- a/src/core/worker_routing.c
+++ b/src/core/worker_routing.c
@@ -9,14 +9,14 @@
 /* Workers that came back from a node within a lease, from which on none is sent there. */
 #define SHUN_AFTER 3
 
-static int live_in_zone(const tw_core *core, const tw_peer *node, const char *zone) {
+static int is_live_in_zone(const tw_core *core, const tw_peer *node, const char *zone) {
     return !strcmp(node->config.zone, zone) &&
            node->answered_at > core->now - 1 - 0.5 * core->leader_lease_s;
 }
 
 int tw_zone_has_live_peer(const tw_core *core, const char *zone) {
     for (size_t i = 0; i < core->peer_count; i++)
-        if (live_in_zone(core, &core->peers[i], zone)) return 1;
+        if (is_live_in_zone(core, &core->peers[i], zone)) return 1;
     return 0;
 }
 
@@ -24,7 +24,7 @@
     tw_peer *any = NULL;
     for (size_t i = 0; i < core->peer_count; i++) {
         tw_peer *node = &core->peers[i];
-        if (!live_in_zone(core, node, zone) || core->now < node->avoided_until) continue;
+        if (!is_live_in_zone(core, node, zone) || core->now < node->avoided_until) continue;
         if (node->failover_in_time) return node;
         if (!any) any = node;
     }
@@ -44,7 +44,7 @@
 }
 
 /* Forgets redirects that are older than a lease, once a lease. */
-static void tidy(tw_core *core) {
+static void sweep_redirects(tw_core *core) {
     tw_worker_redirect *known, *next;
     if (core->now < core->next_redirect_sweep_at) return;
     core->next_redirect_sweep_at = core->now + core->config->lease_s;
@@ -55,7 +55,7 @@
     }
 }
 
-int tw_worker_redirect_to(tw_core *core, uint64_t conn, const char *worker, tw_peer *to) {
+int tw_worker_redirect_to(tw_core *core, uint64_t connection, const char *worker, tw_peer *to) {
     tw_worker_redirect *last;
     HASH_FIND_STR(core->worker_redirects, worker, last);
     /* A worker that is sent between two nodes, each of which names the other, loses its lease. */
@@ -64,7 +64,7 @@
         last->came_back = 1;
         return 0;
     }
-    tidy(core);
+    sweep_redirects(core);
     HASH_FIND_STR(core->worker_redirects, worker, last);
     if (!last) {
         last = tw_alloc(sizeof *last);
@@ -75,27 +75,29 @@
     last->at = core->now;
     last->came_back = 0;
     tw_log_debug("event=worker_redirected worker=%s to=%s", worker, to->config.name);
-    tw_reply(core, conn, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(to->config.name));
+    tw_reply(core, connection, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(to->config.name));
     return 1;
 }
 
-int tw_worker_redirect_home(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
-    tw_peer *home = tw_worker_home_find(core, report->zone);
-    return home && tw_worker_redirect_to(core, conn, report->worker, home);
+int tw_worker_redirect_home(tw_core *core, uint64_t connection,
+                            const tw_wire_heartbeat *heartbeat) {
+    tw_peer *home = tw_worker_home_find(core, heartbeat->zone);
+    return home && tw_worker_redirect_to(core, connection, heartbeat->worker, home);
 }
 
 /* Whether all other nodes answer: no time to redirect workers otherwise. */
-static int all_live(const tw_core *core) {
+static int all_peers_live(const tw_core *core) {
     for (size_t i = 0; i < core->peer_count; i++)
-        if (!live_in_zone(core, &core->peers[i], core->peers[i].config.zone)) return 0;
+        if (!is_live_in_zone(core, &core->peers[i], core->peers[i].config.zone)) return 0;
     return 1;
 }
 
-int tw_worker_redirect_safer(tw_core *core, uint64_t conn, const tw_wire_heartbeat *report) {
-    if (core->failover_in_time || !all_live(core)) return 0;
-    tw_peer *safer = tw_worker_home_find(core, report->zone);
+int tw_worker_redirect_safer(tw_core *core, uint64_t connection,
+                             const tw_wire_heartbeat *heartbeat) {
+    if (core->failover_in_time || !all_peers_live(core)) return 0;
+    tw_peer *safer = tw_worker_home_find(core, heartbeat->zone);
     return safer && safer->failover_in_time &&
-           tw_worker_redirect_to(core, conn, report->worker, safer);
+           tw_worker_redirect_to(core, connection, heartbeat->worker, safer);
 }
 
 void tw_worker_redirects_free(tw_core *core) {
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -59,34 +59,36 @@
 
 /* task_reconciliation.c */
 /* What the report says of a task that we have a placement for. */
-void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *report,
-                       const tw_wire_task *told);
+void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *heartbeat,
+                       const tw_wire_task *reported);
 /* A task that we have no placement for. orders: NULL in an answer to direct orders. */
-void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
-                               const tw_wire_task *told, tw_command_list *orders);
+void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine,
+                               const tw_wire_heartbeat *heartbeat, const tw_wire_task *reported,
+                               tw_command_list *commands);
 
 /* worker_heartbeat.c */
 /* Takes a report in; 0: it is older than what we know. orders: NULL for an answer to direct orders,
  * which may have overtaken the answer to a report. */
-int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *report,
-                              tw_command_list *orders);
+int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
+                              const tw_wire_heartbeat *heartbeat, tw_command_list *commands);
 
 /* command_messages.c: messages with orders, under our token. NULL: this node has not the right to
  * give them, which is a fault of the caller; nothing may be sent then. */
 /* In an answer to a report; none renew the lease alone. */
-char *tw_commands_reply_text(tw_core *core, const tw_command_list *orders);
+char *tw_commands_reply_text(tw_core *core, const tw_command_list *commands);
 /* To the machine's own address. */
 char *tw_commands_direct_text(tw_core *core, const tw_machine *machine,
-                              const tw_command_list *orders);
+                              const tw_command_list *commands);
 /* In a deputy's answer to a report. */
-char *tw_commands_delegate_text(tw_core *core, const tw_wire_heartbeat *report,
-                                const tw_command_list *orders);
+char *tw_commands_delegate_text(tw_core *core, const tw_wire_heartbeat *heartbeat,
+                                const tw_command_list *commands);
 
 /* worker_commands.c */
 tw_command_list tw_command_list_new(tw_core *core);
 /* A command on the task, without effect when the answer is full: it is due again next time. */
-void tw_command_list_add(tw_command_list *orders, tw_wire_command order, const char *job);
+void tw_command_list_add(tw_command_list *commands, tw_wire_command command, const char *job);
 /* What a machine is to be told. tick: the report that is answered, or 0 for direct orders. */
-void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *orders, uint64_t tick);
+void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
+                     uint64_t sequence);
 
 #endif
