--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -244,8 +244,9 @@
 static tw_bench_pending *next_answer(const tw_bench_fleet *fleet, double until) {
     tw_bench_pending *answer;
     tw_bench_pending *first = NULL;
-    DL_FOREACH(fleet->pending, answer)
-    if (answer->at <= until && (!first || answer->at < first->at)) first = answer;
+    DL_FOREACH(fleet->pending, answer) {
+        if (answer->at <= until && (!first || answer->at < first->at)) first = answer;
+    }
     return first;
 }
 
--- a/bench/workers.c
+++ b/bench/workers.c
@@ -106,7 +106,9 @@
     const cJSON *order;
     uint64_t token = number_of(answer, "baton");
     if (token > w->token) w->token = token;
-    cJSON_ArrayForEach(order, cJSON_GetObjectItemCaseSensitive(answer, "orders")) execute(w, order);
+    cJSON_ArrayForEach(order, cJSON_GetObjectItemCaseSensitive(answer, "orders")) {
+        execute(w, order);
+    }
     cJSON_Delete(answer);
 }
 
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -165,7 +165,7 @@
         x->token = token;
         x->changed = 1;
     }
-    cJSON_ArrayForEach(o, cJSON_GetObjectItemCaseSensitive(body, "orders")) command(w, x, o);
+    cJSON_ArrayForEach(o, cJSON_GetObjectItemCaseSensitive(body, "orders")) { command(w, x, o); }
 }
 
 void tw_simulator_worker_answer(tw_simulator_world *w, tw_simulator_worker *x, double sent,
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -243,7 +243,7 @@
     }
     free(counts);
     const tw_rental_request *rental_request;
-    DL_FOREACH(core->rental_requests, rental_request) add_asked(core, bins, rental_request);
+    DL_FOREACH(core->rental_requests, rental_request) { add_asked(core, bins, rental_request); }
 }
 
 static double price_of(const tw_core *core, const tw_bins *bins) {
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -41,7 +41,9 @@
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *drain) {
     tw_job *job;
     int capacity = 0;
-    DL_FOREACH(core->active_jobs, job) if (returns_capacity(job)) capacity += job->placed_count;
+    DL_FOREACH(core->active_jobs, job) {
+        if (returns_capacity(job)) capacity += job->placed_count;
+    }
     drain->items = tw_alloc((size_t)capacity * sizeof *drain->items);
     drain->count = 0;
     DL_FOREACH(core->active_jobs, job) {
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -69,9 +69,10 @@
     const double spare_s = STAGGER * core->config->gang_wait_s;
     double last = 0;
     tw_placement *task;
-    DL_FOREACH2(job->placements, task, job_next) last = fmax(last, ready_at(core, task));
-    DL_FOREACH2(job->placements, task, job_next)
-    task->launch_after = last - spare_s - (ready_at(core, task) - core->now);
+    DL_FOREACH2(job->placements, task, job_next) { last = fmax(last, ready_at(core, task)); }
+    DL_FOREACH2(job->placements, task, job_next) {
+        task->launch_after = last - spare_s - (ready_at(core, task) - core->now);
+    }
 }
 
 void tw_gang_placed(tw_core *core, tw_job *job) {
@@ -151,8 +152,9 @@
 void tw_gang_done(tw_core *core, tw_job *job) {
     tw_placement *task;
     tw_placement *next;
-    DL_FOREACH_SAFE2(job->placements, task, next, job_next)
-    tw_attempt_terminate_on(core, task, TW_EVIDENCE_GANG_DONE);
+    DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
+        tw_attempt_terminate_on(core, task, TW_EVIDENCE_GANG_DONE);
+    }
     memset(job->task_states, TW_ASSIGNMENT_DONE, (size_t)job->task_count);
     job->done_count = job->task_count;
     enter_state(core, job, TW_GANG_IDLE, "done");
@@ -189,9 +191,10 @@
 static void stop_tasks(tw_core *core, tw_job *job) {
     tw_placement *task;
     tw_placement *next;
-    DL_FOREACH_SAFE2(job->placements, task, next, job_next)
-    if (!task->stopping || task->grace_s > job->gang.grace_s)
-        tw_placement_stop(core, task, job->gang.grace_s, task->preempted);
+    DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
+        if (!task->stopping || task->grace_s > job->gang.grace_s)
+            tw_placement_stop(core, task, job->gang.grace_s, task->preempted);
+    }
 }
 
 /* ---- time ---- */
@@ -200,8 +203,9 @@
 static int is_one_attempt(const tw_job *job) {
     const int stops = job->gang.state == TW_GANG_STOPPING;
     const tw_placement *task;
-    DL_FOREACH2(job->placements, task, job_next)
-    if (task->attempt != job->gang.attempt || (task->stopping && !stops)) return 0;
+    DL_FOREACH2(job->placements, task, job_next) {
+        if (task->attempt != job->gang.attempt || (task->stopping && !stops)) return 0;
+    }
     return 1;
 }
 
@@ -220,10 +224,11 @@
 /* Launches that were put off are due. */
 static void send_due_launches(tw_core *core, const tw_job *job) {
     const tw_placement *task;
-    DL_FOREACH2(job->placements, task, job_next)
-    if (!task->launch_sent && !task->direct_launches && core->now >= task->launch_after &&
-        task->version <= job->durable_version)
-        tw_machine_want_commands(core, task->machine);
+    DL_FOREACH2(job->placements, task, job_next) {
+        if (!task->launch_sent && !task->direct_launches && core->now >= task->launch_after &&
+            task->version <= job->durable_version)
+            tw_machine_want_commands(core, task->machine);
+    }
 }
 
 void tw_gang_tick(tw_core *core, tw_job *job) {
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -28,8 +28,9 @@
 static tw_job *longest_waiting(tw_core *core) {
     tw_job *best = NULL;
     tw_job *each;
-    DL_FOREACH(core->active_jobs, each)
-    if (may_hold(core, each) && (!best || each->submitted_at < best->submitted_at)) best = each;
+    DL_FOREACH(core->active_jobs, each) {
+        if (may_hold(core, each) && (!best || each->submitted_at < best->submitted_at)) best = each;
+    }
     return best;
 }
 
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -13,8 +13,9 @@
 
 tw_image *tw_image_find(const tw_machine *machine, const tw_job *job) {
     tw_image *each;
-    DL_FOREACH(machine->images, each)
-    if (each->name_hash == job->image_hash && !strcmp(each->name, job->spec.image)) return each;
+    DL_FOREACH(machine->images, each) {
+        if (each->name_hash == job->image_hash && !strcmp(each->name, job->spec.image)) return each;
+    }
     return NULL;
 }
 
@@ -22,7 +23,7 @@
 int tw_image_count_fetches(const tw_core *core, const tw_machine *machine, const tw_image *but) {
     const tw_image *each;
     int count = 0;
-    DL_FOREACH(machine->images, each) count += each->ready_at > core->now && each != but;
+    DL_FOREACH(machine->images, each) { count += each->ready_at > core->now && each != but; }
     return count;
 }
 
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -114,9 +114,10 @@
 static int count_running(const tw_job *job) {
     int count = 0;
     tw_placement *task;
-    DL_FOREACH2(job->placements, task, job_next)
-    if (task->reported && (task->state == TW_TASK_RUNNING || task->state == TW_TASK_SAVING))
-        count++;
+    DL_FOREACH2(job->placements, task, job_next) {
+        if (task->reported && (task->state == TW_TASK_RUNNING || task->state == TW_TASK_SAVING))
+            count++;
+    }
     return count;
 }
 
@@ -162,7 +163,9 @@
          * the record and tell the user, and we may never learn of it. Whatever the tasks still do
          * is of no use to anybody. */
         tw_placement *task, *next;
-        DL_FOREACH_SAFE2(job->placements, task, next, job_next) tw_placement_stop(core, task, 0, 0);
+        DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
+            tw_placement_stop(core, task, 0, 0);
+        }
     }
     tw_log_debug("event=job_ended id=%s state=%d", job->id, state);
     tw_job_mark_changed(core, job, 1);
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -96,7 +96,7 @@
 static void note_guaranteed(tw_core *core) {
     int capacity = 0;
     const tw_job *job;
-    DL_FOREACH(core->active_jobs, job) capacity++;
+    DL_FOREACH(core->active_jobs, job) { capacity++; }
     struct tw_job **jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
     const int count = list_with_guarantee(core, jobs);
     qsort(jobs, (size_t)count, sizeof(struct tw_job *), by_submission);
@@ -189,7 +189,7 @@
     tw_job_queue *turns = tw_alloc(sizeof *turns);
     int capacity = 0;
     const tw_job *job;
-    DL_FOREACH(core->active_jobs, job) capacity += tw_job_is_pending(core, job);
+    DL_FOREACH(core->active_jobs, job) { capacity += tw_job_is_pending(core, job); }
     if (capacity) note_guaranteed(core);
     turns->team_count = (int)core->config->nteams;
     turns->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
--- a/src/core/job_record.c
+++ b/src/core/job_record.c
@@ -5,7 +5,7 @@
 static tw_wire_assignment *live_tasks(const tw_job *job, int *count) {
     const tw_placement *task;
     *count = 0;
-    DL_FOREACH2(job->placements, task, job_next)++ *count;
+    DL_FOREACH2(job->placements, task, job_next) { ++*count; }
     tw_wire_assignment *tasks = tw_alloc((size_t)*count * sizeof *tasks);
     tw_wire_assignment *at = tasks;
     DL_FOREACH2(job->placements, task, job_next) {
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -182,9 +182,10 @@
     tw_job_answer_waiting_clients(core, job, TW_HTTP_CREATED);
     if (write->version > job->durable_version) job->durable_version = write->version;
     tw_placement *task;
-    DL_FOREACH2(job->placements, task, job_next)
-    if (task->version <= job->durable_version && !task->launch_sent && !task->stopping)
-        tw_machine_want_commands(core, task->machine);
+    DL_FOREACH2(job->placements, task, job_next) {
+        if (task->version <= job->durable_version && !task->launch_sent && !task->stopping)
+            tw_machine_want_commands(core, task->machine);
+    }
     requeue(core, job);
     tw_job_release(core, job);
 }
@@ -199,8 +200,9 @@
  * has it. */
 static void restore_completed(tw_core *core, tw_job *job, const tw_wire_record *record) {
     tw_placement *task, *next;
-    DL_FOREACH_SAFE2(job->placements, task, next, job_next)
-    tw_attempt_terminate_on(core, task, TW_EVIDENCE_NOT_RECORDED);
+    DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
+        tw_attempt_terminate_on(core, task, TW_EVIDENCE_NOT_RECORDED);
+    }
     job->done_count = record->done_count;
     job->durable_version = job->version;
     if (job->write_queued) dequeue(core, job);
@@ -221,8 +223,9 @@
     char *ours = spec_text(&job->spec), *theirs = spec_text(&record.job);
     if (record.has_job && strcmp(ours, theirs) != 0) {
         tw_placement *task, *next;
-        DL_FOREACH_SAFE2(job->placements, task, next, job_next)
-        tw_attempt_terminate_on(core, task, TW_EVIDENCE_NOT_RECORDED);
+        DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
+            tw_attempt_terminate_on(core, task, TW_EVIDENCE_NOT_RECORDED);
+        }
         tw_wire_job_free(&job->spec);
         tw_job_set_spec(core, job, &record.job);
         free(job->task_states);
@@ -270,9 +273,10 @@
 void tw_job_store_tick(tw_core *core) {
     tw_job *job, *next;
     if (core->phase == TW_PHASE_ACTIVE) tw_record_format_update(core);
-    DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next)
-    if (job->needs_read && !job->read_in_flight && core->now >= job->write_after)
-        read_record(core, job);
+    DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next) {
+        if (job->needs_read && !job->read_in_flight && core->now >= job->write_after)
+            read_record(core, job);
+    }
 }
 
 /* Keys whose conditions failed, of a transaction's answer. */
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -42,7 +42,9 @@
 
 int tw_machine_is_occupied(const tw_machine *machine) {
     const tw_placement *placed;
-    DL_FOREACH(machine->placements, placed) if (placed->counted) return 1;
+    DL_FOREACH(machine->placements, placed) {
+        if (placed->counted) return 1;
+    }
     return 0;
 }
 
@@ -63,9 +65,10 @@
     core->commands_in_flight -= machine->command_in_flight;
     machine->in_command_queue = machine->command_in_flight = 0;
     if (why) tw_log_info("event=machine_removed worker=%s why=%s", machine->name, why);
-    DL_FOREACH_SAFE(machine->placements, placed, next_placed)
-    tw_attempt_terminate_on(core, placed,
-                            why ? TW_EVIDENCE_MACHINE_RETURNED : TW_EVIDENCE_TERM_ENDED);
+    DL_FOREACH_SAFE(machine->placements, placed, next_placed) {
+        tw_attempt_terminate_on(core, placed,
+                                why ? TW_EVIDENCE_MACHINE_RETURNED : TW_EVIDENCE_TERM_ENDED);
+    }
     DL_FOREACH_SAFE(machine->images, image, next_image) {
         DL_DELETE(machine->images, image);
         free(image);
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -39,7 +39,7 @@
 static void begin_list(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
-    HASH_ITER(hh, core->machines, machine, next) machine->lists_without++;
+    HASH_ITER(hh, core->machines, machine, next) { machine->lists_without++; }
 }
 
 void tw_machine_list_page(tw_core *core, int status, const char *body, size_t length) {
--- a/src/core/machine_statistics.c
+++ b/src/core/machine_statistics.c
@@ -73,9 +73,10 @@
 static double gang_slowness(const tw_core *core, const tw_placement *done) {
     double slowest = tw_machine_slowness(core, done->machine);
     const tw_placement *task;
-    DL_FOREACH2(done->job->placements, task, job_next)
-    if (task->machine->type_index >= 0)
-        slowest = fmax(slowest, tw_machine_slowness(core, task->machine));
+    DL_FOREACH2(done->job->placements, task, job_next) {
+        if (task->machine->type_index >= 0)
+            slowest = fmax(slowest, tw_machine_slowness(core, task->machine));
+    }
     return slowest;
 }
 
--- a/src/core/machine_types.c
+++ b/src/core/machine_types.c
@@ -40,8 +40,9 @@
     make_offers(core);
     /* Records read before the types were known. */
     tw_job *job;
-    DL_FOREACH(core->active_jobs, job)
-    if (job->has_spec) job->type_mask = tw_machine_type_mask(core, &job->spec);
+    DL_FOREACH(core->active_jobs, job) {
+        if (job->has_spec) job->type_mask = tw_machine_type_mask(core, &job->spec);
+    }
     tw_log_info("event=machine_types_listed n=%d", count);
 }
 
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -24,9 +24,10 @@
     core->returns_due = 1;
     tw_log_info("event=machine_return_requested worker=%s why=%s rented_s=%.0f", machine->name, why,
                 core->now - machine->known_since);
-    DL_FOREACH_SAFE(machine->placements, each, next)
-    if (!tw_attempt_was_launched(each))
-        tw_attempt_terminate_on(core, each, TW_EVIDENCE_NOT_LAUNCHED);
+    DL_FOREACH_SAFE(machine->placements, each, next) {
+        if (!tw_attempt_was_launched(each))
+            tw_attempt_terminate_on(core, each, TW_EVIDENCE_NOT_LAUNCHED);
+    }
 }
 
 /* A gang's progress is lost if it is stopped while one of its machines can't be told: as long as
@@ -58,16 +59,18 @@
 static int count_launched(const tw_machine *machine) {
     const tw_placement *each;
     int count = 0;
-    DL_FOREACH(machine->placements, each)
-    count += each->counted && (each->launch_sent || each->inherited);
+    DL_FOREACH(machine->placements, each) {
+        count += each->counted && (each->launch_sent || each->inherited);
+    }
     return count;
 }
 
 static void terminate_unlaunched(tw_core *core, tw_machine *machine) {
     tw_placement *each, *next;
-    DL_FOREACH_SAFE(machine->placements, each, next)
-    if (!tw_attempt_was_launched(each))
-        tw_attempt_terminate_on(core, each, TW_EVIDENCE_NOT_LAUNCHED);
+    DL_FOREACH_SAFE(machine->placements, each, next) {
+        if (!tw_attempt_was_launched(each))
+            tw_attempt_terminate_on(core, each, TW_EVIDENCE_NOT_LAUNCHED);
+    }
 }
 
 /* Ages of what the end of the lease rests on; one that never was is as old as the clock. */
@@ -94,8 +97,9 @@
     core->expiry_decided_at = core->now;
     log_lease_expiry(core, machine);
     machine->lease_expired = 1;
-    DL_FOREACH_SAFE(machine->placements, each, next)
-    tw_attempt_terminate_on(core, each, TW_EVIDENCE_LEASE_EXPIRED);
+    DL_FOREACH_SAFE(machine->placements, each, next) {
+        tw_attempt_terminate_on(core, each, TW_EVIDENCE_LEASE_EXPIRED);
+    }
 }
 
 /* Why a machine is given up; NULL: it is not. */
@@ -175,6 +179,6 @@
     if (core->now < core->next_machine_scan_at) return;
     core->next_machine_scan_at = core->now + core->config->report_s / TICKS_PER_REPORT;
     tw_zone_silence_update(core);
-    HASH_ITER(hh, core->machines, each, next) machine_tick(core, each);
+    HASH_ITER(hh, core->machines, each, next) { machine_tick(core, each); }
     forget_returned(core);
 }
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -70,7 +70,7 @@
 void tw_peer_admissions_tick(tw_core *core) {
     tw_expiring_name *untaken;
     tw_expiring_name *next;
-    HASH_ITER(hh, core->untaken_admissions, untaken, next) take_admission(core, untaken);
+    HASH_ITER(hh, core->untaken_admissions, untaken, next) { take_admission(core, untaken); }
     if (core->admission_watch_in_flight || core->now < core->next_admission_watch_at ||
         !tw_rate_limiter_try_acquire(core, &core->request_limiter, 1))
         return;
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -77,9 +77,10 @@
 static void take_back(tw_core *core, tw_job *job, uint64_t next_try) {
     tw_placement *placed;
     tw_placement *next;
-    DL_FOREACH_SAFE2(job->placements, placed, next, job_next)
-    if (placed->version > job->version)
-        tw_attempt_terminate_on(core, placed, TW_EVIDENCE_PLACEMENT_UNDONE);
+    DL_FOREACH_SAFE2(job->placements, placed, next, job_next) {
+        if (placed->version > job->version)
+            tw_attempt_terminate_on(core, placed, TW_EVIDENCE_PLACEMENT_UNDONE);
+    }
     job->next_attempt = next_try;
     tw_placement_failures_forget(core);
     tw_scores_forget(core);
@@ -117,8 +118,9 @@
     if (!count) return 0;
     tw_job_mark_changed(core, job, job->spec.priority >= TW_PRIORITY_PROD);
     tw_placement *placed;
-    DL_FOREACH2(job->placements, placed, job_next)
-    if (placed->version > job->version) placed->version = job->version;
+    DL_FOREACH2(job->placements, placed, job_next) {
+        if (placed->version > job->version) placed->version = job->version;
+    }
     return count;
 }
 
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -71,8 +71,9 @@
 static int gang_is_chosen(const tw_machine *machine, const tw_placement *placed) {
     const tw_placement *other;
     if (!placed->job->spec.gang) return 0;
-    DL_FOREACH(machine->placements, other)
-    if (other->mark == CHOSEN && other->job == placed->job) return 1;
+    DL_FOREACH(machine->placements, other) {
+        if (other->mark == CHOSEN && other->job == placed->job) return 1;
+    }
     return 0;
 }
 
@@ -134,7 +135,9 @@
 
 static void unmark(tw_machine *machine) {
     tw_placement *placed;
-    DL_FOREACH(machine->placements, placed) if (placed->mark == CHOSEN) placed->mark = 0;
+    DL_FOREACH(machine->placements, placed) {
+        if (placed->mark == CHOSEN) placed->mark = 0;
+    }
 }
 
 struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, int in_time,
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -73,7 +73,8 @@
 int tw_quarantine_allows(const tw_machine *machine) {
     const tw_placement *placed;
     if (!machine->on_probation) return 1;
-    DL_FOREACH(machine->placements, placed)
-    if (placed->counted && placed->placed_at >= machine->probation_at) return 0;
+    DL_FOREACH(machine->placements, placed) {
+        if (placed->counted && placed->placed_at >= machine->probation_at) return 0;
+    }
     return 1;
 }
--- a/src/core/rejected_admissions.c
+++ b/src/core/rejected_admissions.c
@@ -17,8 +17,9 @@
 double tw_write_backlog_s(tw_core *core) {
     int queued = 0;
     tw_job *job;
-    DL_FOREACH2(core->pending_writes, job, write_next)
-    queued += job->write_urgent || !job->record_exists;
+    DL_FOREACH2(core->pending_writes, job, write_next) {
+        queued += job->write_urgent || !job->record_exists;
+    }
     double have = tw_rate_limiter_available(core, &core->write_limiter);
     return queued > have ? (queued - have) / core->write_limiter.rate : 0;
 }
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -113,7 +113,7 @@
     const tw_placement *placed;
     int capacity = 0;
     int count = 0;
-    DL_FOREACH(machine->placements, placed) capacity++;
+    DL_FOREACH(machine->placements, placed) { capacity++; }
     taken_room *taken = tw_alloc((size_t)capacity * sizeof *taken);
     const int possible = take_rooms(core, bins, machine, taken, &count);
     for (int i = 0; i < count; i++) tw_bin_give(taken[i].bin, taken[i].spec);
@@ -286,7 +286,7 @@
     struct tw_machine *next;
     int moves = moves_allowed(core, between_s);
     int closing = 0;
-    HASH_ITER(hh, core->machines, machine, next) closing += is_closing(machine);
+    HASH_ITER(hh, core->machines, machine, next) { closing += is_closing(machine); }
     HASH_ITER(hh, core->machines, machine, next) {
         if (is_closing(machine) && !move_tasks(core, bins, machine, &moves)) return;
     }
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -155,7 +155,9 @@
     tw_rental_request *request;
     char(*names)[TW_WIRE_NAME_SIZE];
     int count;
-    DL_FOREACH(core->rental_requests, request) if (!strcmp(request->name, call->name)) break;
+    DL_FOREACH(core->rental_requests, request) {
+        if (!strcmp(request->name, call->name)) break;
+    }
     if (!request) return;
     request->in_flight = 0;
     if (status == TW_HTTP_OK && !tw_wire_machine_names_parse(&names, &count, body, length)) {
@@ -193,8 +195,10 @@
     part->cores += machine->used_cores;
     part->gpus += machine->used_gpus;
     const tw_placement *placed;
-    DL_FOREACH(machine->placements, placed)
-    if (placed->counted && !placed->job->spec.service) part->batch_gpus += placed->job->spec.gpus;
+    DL_FOREACH(machine->placements, placed) {
+        if (placed->counted && !placed->job->spec.service)
+            part->batch_gpus += placed->job->spec.gpus;
+    }
 }
 
 /* What there is and how full it is, for the operators' eyes. */
@@ -203,9 +207,10 @@
     fleet_part(*parts)[2] = tw_alloc((size_t)core->machine_type_count * sizeof *parts);
     const tw_machine *machine;
     const struct tw_machine *next;
-    HASH_ITER(hh, core->machines, machine, next)
-    if (machine->type_index >= 0)
-        count_machine(&parts[machine->type_index][!!machine->spot], machine);
+    HASH_ITER(hh, core->machines, machine, next) {
+        if (machine->type_index >= 0)
+            count_machine(&parts[machine->type_index][!!machine->spot], machine);
+    }
     for (int i = 0; i < core->machine_type_count; i++)
         for (int spot = 0; spot < 2; spot++) {
             const tw_wire_machine_type *type = &core->machine_types[i].listed;
@@ -234,10 +239,11 @@
 /* Little may be asked of the cloud: what is wanted gathers until a request may go. */
 static void ask_machines(tw_core *core) {
     tw_rental_request *request;
-    DL_FOREACH(core->rental_requests, request)
-    if (!request->in_flight && core->now >= request->next_try &&
-        tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
-        send_request(core, request);
+    DL_FOREACH(core->rental_requests, request) {
+        if (!request->in_flight && core->now >= request->next_try &&
+            tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
+            send_request(core, request);
+    }
     for (tw_capacity_offer *offer;
          (offer = most_wanted(core)) && tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1);)
         request_of(core, offer);
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -22,14 +22,15 @@
 static void forget_jobs_and_machines(tw_core *core) {
     tw_machine *machine, *next_machine;
     tw_job *job, *next_job;
-    HASH_ITER(hh, core->jobs, job, next_job) reject_waiting_clients(core, job);
+    HASH_ITER(hh, core->jobs, job, next_job) { reject_waiting_clients(core, job); }
     HASH_ITER(hh, core->machines, machine, next_machine) {
         tw_placement *placed, *next;
-        DL_FOREACH_SAFE(machine->placements, placed, next)
-        tw_attempt_terminate_on(core, placed, TW_EVIDENCE_TERM_ENDED);
+        DL_FOREACH_SAFE(machine->placements, placed, next) {
+            tw_attempt_terminate_on(core, placed, TW_EVIDENCE_TERM_ENDED);
+        }
         tw_machine_forget(core, machine, NULL);
     }
-    HASH_ITER(hh, core->jobs, job, next_job) tw_job_free(core, job);
+    HASH_ITER(hh, core->jobs, job, next_job) { tw_job_free(core, job); }
     tw_completed_jobs_free(core->completed_jobs);
     core->completed_jobs = NULL;
     core->active_jobs = NULL;
@@ -40,8 +41,9 @@
 
 static void forget_rentals(tw_core *core) {
     tw_rejected_admission *rejected, *next_turned_away;
-    HASH_ITER(hh, core->rejected_admissions, rejected, next_turned_away)
-    tw_rejected_admission_drop(core, rejected);
+    HASH_ITER(hh, core->rejected_admissions, rejected, next_turned_away) {
+        tw_rejected_admission_drop(core, rejected);
+    }
     tw_rental_request *rental_request, *next_rental_request;
     DL_FOREACH_SAFE(core->rental_requests, rental_request, next_rental_request) {
         DL_DELETE(core->rental_requests, rental_request);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -133,7 +133,7 @@
 static int count_exited(const tw_machine *machine) {
     const tw_placement *each;
     int count = 0;
-    DL_FOREACH(machine->placements, each) count += each->state == TW_TASK_EXITED;
+    DL_FOREACH(machine->placements, each) { count += each->state == TW_TASK_EXITED; }
     return count;
 }
 
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -8,10 +8,11 @@
 
 static tw_placement *find_placement(const tw_machine *machine, const tw_wire_task *reported) {
     tw_placement *each;
-    DL_FOREACH(machine->placements, each)
-    if (each->attempt == reported->attempt && each->index == reported->index &&
-        !strcmp(each->job->id, reported->job))
-        return each;
+    DL_FOREACH(machine->placements, each) {
+        if (each->attempt == reported->attempt && each->index == reported->index &&
+            !strcmp(each->job->id, reported->job))
+            return each;
+    }
     return NULL;
 }
 
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -428,5 +428,5 @@
 void tw_net_client_free(tw_net *net) {
     client_host *host;
     client_host *next;
-    HASH_ITER(hh, net->client.hosts, host, next) close_host(host);
+    HASH_ITER(hh, net->client.hosts, host, next) { close_host(host); }
 }
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -446,7 +446,7 @@
     server_connection *next;
     server_listener *source;
     server_listener *next_source;
-    HASH_ITER(hh, net->server.connections, connection, next) close_connection(connection);
+    HASH_ITER(hh, net->server.connections, connection, next) { close_connection(connection); }
     LL_FOREACH_SAFE(net->server.listeners, source, next_source) {
         ev_io_stop(net->loop, &source->readable);
         close(source->socket);
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -278,6 +278,6 @@
     const team *each;
     const team *after;
     int waiting = 0;
-    HASH_ITER(hh, route->teams, each, after) waiting += each->count;
+    HASH_ITER(hh, route->teams, each, after) { waiting += each->count; }
     return waiting;
 }
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -77,7 +77,7 @@
     shares->txn.answers = NULL;
     waiting *each;
     shares->nrequests = 0;
-    DL_FOREACH(shares->requests, each) shares->nrequests++;
+    DL_FOREACH(shares->requests, each) { shares->nrequests++; }
 }
 
 void tw_shards_answer_applied(tw_shards *shares) {
--- a/src/shards/table.c
+++ b/src/shards/table.c
@@ -295,5 +295,5 @@
     shares->nblocks = 0;
     clear_named(&shares->zones, &shares->nzones);
     clear_named(&shares->images, &shares->nimages);
-    DL_FOREACH_SAFE2(shares->moves, each, after, link) tw_shards_drop_move(shares, each);
+    DL_FOREACH_SAFE2(shares->moves, each, after, link) { tw_shards_drop_move(shares, each); }
 }
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -160,7 +160,7 @@
 static body body_of(tw_shards *shares) {
     body to = {.room = shares->settings.txn_ops + FINISHED_KEPT + 2 * shares->nblocks + 2};
     move *each;
-    DL_FOREACH2(shares->moves, each, link) to.room += each->changing;
+    DL_FOREACH2(shares->moves, each, link) { to.room += each->changing; }
     const size_t room = (size_t)to.room;
     to.conditions = tw_shards_alloc(sizeof *to.conditions * (room + 1));
     to.writes = tw_shards_alloc(sizeof *to.writes * room);
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -50,7 +50,7 @@
 void tw_wire_heartbeat_cache_free(tw_wire_heartbeat_cache *cache) {
     kept *each, *next;
     if (!cache) return;
-    HASH_ITER(hh, cache->kept, each, next) let_go(cache, each);
+    HASH_ITER(hh, cache->kept, each, next) { let_go(cache, each); }
     tw_wire_heartbeat_free(&cache->passing);
     free(cache);
 }
--- a/src/wire/record.c
+++ b/src/wire/record.c
@@ -156,9 +156,9 @@
     *more = !result && cJSON_IsTrue(tw_json_get(object, "more"));
     const cJSON *value;
     int i = 0;
-    if (!result)
-        cJSON_ArrayForEach(value, tw_json_get(object, list.name))
+    if (!result) cJSON_ArrayForEach(value, tw_json_get(object, list.name)) {
             read_data(&(*records)[i++], prefix, value);
+        }
     cJSON_Delete(object);
     return result;
 }
--- a/src/wire/state.c
+++ b/src/wire/state.c
@@ -75,8 +75,9 @@
     }
     *entries = tw_json_alloc((size_t)cJSON_GetArraySize(log) * sizeof **entries);
     /* removals, which have no "write", are passed over */
-    cJSON_ArrayForEach(change, log) if (!tw_json_read(change, fields, TW_JSON_ROWS(fields),
-                                                      &(*entries)[*n], NULL))++ *n;
+    cJSON_ArrayForEach(change, log) {
+        if (!tw_json_read(change, fields, TW_JSON_ROWS(fields), &(*entries)[*n], NULL)) ++*n;
+    }
     cJSON_Delete(object);
     return 0;
 }
