--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -35,11 +35,11 @@
 static int is_empty(range of) { return of.start >= of.end; }
 
 /* The level of jobs of this priority that are within their team's guarantee or not. */
-static int level_of(int priority, int guaranteed) {
+static int level_of(tw_wire_priority priority, int guaranteed) {
     return (TW_PRIORITY_PROD - priority) * 2 + !guaranteed;
 }
 
-static int priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
+static tw_wire_priority priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
 int tw_job_is_pending(const tw_core *core, const tw_job *job) {
     return job->has_spec && job->task_states && job->state == TW_JOB_PENDING && !job->cancelling &&
@@ -174,7 +174,7 @@
     }
     qsort(sorted, (size_t)count, sizeof *sorted, by_wait);
     for (int i = 0; i < count; i++) {
-        const int priority = sorted[i].job->spec.priority;
+        const tw_wire_priority priority = sorted[i].job->spec.priority;
         turns->overdue[i] = sorted[i].job;
         if (!i || sorted[i - 1].job->spec.priority != priority)
             turns->overdue_by_priority[priority].start = i;
@@ -200,7 +200,7 @@
 }
 
 /* The next overdue job of a priority that may have room now; NULL: none. */
-static tw_job *next_overdue(const tw_core *core, tw_job_queue *turns, int priority) {
+static tw_job *next_overdue(const tw_core *core, tw_job_queue *turns, tw_wire_priority priority) {
     range *left = &turns->overdue_by_priority[priority];
     if (core->overdue_credit[priority] <= 0 || is_empty(*left)) return NULL;
     turns->last = SERVED_OVERDUE;
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -64,9 +64,7 @@
     double used_cores, used_gpus, used_memory_gb; /* by all that may run */
     double vacating_cores, vacating_gpus,
         vacating_memory_gb; /* part of it that was told to stop for others */
-    struct {
-        double c, g, m;
-    } used_by_priority[TW_PRIORITY_PROD + 1]; /* the rest of it, by rank */
+    tw_capacity used_by_priority[TW_PRIORITY_PROD + 1]; /* the rest of it, by rank */
     int reserved_for_gang; /* scratch of a pass: for core->holder, see gang_reservation.c */
     int zone_index;        /* index in core->yards, -1: not known, or too many */
     int command_in_flight, commands_wanted, probe_wanted;
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -7,8 +7,6 @@
 #define RETRY_S 1
 #define OF_LAG 0.5 /* between two readings, of the time that the list lags behind */
 
-enum { RENTAL_UP = 1, RENTAL_FAILED = 2 }; /* tw_wire_rented_machine.stage */
-
 static void take_machine(tw_core *core, const tw_wire_rented_machine *listed) {
     const tw_expiring_name *released;
     HASH_FIND_STR(core->returned_machines, listed->id, released);
@@ -28,9 +26,9 @@
         machine->type_index = tw_machine_type_index(core, listed->machine_type);
     if (!*machine->endpoint && *listed->endpoint)
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
-    if (listed->state == RENTAL_FAILED) machine->failed = 1;
+    if (listed->state == TW_RENTED_FAILED) machine->failed = 1;
     /* After a change of leader we need not wait until the worker has found us. */
-    if (listed->state == RENTAL_UP && !machine->last_contact_at && !machine->probed) {
+    if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at && !machine->probed) {
         machine->probed = 1;
         tw_machine_want_probe(core, machine);
     }
--- a/src/core/peer_heartbeat.c
+++ b/src/core/peer_heartbeat.c
@@ -159,7 +159,8 @@
     tw_wire_peer_heartbeat answer = describe_self(core, ids, &count);
     if (count > MAX_ABORTED) {
         tw_log_info("event=delegation_withheld cancelled=%d", count);
-        answer.is_leader = count = 0;
+        answer.is_leader = false;
+        count = 0;
     }
     if (from && answer.is_leader)
         from->delegation_until =
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -15,9 +15,9 @@
         machine->vacating_gpus += sign * spec->gpus;
         machine->vacating_memory_gb += sign * spec->memory_gb;
     } else if (placed->job->has_spec) {
-        machine->used_by_priority[spec->priority].c += sign * spec->cores;
-        machine->used_by_priority[spec->priority].g += sign * spec->gpus;
-        machine->used_by_priority[spec->priority].m += sign * spec->memory_gb;
+        machine->used_by_priority[spec->priority].cores += sign * spec->cores;
+        machine->used_by_priority[spec->priority].gpus += sign * spec->gpus;
+        machine->used_by_priority[spec->priority].memory_gb += sign * spec->memory_gb;
     }
     if (placed->job->team >= 0) {
         core->team_cores_used[placed->job->team] += sign * spec->cores;
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -59,10 +59,10 @@
 /* Whether it may be enough at all, from sums alone. */
 static int may_vacate(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     tw_capacity room = free_on(core, machine);
-    for (int priority = 0; priority < job->spec.priority; priority++) {
-        room.cores += machine->used_by_priority[priority].c;
-        room.gpus += machine->used_by_priority[priority].g;
-        room.memory_gb += machine->used_by_priority[priority].m;
+    for (tw_wire_priority lower = TW_PRIORITY_IDLE; lower < job->spec.priority; lower++) {
+        room.cores += machine->used_by_priority[lower].cores;
+        room.gpus += machine->used_by_priority[lower].gpus;
+        room.memory_gb += machine->used_by_priority[lower].memory_gb;
     }
     return is_enough(&room, &job->spec, SUM_DRIFT);
 }
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -20,10 +20,10 @@
     tw_capacity room = {type->cores - machine->used_cores + machine->vacating_cores,
                         type->gpus - machine->used_gpus + machine->vacating_gpus,
                         type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
-    for (int priority = 0; priority < TW_PRIORITY_PROD; priority++) {
-        room.cores += machine->used_by_priority[priority].c;
-        room.gpus += machine->used_by_priority[priority].g;
-        room.memory_gb += machine->used_by_priority[priority].m;
+    for (tw_wire_priority priority = TW_PRIORITY_IDLE; priority < TW_PRIORITY_PROD; priority++) {
+        room.cores += machine->used_by_priority[priority].cores;
+        room.gpus += machine->used_by_priority[priority].gpus;
+        room.memory_gb += machine->used_by_priority[priority].memory_gb;
     }
     return room;
 }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -15,7 +15,8 @@
 typedef struct tw_placement_failure {
     double cores, gpus, memory_gb;
     uint32_t type_mask, zone_mask;
-    int spot, priority, service, any_machine, whole;
+    tw_wire_priority priority;
+    bool spot, service, any_machine, whole;
 } tw_placement_failure;
 
 /* placement_pass.c */
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -12,7 +12,8 @@
     double cores, gpus, memory_gb, image_gb, estimate_s;
     uint32_t types, image_sum;
     char image[TW_WIRE_NAME_SIZE];
-    int spot, service, any_machine, rank;
+    tw_wire_priority priority;
+    bool spot, service, any_machine;
     const tw_job_class *class;
     const tw_job *own; /* a job that passes some machines over shares its scores with none */
 } kind;
@@ -39,7 +40,7 @@
         return 0;
     if (known->types != job->type_mask || known->spot != spec->spot ||
         known->service != spec->service || known->any_machine != job->any_machine ||
-        known->class != job->job_class || known->rank != job->spec.priority ||
+        known->class != job->job_class || known->priority != job->spec.priority ||
         known->own != own_scores(core, job))
         return 0;
     return known->image_sum == job->image_hash && !strcmp(known->image, spec->image);
@@ -57,7 +58,7 @@
                    .spot = job->spec.spot,
                    .service = job->spec.service,
                    .any_machine = job->any_machine,
-                   .rank = job->spec.priority,
+                   .priority = job->spec.priority,
                    .class = job->job_class,
                    .own = own_scores(core, job)};
     snprintf(result.image, sizeof result.image, "%s", job->spec.image);
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -11,21 +11,21 @@
 #define NO_SPOT_PRICE (-1)
 
 /* The zones where a type can be rented; those beyond what fits are left out. */
-static int read_zones(const cJSON *value, void *message) {
+static tw_wire_error read_zones(const cJSON *value, void *message) {
     tw_wire_machine_type *type = message;
     const int most = (int)(sizeof type->zones / sizeof *type->zones);
     const cJSON *item;
-    if (!cJSON_IsArray(value)) return -1;
+    if (!cJSON_IsArray(value)) return TW_WIRE_MALFORMED;
     cJSON_ArrayForEach(item, value) {
         if (type->zone_count >= most) break;
         if (tw_json_read_text_item(item, type->zones[type->zone_count], TW_WIRE_NAME_SIZE))
-            return -1;
+            return TW_WIRE_MALFORMED;
         type->zone_count++;
     }
-    return 0;
+    return TW_WIRE_OK;
 }
 
-static int read_machine_type(const cJSON *value, void *item, size_t size) {
+static tw_wire_error read_machine_type(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("label"), TW_JSON_TEXT_AT(tw_wire_machine_type, name)},
         {TW_JSON_NAME("cores"), TW_JSON_NUMBER_AT(tw_wire_machine_type, cores)},
@@ -45,24 +45,24 @@
     };
     (void)size;
     tw_wire_machine_type *type = item;
-    if (tw_json_read(value, fields, TW_JSON_ROWS(fields), type, NULL)) return -1;
+    if (tw_json_read(value, fields, TW_JSON_ROWS(fields), type, NULL)) return TW_WIRE_MALFORMED;
     if (type->spot_price == NO_SPOT_PRICE) type->spot_price = type->on_demand_price;
-    return 0;
+    return TW_WIRE_OK;
 }
 
-int tw_wire_machine_types_parse(tw_wire_machine_type **types, int *n, const char *text,
-                                size_t len) {
+tw_wire_error tw_wire_machine_types_parse(tw_wire_machine_type **types, int *n, const char *text,
+                                          size_t len) {
     static const tw_json_list list = {"racks", sizeof(tw_wire_machine_type), read_machine_type,
                                       NULL};
     void *items;
-    int result = tw_json_parse_list(&list, text, len, &items, n, NULL);
+    tw_wire_error result = tw_json_parse_list(&list, text, len, &items, n, NULL);
     *types = items;
     return result;
 }
 
 /* ---- machines ---- */
 
-static int read_rented_machine(const cJSON *value, void *item, size_t size) {
+static tw_wire_error read_rented_machine(const cJSON *value, void *item, size_t size) {
     static const char *const stage_words[] = {"booting", "running", "failed", NULL};
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("id"), TW_JSON_TEXT_AT(tw_wire_rented_machine, id)},
@@ -79,19 +79,19 @@
     return tw_json_read(value, fields, TW_JSON_ROWS(fields), item, NULL);
 }
 
-int tw_wire_rented_machines_parse(tw_wire_rented_machine **machines, int *n, int *more,
-                                  const char *text, size_t len) {
+tw_wire_error tw_wire_rented_machines_parse(tw_wire_rented_machine **machines, int *n, int *more,
+                                            const char *text, size_t len) {
     static const tw_json_list list = {"trays", sizeof(tw_wire_rented_machine), read_rented_machine,
                                       NULL};
     void *items;
-    int result = tw_json_parse_list(&list, text, len, &items, n, more);
+    tw_wire_error result = tw_json_parse_list(&list, text, len, &items, n, more);
     *machines = items;
     return result;
 }
 
 /* ---- renting and returning ---- */
 
-char *tw_wire_rental_request_text(const char *name, const char *type, const char *zone, int spot,
+char *tw_wire_rental_request_text(const char *name, const char *type, const char *zone, bool spot,
                                   int n) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "ask", name);
@@ -102,10 +102,10 @@
     return tw_json_finish(object);
 }
 
-int tw_wire_machine_names_parse(char (**names)[TW_WIRE_NAME_SIZE], int *n, const char *text,
-                                size_t len) {
+tw_wire_error tw_wire_machine_names_parse(char (**names)[TW_WIRE_NAME_SIZE], int *n,
+                                          const char *text, size_t len) {
     void *texts;
-    int result = tw_json_parse_texts("trays", TW_WIRE_NAME_SIZE, text, len, &texts, n);
+    tw_wire_error result = tw_json_parse_texts("trays", TW_WIRE_NAME_SIZE, text, len, &texts, n);
     *names = texts;
     return result;
 }
--- a/src/wire/job.h
+++ b/src/wire/job.h
@@ -6,7 +6,7 @@
 
 /* Fills a zeroed job. 0; or -1, what is wrong in *why, and what was allocated is to be freed with
  * tw_wire_job_free. */
-int tw_wire_job_read(tw_wire_job *job, const cJSON *object, const char **why);
+tw_wire_error tw_wire_job_read(tw_wire_job *job, const cJSON *object, const char **why);
 cJSON *tw_wire_job_write(const tw_wire_job *job);
 
 #endif
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -29,12 +29,12 @@
     return value && cJSON_IsNull(value) ? NULL : value;
 }
 
-int tw_json_text(const cJSON *value, char *to, size_t size) {
-    if (!cJSON_IsString(value) || !*value->valuestring) return -1;
+tw_wire_error tw_json_text(const cJSON *value, char *to, size_t size) {
+    if (!cJSON_IsString(value) || !*value->valuestring) return TW_WIRE_MALFORMED;
     size_t length = strlen(value->valuestring);
-    if (length >= size) return -1;
+    if (length >= size) return TW_WIRE_MALFORMED;
     memcpy(to, value->valuestring, length + 1);
-    return 0;
+    return TW_WIRE_OK;
 }
 
 int tw_json_word(const char *const *words, const char *text, int unknown) {
@@ -45,30 +45,31 @@
 
 /* ---- reading by a table ---- */
 
-static int read_text(const tw_json_field *field, const cJSON *value, char *to) {
-    if (tw_json_text(value, to, field->size)) return -1;
-    return field->accepts && !field->accepts(to, strlen(to)) ? -1 : 0;
+static tw_wire_error read_text(const tw_json_field *field, const cJSON *value, char *to) {
+    if (tw_json_text(value, to, field->size)) return TW_WIRE_MALFORMED;
+    return field->accepts && !field->accepts(to, strlen(to)) ? TW_WIRE_MALFORMED : TW_WIRE_OK;
 }
 
-static int read_number(const tw_json_field *field, const cJSON *value, double *to) {
-    if (!cJSON_IsNumber(value) || !isfinite(value->valuedouble)) return -1;
-    if (value->valuedouble < field->min || value->valuedouble > field->max) return -1;
+static tw_wire_error read_number(const tw_json_field *field, const cJSON *value, double *to) {
+    if (!cJSON_IsNumber(value) || !isfinite(value->valuedouble)) return TW_WIRE_MALFORMED;
+    if (value->valuedouble < field->min || value->valuedouble > field->max)
+        return TW_WIRE_MALFORMED;
     *to = value->valuedouble;
-    return 0;
+    return TW_WIRE_OK;
 }
 
-static int read_whole(const tw_json_field *field, const cJSON *value, double *to) {
-    return read_number(field, value, to) || *to != floor(*to) ? -1 : 0;
+static tw_wire_error read_whole(const tw_json_field *field, const cJSON *value, double *to) {
+    return read_number(field, value, to) || *to != floor(*to) ? TW_WIRE_MALFORMED : TW_WIRE_OK;
 }
 
-static int read_word(const tw_json_field *field, const cJSON *value, int *to) {
-    if (!cJSON_IsString(value) || !*value->valuestring) return -1;
-    if (strlen(value->valuestring) >= WORD_SIZE) return -1;
+static tw_wire_error read_word(const tw_json_field *field, const cJSON *value, int *to) {
+    if (!cJSON_IsString(value) || !*value->valuestring) return TW_WIRE_MALFORMED;
+    if (strlen(value->valuestring) >= WORD_SIZE) return TW_WIRE_MALFORMED;
     *to = tw_json_word(field->words, value->valuestring, field->unknown);
-    return *to == TW_JSON_REFUSED ? -1 : 0;
+    return *to == TW_JSON_REFUSED ? TW_WIRE_MALFORMED : TW_WIRE_OK;
 }
 
-int tw_json_read_value(const tw_json_field *field, const cJSON *value, void *to) {
+tw_wire_error tw_json_read_value(const tw_json_field *field, const cJSON *value, void *to) {
     double number;
     switch (field->type) {
     case TW_JSON_TEXT:
@@ -77,23 +78,23 @@
     case TW_JSON_SPAN:
         return read_number(field, value, to);
     case TW_JSON_INTEGER:
-        if (read_whole(field, value, &number)) return -1;
+        if (read_whole(field, value, &number)) return TW_WIRE_MALFORMED;
         *(int *)to = (int)number;
-        return 0;
+        return TW_WIRE_OK;
     case TW_JSON_COUNT:
-        if (read_whole(field, value, &number)) return -1;
+        if (read_whole(field, value, &number)) return TW_WIRE_MALFORMED;
         *(uint64_t *)to = (uint64_t)number;
-        return 0;
+        return TW_WIRE_OK;
     case TW_JSON_FLAG:
-        if (!cJSON_IsBool(value)) return -1;
-        *(int *)to = cJSON_IsTrue(value);
-        return 0;
+        if (!cJSON_IsBool(value)) return TW_WIRE_MALFORMED;
+        *(bool *)to = cJSON_IsTrue(value);
+        return TW_WIRE_OK;
     case TW_JSON_WORD:
         return read_word(field, value, to);
     case TW_JSON_CUSTOM:
         break;
     }
-    return -1;
+    return TW_WIRE_MALFORMED;
 }
 
 static void take_fallback(const tw_json_field *field, void *to) {
@@ -108,8 +109,10 @@
     case TW_JSON_COUNT:
         *(uint64_t *)to = (uint64_t)field->fallback;
         break;
-    case TW_JSON_INTEGER:
     case TW_JSON_FLAG:
+        *(bool *)to = field->fallback != 0;
+        break;
+    case TW_JSON_INTEGER:
     case TW_JSON_WORD:
         *(int *)to = (int)field->fallback;
         break;
@@ -118,25 +121,26 @@
     }
 }
 
-static int read_field(const tw_json_field *field, const cJSON *object, char *message) {
+static tw_wire_error read_field(const tw_json_field *field, const cJSON *object, char *message) {
     const cJSON *value = tw_json_get(object, field->name);
-    if (field->type == TW_JSON_CUSTOM) return field->read ? field->read(value, message) : 0;
+    if (field->type == TW_JSON_CUSTOM)
+        return field->read ? field->read(value, message) : TW_WIRE_OK;
     void *to = message + field->offset;
-    if (value && !tw_json_read_value(field, value, to)) return 0;
+    if (value && !tw_json_read_value(field, value, to)) return TW_WIRE_OK;
     if (!(field->rules & TW_JSON_LENIENT) && (value || !(field->rules & TW_JSON_OPTIONAL)))
-        return -1;
+        return TW_WIRE_MALFORMED;
     take_fallback(field, to);
-    return 0;
+    return TW_WIRE_OK;
 }
 
-int tw_json_read(const cJSON *object, const tw_json_field *fields, size_t count, void *message,
-                 const char **refusal) {
+tw_wire_error tw_json_read(const cJSON *object, const tw_json_field *fields, size_t count,
+                           void *message, const char **refusal) {
     for (size_t i = 0; i < count; i++) {
         if (!read_field(&fields[i], object, message)) continue;
         if (refusal) *refusal = fields[i].refusal;
-        return -1;
+        return TW_WIRE_MALFORMED;
     }
-    return 0;
+    return TW_WIRE_OK;
 }
 
 /* ---- writing by a table ---- */
@@ -180,7 +184,7 @@
         write_number(object, field, (double)*(const uint64_t *)from);
         break;
     case TW_JSON_FLAG:
-        cJSON_AddItemToObjectCS(object, field->name, cJSON_CreateBool(*(const int *)from));
+        cJSON_AddItemToObjectCS(object, field->name, cJSON_CreateBool(*(const bool *)from));
         break;
     case TW_JSON_WORD:
         write_text(object, field, field->words[*(const int *)from]);
@@ -198,51 +202,54 @@
 /* ---- lists ---- */
 
 /* Reads the items of the array into room for all of them; *count: those read. */
-static int read_items(const tw_json_list *list, const cJSON *array, char *items, int *count) {
+static tw_wire_error read_items(const tw_json_list *list, const cJSON *array, char *items,
+                                int *count) {
     const cJSON *value;
     cJSON_ArrayForEach(value, array) {
-        if (list->read(value, items + list->item_size * (size_t)*count, list->item_size)) return -1;
+        if (list->read(value, items + list->item_size * (size_t)*count, list->item_size))
+            return TW_WIRE_MALFORMED;
         ++*count;
     }
-    return 0;
+    return TW_WIRE_OK;
 }
 
-int tw_json_read_list(const tw_json_list *list, const cJSON *object, void **items, int *count) {
+tw_wire_error tw_json_read_list(const tw_json_list *list, const cJSON *object, void **items,
+                                int *count) {
     const cJSON *array = tw_json_get(object, list->name);
     *count = 0;
     *items = NULL;
-    if (!cJSON_IsArray(array)) return -1;
+    if (!cJSON_IsArray(array)) return TW_WIRE_MALFORMED;
     char *room = tw_json_alloc((size_t)cJSON_GetArraySize(array) * list->item_size);
     if (!read_items(list, array, room, count)) {
         *items = room;
-        return 0;
+        return TW_WIRE_OK;
     }
     if (list->release)
         for (int i = 0; i < *count; i++) list->release(room + list->item_size * (size_t)i);
     free(room);
     *count = 0;
-    return -1;
+    return TW_WIRE_MALFORMED;
 }
 
-int tw_json_parse_list(const tw_json_list *list, const char *text, size_t length, void **items,
-                       int *count, int *more) {
+tw_wire_error tw_json_parse_list(const tw_json_list *list, const char *text, size_t length,
+                                 void **items, int *count, int *more) {
     cJSON *object = tw_json_parse(text, length);
-    int result = tw_json_read_list(list, object, items, count);
+    tw_wire_error result = tw_json_read_list(list, object, items, count);
     if (more) *more = !result && cJSON_IsTrue(tw_json_get(object, "more"));
     cJSON_Delete(object);
     return result;
 }
 
-int tw_json_read_text_item(const cJSON *value, void *item, size_t size) {
-    if (!cJSON_IsString(value)) return -1;
+tw_wire_error tw_json_read_text_item(const cJSON *value, void *item, size_t size) {
+    if (!cJSON_IsString(value)) return TW_WIRE_MALFORMED;
     size_t length = strlen(value->valuestring);
-    if (length >= size) return -1;
+    if (length >= size) return TW_WIRE_MALFORMED;
     memcpy(item, value->valuestring, length + 1);
-    return 0;
+    return TW_WIRE_OK;
 }
 
-int tw_json_parse_texts(const char *name, size_t size, const char *text, size_t length,
-                        void **texts, int *count) {
+tw_wire_error tw_json_parse_texts(const char *name, size_t size, const char *text, size_t length,
+                                  void **texts, int *count) {
     const tw_json_list list = {name, size, tw_json_read_text_item, NULL};
     return tw_json_parse_list(&list, text, length, texts, count, NULL);
 }
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -5,7 +5,9 @@
  * Reading stops at the first field that is refused; unknown fields are ignored. */
 #ifndef TW_WIRE_JSON_H
 #define TW_WIRE_JSON_H
+#include "wire/wire.h"
 #include <cjson/cJSON.h>
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -18,8 +20,8 @@
     TW_JSON_SPAN,    /* the same, a time in seconds, written rounded down to milliseconds */
     TW_JSON_INTEGER, /* int, from min to max */
     TW_JSON_COUNT,   /* uint64_t, up to TW_JSON_LARGEST */
-    TW_JSON_FLAG,    /* int, 0 or 1 */
-    TW_JSON_WORD,    /* int, the index of a text among words */
+    TW_JSON_FLAG,    /* bool */
+    TW_JSON_WORD,    /* int or an enum, the index of a text among words */
     TW_JSON_CUSTOM   /* what read and write make of it */
 } tw_json_type;
 
@@ -45,10 +47,10 @@
     double fallback;
     const char *const *words; /* WORD: ends with NULL */
     int unknown;              /* WORD: value of a word that is not in the list */
-    int (*accepts)(const char *text, size_t length); /* TEXT: a further check, or NULL */
+    bool (*accepts)(const char *text, size_t length); /* TEXT: a further check, or NULL */
     /* CUSTOM. value: NULL where missing or null; message: the struct. read: 0, or -1 refused.
      * Either may be NULL: nothing to read, nothing to write. */
-    int (*read)(const cJSON *value, void *message);
+    tw_wire_error (*read)(const cJSON *value, void *message);
     void (*write)(cJSON *object, const void *message);
 } tw_json_field;
 
@@ -76,15 +78,15 @@
 /* A field's value; NULL where it is missing or null. object may be NULL. */
 const cJSON *tw_json_get(const cJSON *object, const char *name);
 /* A text of 1 to size - 1 characters. 0, or -1: something else, and `to` is left as it was. */
-int tw_json_text(const cJSON *value, char *to, size_t size);
+tw_wire_error tw_json_text(const cJSON *value, char *to, size_t size);
 /* The index of a text in a list that ends with NULL, or unknown. */
 int tw_json_word(const char *const *words, const char *text, int unknown);
 
 /* One field's value, into `to`. 0, or -1: it is not what the field takes. */
-int tw_json_read_value(const tw_json_field *field, const cJSON *value, void *to);
+tw_wire_error tw_json_read_value(const tw_json_field *field, const cJSON *value, void *to);
 /* 0; or -1, and the refusal of the field in *refusal unless that is NULL. */
-int tw_json_read(const cJSON *object, const tw_json_field *fields, size_t count, void *message,
-                 const char **refusal);
+tw_wire_error tw_json_read(const cJSON *object, const tw_json_field *fields, size_t count,
+                           void *message, const char **refusal);
 void tw_json_write(cJSON *object, const tw_json_field *fields, size_t count, const void *message);
 
 /* An array of items of one kind. */
@@ -92,20 +94,21 @@
     const char *name; /* of the field that holds it */
     size_t item_size;
     /* Reads one item into zeroed room of size bytes. 0, or -1 and nothing allocated in it. */
-    int (*read)(const cJSON *value, void *item, size_t size);
+    tw_wire_error (*read)(const cJSON *value, void *item, size_t size);
     void (*release)(void *item); /* frees what an item holds, or NULL */
 } tw_json_list;
 
 /* 0 and the items (free them), or -1 and none: no such array, or an item is refused. */
-int tw_json_read_list(const tw_json_list *list, const cJSON *object, void **items, int *count);
+tw_wire_error tw_json_read_list(const tw_json_list *list, const cJSON *object, void **items,
+                                int *count);
 /* The same from a message's text; *more, unless NULL: its flag "more". */
-int tw_json_parse_list(const tw_json_list *list, const char *text, size_t length, void **items,
-                       int *count, int *more);
+tw_wire_error tw_json_parse_list(const tw_json_list *list, const char *text, size_t length,
+                                 void **items, int *count, int *more);
 /* The texts of a message's array: each of up to size - 1 characters, in room of size bytes. */
-int tw_json_parse_texts(const char *name, size_t size, const char *text, size_t length,
-                        void **texts, int *count);
+tw_wire_error tw_json_parse_texts(const char *name, size_t size, const char *text, size_t length,
+                                  void **texts, int *count);
 /* A list's item that is a text, also an empty one, of up to size - 1 characters. */
-int tw_json_read_text_item(const cJSON *value, void *item, size_t size);
+tw_wire_error tw_json_read_text_item(const cJSON *value, void *item, size_t size);
 
 /* The object as text; frees the object. Free the result. */
 char *tw_json_finish(cJSON *object);
--- a/src/wire/peers.c
+++ b/src/wire/peers.c
@@ -23,11 +23,12 @@
      .rules = TW_JSON_LENIENT | TW_JSON_OMIT, .fallback = TW_RECORD_FORMAT_WHOLE},
 };
 
-int tw_wire_peer_heartbeat_parse(tw_wire_peer_heartbeat *heartbeat, const char *text, size_t len) {
+tw_wire_error tw_wire_peer_heartbeat_parse(tw_wire_peer_heartbeat *heartbeat, const char *text,
+                                           size_t len) {
     memset(heartbeat, 0, sizeof *heartbeat);
     cJSON *object = tw_json_parse(text, len);
-    int result = tw_json_read(object, peer_heartbeat_fields, TW_JSON_ROWS(peer_heartbeat_fields),
-                              heartbeat, NULL);
+    tw_wire_error result = tw_json_read(object, peer_heartbeat_fields,
+                                        TW_JSON_ROWS(peer_heartbeat_fields), heartbeat, NULL);
     cJSON_Delete(object);
     return result;
 }
@@ -42,10 +43,10 @@
     return tw_json_finish(object);
 }
 
-int tw_wire_cancelled_jobs_parse(char (**ids)[TW_WIRE_ID_SIZE], int *n, const char *text,
-                                 size_t len) {
+tw_wire_error tw_wire_cancelled_jobs_parse(char (**ids)[TW_WIRE_ID_SIZE], int *n, const char *text,
+                                           size_t len) {
     void *texts;
-    int result = tw_json_parse_texts("aborted", TW_WIRE_ID_SIZE, text, len, &texts, n);
+    tw_wire_error result = tw_json_parse_texts("aborted", TW_WIRE_ID_SIZE, text, len, &texts, n);
     *ids = texts;
     return result;
 }
--- a/src/wire/record.c
+++ b/src/wire/record.c
@@ -68,58 +68,59 @@
 }
 
 /* The tasks that may run, as a list with commas. */
-static int read_lives(tw_wire_record *record, const char *text) {
+static tw_wire_error read_lives(tw_wire_record *record, const char *text) {
     size_t most = 1;
     for (const char *at = text; *at; at++) most += *at == ',';
     record->assignments = tw_json_alloc(most * sizeof *record->assignments);
     while (*text) {
         text = read_live(text, record->task_count, &record->assignments[record->assignment_count]);
-        if (!text) return -1;
+        if (!text) return TW_WIRE_MALFORMED;
         record->assignment_count++;
         if (*text == ',') text++;
     }
-    return 0;
+    return TW_WIRE_OK;
 }
 
 /* The job, or of one that is over only the number of its tasks. */
-static int read_job(tw_wire_record *record, const char *id, const cJSON *object) {
+static tw_wire_error read_job(tw_wire_record *record, const char *id, const cJSON *object) {
     const cJSON *job = tw_json_get(object, "j");
     const char *why;
     if (!job) return tw_json_read(object, tasks_field, 1, record, NULL);
-    if (tw_wire_job_read(&record->job, job, &why)) return -1;
-    if (strcmp(record->job.id, id) != 0) return -1;
+    if (tw_wire_job_read(&record->job, job, &why)) return TW_WIRE_MALFORMED;
+    if (strcmp(record->job.id, id) != 0) return TW_WIRE_MALFORMED;
     record->has_job = 1;
     record->task_count = record->job.task_count;
-    return 0;
+    return TW_WIRE_OK;
 }
 
 /* The head of a divided record: what it says without its slices. */
-static int read_divided(tw_wire_record *record, const cJSON *object, const cJSON *parts) {
-    if (tw_json_read(object, tasks_field, 1, record, NULL)) return -1;
-    if (tw_json_read(object, progress_fields, 1, record, NULL)) return -1;
+static tw_wire_error read_divided(tw_wire_record *record, const cJSON *object, const cJSON *parts) {
+    if (tw_json_read(object, tasks_field, 1, record, NULL)) return TW_WIRE_MALFORMED;
+    if (tw_json_read(object, progress_fields, 1, record, NULL)) return TW_WIRE_MALFORMED;
     return tw_json_read(parts, parts_fields, TW_JSON_ROWS(parts_fields), record, NULL);
 }
 
-static int read_record(tw_wire_record *record, const char *id, const cJSON *object) {
-    if (tw_json_read(object, stage_field, 1, record, NULL)) return -1;
+static tw_wire_error read_record(tw_wire_record *record, const char *id, const cJSON *object) {
+    if (tw_json_read(object, stage_field, 1, record, NULL)) return TW_WIRE_MALFORMED;
     const cJSON *parts = tw_json_get(object, "parts");
     if (parts) return read_divided(record, object, parts);
-    if (read_job(record, id, object)) return -1;
-    if (record->state == TW_JOB_PENDING && !record->has_job) return -1;
+    if (read_job(record, id, object)) return TW_WIRE_MALFORMED;
+    if (record->state == TW_JOB_PENDING && !record->has_job) return TW_WIRE_MALFORMED;
     if (tw_json_read(object, progress_fields, TW_JSON_ROWS(progress_fields), record, NULL))
-        return -1;
+        return TW_WIRE_MALFORMED;
     if (record->done_count > record->task_count) record->done_count = 0;
     const cJSON *done = tw_json_get(object, "f");
     const cJSON *live = tw_json_get(object, "l");
     if (cJSON_IsString(done)) record->done_ranges = strdup(done->valuestring);
-    return cJSON_IsString(live) ? read_lives(record, live->valuestring) : 0;
+    return cJSON_IsString(live) ? read_lives(record, live->valuestring) : TW_WIRE_OK;
 }
 
-int tw_wire_record_parse(tw_wire_record *record, const char *id, const char *text, size_t len) {
+tw_wire_error tw_wire_record_parse(tw_wire_record *record, const char *id, const char *text,
+                                   size_t len) {
     memset(record, 0, sizeof *record);
     record->job.machine_type_count = -1;
     cJSON *object = tw_json_parse(text, len);
-    int result = object ? read_record(record, id, object) : -1;
+    tw_wire_error result = object ? read_record(record, id, object) : TW_WIRE_MALFORMED;
     cJSON_Delete(object);
     if (result) tw_wire_record_free(record);
     return result;
@@ -127,7 +128,7 @@
 
 /* ---- lists ---- */
 
-static int read_listed(const cJSON *value, void *item, size_t size) {
+static tw_wire_error read_listed(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("k"), TW_JSON_TEXT_AT(tw_wire_listed_record, key)},
         {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_listed_record, mod_revision)},
@@ -146,12 +147,12 @@
     if (!listed->readable) tw_wire_record_free(&listed->record);
 }
 
-int tw_wire_records_parse(tw_wire_listed_record **records, int *n, int *more, const char *prefix,
-                          const char *text, size_t len) {
+tw_wire_error tw_wire_records_parse(tw_wire_listed_record **records, int *n, int *more,
+                                    const char *prefix, const char *text, size_t len) {
     static const tw_json_list list = {"entries", sizeof(tw_wire_listed_record), read_listed, NULL};
     void *items;
     cJSON *object = tw_json_parse(text, len);
-    int result = tw_json_read_list(&list, object, &items, n);
+    tw_wire_error result = tw_json_read_list(&list, object, &items, n);
     *records = items;
     *more = !result && cJSON_IsTrue(tw_json_get(object, "more"));
     const cJSON *value;
@@ -168,12 +169,12 @@
     free(records);
 }
 
-int tw_wire_record_state(const char *text, size_t len) {
+tw_wire_job_state tw_wire_record_state(const char *text, size_t len) {
     tw_wire_record record;
     cJSON *object = tw_json_parse(text, len);
     int result = tw_json_read(object, stage_field, 1, &record, NULL);
     cJSON_Delete(object);
-    return result ? -1 : record.state;
+    return result ? TW_JOB_UNKNOWN : record.state;
 }
 
 void tw_wire_record_free(tw_wire_record *record) {
--- a/src/wire/state.c
+++ b/src/wire/state.c
@@ -7,7 +7,7 @@
 /* ---- entries ---- */
 
 /* Any JSON value is data, also null. */
-static int read_entry(const cJSON *value, void *item, size_t size) {
+static tw_wire_error read_entry(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("k"), TW_JSON_TEXT_AT(tw_wire_entry, key)},
         {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_entry, mod_revision)},
@@ -16,10 +16,11 @@
     (void)size;
     tw_wire_entry *entry = item;
     const cJSON *data = cJSON_GetObjectItemCaseSensitive(value, "data");
-    if (!data || tw_json_read(value, fields, TW_JSON_ROWS(fields), entry, NULL)) return -1;
+    if (!data || tw_json_read(value, fields, TW_JSON_ROWS(fields), entry, NULL))
+        return TW_WIRE_MALFORMED;
     entry->value = cJSON_PrintUnformatted(data);
     if (!entry->value) abort();
-    return 0;
+    return TW_WIRE_OK;
 }
 
 static void release_entry(void *item) {
@@ -27,19 +28,19 @@
     free(entry->value);
 }
 
-int tw_wire_entry_parse(tw_wire_entry *entry, const char *text, size_t len) {
+tw_wire_error tw_wire_entry_parse(tw_wire_entry *entry, const char *text, size_t len) {
     memset(entry, 0, sizeof *entry);
     cJSON *object = tw_json_parse(text, len);
-    int result = object ? read_entry(object, entry, sizeof *entry) : -1;
+    tw_wire_error result = object ? read_entry(object, entry, sizeof *entry) : TW_WIRE_MALFORMED;
     cJSON_Delete(object);
     return result;
 }
 
-int tw_wire_entries_parse(tw_wire_entry **entries, int *n, int *more, const char *text,
-                          size_t len) {
+tw_wire_error tw_wire_entries_parse(tw_wire_entry **entries, int *n, int *more, const char *text,
+                                    size_t len) {
     static const tw_json_list list = {"entries", sizeof(tw_wire_entry), read_entry, release_entry};
     void *items;
-    int result = tw_json_parse_list(&list, text, len, &items, n, more);
+    tw_wire_error result = tw_json_parse_list(&list, text, len, &items, n, more);
     *entries = items;
     return result;
 }
@@ -51,7 +52,7 @@
 
 /* ---- watches ---- */
 
-int tw_wire_watch_has_changes(const char *text, size_t len) {
+bool tw_wire_watch_has_changes(const char *text, size_t len) {
     cJSON *object = tw_json_parse(text, len);
     const cJSON *log = tw_json_get(object, "log");
     int any = cJSON_IsArray(log) && log->child;
@@ -59,7 +60,8 @@
     return any;
 }
 
-int tw_wire_watch_keys_parse(tw_wire_entry **entries, int *n, const char *text, size_t len) {
+tw_wire_error tw_wire_watch_keys_parse(tw_wire_entry **entries, int *n, const char *text,
+                                       size_t len) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("write"), TW_JSON_TEXT_AT(tw_wire_entry, key)},
         {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_entry, mod_revision)},
@@ -71,7 +73,7 @@
     *entries = NULL;
     if (!cJSON_IsArray(log)) {
         cJSON_Delete(object);
-        return -1;
+        return TW_WIRE_MALFORMED;
     }
     *entries = tw_json_alloc((size_t)cJSON_GetArraySize(log) * sizeof **entries);
     /* removals, which have no "write", are passed over */
@@ -79,27 +81,28 @@
         if (!tw_json_read(change, fields, TW_JSON_ROWS(fields), &(*entries)[*n], NULL)) ++*n;
     }
     cJSON_Delete(object);
-    return 0;
+    return TW_WIRE_OK;
 }
 
-static int read_change(const cJSON *value, tw_wire_entry *change) {
+static tw_wire_error read_change(const cJSON *value, tw_wire_entry *change) {
     const cJSON *written = cJSON_GetObjectItemCaseSensitive(value, "write");
     const cJSON *removed = cJSON_GetObjectItemCaseSensitive(value, "remove");
     const cJSON *data = cJSON_GetObjectItemCaseSensitive(value, "data");
     const cJSON *revision = cJSON_GetObjectItemCaseSensitive(value, "stamp");
     const cJSON *key = written ? written : removed;
-    if (!cJSON_IsString(key) || strlen(key->valuestring) >= sizeof change->key) return -1;
-    if (written && !data) return -1;
+    if (!cJSON_IsString(key) || strlen(key->valuestring) >= sizeof change->key)
+        return TW_WIRE_MALFORMED;
+    if (written && !data) return TW_WIRE_MALFORMED;
     strcpy(change->key, key->valuestring);
     change->mod_revision = cJSON_IsNumber(revision) ? (uint64_t)revision->valuedouble : 0;
-    if (!written) return 0;
+    if (!written) return TW_WIRE_OK;
     change->value = cJSON_PrintUnformatted(data);
     if (!change->value) abort();
-    return 0;
+    return TW_WIRE_OK;
 }
 
-int tw_wire_changes_parse(const char *list, tw_wire_entry **entries, int *n, const char *text,
-                          size_t len) {
+tw_wire_error tw_wire_changes_parse(const char *list, tw_wire_entry **entries, int *n,
+                                    const char *text, size_t len) {
     cJSON *object = tw_json_parse(text, len);
     const cJSON *array = tw_json_get(object, list);
     const cJSON *each;
@@ -112,37 +115,37 @@
         if (!failed) ++*n;
     }
     cJSON_Delete(object);
-    if (!failed) return 0;
+    if (!failed) return TW_WIRE_OK;
     tw_wire_entries_free(*entries, *n);
     *entries = NULL;
     *n = 0;
-    return -1;
+    return TW_WIRE_MALFORMED;
 }
 
 /* ---- single numbers ---- */
 
-static int parse_count(const char *name, uint64_t *value, const char *text, size_t len) {
+static tw_wire_error parse_count(const char *name, uint64_t *value, const char *text, size_t len) {
     const tw_json_field field = {.name = name, .type = TW_JSON_COUNT, .max = TW_JSON_LARGEST};
     cJSON *object = tw_json_parse(text, len);
-    int result = tw_json_read(object, &field, 1, value, NULL);
+    tw_wire_error result = tw_json_read(object, &field, 1, value, NULL);
     cJSON_Delete(object);
     return result;
 }
 
-int tw_wire_revision_parse(uint64_t *revision, const char *text, size_t len) {
+tw_wire_error tw_wire_revision_parse(uint64_t *revision, const char *text, size_t len) {
     return parse_count("ledger", revision, text, len);
 }
 
-int tw_wire_lease_id_parse(uint64_t *lease_id, const char *text, size_t len) {
+tw_wire_error tw_wire_lease_id_parse(uint64_t *lease_id, const char *text, size_t len) {
     return parse_count("hold", lease_id, text, len);
 }
 
 /* ---- transactions ---- */
 
-int tw_wire_failed_compares_parse(char (**keys)[TW_WIRE_KEY_SIZE], int *n, const char *text,
-                                  size_t len) {
+tw_wire_error tw_wire_failed_compares_parse(char (**keys)[TW_WIRE_KEY_SIZE], int *n,
+                                            const char *text, size_t len) {
     void *texts;
-    int result = tw_json_parse_texts("failed", TW_WIRE_KEY_SIZE, text, len, &texts, n);
+    tw_wire_error result = tw_json_parse_texts("failed", TW_WIRE_KEY_SIZE, text, len, &texts, n);
     *keys = texts;
     return result;
 }
--- a/src/wire/users.c
+++ b/src/wire/users.c
@@ -9,7 +9,7 @@
 #define ID_PREFIX_LENGTH (sizeof ID_PREFIX - 1)
 #define ID_LONGEST 20
 
-int tw_wire_id_ok(const char *id, size_t len) {
+bool tw_wire_id_ok(const char *id, size_t len) {
     if (len <= ID_PREFIX_LENGTH || len > ID_LONGEST) return 0;
     if (memcmp(id, ID_PREFIX, ID_PREFIX_LENGTH) != 0) return 0;
     for (size_t i = ID_PREFIX_LENGTH; i < len; i++)
@@ -22,14 +22,14 @@
 static const char *const shape_words[] = {"batch", "service", "group", NULL};
 enum { SHAPE_BATCH, SHAPE_SERVICE, SHAPE_GROUP };
 
-static int read_shape(const cJSON *value, void *message) {
+static tw_wire_error read_shape(const cJSON *value, void *message) {
     tw_wire_job *job = message;
     char word[TW_WIRE_NAME_SIZE];
-    if (tw_json_text(value, word, sizeof word)) return -1;
+    if (tw_json_text(value, word, sizeof word)) return TW_WIRE_MALFORMED;
     int shape = tw_json_word(shape_words, word, TW_JSON_REFUSED);
     job->service = shape == SHAPE_SERVICE;
     job->gang = shape == SHAPE_GROUP;
-    return shape == TW_JSON_REFUSED ? -1 : 0;
+    return shape == TW_JSON_REFUSED ? TW_WIRE_MALFORMED : TW_WIRE_OK;
 }
 
 static void write_shape(cJSON *object, const void *message) {
@@ -70,23 +70,23 @@
      .rules = TW_JSON_OPTIONAL | TW_JSON_OMIT, .fallback = -1},
 };
 
-static int read_machine_type_name(const cJSON *value, void *item, size_t size) {
+static tw_wire_error read_machine_type_name(const cJSON *value, void *item, size_t size) {
     return tw_json_text(value, item, size);
 }
 
 /* Allowed machine types; missing or null: any. */
-static int read_allowed_types(tw_wire_job *job, const cJSON *object) {
+static tw_wire_error read_allowed_types(tw_wire_job *job, const cJSON *object) {
     static const tw_json_list list = {"racks", TW_WIRE_NAME_SIZE, read_machine_type_name, NULL};
     const cJSON *value = tw_json_get(object, list.name);
     job->machine_type_count = -1;
-    if (!value) return 0;
-    if (cJSON_GetArraySize(value) > TW_WIRE_MAX_MACHINE_TYPES) return -1;
+    if (!value) return TW_WIRE_OK;
+    if (cJSON_GetArraySize(value) > TW_WIRE_MAX_MACHINE_TYPES) return TW_WIRE_MALFORMED;
     void *items;
     int count;
-    if (tw_json_read_list(&list, object, &items, &count)) return -1;
+    if (tw_json_read_list(&list, object, &items, &count)) return TW_WIRE_MALFORMED;
     job->machine_types = items;
     job->machine_type_count = count;
-    return 0;
+    return TW_WIRE_OK;
 }
 
 static void write_allowed_types(cJSON *object, const tw_wire_job *job) {
@@ -96,14 +96,14 @@
         cJSON_AddItemToArray(array, cJSON_CreateString(job->machine_types[i]));
 }
 
-int tw_wire_job_read(tw_wire_job *job, const cJSON *object, const char **why) {
+tw_wire_error tw_wire_job_read(tw_wire_job *job, const cJSON *object, const char **why) {
     if (tw_json_read(object, fields_before_types, TW_JSON_ROWS(fields_before_types), job, why))
-        return -1;
+        return TW_WIRE_MALFORMED;
     if (tw_json_read(object, fields_after_types, TW_JSON_ROWS(fields_after_types), job, why))
-        return -1;
-    if (!read_allowed_types(job, object)) return 0;
+        return TW_WIRE_MALFORMED;
+    if (!read_allowed_types(job, object)) return TW_WIRE_OK;
     *why = "bad racks";
-    return -1;
+    return TW_WIRE_MALFORMED;
 }
 
 cJSON *tw_wire_job_write(const tw_wire_job *job) {
@@ -114,14 +114,14 @@
     return object;
 }
 
-int tw_wire_job_parse(tw_wire_job *job, const char *text, size_t len, const char **why) {
+tw_wire_error tw_wire_job_parse(tw_wire_job *job, const char *text, size_t len, const char **why) {
     memset(job, 0, sizeof *job);
     cJSON *object = tw_json_parse(text, len);
     if (!object) {
         *why = "not a JSON object";
-        return -1;
+        return TW_WIRE_MALFORMED;
     }
-    int result = tw_wire_job_read(job, object, why);
+    tw_wire_error result = tw_wire_job_read(job, object, why);
     cJSON_Delete(object);
     if (result) tw_wire_job_free(job);
     return result;
@@ -137,11 +137,11 @@
 
 /* ---- states ---- */
 
-char *tw_wire_job_status_text(const char *id, int stage, long done, long running) {
+char *tw_wire_job_status_text(const char *id, tw_wire_job_state state, long done, long running) {
     static const char *const words[] = {"pending", "running", "done", "aborted"};
     cJSON *object = cJSON_CreateObject();
     cJSON_AddItemToObjectCS(object, "id", cJSON_CreateString(id));
-    cJSON_AddItemToObjectCS(object, "stage", cJSON_CreateString(words[stage]));
+    cJSON_AddItemToObjectCS(object, "stage", cJSON_CreateString(words[state]));
     if (done >= 0) cJSON_AddItemToObjectCS(object, "done", cJSON_CreateNumber((double)done));
     if (running >= 0)
         cJSON_AddItemToObjectCS(object, "running", cJSON_CreateNumber((double)running));
--- a/src/wire/workers.c
+++ b/src/wire/workers.c
@@ -11,38 +11,39 @@
 /* ---- reports ---- */
 
 /* Of "JOB/INDEX": the job's id and the task's number. */
-static int read_task_name(const cJSON *value, void *message) {
+static tw_wire_error read_task_name(const cJSON *value, void *message) {
     tw_wire_task *task = message;
     char name[TW_WIRE_NAME_SIZE];
-    if (tw_json_text(value, name, sizeof name)) return -1;
+    if (tw_json_text(value, name, sizeof name)) return TW_WIRE_MALFORMED;
     char *slash = strrchr(name, '/');
-    if (!slash || slash == name || slash - name >= TW_WIRE_ID_SIZE || !slash[1]) return -1;
+    if (!slash || slash == name || slash - name >= TW_WIRE_ID_SIZE || !slash[1])
+        return TW_WIRE_MALFORMED;
     long index = 0;
     for (const char *digit = slash + 1; *digit; digit++) {
-        if (*digit < '0' || *digit > '9') return -1;
+        if (*digit < '0' || *digit > '9') return TW_WIRE_MALFORMED;
         index = index * 10 + (*digit - '0');
-        if (index >= TW_WIRE_MAX_TASKS) return -1;
+        if (index >= TW_WIRE_MAX_TASKS) return TW_WIRE_MALFORMED;
     }
     *slash = 0;
     memcpy(task->job, name, (size_t)(slash - name) + 1);
     task->index = (int)index;
-    return 0;
+    return TW_WIRE_OK;
 }
 
 /* Why a task ended: read once it has, where a cause that is missing or unknown is still one. */
-static int read_cause(const cJSON *value, void *message) {
+static tw_wire_error read_cause(const cJSON *value, void *message) {
     static const char *const words[] = {"",     "done",    "stopped", "error", "no_room",
                                         "busy", "no_such", "peers",   "alone", NULL};
     tw_wire_task *task = message;
     char word[TW_WIRE_NAME_SIZE];
-    if (task->state != TW_TASK_EXITED) return 0;
+    if (task->state != TW_TASK_EXITED) return TW_WIRE_OK;
     task->cause = TW_CAUSE_OTHER;
     if (!tw_json_text(value, word, sizeof word))
         task->cause = tw_json_word(words, word, TW_CAUSE_OTHER);
-    return 0;
+    return TW_WIRE_OK;
 }
 
-static int read_task(const cJSON *value, void *item, size_t size) {
+static tw_wire_error read_task(const cJSON *value, void *item, size_t size) {
     static const char *const stage_words[] = {"pulling", "running", "flushing",
                                               "exited",  "waiting", NULL};
     static const tw_json_field fields[] = {
@@ -58,14 +59,14 @@
 }
 
 /* A notice whose time can't be read is one all the same: without any time left. */
-static int read_preemption_notice(const cJSON *value, void *message) {
+static tw_wire_error read_preemption_notice(const cJSON *value, void *message) {
     tw_wire_heartbeat *heartbeat = message;
     heartbeat->preemption_notice_s = -1;
-    if (!value) return 0;
+    if (!value) return TW_WIRE_OK;
     heartbeat->preemption_notice_s = 0;
     if (cJSON_IsNumber(value) && value->valuedouble >= 0 && value->valuedouble <= TW_JSON_LARGEST)
         heartbeat->preemption_notice_s = value->valuedouble;
-    return 0;
+    return TW_WIRE_OK;
 }
 
 static const tw_json_field heartbeat_fields[] = {
@@ -80,21 +81,21 @@
     {TW_JSON_NAME("warningS"), .type = TW_JSON_CUSTOM, .read = read_preemption_notice},
 };
 
-static int read_heartbeat(tw_wire_heartbeat *heartbeat, const cJSON *object) {
+static tw_wire_error read_heartbeat(tw_wire_heartbeat *heartbeat, const cJSON *object) {
     static const tw_json_list tasks = {"pieces", sizeof(tw_wire_task), read_task, NULL};
     if (tw_json_read(object, heartbeat_fields, TW_JSON_ROWS(heartbeat_fields), heartbeat, NULL))
-        return -1;
-    if (!tw_json_get(object, tasks.name)) return 0;
+        return TW_WIRE_MALFORMED;
+    if (!tw_json_get(object, tasks.name)) return TW_WIRE_OK;
     void *items;
-    int result = tw_json_read_list(&tasks, object, &items, &heartbeat->task_count);
+    tw_wire_error result = tw_json_read_list(&tasks, object, &items, &heartbeat->task_count);
     heartbeat->tasks = items;
     return result;
 }
 
-int tw_wire_heartbeat_parse(tw_wire_heartbeat *heartbeat, const char *text, size_t len) {
+tw_wire_error tw_wire_heartbeat_parse(tw_wire_heartbeat *heartbeat, const char *text, size_t len) {
     memset(heartbeat, 0, sizeof *heartbeat);
     cJSON *object = tw_json_parse(text, len);
-    int result = object ? read_heartbeat(heartbeat, object) : -1;
+    tw_wire_error result = object ? read_heartbeat(heartbeat, object) : TW_WIRE_MALFORMED;
     cJSON_Delete(object);
     return result;
 }
