--- a/bench/bench.h
+++ b/bench/bench.h
@@ -6,6 +6,7 @@
  * time isn't. A figure that was not measured is NAN. */
 #ifndef TW_BENCH_H
 #define TW_BENCH_H
+#include <stdbool.h>
 #include <stdint.h>
 #include <stdio.h>
 
@@ -41,7 +42,7 @@
 } tw_bench_counters;
 
 /* Whether instructions are counted on this machine. */
-int tw_bench_counts_instructions(void);
+bool tw_bench_counts_instructions(void);
 tw_bench_counters tw_bench_counters_now(void);
 /* Bytes allocated on the heap; NAN where that isn't known (sanitizers). */
 double tw_bench_heap_bytes(void);
@@ -110,7 +111,7 @@
 typedef struct {
     const char *name;
     const char *about;
-    int once; /* its figures don't depend on the number of machines */
+    bool once; /* its figures don't depend on the number of machines */
     tw_bench_run *run;
 } tw_bench_case;
 
--- a/bench/cases/cases.c
+++ b/bench/cases/cases.c
@@ -1,20 +1,21 @@
 /* The list of cases. */
 #include "bench.h"
+#include <stdbool.h>
 #include <stddef.h>
 
 const tw_bench_case tw_bench_cases[] = {
-    {"report", "a report that says nothing new, at the leader", 0, tw_bench_case_report},
-    {"relay", "the same at a follower, which hands it to the leader", 0, tw_bench_case_relay},
-    {"change", "a report that says that a task is done", 0, tw_bench_case_change},
-    {"placement", "a submission that is placed at once", 0, tw_bench_case_placement},
-    {"pass", "a report that frees room, and the scheduling pass", 0, tw_bench_case_pass},
-    {"plan", "a tick half a second after the last, with the plan", 0, tw_bench_case_plan},
-    {"leader", "ticks and messages of a leader with nothing to do", 0, tw_bench_case_leader},
-    {"follower", "the same of a follower, without reports", 1, tw_bench_case_follower},
-    {"takeover", "reading the records", 0, tw_bench_case_takeover},
-    {"opening", "many submissions at once, until all run", 0, tw_bench_case_opening},
-    {"memory", "bytes on the heap", 0, tw_bench_case_memory},
-    {NULL, NULL, 0, NULL}};
+    {"report", "a report that says nothing new, at the leader", false, tw_bench_case_report},
+    {"relay", "the same at a follower, which hands it to the leader", false, tw_bench_case_relay},
+    {"change", "a report that says that a task is done", false, tw_bench_case_change},
+    {"placement", "a submission that is placed at once", false, tw_bench_case_placement},
+    {"pass", "a report that frees room, and the scheduling pass", false, tw_bench_case_pass},
+    {"plan", "a tick half a second after the last, with the plan", false, tw_bench_case_plan},
+    {"leader", "ticks and messages of a leader with nothing to do", false, tw_bench_case_leader},
+    {"follower", "the same of a follower, without reports", true, tw_bench_case_follower},
+    {"takeover", "reading the records", false, tw_bench_case_takeover},
+    {"opening", "many submissions at once, until all run", false, tw_bench_case_opening},
+    {"memory", "bytes on the heap", false, tw_bench_case_memory},
+    {NULL, NULL, false, NULL}};
 
 int tw_bench_size(int asked, int own) { return asked < 0 ? own : asked; }
 
--- a/bench/cases/memory.c
+++ b/bench/cases/memory.c
@@ -1,6 +1,7 @@
 /* Bytes that the node holds on the heap: differences between fleets that differ in one number. */
 #include "fleet.h"
 #include <math.h>
+#include <stdbool.h>
 
 #define TASKS 8
 #define TASKS_OF_FULL 10 /* 40,000 tasks on 4,000 machines */
@@ -45,7 +46,7 @@
     const double before = tw_bench_heap_bytes();
     for (int i = 0; i < ENDED_HERE; i++) tw_bench_fleet_submit(fleet);
     play_until_running(fleet, ENDED_HERE);
-    int failed = tw_bench_fleet_running(fleet) != ENDED_HERE;
+    bool failed = tw_bench_fleet_running(fleet) != ENDED_HERE;
     for (int machine = 0; machine < load->machines; machine++)
         for (int i = 0; i < ENDED_HERE && tw_bench_fleet_running(fleet); i++)
             tw_bench_fleet_end_task(fleet, machine);
--- a/bench/cases/placement.c
+++ b/bench/cases/placement.c
@@ -1,5 +1,6 @@
 /* Submissions: one that is placed at once, and many at the same moment. */
 #include "fleet.h"
+#include <stdbool.h>
 
 #define ROUNDS 5
 #define SUBMISSIONS 20 /* in a round */
@@ -56,7 +57,7 @@
         tw_bench_fleet_advance(fleet, STEP_S);
         passed += STEP_S;
     }
-    const int failed = tw_bench_fleet_running(fleet) < jobs;
+    const bool failed = tw_bench_fleet_running(fleet) < jobs;
     result.machines = machines;
     result.jobs = jobs;
     tw_bench_result_round(&result, &meter, jobs);
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -2,6 +2,7 @@
 #include "log/log.h"
 #include "fleet_int.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -150,7 +151,7 @@
 }
 
 static void play_input(tw_bench_fleet *fleet, const input *in) {
-    const int measured = fleet->meter && (fleet->meter->kinds & in->kind);
+    const bool measured = fleet->meter && (fleet->meter->kinds & in->kind);
     tw_effect *effects = measured ? give_measured(fleet, in) : give(fleet, in);
     while (effects) {
         tw_effect *next = effects->next;
@@ -178,7 +179,7 @@
 }
 
 void tw_bench_fleet_report(tw_bench_fleet *fleet, int machine) {
-    const int own_zone = fleet->workers[machine].zone == 'a';
+    const bool own_zone = fleet->workers[machine].zone == 'a';
     char *text = tw_bench_worker_report(fleet, machine);
     const input in = {.kind = TW_BENCH_REPORT,
                       .port = own_zone ? TW_PORT_API : TW_PORT_PEER,
--- a/bench/fleet_int.h
+++ b/bench/fleet_int.h
@@ -4,6 +4,7 @@
 #include "config/config.h"
 #include "core/core.h"
 #include "fleet.h"
+#include <stdbool.h>
 #include <uthash.h>
 
 /* Answers of the services and the other nodes. */
@@ -18,7 +19,7 @@
     char job[TW_WIRE_ID_SIZE];
     int index;
     uint64_t attempt;
-    int done;
+    bool done;
 } tw_bench_task;
 
 typedef struct {
@@ -70,7 +71,7 @@
     int submitted;
     int accepted;
     int records;
-    int all_read;
+    bool all_read;
     int released;
 };
 
--- a/bench/main.c
+++ b/bench/main.c
@@ -3,6 +3,7 @@
 #include <argp.h>
 #include <errno.h>
 #include <limits.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -46,7 +47,7 @@
         printf("%-10s %s\n", c->name, c->about);
 }
 
-static int is_case(const char *name) {
+static bool is_case(const char *name) {
     const tw_bench_case *c = tw_bench_cases;
     while (c->name && strcmp(c->name, name) != 0) c++;
     return c->name != NULL;
--- a/bench/measure.c
+++ b/bench/measure.c
@@ -3,6 +3,7 @@
 #include <linux/perf_event.h>
 #include <malloc.h>
 #include <math.h>
+#include <stdbool.h>
 #include <string.h>
 #include <sys/syscall.h>
 #include <time.h>
@@ -80,7 +81,7 @@
     return counter;
 }
 
-int tw_bench_counts_instructions(void) { return instruction_counter() >= 0; }
+bool tw_bench_counts_instructions(void) { return instruction_counter() >= 0; }
 
 static uint64_t instructions_now(void) {
     uint64_t count = 0;
--- a/bench/records.c
+++ b/bench/records.c
@@ -1,5 +1,6 @@
 /* The jobs of a made-up fleet, as records in the state service. */
 #include "fleet_int.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -45,7 +46,7 @@
     tw_bench_job_id(task->job, sizeof task->job, load->finished + slot / tasks_per_job(load));
     task->index = slot % tasks_per_job(load);
     task->attempt = 1;
-    task->done = 0;
+    task->done = false;
 }
 
 /* ---- records ---- */
--- a/bench/workers.c
+++ b/bench/workers.c
@@ -1,6 +1,7 @@
 /* The workers of a made-up fleet: what they report and how they carry out commands. */
 #include "fleet_int.h"
 #include <cjson/cJSON.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -116,7 +117,7 @@
     tw_bench_worker *w = &fleet->workers[machine];
     int k = 0;
     while (k < w->count && w->tasks[k].done) k++;
-    if (k < w->count) w->tasks[k].done = 1;
+    if (k < w->count) w->tasks[k].done = true;
 }
 
 int tw_bench_fleet_running(const tw_bench_fleet *fleet) {
--- a/emulator/main.c
+++ b/emulator/main.c
@@ -16,6 +16,7 @@
 #include "world.h"
 #include <cjson/cJSON.h>
 #include <signal.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -32,7 +33,7 @@
     uint64_t first, last;            /* epochs of requests that were taken; 0: none */
     uint64_t last_term, last_opened; /* of orders that were taken */
     long orders, refused_orders;
-    int fell;
+    bool fell;
     long taken, refused;
 } replica;
 
--- a/fuzz/day.c
+++ b/fuzz/day.c
@@ -4,6 +4,7 @@
 #include <errno.h>
 #include <limits.h>
 #include <stdarg.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -38,7 +39,7 @@
     *day = (tw_fuzz_day){0};
 }
 
-int tw_fuzz_line_is(const char *line, const char *beginning) {
+bool tw_fuzz_line_is(const char *line, const char *beginning) {
     return strncmp(line, beginning, strlen(beginning)) == 0;
 }
 
--- a/fuzz/dice.c
+++ b/fuzz/dice.c
@@ -1,4 +1,5 @@
 #include "dice.h"
+#include <stdbool.h>
 #include <stdlib.h>
 
 void tw_fuzz_dice_init(tw_fuzz_dice *dice, uint32_t seed) {
@@ -15,7 +16,7 @@
     return least + (int)gsl_rng_uniform_int(dice->generator, count);
 }
 
-int tw_fuzz_dice_percent(tw_fuzz_dice *dice, int percent) {
+bool tw_fuzz_dice_percent(tw_fuzz_dice *dice, int percent) {
     return tw_fuzz_dice_range(dice, 1, 100) <= percent;
 }
 
--- a/fuzz/dice.h
+++ b/fuzz/dice.h
@@ -2,6 +2,7 @@
 #ifndef TW_FUZZ_DICE_H
 #define TW_FUZZ_DICE_H
 #include <gsl/gsl_rng.h>
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -14,7 +15,7 @@
 /* One of least ... most, each as likely. */
 int tw_fuzz_dice_range(tw_fuzz_dice *dice, int least, int most);
 /* 1 in so many percent of cases. */
-int tw_fuzz_dice_percent(tw_fuzz_dice *dice, int percent);
+bool tw_fuzz_dice_percent(tw_fuzz_dice *dice, int percent);
 int tw_fuzz_dice_half(tw_fuzz_dice *dice);
 /* One of the numbers. */
 int tw_fuzz_dice_one_of(tw_fuzz_dice *dice, const int *numbers, size_t count);
--- a/fuzz/draw_jobs.c
+++ b/fuzz/draw_jobs.c
@@ -1,6 +1,7 @@
 /* The jobs of a day and what their users do: submissions, repeats, cancellations, questions at all
  * nodes. */
 #include "plan.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
@@ -72,7 +73,7 @@
 
 static void draw_amounts(tw_fuzz_plan *plan, job *made) {
     tw_fuzz_dice *dice = &plan->dice;
-    const int on_gpus = plan->racks > 1 && tw_fuzz_dice_percent(dice, ON_GPUS);
+    const bool on_gpus = plan->racks > 1 && tw_fuzz_dice_percent(dice, ON_GPUS);
     option(made, " cores=%d",
            on_gpus ? TW_FUZZ_ONE_OF(dice, 1, 4) : TW_FUZZ_ONE_OF(dice, 1, 2, 4, 8));
     if (on_gpus) option(made, " gpus=%d", TW_FUZZ_ONE_OF(dice, 1, 1, 2, 4));
--- a/fuzz/draw_troubles.c
+++ b/fuzz/draw_troubles.c
@@ -1,6 +1,7 @@
 /* The troubles of a day, each of a kind that the stand-ins know, close to each other, to elections
  * and to what users do. */
 #include "plan.h"
+#include <stdbool.h>
 #include <stdio.h>
 
 /* Percent of the troubles of a node that strike the one that leads by then. */
@@ -150,7 +151,7 @@
 /* Some machines at once; with what they had sent before held back now and then. */
 static void draw_hangs(tw_fuzz_plan *plan, int when) {
     const int length = duration(plan);
-    const int held = tw_fuzz_dice_percent(&plan->dice, HELD);
+    const bool held = tw_fuzz_dice_percent(&plan->dice, HELD);
     const int count = tw_fuzz_dice_range(&plan->dice, 2, plan->machines + 2);
     for (int i = 0; i < count; i++) {
         if (held)
--- a/fuzz/draw_upgrade.c
+++ b/fuzz/draw_upgrade.c
@@ -2,6 +2,7 @@
  * and are upgraded one after the other, now and then a few at once, or are never all upgraded. */
 #include "line.h"
 #include "plan.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -51,7 +52,7 @@
 
 static void draw_old(roll *roll) {
     tw_fuzz_dice *dice = &roll->plan.dice;
-    const int all = tw_fuzz_dice_percent(dice, ALL_OLD);
+    const bool all = tw_fuzz_dice_percent(dice, ALL_OLD);
     const int always = tw_fuzz_dice_range(dice, 0, roll->plan.nodes - 1);
     for (int i = 0; i < roll->plan.nodes; i++)
         if (all || i == always || tw_fuzz_dice_half(dice))
@@ -63,7 +64,7 @@
     return tw_fuzz_dice_range(&roll->plan.dice, first, roll->end > first ? roll->end : first);
 }
 
-static void draw_step(roll *roll, int when, int step, int by_leadership, int leader_first) {
+static void draw_step(roll *roll, int when, int step, bool by_leadership, bool leader_first) {
     const int back = tw_fuzz_dice_range(&roll->plan.dice, BACK_MIN_S * TW_FUZZ_SECOND,
                                         BACK_MAX_S * TW_FUZZ_SECOND);
     const tw_fuzz_seconds back_s = tw_fuzz_seconds_of(back);
@@ -77,8 +78,8 @@
 
 static void draw_roll(roll *roll) {
     tw_fuzz_dice *dice = &roll->plan.dice;
-    const int by_leadership = tw_fuzz_dice_percent(dice, BY_LEADERSHIP);
-    const int leader_first = tw_fuzz_dice_percent(dice, LEADER_FIRST);
+    const bool by_leadership = tw_fuzz_dice_percent(dice, BY_LEADERSHIP);
+    const bool leader_first = tw_fuzz_dice_percent(dice, LEADER_FIRST);
     const int steps = tw_fuzz_dice_percent(dice, HALTS)
                           ? tw_fuzz_dice_range(dice, 0, roll->plan.nodes - 1)
                           : roll->plan.nodes;
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -5,6 +5,7 @@
 #ifndef TW_FUZZ_H
 #define TW_FUZZ_H
 #include "simulator/simulator.h"
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -61,7 +62,7 @@
 
 typedef struct {
     uint32_t seed;
-    int shrunk;                   /* this is a day after shrinking, written to `path` */
+    bool shrunk;                  /* this is a day after shrinking, written to `path` */
     unsigned plays, lines;        /* of the shrinking */
     char path[1024];              /* "": the file could not be written */
     tw_simulator_verdict verdict; /* verdict.failed: the day broke verdict.rule */
@@ -75,7 +76,7 @@
 unsigned tw_fuzz_pool_idle(const tw_fuzz_pool *pool);
 unsigned tw_fuzz_pool_busy(const tw_fuzz_pool *pool);
 /* Gives an idle worker a seed to play, or to play and shrink. */
-void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, int shrink);
+void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, bool shrink);
 /* Waits for a result for at most so long: 1 with a result, 0 without one (also after a signal). */
 int tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result);
 /* Ends the workers, whatever they do. */
--- a/fuzz/pool.c
+++ b/fuzz/pool.c
@@ -4,6 +4,7 @@
 #include <errno.h>
 #include <poll.h>
 #include <signal.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -15,13 +16,13 @@
 
 typedef struct {
     uint32_t seed;
-    int shrink;
+    bool shrink;
 } request;
 
 typedef struct {
     pid_t process;
     int requests, results; /* our ends of its pipes */
-    int busy;
+    bool busy;
     request given;
 } worker;
 
@@ -100,7 +101,7 @@
     close(results[1]);
     started->requests = requests[1];
     started->results = results[0];
-    started->busy = 0;
+    started->busy = false;
     if (started->process > 0) return 0;
     close(requests[1]);
     close(results[0]);
@@ -140,23 +141,23 @@
     return pool->count - tw_fuzz_pool_busy(pool);
 }
 
-void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, int shrink) {
+void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, bool shrink) {
     for (unsigned i = 0; i < pool->count; i++) {
         worker *idle = &pool->workers[i];
         if (idle->busy) continue;
         memset(&idle->given, 0, sizeof idle->given);
         idle->given.seed = seed;
         idle->given.shrink = shrink;
-        idle->busy = 1;
+        idle->busy = true;
         if (write(idle->requests, &idle->given, sizeof idle->given) == (ssize_t)sizeof idle->given)
             return;
-        idle->busy = 0;
+        idle->busy = false;
     }
 }
 
 /* The result of a worker, or what ended it. */
 static void take(tw_fuzz_pool *pool, worker *from, tw_fuzz_result *result) {
-    from->busy = 0;
+    from->busy = false;
     if (read(from->results, result, sizeof *result) == (ssize_t)sizeof *result) return;
     memset(result, 0, sizeof *result);
     result->seed = from->given.seed;
--- a/fuzz/shrink.c
+++ b/fuzz/shrink.c
@@ -2,6 +2,7 @@
  * halves of them and then one by one; what is left gets shorter, smaller and earlier. */
 #include "line.h"
 #include "fuzz.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -83,7 +84,7 @@
     return with_line(state, last, line);
 }
 
-static int has_digits_only(const char *word, size_t length) {
+static bool has_digits_only(const char *word, size_t length) {
     return length && strspn(word, "0123456789.") >= length;
 }
 
@@ -100,7 +101,7 @@
 static int smaller_number(shrinking *state, size_t index, size_t at, size_t length) {
     char instead[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
-    const int whole = !memchr(word, '.', length);
+    const bool whole = !memchr(word, '.', length);
     const long value = tw_fuzz_line_hundredths(word);
     const long least = whole ? 100 : 1;
     const long tries[] = {least, value / 4, value / 2, value * 3 / 4, value - 100};
@@ -117,14 +118,14 @@
 }
 
 /* A duration is rounded to a second or a tenth. */
-static int rounder_number(shrinking *state, size_t index, size_t at, size_t length) {
+static bool rounder_number(shrinking *state, size_t index, size_t at, size_t length) {
     char instead[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
-    if (!memchr(word, '.', length)) return 0;
+    if (!memchr(word, '.', length)) return false;
     const long value = tw_fuzz_line_hundredths(word);
-    if (value % 100 == 0) return 0;
+    if (value % 100 == 0) return false;
     snprintf(instead, sizeof instead, "%ld.00", value / 100);
-    if (value >= 100 && with_words(state, index, at, length, instead)) return 1;
+    if (value >= 100 && with_words(state, index, at, length, instead)) return true;
     snprintf(instead, sizeof instead, "%ld.%ld0", value / 100, value % 100 / 10);
     return value >= 10 && with_words(state, index, at, length, instead);
 }
@@ -139,12 +140,12 @@
     return smaller_number(state, index, at + key, length - key);
 }
 
-static int smaller_word(shrinking *state, size_t index, size_t at, size_t length) {
+static bool smaller_word(shrinking *state, size_t index, size_t at, size_t length) {
     const char *word = state->day->lines[index] + at;
     if (memchr(word, '=', length)) return smaller_option(state, index, at, length);
-    if (!has_digits_only(word, length)) return 0;
+    if (!has_digits_only(word, length)) return false;
     const int changed = smaller_number(state, index, at, length);
-    if (changed) return 1;
+    if (changed) return true;
     return rounder_number(state, index, at, length);
 }
 
--- a/simulator/command.c
+++ b/simulator/command.c
@@ -1,5 +1,6 @@
 /* Commands of the scenario language for what users do. */
 #include "simulator_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -79,7 +80,7 @@
 }
 
 /* For jobs with ids in a row. */
-static void many(tw_simulator *sim, const tw_simulator_words *w, int cancels) {
+static void many(tw_simulator *sim, const tw_simulator_words *w, bool cancels) {
     const char *first = w->word[1];
     int from = strlen(first) > 4 ? tw_simulator_int(first + 4) : 0,
         n = tw_simulator_int(w->word[2]);
@@ -93,8 +94,8 @@
     }
 }
 
-static void submit_many(tw_simulator *sim, const tw_simulator_words *w) { many(sim, w, 0); }
-static void cancel_many(tw_simulator *sim, const tw_simulator_words *w) { many(sim, w, 1); }
+static void submit_many(tw_simulator *sim, const tw_simulator_words *w) { many(sim, w, false); }
+static void cancel_many(tw_simulator *sim, const tw_simulator_words *w) { many(sim, w, true); }
 
 /* `raw METHOD PATH STATUS BODY` */
 static void raw(tw_simulator *sim, const tw_simulator_words *w) {
--- a/simulator/event.c
+++ b/simulator/event.c
@@ -1,17 +1,18 @@
 /* Events: a heap by time, then by order of coming. */
 #include "simulator_int.h"
+#include <stdbool.h>
 #include <stdlib.h>
 
 #define FIRST_CAP 256
 
-static int before(const tw_simulator_event *a, const tw_simulator_event *b) {
+static bool before(const tw_simulator_event *a, const tw_simulator_event *b) {
     return a->at < b->at || (a->at == b->at && a->seq < b->seq);
 }
 
 static void push(tw_simulator *sim, tw_simulator_event *e, double at) {
     e->at = at > sim->world.now ? at : sim->world.now;
     e->seq = ++sim->seq;
-    e->queued = 1;
+    e->queued = true;
     if (sim->nheap == sim->heap_cap) {
         sim->heap_cap = sim->heap_cap ? 2 * sim->heap_cap : FIRST_CAP;
         sim->heap = realloc(sim->heap, sim->heap_cap * sizeof(tw_simulator_event *));
@@ -54,7 +55,7 @@
         heap[i] = heap[k];
     }
     heap[i] = last;
-    first->queued = 0;
+    first->queued = false;
     return first;
 }
 
--- a/simulator/expect.c
+++ b/simulator/expect.c
@@ -1,5 +1,6 @@
 /* `expect` lines: what must hold at their time. */
 #include "simulator_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +12,7 @@
     char got[64];
 } expectation;
 
-static int in_range(expectation *x, double value, const char *least, const char *most) {
+static bool in_range(expectation *x, double value, const char *least, const char *most) {
     snprintf(x->got, sizeof x->got, "%.0f", value);
     return value >= tw_simulator_number(least) && (!*most || value <= tw_simulator_number(most));
 }
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -15,6 +15,7 @@
  * outlive attempts. */
 #include "world.h"
 #include <math.h>
+#include <stdbool.h>
 #include <string.h>
 
 #define NEVER 1e18
@@ -48,11 +49,11 @@
     return gang;
 }
 
-static int is_member(const tw_simulator_task *t) {
+static bool is_member(const tw_simulator_task *t) {
     return t->stage == TW_TASK_RUNNING || t->stage == TW_TASK_SAVING;
 }
 
-static int executes(const tw_simulator_world *w, const tw_simulator_worker *x) {
+static bool executes(const tw_simulator_world *w, const tw_simulator_worker *x) {
     return !x->gone && x->up && w->now >= x->hung_until;
 }
 
@@ -83,12 +84,12 @@
 /* ---- start ---- */
 
 static void member_starts(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t) {
-    int fails = x->faulty || t->job->fails;
+    bool fails = x->faulty || t->job->fails;
     t->stage = TW_TASK_RUNNING;
     t->started_at = w->now;
     t->end_at = fails ? w->now + FAILS_AFTER_S : NEVER;
     if (!fails) t->job->started++;
-    x->changed = 1;
+    x->changed = true;
 }
 
 static void start(tw_simulator_world *w, tw_simulator_job *job, tw_simulator_gang *gang) {
@@ -111,7 +112,7 @@
                                    tw_simulator_task *t) {
     t->stage = TW_TASK_WAITING;
     t->end_at = w->now + tw_simulator_gang_wait_s(w);
-    x->changed = 1;
+    x->changed = true;
     gang_of(t->job, t->attempt);
     tw_simulator_judge_start(w, x, t);
     if (t->job->ndone == t->job->spec.task_count) tw_simulator_task_exit(x, t, TW_CAUSE_DONE);
@@ -120,7 +121,7 @@
 /* ---- stop ---- */
 
 /* Whether a task that is told to stop now can still save with the others. */
-static int is_in_time(const tw_simulator_world *w, const tw_simulator_gang *gang) {
+static bool is_in_time(const tw_simulator_world *w, const tw_simulator_gang *gang) {
     return w->now <= gang->first_stop_at + tw_simulator_gang_peer_s(w);
 }
 
@@ -128,9 +129,9 @@
 static void stop_running(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
                          tw_simulator_gang *gang, double grace_s) {
     const tw_wire_job *spec = &t->job->spec;
-    int can_save = spec->checkpoint_s > 0 && grace_s >= spec->save_s;
-    int in_time = gang->state == TW_SIMULATOR_GANG_RUNNING ||
-                  (gang->state == TW_SIMULATOR_GANG_STOPPING && is_in_time(w, gang));
+    bool can_save = spec->checkpoint_s > 0 && grace_s >= spec->save_s;
+    bool in_time = gang->state == TW_SIMULATOR_GANG_RUNNING ||
+                   (gang->state == TW_SIMULATOR_GANG_STOPPING && is_in_time(w, gang));
     if (!can_save || !in_time) {
         tw_simulator_task_exit(x, t, TW_CAUSE_STOPPED);
         break_up(gang);
@@ -140,7 +141,7 @@
     gang->state = TW_SIMULATOR_GANG_STOPPING;
     t->stage = TW_TASK_SAVING;
     t->end_at = w->now + spec->save_s;
-    x->changed = 1;
+    x->changed = true;
 }
 
 void tw_simulator_gang_stop(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
@@ -169,7 +170,7 @@
     gang->nwaiting += t->stage == TW_TASK_WAITING && executes(w, x);
     gang->nmembers += is_member(t) && executes(w, x);
     gang->nsaving += t->stage == TW_TASK_SAVING && executes(w, x);
-    int awaited = gang->state == TW_SIMULATOR_GANG_GATHERING && t->stage == TW_TASK_WAITING;
+    bool awaited = gang->state == TW_SIMULATOR_GANG_GATHERING && t->stage == TW_TASK_WAITING;
     if (awaited || is_member(t)) gang->slowest = fmax(gang->slowest, x->slow);
 }
 
@@ -195,8 +196,8 @@
         start(w, job, gang);
     } else if (gang->state == TW_SIMULATOR_GANG_RUNNING ||
                gang->state == TW_SIMULATOR_GANG_STOPPING) {
-        int late = gang->state == TW_SIMULATOR_GANG_STOPPING && gang->nsaving < all &&
-                   !is_in_time(w, gang);
+        bool late = gang->state == TW_SIMULATOR_GANG_STOPPING && gang->nsaving < all &&
+                    !is_in_time(w, gang);
         if (gang->nmembers < all || late) break_up(gang);
     }
 }
@@ -211,8 +212,8 @@
 /* Its gang is broken: it saves nothing, and finds out that the others are gone. */
 static void broken_tick(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
                         tw_simulator_gang *gang) {
-    int told = t->stage == TW_TASK_SAVING;
-    int late = gang->first_stop_at > 0 && !is_in_time(w, gang);
+    bool told = t->stage == TW_TASK_SAVING;
+    bool late = gang->first_stop_at > 0 && !is_in_time(w, gang);
     if (t->peers_at <= 0)
         t->peers_at =
             w->now + tw_simulator_draw(w, TW_SIMULATOR_DRAW_GANGS, 0, tw_simulator_gang_peer_s(w));
@@ -222,7 +223,7 @@
 
 static void saving_tick(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
                         tw_simulator_gang *gang) {
-    int all_told =
+    bool all_told =
         gang->state == TW_SIMULATOR_GANG_SAVED || gang->nsaving >= t->job->spec.task_count;
     if (!all_told || w->now < t->end_at) return;
     gang->state = TW_SIMULATOR_GANG_SAVED;
--- a/simulator/judge.c
+++ b/simulator/judge.c
@@ -1,6 +1,7 @@
 /* The judge: the rules of the protocol, looked at from outside the controllers. */
 #include "world.h"
 #include <stdarg.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
@@ -53,7 +54,7 @@
 static void judge_place(tw_simulator_world *w, const tw_simulator_worker *x,
                         const tw_simulator_task *t, const usage *u) {
     const tw_wire_job *spec = &t->job->spec;
-    int allowed = spec->machine_type_count < 0;
+    bool allowed = spec->machine_type_count < 0;
     for (int i = 0; i < spec->machine_type_count; i++)
         allowed |= !strcmp(spec->machine_types[i], x->type);
     if (!allowed || (x->spot && !spec->spot) || (*spec->zone && strcmp(spec->zone, x->zone) != 0))
@@ -74,7 +75,7 @@
     }
 }
 
-static int is_past_cancel(const tw_simulator_world *w, const tw_simulator_job *job) {
+static bool is_past_cancel(const tw_simulator_world *w, const tw_simulator_job *job) {
     return job->told_cancel_at > 0 && w->now > job->told_cancel_at + w->cancel_s;
 }
 
@@ -111,9 +112,9 @@
 /* A job that was accepted is refused or not known. */
 static void judge_forgotten(tw_simulator_world *w, const tw_simulator_job *job, int kind,
                             double sent, int status) {
-    int refused = kind == TW_SIMULATOR_SUBMIT &&
-                  (status == TW_SIMULATOR_MALFORMED || status == TW_SIMULATOR_IMPOSSIBLE);
-    int unknown = kind != TW_SIMULATOR_SUBMIT && status == TW_SIMULATOR_UNKNOWN;
+    bool refused = kind == TW_SIMULATOR_SUBMIT &&
+                   (status == TW_SIMULATOR_MALFORMED || status == TW_SIMULATOR_IMPOSSIBLE);
+    bool unknown = kind != TW_SIMULATOR_SUBMIT && status == TW_SIMULATOR_UNKNOWN;
     if (!job->accepted || (!refused && !unknown)) return;
     if (is_older(w, sent, job->accepted_at))
         tw_simulator_break(w, "forgotten", "%s is answered %d", job->spec.id, status);
@@ -160,7 +161,7 @@
                 : !strcmp(said, "aborted") ? TW_JOB_CANCELLED
                                            : 0;
     /* Two ends of one job contradict each other in whatever order they are told. */
-    int other_end = stage && job->told_over && stage != job->told_over;
+    bool other_end = stage && job->told_over && stage != job->told_over;
     if (other_end || (!stage && job->told_over && is_older(w, sent, job->told_over_at)))
         tw_simulator_break(w, "went_back", "%s is called %s", id, said);
     if (stage) judge_end(w, job, stage);
--- a/simulator/judge_live.c
+++ b/simulator/judge_live.c
@@ -2,6 +2,7 @@
  * beside a machine that has room for it, and at the end most of every kind of work is served. */
 #include "world.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -28,11 +29,11 @@
     double cpus, gpus, memory;
 } room;
 
-static int is_on_machine(const tw_simulator_task *t) {
+static bool is_on_machine(const tw_simulator_task *t) {
     return t->job && t->stage != TW_TASK_EXITED;
 }
 
-static int has_begun(const tw_simulator_task *t) {
+static bool has_begun(const tw_simulator_task *t) {
     return t->stage != TW_TASK_FETCHING && t->stage != TW_TASK_WAITING;
 }
 
@@ -60,8 +61,8 @@
     return rooms;
 }
 
-static int is_allowed(const tw_simulator_worker *x, const tw_wire_job *spec) {
-    int type = spec->machine_type_count < 0;
+static bool is_allowed(const tw_simulator_worker *x, const tw_wire_job *spec) {
+    bool type = spec->machine_type_count < 0;
     for (int i = 0; i < spec->machine_type_count; i++)
         type |= !strcmp(spec->machine_types[i], x->type);
     return type && (!x->spot || spec->spot) && (!*spec->zone || !strcmp(spec->zone, x->zone));
@@ -80,8 +81,8 @@
 }
 
 /* Whether the machines of a zone (NULL: of all zones) have room for so many tasks. */
-static int has_room(const tw_simulator_world *w, const room *rooms, const tw_wire_job *spec,
-                    const char *zone, int wanted) {
+static bool has_room(const tw_simulator_world *w, const room *rooms, const tw_wire_job *spec,
+                     const char *zone, int wanted) {
     int n = 0;
     for (int i = 0; i < w->nworkers && n < wanted; i++) {
         const tw_simulator_worker *x = w->workers[i];
@@ -100,22 +101,22 @@
     return spec->gang || (spec->service && spec->single_zone) ? spec->task_count : 1;
 }
 
-static int could_start(const tw_simulator_world *w, const room *rooms,
-                       const tw_simulator_job *job) {
+static bool could_start(const tw_simulator_world *w, const room *rooms,
+                        const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_at_once(job);
-    if (wanted > 1 && spec->spread) return 0; /* not judged */
+    if (wanted > 1 && spec->spread) return false; /* not judged */
     if (!spec->single_zone || wanted == 1) return has_room(w, rooms, spec, NULL, wanted);
     for (int i = 0; i < w->nworkers; i++)
-        if (has_room(w, rooms, spec, w->workers[i]->zone, wanted)) return 1;
-    return 0;
+        if (has_room(w, rooms, spec, w->workers[i]->zone, wanted)) return true;
+    return false;
 }
 
-static int is_under_limit(const tw_simulator_world *w, const tw_simulator_job *job) {
+static bool is_under_limit(const tw_simulator_world *w, const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_at_once(job), i = 0;
     while (i < w->nteams && strcmp(w->teams[i].name, spec->team) != 0) i++;
-    if (i == w->nteams) return 0;
+    if (i == w->nteams) return false;
     double cpus = wanted * spec->cores, gpus = wanted * spec->gpus;
     for (int k = 0; k < w->nworkers; k++) {
         const tw_simulator_worker *x = w->workers[k];
@@ -137,14 +138,14 @@
 
 /* Accepted, not cancelled, not over, and no task of it is on a machine, or only such that wait for
  * the rest of their gang. */
-static int is_waiting(const tw_simulator_job *job) {
+static bool is_waiting(const tw_simulator_job *job) {
     return job->accepted && job->cancel_asked_at <= 0 && !job->fails && !job->told_over &&
            job->ndone < job->spec.task_count && !useful(job);
 }
 
 static void judge_waiting(tw_simulator_world *w, tw_simulator_job *job, const room *rooms) {
-    int waits = w->now >= w->troubles_end && is_waiting(job) && could_start(w, rooms, job) &&
-                is_under_limit(w, job);
+    bool waits = w->now >= w->troubles_end && is_waiting(job) && could_start(w, rooms, job) &&
+                 is_under_limit(w, job);
     if (!waits)
         job->waits_since = 0;
     else if (job->waits_since <= 0)
@@ -170,19 +171,19 @@
 }
 
 /* Jobs that count: old enough, not refused as impossible, not cancelled, without a mistake. */
-static int counts(const tw_simulator_world *w, const tw_simulator_job *job) {
-    int refused =
+static bool counts(const tw_simulator_world *w, const tw_simulator_job *job) {
+    bool refused =
         job->last_status == TW_SIMULATOR_MALFORMED || job->last_status == TW_SIMULATOR_IMPOSSIBLE;
     return job->submitted && !refused && job->cancel_asked_at <= 0 && !job->fails &&
            w->now >= job->first_try + w->served_age_s;
 }
 
 /* At least half of its tasks are done or on a machine. */
-static int is_served(const tw_simulator_job *job) {
+static bool is_served(const tw_simulator_job *job) {
     return job->ndone + useful(job) >= LEAST_SERVED * job->spec.task_count;
 }
 
-static int began_in_time(const tw_simulator_job *job) {
+static bool began_in_time(const tw_simulator_job *job) {
     return job->begun_at > 0 && job->begun_at <= job->first_try + LARGEST_BEGIN_S;
 }
 
@@ -192,7 +193,7 @@
     double least_size;
 } kind;
 
-static int is_of(const kind *k, const tw_wire_job *spec) {
+static bool is_of(const kind *k, const tw_wire_job *spec) {
     return (!k->class || !strcmp(k->class, spec->job_class)) &&
            (!k->team || !strcmp(k->team, spec->team)) && size_of(spec) >= k->least_size;
 }
@@ -210,7 +211,7 @@
 }
 
 /* The first that counts of its class or team. */
-static int is_first(const tw_simulator_world *w, const tw_simulator_job *job, int by_team) {
+static int is_first(const tw_simulator_world *w, const tw_simulator_job *job, bool by_team) {
     for (int i = 0; i < job->index; i++) {
         const tw_wire_job *a = &w->jobs[i]->spec, *b = &job->spec;
         if (counts(w, w->jobs[i]) &&
@@ -236,8 +237,8 @@
         const tw_simulator_job *job = w->jobs[i];
         const char *class = job->spec.job_class, *team = job->spec.team;
         if (!counts(w, job)) continue;
-        if (is_first(w, job, 1)) judge_kind(w, &(kind){.team = team}, "team", team);
-        if (!is_first(w, job, 0)) continue;
+        if (is_first(w, job, true)) judge_kind(w, &(kind){.team = team}, "team", team);
+        if (!is_first(w, job, false)) continue;
         kind largest = largest_of(w, class);
         judge_kind(w, &(kind){.class = class}, "class", class);
         judge_kind(w, &largest, "largest of class", class);
--- a/simulator/looks.c
+++ b/simulator/looks.c
@@ -2,6 +2,7 @@
  * a job; and users that cancel at the worst moment. */
 #include "simulator_int.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -34,7 +35,7 @@
     tw_simulator_after(sim, tw_simulator_draw(&sim->world, draw, 0, seconds), cancel)->target = job;
 }
 
-void tw_simulator_look_closely(tw_simulator *sim, int job, int may_cancel) {
+void tw_simulator_look_closely(tw_simulator *sim, int job, bool may_cancel) {
     tw_simulator_world *w = &sim->world;
     if (w->now >= sim->trouble.close_looks_until) return;
     sim->strokes[TW_SIMULATOR_CLOSE_LOOKS]++;
@@ -55,7 +56,7 @@
     if (tw_simulator_strikes(sim, &sim->trouble.cancel_at_end, TW_SIMULATOR_CANCEL_AT_END,
                              TW_SIMULATOR_DRAW_CANCELS))
         tw_simulator_user_cancel(sim, job->index);
-    tw_simulator_look_closely(sim, job->index, 1);
+    tw_simulator_look_closely(sim, job->index, true);
 }
 
 /* ---- cancelnow ---- */
@@ -102,7 +103,7 @@
 }
 
 static void odd_requests(tw_simulator *sim, const tw_simulator_words *w) {
-    int on = sim->world.now < sim->trouble.odd_requests_until;
+    bool on = sim->world.now < sim->trouble.odd_requests_until;
     sim->trouble.odd_requests_until = sim->world.now + tw_simulator_number(w->word[1]);
     if (!on) tw_simulator_odd_start(sim);
 }
--- a/simulator/network.c
+++ b/simulator/network.c
@@ -2,19 +2,20 @@
  * a node's calls arrives when. */
 #include "simulator_int.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
 #define CLOUD_LATENCY (10 * TW_SIMULATOR_LATENCY)
 #define WATCH_LOOK_S 0.05 /* an open watch looks for changes */
 
-int tw_simulator_cut_off(const tw_simulator *sim, const char *zone) {
+bool tw_simulator_cut_off(const tw_simulator *sim, const char *zone) {
     return sim->world.now < sim->trouble.island_until && !strcmp(zone, sim->trouble.island);
 }
 
-static int is_cut(const tw_simulator *sim, const char *a, const char *b) {
+static bool is_cut(const tw_simulator *sim, const char *a, const char *b) {
     const tw_simulator_troubles *t = &sim->trouble;
-    if (sim->world.now >= t->cut_until || !*a || !*b) return 0;
+    if (sim->world.now >= t->cut_until || !*a || !*b) return false;
     return (!strcmp(a, t->cut_from) && !strcmp(b, t->cut_to)) ||
            (!strcmp(b, t->cut_from) && !strcmp(a, t->cut_to));
 }
@@ -26,7 +27,7 @@
     return sim->trouble.cut_until - sim->world.now + TW_SIMULATOR_LATENCY;
 }
 
-int tw_simulator_reaches_state(const tw_simulator *sim, int node) {
+bool tw_simulator_reaches_state(const tw_simulator *sim, int node) {
     const tw_simulator_node *n = &sim->nodes[node];
     double now = sim->world.now;
     return now >= n->alone_until && now >= n->cut_state_until &&
@@ -57,8 +58,8 @@
  * state service's answers don't reach. */
 static void follow_arrives(tw_simulator *sim, tw_simulator_event *e) {
     tw_simulator_state *state = &sim->world.state;
-    int up = state->down_since < 0, reached = tw_simulator_reaches_state(sim, e->node);
-    int open = sim->world.now < e->time;
+    bool up = state->down_since < 0, reached = tw_simulator_reaches_state(sim, e->node);
+    bool open = sim->world.now < e->time;
     if (sim->nodes[e->node].generation != e->generation) return;
     if (!reached || sim->world.now < sim->nodes[e->node].no_state_until) {
         tw_simulator_again(sim, e, WATCH_LOOK_S);
@@ -84,11 +85,11 @@
     char *out;
     int status = tw_simulator_state_request(&sim->world.state, sim->world.now, e->method, e->path,
                                             body_of(e), &out);
-    int lost = e->kind || !tw_simulator_reaches_state(sim, e->node);
+    bool lost = e->kind || !tw_simulator_reaches_state(sim, e->node);
     tw_simulator_reports_kept(sim);
     if (!strcmp(e->path, "/txn") && sim->trouble.lose_txns > 0 && status == TW_SIMULATOR_OK) {
         sim->trouble.lose_txns--;
-        lost = 1;
+        lost = true;
     }
     if (lost)
         free(out);
@@ -203,7 +204,7 @@
     }
     const char *hold = strstr(f->path, "holdMs=");
     double until = now + (hold ? tw_simulator_number(hold + strlen("holdMs=")) / 1000 : 0);
-    int watches = !strncmp(f->path, "/follow", strlen("/follow"));
+    bool watches = !strncmp(f->path, "/follow", strlen("/follow"));
     carry(sim, latency, watches ? follow_arrives : state_arrives, node, f)->time = until;
 }
 
@@ -216,7 +217,7 @@
         return;
     }
     double seconds = tw_simulator_travel(sim, w->node_zone[node], w->node_zone[to]);
-    int alone = w->now < sim->nodes[node].alone_until || w->now < sim->nodes[to].alone_until;
+    bool alone = w->now < sim->nodes[node].alone_until || w->now < sim->nodes[to].alone_until;
     if (alone || seconds < 0) return;
     carry(sim, seconds, peer_arrives, node, f)->target = to;
 }
@@ -274,7 +275,7 @@
 
 void tw_simulator_call(tw_simulator *sim, int node, tw_effect *f) {
     tw_simulator_respond(sim, node, sim->nodes[node].generation, f->id, 0, NULL, f->timeout_s);
-    int leaves_region = f->to == TW_TO_STATE || f->to == TW_TO_CLOUD;
+    bool leaves_region = f->to == TW_TO_STATE || f->to == TW_TO_CLOUD;
     if (leaves_region && tw_simulator_cut_off(sim, sim->world.node_zone[node])) return;
     if (f->to == TW_TO_STATE)
         call_state(sim, node, f);
--- a/simulator/node.c
+++ b/simulator/node.c
@@ -1,5 +1,6 @@
 /* The nodes: controllers with their settings and clocks; they start, tick, answer and end. */
 #include "simulator_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -66,7 +67,7 @@
     if (at) memmove(at, at + sizeof field - 1, strlen(at + sizeof field - 1) + 1);
 }
 
-static int is_over(const tw_simulator *sim, int node, int generation) {
+static bool is_over(const tw_simulator *sim, int node, int generation) {
     return !sim->nodes[node].alive || sim->nodes[node].generation != generation;
 }
 
@@ -120,7 +121,7 @@
                            controller->failure);
 }
 
-static int stands_still(const tw_simulator *sim, int node) {
+static bool stands_still(const tw_simulator *sim, int node) {
     return sim->world.now < sim->nodes[node].still_until;
 }
 
@@ -210,7 +211,7 @@
     return sim->world.seed * SEED_STEP + (unsigned)node * NODE_SEED_STEP + (unsigned)generation;
 }
 
-static tw_simulator_controller *new_controller(const tw_simulator *sim, int old,
+static tw_simulator_controller *new_controller(const tw_simulator *sim, bool old,
                                                const tw_simulator_controller_start *start,
                                                char *error, size_t error_size) {
     if (!old) return tw_simulator_controller_local(start, error, error_size);
@@ -260,7 +261,7 @@
     }
     tw_simulator_conn *c, *next;
     HASH_ITER(hh, sim->conns, c, next) {
-        int open = c->kind == TW_SIMULATOR_CONN_USER && c->arrived && !c->replied;
+        bool open = c->kind == TW_SIMULATOR_CONN_USER && c->arrived && !c->replied;
         if (open && c->node == node) tw_simulator_user_unanswered(sim, c);
     }
     n->controller->methods->free(n->controller);
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -1,5 +1,6 @@
 /* The scenario language (tests/scenarios/README.md): settings at once, `at` lines as events. */
 #include "simulator_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -58,7 +59,7 @@
 
 /* `old NODE...`; `old even` and `old odd`: every other node, from the first or the second. */
 static int set_old(tw_simulator *sim, const tw_simulator_words *w) {
-    const int even = !strcmp(w->word[1], "even"), odd = !strcmp(w->word[1], "odd");
+    const bool even = !strcmp(w->word[1], "even"), odd = !strcmp(w->word[1], "odd");
     if (even || odd) {
         for (int i = odd; i < sim->world.nnodes; i += 2)
             tw_simulator_node_old(sim, sim->world.nodes[i]);
@@ -100,7 +101,7 @@
     f->startup_s = tw_simulator_option_number(w, "boot", 5);
     world->capacity[world->ntypes++] = (int)tw_simulator_option_number(w, "cap", DEFAULT_CAPACITY);
     for (int i = 0; i < world->nnodes; i++) {
-        int known = 0;
+        bool known = false;
         for (int z = 0; z < f->zone_count; z++) known |= !strcmp(f->zones[z], world->node_zone[i]);
         if (!known)
             snprintf(f->zones[f->zone_count++], TW_WIRE_NAME_SIZE, "%s", world->node_zone[i]);
@@ -108,7 +109,7 @@
     return 0;
 }
 
-static int add_machines(tw_simulator *sim, int n, const char *type, const char *zone, int spot) {
+static int add_machines(tw_simulator *sim, int n, const char *type, const char *zone, bool spot) {
     int t = 0;
     while (t < sim->world.ntypes && strcmp(sim->world.types[t].name, type) != 0) t++;
     if (t == sim->world.ntypes) return -1;
@@ -117,12 +118,12 @@
 }
 
 static int add_machine(tw_simulator *sim, const tw_simulator_words *w) {
-    int spot = w->n > 3 && !strcmp(w->word[3], "spot");
+    bool spot = w->n > 3 && !strcmp(w->word[3], "spot");
     return add_machines(sim, 1, w->word[1], w->word[2], spot);
 }
 
 static int add_many_machines(tw_simulator *sim, const tw_simulator_words *w) {
-    return add_machines(sim, tw_simulator_int(w->word[1]), w->word[2], w->word[3], 0);
+    return add_machines(sim, tw_simulator_int(w->word[1]), w->word[2], w->word[3], false);
 }
 
 static int add_objective(tw_simulator *sim, const tw_simulator_words *w) {
--- a/simulator/simulator.c
+++ b/simulator/simulator.c
@@ -1,5 +1,6 @@
 /* A simulation from its first line to its verdict. */
 #include "simulator_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -30,7 +31,7 @@
     sim->earlier = program && *program ? program : NULL;
 }
 
-int tw_simulator_lacks_earlier_version(const tw_simulator *sim) {
+bool tw_simulator_lacks_earlier_version(const tw_simulator *sim) {
     return sim->needs_earlier && !sim->earlier;
 }
 
@@ -59,7 +60,7 @@
     for (int i = 0; i < w->nnodes; i++) tw_simulator_node_start_after(sim, i, 0);
     tw_simulator_workers_start(sim);
     while (w->nnodes && !*w->rule && (e = tw_simulator_next_event(sim))) {
-        int over = e->at > sim->end_s;
+        bool over = e->at > sim->end_s;
         if (!over) {
             w->now = e->at;
             e->act(sim, e);
--- a/simulator/simulator.h
+++ b/simulator/simulator.h
@@ -4,6 +4,7 @@
  * equal runs, one after the other as well as in several processes. */
 #ifndef TW_SIMULATOR_H
 #define TW_SIMULATOR_H
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -25,7 +26,7 @@
  * environment's TW_EARLIER_CORE names. */
 void tw_simulator_earlier_version(tw_simulator *sim, const char *program);
 /* Whether the lines taken so far ask for the earlier version, and there is no program for it. */
-int tw_simulator_lacks_earlier_version(const tw_simulator *sim);
+bool tw_simulator_lacks_earlier_version(const tw_simulator *sim);
 /* Takes one line of the scenario language; 0, or -1 with a text. */
 int tw_simulator_line(tw_simulator *sim, const char *line, char *error, size_t error_size);
 /* Plays the lines taken so far to their end or to the first broken rule. Once only. Without any
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -4,6 +4,7 @@
 #include "controller.h"
 #include "simulator.h"
 #include "world.h"
+#include <stdbool.h>
 
 #define TW_SIMULATOR_LATENCY 0.002
 #define TW_SIMULATOR_MAX_WORDS 64
@@ -18,7 +19,7 @@
 typedef struct tw_simulator_event {
     double at;
     uint64_t seq; /* events of one moment happen in the order of their coming */
-    int queued;
+    bool queued;
     void (*act)(tw_simulator *sim, struct tw_simulator_event *e);
     int node, generation; /* of the node that called */
     int target;           /* node, machine or job */
@@ -32,13 +33,13 @@
 typedef struct {
     tw_simulator_controller *controller;
     int alive, generation;
-    int old;                        /* starts with the earlier version */
+    bool old;                       /* starts with the earlier version */
     double no_state_until;          /* the state service gives 503 to this node only */
     double no_workers_until;        /* messages from and to workers get lost for it */
     double alone_until;             /* state service and peers hang for it */
     double old_format_until;        /* its heartbeats say nothing of the records it reads */
     double cut_state_until;         /* the state service alone can't be reached */
-    int cut_state_refuses;          /* connections are refused; otherwise they hang */
+    bool cut_state_refuses;         /* connections are refused; otherwise they hang */
     double still_from, still_until; /* stands still while its clocks run on */
     double sends_late_until;        /* what it decides leaves only then, while its clocks run on */
     tw_effect *unsent, **last_unsent;
@@ -115,7 +116,7 @@
     int copy_report_of; /* the next report of this machine comes again; -1: none */
     double copy_report_s;
     char cut_from[TW_SIMULATOR_NAME], cut_to[TW_SIMULATOR_NAME];
-    int cut_holds; /* messages are delivered at its end */
+    bool cut_holds; /* messages are delivered at its end */
     double cut_until;
     char island[TW_SIMULATOR_NAME]; /* zone cut off from everything, also from what belongs to no
                                        zone */
@@ -127,7 +128,7 @@
 
 struct tw_simulator {
     char name[TW_SIMULATOR_TITLE];
-    int quiet, trace;
+    bool quiet, trace;
     const char *earlier; /* program of the earlier version (tw_core_server), or NULL */
     int needs_earlier;   /* a line asks for a node of the earlier version */
     tw_simulator_world world;
@@ -173,7 +174,7 @@
 
 /* ---- network.c ---- */
 /* Whether a zone is cut off from everything. */
-int tw_simulator_cut_off(const tw_simulator *sim, const char *zone);
+bool tw_simulator_cut_off(const tw_simulator *sim, const char *zone);
 /* How long a message between zones takes; < 0: it never arrives. */
 double tw_simulator_travel(const tw_simulator *sim, const char *from, const char *to);
 /* A node's call goes out; its answer comes to tw_simulator_node_response. */
@@ -184,7 +185,7 @@
                           char *body, double seconds);
 
 /* Whether answers of the state service reach a node. */
-int tw_simulator_reaches_state(const tw_simulator *sim, int node);
+bool tw_simulator_reaches_state(const tw_simulator *sim, int node);
 
 /* ---- node.c ---- */
 int tw_simulator_node_start(tw_simulator *sim, int node, char *error, size_t error_size);
@@ -230,7 +231,7 @@
 
 /* ---- looks.c: users that look closely, or cancel at the worst moment ---- */
 /* A job was accepted, ended, or told to be over. */
-void tw_simulator_look_closely(tw_simulator *sim, int job, int may_cancel);
+void tw_simulator_look_closely(tw_simulator *sim, int job, bool may_cancel);
 /* A job's last task completed. */
 void tw_simulator_job_ended(void *sim, tw_simulator_job *job);
 
--- a/simulator/state.c
+++ b/simulator/state.c
@@ -1,6 +1,7 @@
 /* Stand-in for the state service: keys in order, versions, transactions, leases, watches, limits.
  */
 #include "world.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -103,7 +104,7 @@
     *lease = s->leases[--s->nleases];
 }
 
-void tw_simulator_state_outage(tw_simulator_state *s, double now, int on) {
+void tw_simulator_state_outage(tw_simulator_state *s, double now, bool on) {
     if (on) {
         s->down_since = now;
         return;
--- a/simulator/trouble.c
+++ b/simulator/trouble.c
@@ -1,6 +1,7 @@
 /* Commands of the scenario language for troubles. */
 #include "simulator_int.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -120,11 +121,11 @@
 
 static void outage_ends(tw_simulator *sim, tw_simulator_event *e) {
     (void)e;
-    tw_simulator_state_outage(&sim->world.state, sim->world.now, 0);
+    tw_simulator_state_outage(&sim->world.state, sim->world.now, false);
 }
 
 static void outage(tw_simulator *sim, const tw_simulator_words *w) {
-    tw_simulator_state_outage(&sim->world.state, sim->world.now, 1);
+    tw_simulator_state_outage(&sim->world.state, sim->world.now, true);
     tw_simulator_after(sim, number(w, 1), outage_ends);
 }
 
@@ -188,17 +189,17 @@
     tw_simulator_worker *x = machine(sim, w);
     if (!x) return;
     x->warned_at = sim->world.now + number(w, 2);
-    x->changed = 1;
+    x->changed = true;
 }
 
 static void faulty_ends(tw_simulator *sim, tw_simulator_event *e) {
-    sim->world.workers[e->target]->faulty = 0;
+    sim->world.workers[e->target]->faulty = false;
 }
 
 static void faulty(tw_simulator *sim, const tw_simulator_words *w) {
     tw_simulator_worker *x = machine(sim, w);
     if (!x) return;
-    x->faulty = 1;
+    x->faulty = true;
     if (w->n > 2)
         tw_simulator_after(sim, number(w, 2), faulty_ends)->target = tw_simulator_int(w->word[1]);
 }
@@ -233,7 +234,7 @@
 
 static void late_reports(tw_simulator *sim, const tw_simulator_words *w) {
     double held_s = TW_SIMULATOR_REPORT_HELD_MOST_LEASES * sim->world.lease_s;
-    const int kept = w->n > 3 && !strcmp(w->word[3], "next");
+    const bool kept = w->n > 3 && !strcmp(w->word[3], "next");
     sim->trouble.late_reports_kept = kept ? (int)fmax(1, number(w, 4)) : 0;
     set_share(sim, w, &sim->trouble.late_reports, sim->trouble.late_reports_kept ? 0 : held_s);
 }
--- a/simulator/user.c
+++ b/simulator/user.c
@@ -1,6 +1,7 @@
 /* Users: they submit, ask and cancel through a load balancer, and repeat what fails. Requests and
  * answers travel for a few milliseconds, and users wait only so long. */
 #include "simulator_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,9 +18,9 @@
     return tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_TRAVEL, TRAVEL_LEAST_S, TRAVEL_MOST_S);
 }
 
-static int takes_connections(const tw_simulator *sim, int node) {
+static bool takes_connections(const tw_simulator *sim, int node) {
     const tw_simulator_node *n = &sim->nodes[node];
-    if (!n->alive || tw_simulator_cut_off(sim, sim->world.node_zone[node])) return 0;
+    if (!n->alive || tw_simulator_cut_off(sim, sim->world.node_zone[node])) return false;
     return sim->world.now >= n->still_until || sim->world.now < n->still_from + PASSED_OVER_S;
 }
 
@@ -61,11 +62,11 @@
     else
         tw_simulator_judge_bad(&sim->world, c->what, status);
     const tw_simulator_node *n = &sim->nodes[c->node];
-    int excused =
+    bool excused =
         !status && (!n->alive || c->sent < n->still_until || c->sent < n->sends_late_until ||
                     tw_simulator_cut_off(sim, sim->world.node_zone[c->node]));
     /* What depends on the machine types or on the state service may have to wait. */
-    int undecided =
+    bool undecided =
         c->wanted != TW_SIMULATOR_MALFORMED &&
         (!status || status == TW_SIMULATOR_TOO_MANY || status == TW_SIMULATOR_UNAVAILABLE);
     if (status == c->wanted || excused || undecided) return;
--- a/simulator/words.c
+++ b/simulator/words.c
@@ -1,4 +1,5 @@
 #include "words.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,13 +9,13 @@
 
 /* Goes on behind a number that ended there. */
 static void took(tw_simulator_reader *reader, const char *end) {
-    if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->bad = 1;
+    if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->bad = true;
     reader->at = end;
 }
 
 tw_simulator_reader tw_simulator_read_line(const char *line, const char *first) {
     const size_t size = strlen(first);
-    const int same = !strncmp(line, first, size) && line[size] == ' ';
+    const bool same = !strncmp(line, first, size) && line[size] == ' ';
     return (tw_simulator_reader){.at = same ? line + size : "", .bad = !same};
 }
 
@@ -42,11 +43,11 @@
 void tw_simulator_read_word(tw_simulator_reader *reader, char *to, size_t size) {
     reader->at += strspn(reader->at, " ");
     const size_t length = strcspn(reader->at, SPACE);
-    if (!length || length >= size) reader->bad = 1;
+    if (!length || length >= size) reader->bad = true;
     snprintf(to, size, "%.*s", (int)length, reader->at);
     reader->at += length;
 }
 
-int tw_simulator_read_all(const tw_simulator_reader *reader) {
+bool tw_simulator_read_all(const tw_simulator_reader *reader) {
     return !reader->bad && !strcmp(reader->at, "\n");
 }
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -1,6 +1,7 @@
 /* Stand-in for a worker: the tasks of a machine, its reports, leases and commands. */
 #include "world.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -16,7 +17,7 @@
 const char *const tw_simulator_causes[TW_CAUSE_OTHER] = {
     "", "done", "stopped", "error", "no_room", "busy", "no_such", "peers", "alone"};
 
-int tw_simulator_task_active(const tw_simulator_task *t) {
+bool tw_simulator_task_active(const tw_simulator_task *t) {
     return t->stage == TW_TASK_RUNNING || t->stage == TW_TASK_SAVING || t->stage == TW_TASK_WAITING;
 }
 
@@ -50,8 +51,8 @@
     return tw_simulator_json_print(o);
 }
 
-int tw_simulator_worker_due(const tw_simulator_world *w, const tw_simulator_worker *x) {
-    if (x->gone || !x->up || w->now < x->hung_until || x->in_flight) return 0;
+bool tw_simulator_worker_due(const tw_simulator_world *w, const tw_simulator_worker *x) {
+    if (x->gone || !x->up || w->now < x->hung_until || x->in_flight) return false;
     return w->now >= x->next_report || (x->changed && w->now >= x->last_report + CHANGE_REPORT_S);
 }
 
@@ -61,7 +62,7 @@
     t->stage = TW_TASK_EXITED;
     t->cause = cause;
     if (t->job) t->job->exits[cause]++;
-    x->changed = 1;
+    x->changed = true;
 }
 
 static tw_simulator_task *task_find(tw_simulator_worker *x, const char *job_id, int index,
@@ -94,7 +95,7 @@
         gpus += other->job->spec.gpus;
         memory += other->job->spec.memory_gb;
     }
-    int fits =
+    bool fits =
         cpus <= f->cores + EPSILON && gpus <= f->gpus + EPSILON && memory <= f->memory_gb + EPSILON;
     return fits ? TW_CAUSE_NONE : TW_CAUSE_NO_ROOM;
 }
@@ -108,7 +109,7 @@
     t->job = tw_simulator_job_find(w, job_id);
     t->index = index;
     t->attempt = attempt;
-    x->changed = 1;
+    x->changed = true;
     int cause = refusal(w, x, t);
     if (cause != TW_CAUSE_NONE) {
         tw_simulator_task_exit(x, t, cause);
@@ -154,7 +155,7 @@
         stop(w, x, t, tw_simulator_json_number(o, "mercyS"));
     } else if (!strcmp(verb, "forget") && t && t->stage == TW_TASK_EXITED) {
         *t = x->tasks[--x->ntasks];
-        x->changed = 1;
+        x->changed = true;
     }
 }
 
@@ -163,7 +164,7 @@
     uint64_t token = (uint64_t)tw_simulator_json_number(body, "baton");
     if (token > x->token) {
         x->token = token;
-        x->changed = 1;
+        x->changed = true;
     }
     cJSON_ArrayForEach(o, cJSON_GetObjectItemCaseSensitive(body, "orders")) { command(w, x, o); }
 }
@@ -226,9 +227,9 @@
 
 static void task_start(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t) {
     tw_simulator_job *job = t->job;
-    int fails = x->faulty || job->fails;
+    bool fails = x->faulty || job->fails;
     t->stage = TW_TASK_RUNNING;
-    x->changed = 1;
+    x->changed = true;
     t->started_at = w->now;
     t->from_s = job->saved ? fmin(job->saved[t->index], job->run_s) : 0;
     t->end_at = job->spec.service ? NEVER : w->now + (job->run_s - t->from_s) * x->slow;
@@ -266,7 +267,7 @@
         tw_simulator_task_exit(x, t, TW_CAUSE_STOPPED);
     }
     if (t->stage == TW_TASK_RUNNING && w->now >= t->end_at) {
-        int fails = x->faulty || job->fails;
+        bool fails = x->faulty || job->fails;
         tw_simulator_task_exit(x, t, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
         if (!fails) tw_simulator_task_done(w, job, t->index);
     }
@@ -281,7 +282,7 @@
         x->next_report = w->now;
         x->node = x->endpoint[strlen("10.1.0.")] % w->nnodes;
     }
-    int lapsed = w->now > x->lease_from + w->lease_s;
+    bool lapsed = w->now > x->lease_from + w->lease_s;
     if (w->now < x->hung_until) {
         if (lapsed) x->ntasks = 0; /* it may go on with them only within its lease */
         return;
@@ -290,7 +291,7 @@
         x->ntasks = 0;
         x->session++;
         x->lease_from = w->now;
-        x->changed = 1;
+        x->changed = true;
     }
     for (int i = 0; i < x->ntasks; i++) task_tick(w, x, &x->tasks[i]);
 }
--- a/simulator/worker_heartbeat.c
+++ b/simulator/worker_heartbeat.c
@@ -1,6 +1,7 @@
 /* Workers in the simulation: they run twenty times a second, and their reports and the answers to
  * these travel over the network. */
 #include "simulator_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -131,7 +132,7 @@
     tw_simulator_world *w = &sim->world;
     tw_simulator_worker *x = w->workers[machine];
     char *body = tw_simulator_worker_report(w, x);
-    x->changed = 0;
+    x->changed = false;
     x->in_flight = ++sim->last_flight;
     x->last_report = w->now;
     x->next_report = w->now + w->report_s;
@@ -153,7 +154,7 @@
         sim->trouble.copy_report_of = -1;
     }
     /* A dead node refuses at once; otherwise the worker waits. */
-    int refused = seconds >= 0 && !sim->nodes[x->node].alive;
+    bool refused = seconds >= 0 && !sim->nodes[x->node].alive;
     tw_simulator_event *e =
         tw_simulator_after(sim, refused ? 2 * TW_SIMULATOR_LATENCY : ANSWER_TIMEOUT_S, give_up);
     e->target = machine;
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -6,6 +6,7 @@
 #include "wire/wire.h"
 #include <cjson/cJSON.h>
 #include <gsl/gsl_rng.h>
+#include <stdbool.h>
 #include <stdint.h>
 #include <uthash.h>
 
@@ -133,12 +134,12 @@
     double lease_from;  /* when the last answered report was sent */
     int node;           /* that it reports to */
     uint64_t in_flight; /* number of the report that waits for its answer, 0: none */
-    int changed;
+    bool changed;
     double next_report, last_report;
     double hung_until, slow, warned_at;
     double deaf_until;  /* answers and direct commands don't arrive */
     double mute_until;  /* reports reach no controller */
-    int faulty;         /* every task fails */
+    bool faulty;        /* every task fails */
     double hold_next_s; /* the next report comes that much later */
     tw_simulator_task *tasks;
     int ntasks, tasks_cap;
@@ -240,7 +241,7 @@
                                const char *path, const char *body, char **out);
 /* Ends the leases whose time is over. */
 void tw_simulator_state_expire(tw_simulator_state *s, double now);
-void tw_simulator_state_outage(tw_simulator_state *s, double now, int on);
+void tw_simulator_state_outage(tw_simulator_state *s, double now, bool on);
 /* The value of a key as it stands, also during an outage; NULL: there is none. */
 /* The version of a key; 0: there is none. */
 uint64_t tw_simulator_state_version(const tw_simulator_state *s, const char *key);
@@ -266,10 +267,10 @@
 /* Time passes: tasks go on, leases end. */
 void tw_simulator_worker_tick(tw_simulator_world *w, tw_simulator_worker *x);
 /* Whether a report is due now. */
-int tw_simulator_worker_due(const tw_simulator_world *w, const tw_simulator_worker *x);
+bool tw_simulator_worker_due(const tw_simulator_world *w, const tw_simulator_worker *x);
 extern const char *const tw_simulator_causes[TW_CAUSE_OTHER];
 /* On its machine: waiting for its gang, running or saving. */
-int tw_simulator_task_active(const tw_simulator_task *t);
+bool tw_simulator_task_active(const tw_simulator_task *t);
 
 void tw_simulator_task_exit(tw_simulator_worker *x, tw_simulator_task *t, int cause);
 void tw_simulator_task_done(tw_simulator_world *w, tw_simulator_job *job, int index);
--- a/src/config/config.c
+++ b/src/config/config.c
@@ -3,6 +3,7 @@
 #include "config/setting.h"
 #include "config/toml_shim.h"
 #include <errno.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -273,7 +274,7 @@
 }
 
 int tw_config_parse(tw_config *conf, const char *text, char *err, size_t errlen) {
-    tw_complaint complaint = {err, errlen, 0};
+    tw_complaint complaint = {err, errlen, false};
     memset(conf, 0, sizeof *conf);
     tw_config_tuning_defaults(&conf->tune);
     cJSON *root = parse_toml(&complaint, text);
@@ -293,7 +294,7 @@
     }
     char *text = tw_setting_alloc(LARGEST_FILE + 1, 1);
     size_t length = fread(text, 1, LARGEST_FILE, file);
-    int whole = !ferror(file) && feof(file);
+    bool whole = !ferror(file) && feof(file);
     fclose(file);
     text[length] = 0;
     if (whole) return text;
--- a/src/config/setting.c
+++ b/src/config/setting.c
@@ -2,6 +2,7 @@
 #include "config/config.h"
 #include <math.h>
 #include <stdarg.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,7 +11,7 @@
 
 void tw_complain(tw_complaint *complaint, const char *format, ...) {
     if (complaint->failed) return;
-    complaint->failed = 1;
+    complaint->failed = true;
     va_list arguments;
     va_start(arguments, format);
     vsnprintf(complaint->text, complaint->size, format, arguments);
@@ -19,18 +20,18 @@
 
 /* ---- reading ---- */
 
-int tw_setting_is_name(const cJSON *value) {
+bool tw_setting_is_name(const cJSON *value) {
     return cJSON_IsString(value) && *value->valuestring &&
            strlen(value->valuestring) < TW_NAME_SIZE;
 }
 
-int tw_setting_in_range(const tw_setting *setting, double number) {
+bool tw_setting_in_range(const tw_setting *setting, double number) {
     return isfinite(number) && number >= setting->min && number <= setting->max;
 }
 
-static int is_address(const char *text) {
+static bool is_address(const char *text) {
     const char *colon = strrchr(text, ':');
-    if (!colon || colon == text) return 0;
+    if (!colon || colon == text) return false;
     long port = strtol(colon + 1, NULL, DECIMAL);
     return port >= 1 && port <= LARGEST_PORT;
 }
--- a/src/config/setting.h
+++ b/src/config/setting.h
@@ -6,6 +6,7 @@
 #ifndef TW_CONFIG_SETTING_H
 #define TW_CONFIG_SETTING_H
 #include <cjson/cJSON.h>
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdio.h>
 
@@ -42,7 +43,7 @@
 typedef struct {
     char *text;
     size_t size;
-    int failed;
+    bool failed;
 } tw_complaint;
 
 /* Takes the message, unless there is one already. */
@@ -60,7 +61,7 @@
 void tw_section_describe(const tw_section *section, FILE *out);
 
 /* Whether the number is in the setting's range. */
-int tw_setting_in_range(const tw_setting *setting, double number);
+bool tw_setting_in_range(const tw_setting *setting, double number);
 
 /* The table under a key, or NULL; that it is missing or something else is a complaint. */
 const cJSON *tw_setting_table(tw_complaint *complaint, const cJSON *object, const char *prefix,
@@ -69,7 +70,7 @@
 const cJSON *tw_setting_list(tw_complaint *complaint, const cJSON *object, const char *prefix,
                              const char *key);
 /* Whether a value is a text that fits a name. */
-int tw_setting_is_name(const cJSON *value);
+bool tw_setting_is_name(const cJSON *value);
 
 /* Zeroed room; ends the program where there is none. */
 void *tw_setting_alloc(size_t count, size_t size);
--- a/src/config/yaml.c
+++ b/src/config/yaml.c
@@ -2,6 +2,7 @@
 #include "config/config.h"
 #include "config/setting.h"
 #include <errno.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <yaml.h>
@@ -50,9 +51,9 @@
 }
 
 /* Whether the text is a number in the setting's range, which is put into *number. */
-static int parse_number(const tw_setting *setting, const char *text, double *number) {
+static bool parse_number(const tw_setting *setting, const char *text, double *number) {
     char *end;
-    if (!text || !*text) return 0;
+    if (!text || !*text) return false;
     errno = 0;
     *number = strtod(text, &end);
     return !*end && !errno && tw_setting_in_range(setting, *number);
@@ -149,7 +150,7 @@
 }
 
 int tw_config_load_yaml(tw_config *conf, const char *path, char *err, size_t errlen) {
-    tw_complaint complaint = {err, errlen, 0};
+    tw_complaint complaint = {err, errlen, false};
     FILE *file = fopen(path, "rb");
     if (!file) {
         tw_complain(&complaint, "can't read operators' settings %s: %s", path, strerror(errno));
--- a/src/controller/main.c
+++ b/src/controller/main.c
@@ -10,6 +10,7 @@
 #include <gsl/gsl_histogram.h>
 #include <malloc.h>
 #include <signal.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -105,7 +106,7 @@
     gsl_histogram *lag; /* how late ticks fire: shows a starved processor */
     double last_tick;
     double next_statistics;
-    int draining;
+    bool draining;
     ev_timer tick;
     ev_signal terminate;
     ev_signal interrupt;
@@ -135,12 +136,12 @@
 static void drain(app *process) {
     tw_effect *effect;
     if (process->draining) return;
-    process->draining = 1;
+    process->draining = true;
     while ((effect = tw_core_next_effect(process->core))) {
         carry_out(process, effect);
         tw_core_effect_free(effect);
     }
-    process->draining = 0;
+    process->draining = false;
 }
 
 static void on_request(void *context, int port, uint64_t conn, const char *method, const char *path,
@@ -187,7 +188,7 @@
 }
 
 /* Without an answer workers lose their leases, and peers the leader. */
-static int keeps(int port, const char *path) {
+static bool keeps(int port, const char *path) {
     return port == TW_PORT_PEER || !strcmp(path, "/hello");
 }
 
--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -1,6 +1,7 @@
 /* The decision that an attempt can no longer run, and what follows from it for the task, its job
  * and its machine. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 /* How long after a direct launch was sent it may still be carried out once more, in leases.
  * Meanwhile the machine must list the attempt. One that is done is kept for less: started again it
@@ -31,35 +32,35 @@
 /* A report without it. What is known to have been on the machine (reported, or written by a
  * predecessor) is gone if nothing on the way could still start it: the machine refuses older
  * tokens, and no direct launch of ours is under way. */
-static int is_certainly_absent(const tw_placement *placed) {
-    const int was_there = placed->inherited || placed->reported;
+static bool is_certainly_absent(const tw_placement *placed) {
+    const bool was_there = placed->inherited || placed->reported;
     return was_there && placed->machine->confirmed && !placed->direct_launches;
 }
 
 /* The answer that held the launch was lost, and is not executed late. Only the next report proper
  * tells: an answer to direct orders may have overtaken the answer that holds the launch. */
-int tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
-                       int answers_order) {
-    const int was_there = placed->inherited || placed->reported;
+bool tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
+                        bool answers_order) {
+    const bool was_there = placed->inherited || placed->reported;
     return !was_there && !answers_order && !placed->direct_launches &&
            placed->launch_sequence < heartbeat->sequence;
 }
 
-void tw_launch_answered(tw_placement *placed, int refused) {
+void tw_launch_answered(tw_placement *placed, bool refused) {
     if (placed->direct_launches) placed->direct_launches--;
     /* Neither this launch nor another one is under way. */
     if (refused && !placed->reported && !placed->launch_sequence && !placed->direct_launches)
-        placed->launch_sent = 0;
+        placed->launch_sent = false;
 }
 
-int tw_launch_may_repeat(const tw_core *core, const tw_placement *placed) {
-    if (placed->direct_launch_at <= 0) return 0;
-    const int is_done = placed->state == TW_TASK_EXITED && placed->cause == TW_CAUSE_DONE;
+bool tw_launch_may_repeat(const tw_core *core, const tw_placement *placed) {
+    if (placed->direct_launch_at <= 0) return false;
+    const bool is_done = placed->state == TW_TASK_EXITED && placed->cause == TW_CAUSE_DONE;
     const double kept = is_done ? REPEATED_DONE_LEASES : REPEATED_LEASES;
     return core->now < placed->direct_launch_at + kept * core->config->lease_s;
 }
 
-int tw_attempt_was_launched(const tw_placement *placed) {
+bool tw_attempt_was_launched(const tw_placement *placed) {
     return placed->launch_sent || placed->direct_launches || placed->inherited;
 }
 
@@ -67,15 +68,15 @@
  * which one a predecessor launched is not known: it may be the reported one, after this report or
  * by a message still on its way, unless the machine refused the predecessor in an earlier session
  * already. (`confirmed` is as of before this report; one that confirms ends it as absent.) */
-static int is_of_earlier_incarnation(const tw_placement *placed,
-                                     const tw_wire_heartbeat *heartbeat) {
+static bool is_of_earlier_incarnation(const tw_placement *placed,
+                                      const tw_wire_heartbeat *heartbeat) {
     if (placed->inherited) return placed->machine->confirmed;
     return placed->launch_sent && placed->launch_incarnation < heartbeat->incarnation;
 }
 
 /* Whether the attempt can't run any more, nor be started by what is still on its way. */
-static int evidence_holds(const tw_core *core, const tw_placement *placed,
-                          const tw_attempt_termination *end) {
+static bool evidence_holds(const tw_core *core, const tw_placement *placed,
+                           const tw_attempt_termination *end) {
     const tw_machine *machine = placed->machine;
     switch (end->evidence) {
     case TW_EVIDENCE_EXITED:
@@ -108,7 +109,7 @@
 
 /* Grounds that need not hold: the path that offers them asks just that. With the others the path is
  * wrong. */
-static int may_be_refuted(tw_termination_evidence evidence) {
+static bool may_be_refuted(tw_termination_evidence evidence) {
     return evidence == TW_EVIDENCE_ABSENT || evidence == TW_EVIDENCE_LAUNCH_LOST ||
            evidence == TW_EVIDENCE_NEW_INCARNATION;
 }
@@ -117,7 +118,7 @@
 
 /* Ends of attempts that never were on a machine, or that nobody decides about, are told at `debug`.
  */
-static int is_logged_at_info(tw_termination_evidence evidence) {
+static bool is_logged_at_info(tw_termination_evidence evidence) {
     return evidence != TW_EVIDENCE_NOT_LAUNCHED && evidence != TW_EVIDENCE_NOT_RECORDED &&
            evidence != TW_EVIDENCE_PLACEMENT_UNDONE && evidence != TW_EVIDENCE_TERM_ENDED;
 }
@@ -150,7 +151,7 @@
     if (!placed->counted) return;
     tw_job *job = placed->job;
     tw_placement_account(core, placed, -1);
-    placed->counted = 0;
+    placed->counted = false;
     DL_DELETE2(job->placements, placed, job_prev, job_next);
     job->placed_count--;
     if (job->task_states) job->task_states[placed->index] = (uint8_t)to;
@@ -160,7 +161,7 @@
         job->pending_since = core->now;
         if (job->spec.gang) tw_gang_task_gone(core, placed);
     }
-    core->scheduling_due = 1;
+    core->scheduling_due = true;
 }
 
 void tw_attempt_forget(tw_core *core, tw_placement *placed) {
@@ -176,11 +177,11 @@
 }
 
 /* The machine may still tell of it, and is to forget it. */
-static int stays_on_machine(tw_termination_evidence evidence) {
+static bool stays_on_machine(tw_termination_evidence evidence) {
     return evidence == TW_EVIDENCE_EXITED || evidence == TW_EVIDENCE_GANG_DONE;
 }
 
-int tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end) {
+bool tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end) {
     tw_job *job = placed->job;
     const tw_termination_evidence evidence = end->evidence;
     if (!evidence_holds(core, placed, end)) {
@@ -190,24 +191,25 @@
                                 "task=%s/%d attempt=%llu worker=%s evidence=%s", job->id,
                                 placed->index, (unsigned long long)placed->attempt,
                                 placed->machine->name, names[evidence]);
-        return 0;
+        return false;
     }
-    const int was_on_job = placed->counted;
-    const int is_done = evidence == TW_EVIDENCE_GANG_DONE ||
-                        (evidence == TW_EVIDENCE_EXITED && end->reported->cause == TW_CAUSE_DONE);
+    const bool was_on_job = placed->counted;
+    const bool is_done = evidence == TW_EVIDENCE_GANG_DONE ||
+                         (evidence == TW_EVIDENCE_EXITED && end->reported->cause == TW_CAUSE_DONE);
     core->counters.terminated[evidence] += (uint64_t)was_on_job;
     log_termination(core, placed, end);
     stop_counting(core, placed, is_done ? TW_ASSIGNMENT_DONE : TW_ASSIGNMENT_NONE);
-    if (stays_on_machine(evidence)) return 1;
+    if (stays_on_machine(evidence)) return true;
     tw_attempt_forget(core, placed);
     /* The record of one that was taken back was not changed; one of an ended term is not ours. */
     if (was_on_job && evidence != TW_EVIDENCE_PLACEMENT_UNDONE &&
         evidence != TW_EVIDENCE_TERM_ENDED)
-        tw_job_mark_changed(core, job, 0);
-    return 1;
+        tw_job_mark_changed(core, job, false);
+    return true;
 }
 
-int tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence evidence) {
+bool tw_attempt_terminate_on(tw_core *core, tw_placement *placed,
+                             tw_termination_evidence evidence) {
     const tw_attempt_termination end = {.evidence = evidence};
     return tw_attempt_terminate(core, placed, &end);
 }
--- a/src/core/attempt_termination.h
+++ b/src/core/attempt_termination.h
@@ -7,6 +7,7 @@
 #define TW_CORE_ATTEMPT_END_H
 #include "core/core.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 
 typedef struct tw_placement tw_placement;
 
@@ -33,7 +34,7 @@
     tw_termination_evidence evidence;
     const tw_wire_heartbeat *heartbeat; /* of a machine; NULL: none */
     const tw_wire_task *reported;       /* the exited task in it; NULL: none */
-    int answers_command;                /* the report came as the answer to a direct order */
+    bool answers_command;               /* the report came as the answer to a direct order */
 } tw_attempt_termination;
 
 const char *tw_termination_evidence_name(tw_termination_evidence evidence);
@@ -43,25 +44,25 @@
  * machine may still tell of it: it stays in the machine's list, and the caller marks the job as
  * changed once it knows what becomes of it. With the other grounds it is freed and the job marked.
  */
-int tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end);
+bool tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end);
 
 /* The same for a ground that rests on no message. */
-int tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence evidence);
+bool tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence evidence);
 
 /* Whether a launch of it went out, or of a predecessor's may have. */
-int tw_attempt_was_launched(const tw_placement *placed);
+bool tw_attempt_was_launched(const tw_placement *placed);
 
 /* Whether the report, which does not name it, tells that the answer with its launch was not taken.
  */
-int tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
-                       int answers_order);
+bool tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
+                        bool answers_order);
 
 /* The machine answered a direct launch of it; refused: it was not carried out. */
-void tw_launch_answered(tw_placement *placed, int refused);
+void tw_launch_answered(tw_placement *placed, bool refused);
 
 /* Whether a launch of it that was carried out may be carried out once more: the machine must still
  * list the attempt then, or it would start it again. */
-int tw_launch_may_repeat(const tw_core *core, const tw_placement *placed);
+bool tw_launch_may_repeat(const tw_core *core, const tw_placement *placed);
 
 /* Frees one whose attempt was ended before: its machine has forgotten it. */
 void tw_attempt_forget(tw_core *core, tw_placement *placed);
--- a/src/core/authority.c
+++ b/src/core/authority.c
@@ -2,15 +2,16 @@
  * before the leader's lease in the state service can; renewing workers' leases without it goes on
  * for a bounded time, which a successor waits out. The argument is in docs/design.md. */
 #include "core/cluster.h"
+#include <stdbool.h>
 
 /* Share of `margin_ratio` that is kept back where a cancellation must be over by `cancel_s`. */
 #define CANCEL_MARGIN 0.4
 
-int tw_leader_has_authority(const tw_core *core) {
+bool tw_leader_has_authority(const tw_core *core) {
     return core->role == TW_ROLE_LEADER && core->now < core->authority_until;
 }
 
-int tw_leader_may(const tw_core *core, tw_permission right) {
+bool tw_leader_may(const tw_core *core, tw_permission right) {
     return tw_leader_has_authority(core) ||
            (right == TW_PERMISSION_RENEW && tw_leader_renews_without_authority(core));
 }
@@ -49,10 +50,10 @@
 /* Without the state service nobody can tell an outage from being cut off alone. Renewing the
  * workers' leases under the old token goes on for a bounded time; a successor waits that time out
  * before it takes a silent machine's tasks for ended (tw_predecessor_renewals_end). */
-int tw_leader_renews_without_authority(const tw_core *core) {
+bool tw_leader_renews_without_authority(const tw_core *core) {
     if (core->role != TW_ROLE_LEADER || core->phase != TW_PHASE_ACTIVE ||
         core->now < core->authority_until)
-        return 0;
+        return false;
     return core->now < core->authority_until + tw_renewal_without_authority_s(core) &&
            core->now < fmax(core->authority_until, sole_leader_until(core)) +
                            tw_renewal_without_contact_s(core);
@@ -67,8 +68,8 @@
 }
 
 void tw_permissions_log(tw_core *core) {
-    const int commands = tw_leader_may(core, TW_PERMISSION_COMMAND);
-    const int renews = tw_leader_may(core, TW_PERMISSION_RENEW);
+    const bool commands = tw_leader_may(core, TW_PERMISSION_COMMAND);
+    const bool renews = tw_leader_may(core, TW_PERMISSION_RENEW);
     const unsigned long long token = core->fencing_token;
     if (core->role == TW_ROLE_LEADER && core->could_command && !commands)
         tw_log_info("event=authority_expired token=%llu led_s=%.2f over_since_s=%.3f renews=%d",
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -7,12 +7,14 @@
 #define TW_CORE_PROVISION_H
 #include "core/job.h"
 #include "core/machine.h"
+#include <stdbool.h>
 
 #define TW_MAX_RENTAL 50 /* machines a request to the cloud, by the protocol */
 
 /* A kind of machine in a zone, as the cloud has treated us. */
 typedef struct tw_capacity_offer {
-    int type_index, zone_index, spot;
+    int type_index, zone_index;
+    int spot;
     double refused_until;
     int refused;
     int machine_count;   /* scratch: machines of the type in the zone */
@@ -24,7 +26,8 @@
 typedef struct tw_bin {
     tw_machine *machine;      /* NULL: to come */
     tw_capacity_offer *offer; /* of one to be rented */
-    int type_index, spot, busy, tried;
+    int type_index;
+    int spot, busy, tried;
     const char *zone;
     double cores, gpus, memory_gb;
 } tw_bin;
@@ -50,7 +53,8 @@
 /* A rental request under way, by its name. */
 typedef struct tw_rental_request {
     char name[TW_NAME_SIZE];
-    int type_index, zone_index, spot, machine_count, in_flight;
+    int type_index, zone_index, machine_count;
+    int spot, in_flight;
     double next_try;
     struct tw_rental_request *prev, *next;
 } tw_rental_request;
@@ -71,18 +75,18 @@
 /* Works out, as a pass begins, the room to keep and the room that there is. */
 void tw_reserve_update(tw_core *core);
 /* Whether a task of the job leaves the room that is kept for other classes. */
-int tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job);
+bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job);
 /* Before a task of the job is placed on the machine. */
 void tw_reserve_take(tw_core *core, const tw_machine *machine, const tw_job *job);
 
 /* bin_packing.c */
 /* Whether a task fits into what is free. */
-int tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec);
+bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec);
 /* Whether the bin's type, kind and zone are such that the job allows. */
-int tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types);
+bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types);
 /* Whether a task without GPUs leaves the bin's GPUs their cores. */
-int tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
-                       int any_machine);
+bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
+                        int any_machine);
 /* Takes a task's room, or gives it back. */
 void tw_bin_take(tw_bin *bin, const tw_wire_job *spec);
 void tw_bin_give(tw_bin *bin, const tw_wire_job *spec);
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -1,6 +1,7 @@
 /* Spare room that the plan keeps for classes of jobs whose tasks must start sooner than a machine
  * boots: as much as the arrivals that are expected meanwhile need. */
 #include "core/autoscaler_int.h"
+#include <stdbool.h>
 
 #define NEARLY_FREE 0.02 /* share of the fleet's price */
 #define RATE_FADES_S 60  /* without arrivals, before their rate is taken to fall, and how fast */
@@ -55,7 +56,7 @@
         return 0;
     while (kept < want && tw_bin_fits(bin, sample) && tw_bin_leaves_gpus(core, bin, sample, 0)) {
         tw_bin_take(bin, sample);
-        if (bin->machine) bin->machine->kept_as_headroom = 1;
+        if (bin->machine) bin->machine->kept_as_headroom = true;
         kept++;
     }
     return kept;
--- a/src/core/autoscaler_int.h
+++ b/src/core/autoscaler_int.h
@@ -3,6 +3,7 @@
 #ifndef TW_PROVISION_INT_H
 #define TW_PROVISION_INT_H
 #include "core/core_int.h"
+#include <stdbool.h>
 
 /* bin_packing.c */
 /* An empty bin at the end; it is valid until the next one is added. */
@@ -36,7 +37,7 @@
 double tw_autoscaler_soonest_s(const tw_core *core, uint32_t types, double image_gb);
 /* Work without GPUs for which nothing but GPU machines can be rented may use those that are there,
  * and the cores that are kept for their GPUs. Returns whether it may only now. */
-int tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best);
+bool tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best);
 
 /* autoscaler_gang.c */
 /* When a gang would start on room that is given back: with the last of so many tasks. */
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -4,6 +4,7 @@
  * in autoscaler_gang.c. Room is taken bin by bin, so that a round costs jobs times bins, not tasks
  * times bins. */
 #include "core/autoscaler_int.h"
+#include <stdbool.h>
 
 #define BOOT_SPREAD 1.2 /* of a type's boot time: most machines are up by then */
 #define RUN_SPREAD 1.1  /* of an estimated run time */
@@ -22,10 +23,10 @@
 }
 
 /* Whether to rent for a batch task rather than let it wait until `start`. */
-static int worth_renting(const tw_core *core, const tw_job *job, double start) {
-    if (!isfinite(start)) return 1; /* nothing will be given back */
+static bool worth_renting(const tw_core *core, const tw_job *job, double start) {
+    if (!isfinite(start)) return true; /* nothing will be given back */
     if (start <= core->now + tw_autoscaler_soonest_s(core, job->type_mask, job->spec.image_gb))
-        return 0;
+        return false;
     return !(start + tw_job_run_estimate_s(job) * RUN_SPREAD <= tw_job_deadline(core, job));
 }
 
@@ -92,12 +93,12 @@
     return count > most ? most : count;
 }
 
-int tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
-    if (job->spec.gpus > 0 || job->any_machine) return 0;
-    if (best && core->machine_types[best->type_index].listed.gpus <= 0) return 0;
+bool tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
+    if (job->spec.gpus > 0 || job->any_machine) return false;
+    if (best && core->machine_types[best->type_index].listed.gpus <= 0) return false;
     job->any_machine = 1;
-    core->scheduling_due = 1;
-    return 1;
+    core->scheduling_due = true;
+    return true;
 }
 
 /* How many of them to find or rent room for: of a batch, those that had better not wait; of a gang,
@@ -162,21 +163,21 @@
 /* ---- the round ---- */
 
 /* Whether a machine's room can be counted on. */
-static int can_count_on(tw_core *core, const tw_machine *machine) {
+static bool can_count_on(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->return_wanted || machine->cordoned || machine->failed ||
         machine->decommissioning)
-        return 0;
+        return false;
     if (machine->state == TW_MACHINE_UP)
         return machine->preempted_at <= 0 && !machine->lease_expired;
-    if (machine->overdue) return 0; /* may never come */
+    if (machine->overdue) return false; /* may never come */
     /* Some of those that boot will be late: as many are not counted on. */
     double *late = &core->machine_types[machine->type_index].late_sum;
     *late += core->machine_types[machine->type_index].overdue_share;
     if (*late >= 1) {
         *late -= 1;
-        return 0;
+        return false;
     }
-    return 1;
+    return true;
 }
 
 static void add_machine(tw_core *core, tw_bins *bins, tw_machine *machine) {
@@ -231,7 +232,7 @@
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        machine->kept_as_headroom = 0;
+        machine->kept_as_headroom = false;
         if (!can_count_on(core, machine)) continue;
         add_machine(core, bins, machine);
         counts[machine->type_index][machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index]++;
@@ -272,7 +273,7 @@
     tw_expected_releases drain = {0}; /* filled when a batch waits */
     collect(core, &bins);
     const int there = bins.count;
-    tw_job_queue *turns = tw_job_queue_new(core, 0);
+    tw_job_queue *turns = tw_job_queue_new(core, false);
     tw_job *job;
     while ((job = tw_job_queue_next(core, turns))) plan_job(core, &bins, job, &drain);
     tw_job_queue_free(turns);
@@ -280,7 +281,7 @@
     const double price = price_of(core, &bins);
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next)
         tw_autoscaler_keep_headroom(core, &bins, class, price);
-    const int more = bins.count > there;
+    const bool more = bins.count > there;
     tw_offers_update_wanted(core);
     tw_scale_in_idle(core);
     tw_scale_in_reopen(core);
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -1,26 +1,27 @@
 /* Room as a plan sees it: bins, one for each machine that is there or coming, which tasks are taken
  * into. */
 #include "core/autoscaler_int.h"
+#include <stdbool.h>
 
 #define FIRST_BINS 64
 #define FIRST_STARTS 16
 
-int tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec) {
+bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec) {
     return bin->cores + TW_CAPACITY_ROUNDING >= spec->cores &&
            bin->gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
            bin->memory_gb + TW_CAPACITY_ROUNDING >= spec->memory_gb;
 }
 
-int tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types) {
+bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types) {
     return (types & (1U << bin->type_index)) && (!bin->spot || spec->spot) &&
            (!*spec->zone || !strcmp(spec->zone, bin->zone));
 }
 
 /* As when placing: work without GPUs leaves a GPU machine's GPUs their cores. */
-int tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
-                       int any_machine) {
+bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
+                        int any_machine) {
     const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
-    if (spec->gpus > 0 || any_machine || type->gpus <= 0) return 1;
+    if (spec->gpus > 0 || any_machine || type->gpus <= 0) return true;
     double cores_per_gpu = core->cores_per_gpu;
     if (cores_per_gpu <= 0) cores_per_gpu = type->cores / type->gpus;
     return bin->cores - spec->cores + TW_CAPACITY_ROUNDING >= bin->gpus * cores_per_gpu;
@@ -54,7 +55,7 @@
     int bin, drained; /* where to begin: in the bins, and in the room that is given back */
 };
 
-static int same_kind(const struct bin_start *start, const tw_job *job) {
+static bool same_kind(const struct bin_start *start, const tw_job *job) {
     const tw_wire_job *spec = &job->spec;
     return start->cores == spec->cores && start->gpus == spec->gpus &&
            start->memory_gb == spec->memory_gb && start->types == job->type_mask &&
@@ -79,7 +80,7 @@
     return start;
 }
 
-static int bin_is_useful(const tw_bin *bin, const tw_job *job) {
+static bool bin_is_useful(const tw_bin *bin, const tw_job *job) {
     return !bin->tried && tw_bin_is_allowed(bin, &job->spec, job->type_mask) &&
            tw_bin_fits(bin, &job->spec);
 }
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -1,6 +1,7 @@
 /* The machines that a pass may use, worked out once: nothing that decides on it changes within a
  * pass. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 #define FIRST_CAPACITY 64
 
@@ -36,7 +37,7 @@
     }
 }
 
-double tw_candidates_zone_free(const tw_core *core, const tw_machine *machine, int gpus) {
+double tw_candidates_zone_free(const tw_core *core, const tw_machine *machine, bool gpus) {
     const int zone = machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index;
     return gpus ? core->zones[zone].free_gpus : core->zones[zone].free_cores;
 }
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -1,6 +1,7 @@
 /* Offers: a machine type in a zone, as spot or on-demand. Which of them a task is rented from, and
  * what is asked of the cloud. */
 #include "core/autoscaler_int.h"
+#include <stdbool.h>
 
 #define COST_OF_ONE_MORE 0.001 /* of a price, for each machine of the type that the zone has */
 
@@ -18,13 +19,13 @@
     return tw_capacity_task_count(&room, spec);
 }
 
-static int may_rent(const tw_core *core, const tw_capacity_offer *offer, const tw_wire_job *spec,
-                    const tw_offer_filter *filter) {
+static bool may_rent(const tw_core *core, const tw_capacity_offer *offer, const tw_wire_job *spec,
+                     const tw_offer_filter *filter) {
     if ((offer->spot && !spec->spot) || core->now < offer->refused_until ||
         offer->wanted >= want_limit(core))
-        return 0;
+        return false;
     if (filter->spare && spec->gpus <= 0 && core->machine_types[offer->type_index].listed.gpus > 0)
-        return 0;
+        return false;
     const char *zone = tw_offer_zone(core, offer);
     return (!*spec->zone || !strcmp(spec->zone, zone)) &&
            (!filter->not_zone || strcmp(filter->not_zone, zone) != 0) &&
@@ -75,8 +76,8 @@
         if (!machine->decommissioning || machine->return_wanted ||
             machine->type_index != offer->type_index || machine->spot != offer->spot)
             continue;
-        machine->decommissioning = 0;
-        core->scheduling_due = 1;
+        machine->decommissioning = false;
+        core->scheduling_due = true;
         offer->wanted--;
     }
 }
--- a/src/core/command_messages.c
+++ b/src/core/command_messages.c
@@ -2,18 +2,19 @@
  * made here, so that no path can give one under another token, or when its right has lapsed. */
 #include "core/workers.h"
 #include "core/heartbeat_forwarder.h"
+#include <stdbool.h>
 
 /* A launch that is stopped by a later order of the same message settles one whose fate is unknown;
  * it starts nothing. */
-static int is_stopped_at_once(const tw_command_list *commands, int launch) {
+static bool is_stopped_at_once(const tw_command_list *commands, int launch) {
     const tw_wire_command *launched = &commands->list[launch];
     for (int i = launch + 1; i < commands->count; i++) {
         const tw_wire_command *command = &commands->list[i];
         if (command->kind == TW_COMMAND_STOP && command->index == launched->index &&
             command->attempt == launched->attempt && !strcmp(command->job, launched->job))
-            return 1;
+            return true;
     }
-    return 0;
+    return false;
 }
 
 /* The right that the orders need in an answer to a report. */
@@ -50,7 +51,7 @@
 
 char *tw_commands_delegate_text(tw_core *core, const tw_wire_heartbeat *heartbeat,
                                 const tw_command_list *commands) {
-    int stops_only = 1;
+    bool stops_only = true;
     for (int i = 0; i < commands->count; i++)
         stops_only &= commands->list[i].kind == TW_COMMAND_STOP;
     if (!stops_only || !tw_delegate_is_entitled(core, heartbeat->worker, heartbeat->zone)) {
--- a/src/core/completed_jobs.c
+++ b/src/core/completed_jobs.c
@@ -2,6 +2,7 @@
  * order. It doubles as it fills, up to its share of the memory. */
 #include "core/completed_jobs.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -75,7 +76,7 @@
 }
 
 /* Whether one more entry fits into the slots. */
-static int has_room(const generation *generation) {
+static bool has_room(const generation *generation) {
     return (uint64_t)(generation->count + 1) * LOAD_DENOMINATOR <=
            (uint64_t)generation->slots * LOAD_NUMERATOR;
 }
@@ -130,10 +131,10 @@
     table->count++;
 }
 
-int tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending) {
-    if (!table || !table->count) return 0;
+bool tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending) {
+    if (!table || !table->count) return false;
     const uint64_t key = key_of(id);
-    if (!key) return 0;
+    if (!key) return false;
     for (int i = 0; i < GENERATIONS; i++) {
         const generation *generation = &table->generations[i];
         if (!generation->count) continue;
@@ -144,9 +145,9 @@
             ending->stage = packed & ABORTED_BIT ? TW_JOB_CANCELLED : TW_JOB_DONE;
             ending->done = (int)(packed & ~ABORTED_BIT);
         }
-        return 1;
+        return true;
     }
-    return 0;
+    return false;
 }
 
 size_t tw_completed_jobs_count(const tw_completed_jobs *table) { return table ? table->count : 0; }
--- a/src/core/completed_jobs.h
+++ b/src/core/completed_jobs.h
@@ -7,6 +7,7 @@
  * service again when somebody asks. Nothing here ever changes: a job that is over stays so. */
 #ifndef TW_CORE_FINISHED_H
 #define TW_CORE_FINISHED_H
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -25,7 +26,7 @@
 /* id: a job's, of the protocol's form. One that is there already stays as it is. */
 void tw_completed_jobs_add(tw_completed_jobs *table, const char *id, const tw_completion *ending);
 /* Whether the job is there, and how it ended; ending may be NULL. */
-int tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending);
+bool tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending);
 /* Jobs in the table. */
 size_t tw_completed_jobs_count(const tw_completed_jobs *table);
 /* How many times a generation was let go. */
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -1,25 +1,26 @@
 /* What a task may use: machine types, zones and kinds of machines that its job allows, its team's
  * limit, and what work without GPUs leaves to that with GPUs. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
-int tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone) {
+bool tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone) {
     (void)core;
-    if (*job->spec.zone && strcmp(job->spec.zone, zone) != 0) return 0;
-    if (!job->spec.single_zone && !job->spec.spread) return 1;
+    if (*job->spec.zone && strcmp(job->spec.zone, zone) != 0) return false;
+    if (!job->spec.single_zone && !job->spec.spread) return true;
     const int max = (job->task_count + 1) / 2;
     int here = 0;
     const tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next) {
-        const int unknown = !*placed->machine->zone; /* may be any zone */
-        const int same = unknown || !strcmp(placed->machine->zone, zone);
-        if (job->spec.single_zone && (unknown || !same)) return 0;
+        const bool unknown = !*placed->machine->zone; /* may be any zone */
+        const bool same = unknown || !strcmp(placed->machine->zone, zone);
+        if (job->spec.single_zone && (unknown || !same)) return false;
         here += same;
     }
     return !job->spec.spread || here < max;
 }
 
-int tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks) {
-    if (job->team < 0) return 0;
+bool tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks) {
+    if (job->team < 0) return false;
     const tw_config_team *team = &core->config->teams[job->team];
     return (team->cpus_max <= 0 || core->team_cores_used[job->team] + tasks * job->spec.cores <=
                                        team->cpus_max + TW_CAPACITY_ROUNDING) &&
@@ -38,11 +39,11 @@
     }
 }
 
-int tw_constraints_leave_gpus(const tw_core *core, const tw_machine *machine, const tw_job *job,
-                              int tasks) {
+bool tw_constraints_leave_gpus(const tw_core *core, const tw_machine *machine, const tw_job *job,
+                               int tasks) {
     const tw_wire_job *spec = &job->spec;
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    if (spec->gpus > 0 || type->gpus <= 0 || job->any_machine) return 1;
+    if (spec->gpus > 0 || type->gpus <= 0 || job->any_machine) return true;
     const double free_gpus = type->gpus - machine->used_gpus;
     double cores = core->cores_per_gpu;
     double memory_gb = core->memory_gb_per_gpu;
@@ -73,19 +74,20 @@
                        .zone_mask = zones_of(core, job)};
 }
 
-int tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
-                                      const tw_machine *machine) {
+bool tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
+                                       const tw_machine *machine) {
     if (machine->zone_index >= 0) return !!(demand->zone_mask & (1U << machine->zone_index));
     return tw_constraints_allow_zone(core, demand->job, machine->zone);
 }
 
-int tw_constraints_allow_machine(const tw_core *core, const tw_job *job,
-                                 const tw_machine *machine) {
+bool tw_constraints_allow_machine(const tw_core *core, const tw_job *job,
+                                  const tw_machine *machine) {
     if (!(job->type_mask & (1U << machine->type_index)) || (machine->spot && !job->spec.spot))
-        return 0;
-    if (!tw_quarantine_allows(machine) || tw_gang_was_on(job, machine)) return 0;
-    if (!tw_gang_reservation_allows(core, job, machine)) return 0;
+        return false;
+    if (!tw_quarantine_allows(machine) || tw_gang_was_on(job, machine)) return false;
+    if (!tw_gang_reservation_allows(core, job, machine)) return false;
     for (int i = 0; i < job->failed_machine_count; i++)
-        if (job->failed_machines[i] == machine && core->now < job->failed_machines_until) return 0;
-    return 1;
+        if (job->failed_machines[i] == machine && core->now < job->failed_machines_until)
+            return false;
+    return true;
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,6 +1,7 @@
 /* Dispatch: a request, a response or a tick goes to the file that handles it; then what follows
  * from it is decided, written and sent. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 #define LONG_AGO (-1e9)
 #define SHORTEST_TTL_S 0.2
@@ -95,7 +96,7 @@
 }
 
 /* Whether this node leads, has read the records of its term and may command. */
-static int is_in_command(const tw_core *core) {
+static bool is_in_command(const tw_core *core) {
     return core->phase == TW_PHASE_ACTIVE && tw_leader_may(core, TW_PERMISSION_WRITE);
 }
 
@@ -111,7 +112,7 @@
 
 typedef struct {
     uint64_t conn;
-    int from_peer;
+    bool from_peer;
     const char *method;
     const char *path; /* without what follows a ? or # */
     const char *body;
@@ -170,7 +171,7 @@
 /* A request about one job: its path is this, the job's name and, for a cancellation, a verb. */
 static const char job_prefix[] = "/v1/jobs/";
 
-static int is_about_job(const request *request) {
+static bool is_about_job(const request *request) {
     return strncmp(request->path, job_prefix, sizeof job_prefix - 1) == 0 &&
            strlen(request->path) < JOB_PATH_LIMIT;
 }
@@ -237,36 +238,36 @@
 /* Every kind of call has a line. */
 static const struct {
     response_handler *handle;
-    int of_term;       /* nothing to this node once the term it was sent in is over */
+    bool of_term;      /* nothing to this node once the term it was sent in is over */
     const char *reads; /* what is read by it from the state service; NULL: nothing, for the log */
 } responses[TW_CALL_KINDS] = {
-    [TW_CALL_READ_LEADER] = {tw_election_response, 0, "leader"},
-    [TW_CALL_WATCH_LEADER] = {tw_election_response, 0},
-    [TW_CALL_GRANT_LEASE] = {tw_election_response, 0},
-    [TW_CALL_ACQUIRE_LEADERSHIP] = {tw_election_response, 0},
-    [TW_CALL_RENEW_LEASE] = {tw_election_response, 0},
-    [TW_CALL_REVOKE_LEASE] = {tw_election_response, 0},
-    [TW_CALL_PEER_HEARTBEAT] = {tw_election_response, 0},
-    [TW_CALL_LOOK_UP_JOB] = {tw_user_response, 0, "job"},
-    [TW_CALL_CREATE_RECORD] = {tw_user_response, 0},
-    [TW_CALL_FORWARD_REQUEST] = {tw_user_response, 0},
-    [TW_CALL_FORWARD_HEARTBEAT] = {tw_heartbeat_forward_response, 0},
-    [TW_CALL_LIST_CANCELLED_JOBS] = {on_cancelled_jobs, 0, "cancelled"},
-    [TW_CALL_WRITE_DELEGATE_KEY] = {on_delegate_key, 0},
-    [TW_CALL_LIST_MACHINE_TYPES] = {tw_autoscaler_response, 0},
-    [TW_CALL_LIST_MACHINES] = {tw_autoscaler_response, 1},
-    [TW_CALL_RENT_MACHINES] = {tw_autoscaler_response, 1},
-    [TW_CALL_RETURN_MACHINES] = {tw_autoscaler_response, 1},
-    [TW_CALL_WRITE_RECORDS] = {tw_job_store_response, 1},
-    [TW_CALL_READ_RECORD] = {tw_job_store_response, 1, "job"},
-    [TW_CALL_WRITE_CHUNKS] = {tw_job_store_response, 1},
-    [TW_CALL_REMOVE_CHUNKS] = {tw_job_store_response, 1},
-    [TW_CALL_READ_DELEGATE_KEYS] = {tw_delegates_page, 1, "delegates"},
-    [TW_CALL_LIST_PEER_ADMISSIONS] = {tw_peer_admissions_response, 1, "peer_admission_list"},
-    [TW_CALL_WATCH_PEER_ADMISSIONS] = {tw_peer_admissions_response, 1, "peer_admissions"},
-    [TW_CALL_REMOVE_PEER_ADMISSION] = {tw_peer_admissions_response, 1},
-    [TW_CALL_LOAD_RECORDS] = {on_records, 1, "records"},
-    [TW_CALL_SEND_COMMANDS] = {tw_commands_response, 1},
+    [TW_CALL_READ_LEADER] = {tw_election_response, false, "leader"},
+    [TW_CALL_WATCH_LEADER] = {tw_election_response, false},
+    [TW_CALL_GRANT_LEASE] = {tw_election_response, false},
+    [TW_CALL_ACQUIRE_LEADERSHIP] = {tw_election_response, false},
+    [TW_CALL_RENEW_LEASE] = {tw_election_response, false},
+    [TW_CALL_REVOKE_LEASE] = {tw_election_response, false},
+    [TW_CALL_PEER_HEARTBEAT] = {tw_election_response, false},
+    [TW_CALL_LOOK_UP_JOB] = {tw_user_response, false, "job"},
+    [TW_CALL_CREATE_RECORD] = {tw_user_response, false},
+    [TW_CALL_FORWARD_REQUEST] = {tw_user_response, false},
+    [TW_CALL_FORWARD_HEARTBEAT] = {tw_heartbeat_forward_response, false},
+    [TW_CALL_LIST_CANCELLED_JOBS] = {on_cancelled_jobs, false, "cancelled"},
+    [TW_CALL_WRITE_DELEGATE_KEY] = {on_delegate_key, false},
+    [TW_CALL_LIST_MACHINE_TYPES] = {tw_autoscaler_response, false},
+    [TW_CALL_LIST_MACHINES] = {tw_autoscaler_response, true},
+    [TW_CALL_RENT_MACHINES] = {tw_autoscaler_response, true},
+    [TW_CALL_RETURN_MACHINES] = {tw_autoscaler_response, true},
+    [TW_CALL_WRITE_RECORDS] = {tw_job_store_response, true},
+    [TW_CALL_READ_RECORD] = {tw_job_store_response, true, "job"},
+    [TW_CALL_WRITE_CHUNKS] = {tw_job_store_response, true},
+    [TW_CALL_REMOVE_CHUNKS] = {tw_job_store_response, true},
+    [TW_CALL_READ_DELEGATE_KEYS] = {tw_delegates_page, true, "delegates"},
+    [TW_CALL_LIST_PEER_ADMISSIONS] = {tw_peer_admissions_response, true, "peer_admission_list"},
+    [TW_CALL_WATCH_PEER_ADMISSIONS] = {tw_peer_admissions_response, true, "peer_admissions"},
+    [TW_CALL_REMOVE_PEER_ADMISSION] = {tw_peer_admissions_response, true},
+    [TW_CALL_LOAD_RECORDS] = {on_records, true, "records"},
+    [TW_CALL_SEND_COMMANDS] = {tw_commands_response, true},
 };
 
 /* The revision that an answer of the state service tells; 0: none. */
--- a/src/core/delegate_registry.c
+++ b/src/core/delegate_registry.c
@@ -3,6 +3,7 @@
  * Every write of the leader is conditioned on these keys being as it knows them, so that it can't
  * act on a lapsed lease that a deputy has renewed unseen. */
 #include "core/heartbeat_forwarder.h"
+#include <stdbool.h>
 
 /* Between two reads of the keys while some node may be a deputy, in leases. */
 #define READ_LEASES 0.1
@@ -30,28 +31,28 @@
 
 void tw_delegates_read(tw_core *core) {
     if (core->delegates_read_in_flight) return;
-    core->delegates_read_in_flight = 1;
+    core->delegates_read_in_flight = true;
     tw_call_send(core, TW_CALL_READ_DELEGATE_KEYS, TW_TO_STATE, core->config->state, "GET",
                  "/kv?starts=" TW_DELEGATE_KEY "&most=100", NULL, 1);
 }
 
 /* Takes in a deputy's key; returns whether it is a newer one than is known. */
-static int note_key(tw_core *core, const tw_wire_entry *entry) {
+static bool note_key(tw_core *core, const tw_wire_entry *entry) {
     const size_t prefix = sizeof TW_DELEGATE_KEY - 1;
     tw_peer *node = strlen(entry->key) > prefix ? tw_peer_find(core, entry->key + prefix) : NULL;
-    if (!node || node->delegate_revision >= entry->mod_revision) return 0;
+    if (!node || node->delegate_revision >= entry->mod_revision) return false;
     node->delegate_revision = entry->mod_revision;
     /* One of an earlier term is covered by tw_predecessor_renewals_end. */
     node->delegate_until =
         core->now + tw_delegate_lease_s(core) * (1 + 2 * core->config->tune.drift);
-    return 1;
+    return true;
 }
 
 void tw_delegates_page(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
     tw_wire_entry *entries;
     int count, more;
-    int any_newer = 0;
-    core->delegates_read_in_flight = 0;
+    bool any_newer = false;
+    core->delegates_read_in_flight = false;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) return;
     for (int i = 0; i < count; i++) any_newer |= note_key(core, &entries[i]);
     tw_wire_entries_free(entries, count);
@@ -63,11 +64,11 @@
         return;
     }
     core->delegates_checked_at = sent->sent_at;
-    core->delegates_known = 1;
+    core->delegates_known = true;
 }
 
 void tw_delegates_tick(tw_core *core) {
-    int away = !core->delegates_known;
+    bool away = !core->delegates_known;
     for (size_t i = 0; i < core->peer_count; i++) {
         const tw_peer *node = &core->peers[i];
         away |= node->answered_at < core->now - 1 - 0.5 * core->leader_lease_s ||
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -3,6 +3,7 @@
  * the lease can: it is counted from when the last good renewal was sent, less drift and margin. */
 #include "core/cluster.h"
 #include <cjson/cJSON.h>
+#include <stdbool.h>
 
 /* Shares of the leader's lease (ttl). */
 #define AUTHORITY_MARGIN 0.05 /* authority ends that much earlier */
@@ -149,7 +150,7 @@
 /* ---- following the leader's key ---- */
 
 static void read_leader_key(tw_core *core) {
-    core->leader_read_in_flight = 1;
+    core->leader_read_in_flight = true;
     tw_call_send(core, TW_CALL_READ_LEADER, TW_TO_STATE, core->config->state, "GET",
                  "/kv/" TW_LEADER_KEY, NULL, fmax(1, core->leader_lease_s * ELECTION_TIMEOUT));
 }
@@ -161,7 +162,7 @@
     const double most_often = WATCH_SHARE * core->election_limiter.rate;
     const double hold = fmin(fmax(core->leader_lease_s, 1 / most_often), WATCH_MOST_S);
     char path[TW_PATH_SIZE];
-    core->leader_read_in_flight = 1;
+    core->leader_read_in_flight = true;
     snprintf(path, sizeof path, "/follow?starts=" TW_LEADER_KEY "&since=%llu&holdMs=%d",
              (unsigned long long)core->watch_from_revision, (int)(hold * MS));
     tw_call_send(core, TW_CALL_WATCH_LEADER, TW_TO_STATE, core->config->state, "GET", path, NULL,
@@ -170,7 +171,7 @@
 
 static void on_watch(tw_core *core, int status, const char *body, size_t len) {
     uint64_t revision;
-    core->leader_read_in_flight = 0;
+    core->leader_read_in_flight = false;
     core->watch_from_revision = 0;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len)) {
         core->next_leader_read_at =
@@ -190,7 +191,7 @@
 
 static void start_election(tw_core *core) {
     char body[64];
-    core->election_in_flight = 1;
+    core->election_in_flight = true;
     core->lease_requested_at = core->now;
     snprintf(body, sizeof body, "{\"lifeMs\":%d}", (int)(core->leader_lease_s * MS));
     election_call(core, TW_CALL_GRANT_LEASE, "POST", "/grants", strdup(body),
@@ -219,7 +220,7 @@
 }
 
 static void on_leader_key(tw_core *core, int status, const char *body, size_t len) {
-    core->leader_read_in_flight = 0;
+    core->leader_read_in_flight = false;
     if (status == TW_HTTP_NOT_FOUND) {
         *core->leader_name = 0;
         if (core->role == TW_ROLE_FOLLOWER && !core->election_in_flight) start_election(core);
@@ -240,7 +241,7 @@
 static void on_grant(tw_core *core, int status, const char *body, size_t len) {
     uint64_t lease_id;
     if (status != TW_HTTP_OK || tw_wire_lease_id_parse(&lease_id, body, len)) {
-        core->election_in_flight = 0;
+        core->election_in_flight = false;
         return;
     }
     core->lease_id = lease_id;
@@ -254,7 +255,7 @@
 
 static void on_acquire(tw_core *core, int status, const char *body, size_t len) {
     uint64_t revision;
-    core->election_in_flight = 0;
+    core->election_in_flight = false;
     if (status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, len) &&
         core->now < core->lease_requested_at + core->leader_lease_s * ACQUIRED_LATEST) {
         become_leader(core, revision);
@@ -291,7 +292,7 @@
                      (unsigned long long)core->fencing_token, until - core->now);
         if (until > core->authority_until) core->authority_until = until;
         core->next_renewal_at = sent->sent_at + core->leader_lease_s * RENEW_EVERY;
-        core->scheduling_due = 1;
+        core->scheduling_due = true;
     } else if (status == TW_HTTP_NOT_FOUND) {
         tw_leader_step_down(core, "lease lost");
     } else {
@@ -336,10 +337,10 @@
 }
 
 static void leader_tick(tw_core *core) {
-    const int due = !core->renewals_in_flight && core->now >= core->next_renewal_at;
+    const bool due = !core->renewals_in_flight && core->now >= core->next_renewal_at;
     /* A second one when the first is slow: the state service now and then takes long. */
-    const int slow = core->renewals_in_flight == 1 &&
-                     core->now >= core->renewal_sent_at + core->leader_lease_s * RENEW_SLOW;
+    const bool slow = core->renewals_in_flight == 1 &&
+                      core->now >= core->renewal_sent_at + core->leader_lease_s * RENEW_SLOW;
     if (due || slow) renew_lease(core);
     if (core->now >= core->authority_until + tw_renewal_without_authority_s(core) ||
         (core->phase == TW_PHASE_LOADING && core->now >= core->authority_until))
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -2,6 +2,7 @@
  * machine is to be rented. Only room counts that the job may use: of a machine's type, zone and
  * kind that it allows, and as much on one machine as its task takes. */
 #include "core/core_int.h"
+#include <stdbool.h>
 
 #define LEAST_REST 0.1 /* of its run time: a task that is past its estimate ends soon */
 #define START_S 1      /* until a task that does not run yet does */
@@ -36,7 +37,7 @@
                      spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}};
 }
 
-static int returns_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
+static bool returns_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
 
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *drain) {
     tw_job *job;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -23,6 +23,7 @@
  * task tells that it runs proves only that the gang had started, for it goes on telling so until it
  * notices that another is gone. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 /* Of the time that a task waits for the others, what the launches of tasks that are ready sooner
  * than the last one leave of it. */
@@ -41,7 +42,7 @@
                  job->placed_count, job->task_count, why);
 }
 
-static int is_under_way(const tw_job *job) {
+static bool is_under_way(const tw_job *job) {
     return job->has_spec && job->spec.gang && job->state == TW_JOB_PENDING && job->placed_count > 0;
 }
 
@@ -90,17 +91,17 @@
     job->gang.state = TW_GANG_GATHERING; /* a report may tell that it has started */
 }
 
-int tw_gang_is_pending(const tw_job *job) {
+bool tw_gang_is_pending(const tw_job *job) {
     const tw_gang *gang = &job->gang;
     if (gang->state == TW_GANG_IDLE) return job->placed_count == 0;
     return gang->state == TW_GANG_GATHERING && missing_tasks(job) > 0 &&
            gang->vacated_count < TW_GANG_MAX_REPLACED;
 }
 
-int tw_gang_was_on(const tw_job *job, const tw_machine *machine) {
+bool tw_gang_was_on(const tw_job *job, const tw_machine *machine) {
     for (int i = 0; i < job->gang.vacated_count; i++)
-        if (job->gang.vacated[i] == machine) return 1;
-    return 0;
+        if (job->gang.vacated[i] == machine) return true;
+    return false;
 }
 
 /* ---- what reports tell ---- */
@@ -117,14 +118,14 @@
 }
 
 /* Whether the way in which a task ended shows that its gang had started. */
-static int ended_after_start(const tw_placement *placed) {
+static bool ended_after_start(const tw_placement *placed) {
     return placed->state == TW_TASK_EXITED &&
            (placed->cause == TW_CAUSE_ERROR || placed->cause == TW_CAUSE_GANG_BROKEN);
 }
 
 static void note_vacated(tw_core *core, tw_job *job, const tw_placement *placed) {
     tw_gang *gang = &job->gang;
-    const int was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
+    const bool was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
     if (gang->missing_since <= 0) gang->missing_since = core->now;
     if (was_there && gang->vacated_count < TW_GANG_MAX_REPLACED)
         gang->vacated[gang->vacated_count++] = placed->machine;
@@ -134,7 +135,7 @@
     tw_job *job = placed->job;
     tw_gang *gang = &job->gang;
     if (gang->state == TW_GANG_IDLE || job->state != TW_JOB_PENDING) return;
-    const int had_started = gang->state == TW_GANG_RUNNING || ended_after_start(placed);
+    const bool had_started = gang->state == TW_GANG_RUNNING || ended_after_start(placed);
     if (had_started) job->has_checkpoint |= job->spec.checkpoint_s > 0;
     if (!job->placed_count) {
         enter_state(core, job, TW_GANG_IDLE, "gone");
@@ -162,18 +163,18 @@
 
 /* ---- stop ---- */
 
-int tw_gang_can_save(const tw_core *core, const tw_job *job) {
+bool tw_gang_can_save(const tw_core *core, const tw_job *job) {
     const tw_placement *task;
-    if (job->spec.checkpoint_s <= 0 || missing_tasks(job) > 0) return 0;
-    if (job->gang.state != TW_GANG_RUNNING && job->gang.state != TW_GANG_STOPPING) return 0;
+    if (job->spec.checkpoint_s <= 0 || missing_tasks(job) > 0) return false;
+    if (job->gang.state != TW_GANG_RUNNING && job->gang.state != TW_GANG_STOPPING) return false;
     DL_FOREACH2(job->placements, task, job_next) {
         const tw_machine *machine = task->machine;
         if (!machine->confirmed || machine->lease_expired || machine->return_wanted ||
             machine->failed_sends ||
             core->now - machine->last_contact_at > TW_IN_TOUCH_HEARTBEATS * core->config->report_s)
-            return 0;
+            return false;
     }
-    return 1;
+    return true;
 }
 
 void tw_gang_stop(tw_core *core, tw_job *job, double grace_s) {
@@ -184,7 +185,7 @@
         return;
     }
     gang->grace_s = grace_s;
-    gang->saved = 0;
+    gang->saved = false;
     enter_state(core, job, TW_GANG_STOPPING, grace_s > 0 ? "saves" : "at once");
 }
 
@@ -200,20 +201,20 @@
 /* ---- time ---- */
 
 /* Whether all that may run belongs to the attempt, and none of it is to stop by itself. */
-static int is_one_attempt(const tw_job *job) {
-    const int stops = job->gang.state == TW_GANG_STOPPING;
+static bool is_one_attempt(const tw_job *job) {
+    const bool stops = job->gang.state == TW_GANG_STOPPING;
     const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) {
-        if (task->attempt != job->gang.attempt || (task->stopping && !stops)) return 0;
+        if (task->attempt != job->gang.attempt || (task->stopping && !stops)) return false;
     }
-    return 1;
+    return true;
 }
 
 /* Whether a task that is gone can't be replaced before the others give up waiting. */
-static int is_hopeless(const tw_core *core, const tw_job *job) {
+static bool is_hopeless(const tw_core *core, const tw_job *job) {
     const tw_gang *gang = &job->gang;
-    if (gang->missing_since <= 0 || !missing_tasks(job)) return 0;
-    if (gang->vacated_count >= TW_GANG_MAX_REPLACED) return 1;
+    if (gang->missing_since <= 0 || !missing_tasks(job)) return false;
+    if (gang->vacated_count >= TW_GANG_MAX_REPLACED) return true;
     if (gang->waiting_since <= 0)
         return core->now > gang->missing_since + core->config->gang_wait_s;
     /* Meanwhile the others hold their room for nothing. */
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -5,6 +5,7 @@
 #ifndef TW_CORE_GANG_H
 #define TW_CORE_GANG_H
 #include "core/core.h"
+#include <stdbool.h>
 
 typedef struct tw_job tw_job;
 typedef struct tw_machine tw_machine;
@@ -25,7 +26,7 @@
     tw_gang_state state;
     uint64_t attempt;
     double grace_s;       /* that the tasks get when it is stopped */
-    int saved;            /* while it stops: a task has told that its progress is saved */
+    bool saved;           /* while it stops: a task has told that its progress is saved */
     double waiting_since; /* when a task was first seen to wait for the others; 0: none yet */
     double missing_since; /* since when a task is to be replaced; 0: none is */
     struct tw_machine
@@ -47,11 +48,11 @@
 /* The whole gang is to be stopped; its tasks save if they can all be told in time. */
 void tw_gang_stop(tw_core *core, tw_job *job, double grace_s);
 /* Whether an orderly stop would reach every task in time, and keep its progress. */
-int tw_gang_can_save(const tw_core *core, const tw_job *job);
+bool tw_gang_can_save(const tw_core *core, const tw_job *job);
 /* Whether it waits to be placed, or for the replacement of a task. */
-int tw_gang_is_pending(const tw_job *job);
+bool tw_gang_is_pending(const tw_job *job);
 /* Whether a task of this attempt was on the machine and is gone: it is not started there again. */
-int tw_gang_was_on(const tw_job *job, const tw_machine *machine);
+bool tw_gang_was_on(const tw_job *job, const tw_machine *machine);
 /* Timed work on a job's attempt: launches that are due, giving up one that can't start. */
 void tw_gang_tick(tw_core *core, tw_job *job);
 /* The state's name in log lines. */
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -7,6 +7,7 @@
  * where the running tasks are not expected to end in that time.
  */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 #define HOLD_AFTER_S (TW_MAX_START_DELAY_S / 8)
 #define HOLD_MOST_S (TW_MAX_START_DELAY_S / 4)
@@ -18,9 +19,9 @@
 } expectation;
 
 /* Whether the gang has waited for so long, and does not pause after it held room in vain. */
-static int may_hold(const tw_core *core, const tw_job *job) {
+static bool may_hold(const tw_core *core, const tw_job *job) {
     if (!job->has_spec || !job->spec.gang || !tw_job_is_pending(core, job) || job->placed_count)
-        return 0;
+        return false;
     const double since_s = core->now - fmax(job->submitted_at, job->pending_since) - HOLD_AFTER_S;
     return since_s >= 0 && fmod(since_s, 2 * HOLD_MOST_S) < HOLD_MOST_S;
 }
@@ -76,7 +77,7 @@
 
 /* Holds the machines in the zone (-1: in all) where the room comes soonest. Returns when that is;
  * INFINITY: there is not enough. mark: else it is only looked at. */
-static double hold_in(tw_core *core, tw_job *job, int zone, int mark) {
+static double hold_in(tw_core *core, tw_job *job, int zone, bool mark) {
     const tw_demand demand = tw_demand_of(core, job);
     expectation *all = tw_alloc((size_t)core->candidate_count * sizeof *all);
     int count = 0;
@@ -95,7 +96,7 @@
     qsort(all, (size_t)count, sizeof *all, by_time);
     for (int i = 0; i < count && tasks < job->task_count; i++) {
         tasks += all[i].tasks;
-        if (mark) all[i].machine->reserved_for_gang = 1;
+        if (mark) all[i].machine->reserved_for_gang = true;
         if (tasks >= job->task_count) at = all[i].at;
     }
     free(all);
@@ -104,41 +105,41 @@
 
 void tw_gang_reservation_update(tw_core *core) {
     for (int i = 0; i < core->candidate_count; i++)
-        core->candidates[i].machine->reserved_for_gang = 0;
+        core->candidates[i].machine->reserved_for_gang = false;
     core->reserving_gang = NULL;
     tw_job *job = longest_waiting(core);
     if (!job) return;
     int best = -1;
-    double soonest = job->spec.single_zone ? INFINITY : hold_in(core, job, -1, 0);
+    double soonest = job->spec.single_zone ? INFINITY : hold_in(core, job, -1, false);
     for (int zone = 0; job->spec.single_zone && zone < core->zone_count; zone++) {
-        const double at = hold_in(core, job, zone, 0);
+        const double at = hold_in(core, job, zone, false);
         if (at >= soonest) continue;
         soonest = at;
         best = zone;
     }
     if (!isfinite(soonest)) return;
-    hold_in(core, job, best, 1);
+    hold_in(core, job, best, true);
     core->reserving_gang = job;
     tw_log_debug("event=gang_room_reserved id=%s zone=%d in_s=%.1f", job->id, best,
                  soonest - core->now);
 }
 
-int tw_gang_reservation_allows(const tw_core *core, const tw_job *job, const tw_machine *machine) {
+bool tw_gang_reservation_allows(const tw_core *core, const tw_job *job, const tw_machine *machine) {
     const struct tw_job *holder = core->reserving_gang;
-    if (!holder || !machine->reserved_for_gang || holder == job || job->spec.service) return 1;
+    if (!holder || !machine->reserved_for_gang || holder == job || job->spec.service) return true;
     return job->spec.priority > holder->spec.priority;
 }
 
 /* What is left of a limit after so many tasks; 0 as a limit: there is none. */
-static int leaves(double limit, double used, double taken, double held) {
+static bool leaves(double limit, double used, double taken, double held) {
     return limit <= 0 || used + taken + held <= limit + TW_CAPACITY_ROUNDING;
 }
 
-int tw_gang_reservation_allows_team(const tw_core *core, const tw_job *job) {
+bool tw_gang_reservation_allows_team(const tw_core *core, const tw_job *job) {
     const struct tw_job *holder = core->reserving_gang;
     if (!holder || holder == job || job->spec.service || job->team != holder->team ||
         job->spec.priority > holder->spec.priority || job->team < 0)
-        return 1;
+        return true;
     const tw_config_team *team = &core->config->teams[job->team];
     return leaves(team->cpus_max, core->team_cores_used[job->team], job->spec.cores,
                   holder->spec.cores * holder->task_count) &&
--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -1,6 +1,7 @@
 /* Where a gang has room for all its tasks. Sums over the machines of a zone, so that a gang that
  * doesn't fit is not placed task by task and taken back in each pass. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 /* How many tasks a zone has room for. */
 typedef struct {
@@ -25,7 +26,7 @@
 }
 
 /* Whether stopping others makes room there: GPUs that are given back need their cores again. */
-static int gains_by_stopping(const tw_core *core, const tw_machine *machine, const tw_job *job) {
+static bool gains_by_stopping(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     return job->spec.gpus > 0 || job->any_machine ||
            core->machine_types[machine->type_index].listed.gpus <= 0;
 }
@@ -91,7 +92,7 @@
         const int zone = machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index;
         add_machine(core, &demand, machine, tasks, &rooms[zone]);
     }
-    const int may_vacate = job->spec.priority > TW_PRIORITY_IDLE;
+    const bool may_vacate = job->spec.priority > TW_PRIORITY_IDLE;
     for (int vacated = 0; vacated <= may_vacate; vacated++) {
         const uint32_t zones = zones_with(core, rooms, tasks, vacated);
         if (job->spec.single_zone && zones) return zones;
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -3,6 +3,7 @@
  * Where the leader can't be reached, a deputy answers (lease_delegate.c); while none is known, or
  * this node is no deputy yet, the report is held for a while. */
 #include "core/heartbeat_forwarder.h"
+#include <stdbool.h>
 
 /* A worker waits 4 s, by the protocol: this leaves time to become a deputy. */
 #define RELAY_TIMEOUT_S 1.0
@@ -74,7 +75,7 @@
         forward_or_hold(core, connection, worker, body, until);
         return;
     }
-    tw_worker_heartbeat_receive(core, connection, body, strlen(body), 0);
+    tw_worker_heartbeat_receive(core, connection, body, strlen(body), false);
     free(body);
 }
 
--- a/src/core/heartbeat_forwarder.h
+++ b/src/core/heartbeat_forwarder.h
@@ -4,11 +4,12 @@
 #ifndef TW_CORE_RELAY_H
 #define TW_CORE_RELAY_H
 #include "core/core_int.h"
+#include <stdbool.h>
 
 /* worker_routing.c */
 /* Names the node that a worker should report to, unless it comes back from there: 0, it is to be
  * answered here. */
-int tw_worker_redirect_to(tw_core *core, uint64_t connection, const char *worker, tw_peer *to);
+bool tw_worker_redirect_to(tw_core *core, uint64_t connection, const char *worker, tw_peer *to);
 
 /* lease_delegate.c */
 /* Writes the key of the node as a deputy. */
@@ -16,11 +17,11 @@
 /* The leader answered the worker through this node, to a report sent to it at that time. */
 void tw_delegate_note_forwarded(tw_core *core, const char *worker, double at);
 /* Whether this node may answer the worker in the leader's place. */
-int tw_delegate_is_entitled(tw_core *core, const char *worker, const char *zone);
+bool tw_delegate_is_entitled(tw_core *core, const char *worker, const char *zone);
 /* Answers a report in the leader's place, if this node is entitled to; 0: it is not, and asks to be
  * where the worker is of its zone. */
-int tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
-                                 const tw_wire_heartbeat *heartbeat);
+bool tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
+                                  const tw_wire_heartbeat *heartbeat);
 
 /* heartbeat_forwarder.c */
 /* Tries all held reports again at once. */
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -1,5 +1,6 @@
 /* Images on machines: which are cached or on their way, and how much fetches slow each other. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 #define MAX_IMAGES 64 /* remembered of a machine */
 
@@ -53,7 +54,7 @@
     }
 }
 
-void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, int ready) {
+void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, bool ready) {
     tw_image *found = tw_image_find(machine, job);
     if (!found) {
         found = tw_alloc(sizeof *found);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,6 +1,7 @@
 /* Life cycle of jobs: how they are made from a submission or a record, what is told of them, how
  * they end. Nothing here writes records (job_store.c) or takes requests (user_requests.c). */
 #include "core/record_chunks.h"
+#include <stdbool.h>
 
 /* Time between two passes over the unfinished jobs. */
 #define TICK_S 0.25
@@ -14,7 +15,7 @@
     return job;
 }
 
-int tw_job_is_known(tw_core *core, const char *id) {
+bool tw_job_is_known(tw_core *core, const char *id) {
     return tw_job_find(core, id) || tw_completed_jobs_find(core->completed_jobs, id, NULL);
 }
 
@@ -37,7 +38,7 @@
 uint32_t tw_machine_type_mask(const tw_core *core, const tw_wire_job *spec) {
     uint32_t mask = 0;
     for (int i = 0; i < core->machine_type_count; i++) {
-        int allowed = spec->machine_type_count < 0;
+        bool allowed = spec->machine_type_count < 0;
         for (int k = 0; k < spec->machine_type_count; k++)
             allowed |= !strcmp(spec->machine_types[k], core->machine_types[i].listed.name);
         if (allowed) mask |= 1u << i;
@@ -52,7 +53,7 @@
     job->spec_bytes = 0;
     memset(spec, 0, sizeof *spec);
     spec->machine_type_count = -1;
-    job->has_spec = 1;
+    job->has_spec = true;
     job->task_count = job->spec.task_count;
     job->team = team_index(core, job->spec.team);
     job->job_class = tw_job_class_get(core, job->spec.job_class);
@@ -78,31 +79,31 @@
     free(job);
 }
 
-void tw_job_mark_changed(tw_core *core, tw_job *job, int urgent) {
+void tw_job_mark_changed(tw_core *core, tw_job *job, bool urgent) {
     job->version++;
-    if (urgent) job->write_urgent = 1;
+    if (urgent) job->write_urgent = true;
     if (!job->write_queued && !job->write_in_flight) {
         DL_APPEND2(core->pending_writes, job, write_prev, write_next);
-        job->write_queued = 1;
+        job->write_queued = true;
     }
 }
 
 /* Kept apart: they are told with every ping. */
 void tw_job_note_cancelled(tw_core *core, tw_job *job) {
     if (job->in_cancelled_list) return;
-    job->in_cancelled_list = 1;
+    job->in_cancelled_list = true;
     DL_APPEND2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
 }
 
 static void remove_from_cancelled(tw_core *core, tw_job *job) {
     if (!job->in_cancelled_list) return;
-    job->in_cancelled_list = 0;
+    job->in_cancelled_list = false;
     DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
 }
 
 /* ---- what users are told ---- */
 
-void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, int cancels) {
+void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, bool cancels) {
     tw_waiting_client *client = tw_alloc(sizeof *client);
     client->connection = connection;
     client->cancels = cancels;
@@ -132,16 +133,18 @@
 /* Whether the state service may hold that the job is over while we don't know it: the write is on
  * its way, or nothing is known of its fate. Another node may have read it and told a user, so that
  * only a read that begins after a question can answer it. */
-static int end_is_uncertain(const tw_job *job) {
+static bool end_is_uncertain(const tw_job *job) {
     return job->final_state_sent && job->durable_state == TW_JOB_PENDING;
 }
 
-int tw_job_is_answerable(const tw_job *job) { return job->record_exists && !end_is_uncertain(job); }
+bool tw_job_is_answerable(const tw_job *job) {
+    return job->record_exists && !end_is_uncertain(job);
+}
 
 void tw_job_answer_waiting_clients(tw_core *core, tw_job *job, int status) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
         tw_waiting_client *client = *at;
-        int over = job->durable_state != TW_JOB_PENDING;
+        bool over = job->durable_state != TW_JOB_PENDING;
         if (client->cancels ? over : job->record_exists) {
             tw_reply(core, client->connection, client->cancels ? TW_HTTP_OK : status, 0,
                      tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
@@ -164,11 +167,11 @@
          * is of no use to anybody. */
         tw_placement *task, *next;
         DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
-            tw_placement_stop(core, task, 0, 0);
+            tw_placement_stop(core, task, 0, false);
         }
     }
     tw_log_debug("event=job_ended id=%s state=%d", job->id, state);
-    tw_job_mark_changed(core, job, 1);
+    tw_job_mark_changed(core, job, true);
 }
 
 void tw_job_note_completed(tw_core *core, const char *id, int state, int done) {
@@ -201,7 +204,7 @@
     free(job->task_states);
     job->task_states = NULL;
     job->job_class = NULL;
-    job->has_spec = 0;
+    job->has_spec = false;
     tw_wire_job_free(&job->spec);
     free(job->spec_text);
     job->spec_text = NULL;
@@ -257,28 +260,28 @@
 /* ---- jobs that can never run ---- */
 
 /* Whether a machine of the type would hold a task where the job may run. */
-static int type_suits(const tw_wire_machine_type *type, const tw_wire_job *spec) {
+static bool type_suits(const tw_wire_machine_type *type, const tw_wire_job *spec) {
     if (type->cores + TW_CAPACITY_ROUNDING < spec->cores ||
         type->gpus + TW_CAPACITY_ROUNDING < spec->gpus ||
         type->memory_gb + TW_CAPACITY_ROUNDING < spec->memory_gb)
-        return 0;
-    if (!*spec->zone) return 1;
+        return false;
+    if (!*spec->zone) return true;
     for (int i = 0; i < type->zone_count; i++)
-        if (!strcmp(type->zones[i], spec->zone)) return 1;
-    return 0;
+        if (!strcmp(type->zones[i], spec->zone)) return true;
+    return false;
 }
 
-int tw_job_is_impossible(tw_core *core, const tw_wire_job *spec) {
+bool tw_job_is_impossible(tw_core *core, const tw_wire_job *spec) {
     int index = team_index(core, spec->team);
-    if (index < 0) return 1;
+    if (index < 0) return true;
     const tw_config_team *team = &core->config->teams[index];
     double at_once = spec->service || spec->gang ? spec->task_count : 1; /* what must run at once */
     if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_CAPACITY_ROUNDING)
-        return 1;
+        return true;
     if (team->gpus_max > 0 && spec->gpus * at_once > team->gpus_max + TW_CAPACITY_ROUNDING)
-        return 1;
+        return true;
     uint32_t mask = tw_machine_type_mask(core, spec);
     for (int i = 0; i < core->machine_type_count; i++)
-        if ((mask & (1u << i)) && type_suits(&core->machine_types[i].listed, spec)) return 0;
-    return 1;
+        if ((mask & (1u << i)) && type_suits(&core->machine_types[i].listed, spec)) return false;
+    return true;
 }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -7,6 +7,7 @@
 #include "core/gang.h"
 #include "core/placement.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <uthash.h>
 
 typedef struct tw_call tw_call;
@@ -15,7 +16,7 @@
 /* A request whose answer waits until the job is durable, or known to be over. */
 typedef struct tw_waiting_client {
     uint64_t connection;
-    int cancels; /* else: a submission */
+    bool cancels; /* else: a submission */
     double until;
     struct tw_waiting_client *next;
 } tw_waiting_client;
@@ -42,7 +43,7 @@
 
 typedef struct tw_job {
     char id[TW_WIRE_ID_SIZE];
-    int has_spec;
+    bool has_spec;
     tw_wire_job spec;
     char *spec_text;   /* s as in the record, made once; NULL: not yet */
     size_t spec_bytes; /* the length of that text; 0: not measured yet */
@@ -64,8 +65,8 @@
     /* writing */
     int record_exists; /* its key is known to exist */
     uint64_t mod_revision, version, durable_version, writing_version;
-    int write_in_flight, write_queued, write_urgent, needs_read, read_in_flight;
-    int final_state_sent; /* a record that says it is over may be in the state service */
+    bool write_in_flight, write_queued, write_urgent, needs_read, read_in_flight;
+    bool final_state_sent; /* a record that says it is over may be in the state service */
     double write_after;
     char chunk_set[TW_WIRE_CHUNK_SET_SIZE]; /* slices that its record names as last known; "": it is
                                              * whole
@@ -75,7 +76,7 @@
         *chunks;          /* of its next record, while they are written; see record_chunks.c */
     int size_refusals;    /* of its record for its size, in a row */
     size_t refused_bytes; /* the length that was refused */
-    int write_alone;      /* to be written in a transaction of its own */
+    bool write_alone;     /* to be written in a transaction of its own */
     tw_waiting_client *waiting_clients;
     /* errors */
     int cancelling; /* its user cancels it; not yet safe to tell, see tw_cancellation_safety */
@@ -88,14 +89,14 @@
     double failed_machines_until;
     double pending_since;
     int has_run;                /* a task of it has run for a lease */
-    int guaranteed;             /* scratch: within its team's guarantee, see job_queue.c */
-    int capacity_bound;         /* nothing can be rented for it */
+    bool guaranteed;            /* scratch: within its team's guarantee, see job_queue.c */
+    bool capacity_bound;        /* nothing can be rented for it */
     int any_machine;            /* without GPUs, but only GPU machines are to be had */
-    int has_checkpoint;         /* a task's run time is no longer the whole */
+    bool has_checkpoint;        /* a task's run time is no longer the whole */
     tw_gang gang;               /* of a job whose tasks start together */
     struct tw_job *prev, *next; /* core->active */
     struct tw_job *write_prev, *write_next; /* core->dirty */
-    int in_cancelled_list;
+    bool in_cancelled_list;
     struct tw_job *cancelled_prev, *cancelled_next; /* core->cancelled */
     UT_hash_handle hh;
 } tw_job;
@@ -108,7 +109,7 @@
 /* Gives the job its contents. */
 void tw_job_set_spec(tw_core *core, tw_job *job, tw_wire_job *spec /* taken */);
 /* Its record is to be written; urgent: before those that nobody waits for. */
-void tw_job_mark_changed(tw_core *core, tw_job *job, int urgent);
+void tw_job_mark_changed(tw_core *core, tw_job *job, bool urgent);
 /* Frees the job, of which no placement may be left. */
 void tw_job_free(tw_core *core, tw_job *job);
 /* A placement of the job is no more; the job may be none either after it. */
@@ -124,7 +125,7 @@
 /* Timed work of the leader on all unfinished jobs. */
 void tw_jobs_tick(tw_core *core);
 /* Whether it can never run: refused with TW_HTTP_IMPOSSIBLE. */
-int tw_job_is_impossible(tw_core *core, const tw_wire_job *spec);
+bool tw_job_is_impossible(tw_core *core, const tw_wire_job *spec);
 /* The machine types that a job allows, a bit each, over core->flavors. */
 uint32_t tw_machine_type_mask(const tw_core *core, const tw_wire_job *spec);
 
@@ -151,9 +152,9 @@
 /* Requests of users: a submission, a query, a cancellation. from_peer: handed on by another node.
  */
 void tw_user_submit(tw_core *core, uint64_t connection, const char *body, size_t length,
-                    int from_peer);
-void tw_user_query(tw_core *core, uint64_t connection, const char *id, int from_peer);
-void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, int from_peer);
+                    bool from_peer);
+void tw_user_query(tw_core *core, uint64_t connection, const char *id, bool from_peer);
+void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, bool from_peer);
 /* A call that was made for a user was answered. */
 void tw_user_response(tw_core *core, tw_call *sent, int status, const char *body, size_t length);
 
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -1,5 +1,6 @@
 /* Classes of jobs: what was learned of each, for estimates and for the room to hold. */
 #include "core/jobs.h"
+#include <stdbool.h>
 
 /* Until something was learned: deviation of a run time's ratio to its estimate. */
 #define PRIOR_DEVIATION 0.3
@@ -27,8 +28,8 @@
 
 void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job) {
     /* Jobs that stood waiting for the service to come up say nothing of the rate they come at. */
-    int opening = core->began_without_jobs &&
-                  core->now - core->first_admission_at < OPENING_LEASES * core->config->lease_s;
+    bool opening = core->began_without_jobs &&
+                   core->now - core->first_admission_at < OPENING_LEASES * core->config->lease_s;
     double gap_s = class->last_arrival_at > 0 ? core->now - class->last_arrival_at : FIRST_GAP_S;
     double weight = opening ? 0 : 1 - exp(-gap_s / RATE_TIME_S);
     double tasks = job->task_count;
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -9,6 +9,7 @@
  * A group is the jobs of one level and one team. Levels: first the highest priority's jobs within
  * their team's guarantee, then the highest priority's other jobs, then the next priority's. */
 #include "core/core_int.h"
+#include <stdbool.h>
 
 #define PRIORITIES (TW_PRIORITY_PROD + 1)
 #define LEVELS (2 * PRIORITIES) /* within the guarantee or not, of each priority */
@@ -32,16 +33,16 @@
     range overdue_by_priority[PRIORITIES]; /* in overdue, by priority */
 };
 
-static int is_empty(range of) { return of.start >= of.end; }
+static bool is_empty(range of) { return of.start >= of.end; }
 
 /* The level of jobs of this priority that are within their team's guarantee or not. */
-static int level_of(tw_wire_priority priority, int guaranteed) {
+static int level_of(tw_wire_priority priority, bool guaranteed) {
     return (TW_PRIORITY_PROD - priority) * 2 + !guaranteed;
 }
 
 static tw_wire_priority priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
-int tw_job_is_pending(const tw_core *core, const tw_job *job) {
+bool tw_job_is_pending(const tw_core *core, const tw_job *job) {
     return job->has_spec && job->task_states && job->state == TW_JOB_PENDING && !job->cancelling &&
            job->team >= 0 && job->done_count + job->placed_count < job->task_count &&
            core->now >= job->retry_at && (!job->spec.gang || tw_gang_is_pending(job));
@@ -56,7 +57,7 @@
     return 0;
 }
 
-static int submitted_together(const tw_job *a, const tw_job *b) {
+static bool submitted_together(const tw_job *a, const tw_job *b) {
     return a->team == b->team && a->submitted_at == b->submitted_at;
 }
 
@@ -65,7 +66,7 @@
     int count = 0;
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
-        job->guaranteed = 0;
+        job->guaranteed = false;
         if (job->team < 0 || !job->has_spec || job->state != TW_JOB_PENDING) continue;
         const tw_config_team *team = &core->config->teams[job->team];
         if (team->gpus > 0 || team->cpus > 0) jobs[count++] = job;
@@ -85,8 +86,8 @@
             cpus += jobs[to]->spec.cores * tasks;
             gpus += jobs[to]->spec.gpus * tasks;
         }
-        const int fits = (team->gpus <= 0 || gpus <= team->gpus + TW_CAPACITY_ROUNDING) &&
-                         (team->cpus <= 0 || cpus <= team->cpus + TW_CAPACITY_ROUNDING);
+        const bool fits = (team->gpus <= 0 || gpus <= team->gpus + TW_CAPACITY_ROUNDING) &&
+                          (team->cpus <= 0 || cpus <= team->cpus + TW_CAPACITY_ROUNDING);
         for (int i = from; i < to; i++)
             jobs[i]->guaranteed =
                 fits && (jobs[i]->spec.gpus > 0 ? team->gpus > 0 : team->cpus > 0);
@@ -159,8 +160,8 @@
     return (core->now - job->submitted_at) * sqrt(work);
 }
 
-static int is_overdue(const tw_core *core, const tw_job *job) {
-    if (job->has_run || job->placed_count || job->done_count) return 0;
+static bool is_overdue(const tw_core *core, const tw_job *job) {
+    if (job->has_run || job->placed_count || job->done_count) return false;
     return core->now - job->submitted_at > OVERDUE_AFTER_S;
 }
 
@@ -185,7 +186,7 @@
 
 /* ---- turns ---- */
 
-tw_job_queue *tw_job_queue_new(tw_core *core, int with_overdue) {
+tw_job_queue *tw_job_queue_new(tw_core *core, bool with_overdue) {
     tw_job_queue *turns = tw_alloc(sizeof *turns);
     int capacity = 0;
     const tw_job *job;
@@ -251,14 +252,14 @@
     if (turns->last != SERVED_OVERDUE) turns->groups[turns->last].start--;
 }
 
-int tw_job_queue_is_contended(const tw_job_queue *turns) {
-    if (turns->last == SERVED_OVERDUE) return 1;
+bool tw_job_queue_is_contended(const tw_job_queue *turns) {
+    if (turns->last == SERVED_OVERDUE) return true;
     const int level = turns->last / turns->team_count;
-    if (!is_empty(turns->overdue_by_priority[priority_of(level)])) return 1;
+    if (!is_empty(turns->overdue_by_priority[priority_of(level)])) return true;
     const int first = level * turns->team_count;
     for (int group = first; group < first + turns->team_count; group++)
-        if (group != turns->last && !is_empty(turns->groups[group])) return 1;
-    return 0;
+        if (group != turns->last && !is_empty(turns->groups[group])) return true;
+    return false;
 }
 
 void tw_job_queue_free(tw_job_queue *turns) {
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -3,6 +3,7 @@
  * conditioned on the leader's key and on the job's own revision, so that neither a deposed leader
  * nor a late copy of an older write can undo a newer one. */
 #include "core/record_chunks.h"
+#include <stdbool.h>
 
 /* Most records in a transaction, whatever the state service allows. */
 #define MAX_RECORDS 60
@@ -33,12 +34,12 @@
 
 static void enqueue(tw_core *core, tw_job *job) {
     DL_APPEND2(core->pending_writes, job, write_prev, write_next);
-    job->write_queued = 1;
+    job->write_queued = true;
 }
 
 static void dequeue(tw_core *core, tw_job *job) {
     DL_DELETE2(core->pending_writes, job, write_prev, write_next);
-    job->write_queued = 0;
+    job->write_queued = false;
 }
 
 static void requeue(tw_core *core, tw_job *job) {
@@ -58,21 +59,21 @@
 }
 
 /* Adds the job's record, taking the text; 0: there is no room for it. */
-static int batch_add(batch *batch, tw_job *job, char *text) {
+static bool batch_add(batch *batch, tw_job *job, char *text) {
     size_t bytes = strlen(text) + RECORD_FRAME_BYTES;
     if (batch->bytes + bytes > MAX_TXN_BYTES && batch->count) {
         free(text);
-        return 0;
+        return false;
     }
     batch->bytes += bytes;
     batch->texts[batch->count] = text;
     snprintf(batch->keys[batch->count], TW_JOB_KEY_SIZE, TW_JOB_KEY "%s", job->id);
     batch->jobs[batch->count++] = job;
-    return 1;
+    return true;
 }
 
 /* Takes queued records into the batch: those that somebody waits for, or the others. */
-static void batch_fill(tw_core *core, batch *batch, int urgent, int most) {
+static void batch_fill(tw_core *core, batch *batch, bool urgent, int most) {
     tw_job *job, *next;
     DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next) {
         if (batch->count >= most ||
@@ -110,9 +111,9 @@
         if (job->chunks) note_chunked(write, job->chunks);
         write->bytes = strlen(batch->texts[i]);
         job->final_state_sent |= write->state != TW_JOB_PENDING;
-        job->write_in_flight = 1;
+        job->write_in_flight = true;
         job->writing_version = write->version;
-        job->write_urgent = 0;
+        job->write_urgent = false;
     }
 }
 
@@ -151,8 +152,8 @@
            tw_rate_limiter_available(core, &core->write_limiter) >= 1 &&
            tw_rate_limiter_available(core, &core->request_limiter) >= 1) {
         batch batch = {.bytes = FRAME_BYTES};
-        batch_fill(core, &batch, 1, most);
-        batch_fill(core, &batch, 0, most);
+        batch_fill(core, &batch, true, most);
+        batch_fill(core, &batch, false, most);
         if (batch.count) batch_send(core, &batch);
         tw_chunks_flush(core, most);
         if (!batch.count) break;
@@ -165,7 +166,7 @@
 /* The record under this stamp, the latest one, holds this stage. */
 static void note_record(tw_job *job, int state, uint64_t revision) {
     job->record_exists = 1;
-    job->needs_read = 0;
+    job->needs_read = false;
     job->mod_revision = revision;
     /* A job that is over never becomes anything else. What counts is the record that was written,
      * not whether the job has changed since: a task may have ended meanwhile. */
@@ -177,7 +178,7 @@
     note_record(job, write->state, revision);
     tw_chunks_set_current(core, job, write->chunk_set, write->chunk_count);
     if (*write->chunk_set) tw_chunks_free(job); /* nothing else is written while it is on its way */
-    job->write_alone = 0;
+    job->write_alone = false;
     job->size_refusals = 0;
     tw_job_answer_waiting_clients(core, job, TW_HTTP_CREATED);
     if (write->version > job->durable_version) job->durable_version = write->version;
@@ -232,8 +233,8 @@
         job->task_states = tw_alloc((size_t)job->task_count);
         job->first_unplaced = 0;
         job->submitted_wall_s = record.submitted_at;
-        tw_job_mark_changed(core, job, 1);
-        core->scheduling_due = 1;
+        tw_job_mark_changed(core, job, true);
+        core->scheduling_due = true;
     }
     free(ours);
     free(theirs);
@@ -263,7 +264,7 @@
 
 static void read_record(tw_core *core, tw_job *job) {
     char path[TW_JOB_PATH_SIZE];
-    job->read_in_flight = 1;
+    job->read_in_flight = true;
     snprintf(path, sizeof path, TW_JOB_PATH "%s", job->id);
     tw_call *call = tw_call_send(core, TW_CALL_READ_RECORD, TW_TO_STATE, core->config->state, "GET",
                                  path, NULL, 1);
@@ -286,47 +287,47 @@
 } refusal;
 
 /* Whether the job's record is not of the revision that the write was conditioned on. */
-static int compare_failed(const refusal *refusal, const tw_record_write *write) {
+static bool compare_failed(const refusal *refusal, const tw_record_write *write) {
     const size_t prefix = sizeof TW_JOB_KEY - 1;
     for (int i = 0; i < refusal->count; i++) {
         const char *key = refusal->keys[i];
-        if (!strncmp(key, TW_JOB_KEY, prefix) && !strcmp(key + prefix, write->id)) return 1;
+        if (!strncmp(key, TW_JOB_KEY, prefix) && !strcmp(key + prefix, write->id)) return true;
     }
-    return 0;
+    return false;
 }
 
 /* Not carried out, or unknown. A retry under the same stamps is safe either way: if the first went
  * through, or still will, one of the two fails. */
 static void note_not_written(tw_core *core, tw_job *job, const tw_record_write *write, int status,
-                             const refusal *refusal, int alone) {
-    job->write_urgent = 1;
+                             const refusal *refusal, bool alone) {
+    job->write_urgent = true;
     if (status == TW_HTTP_BAD_REQUEST && alone)
         tw_record_refused(core, job, *write->chunk_set ? 0 : write->bytes);
     else if (status == TW_HTTP_BAD_REQUEST)
-        job->write_alone = 1; /* to find out which of them it is for */
+        job->write_alone = true; /* to find out which of them it is for */
     else if (status != TW_HTTP_CONFLICT)
         job->write_after = core->now + WRITE_RETRY_S;
     /* A read for a user may have told us the record's stamp since. */
     if (write->mod_revision == job->mod_revision && compare_failed(refusal, write))
-        job->needs_read = 1;
+        job->needs_read = true;
     requeue(core, job);
     if (job->needs_read && !job->read_in_flight) read_record(core, job);
 }
 
 /* Whether our key is still there, by what a transaction was refused for. */
-static int leader_key_is_kept(tw_core *core, const refusal *refusal) {
+static bool leader_key_is_kept(tw_core *core, const refusal *refusal) {
     for (int i = 0; i < refusal->count; i++) {
         if (!strncmp(refusal->keys[i], TW_DELEGATE_KEY, sizeof TW_DELEGATE_KEY - 1))
             tw_delegates_read(core);
-        if (!strcmp(refusal->keys[i], TW_LEADER_KEY)) return 0;
+        if (!strcmp(refusal->keys[i], TW_LEADER_KEY)) return false;
     }
-    return 1;
+    return true;
 }
 
 /* A transaction of records or slices was answered: the keys that it was refused for. 0: the
  * leader's key is among them, and the term is over. */
-static int note_answer(tw_core *core, int status, const char *body, size_t length,
-                       refusal *refusal) {
+static bool note_answer(tw_core *core, int status, const char *body, size_t length,
+                        refusal *refusal) {
     *refusal = (struct refusal){NULL, 0};
     core->transactions_in_flight--;
     if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
@@ -335,10 +336,10 @@
         refusal->count = 0;
     if (status == TW_HTTP_BAD_REQUEST)
         tw_log_error("event=transaction_refused body=\"%.200s\"", body);
-    if (leader_key_is_kept(core, refusal)) return 1;
+    if (leader_key_is_kept(core, refusal)) return true;
     free(refusal->keys);
     tw_leader_step_down(core, "leader key lost");
-    return 0;
+    return false;
 }
 
 static void chunks_response(tw_core *core, tw_call *call, int status, const char *body,
@@ -349,7 +350,7 @@
     tw_job *job = tw_job_find(core, call->name);
     /* Or they were given up meanwhile. */
     if (!job || !job->chunks || strcmp(job->chunks->name, call->text) != 0) return;
-    job->chunks->write_in_flight = 0;
+    job->chunks->write_in_flight = false;
     if (status == TW_HTTP_OK)
         job->chunks->written += call->count;
     else if (status == TW_HTTP_BAD_REQUEST)
@@ -362,7 +363,7 @@
                              size_t length) {
     uint64_t revision = 0;
     refusal refusal;
-    int ok = status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, length);
+    bool ok = status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, length);
     if (!note_answer(core, status, body, length, &refusal)) return;
     if (ok && call->sent_at > core->delegates_checked_at)
         core->delegates_checked_at = call->sent_at;
@@ -370,7 +371,7 @@
         const tw_record_write *write = &call->records[i];
         tw_job *job = tw_job_find(core, write->id);
         if (!job) continue;
-        job->write_in_flight = 0;
+        job->write_in_flight = false;
         if (ok)
             note_durable(core, job, write, revision);
         else
@@ -384,10 +385,10 @@
                           size_t length) {
     tw_job *job = tw_job_find(core, call->name);
     if (!job) return;
-    job->read_in_flight = 0;
+    job->read_in_flight = false;
     if (status == TW_HTTP_NOT_FOUND) {
         job->mod_revision = 0;
-        job->needs_read = 0;
+        job->needs_read = false;
         return;
     }
     tw_wire_entry entry;
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -5,6 +5,7 @@
 #define TW_CORE_JOBS_H
 #include "core/core_int.h"
 #include "core/completed_jobs.h"
+#include <stdbool.h>
 
 /* What a request of a user is about, kept with the call that was made for it. */
 typedef enum {
@@ -28,7 +29,7 @@
 
 /* job.c */
 /* The user at conn waits until the job is durable, or (cancels) known to be over. */
-void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, int cancels);
+void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, bool cancels);
 /* Turns away all who wait for the job: its record can't be written. */
 void tw_job_reject_waiting_clients(tw_core *core, tw_job *job);
 /* Answers all who waited for what is durable now; status: of accepted submissions, 201 or 200. */
@@ -39,9 +40,9 @@
 /* Notes a job that is over, by its record, and of which nothing may run. */
 void tw_job_note_completed(tw_core *core, const char *id, int state, int done);
 /* Whether the leader has the job in memory, finished or not. */
-int tw_job_is_known(tw_core *core, const char *id);
+bool tw_job_is_known(tw_core *core, const char *id);
 /* Whether what the leader has in memory is as new as anything that any node has told of the job. */
-int tw_job_is_answerable(const tw_job *job);
+bool tw_job_is_answerable(const tw_job *job);
 
 /* job_class.c */
 /* Notes that a job of the class was submitted: its rate, size and shape are expected again. */
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -2,6 +2,7 @@
  * records say may run is taken to run until its machine, its release or its lease says otherwise.
  */
 #include "core/record_chunks.h"
+#include <stdbool.h>
 
 /* Records a request, and how long it may take. */
 #define PAGE_SIZE 100
@@ -17,12 +18,12 @@
 void tw_failover_begin(tw_core *core) {
     core->phase = TW_PHASE_LOADING;
     *core->load_cursor = 0;
-    core->loading_chunks = 1;
-    core->load_in_flight = 0;
+    core->loading_chunks = true;
+    core->load_in_flight = false;
     core->answered_while_loading_at = 0;
     core->next_load_at = core->now;
-    core->delegates_read_in_flight = 0;
-    core->delegates_known = 0;
+    core->delegates_read_in_flight = false;
+    core->delegates_known = false;
     core->delegates_checked_at = 0;
     core->expiry_decided_at = 0;
     core->next_delegates_read_at = 0;
@@ -38,7 +39,7 @@
                                 core->loading_chunks ? TW_CHUNK_KEY : TW_JOB_KEY, PAGE_SIZE);
     if (*core->load_cursor)
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s", core->load_cursor);
-    core->load_in_flight = 1;
+    core->load_in_flight = true;
     tw_call_send(core, TW_CALL_LOAD_RECORDS, TW_TO_STATE, core->config->state, "GET", path, NULL,
                  PAGE_TIMEOUT_S);
 }
@@ -46,10 +47,10 @@
 /* All records are read: decisions begin. */
 static void activate_leader(tw_core *core) {
     const size_t finished = tw_completed_jobs_count(core->completed_jobs);
-    const int any = core->jobs || finished;
+    const bool any = core->jobs || finished;
     core->phase = TW_PHASE_ACTIVE;
     tw_chunk_loader_finish(core);
-    core->scheduling_due = 1;
+    core->scheduling_due = true;
     core->next_pass_at = core->now;
     core->next_machine_list_at = core->now;
     core->began_without_jobs = !any;
@@ -98,7 +99,7 @@
         tw_chunk_loader_page(core, body, len, &more, core->load_cursor, sizeof core->load_cursor);
     if (count < 0) return -1;
     if (more && count) return 0;
-    core->loading_chunks = 0;
+    core->loading_chunks = false;
     *core->load_cursor = 0;
     return 0;
 }
@@ -116,8 +117,8 @@
 }
 
 void tw_failover_page(tw_core *core, int status, const char *body, size_t len) {
-    core->load_in_flight = 0;
-    const int slices = core->loading_chunks;
+    core->load_in_flight = false;
+    const bool slices = core->loading_chunks;
     if (status != TW_HTTP_OK ||
         (slices ? take_chunks(core, body, len) : take_records(core, body, len))) {
         /* Retries at the limit would leave this term's own renewals no room. */
@@ -131,7 +132,7 @@
 
 /* The tasks that are done, and those that may run, as the record has them. */
 static void restore_tasks(tw_core *core, tw_job *job, const tw_wire_record *record) {
-    const int cancelled = record->state == TW_JOB_CANCELLED;
+    const bool cancelled = record->state == TW_JOB_CANCELLED;
     job->task_states = tw_alloc((size_t)job->task_count);
     job->done_count = record->done_ranges
                           ? tw_task_ranges_apply(job->task_states, job->task_count,
@@ -145,7 +146,7 @@
         tw_placement *placed = tw_placement_new(core, job, live->index, machine, live->attempt);
         if (!placed) continue;
         placed->inherited = 1;
-        placed->launch_sent = 1;
+        placed->launch_sent = true;
         placed->version = 0;
         if (cancelled) placed->stopping = 1;
     }
@@ -174,5 +175,5 @@
     if (record->has_job) tw_job_set_spec(core, job, &record->job);
     restore_tasks(core, job, record);
     DL_APPEND(core->active_jobs, job);
-    core->scheduling_due = 1;
+    core->scheduling_due = true;
 }
--- a/src/core/lease_delegate.c
+++ b/src/core/lease_delegate.c
@@ -10,6 +10,7 @@
  * through it, or after it began such a reading. */
 #include "core/workers.h"
 #include "core/heartbeat_forwarder.h"
+#include <stdbool.h>
 
 #define MAX_KILLS 500 /* in an answer, which stays under 64 KiB; the rest in the next one */
 #define PAGE_SIZE 500 /* records a request; the service may send fewer */
@@ -29,13 +30,13 @@
     snprintf(key, TW_DELEGATE_KEY_SIZE, TW_DELEGATE_KEY "%s", node);
 }
 
-int tw_delegate_is_entitled(tw_core *core, const char *worker, const char *zone) {
+bool tw_delegate_is_entitled(tw_core *core, const char *worker, const char *zone) {
     /* The leader counts on it that only nodes of its own zone renew a machine's lease without it.
      */
-    if (core->role != TW_ROLE_FOLLOWER || strcmp(zone, core->config->location) != 0) return 0;
+    if (core->role != TW_ROLE_FOLLOWER || strcmp(zone, core->config->location) != 0) return false;
     if (core->delegation_token && core->delegation_token == core->highest_token_seen &&
         core->now < core->delegation_until)
-        return 1;
+        return true;
     tw_expiring_name *relayed;
     HASH_FIND_STR(core->forwarded_workers, worker, relayed);
     const double answered_at = relayed ? relayed->at : -INFINITY;
@@ -75,7 +76,7 @@
     member->at = at;
 }
 
-static int has_name(tw_expiring_name *set, const char *name) {
+static bool has_name(tw_expiring_name *set, const char *name) {
     tw_expiring_name *member;
     HASH_FIND_STR(set, name, member);
     return member != NULL;
@@ -121,7 +122,7 @@
                  core->cancelled_list_cursor);
     else
         core->cancelled_list_began_at = core->now;
-    core->cancelled_list_in_flight = 1;
+    core->cancelled_list_in_flight = true;
     tw_call_send(core, TW_CALL_LIST_CANCELLED_JOBS, TW_TO_STATE, core->config->state, "GET", path,
                  NULL, 1);
 }
@@ -129,7 +130,7 @@
 void tw_delegate_cancelled_page(tw_core *core, int status, const char *body, size_t len) {
     tw_wire_entry *entries;
     int count, more;
-    core->cancelled_list_in_flight = 0;
+    core->cancelled_list_in_flight = false;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) {
         /* Goes on where it stopped: under load some request is always refused. */
         core->next_cancelled_list_at = core->now + REFUSED_LEASES * core->config->lease_s;
@@ -184,12 +185,12 @@
                                  "POST", "/txn", tw_wire_txn_text(&compare, 1, &written, 1), 1);
     sent->tokens = tw_alloc(sizeof *sent->tokens);
     sent->tokens[0] = core->leader_token;
-    core->delegate_write_in_flight = 1;
+    core->delegate_write_in_flight = true;
     core->next_delegate_attempt_at = core->now + ATTEMPT_LEASES * core->config->lease_s;
 }
 
 void tw_delegate_key_response(tw_core *core, tw_call *sent, int status) {
-    core->delegate_write_in_flight = 0;
+    core->delegate_write_in_flight = false;
     if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
     if (status != TW_HTTP_OK) return;
     if (core->now >= core->delegate_until)
@@ -225,17 +226,17 @@
         tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
-int tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
-                                 const tw_wire_heartbeat *heartbeat) {
+bool tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
+                                  const tw_wire_heartbeat *heartbeat) {
     if (!tw_delegate_is_entitled(core, heartbeat->worker, heartbeat->zone)) {
         if (!strcmp(heartbeat->zone, core->config->location)) write_delegate_key(core);
-        return 0;
+        return false;
     }
     /* The grant ends; a key, where the state service can be reached, goes on. */
     if (core->now > core->delegate_until - 0.5 * tw_delegate_lease_s(core))
         write_delegate_key(core);
     answer_worker(core, connection, heartbeat);
-    return 1;
+    return true;
 }
 
 void tw_delegate_free(tw_core *core) {
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -1,6 +1,7 @@
 /* Machines that are not heard from: when one is silent, when its lease has surely ended, and
  * whether the network rather than the machines is at fault. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 /* After a change of leader, workers need a while to find us, in leases. */
 #define FIND_LEADER_LEASES 0.3
@@ -14,8 +15,8 @@
 /* Of fewer machines, most being silent says nothing. */
 #define FEW_MACHINES 2
 
-int tw_machine_is_silent(const tw_core *core, const tw_machine *machine) {
-    const int unanswered = !machine->last_contact_at && machine->failed_probes >= ASKED_IN_VAIN;
+bool tw_machine_is_silent(const tw_core *core, const tw_machine *machine) {
+    const bool unanswered = !machine->last_contact_at && machine->failed_probes >= ASKED_IN_VAIN;
     const double grace_leases = unanswered ? -1 : FIND_LEADER_LEASES;
     const double found_us = core->acquired_at + grace_leases * core->config->lease_s;
     const double heard = fmax(fmax(machine->answered_at, machine->last_contact_at), found_us);
@@ -25,7 +26,7 @@
            core->now - tw_delegates_until(core, machine->zone) > most_s;
 }
 
-int tw_machine_is_usable(const tw_core *core, const tw_machine *machine) {
+bool tw_machine_is_usable(const tw_core *core, const tw_machine *machine) {
     return machine->state == TW_MACHINE_UP && machine->confirmed && machine->type_index >= 0 &&
            !machine->cordoned && !machine->return_wanted && !machine->decommissioning &&
            !machine->lease_expired && !machine->failed && machine->preempted_at <= 0 &&
@@ -77,19 +78,19 @@
 
 /* Most machines of its zone silent as well, or we don't reach its nodes, or only just again: rather
  * the network than the machine. */
-int tw_zone_is_unreachable(tw_core *core, const tw_machine *machine) {
+bool tw_zone_is_unreachable(tw_core *core, const tw_machine *machine) {
     const double back = BACK_REPORTS * core->config->report_s;
     for (size_t i = 0; i < core->peer_count; i++) {
         const tw_peer *peer = &core->peers[i];
         if (!strcmp(peer->config.zone, machine->zone) &&
             strcmp(machine->zone, core->config->location) != 0 &&
             (!tw_zone_has_live_peer(core, machine->zone) || core->now < peer->back_at + back))
-            return 1;
+            return true;
     }
     for (int zone = 0; zone < core->silent_zone_count; zone++)
         if (!strcmp(core->silent_zones[zone].zone, machine->zone))
             return core->now < core->silent_zones[zone].until;
-    return 0;
+    return false;
 }
 
 /* The zone's number among those counted, or TW_MAX_ZONES where there are too many. */
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -1,5 +1,6 @@
 /* Machines, by name: where each stands and of which type it is. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 int tw_machine_type_index(const tw_core *core, const char *label) {
     for (int i = 0; i < core->machine_type_count; i++)
@@ -40,12 +41,12 @@
     machine->zone_index = index;
 }
 
-int tw_machine_is_occupied(const tw_machine *machine) {
+bool tw_machine_is_occupied(const tw_machine *machine) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
-        if (placed->counted) return 1;
+        if (placed->counted) return true;
     }
-    return 0;
+    return false;
 }
 
 static void forget_failures(tw_core *core, const tw_machine *dropped) {
@@ -63,7 +64,7 @@
     tw_image *image, *next_image;
     if (machine->in_command_queue) DL_DELETE2(core->command_queue, machine, queue_prev, queue_next);
     core->commands_in_flight -= machine->command_in_flight;
-    machine->in_command_queue = machine->command_in_flight = 0;
+    machine->in_command_queue = machine->command_in_flight = false;
     if (why) tw_log_info("event=machine_removed worker=%s why=%s", machine->name, why);
     DL_FOREACH_SAFE(machine->placements, placed, next_placed) {
         tw_attempt_terminate_on(core, placed,
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -9,6 +9,7 @@
 #include "core/placement.h"
 #include "core/capacity.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <uthash.h>
 
 typedef struct tw_call tw_call;
@@ -44,19 +45,19 @@
     int probed;               /* asked once, since it stood in the list */
     int listed, lists_without; /* seen in a list; lists in a row without it */
     int failed;
-    int cordoned;                        /* nothing new: sick, deaf, returning */
+    bool cordoned;                       /* nothing new: sick, deaf, returning */
     int return_wanted, return_in_flight; /* to be returned; call in flight */
-    int lease_expired;
+    bool lease_expired;
     double no_decommission_until;
-    int decommissioning;  /* its replicas are being moved, to return it */
-    double idle_since;    /* 0: not idle */
-    int kept_as_headroom; /* scratch: needed as headroom */
-    int lost_launches;    /* launches in a row that did not take */
-    int failure_score;    /* errors in a row, of different jobs, weighed: see quarantine.c */
+    bool decommissioning;  /* its replicas are being moved, to return it */
+    double idle_since;     /* 0: not idle */
+    bool kept_as_headroom; /* scratch: needed as headroom */
+    int lost_launches;     /* launches in a row that did not take */
+    int failure_score;     /* errors in a row, of different jobs, weighed: see quarantine.c */
     char last_failed_job[TW_WIRE_ID_SIZE];
     double failed_at,
         longest_failed_run_s; /* the last error; the longest that a failed task had run */
-    int on_probation;         /* suspect, and tried with one task at a time */
+    bool on_probation;        /* suspect, and tried with one task at a time */
     double probation_at, quarantine_s;
     double slowness, queue_delay_s, fetch_s_per_gb; /* EMAs; p in seconds a GB */
     double slowness_step,
@@ -65,11 +66,11 @@
     double vacating_cores, vacating_gpus,
         vacating_memory_gb; /* part of it that was told to stop for others */
     tw_capacity used_by_priority[TW_PRIORITY_PROD + 1]; /* the rest of it, by rank */
-    int reserved_for_gang; /* scratch of a pass: for core->holder, see gang_reservation.c */
-    int zone_index;        /* index in core->yards, -1: not known, or too many */
-    int command_in_flight, commands_wanted, probe_wanted;
+    bool reserved_for_gang; /* scratch of a pass: for core->holder, see gang_reservation.c */
+    int zone_index;         /* index in core->yards, -1: not known, or too many */
+    bool command_in_flight, commands_wanted, probe_wanted;
     double no_commands_before;                  /* no direct orders before this */
-    int in_command_queue;                       /* in core->direct, to be looked at */
+    bool in_command_queue;                      /* in core->direct, to be looked at */
     struct tw_machine *queue_prev, *queue_next; /* there */
     tw_image *images;
     tw_placement *placements;
@@ -99,11 +100,11 @@
 /* The number of a machine type; -1: unknown. */
 int tw_machine_type_index(const tw_core *core, const char *label);
 /* Whether it has not been heard from for so long that its tasks may be given up. */
-int tw_machine_is_silent(const tw_core *core, const tw_machine *machine);
+bool tw_machine_is_silent(const tw_core *core, const tw_machine *machine);
 /* Whether a task runs there, or may: not one that only is to be forgotten. */
-int tw_machine_is_occupied(const tw_machine *machine);
+bool tw_machine_is_occupied(const tw_machine *machine);
 /* Whether new tasks may go to it. */
-int tw_machine_is_usable(const tw_core *core, const tw_machine *machine);
+bool tw_machine_is_usable(const tw_core *core, const tw_machine *machine);
 
 /* image.c */
 /* Sum of an image's name, compared before the names are. */
@@ -116,7 +117,7 @@
 /* worker_heartbeat.c, worker_commands.c, machine_upkeep.c */
 /* A worker's report. from_peer: handed on by another node. */
 void tw_worker_heartbeat_receive(tw_core *core, uint64_t connection, const char *body,
-                                 size_t length, int from_peer);
+                                 size_t length, bool from_peer);
 /* Commands for the machine are to be sent to its own address; a probe asks for its state alone. */
 void tw_machine_want_commands(tw_core *core, tw_machine *machine);
 void tw_machine_want_probe(tw_core *core, tw_machine *machine);
@@ -138,11 +139,11 @@
 /* Lets a suspect be tried again when its pause is over. */
 void tw_quarantine_tick(tw_core *core, tw_machine *machine);
 /* Whether it may get a task: on trial it gets one at a time. */
-int tw_quarantine_allows(const tw_machine *machine);
+bool tw_quarantine_allows(const tw_machine *machine);
 
 /* Whether a task fits into what is free on the machine, which is of this type. */
-static inline int tw_machine_has_room(const tw_machine *machine, const tw_machine_type *type,
-                                      const tw_wire_job *spec) {
+static inline bool tw_machine_has_room(const tw_machine *machine, const tw_machine_type *type,
+                                       const tw_wire_job *spec) {
     return type->listed.cores - machine->used_cores + TW_CAPACITY_ROUNDING >= spec->cores &&
            type->listed.gpus - machine->used_gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
            type->listed.memory_gb - machine->used_memory_gb + TW_CAPACITY_ROUNDING >=
--- a/src/core/machine_choice.c
+++ b/src/core/machine_choice.c
@@ -1,13 +1,14 @@
 /* Which machine a task takes: of those with room that meet the deadline the one it prefers, else
  * the one with the least overshoot (GoodServe, section 3.4). */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 /* Takes the machine instead of the one chosen so far, if it is better. */
 static void consider_candidate(const tw_core *core, const tw_demand *demand, const tw_score *score,
                                tw_choice *choice) {
     tw_machine *machine = core->candidates[score->candidate].machine;
     if (!tw_constraints_allow_machine_zone(core, demand, machine)) return;
-    const int meets = score->end <= demand->deadline_at;
+    const bool meets = score->end <= demand->deadline_at;
     const double points = meets ? score->points : -score->total_s;
     if (meets < choice->meets || (meets == choice->meets && points <= choice->points)) return;
     if (!tw_reserve_allows(core, machine, demand->job)) {
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -1,5 +1,6 @@
 /* The cloud's list of the machines that we hold, read page by page. */
 #include "core/autoscaler_int.h"
+#include <stdbool.h>
 
 #define PAGE 500
 #define PATH_SIZE 200
@@ -44,13 +45,13 @@
     tw_wire_rented_machine *listed;
     int count;
     int more;
-    core->machine_list_in_flight = 0;
+    core->machine_list_in_flight = false;
     if (status != TW_HTTP_OK ||
         tw_wire_rented_machines_parse(&listed, &count, &more, body, length)) {
         core->next_machine_list_at = core->now + RETRY_S;
         return;
     }
-    const int first_page = !*core->machine_list_cursor;
+    const bool first_page = !*core->machine_list_cursor;
     if (first_page) begin_list(core);
     for (int i = 0; i < count; i++) take_machine(core, &listed[i]);
     if (more && count) {
@@ -74,7 +75,7 @@
     if (*core->machine_list_cursor)
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s",
                  core->machine_list_cursor);
-    core->machine_list_in_flight = 1;
+    core->machine_list_in_flight = true;
     tw_call_send(core, TW_CALL_LIST_MACHINES, TW_TO_CLOUD, core->config->cloud, "GET", path, NULL,
                  TIMEOUT_S);
 }
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -1,6 +1,7 @@
 /* What is due over all machines with time: leases that end, and machines to be returned because
  * they failed, are silent, or were asked to be empty and are. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 #define TICKS_PER_REPORT 6
 /* A boot that takes so many times as long as its type's counts as overdue, and as failed. */
@@ -20,8 +21,8 @@
 static void request_return(tw_core *core, tw_machine *machine, const char *why) {
     tw_placement *each, *next;
     if (machine->return_wanted) return;
-    machine->return_wanted = machine->cordoned = 1;
-    core->returns_due = 1;
+    machine->return_wanted = machine->cordoned = true;
+    core->returns_due = true;
     tw_log_info("event=machine_return_requested worker=%s why=%s rented_s=%.0f", machine->name, why,
                 core->now - machine->known_since);
     DL_FOREACH_SAFE(machine->placements, each, next) {
@@ -32,7 +33,7 @@
 
 /* A gang's progress is lost if it is stopped while one of its machines can't be told: as long as
  * the notice leaves time for it, that is waited for. */
-static int waits_to_save(const tw_core *core, const tw_placement *placed, double left_s) {
+static bool waits_to_save(const tw_core *core, const tw_placement *placed, double left_s) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            !tw_gang_can_save(core, job) && left_s > job->spec.save_s + core->config->gang_peer_s;
@@ -51,7 +52,7 @@
             each->running_since > 0 ? run_s - (core->now - each->running_since) : run_s;
         if (!spec->service && rest_s > 0 && rest_s < DONE_WITHIN_NOTICE * left_s) continue;
         if (waits_to_save(core, each, left_s)) continue;
-        tw_placement_stop(core, each, spec->checkpoint_s > 0 ? spec->save_s : 0, 0);
+        tw_placement_stop(core, each, spec->checkpoint_s > 0 ? spec->save_s : 0, false);
     }
 }
 
@@ -96,7 +97,7 @@
     }
     core->expiry_decided_at = core->now;
     log_lease_expiry(core, machine);
-    machine->lease_expired = 1;
+    machine->lease_expired = true;
     DL_FOREACH_SAFE(machine->placements, each, next) {
         tw_attempt_terminate_on(core, each, TW_EVIDENCE_LEASE_EXPIRED);
     }
@@ -120,7 +121,7 @@
         handle_preemption_notice(core, machine);
         if (!tw_machine_is_occupied(machine)) request_return(core, machine, "notice");
     } else if (machine->cordoned || machine->decommissioning) {
-        const int live = tw_machine_is_occupied(machine);
+        const bool live = tw_machine_is_occupied(machine);
         if (!live) request_return(core, machine, machine->decommissioning ? "drained" : "sick");
         if (live) tw_quarantine_tick(core, machine);
     }
@@ -138,11 +139,11 @@
     if (machine->type_index < 0 && *machine->type_name)
         machine->type_index = tw_machine_type_index(core, machine->type_name);
     /* A lease does not end within its length of a report: few machines need a closer look. */
-    const int is_renewed = core->now <= machine->answered_at + tw_lease_max_s(core);
+    const bool is_renewed = core->now <= machine->answered_at + tw_lease_max_s(core);
     const double expires_at = is_renewed ? INFINITY : tw_lease_expires_at(core, machine);
     if (sent && core->now > expires_at && core->delegates_known) expire_lease(core, machine);
     /* One with a predecessor's tasks is up: it is silent, below, if we don't hear of it. */
-    const int boots = machine->state == TW_MACHINE_BOOTING && !sent;
+    const bool boots = machine->state == TW_MACHINE_BOOTING && !sent;
     if (boots && !machine->overdue && machine->type_index >= 0 &&
         age_s > BOOT_OVERDUE * boot_s + config->report_s) {
         machine->overdue = 1;
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -1,6 +1,7 @@
 /* Jobs that another node accepted while it could not ask the leader. That node writes a second key
  * with the record, which the leader watches; a successor finds the record itself when it loads. */
 #include "core/jobs.h"
+#include <stdbool.h>
 
 /* Until a read of such a job that told nothing is repeated. */
 #define LEARN_S 1.0
@@ -53,8 +54,8 @@
     int more;
     uint64_t revision;
     if (call->kind == TW_CALL_REMOVE_PEER_ADMISSION) return;
-    core->admission_watch_in_flight = 0;
-    int list = call->kind == TW_CALL_LIST_PEER_ADMISSIONS;
+    core->admission_watch_in_flight = false;
+    bool list = call->kind == TW_CALL_LIST_PEER_ADMISSIONS;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, length) ||
         (list ? tw_wire_entries_parse(&entries, &count, &more, body, length)
               : tw_wire_watch_keys_parse(&entries, &count, body, length))) {
@@ -74,7 +75,7 @@
     if (core->admission_watch_in_flight || core->now < core->next_admission_watch_at ||
         !tw_rate_limiter_try_acquire(core, &core->request_limiter, 1))
         return;
-    core->admission_watch_in_flight = 1;
+    core->admission_watch_in_flight = true;
     if (!core->admission_watch_revision) {
         tw_call_send(core, TW_CALL_LIST_PEER_ADMISSIONS, TW_TO_STATE, core->config->state, "GET",
                      "/kv?starts=" TW_PEER_ADMISSION_KEY "&most=100", NULL, 2);
--- a/src/core/peer_heartbeat.c
+++ b/src/core/peer_heartbeat.c
@@ -1,6 +1,7 @@
 /* Heartbeats between nodes: what each knows, what it vouches for, and with a leader's answer the
  * grant to renew leases in its zone and the cancelled jobs that may still run. */
 #include "core/cluster.h"
+#include <stdbool.h>
 
 /* Pause between two heartbeats to a peer, in leader's leases. */
 #define PAUSE_LEAST 0.2
@@ -23,24 +24,24 @@
     return NULL;
 }
 
-int tw_peers_all_read_chunks(const tw_core *core) {
+bool tw_peers_all_read_chunks(const tw_core *core) {
     for (size_t i = 0; i < core->peer_count; i++)
-        if (core->peers[i].record_format < TW_RECORD_FORMAT_CHUNKED) return 0;
-    return 1;
+        if (core->peers[i].record_format < TW_RECORD_FORMAT_CHUNKED) return false;
+    return true;
 }
 
-int tw_peers_any_lacks_chunks(const tw_core *core) {
+bool tw_peers_any_lacks_chunks(const tw_core *core) {
     for (size_t i = 0; i < core->peer_count; i++)
-        if (core->peers[i].record_format == TW_RECORD_FORMAT_WHOLE) return 1;
-    return 0;
+        if (core->peers[i].record_format == TW_RECORD_FORMAT_WHOLE) return true;
+    return false;
 }
 
-int tw_node_is_isolated(const tw_core *core) {
+bool tw_node_is_isolated(const tw_core *core) {
     const double since = core->now - ISOLATED_LEASES * core->leader_lease_s - 1;
-    if (core->store_answered_at > since) return 0;
+    if (core->store_answered_at > since) return false;
     for (size_t i = 0; i < core->peer_count; i++)
-        if (core->peers[i].answered_at > since) return 0;
-    return 1;
+        if (core->peers[i].answered_at > since) return false;
+    return true;
 }
 
 /* A heartbeat sent earlier than this, answered, says nothing of whether the peer answers now. */
@@ -84,7 +85,7 @@
     const char *ids[MAX_ABORTED];
     int count;
     tw_wire_peer_heartbeat message = describe_self(core, ids, &count);
-    const int all_named = count <= MAX_ABORTED;
+    const bool all_named = count <= MAX_ABORTED;
     to->heartbeats_in_flight++;
     tw_call *sent = tw_call_send(
         core, TW_CALL_PEER_HEARTBEAT, TW_TO_PEER, to->config.addr, "POST", "/peer/ping",
@@ -97,8 +98,8 @@
 
 /* Whether a peer that may answer a machine without us for longer than a cancellation leaves time
  * for does not know yet that the job is cancelled. */
-static int must_know_cancellation(const tw_peer *node, const tw_machine *where,
-                                  const tw_job *cancelled, double limit) {
+static bool must_know_cancellation(const tw_peer *node, const tw_machine *where,
+                                   const tw_job *cancelled, double limit) {
     return node->delegation_until > limit &&
            node->cancellations_known < cancelled->cancellation_sequence &&
            (!*where->zone || !strcmp(where->zone, node->config.zone));
@@ -109,7 +110,7 @@
 int tw_cancellation_safety(tw_core *core, const tw_job *cancelled, int rental_request) {
     const double limit = core->now + tw_renewal_if_superseded_s(core);
     const tw_placement *task;
-    int safe = 1;
+    bool safe = true;
     DL_FOREACH2(cancelled->placements, task, job_next) {
         const tw_machine *where = task->machine;
         if (!task->launch_sent && !task->inherited && !task->direct_launches) continue;
@@ -117,7 +118,7 @@
         for (size_t i = 0; i < core->peer_count; i++) {
             tw_peer *node = &core->peers[i];
             if (!must_know_cancellation(node, where, cancelled, limit)) continue;
-            safe = 0;
+            safe = false;
             if (node->answered_at < answers_since(core)) return -1;
             if (!rental_request || node->cancellations_told >= cancelled->cancellation_sequence)
                 continue;
--- a/src/core/peers.h
+++ b/src/core/peers.h
@@ -9,6 +9,7 @@
 #include "core/call.h"
 #include "core/job.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <uthash.h>
 
 #define TW_LEADER_KEY "leader"
@@ -30,7 +31,8 @@
     double back_at;         /* when it answered again after a silence */
     double vouched_at;      /* the same, and it can't have led since the time before */
     double next_heartbeat_at;
-    int heartbeats_in_flight, store_reachable;
+    int heartbeats_in_flight;
+    bool store_reachable;
     int record_format;          /* TW_RECORD_* by its last heartbeat; 0: none was heard */
     uint64_t delegate_revision; /* of its key as a deputy, 0: none */
     double delegate_until;      /* it may answer workers until then, by its key */
@@ -50,7 +52,7 @@
     char name[TW_NAME_SIZE];
     const tw_peer *target;
     double at;
-    int came_back; /* and it came back */
+    bool came_back; /* and it came back */
     UT_hash_handle hh;
 } tw_worker_redirect;
 
@@ -86,9 +88,9 @@
 } tw_permission;
 
 /* authority.c */
-int tw_leader_may(const tw_core *core, tw_permission right);
-int tw_leader_has_authority(const tw_core *core); /* may command, write and tell */
-int tw_leader_renews_without_authority(
+bool tw_leader_may(const tw_core *core, tw_permission right);
+bool tw_leader_has_authority(const tw_core *core); /* may command, write and tell */
+bool tw_leader_renews_without_authority(
     const tw_core *core); /* may renew workers' leases, no more */
 /* Logs when authority, and the right to renew leases, begin and end. */
 void tw_permissions_log(tw_core *core);
@@ -108,11 +110,11 @@
 /* The node of that name; NULL: none. */
 tw_peer *tw_peer_find(tw_core *core, const char *name);
 /* Whether neither the state service nor any node answers. */
-int tw_node_is_isolated(const tw_core *core);
+bool tw_node_is_isolated(const tw_core *core);
 /* Whether every other node has said that it reads divided records; and whether one says that it
  * doesn't. */
-int tw_peers_all_read_chunks(const tw_core *core);
-int tw_peers_any_lacks_chunks(const tw_core *core);
+bool tw_peers_all_read_chunks(const tw_core *core);
+bool tw_peers_any_lacks_chunks(const tw_core *core);
 
 /* worker_failover_paths.c */
 /* Works out failover_in_time of this node and its peers, from their names and zones alone. */
@@ -123,14 +125,15 @@
  * known. */
 tw_peer *tw_worker_home_find(tw_core *core, const char *zone);
 /* Whether some node of that zone answers us. */
-int tw_zone_has_live_peer(const tw_core *core, const char *zone);
+bool tw_zone_has_live_peer(const tw_core *core, const char *zone);
 /* A worker of another zone: redirected to a node of its own; 0: none, or none that answers it. */
-int tw_worker_redirect_home(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat);
+bool tw_worker_redirect_home(tw_core *core, uint64_t connection,
+                             const tw_wire_heartbeat *heartbeat);
 /* A worker of this node's zone, at a node whose end would cost it its lease if the zone is cut off:
  * redirected to another one of the zone where that is not so; 0: there is none, or it is answered
  * here. */
-int tw_worker_redirect_safer(tw_core *core, uint64_t connection,
-                             const tw_wire_heartbeat *heartbeat);
+bool tw_worker_redirect_safer(tw_core *core, uint64_t connection,
+                              const tw_wire_heartbeat *heartbeat);
 void tw_worker_redirects_free(tw_core *core);
 
 /* lease_delegate.c: renews leases for a leader that can't be reached */
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -2,6 +2,7 @@
  * limit. A task that may run somewhere counts as running there until a newer report, its machine's
  * return or a lapsed lease says otherwise. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 /* Adds (sign 1) or takes off (-1) what the task holds. */
 void tw_placement_account(tw_core *core, tw_placement *placed, double sign) {
@@ -43,7 +44,7 @@
     const tw_image *image = tw_image_find(machine, job);
     placed->concurrent_fetches = tw_image_count_fetches(core, machine, image);
     if (image) placed->image_state = image->ready_at <= 0 ? 1 : -1;
-    placed->counted = 1;
+    placed->counted = true;
     DL_APPEND2(job->placements, placed, job_prev, job_next);
     DL_APPEND(machine->placements, placed);
     job->task_states[index] = TW_ASSIGNMENT_PLACED;
@@ -55,7 +56,7 @@
     return placed;
 }
 
-void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, int preempted) {
+void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, bool preempted) {
     if (!placed->counted) return;
     if (placed->job->spec.gang) {
         /* Before anything changes: whether all of it can be told. */
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -6,6 +6,7 @@
 #ifndef TW_CORE_PLACEMENT_H
 #define TW_CORE_PLACEMENT_H
 #include "core/core.h"
+#include <stdbool.h>
 
 typedef struct tw_job tw_job;
 typedef struct tw_machine tw_machine;
@@ -17,7 +18,7 @@
     uint64_t attempt;
     uint64_t version;            /* job version that holds it: launchable once that is durable */
     int inherited;               /* written by a predecessor */
-    int launch_sent;             /* a launch went out, and may have reached the machine */
+    bool launch_sent;            /* a launch went out, and may have reached the machine */
     int direct_launches;         /* launches sent to /orders whose fate is unknown */
     double direct_launch_at;     /* when a launch was last sent to /orders; 0: never */
     uint64_t launch_sequence;    /* report to whose response the last launch was attached */
@@ -33,7 +34,7 @@
     double placed_at, running_since, stopped_at; /* run_at 0: not yet */
     double launch_after;                      /* a gang's task: not launched before, see gang.c */
     uint64_t mark;                            /* scratch: seen in the report in hand */
-    int counted;                              /* still in the job's list (not exited, not lost) */
+    bool counted;                             /* still in the job's list (not exited, not lost) */
     struct tw_placement *job_prev, *job_next; /* job's list */
     struct tw_placement *prev, *next;         /* machine's list */
 } tw_placement;
@@ -48,6 +49,6 @@
                                uint64_t attempt);
 /* The task is to be stopped, a gang with all its tasks; preempted: its room is promised to others.
  */
-void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, int preempted);
+void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, bool preempted);
 
 #endif
--- a/src/core/placement_failures.c
+++ b/src/core/placement_failures.c
@@ -2,6 +2,7 @@
  * a kind of task that found none, by itself or by stopping others, is not tried on the whole fleet
  * again for the next of many jobs alike: while hundreds wait, this is most of a pass. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 #define FIRST_CAPACITY 16
 
@@ -19,25 +20,25 @@
                                   .whole = job->spec.gang};
 }
 
-static int same_amounts(const tw_placement_failure *one, const tw_placement_failure *other) {
+static bool same_amounts(const tw_placement_failure *one, const tw_placement_failure *other) {
     return one->cores == other->cores && one->gpus == other->gpus &&
            one->memory_gb == other->memory_gb;
 }
 
-static int same_machines(const tw_placement_failure *one, const tw_placement_failure *other) {
+static bool same_machines(const tw_placement_failure *one, const tw_placement_failure *other) {
     return one->type_mask == other->type_mask && one->zone_mask == other->zone_mask &&
            one->spot == other->spot && one->any_machine == other->any_machine;
 }
 
-int tw_placement_failures_has(const tw_core *core, const tw_placement_failure *kind) {
+bool tw_placement_failures_has(const tw_core *core, const tw_placement_failure *kind) {
     for (int i = 0; i < core->placement_failure_count; i++) {
         const tw_placement_failure *known = &core->placement_failures[i];
         if (same_amounts(known, kind) && same_machines(known, kind) &&
             known->priority == kind->priority && known->service == kind->service &&
             known->whole == kind->whole)
-            return 1;
+            return true;
     }
-    return 0;
+    return false;
 }
 
 void tw_placement_failures_add(tw_core *core, const tw_placement_failure *kind) {
