--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -1,6 +1,7 @@
 /* Passes over the jobs that wait: each task is placed on the machine that suits it best, or on one
  * where work of lower rank is stopped for it. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 #define MOST_IN_PASS 300 /* tasks; the rest in the next pass */
 #define BETWEEN_PASSES_S 0.1
@@ -28,35 +29,35 @@
 
 /* Places one task on the best machine of the zones given, as bits. 0: no room, or not for its
  * team. */
-static int place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t among) {
+static bool place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t among) {
     if (!tw_quota_allows_tasks(core, job, 1) || !tw_gang_reservation_allows_team(core, job))
-        return 0;
+        return false;
     tw_demand demand = tw_demand_of(core, job);
     demand.zone_mask &= among;
     const tw_placement_failure kind = tw_placement_failure_of(&demand);
-    if (tw_placement_failures_has(core, &kind)) return 0;
+    if (tw_placement_failures_has(core, &kind)) return false;
     tw_choice choice = tw_scheduler_choose(core, &demand);
     if (choice.machine)
         core->candidates[choice.candidate].changes++; /* or none is placed there, to no harm */
     else
-        choice.machine = tw_scheduler_preempt(core, &demand, 0, &choice.kept);
+        choice.machine = tw_scheduler_preempt(core, &demand, false, &choice.kept);
     if (choice.machine && !choice.meets && job->spec.service &&
         job->spec.priority == TW_PRIORITY_PROD) {
         /* Its start objective would be missed there: rather at a batch task's cost. */
-        tw_machine *other = tw_scheduler_preempt(core, &demand, 1, &choice.kept);
+        tw_machine *other = tw_scheduler_preempt(core, &demand, true, &choice.kept);
         if (other) choice.machine = other;
     }
     if (!choice.machine) {
         /* Not because of what is its own alone, or of holes, which come and go. */
         if (!choice.kept && !job->failed_machine_count) tw_placement_failures_add(core, &kind);
-        return 0;
+        return false;
     }
     if (job->spec.gpus > 0) tw_placement_failures_forget_cpu(core);
     tw_reserve_take(core, choice.machine, job);
     const tw_placement *placed = tw_placement_new(core, job, index, choice.machine, attempt);
-    if (!placed) return 0;
+    if (!placed) return false;
     log_place(core, &demand, placed);
-    return 1;
+    return true;
 }
 
 /* Places up to limit tasks, each under an attempt of its own, or all under the one given. */
@@ -132,11 +133,11 @@
     tw_scores_forget(core);
 }
 
-int tw_scheduler_place_now(tw_core *core, tw_job *job) {
+bool tw_scheduler_place_now(tw_core *core, tw_job *job) {
     if (job->spec.priority < TW_PRIORITY_PROD || !tw_job_is_pending(core, job)) {
-        core->scheduling_due = 1;
+        core->scheduling_due = true;
         core->next_pass_at = fmin(core->next_pass_at, core->now);
-        return 0;
+        return false;
     }
     begin_pass(core);
     place_job(core, job, MOST_IN_PASS);
@@ -144,15 +145,15 @@
 }
 
 void tw_scheduler_run(tw_core *core) {
-    core->scheduling_due = 0;
+    core->scheduling_due = false;
     core->next_pass_at = core->now + BETWEEN_PASSES_S;
-    tw_job_queue *turns = tw_job_queue_new(core, 1);
+    tw_job_queue *turns = tw_job_queue_new(core, true);
     int left = MOST_IN_PASS;
-    int begun = 0;
+    bool begun = false;
     tw_job *job;
     while (left > 0 && (job = tw_job_queue_next(core, turns))) {
         if (!begun) begin_pass(core); /* mostly nothing waits: then the fleet isn't looked at */
-        begun = 1;
+        begun = true;
         /* A task a turn while others wait. */
         const int share = tw_job_queue_is_contended(turns) ? 1 : left;
         const int count = place_job(core, job, share);
@@ -160,6 +161,6 @@
         tw_job_queue_note_placed(core, turns, job, count);
         if (count && count == share && tw_job_is_pending(core, job)) tw_job_queue_requeue(turns);
     }
-    if (left <= 0) core->scheduling_due = 1;
+    if (left <= 0) core->scheduling_due = true;
     tw_job_queue_free(turns);
 }
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -1,5 +1,6 @@
 /* Room made by stopping work of lower rank, where that loses least. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 #define SUM_DRIFT 1e-3    /* sums over many tasks may */
 #define COST_OF_RANK 10   /* task seconds, for each step */
@@ -14,13 +15,13 @@
                          type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
 }
 
-static int is_enough(const tw_capacity *room, const tw_wire_job *spec, double tolerance) {
+static bool is_enough(const tw_capacity *room, const tw_wire_job *spec, double tolerance) {
     return room->cores + tolerance >= spec->cores && room->gpus + tolerance >= spec->gpus &&
            room->memory_gb + tolerance >= spec->memory_gb;
 }
 
 /* A gang that can't be told as a whole would lose what it has done: it is left alone until then. */
-static int would_lose_gang(const tw_core *core, const tw_placement *placed) {
+static bool would_lose_gang(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            placed->running_since > 0 &&
@@ -28,8 +29,8 @@
            !tw_gang_can_save(core, job);
 }
 
-int tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
-                          const tw_placement *placed) {
+bool tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
+                           const tw_placement *placed) {
     return placed->counted && !placed->stopping && placed->job->has_spec &&
            placed->job->spec.priority < job->spec.priority && !would_lose_gang(core, placed);
 }
@@ -57,7 +58,7 @@
 }
 
 /* Whether it may be enough at all, from sums alone. */
-static int may_vacate(const tw_core *core, const tw_machine *machine, const tw_job *job) {
+static bool may_vacate(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     tw_capacity room = free_on(core, machine);
     for (tw_wire_priority lower = TW_PRIORITY_IDLE; lower < job->spec.priority; lower++) {
         room.cores += machine->used_by_priority[lower].cores;
@@ -68,13 +69,13 @@
 }
 
 /* Whether a task of the same gang is chosen on the machine: this one costs nothing more. */
-static int gang_is_chosen(const tw_machine *machine, const tw_placement *placed) {
+static bool gang_is_chosen(const tw_machine *machine, const tw_placement *placed) {
     const tw_placement *other;
-    if (!placed->job->spec.gang) return 0;
+    if (!placed->job->spec.gang) return false;
     DL_FOREACH(machine->placements, other) {
-        if (other->mark == CHOSEN && other->job == placed->job) return 1;
+        if (other->mark == CHOSEN && other->job == placed->job) return true;
     }
-    return 0;
+    return false;
 }
 
 /* The one that costs least of those not chosen yet; NULL: none is left. */
@@ -102,9 +103,9 @@
     tw_log_debug("event=task_preempted task=%s/%d for=%s worker=%s", spec->id, victim->index,
                  job->id, victim->machine->name);
     /* Saving takes flush_s: only where the one that needs the room can wait for it. */
-    const int saves =
+    const bool saves =
         spec->checkpoint_s > 0 && core->now + spec->save_s < tw_job_deadline(core, job);
-    tw_placement_stop(core, victim, saves ? spec->save_s : 0, 1);
+    tw_placement_stop(core, victim, saves ? spec->save_s : 0, true);
 }
 
 /* What stopping tasks may cost to be worth it: with the penalty less than the least so far. */
@@ -114,23 +115,23 @@
 
 /* Marks tasks to be stopped until there is room; without a limit stops them at once. 0: there is
  * not enough, or it costs too much. */
-static int vacate(tw_core *core, const tw_job *job, tw_machine *machine, const cost_limit *limit,
-                  double *cost) {
+static bool vacate(tw_core *core, const tw_job *job, tw_machine *machine, const cost_limit *limit,
+                   double *cost) {
     tw_capacity room = free_on(core, machine);
     *cost = 0;
     while (!is_enough(&room, &job->spec, TW_CAPACITY_ROUNDING)) {
         double least;
         tw_placement *victim = cheapest(core, machine, job, &room, &least);
-        if (!victim) return 0;
+        if (!victim) return false;
         victim->mark = CHOSEN;
         *cost += least;
-        if (limit && *cost + limit->penalty >= limit->least) return 0;
+        if (limit && *cost + limit->penalty >= limit->least) return false;
         room.cores += victim->job->spec.cores;
         room.gpus += victim->job->spec.gpus;
         room.memory_gb += victim->job->spec.memory_gb;
         if (!limit) stop(core, victim, job);
     }
-    return 1;
+    return true;
 }
 
 static void unmark(tw_machine *machine) {
@@ -140,7 +141,7 @@
     }
 }
 
-struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, int in_time,
+struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, bool in_time,
                                         int *kept) {
     const tw_job *job = demand->job;
     double least = INFINITY;
@@ -159,10 +160,10 @@
             continue;
         }
         const tw_prediction prediction = tw_predict(core, demand, machine);
-        const int late = !(tw_predict_end(core, demand, &prediction) <= demand->deadline_at);
+        const bool late = !(tw_predict_end(core, demand, &prediction) <= demand->deadline_at);
         if (late && in_time) continue;
         const cost_limit limit = {late ? COST_OF_LATE : 0, least};
-        const int enough = vacate(core, job, machine, &limit, &cost);
+        const bool enough = vacate(core, job, machine, &limit, &cost);
         unmark(machine);
         if (!enough || cost + limit.penalty >= least) continue;
         least = cost + limit.penalty;
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -3,6 +3,7 @@
  * services never end, so a suspect that is not empty is tried again, with one task at a time, after
  * pauses that grow. */
 #include "core/core_int.h"
+#include <stdbool.h>
 
 #define BLAME_FIRST 2     /* an error of a job that has not failed elsewhere */
 #define BLAME_AGAIN 1     /* one that has failed on another machine: it may be the job's fault */
@@ -14,8 +15,8 @@
         machine->on_probation ? 2 * machine->quarantine_s : core->config->lease_s;
     machine->quarantine_s = fmin(machine->quarantine_s, LONGEST_PAUSE * core->config->lease_s);
     machine->probation_at = core->now + machine->quarantine_s;
-    machine->cordoned = 1;
-    machine->on_probation = 0;
+    machine->cordoned = true;
+    machine->on_probation = false;
     tw_log_info("event=machine_quarantined worker=%s quarantine_s=%.1f", machine->name,
                 machine->quarantine_s);
 }
@@ -43,8 +44,8 @@
     machine->longest_failed_run_s = 0;
     if (machine->on_probation) {
         tw_log_info("event=machine_recovered worker=%s", machine->name);
-        machine->on_probation = 0;
-        core->scheduling_due = 1;
+        machine->on_probation = false;
+        core->scheduling_due = true;
     }
 }
 
@@ -63,18 +64,18 @@
 void tw_quarantine_tick(tw_core *core, tw_machine *machine) {
     if (!machine->cordoned || machine->probation_at <= 0 || core->now < machine->probation_at)
         return;
-    machine->cordoned = 0;
-    machine->on_probation = 1;
-    core->scheduling_due = 1;
+    machine->cordoned = false;
+    machine->on_probation = true;
+    core->scheduling_due = true;
     tw_log_info("event=machine_probation_started worker=%s", machine->name);
 }
 
 /* A machine on trial gets one task, and no other until that one has run for a while. */
-int tw_quarantine_allows(const tw_machine *machine) {
+bool tw_quarantine_allows(const tw_machine *machine) {
     const tw_placement *placed;
-    if (!machine->on_probation) return 1;
+    if (!machine->on_probation) return true;
     DL_FOREACH(machine->placements, placed) {
-        if (placed->counted && placed->placed_at >= machine->probation_at) return 0;
+        if (placed->counted && placed->placed_at >= machine->probation_at) return false;
     }
-    return 1;
+    return true;
 }
--- a/src/core/rate_limiter.c
+++ b/src/core/rate_limiter.c
@@ -1,4 +1,5 @@
 #include "core/core_int.h"
+#include <stdbool.h>
 
 /* The state service's limits hold for all nodes together: the leader gets most of them. */
 #define LEADER_CALLS 0.6
@@ -23,10 +24,10 @@
     return budget->tokens;
 }
 
-int tw_rate_limiter_try_acquire(tw_core *core, tw_rate_limiter *budget, double calls) {
-    if (tw_rate_limiter_available(core, budget) < calls) return 0;
+bool tw_rate_limiter_try_acquire(tw_core *core, tw_rate_limiter *budget, double calls) {
+    if (tw_rate_limiter_available(core, budget) < calls) return false;
     budget->tokens -= calls;
-    return 1;
+    return true;
 }
 
 void tw_rate_limiter_refund(tw_rate_limiter *budget, double calls) { budget->tokens += calls; }
--- a/src/core/rate_limiter.h
+++ b/src/core/rate_limiter.h
@@ -2,6 +2,7 @@
  * other packages. */
 #ifndef TW_CORE_BUDGET_H
 #define TW_CORE_BUDGET_H
+#include <stdbool.h>
 
 struct tw_core;
 
@@ -17,7 +18,7 @@
 /* The calls that may be made now. */
 double tw_rate_limiter_available(struct tw_core *core, tw_rate_limiter *budget);
 /* Takes so many calls out of the budget, or none and returns 0 if it holds fewer. */
-int tw_rate_limiter_try_acquire(struct tw_core *core, tw_rate_limiter *budget, double calls);
+bool tw_rate_limiter_try_acquire(struct tw_core *core, tw_rate_limiter *budget, double calls);
 /* Gives calls back that were taken and not made; below 0: calls that were made without asking. */
 void tw_rate_limiter_refund(tw_rate_limiter *budget, double calls);
 
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -1,6 +1,7 @@
 /* The periodic recheck of GoodServe: a task that will miss its deadline is stopped, and starts
  * again where a full rerun makes it. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 #define MOST_RERUNS 4      /* in a recheck */
 #define LEAST_REST 0.1     /* of its run time: a task that is past its estimate ends soon */
@@ -57,8 +58,8 @@
 }
 
 /* Stops a late task if it would be in time elsewhere. 0: it would not. */
-static int rerun(tw_core *core, tw_placement *placed, double end, double slowness,
-                 const alternatives *found) {
+static bool rerun(tw_core *core, tw_placement *placed, double end, double slowness,
+                  const alternatives *found) {
     const tw_job *job = placed->job;
     for (int i = 0; i < found->count; i++) {
         const alternative *other = &found->items[i];
@@ -68,16 +69,16 @@
         tw_log_info("event=task_rescheduled task=%s/%d from=%s to=%s late_s=%.1f", job->id,
                     placed->index, placed->machine->name, other->machine->name,
                     end - tw_job_deadline(core, job));
-        tw_placement_stop(core, placed, job->spec.checkpoint_s > 0 ? job->spec.save_s : 0, 0);
-        return 1;
+        tw_placement_stop(core, placed, job->spec.checkpoint_s > 0 ? job->spec.save_s : 0, false);
+        return true;
     }
-    return 0;
+    return false;
 }
 
 /* The number of the job's tasks that were stopped, at most `most`. */
 static int recheck_job(tw_core *core, tw_job *job, int most) {
     alternatives found = {0};
-    int looked = 0; /* once a job, and only if some task of it is late */
+    bool looked = false; /* once a job, and only if some task of it is late */
     int stopped = 0;
     tw_placement *placed;
     tw_placement *next;
@@ -90,7 +91,7 @@
         const double end = late_end(core, placed, &slowness);
         if (end <= 0) continue;
         if (!looked) found = alternatives_of(core, job);
-        looked = 1;
+        looked = true;
         if (!found.count) break;
         stopped += rerun(core, placed, end, slowness, &found);
     }
@@ -108,5 +109,5 @@
         left -= recheck_job(core, job, left);
         if (left <= 0) break;
     }
-    core->scheduling_due = 1; /* waits may have ended, too */
+    core->scheduling_due = true; /* waits may have ended, too */
 }
--- a/src/core/record_chunks.c
+++ b/src/core/record_chunks.c
@@ -7,6 +7,7 @@
  * longer names can't be named again: whatever still comes late is conditioned on an older revision.
  */
 #include "core/record_chunks.h"
+#include <stdbool.h>
 
 #define KB 1024
 /* Slices in a transaction, and the bytes that they may have together: the state service takes
@@ -52,8 +53,8 @@
     return tw_peers_all_read_chunks(core) ? tw_record_value_size(core) : current_value_size(core);
 }
 
-int tw_record_needs_chunks(const tw_core *core, const tw_job *job, size_t length) {
-    const int refused = job->refused_bytes && length >= job->refused_bytes;
+bool tw_record_needs_chunks(const tw_core *core, const tw_job *job, size_t length) {
+    const bool refused = job->refused_bytes && length >= job->refused_bytes;
     if (tw_peers_all_read_chunks(core)) return refused || length > tw_record_value_size(core);
     /* One that is divided can't be read by an old node as it is. */
     return *job->chunk_set && (refused || length > current_value_size(core));
@@ -68,16 +69,16 @@
     return SPEC_FRAME_BYTES + LONGEST_ESCAPED * signs;
 }
 
-int tw_record_is_writable(const tw_core *core, const tw_wire_job *spec) {
+bool tw_record_is_writable(const tw_core *core, const tw_wire_job *spec) {
     if (tw_peers_all_read_chunks(core) || first_record_most(spec) <= current_value_size(core))
-        return 1;
+        return true;
     const tw_wire_record record = {.has_job = 1,
                                    .job = *spec,
                                    .task_count = spec->task_count,
                                    .submitted_at = core->wall,
                                    .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
-    const int fits = strlen(text) <= current_value_size(core);
+    const bool fits = strlen(text) <= current_value_size(core);
     free(text);
     return fits;
 }
@@ -111,7 +112,7 @@
                  parts->name, length, parts->count);
 }
 
-int tw_chunks_all_written(const tw_job *job) { return job->chunks->written == job->chunks->count; }
+bool tw_chunks_all_written(const tw_job *job) { return job->chunks->written == job->chunks->count; }
 
 char *tw_chunks_record_text(const tw_job *job) {
     const tw_record_chunks *parts = job->chunks;
@@ -179,7 +180,7 @@
     tw_call *sent = send_changes(core, TW_CALL_WRITE_CHUNKS, writes, count);
     snprintf(sent->name, sizeof sent->name, "%s", job->id);
     sent->text = strdup(parts->name);
-    parts->write_in_flight = 1;
+    parts->write_in_flight = true;
 }
 
 void tw_chunks_flush(tw_core *core, int most) {
@@ -214,7 +215,7 @@
         DL_DELETE2(core->stale_chunk_sets, stale, prev, next_set);
         free(stale);
     }
-    core->chunk_removal_in_flight = 0;
+    core->chunk_removal_in_flight = false;
     core->next_chunk_removal_at = 0;
 }
 
@@ -234,13 +235,13 @@
         removals[i] = (tw_wire_write){keys[i], NULL, 0};
     }
     send_changes(core, TW_CALL_REMOVE_CHUNKS, removals, count);
-    core->chunk_removal_in_flight = 1;
+    core->chunk_removal_in_flight = true;
 }
 
 void tw_chunks_removal_response(tw_core *core, const tw_call *call, int status) {
     tw_stale_chunk_set *stale = core->stale_chunk_sets;
     core->transactions_in_flight--;
-    core->chunk_removal_in_flight = 0;
+    core->chunk_removal_in_flight = false;
     if (!stale) return;
     if (status != TW_HTTP_OK) {
         core->next_chunk_removal_at = core->now + REMOVAL_RETRY_S;
--- a/src/core/record_chunks.h
+++ b/src/core/record_chunks.h
@@ -4,6 +4,7 @@
 #ifndef TW_CORE_RECORD_PARTS_H
 #define TW_CORE_RECORD_PARTS_H
 #include "core/jobs.h"
+#include <stdbool.h>
 
 /* Key of a slice: this, the job's id, the set and the slice's number; and room for one. */
 #define TW_CHUNK_KEY "part/"
@@ -14,22 +15,22 @@
     char name[TW_WIRE_CHUNK_SET_SIZE];
     char **texts; /* JSON values */
     int count, written;
-    int write_in_flight; /* a transaction with some of them is on its way */
-    int record_sent;     /* the record that names them was sent: its fate may be unknown */
-    uint64_t version;    /* of the job, when the text was made */
+    bool write_in_flight; /* a transaction with some of them is on its way */
+    int record_sent;      /* the record that names them was sent: its fate may be unknown */
+    uint64_t version;     /* of the job, when the text was made */
     int state, done_count, placed_count;
 } tw_record_chunks;
 
 /* Bytes that a record may have to be written whole. */
 size_t tw_record_whole_size(const tw_core *core);
 /* Whether the job's next record, a text of that length, has to be divided. */
-int tw_record_needs_chunks(const tw_core *core, const tw_job *job, size_t length);
+bool tw_record_needs_chunks(const tw_core *core, const tw_job *job, size_t length);
 /* Whether a job that was submitted just now can be written, divided or not. */
-int tw_record_is_writable(const tw_core *core, const tw_wire_job *spec);
+bool tw_record_is_writable(const tw_core *core, const tw_wire_job *spec);
 /* Begins to write the job's next record in slices. */
 void tw_chunks_begin(tw_core *core, tw_job *job, const char *text);
 /* Whether all slices of the job's next record are known to be written. */
-int tw_chunks_all_written(const tw_job *job);
+bool tw_chunks_all_written(const tw_job *job);
 /* The record that names them. */
 char *tw_chunks_record_text(const tw_job *job);
 /* Gives the job's next record up, before it was sent. */
--- a/src/core/record_refusal.c
+++ b/src/core/record_refusal.c
@@ -3,6 +3,7 @@
  * not.
  */
 #include "core/record_chunks.h"
+#include <stdbool.h>
 
 /* Until such a record is tried again: growing up to the longest. */
 #define FIRST_PAUSE_S 0.15
@@ -26,14 +27,14 @@
     DL_FOREACH(core->active_jobs, job) {
         if (!*job->chunk_set) continue;
         char *text = tw_job_record_text(job);
-        if (!tw_record_needs_chunks(core, job, strlen(text))) tw_job_mark_changed(core, job, 0);
+        if (!tw_record_needs_chunks(core, job, strlen(text))) tw_job_mark_changed(core, job, false);
         free(text);
     }
 }
 
 void tw_record_format_update(tw_core *core) {
-    const int divides = tw_peers_all_read_chunks(core);
-    const int heard_old = tw_peers_any_lacks_chunks(core);
+    const bool divides = tw_peers_all_read_chunks(core);
+    const bool heard_old = tw_peers_any_lacks_chunks(core);
     tw_job *job;
     if (divides != core->peers_read_chunks)
         tw_log_info("event=record_format_changed chunked=%d", divides);
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -3,6 +3,7 @@
  * with GPUs, would never find a hole. So a service's task leaves enough holes for the arrivals that
  * are expected of the classes that need more GPUs than it does, until their start objective. */
 #include "core/core_int.h"
+#include <stdbool.h>
 
 #define WARM 3         /* times as many holes, where a task starts in time only beside its image */
 #define ROUND_DOWN 0.3 /* of a task: as little is not rounded up */
@@ -28,22 +29,22 @@
     return room;
 }
 
-static int counts(const tw_job_class *class, const tw_machine *machine) {
+static bool counts(const tw_job_class *class, const tw_machine *machine) {
     return class->reserve > 0 && (class->sample_type_mask & (1U << machine->type_index)) &&
            (!machine->spot || class->sample.spot);
 }
 
 /* Whether a task can start in time only where its image is cached. */
-static int needs_warm(const tw_core *core, const tw_job_class *class) {
+static bool needs_warm(const tw_core *core, const tw_job_class *class) {
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_machine_type *type = &core->machine_types[i];
         const double fetch_s = type->fetch_s_per_gb * class->sample.image_gb;
         if ((class->sample_type_mask & (1U << i)) &&
             type->queue_delay_s + fetch_s * (1 + 2 * type->fetch_deviation) <=
                 class->start_within_s)
-            return 0;
+            return false;
     }
-    return 1;
+    return true;
 }
 
 /* How many holes to leave for a class. */
@@ -60,7 +61,7 @@
 }
 
 void tw_reserve_update(tw_core *core) {
-    int any = 0;
+    bool any = false;
     for (tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         class->reserve_available = 0;
         class->reserve = reserve_for(core, class);
@@ -86,16 +87,16 @@
     return fit(&before, &class->sample) - fit(&after, &class->sample);
 }
 
-int tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job) {
-    if (!job->capacity_bound || !job->spec.service) return 1;
+bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job) {
+    if (!job->capacity_bound || !job->spec.service) return true;
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         if (class == job->job_class || class->sample.gpus <= job->spec.gpus ||
             !counts(class, machine))
             continue;
         const int holes = lost(core, machine, job, class);
-        if (holes > 0 && class->reserve_available - holes < class->reserve) return 0;
+        if (holes > 0 && class->reserve_available - holes < class->reserve) return false;
     }
-    return 1;
+    return true;
 }
 
 /* Before a task of the job is placed on the machine. */
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -1,5 +1,6 @@
 /* Which machines to give back: idle ones, and those whose replicas fit elsewhere. */
 #include "core/core_int.h"
+#include <stdbool.h>
 
 #define TRIES 4           /* machines looked at in a pass, to empty the next one */
 #define RETRY_REPORTS 3   /* reports until one that could not be emptied is looked at again */
@@ -15,20 +16,20 @@
 
 /* Tasks that ended stay in the list until the machine forgot them; those whose direct launch may
  * still come, or come once more, are not forgotten there for long, and don't keep the machine. */
-static int holds_work(const tw_core *core, const tw_machine *machine) {
+static bool holds_work(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
-        if (placed->counted) return 1;
-        if (!placed->direct_launches && !tw_launch_may_repeat(core, placed)) return 1;
+        if (placed->counted) return true;
+        if (!placed->direct_launches && !tw_launch_may_repeat(core, placed)) return true;
     }
-    return 0;
+    return false;
 }
 
 /* Notes since when a machine is idle; returns whether that is for too long. */
-static int idle_too_long(const tw_core *core, tw_machine *machine) {
+static bool idle_too_long(const tw_core *core, tw_machine *machine) {
     if (holds_work(core, machine) || machine->kept_as_headroom) {
         machine->idle_since = 0;
-        return 0;
+        return false;
     }
     if (machine->idle_since <= 0) machine->idle_since = core->now;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
@@ -42,8 +43,8 @@
         if (machine->state != TW_MACHINE_UP || machine->return_wanted || machine->type_index < 0)
             continue;
         if (!idle_too_long(core, machine)) continue;
-        machine->return_wanted = machine->cordoned = 1;
-        core->returns_due = 1;
+        machine->return_wanted = machine->cordoned = true;
+        core->returns_due = true;
         tw_log_info("event=machine_return_requested worker=%s why=idle rented_s=%.0f",
                     machine->name, core->now - machine->known_since);
     }
@@ -52,7 +53,7 @@
 /* ---- room elsewhere ---- */
 
 /* Whether its image is there, or comes so fast that a start objective would still be met. */
-static int image_near(const tw_core *core, const tw_placement *placed, const tw_machine *machine) {
+static bool image_near(const tw_core *core, const tw_placement *placed, const tw_machine *machine) {
     const tw_job *job = placed->job;
     const tw_image *image = tw_image_find(machine, job);
     if (image) return image->ready_at <= 0;
@@ -64,18 +65,18 @@
 }
 
 /* Whether a task may only move within its zone. */
-static int bound_to_zone(const tw_wire_job *spec) {
+static bool bound_to_zone(const tw_wire_job *spec) {
     return (spec->spread || spec->single_zone) && spec->task_count > 1;
 }
 
 /* Whether a task that runs elsewhere would start at once in this room. */
-static int is_home(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
+static bool is_home(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
     const tw_job *job = placed->job;
-    if (!bin->machine || bin->machine == placed->machine || !bin->busy) return 0;
-    if (!tw_machine_is_usable(core, bin->machine)) return 0;
+    if (!bin->machine || bin->machine == placed->machine || !bin->busy) return false;
+    if (!tw_machine_is_usable(core, bin->machine)) return false;
     if (!tw_bin_is_allowed(bin, &job->spec, job->type_mask) || !tw_bin_fits(bin, &job->spec))
-        return 0;
-    if (bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return 0;
+        return false;
+    if (bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return false;
     return image_near(core, placed, bin->machine) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
 }
@@ -93,29 +94,29 @@
 } taken_room;
 
 /* Takes room for all replicas of a machine; returns 0 if there is none for one of them. */
-static int take_rooms(const tw_core *core, tw_bins *bins, const tw_machine *machine,
-                      taken_room *taken, int *count) {
+static bool take_rooms(const tw_core *core, tw_bins *bins, const tw_machine *machine,
+                       taken_room *taken, int *count) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const tw_wire_job *spec = &placed->job->spec;
         if (!placed->counted || !spec->service) continue; /* a batch task ends by itself */
-        if (placed->state != TW_TASK_RUNNING || placed->stopping) return 0;
+        if (placed->state != TW_TASK_RUNNING || placed->stopping) return false;
         tw_bin *home = new_home(core, bins, placed);
-        if (!home) return 0;
+        if (!home) return false;
         tw_bin_take(home, spec);
         taken[(*count)++] = (taken_room){home, spec};
     }
-    return 1;
+    return true;
 }
 
 /* Whether all that runs on a machine could go elsewhere; the room stays as it was. */
-static int can_empty(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
+static bool can_empty(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
     const tw_placement *placed;
     int capacity = 0;
     int count = 0;
     DL_FOREACH(machine->placements, placed) { capacity++; }
     taken_room *taken = tw_alloc((size_t)capacity * sizeof *taken);
-    const int possible = take_rooms(core, bins, machine, taken, &count);
+    const bool possible = take_rooms(core, bins, machine, taken, &count);
     for (int i = 0; i < count; i++) tw_bin_give(taken[i].bin, taken[i].spec);
     free(taken);
     return possible;
@@ -136,7 +137,7 @@
 
 /* Whether some job waits that may use the machine once there is room: then it is not emptied, for
  * where no more can be rented nothing would replace it. */
-static int waited_for(const tw_core *core, const tw_machine *machine) {
+static bool waited_for(const tw_core *core, const tw_machine *machine) {
     const tw_bin whole = whole_of(core, machine);
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
@@ -144,9 +145,9 @@
         if (!tw_bin_is_allowed(&whole, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&whole, &job->spec)) continue;
         if (!tw_constraints_allow_zone(core, job, machine->zone)) continue;
-        if (job->spec.gpus > 0 || whole.gpus <= 0 || job->any_machine) return 1;
+        if (job->spec.gpus > 0 || whole.gpus <= 0 || job->any_machine) return true;
     }
-    return 0;
+    return false;
 }
 
 void tw_scale_in_reopen(tw_core *core) {
@@ -156,8 +157,8 @@
         if (!machine->decommissioning || machine->return_wanted || machine->type_index < 0)
             continue;
         if (!waited_for(core, machine)) continue;
-        machine->decommissioning = 0;
-        core->scheduling_due = 1;
+        machine->decommissioning = false;
+        core->scheduling_due = true;
         tw_log_info("event=decommission_cancelled worker=%s", machine->name);
     }
 }
@@ -171,17 +172,17 @@
     tw_bin *home = new_home(core, bins, placed);
     if (!home) return;
     tw_bin_take(home, spec);
-    tw_placement_stop(core, placed, spec->save_s, 0);
+    tw_placement_stop(core, placed, spec->save_s, false);
     (*moves)--;
 }
 
 /* Moves what runs on a machine that is being emptied, a task at a time, so that its start elsewhere
  * is not held up. 0: no more may be moved in this pass. */
-static int move_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves) {
+static bool move_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves) {
     tw_placement *placed;
     tw_placement *next;
     DL_FOREACH_SAFE(machine->placements, placed, next) {
-        if (*moves <= 0) return 0;
+        if (*moves <= 0) return false;
         if (!placed->counted || placed->stopping) continue;
         if (!placed->job->spec.service) {
             move_batch(core, bins, placed, moves);
@@ -189,25 +190,26 @@
         }
         tw_bin *home = new_home(core, bins, placed);
         if (!home) {
-            machine->decommissioning = 0; /* the room has gone */
+            machine->decommissioning = false; /* the room has gone */
             break;
         }
         tw_bin_take(home, &placed->job->spec);
         tw_log_debug("event=task_evicted task=%s/%d from=%s", placed->job->id, placed->index,
                      machine->name);
-        tw_placement_stop(core, placed, 0, 0);
+        tw_placement_stop(core, placed, 0, false);
         (*moves)--;
     }
-    return 1;
+    return true;
 }
 
 /* ---- which machine to empty next ---- */
 
 /* Whether it has been up for long enough, and is not one that was just looked at in vain. */
-static int may_close(const tw_core *core, const tw_machine *machine) {
-    if (!tw_machine_is_usable(core, machine) || machine->spot) return 0;
-    if (!tw_machine_is_occupied(machine)) return 0; /* it goes when it was idle for long enough */
-    if (core->now < machine->no_decommission_until) return 0;
+static bool may_close(const tw_core *core, const tw_machine *machine) {
+    if (!tw_machine_is_usable(core, machine) || machine->spot) return false;
+    if (!tw_machine_is_occupied(machine))
+        return false; /* it goes when it was idle for long enough */
+    if (core->now < machine->no_decommission_until) return false;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
     const double least_up_s = fmax(startup_s, LEAST_UP_LEASES * core->config->lease_s);
     return core->now - machine->first_answered_at >= least_up_s;
@@ -259,21 +261,21 @@
 }
 
 /* Whether a machine was asked for that is not there yet. */
-static int awaits_machine(const tw_bins *bins) {
+static bool awaits_machine(const tw_bins *bins) {
     for (int i = 0; i < bins->count; i++)
-        if (!bins->items[i].machine) return 1;
-    return 0;
+        if (!bins->items[i].machine) return true;
+    return false;
 }
 
-static int service_waits(const tw_core *core) {
+static bool service_waits(const tw_core *core) {
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
-        if (job->has_spec && job->spec.service && tw_job_is_pending(core, job)) return 1;
+        if (job->has_spec && job->spec.service && tw_job_is_pending(core, job)) return true;
     }
-    return 0;
+    return false;
 }
 
-static int is_closing(const tw_machine *machine) {
+static bool is_closing(const tw_machine *machine) {
     return machine->decommissioning && !machine->return_wanted;
 }
 
@@ -293,7 +295,7 @@
     if (closing >= 1 + (int)HASH_COUNT(core->machines) / CLOSING_PART) return;
     struct tw_machine *best = next_to_close(core, bins);
     if (!best) return;
-    best->decommissioning = 1;
+    best->decommissioning = true;
     tw_log_info("event=decommission_started worker=%s machine_type=%s", best->name,
                 best->type_name);
 }
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -1,5 +1,6 @@
 /* Dealing with the cloud: what is asked of it and when, rental requests, and returns. */
 #include "core/autoscaler_int.h"
+#include <stdbool.h>
 
 #define TIMEOUT_S 5
 #define TYPES_TIMEOUT_S 3
@@ -36,17 +37,17 @@
     call->count = count;
     call->names = tw_alloc((size_t)count * TW_NAME_SIZE);
     memcpy(call->names, names, (size_t)count * TW_NAME_SIZE);
-    core->return_in_flight = 1;
+    core->return_in_flight = true;
 }
 
 static void returns_done(tw_core *core, const tw_call *call, int status) {
-    core->return_in_flight = 0;
+    core->return_in_flight = false;
     for (int i = 0; i < call->count; i++) {
         tw_machine *machine = tw_machine_find(core, call->names[i]);
         if (!machine) continue;
         if (status != TW_HTTP_OK) {
             machine->return_in_flight = 0; /* asked again: releasing twice is harmless */
-            core->returns_due = 1;
+            core->returns_due = true;
             core->next_return_at = core->now + RETRY_S;
             continue;
         }
@@ -135,7 +136,7 @@
     tw_log_info("event=machines_rented request=%s machine_type=%s zone=%s spot=%d asked=%d got=%d",
                 request->name, core->machine_types[request->type_index].listed.name,
                 tw_offer_zone(core, offer), request->spot, request->machine_count, count);
-    const int partly = count < request->machine_count;
+    const bool partly = count < request->machine_count;
     offer->refused = partly ? offer->refused + 1 : 0;
     if (partly) offer->refused_until = core->now + core->config->list_lag_s * AFTER_PART_LAGS;
 }
@@ -174,7 +175,7 @@
     }
     DL_DELETE(core->rental_requests, request);
     free(request);
-    core->scheduling_due = 1;
+    core->scheduling_due = true;
 }
 
 /* ---- time ---- */
@@ -231,7 +232,7 @@
     if (core->machine_types_in_flight || core->now < core->next_machine_types_at ||
         !tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
         return;
-    core->machine_types_in_flight = 1;
+    core->machine_types_in_flight = true;
     tw_call_send(core, TW_CALL_LIST_MACHINE_TYPES, TW_TO_CLOUD, core->config->cloud, "GET",
                  "/flavors", NULL, TYPES_TIMEOUT_S);
 }
@@ -271,7 +272,7 @@
                             size_t length) {
     switch (call->kind) {
     case TW_CALL_LIST_MACHINE_TYPES:
-        core->machine_types_in_flight = 0;
+        core->machine_types_in_flight = false;
         if (status == TW_HTTP_OK) tw_machine_types_response(core, body, length);
         core->next_machine_types_at =
             core->now + (core->machine_type_count ? TYPES_EVERY_S : TYPES_RETRY_S);
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -7,6 +7,7 @@
 #define TW_CORE_SCHEDULER_H
 #include "core/job.h"
 #include "core/machine.h"
+#include <stdbool.h>
 
 /* By the protocol, once troubles are over: the largest jobs begin within this, too. */
 #define TW_MAX_START_DELAY_S 240.0
@@ -23,7 +24,7 @@
 /* A pass over the queue. */
 void tw_scheduler_run(tw_core *core);
 /* Places a job of the highest priority at once; returns whether all its tasks are placed. */
-int tw_scheduler_place_now(tw_core *core, tw_job *job);
+bool tw_scheduler_place_now(tw_core *core, tw_job *job);
 
 /* recheck.c */
 /* Stops tasks that will miss their deadline where a full rerun elsewhere makes it. */
@@ -37,9 +38,9 @@
 
 /* constraints.c */
 /* Whether the job's zone, spread and single zone allow one more task there. */
-int tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone);
+bool tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone);
 /* Whether the team's limit allows so many more tasks of the job. */
-int tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks);
+bool tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks);
 /* Notes the cores and memory that a GPU's user takes along with it, at the most. */
 void tw_gpu_share_update(tw_core *core);
 
@@ -49,7 +50,7 @@
  * waited too long for their first task are served between the others. Free it with
  * tw_job_queue_free.
  */
-tw_job_queue *tw_job_queue_new(tw_core *core, int with_overdue);
+tw_job_queue *tw_job_queue_new(tw_core *core, bool with_overdue);
 /* The next job; NULL: all have been served. */
 tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *turns);
 /* That so many tasks of the job that was served last were placed. */
@@ -59,9 +60,9 @@
 void tw_job_queue_requeue(tw_job_queue *turns);
 /* Whether another team waits at the same level as the job served last, or an overdue job of its
  * priority, or the last one was overdue itself. */
-int tw_job_queue_is_contended(const tw_job_queue *turns);
+bool tw_job_queue_is_contended(const tw_job_queue *turns);
 void tw_job_queue_free(tw_job_queue *turns);
 /* Whether a job has tasks that may be placed now. */
-int tw_job_is_pending(const tw_core *core, const tw_job *job);
+bool tw_job_is_pending(const tw_core *core, const tw_job *job);
 
 #endif
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -3,6 +3,7 @@
 #ifndef TW_SCHEDULER_INT_H
 #define TW_SCHEDULER_INT_H
 #include "core/core_int.h"
+#include <stdbool.h>
 
 /* A task to be placed. What doesn't depend on the machine is worked out once for all of them. */
 typedef struct tw_demand {
@@ -34,18 +35,18 @@
 /* constraints.c */
 tw_demand tw_demand_of(const tw_core *core, struct tw_job *job);
 /* Whether the machine's zone is one that the demand allows. */
-int tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
-                                      const struct tw_machine *machine);
+bool tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
+                                       const struct tw_machine *machine);
 /* Whether the job's tasks may go to a machine that is usable, whatever its zone and room. */
-int tw_constraints_allow_machine(const tw_core *core, const struct tw_job *job,
-                                 const struct tw_machine *machine);
+bool tw_constraints_allow_machine(const tw_core *core, const struct tw_job *job,
+                                  const struct tw_machine *machine);
 /* Whether so many tasks without GPUs leave the machine's GPUs their cores and memory. */
-int tw_constraints_leave_gpus(const tw_core *core, const struct tw_machine *machine,
-                              const struct tw_job *job, int tasks);
+bool tw_constraints_leave_gpus(const tw_core *core, const struct tw_machine *machine,
+                               const struct tw_job *job, int tasks);
 
 /* placement_failures.c: kinds of tasks for which a pass has found no room. */
 tw_placement_failure tw_placement_failure_of(const tw_demand *demand);
-int tw_placement_failures_has(const tw_core *core, const tw_placement_failure *kind);
+bool tw_placement_failures_has(const tw_core *core, const tw_placement_failure *kind);
 void tw_placement_failures_add(tw_core *core, const tw_placement_failure *kind);
 void tw_placement_failures_forget_cpu(tw_core *core);
 void tw_placement_failures_forget(tw_core *core);
@@ -58,7 +59,7 @@
 } tw_candidate;
 void tw_candidates_begin(tw_core *core);
 /* The free share of the machine's zone, of GPUs or of cores. */
-double tw_candidates_zone_free(const tw_core *core, const struct tw_machine *machine, int gpus);
+double tw_candidates_zone_free(const tw_core *core, const struct tw_machine *machine, bool gpus);
 
 /* preference.c */
 /* Points among machines that meet the deadline; the most is taken. */
@@ -69,8 +70,8 @@
 typedef struct tw_score {
     int candidate;
     int changes;    /* of the candidate, when this was worked out */
-    int fits;       /* it has room and is allowed, its zone apart */
-    int possible;   /* and the task leaves its GPUs what they need */
+    bool fits;      /* it has room and is allowed, its zone apart */
+    bool possible;  /* and the task leaves its GPUs what they need */
     double end;     /* as tw_predict_end has it */
     double total_s; /* T */
     double points;  /* where the deadline is met */
@@ -95,7 +96,7 @@
     struct tw_machine *machine; /* NULL: none */
     double points;              /* the most, or where no deadline is met the least overshoot */
     int candidate;              /* its number */
-    int meets;                  /* it is expected to meet the deadline there */
+    bool meets;                 /* it is expected to meet the deadline there */
     int kept;                   /* none, and some room was not given, since it is kept for others */
 } tw_choice;
 
@@ -112,19 +113,19 @@
 /* A pass begins, its candidates are known: which machines are held for a gang that waits. */
 void tw_gang_reservation_update(tw_core *core);
 /* Whether the job may use the machine although it may be held for another. */
-int tw_gang_reservation_allows(const tw_core *core, const struct tw_job *job,
-                               const struct tw_machine *machine);
+bool tw_gang_reservation_allows(const tw_core *core, const struct tw_job *job,
+                                const struct tw_machine *machine);
 
 /* Whether a task of the job leaves the gang that waits its part of their team's limit. */
-int tw_gang_reservation_allows_team(const tw_core *core, const struct tw_job *job);
+bool tw_gang_reservation_allows_team(const tw_core *core, const struct tw_job *job);
 
 /* preemption.c */
 /* A machine where stopping work of lower rank makes room, at the least loss; the work is told to
  * stop. in_time: only one where the deadline is met. *kept is set as in tw_choice. */
 /* Whether the task may be stopped to make room for the job. */
-int tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
-                          const tw_placement *placed);
-struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, int in_time,
+bool tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
+                           const tw_placement *placed);
+struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, bool in_time,
                                         int *kept);
 
 #endif
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -3,6 +3,7 @@
  * task was placed the score is worked out again. Room only gets less meanwhile; where some is given
  * back, all scores are forgotten. */
 #include "core/scheduler_int.h"
+#include <stdbool.h>
 
 #define FIRST_CAPACITY 64
 #define TABLES_MAX 8 /* kinds of tasks at once: the teams are served in turn */
@@ -31,18 +32,18 @@
                : NULL;
 }
 
-static int same_kind(const tw_core *core, const kind *known, const tw_demand *demand) {
+static bool same_kind(const tw_core *core, const kind *known, const tw_demand *demand) {
     const tw_job *job = demand->job;
     const tw_wire_job *spec = &job->spec;
     if (known->cores != spec->cores || known->gpus != spec->gpus ||
         known->memory_gb != spec->memory_gb || known->image_gb != spec->image_gb ||
         known->estimate_s != demand->estimate_s)
-        return 0;
+        return false;
     if (known->types != job->type_mask || known->spot != spec->spot ||
         known->service != spec->service || known->any_machine != job->any_machine ||
         known->class != job->job_class || known->priority != job->spec.priority ||
         known->own != own_scores(core, job))
-        return 0;
+        return false;
     return known->image_sum == job->image_hash && !strcmp(known->image, spec->image);
 }
 
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -14,6 +14,7 @@
 #include "core/autoscaler.h"
 #include "core/scheduler.h"
 #include <gsl/gsl_rng.h>
+#include <stdbool.h>
 
 /* Zones with a number of their own; those beyond are known by name. */
 #define TW_MAX_ZONES 16
@@ -34,12 +35,13 @@
     /* election */
     tw_role role;
     tw_leader_phase phase;
-    int could_command, could_renew;   /* rights when last looked at, for the log */
+    bool could_command, could_renew;  /* rights when last looked at, for the log */
     double answered_while_loading_at; /* last report answered while the records were read */
     uint64_t term; /* changes with each term: calls of another term are ignored */
     uint64_t lease_id, fencing_token, highest_token_seen;
     double leader_lease_s, authority_until, acquired_at, next_renewal_at, next_leader_read_at;
-    int renewals_in_flight, leader_read_in_flight, election_in_flight;
+    int renewals_in_flight;
+    bool leader_read_in_flight, election_in_flight;
     uint64_t watch_from_revision; /* revision to watch the leader key from; 0: read it first */
     double lease_requested_at, renewal_sent_at;
     tw_rate_limiter election_limiter; /* this node's part of the requests that elections may take */
@@ -47,7 +49,7 @@
     char leader_name[TW_NAME_SIZE];
     uint64_t leader_token;
     double leader_seen_at, store_answered_at, started_at;
-    int began_without_jobs;    /* this term began without any job */
+    bool began_without_jobs;   /* this term began without any job */
     double first_admission_at; /* first acceptance in a state service without jobs */
     double peers_confirmed_at; /* 0: not all peers have said that they know our token */
     tw_peer *peers;
@@ -68,7 +70,8 @@
     double next_forwarded_sweep_at;
     tw_worker_redirect *worker_redirects; /* workers that were told of another node */
     double next_redirect_sweep_at;
-    int delegate_write_in_flight, held_count;
+    bool delegate_write_in_flight;
+    int held_count;
     double next_delegate_attempt_at;    /* no earlier attempt to become one */
     tw_held_heartbeat *held_heartbeats; /* reports that wait for a leader */
     double next_held_retry_at;
@@ -76,11 +79,11 @@
     tw_expiring_name *listed_cancelled_jobs; /* cancelled jobs, whose tasks a deputy stops: read as
                                         one by its key */
     tw_expiring_name *announced_cancelled_jobs; /* and named with the leader's last grant */
-    int cancelled_list_in_flight;
+    bool cancelled_list_in_flight;
     double cancelled_list_began_at, next_cancelled_list_at;
     char cancelled_list_cursor[256];
     /* deputies, at the leader, see delegate_registry.c */
-    int delegates_read_in_flight, delegates_known;
+    bool delegates_read_in_flight, delegates_known;
     double delegates_checked_at, next_delegates_read_at, expiry_decided_at;
 
     /* jobs */
@@ -93,11 +96,11 @@
     int transactions_in_flight, pending_admissions;
     uint64_t last_chunk_set; /* numbers the sets of slices that this process writes */
     struct tw_stale_chunk_set *stale_chunk_sets; /* that no record names: to be removed */
-    int chunk_removal_in_flight;
+    bool chunk_removal_in_flight;
     double next_chunk_removal_at;
-    int peers_read_chunks, a_peer_lacks_chunks;    /* as of the last look at the peers */
+    bool peers_read_chunks, a_peer_lacks_chunks;   /* as of the last look at the peers */
     struct tw_loaded_chunk_set *loaded_chunk_sets; /* of divided records, while they are read */
-    int loading_chunks;                            /* those are being read, before the records */
+    bool loading_chunks;                           /* those are being read, before the records */
     tw_rate_limiter write_limiter, request_limiter, cloud_limiter;
     int overdue_credit[TW_PRIORITY_PROD +
                        1]; /* by rank: the next room may go to the longest wait */
@@ -106,8 +109,8 @@
     double *team_cores_used, *team_gpus_used; /* in use, or may be */
     char load_cursor[256];
     double next_load_at;
-    int load_in_flight;
-    int admission_watch_in_flight; /* jobs that other nodes accepted, see peer_admissions.c */
+    bool load_in_flight;
+    bool admission_watch_in_flight; /* jobs that other nodes accepted, see peer_admissions.c */
     tw_expiring_name *untaken_admissions; /* those that we heard of and that aren't among ours yet,
                                      and their next read */
     uint64_t admission_watch_revision;
@@ -117,7 +120,7 @@
     tw_machine_type *machine_types;
     int machine_type_count;
     double next_machine_types_at;
-    int machine_types_in_flight;
+    bool machine_types_in_flight;
     tw_machine *machines;
     size_t longest_machine_name;              /* of a machine that was known in this process */
     tw_machine *command_queue;                /* those that may be due for direct orders */
@@ -140,11 +143,12 @@
     double cores_per_gpu,
         memory_gb_per_gpu; /* what a GPU's user takes along at most, by the lanes' samples */
     tw_expiring_name *returned_machines;
-    int machine_list_in_flight, machine_list_has_more, machine_lists_read;
+    bool machine_list_in_flight;
+    int machine_list_has_more, machine_lists_read;
     char machine_list_cursor[TW_NAME_SIZE];
     double next_machine_list_at;
-    int return_in_flight;
-    int returns_due; /* some machine is to be returned and may not have been asked for */
+    bool return_in_flight;
+    bool returns_due; /* some machine is to be returned and may not have been asked for */
     double next_return_at;
     tw_capacity_offer *capacity_offers;
     int capacity_offer_count;
@@ -162,7 +166,7 @@
         double until; /* taken for cut off until then */
     } silent_zones[TW_MAX_ZONES];
     int silent_zone_count;
-    int scheduling_due;
+    bool scheduling_due;
     double next_pass_at, next_recheck_at;
     double next_job_sweep_at, next_machine_scan_at;
     double unresponsive_since;
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -1,5 +1,6 @@
 /* What a report says of one task: it is fetched, runs, has ended, or is one that we don't know. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 /* A job that failed on so many other machines is at fault itself. */
 #define ELSEWHERE_BLAMES_JOB 2
@@ -46,7 +47,7 @@
     placed->state = TW_TASK_EXITED;
     placed->cause = reported->cause;
     if (!placed->counted) return;
-    const int over = job->state != TW_JOB_PENDING;
+    const bool over = job->state != TW_JOB_PENDING;
     switch (reported->cause) {
     case TW_CAUSE_DONE:
         tw_statistics_note_run(core, placed);
@@ -55,7 +56,7 @@
             tw_quarantine_clear(core, placed->machine);
         break;
     case TW_CAUSE_STOPPED:
-        if (reported->saved) job->has_checkpoint = job->gang.saved = 1;
+        if (reported->saved) job->has_checkpoint = job->gang.saved = true;
         break;
     case TW_CAUSE_GANG_BROKEN: /* no fault of the machine, nor of the job */
     case TW_CAUSE_GANG_INCOMPLETE:
@@ -73,7 +74,7 @@
     if (!over && job->done_count == job->task_count)
         tw_job_finish(core, job, TW_JOB_DONE);
     else
-        tw_job_mark_changed(core, job, 0);
+        tw_job_mark_changed(core, job, false);
 }
 
 static void note_task_started(tw_core *core, tw_placement *placed) {
@@ -86,7 +87,7 @@
         "event=task_started task=%s/%d class=%s machine_type=%s start_s=%.2f waited_s=%.2f",
         job->id, placed->index, job->spec.job_class, placed->machine->type_name,
         core->now - placed->placed_at, core->now - job->submitted_at);
-    tw_image_note_use(core, placed->machine, job, 1);
+    tw_image_note_use(core, placed->machine, job, true);
 }
 
 void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *heartbeat,
@@ -97,24 +98,24 @@
         machine->lost_launches = 0;
         placed->lost_launches = 0;
     }
-    placed->reported = placed->launch_sent = 1;
+    placed->reported = placed->launch_sent = true;
     if (placed->state == TW_TASK_EXITED) return;
     if (reported->state == TW_TASK_EXITED) {
         reconcile_exited_task(core, placed, heartbeat, reported);
         return;
     }
-    const int waits = reported->state == TW_TASK_WAITING && placed->state != TW_TASK_WAITING;
+    const bool waits = reported->state == TW_TASK_WAITING && placed->state != TW_TASK_WAITING;
     placed->state = reported->state;
     if (!job->has_spec) return;
     if (waits) { /* its image is there */
         tw_statistics_note_start(core, placed);
-        tw_image_note_use(core, machine, job, 1);
+        tw_image_note_use(core, machine, job, true);
     }
     if (job->spec.gang) tw_gang_task_reported(core, placed);
     if (reported->state == TW_TASK_RUNNING && placed->running_since <= 0)
         note_task_started(core, placed);
     else if (reported->state == TW_TASK_FETCHING && !tw_image_find(machine, job))
-        tw_image_note_use(core, machine, job, 0);
+        tw_image_note_use(core, machine, job, false);
     /* A task of a broken gang tells that it runs until it ends: that shows nothing. */
     if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != TW_GANG_RUNNING))
         return;
@@ -128,7 +129,7 @@
 static void reconcile_unknown_exit(tw_core *core, const tw_machine *machine,
                                    const tw_wire_task *reported, tw_job *job,
                                    tw_command_list *commands) {
-    const int done = reported->cause == TW_CAUSE_DONE;
+    const bool done = reported->cause == TW_CAUSE_DONE;
     if (job && done && job->task_states[reported->index] == TW_ASSIGNMENT_NONE) {
         job->task_states[reported->index] = TW_ASSIGNMENT_DONE;
         job->done_count++;
@@ -136,7 +137,7 @@
         if (job->done_count == job->task_count)
             tw_job_finish(core, job, TW_JOB_DONE);
         else
-            tw_job_mark_changed(core, job, 0);
+            tw_job_mark_changed(core, job, false);
     }
     /* Only a machine that refuses older tokens can't be made to start it again; and without
      * authority another leader may know of it. */
@@ -170,7 +171,7 @@
         placed->mark = core->heartbeat_mark;
         if (job->spec.gang && job->placed_count == 1) tw_gang_restored(job);
         tw_reconcile_task(core, placed, heartbeat, reported);
-        tw_job_mark_changed(core, job, 0);
+        tw_job_mark_changed(core, job, false);
         tw_log_info("event=unknown_task_adopted task=%s/%d worker=%s", reported->job,
                     reported->index, machine->name);
         return;
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -1,5 +1,6 @@
 /* The end of a term: everything that belongs to it is forgotten. */
 #include "core/record_chunks.h"
+#include <stdbool.h>
 
 static void forget_set(tw_expiring_name **set) {
     tw_expiring_name *member, *next;
@@ -50,8 +51,8 @@
         free(rental_request);
     }
     core->next_rental_request = 0;
-    core->machine_list_in_flight = 0;
-    core->return_in_flight = 0;
+    core->machine_list_in_flight = false;
+    core->return_in_flight = false;
     core->machine_lists_read = 0;
     *core->machine_list_cursor = 0;
 }
@@ -63,14 +64,14 @@
     forget_set(&core->untaken_admissions);
     tw_chunks_forget_stale(core);
     tw_chunk_loader_free(core);
-    core->peers_read_chunks = core->a_peer_lacks_chunks = 0;
+    core->peers_read_chunks = core->a_peer_lacks_chunks = false;
     core->silent_zone_count = 0;
-    core->admission_watch_in_flight = 0;
+    core->admission_watch_in_flight = false;
     core->admission_watch_revision = 0;
     core->next_admission_watch_at = 0;
     core->transactions_in_flight = 0;
     core->pending_admissions = 0;
-    core->load_in_flight = 0;
+    core->load_in_flight = false;
     memset(core->team_cores_used, 0, (core->config->nteams + 1) * sizeof *core->team_cores_used);
     memset(core->team_gpus_used, 0, (core->config->nteams + 1) * sizeof *core->team_gpus_used);
 }
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -1,6 +1,7 @@
 /* What users ask: submissions, questions and cancellations. A node that does not lead hands them to
  * the leader, or answers by the state service (docs/design.md, "What users are told"). */
 #include "core/record_chunks.h"
+#include <stdbool.h>
 
 /* The answer to a question that is read from the state service, or handed to the leader, comes
  * within these times; less than the 2 s that users wait. */
@@ -20,7 +21,7 @@
 #define PATH_SIZE 64
 
 /* At the leader, authority is what counts; see docs/design.md, "What users are told". */
-static int may_answer_as_leader(const tw_core *core) {
+static bool may_answer_as_leader(const tw_core *core) {
     return core->phase == TW_PHASE_ACTIVE && tw_leader_may(core, TW_PERMISSION_ANSWER);
 }
 
@@ -47,19 +48,19 @@
 }
 
 /* Hands a request to the leader; 0 if there is none to hand it to. */
-static int forward_to_leader(tw_core *core, uint64_t connection, tw_user_operation operation,
-                             const char *method, const char *path, const char *id, char *body,
-                             double timeout_s) {
+static bool forward_to_leader(tw_core *core, uint64_t connection, tw_user_operation operation,
+                              const char *method, const char *path, const char *id, char *body,
+                              double timeout_s) {
     tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
     if (!leader || leader->answered_at < core->now - 0.5 * core->leader_lease_s - LEADER_SILENT_S)
-        return 0;
+        return false;
     tw_call *call = tw_call_send(core, TW_CALL_FORWARD_REQUEST, TW_TO_PEER, leader->config.addr,
                                  method, path, body ? strdup(body) : NULL, timeout_s);
     call->connection = connection;
     call->operation = operation;
     call->text = body;
     snprintf(call->name, sizeof call->name, "%s", id);
-    return 1;
+    return true;
 }
 
 /* ---- at the leader ---- */
@@ -82,13 +83,13 @@
         tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "machines of it can't be reached");
         return;
     }
-    tw_job_add_waiting_client(core, job, connection, 1);
+    tw_job_add_waiting_client(core, job, connection, true);
     if (safe && job->state == TW_JOB_PENDING) tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
 /* Tells what is in memory of the job; 0: nothing is. */
-static int tell_from_memory(tw_core *core, uint64_t connection, const char *id,
-                            tw_user_operation operation) {
+static bool tell_from_memory(tw_core *core, uint64_t connection, const char *id,
+                             tw_user_operation operation) {
     tw_completion ending;
     tw_job *job = tw_job_find(core, id);
     if (job && operation == TW_OPERATION_CANCEL)
@@ -96,21 +97,21 @@
     else if (job)
         tw_reply(core, connection, TW_HTTP_OK, 0, tw_job_status_text(job));
     else if (!tw_completed_jobs_find(core->completed_jobs, id, &ending))
-        return 0;
+        return false;
     else if (operation == TW_OPERATION_CANCEL)
         tw_reply(core, connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(id, ending.stage, -1, -1));
     else
         tw_reply(core, connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(id, ending.stage, ending.done, 0));
-    return 1;
+    return true;
 }
 
 /* The same, if it is as new as anything that any node has told of the job. */
-static int answer_from_memory(tw_core *core, uint64_t connection, const char *id,
-                              tw_user_operation operation) {
+static bool answer_from_memory(tw_core *core, uint64_t connection, const char *id,
+                               tw_user_operation operation) {
     const tw_job *job = tw_job_find(core, id);
-    if (job && !tw_job_is_answerable(job)) return 0;
+    if (job && !tw_job_is_answerable(job)) return false;
     return tell_from_memory(core, connection, id, operation);
 }
 
@@ -128,13 +129,13 @@
     if (core->began_without_jobs && core->first_admission_at <= 0)
         core->first_admission_at = core->now;
     tw_job_class_note_arrival(core, job->job_class, job);
-    tw_job_add_waiting_client(core, job, connection, 0);
-    tw_job_mark_changed(core, job, 1);
+    tw_job_add_waiting_client(core, job, connection, false);
+    tw_job_mark_changed(core, job, true);
     tw_log_debug("event=job_submitted id=%s class=%s team=%d tasks=%d cores=%g gpus=%g mem=%g",
                  job->id, job->spec.job_class, job->team, job->task_count, job->spec.cores,
                  job->spec.gpus, job->spec.memory_gb);
     /* One write holds the acceptance and the first placements. */
-    if (!tw_scheduler_place_now(core, job)) core->scheduling_due = 1;
+    if (!tw_scheduler_place_now(core, job)) core->scheduling_due = true;
 }
 
 static void leader_submit(tw_core *core, uint64_t connection, tw_wire_job *spec) {
@@ -145,7 +146,7 @@
         return;
     }
     if (job) {
-        tw_job_add_waiting_client(core, job, connection, 0);
+        tw_job_add_waiting_client(core, job, connection, false);
         if (job->size_refusals) tw_job_reject_waiting_clients(core, job);
         return;
     }
@@ -198,7 +199,7 @@
 }
 
 void tw_user_submit(tw_core *core, uint64_t connection, const char *body, size_t length,
-                    int from_peer) {
+                    bool from_peer) {
     tw_wire_job spec;
     const char *why = "";
     if (tw_wire_job_parse(&spec, body, length, &why)) {
@@ -228,7 +229,7 @@
     tw_wire_job_free(&spec);
 }
 
-void tw_user_query(tw_core *core, uint64_t connection, const char *id, int from_peer) {
+void tw_user_query(tw_core *core, uint64_t connection, const char *id, bool from_peer) {
     if (!tw_wire_id_ok(id, strlen(id))) { /* no such id can have been accepted */
         tw_reply_error(core, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
@@ -245,7 +246,7 @@
         tw_job_look_up(core, connection, id, TW_OPERATION_QUERY);
 }
 
-void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, int from_peer) {
+void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, bool from_peer) {
     if (!tw_wire_id_ok(id, strlen(id))) {
         tw_reply_error(core, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
@@ -296,7 +297,7 @@
         tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1, "record can't be read");
         return;
     }
-    int over = record.state != TW_JOB_PENDING;
+    bool over = record.state != TW_JOB_PENDING;
     const int live = *record.chunk_set ? record.running_count : record.assignment_count;
     int state = over ? record.state : live ? TW_JOB_RUNNING : TW_JOB_PENDING;
     if (call->operation == TW_OPERATION_CANCEL && !over)
@@ -326,7 +327,7 @@
                        "state service does not answer");
         return;
     }
-    int known = 0;
+    bool known = false;
     if (may_answer_as_leader(core)) {
         note_record(core, call, &entry);
         known = tell_from_memory(core, call->connection, call->name, call->operation);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -1,6 +1,7 @@
 /* Commands to machines: those in the answers to their reports, and those sent to their own
  * address. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 #define MAX_ORDERS 500  /* keeps an answer under the protocol's 64 KiB; the rest in the next one */
 #define MOST_EXITED 200 /* on a machine: keeps its report far under the protocol's 64 KiB */
@@ -38,7 +39,7 @@
                         placed->job->id);
 }
 
-static int may_launch(const tw_placement *placed) {
+static bool may_launch(const tw_placement *placed) {
     /* A predecessor's is never launched again: whether it still comes is settled first, and then
      * the task gets a new attempt. */
     return !placed->inherited && !placed->reported && !placed->stopping && placed->counted &&
@@ -47,7 +48,7 @@
 }
 
 /* A gang's task whose image is there long before the last one's is launched later. */
-static int is_early(const tw_core *core, const tw_placement *placed) {
+static bool is_early(const tw_core *core, const tw_placement *placed) {
     return core->now < placed->launch_after;
 }
 
@@ -66,22 +67,22 @@
             add_command(commands, TW_COMMAND_LAUNCH, each);
         if (each->state != TW_TASK_SAVING || each->grace_s <= 0)
             add_command(commands, TW_COMMAND_STOP, each);
-        const int saves = each->grace_s > 0 && each->job->spec.checkpoint_s > 0 &&
-                          each->state != TW_TASK_FETCHING;
+        const bool saves = each->grace_s > 0 && each->job->spec.checkpoint_s > 0 &&
+                           each->state != TW_TASK_FETCHING;
         if (saves && each->preempted) subtract_capacity(room, &each->job->spec);
     }
 }
 
 /* An earlier attempt of the task has ended, or this one would not be placed: checked again where it
  * is launched, since a task that runs twice starts here. */
-static int is_only_attempt(tw_core *core, const tw_placement *placed) {
+static bool is_only_attempt(tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     if (placed->counted && !placed->inherited &&
         job->task_states[placed->index] == TW_ASSIGNMENT_PLACED)
-        return 1;
+        return true;
     tw_invariant_broken(core, TW_INVARIANT_LAUNCH, "task=%s/%d attempt=%llu worker=%s", job->id,
                         placed->index, (unsigned long long)placed->attempt, placed->machine->name);
-    return 0;
+    return false;
 }
 
 static void log_launch(const tw_placement *placed, uint64_t sequence) {
@@ -121,7 +122,7 @@
         if (!is_only_attempt(core, each)) continue;
         add_command(commands, TW_COMMAND_LAUNCH, each);
         log_launch(each, sequence);
-        each->launch_sent = 1;
+        each->launch_sent = true;
         each->launch_incarnation = machine->incarnation;
         if (sequence)
             each->launch_sequence = sequence;
@@ -178,17 +179,17 @@
 
 static void queue_machine(tw_core *core, tw_machine *machine) {
     if (machine->in_command_queue) return;
-    machine->in_command_queue = 1;
+    machine->in_command_queue = true;
     DL_APPEND2(core->command_queue, machine, queue_prev, queue_next);
 }
 
 void tw_machine_want_commands(tw_core *core, tw_machine *machine) {
-    machine->commands_wanted = 1;
+    machine->commands_wanted = true;
     queue_machine(core, machine);
 }
 
 void tw_machine_want_probe(tw_core *core, tw_machine *machine) {
-    machine->probe_wanted = 1;
+    machine->probe_wanted = true;
     queue_machine(core, machine);
 }
 
@@ -197,7 +198,7 @@
     tw_call *call = tw_call_send(core, TW_CALL_SEND_COMMANDS, TW_TO_WORKER, machine->endpoint,
                                  method, path, body, DIRECT_S);
     snprintf(call->name, sizeof call->name, "%s", machine->name);
-    machine->command_in_flight = 1;
+    machine->command_in_flight = true;
     core->commands_in_flight++;
     return call;
 }
@@ -220,10 +221,10 @@
     if (machine->command_in_flight || core->now < machine->no_commands_before ||
         (!machine->commands_wanted && !machine->probe_wanted))
         return;
-    const int probe = machine->probe_wanted;
+    const bool probe = machine->probe_wanted;
     const double silent_s = core->now - machine->last_contact_at;
     const double in_touch_s = TW_IN_TOUCH_HEARTBEATS * core->config->report_s;
-    machine->commands_wanted = machine->probe_wanted = 0;
+    machine->commands_wanted = machine->probe_wanted = false;
     if (machine->return_wanted || !*machine->endpoint) return;
     if (!probe && (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > in_touch_s))
         return;
@@ -249,7 +250,7 @@
         if (each->state == TW_MACHINE_UP &&
             core->now - each->last_contact_at > SILENT_REPORTS * core->config->report_s &&
             asked < most) {
-            each->probe_wanted = 1;
+            each->probe_wanted = true;
             asked++;
         }
         if (each->commands_wanted || each->probe_wanted) queue_machine(core, each);
@@ -267,14 +268,14 @@
     }
     while ((due = core->command_queue)) {
         DL_DELETE2(core->command_queue, due, queue_prev, queue_next);
-        due->in_command_queue = 0;
+        due->in_command_queue = false;
         send_direct_commands(core, due);
     }
 }
 
 /* A launch that was sent so is no longer under way; refused: it won't start. */
 static void settle_launch(const tw_machine *machine, const char *task, uint64_t attempt,
-                          int refused) {
+                          bool refused) {
     tw_placement *each;
     char name[TW_NAME_SIZE];
     DL_FOREACH(machine->placements, each) {
@@ -290,7 +291,7 @@
     tw_machine *machine = tw_machine_find(core, call->name);
     if (!machine) return;
     core->commands_in_flight -= machine->command_in_flight;
-    machine->command_in_flight = 0;
+    machine->command_in_flight = false;
     if (machine->commands_wanted || machine->probe_wanted) queue_machine(core, machine);
     if (status == 0) {
         machine->failed_sends++;
--- a/src/core/worker_failover_paths.c
+++ b/src/core/worker_failover_paths.c
@@ -5,6 +5,7 @@
  * these follow each other, the worker's lease ends before it is answered, and all its tasks with
  * it. So workers are named nodes after which another one of the zone comes soon enough. */
 #include "core/core_int.h"
+#include <stdbool.h>
 
 /* A worker's waits, by the protocol: for an answer, and until it tries the next node. */
 #define ANSWER_WAIT_S 4.0
@@ -30,7 +31,7 @@
 
 /* Whether a worker that reports to the node at this position is answered by another one of its zone
  * before its lease ends. */
-static int is_in_time(const tw_core *core, const node *nodes, size_t position) {
+static bool is_in_time(const tw_core *core, const node *nodes, size_t position) {
     const size_t count = core->peer_count + 1;
     double unanswered_s = LONGEST_REPORT * core->config->report_s + NEXT_NODE_S;
     for (size_t step = 1; step < count; step++) {
@@ -38,7 +39,7 @@
         if (!strcmp(next->zone, nodes[position].zone)) return unanswered_s < core->config->lease_s;
         unanswered_s += ANSWER_WAIT_S + NEXT_NODE_S;
     }
-    return 0;
+    return false;
 }
 
 void tw_worker_failover_init(tw_core *core) {
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -1,5 +1,6 @@
 /* Taking a worker's report in, and answering it. */
 #include "core/workers.h"
+#include <stdbool.h>
 
 /* Among so many machines, one that seems not to hear us is believed to. */
 #define MACHINES_PER_DEAF 15
@@ -17,7 +18,7 @@
 }
 
 /* Many machines that seem not to hear us: then it is us, or the network. */
-static int silence_is_credible(tw_core *core) {
+static bool silence_is_credible(tw_core *core) {
     if (core->now - core->unresponsive_since > core->config->lease_s) {
         core->unresponsive_since = core->now;
         core->unresponsive_count = 0;
@@ -33,7 +34,7 @@
     tw_placement *each, *next;
     int lost = 0;
     DL_FOREACH_SAFE(machine->placements, each, next) {
-        const int was_on_job = each->counted;
+        const bool was_on_job = each->counted;
         if (tw_attempt_terminate(core, each, &end)) lost += was_on_job;
     }
     /* It reported, we answered, and still its lease lapsed: it does not hear us. */
@@ -59,7 +60,7 @@
     machine->state = TW_MACHINE_UP;
     machine->last_contact_at = core->now;
     machine->failed_sends = 0;
-    machine->lease_expired = 0;
+    machine->lease_expired = false;
     machine->spot = heartbeat->spot;
     copy_if_changed(machine->endpoint, sizeof machine->endpoint, heartbeat->endpoint);
     tw_machine_set_zone(core, machine, heartbeat->zone);
@@ -69,7 +70,7 @@
     if (!machine->confirmed && heartbeat->fencing_token >= core->fencing_token) {
         machine->confirmed = 1;
         machine->confirmed_at = core->now;
-        core->scheduling_due = 1;
+        core->scheduling_due = true;
     }
     if (heartbeat->preemption_notice_s >= 0 && machine->preempted_at <= 0) {
         machine->preempted_at = core->now + heartbeat->preemption_notice_s;
@@ -88,7 +89,7 @@
         tw_attempt_terminate(core, placed, &end);
         return;
     }
-    placed->launch_sent = 0;
+    placed->launch_sent = false;
     if (++placed->lost_launches >= TW_UNRESPONSIVE_AT &&
         machine->lost_launches < TW_UNRESPONSIVE_AT && silence_is_credible(core)) {
         machine->lost_launches = TW_UNRESPONSIVE_AT;
@@ -99,10 +100,10 @@
 
 /* A task that the report doesn't name. answers_order: the report answers direct orders. */
 static void reconcile_missing_task(tw_core *core, tw_placement *placed,
-                                   const tw_wire_heartbeat *heartbeat, int answers_order) {
-    const int not_launched = tw_launch_was_lost(placed, heartbeat, answers_order);
-    const int forgotten = placed->state == TW_TASK_EXITED && placed->reported;
-    const int done_unseen = not_launched && !placed->counted; /* with its gang */
+                                   const tw_wire_heartbeat *heartbeat, bool answers_order) {
+    const bool not_launched = tw_launch_was_lost(placed, heartbeat, answers_order);
+    const bool forgotten = placed->state == TW_TASK_EXITED && placed->reported;
+    const bool done_unseen = not_launched && !placed->counted; /* with its gang */
     if (forgotten || done_unseen) {
         tw_attempt_forget(core, placed);
     } else if (placed->inherited || placed->reported) {
@@ -115,19 +116,19 @@
     }
 }
 
-int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
-                              const tw_wire_heartbeat *heartbeat, tw_command_list *commands) {
-    const int same_session = heartbeat->incarnation == machine->incarnation;
+bool tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
+                               const tw_wire_heartbeat *heartbeat, tw_command_list *commands) {
+    const bool same_session = heartbeat->incarnation == machine->incarnation;
     if (heartbeat->incarnation < machine->incarnation ||
         (same_session && heartbeat->sequence <= machine->sequence)) {
         core->counters.rejected[TW_REJECTED_OLDER_HEARTBEAT]++;
-        return 0;
+        return false;
     }
     /* Its lease has surely lapsed: of that session only late reports can come, held by a cut or
      * sent by a machine that goes on after it hung. Whatever they name runs no more. */
     if (machine->lease_expired && same_session) {
         core->counters.rejected[TW_REJECTED_EXPIRED_HEARTBEAT]++;
-        return 0;
+        return false;
     }
     if (machine->incarnation && heartbeat->incarnation > machine->incarnation)
         on_new_incarnation(core, machine, heartbeat);
@@ -148,7 +149,7 @@
             continue;
         reconcile_missing_task(core, each, heartbeat, commands == NULL);
     }
-    return 1;
+    return true;
 }
 
 static const tw_command_list no_commands = {NULL, 0};
@@ -189,13 +190,13 @@
                     core->now - machine->known_since);
     }
     tw_commands_due(core, machine, &commands, heartbeat->sequence);
-    machine->probe_wanted = machine->commands_wanted = 0;
+    machine->probe_wanted = machine->commands_wanted = false;
     if (!machine->confirmed) tw_machine_want_probe(core, machine);
     reply_commands(core, connection, &commands);
 }
 
 /* A late report of a machine that we returned. */
-static int is_returned(tw_core *core, const tw_machine *machine, const char *name) {
+static bool is_returned(tw_core *core, const tw_machine *machine, const char *name) {
     const tw_expiring_name *returned;
     HASH_FIND_STR(core->returned_machines, name, returned);
     return returned || (machine && machine->return_in_flight);
@@ -203,9 +204,9 @@
 
 /* At a node that may answer workers. */
 static void receive_as_leader(tw_core *core, uint64_t connection,
-                              const tw_wire_heartbeat *heartbeat, int from_peer) {
+                              const tw_wire_heartbeat *heartbeat, bool from_peer) {
     /* Sent to its own zone, where it is answered even if that is cut off from ours. */
-    const int is_ours = !strcmp(heartbeat->zone, core->config->location);
+    const bool is_ours = !strcmp(heartbeat->zone, core->config->location);
     if (!from_peer && (is_ours ? tw_worker_redirect_safer(core, connection, heartbeat)
                                : tw_worker_redirect_home(core, connection, heartbeat)))
         return;
@@ -230,7 +231,7 @@
 }
 
 void tw_worker_heartbeat_receive(tw_core *core, uint64_t connection, const char *body,
-                                 size_t length, int from_peer) {
+                                 size_t length, bool from_peer) {
     if (core->now >= core->next_heartbeat_sweep_at) {
         core->next_heartbeat_sweep_at = core->now + core->config->lease_s;
         tw_wire_heartbeat_cache_sweep(core->heartbeat_cache);
--- a/src/core/worker_routing.c
+++ b/src/core/worker_routing.c
@@ -5,19 +5,20 @@
  * that answers other nodes need not answer its workers. Where several come back within a lease, no
  * more are sent there for a while. */
 #include "core/heartbeat_forwarder.h"
+#include <stdbool.h>
 
 /* Workers that came back from a node within a lease, from which on none is sent there. */
 #define SHUN_AFTER 3
 
-static int is_live_in_zone(const tw_core *core, const tw_peer *node, const char *zone) {
+static bool is_live_in_zone(const tw_core *core, const tw_peer *node, const char *zone) {
     return !strcmp(node->config.zone, zone) &&
            node->answered_at > core->now - 1 - 0.5 * core->leader_lease_s;
 }
 
-int tw_zone_has_live_peer(const tw_core *core, const char *zone) {
+bool tw_zone_has_live_peer(const tw_core *core, const char *zone) {
     for (size_t i = 0; i < core->peer_count; i++)
-        if (is_live_in_zone(core, &core->peers[i], zone)) return 1;
-    return 0;
+        if (is_live_in_zone(core, &core->peers[i], zone)) return true;
+    return false;
 }
 
 tw_peer *tw_worker_home_find(tw_core *core, const char *zone) {
@@ -55,14 +56,14 @@
     }
 }
 
-int tw_worker_redirect_to(tw_core *core, uint64_t connection, const char *worker, tw_peer *to) {
+bool tw_worker_redirect_to(tw_core *core, uint64_t connection, const char *worker, tw_peer *to) {
     tw_worker_redirect *last;
     HASH_FIND_STR(core->worker_redirects, worker, last);
     /* A worker that is sent between two nodes, each of which names the other, loses its lease. */
     if (last && last->target == to && core->now < last->at + core->config->lease_s) {
         if (!last->came_back) note_came_back(core, to);
-        last->came_back = 1;
-        return 0;
+        last->came_back = true;
+        return false;
     }
     sweep_redirects(core);
     HASH_FIND_STR(core->worker_redirects, worker, last);
@@ -73,28 +74,28 @@
     }
     last->target = to;
     last->at = core->now;
-    last->came_back = 0;
+    last->came_back = false;
     tw_log_debug("event=worker_redirected worker=%s to=%s", worker, to->config.name);
     tw_reply(core, connection, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(to->config.name));
-    return 1;
+    return true;
 }
 
-int tw_worker_redirect_home(tw_core *core, uint64_t connection,
-                            const tw_wire_heartbeat *heartbeat) {
+bool tw_worker_redirect_home(tw_core *core, uint64_t connection,
+                             const tw_wire_heartbeat *heartbeat) {
     tw_peer *home = tw_worker_home_find(core, heartbeat->zone);
     return home && tw_worker_redirect_to(core, connection, heartbeat->worker, home);
 }
 
 /* Whether all other nodes answer: no time to redirect workers otherwise. */
-static int all_peers_live(const tw_core *core) {
+static bool all_peers_live(const tw_core *core) {
     for (size_t i = 0; i < core->peer_count; i++)
-        if (!is_live_in_zone(core, &core->peers[i], core->peers[i].config.zone)) return 0;
-    return 1;
+        if (!is_live_in_zone(core, &core->peers[i], core->peers[i].config.zone)) return false;
+    return true;
 }
 
-int tw_worker_redirect_safer(tw_core *core, uint64_t connection,
-                             const tw_wire_heartbeat *heartbeat) {
-    if (core->failover_in_time || !all_peers_live(core)) return 0;
+bool tw_worker_redirect_safer(tw_core *core, uint64_t connection,
+                              const tw_wire_heartbeat *heartbeat) {
+    if (core->failover_in_time || !all_peers_live(core)) return false;
     tw_peer *safer = tw_worker_home_find(core, heartbeat->zone);
     return safer && safer->failover_in_time &&
            tw_worker_redirect_to(core, connection, heartbeat->worker, safer);
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -13,6 +13,7 @@
 #ifndef TW_CORE_FLEET_H
 #define TW_CORE_FLEET_H
 #include "core/core_int.h"
+#include <stdbool.h>
 
 /* A machine that reported within so many intervals hears us; another may act late on a command. */
 #define TW_IN_TOUCH_HEARTBEATS 2.5
@@ -28,7 +29,7 @@
 /* image.c */
 int tw_image_count_fetches(const tw_core *core, const tw_machine *machine, const tw_image *but);
 /* The job's image is used there, or fetched; ready: it is cached by now. */
-void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, int ready);
+void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, bool ready);
 
 /* lease_expiry.c */
 /* What a worker's lease may last by our clock, from a report that we answered. */
@@ -45,7 +46,7 @@
 } tw_lease_expiry;
 tw_lease_expiry tw_lease_expiry_of(const tw_core *core, const tw_machine *machine);
 double tw_lease_expires_at(const tw_core *core, const tw_machine *machine);
-int tw_zone_is_unreachable(tw_core *core, const tw_machine *machine);
+bool tw_zone_is_unreachable(tw_core *core, const tw_machine *machine);
 void tw_zone_silence_update(tw_core *core);
 
 /* placement.c */
@@ -69,8 +70,8 @@
 /* worker_heartbeat.c */
 /* Takes a report in; 0: it is older than what we know. orders: NULL for an answer to direct orders,
  * which may have overtaken the answer to a report. */
-int tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
-                              const tw_wire_heartbeat *heartbeat, tw_command_list *commands);
+bool tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
+                               const tw_wire_heartbeat *heartbeat, tw_command_list *commands);
 
 /* command_messages.c: messages with orders, under our token. NULL: this node has not the right to
  * give them, which is a fault of the caller; nothing may be sent then. */
--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -1,6 +1,7 @@
 /* Calls over HTTP, to the state service and to machines, and what their answers mean. */
 #include "daemon/daemon_int.h"
 #include <cjson/cJSON.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -69,7 +70,7 @@
     uint64_t running = 0;
     cJSON *object = cJSON_ParseWithLength(body, length);
     *to = (tw_standby_machine){0};
-    const int failed =
+    const bool failed =
         (status != OK && status != CONFLICT) || read_number(object, "term", &to->term) ||
         read_number(object, "life", &to->life) || read_number(object, "floor", &to->floor) ||
         read_number(object, "open", &to->newest) || read_number(object, "running", &running);
--- a/src/daemon/clients.c
+++ b/src/daemon/clients.c
@@ -2,6 +2,7 @@
  * the time at which each answer is given: a process that stood still may be called before its next
  * tick, with a table that is no longer its own. */
 #include "daemon/daemon_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -22,7 +23,7 @@
 /* ---- calls of clients ---- */
 
 static void answer_show(daemon_node *node, const tw_rpc_call *asked) {
-    const int ready = tw_standby_decides(node->standby, tw_daemon_steady_s());
+    const bool ready = tw_standby_decides(node->standby, tw_daemon_steady_s());
     const int nshares = ready ? tw_shards_count(node->shares) : 0;
     const int nmachines = ready && asked->show_machines ? tw_shards_machines(node->shares) : 0;
     tw_rpc_answer answer = {.verdict = ready ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER,
@@ -41,7 +42,7 @@
 }
 
 static void take_owner_report(daemon_node *node, const tw_rpc_call *asked) {
-    const int decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
+    const bool decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
     tw_rpc_answer answer = {.verdict = decides ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER};
     tw_standby_heard(node->standby, tw_daemon_steady_s(), asked->owner, asked->position.term,
                      asked->position.number);
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -3,6 +3,7 @@
 #include "daemon/daemon_int.h"
 #include "log/log.h"
 #include <signal.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <time.h>
@@ -66,13 +67,13 @@
     }
 }
 
-static int take_effects(daemon_node *node) {
+static bool take_effects(daemon_node *node) {
     tw_standby_effect *effect;
-    int taken = 0;
+    bool taken = false;
     while ((effect = tw_standby_next(node->standby))) {
         carry_out(node, effect);
         tw_standby_effect_free(effect);
-        taken = 1;
+        taken = true;
     }
     tw_daemon_take_owner_effects(node);
     return taken;
@@ -81,7 +82,7 @@
 /* What the owner says to its own table may bring about more. */
 void tw_daemon_settle(daemon_node *node) {
     while (take_effects(node)) continue;
-    const int decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
+    const bool decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
     if (node->decided && !decides) tw_daemon_free_tells(node);
     node->decided = decides;
 }
@@ -216,7 +217,7 @@
     node.subscriber =
         tw_subscriber_start(settings->name, settings->lease_s * HEARTBEAT_RATIO, wake_fed, &node);
     node.server = tw_rpc_server_start(settings->control, wake_called, &node);
-    const int started = node.server != NULL;
+    const bool started = node.server != NULL;
     if (started) {
         tw_log_info("event=process_started control=%s", settings->control);
         ev_run(node.loop, 0);
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -6,6 +6,7 @@
 #include "daemon/subscriber.h"
 #include "net/net.h"
 #include "standby/standby.h"
+#include <stdbool.h>
 #include <uthash.h>
 
 #define MOST_TELLS 4096 /* for an owner between two of its reports; it asks for all then */
@@ -41,7 +42,7 @@
     tw_standby *standby;
     tw_shards *shares;
     tw_shards_owner *owner;
-    int decided; /* when looked at last */
+    bool decided; /* when looked at last */
     uint64_t last_call;
     call *calls;
     owner_tells *tells;
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -1,5 +1,6 @@
 /* This node as an owner of shares, and what the leader has to tell other owners. */
 #include "daemon/daemon_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -78,7 +79,7 @@
 /* Sends what there is to say to another node that leads. */
 void tw_daemon_report(daemon_node *node) {
     const char *leader = tw_standby_active(node->standby);
-    const int to_itself = !strcmp(leader, node->settings->control);
+    const bool to_itself = !strcmp(leader, node->settings->control);
     if (to_itself || !leader[0] || !tw_reporter_idle(node->reporter)) return;
     tw_rpc_message *messages = tw_daemon_alloc(sizeof *messages * ((size_t)node->nmessages + 1));
     memcpy(messages, node->messages, sizeof *messages * (size_t)node->nmessages);
--- a/src/daemon/reporter.c
+++ b/src/daemon/reporter.c
@@ -1,6 +1,7 @@
 /* The thread that reports to the leading daemon. */
 #include "daemon/reporter.h"
 #include <pthread.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -83,9 +84,9 @@
     return reporter;
 }
 
-int tw_reporter_idle(tw_reporter *reporter) {
+bool tw_reporter_idle(tw_reporter *reporter) {
     pthread_mutex_lock(&reporter->mutex);
-    const int idle = reporter->state == REPORTER_IDLE;
+    const bool idle = reporter->state == REPORTER_IDLE;
     pthread_mutex_unlock(&reporter->mutex);
     return idle;
 }
@@ -102,9 +103,9 @@
     pthread_mutex_unlock(&reporter->mutex);
 }
 
-int tw_reporter_answer(tw_reporter *reporter, tw_rpc_answer *answer) {
+bool tw_reporter_answer(tw_reporter *reporter, tw_rpc_answer *answer) {
     pthread_mutex_lock(&reporter->mutex);
-    const int answered = reporter->state == REPORTER_ANSWERED;
+    const bool answered = reporter->state == REPORTER_ANSWERED;
     if (answered) {
         *answer = reporter->answer;
         if (reporter->failed) answer->verdict = TW_SHARDS_NOT_LEADER;
--- a/src/daemon/reporter.h
+++ b/src/daemon/reporter.h
@@ -3,19 +3,20 @@
 #ifndef TW_DAEMON_REPORTER_H
 #define TW_DAEMON_REPORTER_H
 #include "rpc/rpc.h"
+#include <stdbool.h>
 
 typedef struct tw_reporter tw_reporter;
 /* timeout_s: of a report. done is called from the thread when a report was answered or failed. */
 tw_reporter *tw_reporter_start(const char *owner, double timeout_s, void (*done)(void *context),
                                void *context);
 /* Whether a report may be sent now. */
-int tw_reporter_idle(tw_reporter *reporter);
+bool tw_reporter_idle(tw_reporter *reporter);
 /* position: what this node has of the leader's feed. Takes the messages over, to be freed by the
  * reporter. */
 void tw_reporter_send(tw_reporter *reporter, const char *address,
                       const tw_standby_position *position, tw_rpc_message *messages, int count);
 /* The answer to the last report, once; 0: there is none. Free it with tw_rpc_answer_free. */
-int tw_reporter_answer(tw_reporter *reporter, tw_rpc_answer *answer);
+bool tw_reporter_answer(tw_reporter *reporter, tw_rpc_answer *answer);
 void tw_reporter_stop(tw_reporter *reporter);
 
 #endif
--- a/src/daemon/subscriber.c
+++ b/src/daemon/subscriber.c
@@ -1,6 +1,7 @@
 /* The thread that reads the active controller's feed. */
 #include "daemon/subscriber.h"
 #include <pthread.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -18,7 +19,7 @@
     tw_standby_position position;
     int stopping, wanted; /* wanted: a feed is to be opened */
     uint64_t generation;  /* counts tw_subscriber_open */
-    int open;             /* the thread reads a feed of this generation */
+    bool open;            /* the thread reads a feed of this generation */
     tw_rpc_feed *feed;    /* at hand, to be cancelled from outside */
     tw_standby_message kept[MOST_KEPT];
     int nkept;
@@ -30,17 +31,17 @@
 }
 
 /* Whether the message is of the feed that is wanted and was kept; waits for room. */
-static int keep(tw_subscriber *subscriber, uint64_t generation, tw_standby_message *message) {
+static bool keep(tw_subscriber *subscriber, uint64_t generation, tw_standby_message *message) {
     while (subscriber->nkept == MOST_KEPT && subscriber->generation == generation &&
            !subscriber->stopping)
         pthread_cond_wait(&subscriber->changed, &subscriber->mutex);
     if (subscriber->generation != generation || subscriber->stopping) {
         tw_standby_message_free(message);
-        return 0;
+        return false;
     }
     subscriber->kept[subscriber->nkept++] = *message;
     subscriber->wake(subscriber->context);
-    return 1;
+    return true;
 }
 
 /* Called and returns with the mutex held. It is free while the connection is made and the feed is
@@ -53,7 +54,7 @@
     tw_rpc_feed *feed = tw_rpc_feed_open(client, subscriber->node, &position, subscriber->pause_s);
     subscriber->wanted = 0;
     subscriber->feed = feed;
-    int goes_on = 1;
+    bool goes_on = true;
     while (goes_on) {
         pthread_mutex_unlock(&subscriber->mutex);
         const int came = tw_rpc_feed_next(feed, &message);
@@ -61,7 +62,7 @@
         goes_on = came && keep(subscriber, generation, &message);
     }
     subscriber->feed = NULL;
-    if (subscriber->generation == generation) subscriber->open = 0;
+    if (subscriber->generation == generation) subscriber->open = false;
     pthread_mutex_unlock(&subscriber->mutex);
     tw_rpc_feed_close(feed);
     tw_rpc_client_free(client);
@@ -109,9 +110,9 @@
     pthread_mutex_unlock(&subscriber->mutex);
 }
 
-int tw_subscriber_next(tw_subscriber *subscriber, tw_standby_message *message) {
+bool tw_subscriber_next(tw_subscriber *subscriber, tw_standby_message *message) {
     pthread_mutex_lock(&subscriber->mutex);
-    const int has = subscriber->nkept > 0;
+    const bool has = subscriber->nkept > 0;
     if (has) {
         *message = subscriber->kept[0];
         subscriber->nkept--;
@@ -123,9 +124,9 @@
     return has;
 }
 
-int tw_subscriber_is_open(tw_subscriber *subscriber) {
+bool tw_subscriber_is_open(tw_subscriber *subscriber) {
     pthread_mutex_lock(&subscriber->mutex);
-    const int open = subscriber->open || subscriber->nkept > 0;
+    const bool open = subscriber->open || subscriber->nkept > 0;
     pthread_mutex_unlock(&subscriber->mutex);
     return open;
 }
--- a/src/daemon/subscriber.h
+++ b/src/daemon/subscriber.h
@@ -3,6 +3,7 @@
 #ifndef TW_DAEMON_SUBSCRIBER_H
 #define TW_DAEMON_SUBSCRIBER_H
 #include "rpc/rpc.h"
+#include <stdbool.h>
 
 typedef struct tw_subscriber tw_subscriber;
 /* wake is called from the thread when messages came or the feed ended. pause_s: between two
@@ -14,9 +15,9 @@
                         const tw_standby_position *position);
 /* The next message of the feed opened last; 0: there is none. Free it with
  * tw_standby_message_free. */
-int tw_subscriber_next(tw_subscriber *subscriber, tw_standby_message *message);
+bool tw_subscriber_next(tw_subscriber *subscriber, tw_standby_message *message);
 /* Whether a feed is open, as far as is known. */
-int tw_subscriber_is_open(tw_subscriber *subscriber);
+bool tw_subscriber_is_open(tw_subscriber *subscriber);
 void tw_subscriber_stop(tw_subscriber *subscriber);
 
 #endif
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -1,5 +1,6 @@
 #include "log/log.h"
 #include <stdarg.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
@@ -17,7 +18,7 @@
     if (node) snprintf(node_name, sizeof node_name, "%s", node);
 }
 
-int tw_log_on(int level) { return level <= level_in_use; }
+bool tw_log_on(int level) { return level <= level_in_use; }
 
 void tw_log_write(int level, const char *fmt, ...) {
     static const char *const names[] = {"error", "info", "debug"};
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -6,6 +6,7 @@
 #include "net/net_int.h"
 #include <errno.h>
 #include <http_parser.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -40,7 +41,7 @@
     tw_buffer body;    /* of the response */
     client_call *call; /* NULL: idle */
     size_t sent;       /* of the call's request */
-    int complete;      /* the response is */
+    bool complete;     /* the response is */
     int keep_alive;    /* after it */
     struct connection *prev;
     struct connection *next;
@@ -99,13 +100,13 @@
 }
 
 static void expect_response(client_connection *connection) {
-    connection->complete = 0;
+    connection->complete = false;
     http_parser_init(&connection->parser, HTTP_RESPONSE);
     connection->parser.data = connection;
 }
 
 /* Ends the connection's call, if it has one. The connection stays open where keep is set. */
-static void finish(client_connection *connection, int status, int keep) {
+static void finish(client_connection *connection, int status, bool keep) {
     client_host *host = connection->host;
     tw_net *net = host->net;
     client_call *ended = connection->call;
@@ -143,7 +144,7 @@
 
 static int on_message_complete(http_parser *parser) {
     client_connection *connection = parser->data;
-    connection->complete = 1;
+    connection->complete = true;
     connection->keep_alive = http_should_keep_alive(parser);
     return 0;
 }
@@ -154,21 +155,21 @@
 
 /* Whether the connection can be used again after the response. Not where the response came before
  * all of the call was sent: the next call would be taken for its rest. */
-static int can_be_kept(const client_connection *connection) {
+static bool can_be_kept(const client_connection *connection) {
     return connection->keep_alive && connection->sent == connection->call->request.length;
 }
 
 /* Parses bytes of the response; none: the connection was closed. Whether more are needed. */
-static int take_bytes(client_connection *connection, const char *bytes, size_t count) {
+static bool take_bytes(client_connection *connection, const char *bytes, size_t count) {
     size_t used = http_parser_execute(&connection->parser, &parser_settings, bytes, count);
     if (connection->complete) {
-        int keep = can_be_kept(connection) && used == count;
+        bool keep = can_be_kept(connection) && used == count;
         finish(connection, (int)connection->parser.status_code, keep);
-        return 0;
+        return false;
     }
-    if (count && HTTP_PARSER_ERRNO(&connection->parser) == HPE_OK) return 1;
-    finish(connection, 0, 0);
-    return 0;
+    if (count && HTTP_PARSER_ERRNO(&connection->parser) == HPE_OK) return true;
+    finish(connection, 0, false);
+    return false;
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *watcher, int events) {
@@ -181,7 +182,7 @@
         count = read(connection->socket, received, TW_NET_READ_SIZE);
         if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
         if (count < 0 || !connection->call) { /* reset, or bytes that nobody asked for */
-            finish(connection, 0, 0);
+            finish(connection, 0, false);
             return;
         }
     } while (take_bytes(connection, received, (size_t)count) && count == TW_NET_READ_SIZE);
@@ -211,13 +212,13 @@
     (void)loop;
     (void)events;
     /* also where the connection could not be made: the first write says so */
-    if (connection->call && send_call(connection)) finish(connection, 0, 0);
+    if (connection->call && send_call(connection)) finish(connection, 0, false);
 }
 
 static void on_call_timeout(struct ev_loop *loop, ev_timer *watcher, int events) {
     (void)loop;
     (void)events;
-    finish(watcher->data, 0, 0);
+    finish(watcher->data, 0, false);
 }
 
 /* Starts a timer that fires at the deadline, though not before least seconds are over. */
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -2,6 +2,7 @@
 #ifndef TW_NET_H
 #define TW_NET_H
 #include <ev.h>
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -24,7 +25,7 @@
     /* Whether the caller of a path must be answered before all others ("": has not asked yet). When
      * max_server are open, a new connection takes the place of another caller's that has been idle
      * for yield_s, the longest first; where there is none it is refused. NULL: nobody. */
-    int (*keeps)(int port, const char *path);
+    bool (*keeps)(int port, const char *path);
     double yield_s;
     double kept_idle_s;  /* idle_s for those that are kept */
     size_t max_response; /* largest response body taken */
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -7,6 +7,7 @@
 #include "net/net_int.h"
 #include <errno.h>
 #include <http_parser.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -39,12 +40,12 @@
     tw_buffer body;
     tw_buffer input;  /* what came after the request in hand */
     tw_buffer output; /* what the socket has not taken yet */
-    int waiting;      /* a request is in hand, not answered yet */
-    int oversized;    /* it is longer than allowed */
+    bool waiting;     /* a request is in hand, not answered yet */
+    bool oversized;   /* it is longer than allowed */
     int keep_alive;
     int closing;       /* after what is to be sent */
-    int kept;          /* its caller must be answered before all others */
-    int evictable;     /* in the server's list of these */
+    bool kept;         /* its caller must be answered before all others */
+    bool evictable;    /* in the server's list of these */
     double idle_since; /* while it is */
     struct tw_server_connection *prev;
     struct tw_server_connection *next;
@@ -68,7 +69,7 @@
 /* ---- idle connections ---- */
 
 /* Whether the caller of this path must be answered before all others. */
-static int is_kept(const server_connection *connection, const char *path) {
+static bool is_kept(const server_connection *connection, const char *path) {
     const tw_net_limits *limits = &connection->net->limits;
     return limits->keeps && limits->keeps(connection->port, path);
 }
@@ -82,14 +83,14 @@
         return;
     }
     if (connection->evictable) return;
-    connection->evictable = 1;
+    connection->evictable = true;
     connection->idle_since = ev_now(net->loop);
     DL_APPEND(net->server.evictable, connection);
 }
 
 static void becomes_busy(server_connection *connection) {
     if (!connection->evictable) return;
-    connection->evictable = 0;
+    connection->evictable = false;
     DL_DELETE(connection->net->server.evictable, connection);
 }
 
@@ -175,7 +176,7 @@
     if (connection->closing) tw_buffer_append_text(output, "\r\nConnection: close");
     tw_buffer_append_text(output, "\r\n\r\n");
     tw_buffer_append(output, body, length);
-    connection->waiting = 0;
+    connection->waiting = false;
 }
 
 void tw_net_reply(tw_net *net, uint64_t conn, int status, double retry_after, const char *body,
@@ -193,7 +194,7 @@
 static void answer_malformed(server_connection *connection) {
     static const char message[] = "{\"error\":\"malformed request\"}";
     connection->keep_alive = 0;
-    connection->waiting = 1;
+    connection->waiting = true;
     tw_buffer_free(&connection->input);
     answer(connection, STATUS_MALFORMED, 0, message, sizeof message - 1);
     send_output(connection);
@@ -203,14 +204,14 @@
 
 static int on_message_begin(http_parser *parser) {
     server_connection *connection = parser->data;
-    connection->oversized = 0;
+    connection->oversized = false;
     return 0;
 }
 
 static int on_url(http_parser *parser, const char *bytes, size_t length) {
     server_connection *connection = parser->data;
     if (connection->path.length + length > TW_NET_MAX_PATH)
-        connection->oversized = 1;
+        connection->oversized = true;
     else
         tw_buffer_append(&connection->path, bytes, length);
     return 0;
@@ -227,7 +228,7 @@
 static int on_body(http_parser *parser, const char *bytes, size_t length) {
     server_connection *connection = parser->data;
     if (connection->body.length + length > TW_NET_MAX_BODY) {
-        connection->oversized = 1;
+        connection->oversized = true;
         return 1; /* read no more of it */
     }
     tw_buffer_append(&connection->body, bytes, length);
@@ -237,7 +238,7 @@
 static int on_message_complete(http_parser *parser) {
     server_connection *connection = parser->data;
     connection->keep_alive = http_should_keep_alive(parser);
-    connection->waiting = 1;
+    connection->waiting = true;
     http_parser_pause(parser, 1);
     return 0;
 }
@@ -361,9 +362,9 @@
 
 /* Whether there is room for one more, made by closing one that has been idle for long if need be.
  */
-static int make_room(tw_net *net) {
+static bool make_room(tw_net *net) {
     server_connection *oldest = net->server.evictable;
-    if (net->server.count < net->limits.max_server) return 1;
+    if (net->server.count < net->limits.max_server) return true;
     if (oldest && ev_now(net->loop) - oldest->idle_since >= net->limits.yield_s)
         close_connection(oldest);
     return net->server.count < net->limits.max_server;
--- a/src/router/pick.c
+++ b/src/router/pick.c
@@ -2,11 +2,12 @@
  * deadline the slowest, which saves the fast ones for urgent requests; where none is, the one that
  * misses it by least. Only replicas with a free slot count, so nothing waits at a replica. */
 #include "router/router_int.h"
+#include <stdbool.h>
 
 /* Whether the first is to be preferred; expected: when each would end. */
-static int better(const replica *first, const replica *second, double deadline, double now) {
-    const int first_meets = now + first->service_s <= deadline;
-    const int second_meets = now + second->service_s <= deadline;
+static bool better(const replica *first, const replica *second, double deadline, double now) {
+    const bool first_meets = now + first->service_s <= deadline;
+    const bool second_meets = now + second->service_s <= deadline;
     if (first_meets != second_meets) return first_meets;
     if (first->service_s != second->service_s)
         return first_meets ? first->service_s > second->service_s
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -1,6 +1,7 @@
 /* The ledger: requests from their coming to their one final answer. */
 #include "router/router_int.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -99,7 +100,7 @@
     return best;
 }
 
-static void enqueue(tw_router *route, request *waits, int at_front) {
+static void enqueue(tw_router *route, request *waits, bool at_front) {
     team *of = waits->team;
     const team *least = next_team(route);
     if (!of->waiting && least) of->served = fmax(of->served, least->served);
@@ -205,7 +206,7 @@
         answer(route, came, TW_ROUTER_FULL);
         return;
     }
-    enqueue(route, came, 0);
+    enqueue(route, came, false);
     send_waiting(route, now);
 }
 
@@ -226,11 +227,11 @@
 }
 
 /* Whether another attempt may be made; it is then paid for. */
-static int may_retry(tw_router *route, const request *failed, double now) {
-    if (failed->passed_on || failed->attempt >= route->settings.most_attempts) return 0;
-    if (now >= failed->deadline || route->retries < 1) return 0;
+static bool may_retry(tw_router *route, const request *failed, double now) {
+    if (failed->passed_on || failed->attempt >= route->settings.most_attempts) return false;
+    if (now >= failed->deadline || route->retries < 1) return false;
     route->retries -= 1;
-    return 1;
+    return true;
 }
 
 static void learn(const tw_router *route, const request *done, double now) {
@@ -250,7 +251,7 @@
         answer(route, found, TW_ROUTER_OK);
     } else if (may_retry(route, found, now)) {
         if (end == TW_ROUTER_LOST) cancel(route, found);
-        enqueue(route, found, 1);
+        enqueue(route, found, true);
     } else {
         if (end == TW_ROUTER_LOST) cancel(route, found);
         answer(route, found, now >= found->deadline ? TW_ROUTER_LATE : TW_ROUTER_FAILED);
--- a/src/shards/choose.c
+++ b/src/shards/choose.c
@@ -1,6 +1,7 @@
 /* Which machines of a share go first: those with the fewest requests, of these the ones that hold
  * the wanted image, and never the last machine of a zone where the share is to stay spread. */
 #include "shards/shards_int.h"
+#include <stdbool.h>
 #include <stdlib.h>
 
 typedef struct {
@@ -50,7 +51,7 @@
     roaring_init_iterator(set, &each);
     for (; each.has_value; roaring_advance_uint32_iterator(&each)) {
         const uint32_t index = each.current_value;
-        const int holds = image && roaring_bitmap_contains(image->machines, index);
+        const bool holds = image && roaring_bitmap_contains(image->machines, index);
         candidates[count++] = (candidate){shares->machines[index], holds};
     }
     qsort(candidates, (size_t)count, sizeof *candidates, better);
--- a/src/shards/guard.c
+++ b/src/shards/guard.c
@@ -1,6 +1,7 @@
 /* What stands on a machine and lets only the newest epoch run, by orders of the newest term only.
  */
 #include "shards/shards.h"
+#include <stdbool.h>
 
 const char *tw_shards_guard_verdict_name(tw_shards_guard_verdict verdict) {
     static const char *const names[] = {"raised",   "repeated",   "old_epoch",
@@ -15,10 +16,10 @@
 /* Whether the order's term is not overtaken; the machine then knows it. A leader that was deposed
  * may have orders on their way, or send them when its process goes on: they are to change nothing
  * once the next leader has been heard. */
-static int takes_term(tw_shards_guard *guard, uint64_t term) {
-    if (term < guard->term) return 0;
+static bool takes_term(tw_shards_guard *guard, uint64_t term) {
+    if (term < guard->term) return false;
     guard->term = term;
-    return 1;
+    return true;
 }
 
 tw_shards_guard_verdict tw_shards_guard_check(tw_shards_guard *guard, uint64_t term) {
@@ -53,6 +54,6 @@
     return epoch && epoch == guard->newest ? TW_SHARDS_GUARD_REPEATED : TW_SHARDS_GUARD_OLD;
 }
 
-int tw_shards_guard_accepts(const tw_shards_guard *guard, uint64_t epoch) {
+bool tw_shards_guard_accepts(const tw_shards_guard *guard, uint64_t epoch) {
     return epoch && epoch == guard->newest;
 }
--- a/src/shards/leader.c
+++ b/src/shards/leader.c
@@ -1,6 +1,7 @@
 /* The leader's entry points: inputs in, effects out. */
 #include "shards/shards_int.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -86,7 +87,7 @@
 void tw_shards_lead(tw_shards *shares, double now, const char *leader_key, uint64_t token) {
     shares->now = shares->budget_at = now;
     shares->token = token;
-    shares->deciding = shares->listed = 0;
+    shares->deciding = shares->listed = false;
     strncpy(shares->leader_key, leader_key, KEY_SIZE - 1);
     tw_shards_reload(shares);
 }
@@ -98,15 +99,15 @@
     tw_shards_abandon(shares);
     tw_shards_forget_pages(shares);
     tw_shards_clear(shares);
-    shares->in_flight = shares->reading = shares->loaded = 0;
-    shares->deciding = 0;
+    shares->in_flight = shares->reading = shares->loaded = false;
+    shares->deciding = false;
     shares->token = 0;
     shares->authority_until = 0;
 }
 
 /* ---- machines are asked before the first decision ---- */
 
-int tw_shards_is_checked(const tw_shards *shares, const machine *machine) {
+bool tw_shards_is_checked(const tw_shards *shares, const machine *machine) {
     return !roaring_bitmap_contains(shares->unchecked, (uint32_t)machine->index);
 }
 
@@ -114,7 +115,7 @@
     return roaring_bitmap_intersect(shares->sets[share_index].open, shares->unchecked);
 }
 
-int tw_shards_deciding(const tw_shards *shares) { return shares->loaded && shares->deciding; }
+bool tw_shards_deciding(const tw_shards *shares) { return shares->loaded && shares->deciding; }
 
 int tw_shards_unchecked(const tw_shards *shares) {
     return (int)roaring_bitmap_get_cardinality(shares->unchecked);
@@ -140,7 +141,7 @@
 
 void tw_shards_decide(tw_shards *shares, double now) {
     shares->now = now;
-    shares->deciding = 1;
+    shares->deciding = true;
     advance(shares);
 }
 
@@ -166,7 +167,7 @@
     tw_shards_requeue(shares);
     if (outcome == TW_SHARDS_PUT_OFF) {
         tw_shards_abandon(shares);
-        shares->in_flight = 0;
+        shares->in_flight = false;
         shares->budget = -shares->settings.retry_s * shares->settings.write_rps;
         return;
     }
@@ -189,7 +190,7 @@
 
 void tw_shards_request_in(tw_shards *shares, double now, const tw_shards_request *request) {
     shares->now = now;
-    const int leads = shares->token && now < shares->authority_until;
+    const bool leads = shares->token && now < shares->authority_until;
     if (!leads || shares->nrequests >= MOST_WAITING) {
         tw_shards_answer(shares, request, leads ? TW_SHARDS_OVERLOADED : TW_SHARDS_NOT_LEADER);
         return;
@@ -268,8 +269,8 @@
         if (each->cell.state == TW_SHARDS_ABSENT) continue;
         const tw_shards_state state = tw_shards_state_of(shares, each);
         const uint64_t epoch = tw_shards_epoch_of(shares, each);
-        const int waited_for = (state == TW_SHARDS_DRAINING && each->drained != epoch) ||
-                               (state == TW_SHARDS_TAKEN && each->opened != epoch);
+        const bool waited_for = (state == TW_SHARDS_DRAINING && each->drained != epoch) ||
+                                (state == TW_SHARDS_TAKEN && each->opened != epoch);
         if (waited_for && shares->now >= each->told_at + shares->settings.retry_s)
             tw_shards_emit_tell(shares, each);
     }
@@ -290,7 +291,7 @@
 
 /* ---- what is recorded ---- */
 
-int tw_shards_ready(const tw_shards *shares) { return shares->token && shares->loaded; }
+bool tw_shards_ready(const tw_shards *shares) { return shares->token && shares->loaded; }
 uint64_t tw_shards_revision(const tw_shards *shares) { return shares->header.revision; }
 int tw_shards_count(const tw_shards *shares) { return shares->header.nshares; }
 
--- a/src/shards/load.c
+++ b/src/shards/load.c
@@ -2,6 +2,7 @@
  * transaction is not known or one of its conditions failed. */
 #include "shards/shards_int.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,8 +13,8 @@
 /* Forgets the table and begins to read it. Requests that wait go on waiting. */
 void tw_shards_reload(tw_shards *shares) {
     tw_shards_abandon(shares);
-    shares->in_flight = 0;
-    shares->loaded = 0;
+    shares->in_flight = false;
+    shares->loaded = false;
     tw_shards_clear(shares);
     shares->read_after = shares->now;
     tw_shards_read_next(shares, "");
@@ -24,7 +25,7 @@
     effect->text = strdup(after);
     if (!effect->text) abort();
     effect->id = shares->call = ++shares->next_call;
-    shares->reading = 1;
+    shares->reading = true;
 }
 
 /* The part of the key after the prefix; NULL: it has another one. */
@@ -126,14 +127,14 @@
         roaring_bitmap_and_inplace(shares->unchecked, present);
     else
         roaring_bitmap_overwrite(shares->unchecked, present);
-    shares->listed = 1;
+    shares->listed = true;
     roaring_bitmap_free(present);
 }
 
 void tw_shards_page(tw_shards *shares, double now, uint64_t id, const char *text, size_t length) {
     shares->now = now;
     if (!shares->token || !shares->reading || id != shares->call) return;
-    shares->reading = 0;
+    shares->reading = false;
     struct kept_page *page = tw_shards_alloc(sizeof *page);
     int more = 0;
     if (!text || tw_wire_entries_parse(&page->entries, &page->count, &more, text, length)) {
@@ -153,7 +154,7 @@
         read_later(shares);
         return;
     }
-    shares->loaded = 1;
+    shares->loaded = true;
     list_unchecked(shares);
     tell_all(shares);
 }
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -1,6 +1,7 @@
 /* An owner of shares: which of its machines may get requests, under which epoch, and what it has
  * to tell. It keeps nothing that must outlive it; after a start it asks the leader. */
 #include "shards/shards_int.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -13,10 +14,10 @@
     uint64_t epoch;
     uint64_t term; /* of the leader that was heard last about it */
     tw_shards_state state;
-    int running;   /* requests under this epoch that may still run */
-    int followed;  /* since it was opened: `running` counts all of them */
-    int confirmed; /* the machine is open under this epoch */
-    int stopped;   /* it was asked to end what runs */
+    int running;    /* requests under this epoch that may still run */
+    bool followed;  /* since it was opened: `running` counts all of them */
+    bool confirmed; /* the machine is open under this epoch */
+    bool stopped;   /* it was asked to end what runs */
     double drain_until;
     double said_at; /* when the last message about it went out */
     UT_hash_handle hh;
@@ -111,7 +112,8 @@
     if (!machine && tell->state == TW_SHARDS_RELEASED) return;
     if (!machine) machine = make(owner, tell->machine);
     if (tell->epoch != machine->epoch) {
-        machine->running = machine->confirmed = machine->stopped = 0;
+        machine->running = 0;
+        machine->confirmed = machine->stopped = false;
         machine->epoch = tell->epoch;
         /* An owner that first hears of a machine that was open before can't vouch for what an
          * earlier life of it has running there. */
@@ -119,9 +121,9 @@
     }
     /* An order that waits for its answer goes out again under the new leader's term: the machine
      * may refuse the one that was sent. */
-    const int next_leader = machine->term != tell->term && tell->state == TW_SHARDS_TAKEN;
+    const bool next_leader = machine->term != tell->term && tell->state == TW_SHARDS_TAKEN;
     machine->term = tell->term;
-    const int changed = tell->state != machine->state || next_leader;
+    const bool changed = tell->state != machine->state || next_leader;
     machine->state = tell->state;
     if (tell->state == TW_SHARDS_DRAINING) machine->drain_until = now + tell->drain_s;
     if (changed || machine->state == TW_SHARDS_DRAINING) say(owner, now, machine);
@@ -131,7 +133,7 @@
 void tw_shards_owner_confirmed(tw_shards_owner *owner, const char *name, uint64_t epoch) {
     owned *machine = find(owner, name);
     if (!machine || machine->epoch != epoch) return;
-    machine->confirmed = 1;
+    machine->confirmed = true;
     if (machine->state == TW_SHARDS_TAKEN) emit(owner, TW_SHARDS_OWNER_OPENED, machine);
 }
 
@@ -169,7 +171,7 @@
     HASH_ITER(hh, owner->machines, machine, after) {
         if (machine->state == TW_SHARDS_DRAINING && machine->running && !machine->stopped &&
             now >= machine->drain_until) {
-            machine->stopped = 1;
+            machine->stopped = true;
             emit(owner, TW_SHARDS_OWNER_STOP, machine);
         }
         if (machine->state == TW_SHARDS_RELEASED) {
--- a/src/shards/record.c
+++ b/src/shards/record.c
@@ -8,6 +8,7 @@
  * A parser returns 0, or -1 for a text that is none of these. */
 #include "shards/shards_int.h"
 #include <cjson/cJSON.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -148,9 +149,9 @@
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "shares");
     const cJSON *item;
-    int failed = !cJSON_IsArray(list) || read_count(object, "revision", &header->revision) ||
-                 read_count(object, "epoch", &header->epoch) ||
-                 read_count(object, "move", &header->move);
+    bool failed = !cJSON_IsArray(list) || read_count(object, "revision", &header->revision) ||
+                  read_count(object, "epoch", &header->epoch) ||
+                  read_count(object, "move", &header->move);
     header->shares = NULL;
     header->nshares = 0;
     if (!failed) {
@@ -175,7 +176,7 @@
     return machine->changing ? &machine->next : &machine->cell;
 }
 
-static int alike(const cell *first, const cell *second) {
+static bool alike(const cell *first, const cell *second) {
     return first->share == second->share && first->state == second->state &&
            first->epoch == second->epoch && first->move == second->move;
 }
@@ -237,7 +238,7 @@
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "cells");
     const cJSON *item;
-    int failed = !cJSON_IsArray(list);
+    bool failed = !cJSON_IsArray(list);
     cJSON_ArrayForEach(item, list) {
         const cJSON *ranges = cJSON_GetObjectItemCaseSensitive(item, "machines");
         roaring_bitmap_t *set =
@@ -295,7 +296,7 @@
 int tw_shards_names_parse(tw_shards *shares, int block, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *item;
-    int failed = !cJSON_IsObject(object);
+    bool failed = !cJSON_IsObject(object);
     cJSON_ArrayForEach(item, object) { failed = failed || read_named(shares, block, item); }
     cJSON_Delete(object);
     return failed ? -1 : 0;
@@ -327,7 +328,7 @@
     cJSON *object = cJSON_Parse(text);
     const cJSON *only = cJSON_GetObjectItemCaseSensitive(object, "only");
     *record = (move_record){0};
-    const int failed =
+    const bool failed =
         read_name(object, "key", record->key) || read_name(object, "image", record->image) ||
         read_count(object, "number", &record->number) || read_int(object, "from", &record->from) ||
         read_int(object, "to", &record->to) || read_int(object, "wanted", &record->wanted) ||
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -2,6 +2,7 @@
  * the records while no transaction is in flight, so what it is told holds when it is carried out.
  */
 #include "shards/shards_int.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -111,20 +112,20 @@
 
 /* ---- shares ---- */
 
-static int is_defined_so(const share *of, const tw_shards_request *request) {
+static bool is_defined_so(const share *of, const tw_shards_request *request) {
     return !strcmp(of->owner, request->owner) && of->least == request->least &&
            of->spread == request->spread;
 }
 
-static int serve_define(tw_shards *shares, const tw_shards_request *request) {
+static bool serve_define(tw_shards *shares, const tw_shards_request *request) {
     if (!request->share[0] || request->least < 0) {
         answer_first(shares, TW_SHARDS_INVALID);
-        return 0;
+        return false;
     }
     int index = tw_shards_share_index(shares, request->share);
     if (index >= 0 && is_defined_so(&shares->header.shares[index], request)) {
         answer_first(shares, TW_SHARDS_OK);
-        return 0;
+        return false;
     }
     tw_shards_begin(shares);
     header *next = tw_shards_change_header(shares);
@@ -211,12 +212,12 @@
     return renew_machine(shares, found, full);
 }
 
-static int is_of_machine(const waiting *each) {
+static bool is_of_machine(const waiting *each) {
     return each && (each->request.kind == TW_SHARDS_ADD || each->request.kind == TW_SHARDS_REMOVE ||
                     each->request.kind == TW_SHARDS_RENEW);
 }
 
-static int serve_machines(tw_shards *shares) {
+static bool serve_machines(tw_shards *shares) {
     int full = 0;
     tw_shards_begin(shares);
     while (is_of_machine(shares->requests) && !full) {
@@ -229,15 +230,15 @@
     if (!shares->txn.nmachines) {
         tw_shards_abandon(shares);
         tw_shards_answer_applied(shares); /* nothing had to be changed */
-        return 0;
+        return false;
     }
     if (tw_shards_commit(shares)) {
         tw_shards_abandon(shares);
         tw_shards_requeue(shares);
         answer_first(shares, TW_SHARDS_TOO_LARGE);
-        return 0;
+        return false;
     }
-    return 1;
+    return true;
 }
 
 /* ---- moves ---- */
@@ -337,19 +338,19 @@
     record->number = ++next->move;
     move *added = tw_shards_add_move(shares, &(move_record){0});
     added->next = *record;
-    added->changing = 1;
+    added->changing = true;
     tw_shards_mark(shares, added, chosen, record->wanted);
     commit_or_refuse(shares);
 }
 
-static int serve_move(tw_shards *shares, const tw_shards_request *request) {
+static bool serve_move(tw_shards *shares, const tw_shards_request *request) {
     move_record record;
     machine **chosen = NULL;
     const move *known = tw_shards_move_by_key(shares, request->key);
     if (known) {
-        const int repeated = known->now.digest == digest_of(request);
+        const bool repeated = known->now.digest == digest_of(request);
         answer_first(shares, repeated ? TW_SHARDS_OK : TW_SHARDS_KEY_REUSED);
-        return 0;
+        return false;
     }
     tw_shards_verdict verdict = read_move(shares, request, &record);
     if (verdict == TW_SHARDS_OK && request->revision &&
@@ -366,11 +367,11 @@
     return shares->in_flight;
 }
 
-static int serve_cancel(tw_shards *shares, const tw_shards_request *request) {
+static bool serve_cancel(tw_shards *shares, const tw_shards_request *request) {
     move *found = tw_shards_move_by_key(shares, request->key);
     if (!found || found->now.done || found->now.cancelled) {
         answer_first(shares, found ? TW_SHARDS_OK : TW_SHARDS_UNKNOWN_MOVE);
-        return 0;
+        return false;
     }
     tw_shards_begin(shares);
     tw_shards_change_move(shares, found)->cancelled = 1;
@@ -384,10 +385,10 @@
     return 0;
 }
 
-int tw_shards_serve_request(tw_shards *shares) {
+bool tw_shards_serve_request(tw_shards *shares) {
     while (shares->requests && shares->now < shares->authority_until) {
         const tw_shards_request *request = &shares->requests->request;
-        int begun = 0;
+        bool begun = false;
         switch (request->kind) {
         case TW_SHARDS_DEFINE:
             begun = serve_define(shares, request);
@@ -404,7 +405,7 @@
         default:
             begun = serve_machines(shares);
         }
-        if (begun) return 1;
+        if (begun) return true;
     }
-    return 0;
+    return false;
 }
--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -14,6 +14,7 @@
  * Names end within TW_SHARDS_NAME. Times are in seconds: `now` steady, `wall` the time of day. */
 #ifndef TW_SHARDS_H
 #define TW_SHARDS_H
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -79,7 +80,7 @@
     char share[TW_SHARDS_NAME]; /* DEFINE, ADD; MOVE: the one that gives */
     char owner[TW_SHARDS_NAME]; /* DEFINE */
     int least;                  /* DEFINE: size that moves leave it */
-    int spread;                 /* DEFINE: moves leave it a machine in each of its zones */
+    bool spread;                /* DEFINE: moves leave it a machine in each of its zones */
     char machine[TW_SHARDS_NAME], zone[TW_SHARDS_NAME]; /* ADD; REMOVE, RENEW: the machine */
     char key[TW_SHARDS_NAME];                           /* MOVE, CANCEL, WATCH */
     char to[TW_SHARDS_NAME];                            /* MOVE: the share that gets */
@@ -150,7 +151,7 @@
  * a machine that has not answered under this term may still take orders of an earlier one. */
 void tw_shards_decide(tw_shards *shares, double now);
 void tw_shards_checked(tw_shards *shares, double now, const char *machine);
-int tw_shards_deciding(const tw_shards *shares);
+bool tw_shards_deciding(const tw_shards *shares);
 /* Machines that have not answered yet. */
 int tw_shards_unchecked(const tw_shards *shares);
 /* It leads no more: all requests that wait are answered NOT_LEADER. */
@@ -175,7 +176,7 @@
 void tw_shards_effect_free(tw_shards_effect *effect);
 
 /* What stands in the records, as this node knows it. */
-int tw_shards_ready(const tw_shards *shares); /* whether it leads and has read the table */
+bool tw_shards_ready(const tw_shards *shares); /* whether it leads and has read the table */
 uint64_t tw_shards_revision(const tw_shards *shares);
 int tw_shards_count(const tw_shards *shares);
 typedef struct {
@@ -257,6 +258,6 @@
 /* Whether what runs under the epoch is to be ended: REPEATED. */
 tw_shards_guard_verdict tw_shards_guard_stop(tw_shards_guard *guard, uint64_t term, uint64_t epoch);
 /* Whether a request under this epoch may run. */
-int tw_shards_guard_accepts(const tw_shards_guard *guard, uint64_t epoch);
+bool tw_shards_guard_accepts(const tw_shards_guard *guard, uint64_t epoch);
 
 #endif
--- a/src/shards/shards_int.h
+++ b/src/shards/shards_int.h
@@ -6,6 +6,7 @@
 #define TW_SHARDS_INT_H
 #include "shards/shards.h"
 #include <roaring/roaring.h>
+#include <stdbool.h>
 #include <uthash.h>
 
 /* Machines whose cells stand in one record. */
@@ -29,7 +30,7 @@
     int index;
     int zone; /* index in shares->zones */
     cell cell, next;
-    int changing;             /* next is in the transaction in flight */
+    bool changing;            /* next is in the transaction in flight */
     uint64_t drained, opened; /* epochs for which the owner said so */
     double told_at;           /* when its owner was last told */
     int load;
@@ -65,7 +66,7 @@
 typedef struct move {
     move_record now, next;
     uint64_t stamp;
-    int changing;
+    bool changing;
     roaring_bitmap_t *machines; /* that it holds, as recorded */
     struct move *prev, *link;   /* in the order of their numbers */
 } move;
@@ -94,7 +95,7 @@
     unsigned char *marks; /* by block: which of its records change */
     int marks_room, block_ops;
     uint64_t floor; /* last epoch before it */
-    int header_changed;
+    bool header_changed;
     uint64_t removed_move;
     waiting *answers; /* requests that it answers once applied */
     tw_shards_verdict verdict;
@@ -106,9 +107,9 @@
     char leader_key[KEY_SIZE];
     uint64_t token; /* 0: doesn't lead */
     double authority_until;
-    int loaded, reading;
-    int deciding;                /* see tw_shards_decide */
-    int listed;                  /* `unchecked` was filled in this term */
+    bool loaded, reading;
+    bool deciding;               /* see tw_shards_decide */
+    bool listed;                 /* `unchecked` was filled in this term */
     roaring_bitmap_t *unchecked; /* machines that have not answered in this term, by index */
     struct kept_page *pages;     /* read so far, see load.c */
     double read_after;           /* no reading before it */
@@ -128,7 +129,8 @@
     waiting *requests;
     int nrequests;
     transaction txn;
-    int in_flight, steps_first;
+    bool in_flight;
+    bool steps_first;
     tw_shards_effect *effects, *last_effect;
 };
 
@@ -183,8 +185,8 @@
 typedef enum { CELLS = 1, NAMES = 2 } record_kinds;
 void tw_shards_begin(tw_shards *shares);
 /* Whether these records of the machine's block fit into the transaction beside `others` more. */
-int tw_shards_has_room(const tw_shards *shares, const machine *machine, record_kinds records,
-                       int others);
+bool tw_shards_has_room(const tw_shards *shares, const machine *machine, record_kinds records,
+                        int others);
 void tw_shards_change(tw_shards *shares, machine *machine, cell to);
 header *tw_shards_change_header(tw_shards *shares);
 move_record *tw_shards_change_move(tw_shards *shares, move *move);
@@ -205,15 +207,15 @@
 void tw_shards_refuse_waiting(tw_shards *shares, tw_shards_verdict verdict);
 void tw_shards_refuse_all(tw_shards *shares, tw_shards_verdict verdict);
 /* request.c, step.c: each begins at most one transaction and says whether it did */
-int tw_shards_serve_request(tw_shards *shares);
-int tw_shards_step_moves(tw_shards *shares);
+bool tw_shards_serve_request(tw_shards *shares);
+bool tw_shards_step_moves(tw_shards *shares);
 
 /* leader.c */
 void tw_shards_emit_tell(tw_shards *shares, machine *machine);
 void tw_shards_answer(tw_shards *shares, const tw_shards_request *request,
                       tw_shards_verdict verdict);
 /* Whether the machine has answered under this term, so that its state may be changed. */
-int tw_shards_is_checked(const tw_shards *shares, const machine *machine);
+bool tw_shards_is_checked(const tw_shards *shares, const machine *machine);
 /* Whether an open machine of the share waits for that. */
 int tw_shards_any_held_back(const tw_shards *shares, int share_index);
 tw_shards_effect *tw_shards_emit(tw_shards *shares, tw_shards_effect_kind kind);
--- a/src/shards/step.c
+++ b/src/shards/step.c
@@ -1,6 +1,7 @@
 /* The steps of moves. What is due follows from the records and from what owners have said since,
  * so a new leader goes on with a half-made move like the one that began it. */
 #include "shards/shards_int.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <utlist.h>
 
@@ -42,26 +43,26 @@
 
 /* Whether the old owner is not to be waited for: it said that nothing runs there, or had its time.
  */
-static int drained(const tw_shards *shares, const move *of, const machine *machine) {
+static bool drained(const tw_shards *shares, const move *of, const machine *machine) {
     return machine->drained == tw_shards_epoch_of(shares, machine) ||
            shares->wall >= of->now.deadline + shares->settings.grace_s;
 }
 
 /* The cell after the machine's next step; returns 0 if none is due. */
-static int next_cell(tw_shards *shares, move *of, machine *machine, cell *to) {
+static bool next_cell(tw_shards *shares, move *of, machine *machine, cell *to) {
     const int back = of->now.cancelled;
     *to = machine->cell;
     switch (machine->cell.state) {
     case TW_SHARDS_DRAINING:
-        if (!back && !drained(shares, of, machine)) return 0;
+        if (!back && !drained(shares, of, machine)) return false;
         to->state = TW_SHARDS_RELEASED;
-        return 1;
+        return true;
     case TW_SHARDS_RELEASED:
         to->state = TW_SHARDS_TAKEN;
         to->share = back ? of->now.from : of->now.to;
-        return 1;
+        return true;
     case TW_SHARDS_TAKEN:
-        if (machine->opened != tw_shards_epoch_of(shares, machine)) return 0;
+        if (machine->opened != tw_shards_epoch_of(shares, machine)) return false;
         to->state = TW_SHARDS_OPEN;
         to->epoch = machine->opened;
         to->move = 0;
@@ -69,9 +70,9 @@
             of->next.moved++;
         else
             of->next.returned++;
-        return 1;
+        return true;
     default:
-        return 0;
+        return false;
     }
 }
 
@@ -89,11 +90,11 @@
     tw_shards_change(shares, machine, to);
 }
 
-static int differs(const move *of) {
+static bool differs(const move *of) {
     return of->next.wanted != of->now.wanted || of->next.marked != of->now.marked;
 }
 
-static int step_move(tw_shards *shares, move *of) {
+static bool step_move(tw_shards *shares, move *of) {
     roaring_uint32_iterator_t each;
     tw_shards_begin(shares);
     tw_shards_change_move(shares, of);
@@ -101,13 +102,13 @@
     for (; each.has_value; roaring_advance_uint32_iterator(&each))
         step_machine(shares, of, shares->machines[each.current_value]);
     mark_more(shares, of);
-    if ((shares->txn.nmachines || differs(of)) && !tw_shards_commit(shares)) return 1;
+    if ((shares->txn.nmachines || differs(of)) && !tw_shards_commit(shares)) return true;
     tw_shards_abandon(shares);
-    return 0;
+    return false;
 }
 
 /* Machines that were opened without a move: new, restarted, or of a share that changed hands. */
-static int step_opened(tw_shards *shares) {
+static bool step_opened(tw_shards *shares) {
     tw_shards_begin(shares);
     for (int i = 0; i < shares->nmachines; i++) {
         machine *each = shares->machines[i];
@@ -121,18 +122,18 @@
         to.epoch = each->opened;
         tw_shards_change(shares, each, to);
     }
-    if (shares->txn.nmachines && !tw_shards_commit(shares)) return 1;
+    if (shares->txn.nmachines && !tw_shards_commit(shares)) return true;
     tw_shards_abandon(shares);
-    return 0;
+    return false;
 }
 
 /* Whether the move may have a step to make now. */
-static int may_step(const move *of) { return !of->now.done; }
+static bool may_step(const move *of) { return !of->now.done; }
 
-int tw_shards_step_moves(tw_shards *shares) {
+bool tw_shards_step_moves(tw_shards *shares) {
     move *each;
     DL_FOREACH2(shares->moves, each, link) {
-        if (may_step(each) && step_move(shares, each)) return 1;
+        if (may_step(each) && step_move(shares, each)) return true;
     }
     return step_opened(shares);
 }
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -5,6 +5,7 @@
  * as anything newer was written. */
 #include "shards/shards_int.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -28,7 +29,7 @@
     txn->nmachines = 0;
     txn->block_ops = 0;
     if (txn->marks) memset(txn->marks, 0, (size_t)txn->marks_room);
-    txn->header_changed = 0;
+    txn->header_changed = false;
     txn->removed_move = 0;
     txn->floor = shares->header.epoch;
     txn->verdict = TW_SHARDS_OK;
@@ -55,8 +56,8 @@
     txn->marks[block] |= (unsigned char)marks;
 }
 
-int tw_shards_has_room(const tw_shards *shares, const machine *machine, record_kinds records,
-                       int others) {
+bool tw_shards_has_room(const tw_shards *shares, const machine *machine, record_kinds records,
+                        int others) {
     const int marks = marks_of(shares, machine->index / BLOCK);
     const int more = (records & CELLS && !(marks & CELLS)) + (records & NAMES && !(marks & NAMES));
     return shares->txn.block_ops + more + others <= shares->settings.txn_ops;
@@ -67,10 +68,10 @@
     txn->machines =
         tw_shards_grow(txn->machines, txn->nmachines, &txn->machines_room, sizeof *txn->machines);
     txn->machines[txn->nmachines++] = machine->index;
-    const int named = machine->cell.state != TW_SHARDS_ABSENT;
-    const int stays_named = to.state != TW_SHARDS_ABSENT;
+    const bool named = machine->cell.state != TW_SHARDS_ABSENT;
+    const bool stays_named = to.state != TW_SHARDS_ABSENT;
     machine->next = to;
-    machine->changing = 1;
+    machine->changing = true;
     mark_block(txn, machine->index / BLOCK, CELLS | (named != stays_named ? NAMES : 0));
 }
 
@@ -82,14 +83,14 @@
     next->shares = tw_shards_alloc(sizeof *next->shares * ((size_t)now->nshares + 1));
     if (now->nshares)
         memcpy(next->shares, now->shares, sizeof *next->shares * (size_t)now->nshares);
-    shares->txn.header_changed = 1;
+    shares->txn.header_changed = true;
     return next;
 }
 
 move_record *tw_shards_change_move(tw_shards *shares, move *changed) {
     (void)shares;
     if (!changed->changing) changed->next = changed->now;
-    changed->changing = 1;
+    changed->changing = true;
     return &changed->next;
 }
 
@@ -125,7 +126,7 @@
 }
 
 /* Whether the move is over once the transaction is applied. */
-static int over(const tw_shards *shares, const move *of) {
+static bool over(const tw_shards *shares, const move *of) {
     const transaction *txn = &shares->txn;
     int held = (int)roaring_bitmap_get_cardinality(of->machines);
     for (int i = 0; i < txn->nmachines; i++) {
@@ -186,7 +187,7 @@
         tw_wire_txn_text(to.conditions, (size_t)to.count + 1, to.writes, (size_t)to.count);
     effect->ops = txn->ops = to.count;
     effect->id = txn->id = ++shares->next_call;
-    shares->in_flight = 1;
+    shares->in_flight = true;
     shares->budget -= to.count;
     free_body(&to);
     return 0;
@@ -203,7 +204,7 @@
     }
     for (int i = 0; i < txn->nmachines; i++) {
         machine *each = shares->machines[txn->machines[i]];
-        each->changing = 0;
+        each->changing = false;
         tw_shards_set_cell(shares, each, each->next);
         if (each->cell.state == TW_SHARDS_ABSENT)
             tw_shards_unname_machine(shares, each);
@@ -220,7 +221,7 @@
             tw_shards_drop_move(shares, each);
         } else if (each->changing) {
             each->now = each->next;
-            each->changing = 0;
+            each->changing = false;
             each->stamp = revision;
         }
     }
@@ -253,8 +254,9 @@
         free(before.shares);
     }
     settle_machines(shares, revision);
-    shares->txn.nmachines = shares->txn.header_changed = 0;
-    shares->in_flight = 0;
+    shares->txn.nmachines = 0;
+    shares->txn.header_changed = false;
+    shares->in_flight = false;
 }
 
 /* Where nothing was sent: machines that were to be added lose their names again. */
@@ -264,16 +266,16 @@
     move *after;
     for (int i = 0; i < txn->nmachines; i++) {
         machine *changed = shares->machines[txn->machines[i]];
-        changed->changing = 0;
+        changed->changing = false;
         if (changed->cell.state == TW_SHARDS_ABSENT) tw_shards_unname_machine(shares, changed);
     }
     txn->nmachines = 0;
     if (txn->header_changed) free(shares->next_header.shares);
     shares->next_header = (header){0};
-    txn->header_changed = 0;
+    txn->header_changed = false;
     DL_FOREACH_SAFE2(shares->moves, each, after, link) {
         if (!each->changing) continue;
-        each->changing = 0;
+        each->changing = false;
         if (each->now.number) continue;
         free(each->next.only); /* of a move that was to begin */
         tw_shards_drop_move(shares, each);
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -2,6 +2,7 @@
  * The same way a machine that registers is asked for its life before it gets an epoch, so that its
  * floor can't be taken for that of a later life. */
 #include "standby/standby_int.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -34,7 +35,7 @@
 /* ---- orders ---- */
 
 static void send_order(tw_standby *standby, checked *machine) {
-    const int starts = machine->step == MACHINE_STARTING;
+    const bool starts = machine->step == MACHINE_STARTING;
     tw_standby_effect *effect =
         tw_standby_emit(standby, starts ? TW_STANDBY_START : TW_STANDBY_CHECK);
     strcpy(effect->machine, machine->name);
@@ -89,27 +90,27 @@
     tw_shards_request_in(standby->table, standby->now, &kept->request);
 }
 
-int tw_standby_register(tw_standby *standby, const tw_shards_request *request) {
-    const int comes = request->kind == TW_SHARDS_ADD || request->kind == TW_SHARDS_RENEW;
-    if (!comes || !standby->leads || !request->machine[0]) return 0;
+bool tw_standby_register(tw_standby *standby, const tw_shards_request *request) {
+    const bool comes = request->kind == TW_SHARDS_ADD || request->kind == TW_SHARDS_RENEW;
+    if (!comes || !standby->leads || !request->machine[0]) return false;
     registration *kept = keep(standby, request);
     /* A table that is being read takes the request up later; the machine is asked after that. */
     if (tw_shards_deciding(standby->table))
         ask(standby, make(standby, request->machine));
     else
         pass_to_table(standby, kept, 0);
-    return 1;
+    return true;
 }
 
 /* What waits for the machine's life; 0: it has not answered, and is asked further. */
-static int pass_waiting(tw_standby *standby, const char *name, uint64_t life) {
+static bool pass_waiting(tw_standby *standby, const char *name, uint64_t life) {
     registration *each;
     registration *after;
-    int passed = 0;
+    bool passed = false;
     DL_FOREACH_SAFE(standby->registrations, each, after) {
         if (each->passed || strcmp(each->request.machine, name) != 0) continue;
         pass_to_table(standby, each, life);
-        passed = 1;
+        passed = true;
     }
     return passed;
 }
@@ -137,7 +138,7 @@
     if (refused && refused->step == MACHINE_RENEWING) ask(standby, refused);
 }
 
-int tw_standby_registered(tw_standby *standby, const tw_shards_effect *answer) {
+bool tw_standby_registered(tw_standby *standby, const tw_shards_effect *answer) {
     registration *found;
     DL_FOREACH(standby->registrations, found) {
         if (found->passed && found->request.id == answer->id) break;
@@ -178,7 +179,7 @@
 static void compare_with_record(tw_standby *standby, checked *machine,
                                 const tw_standby_machine *answer) {
     const tw_shards_tell recorded = tw_shards_machine_named(standby->table, machine->name);
-    const int was_open = recorded.state == TW_SHARDS_OPEN || recorded.state == TW_SHARDS_DRAINING;
+    const bool was_open = recorded.state == TW_SHARDS_OPEN || recorded.state == TW_SHARDS_DRAINING;
     if (recorded.state == TW_SHARDS_ABSENT) {
         forget(standby, machine);
     } else if (answer->newest > recorded.epoch) {
@@ -195,7 +196,7 @@
 /* Whether the machine has the floor that was sent; an answer of an earlier life of it, which may
  * come late, says nothing of this one. */
 static void take_started(tw_standby *standby, checked *machine, const tw_standby_machine *answer) {
-    const int same_life = answer->life == machine->life;
+    const bool same_life = answer->life == machine->life;
     if (same_life && answer->started)
         accept(standby, machine);
     else if (!same_life)
@@ -219,7 +220,7 @@
     checked *machine = find(standby, name);
     /* While the table is read again there is nothing to compare with: the machine is asked again.
      */
-    const int readable = standby->leads && tw_shards_ready(standby->table);
+    const bool readable = standby->leads && tw_shards_ready(standby->table);
     if (answer && machine && readable && term == standby->lease.token)
         take_answer(standby, machine, answer);
     tw_standby_step(standby);
@@ -233,7 +234,7 @@
     registration *each;
     registration *after;
     DL_FOREACH_SAFE(standby->registrations, each, after) {
-        const int overdue = standby->now >= each->since + standby->settings.lease_s * CHECK_RATIO;
+        const bool overdue = standby->now >= each->since + standby->settings.lease_s * CHECK_RATIO;
         if (!each->passed && overdue) pass_to_table(standby, each, 0);
     }
 }
--- a/src/standby/feed.c
+++ b/src/standby/feed.c
@@ -1,5 +1,6 @@
 /* The feed: the active controller's records and numbered changes, asked for by the standbys. */
 #include "standby/standby_int.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -99,7 +100,7 @@
     message.number = own->number;
     message.ledger = own->ledger;
     message.digest = own->digest;
-    const int in_snapshot = position->after[0] && position->term == own->term;
+    const bool in_snapshot = position->after[0] && position->term == own->term;
     const change *next = change_after(standby, position->number);
     if (in_snapshot)
         fill_snapshot(standby, &message, position->after);
@@ -122,11 +123,11 @@
     return 0;
 }
 
-static int same_digest(tw_standby *standby, const tw_standby_message *message) {
-    if (standby->view.digest == message->digest) return 1;
+static bool same_digest(tw_standby *standby, const tw_standby_message *message) {
+    if (standby->view.digest == message->digest) return true;
     tw_standby_say(standby, "event=digest_mismatched number=%lu", (unsigned long)message->number);
-    standby->view.loaded = 0; /* nothing of it may be decided by */
-    return 0;
+    standby->view.loaded = false; /* nothing of it may be decided by */
+    return false;
 }
 
 static int take_change(tw_standby *standby, const tw_standby_message *message) {
@@ -144,7 +145,7 @@
 
 static int take_snapshot(tw_standby *standby, const tw_standby_message *message) {
     tw_standby_position *at = &standby->position;
-    const int begins = !message->after[0];
+    const bool begins = !message->after[0];
     if (!begins && (at->term != message->term || strcmp(at->after, message->after) != 0))
         return begin_anew(standby);
     if (begins) {
@@ -156,7 +157,7 @@
     if (message->more) return 1;
     tw_standby_view_clear(&standby->view);
     standby->view = standby->staged;
-    standby->view.loaded = 1;
+    standby->view.loaded = true;
     standby->view.term = at->term;
     standby->view.number = at->number;
     standby->staged = (view){0};
@@ -178,7 +179,7 @@
 }
 
 static void note_lag(tw_standby *standby) {
-    const int lags = standby->view.number != standby->active_number;
+    const bool lags = standby->view.number != standby->active_number;
     if (!lags) standby->lag_since = 0;
     if (lags && !standby->lag_since) standby->lag_since = standby->now;
 }
--- a/src/standby/lease.c
+++ b/src/standby/lease.c
@@ -6,6 +6,7 @@
 #include "standby/standby_int.h"
 #include <cjson/cJSON.h>
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
@@ -19,7 +20,7 @@
     lease->poll_s = ttl_s * POLL_RATIO;
 }
 
-int tw_standby_lease_leads(const lease *lease, double now) {
+bool tw_standby_lease_leads(const lease *lease, double now) {
     return lease->state == LEASE_LEADING && now < lease->authority_until;
 }
 
@@ -67,7 +68,7 @@
     const lease_call none = {.method = "GET"};
     if (lease->state == LEASE_LEADING && now >= lease->authority_until) follow(lease, now, 0);
     if (lease->busy || now < lease->next_at) return none;
-    lease->busy = 1;
+    lease->busy = true;
     lease->asked_in = lease->state;
     lease->sent_at = now;
     switch (lease->state) {
@@ -175,7 +176,7 @@
 void tw_standby_lease_answer(lease *lease, double now, int status, const char *body,
                              size_t length) {
     if (!lease->busy) return;
-    lease->busy = 0;
+    lease->busy = false;
     /* Authority may have ended meanwhile; then it is no answer to what this node is doing now. */
     if (lease->asked_in != lease->state) return;
     switch (lease->state) {
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -1,6 +1,7 @@
 /* States of a controller, and the inputs that change them. */
 #include "standby/standby_int.h"
 #include <stdarg.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -60,16 +61,16 @@
 
 /* ---- what a standby knows of the active one ---- */
 
-int tw_standby_silent(const tw_standby *standby) {
+bool tw_standby_silent(const tw_standby *standby) {
     return standby->now > standby->heard_at + standby->settings.lease_s * SUSPECT_RATIO;
 }
 
-int tw_standby_is_behind(const tw_standby *standby) {
+bool tw_standby_is_behind(const tw_standby *standby) {
     const double patience_s = standby->settings.lease_s * SUSPECT_RATIO;
-    if (!standby->view.loaded || standby->view.term < standby->heard_term) return 1;
+    if (!standby->view.loaded || standby->view.term < standby->heard_term) return true;
     /* The lease went on after the feed had ended: there may be changes that were not heard of. */
     if (standby->now > standby->heard_at + standby->settings.lease_s * (1 + SUSPECT_RATIO))
-        return 1;
+        return true;
     return standby->lag_since > 0 && standby->heard_at > standby->lag_since + patience_s;
 }
 
@@ -83,7 +84,7 @@
 /* The most current standby goes first, the others a little later; nobody waits for anybody. */
 static double yield_of(const tw_standby *standby) {
     double ratio = JITTER_RATIO * jitter_of(standby->settings.name);
-    const int named = standby->successor[0] && !strcmp(standby->successor, standby->settings.name);
+    const bool named = standby->successor[0] && !strcmp(standby->successor, standby->settings.name);
     if (named) return 0;
     if (standby->successor[0] || tw_standby_is_behind(standby))
         ratio += YIELD_RATIO;
@@ -116,8 +117,9 @@
 
 static void begin_term(tw_standby *standby) {
     tw_standby_say(standby, "event=leader_elected token=%lu", (unsigned long)standby->lease.token);
-    standby->leads = 1;
-    standby->began_checking = standby->term_reads = 0;
+    standby->leads = true;
+    standby->began_checking = false;
+    standby->term_reads = 0;
     standby->differences = 0;
     standby->successor[0] = 0;
     standby->heard_term = standby->lease.token;
@@ -136,7 +138,7 @@
 /* Nothing that was to be ordered under the term goes out any more. */
 static void end_term(tw_standby *standby) {
     tw_standby_say(standby, "event=leader_stepped_down");
-    standby->leads = 0;
+    standby->leads = false;
     tw_shards_resign(standby->table);
     tw_standby_check_clear(standby);
     tw_standby_log_clear(&standby->log);
@@ -147,7 +149,7 @@
     standby->heard_at = standby->now - standby->settings.lease_s;
 }
 
-static int check_is_over(const tw_standby *standby) {
+static bool check_is_over(const tw_standby *standby) {
     const double wait_s = standby->settings.lease_s * CHECK_RATIO;
     return !tw_standby_check_waiting(standby) || standby->now >= standby->checking_since + wait_s;
 }
@@ -157,7 +159,7 @@
 static void step_checking(tw_standby *standby) {
     if (!standby->leads || !tw_shards_ready(standby->table)) return;
     if (!standby->began_checking) {
-        standby->began_checking = 1;
+        standby->began_checking = true;
         tw_standby_check_all(standby);
     }
     if (tw_shards_deciding(standby->table) || !check_is_over(standby)) return;
@@ -170,8 +172,8 @@
 
 void tw_standby_refresh(tw_standby *standby, double now) {
     standby->now = now;
-    const int leads = tw_standby_lease_leads(&standby->lease, now);
-    const int other_term = standby->leads && standby->heard_term != standby->lease.token;
+    const bool leads = tw_standby_lease_leads(&standby->lease, now);
+    const bool other_term = standby->leads && standby->heard_term != standby->lease.token;
     if (standby->leads && (!leads || other_term)) end_term(standby);
     if (leads && !standby->leads) begin_term(standby);
     if (leads) tw_shards_authority(standby->table, standby->lease.authority_until);
@@ -181,7 +183,7 @@
 
 static void step_lease(tw_standby *standby) {
     lease *lease = &standby->lease;
-    const int silent = tw_standby_silent(standby) && !standby->leads;
+    const bool silent = tw_standby_silent(standby) && !standby->leads;
     lease->poll_s = lease->ttl_s * (silent ? POLL_FAST_RATIO : POLL_RATIO);
     if (silent && lease->state == LEASE_FOLLOWING && lease->next_at > standby->now + lease->poll_s)
         lease->next_at = standby->now + lease->poll_s;
@@ -226,7 +228,7 @@
 /* The client that asked for a promotion is told, whatever became of the release: this node has
  * stopped deciding. */
 static void release_answered(tw_standby *standby, int status) {
-    const int released = status == STATUS_OK || status == STATUS_ABSENT;
+    const bool released = status == STATUS_OK || status == STATUS_ABSENT;
     if (!standby->promotion) return;
     answer_promotion(standby, standby->promotion, released ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER);
     standby->promotion = 0;
@@ -255,7 +257,7 @@
     tw_standby_step(standby);
 }
 
-int tw_standby_decides(tw_standby *standby, double now) {
+bool tw_standby_decides(tw_standby *standby, double now) {
     tw_standby_refresh(standby, now);
     return standby->leads && tw_shards_deciding(standby->table);
 }
@@ -302,8 +304,8 @@
 
 void tw_standby_leader(tw_standby *standby, double now, char control[TW_STANDBY_ADDRESS],
                        double *retry_after_s) {
-    const int decides = tw_standby_decides(standby, now);
-    const int known = decides || (!standby->leads && !tw_standby_silent(standby));
+    const bool decides = tw_standby_decides(standby, now);
+    const bool known = decides || (!standby->leads && !tw_standby_silent(standby));
     snprintf(control, TW_STANDBY_ADDRESS, "%s", known ? standby->lease.leader_control : "");
     *retry_after_s = control[0] ? 0 : standby->settings.lease_s * POLL_FAST_RATIO;
 }
@@ -312,7 +314,7 @@
 
 tw_standby_status tw_standby_status_of(tw_standby *standby, double now) {
     tw_standby_refresh(standby, now);
-    const int lags = !standby->leads && standby->active_number > standby->view.number;
+    const bool lags = !standby->leads && standby->active_number > standby->view.number;
     return (tw_standby_status){.state = state_of(standby),
                                .term = standby->heard_term,
                                .number = standby->view.number,
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -14,6 +14,7 @@
 #define TW_STANDBY_H
 #include "shards/shards.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 
 #define TW_STANDBY_ADDRESS 64
 #define TW_STANDBY_PATH 160
@@ -80,7 +81,7 @@
 /* Stops deciding and gives the lease back, as at an ordered end. */
 void tw_standby_resign(tw_standby *standby, double now);
 /* Judged by the time given: whether this node may answer for the table. */
-int tw_standby_decides(tw_standby *standby, double now);
+bool tw_standby_decides(tw_standby *standby, double now);
 /* Ends the term where authority is over; to be called with the time before anything is sent. */
 void tw_standby_refresh(tw_standby *standby, double now);
 
@@ -119,7 +120,7 @@
     uint64_t digest;        /* HEARTBEAT, CHANGE: of all records after it */
     tw_wire_entry *entries; /* data NULL: removed */
     int count;
-    int more;                       /* SNAPSHOT: further parts follow */
+    bool more;                      /* SNAPSHOT: further parts follow */
     char after[TW_WIRE_KEY_SIZE];   /* SNAPSHOT: the part begins after this key */
     char successor[TW_SHARDS_NAME]; /* DENIED: who is to be active next; "": whoever comes first */
 } tw_standby_message;
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -2,6 +2,7 @@
 #ifndef TW_STANDBY_INT_H
 #define TW_STANDBY_INT_H
 #include "standby/standby.h"
+#include <stdbool.h>
 #include <uthash.h>
 
 /* Ratios to the lease. */
@@ -42,7 +43,7 @@
     double authority_until; /* 0: none */
     double sent_at;         /* of the call in flight */
     double granted_at;      /* when the lease was asked for */
-    int busy;
+    bool busy;
     double next_at; /* no call before it */
     /* as read last; "" and 0: nobody */
     char leader_name[TW_SHARDS_NAME], leader_control[TW_STANDBY_ADDRESS];
@@ -59,7 +60,7 @@
 /* The call that is due now; answer it with tw_standby_lease_answer before the next one. */
 lease_call tw_standby_lease_tick(lease *lease, double now);
 void tw_standby_lease_answer(lease *lease, double now, int status, const char *body, size_t length);
-int tw_standby_lease_leads(const lease *lease, double now);
+bool tw_standby_lease_leads(const lease *lease, double now);
 /* Gives the lease back, so that another node need not wait for its end; path "": it has none. */
 lease_call tw_standby_lease_release(lease *lease);
 
@@ -75,7 +76,7 @@
 typedef struct {
     record *records;
     uint64_t digest; /* sum of the records' hashes, so that their order does not matter */
-    int loaded;
+    bool loaded;
     uint64_t term, number; /* of the last change in it */
     uint64_t ledger;       /* revision of the state service that it is of */
 } view;
@@ -141,7 +142,8 @@
     double now;
     lease lease;
     tw_standby_state state;
-    int leads, began_checking;
+    bool leads;
+    bool began_checking;
     double heard_at; /* when the active one was heard last, or first known of */
     uint64_t heard_term;
     uint64_t active_number; /* of its last change */
@@ -170,8 +172,8 @@
     __attribute__((format(printf, 2, 3)));
 /* Goes on with whatever is due now. */
 void tw_standby_step(tw_standby *standby);
-int tw_standby_silent(const tw_standby *standby);
-int tw_standby_is_behind(const tw_standby *standby);
+bool tw_standby_silent(const tw_standby *standby);
+bool tw_standby_is_behind(const tw_standby *standby);
 
 /* table.c: the table's calls to the state service, and the view that the active one keeps */
 uint64_t tw_standby_call(tw_standby *standby, const char *method, const char *path,
@@ -190,9 +192,9 @@
 /* Machines that have not answered under this term. */
 int tw_standby_check_waiting(const tw_standby *standby);
 /* Whether the request is about a machine whose life is asked for first. */
-int tw_standby_register(tw_standby *standby, const tw_shards_request *request);
+bool tw_standby_register(tw_standby *standby, const tw_shards_request *request);
 /* An answer of the table to a registration of ours, or of a client: START follows. Returns whether
  * it was our own, of which no client hears. */
-int tw_standby_registered(tw_standby *standby, const tw_shards_effect *answer);
+bool tw_standby_registered(tw_standby *standby, const tw_shards_effect *answer);
 
 #endif
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -1,6 +1,7 @@
 /* The table's calls to the state service: a new active controller compares its view with the
  * records by one call where it can, and keeps the view as it writes. */
 #include "standby/standby_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -40,7 +41,7 @@
  * ones follow from an unknown outcome and are of the state service. */
 static void begin_read(tw_standby *standby, const tw_shards_effect *effect) {
     standby->read_id = effect->id;
-    const int first = !standby->term_reads++;
+    const bool first = !standby->term_reads++;
     if (first && standby->view.loaded)
         confirm_view(standby);
     else
@@ -49,7 +50,7 @@
 
 /* A view begins anew, under the next number: followers get a snapshot. */
 static void renumber(tw_standby *standby) {
-    standby->view.loaded = 1;
+    standby->view.loaded = true;
     standby->view.term = standby->lease.token;
     standby->view.number = standby->active_number = standby->active_number + 1;
     tw_standby_log_clear(&standby->log);
@@ -60,9 +61,9 @@
     int count = 0;
     int more = 0;
     uint64_t ledger = 0;
-    const int good = status == STATUS_OK &&
-                     !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
-                     !tw_wire_revision_parse(&ledger, body, length);
+    const bool good = status == STATUS_OK &&
+                      !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
+                      !tw_wire_revision_parse(&ledger, body, length);
     if (good) {
         /* Of several pages the first one's revision holds: changes since are in later ones only in
          * part. */
@@ -80,9 +81,9 @@
     tw_wire_entry *changes = NULL;
     int count = 0;
     uint64_t ledger = 0;
-    const int good = status == STATUS_OK && !tw_wire_revision_parse(&ledger, body, length) &&
-                     ledger >= standby->lease.token &&
-                     !tw_wire_changes_parse("log", &changes, &count, body, length);
+    const bool good = status == STATUS_OK && !tw_wire_revision_parse(&ledger, body, length) &&
+                      ledger >= standby->lease.token &&
+                      !tw_wire_changes_parse("log", &changes, &count, body, length);
     if (!good) {
         tw_standby_say(standby, "event=view_refused status=%d", status);
         read_records(standby, "");
@@ -152,7 +153,7 @@
 void tw_standby_take_table(tw_standby *standby) {
     tw_shards_effect *effect;
     while ((effect = tw_shards_next(standby->table))) {
-        int kept = 0;
+        bool kept = false;
         switch (effect->kind) {
         case TW_SHARDS_READ:
             begin_read(standby, effect);
@@ -162,7 +163,7 @@
             break;
         case TW_SHARDS_TELL:
             pass_on(standby, TW_STANDBY_TELL, effect);
-            kept = 1;
+            kept = true;
             break;
         case TW_SHARDS_ANSWER:
             kept = !tw_standby_registered(standby, effect);
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -9,6 +9,7 @@
 #include "wire/json.h"
 #include "wire/wire.h"
 #include <ctype.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <uthash.h>
@@ -27,7 +28,7 @@
 typedef struct kept {
     tw_wire_heartbeat report; /* its pieces are ours */
     size_t head, rest;        /* lengths of the text's parts */
-    int came;                 /* since the last sweep */
+    bool came;                /* since the last sweep */
     UT_hash_handle hh;        /* by the first part */
     char text[];              /* both parts */
 } kept;
@@ -62,30 +63,30 @@
 void tw_wire_heartbeat_cache_sweep(tw_wire_heartbeat_cache *cache) {
     kept *each, *next;
     HASH_ITER(hh, cache->kept, each, next) {
-        const int came = each->came;
-        each->came = 0;
+        const bool came = each->came;
+        each->came = false;
         if (!came) let_go(cache, each);
     }
 }
 
 /* Where the number stands, and its value; 0: the text has not the form that is recognised. */
-static int split(parts *of, const char *text, size_t length, uint64_t *sequence) {
+static bool split(parts *of, const char *text, size_t length, uint64_t *sequence) {
     static const tw_json_field field = {.type = TW_JSON_COUNT, .max = TW_JSON_LARGEST};
     const size_t name = sizeof sequence_name - 1;
     const char *found = length ? memmem(text, length, sequence_name, name) : NULL;
-    if (!found || *text != '{' || length > LONGEST_KEPT) return 0;
+    if (!found || *text != '{' || length > LONGEST_KEPT) return false;
     const size_t head = (size_t)(found - text) + name;
-    if (memchr(text + 1, '{', head - 1) || memchr(text, '\\', head)) return 0;
-    if (head == length || !isdigit((unsigned char)text[head])) return 0;
+    if (memchr(text + 1, '{', head - 1) || memchr(text, '\\', head)) return false;
+    if (head == length || !isdigit((unsigned char)text[head])) return false;
     const char *end = NULL;
     cJSON *number = cJSON_ParseWithLengthOpts(text + head, length - head, &end, 0);
-    const int wrong = !number || tw_json_read_value(&field, number, sequence);
+    const bool wrong = !number || tw_json_read_value(&field, number, sequence);
     cJSON_Delete(number);
     *of = (parts){text, head, (size_t)(end - text), length};
     return !wrong;
 }
 
-static int is_same(const kept *old, const parts *of) {
+static bool is_same(const kept *old, const parts *of) {
     const size_t rest = of->length - of->tail;
     return old->rest == rest && !memcmp(old->text + old->head, of->text + of->tail, rest);
 }
@@ -99,7 +100,7 @@
     added->report = *heartbeat;
     added->head = of->head;
     added->rest = rest;
-    added->came = 1;
+    added->came = true;
     memcpy(added->text, of->text, of->head);
     memcpy(added->text + of->head, of->text + of->tail, rest);
     HASH_ADD_KEYPTR(hh, cache->kept, added->text, added->head, added);
@@ -113,10 +114,10 @@
     kept *old = NULL;
     tw_wire_heartbeat heartbeat;
     tw_wire_heartbeat_free(&cache->passing);
-    const int recognisable = split(&of, text, length, &sequence);
+    const bool recognisable = split(&of, text, length, &sequence);
     if (recognisable) HASH_FIND(hh, cache->kept, text, of.head, old);
     if (old && is_same(old, &of)) {
-        old->came = 1;
+        old->came = true;
         old->report.sequence = sequence;
         return &old->report;
     }
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -1,6 +1,7 @@
 #include "wire/json.h"
 #include <inttypes.h>
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +11,7 @@
 #define LARGEST_SPAN_S 1e9
 #define LONGEST_SPAN 32
 
-static int is_space(char character) {
+static bool is_space(char character) {
     return character == ' ' || character == '\t' || character == '\n' || character == '\r';
 }
 
--- a/src/wire/record.c
+++ b/src/wire/record.c
@@ -4,6 +4,7 @@
 #include "wire/json.h"
 #include "wire/wire.h"
 #include <errno.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -237,7 +238,7 @@
     return byte < FIRST_NOT_ASCII ? 1 : NUMBERED_BYTE;
 }
 
-static int within_character(unsigned char byte) { return (byte & CONTINUED_MASK) == CONTINUED; }
+static bool within_character(unsigned char byte) { return (byte & CONTINUED_MASK) == CONTINUED; }
 
 char *tw_wire_chunk_text(const char *text, size_t most, size_t *taken) {
     size_t used = sizeof "\"\"" - 1;
--- a/src/wire/state.c
+++ b/src/wire/state.c
@@ -1,6 +1,7 @@
 /* Messages between nodes and the state service: entries, watches, transactions, leases. */
 #include "wire/json.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -55,7 +56,7 @@
 bool tw_wire_watch_has_changes(const char *text, size_t len) {
     cJSON *object = tw_json_parse(text, len);
     const cJSON *log = tw_json_get(object, "log");
-    int any = cJSON_IsArray(log) && log->child;
+    bool any = cJSON_IsArray(log) && log->child;
     cJSON_Delete(object);
     return any;
 }
@@ -106,7 +107,7 @@
     cJSON *object = tw_json_parse(text, len);
     const cJSON *array = tw_json_get(object, list);
     const cJSON *each;
-    int failed = !cJSON_IsArray(array);
+    bool failed = !cJSON_IsArray(array);
     *n = 0;
     *entries = failed ? NULL : tw_json_alloc((size_t)cJSON_GetArraySize(array) * sizeof **entries);
     cJSON_ArrayForEach(each, array) {
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -2,6 +2,7 @@
 #include "processes.h"
 #include <fcntl.h>
 #include <signal.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
@@ -11,9 +12,9 @@
 #define EXIT_NO_PROGRAM 127
 #define LOG_MODE 0644
 
-int tw_loopback_write(const char *path, const tw_loopback_settings *settings) {
+bool tw_loopback_write(const char *path, const tw_loopback_settings *settings) {
     FILE *file = fopen(path, "w");
-    if (!file) return 0;
+    if (!file) return false;
     fprintf(file, "host_name = \"%s\"\nlocation = \"%s\"\napi_addr = \"%s\"\npeer_bind = \"%s\"\n",
             settings->name, settings->zone, settings->api_address, settings->peer_address);
     for (int i = 0; i < settings->peer_count; i++) {
@@ -90,14 +91,14 @@
     return 0;
 }
 
-int tw_loopback_stop(tw_loopback_nodes *nodes) {
-    int well = 1;
+bool tw_loopback_stop(tw_loopback_nodes *nodes) {
+    bool well = true;
     for (int node = 0; node < TW_LOOPBACK_NODES; node++) {
         tw_loopback_signal(nodes, node, SIGTERM);
         tw_loopback_signal(nodes, node, SIGCONT);
     }
     for (int node = 0; node < TW_LOOPBACK_NODES; node++) {
-        if (nodes->pid[node] && !ended_well(nodes->pid[node], node)) well = 0;
+        if (nodes->pid[node] && !ended_well(nodes->pid[node], node)) well = false;
         nodes->pid[node] = 0;
     }
     return well;
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -2,6 +2,7 @@
  * settings file and, where a directory is named for it, a log in that directory. */
 #ifndef TW_LOOPBACK_PROCESSES_H
 #define TW_LOOPBACK_PROCESSES_H
+#include <stdbool.h>
 #include <stdio.h>
 #include <sys/types.h>
 
@@ -32,7 +33,7 @@
 } tw_loopback_nodes;
 
 /* Writes the settings file; returns 0 if it can't. */
-int tw_loopback_write(const char *path, const tw_loopback_settings *settings);
+bool tw_loopback_write(const char *path, const tw_loopback_settings *settings);
 
 /* Starts a controller with that settings file; it ends when the test does. Returns 0 if it can't.
  */
@@ -49,6 +50,6 @@
 int tw_loopback_ended(tw_loopback_nodes *nodes, int *status);
 
 /* Asks all that run to end and waits for them; returns 0 and prints why if one ended badly. */
-int tw_loopback_stop(tw_loopback_nodes *nodes);
+bool tw_loopback_stop(tw_loopback_nodes *nodes);
 
 #endif
--- a/tests/runner/bench_test.c
+++ b/tests/runner/bench_test.c
@@ -2,6 +2,7 @@
  * that the counts repeat, and that tw_bench's lines of figures are read as they were written. */
 #include "bench.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +12,7 @@
 
 static int failures;
 
-static void check(int holds, const char *what, const char *case_name) {
+static void check(bool holds, const char *what, const char *case_name) {
     if (holds) return;
     printf("FAIL bench: %s: %s\n", case_name, what);
     failures++;
@@ -34,7 +35,7 @@
 /* ---- what a size must not change ---- */
 
 /* Whether two counts differ by no more than a share of the first. */
-static int near(double first, double second, double share) {
+static bool near(double first, double second, double share) {
     return fabs(second - first) <= share * fabs(first) + 1e-9;
 }
 
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -6,6 +6,7 @@
 #include "world.h"
 #include <cjson/cJSON.h>
 #include <signal.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -79,7 +80,7 @@
 static tw_loopback_nodes nodes;
 static int base_port;
 static enum step step;
-static int user_waits; /* a user's request has no answer yet */
+static bool user_waits; /* a user's request has no answer yet */
 static double started_at;
 static char killed_leader[TW_SIMULATOR_NAME];
 static struct sent_call calls[MAX_CALLS];
@@ -95,7 +96,7 @@
 
 /* Stops the nodes and ends the program. A run without a failure fails if a node ends badly. */
 static _Noreturn void finish(const char *failure) {
-    const int ended_well = tw_loopback_stop(&nodes);
+    const bool ended_well = tw_loopback_stop(&nodes);
     if (failure) printf("FAIL end_to_end: step %d: %s\n", (int)step, failure);
     if (failure || !ended_well) exit(EXIT_FAILURE);
     printf("ok end_to_end\n");
@@ -132,7 +133,7 @@
 }
 
 static void ask_as_user(int node, const char *method, const char *path, const char *body) {
-    user_waits = 1;
+    user_waits = true;
     call_node(node, method, path, body, USER_TIMEOUT_S)->is_user = 1;
 }
 
@@ -151,11 +152,11 @@
 }
 
 /* Whether a user's answer is what the step waits for. */
-static int is_awaited(int status, const char *body) {
-    if (status != 200 && status != 201) return 0;
+static bool is_awaited(int status, const char *body) {
+    if (status != 200 && status != 201) return false;
     switch (step) {
     case STEP_ACCEPT:
-        return 1;
+        return true;
     case STEP_DONE:
         return strstr(body, "\"done\"") && strstr(body, BATCH_ID);
     case STEP_KNOWN:
@@ -163,7 +164,7 @@
     case STEP_CANCEL:
         return strstr(body, "\"aborted\"") != NULL;
     default:
-        return 0;
+        return false;
     }
 }
 
@@ -174,7 +175,7 @@
     (void)len;
     world.now = now();
     if (call->is_user) {
-        user_waits = 0;
+        user_waits = false;
         if (is_awaited(status, body)) step++;
         return;
     }
@@ -258,7 +259,7 @@
     call->sent = world.now;
     call->session = worker->session;
     worker->in_flight = 1;
-    worker->changed = 0;
+    worker->changed = false;
     worker->last_report = world.now;
     worker->next_report = world.now + world.report_s;
 }
@@ -348,7 +349,7 @@
     snprintf(peer->endpoint, sizeof peer->endpoint, "127.0.0.1:%d", base_port + PEER_PORTS + node);
 }
 
-static int start_node(int node) {
+static bool start_node(int node) {
     tw_loopback_settings settings = {.teams = "[[settings.teams]]\nname = \"crew\"\n",
                                      .report_s = REPORT_S,
                                      .lease_s = LEASE_S,
--- a/tests/runner/fuzz_test.c
+++ b/tests/runner/fuzz_test.c
@@ -2,6 +2,7 @@
  * the language; shrinking keeps the rule broken; a play in a process of its own is the same play.
  */
 #include "fuzz/fuzz.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -16,7 +17,7 @@
 
 static int failures;
 
-static void check(int holds, const char *what) {
+static void check(bool holds, const char *what) {
     if (holds) return;
     printf("FAIL search: %s\n", what);
     failures++;
@@ -53,7 +54,7 @@
     int upgrades = 0;
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
         tw_fuzz_day day = {0};
-        int old = 0, upgraded = 0;
+        bool old = false, upgraded = false;
         tw_fuzz_draw_upgrade(seed, &day);
         tw_simulator *sim = tw_simulator_new(NULL);
         for (size_t i = 0; i < day.count; i++) {
@@ -138,7 +139,7 @@
     unsigned got = 0;
     check(pool && tw_fuzz_pool_idle(pool) == 2, "no workers");
     if (!pool) return;
-    for (uint32_t seed = 1; seed <= 2; seed++) tw_fuzz_pool_give(pool, seed, 0);
+    for (uint32_t seed = 1; seed <= 2; seed++) tw_fuzz_pool_give(pool, seed, false);
     while (tw_fuzz_pool_busy(pool))
         if (tw_fuzz_pool_wait(pool, 1000, &result)) got |= 1u << result.seed;
     check(got == (1u << 1 | 1u << 2), "a result is missing");
--- a/tests/runner/net_test.c
+++ b/tests/runner/net_test.c
@@ -9,6 +9,7 @@
 #include <netinet/in.h>
 #include <poll.h>
 #include <signal.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -40,7 +41,7 @@
 /* What the server was asked last, and how it answers: at once unless it is told to wait. */
 static struct {
     int count;
-    int wait;
+    bool wait;
     size_t answer_length; /* 0: "{}" */
     uint64_t connection;
     size_t body_length;
@@ -55,7 +56,7 @@
     size_t length;
 } ended;
 
-static void check(int ok, const char *what) {
+static void check(bool ok, const char *what) {
     if (ok) return;
     failed = 1;
     printf("FAIL net: %s\n", what);
@@ -93,7 +94,7 @@
     ended.length = length;
 }
 
-static int keeps(int own_port, const char *path) {
+static bool keeps(int own_port, const char *path) {
     (void)own_port;
     return !strcmp(path, "/hello");
 }
@@ -113,7 +114,7 @@
     return dialled;
 }
 
-static int is_readable(int socket, int wait_ms) {
+static bool is_readable(int socket, int wait_ms) {
     struct pollfd polled = {.fd = socket, .events = POLLIN};
     return poll(&polled, 1, wait_ms) > 0;
 }
@@ -129,7 +130,7 @@
     return -1;
 }
 
-static int send_text(int socket, const char *text) {
+static bool send_text(int socket, const char *text) {
     size_t length = strlen(text);
     return send(socket, text, length, MSG_NOSIGNAL) == (ssize_t)length;
 }
@@ -141,7 +142,7 @@
 }
 
 /* Runs the loop until the count is reached, or for long enough. */
-static int reach(const int *count, int wanted) {
+static bool reach(const int *count, int wanted) {
     for (int i = 0; i < LONG_ENOUGH_MS && *count < wanted; i++) {
         ev_run(loop, EVRUN_NOWAIT);
         if (*count < wanted) poll(NULL, 0, 1);
@@ -254,7 +255,7 @@
 
 static void requests_together(void) {
     start(ROOM);
-    asked.wait = 1;
+    asked.wait = true;
     int user = dial();
     check(send_text(user, "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\nGET /c HT"),
           "two requests and a part of a third");
@@ -265,7 +266,7 @@
     settle();
     answer(asked.connection);
     check(reach(&asked.count, 2) && !strcmp(asked.path, "/b"), "then the second is handed over");
-    asked.wait = 0;
+    asked.wait = false;
     answer(asked.connection);
     check(reach(&asked.count, 3) && !strcmp(asked.path, "/c"), "and the third, whole");
     answer(asked.connection);
--- a/tests/runner/runner.c
+++ b/tests/runner/runner.c
@@ -8,6 +8,7 @@
 #include "simulator.h"
 #include <getopt.h>
 #include <inttypes.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -101,7 +102,7 @@
     while (f && fgets(line, sizeof line, f)) {
         const char *with = after(line, "with");
         size_t size = with ? strcspn(with, " \r\n") : 0;
-        int known = !size || size >= NAME_SIZE;
+        bool known = !size || size >= NAME_SIZE;
         for (int i = 0; i < n; i++) known |= strlen(names[i]) == size && after(with, names[i]);
         if (known || n == MAX_VARIANTS) continue;
         memcpy(names[n], with, size);
--- a/tests/runner/simulator_gang_test.c
+++ b/tests/runner/simulator_gang_test.c
@@ -1,6 +1,7 @@
 /* The stand-in's gangs: what the tasks of an attempt do together, without any controller. */
 #include "world.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -18,7 +19,7 @@
 
 static int failures;
 
-static void check(int holds, const char *what) {
+static void check(bool holds, const char *what) {
     if (holds) return;
     printf("FAIL sim gang: %s\n", what);
     failures++;
@@ -123,36 +124,36 @@
     return NULL;
 }
 
-static int is_in(const fixture *f, int machine, int attempt, int stage) {
+static bool is_in(const fixture *f, int machine, int attempt, int stage) {
     const tw_simulator_task *t = task(f, machine, attempt);
     return t && t->stage == stage;
 }
 
-static int has_exited(const fixture *f, int machine, int attempt, int cause, int saved) {
+static bool has_exited(const fixture *f, int machine, int attempt, int cause, bool saved) {
     const tw_simulator_task *t = task(f, machine, attempt);
     return t && t->stage == TW_TASK_EXITED && t->cause == cause && t->saved == saved;
 }
 
-static int all_in(const fixture *f, int attempt, int stage) {
+static bool all_in(const fixture *f, int attempt, int stage) {
     int n = 0;
     for (int i = 0; i < TASKS; i++) n += is_in(f, i, attempt, stage);
     return n == TASKS;
 }
 
-static int all_exited(const fixture *f, int attempt, int cause, int saved) {
+static bool all_exited(const fixture *f, int attempt, int cause, int saved) {
     int n = 0;
     for (int i = 0; i < TASKS; i++) n += has_exited(f, i, attempt, cause, saved);
     return n == TASKS;
 }
 
-static int reports(fixture *f, int machine, const char *text) {
+static bool reports(fixture *f, int machine, const char *text) {
     char *report = tw_simulator_worker_report(&f->w, f->w.workers[machine]);
-    int found = strstr(report, text) != NULL;
+    bool found = strstr(report, text) != NULL;
     free(report);
     return found;
 }
 
-static int is_about(double value, double wanted) { return fabs(value - wanted) < 4 * STEP_S; }
+static bool is_about(double value, double wanted) { return fabs(value - wanted) < 4 * STEP_S; }
 
 /* ---- waiting ---- */
 
@@ -190,7 +191,7 @@
     pass(&f, WAIT_S - 10);
     check(is_in(&f, 0, 1, TW_TASK_WAITING), "a task gives up too early");
     pass(&f, 1);
-    check(has_exited(&f, 0, 1, TW_CAUSE_GANG_INCOMPLETE, 0), "a task doesn't give up");
+    check(has_exited(&f, 0, 1, TW_CAUSE_GANG_INCOMPLETE, false), "a task doesn't give up");
     check(is_in(&f, 1, 1, TW_TASK_WAITING), "a later task gives up with it");
     check(reports(&f, 0, "\"cause\":\"alone\""), "alone isn't reported");
     check(f.job->gang_starts == 0, "a gang that isn't whole starts");
@@ -236,7 +237,7 @@
     launch(&f, 1, 1, 1);
     pass(&f, 2);
     stop(&f, 0, 0, 1, FLUSH_S);
-    check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, 0), "a waiting task doesn't exit at once");
+    check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, false), "a waiting task doesn't exit at once");
     pass(&f, PEER_S + 1);
     check(is_in(&f, 1, 1, TW_TASK_WAITING), "the others don't go on waiting");
     end(&f, "", "a waiting task that is stopped");
@@ -257,7 +258,7 @@
     check(f.job->ndone == TASKS && f.job->done[0] && f.job->done[2], "a done gang isn't noted");
     launch(&f, 3, 1, 2);
     pass(&f, 0.2);
-    check(has_exited(&f, 3, 2, TW_CAUSE_DONE, 0), "a done task doesn't exit with done again");
+    check(has_exited(&f, 3, 2, TW_CAUSE_DONE, false), "a done task doesn't exit with done again");
     end(&f, "", "a gang that completes");
 }
 
@@ -270,8 +271,8 @@
     check(is_in(f, 0, 1, TW_TASK_RUNNING) || is_in(f, 2, 1, TW_TASK_RUNNING),
           "running isn't told until the others notice");
     pass(f, PEER_S);
-    check(has_exited(f, 0, 1, TW_CAUSE_GANG_BROKEN, 0) &&
-              has_exited(f, 2, 1, TW_CAUSE_GANG_BROKEN, 0),
+    check(has_exited(f, 0, 1, TW_CAUSE_GANG_BROKEN, false) &&
+              has_exited(f, 2, 1, TW_CAUSE_GANG_BROKEN, false),
           "the others don't notice in time");
     check(is_about(f->job->gang_saved_s, 2 * SNAPSHOT_S), "progress isn't that of a checkpoint");
     check(!f->job->ndone, "a broken gang is done");
@@ -290,7 +291,8 @@
     check(f.w.workers[1]->session == 2, "a lease doesn't end");
     end(&f, "", "a lease ends under a running gang");
     lost_case(&f, stop_without_grace);
-    check(has_exited(&f, 1, 1, TW_CAUSE_STOPPED, 0), "a task without grace doesn't exit at once");
+    check(has_exited(&f, 1, 1, TW_CAUSE_STOPPED, false),
+          "a task without grace doesn't exit at once");
     end(&f, "", "a task of a running gang is stopped with too little grace");
 }
 
@@ -299,7 +301,7 @@
     lost_case(&f, hang);
     check(is_in(&f, 1, 1, TW_TASK_RUNNING), "a machine that hangs executes its task");
     pass(&f, 15.1 + PEER_S);
-    check(has_exited(&f, 1, 1, TW_CAUSE_GANG_BROKEN, 0),
+    check(has_exited(&f, 1, 1, TW_CAUSE_GANG_BROKEN, false),
           "a machine that goes on runs its task alone");
     end(&f, "", "a machine hangs under a running gang");
 }
@@ -319,21 +321,22 @@
     pass(&f, 1);
     check(is_about(f.job->gang_saved_s, 40), "a checkpoint isn't at a multiple of the interval");
     pass(&f, 59);
-    check(has_exited(&f, 0, 2, TW_CAUSE_DONE, 0) == 0, "the attempt is done too early");
+    check(has_exited(&f, 0, 2, TW_CAUSE_DONE, false) == 0, "the attempt is done too early");
     pass(&f, 1);
-    check(has_exited(&f, 0, 2, TW_CAUSE_DONE, 0), "the attempt doesn't go on from its checkpoint");
+    check(has_exited(&f, 0, 2, TW_CAUSE_DONE, false),
+          "the attempt doesn't go on from its checkpoint");
     end(&f, "", "a gang that goes on");
 }
 
 static void test_faulty(void) {
     fixture f;
     begin(&f);
-    f.w.workers[1]->faulty = 1;
+    f.w.workers[1]->faulty = true;
     run_for(&f, 1);
-    check(has_exited(&f, 1, 1, TW_CAUSE_ERROR, 0), "a faulty machine's task doesn't fail");
+    check(has_exited(&f, 1, 1, TW_CAUSE_ERROR, false), "a faulty machine's task doesn't fail");
     pass(&f, PEER_S);
-    check(has_exited(&f, 0, 1, TW_CAUSE_GANG_BROKEN, 0) &&
-              has_exited(&f, 2, 1, TW_CAUSE_GANG_BROKEN, 0),
+    check(has_exited(&f, 0, 1, TW_CAUSE_GANG_BROKEN, false) &&
+              has_exited(&f, 2, 1, TW_CAUSE_GANG_BROKEN, false),
           "the others blame their machines");
     check(reports(&f, 0, "\"cause\":\"peers\""), "peers isn't reported");
     end(&f, "", "a faulty machine");
@@ -358,12 +361,12 @@
     stop(&f, 2, 2, 1, FLUSH_S);
     check(is_about(f.job->gang_saved_s, SNAPSHOT_S), "progress is safe before a task exits");
     pass(&f, 2 * STEP_S);
-    check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, 1), "the first task doesn't exit");
+    check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, true), "the first task doesn't exit");
     check(is_in(&f, 2, 1, TW_TASK_SAVING), "the last task doesn't take its time to save");
     check(is_about(f.job->gang_saved_s, 30), "progress doesn't stand still from the first stop");
     f.w.workers[2]->gone = 1;
     pass(&f, PEER_S);
-    check(has_exited(&f, 1, 1, TW_CAUSE_STOPPED, 1), "a task that saves is broken off");
+    check(has_exited(&f, 1, 1, TW_CAUSE_STOPPED, true), "a task that saves is broken off");
     check(is_about(f.job->gang_saved_s, 30), "progress that was safe is lost");
     end(&f, "", "an orderly stop");
 }
@@ -377,8 +380,8 @@
     pass(&f, PEER_S - 0.2);
     check(is_in(&f, 2, 1, TW_TASK_RUNNING), "a task that isn't told exits too early");
     pass(&f, 0.4);
-    check(has_exited(&f, 2, 1, TW_CAUSE_GANG_BROKEN, 0), "a task that isn't told goes on");
-    check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, 0), "a save of some is called saved");
+    check(has_exited(&f, 2, 1, TW_CAUSE_GANG_BROKEN, false), "a task that isn't told goes on");
+    check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, false), "a save of some is called saved");
     check(is_about(f.job->gang_saved_s, SNAPSHOT_S), "a save of some is one");
     end(&f, "", "a stop that doesn't reach all");
 }
@@ -413,9 +416,10 @@
     f.job->spec.checkpoint_s = 0;
     run_for(&f, 30);
     stop(&f, 0, 0, 1, FLUSH_S);
-    check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, 0), "a task that never saves takes time for it");
+    check(has_exited(&f, 0, 1, TW_CAUSE_STOPPED, false),
+          "a task that never saves takes time for it");
     pass(&f, PEER_S + STEP_S);
-    check(has_exited(&f, 1, 1, TW_CAUSE_GANG_BROKEN, 0), "the others don't notice");
+    check(has_exited(&f, 1, 1, TW_CAUSE_GANG_BROKEN, false), "the others don't notice");
     check(is_about(f.job->gang_saved_s, 0), "a job without checkpoints has one");
     end(&f, "", "a gang that never saves");
 }
--- a/tests/runner/simulator_test.c
+++ b/tests/runner/simulator_test.c
@@ -2,13 +2,14 @@
  * can't be taken are told; and the judge complains where it must, and only there. */
 #include "simulator.h"
 #include "world.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 static int failures;
 
-static void check(int holds, const char *what) {
+static void check(bool holds, const char *what) {
     if (holds) return;
     printf("FAIL sim: %s\n", what);
     failures++;
@@ -195,7 +196,7 @@
     strcpy(x->tasks[x->ntasks++].job_id, job->spec.id);
 }
 
-static void pass(tw_simulator_world *w, int seconds, int answered) {
+static void pass(tw_simulator_world *w, int seconds, bool answered) {
     for (int second = 0; second < seconds; second++) {
         for (int i = 0; i < w->njobs && answered; i++) w->jobs[i]->answered_at = w->now;
         tw_simulator_judge_live(w);
@@ -213,20 +214,20 @@
     tw_simulator_world w;
     world_of_one_machine(&w);
     put_on_machine(&w, accepted_job(&w, "run-000001", 1));
-    pass(&w, 74, 0);
+    pass(&w, 74, false);
     check(!*w.rule, "unanswered too early");
-    pass(&w, 4, 0);
+    pass(&w, 4, false);
     expect_rule(&w, "unanswered", "nobody answers for 75 s");
 
     world_of_one_machine(&w);
     put_on_machine(&w, accepted_job(&w, "run-000001", 1));
     w.troubles_end = 100;
-    pass(&w, 170, 0);
+    pass(&w, 170, false);
     expect_rule(&w, "", "unanswered counts from the end of the troubles");
 }
 
 /* limit: of the team's cores; the job takes 2 of the machine's 4. */
-static void stuck_case(int taken, double limit, int cancelled, double troubles_end,
+static void stuck_case(int taken, double limit, bool cancelled, double troubles_end,
                        const char *rule, const char *what) {
     tw_simulator_world w;
     world_of_one_machine(&w);
@@ -235,7 +236,7 @@
     if (taken) put_on_machine(&w, accepted_job(&w, "run-000001", taken));
     tw_simulator_job *job = accepted_job(&w, "run-000002", 2);
     if (cancelled) job->cancel_asked_at = w.now;
-    pass(&w, 120, 1);
+    pass(&w, 120, true);
     expect_rule(&w, rule, what);
 }
 
@@ -249,24 +250,24 @@
     gang->spec.task_count = 3;
     put_on_machine(&w, gang);
     w.workers[0]->tasks[0].stage = TW_TASK_WAITING;
-    pass(&w, 120, 1);
+    pass(&w, 120, true);
     expect_rule(&w, rule, what);
 }
 
 static void test_stuck(void) {
-    stuck_case(0, 0, 0, 0, "stuck", "a job waits beside an empty machine");
-    stuck_case(2, 0, 0, 0, "stuck", "a job waits beside a machine with just enough room");
-    stuck_case(3, 0, 0, 0, "", "a machine without room");
-    stuck_case(2, 3, 0, 0, "", "a team at its limit");
-    stuck_case(2, 4, 0, 0, "stuck", "a team just under its limit");
-    stuck_case(0, 0, 1, 0, "", "a cancelled job");
-    stuck_case(0, 0, 0, 60, "", "troubles that are over for a minute only");
+    stuck_case(0, 0, false, 0, "stuck", "a job waits beside an empty machine");
+    stuck_case(2, 0, false, 0, "stuck", "a job waits beside a machine with just enough room");
+    stuck_case(3, 0, false, 0, "", "a machine without room");
+    stuck_case(2, 3, false, 0, "", "a team at its limit");
+    stuck_case(2, 4, false, 0, "stuck", "a team just under its limit");
+    stuck_case(0, 0, true, 0, "", "a cancelled job");
+    stuck_case(0, 0, false, 60, "", "troubles that are over for a minute only");
     tw_simulator_world w;
     world_of_one_machine(&w);
     tw_simulator_job *gang = accepted_job(&w, "run-000003", 2);
     gang->spec.gang = 1;
     gang->spec.task_count = 3;
-    pass(&w, 120, 1);
+    pass(&w, 120, true);
     expect_rule(&w, "", "a gang that doesn't fit as a whole");
     waiting_gang_case(2, "stuck", "a gang whose tasks wait for ever beside room for the rest");
     waiting_gang_case(1, "", "a gang that can't be completed");
@@ -275,19 +276,19 @@
     gang->spec.gang = 1;
     gang->spec.task_count = 2;
     put_on_machine(&w, gang);
-    pass(&w, 120, 1);
+    pass(&w, 120, true);
     expect_rule(&w, "", "a gang that runs");
     world_of_one_machine(&w);
     strcpy(accepted_job(&w, "run-000004", 2)->spec.zone, "b");
-    pass(&w, 120, 1);
+    pass(&w, 120, true);
     expect_rule(&w, "", "a machine in a zone that isn't allowed");
     world_of_one_machine(&w);
     accepted_job(&w, "run-000005", 2);
-    pass(&w, 60, 1);
+    pass(&w, 60, true);
     put_on_machine(&w, w.jobs[0]);
-    pass(&w, 10, 1);
+    pass(&w, 10, true);
     w.workers[0]->ntasks = 0;
-    pass(&w, 60, 1);
+    pass(&w, 60, true);
     expect_rule(&w, "", "a job that was on a machine meanwhile");
 }
 
--- a/tests/shards/expect.c
+++ b/tests/shards/expect.c
@@ -1,5 +1,6 @@
 /* The command expect: what must hold at that time (README.md). */
 #include "script_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
@@ -58,11 +59,11 @@
 
 static void expect_owner(world *world, const words *read) {
     tw_shards *reader = tw_judge_read(world);
-    int found = 0;
+    bool found = false;
     for (int i = 0; i < tw_shards_machines(reader); i++) {
         const tw_shards_tell cell = tw_shards_machine(reader, i);
         if (strcmp(cell.machine, read->words[2]) != 0) continue;
-        found = 1;
+        found = true;
         if (strcmp(cell.share, read->words[3]) != 0)
             tw_world_fail(world, "%s is in %s", cell.machine, cell.share);
     }
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -1,5 +1,6 @@
 /* Gateways, which route the requests of a controller's shares, and users. */
 #include "shards_world.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -113,7 +114,7 @@
     load *of = &world->loads[asked->load];
     if (asked->answers) return;
     tw_world_event(world, USER_LOOKS_S, EVENT_REQUEST)->number = due->number;
-    const int open = asked->life && world->nodes[asked->node].life == asked->life;
+    const bool open = asked->life && world->nodes[asked->node].life == asked->life;
     if (open) tw_judge_unanswered(world, due->number);
     if (open && world->now < asked->sent_at + 2 * USER_DEADLINE_S) return;
     const int to = owner_of(world, of);
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -9,6 +9,7 @@
  *   - in the end every move is over, every machine is open in one share, every client is answered.
  */
 #include "shards_world.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -62,8 +63,8 @@
 /* A state that a leader changed on its own, of a machine that has not heard of its term. Renewed
  * epochs, and those of a share's new owner, are for machines that take nothing else. */
 static void judge_checked(world *world, const machine *of, const tw_shards_tell *cell) {
-    const int decided = cell->state == TW_SHARDS_DRAINING || cell->state == TW_SHARDS_RELEASED ||
-                        (cell->state == TW_SHARDS_OPEN && cell->epoch == of->recorded_epoch);
+    const bool decided = cell->state == TW_SHARDS_DRAINING || cell->state == TW_SHARDS_RELEASED ||
+                         (cell->state == TW_SHARDS_OPEN && cell->epoch == of->recorded_epoch);
     if (world->lease_s <= 0 || cell->state == of->recorded_state || !decided) return;
     if (!of->alive || !of->guard.started || of->guard.term >= world->newest_term) return;
     tw_world_fail(world, "unchecked: %s is made %s under term %lu, and knows %lu", of->name,
