--- a/tests/shards/machines.c
+++ b/tests/shards/machines.c
@@ -1,5 +1,6 @@
 /* Machines: orders of owners, and users' requests that run there. */
 #include "shards_world.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -63,7 +64,7 @@
                          .node = order->node,
                          .life = order->life,
                          .epoch = order->epoch};
-    const int accepts = tw_shards_guard_accepts(&at->guard, order->epoch) || world->plant_old;
+    const bool accepts = tw_shards_guard_accepts(&at->guard, order->epoch) || world->plant_old;
     if (!at->alive || !accepts) {
         world->refused += at->alive;
         answer_work(world, &work, order->machine, BAD);
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -1,5 +1,6 @@
 /* Scenarios: reads them, and carries out their commands (README.md). */
 #include "script_int.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -101,7 +102,7 @@
         snprintf(added->name, sizeof added->name, "m%d", at);
         copy_name(added->share, read->words[2]);
         copy_name(added->zone, read->words[3]);
-        added->alive = 1;
+        added->alive = true;
         tw_shards_guard_boot(&added->guard, added->boot + 1);
         register_machine(world, at, 0.1);
     }
@@ -115,7 +116,7 @@
     machine *struck = &world->machines[at];
     tw_world_end_running(world, at, 0);
     struck->boot++;
-    struck->registered = struck->accepted = 0;
+    struck->registered = struck->accepted = false;
     struck->judged_term = 0; /* it knows of none in this life */
     tw_shards_guard_boot(&struck->guard, struck->boot + 1);
     struck->alive = strcmp(read->words[0], "take") != 0;
@@ -179,7 +180,7 @@
 }
 
 static int do_outage(world *world, const words *read) {
-    const int on = read->count > 1 && number(read, 1) > 0;
+    const bool on = read->count > 1 && number(read, 1) > 0;
     tw_simulator_state_outage(&world->state, world->now, on);
     if (!on) return 0;
     event *end = tw_world_event(world, number(read, 1), EVENT_COMMAND);
@@ -460,7 +461,7 @@
     read_text(played, text);
     play(played);
     snprintf(why, size, "%s", played->failure);
-    const int failed = played->failure[0] != 0;
+    const bool failed = played->failure[0] != 0;
     free_world(played);
     return failed ? -1 : 0;
 }
--- a/tests/shards/shards_world.h
+++ b/tests/shards/shards_world.h
@@ -10,6 +10,7 @@
 #include "standby/standby.h"
 #include "world.h"
 #include <gsl/gsl_rng.h>
+#include <stdbool.h>
 
 #define USER_DEADLINE_S 10.0 /* of a user's request */
 /* How long a message takes. */
@@ -90,8 +91,8 @@
 typedef struct {
     char name[TW_SHARDS_NAME], share[TW_SHARDS_NAME], zone[TW_SHARDS_NAME];
     tw_shards_guard guard;
-    int alive, registered;
-    int accepted;          /* whoever registered it heard so, and does not ask again */
+    bool alive, registered;
+    bool accepted;         /* whoever registered it heard so, and does not ask again */
     uint64_t boot;         /* counts its starts */
     uint64_t life;         /* changes when what runs there is ended */
     uint64_t judged_epoch; /* the highest that it confirmed */
@@ -130,7 +131,7 @@
     uint64_t attempt; /* only the last one's answer is heard */
     int follow;       /* goes on asking until the move is done */
     int server;       /* where controllers elect: whom it asks next */
-    int heard;        /* whether its last request was answered */
+    bool heard;       /* whether its last request was answered */
     double again_at;  /* not before */
     double done_at, asked_at, tried_at;
 } client;
--- a/tests/shards/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -2,6 +2,7 @@
 #include "shards_world.h"
 #include "log/log.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -23,7 +24,7 @@
 
 static void answer_call(world *world, const event *call, int status, char *text) {
     double after = tw_world_draw(world, FASTEST_S, SLOWEST_S);
-    const int cut = world->lease_s > 0 && tw_elections_is_cut(world, call->node, END_STATE);
+    const bool cut = world->lease_s > 0 && tw_elections_is_cut(world, call->node, END_STATE);
     if (cut || (!status && world->lease_s > 0)) {
         after = world->lease_s / CALLS_IN_LEASE;
         status = 0;
@@ -59,13 +60,13 @@
         answer_call(world, call, 0, NULL);
         return;
     }
-    const int lost = !call->number && struck(&world->lose_answers, world, call->text);
+    const bool lost = !call->number && struck(&world->lose_answers, world, call->text);
     const int status =
         tw_simulator_state_request(&world->state, world->now, "POST", "/txn", call->text, &answer);
     tw_log_debug("t=%.3f node=%s status=%d txn=%.600s", world->now, world->nodes[call->node].name,
                  status, call->text);
     /* A leader's key that comes late is refused with its lease, which is over by then. */
-    const int of_lease = strstr(call->text, "\"write\":\"" TW_STANDBY_KEY "\"") != NULL;
+    const bool of_lease = strstr(call->text, "\"write\":\"" TW_STANDBY_KEY "\"") != NULL;
     if (status == BAD && !of_lease)
         tw_world_fail(world, "the state service refuses: %.150s", call->text);
     if (status == OK) {
@@ -85,10 +86,10 @@
     const char *key = TW_STANDBY_KEY;
     char text[TEXT];
     const uint64_t recorded = tw_simulator_state_version(&world->state, key);
-    const int reads = !strcmp(call->path, "/kv/" TW_STANDBY_KEY);
-    const int writes = !strcmp(call->path, "/txn") && strstr(call->text, "\"write\":\"traywalld/");
+    const bool reads = !strcmp(call->path, "/kv/" TW_STANDBY_KEY);
+    const bool writes = !strcmp(call->path, "/txn") && strstr(call->text, "\"write\":\"traywalld/");
     const tw_standby *asks = world->nodes[call->node].standby;
-    const int active = asks && !strcmp(tw_standby_active(asks), world->nodes[call->node].name);
+    const bool active = asks && !strcmp(tw_standby_active(asks), world->nodes[call->node].name);
     if (!world->plant_fence || active || !recorded || (!reads && !writes)) return 0;
     snprintf(text, sizeof text, "{\"ledger\":%lu}", (unsigned long)recorded + 1);
     *answer = tw_world_text(text);
@@ -164,7 +165,7 @@
         }
         tw_shards_written(at->leader, world->now, answer->id, outcome, revision);
     } else {
-        const int has = answer->status == OK;
+        const bool has = answer->status == OK;
         tw_shards_page(at->leader, world->now, answer->id, has ? text : NULL, strlen(text));
     }
 }
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -3,6 +3,7 @@
 #include "log/log.h"
 #include "wire/wire.h"
 #include <stdarg.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -86,7 +87,7 @@
                  tw_shards_verdict_name(effect->verdict), effect->progress.moved);
     client *asked = &world->clients[effect->id % MOST_REQUESTS];
     if (effect->id / MOST_REQUESTS != asked->attempt) return;
-    asked->heard = 1;
+    asked->heard = true;
     if (world->lease_s > 0 && effect->verdict == TW_SHARDS_NOT_LEADER)
         tw_elections_refused(world, asked);
     if (effect->verdict == TW_SHARDS_NOT_LEADER || effect->verdict == TW_SHARDS_OVERLOADED ||
@@ -109,7 +110,7 @@
     machine *registered = &world->machines[id % MOST_MACHINES];
     if (effect->verdict != TW_SHARDS_OK || registered->registered) return;
     if (id / MOST_MACHINES != registered->boot) return; /* to an earlier start of it */
-    registered->registered = 1;
+    registered->registered = true;
     tw_shards_guard_start(&registered->guard, world->nodes[world->leading].token,
                           registered->guard.life, effect->floor);
 }
@@ -287,7 +288,7 @@
              leader->name);
     const int status =
         tw_simulator_state_request(&world->state, world->now, "POST", "/txn", body, &answer);
-    const int failed = status != OK || tw_wire_revision_parse(&token, answer, strlen(answer));
+    const bool failed = status != OK || tw_wire_revision_parse(&token, answer, strlen(answer));
     free(answer);
     if (failed) {
         tw_world_lead_later(world, at);
@@ -325,7 +326,7 @@
     }
     node *leader = &world->nodes[world->leading];
     if (asks->answered && (!asks->follow || asks->verdict != TW_SHARDS_OK || asks->done_at)) return;
-    const int due_again =
+    const bool due_again =
         asks->answered || !asks->attempt || world->now >= asks->tried_at + CLIENT_RETRY_S;
     if (due_again && leader->life && leader->hung_until <= world->now) {
         asks->tried_at = world->now;
@@ -375,7 +376,7 @@
     event *again = tw_world_event(world, TICK_S, EVENT_TICK);
     again->node = due->node;
     again->life = due->life;
-    const int leads =
+    const bool leads =
         at->token ||
         (at->standby && tw_standby_decides(at->standby, tw_elections_now(world, due->node)));
     for (int i = 0; i < world->nmachines && leads; i++)
@@ -394,7 +395,7 @@
 }
 
 /* Whether the event is for a node that has ended, or was started anew since. */
-static int outlived(const world *world, const event *event) {
+static bool outlived(const world *world, const event *event) {
     const uint64_t life = event->node >= 0 ? world->nodes[event->node].life : 0;
     switch (event->kind) {
     case EVENT_TICK:
@@ -412,7 +413,7 @@
     case EVENT_PROMOTE:
         return !life;
     default:
-        return 0;
+        return false;
     }
 }
 
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -2,6 +2,7 @@
 #include "soak.h"
 #include <math.h>
 #include <signal.h>
+#include <stdbool.h>
 
 #define QUICK_RESTART_S 0.6
 #define SERIES_OF_LEADERS 3
@@ -100,7 +101,7 @@
 }
 
 static void strike_outage(soak *run, const soak_fault *fault) {
-    tw_simulator_state_outage(&run->world.state, run->world.now, 1);
+    tw_simulator_state_outage(&run->world.state, run->world.now, true);
     run->outage_until = end_of(run, fault);
 }
 
@@ -152,7 +153,7 @@
     for (int i = 0; i < run->plan.fault_count; i++) {
         soak_fault *fault = &run->plan.faults[i];
         if (fault->begun || run->world.now < fault->at_s) continue;
-        const int overdue = run->world.now >= fault->at_s + MOMENT_WAIT_S;
+        const bool overdue = run->world.now >= fault->at_s + MOMENT_WAIT_S;
         if (fault->moment != moment && !(moment == MOMENT_NOW && overdue)) continue;
         fault->begun = 1;
         strike(run, fault);
@@ -168,7 +169,7 @@
 void soak_moment_came(soak *run, soak_moment moment) {
     static soak_moment moments[] = {MOMENT_NOW, MOMENT_LAUNCH, MOMENT_LEADER, MOMENT_CANCEL};
     static const double soon_s = 0.3;
-    int wanted = 0;
+    bool wanted = false;
     for (int i = 0; i < run->plan.fault_count; i++) {
         const soak_fault *fault = &run->plan.faults[i];
         wanted |= !fault->begun && fault->moment == moment && run->world.now >= fault->at_s;
@@ -192,7 +193,7 @@
     }
     if (run->outage_until > 0 && run->world.now >= run->outage_until) {
         run->outage_until = 0;
-        tw_simulator_state_outage(&run->world.state, run->world.now, 0);
+        tw_simulator_state_outage(&run->world.state, run->world.now, false);
     }
     soak_cuts_tick(run);
 }
--- a/tests/soak/links.c
+++ b/tests/soak/links.c
@@ -1,5 +1,6 @@
 /* The links between the parties: which messages are lost or held by a cut. */
 #include "soak.h"
+#include <stdbool.h>
 
 int soak_zone_of(const soak *run, const char *zone) {
     (void)run;
@@ -15,10 +16,10 @@
 }
 
 /* Whether the cut lies between the near party, on its node's side, and the far one. */
-static int lies_between(const soak *run, const soak_cut *cut, int near, int far) {
+static bool lies_between(const soak *run, const soak_cut *cut, int near, int far) {
     if (cut->node < 0) /* an island */
         return zone_of_party(run, near) == cut->zone && zone_of_party(run, far) != cut->zone;
-    if (near != cut->node) return 0;
+    if (near != cut->node) return false;
     if (cut->other != SOAK_WORKERS) return far == cut->other;
     return far >= SOAK_WORKERS && (cut->zone < 0 || zone_of_party(run, far) == cut->zone);
 }
@@ -27,8 +28,8 @@
     double seconds = 0;
     for (int i = 0; i < run->cut_count; i++) {
         const soak_cut *cut = &run->cuts[i];
-        const int struck = (cut->from && lies_between(run, cut, from, to)) ||
-                           (cut->to && lies_between(run, cut, to, from));
+        const bool struck = (cut->from && lies_between(run, cut, from, to)) ||
+                            (cut->to && lies_between(run, cut, to, from));
         if (!struck) continue;
         if (!cut->held) return -1;
         if (cut->until - run->world.now > seconds) seconds = cut->until - run->world.now;
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -7,6 +7,7 @@
 #include <math.h>
 #include <signal.h>
 #include <stdarg.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/prctl.h>
@@ -61,7 +62,7 @@
     return (int)gsl_rng_uniform_int(of->rng, (unsigned long)count);
 }
 
-int soak_strikes(soak *of, const soak_share *share) {
+bool soak_strikes(soak *of, const soak_share *share) {
     return of->world.now < share->until && soak_draw(of, 0, 1) < share->share;
 }
 
@@ -109,7 +110,7 @@
 
 static void name_node(char *name, int node) { snprintf(name, SOAK_TEXT, "tray-%d", node); }
 
-int soak_start_node(soak *of, int node) {
+bool soak_start_node(soak *of, int node) {
     tw_loopback_settings settings = {.teams = team_text,
                                      .report_s = REPORT_S,
                                      .lease_s = LEASE_S,
@@ -168,7 +169,7 @@
     if (of->finished) return;
     of->finished = 1;
     char said[SOAK_PATH + 400], first[400] = "";
-    const int ended_well = tw_loopback_stop(&of->nodes);
+    const bool ended_well = tw_loopback_stop(&of->nodes);
     if (!strcmp(verdict, "ok") && !ended_well) {
         verdict = "FAIL";
         why = "a controller ended badly";
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -7,6 +7,7 @@
 #include "processes.h"
 #include "world.h"
 #include <ev.h>
+#include <stdbool.h>
 #include <stdio.h>
 
 #define SOAK_TEXT 64
@@ -73,10 +74,10 @@
 /* ---- links.c ---- */
 
 typedef struct {
-    int node;     /* a controller; -1: every party of the zone */
-    int other;    /* the other party; SOAK_WORKERS: all workers (of the zone, if one is given) */
-    int zone;     /* -1: any */
-    int from, to; /* whether messages from the node, and to it, are struck */
+    int node;      /* a controller; -1: every party of the zone */
+    int other;     /* the other party; SOAK_WORKERS: all workers (of the zone, if one is given) */
+    int zone;      /* -1: any */
+    bool from, to; /* whether messages from the node, and to it, are struck */
     int held;
     double until;
 } soak_cut;
@@ -142,7 +143,7 @@
 void soak_after(soak *run, double seconds, void (*act)(soak *run, void *data), void *data);
 double soak_draw(soak *run, double from, double to);
 int soak_draw_index(soak *run, int count);
-int soak_strikes(soak *run, const soak_share *share);
+bool soak_strikes(soak *run, const soak_share *share);
 void soak_note(soak *run, const char *from, int from_number, const char *to, int to_number,
                const char *what, const char *body);
 void soak_address(const soak *run, char *text, int host, int port);
@@ -157,7 +158,7 @@
     SOAK_PEERS_PORT = 8200,
     SOAK_MACHINE_PORT = 10000
 };
-int soak_start_node(soak *run, int node);
+bool soak_start_node(soak *run, int node);
 /* The controller that holds the leader's key; -1: none. */
 int soak_leader(soak *run);
 int soak_zone_of(const soak *run, const char *zone);
@@ -174,7 +175,7 @@
 /* stand_ins.c: what controllers ask */
 void soak_request(void *context, int port, uint64_t conn, const char *method, const char *path,
                   const char *body, size_t length);
-int soak_listen(soak *run);
+bool soak_listen(soak *run);
 void soak_stand_ins_tick(soak *run);
 
 /* calls.c: what the harness asks of controllers */
--- a/tests/soak/stand_ins.c
+++ b/tests/soak/stand_ins.c
@@ -2,6 +2,7 @@
  * is carried out by the stand-ins of simulator/ or handed to the other controller, and its answer
  * passes the link back. */
 #include "soak.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -19,7 +20,7 @@
 typedef struct {
     uint64_t conn;
     int caller, target;
-    int unanswered; /* its answer gets lost */
+    bool unanswered; /* its answer gets lost */
     char method[8];
     char *path, *body;
     int status; /* of the answer on its way */
@@ -66,7 +67,7 @@
 
 /* ---- the state service ---- */
 
-static int is_refused(const soak *run, int node) {
+static bool is_refused(const soak *run, int node) {
     return run->world.now < run->refused_until[node];
 }
 
@@ -93,7 +94,7 @@
 static int watch_over(soak *run, soak_watch *watched) {
     passage *request = watched->request;
     tw_simulator_state *state = &run->world.state;
-    const int open = run->world.now < watched->until;
+    const bool open = run->world.now < watched->until;
     if (is_refused(run, request->caller) || state->down_since >= 0) return 0;
     tw_simulator_state_expire(state, run->world.now);
     if (open && state->revision == watched->looked_at) return 0;
@@ -131,13 +132,13 @@
 }
 
 static void ask_state(soak *run, passage *request) {
-    const int changes = !strcmp(request->path, "/txn");
+    const bool changes = !strcmp(request->path, "/txn");
     if (!strncmp(request->path, "/follow?", strlen("/follow?"))) {
         watch(run, request);
     } else if (is_refused(run, request->caller)) {
         answer(run, request, TW_SIMULATOR_UNAVAILABLE, tw_simulator_text("{}"));
     } else if (changes && soak_strikes(run, &run->late_writes)) {
-        request->unanswered = 1;
+        request->unanswered = true;
         soak_after(run, soak_draw(run, LEAST_HELD_S, MOST_HELD_S), carry_out_state, request);
     } else {
         request->unanswered = changes && soak_strikes(run, &run->lost_answers);
@@ -229,7 +230,7 @@
     *copy = *request;
     copy->path = tw_simulator_text(request->path);
     copy->body = tw_simulator_text(request->body);
-    copy->unanswered = 1;
+    copy->unanswered = true;
     soak_after(run, soak_draw(run, LEAST_HELD_S, MOST_REPEATED_S), ask_machine, copy);
 }
 
@@ -240,7 +241,7 @@
         ask_machine(run, request);
         return;
     }
-    request->unanswered = 1;
+    request->unanswered = true;
     soak_after(run, soak_draw(run, LEAST_HELD_S, MOST_HELD_S), ask_machine, request);
 }
 
@@ -299,15 +300,15 @@
 
 /* ---- listeners ---- */
 
-static int listen_for(soak *run, int caller, int target, int port) {
+static bool listen_for(soak *run, int caller, int target, int port) {
     char address[SOAK_TEXT];
     soak_address(run, address, SOAK_STAND_IN_HOST + caller, port);
     return !tw_net_listen(run->net, address, caller * KNOWN_PORTS + target);
 }
 
 /* The ports of the machines that have none yet; the first time those of all others, too. */
-int soak_listen(soak *run) {
-    int well = 1;
+bool soak_listen(soak *run) {
+    bool well = true;
     for (int node = 0; node < run->plan.nodes; node++) {
         if (!run->next_snapshot) {
             well &= listen_for(run, node, SOAK_STATE, SOAK_STATE_PORT);
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -1,5 +1,6 @@
 /* Users: they submit, ask, ask at all controllers at once, and cancel, also at the end of a job. */
 #include "soak.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -28,7 +29,7 @@
 typedef struct soak_user_job {
     int index;                   /* in the world */
     double next_poll, cancel_at; /* 0: not cancelled at a time of its own */
-    int submitting, polling, cancelling;
+    bool submitting, polling, cancelling;
     struct soak_user_job *next;
 } user_job;
 
@@ -52,16 +53,16 @@
     if (status)
         tw_simulator_judge_told(&run->world, job, job->spec.id, asked->kind, asked->sent, status,
                                 body);
-    if (!asked->once && asked->kind == TW_SIMULATOR_SUBMIT) user->submitting = 0;
-    if (!asked->once && asked->kind == TW_SIMULATOR_POLL) user->polling = 0;
-    if (!asked->once && asked->kind == TW_SIMULATOR_CANCEL) user->cancelling = 0;
+    if (!asked->once && asked->kind == TW_SIMULATOR_SUBMIT) user->submitting = false;
+    if (!asked->once && asked->kind == TW_SIMULATOR_POLL) user->polling = false;
+    if (!asked->once && asked->kind == TW_SIMULATOR_CANCEL) user->cancelling = false;
     if (asked->kind == TW_SIMULATOR_CANCEL && job->told_over != was_over)
         soak_moment_came(run, MOMENT_CANCEL);
     free(asked);
     if (was_accepted != job->accepted || was_over != job->told_over) look_closely(run, user);
 }
 
-static void ask(soak *run, user_job *user, int kind, int node, int once) {
+static void ask(soak *run, user_job *user, int kind, int node, bool once) {
     const tw_simulator_job *job = run->world.jobs[user->index];
     char path[SOAK_PATH];
     request *asked = tw_simulator_zeroed(sizeof *asked);
@@ -87,8 +88,8 @@
 static void look(soak *run, void *data) {
     user_job *user = data;
     for (int node = 0; node < run->plan.nodes; node++) {
-        ask(run, user, TW_SIMULATOR_POLL, node, 1);
-        if (soak_draw(run, 0, 1) < 0.2) ask(run, user, TW_SIMULATOR_SUBMIT, node, 1);
+        ask(run, user, TW_SIMULATOR_POLL, node, true);
+        if (soak_draw(run, 0, 1) < 0.2) ask(run, user, TW_SIMULATOR_SUBMIT, node, true);
     }
 }
 
@@ -99,8 +100,8 @@
 static void cancel(soak *run, user_job *user) {
     tw_simulator_job *job = run->world.jobs[user->index];
     if (job->cancel_asked_at <= 0) job->cancel_asked_at = run->world.now;
-    user->cancelling = 1;
-    ask(run, user, TW_SIMULATOR_CANCEL, any_node(run), 0);
+    user->cancelling = true;
+    ask(run, user, TW_SIMULATOR_CANCEL, any_node(run), false);
 }
 
 void soak_job_ended(void *context, tw_simulator_job *job) {
@@ -156,12 +157,12 @@
     job->done = tw_simulator_zeroed((size_t)job->spec.task_count);
     user_job *user = tw_simulator_zeroed(sizeof *user);
     user->index = job->index;
-    const int cancels = job->spec.service || soak_draw(run, 0, 1) < CANCEL_SHARE;
+    const bool cancels = job->spec.service || soak_draw(run, 0, 1) < CANCEL_SHARE;
     if (cancels) user->cancel_at = run->world.now + soak_draw(run, 1, 15);
     user->next = run->user_jobs;
     run->user_jobs = user;
-    user->submitting = 1;
-    ask(run, user, TW_SIMULATOR_SUBMIT, any_node(run), 0);
+    user->submitting = true;
+    ask(run, user, TW_SIMULATOR_SUBMIT, any_node(run), false);
 }
 
 /* ---- time ---- */
@@ -171,13 +172,13 @@
     if (run->world.now < user->next_poll || (job->told_over && soak_draw(run, 0, 1) > 0.05)) return;
     user->next_poll = run->world.now + POLL_EVERY_S;
     if (!job->accepted && !user->submitting) {
-        user->submitting = 1;
-        ask(run, user, TW_SIMULATOR_SUBMIT, any_node(run), 0);
+        user->submitting = true;
+        ask(run, user, TW_SIMULATOR_SUBMIT, any_node(run), false);
     } else if (job->accepted && !user->polling) {
-        user->polling = 1;
-        ask(run, user, TW_SIMULATOR_POLL, any_node(run), 0);
+        user->polling = true;
+        ask(run, user, TW_SIMULATOR_POLL, any_node(run), false);
     }
-    const int wants_end =
+    const bool wants_end =
         (user->cancel_at > 0 && run->world.now >= user->cancel_at) || job->cancel_asked_at > 0;
     if (job->accepted && wants_end && !job->told_over && !user->cancelling) cancel(run, user);
 }
@@ -194,7 +195,7 @@
     for (int i = 0; i < run->world.njobs; i++) {
         const tw_simulator_job *job = run->world.jobs[i];
         const int is_over = job->told_over;
-        const int runs =
+        const bool runs =
             job->accepted && job->spec.service && job->cancel_asked_at <= 0 &&
             tw_simulator_job_running(&run->world, job->spec.id) == job->spec.task_count;
         if (is_over || runs) continue;
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -1,5 +1,6 @@
 /* The workers' reports on their way to controllers, and the answers; copies that come late. */
 #include "soak.h"
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -32,7 +33,7 @@
 static void answer_arrives(soak *run, void *data) {
     report *sent = data;
     tw_simulator_worker *worker = run->world.workers[sent->machine];
-    const int awaited = sent->flight && worker->in_flight == sent->flight;
+    const bool awaited = sent->flight && worker->in_flight == sent->flight;
     if (awaited && run->world.now >= worker->hung_until) {
         worker->in_flight = 0;
         tw_simulator_worker_tick(&run->world, worker); /* a lease that has ended ends first */
@@ -47,8 +48,8 @@
     report *sent = data;
     const tw_simulator_worker *worker = run->world.workers[sent->machine];
     const double seconds = soak_travel(run, sent->node, SOAK_WORKERS + sent->machine);
-    const int deaf = status && run->world.now < worker->deaf_until;
-    const int late = run->world.now + seconds >= sent->sent + ANSWER_TIMEOUT_S;
+    const bool deaf = status && run->world.now < worker->deaf_until;
+    const bool late = run->world.now + seconds >= sent->sent + ANSWER_TIMEOUT_S;
     soak_note(run, "node", sent->node, "worker", sent->machine,
               seconds < 0 || deaf || late ? "report's answer lost" : "report's answer", body);
     if (seconds < 0 || deaf || late) {
@@ -136,7 +137,7 @@
     tw_simulator_world *world = &run->world;
     tw_simulator_worker *worker = world->workers[machine];
     char *body = tw_simulator_worker_report(world, worker);
-    worker->changed = 0;
+    worker->changed = false;
     worker->in_flight = ++run->last_flight;
     worker->last_report = world->now;
     worker->next_report = world->now + world->report_s * soak_draw(run, 0.75, 1.25);
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -2,6 +2,7 @@
  * controller's control address is its name. */
 #include "shards_world.h"
 #include "log/log.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -192,7 +193,7 @@
     if (order->flag && taken && order->id != at->boot + 1)
         tw_world_fail(world, "other_life: %s takes a floor for life %lu in its life %lu", at->name,
                       (unsigned long)order->id, (unsigned long)at->boot + 1);
-    if (order->flag && taken) at->registered = 1;
+    if (order->flag && taken) at->registered = true;
     event *answer = tw_elections_is_cut(world, order->number, END_MACHINES)
                         ? NULL
                         : tw_world_message(world, EVENT_ORDERED);
@@ -225,7 +226,7 @@
     if (asks->attempt && !asks->heard && world->now < asks->tried_at + TRY_S) return;
     if (asks->attempt && !asks->heard) asks->server = (asks->server + 1) % world->nnodes;
     asks->tried_at = world->now;
-    asks->heard = 0;
+    asks->heard = false;
     asks->attempt++;
     event *sent = tw_world_message(world, EVENT_ASKED);
     if (!sent) return;
@@ -279,7 +280,7 @@
     } else if (answer->verdict == TW_SHARDS_OK) {
         const uint64_t id = answer->id - FIRST_MACHINE_ID;
         machine *registered = &world->machines[id % MOST_MACHINES];
-        if (id / MOST_MACHINES == registered->boot) registered->accepted = 1;
+        if (id / MOST_MACHINES == registered->boot) registered->accepted = true;
     }
 }
 
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -1,5 +1,6 @@
 #include "conversation.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -83,7 +84,7 @@
                                           body);
     if (call->to == TW_TO_CLOUD)
         return tw_simulator_cloud_request(&c->world, call->method, call->path, sent, body);
-    const int heartbeat = !strcmp(call->path, "/peer/ping");
+    const bool heartbeat = !strcmp(call->path, "/peer/ping");
     *body = heartbeat ? heartbeat_answer() : tw_simulator_text("{}");
     return TW_SIMULATOR_OK;
 }
--- a/tests/unit/heartbeat_cache_test.c
+++ b/tests/unit/heartbeat_cache_test.c
@@ -2,6 +2,7 @@
  * the second is read after the first, and again, and compared with what the parser alone makes of
  * it. The texts are nearly alike, and each tries to be taken for another one. */
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
@@ -65,7 +66,7 @@
 };
 static const size_t text_count = sizeof texts / sizeof *texts;
 
-static int same_piece(const tw_wire_task *one, const tw_wire_task *other) {
+static bool same_piece(const tw_wire_task *one, const tw_wire_task *other) {
     return !strcmp(one->job, other->job) && one->index == other->index &&
            one->state == other->state && one->cause == other->cause && one->saved == other->saved &&
            one->attempt == other->attempt;
@@ -86,11 +87,11 @@
 }
 
 /* Whether the set reads the text as the parser does. */
-static int reads(tw_wire_heartbeat_cache *reports, const char *text) {
+static bool reads(tw_wire_heartbeat_cache *reports, const char *text) {
     tw_wire_heartbeat parsed;
     const int refused = tw_wire_heartbeat_parse(&parsed, text, strlen(text));
     const tw_wire_heartbeat *read = tw_wire_heartbeat_cache_read(reports, text, strlen(text));
-    const int alike = refused ? !read : read && same(read, &parsed);
+    const bool alike = refused ? !read : read && same(read, &parsed);
     if (!refused) tw_wire_heartbeat_free(&parsed);
     return alike;
 }
@@ -117,7 +118,7 @@
     for (int round = 0; round < ROUNDS; round++) {
         for (int worker = round > 0; worker < WORKERS; worker++) {
             const tw_wire_heartbeat *read = read_round(reports, worker, round);
-            const int kept = round % CHANGE_ROUNDS == 0 || read == last[worker];
+            const bool kept = round % CHANGE_ROUNDS == 0 || read == last[worker];
             wrong += !read || !kept || read->sequence != (uint64_t)round;
             last[worker] = read;
         }
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -11,6 +11,7 @@
  * tests/fixtures holds the transcripts of the earlier version. */
 #include "conversation.h"
 #include "wire/wire.h"
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -196,7 +197,7 @@
 /* ---- records ---- */
 
 /* Whether the record of a transcript's line is read, and written again to the letter. */
-static int is_written_again(const char *line) {
+static bool is_written_again(const char *line) {
     char id[TW_WIRE_ID_SIZE];
     tw_wire_record record;
     line += strlen(JOB_PREFIX);
@@ -205,17 +206,17 @@
     const char *text = line + length + 1;
     if (tw_wire_record_parse(&record, id, text, strlen(text))) {
         printf("FAIL versions: can't be read: %s\n", text);
-        return 0;
+        return false;
     }
     char *again = tw_wire_record_text(&record);
-    const int same = !strcmp(text, again);
+    const bool same = !strcmp(text, again);
     if (!same) printf("FAIL versions: %s is written as %s\n", text, again);
     free(again);
     tw_wire_record_free(&record);
     return same;
 }
 
-static int write_records_again(void) {
+static bool write_records_again(void) {
     char line[MAX_LINE];
     int records = 0, wrong = 0;
     while (fgets(line, sizeof line, stdin)) {
--- a/tests/unit/wire_dump.c
+++ b/tests/unit/wire_dump.c
@@ -2,6 +2,7 @@
 #include "wire_test.h"
 #include "wire/wire.h"
 #include <inttypes.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -225,57 +226,57 @@
     "\"flushS\":4.0,\"dueS\":900.5}"
 
 const message_kind message_kinds[] = {
-    {"job", JOB, parse_job, 1},
+    {"job", JOB, parse_job, true},
     {"report",
      "{\"tray\":\"n-000231\",\"endpoint\":\"10.1.0.232:9000\",\"rack\":\"g8\",\"yard\":\"a\","
      "\"loaner\":true,\"shift\":1,\"tick\":88,\"baton\":41,\"warningS\":12.5,\"pieces\":["
      "{\"piece\":\"run-000412/3\",\"try\":2,\"stage\":\"exited\",\"cause\":\"stopped\","
      "\"saved\":true},{\"piece\":\"run-000398/0\",\"try\":1,\"stage\":\"pulling\"}]}",
-     parse_report, 0},
+     parse_report, false},
     {"flavors",
      "{\"racks\":[{\"label\":\"g8\",\"cores\":96,\"gpus\":8,\"memoryGb\":768,\"cacheGb\":200,"
      "\"fetchGbPerS\":1.5,\"hourly\":12.0,\"lowPrice\":4.5,\"startupS\":45,\"yards\":[\"a\","
      "\"b\"]},{\"label\":\"c\",\"cores\":4,\"memoryGb\":8,\"hourly\":1,\"yards\":[]}]}",
-     parse_flavors, 0},
+     parse_flavors, false},
     {"trays",
      "{\"trays\":[{\"id\":\"n-000231\",\"endpoint\":\"10.1.0.232:9000\",\"rack\":\"g8\","
      "\"yard\":\"a\",\"loaner\":true,\"stage\":\"running\",\"heldS\":61.5},{\"id\":\"n-000232\","
      "\"rack\":\"g8\",\"yard\":\"a\",\"loaner\":false,\"stage\":\"failed\"}],\"more\":true}",
-     parse_trays, 0},
-    {"names", "{\"trays\":[\"n-000231\",\"n-000232\"]}", parse_names, 0},
-    {"failed", "{\"failed\":[\"a/b\",\"leader\"],\"ledger\":431}", parse_failed, 0},
+     parse_trays, false},
+    {"names", "{\"trays\":[\"n-000231\",\"n-000232\"]}", parse_names, false},
+    {"failed", "{\"failed\":[\"a/b\",\"leader\"],\"ledger\":431}", parse_failed, false},
     {"aborted", "{\"name\":\"tray-0\",\"aborted\":[\"run-000412\",\"run-000413\"]}", parse_aborted,
-     0},
+     false},
     {"entry", "{\"k\":\"a/b\",\"data\":{\"x\":[1,2.5,\"y\"]},\"stamp\":412,\"hold\":7}",
-     parse_entry, 0},
+     parse_entry, false},
     {"entries",
      "{\"entries\":[{\"k\":\"a/b\",\"data\":{\"x\":1},\"stamp\":412,\"hold\":7},"
      "{\"k\":\"a/c\",\"data\":null,\"stamp\":413}],\"more\":true,\"ledger\":431}",
-     parse_entries, 0},
+     parse_entries, false},
     {"log",
      "{\"ledger\":433,\"log\":[{\"write\":\"c/9\",\"data\":{\"x\":1},\"stamp\":433},"
      "{\"remove\":\"c/d\",\"stamp\":432},{\"write\":\"c/10\",\"stamp\":434}]}",
-     parse_log, 0},
-    {"numbers", "{\"ledger\":432,\"hold\":7}", parse_numbers, 0},
+     parse_log, false},
+    {"numbers", "{\"ledger\":432,\"hold\":7}", parse_numbers, false},
     {"record",
      "{\"s\":0,\"j\":" JOB ",\"c\":3,\"t\":1700000000.25,\"n\":19,\"f\":\"0-1,7\","
      "\"l\":\"3:17:n-000231,4:18:n-000232\"}",
-     parse_record, 0},
-    {"record_over", "{\"s\":2,\"p\":16,\"c\":16,\"t\":1700000000.25}", parse_record, 0},
+     parse_record, false},
+    {"record_over", "{\"s\":2,\"p\":16,\"c\":16,\"t\":1700000000.25}", parse_record, false},
     {"ping",
      "{\"name\":\"tray-0\",\"leader\":\"tray-1\",\"token\":41,\"stateOk\":true,\"leading\":false,"
      "\"upS\":12.25,\"deputyS\":3.5}",
-     parse_ping, 0},
+     parse_ping, false},
     {"ping_of_divided_records",
      "{\"name\":\"tray-0\",\"token\":41,\"stateOk\":true,\"leading\":false,\"recordFormat\":2}",
-     parse_ping, 0},
+     parse_ping, false},
     {"record_divided", "{\"s\":0,\"p\":400,\"c\":3,\"parts\":{\"set\":\"41-7\",\"n\":5,\"l\":397}}",
-     parse_record, 0},
+     parse_record, false},
     {"records",
      "{\"entries\":[{\"k\":\"job/run-000412\",\"data\":{\"s\":0,\"j\":" JOB ",\"t\":1.5,\"n\":19,"
      "\"l\":\"3:17:n-000231\"},\"stamp\":412},{\"k\":\"job/run-000413\",\"data\":{\"s\":2,\"p\":16,"
      "\"c\":16},\"stamp\":413},{\"k\":\"job/run-000414\",\"data\":{\"s\":0},\"stamp\":414},"
      "{\"k\":\"new/run-000412\",\"data\":{\"s\":2,\"p\":16},\"stamp\":415}],\"more\":true}",
-     parse_records, 0},
+     parse_records, false},
 };
 const size_t message_kind_count = sizeof message_kinds / sizeof *message_kinds;
--- a/tests/unit/wire_test.h
+++ b/tests/unit/wire_test.h
@@ -1,6 +1,7 @@
 /* The parts of the test of the wire formats: texts of parsed messages, and printed messages. */
 #ifndef TW_WIRE_TEST_H
 #define TW_WIRE_TEST_H
+#include <stdbool.h>
 #include <stdio.h>
 
 /* A kind of message: a text that is accepted, and a function that parses a text and writes what
@@ -8,7 +9,7 @@
 typedef struct {
     const char *name, *text;
     void (*parse)(FILE *out, const char *text, size_t length);
-    int says_why; /* a refusal names what is wrong */
+    bool says_why; /* a refusal names what is wrong */
 } message_kind;
 
 extern const message_kind message_kinds[];
--- a/tools/explore/explore.c
+++ b/tools/explore/explore.c
@@ -5,6 +5,7 @@
 #include <argp.h>
 #include <errno.h>
 #include <signal.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -239,18 +240,18 @@
 }
 
 /* Whether another day may begin. */
-static int may_begin(const exploration *run) {
+static bool may_begin(const exploration *run) {
     const options *chosen = &run->options;
-    if (run->next > chosen->last || (chosen->until_first && run->broken)) return 0;
+    if (run->next > chosen->last || (chosen->until_first && run->broken)) return false;
     return chosen->seconds <= 0 || steady_s() - run->began < chosen->seconds;
 }
 
 static void give_work(exploration *run) {
     while (tw_fuzz_pool_idle(run->pool)) {
         if (run->queued)
-            tw_fuzz_pool_give(run->pool, run->queue[--run->queued], 1);
+            tw_fuzz_pool_give(run->pool, run->queue[--run->queued], true);
         else if (may_begin(run))
-            tw_fuzz_pool_give(run->pool, (uint32_t)run->next++, 0);
+            tw_fuzz_pool_give(run->pool, (uint32_t)run->next++, false);
         else
             return;
     }
--- a/tools/traywallctl/ask.c
+++ b/tools/traywallctl/ask.c
@@ -3,6 +3,7 @@
  */
 #include "ask.h"
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 #include <time.h>
@@ -52,7 +53,7 @@
     int next;        /* server to ask, where nobody was named */
     int in_round;    /* servers asked since the last pause */
     int unreachable; /* of those, how many are not there */
-    int redirected;  /* the last answer named the leader */
+    bool redirected; /* the last answer named the leader */
 } search;
 
 static double try_timeout_s(const servers *servers, double left_s) {
@@ -61,25 +62,25 @@
 }
 
 /* Whether the answer, or that there is none, is what the client gets. */
-static int is_final(const servers *servers, const search *at, tw_rpc_status status,
-                    const tw_rpc_answer *answer, double left_s) {
-    if (status == TW_RPC_OK && answer->verdict != TW_SHARDS_NOT_LEADER) return 1;
-    const int nobody_there = at->in_round >= servers->count && at->unreachable == at->in_round;
+static bool is_final(const servers *servers, const search *at, tw_rpc_status status,
+                     const tw_rpc_answer *answer, double left_s) {
+    if (status == TW_RPC_OK && answer->verdict != TW_SHARDS_NOT_LEADER) return true;
+    const bool nobody_there = at->in_round >= servers->count && at->unreachable == at->in_round;
     return left_s <= SHORTEST_PAUSE_S || nobody_there;
 }
 
 /* Chooses whom to ask next; returns how long to wait before it. */
 static double choose_next(const servers *servers, search *at, tw_rpc_status status,
                           const tw_rpc_answer *answer, char *asked) {
-    const int named =
+    const bool named =
         status == TW_RPC_OK && answer->leader[0] && strcmp(answer->leader, asked) != 0;
     const double wait_s = status == TW_RPC_OK ? answer->retry_after_s : 0;
     if (named && !at->redirected) {
-        at->redirected = 1;
+        at->redirected = true;
         snprintf(asked, TW_RPC_ADDRESS, "%s", answer->leader);
         return 0;
     }
-    at->redirected = 0;
+    at->redirected = false;
     at->next = (at->next + 1) % servers->count;
     snprintf(asked, TW_RPC_ADDRESS, "%s", servers->addresses[at->next]);
     if (at->in_round < servers->count) return 0;
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -5,6 +5,7 @@
 #include "ask.h"
 #include "print.h"
 #include <argp.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -101,7 +102,7 @@
     return answer->verdict == TW_SHARDS_OK ? EXIT_SUCCESS : EXIT_REFUSED;
 }
 
-static int show(const options *chosen, int machines) {
+static int show(const options *chosen, bool machines) {
     const tw_rpc_call call = {.method = TW_RPC_SHOW, .show_machines = machines};
     tw_rpc_answer answer = {0};
     char asked[TW_RPC_ADDRESS];
@@ -130,7 +131,7 @@
 }
 
 /* Whether the watch ended because its daemon did, or gave way, and not because the move is over. */
-static int interrupted(tw_rpc_status status, const tw_rpc_answer *last) {
+static bool interrupted(tw_rpc_status status, const tw_rpc_answer *last) {
     return status != TW_RPC_OK || last->verdict == TW_SHARDS_NOT_LEADER;
 }
 
@@ -158,8 +159,8 @@
     tw_rpc_answer answer = {0};
     char asked[TW_RPC_ADDRESS];
     const tw_rpc_status status = ask_leader(&chosen->servers, &call, &answer, asked);
-    const int accepted = status == TW_RPC_OK && answer.verdict == TW_SHARDS_OK;
-    const int waits = request->kind == TW_SHARDS_WATCH || (chosen->wait && request->key[0]);
+    const bool accepted = status == TW_RPC_OK && answer.verdict == TW_SHARDS_OK;
+    const bool waits = request->kind == TW_SHARDS_WATCH || (chosen->wait && request->key[0]);
     if (accepted && waits) return follow_move(chosen, asked, request->key);
     if (status == TW_RPC_OK) print_change(chosen->json, &answer);
     return exit_code(status, &answer);
@@ -214,7 +215,7 @@
 }
 
 static int do_key(options *chosen, const char *const *words) {
-    const int cancels = !strcmp(words[0], "cancel");
+    const bool cancels = !strcmp(words[0], "cancel");
     tw_shards_request request = {.kind = cancels ? TW_SHARDS_CANCEL : TW_SHARDS_WATCH};
     copy(request.key, words[1]);
     return change(chosen, &request);
--- a/tools/traywallctl/print.c
+++ b/tools/traywallctl/print.c
@@ -1,6 +1,7 @@
 /* How answers are shown, as text or as one JSON object a line. */
 #include "print.h"
 #include <cjson/cJSON.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -80,7 +81,7 @@
     print_json(object);
 }
 
-void print_change(int json, const tw_rpc_answer *answer) {
+void print_change(bool json, const tw_rpc_answer *answer) {
     const tw_shards_progress *progress = &answer->progress;
     if (json) {
         print_change_json(answer);
