--- a/src/core/memory.c
+++ b/src/context/memory.c
@@ -1,4 +1,4 @@
-#include "core/memory.h"
+#include "context/memory.h"
 #include <stdlib.h>
 
 void *tw_alloc(size_t size) {
--- a/src/core/memory.h
+++ b/src/context/memory.h
@@ -1,7 +1,7 @@
 /* Memory that can't be had ends the program: a scheduler that drops part of its state would go on
- * with wrong decisions. Not for other packages. */
-#ifndef TW_CORE_MEMORY_H
-#define TW_CORE_MEMORY_H
+ * with wrong decisions. */
+#ifndef TW_CONTEXT_MEMORY_H
+#define TW_CONTEXT_MEMORY_H
 #include <stddef.h>
 
 /* Zeroed memory, to be freed by the caller; valid also for a size of 0. */
--- a/src/core/status.h
+++ b/src/context/status.h
@@ -1,7 +1,6 @@
-/* HTTP statuses of answers that the core gives and gets, by the protocol. Not for other packages.
- */
-#ifndef TW_CORE_STATUS_H
-#define TW_CORE_STATUS_H
+/* HTTP statuses of answers that the core gives and gets, by the protocol. */
+#ifndef TW_CONTEXT_STATUS_H
+#define TW_CONTEXT_STATUS_H
 
 enum {
     TW_HTTP_OK = 200,
--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -57,7 +57,7 @@
     if (placed->direct_launch_at <= 0) return false;
     const bool is_done = placed->state == TW_TASK_EXITED && placed->cause == TW_CAUSE_DONE;
     const double kept = is_done ? REPEATED_DONE_LEASES : REPEATED_LEASES;
-    return core->now < placed->direct_launch_at + kept * core->config->lease_s;
+    return core->context.now < placed->direct_launch_at + kept * core->context.config->lease_s;
 }
 
 bool tw_attempt_was_launched(const tw_placement *placed) {
@@ -89,7 +89,7 @@
     case TW_EVIDENCE_NEW_INCARNATION:
         return is_of_earlier_incarnation(placed, end->heartbeat);
     case TW_EVIDENCE_LEASE_EXPIRED:
-        return machine->lease_expired && core->now > tw_lease_expires_at(core, machine);
+        return machine->lease_expired && core->context.now > tw_lease_expires_at(core, machine);
     case TW_EVIDENCE_MACHINE_RETURNED:
         return machine->return_in_flight;
     case TW_EVIDENCE_GANG_DONE:
@@ -143,7 +143,7 @@
                  (unsigned long long)(heartbeat ? heartbeat->incarnation : machine->incarnation),
                  (unsigned long long)(heartbeat ? heartbeat->sequence : machine->sequence),
                  (unsigned long long)(heartbeat ? heartbeat->fencing_token : 0), machine->confirmed,
-                 core->now - placed->placed_at);
+                 core->context.now - placed->placed_at);
 }
 
 /* The task no longer runs there; to: what it is now. */
@@ -158,7 +158,7 @@
     if (to == TW_ASSIGNMENT_DONE) job->done_count++;
     if (to == TW_ASSIGNMENT_NONE) {
         if (placed->index < job->first_unplaced) job->first_unplaced = placed->index;
-        job->pending_since = core->now;
+        job->pending_since = core->context.now;
         if (job->spec.gang) tw_gang_task_gone(core, placed);
     }
     core->scheduling_due = true;
--- a/src/core/authority.c
+++ b/src/core/authority.c
@@ -8,7 +8,7 @@
 #define CANCEL_MARGIN 0.4
 
 bool tw_leader_has_authority(const tw_core *core) {
-    return core->role == TW_ROLE_LEADER && core->now < core->authority_until;
+    return core->role == TW_ROLE_LEADER && core->context.now < core->authority_until;
 }
 
 bool tw_leader_may(const tw_core *core, tw_permission right) {
@@ -17,13 +17,13 @@
 }
 
 double tw_renewal_without_authority_s(const tw_core *core) {
-    return core->config->tune.hold_ratio * core->config->lease_s;
+    return core->context.config->tune.hold_ratio * core->context.config->lease_s;
 }
 
 /* A job cancelled at another node must be gone cancel_s later, even where nobody can say so: by its
  * machine's lease. So whoever cannot exclude that another leads answers for this long at most. */
 double tw_renewal_if_superseded_s(const tw_core *core) {
-    const tw_config *settings = core->config;
+    const tw_config *settings = core->context.config;
     const double lease_by_any_clock =
         settings->lease_s *
         (1 + CANCEL_MARGIN * settings->tune.margin_ratio + 2 * settings->tune.drift);
@@ -36,7 +36,7 @@
  * may answer without us for longer know of it (tw_cancellation_safety). */
 double tw_renewal_without_contact_s(const tw_core *core) {
     return fmin(tw_renewal_without_authority_s(core),
-                tw_renewal_if_superseded_s(core) + core->config->lease_s);
+                tw_renewal_if_superseded_s(core) + core->context.config->lease_s);
 }
 
 /* Until when surely no other node had led: when all of them last said that they know of no token
@@ -52,11 +52,11 @@
  * before it takes a silent machine's tasks for ended (tw_predecessor_renewals_end). */
 bool tw_leader_renews_without_authority(const tw_core *core) {
     if (core->role != TW_ROLE_LEADER || core->phase != TW_PHASE_ACTIVE ||
-        core->now < core->authority_until)
+        core->context.now < core->authority_until)
         return false;
-    return core->now < core->authority_until + tw_renewal_without_authority_s(core) &&
-           core->now < fmax(core->authority_until, sole_leader_until(core)) +
-                           tw_renewal_without_contact_s(core);
+    return core->context.now < core->authority_until + tw_renewal_without_authority_s(core) &&
+           core->context.now < fmax(core->authority_until, sole_leader_until(core)) +
+                                   tw_renewal_without_contact_s(core);
 }
 
 /* Until when some earlier leader may have answered a worker that has not seen our token. */
@@ -64,7 +64,7 @@
     if (core->peers_confirmed_at > 0) return core->peers_confirmed_at;
     /* From our acquisition on it can't hear from all nodes that none leads. */
     return core->acquired_at +
-           tw_renewal_without_contact_s(core) * (1 + 2 * core->config->tune.drift);
+           tw_renewal_without_contact_s(core) * (1 + 2 * core->context.config->tune.drift);
 }
 
 void tw_permissions_log(tw_core *core) {
@@ -73,11 +73,11 @@
     const unsigned long long token = core->fencing_token;
     if (core->role == TW_ROLE_LEADER && core->could_command && !commands)
         tw_log_info("event=authority_expired token=%llu led_s=%.2f over_since_s=%.3f renews=%d",
-                    token, core->now - core->acquired_at, core->now - core->authority_until,
-                    renews);
+                    token, core->context.now - core->acquired_at,
+                    core->context.now - core->authority_until, renews);
     if (core->role == TW_ROLE_LEADER && core->could_renew && !renews)
         tw_log_info("event=lease_renewals_ended token=%llu without_authority_s=%.2f", token,
-                    core->now - core->authority_until);
+                    core->context.now - core->authority_until);
     core->could_command = commands;
     core->could_renew = renews;
 }
--- a/src/core/autoscaler_gang.c
+++ b/src/core/autoscaler_gang.c
@@ -7,7 +7,7 @@
 double tw_autoscaler_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
                                 tw_expected_releases *drain, int count) {
     int *from = tw_bins_first_released(bins, job);
-    double start = core->now;
+    double start = core->context.now;
     for (int i = 0; i < count && isfinite(start); i++)
         start = fmax(start, tw_expected_releases_start(core, drain, job, from));
     return start;
@@ -17,7 +17,7 @@
     const tw_offer_filter filter = {0};
     const double due = tw_job_start_deadline(job);
     const double early = LATE_SHARE * (job->job_class ? job->job_class->start_within_s : 0);
-    if (start <= due - early && core->now <= due - early) return;
+    if (start <= due - early && core->context.now <= due - early) return;
     tw_autoscaler_open_gpu_machines(core, job,
                                     tw_offer_best(core, &job->spec, job->type_mask, &filter));
 }
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -17,12 +17,13 @@
     const double lead_s =
         fmax(0, tw_autoscaler_soonest_s(core, class->sample_type_mask, sample->image_gb) -
                     class->start_within_s);
-    const double quiet_s = core->now - class->last_arrival_at;
+    const double quiet_s = core->context.now - class->last_arrival_at;
     double rate = class->task_rate;
     if (quiet_s > RATE_FADES_S) rate *= exp(-(quiet_s - RATE_FADES_S) / RATE_FADES_S);
     const double expected = rate * lead_s;
     const double group = fmax(1, class->batch_tasks);
-    double tasks = core->config->tune.headroom * (HALF_SHARE * expected + sqrt(expected * group));
+    double tasks =
+        core->context.config->tune.headroom * (HALF_SHARE * expected + sqrt(expected * group));
     /* A late start costs the same whatever the task: where twice the room is nearly free beside
      * what the fleet costs, twice the room. */
     double price = INFINITY;
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -25,7 +25,8 @@
 /* Whether to rent for a batch task rather than let it wait until `start`. */
 static bool worth_renting(const tw_core *core, const tw_job *job, double start) {
     if (!isfinite(start)) return true; /* nothing will be given back */
-    if (start <= core->now + tw_autoscaler_soonest_s(core, job->type_mask, job->spec.image_gb))
+    if (start <=
+        core->context.now + tw_autoscaler_soonest_s(core, job->type_mask, job->spec.image_gb))
         return false;
     return !(start + tw_job_run_estimate_s(job) * RUN_SPREAD <= tw_job_deadline(core, job));
 }
@@ -79,7 +80,7 @@
 
 /* How many tasks of the job could be placed if there were room. */
 static int placeable(const tw_core *core, tw_job *job) {
-    const tw_config_team *team = &core->config->teams[job->team];
+    const tw_config_team *team = &core->context.config->teams[job->team];
     int count = job->task_count - job->done_count - job->placed_count;
     if (team->gpus_max > 0 && job->spec.gpus > 0)
         count = (int)fmin(
@@ -182,18 +183,18 @@
 
 static void add_machine(tw_core *core, tw_bins *bins, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    *tw_bins_add(bins) =
-        (tw_bin){.machine = machine,
-                 .type_index = machine->type_index,
-                 .spot = machine->spot,
-                 .zone = machine->zone,
-                 .busy = tw_machine_is_occupied(machine),
-                 /* placing has tried it already */
-                 .tried = machine->state == TW_MACHINE_UP &&
-                          core->now - machine->first_answered_at > core->config->report_s,
-                 .cores = type->cores - machine->used_cores,
-                 .gpus = type->gpus - machine->used_gpus,
-                 .memory_gb = type->memory_gb - machine->used_memory_gb};
+    *tw_bins_add(bins) = (tw_bin){.machine = machine,
+                                  .type_index = machine->type_index,
+                                  .spot = machine->spot,
+                                  .zone = machine->zone,
+                                  .busy = tw_machine_is_occupied(machine),
+                                  /* placing has tried it already */
+                                  .tried = machine->state == TW_MACHINE_UP &&
+                                           core->context.now - machine->first_answered_at >
+                                               core->context.config->report_s,
+                                  .cores = type->cores - machine->used_cores,
+                                  .gpus = type->gpus - machine->used_gpus,
+                                  .memory_gb = type->memory_gb - machine->used_memory_gb};
 }
 
 /* What was asked for and isn't answered yet counts as coming. */
@@ -261,7 +262,7 @@
     tw_rejected_admission *expected;
     tw_rejected_admission *next;
     HASH_ITER(hh, core->rejected_admissions, expected, next) {
-        if (core->now < expected->until)
+        if (core->context.now < expected->until)
             plan_job(core, bins, &expected->job, drain);
         else
             tw_rejected_admission_drop(core, expected);
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -11,7 +11,7 @@
 
 /* More of an offer than this are not asked for in a round: the next one sees what was granted. */
 static int want_limit(const tw_core *core) {
-    return (int)(TW_MAX_RENTAL * fmax(1, core->config->cloud_rps));
+    return (int)(TW_MAX_RENTAL * fmax(1, core->context.config->cloud_rps));
 }
 
 double tw_offer_task_count(const tw_wire_machine_type *type, const tw_wire_job *spec) {
@@ -21,7 +21,7 @@
 
 static bool may_rent(const tw_core *core, const tw_capacity_offer *offer, const tw_wire_job *spec,
                      const tw_offer_filter *filter) {
-    if ((offer->spot && !spec->spot) || core->now < offer->refused_until ||
+    if ((offer->spot && !spec->spot) || core->context.now < offer->refused_until ||
         offer->wanted >= want_limit(core))
         return false;
     if (filter->spare && spec->gpus <= 0 && core->machine_types[offer->type_index].listed.gpus > 0)
@@ -86,10 +86,10 @@
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
         if (offer->wanted > 0) reopen(core, offer);
-        if (core->now < core->scale_out_from) offer->wanted = 0;
+        if (core->context.now < core->scale_out_from) offer->wanted = 0;
         if (offer->wanted <= 0)
             offer->wanted_since = 0;
         else if (offer->wanted_since <= 0)
-            offer->wanted_since = core->now;
+            offer->wanted_since = core->context.now;
     }
 }
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -7,8 +7,6 @@
 /* Room for the path of a request to the state service that holds a few numbers. */
 #define TW_PATH_SIZE 160
 
-/* A number drawn evenly between the two. */
-double tw_jitter(tw_core *core, double least, double most);
 /* For how long at most, after the end of its authority, a leader renews workers' leases. */
 double tw_renewal_without_authority_s(const tw_core *core);
 void tw_peer_heartbeat_response(tw_core *core, const tw_call *sent, int status, const char *body,
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -21,7 +21,7 @@
 
 bool tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks) {
     if (job->team < 0) return false;
-    const tw_config_team *team = &core->config->teams[job->team];
+    const tw_config_team *team = &core->context.config->teams[job->team];
     return (team->cpus_max <= 0 || core->team_cores_used[job->team] + tasks * job->spec.cores <=
                                        team->cpus_max + TW_CAPACITY_ROUNDING) &&
            (team->gpus_max <= 0 || core->team_gpus_used[job->team] + tasks * job->spec.gpus <=
@@ -87,7 +87,7 @@
     if (!tw_quarantine_allows(machine) || tw_gang_was_on(job, machine)) return false;
     if (!tw_gang_reservation_allows(core, job, machine)) return false;
     for (int i = 0; i < job->failed_machine_count; i++)
-        if (job->failed_machines[i] == machine && core->now < job->failed_machines_until)
+        if (job->failed_machines[i] == machine && core->context.now < job->failed_machines_until)
             return false;
     return true;
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -15,7 +15,7 @@
 /* ---- construction ---- */
 
 static void init_peers(tw_core *core) {
-    const tw_config *config = core->config;
+    const tw_config *config = core->context.config;
     core->peer_count = config->npeers;
     core->peers = tw_alloc(config->npeers * sizeof *core->peers);
     for (size_t i = 0; i < config->npeers; i++) {
@@ -28,8 +28,8 @@
 
 /* What the settings want of each class of jobs. */
 static void init_objectives(tw_core *core) {
-    for (size_t i = 0; i < core->config->nobjectives; i++) {
-        const tw_config_objective *objective = &core->config->objectives[i];
+    for (size_t i = 0; i < core->context.config->nobjectives; i++) {
+        const tw_config_objective *objective = &core->context.config->objectives[i];
         if (!*objective->cls) continue;
         tw_job_class *class = tw_job_class_get(core, objective->cls);
         if (strcmp(objective->kind, "wait") == 0) class->start_within_s = objective->within_s;
@@ -40,11 +40,7 @@
 
 tw_core *tw_core_new(const tw_config *config, uint64_t seed, double now, double wall) {
     tw_core *core = tw_alloc(sizeof *core);
-    core->config = config;
-    core->now = now;
-    core->wall = wall;
-    core->rng = gsl_rng_alloc(gsl_rng_taus2);
-    gsl_rng_set(core->rng, (unsigned long)seed);
+    tw_context_init(&core->context, config, seed, now, wall);
     core->started_at = now;
     core->store_answered_at = LONG_AGO;
     core->leader_lease_s = fmax(SHORTEST_TTL_S, config->tune.election_ratio * config->lease_s);
@@ -72,7 +68,6 @@
     tw_held_heartbeats_free(core);
     tw_delegate_free(core);
     tw_worker_redirects_free(core);
-    tw_effects_free(core);
     free_classes(core);
     free(core->machine_types);
     tw_wire_heartbeat_cache_free(core->heartbeat_cache);
@@ -84,17 +79,12 @@
     free(core->peers);
     free(core->team_cores_used);
     free(core->team_gpus_used);
-    gsl_rng_free(core->rng);
+    tw_context_free(&core->context);
     free(core);
 }
 
 /* ---- inputs ---- */
 
-static void set_time(tw_core *core, double now, double wall) {
-    if (now > core->now) core->now = now;
-    core->wall = wall;
-}
-
 /* Whether this node leads, has read the records of its term and may command. */
 static bool is_in_command(const tw_core *core) {
     return core->phase == TW_PHASE_ACTIVE && tw_leader_may(core, TW_PERMISSION_WRITE);
@@ -103,7 +93,7 @@
 /* What follows from any input: placing, writing, sending. */
 static void run_follow_up(tw_core *core) {
     if (!is_in_command(core)) return;
-    if (core->scheduling_due && core->now >= core->next_pass_at) tw_scheduler_run(core);
+    if (core->scheduling_due && core->context.now >= core->next_pass_at) tw_scheduler_run(core);
     tw_job_store_flush(core);
     tw_commands_send_direct(core);
 }
@@ -133,9 +123,9 @@
 /* Useful requests can be served while the state service or another node answers us. */
 static void on_health(tw_core *core, const request *request) {
     if (tw_node_is_isolated(core) && !tw_leader_may(core, TW_PERMISSION_ANSWER))
-        tw_reply_error(core, request->conn, TW_HTTP_UNAVAILABLE, 1, "isolated");
+        tw_reply_error(&core->context, request->conn, TW_HTTP_UNAVAILABLE, 1, "isolated");
     else
-        tw_reply(core, request->conn, TW_HTTP_OK, 0, strdup("{\"up\":true}"));
+        tw_reply(&core->context, request->conn, TW_HTTP_OK, 0, strdup("{\"up\":true}"));
 }
 
 static void on_submission(tw_core *core, const request *request) {
@@ -186,14 +176,15 @@
         *verb = 0;
         tw_user_cancel(core, request->conn, id, request->from_peer);
     } else {
-        tw_reply_error(core, request->conn, verb ? TW_HTTP_NOT_FOUND : TW_HTTP_METHOD_NOT_ALLOWED,
-                       0, "no such resource");
+        tw_reply_error(&core->context, request->conn,
+                       verb ? TW_HTTP_NOT_FOUND : TW_HTTP_METHOD_NOT_ALLOWED, 0,
+                       "no such resource");
     }
 }
 
 void tw_core_request(tw_core *core, double now, double wall, tw_port port, uint64_t connection,
                      const char *method, const char *path, const char *body, size_t len) {
-    set_time(core, now, wall);
+    tw_context_set_time(&core->context, now, wall);
     char path_only[PATH_SIZE];
     snprintf(path_only, sizeof path_only, "%.*s", (int)strcspn(path, "?#"), path);
     const request request = {.conn = connection,
@@ -208,7 +199,7 @@
     else if (is_about_job(&request))
         on_job_request(core, &request);
     else
-        tw_reply_error(core, connection, TW_HTTP_NOT_FOUND, 0, "no such resource");
+        tw_reply_error(&core->context, connection, TW_HTTP_NOT_FOUND, 0, "no such resource");
     run_follow_up(core);
 }
 
@@ -287,28 +278,34 @@
     if (!what || !tw_log_on(TW_LOG_DEBUG)) return;
     tw_log_debug("event=state_read what=%s status=%d revision=%llu took_s=%.3f token=%llu stale=%d",
                  what, status, (unsigned long long)revision_of(status, body, len),
-                 core->now - sent->sent_at, (unsigned long long)core->fencing_token,
-                 responses[sent->kind].of_term && sent->term != core->term);
+                 core->context.now - sent->sent_at, (unsigned long long)core->fencing_token,
+                 responses[sent->kind].of_term && sent->term != core->context.term);
 }
 
 void tw_core_response(tw_core *core, double now, double wall, uint64_t id, int status,
                       const char *body, size_t len) {
-    set_time(core, now, wall);
-    tw_call *sent = tw_call_answered(core, id, status);
+    tw_context_set_time(&core->context, now, wall);
+    tw_call *sent = tw_call_answered(&core->context, id, status);
     if (!sent) return;
     log_read(core, sent, status, body, len);
-    if (!responses[sent->kind].of_term || sent->term == core->term)
+    if (!responses[sent->kind].of_term || sent->term == core->context.term)
         responses[sent->kind].handle(core, sent, status, body, len);
     tw_call_free(sent);
     run_follow_up(core);
 }
 
+/* ---- effects ---- */
+
+tw_effect *tw_core_next_effect(tw_core *core) { return tw_context_next_effect(&core->context); }
+
+void tw_core_effect_free(tw_effect *effect) { tw_effect_free(effect); }
+
 /* ---- ticks ---- */
 
 uint64_t tw_core_pass_steps(const tw_core *core) { return core->pass_steps; }
 
 double tw_core_tick_s(const tw_core *core) {
-    const double interval_s = core->config->report_s / TICKS_PER_REPORT;
+    const double interval_s = core->context.config->report_s / TICKS_PER_REPORT;
     return fmin(LONGEST_TICK_S, fmax(SHORTEST_TICK_S, interval_s));
 }
 
@@ -317,14 +314,15 @@
     tw_delegates_tick(core);
     tw_peer_admissions_tick(core);
     tw_machines_tick(core);
-    if (core->now < core->next_recheck_at) return;
-    core->next_recheck_at = core->now + core->config->tune.recheck_ratio * core->config->report_s;
+    if (core->context.now < core->next_recheck_at) return;
+    core->next_recheck_at = core->context.now + core->context.config->tune.recheck_ratio *
+                                                    core->context.config->report_s;
     tw_scheduler_recheck(core);
 }
 
 void tw_core_tick(tw_core *core, double now, double wall) {
-    set_time(core, now, wall);
-    tw_calls_log_counts(core);
+    tw_context_set_time(&core->context, now, wall);
+    tw_calls_log_counts(&core->context);
     tw_permissions_log(core);
     tw_election_tick(core);
     tw_jobs_tick(core);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -4,6 +4,7 @@
 #ifndef TW_CORE_H
 #define TW_CORE_H
 #include "config/config.h"
+#include "context/context.h"
 #include <stddef.h>
 #include <stdint.h>
 
@@ -11,23 +12,6 @@
 
 /* Where a request came in: users, workers and health checks; other nodes. */
 typedef enum { TW_PORT_API, TW_PORT_PEER } tw_port;
-typedef enum { TW_EFFECT_REPLY, TW_EFFECT_CALL } tw_effect_kind;
-/* Whom a call goes to. */
-typedef enum { TW_TO_STATE, TW_TO_CLOUD, TW_TO_PEER, TW_TO_WORKER } tw_call_target;
-
-typedef struct tw_effect {
-    tw_effect_kind kind;
-    uint64_t id; /* REPLY: the request's conn; CALL: give it back with the response */
-    int status;
-    double retry_after; /* REPLY: seconds, 0: none */
-    tw_call_target to;  /* CALL */
-    char addr[TW_NAME_SIZE];
-    const char *method;
-    char *path, *body;
-    double timeout_s;
-    struct tw_effect *next;
-} tw_effect;
-
 /* now: steady seconds; wall: time of day in seconds. */
 tw_core *tw_core_new(const tw_config *config, uint64_t seed, double now, double wall);
 void tw_core_free(tw_core *core);
--- a/src/core/core_int.h
+++ b/src/core/core_int.h
@@ -5,22 +5,18 @@
 #ifndef TW_CORE_INT_H
 #define TW_CORE_INT_H
 #include "core/attempt_termination.h"
-#include "core/rate_limiter.h"
-#include "core/call.h"
+#include "context/context.h"
 #include "core/core.h"
 #include "core/counters.h"
-#include "core/expiring_name.h"
 #include "core/gang.h"
 #include "core/job.h"
 #include "core/machine.h"
-#include "core/memory.h"
 #include "core/peers.h"
 #include "core/placement.h"
 #include "core/autoscaler.h"
 #include "core/capacity.h"
 #include "core/scheduler.h"
 #include "core/state.h"
-#include "core/status.h"
 #include "log/log.h"
 #include "wire/wire.h"
 #include <math.h>
@@ -29,4 +25,7 @@
 #include <string.h>
 #include <utlist.h>
 
+/* rate_limits.c: sets this node's parts of what the state service and the cloud take. */
+void tw_rate_limiters_init(tw_core *core);
+
 #endif
--- a/src/core/delegate_registry.c
+++ b/src/core/delegate_registry.c
@@ -32,8 +32,9 @@
 void tw_delegates_read(tw_core *core) {
     if (core->delegates_read_in_flight) return;
     core->delegates_read_in_flight = true;
-    tw_call_send(core, TW_CALL_READ_DELEGATE_KEYS, TW_TO_STATE, core->config->state, "GET",
-                 "/kv?starts=" TW_DELEGATE_KEY "&most=100", NULL, 1);
+    tw_call_send(&core->context, TW_CALL_READ_DELEGATE_KEYS, TW_TO_STATE,
+                 core->context.config->state, "GET", "/kv?starts=" TW_DELEGATE_KEY "&most=100",
+                 NULL, 1);
 }
 
 /* Takes in a deputy's key; returns whether it is a newer one than is known. */
@@ -44,7 +45,7 @@
     node->delegate_revision = entry->mod_revision;
     /* One of an earlier term is covered by tw_predecessor_renewals_end. */
     node->delegate_until =
-        core->now + tw_delegate_lease_s(core) * (1 + 2 * core->config->tune.drift);
+        core->context.now + tw_delegate_lease_s(core) * (1 + 2 * core->context.config->tune.drift);
     return true;
 }
 
@@ -71,10 +72,10 @@
     bool away = !core->delegates_known;
     for (size_t i = 0; i < core->peer_count; i++) {
         const tw_peer *node = &core->peers[i];
-        away |= node->answered_at < core->now - 1 - 0.5 * core->leader_lease_s ||
-                node->delegate_until > core->now;
+        away |= node->answered_at < core->context.now - 1 - 0.5 * core->leader_lease_s ||
+                node->delegate_until > core->context.now;
     }
-    if (!away || core->now < core->next_delegates_read_at) return;
-    core->next_delegates_read_at = core->now + READ_LEASES * core->config->lease_s;
+    if (!away || core->context.now < core->next_delegates_read_at) return;
+    core->next_delegates_read_at = core->context.now + READ_LEASES * core->context.config->lease_s;
     tw_delegates_read(core);
 }
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -48,24 +48,22 @@
 #define WAIT_LEAST 0.5
 #define WAIT_MOST 1.5
 
-double tw_jitter(tw_core *core, double least, double most) {
-    return least + (most - least) * gsl_rng_uniform(core->rng);
-}
-
 /* In which the limit allows a request to each node. */
 static double request_round_s(const tw_core *core) {
-    return (double)(core->peer_count + 1) / core->config->state_rps;
+    return (double)(core->peer_count + 1) / core->context.config->state_rps;
 }
 
 void tw_election_init(tw_core *core) {
-    const double rate = core->config->tune.write_share * FOLLOW_SHARE / request_round_s(core);
+    const double rate =
+        core->context.config->tune.write_share * FOLLOW_SHARE / request_round_s(core);
     const double burst = fmax(ELECTION_REQUESTS, rate);
-    core->election_limiter = tw_rate_limiter_make(rate, burst, core->now);
+    core->election_limiter = tw_rate_limiter_make(rate, burst, core->context.now);
 }
 
 double tw_rate_limited_wait_s(tw_core *core, int status) {
     if (status != TW_HTTP_TOO_MANY) return 0;
-    return LEADER_WAIT_REQUESTS / core->config->state_rps * tw_jitter(core, WAIT_LEAST, WAIT_MOST);
+    return LEADER_WAIT_REQUESTS / core->context.config->state_rps *
+           tw_context_random(&core->context, WAIT_LEAST, WAIT_MOST);
 }
 
 /* A node whose requests are refused asks ever less often: a limit that all nodes exceed together,
@@ -76,9 +74,9 @@
         return;
     }
     const double wait = ldexp(request_round_s(core), core->election_refusals) *
-                        tw_jitter(core, WAIT_LEAST, WAIT_MOST);
+                        tw_context_random(&core->context, WAIT_LEAST, WAIT_MOST);
     if (core->election_refusals < REFUSED_MOST) core->election_refusals++;
-    core->next_leader_read_at = fmax(core->next_leader_read_at, core->now + wait);
+    core->next_leader_read_at = fmax(core->next_leader_read_at, core->context.now + wait);
 }
 
 /* A request of an election that has begun: it is not broken off for want of budget, which is paid
@@ -86,7 +84,8 @@
 static void election_call(tw_core *core, tw_call_kind kind, const char *method, const char *path,
                           char *body /* owned */, double timeout_s) {
     tw_rate_limiter_refund(&core->election_limiter, -1);
-    tw_call_send(core, kind, TW_TO_STATE, core->config->state, method, path, body, timeout_s);
+    tw_call_send(&core->context, kind, TW_TO_STATE, core->context.config->state, method, path, body,
+                 timeout_s);
 }
 
 /* ---- terms ---- */
@@ -94,17 +93,18 @@
 void tw_leader_step_down(tw_core *core, const char *why) {
     if (core->role != TW_ROLE_LEADER) return;
     tw_log_info("event=leader_stepped_down token=%llu why=\"%s\" led_s=%.2f authority_left_s=%.3f",
-                (unsigned long long)core->fencing_token, why, core->now - core->acquired_at,
-                core->authority_until - core->now);
+                (unsigned long long)core->fencing_token, why, core->context.now - core->acquired_at,
+                core->authority_until - core->context.now);
     core->role = TW_ROLE_FOLLOWER;
-    core->term++;
+    core->context.term++;
     core->renewals_in_flight = 0;
     core->lease_id = 0;
-    if (!strcmp(core->leader_name, core->config->host_name)) *core->leader_name = 0;
+    if (!strcmp(core->leader_name, core->context.config->host_name)) *core->leader_name = 0;
     tw_term_clear(core);
     core->watch_from_revision = 0;
     core->next_leader_read_at =
-        core->now + core->leader_lease_s * tw_jitter(core, RESIGNED_LEAST, RESIGNED_MOST);
+        core->context.now +
+        core->leader_lease_s * tw_context_random(&core->context, RESIGNED_LEAST, RESIGNED_MOST);
 }
 
 /* Any sign of a later leader: from the state service, a peer or a worker. */
@@ -112,7 +112,7 @@
     if (token > core->highest_token_seen) core->highest_token_seen = token;
     if (leader && *leader && token >= core->leader_token) {
         core->leader_token = token;
-        core->leader_seen_at = core->now;
+        core->leader_seen_at = core->context.now;
         snprintf(core->leader_name, sizeof core->leader_name, "%s", leader);
     }
     if (core->role == TW_ROLE_LEADER && token > core->fencing_token)
@@ -121,28 +121,28 @@
 
 /* Until when the lease, granted or renewed by a request sent then, gives authority. */
 static double authority_end(const tw_core *core, double sent_at) {
-    return sent_at + core->leader_lease_s * (1 - 2 * core->config->tune.drift) -
+    return sent_at + core->leader_lease_s * (1 - 2 * core->context.config->tune.drift) -
            core->leader_lease_s * AUTHORITY_MARGIN;
 }
 
 static void become_leader(tw_core *core, uint64_t token) {
     core->role = TW_ROLE_LEADER;
-    core->term++;
+    core->context.term++;
     core->fencing_token = token;
-    core->acquired_at = core->now;
+    core->acquired_at = core->context.now;
     core->authority_until = authority_end(core, core->lease_requested_at);
-    core->next_renewal_at = core->now;
+    core->next_renewal_at = core->context.now;
     core->renewals_in_flight = 0;
-    core->peers_confirmed_at = core->peer_count ? 0 : core->now;
+    core->peers_confirmed_at = core->peer_count ? 0 : core->context.now;
     for (size_t i = 0; i < core->peer_count; i++) {
-        core->peers[i].next_heartbeat_at = core->now;
+        core->peers[i].next_heartbeat_at = core->context.now;
         core->peers[i].cancellations_known = core->peers[i].cancellations_told = 0;
         core->peers[i].delegation_until =
             0; /* given by us in an earlier term: under an older token */
     }
-    tw_leader_observe_token(core, token, core->config->host_name);
+    tw_leader_observe_token(core, token, core->context.config->host_name);
     tw_log_info("event=leader_elected token=%llu authority_s=%.3f renewal_limit_s=%.2f",
-                (unsigned long long)token, core->authority_until - core->now,
+                (unsigned long long)token, core->authority_until - core->context.now,
                 tw_renewal_without_authority_s(core));
     tw_failover_begin(core);
 }
@@ -151,8 +151,9 @@
 
 static void read_leader_key(tw_core *core) {
     core->leader_read_in_flight = true;
-    tw_call_send(core, TW_CALL_READ_LEADER, TW_TO_STATE, core->config->state, "GET",
-                 "/kv/" TW_LEADER_KEY, NULL, fmax(1, core->leader_lease_s * ELECTION_TIMEOUT));
+    tw_call_send(&core->context, TW_CALL_READ_LEADER, TW_TO_STATE, core->context.config->state,
+                 "GET", "/kv/" TW_LEADER_KEY, NULL,
+                 fmax(1, core->leader_lease_s * ELECTION_TIMEOUT));
 }
 
 /* A watch instead of many polls: the state service's limit is for all nodes together, and the end
@@ -165,8 +166,8 @@
     core->leader_read_in_flight = true;
     snprintf(path, sizeof path, "/follow?starts=" TW_LEADER_KEY "&since=%llu&holdMs=%d",
              (unsigned long long)core->watch_from_revision, (int)(hold * MS));
-    tw_call_send(core, TW_CALL_WATCH_LEADER, TW_TO_STATE, core->config->state, "GET", path, NULL,
-                 hold + core->leader_lease_s * 0.5 + WATCH_ANSWER_S);
+    tw_call_send(&core->context, TW_CALL_WATCH_LEADER, TW_TO_STATE, core->context.config->state,
+                 "GET", path, NULL, hold + core->leader_lease_s * 0.5 + WATCH_ANSWER_S);
 }
 
 static void on_watch(tw_core *core, int status, const char *body, size_t len) {
@@ -175,15 +176,18 @@
     core->watch_from_revision = 0;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len)) {
         core->next_leader_read_at =
-            core->now + core->leader_lease_s * tw_jitter(core, WATCH_RETRY_LEAST, WATCH_RETRY_MOST);
+            core->context.now + core->leader_lease_s * tw_context_random(&core->context,
+                                                                         WATCH_RETRY_LEAST,
+                                                                         WATCH_RETRY_MOST);
     } else if (tw_wire_watch_has_changes(body, len)) {
         /* Not all followers at the same moment. */
         const double spread =
             fmax(core->leader_lease_s * CHANGED_SPREAD, request_round_s(core) * SPREAD_ROUNDS);
-        core->next_leader_read_at = core->now + tw_jitter(core, 0, spread);
+        core->next_leader_read_at =
+            core->context.now + tw_context_random(&core->context, 0, spread);
     } else {
         core->watch_from_revision = revision;
-        core->next_leader_read_at = core->now;
+        core->next_leader_read_at = core->context.now;
     }
 }
 
@@ -192,7 +196,7 @@
 static void start_election(tw_core *core) {
     char body[64];
     core->election_in_flight = true;
-    core->lease_requested_at = core->now;
+    core->lease_requested_at = core->context.now;
     snprintf(body, sizeof body, "{\"lifeMs\":%d}", (int)(core->leader_lease_s * MS));
     election_call(core, TW_CALL_GRANT_LEASE, "POST", "/grants", strdup(body),
                   core->leader_lease_s * ELECTION_TIMEOUT);
@@ -211,11 +215,11 @@
     /* Our own name while we don't lead: an earlier life of this node, or an acquisition whose
      * answer was lost. Nobody acts on it any more, so its lease is ended at once. */
     if (core->role == TW_ROLE_FOLLOWER && !core->election_in_flight &&
-        !strcmp(leader, core->config->host_name)) {
+        !strcmp(leader, core->context.config->host_name)) {
         revoke_lease(core, entry->lease_id);
         *core->leader_name = 0;
         core->watch_from_revision = 0;
-        core->next_leader_read_at = core->now + OWN_KEY_GONE_S;
+        core->next_leader_read_at = core->context.now + OWN_KEY_GONE_S;
     }
 }
 
@@ -229,7 +233,7 @@
     tw_wire_entry entry;
     if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, len)) return;
     core->watch_from_revision = entry.mod_revision;
-    if (core->role == TW_ROLE_FOLLOWER) core->next_leader_read_at = core->now;
+    if (core->role == TW_ROLE_FOLLOWER) core->next_leader_read_at = core->context.now;
     cJSON *data = cJSON_Parse(entry.value);
     const cJSON *node = cJSON_GetObjectItemCaseSensitive(data, "node");
     if (cJSON_IsString(node) && strlen(node->valuestring) < TW_NAME_SIZE)
@@ -246,7 +250,7 @@
     }
     core->lease_id = lease_id;
     char data[128];
-    snprintf(data, sizeof data, "{\"node\":\"%s\"}", core->config->host_name);
+    snprintf(data, sizeof data, "{\"node\":\"%s\"}", core->context.config->host_name);
     tw_wire_compare absent = {TW_LEADER_KEY, 0};
     tw_wire_write key = {TW_LEADER_KEY, data, lease_id};
     election_call(core, TW_CALL_ACQUIRE_LEADERSHIP, "POST", "/txn",
@@ -257,7 +261,7 @@
     uint64_t revision;
     core->election_in_flight = false;
     if (status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, len) &&
-        core->now < core->lease_requested_at + core->leader_lease_s * ACQUIRED_LATEST) {
+        core->context.now < core->lease_requested_at + core->leader_lease_s * ACQUIRED_LATEST) {
         become_leader(core, revision);
         return;
     }
@@ -266,7 +270,8 @@
     core->lease_id = 0;
     core->watch_from_revision = 0;
     core->next_leader_read_at =
-        core->now + core->leader_lease_s * tw_jitter(core, LOST_LEAST, LOST_MOST);
+        core->context.now +
+        core->leader_lease_s * tw_context_random(&core->context, LOST_LEAST, LOST_MOST);
 }
 
 /* ---- the leader's lease ---- */
@@ -275,29 +280,29 @@
     char path[TW_PATH_SIZE];
     snprintf(path, sizeof path, "/grants/%llu/renew", (unsigned long long)core->lease_id);
     core->renewals_in_flight++;
-    core->renewal_sent_at = core->now;
-    tw_call_send(core, TW_CALL_RENEW_LEASE, TW_TO_STATE, core->config->state, "POST", path,
-                 strdup("{}"), core->leader_lease_s * RENEW_TIMEOUT);
+    core->renewal_sent_at = core->context.now;
+    tw_call_send(&core->context, TW_CALL_RENEW_LEASE, TW_TO_STATE, core->context.config->state,
+                 "POST", path, strdup("{}"), core->leader_lease_s * RENEW_TIMEOUT);
 }
 
 static void on_renew(tw_core *core, const tw_call *sent, int status) {
-    if (sent->term != core->term || core->role != TW_ROLE_LEADER) return;
+    if (sent->term != core->context.term || core->role != TW_ROLE_LEADER) return;
     if (core->renewals_in_flight) core->renewals_in_flight--;
     if (status == TW_HTTP_OK) {
         const double until = authority_end(core, sent->sent_at);
-        if (core->now >= core->authority_until)
+        if (core->context.now >= core->authority_until)
             tw_log_info("event=authority_regained token=%llu",
                         (unsigned long long)core->fencing_token);
         tw_log_debug("event=leader_lease_renewed token=%llu authority_s=%.3f",
-                     (unsigned long long)core->fencing_token, until - core->now);
+                     (unsigned long long)core->fencing_token, until - core->context.now);
         if (until > core->authority_until) core->authority_until = until;
         core->next_renewal_at = sent->sent_at + core->leader_lease_s * RENEW_EVERY;
         core->scheduling_due = true;
     } else if (status == TW_HTTP_NOT_FOUND) {
         tw_leader_step_down(core, "lease lost");
     } else {
-        core->next_renewal_at = core->now + fmax(core->leader_lease_s * RENEW_RETRY,
-                                                 tw_rate_limited_wait_s(core, status));
+        core->next_renewal_at = core->context.now + fmax(core->leader_lease_s * RENEW_RETRY,
+                                                         tw_rate_limited_wait_s(core, status));
     }
 }
 
@@ -305,7 +310,7 @@
 
 static void note_store_answer(tw_core *core, int status) {
     if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND || status == TW_HTTP_CONFLICT)
-        core->store_answered_at = core->now;
+        core->store_answered_at = core->context.now;
 }
 
 void tw_election_response(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
@@ -337,24 +342,26 @@
 }
 
 static void leader_tick(tw_core *core) {
-    const bool due = !core->renewals_in_flight && core->now >= core->next_renewal_at;
+    const bool due = !core->renewals_in_flight && core->context.now >= core->next_renewal_at;
     /* A second one when the first is slow: the state service now and then takes long. */
-    const bool slow = core->renewals_in_flight == 1 &&
-                      core->now >= core->renewal_sent_at + core->leader_lease_s * RENEW_SLOW;
+    const bool slow =
+        core->renewals_in_flight == 1 &&
+        core->context.now >= core->renewal_sent_at + core->leader_lease_s * RENEW_SLOW;
     if (due || slow) renew_lease(core);
-    if (core->now >= core->authority_until + tw_renewal_without_authority_s(core) ||
-        (core->phase == TW_PHASE_LOADING && core->now >= core->authority_until))
+    if (core->context.now >= core->authority_until + tw_renewal_without_authority_s(core) ||
+        (core->phase == TW_PHASE_LOADING && core->context.now >= core->authority_until))
         tw_leader_step_down(core, "no authority");
 }
 
 /* Followers watch the key; a leader without authority looks whether it was replaced. */
 static void follower_tick(tw_core *core) {
     if (core->leader_read_in_flight || core->election_in_flight ||
-        core->now < core->next_leader_read_at)
+        core->context.now < core->next_leader_read_at)
         return;
-    if (!tw_rate_limiter_try_acquire(core, &core->election_limiter, 1)) return;
+    if (!tw_rate_limiter_try_acquire(&core->election_limiter, core->context.now, 1)) return;
     core->next_leader_read_at =
-        core->now + core->leader_lease_s * tw_jitter(core, POLL_LEAST, POLL_MOST);
+        core->context.now +
+        core->leader_lease_s * tw_context_random(&core->context, POLL_LEAST, POLL_MOST);
     if (core->watch_from_revision && core->role == TW_ROLE_FOLLOWER)
         watch_leader_key(core);
     else
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -17,8 +17,8 @@
     const double slowness = placed->machine->slowness > 0 ? placed->machine->slowness : 1;
     const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
     const double runs_from =
-        placed->running_since > 0 ? placed->running_since : core->now + START_S;
-    return fmax(runs_from + run_s, core->now + LEAST_REST * run_s);
+        placed->running_since > 0 ? placed->running_since : core->context.now + START_S;
+    return fmax(runs_from + run_s, core->context.now + LEAST_REST * run_s);
 }
 
 /* What a task's end is expected to leave on its machine, beside what is free there already. */
@@ -68,7 +68,7 @@
         /* What is given back beside GPUs that stay free is kept for them. */
         if (!tw_bin_leaves_gpus(core, &release->room, &job->spec, job->any_machine)) continue;
         tw_bin_take(&release->room, &job->spec);
-        return fmax(core->now, release->at);
+        return fmax(core->context.now, release->at);
     }
     return INFINITY;
 }
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -36,7 +36,7 @@
 
 static void enter_state(tw_core *core, tw_job *job, tw_gang_state state, const char *why) {
     job->gang.state = state;
-    core->next_job_sweep_at = core->now;
+    core->next_job_sweep_at = core->context.now;
     tw_log_debug("event=gang_state_changed id=%s attempt=%llu state=%s placed=%d tasks=%d why=%s",
                  job->id, (unsigned long long)job->gang.attempt, tw_gang_state_name(job),
                  job->placed_count, job->task_count, why);
@@ -57,22 +57,22 @@
 static double ready_at(const tw_core *core, const tw_placement *placed) {
     const tw_machine *machine = placed->machine;
     const tw_image *image = tw_image_find(machine, placed->job);
-    if (image) return fmax(core->now, image->ready_at);
+    if (image) return fmax(core->context.now, image->ready_at);
     const double s_per_gb = machine->fetch_s_per_gb < 0
                                 ? core->machine_types[machine->type_index].fetch_s_per_gb
                                 : machine->fetch_s_per_gb;
-    return core->now + s_per_gb * placed->job->spec.image_gb;
+    return core->context.now + s_per_gb * placed->job->spec.image_gb;
 }
 
 /* Those that would be ready so much sooner than the last one that they would give up waiting for it
  * are launched later. */
 static void stagger_launches(const tw_core *core, tw_job *job) {
-    const double spare_s = STAGGER * core->config->gang_wait_s;
+    const double spare_s = STAGGER * core->context.config->gang_wait_s;
     double last = 0;
     tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) { last = fmax(last, ready_at(core, task)); }
     DL_FOREACH2(job->placements, task, job_next) {
-        task->launch_after = last - spare_s - (ready_at(core, task) - core->now);
+        task->launch_after = last - spare_s - (ready_at(core, task) - core->context.now);
     }
 }
 
@@ -112,7 +112,7 @@
     if (!is_under_way(job) || placed->attempt != gang->attempt || gang->state != TW_GANG_GATHERING)
         return;
     if (placed->state == TW_TASK_WAITING && gang->waiting_since <= 0)
-        gang->waiting_since = core->now;
+        gang->waiting_since = core->context.now;
     if (placed->state == TW_TASK_RUNNING || placed->state == TW_TASK_SAVING)
         enter_state(core, job, TW_GANG_RUNNING, "started");
 }
@@ -126,7 +126,7 @@
 static void note_vacated(tw_core *core, tw_job *job, const tw_placement *placed) {
     tw_gang *gang = &job->gang;
     const bool was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
-    if (gang->missing_since <= 0) gang->missing_since = core->now;
+    if (gang->missing_since <= 0) gang->missing_since = core->context.now;
     if (was_there && gang->vacated_count < TW_GANG_MAX_REPLACED)
         gang->vacated[gang->vacated_count++] = placed->machine;
 }
@@ -142,7 +142,7 @@
         gang->vacated_count = 0;
     } else if (gang->state == TW_GANG_STOPPING) {
         if (!gang->saved) gang->grace_s = 0; /* what the others still save is lost */
-        core->next_job_sweep_at = core->now;
+        core->next_job_sweep_at = core->context.now;
     } else if (had_started) {
         tw_gang_stop(core, job, 0);
     } else {
@@ -171,7 +171,8 @@
         const tw_machine *machine = task->machine;
         if (!machine->confirmed || machine->lease_expired || machine->return_wanted ||
             machine->failed_sends ||
-            core->now - machine->last_contact_at > TW_IN_TOUCH_HEARTBEATS * core->config->report_s)
+            core->context.now - machine->last_contact_at >
+                TW_IN_TOUCH_HEARTBEATS * core->context.config->report_s)
             return false;
     }
     return true;
@@ -216,18 +217,18 @@
     if (gang->missing_since <= 0 || !missing_tasks(job)) return false;
     if (gang->vacated_count >= TW_GANG_MAX_REPLACED) return true;
     if (gang->waiting_since <= 0)
-        return core->now > gang->missing_since + core->config->gang_wait_s;
+        return core->context.now > gang->missing_since + core->context.config->gang_wait_s;
     /* Meanwhile the others hold their room for nothing. */
-    return core->now > gang->missing_since + core->config->gang_peer_s ||
-           core->now > gang->waiting_since + core->config->gang_wait_s;
+    return core->context.now > gang->missing_since + core->context.config->gang_peer_s ||
+           core->context.now > gang->waiting_since + core->context.config->gang_wait_s;
 }
 
 /* Launches that were put off are due. */
 static void send_due_launches(tw_core *core, const tw_job *job) {
     const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) {
-        if (!task->launch_sent && !task->direct_launches && core->now >= task->launch_after &&
-            task->version <= job->durable_version)
+        if (!task->launch_sent && !task->direct_launches &&
+            core->context.now >= task->launch_after && task->version <= job->durable_version)
             tw_machine_want_commands(core, task->machine);
     }
 }
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -22,7 +22,8 @@
 static bool may_hold(const tw_core *core, const tw_job *job) {
     if (!job->has_spec || !job->spec.gang || !tw_job_is_pending(core, job) || job->placed_count)
         return false;
-    const double since_s = core->now - fmax(job->submitted_at, job->pending_since) - HOLD_AFTER_S;
+    const double since_s =
+        core->context.now - fmax(job->submitted_at, job->pending_since) - HOLD_AFTER_S;
     return since_s >= 0 && fmod(since_s, 2 * HOLD_MOST_S) < HOLD_MOST_S;
 }
 
@@ -37,22 +38,23 @@
 
 /* When a task is expected to end; INFINITY: a replica's. */
 static double expected_end(const tw_core *core, const tw_placement *placed) {
-    if (placed->stopping) return core->now;
+    if (placed->stopping) return core->context.now;
     if (placed->job->spec.service || !placed->job->has_spec) return INFINITY;
     const double run_s =
         tw_job_run_estimate_s(placed->job) * tw_machine_slowness(core, placed->machine);
-    return fmax(core->now, (placed->running_since > 0 ? placed->running_since : core->now) + run_s);
+    return fmax(core->context.now,
+                (placed->running_since > 0 ? placed->running_since : core->context.now) + run_s);
 }
 
 /* How many tasks of the gang a machine should hold soon, and when. */
 static expectation expect(const tw_core *core, const tw_job *job, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    const double horizon = core->now + HOLD_MOST_S;
+    const double horizon = core->context.now + HOLD_MOST_S;
     tw_bin room = {.type_index = machine->type_index,
                    .cores = type->cores - machine->used_cores,
                    .gpus = type->gpus - machine->used_gpus,
                    .memory_gb = type->memory_gb - machine->used_memory_gb};
-    expectation result = {.machine = machine, .at = core->now};
+    expectation result = {.machine = machine, .at = core->context.now};
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const double end = placed->counted ? expected_end(core, placed) : INFINITY;
@@ -121,7 +123,7 @@
     hold_in(core, job, best, true);
     core->reserving_gang = job;
     tw_log_debug("event=gang_room_reserved id=%s zone=%d in_s=%.1f", job->id, best,
-                 soonest - core->now);
+                 soonest - core->context.now);
 }
 
 bool tw_gang_reservation_allows(const tw_core *core, const tw_job *job, const tw_machine *machine) {
@@ -140,7 +142,7 @@
     if (!holder || holder == job || job->spec.service || job->team != holder->team ||
         job->spec.priority > holder->spec.priority || job->team < 0)
         return true;
-    const tw_config_team *team = &core->config->teams[job->team];
+    const tw_config_team *team = &core->context.config->teams[job->team];
     return leaves(team->cpus_max, core->team_cores_used[job->team], job->spec.cores,
                   holder->spec.cores * holder->task_count) &&
            leaves(team->gpus_max, core->team_gpus_used[job->team], job->spec.gpus,
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -20,9 +20,10 @@
  * the worker's 4 s. Takes the body. */
 static void hold_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
                            double until) {
-    if (core->now >= until || core->held_count >= core->config->sockets / HELD_SHARE) {
+    if (core->context.now >= until ||
+        core->held_count >= core->context.config->sockets / HELD_SHARE) {
         tw_log_debug("event=heartbeat_rejected worker=%s", worker);
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no leader answers");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no leader answers");
         free(body);
         return;
     }
@@ -44,10 +45,10 @@
         hold_heartbeat(core, connection, worker, body, until);
         return;
     }
-    if (core->now >= core->forwarding_paused_until) {
+    if (core->context.now >= core->forwarding_paused_until) {
         tw_call *sent =
-            tw_call_send(core, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader->config.addr, "POST",
-                         "/peer/hello", strdup(body), RELAY_TIMEOUT_S);
+            tw_call_send(&core->context, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader->config.addr,
+                         "POST", "/peer/hello", strdup(body), RELAY_TIMEOUT_S);
         sent->connection = connection;
         sent->text = body;
         sent->until = until;
@@ -58,7 +59,7 @@
     const tw_wire_heartbeat *heartbeat =
         tw_wire_heartbeat_cache_read(core->heartbeat_cache, body, strlen(body));
     if (!heartbeat) {
-        tw_reply_error(core, connection, TW_HTTP_BAD_REQUEST, 0, "malformed report");
+        tw_reply_error(&core->context, connection, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         free(body);
     } else if (tw_delegate_answer_heartbeat(core, connection, heartbeat)) {
         free(body);
@@ -80,8 +81,8 @@
 }
 
 void tw_held_heartbeats_tick(tw_core *core) {
-    if (!core->held_heartbeats || core->now < core->next_held_retry_at) return;
-    core->next_held_retry_at = core->now + RETRY_S;
+    if (!core->held_heartbeats || core->context.now < core->next_held_retry_at) return;
+    core->next_held_retry_at = core->context.now + RETRY_S;
     tw_held_heartbeat *list = core->held_heartbeats, *held, *next;
     core->held_heartbeats = NULL;
     core->held_count = 0;
@@ -92,7 +93,7 @@
 }
 
 void tw_held_heartbeats_retry(tw_core *core) {
-    core->next_held_retry_at = core->now;
+    core->next_held_retry_at = core->context.now;
     tw_held_heartbeats_tick(core);
 }
 
@@ -105,7 +106,7 @@
 
 void tw_heartbeat_forward(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat,
                           const char *body, size_t len) {
-    if (!strcmp(heartbeat->zone, core->config->location)) {
+    if (!strcmp(heartbeat->zone, core->context.config->location)) {
         if (tw_worker_redirect_safer(core, connection, heartbeat)) return;
     } else {
         if (tw_worker_redirect_home(core, connection, heartbeat)) return;
@@ -113,14 +114,16 @@
          * from there as well. */
         tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
         if (!leader) {
-            tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
+            tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
         }
-        if (!tw_worker_home_find(core, heartbeat->zone) && core->now >= leader->avoided_until &&
+        if (!tw_worker_home_find(core, heartbeat->zone) &&
+            core->context.now >= leader->avoided_until &&
             tw_worker_redirect_to(core, connection, heartbeat->worker, leader))
             return;
     }
-    forward_or_hold(core, connection, heartbeat->worker, copy_of(body, len), core->now + HOLD_S);
+    forward_or_hold(core, connection, heartbeat->worker, copy_of(body, len),
+                    core->context.now + HOLD_S);
 }
 
 void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
@@ -132,10 +135,10 @@
     } else if (status == TW_HTTP_OK) {
         core->forwarding_paused_until = 0;
         tw_delegate_note_forwarded(core, sent->name, sent->sent_at);
-        tw_reply(core, sent->connection, TW_HTTP_OK, 0, copy_of(body, len));
+        tw_reply(&core->context, sent->connection, TW_HTTP_OK, 0, copy_of(body, len));
         free(report);
     } else if (!status) {
-        core->forwarding_paused_until = core->now + RELAY_TIMEOUT_S;
+        core->forwarding_paused_until = core->context.now + RELAY_TIMEOUT_S;
         forward_or_hold(core, sent->connection, sent->name, report, sent->until);
     } else {
         hold_heartbeat(core, sent->connection, sent->name, report, sent->until);
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -24,7 +24,9 @@
 int tw_image_count_fetches(const tw_core *core, const tw_machine *machine, const tw_image *but) {
     const tw_image *each;
     int count = 0;
-    DL_FOREACH(machine->images, each) { count += each->ready_at > core->now && each != but; }
+    DL_FOREACH(machine->images, each) {
+        count += each->ready_at > core->context.now && each != but;
+    }
     return count;
 }
 
@@ -64,14 +66,14 @@
         double s_per_gb =
             machine->type_index >= 0 ? core->machine_types[machine->type_index].fetch_s_per_gb : 1;
         if (machine->fetch_s_per_gb > 0) s_per_gb = machine->fetch_s_per_gb;
-        found->ready_at = core->now + job->spec.image_gb * s_per_gb *
-                                          tw_image_fetch_slowdown(core, machine, NULL);
+        found->ready_at = core->context.now + job->spec.image_gb * s_per_gb *
+                                                  tw_image_fetch_slowdown(core, machine, NULL);
         DL_PREPEND(machine->images, found);
     } else if (machine->images != found) { /* most recently used first, as the machine keeps them */
         DL_DELETE(machine->images, found);
         DL_PREPEND(machine->images, found);
     }
-    found->used_at = core->now;
+    found->used_at = core->context.now;
     if (ready) found->ready_at = 0;
     drop_old(core, machine, found);
 }
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -30,8 +30,8 @@
 }
 
 static int team_index(const tw_core *core, const char *name) {
-    for (size_t i = 0; i < core->config->nteams; i++)
-        if (!strcmp(core->config->teams[i].name, name)) return (int)i;
+    for (size_t i = 0; i < core->context.config->nteams; i++)
+        if (!strcmp(core->context.config->teams[i].name, name)) return (int)i;
     return -1;
 }
 
@@ -107,7 +107,7 @@
     tw_waiting_client *client = tw_alloc(sizeof *client);
     client->connection = connection;
     client->cancels = cancels;
-    client->until = core->now + TW_ADMISSION_WAIT_S;
+    client->until = core->context.now + TW_ADMISSION_WAIT_S;
     client->next = job->waiting_clients;
     job->waiting_clients = client;
 }
@@ -146,7 +146,7 @@
         tw_waiting_client *client = *at;
         bool over = job->durable_state != TW_JOB_PENDING;
         if (client->cancels ? over : job->record_exists) {
-            tw_reply(core, client->connection, client->cancels ? TW_HTTP_OK : status, 0,
+            tw_reply(&core->context, client->connection, client->cancels ? TW_HTTP_OK : status, 0,
                      tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
             *at = client->next;
             free(client);
@@ -176,8 +176,8 @@
 
 void tw_job_note_completed(tw_core *core, const char *id, int state, int done) {
     if (!core->completed_jobs)
-        core->completed_jobs =
-            tw_completed_jobs_new((size_t)(FINISHED_SHARE * core->config->mem_mb * BYTES_PER_MIB));
+        core->completed_jobs = tw_completed_jobs_new(
+            (size_t)(FINISHED_SHARE * core->context.config->mem_mb * BYTES_PER_MIB));
     const tw_completion ending = {state, done};
     tw_completed_jobs_add(core->completed_jobs, id, &ending);
 }
@@ -223,8 +223,8 @@
 void tw_job_reject_waiting_clients(tw_core *core, tw_job *job) {
     for (tw_waiting_client *client = job->waiting_clients, *next; client; client = next) {
         next = client->next;
-        tw_admission_reject(core, client->connection, job->id, ceil(job->write_after - core->now),
-                            "too large");
+        tw_admission_reject(core, client->connection, job->id,
+                            ceil(job->write_after - core->context.now), "too large");
         free(client);
     }
     job->waiting_clients = NULL;
@@ -234,7 +234,7 @@
 static void waiting_clients_tick(tw_core *core, tw_job *job) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
         tw_waiting_client *client = *at;
-        if (core->now < client->until && tw_leader_may(core, TW_PERMISSION_ANSWER)) {
+        if (core->context.now < client->until && tw_leader_may(core, TW_PERMISSION_ANSWER)) {
             at = &client->next;
             continue;
         }
@@ -245,8 +245,8 @@
 }
 
 void tw_jobs_tick(tw_core *core) {
-    if (core->role != TW_ROLE_LEADER || core->now < core->next_job_sweep_at) return;
-    core->next_job_sweep_at = core->now + TICK_S;
+    if (core->role != TW_ROLE_LEADER || core->context.now < core->next_job_sweep_at) return;
+    core->next_job_sweep_at = core->context.now + TICK_S;
     tw_job_store_tick(core);
     tw_job *job, *next;
     DL_FOREACH_SAFE(core->active_jobs, job, next) {
@@ -274,7 +274,7 @@
 bool tw_job_is_impossible(tw_core *core, const tw_wire_job *spec) {
     int index = team_index(core, spec->team);
     if (index < 0) return true;
-    const tw_config_team *team = &core->config->teams[index];
+    const tw_config_team *team = &core->context.config->teams[index];
     double at_once = spec->service || spec->gang ? spec->task_count : 1; /* what must run at once */
     if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_CAPACITY_ROUNDING)
         return true;
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -28,16 +28,17 @@
 
 void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job) {
     /* Jobs that stood waiting for the service to come up say nothing of the rate they come at. */
-    bool opening = core->began_without_jobs &&
-                   core->now - core->first_admission_at < OPENING_LEASES * core->config->lease_s;
-    double gap_s = class->last_arrival_at > 0 ? core->now - class->last_arrival_at : FIRST_GAP_S;
+    bool opening = core->began_without_jobs && core->context.now - core->first_admission_at <
+                                                   OPENING_LEASES * core->context.config->lease_s;
+    double gap_s =
+        class->last_arrival_at > 0 ? core->context.now - class->last_arrival_at : FIRST_GAP_S;
     double weight = opening ? 0 : 1 - exp(-gap_s / RATE_TIME_S);
     double tasks = job->task_count;
     if (gap_s < SHORTEST_GAP_S) gap_s = SHORTEST_GAP_S;
     class->task_rate += weight * (tasks / gap_s - class->task_rate);
     class->batch_tasks += SIZE_WEIGHT * (tasks - class->batch_tasks);
     if (job->spec.gang) class->largest_gang = fmax(class->largest_gang, tasks);
-    class->last_arrival_at = core->now;
+    class->last_arrival_at = core->context.now;
     class->sample = job->spec;
     class->sample.machine_types = NULL;
     class->sample_type_mask = job->type_mask;
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -37,7 +37,7 @@
 
 /* The level of jobs of this priority that are within their team's guarantee or not. */
 static int level_of(tw_wire_priority priority, bool guaranteed) {
-    return (TW_PRIORITY_PROD - priority) * 2 + !guaranteed;
+    return (TW_PRIORITY_PROD - (int)priority) * 2 + !guaranteed;
 }
 
 static tw_wire_priority priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
@@ -45,7 +45,7 @@
 bool tw_job_is_pending(const tw_core *core, const tw_job *job) {
     return job->has_spec && job->task_states && job->state == TW_JOB_PENDING && !job->cancelling &&
            job->team >= 0 && job->done_count + job->placed_count < job->task_count &&
-           core->now >= job->retry_at && (!job->spec.gang || tw_gang_is_pending(job));
+           core->context.now >= job->retry_at && (!job->spec.gang || tw_gang_is_pending(job));
 }
 
 /* ---- which jobs are within their team's guarantee ---- */
@@ -68,7 +68,7 @@
     DL_FOREACH(core->active_jobs, job) {
         job->guaranteed = false;
         if (job->team < 0 || !job->has_spec || job->state != TW_JOB_PENDING) continue;
-        const tw_config_team *team = &core->config->teams[job->team];
+        const tw_config_team *team = &core->context.config->teams[job->team];
         if (team->gpus > 0 || team->cpus > 0) jobs[count++] = job;
     }
     return count;
@@ -79,7 +79,7 @@
 static void mark_guaranteed(const tw_core *core, tw_job **jobs, int count) {
     double cpus = 0, gpus = 0;
     for (int from = 0, to; from < count; from = to) {
-        const tw_config_team *team = &core->config->teams[jobs[from]->team];
+        const tw_config_team *team = &core->context.config->teams[jobs[from]->team];
         if (!from || jobs[from]->team != jobs[from - 1]->team) cpus = gpus = 0;
         for (to = from; to < count && submitted_together(jobs[to], jobs[from]); to++) {
             const int tasks = jobs[to]->task_count - jobs[to]->done_count;
@@ -156,13 +156,14 @@
 
 /* More waits with a larger job: its time weighs more, by the root of its work. */
 static double weighed_wait(const tw_core *core, const tw_job *job) {
-    const double work = job->task_count * fmax(job->spec.expected_run_s, core->config->lease_s);
-    return (core->now - job->submitted_at) * sqrt(work);
+    const double work =
+        job->task_count * fmax(job->spec.expected_run_s, core->context.config->lease_s);
+    return (core->context.now - job->submitted_at) * sqrt(work);
 }
 
 static bool is_overdue(const tw_core *core, const tw_job *job) {
     if (job->has_run || job->placed_count || job->done_count) return false;
-    return core->now - job->submitted_at > OVERDUE_AFTER_S;
+    return core->context.now - job->submitted_at > OVERDUE_AFTER_S;
 }
 
 static void note_overdue(const tw_core *core, tw_job_queue *turns) {
@@ -192,7 +193,7 @@
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) { capacity += tw_job_is_pending(core, job); }
     if (capacity) note_guaranteed(core);
-    turns->team_count = (int)core->config->nteams;
+    turns->team_count = (int)core->context.config->nteams;
     turns->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
     turns->groups = tw_alloc((size_t)(LEVELS * turns->team_count) * sizeof *turns->groups);
     group_jobs(core, turns, capacity);
@@ -217,7 +218,7 @@
         if (is_empty(turns->groups[group])) continue;
         const double in_use =
             core->team_gpus_used[team] * GPU_IN_CORES + core->team_cores_used[team];
-        const double use = in_use / core->config->teams[team].share;
+        const double use = in_use / core->context.config->teams[team].share;
         if (use < least) {
             least = use;
             best = group;
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -21,6 +21,17 @@
 #define WRITE_RETRY_S 0.15
 #define READ_RETRY_S 0.2
 
+/* A job's record as a transaction in flight holds it. */
+typedef struct {
+    char id[TW_WIRE_ID_SIZE];
+    uint64_t version;      /* of the job, when the record's text was made */
+    uint64_t mod_revision; /* that the write is conditioned on */
+    tw_wire_job_state state;
+    char chunk_set[TW_WIRE_CHUNK_SET_SIZE]; /* of a chunked one */
+    int chunk_count;
+    size_t bytes; /* of its text */
+} record_write;
+
 /* Records on their way into one transaction. */
 typedef struct {
     int count;
@@ -77,9 +88,10 @@
     tw_job *job, *next;
     DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next) {
         if (batch->count >= most ||
-            batch->count + 1 > tw_rate_limiter_available(core, &core->write_limiter))
+            batch->count + 1 > tw_rate_limiter_available(&core->write_limiter, core->context.now))
             return;
-        if (core->now < job->write_after || job->needs_read || urgent != !!job->write_urgent)
+        if (core->context.now < job->write_after || job->needs_read ||
+            urgent != !!job->write_urgent)
             continue;
         if (batch->count && (job->write_alone || batch->jobs[0]->write_alone)) continue;
         char *text = next_text(core, job);
@@ -90,7 +102,7 @@
 }
 
 /* What a record says that names slices: what the job was when they were made. */
-static void note_chunked(tw_record_write *write, tw_record_chunks *parts) {
+static void note_chunked(record_write *write, tw_record_chunks *parts) {
     write->version = parts->version;
     write->state = parts->state;
     write->chunk_count = parts->count;
@@ -101,11 +113,12 @@
 /* Notes with the call what each record said, for its answer. */
 static void note_writes(tw_call *call, const batch *batch) {
     call->count = batch->count;
-    call->records = tw_alloc((size_t)batch->count * sizeof *call->records);
+    record_write *writes = tw_alloc((size_t)batch->count * sizeof *writes);
+    call->data = writes;
     for (int i = 0; i < batch->count; i++) {
         tw_job *job = batch->jobs[i];
-        tw_record_write *write = &call->records[i];
-        *write = (tw_record_write){
+        record_write *write = &writes[i];
+        *write = (record_write){
             .version = job->version, .mod_revision = job->mod_revision, .state = job->state};
         snprintf(write->id, sizeof write->id, "%s", job->id);
         if (job->chunks) note_chunked(write, job->chunks);
@@ -119,8 +132,8 @@
 
 static void batch_send(tw_core *core, const batch *batch) {
     const int count = batch->count;
-    tw_rate_limiter_try_acquire(core, &core->write_limiter, count);
-    tw_rate_limiter_try_acquire(core, &core->request_limiter, 1);
+    tw_rate_limiter_try_acquire(&core->write_limiter, core->context.now, count);
+    tw_rate_limiter_try_acquire(&core->request_limiter, core->context.now, 1);
     tw_wire_compare compares[MAX_RECORDS + 1 + core->peer_count];
     tw_wire_write writes[MAX_RECORDS];
     for (int i = 0; i < count; i++) {
@@ -131,10 +144,10 @@
     compares[count] = (tw_wire_compare){TW_LEADER_KEY, core->fencing_token};
     int compare_count =
         count + 1 + tw_delegates_compares(core, compares + count + 1, delegate_keys);
-    tw_call *call =
-        tw_call_send(core, TW_CALL_WRITE_RECORDS, TW_TO_STATE, core->config->state, "POST", "/txn",
-                     tw_wire_txn_text(compares, (size_t)compare_count, writes, (size_t)count),
-                     fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO));
+    tw_call *call = tw_call_send(
+        &core->context, TW_CALL_WRITE_RECORDS, TW_TO_STATE, core->context.config->state, "POST",
+        "/txn", tw_wire_txn_text(compares, (size_t)compare_count, writes, (size_t)count),
+        fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO));
     note_writes(call, batch);
     for (int i = 0; i < count; i++) free(batch->texts[i]);
     core->transactions_in_flight++;
@@ -143,14 +156,14 @@
 void tw_job_store_flush(tw_core *core) {
     /* One of the conditions is on our key and one on each deputy's. */
     const int max_compares =
-        CONDITIONS_PER_CHANGE * core->config->state_txn_ops - 1 - (int)core->peer_count;
-    const int allowed = (int)fmax(1, fmin(core->config->state_txn_ops, max_compares));
+        CONDITIONS_PER_CHANGE * core->context.config->state_txn_ops - 1 - (int)core->peer_count;
+    const int allowed = (int)fmax(1, fmin(core->context.config->state_txn_ops, max_compares));
     const int most = allowed < MAX_RECORDS ? allowed : MAX_RECORDS;
     if (!core->delegates_known) return;
     tw_chunks_flush(core, most);
     while (core->pending_writes && core->transactions_in_flight < TW_MAX_TRANSACTIONS &&
-           tw_rate_limiter_available(core, &core->write_limiter) >= 1 &&
-           tw_rate_limiter_available(core, &core->request_limiter) >= 1) {
+           tw_rate_limiter_available(&core->write_limiter, core->context.now) >= 1 &&
+           tw_rate_limiter_available(&core->request_limiter, core->context.now) >= 1) {
         batch batch = {.bytes = FRAME_BYTES};
         batch_fill(core, &batch, true, most);
         batch_fill(core, &batch, false, most);
@@ -173,8 +186,7 @@
     if (state != TW_JOB_PENDING) job->state = job->durable_state = state;
 }
 
-static void note_durable(tw_core *core, tw_job *job, const tw_record_write *write,
-                         uint64_t revision) {
+static void note_durable(tw_core *core, tw_job *job, const record_write *write, uint64_t revision) {
     note_record(job, write->state, revision);
     tw_chunks_set_current(core, job, write->chunk_set, write->chunk_count);
     if (*write->chunk_set) tw_chunks_free(job); /* nothing else is written while it is on its way */
@@ -266,8 +278,8 @@
     char path[TW_JOB_PATH_SIZE];
     job->read_in_flight = true;
     snprintf(path, sizeof path, TW_JOB_PATH "%s", job->id);
-    tw_call *call = tw_call_send(core, TW_CALL_READ_RECORD, TW_TO_STATE, core->config->state, "GET",
-                                 path, NULL, 1);
+    tw_call *call = tw_call_send(&core->context, TW_CALL_READ_RECORD, TW_TO_STATE,
+                                 core->context.config->state, "GET", path, NULL, 1);
     snprintf(call->name, sizeof call->name, "%s", job->id);
 }
 
@@ -275,7 +287,7 @@
     tw_job *job, *next;
     if (core->phase == TW_PHASE_ACTIVE) tw_record_format_update(core);
     DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next) {
-        if (job->needs_read && !job->read_in_flight && core->now >= job->write_after)
+        if (job->needs_read && !job->read_in_flight && core->context.now >= job->write_after)
             read_record(core, job);
     }
 }
@@ -287,7 +299,7 @@
 } refusal;
 
 /* Whether the job's record is not of the revision that the write was conditioned on. */
-static bool compare_failed(const refusal *refusal, const tw_record_write *write) {
+static bool compare_failed(const refusal *refusal, const record_write *write) {
     const size_t prefix = sizeof TW_JOB_KEY - 1;
     for (int i = 0; i < refusal->count; i++) {
         const char *key = refusal->keys[i];
@@ -298,7 +310,7 @@
 
 /* Not carried out, or unknown. A retry under the same stamps is safe either way: if the first went
  * through, or still will, one of the two fails. */
-static void note_not_written(tw_core *core, tw_job *job, const tw_record_write *write, int status,
+static void note_not_written(tw_core *core, tw_job *job, const record_write *write, int status,
                              const refusal *refusal, bool alone) {
     job->write_urgent = true;
     if (status == TW_HTTP_BAD_REQUEST && alone)
@@ -306,7 +318,7 @@
     else if (status == TW_HTTP_BAD_REQUEST)
         job->write_alone = true; /* to find out which of them it is for */
     else if (status != TW_HTTP_CONFLICT)
-        job->write_after = core->now + WRITE_RETRY_S;
+        job->write_after = core->context.now + WRITE_RETRY_S;
     /* A read for a user may have told us the record's stamp since. */
     if (write->mod_revision == job->mod_revision && compare_failed(refusal, write))
         job->needs_read = true;
@@ -330,7 +342,8 @@
                         refusal *refusal) {
     *refusal = (struct refusal){NULL, 0};
     core->transactions_in_flight--;
-    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
+    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT)
+        core->store_answered_at = core->context.now;
     if (status == TW_HTTP_CONFLICT &&
         tw_wire_failed_compares_parse(&refusal->keys, &refusal->count, body, length))
         refusal->count = 0;
@@ -356,7 +369,7 @@
     else if (status == TW_HTTP_BAD_REQUEST)
         tw_record_refused(core, job, 0);
     else
-        job->write_after = core->now + WRITE_RETRY_S;
+        job->write_after = core->context.now + WRITE_RETRY_S;
 }
 
 static void records_response(tw_core *core, tw_call *call, int status, const char *body,
@@ -367,8 +380,9 @@
     if (!note_answer(core, status, body, length, &refusal)) return;
     if (ok && call->sent_at > core->delegates_checked_at)
         core->delegates_checked_at = call->sent_at;
+    const record_write *writes = call->data;
     for (int i = 0; i < call->count; i++) {
-        const tw_record_write *write = &call->records[i];
+        const record_write *write = &writes[i];
         tw_job *job = tw_job_find(core, write->id);
         if (!job) continue;
         job->write_in_flight = false;
@@ -393,7 +407,7 @@
     }
     tw_wire_entry entry;
     if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, length)) {
-        job->write_after = core->now + READ_RETRY_S;
+        job->write_after = core->context.now + READ_RETRY_S;
         return; /* tw_job_store_tick asks again */
     }
     tw_job_store_record_read(core, job, &entry);
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -21,7 +21,7 @@
     core->loading_chunks = true;
     core->load_in_flight = false;
     core->answered_while_loading_at = 0;
-    core->next_load_at = core->now;
+    core->next_load_at = core->context.now;
     core->delegates_read_in_flight = false;
     core->delegates_known = false;
     core->delegates_checked_at = 0;
@@ -33,15 +33,15 @@
 }
 
 void tw_failover_tick(tw_core *core) {
-    if (core->load_in_flight || core->now < core->next_load_at) return;
+    if (core->load_in_flight || core->context.now < core->next_load_at) return;
     char path[PATH_SIZE];
     const int length = snprintf(path, sizeof path, "/kv?starts=%s&most=%d",
                                 core->loading_chunks ? TW_CHUNK_KEY : TW_JOB_KEY, PAGE_SIZE);
     if (*core->load_cursor)
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s", core->load_cursor);
     core->load_in_flight = true;
-    tw_call_send(core, TW_CALL_LOAD_RECORDS, TW_TO_STATE, core->config->state, "GET", path, NULL,
-                 PAGE_TIMEOUT_S);
+    tw_call_send(&core->context, TW_CALL_LOAD_RECORDS, TW_TO_STATE, core->context.config->state,
+                 "GET", path, NULL, PAGE_TIMEOUT_S);
 }
 
 /* All records are read: decisions begin. */
@@ -51,15 +51,16 @@
     core->phase = TW_PHASE_ACTIVE;
     tw_chunk_loader_finish(core);
     core->scheduling_due = true;
-    core->next_pass_at = core->now;
-    core->next_machine_list_at = core->now;
+    core->next_pass_at = core->context.now;
+    core->next_machine_list_at = core->context.now;
     core->began_without_jobs = !any;
     core->first_admission_at = 0;
     /* Machines rented by a predecessor show in the list only after its lag. */
-    core->scale_out_from = any ? core->now + LIST_LAGS * core->config->list_lag_s : core->now;
+    core->scale_out_from =
+        any ? core->context.now + LIST_LAGS * core->context.config->list_lag_s : core->context.now;
     tw_log_info("event=leader_activated jobs=%zu token=%llu load_s=%.3f",
                 HASH_COUNT(core->jobs) + finished, (unsigned long long)core->fencing_token,
-                core->now - core->acquired_at);
+                core->context.now - core->acquired_at);
 }
 
 /* A divided record; its text is in slices that were read before. */
@@ -122,11 +123,11 @@
     if (status != TW_HTTP_OK ||
         (slices ? take_chunks(core, body, len) : take_records(core, body, len))) {
         /* Retries at the limit would leave this term's own renewals no room. */
-        core->next_load_at = core->now + fmax(core->leader_lease_s * REFUSED_LEASES,
-                                              tw_rate_limited_wait_s(core, status));
+        core->next_load_at = core->context.now + fmax(core->leader_lease_s * REFUSED_LEASES,
+                                                      tw_rate_limited_wait_s(core, status));
         return;
     }
-    core->store_answered_at = core->now;
+    core->store_answered_at = core->context.now;
     if (core->phase == TW_PHASE_LOADING) tw_failover_tick(core);
 }
 
@@ -165,9 +166,10 @@
     job->task_count = record->task_count;
     job->next_attempt = record->next_attempt;
     job->submitted_wall_s = record->submitted_at;
-    job->submitted_at = core->now - (core->wall - record->submitted_at);
-    if (job->submitted_at > core->now || record->submitted_at <= 0) job->submitted_at = core->now;
-    job->pending_since = core->now;
+    job->submitted_at = core->context.now - (core->context.wall - record->submitted_at);
+    if (job->submitted_at > core->context.now || record->submitted_at <= 0)
+        job->submitted_at = core->context.now;
+    job->pending_since = core->context.now;
     job->state = record->state;
     job->durable_state = record->state;
     job->version = 1;
--- a/src/core/lease_delegate.c
+++ b/src/core/lease_delegate.c
@@ -24,7 +24,7 @@
 #define READ_LEASES 0.4
 #define REFUSED_LEASES 0.05
 
-double tw_delegate_lease_s(const tw_core *core) { return 0.5 * core->config->lease_s; }
+double tw_delegate_lease_s(const tw_core *core) { return 0.5 * core->context.config->lease_s; }
 
 void tw_delegate_key(char *key, const char *node) {
     snprintf(key, TW_DELEGATE_KEY_SIZE, TW_DELEGATE_KEY "%s", node);
@@ -33,53 +33,17 @@
 bool tw_delegate_is_entitled(tw_core *core, const char *worker, const char *zone) {
     /* The leader counts on it that only nodes of its own zone renew a machine's lease without it.
      */
-    if (core->role != TW_ROLE_FOLLOWER || strcmp(zone, core->config->location) != 0) return false;
+    if (core->role != TW_ROLE_FOLLOWER || strcmp(zone, core->context.config->location) != 0)
+        return false;
     if (core->delegation_token && core->delegation_token == core->highest_token_seen &&
-        core->now < core->delegation_until)
+        core->context.now < core->delegation_until)
         return true;
-    tw_expiring_name *relayed;
-    HASH_FIND_STR(core->forwarded_workers, worker, relayed);
+    const tw_expiring_name *relayed = tw_expiring_names_find(core->forwarded_workers, worker);
     const double answered_at = relayed ? relayed->at : -INFINITY;
     const double read_at = core->cancelled_read_at > 0 ? core->cancelled_read_at : -INFINITY;
-    return core->now < fmax(answered_at, read_at) + tw_renewal_if_superseded_s(core) &&
+    return core->context.now < fmax(answered_at, read_at) + tw_renewal_if_superseded_s(core) &&
            core->delegate_token && core->delegate_token == core->highest_token_seen &&
-           core->now < core->delegate_until;
-}
-
-/* ---- sets of names, each with a time ---- */
-
-static void clear_names(tw_expiring_name **set) {
-    tw_expiring_name *member, *next;
-    HASH_ITER(hh, *set, member, next) {
-        HASH_DEL(*set, member);
-        free(member);
-    }
-}
-
-static void expire_names(tw_core *core, tw_expiring_name **set, double age_s) {
-    tw_expiring_name *member, *next;
-    HASH_ITER(hh, *set, member, next) {
-        if (core->now < member->at + age_s) continue;
-        HASH_DEL(*set, member);
-        free(member);
-    }
-}
-
-static void add_name(tw_expiring_name **set, const char *name, double at) {
-    tw_expiring_name *member;
-    HASH_FIND_STR(*set, name, member);
-    if (!member) {
-        member = tw_alloc(sizeof *member);
-        snprintf(member->name, sizeof member->name, "%s", name);
-        HASH_ADD_STR(*set, name, member);
-    }
-    member->at = at;
-}
-
-static bool has_name(tw_expiring_name *set, const char *name) {
-    tw_expiring_name *member;
-    HASH_FIND_STR(set, name, member);
-    return member != NULL;
+           core->context.now < core->delegate_until;
 }
 
 /* ---- what the leader says ---- */
@@ -90,10 +54,11 @@
     if (token != core->highest_token_seen || core->role != TW_ROLE_FOLLOWER) return;
     /* An id is kept for as long as a grant and a lease may last: an answer may be older than a
      * heartbeat that came before it. */
-    expire_names(core, &core->announced_cancelled_jobs,
-                 tw_renewal_without_contact_s(core) + 2 * core->config->lease_s);
+    tw_expiring_names_sweep(&core->announced_cancelled_jobs, core->context.now,
+                            tw_renewal_without_contact_s(core) + 2 * core->context.config->lease_s);
     if (tw_wire_cancelled_jobs_parse(&ids, &count, body, len)) return;
-    for (int i = 0; i < count; i++) add_name(&core->announced_cancelled_jobs, ids[i], core->now);
+    for (int i = 0; i < count; i++)
+        tw_expiring_names_add(&core->announced_cancelled_jobs, ids[i], core->context.now);
     free(ids);
 }
 
@@ -102,14 +67,15 @@
     tw_delegate_note_cancelled(core, token, body, len);
     core->delegation_token = token;
     core->delegation_until =
-        sent + tw_renewal_without_contact_s(core) * (1 - 2 * core->config->tune.drift);
+        sent + tw_renewal_without_contact_s(core) * (1 - 2 * core->context.config->tune.drift);
 }
 
 void tw_delegate_note_forwarded(tw_core *core, const char *worker, double at) {
-    add_name(&core->forwarded_workers, worker, at);
-    if (core->now < core->next_forwarded_sweep_at) return;
-    core->next_forwarded_sweep_at = core->now + core->config->lease_s;
-    expire_names(core, &core->forwarded_workers, tw_renewal_if_superseded_s(core));
+    tw_expiring_names_add(&core->forwarded_workers, worker, at);
+    if (core->context.now < core->next_forwarded_sweep_at) return;
+    core->next_forwarded_sweep_at = core->context.now + core->context.config->lease_s;
+    tw_expiring_names_sweep(&core->forwarded_workers, core->context.now,
+                            tw_renewal_if_superseded_s(core));
 }
 
 /* ---- cancelled jobs, from the state service ---- */
@@ -121,10 +87,10 @@
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s",
                  core->cancelled_list_cursor);
     else
-        core->cancelled_list_began_at = core->now;
+        core->cancelled_list_began_at = core->context.now;
     core->cancelled_list_in_flight = true;
-    tw_call_send(core, TW_CALL_LIST_CANCELLED_JOBS, TW_TO_STATE, core->config->state, "GET", path,
-                 NULL, 1);
+    tw_call_send(&core->context, TW_CALL_LIST_CANCELLED_JOBS, TW_TO_STATE,
+                 core->context.config->state, "GET", path, NULL, 1);
 }
 
 void tw_delegate_cancelled_page(tw_core *core, int status, const char *body, size_t len) {
@@ -133,7 +99,8 @@
     core->cancelled_list_in_flight = false;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) {
         /* Goes on where it stopped: under load some request is always refused. */
-        core->next_cancelled_list_at = core->now + REFUSED_LEASES * core->config->lease_s;
+        core->next_cancelled_list_at =
+            core->context.now + REFUSED_LEASES * core->context.config->lease_s;
         return;
     }
     const size_t prefix = sizeof TW_JOB_KEY - 1;
@@ -141,7 +108,8 @@
         const tw_wire_entry *entry = &entries[i];
         if (strlen(entry->key) > prefix &&
             tw_wire_record_state(entry->value, strlen(entry->value)) == TW_JOB_CANCELLED)
-            add_name(&core->listed_cancelled_jobs, entry->key + prefix, core->now);
+            tw_expiring_names_add(&core->listed_cancelled_jobs, entry->key + prefix,
+                                  core->context.now);
     }
     *core->cancelled_list_cursor = 0;
     if (more && count) {
@@ -155,13 +123,13 @@
 }
 
 void tw_delegate_tick(tw_core *core) {
-    if (core->role != TW_ROLE_FOLLOWER || core->now >= core->delegate_until) {
+    if (core->role != TW_ROLE_FOLLOWER || core->context.now >= core->delegate_until) {
         if (core->listed_cancelled_jobs && !core->cancelled_list_in_flight)
-            clear_names(&core->listed_cancelled_jobs);
+            tw_expiring_names_clear(&core->listed_cancelled_jobs);
         return;
     }
-    if (core->cancelled_list_in_flight || core->now < core->next_cancelled_list_at) return;
-    core->next_cancelled_list_at = core->now + READ_LEASES * core->config->lease_s;
+    if (core->cancelled_list_in_flight || core->context.now < core->next_cancelled_list_at) return;
+    core->next_cancelled_list_at = core->context.now + READ_LEASES * core->context.config->lease_s;
     list_cancelled_jobs(core);
 }
 
@@ -170,50 +138,53 @@
 /* Writes this node's key as a deputy. */
 static void write_delegate_key(tw_core *core) {
     /* Every report that waits asks for it: the state service's limit is shared with the leader. */
-    if (core->delegate_write_in_flight || core->now < core->next_delegate_attempt_at ||
+    if (core->delegate_write_in_flight || core->context.now < core->next_delegate_attempt_at ||
         !core->leader_token || core->leader_token != core->highest_token_seen ||
         core->role != TW_ROLE_FOLLOWER)
         return;
     char key[TW_DELEGATE_KEY_SIZE];
     char data[DATA_SIZE];
-    tw_delegate_key(key, core->config->host_name);
+    tw_delegate_key(key, core->context.config->host_name);
     snprintf(data, sizeof data, "{\"token\":%llu,\"n\":%llu}",
              (unsigned long long)core->leader_token, (unsigned long long)++core->delegate_sequence);
     tw_wire_compare compare = {TW_LEADER_KEY, core->leader_token};
     tw_wire_write written = {key, data, 0};
-    tw_call *sent = tw_call_send(core, TW_CALL_WRITE_DELEGATE_KEY, TW_TO_STATE, core->config->state,
-                                 "POST", "/txn", tw_wire_txn_text(&compare, 1, &written, 1), 1);
+    tw_call *sent = tw_call_send(&core->context, TW_CALL_WRITE_DELEGATE_KEY, TW_TO_STATE,
+                                 core->context.config->state, "POST", "/txn",
+                                 tw_wire_txn_text(&compare, 1, &written, 1), 1);
     sent->tokens = tw_alloc(sizeof *sent->tokens);
     sent->tokens[0] = core->leader_token;
     core->delegate_write_in_flight = true;
-    core->next_delegate_attempt_at = core->now + ATTEMPT_LEASES * core->config->lease_s;
+    core->next_delegate_attempt_at =
+        core->context.now + ATTEMPT_LEASES * core->context.config->lease_s;
 }
 
 void tw_delegate_key_response(tw_core *core, tw_call *sent, int status) {
     core->delegate_write_in_flight = false;
-    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT) core->store_answered_at = core->now;
+    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT)
+        core->store_answered_at = core->context.now;
     if (status != TW_HTTP_OK) return;
-    if (core->now >= core->delegate_until)
+    if (core->context.now >= core->delegate_until)
         tw_log_info("event=delegate_key_written token=%llu", (unsigned long long)sent->tokens[0]);
     core->delegate_token = sent->tokens[0];
     core->delegate_until =
-        sent->sent_at + tw_delegate_lease_s(core) * (1 - 2 * core->config->tune.drift);
+        sent->sent_at + tw_delegate_lease_s(core) * (1 - 2 * core->context.config->tune.drift);
     tw_held_heartbeats_retry(core);
     tw_delegate_tick(core);
 }
 
 /* Renews the worker's lease and stops its tasks of cancelled jobs. */
 static void answer_worker(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat) {
-    if (core->now > core->delegate_answered_at + core->config->lease_s)
+    if (core->context.now > core->delegate_answered_at + core->context.config->lease_s)
         tw_log_info("event=delegate_took_over token=%llu",
                     (unsigned long long)core->highest_token_seen);
-    core->delegate_answered_at = core->now;
+    core->delegate_answered_at = core->context.now;
     tw_command_list commands = tw_command_list_new(core);
     for (int i = 0; i < heartbeat->task_count && commands.count < MAX_KILLS; i++) {
         const tw_wire_task *task = &heartbeat->tasks[i];
         if (task->state == TW_TASK_EXITED) continue;
-        if (!has_name(core->listed_cancelled_jobs, task->job) &&
-            !has_name(core->announced_cancelled_jobs, task->job))
+        if (!tw_expiring_names_find(core->listed_cancelled_jobs, task->job) &&
+            !tw_expiring_names_find(core->announced_cancelled_jobs, task->job))
             continue;
         const tw_wire_command stop = {
             .kind = TW_COMMAND_STOP, .index = task->index, .attempt = task->attempt};
@@ -221,26 +192,26 @@
     }
     char *text = tw_commands_delegate_text(core, heartbeat, &commands);
     if (text)
-        tw_reply(core, connection, TW_HTTP_OK, 0, text);
+        tw_reply(&core->context, connection, TW_HTTP_OK, 0, text);
     else
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
 bool tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
                                   const tw_wire_heartbeat *heartbeat) {
     if (!tw_delegate_is_entitled(core, heartbeat->worker, heartbeat->zone)) {
-        if (!strcmp(heartbeat->zone, core->config->location)) write_delegate_key(core);
+        if (!strcmp(heartbeat->zone, core->context.config->location)) write_delegate_key(core);
         return false;
     }
     /* The grant ends; a key, where the state service can be reached, goes on. */
-    if (core->now > core->delegate_until - 0.5 * tw_delegate_lease_s(core))
+    if (core->context.now > core->delegate_until - 0.5 * tw_delegate_lease_s(core))
         write_delegate_key(core);
     answer_worker(core, connection, heartbeat);
     return true;
 }
 
 void tw_delegate_free(tw_core *core) {
-    clear_names(&core->listed_cancelled_jobs);
-    clear_names(&core->announced_cancelled_jobs);
-    clear_names(&core->forwarded_workers);
+    tw_expiring_names_clear(&core->listed_cancelled_jobs);
+    tw_expiring_names_clear(&core->announced_cancelled_jobs);
+    tw_expiring_names_clear(&core->forwarded_workers);
 }
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -18,23 +18,24 @@
 bool tw_machine_is_silent(const tw_core *core, const tw_machine *machine) {
     const bool unanswered = !machine->last_contact_at && machine->failed_probes >= ASKED_IN_VAIN;
     const double grace_leases = unanswered ? -1 : FIND_LEADER_LEASES;
-    const double found_us = core->acquired_at + grace_leases * core->config->lease_s;
+    const double found_us = core->acquired_at + grace_leases * core->context.config->lease_s;
     const double heard = fmax(fmax(machine->answered_at, machine->last_contact_at), found_us);
-    const double most_s = core->config->tune.silent_ratio * core->config->lease_s;
+    const double most_s = core->context.config->tune.silent_ratio * core->context.config->lease_s;
     /* Deputies are looked at only for a machine that we haven't heard of ourselves. */
-    return core->now - heard > most_s &&
-           core->now - tw_delegates_until(core, machine->zone) > most_s;
+    return core->context.now - heard > most_s &&
+           core->context.now - tw_delegates_until(core, machine->zone) > most_s;
 }
 
 bool tw_machine_is_usable(const tw_core *core, const tw_machine *machine) {
     return machine->state == TW_MACHINE_UP && machine->confirmed && machine->type_index >= 0 &&
            !machine->cordoned && !machine->return_wanted && !machine->decommissioning &&
            !machine->lease_expired && !machine->failed && machine->preempted_at <= 0 &&
-           core->now - machine->last_contact_at < TW_IN_TOUCH_HEARTBEATS * core->config->report_s;
+           core->context.now - machine->last_contact_at <
+               TW_IN_TOUCH_HEARTBEATS * core->context.config->report_s;
 }
 
 double tw_lease_max_s(const tw_core *core) {
-    const tw_config *config = core->config;
+    const tw_config *config = core->context.config;
     return config->lease_s * (1 + 2 * config->tune.drift + config->tune.margin_ratio);
 }
 
@@ -79,17 +80,18 @@
 /* Most machines of its zone silent as well, or we don't reach its nodes, or only just again: rather
  * the network than the machine. */
 bool tw_zone_is_unreachable(tw_core *core, const tw_machine *machine) {
-    const double back = BACK_REPORTS * core->config->report_s;
+    const double back = BACK_REPORTS * core->context.config->report_s;
     for (size_t i = 0; i < core->peer_count; i++) {
         const tw_peer *peer = &core->peers[i];
         if (!strcmp(peer->config.zone, machine->zone) &&
-            strcmp(machine->zone, core->config->location) != 0 &&
-            (!tw_zone_has_live_peer(core, machine->zone) || core->now < peer->back_at + back))
+            strcmp(machine->zone, core->context.config->location) != 0 &&
+            (!tw_zone_has_live_peer(core, machine->zone) ||
+             core->context.now < peer->back_at + back))
             return true;
     }
     for (int zone = 0; zone < core->silent_zone_count; zone++)
         if (!strcmp(core->silent_zones[zone].zone, machine->zone))
-            return core->now < core->silent_zones[zone].until;
+            return core->context.now < core->silent_zones[zone].until;
     return false;
 }
 
@@ -109,11 +111,11 @@
  * But one that looks for another node is late by half a report. After a cut they need a while to
  * find a node that answers. */
 void tw_zone_silence_update(tw_core *core) {
-    const double report = core->config->report_s;
-    const double silent = core->config->tune.silent_ratio * core->config->lease_s;
+    const double report = core->context.config->report_s;
+    const double silent = core->context.config->tune.silent_ratio * core->context.config->lease_s;
     const double late =
         fmin(LATE_MOST_REPORTS * report, fmax(LATE_LEAST_REPORTS * report, silent - report));
-    const double found_us = core->acquired_at + FIND_LEADER_LEASES * core->config->lease_s;
+    const double found_us = core->acquired_at + FIND_LEADER_LEASES * core->context.config->lease_s;
     tw_machine *each, *next;
     for (int i = 0; i < core->silent_zone_count; i++)
         core->silent_zones[i].all = core->silent_zones[i].silent = 0;
@@ -123,10 +125,12 @@
         const int zone = silent_zone_index(core, each->zone);
         if (zone == TW_MAX_ZONES) continue;
         core->silent_zones[zone].all++;
-        core->silent_zones[zone].silent += core->now - fmax(each->answered_at, found_us) > late;
+        core->silent_zones[zone].silent +=
+            core->context.now - fmax(each->answered_at, found_us) > late;
     }
     for (int zone = 0; zone < core->silent_zone_count; zone++)
         if (core->silent_zones[zone].all > FEW_MACHINES &&
             core->silent_zones[zone].silent * 2 > core->silent_zones[zone].all)
-            core->silent_zones[zone].until = core->now + BACK_REPORTS * core->config->report_s;
+            core->silent_zones[zone].until =
+                core->context.now + BACK_REPORTS * core->context.config->report_s;
 }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -18,7 +18,7 @@
     tw_machine *added = tw_alloc(sizeof *added);
     snprintf(added->name, sizeof added->name, "%s", name);
     added->type_index = -1;
-    added->known_since = core->now;
+    added->known_since = core->context.now;
     added->slowness = added->queue_delay_s = added->fetch_s_per_gb = -1; /* the type's prior */
     added->zone_index = -1;
     const size_t length = strlen(added->name);
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -9,13 +9,11 @@
 #define OF_LAG 0.5 /* between two readings, of the time that the list lags behind */
 
 static void take_machine(tw_core *core, const tw_wire_rented_machine *listed) {
-    const tw_expiring_name *released;
-    HASH_FIND_STR(core->returned_machines, listed->id, released);
-    if (released) return;
+    if (tw_expiring_names_find(core->returned_machines, listed->id)) return;
     tw_machine *machine = tw_machine_find(core, listed->id);
     if (!machine) {
         machine = tw_machine_new(core, listed->id);
-        machine->known_since = core->now - listed->rented_s;
+        machine->known_since = core->context.now - listed->rented_s;
     }
     machine->listed = 1;
     machine->lists_without = 0;
@@ -48,7 +46,7 @@
     core->machine_list_in_flight = false;
     if (status != TW_HTTP_OK ||
         tw_wire_rented_machines_parse(&listed, &count, &more, body, length)) {
-        core->next_machine_list_at = core->now + RETRY_S;
+        core->next_machine_list_at = core->context.now + RETRY_S;
         return;
     }
     const bool first_page = !*core->machine_list_cursor;
@@ -57,18 +55,19 @@
     if (more && count) {
         snprintf(core->machine_list_cursor, sizeof core->machine_list_cursor, "%s",
                  listed[count - 1].id);
-        core->next_machine_list_at = core->now;
+        core->next_machine_list_at = core->context.now;
     } else {
         *core->machine_list_cursor = 0;
         core->machine_lists_read++;
-        core->next_machine_list_at = core->now + fmax(1, OF_LAG * core->config->list_lag_s);
+        core->next_machine_list_at =
+            core->context.now + fmax(1, OF_LAG * core->context.config->list_lag_s);
     }
     free(listed);
 }
 
 void tw_machine_list_tick(tw_core *core) {
-    if (core->machine_list_in_flight || core->now < core->next_machine_list_at ||
-        !tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
+    if (core->machine_list_in_flight || core->context.now < core->next_machine_list_at ||
+        !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
         return;
     char path[PATH_SIZE];
     const int length = snprintf(path, sizeof path, "/rentals?most=%d", PAGE);
@@ -76,6 +75,6 @@
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s",
                  core->machine_list_cursor);
     core->machine_list_in_flight = true;
-    tw_call_send(core, TW_CALL_LIST_MACHINES, TW_TO_CLOUD, core->config->cloud, "GET", path, NULL,
-                 TIMEOUT_S);
+    tw_call_send(&core->context, TW_CALL_LIST_MACHINES, TW_TO_CLOUD, core->context.config->cloud,
+                 "GET", path, NULL, TIMEOUT_S);
 }
--- a/src/core/machine_statistics.c
+++ b/src/core/machine_statistics.c
@@ -27,7 +27,7 @@
 static void learn_fetch(tw_core *core, const tw_placement *placed, double fetch_s) {
     tw_machine *machine = placed->machine;
     tw_machine_type *type = &core->machine_types[machine->type_index];
-    const double weight = core->config->tune.ema;
+    const double weight = core->context.config->tune.ema;
     double s_per_gb = fmax(0, fetch_s) / placed->job->spec.image_gb;
     /* Which a new leader can't know. */
     if (s_per_gb * type->listed.fetch_gb_s < CACHED_RATIO) return;
@@ -48,11 +48,11 @@
     if (machine->type_index < 0 || placed->inherited || !placed->launch_sent) return;
     tw_machine_type *type = &core->machine_types[machine->type_index];
     /* A launch that was put off is no delay of the machine. */
-    const double delay = core->now - fmax(placed->placed_at, placed->launch_after);
-    const double weight = core->config->tune.ema;
+    const double delay = core->context.now - fmax(placed->placed_at, placed->launch_after);
+    const double weight = core->context.config->tune.ema;
     const double start_s =
         machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
-    const double long_gb = type->listed.fetch_gb_s * 2 * core->config->report_s;
+    const double long_gb = type->listed.fetch_gb_s * 2 * core->context.config->report_s;
     if (placed->image_state > 0) {
         move_average(&machine->queue_delay_s, type->queue_delay_s, delay, weight);
         move_average(&type->queue_delay_s, type->queue_delay_s, delay, weight * TYPE_WEIGHT);
@@ -88,8 +88,8 @@
         job->has_checkpoint || !class)
         return;
     const double prior = core->machine_types[machine->type_index].slowness;
-    const double weight = core->config->tune.ema;
-    const double ratio = (core->now - placed->running_since) / job->spec.expected_run_s;
+    const double weight = core->context.config->tune.ema;
+    const double ratio = (core->context.now - placed->running_since) / job->spec.expected_run_s;
     if (job->spec.gang) { /* it ran at the speed of its slowest machine, whichever that was */
         learn_estimate(class, ratio / gang_slowness(core, placed), weight);
         return;
@@ -104,5 +104,5 @@
 /* It came up, or is overdue: so many of its type do not come in time. */
 void tw_statistics_note_boot(tw_core *core, const tw_machine *machine) {
     double *share = &core->machine_types[machine->type_index].overdue_share;
-    move_average(share, *share, machine->overdue, BOOT_WEIGHT * core->config->tune.ema);
+    move_average(share, *share, machine->overdue, BOOT_WEIGHT * core->context.config->tune.ema);
 }
--- a/src/core/machine_types.c
+++ b/src/core/machine_types.c
@@ -13,7 +13,7 @@
 static tw_machine_type type_of(const tw_core *core, const tw_wire_machine_type *listed) {
     return (tw_machine_type){.listed = *listed,
                              .slowness = 1,
-                             .queue_delay_s = FIRST_DELAY_REPORTS * core->config->report_s,
+                             .queue_delay_s = FIRST_DELAY_REPORTS * core->context.config->report_s,
                              .fetch_s_per_gb = FIRST_FETCH_SLOWED / listed->fetch_gb_s,
                              .fetch_deviation = FIRST_FETCH_DEVIATION,
                              .overdue_share = FIRST_OVERDUE_SHARE,
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -24,7 +24,7 @@
     machine->return_wanted = machine->cordoned = true;
     core->returns_due = true;
     tw_log_info("event=machine_return_requested worker=%s why=%s rented_s=%.0f", machine->name, why,
-                core->now - machine->known_since);
+                core->context.now - machine->known_since);
     DL_FOREACH_SAFE(machine->placements, each, next) {
         if (!tw_attempt_was_launched(each))
             tw_attempt_terminate_on(core, each, TW_EVIDENCE_NOT_LAUNCHED);
@@ -36,20 +36,21 @@
 static bool waits_to_save(const tw_core *core, const tw_placement *placed, double left_s) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
-           !tw_gang_can_save(core, job) && left_s > job->spec.save_s + core->config->gang_peer_s;
+           !tw_gang_can_save(core, job) &&
+           left_s > job->spec.save_s + core->context.config->gang_peer_s;
 }
 
 /* A spot machine will be taken: tasks that won't be done by then save and go elsewhere. */
 static void handle_preemption_notice(tw_core *core, tw_machine *machine) {
     tw_placement *each, *next;
-    const double left_s = machine->preempted_at - core->now;
+    const double left_s = machine->preempted_at - core->context.now;
     DL_FOREACH_SAFE(machine->placements, each, next) {
         if (!each->counted || each->stopping) continue;
         const tw_wire_job *spec = &each->job->spec;
         const double slowness = machine->slowness > 0 ? machine->slowness : 1;
         const double run_s = tw_job_run_estimate_s(each->job) * slowness;
         const double rest_s =
-            each->running_since > 0 ? run_s - (core->now - each->running_since) : run_s;
+            each->running_since > 0 ? run_s - (core->context.now - each->running_since) : run_s;
         if (!spec->service && rest_s > 0 && rest_s < DONE_WITHIN_NOTICE * left_s) continue;
         if (waits_to_save(core, each, left_s)) continue;
         tw_placement_stop(core, each, spec->checkpoint_s > 0 ? spec->save_s : 0, false);
@@ -77,7 +78,7 @@
 /* Ages of what the end of the lease rests on; one that never was is as old as the clock. */
 static void log_lease_expiry(const tw_core *core, const tw_machine *machine) {
     const tw_lease_expiry terms = tw_lease_expiry_of(core, machine);
-    const double now = core->now;
+    const double now = core->context.now;
     tw_log_info(
         "event=lease_expired worker=%s token=%llu incarnation=%llu confirmed=%d over_s=%.2f "
         "answered_s=%.2f delegates_s=%.2f incarnation_s=%.2f loading_s=%.2f predecessor_s=%.2f "
@@ -91,11 +92,12 @@
 /* Its lease has surely ended: nothing runs there. */
 static void expire_lease(tw_core *core, tw_machine *machine) {
     tw_placement *each, *next;
-    if (core->delegates_checked_at < core->now - DEPUTIES_AGE_LEASES * core->config->lease_s) {
+    if (core->delegates_checked_at <
+        core->context.now - DEPUTIES_AGE_LEASES * core->context.config->lease_s) {
         tw_delegates_read(core); /* first see whether a deputy renews it */
         return;
     }
-    core->expiry_decided_at = core->now;
+    core->expiry_decided_at = core->context.now;
     log_lease_expiry(core, machine);
     machine->lease_expired = true;
     DL_FOREACH_SAFE(machine->placements, each, next) {
@@ -107,10 +109,11 @@
 static const char *reason_to_give_up(tw_core *core, const tw_machine *machine, double expires_at) {
     if (machine->lost_launches >= TW_UNRESPONSIVE_AT) return "deaf";
     if (tw_machine_is_silent(core, machine) &&
-        core->now > tw_delegates_until(core, machine->zone) &&
+        core->context.now > tw_delegates_until(core, machine->zone) &&
         !tw_zone_is_unreachable(core, machine))
         return "silent";
-    if (core->now > fmax(expires_at, machine->last_contact_at) + core->config->lease_s)
+    if (core->context.now >
+        fmax(expires_at, machine->last_contact_at) + core->context.config->lease_s)
         return "lost";
     return NULL;
 }
@@ -128,20 +131,21 @@
 }
 
 static void machine_tick(tw_core *core, tw_machine *machine) {
-    const tw_config *config = core->config;
+    const tw_config *config = core->context.config;
     const double boot_s = machine->type_index >= 0
                               ? core->machine_types[machine->type_index].listed.startup_s
                               : config->lease_s * BOOT_UNKNOWN_LEASES;
-    const double age_s = core->now - machine->known_since;
+    const double age_s = core->context.now - machine->known_since;
     const int sent = count_launched(machine);
     if (machine->state == TW_MACHINE_UP && !tw_machine_is_usable(core, machine))
         terminate_unlaunched(core, machine);
     if (machine->type_index < 0 && *machine->type_name)
         machine->type_index = tw_machine_type_index(core, machine->type_name);
     /* A lease does not end within its length of a report: few machines need a closer look. */
-    const bool is_renewed = core->now <= machine->answered_at + tw_lease_max_s(core);
+    const bool is_renewed = core->context.now <= machine->answered_at + tw_lease_max_s(core);
     const double expires_at = is_renewed ? INFINITY : tw_lease_expires_at(core, machine);
-    if (sent && core->now > expires_at && core->delegates_known) expire_lease(core, machine);
+    if (sent && core->context.now > expires_at && core->delegates_known)
+        expire_lease(core, machine);
     /* One with a predecessor's tasks is up: it is silent, below, if we don't hear of it. */
     const bool boots = machine->state == TW_MACHINE_BOOTING && !sent;
     if (boots && !machine->overdue && machine->type_index >= 0 &&
@@ -154,7 +158,7 @@
         request_return(core, machine, "failed");
     } else if (boots) {
         if (age_s > BOOT_FAILED * boot_s + config->list_lag_s &&
-            core->now - core->acquired_at > config->lease_s)
+            core->context.now - core->acquired_at > config->lease_s)
             request_return(core, machine, "never_up");
     } else {
         const char *why = reason_to_give_up(core, machine, expires_at);
@@ -166,19 +170,15 @@
 }
 
 static void forget_returned(tw_core *core) {
-    const double kept_s = RETURNED_S + RETURNED_LIST_LAGS * core->config->list_lag_s;
-    tw_expiring_name *each, *next;
-    HASH_ITER(hh, core->returned_machines, each, next) {
-        if (core->now - each->at < kept_s) continue;
-        HASH_DEL(core->returned_machines, each);
-        free(each);
-    }
+    const double kept_s = RETURNED_S + RETURNED_LIST_LAGS * core->context.config->list_lag_s;
+    tw_expiring_names_sweep(&core->returned_machines, core->context.now, kept_s);
 }
 
 void tw_machines_tick(tw_core *core) {
     tw_machine *each, *next;
-    if (core->now < core->next_machine_scan_at) return;
-    core->next_machine_scan_at = core->now + core->config->report_s / TICKS_PER_REPORT;
+    if (core->context.now < core->next_machine_scan_at) return;
+    core->next_machine_scan_at =
+        core->context.now + core->context.config->report_s / TICKS_PER_REPORT;
     tw_zone_silence_update(core);
     HASH_ITER(hh, core->machines, each, next) { machine_tick(core, each); }
     forget_returned(core);
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -17,19 +17,19 @@
 static void take_admission(tw_core *core, tw_expiring_name *untaken) {
     char key[TW_NAME_SIZE + sizeof TW_PEER_ADMISSION_KEY];
     if (!tw_job_is_known(core, untaken->name)) {
-        if (core->now < untaken->at) return;
-        untaken->at = core->now + LEARN_S;
+        if (core->context.now < untaken->at) return;
+        untaken->at = core->context.now + LEARN_S;
         tw_job_look_up(core, 0, untaken->name, TW_OPERATION_QUERY);
         return;
     }
-    if (!tw_rate_limiter_try_acquire(core, &core->write_limiter, 1)) return;
+    if (!tw_rate_limiter_try_acquire(&core->write_limiter, core->context.now, 1)) return;
     snprintf(key, sizeof key, TW_PEER_ADMISSION_KEY "%s", untaken->name);
     tw_wire_compare compare = {TW_LEADER_KEY, core->fencing_token};
     tw_wire_write removal = {key, NULL, 0};
-    tw_call_send(core, TW_CALL_REMOVE_PEER_ADMISSION, TW_TO_STATE, core->config->state, "POST",
-                 "/txn", tw_wire_txn_text(&compare, 1, &removal, 1), 1);
-    HASH_DEL(core->untaken_admissions, untaken);
-    free(untaken);
+    tw_call_send(&core->context, TW_CALL_REMOVE_PEER_ADMISSION, TW_TO_STATE,
+                 core->context.config->state, "POST", "/txn",
+                 tw_wire_txn_text(&compare, 1, &removal, 1), 1);
+    tw_expiring_names_remove(&core->untaken_admissions, untaken);
 }
 
 static void note_admission(tw_core *core, const char *key) {
@@ -37,13 +37,8 @@
     if (strncmp(key, TW_PEER_ADMISSION_KEY, sizeof TW_PEER_ADMISSION_KEY - 1) != 0 ||
         !tw_wire_id_ok(id, strlen(id)))
         return;
-    tw_expiring_name *untaken;
-    HASH_FIND_STR(core->untaken_admissions, id, untaken);
-    if (!untaken) {
-        untaken = tw_alloc(sizeof *untaken);
-        snprintf(untaken->name, sizeof untaken->name, "%s", id);
-        HASH_ADD_STR(core->untaken_admissions, name, untaken);
-    }
+    tw_expiring_name *untaken = tw_expiring_names_find(core->untaken_admissions, id);
+    if (!untaken) untaken = tw_expiring_names_add(&core->untaken_admissions, id, 0);
     take_admission(core, untaken);
 }
 
@@ -60,7 +55,7 @@
         (list ? tw_wire_entries_parse(&entries, &count, &more, body, length)
               : tw_wire_watch_keys_parse(&entries, &count, body, length))) {
         if (status == TW_HTTP_GONE) core->admission_watch_revision = 0;
-        core->next_admission_watch_at = core->now + RETRY_RATIO * core->leader_lease_s;
+        core->next_admission_watch_at = core->context.now + RETRY_RATIO * core->leader_lease_s;
         return;
     }
     core->admission_watch_revision = revision;
@@ -72,19 +67,20 @@
     tw_expiring_name *untaken;
     tw_expiring_name *next;
     HASH_ITER(hh, core->untaken_admissions, untaken, next) { take_admission(core, untaken); }
-    if (core->admission_watch_in_flight || core->now < core->next_admission_watch_at ||
-        !tw_rate_limiter_try_acquire(core, &core->request_limiter, 1))
+    if (core->admission_watch_in_flight || core->context.now < core->next_admission_watch_at ||
+        !tw_rate_limiter_try_acquire(&core->request_limiter, core->context.now, 1))
         return;
     core->admission_watch_in_flight = true;
     if (!core->admission_watch_revision) {
-        tw_call_send(core, TW_CALL_LIST_PEER_ADMISSIONS, TW_TO_STATE, core->config->state, "GET",
+        tw_call_send(&core->context, TW_CALL_LIST_PEER_ADMISSIONS, TW_TO_STATE,
+                     core->context.config->state, "GET",
                      "/kv?starts=" TW_PEER_ADMISSION_KEY "&most=100", NULL, 2);
         return;
     }
     char path[PATH_SIZE];
-    double hold_s = WATCH_LEASES * core->config->lease_s;
+    double hold_s = WATCH_LEASES * core->context.config->lease_s;
     snprintf(path, sizeof path, "/follow?starts=" TW_PEER_ADMISSION_KEY "&since=%llu&holdMs=%d",
              (unsigned long long)core->admission_watch_revision, (int)(hold_s * 1000));
-    tw_call_send(core, TW_CALL_WATCH_PEER_ADMISSIONS, TW_TO_STATE, core->config->state, "GET", path,
-                 NULL, hold_s + WATCH_SLACK_S);
+    tw_call_send(&core->context, TW_CALL_WATCH_PEER_ADMISSIONS, TW_TO_STATE,
+                 core->context.config->state, "GET", path, NULL, hold_s + WATCH_SLACK_S);
 }
--- a/src/core/peer_heartbeat.c
+++ b/src/core/peer_heartbeat.c
@@ -37,7 +37,7 @@
 }
 
 bool tw_node_is_isolated(const tw_core *core) {
-    const double since = core->now - ISOLATED_LEASES * core->leader_lease_s - 1;
+    const double since = core->context.now - ISOLATED_LEASES * core->leader_lease_s - 1;
     if (core->store_answered_at > since) return false;
     for (size_t i = 0; i < core->peer_count; i++)
         if (core->peers[i].answered_at > since) return false;
@@ -46,7 +46,7 @@
 
 /* A heartbeat sent earlier than this, answered, says nothing of whether the peer answers now. */
 static double answers_since(const tw_core *core) {
-    return core->now - ANSWERS_S - ANSWERS_LEASES * core->leader_lease_s;
+    return core->context.now - ANSWERS_S - ANSWERS_LEASES * core->leader_lease_s;
 }
 
 /* Cancelled jobs of which something may still run: whoever answers workers must stop it. Returns
@@ -69,14 +69,15 @@
                                             int *count) {
     tw_wire_peer_heartbeat message = {
         .highest_token = core->highest_token_seen,
-        .store_reachable = core->now - core->store_answered_at < 2 * core->leader_lease_s,
-        .uptime_s = core->now - core->started_at,
-        .since_delegate_answer_s = core->now - fmax(core->started_at, core->delegate_answered_at),
+        .store_reachable = core->context.now - core->store_answered_at < 2 * core->leader_lease_s,
+        .uptime_s = core->context.now - core->started_at,
+        .since_delegate_answer_s =
+            core->context.now - fmax(core->started_at, core->delegate_answered_at),
         .is_leader = tw_leader_may(core, TW_PERMISSION_COMMAND),
         .record_format = TW_RECORD_FORMAT_CHUNKED};
-    snprintf(message.name, sizeof message.name, "%s", core->config->host_name);
+    snprintf(message.name, sizeof message.name, "%s", core->context.config->host_name);
     if (message.is_leader)
-        snprintf(message.leader, sizeof message.leader, "%s", core->config->host_name);
+        snprintf(message.leader, sizeof message.leader, "%s", core->context.config->host_name);
     *count = message.is_leader ? list_cancelled_running(core, cancelled) : 0;
     return message;
 }
@@ -88,7 +89,7 @@
     const bool all_named = count <= MAX_ABORTED;
     to->heartbeats_in_flight++;
     tw_call *sent = tw_call_send(
-        core, TW_CALL_PEER_HEARTBEAT, TW_TO_PEER, to->config.addr, "POST", "/peer/ping",
+        &core->context, TW_CALL_PEER_HEARTBEAT, TW_TO_PEER, to->config.addr, "POST", "/peer/ping",
         tw_wire_peer_heartbeat_text(&message, ids, all_named ? count : 0), TIMEOUT_S);
     snprintf(sent->name, sizeof sent->name, "%s", to->config.name);
     sent->sequence = all_named ? core->cancellation_sequence : 0;
@@ -108,7 +109,7 @@
 /* Whether all that may answer the job's machines without us, for longer than a cancellation leaves
  * time for, know that it is cancelled. 0 asks them; -1: some can't be asked now. */
 int tw_cancellation_safety(tw_core *core, const tw_job *cancelled, int rental_request) {
-    const double limit = core->now + tw_renewal_if_superseded_s(core);
+    const double limit = core->context.now + tw_renewal_if_superseded_s(core);
     const tw_placement *task;
     bool safe = true;
     DL_FOREACH2(cancelled->placements, task, job_next) {
@@ -140,14 +141,14 @@
     if (core->role != TW_ROLE_LEADER || core->peers_confirmed_at > 0) return;
     for (size_t i = 0; i < core->peer_count; i++)
         if (core->peers[i].highest_token < core->fencing_token) return;
-    core->peers_confirmed_at = core->now;
+    core->peers_confirmed_at = core->context.now;
     tw_log_info("event=peers_confirmed token=%llu", (unsigned long long)core->fencing_token);
 }
 
 void tw_peer_heartbeat_receive(tw_core *core, uint64_t connection, const char *body, size_t len) {
     tw_wire_peer_heartbeat message;
     if (tw_wire_peer_heartbeat_parse(&message, body, len)) {
-        tw_reply_error(core, connection, TW_HTTP_BAD_REQUEST, 0, "malformed ping");
+        tw_reply_error(&core->context, connection, TW_HTTP_BAD_REQUEST, 0, "malformed ping");
         return;
     }
     tw_peer *from = tw_peer_find(core, message.name);
@@ -164,9 +165,10 @@
         count = 0;
     }
     if (from && answer.is_leader)
-        from->delegation_until =
-            core->now + tw_renewal_without_contact_s(core) * (1 + 2 * core->config->tune.drift);
-    tw_reply(core, connection, TW_HTTP_OK, 0, tw_wire_peer_heartbeat_text(&answer, ids, count));
+        from->delegation_until = core->context.now + tw_renewal_without_contact_s(core) *
+                                                         (1 + 2 * core->context.config->tune.drift);
+    tw_reply(&core->context, connection, TW_HTTP_OK, 0,
+             tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
 /* A peer answered a ping and knows of no token later than ours: it has not led until the ping was
@@ -177,7 +179,8 @@
                           const tw_wire_peer_heartbeat *answer) {
     double known = from->vouched_at;
     if (core->role == TW_ROLE_LEADER) known = fmax(known, core->authority_until);
-    const double started_by = core->now - answer->uptime_s * (1 - 2 * core->config->tune.drift);
+    const double started_by =
+        core->context.now - answer->uptime_s * (1 - 2 * core->context.config->tune.drift);
     if (tw_leader_has_authority(core) || started_by <= known)
         from->vouched_at = fmax(from->vouched_at, sent->sent_at);
 }
@@ -191,16 +194,16 @@
     if (status != TW_HTTP_OK || tw_wire_peer_heartbeat_parse(&answer, body, len)) return;
     note_vouching(core, from, sent, &answer);
     if (from->answered_at < sent->sent_at - ANSWERS_S - ANSWERS_LEASES * core->leader_lease_s)
-        from->back_at = core->now;
+        from->back_at = core->context.now;
     from->answered_at = sent->sent_at;
     /* Said after the ping was sent; a late copy of a request would not tell when. */
-    from->delegate_answered_at = core->now - answer.since_delegate_answer_s;
+    from->delegate_answered_at = core->context.now - answer.since_delegate_answer_s;
     from->delegate_answered_as_of = sent->sent_at;
     note_peer(core, from, &answer);
-    if (answer.highest_token == core->fencing_token && sent->term == core->term &&
+    if (answer.highest_token == core->fencing_token && sent->term == core->context.term &&
         sent->sequence > from->cancellations_known) {
         from->cancellations_known = sent->sequence;
-        core->next_job_sweep_at = core->now;
+        core->next_job_sweep_at = core->context.now;
     }
     if (answer.is_leader) tw_delegate_granted(core, sent->sent_at, answer.highest_token, body, len);
 }
@@ -208,9 +211,10 @@
 void tw_peer_heartbeat_tick(tw_core *core) {
     for (size_t i = 0; i < core->peer_count; i++) {
         tw_peer *to = &core->peers[i];
-        if (to->heartbeats_in_flight || core->now < to->next_heartbeat_at) continue;
+        if (to->heartbeats_in_flight || core->context.now < to->next_heartbeat_at) continue;
         to->next_heartbeat_at =
-            core->now + core->leader_lease_s * tw_jitter(core, PAUSE_LEAST, PAUSE_MOST);
+            core->context.now +
+            core->leader_lease_s * tw_context_random(&core->context, PAUSE_LEAST, PAUSE_MOST);
         send_heartbeat(core, to);
     }
 }
--- a/src/core/peers.h
+++ b/src/core/peers.h
@@ -6,7 +6,7 @@
 #ifndef TW_CORE_PEERS_H
 #define TW_CORE_PEERS_H
 #include "config/config.h"
-#include "core/call.h"
+#include "context/context.h"
 #include "core/job.h"
 #include "wire/wire.h"
 #include <stdbool.h>
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -40,7 +40,7 @@
     placed->index = index;
     placed->attempt = attempt;
     placed->version = job->version + 1;
-    placed->placed_at = core->now;
+    placed->placed_at = core->context.now;
     const tw_image *image = tw_image_find(machine, job);
     placed->concurrent_fetches = tw_image_count_fetches(core, machine, image);
     if (image) placed->image_state = image->ready_at <= 0 ? 1 : -1;
@@ -67,7 +67,7 @@
         tw_attempt_terminate_on(core, placed, TW_EVIDENCE_NOT_LAUNCHED);
         return;
     }
-    if (!placed->stopping) placed->stopped_at = core->now;
+    if (!placed->stopping) placed->stopped_at = core->context.now;
     placed->stopping = 1;
     placed->grace_s = grace_s;
     if (preempted && !placed->preempted) {
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -22,8 +22,8 @@
                  "waited_s=%.2f "
                  "start_s=%.2f left_s=%.2f image=%s",
                  job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
-                 job->spec.job_class, machine->type_name, core->now - job->submitted_at,
-                 prediction.total_s - prediction.run_s, demand->deadline_at - core->now,
+                 job->spec.job_class, machine->type_name, core->context.now - job->submitted_at,
+                 prediction.total_s - prediction.run_s, demand->deadline_at - core->context.now,
                  job->spec.image);
 }
 
@@ -136,7 +136,7 @@
 bool tw_scheduler_place_now(tw_core *core, tw_job *job) {
     if (job->spec.priority < TW_PRIORITY_PROD || !tw_job_is_pending(core, job)) {
         core->scheduling_due = true;
-        core->next_pass_at = fmin(core->next_pass_at, core->now);
+        core->next_pass_at = fmin(core->next_pass_at, core->context.now);
         return false;
     }
     begin_pass(core);
@@ -146,7 +146,7 @@
 
 void tw_scheduler_run(tw_core *core) {
     core->scheduling_due = false;
-    core->next_pass_at = core->now + BETWEEN_PASSES_S;
+    core->next_pass_at = core->context.now + BETWEEN_PASSES_S;
     tw_job_queue *turns = tw_job_queue_new(core, true);
     int left = MOST_IN_PASS;
     bool begun = false;
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -25,7 +25,7 @@
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            placed->running_since > 0 &&
-           (placed->inherited || core->now - placed->running_since > job->spec.save_s) &&
+           (placed->inherited || core->context.now - placed->running_since > job->spec.save_s) &&
            !tw_gang_can_save(core, job);
 }
 
@@ -38,7 +38,7 @@
 /* Run time of a task that is lost when it is stopped. */
 static double unsaved_s(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
-    const double ran_s = placed->running_since > 0 ? core->now - placed->running_since : 0;
+    const double ran_s = placed->running_since > 0 ? core->context.now - placed->running_since : 0;
     if (job->spec.checkpoint_s <= 0) return ran_s;
     /* A gang that can't be told at once falls back to its last checkpoint. */
     if (job->spec.gang && !tw_gang_can_save(core, job)) return fmin(ran_s, job->spec.checkpoint_s);
@@ -53,7 +53,7 @@
     /* Rather one that can start over and still make its deadline. */
     const double estimate_s = tw_job_run_estimate_s(job);
     const double due = tw_job_deadline(core, job);
-    if (isfinite(due) && core->now + RESTART_TIME * estimate_s > due) ran_s += estimate_s;
+    if (isfinite(due) && core->context.now + RESTART_TIME * estimate_s > due) ran_s += estimate_s;
     return ran_s + 1 + job->spec.priority * COST_OF_RANK;
 }
 
@@ -104,7 +104,7 @@
                  job->id, victim->machine->name);
     /* Saving takes flush_s: only where the one that needs the room can wait for it. */
     const bool saves =
-        spec->checkpoint_s > 0 && core->now + spec->save_s < tw_job_deadline(core, job);
+        spec->checkpoint_s > 0 && core->context.now + spec->save_s < tw_job_deadline(core, job);
     tw_placement_stop(core, victim, saves ? spec->save_s : 0, true);
 }
 
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -12,9 +12,10 @@
 
 static void quarantine_machine(tw_core *core, tw_machine *machine) {
     machine->quarantine_s =
-        machine->on_probation ? 2 * machine->quarantine_s : core->config->lease_s;
-    machine->quarantine_s = fmin(machine->quarantine_s, LONGEST_PAUSE * core->config->lease_s);
-    machine->probation_at = core->now + machine->quarantine_s;
+        machine->on_probation ? 2 * machine->quarantine_s : core->context.config->lease_s;
+    machine->quarantine_s =
+        fmin(machine->quarantine_s, LONGEST_PAUSE * core->context.config->lease_s);
+    machine->probation_at = core->context.now + machine->quarantine_s;
     machine->cordoned = true;
     machine->on_probation = false;
     tw_log_info("event=machine_quarantined worker=%s quarantine_s=%.1f", machine->name,
@@ -26,8 +27,8 @@
     tw_machine *machine = placed->machine;
     if (placed->running_since > 0)
         machine->longest_failed_run_s =
-            fmax(machine->longest_failed_run_s, core->now - placed->running_since);
-    machine->failed_at = core->now;
+            fmax(machine->longest_failed_run_s, core->context.now - placed->running_since);
+    machine->failed_at = core->context.now;
     if (machine->cordoned) return;
     if (machine->on_probation) {
         quarantine_machine(core, machine);
@@ -55,14 +56,15 @@
     tw_machine *machine = placed->machine;
     if (!machine->failure_score || machine->cordoned || placed->running_since <= machine->failed_at)
         return;
-    if (core->now - placed->running_since >
-        core->config->report_s + 2 * machine->longest_failed_run_s)
+    if (core->context.now - placed->running_since >
+        core->context.config->report_s + 2 * machine->longest_failed_run_s)
         tw_quarantine_clear(core, machine);
 }
 
 /* Lets a suspect be tried again when its pause is over. */
 void tw_quarantine_tick(tw_core *core, tw_machine *machine) {
-    if (!machine->cordoned || machine->probation_at <= 0 || core->now < machine->probation_at)
+    if (!machine->cordoned || machine->probation_at <= 0 ||
+        core->context.now < machine->probation_at)
         return;
     machine->cordoned = false;
     machine->on_probation = true;
--- a/src/core/rate_limiter.c
+++ b/src/core/rate_limits.c
@@ -1,5 +1,5 @@
+/* This node's parts of what the state service and the cloud take, by the settings. */
 #include "core/core_int.h"
-#include <stdbool.h>
 
 /* The state service's limits hold for all nodes together: the leader gets most of them. */
 #define LEADER_CALLS 0.6
@@ -13,48 +13,31 @@
 #define OTHERS_LEAST_WRITES 4
 #define CLOUD_BURST_S 2
 
-tw_rate_limiter tw_rate_limiter_make(double rate, double burst, double now) {
-    return (tw_rate_limiter){.tokens = burst, .rate = rate, .burst = burst, .updated_at = now};
-}
-
-double tw_rate_limiter_available(tw_core *core, tw_rate_limiter *budget) {
-    budget->tokens += (core->now - budget->updated_at) * budget->rate;
-    if (budget->tokens > budget->burst) budget->tokens = budget->burst;
-    budget->updated_at = core->now;
-    return budget->tokens;
-}
-
-bool tw_rate_limiter_try_acquire(tw_core *core, tw_rate_limiter *budget, double calls) {
-    if (tw_rate_limiter_available(core, budget) < calls) return false;
-    budget->tokens -= calls;
-    return true;
-}
-
-void tw_rate_limiter_refund(tw_rate_limiter *budget, double calls) { budget->tokens += calls; }
-
 /* The parts that a leader uses. */
 static void init_of_leader(tw_core *core) {
-    const tw_config *config = core->config;
+    const tw_config *config = core->context.config;
     const double share = config->tune.write_share;
     const double writes = share * config->state_write_rps;
-    core->write_limiter = tw_rate_limiter_make(writes, writes * LEADER_WRITES_BURST_S, core->now);
+    core->write_limiter =
+        tw_rate_limiter_make(writes, writes * LEADER_WRITES_BURST_S, core->context.now);
     core->request_limiter =
         tw_rate_limiter_make(share * config->state_rps * LEADER_CALLS,
-                             share * config->state_rps * LEADER_CALLS_BURST_S, core->now);
+                             share * config->state_rps * LEADER_CALLS_BURST_S, core->context.now);
     const double cloud = share * config->cloud_rps;
-    core->cloud_limiter = tw_rate_limiter_make(cloud, fmax(1, cloud * CLOUD_BURST_S), core->now);
+    core->cloud_limiter =
+        tw_rate_limiter_make(cloud, fmax(1, cloud * CLOUD_BURST_S), core->context.now);
 }
 
 /* The parts that a node uses while it does not lead. */
 static void init_of_others(tw_core *core) {
-    const tw_config *config = core->config;
+    const tw_config *config = core->context.config;
     const double share = config->tune.write_share * OTHERS / (double)(config->npeers + 1);
     const double reads = share * config->state_rps;
     core->follower_read_limiter =
-        tw_rate_limiter_make(reads, fmax(OTHERS_LEAST_READS, reads), core->now);
+        tw_rate_limiter_make(reads, fmax(OTHERS_LEAST_READS, reads), core->context.now);
     const double writes = share * config->state_write_rps;
     core->follower_create_limiter = tw_rate_limiter_make(
-        writes, fmax(OTHERS_LEAST_WRITES, writes * OTHERS_WRITES_BURST_S), core->now);
+        writes, fmax(OTHERS_LEAST_WRITES, writes * OTHERS_WRITES_BURST_S), core->context.now);
 }
 
 void tw_rate_limiters_init(tw_core *core) {
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -13,11 +13,11 @@
     const tw_job *job = placed->job;
     const double estimate_s = tw_job_run_estimate_s(job);
     const double due = tw_job_deadline(core, job);
-    const double ran_s = core->now - placed->running_since;
+    const double ran_s = core->context.now - placed->running_since;
     if (!isfinite(due) || estimate_s <= 0) return 0;
     *slowness = fmax(tw_machine_slowness(core, placed->machine), ran_s / estimate_s);
-    const double end =
-        fmax(placed->running_since + estimate_s * *slowness, core->now + LEAST_REST * estimate_s);
+    const double end = fmax(placed->running_since + estimate_s * *slowness,
+                            core->context.now + LEAST_REST * estimate_s);
     return end <= due ? 0 : end;
 }
 
@@ -52,7 +52,7 @@
             !tw_constraints_allow_machine_zone(core, &demand, machine))
             continue;
         const double total_s = tw_predict(core, &demand, machine).total_s;
-        if (core->now + total_s <= demand.deadline_at) add(&found, machine, total_s);
+        if (core->context.now + total_s <= demand.deadline_at) add(&found, machine, total_s);
     }
     return found;
 }
@@ -63,7 +63,7 @@
     const tw_job *job = placed->job;
     for (int i = 0; i < found->count; i++) {
         const alternative *other = &found->items[i];
-        if (other->machine == placed->machine || core->now + other->total_s >= end ||
+        if (other->machine == placed->machine || core->context.now + other->total_s >= end ||
             tw_machine_slowness(core, other->machine) * CLEARLY_FASTER > slowness)
             continue;
         tw_log_info("event=task_rescheduled task=%s/%d from=%s to=%s late_s=%.1f", job->id,
--- a/src/core/record_chunks.c
+++ b/src/core/record_chunks.c
@@ -46,7 +46,7 @@
 
 /* Bytes that a record may have where an old node may have to read it. */
 static size_t current_value_size(const tw_core *core) {
-    return (size_t)(core->config->state_now.value_kb * KB);
+    return (size_t)(core->context.config->state_now.value_kb * KB);
 }
 
 size_t tw_record_whole_size(const tw_core *core) {
@@ -75,7 +75,7 @@
     const tw_wire_record record = {.has_job = 1,
                                    .job = *spec,
                                    .task_count = spec->task_count,
-                                   .submitted_at = core->wall,
+                                   .submitted_at = core->context.wall,
                                    .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
     const bool fits = strlen(text) <= current_value_size(core);
@@ -152,11 +152,11 @@
  * changes. */
 static tw_call *send_changes(tw_core *core, tw_call_kind kind, const tw_wire_write *changes,
                              int count) {
-    tw_rate_limiter_try_acquire(core, &core->write_limiter, count);
-    tw_rate_limiter_try_acquire(core, &core->request_limiter, 1);
+    tw_rate_limiter_try_acquire(&core->write_limiter, core->context.now, count);
+    tw_rate_limiter_try_acquire(&core->request_limiter, core->context.now, 1);
     const tw_wire_compare compare = {TW_LEADER_KEY, core->fencing_token};
     tw_call *sent =
-        tw_call_send(core, kind, TW_TO_STATE, core->config->state, "POST", "/txn",
+        tw_call_send(&core->context, kind, TW_TO_STATE, core->context.config->state, "POST", "/txn",
                      tw_wire_txn_text(&compare, 1, changes, (size_t)count), txn_timeout_s(core));
     sent->count = count;
     core->transactions_in_flight++;
@@ -186,16 +186,17 @@
 void tw_chunks_flush(tw_core *core, int most) {
     tw_job *job;
     DL_FOREACH2(core->pending_writes, job, write_next) {
-        const int budget = (int)fmin(most, tw_rate_limiter_available(core, &core->write_limiter));
+        const int budget =
+            (int)fmin(most, tw_rate_limiter_available(&core->write_limiter, core->context.now));
         if (core->transactions_in_flight >= TW_MAX_TRANSACTIONS || budget < 1 ||
-            tw_rate_limiter_available(core, &core->request_limiter) < 1)
+            tw_rate_limiter_available(&core->request_limiter, core->context.now) < 1)
             return;
         if (!job->chunks) continue;
         /* The end of a job doesn't wait for what it was before. */
         if (!job->chunks->record_sent && job->chunks->state != job->state)
             tw_chunks_drop(core, job);
         if (!job->chunks || job->chunks->write_in_flight || tw_chunks_all_written(job)) continue;
-        if (core->now >= job->write_after) send_chunks(core, job, budget);
+        if (core->context.now >= job->write_after) send_chunks(core, job, budget);
     }
 }
 
@@ -221,11 +222,13 @@
 
 void tw_chunks_remove_stale(tw_core *core, int most) {
     tw_stale_chunk_set *stale = core->stale_chunk_sets;
-    if (!stale || core->chunk_removal_in_flight || core->now < core->next_chunk_removal_at ||
+    if (!stale || core->chunk_removal_in_flight ||
+        core->context.now < core->next_chunk_removal_at ||
         core->transactions_in_flight >= TW_MAX_TRANSACTIONS ||
-        tw_rate_limiter_available(core, &core->request_limiter) < 1)
+        tw_rate_limiter_available(&core->request_limiter, core->context.now) < 1)
         return;
-    most = (int)fmin(most, fmin(MAX_SLICES, tw_rate_limiter_available(core, &core->write_limiter)));
+    most = (int)fmin(
+        most, fmin(MAX_SLICES, tw_rate_limiter_available(&core->write_limiter, core->context.now)));
     const int count = (int)fmin(most, stale->count - stale->next);
     if (count < 1) return;
     char keys[MAX_SLICES][TW_CHUNK_KEY_SIZE];
@@ -244,7 +247,7 @@
     core->chunk_removal_in_flight = false;
     if (!stale) return;
     if (status != TW_HTTP_OK) {
-        core->next_chunk_removal_at = core->now + REMOVAL_RETRY_S;
+        core->next_chunk_removal_at = core->context.now + REMOVAL_RETRY_S;
         return;
     }
     stale->next += call->count;
--- a/src/core/record_refusal.c
+++ b/src/core/record_refusal.c
@@ -16,7 +16,7 @@
     const int doublings = job->size_refusals < DOUBLINGS ? job->size_refusals : DOUBLINGS;
     const double pause_s = fmin(LONGEST_PAUSE_S, FIRST_PAUSE_S * (double)(1 << doublings));
     job->size_refusals++;
-    job->write_after = core->now + pause_s;
+    job->write_after = core->context.now + pause_s;
     tw_log_error("event=record_refused id=%s bytes=%zu pause_s=%.2f", job->id, bytes, pause_s);
     tw_job_reject_waiting_clients(core, job);
 }
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -22,7 +22,7 @@
 #define DECIMAL 10
 
 size_t tw_record_value_size(const tw_core *core) {
-    const double bytes = core->config->state_value_kb * KB;
+    const double bytes = core->context.config->state_value_kb * KB;
     return (size_t)fmin(MOST_VALUE_BYTES, bytes - bytes / SPARE_PART);
 }
 
--- a/src/core/rejected_admissions.c
+++ b/src/core/rejected_admissions.c
@@ -11,7 +11,7 @@
 void tw_admission_reject(tw_core *core, uint64_t connection, const char *id, double retry_s,
                          const char *why) {
     tw_log_debug("event=submission_rejected id=%s why=\"%s\"", id, why);
-    tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, retry_s, why);
+    tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, retry_s, why);
 }
 
 double tw_write_backlog_s(tw_core *core) {
@@ -20,12 +20,12 @@
     DL_FOREACH2(core->pending_writes, job, write_next) {
         queued += job->write_urgent || !job->record_exists;
     }
-    double have = tw_rate_limiter_available(core, &core->write_limiter);
+    double have = tw_rate_limiter_available(&core->write_limiter, core->context.now);
     return queued > have ? (queued - have) / core->write_limiter.rate : 0;
 }
 
 static unsigned max_rejected_admissions(const tw_core *core) {
-    return (unsigned)(MEMORY_SHARE * core->config->mem_mb * BYTES_PER_MIB /
+    return (unsigned)(MEMORY_SHARE * core->context.config->mem_mb * BYTES_PER_MIB /
                       (sizeof(tw_rejected_admission) + OVERHEAD_BYTES));
 }
 
@@ -48,9 +48,9 @@
         rejected = tw_alloc(sizeof *rejected);
         snprintf(rejected->id, sizeof rejected->id, "%s", spec->id);
         snprintf(rejected->job.id, sizeof rejected->job.id, "%s", spec->id);
-        rejected->job.submitted_at = rejected->job.pending_since = core->now;
+        rejected->job.submitted_at = rejected->job.pending_since = core->context.now;
         tw_job_set_spec(core, &rejected->job, spec);
         HASH_ADD_STR(core->rejected_admissions, id, rejected);
     }
-    rejected->until = core->now + retry_s + core->config->lease_s;
+    rejected->until = core->context.now + retry_s + core->context.config->lease_s;
 }
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -50,7 +50,7 @@
                          const tw_image *image) {
     if (!image) return job->spec.image_gb;
     if (image->ready_at <= 0) return 0;
-    return fmax(0, image->ready_at - core->now) *
+    return fmax(0, image->ready_at - core->context.now) *
            core->machine_types[machine->type_index].listed.fetch_gb_s;
 }
 
@@ -77,9 +77,9 @@
  * objective is late half of the time. */
 double tw_predict_end(const tw_core *core, const tw_demand *demand,
                       const tw_prediction *prediction) {
-    const double end = core->now + prediction->total_s + prediction->margin_s;
+    const double end = core->context.now + prediction->total_s + prediction->margin_s;
     if (!demand->job->spec.gang || !isfinite(demand->start_deadline_at)) return end;
     /* A gang that starts late for its start objective is as late at its end. */
-    const double start = core->now + prediction->total_s - prediction->run_s;
+    const double start = core->context.now + prediction->total_s - prediction->run_s;
     return fmax(end, start + demand->deadline_at - demand->start_deadline_at);
 }
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -31,9 +31,10 @@
         machine->idle_since = 0;
         return false;
     }
-    if (machine->idle_since <= 0) machine->idle_since = core->now;
+    if (machine->idle_since <= 0) machine->idle_since = core->context.now;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
-    return core->now - machine->idle_since >= core->config->tune.idle_ratio * startup_s;
+    return core->context.now - machine->idle_since >=
+           core->context.config->tune.idle_ratio * startup_s;
 }
 
 void tw_scale_in_idle(tw_core *core) {
@@ -46,7 +47,7 @@
         machine->return_wanted = machine->cordoned = true;
         core->returns_due = true;
         tw_log_info("event=machine_return_requested worker=%s why=idle rented_s=%.0f",
-                    machine->name, core->now - machine->known_since);
+                    machine->name, core->context.now - machine->known_since);
     }
 }
 
@@ -209,10 +210,10 @@
     if (!tw_machine_is_usable(core, machine) || machine->spot) return false;
     if (!tw_machine_is_occupied(machine))
         return false; /* it goes when it was idle for long enough */
-    if (core->now < machine->no_decommission_until) return false;
+    if (core->context.now < machine->no_decommission_until) return false;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
-    const double least_up_s = fmax(startup_s, LEAST_UP_LEASES * core->config->lease_s);
-    return core->now - machine->first_answered_at >= least_up_s;
+    const double least_up_s = fmax(startup_s, LEAST_UP_LEASES * core->context.config->lease_s);
+    return core->context.now - machine->first_answered_at >= least_up_s;
 }
 
 /* What returning a machine saves, for what it costs to empty it. */
@@ -248,7 +249,8 @@
         tw_machine *best = most_to_gain(core);
         if (!best) return NULL;
         if (!waited_for(core, best) && can_empty(core, bins, best)) return best;
-        best->no_decommission_until = core->now + RETRY_REPORTS * core->config->report_s;
+        best->no_decommission_until =
+            core->context.now + RETRY_REPORTS * core->context.config->report_s;
     }
     return NULL;
 }
@@ -257,7 +259,8 @@
 
 /* Each move ends in a write or two: a share of what may be written in the time between passes. */
 static int moves_allowed(const tw_core *core, double between_s) {
-    return (int)fmax(LEAST_MOVES, ceil(WRITE_SHARE * core->config->state_write_rps * between_s));
+    return (int)fmax(LEAST_MOVES,
+                     ceil(WRITE_SHARE * core->context.config->state_write_rps * between_s));
 }
 
 /* Whether a machine was asked for that is not there yet. */
@@ -280,9 +283,9 @@
 }
 
 void tw_scale_in_consolidate(tw_core *core, tw_bins *bins) {
-    const double between_s = PASS_REPORTS * core->config->report_s;
-    if (core->now < core->next_consolidation_at) return;
-    core->next_consolidation_at = core->now + between_s;
+    const double between_s = PASS_REPORTS * core->context.config->report_s;
+    if (core->context.now < core->next_consolidation_at) return;
+    core->next_consolidation_at = core->context.now + between_s;
     if (awaits_machine(bins) || service_waits(core)) return;
     tw_machine *machine;
     struct tw_machine *next;
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -29,11 +29,11 @@
         snprintf(names[count++], TW_NAME_SIZE, "%s", machine->name);
     }
     core->returns_due = count > 0; /* until none is left */
-    if (!count || !tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1)) return;
+    if (!count || !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1)) return;
     for (int i = 0; i < count; i++) tw_machine_find(core, names[i])->return_in_flight = 1;
-    tw_call *call =
-        tw_call_send(core, TW_CALL_RETURN_MACHINES, TW_TO_CLOUD, core->config->cloud, "POST",
-                     "/rentals/release", tw_wire_machine_names_text(names, count), TIMEOUT_S);
+    tw_call *call = tw_call_send(&core->context, TW_CALL_RETURN_MACHINES, TW_TO_CLOUD,
+                                 core->context.config->cloud, "POST", "/rentals/release",
+                                 tw_wire_machine_names_text(names, count), TIMEOUT_S);
     call->count = count;
     call->names = tw_alloc((size_t)count * TW_NAME_SIZE);
     memcpy(call->names, names, (size_t)count * TW_NAME_SIZE);
@@ -48,13 +48,10 @@
         if (status != TW_HTTP_OK) {
             machine->return_in_flight = 0; /* asked again: releasing twice is harmless */
             core->returns_due = true;
-            core->next_return_at = core->now + RETRY_S;
+            core->next_return_at = core->context.now + RETRY_S;
             continue;
         }
-        tw_expiring_name *returned = tw_alloc(sizeof *returned);
-        snprintf(returned->name, sizeof returned->name, "%s", machine->name);
-        returned->at = core->now;
-        HASH_ADD_STR(core->returned_machines, name, returned);
+        tw_expiring_names_add(&core->returned_machines, machine->name, core->context.now);
         tw_machine_forget(core, machine, "released");
     }
 }
@@ -75,12 +72,13 @@
 static void send_request(tw_core *core, tw_rental_request *request) {
     const tw_capacity_offer *offer = offer_of(core, request);
     request->in_flight = 1;
-    tw_call *call = tw_call_send(
-        core, TW_CALL_RENT_MACHINES, TW_TO_CLOUD, core->config->cloud, "POST", "/rentals",
-        tw_wire_rental_request_text(
-            request->name, core->machine_types[request->type_index].listed.name,
-            tw_offer_zone(core, offer), request->spot, request->machine_count),
-        TIMEOUT_S);
+    tw_call *call =
+        tw_call_send(&core->context, TW_CALL_RENT_MACHINES, TW_TO_CLOUD,
+                     core->context.config->cloud, "POST", "/rentals",
+                     tw_wire_rental_request_text(
+                         request->name, core->machine_types[request->type_index].listed.name,
+                         tw_offer_zone(core, offer), request->spot, request->machine_count),
+                     TIMEOUT_S);
     snprintf(call->name, sizeof call->name, "%s", request->name);
 }
 
@@ -90,8 +88,8 @@
     double most = 0;
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
-        if (offer->wanted <= 0 || core->now < offer->refused_until) continue;
-        const double wanted = offer->wanted * (core->now - offer->wanted_since + 0.5);
+        if (offer->wanted <= 0 || core->context.now < offer->refused_until) continue;
+        const double wanted = offer->wanted * (core->context.now - offer->wanted_since + 0.5);
         if (wanted <= most) continue;
         most = wanted;
         best = offer;
@@ -110,16 +108,15 @@
     request->spot = offer->spot;
     request->machine_count = offer->wanted > TW_MAX_RENTAL ? TW_MAX_RENTAL : offer->wanted;
     offer->wanted -= request->machine_count;
-    offer->wanted_since = offer->wanted ? core->now : 0;
+    offer->wanted_since = offer->wanted ? core->context.now : 0;
     DL_APPEND(core->rental_requests, request);
     send_request(core, request);
 }
 
 static void take_rented(tw_core *core, const tw_rental_request *request, const char *name,
                         double sent) {
-    const tw_expiring_name *returned;
-    HASH_FIND_STR(core->returned_machines, name, returned);
-    if (returned || tw_machine_find(core, name)) return;
+    if (tw_expiring_names_find(core->returned_machines, name)) return;
+    if (tw_machine_find(core, name)) return;
     tw_machine *machine = tw_machine_new(core, name);
     machine->type_index = request->type_index;
     machine->spot = request->spot;
@@ -138,14 +135,17 @@
                 tw_offer_zone(core, offer), request->spot, request->machine_count, count);
     const bool partly = count < request->machine_count;
     offer->refused = partly ? offer->refused + 1 : 0;
-    if (partly) offer->refused_until = core->now + core->config->list_lag_s * AFTER_PART_LAGS;
+    if (partly)
+        offer->refused_until =
+            core->context.now + core->context.config->list_lag_s * AFTER_PART_LAGS;
 }
 
 static void refused(tw_core *core, const tw_rental_request *request) {
     tw_capacity_offer *offer = offer_of(core, request);
     offer->refused++;
     offer->refused_until =
-        core->now + core->config->list_lag_s * fmin(AFTER_REFUSAL_MOST_LAGS, 1 + offer->refused);
+        core->context.now +
+        core->context.config->list_lag_s * fmin(AFTER_REFUSAL_MOST_LAGS, 1 + offer->refused);
     tw_log_info("event=rental_refused machine_type=%s zone=%s spot=%d",
                 core->machine_types[request->type_index].listed.name, tw_offer_zone(core, offer),
                 request->spot);
@@ -168,9 +168,9 @@
         refused(core, request);
     } else if (status == TW_HTTP_BAD_REQUEST) {
         tw_log_error("event=rental_answer_malformed request=%s", request->name);
-        offer_of(core, request)->refused_until = core->now + AFTER_MALFORMED_S;
+        offer_of(core, request)->refused_until = core->context.now + AFTER_MALFORMED_S;
     } else { /* unknown: the same name again gets the same answer */
-        request->next_try = core->now + RETRY_S;
+        request->next_try = core->context.now + RETRY_S;
         return;
     }
     DL_DELETE(core->rental_requests, request);
@@ -229,24 +229,25 @@
 }
 
 static void ask_types(tw_core *core) {
-    if (core->machine_types_in_flight || core->now < core->next_machine_types_at ||
-        !tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
+    if (core->machine_types_in_flight || core->context.now < core->next_machine_types_at ||
+        !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
         return;
     core->machine_types_in_flight = true;
-    tw_call_send(core, TW_CALL_LIST_MACHINE_TYPES, TW_TO_CLOUD, core->config->cloud, "GET",
-                 "/flavors", NULL, TYPES_TIMEOUT_S);
+    tw_call_send(&core->context, TW_CALL_LIST_MACHINE_TYPES, TW_TO_CLOUD,
+                 core->context.config->cloud, "GET", "/flavors", NULL, TYPES_TIMEOUT_S);
 }
 
 /* Little may be asked of the cloud: what is wanted gathers until a request may go. */
 static void ask_machines(tw_core *core) {
     tw_rental_request *request;
     DL_FOREACH(core->rental_requests, request) {
-        if (!request->in_flight && core->now >= request->next_try &&
-            tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1))
+        if (!request->in_flight && core->context.now >= request->next_try &&
+            tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
             send_request(core, request);
     }
     for (tw_capacity_offer *offer;
-         (offer = most_wanted(core)) && tw_rate_limiter_try_acquire(core, &core->cloud_limiter, 1);)
+         (offer = most_wanted(core)) &&
+         tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1);)
         request_of(core, offer);
 }
 
@@ -255,16 +256,17 @@
     if (core->phase != TW_PHASE_ACTIVE || !tw_leader_may(core, TW_PERMISSION_COMMAND) ||
         !core->machine_type_count)
         return;
-    if (core->now >= core->next_plan_at) {
-        core->next_plan_at = core->now + PLAN_EVERY_S;
+    if (core->context.now >= core->next_plan_at) {
+        core->next_plan_at = core->context.now + PLAN_EVERY_S;
         tw_autoscaler_plan(core);
     }
-    if (core->now >= core->next_fleet_log_at) {
-        core->next_fleet_log_at = core->now + FLEET_LOG_LEASES * core->config->lease_s;
+    if (core->context.now >= core->next_fleet_log_at) {
+        core->next_fleet_log_at =
+            core->context.now + FLEET_LOG_LEASES * core->context.config->lease_s;
         log_fleet(core);
     }
     ask_machines(core);
-    if (!core->return_in_flight && core->now >= core->next_return_at) send_returns(core);
+    if (!core->return_in_flight && core->context.now >= core->next_return_at) send_returns(core);
     tw_machine_list_tick(core);
 }
 
@@ -275,7 +277,7 @@
         core->machine_types_in_flight = false;
         if (status == TW_HTTP_OK) tw_machine_types_response(core, body, length);
         core->next_machine_types_at =
-            core->now + (core->machine_type_count ? TYPES_EVERY_S : TYPES_RETRY_S);
+            core->context.now + (core->machine_type_count ? TYPES_EVERY_S : TYPES_RETRY_S);
         break;
     case TW_CALL_LIST_MACHINES:
         tw_machine_list_page(core, status, body, length);
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -3,11 +3,9 @@
  * is forgotten by tw_term_clear. Not for other packages. */
 #ifndef TW_CORE_STATE_H
 #define TW_CORE_STATE_H
-#include "core/rate_limiter.h"
-#include "core/call.h"
+#include "context/context.h"
 #include "core/core.h"
 #include "core/counters.h"
-#include "core/expiring_name.h"
 #include "core/job.h"
 #include "core/machine.h"
 #include "core/peers.h"
@@ -21,23 +19,14 @@
 #define TW_MAX_TRANSACTIONS 3 /* transactions in flight, over disjoint jobs */
 
 struct tw_core {
-    const tw_config *config;
-    double now, wall;
-    gsl_rng *rng;
-    tw_effect *effects_head, *effects_tail;
-    tw_call *calls;
-    unsigned calls_made[TW_CALL_KINDS],
-        calls_refused; /* to the state service, since the last log line */
-    double next_calls_log_at;
+    tw_context context;
     tw_counters counters;
-    uint64_t last_call_id;
 
     /* election */
     tw_role role;
     tw_leader_phase phase;
     bool could_command, could_renew;  /* rights when last looked at, for the log */
     double answered_while_loading_at; /* last report answered while the records were read */
-    uint64_t term; /* changes with each term: calls of another term are ignored */
     uint64_t lease_id, fencing_token, highest_token_seen;
     double leader_lease_s, authority_until, acquired_at, next_renewal_at, next_leader_read_at;
     int renewals_in_flight;
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -25,15 +25,15 @@
     const int slot = job->failed_machine_count < most ? job->failed_machine_count++
                                                       : job->consecutive_errors % most;
     job->failed_machines[slot] = placed->machine;
-    const double longest = core->config->lease_s * RETRY_LONGEST_LEASES;
+    const double longest = core->context.config->lease_s * RETRY_LONGEST_LEASES;
     const int doublings =
         job->consecutive_errors > RETRY_DOUBLINGS ? RETRY_DOUBLINGS : job->consecutive_errors;
     const double pause = elsewhere < ELSEWHERE_BLAMES_JOB
                              ? RETRY_ELSEWHERE_S
                              : fmin(longest, RETRY_FIRST_S * (double)(1 << doublings));
     /* It may be the only machine that fits, and a fault may pass. */
-    job->failed_machines_until = core->now + longest;
-    job->retry_at = core->now + pause;
+    job->failed_machines_until = core->context.now + longest;
+    job->retry_at = core->context.now + pause;
     if (cause == TW_CAUSE_ERROR && elsewhere < ELSEWHERE_BLAMES_JOB)
         tw_quarantine_note_failure(core, placed, elsewhere);
 }
@@ -66,7 +66,7 @@
         if (!over) note_task_error(core, placed, reported->cause);
         break;
     default:
-        job->retry_at = core->now + RETRY_REFUSED_REPORTS * core->config->report_s;
+        job->retry_at = core->context.now + RETRY_REFUSED_REPORTS * core->context.config->report_s;
         break;
     }
     tw_attempt_terminate(core, placed, &end);
@@ -82,11 +82,11 @@
     /* A gang's task that was not seen waiting may have waited for the others: that is no delay of
      * its machine. */
     if (!job->spec.gang) tw_statistics_note_start(core, placed);
-    placed->running_since = core->now;
+    placed->running_since = core->context.now;
     tw_log_debug(
         "event=task_started task=%s/%d class=%s machine_type=%s start_s=%.2f waited_s=%.2f",
         job->id, placed->index, job->spec.job_class, placed->machine->type_name,
-        core->now - placed->placed_at, core->now - job->submitted_at);
+        core->context.now - placed->placed_at, core->context.now - job->submitted_at);
     tw_image_note_use(core, placed->machine, job, true);
 }
 
@@ -119,10 +119,10 @@
     /* A task of a broken gang tells that it runs until it ends: that shows nothing. */
     if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != TW_GANG_RUNNING))
         return;
-    const double ran_s = core->now - placed->running_since;
-    if (ran_s > 2 * core->config->lease_s) job->consecutive_errors = 0;
+    const double ran_s = core->context.now - placed->running_since;
+    if (ran_s > 2 * core->context.config->lease_s) job->consecutive_errors = 0;
     tw_quarantine_note_running(core, placed);
-    if (ran_s > core->config->lease_s) job->has_run = 1;
+    if (ran_s > core->context.config->lease_s) job->has_run = 1;
 }
 
 /* It ended before we knew of it; its job, unless NULL, still wants it. */
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -2,19 +2,11 @@
 #include "core/record_chunks.h"
 #include <stdbool.h>
 
-static void forget_set(tw_expiring_name **set) {
-    tw_expiring_name *member, *next;
-    HASH_ITER(hh, *set, member, next) {
-        HASH_DEL(*set, member);
-        free(member);
-    }
-}
-
 /* Turns away all users who wait for the job. */
 static void reject_waiting_clients(tw_core *core, tw_job *job) {
     for (tw_waiting_client *user = job->waiting_clients, *next; user; user = next) {
         next = user->next;
-        tw_reply_error(core, user->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
+        tw_reply_error(&core->context, user->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
         free(user);
     }
     job->waiting_clients = NULL;
@@ -59,9 +51,9 @@
 
 void tw_term_clear(tw_core *core) {
     forget_jobs_and_machines(core);
-    forget_set(&core->returned_machines);
+    tw_expiring_names_clear(&core->returned_machines);
     forget_rentals(core);
-    forget_set(&core->untaken_admissions);
+    tw_expiring_names_clear(&core->untaken_admissions);
     tw_chunks_forget_stale(core);
     tw_chunk_loader_free(core);
     core->peers_read_chunks = core->a_peer_lacks_chunks = false;
@@ -72,6 +64,8 @@
     core->transactions_in_flight = 0;
     core->pending_admissions = 0;
     core->load_in_flight = false;
-    memset(core->team_cores_used, 0, (core->config->nteams + 1) * sizeof *core->team_cores_used);
-    memset(core->team_gpus_used, 0, (core->config->nteams + 1) * sizeof *core->team_gpus_used);
+    memset(core->team_cores_used, 0,
+           (core->context.config->nteams + 1) * sizeof *core->team_cores_used);
+    memset(core->team_gpus_used, 0,
+           (core->context.config->nteams + 1) * sizeof *core->team_gpus_used);
 }
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -29,18 +29,17 @@
 
 void tw_job_look_up(tw_core *core, uint64_t connection, const char *id,
                     tw_user_operation operation) {
-    if (!tw_rate_limiter_try_acquire(core,
-                                     tw_leader_may(core, TW_PERMISSION_WRITE)
-                                         ? &core->request_limiter
-                                         : &core->follower_read_limiter,
-                                     1)) {
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "busy");
+    tw_rate_limiter *limiter = tw_leader_may(core, TW_PERMISSION_WRITE)
+                                   ? &core->request_limiter
+                                   : &core->follower_read_limiter;
+    if (!tw_rate_limiter_try_acquire(limiter, core->context.now, 1)) {
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "busy");
         return;
     }
     char path[TW_JOB_PATH_SIZE];
     snprintf(path, sizeof path, TW_JOB_PATH "%s", id);
-    tw_call *call = tw_call_send(core, TW_CALL_LOOK_UP_JOB, TW_TO_STATE, core->config->state, "GET",
-                                 path, NULL, LOOKUP_TIMEOUT_S);
+    tw_call *call = tw_call_send(&core->context, TW_CALL_LOOK_UP_JOB, TW_TO_STATE,
+                                 core->context.config->state, "GET", path, NULL, LOOKUP_TIMEOUT_S);
     call->connection = connection;
     call->operation = operation;
     call->sequence = tw_completed_jobs_evictions(core->completed_jobs);
@@ -52,10 +51,12 @@
                               const char *method, const char *path, const char *id, char *body,
                               double timeout_s) {
     tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
-    if (!leader || leader->answered_at < core->now - 0.5 * core->leader_lease_s - LEADER_SILENT_S)
+    if (!leader ||
+        leader->answered_at < core->context.now - 0.5 * core->leader_lease_s - LEADER_SILENT_S)
         return false;
-    tw_call *call = tw_call_send(core, TW_CALL_FORWARD_REQUEST, TW_TO_PEER, leader->config.addr,
-                                 method, path, body ? strdup(body) : NULL, timeout_s);
+    tw_call *call =
+        tw_call_send(&core->context, TW_CALL_FORWARD_REQUEST, TW_TO_PEER, leader->config.addr,
+                     method, path, body ? strdup(body) : NULL, timeout_s);
     call->connection = connection;
     call->operation = operation;
     call->text = body;
@@ -67,7 +68,7 @@
 
 static void leader_cancel(tw_core *core, uint64_t connection, tw_job *job) {
     if (job->durable_state != TW_JOB_PENDING) {
-        tw_reply(core, connection, TW_HTTP_OK, 0,
+        tw_reply(&core->context, connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
         return;
     }
@@ -80,7 +81,8 @@
     if (safe < 0) {
         /* It goes on as soon as it can be promised; the user is not kept waiting for that. */
         tw_log_debug("event=cancellation_deferred id=%s", job->id);
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "machines of it can't be reached");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1,
+                       "machines of it can't be reached");
         return;
     }
     tw_job_add_waiting_client(core, job, connection, true);
@@ -95,14 +97,14 @@
     if (job && operation == TW_OPERATION_CANCEL)
         leader_cancel(core, connection, job);
     else if (job)
-        tw_reply(core, connection, TW_HTTP_OK, 0, tw_job_status_text(job));
+        tw_reply(&core->context, connection, TW_HTTP_OK, 0, tw_job_status_text(job));
     else if (!tw_completed_jobs_find(core->completed_jobs, id, &ending))
         return false;
     else if (operation == TW_OPERATION_CANCEL)
-        tw_reply(core, connection, TW_HTTP_OK, 0,
+        tw_reply(&core->context, connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(id, ending.stage, -1, -1));
     else
-        tw_reply(core, connection, TW_HTTP_OK, 0,
+        tw_reply(&core->context, connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(id, ending.stage, ending.done, 0));
     return true;
 }
@@ -123,11 +125,11 @@
     tw_job *job = tw_job_new(core, spec->id);
     tw_job_set_spec(core, job, spec);
     job->task_states = tw_alloc((size_t)job->task_count);
-    job->submitted_at = job->pending_since = core->now;
-    job->submitted_wall_s = core->wall;
+    job->submitted_at = job->pending_since = core->context.now;
+    job->submitted_wall_s = core->context.wall;
     DL_APPEND(core->active_jobs, job);
     if (core->began_without_jobs && core->first_admission_at <= 0)
-        core->first_admission_at = core->now;
+        core->first_admission_at = core->context.now;
     tw_job_class_note_arrival(core, job->job_class, job);
     tw_job_add_waiting_client(core, job, connection, false);
     tw_job_mark_changed(core, job, true);
@@ -167,8 +169,8 @@
 /* Accepts a job without the leader: its key must not exist. The leader learns of it from a second
  * key, a successor from its load. */
 static void admit_without_leader(tw_core *core, uint64_t connection, tw_wire_job *spec) {
-    if (core->now - core->store_answered_at > 2 * core->leader_lease_s ||
-        !tw_rate_limiter_try_acquire(core, &core->follower_create_limiter, 2)) {
+    if (core->context.now - core->store_answered_at > 2 * core->leader_lease_s ||
+        !tw_rate_limiter_try_acquire(&core->follower_create_limiter, core->context.now, 2)) {
         tw_admission_reject(core, connection, spec->id, 1, "no leader");
         return;
     }
@@ -177,7 +179,7 @@
     tw_wire_record record = {.has_job = 1,
                              .job = *spec,
                              .task_count = spec->task_count,
-                             .submitted_at = core->wall,
+                             .submitted_at = core->context.wall,
                              .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
     if (strlen(text) > tw_record_whole_size(core)) {
@@ -190,9 +192,9 @@
     snprintf(news, sizeof news, TW_PEER_ADMISSION_KEY "%s", spec->id);
     tw_wire_compare compare = {key, 0};
     tw_wire_write writes[2] = {{key, text, 0}, {news, "1", 0}};
-    tw_call *call =
-        tw_call_send(core, TW_CALL_CREATE_RECORD, TW_TO_STATE, core->config->state, "POST", "/txn",
-                     tw_wire_txn_text(&compare, 1, writes, 2), CREATE_TIMEOUT_S);
+    tw_call *call = tw_call_send(&core->context, TW_CALL_CREATE_RECORD, TW_TO_STATE,
+                                 core->context.config->state, "POST", "/txn",
+                                 tw_wire_txn_text(&compare, 1, writes, 2), CREATE_TIMEOUT_S);
     call->connection = connection;
     snprintf(call->name, sizeof call->name, "%s", spec->id);
     free(text);
@@ -203,11 +205,12 @@
     tw_wire_job spec;
     const char *why = "";
     if (tw_wire_job_parse(&spec, body, length, &why)) {
-        tw_reply_error(core, connection, TW_HTTP_BAD_REQUEST, 0, why);
+        tw_reply_error(&core->context, connection, TW_HTTP_BAD_REQUEST, 0, why);
         return;
     }
     if (!core->machine_type_count) {
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "machine types not known yet");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1,
+                       "machine types not known yet");
     } else if (tw_job_is_impossible(core, &spec)) {
         /* A job accepted once must not be refused later: only proof that it is new allows 422. */
         if (!may_answer_as_leader(core) ||
@@ -216,7 +219,7 @@
     } else if (may_answer_as_leader(core)) {
         leader_submit(core, connection, &spec);
     } else if (from_peer) {
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "not the leader");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "not the leader");
     } else {
         char *copy = tw_alloc(length + 1);
         memcpy(copy, body, length);
@@ -231,7 +234,7 @@
 
 void tw_user_query(tw_core *core, uint64_t connection, const char *id, bool from_peer) {
     if (!tw_wire_id_ok(id, strlen(id))) { /* no such id can have been accepted */
-        tw_reply_error(core, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
+        tw_reply_error(&core->context, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
     if (may_answer_as_leader(core)) {
@@ -248,7 +251,7 @@
 
 void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, bool from_peer) {
     if (!tw_wire_id_ok(id, strlen(id))) {
-        tw_reply_error(core, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
+        tw_reply_error(&core->context, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
     if (may_answer_as_leader(core)) {
@@ -285,7 +288,7 @@
     tw_job *job = tw_job_find(core, call->name);
     if (job)
         tw_job_store_record_read(core, job, entry);
-    else if (!tw_job_is_known(core, call->name) && call->term == core->term &&
+    else if (!tw_job_is_known(core, call->name) && call->term == core->context.term &&
              call->sequence == tw_completed_jobs_evictions(core->completed_jobs))
         restore_record(core, call->name, entry);
 }
@@ -294,36 +297,39 @@
 static void answer_by_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, call->name, entry->value, strlen(entry->value))) {
-        tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1, "record can't be read");
+        tw_reply_error(&core->context, call->connection, TW_HTTP_UNAVAILABLE, 1,
+                       "record can't be read");
         return;
     }
     bool over = record.state != TW_JOB_PENDING;
     const int live = *record.chunk_set ? record.running_count : record.assignment_count;
     int state = over ? record.state : live ? TW_JOB_RUNNING : TW_JOB_PENDING;
     if (call->operation == TW_OPERATION_CANCEL && !over)
-        tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
+        tw_reply_error(&core->context, call->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
     else if (call->operation == TW_OPERATION_CANCEL)
-        tw_reply(core, call->connection, TW_HTTP_OK, 0,
+        tw_reply(&core->context, call->connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(call->name, state, -1, -1));
     else
-        tw_reply(core, call->connection, TW_HTTP_OK, 0,
+        tw_reply(&core->context, call->connection, TW_HTTP_OK, 0,
                  tw_wire_job_status_text(call->name, state, record.done_count, over ? 0 : live));
     tw_wire_record_free(&record);
 }
 
 static void look_up_response(tw_core *core, tw_call *call, int status, const char *body,
                              size_t length) {
-    if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND) core->store_answered_at = core->now;
+    if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND)
+        core->store_answered_at = core->context.now;
     if (status == TW_HTTP_NOT_FOUND) {
         if (call->operation == TW_OPERATION_REFUSE)
-            tw_reply_error(core, call->connection, TW_HTTP_IMPOSSIBLE, 0, "can never run");
+            tw_reply_error(&core->context, call->connection, TW_HTTP_IMPOSSIBLE, 0,
+                           "can never run");
         else
-            tw_reply_error(core, call->connection, TW_HTTP_NOT_FOUND, 0, "no such job");
+            tw_reply_error(&core->context, call->connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
     tw_wire_entry entry;
     if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, length)) {
-        tw_reply_error(core, call->connection, TW_HTTP_UNAVAILABLE, 1,
+        tw_reply_error(&core->context, call->connection, TW_HTTP_UNAVAILABLE, 1,
                        "state service does not answer");
         return;
     }
@@ -341,7 +347,7 @@
     if (status >= TW_HTTP_OK && status != TW_HTTP_UNAVAILABLE) {
         char *copy = tw_alloc(length + 1);
         memcpy(copy, body, length);
-        tw_reply(core, call->connection, status, 0, copy);
+        tw_reply(&core->context, call->connection, status, 0, copy);
         return;
     }
     if (!call->connection) return;
@@ -365,8 +371,8 @@
 
 static void admission_response(tw_core *core, tw_call *call, int status) {
     if (status == TW_HTTP_OK) {
-        core->store_answered_at = core->now;
-        tw_reply(core, call->connection, TW_HTTP_CREATED, 0,
+        core->store_answered_at = core->context.now;
+        tw_reply(&core->context, call->connection, TW_HTTP_CREATED, 0,
                  tw_wire_job_status_text(call->name, TW_JOB_PENDING, -1, -1));
     } else if (status == TW_HTTP_CONFLICT) {
         tw_job_look_up(core, call->connection, call->name, TW_OPERATION_QUERY);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -49,7 +49,7 @@
 
 /* A gang's task whose image is there long before the last one's is launched later. */
 static bool is_early(const tw_core *core, const tw_placement *placed) {
-    return core->now < placed->launch_after;
+    return core->context.now < placed->launch_after;
 }
 
 /* Takes off `room` what tasks that still save hold, though they count as gone. */
@@ -95,7 +95,7 @@
 
 static void note_direct_launch(const tw_core *core, tw_placement *placed) {
     placed->direct_launches++;
-    placed->direct_launch_at = core->now;
+    placed->direct_launch_at = core->context.now;
 }
 
 /* room: all of the machine's, less what still saves. */
@@ -195,8 +195,8 @@
 
 static tw_call *send_to_machine(tw_core *core, tw_machine *machine, const char *method,
                                 const char *path, char *body) {
-    tw_call *call = tw_call_send(core, TW_CALL_SEND_COMMANDS, TW_TO_WORKER, machine->endpoint,
-                                 method, path, body, DIRECT_S);
+    tw_call *call = tw_call_send(&core->context, TW_CALL_SEND_COMMANDS, TW_TO_WORKER,
+                                 machine->endpoint, method, path, body, DIRECT_S);
     snprintf(call->name, sizeof call->name, "%s", machine->name);
     machine->command_in_flight = true;
     core->commands_in_flight++;
@@ -218,12 +218,12 @@
 /* Orders that order nothing make a machine know our token, and tell what is on it. Commands go only
  * to one that answered lately: others might carry them out late. */
 static void send_direct_commands(tw_core *core, tw_machine *machine) {
-    if (machine->command_in_flight || core->now < machine->no_commands_before ||
+    if (machine->command_in_flight || core->context.now < machine->no_commands_before ||
         (!machine->commands_wanted && !machine->probe_wanted))
         return;
     const bool probe = machine->probe_wanted;
-    const double silent_s = core->now - machine->last_contact_at;
-    const double in_touch_s = TW_IN_TOUCH_HEARTBEATS * core->config->report_s;
+    const double silent_s = core->context.now - machine->last_contact_at;
+    const double in_touch_s = TW_IN_TOUCH_HEARTBEATS * core->context.config->report_s;
     machine->commands_wanted = machine->probe_wanted = false;
     if (machine->return_wanted || !*machine->endpoint) return;
     if (!probe && (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > in_touch_s))
@@ -241,14 +241,15 @@
 }
 
 static void scan_machines(tw_core *core) {
-    const int most = (int)(MAX_ASKED * core->config->sockets);
+    const int most = (int)(MAX_ASKED * core->context.config->sockets);
     int asked = core->commands_in_flight;
     tw_machine *each, *next;
     HASH_ITER(hh, core->machines, each, next) {
-        if (each->command_in_flight || core->now < each->no_commands_before) continue;
+        if (each->command_in_flight || core->context.now < each->no_commands_before) continue;
         /* Its reports may reach a node that can't reach us, while we reach the machine. */
         if (each->state == TW_MACHINE_UP &&
-            core->now - each->last_contact_at > SILENT_REPORTS * core->config->report_s &&
+            core->context.now - each->last_contact_at >
+                SILENT_REPORTS * core->context.config->report_s &&
             asked < most) {
             each->probe_wanted = true;
             asked++;
@@ -261,9 +262,9 @@
  * once a tick. */
 void tw_commands_send_direct(tw_core *core) {
     tw_machine *due;
-    if (core->now + SPARE_TTL * core->leader_lease_s > core->authority_until) return;
-    if (core->now >= core->next_command_scan_at) {
-        core->next_command_scan_at = core->now + tw_core_tick_s(core);
+    if (core->context.now + SPARE_TTL * core->leader_lease_s > core->authority_until) return;
+    if (core->context.now >= core->next_command_scan_at) {
+        core->next_command_scan_at = core->context.now + tw_core_tick_s(core);
         scan_machines(core);
     }
     while ((due = core->command_queue)) {
@@ -297,7 +298,7 @@
         machine->failed_sends++;
         const double pause =
             machine->last_contact_at ? fmin(1 + machine->failed_sends, PAUSE_MOST_REPORTS) : 1;
-        machine->no_commands_before = core->now + pause * core->config->report_s;
+        machine->no_commands_before = core->context.now + pause * core->context.config->report_s;
         if (!machine->last_contact_at && ++machine->failed_probes < MOST_PROBES)
             tw_machine_want_probe(core, machine);
         return; /* may still arrive: the placements keep their mark */
--- a/src/core/worker_failover_paths.c
+++ b/src/core/worker_failover_paths.c
@@ -33,10 +33,11 @@
  * before its lease ends. */
 static bool is_in_time(const tw_core *core, const node *nodes, size_t position) {
     const size_t count = core->peer_count + 1;
-    double unanswered_s = LONGEST_REPORT * core->config->report_s + NEXT_NODE_S;
+    double unanswered_s = LONGEST_REPORT * core->context.config->report_s + NEXT_NODE_S;
     for (size_t step = 1; step < count; step++) {
         const node *next = &nodes[(position + step) % count];
-        if (!strcmp(next->zone, nodes[position].zone)) return unanswered_s < core->config->lease_s;
+        if (!strcmp(next->zone, nodes[position].zone))
+            return unanswered_s < core->context.config->lease_s;
         unanswered_s += ANSWER_WAIT_S + NEXT_NODE_S;
     }
     return false;
@@ -48,8 +49,8 @@
     for (size_t i = 0; i < core->peer_count; i++)
         nodes[i] = (node){core->peers[i].config.name, core->peers[i].config.zone,
                           &core->peers[i].failover_in_time};
-    nodes[core->peer_count] =
-        (node){core->config->host_name, core->config->location, &core->failover_in_time};
+    nodes[core->peer_count] = (node){core->context.config->host_name,
+                                     core->context.config->location, &core->failover_in_time};
     qsort(nodes, count, sizeof *nodes, by_number);
     for (size_t i = 0; i < count; i++) *nodes[i].in_time = is_in_time(core, nodes, i);
 }
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -19,8 +19,8 @@
 
 /* Many machines that seem not to hear us: then it is us, or the network. */
 static bool silence_is_credible(tw_core *core) {
-    if (core->now - core->unresponsive_since > core->config->lease_s) {
-        core->unresponsive_since = core->now;
+    if (core->context.now - core->unresponsive_since > core->context.config->lease_s) {
+        core->unresponsive_since = core->context.now;
         core->unresponsive_count = 0;
     }
     return ++core->unresponsive_count <= 1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_DEAF;
@@ -39,7 +39,8 @@
     }
     /* It reported, we answered, and still its lease lapsed: it does not hear us. */
     if (machine->confirmed &&
-        core->now - machine->answered_at < HEARD_LATELY_LEASES * core->config->lease_s &&
+        core->context.now - machine->answered_at <
+            HEARD_LATELY_LEASES * core->context.config->lease_s &&
         !machine->lease_expired && silence_is_credible(core)) {
         machine->lost_launches += TW_UNRESPONSIVE_AT;
         tw_log_info("event=machine_unresponsive worker=%s incarnation=%llu lost_tasks=%d",
@@ -54,11 +55,12 @@
 
 /* What it says of the machine itself. */
 static void note_machine(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *heartbeat) {
-    if (heartbeat->incarnation != machine->incarnation) machine->incarnation_learned_at = core->now;
+    if (heartbeat->incarnation != machine->incarnation)
+        machine->incarnation_learned_at = core->context.now;
     machine->incarnation = heartbeat->incarnation;
     machine->sequence = heartbeat->sequence;
     machine->state = TW_MACHINE_UP;
-    machine->last_contact_at = core->now;
+    machine->last_contact_at = core->context.now;
     machine->failed_sends = 0;
     machine->lease_expired = false;
     machine->spot = heartbeat->spot;
@@ -69,11 +71,11 @@
         machine->type_index = tw_machine_type_index(core, heartbeat->machine_type);
     if (!machine->confirmed && heartbeat->fencing_token >= core->fencing_token) {
         machine->confirmed = 1;
-        machine->confirmed_at = core->now;
+        machine->confirmed_at = core->context.now;
         core->scheduling_due = true;
     }
     if (heartbeat->preemption_notice_s >= 0 && machine->preempted_at <= 0) {
-        machine->preempted_at = core->now + heartbeat->preemption_notice_s;
+        machine->preempted_at = core->context.now + heartbeat->preemption_notice_s;
         tw_log_info("event=preemption_notified worker=%s s=%.1f", machine->name,
                     heartbeat->preemption_notice_s);
     }
@@ -157,9 +159,9 @@
 static void reply_commands(tw_core *core, uint64_t connection, const tw_command_list *commands) {
     char *text = tw_commands_reply_text(core, commands);
     if (text)
-        tw_reply(core, connection, TW_HTTP_OK, 0, text);
+        tw_reply(&core->context, connection, TW_HTTP_OK, 0, text);
     else
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
 /* Overtaken by the answer to direct orders, or a late copy. The worker of the former must not be
@@ -167,10 +169,10 @@
 static void answer_older_heartbeat(tw_core *core, uint64_t connection, tw_machine *machine,
                                    const tw_wire_heartbeat *heartbeat) {
     if (heartbeat->incarnation != machine->incarnation || machine->lease_expired) {
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "older than known");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "older than known");
         return;
     }
-    machine->answered_older_at = core->now;
+    machine->answered_older_at = core->context.now;
     reply_commands(core, connection, &no_commands);
 }
 
@@ -181,13 +183,13 @@
         answer_older_heartbeat(core, connection, machine, heartbeat);
         return;
     }
-    machine->answered_at = core->now;
+    machine->answered_at = core->context.now;
     if (machine->first_answered_at <= 0) {
-        machine->first_answered_at = core->now;
+        machine->first_answered_at = core->context.now;
         if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
         tw_log_info("event=machine_started worker=%s machine_type=%s zone=%s spot=%d after=%.1f",
                     machine->name, heartbeat->machine_type, heartbeat->zone, heartbeat->spot,
-                    core->now - machine->known_since);
+                    core->context.now - machine->known_since);
     }
     tw_commands_due(core, machine, &commands, heartbeat->sequence);
     machine->probe_wanted = machine->commands_wanted = false;
@@ -197,29 +199,28 @@
 
 /* A late report of a machine that we returned. */
 static bool is_returned(tw_core *core, const tw_machine *machine, const char *name) {
-    const tw_expiring_name *returned;
-    HASH_FIND_STR(core->returned_machines, name, returned);
-    return returned || (machine && machine->return_in_flight);
+    if (tw_expiring_names_find(core->returned_machines, name)) return true;
+    return machine && machine->return_in_flight;
 }
 
 /* At a node that may answer workers. */
 static void receive_as_leader(tw_core *core, uint64_t connection,
                               const tw_wire_heartbeat *heartbeat, bool from_peer) {
     /* Sent to its own zone, where it is answered even if that is cut off from ours. */
-    const bool is_ours = !strcmp(heartbeat->zone, core->config->location);
+    const bool is_ours = !strcmp(heartbeat->zone, core->context.config->location);
     if (!from_peer && (is_ours ? tw_worker_redirect_safer(core, connection, heartbeat)
                                : tw_worker_redirect_home(core, connection, heartbeat)))
         return;
     if (core->phase == TW_PHASE_LOADING) {
         /* Renewed, nothing more: what should run there is not known yet. */
-        core->answered_while_loading_at = core->now;
+        core->answered_while_loading_at = core->context.now;
         reply_commands(core, connection, &no_commands);
         return;
     }
     tw_machine *machine = tw_machine_find(core, heartbeat->worker);
     if (is_returned(core, machine, heartbeat->worker)) {
         core->counters.rejected[TW_REJECTED_RETURNED_MACHINE]++;
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "returned");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "returned");
         return;
     }
     if (!machine) {
@@ -232,14 +233,14 @@
 
 void tw_worker_heartbeat_receive(tw_core *core, uint64_t connection, const char *body,
                                  size_t length, bool from_peer) {
-    if (core->now >= core->next_heartbeat_sweep_at) {
-        core->next_heartbeat_sweep_at = core->now + core->config->lease_s;
+    if (core->context.now >= core->next_heartbeat_sweep_at) {
+        core->next_heartbeat_sweep_at = core->context.now + core->context.config->lease_s;
         tw_wire_heartbeat_cache_sweep(core->heartbeat_cache);
     }
     const tw_wire_heartbeat *heartbeat =
         tw_wire_heartbeat_cache_read(core->heartbeat_cache, body, length);
     if (!heartbeat) {
-        tw_reply_error(core, connection, TW_HTTP_BAD_REQUEST, 0, "malformed report");
+        tw_reply_error(&core->context, connection, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         return;
     }
     if (heartbeat->fencing_token > core->highest_token_seen)
@@ -250,10 +251,10 @@
         receive_as_leader(core, connection, heartbeat, from_peer);
     else if (from_peer) {
         core->counters.rejected[TW_REJECTED_NO_PERMISSION]++;
-        tw_reply_error(core, connection, TW_HTTP_UNAVAILABLE, 1, "not the leader");
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "not the leader");
     } else if (heartbeat->fencing_token >
                core->leader_token) /* somebody we don't know leads by now */
-        tw_reply(core, connection, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(NULL));
+        tw_reply(&core->context, connection, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(NULL));
     else
         tw_heartbeat_forward(core, connection, heartbeat, body, length);
 }
--- a/src/core/worker_routing.c
+++ b/src/core/worker_routing.c
@@ -12,7 +12,7 @@
 
 static bool is_live_in_zone(const tw_core *core, const tw_peer *node, const char *zone) {
     return !strcmp(node->config.zone, zone) &&
-           node->answered_at > core->now - 1 - 0.5 * core->leader_lease_s;
+           node->answered_at > core->context.now - 1 - 0.5 * core->leader_lease_s;
 }
 
 bool tw_zone_has_live_peer(const tw_core *core, const char *zone) {
@@ -25,7 +25,7 @@
     tw_peer *any = NULL;
     for (size_t i = 0; i < core->peer_count; i++) {
         tw_peer *node = &core->peers[i];
-        if (!is_live_in_zone(core, node, zone) || core->now < node->avoided_until) continue;
+        if (!is_live_in_zone(core, node, zone) || core->context.now < node->avoided_until) continue;
         if (node->failover_in_time) return node;
         if (!any) any = node;
     }
@@ -34,23 +34,23 @@
 
 /* A worker came back from the node. */
 static void note_came_back(tw_core *core, tw_peer *node) {
-    if (core->now > node->avoid_counted_from + core->config->lease_s) {
-        node->avoid_counted_from = core->now;
+    if (core->context.now > node->avoid_counted_from + core->context.config->lease_s) {
+        node->avoid_counted_from = core->context.now;
         node->returned_workers = 0;
     }
     if (++node->returned_workers < SHUN_AFTER) return;
-    if (core->now >= node->avoided_until)
+    if (core->context.now >= node->avoided_until)
         tw_log_info("event=peer_avoided peer=%s", node->config.name);
-    node->avoided_until = core->now + core->config->lease_s;
+    node->avoided_until = core->context.now + core->context.config->lease_s;
 }
 
 /* Forgets redirects that are older than a lease, once a lease. */
 static void sweep_redirects(tw_core *core) {
     tw_worker_redirect *known, *next;
-    if (core->now < core->next_redirect_sweep_at) return;
-    core->next_redirect_sweep_at = core->now + core->config->lease_s;
+    if (core->context.now < core->next_redirect_sweep_at) return;
+    core->next_redirect_sweep_at = core->context.now + core->context.config->lease_s;
     HASH_ITER(hh, core->worker_redirects, known, next) {
-        if (core->now < known->at + core->config->lease_s) continue;
+        if (core->context.now < known->at + core->context.config->lease_s) continue;
         HASH_DEL(core->worker_redirects, known);
         free(known);
     }
@@ -60,7 +60,8 @@
     tw_worker_redirect *last;
     HASH_FIND_STR(core->worker_redirects, worker, last);
     /* A worker that is sent between two nodes, each of which names the other, loses its lease. */
-    if (last && last->target == to && core->now < last->at + core->config->lease_s) {
+    if (last && last->target == to &&
+        core->context.now < last->at + core->context.config->lease_s) {
         if (!last->came_back) note_came_back(core, to);
         last->came_back = true;
         return false;
@@ -73,10 +74,11 @@
         HASH_ADD_STR(core->worker_redirects, name, last);
     }
     last->target = to;
-    last->at = core->now;
+    last->at = core->context.now;
     last->came_back = false;
     tw_log_debug("event=worker_redirected worker=%s to=%s", worker, to->config.name);
-    tw_reply(core, connection, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(to->config.name));
+    tw_reply(&core->context, connection, TW_HTTP_MISDIRECTED, 0,
+             tw_wire_redirect_text(to->config.name));
     return true;
 }
 
