--- a/src/context/context.h
+++ b/src/context/context.h
@@ -45,8 +45,7 @@
 
 /* Replies to the request of that connection; 0: nobody waits for it. body: taken. retry_after:
  * seconds, 0: none. */
-void tw_reply(tw_context *context, uint64_t connection, int status, double retry_after,
-              char *body);
+void tw_reply(tw_context *context, uint64_t connection, int status, double retry_after, char *body);
 /* The same with the body {"error":"<what>"}. */
 void tw_reply_error(tw_context *context, uint64_t connection, int status, double retry_after,
                     const char *what);
--- a/src/context/effect.h
+++ b/src/context/effect.h
@@ -12,8 +12,8 @@
 /* A reply to give, or a call to make. It owns its path and body. */
 typedef struct tw_effect {
     tw_effect_kind kind;
-    uint64_t id; /* REPLY: the request's connection; CALL: given back with the response */
-    int status;  /* REPLY: HTTP status */
+    uint64_t id;        /* REPLY: the request's connection; CALL: given back with the response */
+    int status;         /* REPLY: HTTP status */
     double retry_after; /* REPLY: seconds, 0: none */
     tw_call_target to;  /* CALL */
     char addr[TW_NAME_SIZE];
