--- /dev/null
+++ b/src/cluster/election.c
@@ -0,0 +1,380 @@
+/* Who leads. The leader holds a key under a lease of the state service; its token is the revision
+ * of the transaction that wrote the key, so tokens grow strictly. Authority to command ends before
+ * the lease can: it is counted from when the last good renewal was sent, less drift and margin. */
+#include "cluster/cluster_int.h"
+#include <cjson/cJSON.h>
+#include <stdbool.h>
+
+/* Shares of the leader's lease (ttl). */
+#define AUTHORITY_MARGIN 0.05 /* authority ends that much earlier */
+#define RENEW_EVERY 0.25
+#define RENEW_SLOW 0.2 /* an answer that takes longer: a second renewal goes out */
+#define RENEW_RETRY 0.1
+#define RENEW_TIMEOUT 0.4
+#define ELECTION_TIMEOUT 0.5
+#define ACQUIRED_LATEST 0.9 /* after the lease was asked for: authority would end at once */
+#define POLL_LEAST 0.15     /* between two readings of the key */
+#define POLL_MOST 0.25
+#define WATCH_RETRY_LEAST 0.1
+#define WATCH_RETRY_MOST 0.2
+#define CHANGED_SPREAD 0.08 /* followers that saw the key change don't all read it at once */
+#define LOST_LEAST 0.05     /* after a lost election */
+#define LOST_MOST 0.2
+#define RESIGNED_LEAST 0.05
+#define RESIGNED_MOST 0.25
+
+#define OWN_KEY_GONE_S 0.05 /* from the end of our own old lease to the next reading */
+#define WATCH_ANSWER_S 0.5  /* for a watch's answer to arrive, besides half a lease */
+#define WATCH_MOST_S 60.0   /* by the protocol */
+#define DROP_TIMEOUT_S 1.0
+#define MS 1000
+
+/* ---- the state service's limit of requests ---- */
+
+/* Share of the limit with which all nodes together follow the leader's key and elect. What is left
+ * is the leader's: renewals, reading the records, writes. */
+#define FOLLOW_SHARE 0.4
+/* Requests of a whole election: read, lease, acquisition, its end, read, watch. */
+#define ELECTION_REQUESTS 6.0
+/* Watches take at most so much of it, so that an election finds some left. */
+#define WATCH_SHARE 0.8
+/* Followers that saw the key go read it spread over at least so many rounds of a request a node:
+ * the first one has often acquired it before the next one reads. */
+#define SPREAD_ROUNDS 0.8
+/* Refused requests of a follower in a row after which its waits grow no further. */
+#define REFUSED_MOST 3
+/* After a refusal the leader leaves the limit to others for so many requests. */
+#define LEADER_WAIT_REQUESTS 4.0
+#define WAIT_LEAST 0.5
+#define WAIT_MOST 1.5
+
+/* In which the limit allows a request to each node. */
+static double request_round_s(const tw_cluster *cluster) {
+    return (double)(cluster->peer_count + 1) / cluster->context->config->state_rps;
+}
+
+void tw_cluster_init_election(tw_cluster *cluster) {
+    const double rate =
+        cluster->context->config->tune.write_share * FOLLOW_SHARE / request_round_s(cluster);
+    const double burst = fmax(ELECTION_REQUESTS, rate);
+    cluster->election_limiter = tw_rate_limiter_make(rate, burst, cluster->context->now);
+}
+
+double tw_cluster_rate_limited_wait_s(tw_cluster *cluster, int status) {
+    if (status != TW_HTTP_TOO_MANY) return 0;
+    return LEADER_WAIT_REQUESTS / cluster->context->config->state_rps *
+           tw_context_random(cluster->context, WAIT_LEAST, WAIT_MOST);
+}
+
+/* A node whose requests are refused asks ever less often: a limit that all nodes exceed together,
+ * each as often as it may, would let none of them through. */
+static void note_rate_limit(tw_cluster *cluster, int status) {
+    if (status != TW_HTTP_TOO_MANY) {
+        if (status) cluster->election_refusals = 0;
+        return;
+    }
+    const double wait = ldexp(request_round_s(cluster), cluster->election_refusals) *
+                        tw_context_random(cluster->context, WAIT_LEAST, WAIT_MOST);
+    if (cluster->election_refusals < REFUSED_MOST) cluster->election_refusals++;
+    cluster->next_leader_read_at = fmax(cluster->next_leader_read_at, cluster->context->now + wait);
+}
+
+/* A request of an election that has begun: it is not broken off for want of budget, which is paid
+ * back before the next reading of the key. */
+static void election_call(tw_cluster *cluster, tw_call_kind kind, const char *method,
+                          const char *path, char *body /* owned */, double timeout_s) {
+    tw_rate_limiter_refund(&cluster->election_limiter, -1);
+    tw_call_send(cluster->context, kind, TW_TO_STATE, cluster->context->config->state, method, path,
+                 body, timeout_s);
+}
+
+/* ---- terms ---- */
+
+void tw_cluster_step_down(tw_cluster *cluster, const char *why) {
+    if (cluster->role != TW_ROLE_LEADER) return;
+    tw_log_info("event=leader_stepped_down token=%llu why=\"%s\" led_s=%.2f authority_left_s=%.3f",
+                (unsigned long long)cluster->token, why,
+                cluster->context->now - cluster->term_began_at,
+                cluster->authority_until - cluster->context->now);
+    cluster->role = TW_ROLE_FOLLOWER;
+    cluster->context->term++;
+    cluster->renewals_in_flight = 0;
+    cluster->lease_id = 0;
+    if (!strcmp(cluster->leader_name, cluster->context->config->host_name))
+        *cluster->leader_name = 0;
+    cluster->owner.term_ended(cluster->owner.owner);
+    cluster->watch_from_revision = 0;
+    cluster->next_leader_read_at =
+        cluster->context->now +
+        cluster->lease_s * tw_context_random(cluster->context, RESIGNED_LEAST, RESIGNED_MOST);
+}
+
+/* Any sign of a later leader: from the state service, a peer or a worker. */
+void tw_cluster_observe_token(tw_cluster *cluster, uint64_t token, const char *leader) {
+    if (token > cluster->highest_token) cluster->highest_token = token;
+    if (leader && *leader && token >= cluster->leader_token) {
+        cluster->leader_token = token;
+        snprintf(cluster->leader_name, sizeof cluster->leader_name, "%s", leader);
+    }
+    if (cluster->role == TW_ROLE_LEADER && token > cluster->token)
+        tw_cluster_step_down(cluster, "a later leader exists");
+}
+
+/* Until when the lease, granted or renewed by a request sent then, gives authority. */
+static double authority_end(const tw_cluster *cluster, double sent_at) {
+    return sent_at + cluster->lease_s * (1 - 2 * cluster->context->config->tune.drift) -
+           cluster->lease_s * AUTHORITY_MARGIN;
+}
+
+static void become_leader(tw_cluster *cluster, uint64_t token) {
+    cluster->role = TW_ROLE_LEADER;
+    cluster->context->term++;
+    cluster->token = token;
+    cluster->term_began_at = cluster->context->now;
+    cluster->authority_until = authority_end(cluster, cluster->lease_requested_at);
+    cluster->next_renewal_at = cluster->context->now;
+    cluster->renewals_in_flight = 0;
+    cluster->peers_confirmed_at = cluster->peer_count ? 0 : cluster->context->now;
+    for (size_t i = 0; i < cluster->peer_count; i++) {
+        cluster->peers[i].next_heartbeat_at = cluster->context->now;
+        cluster->peers[i].cancellations_known = cluster->peers[i].cancellations_told = 0;
+        /* What this node delegated in an earlier term was under an older token. */
+        cluster->peers[i].delegation_until = 0;
+    }
+    tw_cluster_observe_token(cluster, token, cluster->context->config->host_name);
+    tw_log_info("event=leader_elected token=%llu authority_s=%.3f renewal_limit_s=%.2f",
+                (unsigned long long)token, cluster->authority_until - cluster->context->now,
+                tw_cluster_renewal_without_authority_s(cluster));
+    cluster->phase = TW_PHASE_LOADING;
+    tw_cluster_reset_registry(cluster);
+    cluster->owner.term_began(cluster->owner.owner);
+}
+
+/* ---- following the leader's key ---- */
+
+static void read_leader_key(tw_cluster *cluster) {
+    cluster->leader_read_in_flight = true;
+    tw_call_send(cluster->context, TW_CALL_READ_LEADER, TW_TO_STATE,
+                 cluster->context->config->state, "GET", "/kv/" TW_LEADER_KEY, NULL,
+                 fmax(1, cluster->lease_s * ELECTION_TIMEOUT));
+}
+
+/* A watch instead of many polls: the state service's limit is for all nodes together, and the end
+ * of the leader's key is told at once. Held for no more than a term, since its answer also shows
+ * that the state service is there; longer only where the limit allows no watch a term. */
+static void watch_leader_key(tw_cluster *cluster) {
+    const double most_often = WATCH_SHARE * cluster->election_limiter.rate;
+    const double hold = fmin(fmax(cluster->lease_s, 1 / most_often), WATCH_MOST_S);
+    char path[TW_PATH_SIZE];
+    cluster->leader_read_in_flight = true;
+    snprintf(path, sizeof path, "/follow?starts=" TW_LEADER_KEY "&since=%llu&holdMs=%d",
+             (unsigned long long)cluster->watch_from_revision, (int)(hold * MS));
+    tw_call_send(cluster->context, TW_CALL_WATCH_LEADER, TW_TO_STATE,
+                 cluster->context->config->state, "GET", path, NULL,
+                 hold + cluster->lease_s * 0.5 + WATCH_ANSWER_S);
+}
+
+static void on_watch(tw_cluster *cluster, int status, const char *body, size_t len) {
+    uint64_t revision;
+    cluster->leader_read_in_flight = false;
+    cluster->watch_from_revision = 0;
+    if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len)) {
+        cluster->next_leader_read_at =
+            cluster->context->now + cluster->lease_s * tw_context_random(cluster->context,
+                                                                         WATCH_RETRY_LEAST,
+                                                                         WATCH_RETRY_MOST);
+    } else if (tw_wire_watch_has_changes(body, len)) {
+        /* Not all followers at the same moment. */
+        const double spread =
+            fmax(cluster->lease_s * CHANGED_SPREAD, request_round_s(cluster) * SPREAD_ROUNDS);
+        cluster->next_leader_read_at =
+            cluster->context->now + tw_context_random(cluster->context, 0, spread);
+    } else {
+        cluster->watch_from_revision = revision;
+        cluster->next_leader_read_at = cluster->context->now;
+    }
+}
+
+/* ---- elections ---- */
+
+static void start_election(tw_cluster *cluster) {
+    char body[64];
+    cluster->election_in_flight = true;
+    cluster->lease_requested_at = cluster->context->now;
+    snprintf(body, sizeof body, "{\"lifeMs\":%d}", (int)(cluster->lease_s * MS));
+    election_call(cluster, TW_CALL_GRANT_LEASE, "POST", "/grants", strdup(body),
+                  cluster->lease_s * ELECTION_TIMEOUT);
+}
+
+static void revoke_lease(tw_cluster *cluster, uint64_t lease_id) {
+    char path[TW_PATH_SIZE];
+    if (!lease_id) return;
+    snprintf(path, sizeof path, "/grants/%llu", (unsigned long long)lease_id);
+    election_call(cluster, TW_CALL_REVOKE_LEASE, "DELETE", path, NULL, DROP_TIMEOUT_S);
+}
+
+/* The key names a leader, at its revision. */
+static void note_leader_key(tw_cluster *cluster, const tw_wire_entry *entry, const char *leader) {
+    tw_cluster_observe_token(cluster, entry->mod_revision, leader);
+    /* Our own name while we don't lead: an earlier life of this node, or an acquisition whose
+     * answer was lost. Nobody acts on it any more, so its lease is ended at once. */
+    if (cluster->role == TW_ROLE_FOLLOWER && !cluster->election_in_flight &&
+        !strcmp(leader, cluster->context->config->host_name)) {
+        revoke_lease(cluster, entry->lease_id);
+        *cluster->leader_name = 0;
+        cluster->watch_from_revision = 0;
+        cluster->next_leader_read_at = cluster->context->now + OWN_KEY_GONE_S;
+    }
+}
+
+static void on_leader_key(tw_cluster *cluster, int status, const char *body, size_t len) {
+    cluster->leader_read_in_flight = false;
+    if (status == TW_HTTP_NOT_FOUND) {
+        *cluster->leader_name = 0;
+        if (cluster->role == TW_ROLE_FOLLOWER && !cluster->election_in_flight)
+            start_election(cluster);
+        return;
+    }
+    tw_wire_entry entry;
+    if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, len)) return;
+    cluster->watch_from_revision = entry.mod_revision;
+    if (cluster->role == TW_ROLE_FOLLOWER) cluster->next_leader_read_at = cluster->context->now;
+    cJSON *data = cJSON_Parse(entry.value);
+    const cJSON *node = cJSON_GetObjectItemCaseSensitive(data, "node");
+    if (cJSON_IsString(node) && strlen(node->valuestring) < TW_NAME_SIZE)
+        note_leader_key(cluster, &entry, node->valuestring);
+    cJSON_Delete(data);
+    free(entry.value);
+}
+
+static void on_grant(tw_cluster *cluster, int status, const char *body, size_t len) {
+    uint64_t lease_id;
+    if (status != TW_HTTP_OK || tw_wire_lease_id_parse(&lease_id, body, len)) {
+        cluster->election_in_flight = false;
+        return;
+    }
+    cluster->lease_id = lease_id;
+    char data[128];
+    snprintf(data, sizeof data, "{\"node\":\"%s\"}", cluster->context->config->host_name);
+    tw_wire_compare absent = {TW_LEADER_KEY, 0};
+    tw_wire_write key = {TW_LEADER_KEY, data, lease_id};
+    election_call(cluster, TW_CALL_ACQUIRE_LEADERSHIP, "POST", "/txn",
+                  tw_wire_txn_text(&absent, 1, &key, 1), cluster->lease_s * ELECTION_TIMEOUT);
+}
+
+static void on_acquire(tw_cluster *cluster, int status, const char *body, size_t len) {
+    uint64_t revision;
+    cluster->election_in_flight = false;
+    if (status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, len) &&
+        cluster->context->now < cluster->lease_requested_at + cluster->lease_s * ACQUIRED_LATEST) {
+        become_leader(cluster, revision);
+        return;
+    }
+    /* Lost, or unknown: giving the lease back undoes an acquisition that went through. */
+    revoke_lease(cluster, cluster->lease_id);
+    cluster->lease_id = 0;
+    cluster->watch_from_revision = 0;
+    cluster->next_leader_read_at =
+        cluster->context->now +
+        cluster->lease_s * tw_context_random(cluster->context, LOST_LEAST, LOST_MOST);
+}
+
+/* ---- the leader's lease ---- */
+
+static void renew_lease(tw_cluster *cluster) {
+    char path[TW_PATH_SIZE];
+    snprintf(path, sizeof path, "/grants/%llu/renew", (unsigned long long)cluster->lease_id);
+    cluster->renewals_in_flight++;
+    cluster->renewal_sent_at = cluster->context->now;
+    tw_call_send(cluster->context, TW_CALL_RENEW_LEASE, TW_TO_STATE,
+                 cluster->context->config->state, "POST", path, strdup("{}"),
+                 cluster->lease_s * RENEW_TIMEOUT);
+}
+
+static void on_renew(tw_cluster *cluster, const tw_call *sent, int status) {
+    if (sent->term != cluster->context->term || cluster->role != TW_ROLE_LEADER) return;
+    if (cluster->renewals_in_flight) cluster->renewals_in_flight--;
+    if (status == TW_HTTP_OK) {
+        const double until = authority_end(cluster, sent->sent_at);
+        if (cluster->context->now >= cluster->authority_until)
+            tw_log_info("event=authority_regained token=%llu", (unsigned long long)cluster->token);
+        tw_log_debug("event=leader_lease_renewed token=%llu authority_s=%.3f",
+                     (unsigned long long)cluster->token, until - cluster->context->now);
+        if (until > cluster->authority_until) cluster->authority_until = until;
+        cluster->next_renewal_at = sent->sent_at + cluster->lease_s * RENEW_EVERY;
+        cluster->owner.lease_renewed(cluster->owner.owner);
+    } else if (status == TW_HTTP_NOT_FOUND) {
+        tw_cluster_step_down(cluster, "lease lost");
+    } else {
+        cluster->next_renewal_at =
+            cluster->context->now +
+            fmax(cluster->lease_s * RENEW_RETRY, tw_cluster_rate_limited_wait_s(cluster, status));
+    }
+}
+
+/* ---- inputs ---- */
+
+static void note_store_answer(tw_cluster *cluster, int status) {
+    if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND || status == TW_HTTP_CONFLICT)
+        cluster->store_answered_at = cluster->context->now;
+}
+
+void tw_cluster_election_response(tw_cluster *cluster, const tw_call *sent, int status,
+                                  const char *body, size_t len) {
+    note_store_answer(cluster, status);
+    switch (sent->kind) {
+    case TW_CALL_READ_LEADER:
+        on_leader_key(cluster, status, body, len);
+        break;
+    case TW_CALL_WATCH_LEADER:
+        on_watch(cluster, status, body, len);
+        break;
+    case TW_CALL_GRANT_LEASE:
+        on_grant(cluster, status, body, len);
+        break;
+    case TW_CALL_ACQUIRE_LEADERSHIP:
+        on_acquire(cluster, status, body, len);
+        break;
+    case TW_CALL_RENEW_LEASE:
+        on_renew(cluster, sent, status);
+        return;
+    default:
+        break;
+    }
+    note_rate_limit(cluster, status);
+}
+
+static void leader_tick(tw_cluster *cluster) {
+    const bool due =
+        !cluster->renewals_in_flight && cluster->context->now >= cluster->next_renewal_at;
+    /* A second one when the first is slow: the state service now and then takes long. */
+    const bool slow =
+        cluster->renewals_in_flight == 1 &&
+        cluster->context->now >= cluster->renewal_sent_at + cluster->lease_s * RENEW_SLOW;
+    if (due || slow) renew_lease(cluster);
+    if (cluster->context->now >=
+            cluster->authority_until + tw_cluster_renewal_without_authority_s(cluster) ||
+        (cluster->phase == TW_PHASE_LOADING && cluster->context->now >= cluster->authority_until))
+        tw_cluster_step_down(cluster, "no authority");
+}
+
+/* Followers watch the key; a leader without authority looks whether it was replaced. */
+static void follower_tick(tw_cluster *cluster) {
+    if (cluster->leader_read_in_flight || cluster->election_in_flight ||
+        cluster->context->now < cluster->next_leader_read_at)
+        return;
+    if (!tw_rate_limiter_try_acquire(&cluster->election_limiter, cluster->context->now, 1)) return;
+    cluster->next_leader_read_at =
+        cluster->context->now +
+        cluster->lease_s * tw_context_random(cluster->context, POLL_LEAST, POLL_MOST);
+    if (cluster->watch_from_revision && cluster->role == TW_ROLE_FOLLOWER)
+        watch_leader_key(cluster);
+    else
+        read_leader_key(cluster);
+}
+
+void tw_cluster_election_tick(tw_cluster *cluster) {
+    if (cluster->role == TW_ROLE_LEADER) leader_tick(cluster);
+    if (cluster->role == TW_ROLE_FOLLOWER || !tw_cluster_has_authority(cluster))
+        follower_tick(cluster);
+}
--- /dev/null
+++ b/src/cluster/peer_heartbeat.c
@@ -0,0 +1,205 @@
+/* Heartbeats between nodes: what each knows, what it vouches for, and with a leader's answer the
+ * grant to renew leases in its zone and the cancelled jobs that may still run. */
+#include "cluster/cluster_int.h"
+#include <stdbool.h>
+
+/* Pause between two heartbeats to a peer, in leader's leases. */
+#define PAUSE_LEAST 0.2
+#define PAUSE_MOST 0.3
+/* A peer counts as answering while its last answered heartbeat is at most this old. */
+#define ANSWERS_S 1.0
+#define ANSWERS_LEASES 0.5
+#define TIMEOUT_S 1.0
+/* A node without news for that many leader's leases, and a second, is cut off. */
+#define ISOLATED_LEASES 2.0
+/* Most bytes of a request's body, and those of them that everything but the ids takes. */
+#define BODY_MOST (64 * 1024)
+#define BODY_REST 1024
+/* Ids in a heartbeat: a request's body must hold them. With more of them no grant is given. */
+#define MAX_CANCELLED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID_SIZE + 3))
+
+tw_peer *tw_cluster_find_peer(const tw_cluster *cluster, const char *name) {
+    for (size_t i = 0; i < cluster->peer_count; i++)
+        if (!strcmp(cluster->peers[i].config.name, name)) return &cluster->peers[i];
+    return NULL;
+}
+
+bool tw_cluster_all_read_chunks(const tw_cluster *cluster) {
+    for (size_t i = 0; i < cluster->peer_count; i++)
+        if (cluster->peers[i].record_format < TW_RECORD_FORMAT_CHUNKED) return false;
+    return true;
+}
+
+bool tw_cluster_any_lacks_chunks(const tw_cluster *cluster) {
+    for (size_t i = 0; i < cluster->peer_count; i++)
+        if (cluster->peers[i].record_format == TW_RECORD_FORMAT_WHOLE) return true;
+    return false;
+}
+
+bool tw_cluster_is_isolated(const tw_cluster *cluster) {
+    const double since = cluster->context->now - ISOLATED_LEASES * cluster->lease_s - 1;
+    if (cluster->store_answered_at > since) return false;
+    for (size_t i = 0; i < cluster->peer_count; i++)
+        if (cluster->peers[i].answered_at > since) return false;
+    return true;
+}
+
+/* A heartbeat sent earlier than this, answered, says nothing of whether the peer answers now. */
+static double answers_since(const tw_cluster *cluster) {
+    return cluster->context->now - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s;
+}
+
+/* What this node says of itself to another; aborted: room for the ids a leader sends along. */
+static tw_wire_peer_heartbeat describe_self(const tw_cluster *cluster, const char **cancelled,
+                                            int *count) {
+    tw_wire_peer_heartbeat message = {
+        .highest_token = cluster->highest_token,
+        .store_reachable =
+            cluster->context->now - cluster->store_answered_at < 2 * cluster->lease_s,
+        .uptime_s = cluster->context->now - cluster->started_at,
+        .since_delegate_answer_s =
+            cluster->context->now - fmax(cluster->started_at, cluster->delegate_answered_at),
+        .is_leader = tw_cluster_may(cluster, TW_PERMISSION_COMMAND),
+        .record_format = TW_RECORD_FORMAT_CHUNKED};
+    snprintf(message.name, sizeof message.name, "%s", cluster->context->config->host_name);
+    if (message.is_leader)
+        snprintf(message.leader, sizeof message.leader, "%s", cluster->context->config->host_name);
+    *count = message.is_leader
+                 ? cluster->owner.list_cancelled(cluster->owner.owner, cancelled, MAX_CANCELLED)
+                 : 0;
+    return message;
+}
+
+static void send_heartbeat(tw_cluster *cluster, tw_peer *to) {
+    const char *ids[MAX_CANCELLED];
+    int count;
+    tw_wire_peer_heartbeat message = describe_self(cluster, ids, &count);
+    const bool all_named = count <= MAX_CANCELLED;
+    to->heartbeats_in_flight++;
+    tw_call *sent = tw_call_send(
+        cluster->context, TW_CALL_PEER_HEARTBEAT, TW_TO_PEER, to->config.addr, "POST", "/peer/ping",
+        tw_wire_peer_heartbeat_text(&message, ids, all_named ? count : 0), TIMEOUT_S);
+    snprintf(sent->name, sizeof sent->name, "%s", to->config.name);
+    sent->sequence = all_named ? cluster->cancellation_sequence : 0;
+}
+
+/* ---- cancellations ---- */
+
+/* Whether a peer that may answer workers of the zone without the leader, for longer than a
+ * cancellation leaves time for, does not know of this cancellation yet. */
+static bool must_be_told(const tw_peer *peer, const char *zone, uint64_t number, double limit) {
+    return peer->delegation_until > limit && peer->cancellations_known < number &&
+           (!*zone || !strcmp(zone, peer->config.zone));
+}
+
+uint64_t tw_cluster_next_cancellation(tw_cluster *cluster) {
+    return ++cluster->cancellation_sequence;
+}
+
+tw_cancellation_safety tw_cluster_cancellation_safety(tw_cluster *cluster, const char *zone,
+                                                      uint64_t number, bool tell) {
+    const double limit = cluster->context->now + tw_cluster_renewal_if_superseded_s(cluster);
+    tw_cancellation_safety safety = TW_CANCELLATION_SAFE;
+    for (size_t i = 0; i < cluster->peer_count; i++) {
+        tw_peer *peer = &cluster->peers[i];
+        if (!must_be_told(peer, zone, number, limit)) continue;
+        safety = TW_CANCELLATION_PENDING;
+        if (peer->answered_at < answers_since(cluster)) return TW_CANCELLATION_UNREACHABLE;
+        if (!tell || peer->cancellations_told >= number) continue;
+        peer->cancellations_told = number;
+        send_heartbeat(cluster, peer);
+    }
+    return safety;
+}
+
+/* ---- hearing from a peer ---- */
+
+static void note_peer(tw_cluster *cluster, tw_peer *from, const tw_wire_peer_heartbeat *message) {
+    if (message->highest_token > from->highest_token) from->highest_token = message->highest_token;
+    from->store_reachable = message->store_reachable;
+    from->record_format = message->record_format;
+    tw_cluster_observe_token(cluster, message->highest_token,
+                             message->is_leader ? message->name : NULL);
+    if (cluster->role != TW_ROLE_LEADER || cluster->peers_confirmed_at > 0) return;
+    for (size_t i = 0; i < cluster->peer_count; i++)
+        if (cluster->peers[i].highest_token < cluster->token) return;
+    cluster->peers_confirmed_at = cluster->context->now;
+    tw_log_info("event=peers_confirmed token=%llu", (unsigned long long)cluster->token);
+}
+
+void tw_cluster_receive_heartbeat(tw_cluster *cluster, uint64_t connection, const char *body,
+                                  size_t len) {
+    tw_wire_peer_heartbeat message;
+    if (tw_wire_peer_heartbeat_parse(&message, body, len)) {
+        tw_reply_error(cluster->context, connection, TW_HTTP_BAD_REQUEST, 0, "malformed ping");
+        return;
+    }
+    tw_peer *from = tw_cluster_find_peer(cluster, message.name);
+    if (from) note_peer(cluster, from, &message);
+    if (from && message.is_leader)
+        tw_cluster_note_cancelled(cluster, message.highest_token, body, len);
+    /* With this answer it may renew leases in its zone for a while, should it lose us. */
+    const char *ids[MAX_CANCELLED];
+    int count;
+    tw_wire_peer_heartbeat answer = describe_self(cluster, ids, &count);
+    if (count > MAX_CANCELLED) {
+        tw_log_info("event=delegation_withheld cancelled=%d", count);
+        answer.is_leader = false;
+        count = 0;
+    }
+    if (from && answer.is_leader)
+        from->delegation_until =
+            cluster->context->now + tw_cluster_renewal_without_contact_s(cluster) *
+                                        (1 + 2 * cluster->context->config->tune.drift);
+    tw_reply(cluster->context, connection, TW_HTTP_OK, 0,
+             tw_wire_peer_heartbeat_text(&answer, ids, count));
+}
+
+/* A peer answered a ping and knows of no token later than ours: it has not led until the ping was
+ * sent, unless it started anew since it last vouched. Nobody else can lead while we have authority,
+ * so a peer that was up before our authority ended counts as having vouched until then: a leader
+ * that loses the state service early in its first term is vouched for, too. */
+static void note_vouching(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
+                          const tw_wire_peer_heartbeat *answer) {
+    double known = from->vouched_at;
+    if (cluster->role == TW_ROLE_LEADER) known = fmax(known, cluster->authority_until);
+    const double started_by =
+        cluster->context->now - answer->uptime_s * (1 - 2 * cluster->context->config->tune.drift);
+    if (tw_cluster_has_authority(cluster) || started_by <= known)
+        from->vouched_at = fmax(from->vouched_at, sent->sent_at);
+}
+
+void tw_cluster_heartbeat_response(tw_cluster *cluster, const tw_call *sent, int status,
+                                   const char *body, size_t len) {
+    tw_peer *from = tw_cluster_find_peer(cluster, sent->name);
+    tw_wire_peer_heartbeat answer;
+    if (!from) return;
+    if (from->heartbeats_in_flight) from->heartbeats_in_flight--;
+    if (status != TW_HTTP_OK || tw_wire_peer_heartbeat_parse(&answer, body, len)) return;
+    note_vouching(cluster, from, sent, &answer);
+    if (from->answered_at < sent->sent_at - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s)
+        from->back_at = cluster->context->now;
+    from->answered_at = sent->sent_at;
+    /* Said after the ping was sent; a late copy of a request would not tell when. */
+    from->delegate_answered_at = cluster->context->now - answer.since_delegate_answer_s;
+    from->delegate_answered_as_of = sent->sent_at;
+    note_peer(cluster, from, &answer);
+    if (answer.highest_token == cluster->token && sent->term == cluster->context->term &&
+        sent->sequence > from->cancellations_known) {
+        from->cancellations_known = sent->sequence;
+        cluster->owner.cancellations_known(cluster->owner.owner);
+    }
+    if (answer.is_leader)
+        tw_cluster_delegation_granted(cluster, sent->sent_at, answer.highest_token, body, len);
+}
+
+void tw_cluster_heartbeat_tick(tw_cluster *cluster) {
+    for (size_t i = 0; i < cluster->peer_count; i++) {
+        tw_peer *to = &cluster->peers[i];
+        if (to->heartbeats_in_flight || cluster->context->now < to->next_heartbeat_at) continue;
+        to->next_heartbeat_at =
+            cluster->context->now +
+            cluster->lease_s * tw_context_random(cluster->context, PAUSE_LEAST, PAUSE_MOST);
+        send_heartbeat(cluster, to);
+    }
+}
--- a/src/core/worker_failover_paths.c
+++ b/src/cluster/worker_failover_paths.c
@@ -4,7 +4,7 @@
  * each of another zone costs it a timeout while the zones can't reach each other. Where several of
  * these follow each other, the worker's lease ends before it is answered, and all its tasks with
  * it. So workers are named nodes after which another one of the zone comes soon enough. */
-#include "core/core_int.h"
+#include "cluster/cluster_int.h"
 #include <stdbool.h>
 
 /* A worker's waits, by the protocol: for an answer, and until it tries the next node. */
@@ -16,7 +16,7 @@
 typedef struct {
     const char *name;
     const char *zone;
-    int *in_time; /* where the result is kept */
+    bool *in_time; /* where the result is kept */
 } node;
 
 /* Nodes are numbered, so that a longer name comes after a shorter one. */
@@ -31,26 +31,27 @@
 
 /* Whether a worker that reports to the node at this position is answered by another one of its zone
  * before its lease ends. */
-static bool is_in_time(const tw_core *core, const node *nodes, size_t position) {
-    const size_t count = core->peer_count + 1;
-    double unanswered_s = LONGEST_REPORT * core->context.config->report_s + NEXT_NODE_S;
+static bool is_in_time(const tw_cluster *cluster, const node *nodes, size_t position) {
+    const size_t count = cluster->peer_count + 1;
+    double unanswered_s = LONGEST_REPORT * cluster->context->config->report_s + NEXT_NODE_S;
     for (size_t step = 1; step < count; step++) {
         const node *next = &nodes[(position + step) % count];
         if (!strcmp(next->zone, nodes[position].zone))
-            return unanswered_s < core->context.config->lease_s;
+            return unanswered_s < cluster->context->config->lease_s;
         unanswered_s += ANSWER_WAIT_S + NEXT_NODE_S;
     }
     return false;
 }
 
-void tw_worker_failover_init(tw_core *core) {
-    const size_t count = core->peer_count + 1;
+void tw_cluster_init_failover_paths(tw_cluster *cluster) {
+    const size_t count = cluster->peer_count + 1;
     node nodes[count];
-    for (size_t i = 0; i < core->peer_count; i++)
-        nodes[i] = (node){core->peers[i].config.name, core->peers[i].config.zone,
-                          &core->peers[i].failover_in_time};
-    nodes[core->peer_count] = (node){core->context.config->host_name,
-                                     core->context.config->location, &core->failover_in_time};
+    for (size_t i = 0; i < cluster->peer_count; i++)
+        nodes[i] = (node){cluster->peers[i].config.name, cluster->peers[i].config.zone,
+                          &cluster->peers[i].failover_in_time};
+    nodes[cluster->peer_count] =
+        (node){cluster->context->config->host_name, cluster->context->config->location,
+               &cluster->failover_in_time};
     qsort(nodes, count, sizeof *nodes, by_number);
-    for (size_t i = 0; i < count; i++) *nodes[i].in_time = is_in_time(core, nodes, i);
+    for (size_t i = 0; i < count; i++) *nodes[i].in_time = is_in_time(cluster, nodes, i);
 }
--- /dev/null
+++ b/src/cluster/worker_routing.c
@@ -0,0 +1,150 @@
+/* Which node a worker is told to send its heartbeats to.
+ *
+ * Workers send heartbeats to a node of their own zone, so that a cut between zones costs no lease.
+ * A worker of another zone is redirected, unless it comes back from the node that it was sent to: a
+ * node that answers other nodes need not answer its workers. Where several workers come back from a
+ * node within a lease, none is sent there for a while. */
+#include "cluster/cluster_int.h"
+
+/* Workers that came back from a node within a lease, from which on the node is avoided. */
+#define AVOID_AFTER 3
+
+static bool is_live(const tw_cluster *cluster, const tw_peer *peer) {
+    return peer->answered_at > cluster->context->now - 1 - 0.5 * cluster->lease_s;
+}
+
+static bool is_live_in_zone(const tw_cluster *cluster, const tw_peer *peer, const char *zone) {
+    return !strcmp(peer->config.zone, zone) && is_live(cluster, peer);
+}
+
+bool tw_cluster_zone_has_live_peer(const tw_cluster *cluster, const char *zone) {
+    for (size_t i = 0; i < cluster->peer_count; i++)
+        if (is_live_in_zone(cluster, &cluster->peers[i], zone)) return true;
+    return false;
+}
+
+bool tw_cluster_zone_is_cut(const tw_cluster *cluster, const char *zone, double back_s) {
+    if (!strcmp(zone, cluster->context->config->location)) return false;
+    for (size_t i = 0; i < cluster->peer_count; i++) {
+        const tw_peer *peer = &cluster->peers[i];
+        if (strcmp(peer->config.zone, zone) != 0) continue;
+        if (!tw_cluster_zone_has_live_peer(cluster, zone)) return true;
+        if (cluster->context->now < peer->back_at + back_s) return true;
+    }
+    return false;
+}
+
+/* A live node of that zone that workers may be sent to, rather one whose end they survive; NULL:
+ * none is known. */
+static tw_peer *find_home(const tw_cluster *cluster, const char *zone) {
+    tw_peer *any = NULL;
+    for (size_t i = 0; i < cluster->peer_count; i++) {
+        tw_peer *peer = &cluster->peers[i];
+        if (!is_live_in_zone(cluster, peer, zone)) continue;
+        if (cluster->context->now < peer->avoided_until) continue;
+        if (peer->failover_in_time) return peer;
+        if (!any) any = peer;
+    }
+    return any;
+}
+
+bool tw_cluster_zone_has_home(const tw_cluster *cluster, const char *zone) {
+    return find_home(cluster, zone) != NULL;
+}
+
+/* ---- redirects ---- */
+
+/* A worker that was sent to the peer came back. */
+static void note_came_back(const tw_cluster *cluster, tw_peer *peer) {
+    const double now = cluster->context->now;
+    const double lease_s = cluster->context->config->lease_s;
+    if (now > peer->avoid_counted_from + lease_s) {
+        peer->avoid_counted_from = now;
+        peer->returned_workers = 0;
+    }
+    if (++peer->returned_workers < AVOID_AFTER) return;
+    if (now >= peer->avoided_until) tw_log_info("event=peer_avoided peer=%s", peer->config.name);
+    peer->avoided_until = now + lease_s;
+}
+
+/* Forgets redirects that are older than a lease, once a lease. */
+static void sweep_redirects(tw_cluster *cluster) {
+    const double now = cluster->context->now;
+    const double lease_s = cluster->context->config->lease_s;
+    tw_worker_redirect *known, *next;
+    if (now < cluster->next_redirect_sweep_at) return;
+    cluster->next_redirect_sweep_at = now + lease_s;
+    HASH_ITER(hh, cluster->worker_redirects, known, next) {
+        if (now < known->at + lease_s) continue;
+        HASH_DEL(cluster->worker_redirects, known);
+        free(known);
+    }
+}
+
+/* Notes that the worker is sent to the peer. */
+static void note_redirect(tw_cluster *cluster, const char *worker, const tw_peer *to) {
+    tw_worker_redirect *known;
+    sweep_redirects(cluster);
+    HASH_FIND_STR(cluster->worker_redirects, worker, known);
+    if (!known) {
+        known = tw_alloc(sizeof *known);
+        snprintf(known->name, sizeof known->name, "%s", worker);
+        HASH_ADD_STR(cluster->worker_redirects, name, known);
+    }
+    known->target = to;
+    known->at = cluster->context->now;
+    known->came_back = false;
+}
+
+/* Names the peer to the worker, unless the worker comes back from there; returns whether it did. */
+static bool redirect_to(tw_cluster *cluster, uint64_t connection, const char *worker, tw_peer *to) {
+    tw_worker_redirect *last;
+    HASH_FIND_STR(cluster->worker_redirects, worker, last);
+    /* A worker that two nodes send to each other loses its lease. */
+    if (last && last->target == to &&
+        cluster->context->now < last->at + cluster->context->config->lease_s) {
+        if (!last->came_back) note_came_back(cluster, to);
+        last->came_back = true;
+        return false;
+    }
+    note_redirect(cluster, worker, to);
+    tw_log_debug("event=worker_redirected worker=%s to=%s", worker, to->config.name);
+    tw_reply(cluster->context, connection, TW_HTTP_MISDIRECTED, 0,
+             tw_wire_redirect_text(to->config.name));
+    return true;
+}
+
+bool tw_cluster_redirect_home(tw_cluster *cluster, uint64_t connection, const char *worker,
+                              const char *zone) {
+    tw_peer *home = find_home(cluster, zone);
+    return home && redirect_to(cluster, connection, worker, home);
+}
+
+/* Whether all peers answer; if not, it is no time to move workers without need. */
+static bool all_peers_live(const tw_cluster *cluster) {
+    for (size_t i = 0; i < cluster->peer_count; i++)
+        if (!is_live(cluster, &cluster->peers[i])) return false;
+    return true;
+}
+
+bool tw_cluster_redirect_safer(tw_cluster *cluster, uint64_t connection, const char *worker,
+                               const char *zone) {
+    if (cluster->failover_in_time || !all_peers_live(cluster)) return false;
+    tw_peer *safer = find_home(cluster, zone);
+    if (!safer || !safer->failover_in_time) return false;
+    return redirect_to(cluster, connection, worker, safer);
+}
+
+bool tw_cluster_redirect_to_leader(tw_cluster *cluster, uint64_t connection, const char *worker) {
+    tw_peer *leader = tw_cluster_find_peer(cluster, cluster->leader_name);
+    if (!leader || cluster->context->now < leader->avoided_until) return false;
+    return redirect_to(cluster, connection, worker, leader);
+}
+
+void tw_cluster_free_redirects(tw_cluster *cluster) {
+    tw_worker_redirect *known, *next;
+    HASH_ITER(hh, cluster->worker_redirects, known, next) {
+        HASH_DEL(cluster->worker_redirects, known);
+        free(known);
+    }
+}
--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -104,7 +104,7 @@
     case TW_EVIDENCE_TERM_ENDED:
         break;
     }
-    return core->role != TW_ROLE_LEADER;
+    return !tw_cluster_is_leader(core->cluster);
 }
 
 /* Grounds that need not hold: the path that offers them asks just that. With the others the path is
@@ -137,7 +137,7 @@
                  "heartbeat_token=%llu confirmed=%d age_s=%.2f",
                  placed->job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
                  names[end->evidence], end->reported ? end->reported->cause : 0,
-                 (unsigned long long)core->fencing_token, placed->inherited,
+                 (unsigned long long)tw_cluster_token(core->cluster), placed->inherited,
                  (unsigned long long)placed->launch_incarnation,
                  (unsigned long long)placed->launch_sequence, placed->direct_launches,
                  (unsigned long long)(heartbeat ? heartbeat->incarnation : machine->incarnation),
--- /dev/null
+++ b/src/core/cancellation.c
@@ -0,0 +1,37 @@
+/* Cancellations that have to be known to all nodes that may answer a job's machines. */
+#include "core/jobs.h"
+
+tw_cancellation_safety tw_job_cancellation_safety(tw_core *core, const tw_job *job, bool tell) {
+    const double limit = core->context.now + tw_cluster_renewal_if_superseded_s(core->cluster);
+    tw_cancellation_safety safety = TW_CANCELLATION_SAFE;
+    const tw_placement *task;
+    DL_FOREACH2(job->placements, task, job_next) {
+        const tw_machine *machine = task->machine;
+        if (!tw_attempt_was_launched(task)) continue;
+        if (!machine->confirmed && tw_cluster_predecessor_renewals_end(core->cluster) > limit)
+            return TW_CANCELLATION_UNREACHABLE;
+        switch (tw_cluster_cancellation_safety(core->cluster, machine->zone,
+                                               job->cancellation_sequence, tell)) {
+        case TW_CANCELLATION_UNREACHABLE:
+            return TW_CANCELLATION_UNREACHABLE;
+        case TW_CANCELLATION_PENDING:
+            safety = TW_CANCELLATION_PENDING;
+            break;
+        case TW_CANCELLATION_SAFE:
+            break;
+        }
+    }
+    return safety;
+}
+
+int tw_jobs_list_cancelled(const tw_core *core, const char **ids, int most) {
+    const tw_job *job;
+    int count = 0;
+    DL_FOREACH2(core->cancelled_jobs, job, cancelled_next) {
+        const bool is_cancelled = job->state == TW_JOB_CANCELLED || job->cancelling;
+        if (!is_cancelled || !job->placements) continue;
+        if (count < most) ids[count] = job->id;
+        count++;
+    }
+    return count;
+}
--- a/src/core/command_messages.c
+++ b/src/core/command_messages.c
@@ -30,23 +30,24 @@
 
 char *tw_commands_reply_text(tw_core *core, const tw_command_list *commands) {
     const tw_permission right = needed_permission(commands);
-    if (!tw_leader_may(core, right)) {
+    if (!tw_cluster_may(core->cluster, right)) {
         tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "commands=%d permission=%d",
                             commands->count, right);
         return NULL;
     }
-    return tw_wire_commands_text(core->fencing_token, 0, commands->list, (size_t)commands->count);
+    return tw_wire_commands_text(tw_cluster_token(core->cluster), 0, commands->list,
+                                 (size_t)commands->count);
 }
 
 char *tw_commands_direct_text(tw_core *core, const tw_machine *machine,
                               const tw_command_list *commands) {
-    if (!tw_leader_may(core, TW_PERMISSION_COMMAND)) {
+    if (!tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND)) {
         tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "worker=%s commands=%d", machine->name,
                             commands->count);
         return NULL;
     }
-    return tw_wire_commands_text(core->fencing_token, machine->incarnation, commands->list,
-                                 (size_t)commands->count);
+    return tw_wire_commands_text(tw_cluster_token(core->cluster), machine->incarnation,
+                                 commands->list, (size_t)commands->count);
 }
 
 char *tw_commands_delegate_text(tw_core *core, const tw_wire_heartbeat *heartbeat,
@@ -54,11 +55,12 @@
     bool stops_only = true;
     for (int i = 0; i < commands->count; i++)
         stops_only &= commands->list[i].kind == TW_COMMAND_STOP;
-    if (!stops_only || !tw_delegate_is_entitled(core, heartbeat->worker, heartbeat->zone)) {
+    if (!stops_only ||
+        !tw_cluster_delegate_may_answer(core->cluster, heartbeat->worker, heartbeat->zone)) {
         tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "worker=%s delegate=1 commands=%d",
                             heartbeat->worker, commands->count);
         return NULL;
     }
-    return tw_wire_commands_text(core->highest_token_seen, 0, commands->list,
+    return tw_wire_commands_text(tw_cluster_highest_token(core->cluster), 0, commands->list,
                                  (size_t)commands->count);
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,10 +1,9 @@
 /* Dispatch: a request, a response or a tick goes to the file that handles it; then what follows
  * from it is decided, written and sent. */
+#include "core/jobs.h"
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define LONG_AGO (-1e9)
-#define SHORTEST_TTL_S 0.2
 #define PATH_SIZE 512
 #define JOB_PATH_LIMIT 256 /* longer paths are of no job */
 /* Ticks: so many in a report's interval, within limits. */
@@ -14,18 +13,6 @@
 
 /* ---- construction ---- */
 
-static void init_peers(tw_core *core) {
-    const tw_config *config = core->context.config;
-    core->peer_count = config->npeers;
-    core->peers = tw_alloc(config->npeers * sizeof *core->peers);
-    for (size_t i = 0; i < config->npeers; i++) {
-        tw_peer *peer = &core->peers[i];
-        peer->config = config->peers[i];
-        peer->answered_at = peer->vouched_at = LONG_AGO;
-    }
-    tw_worker_failover_init(core);
-}
-
 /* What the settings want of each class of jobs. */
 static void init_objectives(tw_core *core) {
     for (size_t i = 0; i < core->context.config->nobjectives; i++) {
@@ -38,14 +25,41 @@
     }
 }
 
+/* ---- what the cluster tells ---- */
+
+static void on_term_began(void *owner) { tw_failover_begin(owner); }
+
+static void on_term_ended(void *owner) { tw_term_clear(owner); }
+
+static void on_lease_renewed(void *owner) {
+    tw_core *core = owner;
+    core->scheduling_due = true;
+}
+
+static void on_cancellations_known(void *owner) {
+    tw_core *core = owner;
+    core->next_job_sweep_at = core->context.now;
+}
+
+static void on_delegate_ready(void *owner) { tw_held_heartbeats_retry(owner); }
+
+static int on_list_cancelled(void *owner, const char **ids, int most) {
+    return tw_jobs_list_cancelled(owner, ids, most);
+}
+
+/* ---- life ---- */
+
 tw_core *tw_core_new(const tw_config *config, uint64_t seed, double now, double wall) {
     tw_core *core = tw_alloc(sizeof *core);
     tw_context_init(&core->context, config, seed, now, wall);
-    core->started_at = now;
-    core->store_answered_at = LONG_AGO;
-    core->leader_lease_s = fmax(SHORTEST_TTL_S, config->tune.election_ratio * config->lease_s);
-    init_peers(core);
-    tw_election_init(core);
+    const tw_cluster_owner owner = {.owner = core,
+                                    .term_began = on_term_began,
+                                    .term_ended = on_term_ended,
+                                    .lease_renewed = on_lease_renewed,
+                                    .cancellations_known = on_cancellations_known,
+                                    .delegate_ready = on_delegate_ready,
+                                    .list_cancelled = on_list_cancelled};
+    core->cluster = tw_cluster_new(&core->context, &owner);
     tw_rate_limiters_init(core);
     core->team_cores_used = tw_alloc((config->nteams + 1) * sizeof(double));
     core->team_gpus_used = tw_alloc((config->nteams + 1) * sizeof(double));
@@ -63,11 +77,10 @@
 }
 
 void tw_core_free(tw_core *core) {
-    core->role = TW_ROLE_FOLLOWER;
+    tw_cluster_stop(core->cluster);
     tw_term_clear(core);
     tw_held_heartbeats_free(core);
-    tw_delegate_free(core);
-    tw_worker_redirects_free(core);
+    tw_cluster_free(core->cluster);
     free_classes(core);
     free(core->machine_types);
     tw_wire_heartbeat_cache_free(core->heartbeat_cache);
@@ -76,7 +89,6 @@
     free(core->candidates);
     tw_scores_free(core);
     free(core->capacity_offers);
-    free(core->peers);
     free(core->team_cores_used);
     free(core->team_gpus_used);
     tw_context_free(&core->context);
@@ -87,7 +99,8 @@
 
 /* Whether this node leads, has read the records of its term and may command. */
 static bool is_in_command(const tw_core *core) {
-    return core->phase == TW_PHASE_ACTIVE && tw_leader_may(core, TW_PERMISSION_WRITE);
+    return tw_cluster_is_active(core->cluster) &&
+           tw_cluster_may(core->cluster, TW_PERMISSION_WRITE);
 }
 
 /* What follows from any input: placing, writing, sending. */
@@ -112,7 +125,7 @@
 typedef void request_handler(tw_core *core, const request *request);
 
 static void on_peer_heartbeat(tw_core *core, const request *request) {
-    tw_peer_heartbeat_receive(core, request->conn, request->body, request->len);
+    tw_cluster_receive_heartbeat(core->cluster, request->conn, request->body, request->len);
 }
 
 static void on_worker_heartbeat(tw_core *core, const request *request) {
@@ -122,7 +135,8 @@
 
 /* Useful requests can be served while the state service or another node answers us. */
 static void on_health(tw_core *core, const request *request) {
-    if (tw_node_is_isolated(core) && !tw_leader_may(core, TW_PERMISSION_ANSWER))
+    if (tw_cluster_is_isolated(core->cluster) &&
+        !tw_cluster_may(core->cluster, TW_PERMISSION_ANSWER))
         tw_reply_error(&core->context, request->conn, TW_HTTP_UNAVAILABLE, 1, "isolated");
     else
         tw_reply(&core->context, request->conn, TW_HTTP_OK, 0, strdup("{\"up\":true}"));
@@ -208,17 +222,9 @@
 typedef void response_handler(tw_core *core, tw_call *sent, int status, const char *body,
                               size_t len);
 
-static void on_delegate_key(tw_core *core, tw_call *sent, int status, const char *body,
-                            size_t len) {
-    (void)body;
-    (void)len;
-    tw_delegate_key_response(core, sent, status);
-}
-
-static void on_cancelled_jobs(tw_core *core, tw_call *sent, int status, const char *body,
-                              size_t len) {
-    (void)sent;
-    tw_delegate_cancelled_page(core, status, body, len);
+static void on_cluster_response(tw_core *core, tw_call *sent, int status, const char *body,
+                                size_t len) {
+    tw_cluster_response(core->cluster, sent, status, body, len);
 }
 
 static void on_records(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
@@ -232,19 +238,19 @@
     bool of_term;      /* nothing to this node once the term it was sent in is over */
     const char *reads; /* what is read by it from the state service; NULL: nothing, for the log */
 } responses[TW_CALL_KINDS] = {
-    [TW_CALL_READ_LEADER] = {tw_election_response, false, "leader"},
-    [TW_CALL_WATCH_LEADER] = {tw_election_response, false},
-    [TW_CALL_GRANT_LEASE] = {tw_election_response, false},
-    [TW_CALL_ACQUIRE_LEADERSHIP] = {tw_election_response, false},
-    [TW_CALL_RENEW_LEASE] = {tw_election_response, false},
-    [TW_CALL_REVOKE_LEASE] = {tw_election_response, false},
-    [TW_CALL_PEER_HEARTBEAT] = {tw_election_response, false},
+    [TW_CALL_READ_LEADER] = {on_cluster_response, false, "leader"},
+    [TW_CALL_WATCH_LEADER] = {on_cluster_response, false},
+    [TW_CALL_GRANT_LEASE] = {on_cluster_response, false},
+    [TW_CALL_ACQUIRE_LEADERSHIP] = {on_cluster_response, false},
+    [TW_CALL_RENEW_LEASE] = {on_cluster_response, false},
+    [TW_CALL_REVOKE_LEASE] = {on_cluster_response, false},
+    [TW_CALL_PEER_HEARTBEAT] = {on_cluster_response, false},
     [TW_CALL_LOOK_UP_JOB] = {tw_user_response, false, "job"},
     [TW_CALL_CREATE_RECORD] = {tw_user_response, false},
     [TW_CALL_FORWARD_REQUEST] = {tw_user_response, false},
     [TW_CALL_FORWARD_HEARTBEAT] = {tw_heartbeat_forward_response, false},
-    [TW_CALL_LIST_CANCELLED_JOBS] = {on_cancelled_jobs, false, "cancelled"},
-    [TW_CALL_WRITE_DELEGATE_KEY] = {on_delegate_key, false},
+    [TW_CALL_LIST_CANCELLED_JOBS] = {on_cluster_response, false, "cancelled"},
+    [TW_CALL_WRITE_DELEGATE_KEY] = {on_cluster_response, false},
     [TW_CALL_LIST_MACHINE_TYPES] = {tw_autoscaler_response, false},
     [TW_CALL_LIST_MACHINES] = {tw_autoscaler_response, true},
     [TW_CALL_RENT_MACHINES] = {tw_autoscaler_response, true},
@@ -253,7 +259,7 @@
     [TW_CALL_READ_RECORD] = {tw_job_store_response, true, "job"},
     [TW_CALL_WRITE_CHUNKS] = {tw_job_store_response, true},
     [TW_CALL_REMOVE_CHUNKS] = {tw_job_store_response, true},
-    [TW_CALL_READ_DELEGATE_KEYS] = {tw_delegates_page, true, "delegates"},
+    [TW_CALL_READ_DELEGATE_KEYS] = {on_cluster_response, true, "delegates"},
     [TW_CALL_LIST_PEER_ADMISSIONS] = {tw_peer_admissions_response, true, "peer_admission_list"},
     [TW_CALL_WATCH_PEER_ADMISSIONS] = {tw_peer_admissions_response, true, "peer_admissions"},
     [TW_CALL_REMOVE_PEER_ADMISSION] = {tw_peer_admissions_response, true},
@@ -278,7 +284,8 @@
     if (!what || !tw_log_on(TW_LOG_DEBUG)) return;
     tw_log_debug("event=state_read what=%s status=%d revision=%llu took_s=%.3f token=%llu stale=%d",
                  what, status, (unsigned long long)revision_of(status, body, len),
-                 core->context.now - sent->sent_at, (unsigned long long)core->fencing_token,
+                 core->context.now - sent->sent_at,
+                 (unsigned long long)tw_cluster_token(core->cluster),
                  responses[sent->kind].of_term && sent->term != core->context.term);
 }
 
@@ -311,7 +318,7 @@
 
 /* The timed work of a leader that may command. */
 static void tick_in_command(tw_core *core) {
-    tw_delegates_tick(core);
+    tw_cluster_registry_tick(core->cluster);
     tw_peer_admissions_tick(core);
     tw_machines_tick(core);
     if (core->context.now < core->next_recheck_at) return;
@@ -323,12 +330,11 @@
 void tw_core_tick(tw_core *core, double now, double wall) {
     tw_context_set_time(&core->context, now, wall);
     tw_calls_log_counts(&core->context);
-    tw_permissions_log(core);
-    tw_election_tick(core);
+    tw_cluster_tick(core->cluster);
     tw_jobs_tick(core);
     tw_held_heartbeats_tick(core);
-    tw_delegate_tick(core);
-    if (core->role == TW_ROLE_LEADER && core->phase == TW_PHASE_LOADING) tw_failover_tick(core);
+    tw_cluster_delegate_tick(core->cluster);
+    if (tw_cluster_is_loading(core->cluster)) tw_failover_tick(core);
     if (is_in_command(core)) tick_in_command(core);
     tw_autoscaler_tick(core);
     run_follow_up(core);
--- a/src/core/core_int.h
+++ b/src/core/core_int.h
@@ -5,13 +5,13 @@
 #ifndef TW_CORE_INT_H
 #define TW_CORE_INT_H
 #include "core/attempt_termination.h"
+#include "cluster/cluster.h"
 #include "context/context.h"
 #include "core/core.h"
 #include "core/counters.h"
 #include "core/gang.h"
 #include "core/job.h"
 #include "core/machine.h"
-#include "core/peers.h"
 #include "core/placement.h"
 #include "core/autoscaler.h"
 #include "core/capacity.h"
--- a/src/core/counters.c
+++ b/src/core/counters.c
@@ -28,7 +28,7 @@
     va_end(arguments);
     core->counters.broken[which]++;
     tw_log_error("event=invariant_broken name=%s token=%llu %s", invariant_names[which],
-                 (unsigned long long)core->fencing_token, detail);
+                 (unsigned long long)tw_cluster_token(core->cluster), detail);
 }
 
 uint64_t tw_core_broken_invariants(const tw_core *core) {
--- /dev/null
+++ b/src/core/delegate_reply.c
@@ -0,0 +1,36 @@
+/* Answers to workers' heartbeats that this node gives as a lease delegate: they renew the worker's
+ * lease, and stop its tasks of cancelled jobs. */
+#include "core/heartbeat_forwarder.h"
+#include "core/workers.h"
+
+/* Most commands in an answer, which stays under 64 KiB; the rest comes with the next one. */
+#define MAX_STOPS 500
+
+static void answer_worker(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat) {
+    tw_command_list commands = tw_command_list_new(core);
+    for (int i = 0; i < heartbeat->task_count && commands.count < MAX_STOPS; i++) {
+        const tw_wire_task *task = &heartbeat->tasks[i];
+        if (task->state == TW_TASK_EXITED) continue;
+        if (!tw_cluster_delegate_stops(core->cluster, task->job)) continue;
+        const tw_wire_command stop = {
+            .kind = TW_COMMAND_STOP, .index = task->index, .attempt = task->attempt};
+        tw_command_list_add(&commands, stop, task->job);
+    }
+    char *text = tw_commands_delegate_text(core, heartbeat, &commands);
+    if (text)
+        tw_reply(&core->context, connection, TW_HTTP_OK, 0, text);
+    else
+        tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
+}
+
+bool tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
+                                  const tw_wire_heartbeat *heartbeat) {
+    if (!tw_cluster_delegate_may_answer(core->cluster, heartbeat->worker, heartbeat->zone)) {
+        if (!strcmp(heartbeat->zone, core->context.config->location))
+            tw_cluster_request_delegation(core->cluster);
+        return false;
+    }
+    tw_cluster_note_delegate_answer(core->cluster);
+    answer_worker(core, connection, heartbeat);
+    return true;
+}
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -2,7 +2,7 @@
  *
  * Where the leader can't be reached, a deputy answers (lease_delegate.c); while none is known, or
  * this node is no deputy yet, the report is held for a while. */
-#include "core/heartbeat_forwarder.h"
+#include "core/core_int.h"
 #include <stdbool.h>
 
 /* A worker waits 4 s, by the protocol: this leaves time to become a deputy. */
@@ -40,15 +40,14 @@
  * body. */
 static void forward_or_hold(tw_core *core, uint64_t connection, const char *worker, char *body,
                             double until) {
-    const tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
+    const char *leader = tw_cluster_leader_addr(core->cluster);
     if (!leader) {
         hold_heartbeat(core, connection, worker, body, until);
         return;
     }
     if (core->context.now >= core->forwarding_paused_until) {
-        tw_call *sent =
-            tw_call_send(&core->context, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader->config.addr,
-                         "POST", "/peer/hello", strdup(body), RELAY_TIMEOUT_S);
+        tw_call *sent = tw_call_send(&core->context, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader,
+                                     "POST", "/peer/hello", strdup(body), RELAY_TIMEOUT_S);
         sent->connection = connection;
         sent->text = body;
         sent->until = until;
@@ -72,7 +71,7 @@
 static void retry_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
                             double until) {
     /* A leader without power to answer must not let a report wait anew: its worker waits 4 s. */
-    if (!tw_leader_may(core, TW_PERMISSION_RENEW)) {
+    if (!tw_cluster_may(core->cluster, TW_PERMISSION_RENEW)) {
         forward_or_hold(core, connection, worker, body, until);
         return;
     }
@@ -107,19 +106,20 @@
 void tw_heartbeat_forward(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat,
                           const char *body, size_t len) {
     if (!strcmp(heartbeat->zone, core->context.config->location)) {
-        if (tw_worker_redirect_safer(core, connection, heartbeat)) return;
+        if (tw_cluster_redirect_safer(core->cluster, connection, heartbeat->worker,
+                                      heartbeat->zone))
+            return;
     } else {
-        if (tw_worker_redirect_home(core, connection, heartbeat)) return;
+        if (tw_cluster_redirect_home(core->cluster, connection, heartbeat->worker, heartbeat->zone))
+            return;
         /* Where its zone has no node that answers it, the leader does; through us, if it comes back
          * from there as well. */
-        tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
-        if (!leader) {
+        if (!tw_cluster_leader_addr(core->cluster)) {
             tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
         }
-        if (!tw_worker_home_find(core, heartbeat->zone) &&
-            core->context.now >= leader->avoided_until &&
-            tw_worker_redirect_to(core, connection, heartbeat->worker, leader))
+        if (!tw_cluster_zone_has_home(core->cluster, heartbeat->zone) &&
+            tw_cluster_redirect_to_leader(core->cluster, connection, heartbeat->worker))
             return;
     }
     forward_or_hold(core, connection, heartbeat->worker, copy_of(body, len),
@@ -130,11 +130,11 @@
                                    size_t len) {
     char *report = sent->text;
     sent->text = NULL;
-    if (core->role != TW_ROLE_FOLLOWER) { /* it is us by now */
+    if (tw_cluster_is_leader(core->cluster)) { /* it is us by now */
         retry_heartbeat(core, sent->connection, sent->name, report, sent->until);
     } else if (status == TW_HTTP_OK) {
         core->forwarding_paused_until = 0;
-        tw_delegate_note_forwarded(core, sent->name, sent->sent_at);
+        tw_cluster_note_forwarded(core->cluster, sent->name, sent->sent_at);
         tw_reply(&core->context, sent->connection, TW_HTTP_OK, 0, copy_of(body, len));
         free(report);
     } else if (!status) {
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -215,8 +215,8 @@
 
 static void cancellation_tick(tw_core *core, tw_job *job) {
     if (job->cancelling && job->state == TW_JOB_PENDING &&
-        tw_leader_may(core, TW_PERMISSION_WRITE) && core->phase == TW_PHASE_ACTIVE &&
-        tw_cancellation_safety(core, job, 1) > 0)
+        tw_cluster_may(core->cluster, TW_PERMISSION_WRITE) && tw_cluster_is_active(core->cluster) &&
+        tw_job_cancellation_safety(core, job, true) == TW_CANCELLATION_SAFE)
         tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
@@ -234,7 +234,8 @@
 static void waiting_clients_tick(tw_core *core, tw_job *job) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
         tw_waiting_client *client = *at;
-        if (core->context.now < client->until && tw_leader_may(core, TW_PERMISSION_ANSWER)) {
+        if (core->context.now < client->until &&
+            tw_cluster_may(core->cluster, TW_PERMISSION_ANSWER)) {
             at = &client->next;
             continue;
         }
@@ -245,7 +246,7 @@
 }
 
 void tw_jobs_tick(tw_core *core) {
-    if (core->role != TW_ROLE_LEADER || core->context.now < core->next_job_sweep_at) return;
+    if (!tw_cluster_is_leader(core->cluster) || core->context.now < core->next_job_sweep_at) return;
     core->next_job_sweep_at = core->context.now + TICK_S;
     tw_job_store_tick(core);
     tw_job *job, *next;
--- a/src/core/job_store.c
+++ b/src/core/job_store.c
@@ -134,20 +134,20 @@
     const int count = batch->count;
     tw_rate_limiter_try_acquire(&core->write_limiter, core->context.now, count);
     tw_rate_limiter_try_acquire(&core->request_limiter, core->context.now, 1);
-    tw_wire_compare compares[MAX_RECORDS + 1 + core->peer_count];
+    const size_t fence_size = tw_cluster_fence_size(core->cluster);
+    tw_wire_compare compares[MAX_RECORDS + fence_size];
+    char fence_keys[fence_size][TW_DELEGATE_KEY_SIZE];
     tw_wire_write writes[MAX_RECORDS];
     for (int i = 0; i < count; i++) {
         compares[i] = (tw_wire_compare){batch->keys[i], batch->jobs[i]->mod_revision};
         writes[i] = (tw_wire_write){batch->keys[i], batch->texts[i], 0};
     }
-    char delegate_keys[core->peer_count + 1][TW_DELEGATE_KEY_SIZE];
-    compares[count] = (tw_wire_compare){TW_LEADER_KEY, core->fencing_token};
-    int compare_count =
-        count + 1 + tw_delegates_compares(core, compares + count + 1, delegate_keys);
+    const size_t compare_count =
+        (size_t)count + tw_cluster_fence(core->cluster, compares + count, fence_keys);
     tw_call *call = tw_call_send(
         &core->context, TW_CALL_WRITE_RECORDS, TW_TO_STATE, core->context.config->state, "POST",
-        "/txn", tw_wire_txn_text(compares, (size_t)compare_count, writes, (size_t)count),
-        fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO));
+        "/txn", tw_wire_txn_text(compares, compare_count, writes, (size_t)count),
+        fmax(LEAST_TXN_TIMEOUT_S, tw_cluster_lease_s(core->cluster) * TXN_TIMEOUT_RATIO));
     note_writes(call, batch);
     for (int i = 0; i < count; i++) free(batch->texts[i]);
     core->transactions_in_flight++;
@@ -155,11 +155,11 @@
 
 void tw_job_store_flush(tw_core *core) {
     /* One of the conditions is on our key and one on each deputy's. */
-    const int max_compares =
-        CONDITIONS_PER_CHANGE * core->context.config->state_txn_ops - 1 - (int)core->peer_count;
+    const int max_compares = CONDITIONS_PER_CHANGE * core->context.config->state_txn_ops -
+                             (int)tw_cluster_fence_size(core->cluster);
     const int allowed = (int)fmax(1, fmin(core->context.config->state_txn_ops, max_compares));
     const int most = allowed < MAX_RECORDS ? allowed : MAX_RECORDS;
-    if (!core->delegates_known) return;
+    if (!tw_cluster_delegates_known(core->cluster)) return;
     tw_chunks_flush(core, most);
     while (core->pending_writes && core->transactions_in_flight < TW_MAX_TRANSACTIONS &&
            tw_rate_limiter_available(&core->write_limiter, core->context.now) >= 1 &&
@@ -285,7 +285,7 @@
 
 void tw_job_store_tick(tw_core *core) {
     tw_job *job, *next;
-    if (core->phase == TW_PHASE_ACTIVE) tw_record_format_update(core);
+    if (tw_cluster_is_active(core->cluster)) tw_record_format_update(core);
     DL_FOREACH_SAFE2(core->pending_writes, job, next, write_next) {
         if (job->needs_read && !job->read_in_flight && core->context.now >= job->write_after)
             read_record(core, job);
@@ -330,7 +330,7 @@
 static bool leader_key_is_kept(tw_core *core, const refusal *refusal) {
     for (int i = 0; i < refusal->count; i++) {
         if (!strncmp(refusal->keys[i], TW_DELEGATE_KEY, sizeof TW_DELEGATE_KEY - 1))
-            tw_delegates_read(core);
+            tw_cluster_read_delegates(core->cluster);
         if (!strcmp(refusal->keys[i], TW_LEADER_KEY)) return false;
     }
     return true;
@@ -343,7 +343,7 @@
     *refusal = (struct refusal){NULL, 0};
     core->transactions_in_flight--;
     if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT)
-        core->store_answered_at = core->context.now;
+        tw_cluster_note_store_answer(core->cluster);
     if (status == TW_HTTP_CONFLICT &&
         tw_wire_failed_compares_parse(&refusal->keys, &refusal->count, body, length))
         refusal->count = 0;
@@ -351,7 +351,7 @@
         tw_log_error("event=transaction_refused body=\"%.200s\"", body);
     if (leader_key_is_kept(core, refusal)) return true;
     free(refusal->keys);
-    tw_leader_step_down(core, "leader key lost");
+    tw_cluster_step_down(core->cluster, "leader key lost");
     return false;
 }
 
@@ -378,8 +378,7 @@
     refusal refusal;
     bool ok = status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, length);
     if (!note_answer(core, status, body, length, &refusal)) return;
-    if (ok && call->sent_at > core->delegates_checked_at)
-        core->delegates_checked_at = call->sent_at;
+    if (ok) tw_cluster_delegates_confirmed(core->cluster, call->sent_at);
     const record_write *writes = call->data;
     for (int i = 0; i < call->count; i++) {
         const record_write *write = &writes[i];
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -19,7 +19,6 @@
 /* Users give a submission 5 s: what can't be durable by then is refused. */
 #define TW_ADMISSION_WAIT_S 3.0
 /* Path of a job's record in the state service, and room for it. */
-#define TW_JOB_KEY "job/"
 #define TW_JOB_KEY_SIZE (TW_WIRE_ID_SIZE + sizeof TW_JOB_KEY)
 #define TW_JOB_PATH "/kv/" TW_JOB_KEY
 #define TW_JOB_PATH_SIZE (TW_WIRE_ID_SIZE + sizeof TW_JOB_PATH)
@@ -44,6 +43,14 @@
 /* Whether what the leader has in memory is as new as anything that any node has told of the job. */
 bool tw_job_is_answerable(const tw_job *job);
 
+/* cancellation.c */
+/* Whether all nodes that may answer the job's machines without the leader, for longer than a
+ * cancellation leaves time for, know that it is cancelled. tell: those that don't are told. */
+tw_cancellation_safety tw_job_cancellation_safety(tw_core *core, const tw_job *job, bool tell);
+/* Fills in the ids of at most `most` cancelled jobs that may still run; returns how many there are.
+ */
+int tw_jobs_list_cancelled(const tw_core *core, const char **ids, int most);
+
 /* job_class.c */
 /* Notes that a job of the class was submitted: its rate, size and shape are expected again. */
 void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job);
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -16,19 +16,11 @@
 #define LIST_LAGS 1.2
 
 void tw_failover_begin(tw_core *core) {
-    core->phase = TW_PHASE_LOADING;
     *core->load_cursor = 0;
     core->loading_chunks = true;
     core->load_in_flight = false;
     core->answered_while_loading_at = 0;
     core->next_load_at = core->context.now;
-    core->delegates_read_in_flight = false;
-    core->delegates_known = false;
-    core->delegates_checked_at = 0;
-    core->expiry_decided_at = 0;
-    core->next_delegates_read_at = 0;
-    for (size_t i = 0; i < core->peer_count; i++) core->peers[i].delegate_revision = 0;
-    tw_delegates_read(core);
     tw_failover_tick(core);
 }
 
@@ -48,7 +40,7 @@
 static void activate_leader(tw_core *core) {
     const size_t finished = tw_completed_jobs_count(core->completed_jobs);
     const bool any = core->jobs || finished;
-    core->phase = TW_PHASE_ACTIVE;
+    tw_cluster_activate(core->cluster);
     tw_chunk_loader_finish(core);
     core->scheduling_due = true;
     core->next_pass_at = core->context.now;
@@ -59,8 +51,9 @@
     core->scale_out_from =
         any ? core->context.now + LIST_LAGS * core->context.config->list_lag_s : core->context.now;
     tw_log_info("event=leader_activated jobs=%zu token=%llu load_s=%.3f",
-                HASH_COUNT(core->jobs) + finished, (unsigned long long)core->fencing_token,
-                core->context.now - core->acquired_at);
+                HASH_COUNT(core->jobs) + finished,
+                (unsigned long long)tw_cluster_token(core->cluster),
+                core->context.now - tw_cluster_term_began_at(core->cluster));
 }
 
 /* A divided record; its text is in slices that were read before. */
@@ -123,12 +116,13 @@
     if (status != TW_HTTP_OK ||
         (slices ? take_chunks(core, body, len) : take_records(core, body, len))) {
         /* Retries at the limit would leave this term's own renewals no room. */
-        core->next_load_at = core->context.now + fmax(core->leader_lease_s * REFUSED_LEASES,
-                                                      tw_rate_limited_wait_s(core, status));
+        core->next_load_at =
+            core->context.now + fmax(tw_cluster_lease_s(core->cluster) * REFUSED_LEASES,
+                                     tw_cluster_rate_limited_wait_s(core->cluster, status));
         return;
     }
-    core->store_answered_at = core->context.now;
-    if (core->phase == TW_PHASE_LOADING) tw_failover_tick(core);
+    tw_cluster_note_store_answer(core->cluster);
+    if (tw_cluster_is_loading(core->cluster)) tw_failover_tick(core);
 }
 
 /* The tasks that are done, and those that may run, as the record has them. */
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -18,12 +18,13 @@
 bool tw_machine_is_silent(const tw_core *core, const tw_machine *machine) {
     const bool unanswered = !machine->last_contact_at && machine->failed_probes >= ASKED_IN_VAIN;
     const double grace_leases = unanswered ? -1 : FIND_LEADER_LEASES;
-    const double found_us = core->acquired_at + grace_leases * core->context.config->lease_s;
+    const double found_us =
+        tw_cluster_term_began_at(core->cluster) + grace_leases * core->context.config->lease_s;
     const double heard = fmax(fmax(machine->answered_at, machine->last_contact_at), found_us);
     const double most_s = core->context.config->tune.silent_ratio * core->context.config->lease_s;
     /* Deputies are looked at only for a machine that we haven't heard of ourselves. */
     return core->context.now - heard > most_s &&
-           core->context.now - tw_delegates_until(core, machine->zone) > most_s;
+           core->context.now - tw_cluster_delegates_until(core->cluster, machine->zone) > most_s;
 }
 
 bool tw_machine_is_usable(const tw_core *core, const tw_machine *machine) {
@@ -42,7 +43,8 @@
 /* A worker that has not seen our token may still have been answered by a predecessor. */
 tw_lease_expiry tw_lease_expiry_of(const tw_core *core, const tw_machine *machine) {
     tw_lease_expiry terms = {.answered_at = fmax(machine->answered_at, machine->answered_older_at),
-                             .delegates_until = tw_delegates_until(core, machine->zone)};
+                             .delegates_until =
+                                 tw_cluster_delegates_until(core->cluster, machine->zone)};
     /* A session has a full lease from its beginning, also one that no report of was ever answered:
      * the machine may be known from direct orders only. */
     terms.incarnation_at = machine->incarnation_learned_at;
@@ -50,26 +52,15 @@
     terms.loading_at = core->answered_while_loading_at;
     /* Once it knows our token, a predecessor's answers no longer count; until then they may have.
      */
-    terms.predecessor_until =
-        machine->confirmed ? machine->confirmed_at : tw_predecessor_renewals_end(core);
+    terms.predecessor_until = machine->confirmed
+                                  ? machine->confirmed_at
+                                  : tw_cluster_predecessor_renewals_end(core->cluster);
     double from = fmax(terms.answered_at, terms.delegates_until);
     from = fmax(from, terms.incarnation_at);
     from = fmax(from, terms.loading_at);
     from = fmax(from, terms.predecessor_until);
-    const double lease = tw_lease_max_s(core);
-    terms.expires_at = from + lease;
-    /* Nodes of its zone that may have answered it while they could not reach us: either one said
-     * later that it had not, or its grant is over. */
-    for (size_t i = 0; i < core->peer_count; i++) {
-        const tw_peer *peer = &core->peers[i];
-        if (peer->delegation_until <= 0 ||
-            (*machine->zone && strcmp(machine->zone, peer->config.zone) != 0))
-            continue;
-        const double said = fmax(from, peer->delegate_answered_at) + lease;
-        const double granted = fmax(from, peer->delegation_until) + lease;
-        terms.expires_at =
-            fmax(terms.expires_at, said < peer->delegate_answered_as_of ? said : granted);
-    }
+    terms.expires_at =
+        tw_cluster_lease_expires_at(core->cluster, machine->zone, from, tw_lease_max_s(core));
     return terms;
 }
 
@@ -81,14 +72,7 @@
  * the network than the machine. */
 bool tw_zone_is_unreachable(tw_core *core, const tw_machine *machine) {
     const double back = BACK_REPORTS * core->context.config->report_s;
-    for (size_t i = 0; i < core->peer_count; i++) {
-        const tw_peer *peer = &core->peers[i];
-        if (!strcmp(peer->config.zone, machine->zone) &&
-            strcmp(machine->zone, core->context.config->location) != 0 &&
-            (!tw_zone_has_live_peer(core, machine->zone) ||
-             core->context.now < peer->back_at + back))
-            return true;
-    }
+    if (tw_cluster_zone_is_cut(core->cluster, machine->zone, back)) return true;
     for (int zone = 0; zone < core->silent_zone_count; zone++)
         if (!strcmp(core->silent_zones[zone].zone, machine->zone))
             return core->context.now < core->silent_zones[zone].until;
@@ -115,7 +99,8 @@
     const double silent = core->context.config->tune.silent_ratio * core->context.config->lease_s;
     const double late =
         fmin(LATE_MOST_REPORTS * report, fmax(LATE_LEAST_REPORTS * report, silent - report));
-    const double found_us = core->acquired_at + FIND_LEADER_LEASES * core->context.config->lease_s;
+    const double found_us = tw_cluster_term_began_at(core->cluster) +
+                            FIND_LEADER_LEASES * core->context.config->lease_s;
     tw_machine *each, *next;
     for (int i = 0; i < core->silent_zone_count; i++)
         core->silent_zones[i].all = core->silent_zones[i].silent = 0;
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -83,21 +83,22 @@
         "event=lease_expired worker=%s token=%llu incarnation=%llu confirmed=%d over_s=%.2f "
         "answered_s=%.2f delegates_s=%.2f incarnation_s=%.2f loading_s=%.2f predecessor_s=%.2f "
         "delegates_read_s=%.2f",
-        machine->name, (unsigned long long)core->fencing_token,
+        machine->name, (unsigned long long)tw_cluster_token(core->cluster),
         (unsigned long long)machine->incarnation, machine->confirmed, now - terms.expires_at,
         now - terms.answered_at, now - terms.delegates_until, now - terms.incarnation_at,
-        now - terms.loading_at, now - terms.predecessor_until, now - core->delegates_checked_at);
+        now - terms.loading_at, now - terms.predecessor_until,
+        now - tw_cluster_delegates_checked_at(core->cluster));
 }
 
 /* Its lease has surely ended: nothing runs there. */
 static void expire_lease(tw_core *core, tw_machine *machine) {
     tw_placement *each, *next;
-    if (core->delegates_checked_at <
+    if (tw_cluster_delegates_checked_at(core->cluster) <
         core->context.now - DEPUTIES_AGE_LEASES * core->context.config->lease_s) {
-        tw_delegates_read(core); /* first see whether a deputy renews it */
+        tw_cluster_read_delegates(core->cluster); /* first see whether a deputy renews it */
         return;
     }
-    core->expiry_decided_at = core->context.now;
+    tw_cluster_note_expiry(core->cluster);
     log_lease_expiry(core, machine);
     machine->lease_expired = true;
     DL_FOREACH_SAFE(machine->placements, each, next) {
@@ -109,7 +110,7 @@
 static const char *reason_to_give_up(tw_core *core, const tw_machine *machine, double expires_at) {
     if (machine->lost_launches >= TW_UNRESPONSIVE_AT) return "deaf";
     if (tw_machine_is_silent(core, machine) &&
-        core->context.now > tw_delegates_until(core, machine->zone) &&
+        core->context.now > tw_cluster_delegates_until(core->cluster, machine->zone) &&
         !tw_zone_is_unreachable(core, machine))
         return "silent";
     if (core->context.now >
@@ -144,7 +145,7 @@
     /* A lease does not end within its length of a report: few machines need a closer look. */
     const bool is_renewed = core->context.now <= machine->answered_at + tw_lease_max_s(core);
     const double expires_at = is_renewed ? INFINITY : tw_lease_expires_at(core, machine);
-    if (sent && core->context.now > expires_at && core->delegates_known)
+    if (sent && core->context.now > expires_at && tw_cluster_delegates_known(core->cluster))
         expire_lease(core, machine);
     /* One with a predecessor's tasks is up: it is silent, below, if we don't hear of it. */
     const bool boots = machine->state == TW_MACHINE_BOOTING && !sent;
@@ -158,7 +159,7 @@
         request_return(core, machine, "failed");
     } else if (boots) {
         if (age_s > BOOT_FAILED * boot_s + config->list_lag_s &&
-            core->context.now - core->acquired_at > config->lease_s)
+            core->context.now - tw_cluster_term_began_at(core->cluster) > config->lease_s)
             request_return(core, machine, "never_up");
     } else {
         const char *why = reason_to_give_up(core, machine, expires_at);
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -24,7 +24,7 @@
     }
     if (!tw_rate_limiter_try_acquire(&core->write_limiter, core->context.now, 1)) return;
     snprintf(key, sizeof key, TW_PEER_ADMISSION_KEY "%s", untaken->name);
-    tw_wire_compare compare = {TW_LEADER_KEY, core->fencing_token};
+    tw_wire_compare compare = tw_cluster_leader_compare(core->cluster);
     tw_wire_write removal = {key, NULL, 0};
     tw_call_send(&core->context, TW_CALL_REMOVE_PEER_ADMISSION, TW_TO_STATE,
                  core->context.config->state, "POST", "/txn",
@@ -55,7 +55,8 @@
         (list ? tw_wire_entries_parse(&entries, &count, &more, body, length)
               : tw_wire_watch_keys_parse(&entries, &count, body, length))) {
         if (status == TW_HTTP_GONE) core->admission_watch_revision = 0;
-        core->next_admission_watch_at = core->context.now + RETRY_RATIO * core->leader_lease_s;
+        core->next_admission_watch_at =
+            core->context.now + RETRY_RATIO * tw_cluster_lease_s(core->cluster);
         return;
     }
     core->admission_watch_revision = revision;
--- a/src/core/record_chunks.c
+++ b/src/core/record_chunks.c
@@ -39,7 +39,7 @@
 }
 
 static double txn_timeout_s(const tw_core *core) {
-    return fmax(LEAST_TXN_TIMEOUT_S, core->leader_lease_s * TXN_TIMEOUT_RATIO);
+    return fmax(LEAST_TXN_TIMEOUT_S, tw_cluster_lease_s(core->cluster) * TXN_TIMEOUT_RATIO);
 }
 
 /* ---- whether ---- */
@@ -50,12 +50,14 @@
 }
 
 size_t tw_record_whole_size(const tw_core *core) {
-    return tw_peers_all_read_chunks(core) ? tw_record_value_size(core) : current_value_size(core);
+    return tw_cluster_all_read_chunks(core->cluster) ? tw_record_value_size(core)
+                                                     : current_value_size(core);
 }
 
 bool tw_record_needs_chunks(const tw_core *core, const tw_job *job, size_t length) {
     const bool refused = job->refused_bytes && length >= job->refused_bytes;
-    if (tw_peers_all_read_chunks(core)) return refused || length > tw_record_value_size(core);
+    if (tw_cluster_all_read_chunks(core->cluster))
+        return refused || length > tw_record_value_size(core);
     /* One that is divided can't be read by an old node as it is. */
     return *job->chunk_set && (refused || length > current_value_size(core));
 }
@@ -70,7 +72,8 @@
 }
 
 bool tw_record_is_writable(const tw_core *core, const tw_wire_job *spec) {
-    if (tw_peers_all_read_chunks(core) || first_record_most(spec) <= current_value_size(core))
+    if (tw_cluster_all_read_chunks(core->cluster) ||
+        first_record_most(spec) <= current_value_size(core))
         return true;
     const tw_wire_record record = {.has_job = 1,
                                    .job = *spec,
@@ -101,7 +104,8 @@
         parts->texts[parts->count++] = tw_wire_chunk_text(text + at, room, &taken);
         at += taken;
     }
-    snprintf(parts->name, sizeof parts->name, "%llu-%llu", (unsigned long long)core->fencing_token,
+    snprintf(parts->name, sizeof parts->name, "%llu-%llu",
+             (unsigned long long)tw_cluster_token(core->cluster),
              (unsigned long long)++core->last_chunk_set);
     parts->version = job->version;
     parts->state = job->state;
@@ -154,7 +158,7 @@
                              int count) {
     tw_rate_limiter_try_acquire(&core->write_limiter, core->context.now, count);
     tw_rate_limiter_try_acquire(&core->request_limiter, core->context.now, 1);
-    const tw_wire_compare compare = {TW_LEADER_KEY, core->fencing_token};
+    const tw_wire_compare compare = tw_cluster_leader_compare(core->cluster);
     tw_call *sent =
         tw_call_send(&core->context, kind, TW_TO_STATE, core->context.config->state, "POST", "/txn",
                      tw_wire_txn_text(&compare, 1, changes, (size_t)count), txn_timeout_s(core));
--- a/src/core/record_refusal.c
+++ b/src/core/record_refusal.c
@@ -33,8 +33,8 @@
 }
 
 void tw_record_format_update(tw_core *core) {
-    const bool divides = tw_peers_all_read_chunks(core);
-    const bool heard_old = tw_peers_any_lacks_chunks(core);
+    const bool divides = tw_cluster_all_read_chunks(core->cluster);
+    const bool heard_old = tw_cluster_any_lacks_chunks(core->cluster);
     tw_job *job;
     if (divides != core->peers_read_chunks)
         tw_log_info("event=record_format_changed chunked=%d", divides);
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -46,7 +46,7 @@
 
 int tw_record_max_running(const tw_core *core, tw_job *job) {
     /* A gang runs whole: its record is divided where it must be. */
-    if (job->spec.gang && tw_peers_all_read_chunks(core)) return job->task_count;
+    if (job->spec.gang && tw_cluster_all_read_chunks(core->cluster)) return job->task_count;
     const int index = digits((uint64_t)job->task_count);
     const int attempt = digits(job->next_attempt + (uint64_t)job->task_count);
     const double task = index + attempt + (double)core->longest_machine_name + TASK_SIGNS;
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -101,7 +101,7 @@
     tw_rental_request *request = tw_alloc(sizeof *request);
     /* The token makes the name unlike any of another leader's. */
     snprintf(request->name, sizeof request->name, "r-%llu-%llu",
-             (unsigned long long)core->fencing_token,
+             (unsigned long long)tw_cluster_token(core->cluster),
              (unsigned long long)++core->next_rental_request);
     request->type_index = offer->type_index;
     request->zone_index = offer->zone_index;
@@ -253,8 +253,8 @@
 
 void tw_autoscaler_tick(tw_core *core) {
     ask_types(core);
-    if (core->phase != TW_PHASE_ACTIVE || !tw_leader_may(core, TW_PERMISSION_COMMAND) ||
-        !core->machine_type_count)
+    if (!tw_cluster_is_active(core->cluster) ||
+        !tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND) || !core->machine_type_count)
         return;
     if (core->context.now >= core->next_plan_at) {
         core->next_plan_at = core->context.now + PLAN_EVERY_S;
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -3,12 +3,13 @@
  * is forgotten by tw_term_clear. Not for other packages. */
 #ifndef TW_CORE_STATE_H
 #define TW_CORE_STATE_H
+#include "cluster/cluster.h"
 #include "context/context.h"
 #include "core/core.h"
 #include "core/counters.h"
 #include "core/job.h"
 #include "core/machine.h"
-#include "core/peers.h"
+#include "core/heartbeat_forwarder.h"
 #include "core/autoscaler.h"
 #include "core/scheduler.h"
 #include <gsl/gsl_rng.h>
@@ -22,58 +23,15 @@
     tw_context context;
     tw_counters counters;
 
-    /* election */
-    tw_role role;
-    tw_leader_phase phase;
-    bool could_command, could_renew;  /* rights when last looked at, for the log */
-    double answered_while_loading_at; /* last report answered while the records were read */
-    uint64_t lease_id, fencing_token, highest_token_seen;
-    double leader_lease_s, authority_until, acquired_at, next_renewal_at, next_leader_read_at;
-    int renewals_in_flight;
-    bool leader_read_in_flight, election_in_flight;
-    uint64_t watch_from_revision; /* revision to watch the leader key from; 0: read it first */
-    double lease_requested_at, renewal_sent_at;
-    tw_rate_limiter election_limiter; /* this node's part of the requests that elections may take */
-    int election_refusals;            /* of those, in a row */
-    char leader_name[TW_NAME_SIZE];
-    uint64_t leader_token;
-    double leader_seen_at, store_answered_at, started_at;
-    bool began_without_jobs;   /* this term began without any job */
-    double first_admission_at; /* first acceptance in a state service without jobs */
-    double peers_confirmed_at; /* 0: not all peers have said that they know our token */
-    tw_peer *peers;
-    size_t peer_count;
-    /* A worker of this node's zone that reports to it finds another node within its lease when it
-     * ends, also where no other zone can be reached; see worker_failover_paths.c. */
-    int failover_in_time;
+    tw_cluster *cluster;
+    double answered_while_loading_at; /* last heartbeat answered while the records were read */
+    bool began_without_jobs;          /* the state service had no job when this term began */
+    double first_admission_at;        /* first job admitted in such a term; 0: none */
 
-    /* as a deputy, see lease_delegate.c; reports handed on, see heartbeat_forwarder.c; redirects,
-     * see worker_routing.c */
-    uint64_t delegate_token, delegate_sequence;
-    double delegate_until, cancelled_read_at, forwarding_paused_until;
-    uint64_t delegation_token; /* by the leader's answer to a ping */
-    double delegation_until;
-    double delegate_answered_at; /* when we last answered a worker as a deputy */
-    struct tw_expiring_name
-        *forwarded_workers; /* workers, and when the leader last answered them through us */
-    double next_forwarded_sweep_at;
-    tw_worker_redirect *worker_redirects; /* workers that were told of another node */
-    double next_redirect_sweep_at;
-    bool delegate_write_in_flight;
+    /* Heartbeats at a node that does not lead, see heartbeat_forwarder.c. */
+    tw_held_heartbeat *held_heartbeats; /* that wait for a leader */
     int held_count;
-    double next_delegate_attempt_at;    /* no earlier attempt to become one */
-    tw_held_heartbeat *held_heartbeats; /* reports that wait for a leader */
-    double next_held_retry_at;
-    uint64_t cancellation_sequence;          /* numbers the cancellations of a term */
-    tw_expiring_name *listed_cancelled_jobs; /* cancelled jobs, whose tasks a deputy stops: read as
-                                        one by its key */
-    tw_expiring_name *announced_cancelled_jobs; /* and named with the leader's last grant */
-    bool cancelled_list_in_flight;
-    double cancelled_list_began_at, next_cancelled_list_at;
-    char cancelled_list_cursor[256];
-    /* deputies, at the leader, see delegate_registry.c */
-    bool delegates_read_in_flight, delegates_known;
-    double delegates_checked_at, next_delegates_read_at, expiry_decided_at;
+    double next_held_retry_at, forwarding_paused_until;
 
     /* jobs */
     tw_job *jobs, *active_jobs, *pending_writes;
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -141,7 +141,7 @@
     }
     /* Only a machine that refuses older tokens can't be made to start it again; and without
      * authority another leader may know of it. */
-    if (commands && tw_leader_may(core, TW_PERMISSION_COMMAND) && machine->confirmed &&
+    if (commands && tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND) && machine->confirmed &&
         (!job || !done || job->version == job->durable_version))
         tw_command_list_add(commands,
                             (tw_wire_command){.kind = TW_COMMAND_FORGET,
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -22,14 +22,15 @@
 
 /* At the leader, authority is what counts; see docs/design.md, "What users are told". */
 static bool may_answer_as_leader(const tw_core *core) {
-    return core->phase == TW_PHASE_ACTIVE && tw_leader_may(core, TW_PERMISSION_ANSWER);
+    return tw_cluster_is_active(core->cluster) &&
+           tw_cluster_may(core->cluster, TW_PERMISSION_ANSWER);
 }
 
 /* ---- by the state service, or by the leader ---- */
 
 void tw_job_look_up(tw_core *core, uint64_t connection, const char *id,
                     tw_user_operation operation) {
-    tw_rate_limiter *limiter = tw_leader_may(core, TW_PERMISSION_WRITE)
+    tw_rate_limiter *limiter = tw_cluster_may(core->cluster, TW_PERMISSION_WRITE)
                                    ? &core->request_limiter
                                    : &core->follower_read_limiter;
     if (!tw_rate_limiter_try_acquire(limiter, core->context.now, 1)) {
@@ -50,13 +51,10 @@
 static bool forward_to_leader(tw_core *core, uint64_t connection, tw_user_operation operation,
                               const char *method, const char *path, const char *id, char *body,
                               double timeout_s) {
-    tw_peer *leader = *core->leader_name ? tw_peer_find(core, core->leader_name) : NULL;
-    if (!leader ||
-        leader->answered_at < core->context.now - 0.5 * core->leader_lease_s - LEADER_SILENT_S)
-        return false;
-    tw_call *call =
-        tw_call_send(&core->context, TW_CALL_FORWARD_REQUEST, TW_TO_PEER, leader->config.addr,
-                     method, path, body ? strdup(body) : NULL, timeout_s);
+    const char *leader = tw_cluster_leader_addr(core->cluster);
+    if (!leader || !tw_cluster_leader_answers(core->cluster, LEADER_SILENT_S)) return false;
+    tw_call *call = tw_call_send(&core->context, TW_CALL_FORWARD_REQUEST, TW_TO_PEER, leader,
+                                 method, path, body ? strdup(body) : NULL, timeout_s);
     call->connection = connection;
     call->operation = operation;
     call->text = body;
@@ -75,10 +73,12 @@
     if (job->state == TW_JOB_PENDING && !job->cancelling) {
         job->cancelling = 1; /* nothing of it is started any more */
         tw_job_note_cancelled(core, job);
-        job->cancellation_sequence = ++core->cancellation_sequence;
+        job->cancellation_sequence = tw_cluster_next_cancellation(core->cluster);
     }
-    int safe = job->state == TW_JOB_PENDING ? tw_cancellation_safety(core, job, 1) : 1;
-    if (safe < 0) {
+    const tw_cancellation_safety safety = job->state == TW_JOB_PENDING
+                                              ? tw_job_cancellation_safety(core, job, true)
+                                              : TW_CANCELLATION_SAFE;
+    if (safety == TW_CANCELLATION_UNREACHABLE) {
         /* It goes on as soon as it can be promised; the user is not kept waiting for that. */
         tw_log_debug("event=cancellation_deferred id=%s", job->id);
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1,
@@ -86,7 +86,8 @@
         return;
     }
     tw_job_add_waiting_client(core, job, connection, true);
-    if (safe && job->state == TW_JOB_PENDING) tw_job_finish(core, job, TW_JOB_CANCELLED);
+    if (safety == TW_CANCELLATION_SAFE && job->state == TW_JOB_PENDING)
+        tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
 /* Tells what is in memory of the job; 0: nothing is. */
@@ -169,7 +170,7 @@
 /* Accepts a job without the leader: its key must not exist. The leader learns of it from a second
  * key, a successor from its load. */
 static void admit_without_leader(tw_core *core, uint64_t connection, tw_wire_job *spec) {
-    if (core->context.now - core->store_answered_at > 2 * core->leader_lease_s ||
+    if (tw_cluster_store_silent_s(core->cluster) > 2 * tw_cluster_lease_s(core->cluster) ||
         !tw_rate_limiter_try_acquire(&core->follower_create_limiter, core->context.now, 2)) {
         tw_admission_reject(core, connection, spec->id, 1, "no leader");
         return;
@@ -318,7 +319,7 @@
 static void look_up_response(tw_core *core, tw_call *call, int status, const char *body,
                              size_t length) {
     if (status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND)
-        core->store_answered_at = core->context.now;
+        tw_cluster_note_store_answer(core->cluster);
     if (status == TW_HTTP_NOT_FOUND) {
         if (call->operation == TW_OPERATION_REFUSE)
             tw_reply_error(&core->context, call->connection, TW_HTTP_IMPOSSIBLE, 0,
@@ -371,7 +372,7 @@
 
 static void admission_response(tw_core *core, tw_call *call, int status) {
     if (status == TW_HTTP_OK) {
-        core->store_answered_at = core->context.now;
+        tw_cluster_note_store_answer(core->cluster);
         tw_reply(&core->context, call->connection, TW_HTTP_CREATED, 0,
                  tw_wire_job_status_text(call->name, TW_JOB_PENDING, -1, -1));
     } else if (status == TW_HTTP_CONFLICT) {
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -166,7 +166,7 @@
         room = (tw_capacity){type->cores, type->gpus, type->memory_gb};
     }
     add_stops(machine, commands, sequence, &room);
-    if (!tw_leader_may(core, TW_PERMISSION_COMMAND)) {
+    if (!tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND)) {
         core->counters.rejected[TW_REJECTED_COMMANDS]++;
         return;
     }
@@ -262,7 +262,8 @@
  * once a tick. */
 void tw_commands_send_direct(tw_core *core) {
     tw_machine *due;
-    if (core->context.now + SPARE_TTL * core->leader_lease_s > core->authority_until) return;
+    if (!tw_cluster_authority_lasts(core->cluster, SPARE_TTL * tw_cluster_lease_s(core->cluster)))
+        return;
     if (core->context.now >= core->next_command_scan_at) {
         core->next_command_scan_at = core->context.now + tw_core_tick_s(core);
         scan_machines(core);
@@ -309,8 +310,8 @@
     if ((status != TW_HTTP_OK && status != TW_HTTP_CONFLICT) ||
         tw_wire_heartbeat_parse(&heartbeat, body, length))
         return;
-    if (heartbeat.fencing_token > core->fencing_token) {
-        tw_leader_observe_token(core, heartbeat.fencing_token, NULL);
+    if (heartbeat.fencing_token > tw_cluster_token(core->cluster)) {
+        tw_cluster_observe_token(core->cluster, heartbeat.fencing_token, NULL);
     } else if (!strcmp(heartbeat.worker, machine->name)) {
         tw_worker_heartbeat_apply(core, machine, &heartbeat, NULL);
         if (!machine->confirmed && machine->probed++ < MOST_PROBES)
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -69,7 +69,7 @@
     copy_if_changed(machine->type_name, sizeof machine->type_name, heartbeat->machine_type);
     if (machine->type_index < 0)
         machine->type_index = tw_machine_type_index(core, heartbeat->machine_type);
-    if (!machine->confirmed && heartbeat->fencing_token >= core->fencing_token) {
+    if (!machine->confirmed && heartbeat->fencing_token >= tw_cluster_token(core->cluster)) {
         machine->confirmed = 1;
         machine->confirmed_at = core->context.now;
         core->scheduling_due = true;
@@ -208,10 +208,12 @@
                               const tw_wire_heartbeat *heartbeat, bool from_peer) {
     /* Sent to its own zone, where it is answered even if that is cut off from ours. */
     const bool is_ours = !strcmp(heartbeat->zone, core->context.config->location);
-    if (!from_peer && (is_ours ? tw_worker_redirect_safer(core, connection, heartbeat)
-                               : tw_worker_redirect_home(core, connection, heartbeat)))
+    if (!from_peer && (is_ours ? tw_cluster_redirect_safer(core->cluster, connection,
+                                                           heartbeat->worker, heartbeat->zone)
+                               : tw_cluster_redirect_home(core->cluster, connection,
+                                                          heartbeat->worker, heartbeat->zone)))
         return;
-    if (core->phase == TW_PHASE_LOADING) {
+    if (tw_cluster_is_loading(core->cluster)) {
         /* Renewed, nothing more: what should run there is not known yet. */
         core->answered_while_loading_at = core->context.now;
         reply_commands(core, connection, &no_commands);
@@ -243,17 +245,18 @@
         tw_reply_error(&core->context, connection, TW_HTTP_BAD_REQUEST, 0, "malformed report");
         return;
     }
-    if (heartbeat->fencing_token > core->highest_token_seen)
-        tw_leader_observe_token(core, heartbeat->fencing_token, NULL);
-    if (core->role == TW_ROLE_LEADER && heartbeat->fencing_token > core->fencing_token)
-        tw_leader_step_down(core, "a worker saw a later token");
-    if (tw_leader_may(core, TW_PERMISSION_RENEW))
+    if (heartbeat->fencing_token > tw_cluster_highest_token(core->cluster))
+        tw_cluster_observe_token(core->cluster, heartbeat->fencing_token, NULL);
+    if (tw_cluster_is_leader(core->cluster) &&
+        heartbeat->fencing_token > tw_cluster_token(core->cluster))
+        tw_cluster_step_down(core->cluster, "a worker saw a later token");
+    if (tw_cluster_may(core->cluster, TW_PERMISSION_RENEW))
         receive_as_leader(core, connection, heartbeat, from_peer);
     else if (from_peer) {
         core->counters.rejected[TW_REJECTED_NO_PERMISSION]++;
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "not the leader");
     } else if (heartbeat->fencing_token >
-               core->leader_token) /* somebody we don't know leads by now */
+               tw_cluster_leader_token(core->cluster)) /* somebody we don't know leads by now */
         tw_reply(&core->context, connection, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(NULL));
     else
         tw_heartbeat_forward(core, connection, heartbeat, body, length);
