--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -97,10 +97,11 @@
     case TW_EVIDENCE_NOT_LAUNCHED:
         return !tw_attempt_was_launched(placed);
     case TW_EVIDENCE_NOT_RECORDED:
-        return !placed->job->record_exists &&
+        return !tw_store_exists(placed->job->record) &&
                (placed->inherited || !tw_attempt_was_launched(placed));
     case TW_EVIDENCE_PLACEMENT_UNDONE:
-        return placed->version > placed->job->version && !tw_attempt_was_launched(placed);
+        return placed->version > tw_store_version(placed->job->record) &&
+               !tw_attempt_was_launched(placed);
     case TW_EVIDENCE_TERM_ENDED:
         break;
     }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -60,6 +60,8 @@
                                     .delegate_ready = on_delegate_ready,
                                     .list_cancelled = on_list_cancelled};
     core->cluster = tw_cluster_new(&core->context, &owner);
+    const tw_store_owner job_owner = tw_job_store_owner(core);
+    core->store = tw_store_new(&core->context, core->cluster, &job_owner);
     tw_rate_limiters_init(core);
     core->team_cores_used = tw_alloc((config->nteams + 1) * sizeof(double));
     core->team_gpus_used = tw_alloc((config->nteams + 1) * sizeof(double));
@@ -80,6 +82,7 @@
     tw_cluster_stop(core->cluster);
     tw_term_clear(core);
     tw_held_heartbeats_free(core);
+    tw_store_free(core->store);
     tw_cluster_free(core->cluster);
     free_classes(core);
     free(core->machine_types);
@@ -107,7 +110,7 @@
 static void run_follow_up(tw_core *core) {
     if (!is_in_command(core)) return;
     if (core->scheduling_due && core->context.now >= core->next_pass_at) tw_scheduler_run(core);
-    tw_job_store_flush(core);
+    tw_store_flush(core->store);
     tw_commands_send_direct(core);
 }
 
@@ -227,6 +230,11 @@
     tw_cluster_response(core->cluster, sent, status, body, len);
 }
 
+static void on_store_response(tw_core *core, tw_call *sent, int status, const char *body,
+                              size_t len) {
+    tw_store_response(core->store, sent, status, body, len);
+}
+
 static void on_records(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
     (void)sent;
     tw_failover_page(core, status, body, len);
@@ -255,10 +263,10 @@
     [TW_CALL_LIST_MACHINES] = {tw_autoscaler_response, true},
     [TW_CALL_RENT_MACHINES] = {tw_autoscaler_response, true},
     [TW_CALL_RETURN_MACHINES] = {tw_autoscaler_response, true},
-    [TW_CALL_WRITE_RECORDS] = {tw_job_store_response, true},
-    [TW_CALL_READ_RECORD] = {tw_job_store_response, true, "job"},
-    [TW_CALL_WRITE_CHUNKS] = {tw_job_store_response, true},
-    [TW_CALL_REMOVE_CHUNKS] = {tw_job_store_response, true},
+    [TW_CALL_WRITE_RECORDS] = {on_store_response, true},
+    [TW_CALL_READ_RECORD] = {on_store_response, true, "job"},
+    [TW_CALL_WRITE_CHUNKS] = {on_store_response, true},
+    [TW_CALL_REMOVE_CHUNKS] = {on_store_response, true},
     [TW_CALL_READ_DELEGATE_KEYS] = {on_cluster_response, true, "delegates"},
     [TW_CALL_LIST_PEER_ADMISSIONS] = {tw_peer_admissions_response, true, "peer_admission_list"},
     [TW_CALL_WATCH_PEER_ADMISSIONS] = {tw_peer_admissions_response, true, "peer_admissions"},
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -228,7 +228,8 @@
     const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) {
         if (!task->launch_sent && !task->direct_launches &&
-            core->context.now >= task->launch_after && task->version <= job->durable_version)
+            core->context.now >= task->launch_after &&
+            tw_store_is_durable(job->record, task->version))
             tw_machine_want_commands(core, task->machine);
     }
 }
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,6 +1,7 @@
 /* Life cycle of jobs: how they are made from a submission or a record, what is told of them, how
- * they end. Nothing here writes records (job_store.c) or takes requests (user_requests.c). */
-#include "core/record_chunks.h"
+ * they end. Nothing here writes records (job_persistence.c, src/store) or takes requests
+ * (user_requests.c). */
+#include "core/jobs.h"
 #include <stdbool.h>
 
 /* Time between two passes over the unfinished jobs. */
@@ -25,6 +26,7 @@
     job->team = -1;
     job->next_attempt = 1;
     job->spec.machine_type_count = -1;
+    job->record = tw_store_record_new(job->id, job);
     HASH_ADD_STR(core->jobs, id, job);
     return job;
 }
@@ -61,8 +63,6 @@
     job->image_hash = tw_image_hash(job->spec.image);
 }
 
-int tw_job_is_durable(const tw_job *job) { return job->record_exists; }
-
 void tw_job_free(tw_core *core, tw_job *job) {
     HASH_DEL(core->jobs, job);
     if (core->reserving_gang == job) core->reserving_gang = NULL;
@@ -75,17 +75,12 @@
     tw_wire_job_free(&job->spec);
     free(job->spec_text);
     free(job->task_states);
-    tw_chunks_free(job);
+    tw_store_record_free(job->record);
     free(job);
 }
 
 void tw_job_mark_changed(tw_core *core, tw_job *job, bool urgent) {
-    job->version++;
-    if (urgent) job->write_urgent = true;
-    if (!job->write_queued && !job->write_in_flight) {
-        DL_APPEND2(core->pending_writes, job, write_prev, write_next);
-        job->write_queued = true;
-    }
+    tw_store_mark_changed(core->store, job->record, urgent);
 }
 
 /* Kept apart: they are told with every ping. */
@@ -134,18 +129,18 @@
  * its way, or nothing is known of its fate. Another node may have read it and told a user, so that
  * only a read that begins after a question can answer it. */
 static bool end_is_uncertain(const tw_job *job) {
-    return job->final_state_sent && job->durable_state == TW_JOB_PENDING;
+    return tw_store_end_was_sent(job->record) && job->durable_state == TW_JOB_PENDING;
 }
 
 bool tw_job_is_answerable(const tw_job *job) {
-    return job->record_exists && !end_is_uncertain(job);
+    return tw_store_exists(job->record) && !end_is_uncertain(job);
 }
 
 void tw_job_answer_waiting_clients(tw_core *core, tw_job *job, int status) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
         tw_waiting_client *client = *at;
         bool over = job->durable_state != TW_JOB_PENDING;
-        if (client->cancels ? over : job->record_exists) {
+        if (client->cancels ? over : tw_store_exists(job->record)) {
             tw_reply(&core->context, client->connection, client->cancels ? TW_HTTP_OK : status, 0,
                      tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
             *at = client->next;
@@ -184,8 +179,7 @@
 
 /* A retired job, of which no machine has anything left to forget: only its end is kept. */
 static void evict_when_unused(tw_core *core, tw_job *job) {
-    if (job->task_states || job->placement_refs || job->write_queued || job->write_in_flight)
-        return;
+    if (job->task_states || job->placement_refs || !tw_store_is_idle(job->record)) return;
     tw_job_note_completed(core, job->id, job->durable_state, job->done_count);
     tw_job_free(core, job);
 }
@@ -196,9 +190,8 @@
 }
 
 void tw_job_release(tw_core *core, tw_job *job) {
-    if (job->durable_state == TW_JOB_PENDING || job->placements || job->write_in_flight ||
-        job->write_queued || !job->task_states || job->version != job->durable_version)
-        return;
+    if (job->durable_state == TW_JOB_PENDING || job->placements || !job->task_states) return;
+    if (!tw_store_is_idle(job->record) || !tw_store_is_settled(job->record)) return;
     DL_DELETE(core->active_jobs, job);
     remove_from_cancelled(core, job);
     free(job->task_states);
@@ -224,7 +217,7 @@
     for (tw_waiting_client *client = job->waiting_clients, *next; client; client = next) {
         next = client->next;
         tw_admission_reject(core, client->connection, job->id,
-                            ceil(job->write_after - core->context.now), "too large");
+                            ceil(tw_store_retry_s(core->store, job->record)), "too large");
         free(client);
     }
     job->waiting_clients = NULL;
@@ -248,7 +241,7 @@
 void tw_jobs_tick(tw_core *core) {
     if (!tw_cluster_is_leader(core->cluster) || core->context.now < core->next_job_sweep_at) return;
     core->next_job_sweep_at = core->context.now + TICK_S;
-    tw_job_store_tick(core);
+    tw_store_tick(core->store);
     tw_job *job, *next;
     DL_FOREACH_SAFE(core->active_jobs, job, next) {
         waiting_clients_tick(core, job);
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -6,6 +6,7 @@
 #define TW_CORE_JOB_H
 #include "core/gang.h"
 #include "core/placement.h"
+#include "store/store.h"
 #include "wire/wire.h"
 #include <stdbool.h>
 #include <uthash.h>
@@ -61,22 +62,8 @@
     int first_unplaced; /* no free task below it */
     uint64_t next_attempt;
     tw_placement *placements;
-    int placement_refs; /* that point to it: live, or not yet forgotten by their machines */
-    /* writing */
-    int record_exists; /* its key is known to exist */
-    uint64_t mod_revision, version, durable_version, writing_version;
-    bool write_in_flight, write_queued, write_urgent, needs_read, read_in_flight;
-    bool final_state_sent; /* a record that says it is over may be in the state service */
-    double write_after;
-    char chunk_set[TW_WIRE_CHUNK_SET_SIZE]; /* slices that its record names as last known; "": it is
-                                             * whole
-                                             */
-    int chunk_count;                        /* how many */
-    struct tw_record_chunks
-        *chunks;          /* of its next record, while they are written; see record_chunks.c */
-    int size_refusals;    /* of its record for its size, in a row */
-    size_t refused_bytes; /* the length that was refused */
-    bool write_alone;     /* to be written in a transaction of its own */
+    int placement_refs;      /* that point to it: live, or not yet forgotten by their machines */
+    tw_store_record *record; /* owned; NULL: of a submission that was rejected */
     tw_waiting_client *waiting_clients;
     /* errors */
     int cancelling; /* its user cancels it; not yet safe to tell, see tw_cancellation_safety */
@@ -95,7 +82,6 @@
     bool has_checkpoint;        /* a task's run time is no longer the whole */
     tw_gang gang;               /* of a job whose tasks start together */
     struct tw_job *prev, *next; /* core->active */
-    struct tw_job *write_prev, *write_next; /* core->dirty */
     bool in_cancelled_list;
     struct tw_job *cancelled_prev, *cancelled_next; /* core->cancelled */
     UT_hash_handle hh;
@@ -118,8 +104,6 @@
 void tw_job_finish(tw_core *core, tw_job *job, int state);
 /* Notes it among the cancelled jobs, which heartbeats tell of. */
 void tw_job_note_cancelled(tw_core *core, tw_job *job);
-/* Whether some record of it is known to exist. */
-int tw_job_is_durable(const tw_job *job);
 /* What its user is told; the caller frees it. */
 char *tw_job_status_text(const tw_job *job);
 /* Timed work of the leader on all unfinished jobs. */
@@ -133,17 +117,10 @@
 /* The class of that name, made when it is first named. */
 tw_job_class *tw_job_class_get(tw_core *core, const char *name);
 
-/* job_record.c */
+/* job_persistence.c */
 /* The text of its record; the caller frees it. */
 char *tw_job_record_text(tw_job *job);
 
-/* job_store.c */
-/* Writes queued records, as far as the limits of writes have room. */
-void tw_job_store_flush(tw_core *core);
-/* The state service answered a write or a read of records. */
-void tw_job_store_response(tw_core *core, tw_call *sent, int status, const char *body,
-                           size_t length);
-
 /* rejected_admissions.c */
 /* Forgets a submission that was turned away. */
 void tw_rejected_admission_drop(tw_core *core, tw_rejected_admission *expected);
@@ -172,8 +149,6 @@
 int tw_task_ranges_apply(uint8_t *states, int count, const char *text, int to);
 
 /* record_size.c */
-/* Bytes that a record's text may have to be written as one value, under the smaller limit. */
-size_t tw_record_value_size(const tw_core *core);
 /* How many tasks of the job may be live at once for its record to fit into one value. */
 int tw_record_max_running(const tw_core *core, tw_job *job);
 
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -1,4 +1,4 @@
-/* What the modules of jobs share: life cycle (job.c), records (job_record.c, job_store.c), requests
+/* What the modules of jobs share: life cycle (job.c), records (job_persistence.c), requests
  * of users (user_requests.c), submissions turned away (rejected_admissions.c), jobs that other
  * nodes accepted (peer_admissions.c). Not for other packages. */
 #ifndef TW_CORE_JOBS_H
@@ -18,10 +18,6 @@
 
 /* Users give a submission 5 s: what can't be durable by then is refused. */
 #define TW_ADMISSION_WAIT_S 3.0
-/* Path of a job's record in the state service, and room for it. */
-#define TW_JOB_KEY_SIZE (TW_WIRE_ID_SIZE + sizeof TW_JOB_KEY)
-#define TW_JOB_PATH "/kv/" TW_JOB_KEY
-#define TW_JOB_PATH_SIZE (TW_WIRE_ID_SIZE + sizeof TW_JOB_PATH)
 /* Keys that tell the leader of jobs that another node accepted. */
 #define TW_PEER_ADMISSION_KEY "new/"
 #define TW_PEER_ADMISSION_KEY_SIZE (TW_WIRE_ID_SIZE + sizeof TW_PEER_ADMISSION_KEY)
@@ -55,18 +51,14 @@
 /* Notes that a job of the class was submitted: its rate, size and shape are expected again. */
 void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job);
 
-/* job_store.c */
-/* The job's record was read at the state service. */
-void tw_job_store_record_read(tw_core *core, tw_job *job, const tw_wire_entry *entry);
-/* Asks for records whose revision isn't known. */
-void tw_job_store_tick(tw_core *core);
+/* job_persistence.c */
+/* What the store asks and tells of the core's jobs. */
+tw_store_owner tw_job_store_owner(tw_core *core);
 
 /* rejected_admissions.c */
 /* Refuses a submission that can't be taken now: at once, with the time to come back. */
 void tw_admission_reject(tw_core *core, uint64_t connection, const char *id, double retry_s,
                          const char *why);
-/* How long a new write would wait behind those queued. */
-double tw_write_backlog_s(tw_core *core);
 /* Rents for a submission that was turned away for retry_s; takes the job's contents. */
 void tw_rejected_admission_note(tw_core *core, tw_wire_job *spec, double retry_s);
 
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -1,7 +1,7 @@
 /* Taking over: every job is read from the state service before anything is decided. What the
  * records say may run is taken to run until its machine, its release or its lease says otherwise.
  */
-#include "core/record_chunks.h"
+#include "core/jobs.h"
 #include <stdbool.h>
 
 /* Records a request, and how long it may take. */
@@ -41,7 +41,7 @@
     const size_t finished = tw_completed_jobs_count(core->completed_jobs);
     const bool any = core->jobs || finished;
     tw_cluster_activate(core->cluster);
-    tw_chunk_loader_finish(core);
+    tw_store_finish_loading(core->store);
     core->scheduling_due = true;
     core->next_pass_at = core->context.now;
     core->next_machine_list_at = core->context.now;
@@ -60,7 +60,7 @@
 static void restore_chunked(tw_core *core, const char *id, const tw_wire_record *head,
                             uint64_t revision) {
     tw_wire_record record;
-    char *text = tw_chunk_loader_text(core, id, head);
+    char *text = tw_store_loaded_text(core->store, id, head);
     if (!text || tw_wire_record_parse(&record, id, text, strlen(text))) {
         tw_log_error("event=record_unreadable key=" TW_JOB_KEY "%.32s chunk_set=%s", id,
                      head->chunk_set);
@@ -71,7 +71,8 @@
     tw_job_restore(core, id, &record, revision);
     tw_wire_record_free(&record);
     tw_job *job = tw_job_find(core, id);
-    if (job) tw_chunks_set_current(core, job, head->chunk_set, head->chunk_count);
+    if (job)
+        tw_store_record_set_chunks(core->store, job->record, head->chunk_set, head->chunk_count);
 }
 
 static void restore_listed(tw_core *core, tw_wire_listed_record *listed) {
@@ -89,8 +90,8 @@
 /* -1: it can't be read. */
 static int take_chunks(tw_core *core, const char *body, size_t len) {
     int more;
-    const int count =
-        tw_chunk_loader_page(core, body, len, &more, core->load_cursor, sizeof core->load_cursor);
+    const int count = tw_store_load_chunks(core->store, body, len, &more, core->load_cursor,
+                                           sizeof core->load_cursor);
     if (count < 0) return -1;
     if (more && count) return 0;
     core->loading_chunks = false;
@@ -155,8 +156,7 @@
         return;
     }
     tw_job *job = tw_job_new(core, id);
-    job->record_exists = 1;
-    job->mod_revision = revision;
+    tw_store_record_loaded(job->record, revision);
     job->task_count = record->task_count;
     job->next_attempt = record->next_attempt;
     job->submitted_wall_s = record->submitted_at;
@@ -166,8 +166,6 @@
     job->pending_since = core->context.now;
     job->state = record->state;
     job->durable_state = record->state;
-    job->version = 1;
-    job->durable_version = 1;
     if (record->has_job) tw_job_set_spec(core, job, &record->job);
     restore_tasks(core, job, record);
     DL_APPEND(core->active_jobs, job);
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -22,7 +22,7 @@
         tw_job_look_up(core, 0, untaken->name, TW_OPERATION_QUERY);
         return;
     }
-    if (!tw_rate_limiter_try_acquire(&core->write_limiter, core->context.now, 1)) return;
+    if (!tw_store_try_acquire_write(core->store)) return;
     snprintf(key, sizeof key, TW_PEER_ADMISSION_KEY "%s", untaken->name);
     tw_wire_compare compare = tw_cluster_leader_compare(core->cluster);
     tw_wire_write removal = {key, NULL, 0};
@@ -69,7 +69,7 @@
     tw_expiring_name *next;
     HASH_ITER(hh, core->untaken_admissions, untaken, next) { take_admission(core, untaken); }
     if (core->admission_watch_in_flight || core->context.now < core->next_admission_watch_at ||
-        !tw_rate_limiter_try_acquire(&core->request_limiter, core->context.now, 1))
+        !tw_store_try_acquire_request(core->store))
         return;
     core->admission_watch_in_flight = true;
     if (!core->admission_watch_revision) {
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -39,7 +39,7 @@
     placed->machine = machine;
     placed->index = index;
     placed->attempt = attempt;
-    placed->version = job->version + 1;
+    placed->version = tw_store_next_version(job->record);
     placed->placed_at = core->context.now;
     const tw_image *image = tw_image_find(machine, job);
     placed->concurrent_fetches = tw_image_count_fetches(core, machine, image);
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -79,7 +79,7 @@
     tw_placement *placed;
     tw_placement *next;
     DL_FOREACH_SAFE2(job->placements, placed, next, job_next) {
-        if (placed->version > job->version)
+        if (placed->version > tw_store_version(job->record))
             tw_attempt_terminate_on(core, placed, TW_EVIDENCE_PLACEMENT_UNDONE);
     }
     job->next_attempt = next_try;
@@ -103,7 +103,7 @@
         }
         /* Less room than the amounts had it: perhaps another zone. */
         const tw_placement *first = job->placements;
-        while (first && first->version <= job->version) first = first->job_next;
+        while (first && first->version <= tw_store_version(job->record)) first = first->job_next;
         const int zone = first ? first->machine->zone_index : -1;
         take_back(core, job, next_try);
         if (!job->spec.single_zone || zone < 0) return 0;
@@ -120,7 +120,8 @@
     tw_job_mark_changed(core, job, job->spec.priority >= TW_PRIORITY_PROD);
     tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next) {
-        if (placed->version > job->version) placed->version = job->version;
+        if (placed->version > tw_store_version(job->record))
+            placed->version = tw_store_version(job->record);
     }
     return count;
 }
--- a/src/core/rate_limits.c
+++ b/src/core/rate_limits.c
@@ -2,9 +2,6 @@
 #include "core/core_int.h"
 
 /* The state service's limits hold for all nodes together: the leader gets most of them. */
-#define LEADER_CALLS 0.6
-#define LEADER_CALLS_BURST_S 0.5
-#define LEADER_WRITES_BURST_S 0.9
 /* Without a leader to ask, all nodes at once read jobs for users and write acceptances: together
  * they leave the greater part to the leader's renewals and writes. */
 #define OTHERS 0.25
@@ -17,12 +14,6 @@
 static void init_of_leader(tw_core *core) {
     const tw_config *config = core->context.config;
     const double share = config->tune.write_share;
-    const double writes = share * config->state_write_rps;
-    core->write_limiter =
-        tw_rate_limiter_make(writes, writes * LEADER_WRITES_BURST_S, core->context.now);
-    core->request_limiter =
-        tw_rate_limiter_make(share * config->state_rps * LEADER_CALLS,
-                             share * config->state_rps * LEADER_CALLS_BURST_S, core->context.now);
     const double cloud = share * config->cloud_rps;
     core->cloud_limiter =
         tw_rate_limiter_make(cloud, fmax(1, cloud * CLOUD_BURST_S), core->context.now);
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -7,25 +7,15 @@
  * most live + 1 parts. */
 #include "core/core_int.h"
 
-#define KB 1024
-/* Part of a value that is kept free: white space, if the state service counts some of its own. */
-#define SPARE_PART 16
 /* Everything but the job, the done ranges and the live tasks, with all numbers at their longest:
  * {"s":0,"j":,"c":100000,"t":1764665749.1234567,"n":18446744073709551615,"f":"","l":""} */
 #define FRAME_BYTES 96
 /* "index:attempt:machine," beside the three of them; "first-last," beside the two of them. */
 #define TASK_SIGNS 3
 #define RANGE_SIGNS 2
-/* The largest value that leaves room for its transaction's frame, of 64 KiB. */
-#define MOST_VALUE_BYTES (56.0 * KB)
 #define LEAST_LIVE 2
 #define DECIMAL 10
 
-size_t tw_record_value_size(const tw_core *core) {
-    const double bytes = core->context.config->state_value_kb * KB;
-    return (size_t)fmin(MOST_VALUE_BYTES, bytes - bytes / SPARE_PART);
-}
-
 static int digits(uint64_t number) {
     int count = 1;
     while (number >= DECIMAL) {
@@ -52,7 +42,8 @@
     const double task = index + attempt + (double)core->longest_machine_name + TASK_SIGNS;
     const double range = 2 * index + RANGE_SIGNS;
     const double single = index + 1; /* a range of one task */
-    const double room = (double)tw_record_value_size(core) - FRAME_BYTES - (double)spec_bytes(job);
+    const double room =
+        (double)tw_store_value_size(core->store) - FRAME_BYTES - (double)spec_bytes(job);
     /* Bytes of n live tasks: n * task, and of the others, all done, either n + 1 ranges or, where
      * that is less, one for each. Both grow with n. */
     const double by_ranges = (room - range) / (task + range);
--- a/src/core/rejected_admissions.c
+++ b/src/core/rejected_admissions.c
@@ -14,16 +14,6 @@
     tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, retry_s, why);
 }
 
-double tw_write_backlog_s(tw_core *core) {
-    int queued = 0;
-    tw_job *job;
-    DL_FOREACH2(core->pending_writes, job, write_next) {
-        queued += job->write_urgent || !job->record_exists;
-    }
-    double have = tw_rate_limiter_available(&core->write_limiter, core->context.now);
-    return queued > have ? (queued - have) / core->write_limiter.rate : 0;
-}
-
 static unsigned max_rejected_admissions(const tw_core *core) {
     return (unsigned)(MEMORY_SHARE * core->context.config->mem_mb * BYTES_PER_MIB /
                       (sizeof(tw_rejected_admission) + OVERHEAD_BYTES));
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -17,13 +17,13 @@
 
 /* Zones with a number of their own; those beyond are known by name. */
 #define TW_MAX_ZONES 16
-#define TW_MAX_TRANSACTIONS 3 /* transactions in flight, over disjoint jobs */
 
 struct tw_core {
     tw_context context;
     tw_counters counters;
 
     tw_cluster *cluster;
+    tw_store *store;
     double answered_while_loading_at; /* last heartbeat answered while the records were read */
     bool began_without_jobs;          /* the state service had no job when this term began */
     double first_admission_at;        /* first job admitted in such a term; 0: none */
@@ -34,21 +34,14 @@
     double next_held_retry_at, forwarding_paused_until;
 
     /* jobs */
-    tw_job *jobs, *active_jobs, *pending_writes;
+    tw_job *jobs, *active_jobs;
     struct tw_completed_jobs
         *completed_jobs; /* jobs that are over and of which nothing may run; see completed_jobs.h */
     tw_job *cancelled_jobs; /* those being cancelled, and cancelled ones that may still run */
     tw_rejected_admission *rejected_admissions;
     tw_job_class *job_classes;
-    int transactions_in_flight, pending_admissions;
-    uint64_t last_chunk_set; /* numbers the sets of slices that this process writes */
-    struct tw_stale_chunk_set *stale_chunk_sets; /* that no record names: to be removed */
-    bool chunk_removal_in_flight;
-    double next_chunk_removal_at;
-    bool peers_read_chunks, a_peer_lacks_chunks;   /* as of the last look at the peers */
-    struct tw_loaded_chunk_set *loaded_chunk_sets; /* of divided records, while they are read */
-    bool loading_chunks;                           /* those are being read, before the records */
-    tw_rate_limiter write_limiter, request_limiter, cloud_limiter;
+    bool loading_chunks; /* chunks are being read, before the records */
+    tw_rate_limiter cloud_limiter;
     int overdue_credit[TW_PRIORITY_PROD +
                        1]; /* by rank: the next room may go to the longest wait */
     tw_rate_limiter follower_read_limiter,
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -142,7 +142,7 @@
     /* Only a machine that refuses older tokens can't be made to start it again; and without
      * authority another leader may know of it. */
     if (commands && tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND) && machine->confirmed &&
-        (!job || !done || job->version == job->durable_version))
+        (!job || !done || tw_store_is_settled(job->record)))
         tw_command_list_add(commands,
                             (tw_wire_command){.kind = TW_COMMAND_FORGET,
                                               .index = reported->index,
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -1,5 +1,5 @@
 /* The end of a term: everything that belongs to it is forgotten. */
-#include "core/record_chunks.h"
+#include "core/jobs.h"
 #include <stdbool.h>
 
 /* Turns away all users who wait for the job. */
@@ -27,7 +27,6 @@
     tw_completed_jobs_free(core->completed_jobs);
     core->completed_jobs = NULL;
     core->active_jobs = NULL;
-    core->pending_writes = NULL;
     core->cancelled_jobs = NULL;
     core->zone_count = 0;
 }
@@ -54,15 +53,11 @@
     tw_expiring_names_clear(&core->returned_machines);
     forget_rentals(core);
     tw_expiring_names_clear(&core->untaken_admissions);
-    tw_chunks_forget_stale(core);
-    tw_chunk_loader_free(core);
-    core->peers_read_chunks = core->a_peer_lacks_chunks = false;
+    tw_store_reset(core->store);
     core->silent_zone_count = 0;
     core->admission_watch_in_flight = false;
     core->admission_watch_revision = 0;
     core->next_admission_watch_at = 0;
-    core->transactions_in_flight = 0;
-    core->pending_admissions = 0;
     core->load_in_flight = false;
     memset(core->team_cores_used, 0,
            (core->context.config->nteams + 1) * sizeof *core->team_cores_used);
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -1,6 +1,6 @@
 /* What users ask: submissions, questions and cancellations. A node that does not lead hands them to
  * the leader, or answers by the state service (docs/design.md, "What users are told"). */
-#include "core/record_chunks.h"
+#include "core/jobs.h"
 #include <stdbool.h>
 
 /* The answer to a question that is read from the state service, or handed to the leader, comes
@@ -30,10 +30,11 @@
 
 void tw_job_look_up(tw_core *core, uint64_t connection, const char *id,
                     tw_user_operation operation) {
-    tw_rate_limiter *limiter = tw_cluster_may(core->cluster, TW_PERMISSION_WRITE)
-                                   ? &core->request_limiter
-                                   : &core->follower_read_limiter;
-    if (!tw_rate_limiter_try_acquire(limiter, core->context.now, 1)) {
+    const bool granted =
+        tw_cluster_may(core->cluster, TW_PERMISSION_WRITE)
+            ? tw_store_try_acquire_request(core->store)
+            : tw_rate_limiter_try_acquire(&core->follower_read_limiter, core->context.now, 1);
+    if (!granted) {
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "busy");
         return;
     }
@@ -144,20 +145,20 @@
 static void leader_submit(tw_core *core, uint64_t connection, tw_wire_job *spec) {
     if (answer_from_memory(core, connection, spec->id, TW_OPERATION_QUERY)) return;
     tw_job *job = tw_job_find(core, spec->id);
-    if (job && job->record_exists) {
+    if (job && tw_store_exists(job->record)) {
         tw_job_look_up(core, connection, spec->id, TW_OPERATION_QUERY);
         return;
     }
     if (job) {
         tw_job_add_waiting_client(core, job, connection, false);
-        if (job->size_refusals) tw_job_reject_waiting_clients(core, job);
+        if (tw_store_is_refused(job->record)) tw_job_reject_waiting_clients(core, job);
         return;
     }
-    if (!tw_record_is_writable(core, spec)) {
+    if (!tw_store_is_writable(core->store, spec)) {
         tw_admission_reject(core, connection, spec->id, TOO_LARGE_RETRY_S, "too large for now");
         return;
     }
-    double wait_s = tw_write_backlog_s(core);
+    double wait_s = tw_store_backlog_s(core->store);
     if (wait_s > TW_ADMISSION_WAIT_S * WAIT_RATIO) {
         const double retry_s = fmin(LONGEST_RETRY_S, ceil(wait_s));
         tw_admission_reject(core, connection, spec->id, retry_s, "too many submissions");
@@ -183,7 +184,7 @@
                              .submitted_at = core->context.wall,
                              .next_attempt = 1};
     char *text = tw_wire_record_text(&record);
-    if (strlen(text) > tw_record_whole_size(core)) {
+    if (strlen(text) > tw_store_whole_size(core->store)) {
         tw_admission_reject(core, connection, spec->id, TOO_LARGE_RETRY_S,
                             "too large without a leader");
         free(text);
@@ -288,7 +289,7 @@
 static void note_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
     tw_job *job = tw_job_find(core, call->name);
     if (job)
-        tw_job_store_record_read(core, job, entry);
+        tw_store_record_read(core->store, job->record, entry);
     else if (!tw_job_is_known(core, call->name) && call->term == core->context.term &&
              call->sequence == tw_completed_jobs_evictions(core->completed_jobs))
         restore_record(core, call->name, entry);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -44,7 +44,7 @@
      * the task gets a new attempt. */
     return !placed->inherited && !placed->reported && !placed->stopping && placed->counted &&
            placed->job->state == TW_JOB_PENDING && !placed->job->cancelling &&
-           placed->version <= placed->job->durable_version;
+           tw_store_is_durable(placed->job->record, placed->version);
 }
 
 /* A gang's task whose image is there long before the last one's is launched later. */
@@ -145,7 +145,7 @@
         if (each->state != TW_TASK_EXITED || !each->reported || each->direct_launches) continue;
         /* A repeated launch starts what the machine has forgotten. */
         if (tw_launch_may_repeat(core, each) && too_many-- <= 0) continue;
-        if (each->cause == TW_CAUSE_DONE && each->job->durable_version != each->job->version &&
+        if (each->cause == TW_CAUSE_DONE && !tw_store_is_settled(each->job->record) &&
             each->job->durable_state == TW_JOB_PENDING)
             continue; /* not durable yet */
         add_command(commands, TW_COMMAND_FORGET, each);
--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -11,8 +11,9 @@
 #define BODY_SIZE 160
 enum { OK = 200, CONFLICT = 409 };
 
-static tw_daemon_call *begin_call(tw_daemon_node *node, tw_daemon_call_kind kind, const char *address, const char *method,
-                        const char *path, const char *body) {
+static tw_daemon_call *begin_call(tw_daemon_node *node, tw_daemon_call_kind kind,
+                                  const char *address, const char *method, const char *path,
+                                  const char *body) {
     const double timeout_s = node->settings->lease_s / CALLS_IN_LEASE;
     tw_daemon_call *begun = tw_daemon_alloc(sizeof *begun);
     begun->id = ++node->last_call;
@@ -23,12 +24,13 @@
 }
 
 void tw_daemon_call_state(tw_daemon_node *node, const tw_standby_effect *effect) {
-    begin_call(node, TW_DAEMON_CALL_STATE, node->settings->state, effect->method, effect->path, effect->body)
+    begin_call(node, TW_DAEMON_CALL_STATE, node->settings->state, effect->method, effect->path,
+               effect->body)
         ->about = effect->id;
 }
 
-static void call_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *machine, const char *path,
-                         const char *body, uint64_t about) {
+static void call_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *machine,
+                         const char *path, const char *body, uint64_t about) {
     tw_daemon_call *begun = begin_call(node, kind, machine, "POST", path, body);
     begun->about = about;
     snprintf(begun->machine, sizeof begun->machine, "%s", machine);
@@ -80,8 +82,8 @@
     return failed ? -1 : 0;
 }
 
-static void take_response(tw_daemon_node *node, const tw_daemon_call *ended, int status, const char *body,
-                          size_t length) {
+static void take_response(tw_daemon_node *node, const tw_daemon_call *ended, int status,
+                          const char *body, size_t length) {
     const double now = tw_daemon_steady_s();
     tw_standby_machine machine;
     switch (ended->kind) {
--- a/src/daemon/clients.c
+++ b/src/daemon/clients.c
@@ -35,7 +35,8 @@
         answer.shards[answer.shard_count++] = tw_shards_view_of(node->shards, i);
     for (int i = 0; i < machine_count; i++) {
         const tw_shards_tell machine = tw_shards_machine(node->shards, i);
-        if (machine.state != TW_SHARDS_ABSENT) answer.notifications[answer.notification_count++] = machine;
+        if (machine.state != TW_SHARDS_ABSENT)
+            answer.notifications[answer.notification_count++] = machine;
     }
     tw_rpc_answer_call(node->server, asked->id, &answer);
     tw_rpc_answer_free(&answer);
@@ -57,7 +58,8 @@
     }
     tw_daemon_settle(node);
     /* What is kept is of the term at hand: it is dropped when the term ends. */
-    tw_daemon_owner_notifications *of = decides ? tw_daemon_notifications_of(node, asked->owner) : NULL;
+    tw_daemon_owner_notifications *of =
+        decides ? tw_daemon_notifications_of(node, asked->owner) : NULL;
     answer.notifications = of ? of->notifications : NULL;
     answer.notification_count = of ? of->count : 0;
     tw_rpc_answer_call(node->server, asked->id, &answer);
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -11,7 +11,12 @@
 
 #define MOST_TELLS 4096 /* for an owner between two of its reports; it asks for all then */
 
-typedef enum { TW_DAEMON_CALL_STATE, TW_DAEMON_CALL_MACHINE, TW_DAEMON_CALL_OPEN, TW_DAEMON_CALL_OTHER } tw_daemon_call_kind;
+typedef enum {
+    TW_DAEMON_CALL_STATE,
+    TW_DAEMON_CALL_MACHINE,
+    TW_DAEMON_CALL_OPEN,
+    TW_DAEMON_CALL_OTHER
+} tw_daemon_call_kind;
 
 /* A call over HTTP that is on its way. */
 typedef struct tw_daemon_call {
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -81,7 +81,8 @@
     const char *leader = tw_standby_active(node->standby);
     const bool to_itself = !strcmp(leader, node->settings->control);
     if (to_itself || !leader[0] || !tw_reporter_idle(node->reporter)) return;
-    tw_rpc_message *messages = tw_daemon_alloc(sizeof *messages * ((size_t)node->message_count + 1));
+    tw_rpc_message *messages =
+        tw_daemon_alloc(sizeof *messages * ((size_t)node->message_count + 1));
     memcpy(messages, node->messages, sizeof *messages * (size_t)node->message_count);
     const tw_standby_position position = tw_standby_position_of(node->standby);
     tw_reporter_send(node->reporter, leader, &position, messages, node->message_count);
--- a/src/router/pick.c
+++ b/src/router/pick.c
@@ -5,7 +5,8 @@
 #include <stdbool.h>
 
 /* Whether the first is to be preferred; expected: when each would end. */
-static bool better(const tw_router_replica_record *first, const tw_router_replica_record *second, double deadline, double now) {
+static bool better(const tw_router_replica_record *first, const tw_router_replica_record *second,
+                   double deadline, double now) {
     const bool first_meets = now + first->service_s <= deadline;
     const bool second_meets = now + second->service_s <= deadline;
     if (first_meets != second_meets) return first_meets;
@@ -15,7 +16,8 @@
     return first->running < second->running;
 }
 
-tw_router_replica_record *tw_router_pick(const tw_router *router, const tw_router_request_record *of, double now) {
+tw_router_replica_record *tw_router_pick(const tw_router *router,
+                                         const tw_router_request_record *of, double now) {
     tw_router_replica_record *best = NULL;
     tw_router_replica_record *each;
     tw_router_replica_record *after;
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -20,7 +20,8 @@
 
 /* ---- effects ---- */
 
-static tw_router_effect *emit(tw_router *router, tw_router_effect_kind kind, const tw_router_request_record *about) {
+static tw_router_effect *emit(tw_router *router, tw_router_effect_kind kind,
+                              const tw_router_request_record *about) {
     tw_router_effect *effect = tw_router_alloc(sizeof *effect);
     effect->kind = kind;
     effect->request = about->number;
@@ -152,7 +153,8 @@
 
 /* ---- sending ---- */
 
-static void send_to(tw_router *router, tw_router_request_record *sent, tw_router_replica_record *to, double now) {
+static void send_to(tw_router *router, tw_router_request_record *sent, tw_router_replica_record *to,
+                    double now) {
     dequeue(sent);
     sent->state = TW_ROUTER_REQUEST_SENT;
     sent->attempt++;
--- a/src/router/router_int.h
+++ b/src/router/router_int.h
@@ -13,10 +13,10 @@
     tw_router_request_state state;
     tw_router_team_record *team;
     double deadline, sent_at;
-    int attempt;                  /* the present one, or the last */
-    int passed_on;                /* a part of its answer */
-    char replica[TW_ROUTER_NAME]; /* of the present attempt */
-    struct tw_router_request_record *prev, *next;  /* in its team's queue */
+    int attempt;                                  /* the present one, or the last */
+    int passed_on;                                /* a part of its answer */
+    char replica[TW_ROUTER_NAME];                 /* of the present attempt */
+    struct tw_router_request_record *prev, *next; /* in its team's queue */
     UT_hash_handle hh;
 } tw_router_request_record;
 
@@ -47,6 +47,7 @@
 
 void *tw_router_alloc(size_t size);
 /* pick.c: the replica for the request; NULL: none has room. */
-tw_router_replica_record *tw_router_pick(const tw_router *router, const tw_router_request_record *of, double now);
+tw_router_replica_record *tw_router_pick(const tw_router *router,
+                                         const tw_router_request_record *of, double now);
 
 #endif
--- a/src/core/chunk_loader.c
+++ b/src/store/chunk_loader.c
@@ -1,7 +1,7 @@
 /* Slices of divided records, while a new leader reads all records: the slices are read first, so
  * that a record that names a set finds it. Nobody else writes either of them by then. Sets that no
  * record names were left by a predecessor, and are removed. */
-#include "core/record_chunks.h"
+#include "store/store_int.h"
 
 #define DECIMAL 10
 
@@ -27,13 +27,13 @@
     return length < (int)size && strchr(name, '/') ? (int)number : -1;
 }
 
-static tw_loaded_chunk_set *get_set(tw_core *core, const char *name) {
+static tw_loaded_chunk_set *get_set(tw_store *store, const char *name) {
     tw_loaded_chunk_set *set;
-    HASH_FIND_STR(core->loaded_chunk_sets, name, set);
+    HASH_FIND_STR(store->loaded_sets, name, set);
     if (set) return set;
     set = tw_alloc(sizeof *set);
     snprintf(set->name, sizeof set->name, "%s", name);
-    HASH_ADD_STR(core->loaded_chunk_sets, name, set);
+    HASH_ADD_STR(store->loaded_sets, name, set);
     return set;
 }
 
@@ -50,7 +50,7 @@
     set->chunks[number] = text;
 }
 
-int tw_chunk_loader_page(tw_core *core, const char *body, size_t len, int *more, char *last,
+int tw_store_load_chunks(tw_store *store, const char *body, size_t len, int *more, char *last,
                          size_t size) {
     tw_wire_entry *entries;
     int count;
@@ -61,18 +61,18 @@
         if (number < 0)
             tw_log_error("event=chunk_unreadable key=%.64s", entries[i].key);
         else
-            keep_chunk(get_set(core, name), number, tw_wire_chunk_parse(entries[i].value));
+            keep_chunk(get_set(store, name), number, tw_wire_chunk_parse(entries[i].value));
     }
     if (count) snprintf(last, size, "%s", entries[count - 1].key);
     tw_wire_entries_free(entries, count);
     return count;
 }
 
-char *tw_chunk_loader_text(tw_core *core, const char *id, const tw_wire_record *record) {
+char *tw_store_loaded_text(tw_store *store, const char *id, const tw_wire_record *record) {
     char name[TW_CHUNK_KEY_SIZE];
     snprintf(name, sizeof name, "%s/%s", id, record->chunk_set);
     tw_loaded_chunk_set *set;
-    HASH_FIND_STR(core->loaded_chunk_sets, name, set);
+    HASH_FIND_STR(store->loaded_sets, name, set);
     if (!set) return NULL;
     set->referenced = 1;
     size_t length = 0;
@@ -86,22 +86,22 @@
     return text;
 }
 
-void tw_chunk_loader_finish(tw_core *core) {
+void tw_store_finish_loading(tw_store *store) {
     const tw_loaded_chunk_set *set;
-    for (set = core->loaded_chunk_sets; set; set = set->hh.next) {
+    for (set = store->loaded_sets; set; set = set->hh.next) {
         const char *slash = strchr(set->name, '/');
         char id[TW_WIRE_ID_SIZE];
         if (set->referenced) continue;
         snprintf(id, sizeof id, "%.*s", (int)(slash - set->name), set->name);
-        tw_chunks_add_stale(core, id, slash + 1, set->capacity);
+        tw_store_add_stale(store, id, slash + 1, set->capacity);
     }
-    tw_chunk_loader_free(core);
+    tw_store_free_loaded(store);
 }
 
-void tw_chunk_loader_free(tw_core *core) {
+void tw_store_free_loaded(tw_store *store) {
     tw_loaded_chunk_set *set, *next;
-    HASH_ITER(hh, core->loaded_chunk_sets, set, next) {
-        HASH_DEL(core->loaded_chunk_sets, set);
+    HASH_ITER(hh, store->loaded_sets, set, next) {
+        HASH_DEL(store->loaded_sets, set);
         for (int i = 0; i < set->capacity; i++) free(set->chunks[i]);
         free(set->chunks);
         free(set);
--- /dev/null
+++ b/src/store/chunk_writer.c
@@ -0,0 +1,196 @@
+/* Writing chunk sets, and removing those that no record names any more.
+ *
+ * A chunk set is written once, under a name that holds the leader's token and a number, and in as
+ * many transactions as it takes, each under the compare of the leader's key. Once all its chunks
+ * are known to be written, group_commit.c writes the record that names it like any other. Until the
+ * outcome of that write is known the set stays, and is named again by each repetition. A set that a
+ * record no longer names can't be named again: whatever still arrives late is under the compare of
+ * an older revision. */
+#include "store/store_int.h"
+
+/* Chunks in a transaction, and the bytes that they may have together: the state service takes
+ * 64 KiB; room for the frame and for what stands around a chunk. */
+#define MAX_CHUNKS 60
+#define MAX_TRANSACTION_BYTES ((size_t)60 * 1024)
+#define CHUNK_FRAME_BYTES (TW_CHUNK_KEY_SIZE + 40)
+/* Until a removal that failed is tried again. */
+#define REMOVAL_RETRY_S 1.0
+
+/* A chunk set to be removed. */
+typedef struct tw_stale_chunk_set {
+    char id[TW_WIRE_ID_SIZE];
+    char name[TW_WIRE_CHUNK_SET_SIZE];
+    int removed, count; /* chunks below `removed` are removed */
+    struct tw_stale_chunk_set *prev, *next;
+} tw_stale_chunk_set;
+
+static void chunk_key(char *key, const char *id, const char *set, int number) {
+    snprintf(key, TW_CHUNK_KEY_SIZE, TW_CHUNK_KEY "%s/%s/%d", id, set, number);
+}
+
+/* ---- a set on its way ---- */
+
+void tw_store_begin_set(tw_store *store, tw_store_record *record, const char *text) {
+    tw_chunk_set *set = tw_alloc(sizeof *set);
+    const size_t length = strlen(text);
+    const size_t room = tw_store_value_size(store);
+    size_t most = 1;
+    for (size_t at = 0; at < length; most++) {
+        size_t taken;
+        free(tw_wire_chunk_text(text + at, room, &taken));
+        at += taken;
+    }
+    set->texts = tw_alloc(most * sizeof *set->texts);
+    for (size_t at = 0; at < length;) {
+        size_t taken;
+        set->texts[set->count++] = tw_wire_chunk_text(text + at, room, &taken);
+        at += taken;
+    }
+    snprintf(set->name, sizeof set->name, "%llu-%llu",
+             (unsigned long long)tw_cluster_token(store->cluster),
+             (unsigned long long)++store->last_set);
+    set->version = record->version;
+    set->summary = store->owner.summary(record->job);
+    record->next_set = set;
+    tw_log_debug("event=record_chunked id=%s chunk_set=%s bytes=%zu chunks=%d", record->id,
+                 set->name, length, set->count);
+}
+
+bool tw_store_set_is_written(const tw_store_record *record) {
+    return record->next_set->written == record->next_set->count;
+}
+
+char *tw_store_set_record_text(const tw_store_record *record) {
+    const tw_chunk_set *set = record->next_set;
+    tw_wire_record head = {.state = set->summary.state,
+                           .task_count = set->summary.task_count,
+                           .done_count = set->summary.done_count,
+                           .chunk_count = set->count,
+                           .running_count = set->summary.running_count};
+    snprintf(head.chunk_set, sizeof head.chunk_set, "%s", set->name);
+    return tw_wire_chunked_record_text(&head);
+}
+
+void tw_store_free_set(tw_store_record *record) {
+    tw_chunk_set *set = record->next_set;
+    if (!set) return;
+    for (int i = 0; i < set->count; i++) free(set->texts[i]);
+    free(set->texts);
+    free(set);
+    record->next_set = NULL;
+}
+
+void tw_store_drop_set(tw_store *store, tw_store_record *record) {
+    if (!record->next_set) return;
+    tw_store_add_stale(store, record->id, record->next_set->name, record->next_set->count);
+    tw_store_free_set(record);
+}
+
+/* A transaction of these changes, under the compare of the leader's key alone: what a set holds
+ * never changes. */
+static tw_call *send_changes(tw_store *store, tw_call_kind kind, const tw_wire_write *changes,
+                             int count) {
+    tw_rate_limiter_try_acquire(&store->write_limiter, store->context->now, count);
+    tw_rate_limiter_try_acquire(&store->request_limiter, store->context->now, 1);
+    const tw_wire_compare compare = tw_cluster_leader_compare(store->cluster);
+    tw_call *sent =
+        tw_call_send(store->context, kind, TW_TO_STATE, store->context->config->state, "POST",
+                     "/txn", tw_wire_txn_text(&compare, 1, changes, (size_t)count),
+                     tw_store_transaction_timeout_s(store));
+    sent->count = count;
+    store->transactions_in_flight++;
+    return sent;
+}
+
+static void send_chunks(tw_store *store, tw_store_record *record, int most) {
+    tw_chunk_set *set = record->next_set;
+    char keys[MAX_CHUNKS][TW_CHUNK_KEY_SIZE];
+    tw_wire_write writes[MAX_CHUNKS];
+    size_t bytes = CHUNK_FRAME_BYTES;
+    int count = 0;
+    while (count < most && count < MAX_CHUNKS && set->written + count < set->count) {
+        const int number = set->written + count;
+        bytes += strlen(set->texts[number]) + CHUNK_FRAME_BYTES;
+        if (bytes > MAX_TRANSACTION_BYTES && count) break;
+        chunk_key(keys[count], record->id, set->name, number);
+        writes[count] = (tw_wire_write){keys[count], set->texts[number], 0};
+        count++;
+    }
+    tw_call *sent = send_changes(store, TW_CALL_WRITE_CHUNKS, writes, count);
+    snprintf(sent->name, sizeof sent->name, "%s", record->id);
+    sent->text = strdup(set->name);
+    set->write_in_flight = true;
+}
+
+void tw_store_flush_chunks(tw_store *store, int most) {
+    const double now = store->context->now;
+    tw_store_record *record;
+    DL_FOREACH(store->pending, record) {
+        const int writes = (int)fmin(most, tw_rate_limiter_available(&store->write_limiter, now));
+        if (store->transactions_in_flight >= TW_MAX_TRANSACTIONS || writes < 1) return;
+        if (tw_rate_limiter_available(&store->request_limiter, now) < 1) return;
+        if (!record->next_set) continue;
+        /* The end of a job doesn't wait for what it was before. */
+        const tw_wire_job_state state = store->owner.summary(record->job).state;
+        if (!record->next_set->record_sent && record->next_set->summary.state != state)
+            tw_store_drop_set(store, record);
+        if (!record->next_set || record->next_set->write_in_flight) continue;
+        if (tw_store_set_is_written(record)) continue;
+        if (now >= record->write_after) send_chunks(store, record, writes);
+    }
+}
+
+/* ---- removing ---- */
+
+void tw_store_add_stale(tw_store *store, const char *id, const char *set, int count) {
+    tw_stale_chunk_set *stale = tw_alloc(sizeof *stale);
+    snprintf(stale->id, sizeof stale->id, "%s", id);
+    snprintf(stale->name, sizeof stale->name, "%s", set);
+    stale->count = count;
+    DL_APPEND(store->stale_sets, stale);
+}
+
+void tw_store_forget_stale(tw_store *store) {
+    tw_stale_chunk_set *stale, *next;
+    DL_FOREACH_SAFE(store->stale_sets, stale, next) {
+        DL_DELETE(store->stale_sets, stale);
+        free(stale);
+    }
+    store->removal_in_flight = false;
+    store->next_removal_at = 0;
+}
+
+void tw_store_remove_stale(tw_store *store, int most) {
+    const double now = store->context->now;
+    tw_stale_chunk_set *stale = store->stale_sets;
+    if (!stale || store->removal_in_flight || now < store->next_removal_at) return;
+    if (store->transactions_in_flight >= TW_MAX_TRANSACTIONS) return;
+    if (tw_rate_limiter_available(&store->request_limiter, now) < 1) return;
+    const double writes = tw_rate_limiter_available(&store->write_limiter, now);
+    most = (int)fmin(most, fmin(MAX_CHUNKS, writes));
+    const int count = (int)fmin(most, stale->count - stale->removed);
+    if (count < 1) return;
+    char keys[MAX_CHUNKS][TW_CHUNK_KEY_SIZE];
+    tw_wire_write removals[MAX_CHUNKS];
+    for (int i = 0; i < count; i++) {
+        chunk_key(keys[i], stale->id, stale->name, stale->removed + i);
+        removals[i] = (tw_wire_write){keys[i], NULL, 0};
+    }
+    send_changes(store, TW_CALL_REMOVE_CHUNKS, removals, count);
+    store->removal_in_flight = true;
+}
+
+void tw_store_removal_response(tw_store *store, const tw_call *call, int status) {
+    tw_stale_chunk_set *stale = store->stale_sets;
+    store->transactions_in_flight--;
+    store->removal_in_flight = false;
+    if (!stale) return;
+    if (status != TW_HTTP_OK) {
+        store->next_removal_at = store->context->now + REMOVAL_RETRY_S;
+        return;
+    }
+    stale->removed += call->count;
+    if (stale->removed < stale->count) return;
+    DL_DELETE(store->stale_sets, stale);
+    free(stale);
+}
--- /dev/null
+++ b/src/store/group_commit.c
@@ -0,0 +1,413 @@
+/* Group commit: pending records are written several in a transaction, and reads settle the revision
+ * of a record whose last write has an unknown outcome.
+ *
+ * Each write is under the compare of the record's own revision and under the cluster's fence. A
+ * retry under the same revisions is therefore safe, whether the first try went through or not: of
+ * the two one fails. */
+#include "store/store_int.h"
+
+/* Most records in a transaction, whatever the state service allows. */
+#define MAX_RECORDS 60
+/* A transaction's text stays under the 64 KiB that the state service takes: room for its frame, and
+ * for what stands around a record, its key (twice) and revision. */
+#define MAX_TRANSACTION_BYTES ((size_t)60 * 1024)
+#define FRAME_BYTES 256
+#define RECORD_FRAME_BYTES 200
+/* Compares that the state service allows for each change. */
+#define COMPARES_PER_CHANGE 4
+/* Until a write of unknown outcome, or a read that failed, is repeated. */
+#define WRITE_RETRY_S 0.15
+#define READ_RETRY_S 0.2
+#define READ_TIMEOUT_S 1.0
+
+/* A record as a transaction in flight holds it. */
+typedef struct {
+    char id[TW_WIRE_ID_SIZE];
+    uint64_t version;      /* of the record, when its text was made */
+    uint64_t mod_revision; /* that the write is under the compare of */
+    tw_wire_job_state state;
+    char chunk_set[TW_WIRE_CHUNK_SET_SIZE]; /* of a chunked one */
+    int chunk_count;
+    size_t bytes; /* of its text */
+} record_write;
+
+/* Records on their way into one transaction. */
+typedef struct {
+    int count;
+    size_t bytes; /* of the transaction's text, at most */
+    tw_store_record *records[MAX_RECORDS];
+    char keys[MAX_RECORDS][TW_JOB_KEY_SIZE];
+    char *texts[MAX_RECORDS];
+} write_batch;
+
+/* ---- pending records ---- */
+
+static void enqueue(tw_store *store, tw_store_record *record) {
+    DL_APPEND(store->pending, record);
+    record->queued = true;
+}
+
+static void dequeue(tw_store *store, tw_store_record *record) {
+    DL_DELETE(store->pending, record);
+    record->queued = false;
+}
+
+void tw_store_mark_changed(tw_store *store, tw_store_record *record, bool urgent) {
+    record->version++;
+    if (urgent) record->urgent = true;
+    if (!record->queued && !record->in_flight) enqueue(store, record);
+}
+
+void tw_store_requeue(tw_store *store, tw_store_record *record) {
+    if (record->queued || record->in_flight) return;
+    if (record->version == record->durable_version && record->exists) return;
+    enqueue(store, record);
+}
+
+/* ---- transactions ---- */
+
+/* The text to write under the record's key; NULL: not yet, its chunks are to be written first. */
+static char *next_text(tw_store *store, tw_store_record *record) {
+    if (record->next_set)
+        return tw_store_set_is_written(record) ? tw_store_set_record_text(record) : NULL;
+    char *text = store->owner.text(record->job);
+    if (!tw_store_needs_chunks(store, record, strlen(text))) return text;
+    tw_store_begin_set(store, record, text);
+    free(text);
+    return NULL;
+}
+
+/* Adds the record, taking the text; false: there is no room for it. */
+static bool batch_add(write_batch *batch, tw_store_record *record, char *text) {
+    const size_t bytes = strlen(text) + RECORD_FRAME_BYTES;
+    if (batch->bytes + bytes > MAX_TRANSACTION_BYTES && batch->count) {
+        free(text);
+        return false;
+    }
+    batch->bytes += bytes;
+    batch->texts[batch->count] = text;
+    snprintf(batch->keys[batch->count], TW_JOB_KEY_SIZE, TW_JOB_KEY "%s", record->id);
+    batch->records[batch->count++] = record;
+    return true;
+}
+
+/* Takes pending records into the batch: those that somebody waits for, or the others. */
+static void batch_fill(tw_store *store, write_batch *batch, bool urgent, int most) {
+    const double now = store->context->now;
+    tw_store_record *record, *next;
+    DL_FOREACH_SAFE(store->pending, record, next) {
+        if (batch->count >= most) return;
+        if (batch->count + 1 > tw_rate_limiter_available(&store->write_limiter, now)) return;
+        if (now < record->write_after || record->needs_read || urgent != record->urgent) continue;
+        if (batch->count && (record->alone || batch->records[0]->alone)) continue;
+        char *text = next_text(store, record);
+        if (!text) continue;
+        if (!batch_add(batch, record, text)) return;
+        dequeue(store, record);
+    }
+}
+
+/* What a record says that names a chunk set: what the job was when the set was made. */
+static void note_chunked(record_write *write, tw_chunk_set *set) {
+    write->version = set->version;
+    write->state = set->summary.state;
+    write->chunk_count = set->count;
+    snprintf(write->chunk_set, sizeof write->chunk_set, "%s", set->name);
+    set->record_sent = true;
+}
+
+/* Notes with the call what each record said, for its response. */
+static void note_writes(const tw_store *store, tw_call *call, const write_batch *batch) {
+    call->count = batch->count;
+    record_write *writes = tw_alloc((size_t)batch->count * sizeof *writes);
+    call->data = writes;
+    for (int i = 0; i < batch->count; i++) {
+        tw_store_record *record = batch->records[i];
+        record_write *write = &writes[i];
+        *write = (record_write){.version = record->version,
+                                .mod_revision = record->mod_revision,
+                                .state = store->owner.summary(record->job).state};
+        snprintf(write->id, sizeof write->id, "%s", record->id);
+        if (record->next_set) note_chunked(write, record->next_set);
+        write->bytes = strlen(batch->texts[i]);
+        record->end_sent |= write->state != TW_JOB_PENDING;
+        record->in_flight = true;
+        record->urgent = false;
+    }
+}
+
+static void batch_send(tw_store *store, const write_batch *batch) {
+    const int count = batch->count;
+    tw_rate_limiter_try_acquire(&store->write_limiter, store->context->now, count);
+    tw_rate_limiter_try_acquire(&store->request_limiter, store->context->now, 1);
+    const size_t fence_size = tw_cluster_fence_size(store->cluster);
+    tw_wire_compare compares[MAX_RECORDS + fence_size];
+    char fence_keys[fence_size][TW_DELEGATE_KEY_SIZE];
+    tw_wire_write writes[MAX_RECORDS];
+    for (int i = 0; i < count; i++) {
+        compares[i] = (tw_wire_compare){batch->keys[i], batch->records[i]->mod_revision};
+        writes[i] = (tw_wire_write){batch->keys[i], batch->texts[i], 0};
+    }
+    const size_t compare_count =
+        (size_t)count + tw_cluster_fence(store->cluster, compares + count, fence_keys);
+    tw_call *call = tw_call_send(store->context, TW_CALL_WRITE_RECORDS, TW_TO_STATE,
+                                 store->context->config->state, "POST", "/txn",
+                                 tw_wire_txn_text(compares, compare_count, writes, (size_t)count),
+                                 tw_store_transaction_timeout_s(store));
+    note_writes(store, call, batch);
+    for (int i = 0; i < count; i++) free(batch->texts[i]);
+    store->transactions_in_flight++;
+}
+
+/* Most changes in a transaction: the compares of the fence count, too. */
+static int max_changes(const tw_store *store) {
+    const int operations = store->context->config->state_txn_ops;
+    const int by_compares =
+        COMPARES_PER_CHANGE * operations - (int)tw_cluster_fence_size(store->cluster);
+    const int allowed = (int)fmax(1, fmin(operations, by_compares));
+    return allowed < MAX_RECORDS ? allowed : MAX_RECORDS;
+}
+
+/* Whether a transaction can be sent now. */
+static bool has_room(tw_store *store) {
+    const double now = store->context->now;
+    return store->transactions_in_flight < TW_MAX_TRANSACTIONS &&
+           tw_rate_limiter_available(&store->write_limiter, now) >= 1 &&
+           tw_rate_limiter_available(&store->request_limiter, now) >= 1;
+}
+
+void tw_store_flush(tw_store *store) {
+    const int most = max_changes(store);
+    if (!tw_cluster_delegates_known(store->cluster)) return;
+    tw_store_flush_chunks(store, most);
+    while (store->pending && has_room(store)) {
+        write_batch batch = {.bytes = FRAME_BYTES};
+        batch_fill(store, &batch, true, most);
+        batch_fill(store, &batch, false, most);
+        if (batch.count) batch_send(store, &batch);
+        tw_store_flush_chunks(store, most);
+        if (!batch.count) break;
+    }
+    tw_store_remove_stale(store, most);
+}
+
+/* ---- what is known to be written ---- */
+
+/* The record under this revision, the latest one, has this state. */
+static void note_latest(const tw_store *store, tw_store_record *record, tw_wire_job_state state,
+                        uint64_t revision) {
+    record->exists = true;
+    record->needs_read = false;
+    record->mod_revision = revision;
+    /* A job that has ended never becomes anything else. What counts is the record that was written,
+     * not whether the job has changed since: a task may have ended meanwhile. */
+    if (state != TW_JOB_PENDING) store->owner.ended(record->job, state);
+}
+
+static void note_durable(tw_store *store, tw_store_record *record, const record_write *write,
+                         uint64_t revision) {
+    note_latest(store, record, write->state, revision);
+    tw_store_record_set_chunks(store, record, write->chunk_set, write->chunk_count);
+    /* Nothing else of the record is written while a chunked version is on its way. */
+    if (*write->chunk_set) tw_store_free_set(record);
+    record->alone = false;
+    record->size_refusals = 0;
+    if (write->version > record->durable_version) record->durable_version = write->version;
+    store->owner.written(store->owner.owner, record->job);
+    tw_store_requeue(store, record);
+    store->owner.settled(store->owner.owner, record->job);
+}
+
+/* The first record that is known of a job whose own first version was not known to be written. If
+ * another node admitted the job before, with other fields, those hold; of this node's version
+ * nothing was durable, so that nothing was launched. */
+static void take_first_record(tw_store *store, tw_store_record *record, const char *value) {
+    tw_wire_record first;
+    if (tw_wire_record_parse(&first, record->id, value, strlen(value))) return;
+    if (*first.chunk_set) return; /* this node's own: only a leader writes chunked records */
+    tw_store_drop_set(store, record);
+    if (store->owner.take_first(store->owner.owner, record->job, &first)) {
+        record->durable_version = record->version;
+        if (record->queued) dequeue(store, record);
+    }
+    tw_wire_record_free(&first);
+}
+
+/* Revisions grow, so a greater one than the known one is of a later record. It is the latest: only
+ * the leader writes records that exist, and nothing of it is under the compare of that revision
+ * yet. Writes that are still on their way are under the older revision, and fail. */
+void tw_store_record_read(tw_store *store, tw_store_record *record, const tw_wire_entry *entry) {
+    if (entry->mod_revision <= record->mod_revision) return;
+    tw_wire_record found;
+    const size_t length = strlen(entry->value);
+    const tw_wire_job_state state = tw_wire_record_state(entry->value, length);
+    if (!tw_wire_record_parse(&found, record->id, entry->value, length)) {
+        tw_store_record_set_chunks(store, record, found.chunk_set, found.chunk_count);
+        tw_wire_record_free(&found);
+    }
+    if (!record->exists) take_first_record(store, record, entry->value);
+    note_latest(store, record, state == TW_JOB_UNKNOWN ? TW_JOB_PENDING : state,
+                entry->mod_revision);
+    store->owner.was_read(store->owner.owner, record->job);
+    tw_store_requeue(store, record);
+    store->owner.settled(store->owner.owner, record->job);
+}
+
+/* ---- responses ---- */
+
+static void read_record(tw_store *store, tw_store_record *record) {
+    char path[TW_JOB_PATH_SIZE];
+    record->read_in_flight = true;
+    snprintf(path, sizeof path, TW_JOB_PATH "%s", record->id);
+    tw_call *call = tw_call_send(store->context, TW_CALL_READ_RECORD, TW_TO_STATE,
+                                 store->context->config->state, "GET", path, NULL, READ_TIMEOUT_S);
+    snprintf(call->name, sizeof call->name, "%s", record->id);
+}
+
+void tw_store_tick(tw_store *store) {
+    tw_store_record *record, *next;
+    if (tw_cluster_is_active(store->cluster)) tw_store_update_format(store);
+    DL_FOREACH_SAFE(store->pending, record, next) {
+        if (record->needs_read && !record->read_in_flight &&
+            store->context->now >= record->write_after)
+            read_record(store, record);
+    }
+}
+
+/* Keys whose compares failed, of a transaction's response. */
+typedef struct {
+    char (*keys)[TW_WIRE_KEY_SIZE];
+    int count;
+} failed_compares;
+
+/* Whether the record is not of the revision that the write was under the compare of. */
+static bool compare_failed(const failed_compares *failed, const record_write *write) {
+    const size_t prefix = sizeof TW_JOB_KEY - 1;
+    for (int i = 0; i < failed->count; i++) {
+        const char *key = failed->keys[i];
+        if (strncmp(key, TW_JOB_KEY, prefix) != 0) continue;
+        if (!strcmp(key + prefix, write->id)) return true;
+    }
+    return false;
+}
+
+/* The write was not carried out, or its outcome is unknown. */
+static void note_not_written(tw_store *store, tw_store_record *record, const record_write *write,
+                             int status, const failed_compares *failed, bool alone) {
+    record->urgent = true;
+    if (status == TW_HTTP_BAD_REQUEST && alone)
+        tw_store_note_refused(store, record, *write->chunk_set ? 0 : write->bytes);
+    else if (status == TW_HTTP_BAD_REQUEST)
+        record->alone = true; /* to find out which of them it is for */
+    else if (status != TW_HTTP_CONFLICT)
+        record->write_after = store->context->now + WRITE_RETRY_S;
+    /* A read for a user may have told the record's revision since. */
+    if (write->mod_revision == record->mod_revision && compare_failed(failed, write))
+        record->needs_read = true;
+    tw_store_requeue(store, record);
+    if (record->needs_read && !record->read_in_flight) read_record(store, record);
+}
+
+/* Whether the leader's key is still this node's, by the compares that failed. */
+static bool leader_key_is_kept(tw_store *store, const failed_compares *failed) {
+    for (int i = 0; i < failed->count; i++) {
+        if (!strncmp(failed->keys[i], TW_DELEGATE_KEY, sizeof TW_DELEGATE_KEY - 1))
+            tw_cluster_read_delegates(store->cluster);
+        if (!strcmp(failed->keys[i], TW_LEADER_KEY)) return false;
+    }
+    return true;
+}
+
+/* A transaction of records or chunks was answered; *failed: the compares that it was refused for.
+ * false: the leader's key is among them, and the term is over. */
+static bool note_answer(tw_store *store, int status, const char *body, size_t len,
+                        failed_compares *failed) {
+    *failed = (failed_compares){NULL, 0};
+    store->transactions_in_flight--;
+    if (status == TW_HTTP_OK || status == TW_HTTP_CONFLICT)
+        tw_cluster_note_store_answer(store->cluster);
+    if (status == TW_HTTP_CONFLICT &&
+        tw_wire_failed_compares_parse(&failed->keys, &failed->count, body, len))
+        failed->count = 0;
+    if (status == TW_HTTP_BAD_REQUEST)
+        tw_log_error("event=transaction_refused body=\"%.200s\"", body);
+    if (leader_key_is_kept(store, failed)) return true;
+    free(failed->keys);
+    tw_cluster_step_down(store->cluster, "leader key lost");
+    return false;
+}
+
+static void chunks_response(tw_store *store, const tw_call *call, int status, const char *body,
+                            size_t len) {
+    failed_compares failed;
+    if (!note_answer(store, status, body, len, &failed)) return;
+    free(failed.keys);
+    tw_store_record *record = store->owner.find(store->owner.owner, call->name);
+    tw_chunk_set *set = record ? record->next_set : NULL;
+    if (!set || strcmp(set->name, call->text) != 0) return; /* given up meanwhile */
+    set->write_in_flight = false;
+    if (status == TW_HTTP_OK)
+        set->written += call->count;
+    else if (status == TW_HTTP_BAD_REQUEST)
+        tw_store_note_refused(store, record, 0);
+    else
+        record->write_after = store->context->now + WRITE_RETRY_S;
+}
+
+static void records_response(tw_store *store, const tw_call *call, int status, const char *body,
+                             size_t len) {
+    uint64_t revision = 0;
+    failed_compares failed;
+    const bool written = status == TW_HTTP_OK && !tw_wire_revision_parse(&revision, body, len);
+    if (!note_answer(store, status, body, len, &failed)) return;
+    if (written) tw_cluster_delegates_confirmed(store->cluster, call->sent_at);
+    const record_write *writes = call->data;
+    for (int i = 0; i < call->count; i++) {
+        const record_write *write = &writes[i];
+        tw_store_record *record = store->owner.find(store->owner.owner, write->id);
+        if (!record) continue;
+        record->in_flight = false;
+        if (written)
+            note_durable(store, record, write, revision);
+        else
+            note_not_written(store, record, write, status, &failed, call->count == 1);
+    }
+    free(failed.keys);
+}
+
+/* A write that was thought lost went through, or another node admitted the job first. */
+static void read_response(tw_store *store, const tw_call *call, int status, const char *body,
+                          size_t len) {
+    tw_store_record *record = store->owner.find(store->owner.owner, call->name);
+    if (!record) return;
+    record->read_in_flight = false;
+    if (status == TW_HTTP_NOT_FOUND) {
+        record->mod_revision = 0;
+        record->needs_read = false;
+        return;
+    }
+    tw_wire_entry entry;
+    if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, len)) {
+        record->write_after = store->context->now + READ_RETRY_S;
+        return; /* tw_store_tick asks again */
+    }
+    tw_store_record_read(store, record, &entry);
+    free(entry.value);
+}
+
+void tw_store_response(tw_store *store, tw_call *call, int status, const char *body, size_t len) {
+    switch (call->kind) {
+    case TW_CALL_WRITE_RECORDS:
+        records_response(store, call, status, body, len);
+        break;
+    case TW_CALL_WRITE_CHUNKS:
+        chunks_response(store, call, status, body, len);
+        break;
+    case TW_CALL_REMOVE_CHUNKS:
+        tw_store_removal_response(store, call, status);
+        break;
+    default:
+        read_response(store, call, status, body, len);
+        break;
+    }
+}
--- /dev/null
+++ b/src/store/record_format.c
@@ -0,0 +1,112 @@
+/* Whether a record is written whole or chunked: how large a value may be, what the peers read, and
+ * records that the state service refuses for their size. They are chunked while all peers read
+ * chunked records, and written whole again for a peer that does not. */
+#include "store/store_int.h"
+
+#define KB 1024
+/* Part of a value that is kept free: white space, if the state service counts some of its own. */
+#define SPARE_PART 16
+/* The largest value that leaves room for its transaction's frame, of 64 KiB. */
+#define MAX_VALUE_BYTES (56.0 * KB)
+/* Of a job's first record: everything but its names, with all numbers at their longest; what stands
+ * around a machine type's name; and a byte of a name, escaped. */
+#define SPEC_FRAME_BYTES 700
+#define NAME_FRAME_BYTES 3
+#define LONGEST_ESCAPED 6
+/* Until a refused record is tried again: growing up to the longest. */
+#define FIRST_PAUSE_S 0.15
+#define LONGEST_PAUSE_S 10.0
+#define DOUBLINGS 8
+
+/* ---- sizes ---- */
+
+size_t tw_store_value_size(const tw_store *store) {
+    const double bytes = store->context->config->state_value_kb * KB;
+    return (size_t)fmin(MAX_VALUE_BYTES, bytes - bytes / SPARE_PART);
+}
+
+/* Bytes that a record may have where a peer may have to read it that reads whole records only. */
+static size_t current_value_size(const tw_store *store) {
+    return (size_t)(store->context->config->state_now.value_kb * KB);
+}
+
+size_t tw_store_whole_size(const tw_store *store) {
+    return tw_cluster_all_read_chunks(store->cluster) ? tw_store_value_size(store)
+                                                      : current_value_size(store);
+}
+
+bool tw_store_needs_chunks(const tw_store *store, const tw_store_record *record, size_t length) {
+    const bool refused = record->refused_bytes && length >= record->refused_bytes;
+    if (tw_cluster_all_read_chunks(store->cluster))
+        return refused || length > tw_store_value_size(store);
+    /* A peer that reads whole records only can't read a record that is chunked as it is. */
+    return *record->current_set && (refused || length > current_value_size(store));
+}
+
+/* Bytes of a job's first record at most, whatever its names hold. */
+static size_t max_first_record(const tw_wire_job *spec) {
+    size_t characters =
+        strlen(spec->job_class) + strlen(spec->team) + strlen(spec->image) + strlen(spec->zone);
+    for (int i = 0; i < spec->machine_type_count; i++)
+        characters += strlen(spec->machine_types[i]) + NAME_FRAME_BYTES;
+    return SPEC_FRAME_BYTES + LONGEST_ESCAPED * characters;
+}
+
+bool tw_store_is_writable(const tw_store *store, const tw_wire_job *spec) {
+    if (tw_cluster_all_read_chunks(store->cluster)) return true;
+    if (max_first_record(spec) <= current_value_size(store)) return true;
+    const tw_wire_record record = {.has_job = true,
+                                   .job = *spec,
+                                   .task_count = spec->task_count,
+                                   .submitted_at = store->context->wall,
+                                   .next_attempt = 1};
+    char *text = tw_wire_record_text(&record);
+    const bool fits = strlen(text) <= current_value_size(store);
+    free(text);
+    return fits;
+}
+
+/* ---- refusals ---- */
+
+void tw_store_note_refused(tw_store *store, tw_store_record *record, size_t bytes) {
+    if (bytes && (!record->refused_bytes || bytes < record->refused_bytes))
+        record->refused_bytes = bytes;
+    if (bytes && tw_store_needs_chunks(store, record, bytes)) return;
+    const int doublings = record->size_refusals < DOUBLINGS ? record->size_refusals : DOUBLINGS;
+    const double pause_s = fmin(LONGEST_PAUSE_S, FIRST_PAUSE_S * (double)(1 << doublings));
+    record->size_refusals++;
+    record->write_after = store->context->now + pause_s;
+    tw_log_error("event=record_refused id=%s bytes=%zu pause_s=%.2f", record->id, bytes, pause_s);
+    store->owner.refused(store->owner.owner, record->job);
+}
+
+/* ---- peers ---- */
+
+void tw_store_rewrite_whole(tw_store *store, tw_store_record *record) {
+    if (!*record->current_set) return;
+    char *text = store->owner.text(record->job);
+    if (!tw_store_needs_chunks(store, record, strlen(text)))
+        tw_store_mark_changed(store, record, false);
+    free(text);
+}
+
+/* All peers read chunked records by now: what was refused for its size is tried again at once. */
+static void retry_refused(tw_store *store) {
+    tw_store_record *record;
+    DL_FOREACH(store->pending, record) {
+        if (record->size_refusals) record->write_after = 0;
+        record->size_refusals = 0;
+    }
+}
+
+void tw_store_update_format(tw_store *store) {
+    const bool read_chunks = tw_cluster_all_read_chunks(store->cluster);
+    const bool one_lacks_chunks = tw_cluster_any_lacks_chunks(store->cluster);
+    if (read_chunks != store->peers_read_chunks)
+        tw_log_info("event=record_format_changed chunked=%d", read_chunks);
+    if (read_chunks && !store->peers_read_chunks) retry_refused(store);
+    if (one_lacks_chunks && !store->a_peer_lacks_chunks)
+        store->owner.peer_lacks_chunks(store->owner.owner);
+    store->peers_read_chunks = read_chunks;
+    store->a_peer_lacks_chunks = one_lacks_chunks;
+}
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -114,7 +114,8 @@
     tw_world_load *of = &world->loads[asked->load];
     if (asked->answers) return;
     tw_world_add_event(world, USER_LOOKS_S, EVENT_REQUEST)->number = due->number;
-    const bool open = asked->incarnation && world->nodes[asked->node].incarnation == asked->incarnation;
+    const bool open =
+        asked->incarnation && world->nodes[asked->node].incarnation == asked->incarnation;
     if (open) tw_judge_unanswered(world, due->number);
     if (open && world->now < asked->sent_at + 2 * USER_DEADLINE_S) return;
     const int to = owner_of(world, of);
--- a/tests/shards/machines.c
+++ b/tests/shards/machines.c
@@ -6,7 +6,8 @@
 
 /* What a machine says of a request to the node that sent it; 0: the connection broke. */
 static void answer_work(tw_world *world, const tw_world_served *about, int at, int status) {
-    tw_world_event *sent = tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_WORKED);
+    tw_world_event *sent =
+        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_WORKED);
     sent->node = about->node;
     sent->incarnation = about->incarnation;
     sent->machine = at;
@@ -60,10 +61,10 @@
 void tw_world_handle_work(tw_world *world, const tw_world_event *order) {
     tw_world_machine *at = &world->machines[order->machine];
     const tw_world_served work = {.request = order->number,
-                         .attempt = order->attempt,
-                         .node = order->node,
-                         .incarnation = order->incarnation,
-                         .epoch = order->epoch};
+                                  .attempt = order->attempt,
+                                  .node = order->node,
+                                  .incarnation = order->incarnation,
+                                  .epoch = order->epoch};
     const bool accepts = tw_shards_guard_accepts(&at->guard, order->epoch) || world->plant_old;
     if (!at->alive || !accepts) {
         world->refused += at->alive;
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -26,7 +26,8 @@
 int tw_script_node(const tw_world *world, const char *name) {
     for (int i = 0; !strcmp(name, "leader") && world->lease_s > 0 && i < world->node_count; i++) {
         const tw_world_node *each = &world->nodes[i];
-        if (each->incarnation && tw_standby_decides(each->standby, tw_elections_now(world, i))) return i;
+        if (each->incarnation && tw_standby_decides(each->standby, tw_elections_now(world, i)))
+            return i;
     }
     return !strcmp(name, "leader") ? world->leading : tw_world_node_index(world, name);
 }
@@ -288,7 +289,8 @@
 
 /* print KEY: what the move took, and what happened since the last count */
 static int do_print(tw_world *world, const tw_script_words *read) {
-    const tw_world_client *asked = read->count == 2 ? tw_script_client(world, read->words[1]) : NULL;
+    const tw_world_client *asked =
+        read->count == 2 ? tw_script_client(world, read->words[1]) : NULL;
     if (!asked && read->count == 2) return print_standby(world, read->words[1]);
     if (!asked) return -1;
     printf("%s: machines=%d seconds=%.2f transactions=%d changes=%d completed=%ld ended=%ld "
--- a/tests/shards/script_int.h
+++ b/tests/shards/script_int.h
@@ -12,7 +12,9 @@
     int count;
 } tw_script_words;
 
-static inline double number(const tw_script_words *read, int i) { return strtod(read->words[i], NULL); }
+static inline double number(const tw_script_words *read, int i) {
+    return strtod(read->words[i], NULL);
+}
 /* "leader": the one that decides, or was named last. -1: none. */
 int tw_script_node(const tw_world *world, const char *name);
 tw_world_client *tw_script_client(tw_world *world, const char *key);
--- a/tests/shards/shards_world.h
+++ b/tests/shards/shards_world.h
@@ -76,7 +76,7 @@
     tw_shards_owner *owner;
     tw_router *router;
     uint64_t fencing_token; /* it leads by */
-    uint64_t incarnation;  /* 0: ended */
+    uint64_t incarnation;   /* 0: ended */
     double hung_until;
     tw_standby *standby;      /* NULL: leaders are named by the scenario */
     double rate, wall_step_s; /* of its clocks: steady, time of day */
@@ -93,8 +93,8 @@
     tw_shards_guard guard;
     bool alive, registered;
     bool accepted;         /* whoever registered it heard so, and does not ask again */
-    uint64_t boot_id;         /* counts its starts */
-    uint64_t incarnation;         /* changes when what runs there is ended */
+    uint64_t boot_id;      /* counts its starts */
+    uint64_t incarnation;  /* changes when what runs there is ended */
     uint64_t judged_epoch; /* the highest that it confirmed */
     uint64_t judged_term;  /* of the orders it took in this life */
     uint64_t recorded_epoch;
@@ -111,12 +111,12 @@
 
 /* A user's request to a model, as the user sees it. */
 typedef struct {
-    int load;        /* which one it is of */
-    int node;        /* that it was sent to last */
-    uint64_t incarnation;   /* of it; an answer of an earlier try is not heard */
-    int answers;     /* final ones that were heard */
-    int status;      /* of the last one */
-    int completions; /* times that a machine completed it */
+    int load;             /* which one it is of */
+    int node;             /* that it was sent to last */
+    uint64_t incarnation; /* of it; an answer of an earlier try is not heard */
+    int answers;          /* final ones that were heard */
+    int status;           /* of the last one */
+    int completions;      /* times that a machine completed it */
     double sent_at;
 } tw_world_user_request;
 
@@ -174,7 +174,7 @@
     int trigger_count;
     tw_world_use *uses;
     int use_count, use_room;
-    double loss, late_fraction, late_s, slow_s;    /* of messages between nodes and machines */
+    double loss, late_fraction, late_s, slow_s; /* of messages between nodes and machines */
     int lose_answers, drop_writes, late_writes; /* next transactions with the text below */
     char strike_text[TW_SHARDS_NAME];
     double late_write_s;
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -67,7 +67,8 @@
 /* ---- effects of a node ---- */
 
 static void call_state(tw_world *world, int at, const tw_shards_effect *effect) {
-    tw_world_event *call = tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
+    tw_world_event *call =
+        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
     char path[PATH_SIZE];
     call->node = at;
     call->incarnation = world->nodes[at].incarnation;
@@ -227,10 +228,10 @@
 /* ---- life of nodes ---- */
 
 static const tw_router_settings router_settings = {.most_waiting = 1000,
-                                                  .most_attempts = 5,
-                                                  .retry_ratio = 0.5,
-                                                  .retry_burst = 50,
-                                                  .average_ratio = 0.2};
+                                                   .most_attempts = 5,
+                                                   .retry_ratio = 0.5,
+                                                   .retry_burst = 50,
+                                                   .average_ratio = 0.2};
 
 void tw_world_start_node(tw_world *world, int at) {
     tw_world_node *started = &world->nodes[at];
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -23,7 +23,9 @@
     return 0;
 }
 
-double tw_elections_now(const tw_world *world, int at) { return world->now * world->nodes[at].rate; }
+double tw_elections_now(const tw_world *world, int at) {
+    return world->now * world->nodes[at].rate;
+}
 
 double tw_elections_wall(const tw_world *world, int at) {
     return tw_elections_now(world, at) + world->nodes[at].wall_step_s;
@@ -195,8 +197,8 @@
                       (unsigned long)order->id, (unsigned long)at->boot_id + 1);
     if (order->flag && taken) at->registered = true;
     tw_world_event *answer = tw_elections_is_cut(world, order->number, END_MACHINES)
-                        ? NULL
-                        : tw_world_message(world, EVENT_ORDERED);
+                                 ? NULL
+                                 : tw_world_message(world, EVENT_ORDERED);
     if (!answer) return;
     answer->node = order->number;
     answer->incarnation = order->incarnation;
@@ -260,7 +262,8 @@
 /* ---- effects ---- */
 
 static void call_state(tw_world *world, int at, tw_standby_effect *effect) {
-    tw_world_event *call = tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
+    tw_world_event *call =
+        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
     call->node = at;
     call->incarnation = world->nodes[at].incarnation;
     call->id = effect->id;
--- a/tools/traywallctl/ask.c
+++ b/tools/traywallctl/ask.c
@@ -43,8 +43,8 @@
     return status;
 }
 
-tw_rpc_status tw_ctl_ask_one(const tw_ctl_servers *servers, const char *address, const tw_rpc_call *call,
-                      tw_rpc_answer *answer) {
+tw_rpc_status tw_ctl_ask_one(const tw_ctl_servers *servers, const char *address,
+                             const tw_rpc_call *call, tw_rpc_answer *answer) {
     return try_one(address, call, servers->timeout_s, answer);
 }
 
@@ -88,8 +88,8 @@
     return fmax(SHORTEST_PAUSE_S, wait_s);
 }
 
-tw_rpc_status tw_ctl_ask_leader(const tw_ctl_servers *servers, const tw_rpc_call *call, tw_rpc_answer *answer,
-                         char asked[TW_RPC_ADDRESS]) {
+tw_rpc_status tw_ctl_ask_leader(const tw_ctl_servers *servers, const tw_rpc_call *call,
+                                tw_rpc_answer *answer, char asked[TW_RPC_ADDRESS]) {
     const double until = now_s() + servers->timeout_s;
     search at = {0};
     snprintf(asked, TW_RPC_ADDRESS, "%s", servers->addresses[0]);
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -56,7 +56,8 @@
     tw_ctl_options *chosen = state->input;
     switch (key) {
     case OPT_SERVER:
-        if (tw_ctl_add_servers(&chosen->servers, text)) argp_error(state, "no such servers: %s", text);
+        if (tw_ctl_add_servers(&chosen->servers, text))
+            argp_error(state, "no such servers: %s", text);
         break;
     case OPT_TIMEOUT:
         chosen->servers.timeout_s = strtod(text, NULL);
