--- a/src/cluster/authority.c
+++ b/src/cluster/authority.c
@@ -1,8 +1,8 @@
-/* Until when this node, or another one, may command and answer workers. Authority to command ends
- * before the leader's lease in the state service can; renewing workers' leases without it goes on
- * for a bounded time, which a successor waits out. The argument is in docs/design.md. */
+/* What this node may do now, and until when another one may answer workers. Authority to command
+ * ends before the leader's lease in the state service can. Renewing workers' leases without
+ * authority goes on for a bounded time, which a successor waits out. docs/design.md has the
+ * argument. */
 #include "cluster/cluster_int.h"
-#include <stdbool.h>
 
 /* Share of `margin_ratio` that is kept back where a cancellation must be over by `cancel_s`. */
 #define CANCEL_MARGIN 0.4
@@ -11,17 +11,18 @@
     return cluster->role == TW_ROLE_LEADER && cluster->context->now < cluster->authority_until;
 }
 
-bool tw_cluster_may(const tw_cluster *cluster, tw_permission right) {
+bool tw_cluster_may(const tw_cluster *cluster, tw_permission permission) {
     return tw_cluster_has_authority(cluster) ||
-           (right == TW_PERMISSION_RENEW && tw_cluster_renews_without_authority(cluster));
+           (permission == TW_PERMISSION_RENEW && tw_cluster_renews_without_authority(cluster));
 }
 
 double tw_cluster_renewal_without_authority_s(const tw_cluster *cluster) {
     return cluster->context->config->tune.hold_ratio * cluster->context->config->lease_s;
 }
 
-/* A job cancelled at another node must be gone cancel_s later, even where nobody can say so: by its
- * machine's lease. So whoever cannot exclude that another leads answers for this long at most. */
+/* The tasks of a job that is cancelled at another node must be gone cancel_s later, even where no
+ * node can tell their machines: then by the expiry of the machines' leases. A node that can't
+ * exclude that another one leads therefore answers workers for this long at most. */
 double tw_cluster_renewal_if_superseded_s(const tw_cluster *cluster) {
     const tw_config *settings = cluster->context->config;
     const double lease_by_any_clock =
@@ -31,16 +32,16 @@
                         tw_cluster_renewal_without_authority_s(cluster)));
 }
 
-/* How long a node may answer workers, by its own last authority or the leader's last grant, without
- * hearing more. Longer than tw_cluster_renewal_if_superseded_s: a cancellation is told only once
- * all who may answer without us for longer know of it (tw_cancellation_safety). */
+/* This is longer than tw_cluster_renewal_if_superseded_s. A cancellation is therefore confirmed
+ * only once all nodes that may answer its machines for longer know of it
+ * (tw_cluster_cancellation_safety). */
 double tw_cluster_renewal_without_contact_s(const tw_cluster *cluster) {
     return fmin(tw_cluster_renewal_without_authority_s(cluster),
                 tw_cluster_renewal_if_superseded_s(cluster) + cluster->context->config->lease_s);
 }
 
-/* Until when surely no other node had led: when all of them last said that they know of no token
- * later than ours (see vouch). */
+/* Until when certainly no other node had led: when all peers last said that they know of no higher
+ * token than this node's (note_vouching in peer_heartbeat.c). */
 static double sole_leader_until(const tw_cluster *cluster) {
     double until = INFINITY;
     for (size_t i = 0; i < cluster->peer_count; i++)
@@ -48,8 +49,8 @@
     return until;
 }
 
-/* Without the state service nobody can tell an outage from being cut off alone. Renewing the
- * workers' leases under the old token goes on for a bounded time; a successor waits that time out
+/* Without the state service a leader can't tell an outage from being cut off alone. It goes on
+ * renewing workers' leases under its token for a bounded time; a successor waits that time out
  * before it takes a silent machine's tasks for ended (tw_cluster_predecessor_renewals_end). */
 bool tw_cluster_renews_without_authority(const tw_cluster *cluster) {
     if (cluster->role != TW_ROLE_LEADER || cluster->phase != TW_PHASE_ACTIVE ||
@@ -61,10 +62,11 @@
                                        tw_cluster_renewal_without_contact_s(cluster);
 }
 
-/* Until when some earlier leader may have answered a worker that has not seen our token. */
 double tw_cluster_predecessor_renewals_end(const tw_cluster *cluster) {
     if (cluster->peers_confirmed_at > 0) return cluster->peers_confirmed_at;
-    /* From our acquisition on it can't hear from all nodes that none leads. */
+    /* Since this node acquired the key, an earlier leader can't hear from all nodes that none
+     * leads.
+     */
     return cluster->term_began_at + tw_cluster_renewal_without_contact_s(cluster) *
                                         (1 + 2 * cluster->context->config->tune.drift);
 }
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -1,33 +1,33 @@
-/* Who leads. The leader holds a key under a lease of the state service; its token is the revision
- * of the transaction that wrote the key, so tokens grow strictly. Authority to command ends before
- * the lease can: it is counted from when the last good renewal was sent, less drift and margin. */
+/* Elections, and the leader's lease. The leader holds a key under a lease of the state service; its
+ * fencing token is the revision of the transaction that wrote the key, so tokens grow strictly.
+ * Authority to command ends before the lease can: it is counted from the sending of the last
+ * successful renewal, less clock drift and a margin. */
 #include "cluster/cluster_int.h"
 #include <cjson/cJSON.h>
-#include <stdbool.h>
 
-/* Shares of the leader's lease (ttl). */
+/* Times as shares of the leader's lease. */
 #define AUTHORITY_MARGIN 0.05 /* authority ends that much earlier */
 #define RENEW_EVERY 0.25
-#define RENEW_SLOW 0.2 /* an answer that takes longer: a second renewal goes out */
+#define RENEW_SLOW 0.2 /* a renewal that takes longer is sent a second time */
 #define RENEW_RETRY 0.1
 #define RENEW_TIMEOUT 0.4
 #define ELECTION_TIMEOUT 0.5
-#define ACQUIRED_LATEST 0.9 /* after the lease was asked for: authority would end at once */
-#define POLL_LEAST 0.15     /* between two readings of the key */
-#define POLL_MOST 0.25
+#define ACQUIRED_LATEST 0.9   /* a later acquisition is given up: authority would end at once */
+#define READ_PAUSE_LEAST 0.15 /* between two readings of the key */
+#define READ_PAUSE_MOST 0.25
 #define WATCH_RETRY_LEAST 0.1
 #define WATCH_RETRY_MOST 0.2
-#define CHANGED_SPREAD 0.08 /* followers that saw the key change don't all read it at once */
-#define LOST_LEAST 0.05     /* after a lost election */
+#define CHANGED_SPREAD 0.08 /* over which followers read a key that has changed */
+#define LOST_LEAST 0.05     /* pause after a lost election */
 #define LOST_MOST 0.2
-#define RESIGNED_LEAST 0.05
+#define RESIGNED_LEAST 0.05 /* pause after the end of a term */
 #define RESIGNED_MOST 0.25
 
-#define OWN_KEY_GONE_S 0.05 /* from the end of our own old lease to the next reading */
-#define WATCH_ANSWER_S 0.5  /* for a watch's answer to arrive, besides half a lease */
+#define OWN_KEY_GONE_S 0.05 /* from the end of this node's own old lease to the next reading */
+#define WATCH_ANSWER_S 0.5  /* in which a watch's answer arrives, beside half a lease */
 #define WATCH_MOST_S 60.0   /* by the protocol */
-#define DROP_TIMEOUT_S 1.0
-#define MS 1000
+#define REVOKE_TIMEOUT_S 1.0
+#define MS_PER_S 1000
 
 /* ---- the state service's limit of requests ---- */
 
@@ -38,8 +38,8 @@
 #define ELECTION_REQUESTS 6.0
 /* Watches take at most so much of it, so that an election finds some left. */
 #define WATCH_SHARE 0.8
-/* Followers that saw the key go read it spread over at least so many rounds of a request a node:
- * the first one has often acquired it before the next one reads. */
+/* Followers that saw the key disappear read it spread over at least so many rounds of one request a
+ * node: the first one has often acquired it before the next one reads. */
 #define SPREAD_ROUNDS 0.8
 /* Refused requests of a follower in a row after which its waits grow no further. */
 #define REFUSED_MOST 3
@@ -48,7 +48,7 @@
 #define WAIT_LEAST 0.5
 #define WAIT_MOST 1.5
 
-/* In which the limit allows a request to each node. */
+/* Time in which the limit allows one request to each node. */
 static double request_round_s(const tw_cluster *cluster) {
     return (double)(cluster->peer_count + 1) / cluster->context->config->state_rps;
 }
@@ -66,8 +66,8 @@
            tw_context_random(cluster->context, WAIT_LEAST, WAIT_MOST);
 }
 
-/* A node whose requests are refused asks ever less often: a limit that all nodes exceed together,
- * each as often as it may, would let none of them through. */
+/* A node whose requests are refused asks ever less often. If all nodes went on at their full rate
+ * and exceeded the limit together, none of them would get through. */
 static void note_rate_limit(tw_cluster *cluster, int status) {
     if (status != TW_HTTP_TOO_MANY) {
         if (status) cluster->election_refusals = 0;
@@ -79,8 +79,8 @@
     cluster->next_leader_read_at = fmax(cluster->next_leader_read_at, cluster->context->now + wait);
 }
 
-/* A request of an election that has begun: it is not broken off for want of budget, which is paid
- * back before the next reading of the key. */
+/* A request of an election that has begun. It is made whatever the rate limiter holds; the debt is
+ * paid back before the next reading of the key. */
 static void election_call(tw_cluster *cluster, tw_call_kind kind, const char *method,
                           const char *path, char *body /* owned */, double timeout_s) {
     tw_rate_limiter_refund(&cluster->election_limiter, -1);
@@ -109,7 +109,6 @@
         cluster->lease_s * tw_context_random(cluster->context, RESIGNED_LEAST, RESIGNED_MOST);
 }
 
-/* Any sign of a later leader: from the state service, a peer or a worker. */
 void tw_cluster_observe_token(tw_cluster *cluster, uint64_t token, const char *leader) {
     if (token > cluster->highest_token) cluster->highest_token = token;
     if (leader && *leader && token >= cluster->leader_token) {
@@ -120,7 +119,7 @@
         tw_cluster_step_down(cluster, "a later leader exists");
 }
 
-/* Until when the lease, granted or renewed by a request sent then, gives authority. */
+/* Until when a lease that was granted or renewed by a request sent then gives authority. */
 static double authority_end(const tw_cluster *cluster, double sent_at) {
     return sent_at + cluster->lease_s * (1 - 2 * cluster->context->config->tune.drift) -
            cluster->lease_s * AUTHORITY_MARGIN;
@@ -159,16 +158,17 @@
                  fmax(1, cluster->lease_s * ELECTION_TIMEOUT));
 }
 
-/* A watch instead of many polls: the state service's limit is for all nodes together, and the end
- * of the leader's key is told at once. Held for no more than a term, since its answer also shows
- * that the state service is there; longer only where the limit allows no watch a term. */
+/* A watch takes the place of many readings: the state service's limit is for all nodes together,
+ * and a watch tells the end of the leader's key at once. It is held for one lease, since its answer
+ * also shows that the state service answers; longer only where the limit allows no watch a lease.
+ */
 static void watch_leader_key(tw_cluster *cluster) {
     const double most_often = WATCH_SHARE * cluster->election_limiter.rate;
     const double hold = fmin(fmax(cluster->lease_s, 1 / most_often), WATCH_MOST_S);
     char path[TW_PATH_SIZE];
     cluster->leader_read_in_flight = true;
     snprintf(path, sizeof path, "/follow?starts=" TW_LEADER_KEY "&since=%llu&holdMs=%d",
-             (unsigned long long)cluster->watch_from_revision, (int)(hold * MS));
+             (unsigned long long)cluster->watch_from_revision, (int)(hold * MS_PER_S));
     tw_call_send(cluster->context, TW_CALL_WATCH_LEADER, TW_TO_STATE,
                  cluster->context->config->state, "GET", path, NULL,
                  hold + cluster->lease_s * 0.5 + WATCH_ANSWER_S);
@@ -184,7 +184,7 @@
                                                                          WATCH_RETRY_LEAST,
                                                                          WATCH_RETRY_MOST);
     } else if (tw_wire_watch_has_changes(body, len)) {
-        /* Not all followers at the same moment. */
+        /* So that not all followers read the key at the same moment. */
         const double spread =
             fmax(cluster->lease_s * CHANGED_SPREAD, request_round_s(cluster) * SPREAD_ROUNDS);
         cluster->next_leader_read_at =
@@ -201,7 +201,7 @@
     char body[64];
     cluster->election_in_flight = true;
     cluster->lease_requested_at = cluster->context->now;
-    snprintf(body, sizeof body, "{\"lifeMs\":%d}", (int)(cluster->lease_s * MS));
+    snprintf(body, sizeof body, "{\"lifeMs\":%d}", (int)(cluster->lease_s * MS_PER_S));
     election_call(cluster, TW_CALL_GRANT_LEASE, "POST", "/grants", strdup(body),
                   cluster->lease_s * ELECTION_TIMEOUT);
 }
@@ -210,14 +210,15 @@
     char path[TW_PATH_SIZE];
     if (!lease_id) return;
     snprintf(path, sizeof path, "/grants/%llu", (unsigned long long)lease_id);
-    election_call(cluster, TW_CALL_REVOKE_LEASE, "DELETE", path, NULL, DROP_TIMEOUT_S);
+    election_call(cluster, TW_CALL_REVOKE_LEASE, "DELETE", path, NULL, REVOKE_TIMEOUT_S);
 }
 
 /* The key names a leader, at its revision. */
 static void note_leader_key(tw_cluster *cluster, const tw_wire_entry *entry, const char *leader) {
     tw_cluster_observe_token(cluster, entry->mod_revision, leader);
-    /* Our own name while we don't lead: an earlier life of this node, or an acquisition whose
-     * answer was lost. Nobody acts on it any more, so its lease is ended at once. */
+    /* The key has this node's own name while it does not lead: it was written by an earlier process
+     * of this node, or by an acquisition whose answer was lost. Nobody acts on it, so its lease is
+     * revoked at once. */
     if (cluster->role == TW_ROLE_FOLLOWER && !cluster->election_in_flight &&
         !strcmp(leader, cluster->context->config->host_name)) {
         revoke_lease(cluster, entry->lease_id);
@@ -270,7 +271,8 @@
         become_leader(cluster, revision);
         return;
     }
-    /* Lost, or unknown: giving the lease back undoes an acquisition that went through. */
+    /* The election is lost, or its outcome is unknown: revoking the lease undoes an acquisition
+     * that went through. */
     revoke_lease(cluster, cluster->lease_id);
     cluster->lease_id = 0;
     cluster->watch_from_revision = 0;
@@ -347,7 +349,7 @@
 static void leader_tick(tw_cluster *cluster) {
     const bool due =
         !cluster->renewals_in_flight && cluster->context->now >= cluster->next_renewal_at;
-    /* A second one when the first is slow: the state service now and then takes long. */
+    /* A second renewal goes out while the first is slow: the state service sometimes takes long. */
     const bool slow =
         cluster->renewals_in_flight == 1 &&
         cluster->context->now >= cluster->renewal_sent_at + cluster->lease_s * RENEW_SLOW;
@@ -358,7 +360,7 @@
         tw_cluster_step_down(cluster, "no authority");
 }
 
-/* Followers watch the key; a leader without authority looks whether it was replaced. */
+/* Followers watch the key; a leader without authority reads it, to see whether it was replaced. */
 static void follower_tick(tw_cluster *cluster) {
     if (cluster->leader_read_in_flight || cluster->election_in_flight ||
         cluster->context->now < cluster->next_leader_read_at)
@@ -366,7 +368,7 @@
     if (!tw_rate_limiter_try_acquire(&cluster->election_limiter, cluster->context->now, 1)) return;
     cluster->next_leader_read_at =
         cluster->context->now +
-        cluster->lease_s * tw_context_random(cluster->context, POLL_LEAST, POLL_MOST);
+        cluster->lease_s * tw_context_random(cluster->context, READ_PAUSE_LEAST, READ_PAUSE_MOST);
     if (cluster->watch_from_revision && cluster->role == TW_ROLE_FOLLOWER)
         watch_leader_key(cluster);
     else
--- a/src/cluster/peer_heartbeat.c
+++ b/src/cluster/peer_heartbeat.c
@@ -1,21 +1,21 @@
-/* Heartbeats between nodes: what each knows, what it vouches for, and with a leader's answer the
- * grant to renew leases in its zone and the cancelled jobs that may still run. */
+/* Heartbeats between nodes. Each tells what its sender knows. The answer of a leader delegates to
+ * the sender the renewal of leases in its zone, should it lose the leader, and names the cancelled
+ * jobs that may still run. An answer without a higher token vouches that its sender has not led. */
 #include "cluster/cluster_int.h"
-#include <stdbool.h>
 
-/* Pause between two heartbeats to a peer, in leader's leases. */
+/* Pause between two heartbeats to a peer, as shares of the leader's lease. */
 #define PAUSE_LEAST 0.2
 #define PAUSE_MOST 0.3
-/* A peer counts as answering while its last answered heartbeat is at most this old. */
+/* A peer counts as answering while the last heartbeat that it answered is at most this old. */
 #define ANSWERS_S 1.0
 #define ANSWERS_LEASES 0.5
 #define TIMEOUT_S 1.0
-/* A node without news for that many leader's leases, and a second, is cut off. */
+/* A node that nobody has answered for so many of the leader's leases, and a second, is isolated. */
 #define ISOLATED_LEASES 2.0
 /* Most bytes of a request's body, and those of them that everything but the ids takes. */
 #define BODY_MOST (64 * 1024)
 #define BODY_REST 1024
-/* Ids in a heartbeat: a request's body must hold them. With more of them no grant is given. */
+/* Most ids in a heartbeat, whose body must hold them. With more of them nothing is delegated. */
 #define MAX_CANCELLED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID_SIZE + 3))
 
 tw_peer *tw_cluster_find_peer(const tw_cluster *cluster, const char *name) {
@@ -44,12 +44,13 @@
     return true;
 }
 
-/* A heartbeat sent earlier than this, answered, says nothing of whether the peer answers now. */
+/* A peer that answered no heartbeat sent since then does not count as answering. */
 static double answers_since(const tw_cluster *cluster) {
     return cluster->context->now - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s;
 }
 
-/* What this node says of itself to another; aborted: room for the ids a leader sends along. */
+/* What this node says of itself. cancelled: room for the ids that a leader sends along; *count: how
+ * many there are, which may be more than fit. */
 static tw_wire_peer_heartbeat describe_self(const tw_cluster *cluster, const char **cancelled,
                                             int *count) {
     tw_wire_peer_heartbeat message = {
@@ -138,7 +139,8 @@
     if (from) note_peer(cluster, from, &message);
     if (from && message.is_leader)
         tw_cluster_note_cancelled(cluster, message.highest_token, body, len);
-    /* With this answer it may renew leases in its zone for a while, should it lose us. */
+    /* With this answer the peer may renew leases in its zone for a while, should it lose this node.
+     */
     const char *ids[MAX_CANCELLED];
     int count;
     tw_wire_peer_heartbeat answer = describe_self(cluster, ids, &count);
@@ -155,10 +157,10 @@
              tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
-/* A peer answered a ping and knows of no token later than ours: it has not led until the ping was
- * sent, unless it started anew since it last vouched. Nobody else can lead while we have authority,
- * so a peer that was up before our authority ended counts as having vouched until then: a leader
- * that loses the state service early in its first term is vouched for, too. */
+/* A peer that answers a heartbeat and knows of no higher token has not led until the heartbeat was
+ * sent, unless its process started after it last vouched. Nobody else can lead while this node has
+ * authority, so a peer that was up before authority ended counts as having vouched until then: a
+ * leader that loses the state service early in its first term is vouched for, too. */
 static void note_vouching(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
                           const tw_wire_peer_heartbeat *answer) {
     double known = from->vouched_at;
@@ -180,7 +182,8 @@
     if (from->answered_at < sent->sent_at - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s)
         from->back_at = cluster->context->now;
     from->answered_at = sent->sent_at;
-    /* Said after the ping was sent; a late copy of a request would not tell when. */
+    /* The peer said this after the heartbeat was sent; a late copy of a request would not tell
+     * when. */
     from->delegate_answered_at = cluster->context->now - answer.since_delegate_answer_s;
     from->delegate_answered_as_of = sent->sent_at;
     note_peer(cluster, from, &answer);
--- a/src/cluster/worker_failover_paths.c
+++ b/src/cluster/worker_failover_paths.c
@@ -1,17 +1,17 @@
-/* Where a worker goes when the node that it reports to ends while its zone is cut off.
+/* Where a worker goes when the node that it sends heartbeats to ends while its zone is cut off.
  *
  * A worker that gets no answer tries the nodes in their order. Those of its own zone answer it;
- * each of another zone costs it a timeout while the zones can't reach each other. Where several of
- * these follow each other, the worker's lease ends before it is answered, and all its tasks with
- * it. So workers are named nodes after which another one of the zone comes soon enough. */
+ * each node of another zone costs it a timeout while the zones can't reach each other. Where
+ * several of these follow each other, the worker's lease expires before it is answered, and all its
+ * tasks end with it. Workers are therefore sent to nodes after which another one of the zone comes
+ * soon enough. */
 #include "cluster/cluster_int.h"
-#include <stdbool.h>
 
 /* A worker's waits, by the protocol: for an answer, and until it tries the next node. */
 #define ANSWER_WAIT_S 4.0
 #define NEXT_NODE_S 1.0
-/* Longest time between two reports, in report intervals: a quarter more than one. */
-#define LONGEST_REPORT 1.25
+/* Longest time between two heartbeats of a worker, in heartbeat intervals. */
+#define LONGEST_INTERVAL 1.25
 
 typedef struct {
     const char *name;
@@ -29,11 +29,11 @@
     return strcmp(first, second);
 }
 
-/* Whether a worker that reports to the node at this position is answered by another one of its zone
- * before its lease ends. */
+/* Whether a worker that sends heartbeats to the node at this position is answered by another one of
+ * its zone before its lease expires. */
 static bool is_in_time(const tw_cluster *cluster, const node *nodes, size_t position) {
     const size_t count = cluster->peer_count + 1;
-    double unanswered_s = LONGEST_REPORT * cluster->context->config->report_s + NEXT_NODE_S;
+    double unanswered_s = LONGEST_INTERVAL * cluster->context->config->report_s + NEXT_NODE_S;
     for (size_t step = 1; step < count; step++) {
         const node *next = &nodes[(position + step) % count];
         if (!strcmp(next->zone, nodes[position].zone))
--- a/src/store/chunk_loader.c
+++ b/src/store/chunk_loader.c
@@ -1,20 +1,21 @@
-/* Slices of divided records, while a new leader reads all records: the slices are read first, so
- * that a record that names a set finds it. Nobody else writes either of them by then. Sets that no
- * record names were left by a predecessor, and are removed. */
+/* Chunks, while a new leader reads all records. The chunks are read first, so that a record that
+ * names a chunk set finds it; nobody else writes either of them by then. Sets that no record names
+ * were left by a predecessor, and are removed. */
 #include "store/store_int.h"
 
 #define DECIMAL 10
 
-/* The slices of a set. */
+/* The chunks of a set. */
 typedef struct tw_loaded_chunk_set {
     char name[TW_CHUNK_KEY_SIZE]; /* the job's id, a slash, the set */
-    char **chunks;                /* by number; NULL: not there */
+    char **chunks;                /* by number; NULL: it was not read */
     int capacity;                 /* one more than the highest number */
-    int referenced;               /* by a record */
+    bool referenced;              /* a record names it */
     UT_hash_handle hh;
 } tw_loaded_chunk_set;
 
-/* Splits a key; the slice's number, or -1: it is none of a slice. */
+/* Splits a key into the set, with room for `size` bytes, and the chunk's number, which it returns;
+ * -1: the key is not that of a chunk. */
 static int split_key(const char *key, char *name, size_t size) {
     const size_t prefix = sizeof TW_CHUNK_KEY - 1;
     const char *slash = strrchr(key, '/');
@@ -27,6 +28,7 @@
     return length < (int)size && strchr(name, '/') ? (int)number : -1;
 }
 
+/* The set of that name, made if it is not known yet. */
 static tw_loaded_chunk_set *get_set(tw_store *store, const char *name) {
     tw_loaded_chunk_set *set;
     HASH_FIND_STR(store->loaded_sets, name, set);
@@ -37,13 +39,14 @@
     return set;
 }
 
+/* Keeps the chunk's text, which is taken. */
 static void keep_chunk(tw_loaded_chunk_set *set, int number, char *text) {
     if (number >= set->capacity) {
         const int room = number + 1;
-        char **slices = realloc(set->chunks, (size_t)room * sizeof *slices);
-        if (!slices) abort();
-        memset(slices + set->capacity, 0, (size_t)(room - set->capacity) * sizeof *slices);
-        set->chunks = slices;
+        char **chunks = realloc(set->chunks, (size_t)room * sizeof *chunks);
+        if (!chunks) abort();
+        memset(chunks + set->capacity, 0, (size_t)(room - set->capacity) * sizeof *chunks);
+        set->chunks = chunks;
         set->capacity = room;
     }
     free(set->chunks[number]);
@@ -74,7 +77,7 @@
     tw_loaded_chunk_set *set;
     HASH_FIND_STR(store->loaded_sets, name, set);
     if (!set) return NULL;
-    set->referenced = 1;
+    set->referenced = true;
     size_t length = 0;
     for (int i = 0; i < record->chunk_count; i++) {
         if (i >= set->capacity || !set->chunks[i]) return NULL;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -14,7 +14,7 @@
  *   - a write of unknown outcome is settled by a read before the record is written again;
  *   - the write of the record that names a chunk set is the moment at which the record changes; a
  *     set that a record no longer names can't be named again.
- * docs/design.md, "Records", has the argument. */
+ * docs/design.md, "Why each rule holds" and "Two versions at once", has the argument. */
 #ifndef TW_STORE_H
 #define TW_STORE_H
 #include "cluster/cluster.h"
