--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -6,7 +6,7 @@
 #define NEARLY_FREE 0.02 /* share of the fleet's price */
 #define RATE_FADES_S 60  /* without arrivals, before their rate is taken to fall, and how fast */
 #define HALF_SHARE 0.5   /* of expected arrivals that spare room is kept for, beside their root */
-#define ROUND_DOWN 0.3   /* of a task of spare room: as little is not rounded up */
+#define ROUND_DOWN_SHARE 0.3 /* of a task of spare room: as little is not rounded up */
 
 /* How many tasks to keep room for, of a class whose tasks must start sooner than a machine boots.
  */
@@ -34,7 +34,7 @@
     }
     if (2 * tasks * price < NEARLY_FREE * fleet_price) tasks *= 2;
     if (sample->gang) tasks = fmax(tasks, class->largest_gang);
-    return (int)ceil(tasks - ROUND_DOWN);
+    return (int)ceil(tasks - ROUND_DOWN_SHARE);
 }
 
 /* The order in which spare room is looked for. */
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -274,10 +274,10 @@
     tw_expected_releases drain = {0}; /* filled when a batch waits */
     collect(core, &bins);
     const int there = bins.count;
-    tw_job_queue *turns = tw_job_queue_new(core, false);
+    tw_job_queue *queue = tw_job_queue_new(core, false);
     tw_job *job;
-    while ((job = tw_job_queue_next(core, turns))) plan_job(core, &bins, job, &drain);
-    tw_job_queue_free(turns);
+    while ((job = tw_job_queue_next(core, queue))) plan_job(core, &bins, job, &drain);
+    tw_job_queue_free(queue);
     plan_turned_away(core, &bins, &drain);
     const double price = price_of(core, &bins);
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next)
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -3,8 +3,8 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define FIRST_BINS 64
-#define FIRST_STARTS 16
+#define INITIAL_BIN_CAPACITY 64
+#define INITIAL_START_CAPACITY 16
 
 bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec) {
     return bin->cores + TW_CAPACITY_ROUNDING >= spec->cores &&
@@ -40,8 +40,8 @@
 }
 
 tw_bin *tw_bins_add(tw_bins *bins) {
-    bins->items =
-        tw_grow(bins->items, bins->count, &bins->capacity, FIRST_BINS, sizeof *bins->items);
+    bins->items = tw_grow(bins->items, bins->count, &bins->capacity, INITIAL_BIN_CAPACITY,
+                          sizeof *bins->items);
     return &bins->items[bins->count++];
 }
 
@@ -67,8 +67,8 @@
 static struct bin_start *start_for(tw_bins *bins, const tw_job *job) {
     for (int i = 0; i < bins->nstarts; i++)
         if (same_kind(&bins->starts[i], job)) return &bins->starts[i];
-    bins->starts =
-        tw_grow(bins->starts, bins->nstarts, &bins->starts_cap, FIRST_STARTS, sizeof *bins->starts);
+    bins->starts = tw_grow(bins->starts, bins->nstarts, &bins->starts_cap, INITIAL_START_CAPACITY,
+                           sizeof *bins->starts);
     struct bin_start *start = &bins->starts[bins->nstarts++];
     *start = (struct bin_start){.cores = job->spec.cores,
                                 .gpus = job->spec.gpus,
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -3,20 +3,20 @@
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define FIRST_CAPACITY 64
+#define INITIAL_CAPACITY 64
 
 typedef struct {
     double cores, used_cores, gpus, used_gpus;
-} zone_use;
+} zone_usage;
 
 static void add_candidate(tw_core *core, tw_machine *machine) {
     core->candidates = tw_grow(core->candidates, core->candidate_count, &core->candidate_capacity,
-                               FIRST_CAPACITY, sizeof *core->candidates);
+                               INITIAL_CAPACITY, sizeof *core->candidates);
     core->candidates[core->candidate_count++] = (tw_candidate){.machine = machine};
 }
 
 void tw_candidates_begin(tw_core *core) {
-    zone_use use[TW_MAX_ZONES + 1] = {0};
+    zone_usage usage[TW_MAX_ZONES + 1] = {0};
     tw_machine *machine;
     struct tw_machine *next;
     core->candidate_count = 0;
@@ -25,15 +25,16 @@
         add_candidate(core, machine);
         if (machine->spot) continue;
         const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-        zone_use *zone = &use[machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index];
+        zone_usage *zone = &usage[machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index];
         zone->cores += type->cores;
         zone->gpus += type->gpus;
         zone->used_cores += machine->used_cores;
         zone->used_gpus += machine->used_gpus;
     }
     for (int i = 0; i <= TW_MAX_ZONES; i++) {
-        core->zones[i].free_cores = use[i].cores > 0 ? 1 - use[i].used_cores / use[i].cores : 0;
-        core->zones[i].free_gpus = use[i].gpus > 0 ? 1 - use[i].used_gpus / use[i].gpus : 0;
+        core->zones[i].free_cores =
+            usage[i].cores > 0 ? 1 - usage[i].used_cores / usage[i].cores : 0;
+        core->zones[i].free_gpus = usage[i].gpus > 0 ? 1 - usage[i].used_gpus / usage[i].gpus : 0;
     }
 }
 
--- a/src/core/capacity.c
+++ b/src/core/capacity.c
@@ -4,14 +4,14 @@
 #define ANY_NUMBER 1e6 /* of tasks that ask for nothing */
 
 /* As often as an amount is contained in what there is. */
-static double whole_times(double there, double amount) {
-    return floor(there / amount + TW_CAPACITY_ROUNDING);
+static double count_whole(double available, double amount) {
+    return floor(available / amount + TW_CAPACITY_ROUNDING);
 }
 
 double tw_capacity_task_count(const tw_capacity *room, const tw_wire_job *spec) {
     double count = ANY_NUMBER;
-    if (spec->cores > 0) count = fmin(count, whole_times(room->cores, spec->cores));
-    if (spec->gpus > 0) count = fmin(count, whole_times(room->gpus, spec->gpus));
-    if (spec->memory_gb > 0) count = fmin(count, whole_times(room->memory_gb, spec->memory_gb));
+    if (spec->cores > 0) count = fmin(count, count_whole(room->cores, spec->cores));
+    if (spec->gpus > 0) count = fmin(count, count_whole(room->gpus, spec->gpus));
+    if (spec->memory_gb > 0) count = fmin(count, count_whole(room->memory_gb, spec->memory_gb));
     return count;
 }
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -7,16 +7,16 @@
     (void)core;
     if (*job->spec.zone && strcmp(job->spec.zone, zone) != 0) return false;
     if (!job->spec.single_zone && !job->spec.spread) return true;
-    const int max = (job->task_count + 1) / 2;
-    int here = 0;
+    const int max_in_zone = (job->task_count + 1) / 2;
+    int count = 0;
     const tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next) {
         const bool unknown = !*placed->machine->zone; /* may be any zone */
-        const bool same = unknown || !strcmp(placed->machine->zone, zone);
-        if (job->spec.single_zone && (unknown || !same)) return false;
-        here += same;
+        const bool in_zone = unknown || !strcmp(placed->machine->zone, zone);
+        if (job->spec.single_zone && (unknown || !in_zone)) return false;
+        count += in_zone;
     }
-    return !job->spec.spread || here < max;
+    return !job->spec.spread || count < max_in_zone;
 }
 
 bool tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks) {
@@ -45,21 +45,21 @@
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     if (spec->gpus > 0 || type->gpus <= 0 || job->any_machine) return true;
     const double free_gpus = type->gpus - machine->used_gpus;
-    double cores = core->cores_per_gpu;
-    double memory_gb = core->memory_gb_per_gpu;
-    if (cores <= 0) {
-        cores = type->cores / type->gpus;
-        memory_gb = type->memory_gb / type->gpus;
+    double cores_per_gpu = core->cores_per_gpu;
+    double memory_gb_per_gpu = core->memory_gb_per_gpu;
+    if (cores_per_gpu <= 0) {
+        cores_per_gpu = type->cores / type->gpus;
+        memory_gb_per_gpu = type->memory_gb / type->gpus;
     }
     return type->cores - machine->used_cores - tasks * spec->cores + TW_CAPACITY_ROUNDING >=
-               free_gpus * cores &&
+               free_gpus * cores_per_gpu &&
            type->memory_gb - machine->used_memory_gb - tasks * spec->memory_gb +
                    TW_CAPACITY_ROUNDING >=
-               free_gpus * memory_gb;
+               free_gpus * memory_gb_per_gpu;
 }
 
 /* Zones that the job's next task may go to, as bits: the same for all machines. */
-static uint32_t zones_of(const tw_core *core, const tw_job *job) {
+static uint32_t allowed_zones(const tw_core *core, const tw_job *job) {
     uint32_t zones = 0;
     for (int zone = 0; zone < core->zone_count; zone++)
         if (tw_constraints_allow_zone(core, job, core->zone_names[zone])) zones |= 1U << zone;
@@ -71,7 +71,7 @@
                        .deadline_at = tw_job_deadline(core, job),
                        .start_deadline_at = tw_job_start_deadline(job),
                        .estimate_s = tw_job_run_estimate_s(job),
-                       .zone_mask = zones_of(core, job)};
+                       .zone_mask = allowed_zones(core, job)};
 }
 
 bool tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -4,8 +4,8 @@
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define LEAST_REST 0.1 /* of its run time: a task that is past its estimate ends soon */
-#define START_S 1      /* until a task that does not run yet does */
+#define MIN_REMAINING_SHARE 0.1 /* of its run time: a task that is past its estimate ends soon */
+#define START_S 1               /* until a task that does not run yet does */
 
 static int by_time(const void *left, const void *right) {
     const tw_expected_release *a = left, *b = right;
@@ -18,7 +18,7 @@
     const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
     const double runs_from =
         placed->running_since > 0 ? placed->running_since : core->context.now + START_S;
-    return fmax(runs_from + run_s, core->context.now + LEAST_REST * run_s);
+    return fmax(runs_from + run_s, core->context.now + MIN_REMAINING_SHARE * run_s);
 }
 
 /* What a task's end is expected to leave on its machine, beside what is free there already. */
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -11,29 +11,29 @@
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define PRIORITIES (TW_PRIORITY_PROD + 1)
-#define LEVELS (2 * PRIORITIES) /* within the guarantee or not, of each priority */
+#define PRIORITY_COUNT (TW_PRIORITY_PROD + 1)
+#define LEVEL_COUNT (2 * PRIORITY_COUNT) /* within the guarantee or not, of each priority */
 #define OVERDUE_AFTER_S                                                                            \
     (0.5 * TW_MAX_START_DELAY_S) /* a job that waits longer for its first task is overdue */
-#define GPU_IN_CORES 16          /* what a GPU counts in a team's use */
-#define SERVED_OVERDUE (-1)      /* instead of a group: an overdue job was served last */
+#define GPU_WEIGHT_IN_CORES 16   /* what a GPU counts in a team's use */
+#define OVERDUE_JOB_SERVED (-1)  /* instead of a group: an overdue job was served last */
 
 /* The jobs of a group or a priority that are still to be served, as a range of an array. */
 typedef struct {
     int start, end;
-} range;
+} job_range;
 
 struct tw_job_queue {
     tw_job **jobs; /* by group, then by deadline */
     int count;
     int team_count;
-    range *groups;                         /* in jobs; the index is level * team_count + team */
-    int last;                              /* group served last, or SERVED_OVERDUE */
-    tw_job **overdue;                      /* by priority, then the longest weighed wait first */
-    range overdue_by_priority[PRIORITIES]; /* in overdue, by priority */
+    job_range *groups; /* in jobs; the index is level * team_count + team */
+    int last_group;    /* group served last, or OVERDUE_JOB_SERVED */
+    tw_job **overdue;  /* by priority, then the longest weighed wait first */
+    job_range overdue_by_priority[PRIORITY_COUNT]; /* in overdue, by priority */
 };
 
-static bool is_empty(range of) { return of.start >= of.end; }
+static bool range_is_empty(job_range jobs) { return jobs.start >= jobs.end; }
 
 /* The level of jobs of this priority that are within their team's guarantee or not. */
 static int level_of(tw_wire_priority priority, bool guaranteed) {
@@ -50,7 +50,7 @@
 
 /* ---- which jobs are within their team's guarantee ---- */
 
-static int by_submission(const void *left, const void *right) {
+static int compare_by_submission(const void *left, const void *right) {
     const tw_job *a = *(tw_job *const *)left, *b = *(tw_job *const *)right;
     if (a->team != b->team) return a->team < b->team ? -1 : 1;
     if (a->submitted_at != b->submitted_at) return a->submitted_at < b->submitted_at ? -1 : 1;
@@ -62,7 +62,7 @@
 }
 
 /* The unfinished jobs of teams that have a guarantee; none of the others is guaranteed. */
-static int list_with_guarantee(const tw_core *core, tw_job **jobs) {
+static int list_jobs_of_guaranteed_teams(const tw_core *core, tw_job **jobs) {
     int count = 0;
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
@@ -94,13 +94,13 @@
     }
 }
 
-static void note_guaranteed(tw_core *core) {
+static void update_guaranteed_jobs(tw_core *core) {
     int capacity = 0;
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) { capacity++; }
     struct tw_job **jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
-    const int count = list_with_guarantee(core, jobs);
-    qsort(jobs, (size_t)count, sizeof(struct tw_job *), by_submission);
+    const int count = list_jobs_of_guaranteed_teams(core, jobs);
+    qsort(jobs, (size_t)count, sizeof(struct tw_job *), compare_by_submission);
     mark_guaranteed(core, jobs, count);
     free(jobs);
 }
@@ -110,29 +110,29 @@
 typedef struct {
     tw_job *job;
     int group;
-    double due;
+    double deadline_at;
 } grouped_job;
 
-static int by_group(const void *left, const void *right) {
+static int compare_by_group(const void *left, const void *right) {
     const grouped_job *a = left, *b = right;
     if (a->group != b->group) return a->group < b->group ? -1 : 1;
-    if (a->due != b->due) return a->due < b->due ? -1 : 1;
+    if (a->deadline_at != b->deadline_at) return a->deadline_at < b->deadline_at ? -1 : 1;
     return strcmp(a->job->id, b->job->id);
 }
 
-static void group_jobs(const tw_core *core, tw_job_queue *turns, int capacity) {
+static void group_jobs(const tw_core *core, tw_job_queue *queue, int capacity) {
     grouped_job *sorted = tw_alloc((size_t)capacity * sizeof *sorted);
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (!tw_job_is_pending(core, job)) continue;
         const int level = level_of(job->spec.priority, job->guaranteed);
-        sorted[turns->count++] =
-            (grouped_job){job, level * turns->team_count + job->team, tw_job_deadline(core, job)};
+        sorted[queue->count++] =
+            (grouped_job){job, level * queue->team_count + job->team, tw_job_deadline(core, job)};
     }
-    qsort(sorted, (size_t)turns->count, sizeof *sorted, by_group);
-    for (int i = 0; i < turns->count; i++) {
-        range *group = &turns->groups[sorted[i].group];
-        turns->jobs[i] = sorted[i].job;
+    qsort(sorted, (size_t)queue->count, sizeof *sorted, compare_by_group);
+    for (int i = 0; i < queue->count; i++) {
+        job_range *group = &queue->groups[sorted[i].group];
+        queue->jobs[i] = sorted[i].job;
         if (!i || sorted[i].group != sorted[i - 1].group) group->start = i;
         group->end = i + 1;
     }
@@ -143,14 +143,14 @@
 
 typedef struct {
     tw_job *job;
-    double weight;
+    double weighed_wait;
 } waiting_job;
 
-static int by_wait(const void *left, const void *right) {
+static int compare_by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
     if (a->job->spec.priority != b->job->spec.priority)
         return a->job->spec.priority < b->job->spec.priority ? -1 : 1;
-    if (a->weight != b->weight) return a->weight > b->weight ? -1 : 1;
+    if (a->weighed_wait != b->weighed_wait) return a->weighed_wait > b->weighed_wait ? -1 : 1;
     return strcmp(a->job->id, b->job->id);
 }
 
@@ -166,21 +166,21 @@
     return core->context.now - job->submitted_at > OVERDUE_AFTER_S;
 }
 
-static void note_overdue(const tw_core *core, tw_job_queue *turns) {
+static void list_overdue_jobs(const tw_core *core, tw_job_queue *queue) {
     int count = 0;
-    waiting_job *sorted = tw_alloc((size_t)turns->count * sizeof *sorted);
-    turns->overdue = tw_alloc((size_t)turns->count * sizeof(tw_job *));
-    for (int i = 0; i < turns->count; i++) {
-        tw_job *job = turns->jobs[i];
+    waiting_job *sorted = tw_alloc((size_t)queue->count * sizeof *sorted);
+    queue->overdue = tw_alloc((size_t)queue->count * sizeof(tw_job *));
+    for (int i = 0; i < queue->count; i++) {
+        tw_job *job = queue->jobs[i];
         if (is_overdue(core, job)) sorted[count++] = (waiting_job){job, weighed_wait(core, job)};
     }
-    qsort(sorted, (size_t)count, sizeof *sorted, by_wait);
+    qsort(sorted, (size_t)count, sizeof *sorted, compare_by_wait);
     for (int i = 0; i < count; i++) {
         const tw_wire_priority priority = sorted[i].job->spec.priority;
-        turns->overdue[i] = sorted[i].job;
+        queue->overdue[i] = sorted[i].job;
         if (!i || sorted[i - 1].job->spec.priority != priority)
-            turns->overdue_by_priority[priority].start = i;
-        turns->overdue_by_priority[priority].end = i + 1;
+            queue->overdue_by_priority[priority].start = i;
+        queue->overdue_by_priority[priority].end = i + 1;
     }
     free(sorted);
 }
@@ -188,84 +188,85 @@
 /* ---- turns ---- */
 
 tw_job_queue *tw_job_queue_new(tw_core *core, bool with_overdue) {
-    tw_job_queue *turns = tw_alloc(sizeof *turns);
+    tw_job_queue *queue = tw_alloc(sizeof *queue);
     int capacity = 0;
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) { capacity += tw_job_is_pending(core, job); }
-    if (capacity) note_guaranteed(core);
-    turns->team_count = (int)core->context.config->nteams;
-    turns->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
-    turns->groups = tw_alloc((size_t)(LEVELS * turns->team_count) * sizeof *turns->groups);
-    group_jobs(core, turns, capacity);
-    if (with_overdue) note_overdue(core, turns);
-    return turns;
+    if (capacity) update_guaranteed_jobs(core);
+    queue->team_count = (int)core->context.config->nteams;
+    queue->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
+    queue->groups = tw_alloc((size_t)(LEVEL_COUNT * queue->team_count) * sizeof *queue->groups);
+    group_jobs(core, queue, capacity);
+    if (with_overdue) list_overdue_jobs(core, queue);
+    return queue;
 }
 
 /* The next overdue job of a priority that may have room now; NULL: none. */
-static tw_job *next_overdue(const tw_core *core, tw_job_queue *turns, tw_wire_priority priority) {
-    range *left = &turns->overdue_by_priority[priority];
-    if (core->overdue_credit[priority] <= 0 || is_empty(*left)) return NULL;
-    turns->last = SERVED_OVERDUE;
-    return turns->overdue[left->start++];
+static tw_job *take_overdue_job(const tw_core *core, tw_job_queue *queue,
+                                tw_wire_priority priority) {
+    job_range *left = &queue->overdue_by_priority[priority];
+    if (core->overdue_credit[priority] <= 0 || range_is_empty(*left)) return NULL;
+    queue->last_group = OVERDUE_JOB_SERVED;
+    return queue->overdue[left->start++];
 }
 
 /* The group of a level whose team has the least in use for its share; -1: none of it waits. */
-static int next_group(const tw_core *core, const tw_job_queue *turns, int level) {
+static int find_group_to_serve(const tw_core *core, const tw_job_queue *queue, int level) {
     int best = -1;
     double least = INFINITY;
-    for (int team = 0; team < turns->team_count; team++) {
-        const int group = level * turns->team_count + team;
-        if (is_empty(turns->groups[group])) continue;
+    for (int team = 0; team < queue->team_count; team++) {
+        const int group = level * queue->team_count + team;
+        if (range_is_empty(queue->groups[group])) continue;
         const double in_use =
-            core->team_gpus_used[team] * GPU_IN_CORES + core->team_cores_used[team];
-        const double use = in_use / core->context.config->teams[team].share;
-        if (use < least) {
-            least = use;
+            core->team_gpus_used[team] * GPU_WEIGHT_IN_CORES + core->team_cores_used[team];
+        const double used_share = in_use / core->context.config->teams[team].share;
+        if (used_share < least) {
+            least = used_share;
             best = group;
         }
     }
     return best;
 }
 
-tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *turns) {
-    for (int level = 0; level < LEVELS; level++) {
+tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *queue) {
+    for (int level = 0; level < LEVEL_COUNT; level++) {
         /* Before the first level of each priority. */
-        tw_job *overdue = level % 2 ? NULL : next_overdue(core, turns, priority_of(level));
+        tw_job *overdue = level % 2 ? NULL : take_overdue_job(core, queue, priority_of(level));
         if (overdue) return overdue;
-        const int group = next_group(core, turns, level);
+        const int group = find_group_to_serve(core, queue, level);
         if (group < 0) continue;
-        turns->last = group;
-        return turns->jobs[turns->groups[group].start++];
+        queue->last_group = group;
+        return queue->jobs[queue->groups[group].start++];
     }
     return NULL;
 }
 
-void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *turns, const tw_job *job,
+void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *queue, const tw_job *job,
                               int count) {
     int *credit = &core->overdue_credit[job->spec.priority];
-    if (turns->last == SERVED_OVERDUE)
+    if (queue->last_group == OVERDUE_JOB_SERVED)
         *credit -= count > 0;
     else if (count > 0)
         *credit = 1;
 }
 
-void tw_job_queue_requeue(tw_job_queue *turns) {
-    if (turns->last != SERVED_OVERDUE) turns->groups[turns->last].start--;
+void tw_job_queue_requeue(tw_job_queue *queue) {
+    if (queue->last_group != OVERDUE_JOB_SERVED) queue->groups[queue->last_group].start--;
 }
 
-bool tw_job_queue_is_contended(const tw_job_queue *turns) {
-    if (turns->last == SERVED_OVERDUE) return true;
-    const int level = turns->last / turns->team_count;
-    if (!is_empty(turns->overdue_by_priority[priority_of(level)])) return true;
-    const int first = level * turns->team_count;
-    for (int group = first; group < first + turns->team_count; group++)
-        if (group != turns->last && !is_empty(turns->groups[group])) return true;
+bool tw_job_queue_is_contended(const tw_job_queue *queue) {
+    if (queue->last_group == OVERDUE_JOB_SERVED) return true;
+    const int level = queue->last_group / queue->team_count;
+    if (!range_is_empty(queue->overdue_by_priority[priority_of(level)])) return true;
+    const int first = level * queue->team_count;
+    for (int group = first; group < first + queue->team_count; group++)
+        if (group != queue->last_group && !range_is_empty(queue->groups[group])) return true;
     return false;
 }
 
-void tw_job_queue_free(tw_job_queue *turns) {
-    free(turns->jobs);
-    free(turns->overdue);
-    free(turns->groups);
-    free(turns);
+void tw_job_queue_free(tw_job_queue *queue) {
+    free(queue->jobs);
+    free(queue->overdue);
+    free(queue->groups);
+    free(queue);
 }
--- a/src/core/placement_failures.c
+++ b/src/core/placement_failures.c
@@ -4,7 +4,7 @@
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define FIRST_CAPACITY 16
+#define INITIAL_CAPACITY 16
 
 tw_placement_failure tw_placement_failure_of(const tw_demand *demand) {
     const tw_job *job = demand->job;
@@ -17,7 +17,7 @@
                                   .priority = job->spec.priority,
                                   .service = job->spec.service,
                                   .any_machine = job->any_machine,
-                                  .whole = job->spec.gang};
+                                  .gang = job->spec.gang};
 }
 
 static bool same_amounts(const tw_placement_failure *one, const tw_placement_failure *other) {
@@ -35,7 +35,7 @@
         const tw_placement_failure *known = &core->placement_failures[i];
         if (same_amounts(known, kind) && same_machines(known, kind) &&
             known->priority == kind->priority && known->service == kind->service &&
-            known->whole == kind->whole)
+            known->gang == kind->gang)
             return true;
     }
     return false;
@@ -43,7 +43,7 @@
 
 void tw_placement_failures_add(tw_core *core, const tw_placement_failure *kind) {
     core->placement_failures = tw_grow(core->placement_failures, core->placement_failure_count,
-                                       &core->placement_failure_capacity, FIRST_CAPACITY,
+                                       &core->placement_failure_capacity, INITIAL_CAPACITY,
                                        sizeof *core->placement_failures);
     core->placement_failures[core->placement_failure_count++] = *kind;
 }
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -3,17 +3,18 @@
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define MOST_IN_PASS 300 /* tasks; the rest in the next pass */
-#define BETWEEN_PASSES_S 0.1
+#define MAX_TASKS_PER_PASS 300 /* tasks; the rest in the next pass */
+#define PASS_INTERVAL_S 0.1
 
-static int next_free(tw_job *job) {
+static int find_next_unplaced(tw_job *job) {
     while (job->first_unplaced < job->task_count &&
            job->task_states[job->first_unplaced] != TW_ASSIGNMENT_NONE)
         job->first_unplaced++;
     return job->first_unplaced < job->task_count ? job->first_unplaced : -1;
 }
 
-static void log_place(const tw_core *core, const tw_demand *demand, const tw_placement *placed) {
+static void log_placement(const tw_core *core, const tw_demand *demand,
+                          const tw_placement *placed) {
     const tw_job *job = demand->job;
     const tw_machine *machine = placed->machine;
     if (!tw_log_on(TW_LOG_DEBUG)) return;
@@ -29,60 +30,62 @@
 
 /* Places one task on the best machine of the zones given, as bits. 0: no room, or not for its
  * team. */
-static bool place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t among) {
+static bool place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t zones) {
     if (!tw_quota_allows_tasks(core, job, 1) || !tw_gang_reservation_allows_team(core, job))
         return false;
     tw_demand demand = tw_demand_of(core, job);
-    demand.zone_mask &= among;
+    demand.zone_mask &= zones;
     const tw_placement_failure kind = tw_placement_failure_of(&demand);
     if (tw_placement_failures_has(core, &kind)) return false;
     tw_choice choice = tw_scheduler_choose(core, &demand);
     if (choice.machine)
         core->candidates[choice.candidate].changes++; /* or none is placed there, to no harm */
     else
-        choice.machine = tw_scheduler_preempt(core, &demand, false, &choice.kept);
-    if (choice.machine && !choice.meets && job->spec.service &&
+        choice.machine = tw_scheduler_preempt(core, &demand, false, &choice.room_is_reserved);
+    if (choice.machine && !choice.meets_deadline && job->spec.service &&
         job->spec.priority == TW_PRIORITY_PROD) {
         /* Its start objective would be missed there: rather at a batch task's cost. */
-        tw_machine *other = tw_scheduler_preempt(core, &demand, true, &choice.kept);
+        tw_machine *other = tw_scheduler_preempt(core, &demand, true, &choice.room_is_reserved);
         if (other) choice.machine = other;
     }
     if (!choice.machine) {
         /* Not because of what is its own alone, or of holes, which come and go. */
-        if (!choice.kept && !job->failed_machine_count) tw_placement_failures_add(core, &kind);
+        if (!choice.room_is_reserved && !job->failed_machine_count)
+            tw_placement_failures_add(core, &kind);
         return false;
     }
     if (job->spec.gpus > 0) tw_placement_failures_forget_cpu(core);
     tw_reserve_take(core, choice.machine, job);
     const tw_placement *placed = tw_placement_new(core, job, index, choice.machine, attempt);
     if (!placed) return false;
-    log_place(core, &demand, placed);
+    log_placement(core, &demand, placed);
     return true;
 }
 
 /* Places up to limit tasks, each under an attempt of its own, or all under the one given. */
 static int place_tasks(tw_core *core, tw_job *job, int limit, uint64_t common_attempt,
-                       uint32_t among) {
-    const int most_live = tw_record_max_running(core, job);
+                       uint32_t zones) {
+    const int max_running = tw_record_max_running(core, job);
     int placed = 0;
     int index;
-    while (placed < limit && job->placed_count < most_live && (index = next_free(job)) >= 0) {
+    while (placed < limit && job->placed_count < max_running &&
+           (index = find_next_unplaced(job)) >= 0) {
         const uint64_t attempt = common_attempt ? common_attempt : job->next_attempt;
-        if (!place_task(core, job, index, attempt, among)) break;
+        if (!place_task(core, job, index, attempt, zones)) break;
         placed++;
     }
     return placed;
 }
 
 /* Undoes what was placed of a gang since its record last changed. */
-static void take_back(tw_core *core, tw_job *job, uint64_t next_try) {
+static void undo_placements(tw_core *core, tw_job *job, uint64_t next_attempt) {
     tw_placement *placed;
     tw_placement *next;
     DL_FOREACH_SAFE2(job->placements, placed, next, job_next) {
         if (placed->version > job->version)
             tw_attempt_terminate_on(core, placed, TW_EVIDENCE_PLACEMENT_UNDONE);
     }
-    job->next_attempt = next_try;
+    job->next_attempt = next_attempt;
     tw_placement_failures_forget(core);
     tw_scores_forget(core);
 }
@@ -92,12 +95,12 @@
  * it. */
 static int place_gang(tw_core *core, tw_job *job) {
     const int count = job->task_count - job->done_count - job->placed_count;
-    const uint64_t next_try = job->next_attempt;
-    const uint64_t attempt = job->placed_count ? job->gang.attempt : next_try;
+    const uint64_t next_attempt = job->next_attempt;
+    const uint64_t attempt = job->placed_count ? job->gang.attempt : next_attempt;
     if (!tw_gang_is_pending(job) || !tw_quota_allows_tasks(core, job, count)) return 0;
-    uint32_t among = tw_gang_candidate_zones(core, job, count);
-    while (among) {
-        if (place_tasks(core, job, count, attempt, among) == count) {
+    uint32_t zones = tw_gang_candidate_zones(core, job, count);
+    while (zones) {
+        if (place_tasks(core, job, count, attempt, zones) == count) {
             tw_gang_placed(core, job);
             return count;
         }
@@ -105,9 +108,9 @@
         const tw_placement *first = job->placements;
         while (first && first->version <= job->version) first = first->job_next;
         const int zone = first ? first->machine->zone_index : -1;
-        take_back(core, job, next_try);
+        undo_placements(core, job, next_attempt);
         if (!job->spec.single_zone || zone < 0) return 0;
-        among &= ~(1U << zone);
+        zones &= ~(1U << zone);
     }
     return 0;
 }
@@ -140,27 +143,28 @@
         return false;
     }
     begin_pass(core);
-    place_job(core, job, MOST_IN_PASS);
+    place_job(core, job, MAX_TASKS_PER_PASS);
     return job->placed_count + job->done_count == job->task_count;
 }
 
 void tw_scheduler_run(tw_core *core) {
     core->scheduling_due = false;
-    core->next_pass_at = core->context.now + BETWEEN_PASSES_S;
-    tw_job_queue *turns = tw_job_queue_new(core, true);
-    int left = MOST_IN_PASS;
-    bool begun = false;
+    core->next_pass_at = core->context.now + PASS_INTERVAL_S;
+    tw_job_queue *queue = tw_job_queue_new(core, true);
+    int remaining = MAX_TASKS_PER_PASS;
+    bool pass_begun = false;
     tw_job *job;
-    while (left > 0 && (job = tw_job_queue_next(core, turns))) {
-        if (!begun) begin_pass(core); /* mostly nothing waits: then the fleet isn't looked at */
-        begun = true;
+    while (remaining > 0 && (job = tw_job_queue_next(core, queue))) {
+        if (!pass_begun)
+            begin_pass(core); /* mostly nothing waits: then the fleet isn't looked at */
+        pass_begun = true;
         /* A task a turn while others wait. */
-        const int share = tw_job_queue_is_contended(turns) ? 1 : left;
-        const int count = place_job(core, job, share);
-        left -= count;
-        tw_job_queue_note_placed(core, turns, job, count);
-        if (count && count == share && tw_job_is_pending(core, job)) tw_job_queue_requeue(turns);
+        const int limit = tw_job_queue_is_contended(queue) ? 1 : remaining;
+        const int count = place_job(core, job, limit);
+        remaining -= count;
+        tw_job_queue_note_placed(core, queue, job, count);
+        if (count && count == limit && tw_job_is_pending(core, job)) tw_job_queue_requeue(queue);
     }
-    if (left <= 0) core->scheduling_due = true;
-    tw_job_queue_free(turns);
+    if (remaining <= 0) core->scheduling_due = true;
+    tw_job_queue_free(queue);
 }
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -5,18 +5,19 @@
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define WARM 3         /* times as many holes, where a task starts in time only beside its image */
-#define ROUND_DOWN 0.3 /* of a task: as little is not rounded up */
+#define CACHED_IMAGE_FACTOR                                                                        \
+    3 /* times as many holes, where a task starts in time only beside its image */
+#define ROUND_DOWN_SHARE 0.3 /* of a task: as little is not rounded up */
 
 /* How many tasks of a shape fit into this room. */
-static int fit(const tw_capacity *room, const tw_wire_job *spec) {
+static int count_fitting_tasks(const tw_capacity *room, const tw_wire_job *spec) {
     const double count = tw_capacity_task_count(room, spec);
     return count > 0 ? (int)count : 0;
 }
 
 /* What a service of the highest priority may have on a machine: free, or held by work of lower
  * priority. */
-static tw_capacity room_on(const tw_core *core, const tw_machine *machine) {
+static tw_capacity room_for_service(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     tw_capacity room = {type->cores - machine->used_cores + machine->vacating_cores,
                         type->gpus - machine->used_gpus + machine->vacating_gpus,
@@ -29,13 +30,13 @@
     return room;
 }
 
-static bool counts(const tw_job_class *class, const tw_machine *machine) {
+static bool machine_counts_for_class(const tw_job_class *class, const tw_machine *machine) {
     return class->reserve > 0 && (class->sample_type_mask & (1U << machine->type_index)) &&
            (!machine->spot || class->sample.spot);
 }
 
 /* Whether a task can start in time only where its image is cached. */
-static bool needs_warm(const tw_core *core, const tw_job_class *class) {
+static bool needs_cached_image(const tw_core *core, const tw_job_class *class) {
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_machine_type *type = &core->machine_types[i];
         const double fetch_s = type->fetch_s_per_gb * class->sample.image_gb;
@@ -48,52 +49,54 @@
 }
 
 /* How many holes to leave for a class. */
-static int reserve_for(const tw_core *core, const tw_job_class *class) {
+static int holes_to_keep(const tw_core *core, const tw_job_class *class) {
     if (!class->has_sample || !class->sample.service || class->sample.gpus <= 0 ||
         class->start_within_s <= 0)
         return 0;
     double tasks = class->task_rate * class->start_within_s;
-    const double group = fmax(1, class->batch_tasks);
-    tasks += sqrt(tasks * group);
+    const double batch_tasks = fmax(1, class->batch_tasks);
+    tasks += sqrt(tasks * batch_tasks);
     /* A hole is of use to few of the class's images. */
-    if (needs_warm(core, class)) tasks *= WARM;
-    return (int)ceil(tasks - ROUND_DOWN);
+    if (needs_cached_image(core, class)) tasks *= CACHED_IMAGE_FACTOR;
+    return (int)ceil(tasks - ROUND_DOWN_SHARE);
 }
 
 void tw_reserve_update(tw_core *core) {
-    bool any = false;
+    bool any_reserve = false;
     for (tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         class->reserve_available = 0;
-        class->reserve = reserve_for(core, class);
-        any |= class->reserve > 0;
+        class->reserve = holes_to_keep(core, class);
+        any_reserve |= class->reserve > 0;
     }
-    if (!any) return;
+    if (!any_reserve) return;
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         if (!tw_machine_is_usable(core, machine)) continue;
-        const tw_capacity room = room_on(core, machine);
+        const tw_capacity room = room_for_service(core, machine);
         for (tw_job_class *class = core->job_classes; class; class = class->hh.next)
-            if (counts(class, machine)) class->reserve_available += fit(&room, &class->sample);
+            if (machine_counts_for_class(class, machine))
+                class->reserve_available += count_fitting_tasks(&room, &class->sample);
     }
 }
 
 /* How many holes of the class are lost when a task of the job takes room on the machine. */
-static int lost(const tw_core *core, const tw_machine *machine, const tw_job *job,
-                const tw_job_class *class) {
-    const tw_capacity before = room_on(core, machine);
+static int count_lost_holes(const tw_core *core, const tw_machine *machine, const tw_job *job,
+                            const tw_job_class *class) {
+    const tw_capacity before = room_for_service(core, machine);
     const tw_capacity after = {before.cores - job->spec.cores, before.gpus - job->spec.gpus,
                                before.memory_gb - job->spec.memory_gb};
-    return fit(&before, &class->sample) - fit(&after, &class->sample);
+    return count_fitting_tasks(&before, &class->sample) -
+           count_fitting_tasks(&after, &class->sample);
 }
 
 bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     if (!job->capacity_bound || !job->spec.service) return true;
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         if (class == job->job_class || class->sample.gpus <= job->spec.gpus ||
-            !counts(class, machine))
+            !machine_counts_for_class(class, machine))
             continue;
-        const int holes = lost(core, machine, job, class);
+        const int holes = count_lost_holes(core, machine, job, class);
         if (holes > 0 && class->reserve_available - holes < class->reserve) return false;
     }
     return true;
@@ -103,5 +106,6 @@
 void tw_reserve_take(tw_core *core, const tw_machine *machine, const tw_job *job) {
     if (!job->spec.service) return;
     for (tw_job_class *class = core->job_classes; class; class = class->hh.next)
-        if (counts(class, machine)) class->reserve_available -= lost(core, machine, job, class);
+        if (machine_counts_for_class(class, machine))
+            class->reserve_available -= count_lost_holes(core, machine, job, class);
 }
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -6,33 +6,33 @@
 #define MARGIN_DEVIATIONS 2 /* of a fetch, that a service has to spare before its deadline */
 
 /* When its class's start objective is missed, counted anew after a loss; INFINITY: it has none. */
-static double start_due(const tw_job *job) {
+static double start_objective_at(const tw_job *job) {
     if (!job->job_class || job->job_class->start_within_s <= 0) return INFINITY;
     return fmax(job->submitted_at, job->pending_since) + job->job_class->start_within_s;
 }
 
 /* A gang has its owner's deadline, else its class's objective for the end; and its start objective,
  * with the run that follows. */
-static double gang_due(const tw_job *job) {
-    double due = start_due(job) + tw_job_run_estimate_s(job);
+static double gang_deadline(const tw_job *job) {
+    double deadline_at = start_objective_at(job) + tw_job_run_estimate_s(job);
     if (job->spec.deadline_s >= 0)
-        due = fmin(due, job->submitted_at + job->spec.deadline_s);
+        deadline_at = fmin(deadline_at, job->submitted_at + job->spec.deadline_s);
     else if (job->job_class && job->job_class->finish_within_s > 0)
-        due = fmin(due, job->submitted_at + job->job_class->finish_within_s);
-    return due;
+        deadline_at = fmin(deadline_at, job->submitted_at + job->job_class->finish_within_s);
+    return deadline_at;
 }
 
 double tw_job_deadline(const tw_core *core, const tw_job *job) {
     (void)core;
-    if (job->spec.gang) return gang_due(job);
+    if (job->spec.gang) return gang_deadline(job);
     if (!job->spec.service && job->spec.deadline_s >= 0)
         return job->submitted_at + job->spec.deadline_s;
     /* A service's deadline is its class's start objective. */
-    return start_due(job);
+    return start_objective_at(job);
 }
 
 double tw_job_start_deadline(const tw_job *job) {
-    return job->spec.gang ? start_due(job) : INFINITY;
+    return job->spec.gang ? start_objective_at(job) : INFINITY;
 }
 
 double tw_job_run_estimate_s(const tw_job *job) {
@@ -57,19 +57,20 @@
 tw_prediction tw_predict(const tw_core *core, const tw_demand *demand, const tw_machine *machine) {
     const tw_job *job = demand->job;
     const tw_machine_type *type = &core->machine_types[machine->type_index];
-    const double delay_s =
+    const double queue_delay_s =
         machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
-    const double s_per_gb =
+    const double fetch_s_per_gb =
         machine->fetch_s_per_gb < 0 ? type->fetch_s_per_gb : machine->fetch_s_per_gb;
     tw_prediction result = {.image = tw_image_find(machine, job)};
-    const double gb = missing_gb(core, job, machine, result.image);
-    result.fetch_s = s_per_gb * gb;
+    const double image_missing_gb = missing_gb(core, job, machine, result.image);
+    result.fetch_s = fetch_s_per_gb * image_missing_gb;
     result.run_s = tw_machine_slowness(core, machine) * demand->estimate_s;
-    result.total_s = delay_s +
+    result.total_s = queue_delay_s +
                      result.fetch_s * tw_image_fetch_slowdown(core, machine, result.image) +
                      result.run_s;
     if (job->spec.service)
-        result.margin_s = MARGIN_DEVIATIONS * type->fetch_deviation * s_per_gb * gb;
+        result.margin_s =
+            MARGIN_DEVIATIONS * type->fetch_deviation * fetch_s_per_gb * image_missing_gb;
     return result;
 }
 
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -2,15 +2,15 @@
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define TRIES 4           /* machines looked at in a pass, to empty the next one */
-#define RETRY_REPORTS 3   /* reports until one that could not be emptied is looked at again */
-#define PASS_REPORTS 0.3  /* reports between passes that move tasks */
-#define LEAST_MOVES 2     /* tasks that a pass may move anyway */
-#define WRITE_SHARE 0.25  /* of the state service's changes, for moves */
-#define CLOSING_PART 20   /* one machine is emptied at a time, and one more for so many */
-#define LEAST_UP_LEASES 2 /* leases for which a machine is up before it is emptied */
-#define NEAR_SHARE 0.5    /* of its start objective: how long a moved replica's fetch may take */
-#define BATCH_WEIGHT 2    /* what moving a batch task costs, against a replica */
+#define MAX_TRIES_PER_PASS 4 /* machines looked at in a pass, to empty the next one */
+#define RETRY_REPORTS 3      /* reports until one that could not be emptied is looked at again */
+#define PASS_REPORTS 0.3     /* reports between passes that move tasks */
+#define LEAST_MOVES 2        /* tasks that a pass may move anyway */
+#define WRITE_SHARE 0.25     /* of the state service's changes, for moves */
+#define CLOSING_PART 20      /* one machine is emptied at a time, and one more for so many */
+#define LEAST_UP_LEASES 2    /* leases for which a machine is up before it is emptied */
+#define NEAR_SHARE 0.5       /* of its start objective: how long a moved replica's fetch may take */
+#define BATCH_WEIGHT 2       /* what moving a batch task costs, against a replica */
 
 /* ---- idle machines ---- */
 
@@ -245,7 +245,7 @@
 
 /* The next machine to empty, of the few that are looked at in a pass; NULL: none. */
 static tw_machine *next_to_close(const tw_core *core, tw_bins *bins) {
-    for (int i = 0; i < TRIES; i++) {
+    for (int i = 0; i < MAX_TRIES_PER_PASS; i++) {
         tw_machine *best = most_to_gain(core);
         if (!best) return NULL;
         if (!waited_for(core, best) && can_empty(core, bins, best)) return best;
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -17,7 +17,7 @@
     double cores, gpus, memory_gb;
     uint32_t type_mask, zone_mask;
     tw_wire_priority priority;
-    bool spot, service, any_machine, whole;
+    bool spot, service, any_machine, gang;
 } tw_placement_failure;
 
 /* placement_pass.c */
@@ -52,16 +52,16 @@
  */
 tw_job_queue *tw_job_queue_new(tw_core *core, bool with_overdue);
 /* The next job; NULL: all have been served. */
-tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *turns);
+tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *queue);
 /* That so many tasks of the job that was served last were placed. */
-void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *turns, const tw_job *job,
+void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *queue, const tw_job *job,
                               int count);
 /* Puts the last job back at its team's head: it may get more when its team's turn comes again. */
-void tw_job_queue_requeue(tw_job_queue *turns);
+void tw_job_queue_requeue(tw_job_queue *queue);
 /* Whether another team waits at the same level as the job served last, or an overdue job of its
  * priority, or the last one was overdue itself. */
-bool tw_job_queue_is_contended(const tw_job_queue *turns);
-void tw_job_queue_free(tw_job_queue *turns);
+bool tw_job_queue_is_contended(const tw_job_queue *queue);
+void tw_job_queue_free(tw_job_queue *queue);
 /* Whether a job has tasks that may be placed now. */
 bool tw_job_is_pending(const tw_core *core, const tw_job *job);
 
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -72,7 +72,7 @@
     int changes;    /* of the candidate, when this was worked out */
     bool fits;      /* it has room and is allowed, its zone apart */
     bool possible;  /* and the task leaves its GPUs what they need */
-    double end;     /* as tw_predict_end has it */
+    double end_at;  /* as tw_predict_end has it */
     double total_s; /* T */
     double points;  /* where the deadline is met */
 } tw_score;
@@ -96,8 +96,8 @@
     struct tw_machine *machine; /* NULL: none */
     double points;              /* the most, or where no deadline is met the least overshoot */
     int candidate;              /* its number */
-    bool meets;                 /* it is expected to meet the deadline there */
-    int kept;                   /* none, and some room was not given, since it is kept for others */
+    bool meets_deadline;        /* it is expected to meet the deadline there */
+    int room_is_reserved;       /* none, and some room was not given, since it is kept for others */
 } tw_choice;
 
 /* machine_choice.c */
@@ -126,6 +126,6 @@
 bool tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
                            const tw_placement *placed);
 struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, bool in_time,
-                                        int *kept);
+                                        int *room_is_reserved);
 
 #endif
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -5,69 +5,70 @@
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define FIRST_CAPACITY 64
+#define INITIAL_CAPACITY 64
 #define TABLES_MAX 8 /* kinds of tasks at once: the teams are served in turn */
 
 /* All that a score depends on, but the machine. */
 typedef struct {
     double cores, gpus, memory_gb, image_gb, estimate_s;
-    uint32_t types, image_sum;
+    uint32_t type_mask, image_hash;
     char image[TW_WIRE_NAME_SIZE];
     tw_wire_priority priority;
     bool spot, service, any_machine;
-    const tw_job_class *class;
-    const tw_job *own; /* a job that passes some machines over shares its scores with none */
-} kind;
+    const tw_job_class *job_class;
+    const tw_job
+        *exclusive_job; /* a job that passes some machines over shares its scores with none */
+} task_kind;
 
 struct tw_score_table {
-    kind kind;
+    task_kind kind;
     tw_score *items;
     int count, capacity;
 };
 
 /* The job, if it has to pass over machines that it failed on, or was on under the same attempt. */
-static const tw_job *own_scores(const tw_core *core, const tw_job *job) {
+static const tw_job *job_with_own_scores(const tw_core *core, const tw_job *job) {
     return job->failed_machine_count || job->gang.vacated_count || job == core->reserving_gang
                ? job
                : NULL;
 }
 
-static bool same_kind(const tw_core *core, const kind *known, const tw_demand *demand) {
+static bool kind_matches(const tw_core *core, const task_kind *known, const tw_demand *demand) {
     const tw_job *job = demand->job;
     const tw_wire_job *spec = &job->spec;
     if (known->cores != spec->cores || known->gpus != spec->gpus ||
         known->memory_gb != spec->memory_gb || known->image_gb != spec->image_gb ||
         known->estimate_s != demand->estimate_s)
         return false;
-    if (known->types != job->type_mask || known->spot != spec->spot ||
+    if (known->type_mask != job->type_mask || known->spot != spec->spot ||
         known->service != spec->service || known->any_machine != job->any_machine ||
-        known->class != job->job_class || known->priority != job->spec.priority ||
-        known->own != own_scores(core, job))
+        known->job_class != job->job_class || known->priority != job->spec.priority ||
+        known->exclusive_job != job_with_own_scores(core, job))
         return false;
-    return known->image_sum == job->image_hash && !strcmp(known->image, spec->image);
+    return known->image_hash == job->image_hash && !strcmp(known->image, spec->image);
 }
 
-static kind kind_of(const tw_core *core, const tw_demand *demand) {
+static task_kind kind_of_demand(const tw_core *core, const tw_demand *demand) {
     const tw_job *job = demand->job;
-    kind result = {.cores = job->spec.cores,
-                   .gpus = job->spec.gpus,
-                   .memory_gb = job->spec.memory_gb,
-                   .image_gb = job->spec.image_gb,
-                   .estimate_s = demand->estimate_s,
-                   .types = job->type_mask,
-                   .image_sum = job->image_hash,
-                   .spot = job->spec.spot,
-                   .service = job->spec.service,
-                   .any_machine = job->any_machine,
-                   .priority = job->spec.priority,
-                   .class = job->job_class,
-                   .own = own_scores(core, job)};
+    task_kind result = {.cores = job->spec.cores,
+                        .gpus = job->spec.gpus,
+                        .memory_gb = job->spec.memory_gb,
+                        .image_gb = job->spec.image_gb,
+                        .estimate_s = demand->estimate_s,
+                        .type_mask = job->type_mask,
+                        .image_hash = job->image_hash,
+                        .spot = job->spec.spot,
+                        .service = job->spec.service,
+                        .any_machine = job->any_machine,
+                        .priority = job->spec.priority,
+                        .job_class = job->job_class,
+                        .exclusive_job = job_with_own_scores(core, job)};
     snprintf(result.image, sizeof result.image, "%s", job->spec.image);
     return result;
 }
 
 /* Works a score out, at first and after a task was placed on its machine. */
-static void renew(tw_core *core, const tw_demand *demand, tw_score *score) {
+static void update_score(tw_core *core, const tw_demand *demand, tw_score *score) {
     const tw_candidate *candidate = &core->candidates[score->candidate];
     tw_machine *machine = candidate->machine;
     const tw_job *job = demand->job;
@@ -78,18 +79,18 @@
     score->possible = score->fits && tw_constraints_leave_gpus(core, machine, job, 1);
     if (!score->possible) return;
     const tw_prediction prediction = tw_predict(core, demand, machine);
-    score->end = tw_predict_end(core, demand, &prediction);
+    score->end_at = tw_predict_end(core, demand, &prediction);
     score->total_s = prediction.total_s;
     score->points = tw_preference(core, demand, machine, &prediction);
 }
 
 tw_score *tw_scores_add(tw_core *core, tw_score_table *table, const tw_demand *demand,
                         int candidate) {
-    table->items =
-        tw_grow(table->items, table->count, &table->capacity, FIRST_CAPACITY, sizeof *table->items);
+    table->items = tw_grow(table->items, table->count, &table->capacity, INITIAL_CAPACITY,
+                           sizeof *table->items);
     tw_score *score = &table->items[table->count];
     *score = (tw_score){.candidate = candidate};
-    renew(core, demand, score);
+    update_score(core, demand, score);
     /* What doesn't fit won't in this pass. But once its GPUs are taken, a machine may take a task
      * without GPUs that it had to refuse before. */
     if (!score->fits) return NULL;
@@ -98,7 +99,7 @@
 }
 
 /* Room for a table: one that is not in use, else the one filled longest ago. */
-static tw_score_table *table_new(tw_core *core) {
+static tw_score_table *acquire_table(tw_core *core) {
     if (!core->score_tables) core->score_tables = tw_alloc(TABLES_MAX * sizeof *core->score_tables);
     if (core->score_table_count < TABLES_MAX) return &core->score_tables[core->score_table_count++];
     tw_score_table *table = &core->score_tables[core->next_score_table];
@@ -108,13 +109,13 @@
 
 tw_score_table *tw_scores_find(tw_core *core, const tw_demand *demand) {
     for (int i = 0; i < core->score_table_count; i++)
-        if (same_kind(core, &core->score_tables[i].kind, demand)) return &core->score_tables[i];
+        if (kind_matches(core, &core->score_tables[i].kind, demand)) return &core->score_tables[i];
     return NULL;
 }
 
 tw_score_table *tw_scores_begin(tw_core *core, const tw_demand *demand) {
-    tw_score_table *table = table_new(core);
-    table->kind = kind_of(core, demand);
+    tw_score_table *table = acquire_table(core);
+    table->kind = kind_of_demand(core, demand);
     table->count = 0;
     return table;
 }
@@ -123,7 +124,8 @@
 
 tw_score *tw_scores_get(tw_core *core, tw_score_table *table, const tw_demand *demand, int index) {
     tw_score *score = &table->items[index];
-    if (score->changes != core->candidates[score->candidate].changes) renew(core, demand, score);
+    if (score->changes != core->candidates[score->candidate].changes)
+        update_score(core, demand, score);
     return score->possible ? score : NULL;
 }
 
