--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -48,19 +48,14 @@
 /* Room in bins only gets less while jobs are packed. So those that are too full for a kind of task,
  * or of a type that it may not use, are passed over by all the jobs alike that come after. */
 struct bin_start {
-    double cores, gpus, memory_gb;
-    uint32_t types;
-    int spot, any_machine;
+    tw_task_shape shape;
     const char *zone;
     int bin, drained; /* where to begin: in the bins, and in the room that is given back */
 };
 
 static bool same_kind(const struct bin_start *start, const tw_job *job) {
-    const tw_wire_job *spec = &job->spec;
-    return start->cores == spec->cores && start->gpus == spec->gpus &&
-           start->memory_gb == spec->memory_gb && start->types == job->type_mask &&
-           start->spot == spec->spot && start->any_machine == job->any_machine &&
-           !strcmp(start->zone, spec->zone);
+    const tw_task_shape shape = tw_task_shape_of(job);
+    return tw_task_shapes_are_equal(&start->shape, &shape) && !strcmp(start->zone, job->spec.zone);
 }
 
 /* Valid until the next call. */
@@ -70,13 +65,7 @@
     bins->starts = tw_grow(bins->starts, bins->nstarts, &bins->starts_cap, INITIAL_START_CAPACITY,
                            sizeof *bins->starts);
     struct bin_start *start = &bins->starts[bins->nstarts++];
-    *start = (struct bin_start){.cores = job->spec.cores,
-                                .gpus = job->spec.gpus,
-                                .memory_gb = job->spec.memory_gb,
-                                .types = job->type_mask,
-                                .spot = job->spec.spot,
-                                .any_machine = job->any_machine,
-                                .zone = job->spec.zone};
+    *start = (struct bin_start){.shape = tw_task_shape_of(job), .zone = job->spec.zone};
     return start;
 }
 
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -1,10 +1,13 @@
-/* The machines that a pass may use, worked out once: nothing that decides on it changes within a
- * pass. */
+/* The machines that a pass may use, and how full the zones are. Both are worked out once, as the
+ * pass begins: whether a machine is usable doesn't change within a pass, and the zones' shares need
+ * not follow each placement. core->candidates belongs to the core and is used again by each pass.
+ */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 #define INITIAL_CAPACITY 64
 
+/* What the on-demand machines of a zone have, and what is in use of it. */
 typedef struct {
     double cores, used_cores, gpus, used_gpus;
 } zone_usage;
--- a/src/core/capacity.c
+++ b/src/core/capacity.c
@@ -1,15 +1,16 @@
+/* How many tasks fit into given amounts. */
 #include "core/capacity.h"
 #include <math.h>
 
-#define ANY_NUMBER 1e6 /* of tasks that ask for nothing */
+#define UNLIMITED_COUNT 1e6 /* tasks that ask for no amounts */
 
-/* As often as an amount is contained in what there is. */
+/* How many whole times the amount is contained in what is available. */
 static double count_whole(double available, double amount) {
     return floor(available / amount + TW_CAPACITY_ROUNDING);
 }
 
 double tw_capacity_task_count(const tw_capacity *room, const tw_wire_job *spec) {
-    double count = ANY_NUMBER;
+    double count = UNLIMITED_COUNT;
     if (spec->cores > 0) count = fmin(count, count_whole(room->cores, spec->cores));
     if (spec->gpus > 0) count = fmin(count, count_whole(room->gpus, spec->gpus));
     if (spec->memory_gb > 0) count = fmin(count, count_whole(room->memory_gb, spec->memory_gb));
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -1,5 +1,6 @@
-/* What a task may use: machine types, zones and kinds of machines that its job allows, its team's
- * limit, and what work without GPUs leaves to that with GPUs. */
+/* Which machines and zones a task may use: the machine types, spot machines and zones that its job
+ * allows, machines that its job passes over, its team's limit, and the cores and memory that tasks
+ * without GPUs leave for a machine's GPUs. Free room is not looked at here, but for the latter. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
@@ -11,7 +12,7 @@
     int count = 0;
     const tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next) {
-        const bool unknown = !*placed->machine->zone; /* may be any zone */
+        const bool unknown = !*placed->machine->zone; /* it may be in any zone */
         const bool in_zone = unknown || !strcmp(placed->machine->zone, zone);
         if (job->spec.single_zone && (unknown || !in_zone)) return false;
         count += in_zone;
@@ -28,7 +29,6 @@
                                        team->gpus_max + TW_CAPACITY_ROUNDING);
 }
 
-/* Cores that a GPU's user takes along with it, at the most; the same for memory. */
 void tw_gpu_share_update(tw_core *core) {
     core->cores_per_gpu = core->memory_gb_per_gpu = 0;
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next) {
@@ -47,7 +47,8 @@
     const double free_gpus = type->gpus - machine->used_gpus;
     double cores_per_gpu = core->cores_per_gpu;
     double memory_gb_per_gpu = core->memory_gb_per_gpu;
-    if (cores_per_gpu <= 0) {
+    if (cores_per_gpu <=
+        0) { /* no class with GPUs is known: each GPU keeps its share of the machine */
         cores_per_gpu = type->cores / type->gpus;
         memory_gb_per_gpu = type->memory_gb / type->gpus;
     }
@@ -58,7 +59,7 @@
                free_gpus * memory_gb_per_gpu;
 }
 
-/* Zones that the job's next task may go to, as bits: the same for all machines. */
+/* The zones, as bits, that the job's next task may go to. */
 static uint32_t allowed_zones(const tw_core *core, const tw_job *job) {
     uint32_t zones = 0;
     for (int zone = 0; zone < core->zone_count; zone++)
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -1,32 +1,38 @@
-/* Room held for a gang. Small jobs take each piece of room as it is given back, so that a gang,
- * which needs room for all its tasks at once, might never find it. So the one that has waited
- * longest for longer than RESERVE_AFTER_S gets the machines on which room for all of it is expected
- * soonest: work of its priority or a lower one, replicas apart, gets nothing new there until it is
- * placed; in its team only what leaves it its part of the team's limit. That lasts for
- * MAX_RESERVATION_S at most, and then as long pauses, so that others don't wait without end either.
- * Nothing is held where the running tasks are not expected to end in that time.
- */
+/* Reserves machines for a gang. Small jobs take each piece of room as it is given back, so that a
+ * gang, which needs room for all its tasks at once, might never find it. So of the gangs that have
+ * waited for longer than RESERVE_AFTER_S the one that was submitted first gets the machines on
+ * which room for all its tasks is expected soonest. Until it is placed, work of its priority or a
+ * lower one gets nothing new on those machines, replicas apart, and in its team only what leaves
+ * the gang its part of the team's limit.
+ *
+ * A reservation lasts for MAX_RESERVATION_S at most, followed by a pause as long, so that others
+ * don't wait without end either. Nothing is reserved if the running tasks are not expected to end
+ * in that time. The reservation is decided anew as each pass begins; machine->reserved_for_gang and
+ * core->reserving_gang are valid for that pass only. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 #define RESERVE_AFTER_S (TW_MAX_START_DELAY_S / 8)
 #define MAX_RESERVATION_S (TW_MAX_START_DELAY_S / 4)
 
+/* Room for tasks of the gang that a machine is expected to have. */
 typedef struct {
     tw_machine *machine;
-    int task_count;      /* of the gang that it will hold */
-    double available_at; /* when */
+    int task_count;      /* tasks that it will have room for */
+    double available_at; /* when the last of the running tasks that make this room has ended */
 } expected_room;
 
-/* Whether the gang has waited for so long, and does not pause after it held room in vain. */
+/* Whether the job is a gang that has waited for long enough, and is not in the pause after a
+ * reservation that was in vain. */
 static bool may_reserve(const tw_core *core, const tw_job *job) {
     if (!job->has_spec || !job->spec.gang || !tw_job_is_pending(core, job) || job->placed_count)
         return false;
-    const double waited_s =
+    const double eligible_s =
         core->context.now - fmax(job->submitted_at, job->pending_since) - RESERVE_AFTER_S;
-    return waited_s >= 0 && fmod(waited_s, 2 * MAX_RESERVATION_S) < MAX_RESERVATION_S;
+    return eligible_s >= 0 && fmod(eligible_s, 2 * MAX_RESERVATION_S) < MAX_RESERVATION_S;
 }
 
+/* The gang that may reserve machines and was submitted first. NULL: there is none. */
 static tw_job *find_longest_waiting_gang(tw_core *core) {
     tw_job *best = NULL;
     tw_job *job;
@@ -36,17 +42,18 @@
     return best;
 }
 
-/* When a task is expected to end; INFINITY: a replica's. */
+/* When a task is expected to end. INFINITY: a replica, which doesn't end by itself. */
 static double expected_task_end(const tw_core *core, const tw_placement *placed) {
     if (placed->stopping) return core->context.now;
     if (placed->job->spec.service || !placed->job->has_spec) return INFINITY;
     const double run_s =
         tw_job_run_estimate_s(placed->job) * tw_machine_slowness(core, placed->machine);
-    return fmax(core->context.now,
-                (placed->running_since > 0 ? placed->running_since : core->context.now) + run_s);
+    const double starts_at = placed->running_since > 0 ? placed->running_since : core->context.now;
+    return fmax(core->context.now, starts_at + run_s);
 }
 
-/* How many tasks of the gang a machine should hold soon, and when. */
+/* How many tasks of the gang the machine is expected to have room for within MAX_RESERVATION_S, and
+ * when. */
 static expected_room expected_room_on(const tw_core *core, const tw_job *job, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const double horizon = core->context.now + MAX_RESERVATION_S;
@@ -70,9 +77,10 @@
     return result;
 }
 
-static int compare_by_time(const void *one, const void *other) {
-    const expected_room *a = one;
-    const expected_room *b = other;
+/* For qsort: the room that is available first, then by the machine's name. */
+static int compare_by_time(const void *left, const void *right) {
+    const expected_room *a = left;
+    const expected_room *b = right;
     if (a->available_at != b->available_at) return a->available_at < b->available_at ? -1 : 1;
     return strcmp(a->machine->name, b->machine->name);
 }
@@ -132,13 +140,15 @@
     return job->spec.priority > gang->spec.priority;
 }
 
-/* What is left of a limit after so many tasks; 0 as a limit: there is none. */
+/* Whether a team's limit leaves the reserved amount beside what is used and wanted. A limit of 0 or
+ * less: there is none. */
 static bool limit_leaves_room(double limit, double used, double wanted, double reserved) {
     return limit <= 0 || used + wanted + reserved <= limit + TW_CAPACITY_ROUNDING;
 }
 
 bool tw_gang_reservation_allows_team(const tw_core *core, const tw_job *job) {
     const struct tw_job *gang = core->reserving_gang;
+    /* Only work that the reservation holds back, and that shares the gang's limit, is limited. */
     if (!gang || gang == job || job->spec.service || job->team != gang->team ||
         job->spec.priority > gang->spec.priority || job->team < 0)
         return true;
--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -1,21 +1,25 @@
-/* Where a gang has room for all its tasks. Sums over the machines of a zone, so that a gang that
- * doesn't fit is not placed task by task and taken back in each pass. */
+/* In which zones a gang has room for all its tasks. The free room is summed up over the machines of
+ * each zone first, so that a gang that doesn't fit is not placed task by task and undone again in
+ * each pass. The sums may promise more than placing finds. Called by placement_pass.c. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 /* How many tasks a zone has room for. */
 typedef struct {
-    int free_count;       /* without stopping anything */
-    int preempting_count; /* if work of lower rank is stopped */
+    int free_count;       /* in free room */
+    int preempting_count; /* if tasks of lower priority are stopped */
 } zone_task_counts;
 
-typedef zone_task_counts zone_table[TW_MAX_ZONES + 1]; /* the last one: machines of no known zone */
+/* By zone index; the last one is for machines whose zone has no index. */
+typedef zone_task_counts zone_table[TW_MAX_ZONES + 1];
 
+/* How many of the job's tasks fit into the room, from 0 to limit. */
 static int count_tasks_in_room(const tw_capacity *room, const tw_wire_job *spec, int limit) {
     const double count = fmin(limit, tw_capacity_task_count(room, spec));
     return count > 0 ? (int)count : 0;
 }
 
+/* How many tasks of the gang fit into the machine's free room, at most limit. */
 static int count_free_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                             int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
@@ -26,14 +30,16 @@
     return count;
 }
 
-/* Whether stopping others makes room there: GPUs that are given back need their cores again. */
+/* Whether stopping other tasks may make room for the job on the machine. On a machine with GPUs it
+ * makes none for tasks without: the GPUs that are given back need their cores again. */
 static bool preemption_makes_room(const tw_core *core, const tw_machine *machine,
                                   const tw_job *job) {
     return job->spec.gpus > 0 || job->any_machine ||
            core->machine_types[machine->type_index].listed.gpus <= 0;
 }
 
-/* Room of tasks that are told to stop is promised to others already. */
+/* How many tasks of the gang fit onto the machine if all tasks that may be stopped for it are, at
+ * most limit. The room of tasks that were told to stop before is promised to others already. */
 static int count_preempting_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                                   int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
@@ -50,6 +56,7 @@
     return count_tasks_in_room(&room, &job->spec, limit);
 }
 
+/* Adds the tasks that the machine has room for to its zone's counts. */
 static void add_machine_to_zone(tw_core *core, const tw_demand *demand, const tw_machine *machine,
                                 int tasks, zone_task_counts *zone) {
     const tw_job *job = demand->job;
@@ -64,13 +71,15 @@
                                   : free_count;
 }
 
-/* How many tasks of a job that spreads over zones may stand in one; else there is no such limit. */
+/* How many tasks of the job may be in one zone: half of them, rounded up, if it spreads over zones.
+ */
 static int max_tasks_in_zone(const tw_job *job) {
     return job->spec.spread ? (job->task_count + 1) / 2 : job->task_count;
 }
 
+/* The zones, as bits, that have room for so many tasks. */
 static uint32_t zones_with_room(const tw_core *core, const zone_table counts, int tasks,
-                                int with_preemption) {
+                                bool with_preemption) {
     uint32_t zones = 0;
     for (int zone = 0; zone < core->zone_count; zone++)
         if ((with_preemption ? counts[zone].preempting_count : counts[zone].free_count) >= tasks)
@@ -78,9 +87,10 @@
     return zones;
 }
 
-/* Machines of no known zone count towards each: one of them may fill a zone. */
+/* How many tasks all zones together have room for, where no zone takes more than it may. The
+ * machines without a zone index count as one more zone. */
 static int count_tasks_in_all_zones(const tw_core *core, const tw_job *job, const zone_table counts,
-                                    int with_preemption) {
+                                    bool with_preemption) {
     const int limit = max_tasks_in_zone(job);
     int total = 0;
     for (int zone = 0; zone <= TW_MAX_ZONES; zone++) {
@@ -100,7 +110,8 @@
         add_machine_to_zone(core, &demand, machine, tasks, &counts[zone]);
     }
     const bool may_preempt = job->spec.priority > TW_PRIORITY_IDLE;
-    for (int with_preemption = 0; with_preemption <= may_preempt; with_preemption++) {
+    for (int step = 0; step <= may_preempt; step++) {
+        const bool with_preemption = step > 0;
         const uint32_t zones = zones_with_room(core, counts, tasks, with_preemption);
         if (job->spec.single_zone && zones) return zones;
         if (!job->spec.single_zone &&
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -1,13 +1,17 @@
-/* Who is served next: by priority; then work within its team's guarantee; then the teams in turn,
- * the one with the least in use for its share first; within a team the earliest deadline first.
+/* The order in which pending jobs are served: by priority; then work within its team's guarantee;
+ * then the teams in turn, the one with the least in use for its share first; within a team the
+ * earliest deadline first.
  *
- * Where more waits than there is room for, that order alone may keep a job waiting without end:
- * behind deadlines that are earlier each time, behind teams whose services take less, behind the
- * many tasks of arrays that have begun. So of the room that a priority is given at most every
- * second placement goes to the job that has waited longest for its first task, whosever turn it is.
+ * Where more work waits than there is room for, that order alone may keep a job waiting without
+ * end: behind deadlines that are earlier each time, behind teams whose services take less, behind
+ * the many tasks of arrays that have begun. So within each priority at most every second placement
+ * goes to an overdue job: the one that has waited longest for its first task, whichever team's turn
+ * it is (core->overdue_credit).
  *
  * A group is the jobs of one level and one team. Levels: first the highest priority's jobs within
- * their team's guarantee, then the highest priority's other jobs, then the next priority's. */
+ * their team's guarantee, then the highest priority's other jobs, then the next priority's.
+ *
+ * Used by the scheduler for each pass and by the autoscaler for each plan. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
@@ -15,8 +19,8 @@
 #define LEVEL_COUNT (2 * PRIORITY_COUNT) /* within the guarantee or not, of each priority */
 #define OVERDUE_AFTER_S                                                                            \
     (0.5 * TW_MAX_START_DELAY_S) /* a job that waits longer for its first task is overdue */
-#define GPU_WEIGHT_IN_CORES 16   /* what a GPU counts in a team's use */
-#define OVERDUE_JOB_SERVED (-1)  /* instead of a group: an overdue job was served last */
+#define GPU_WEIGHT_IN_CORES 16   /* cores that a GPU counts for in a team's use */
+#define OVERDUE_JOB_SERVED (-1)  /* as last_group: an overdue job was served last */
 
 /* The jobs of a group or a priority that are still to be served, as a range of an array. */
 typedef struct {
@@ -33,6 +37,7 @@
     job_range overdue_by_priority[PRIORITY_COUNT]; /* in overdue, by priority */
 };
 
+/* Whether all jobs of the range have been served. */
 static bool range_is_empty(job_range jobs) { return jobs.start >= jobs.end; }
 
 /* The level of jobs of this priority that are within their team's guarantee or not. */
@@ -40,6 +45,7 @@
     return (TW_PRIORITY_PROD - (int)priority) * 2 + !guaranteed;
 }
 
+/* The priority of the level's jobs. */
 static tw_wire_priority priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
 bool tw_job_is_pending(const tw_core *core, const tw_job *job) {
@@ -50,6 +56,7 @@
 
 /* ---- which jobs are within their team's guarantee ---- */
 
+/* For qsort: by team, then by the time of submission. */
 static int compare_by_submission(const void *left, const void *right) {
     const tw_job *a = *(tw_job *const *)left, *b = *(tw_job *const *)right;
     if (a->team != b->team) return a->team < b->team ? -1 : 1;
@@ -57,11 +64,13 @@
     return 0;
 }
 
+/* Whether both jobs are of one team and were submitted at the same moment. */
 static bool submitted_together(const tw_job *a, const tw_job *b) {
     return a->team == b->team && a->submitted_at == b->submitted_at;
 }
 
-/* The unfinished jobs of teams that have a guarantee; none of the others is guaranteed. */
+/* Lists the unfinished jobs of teams that have a guarantee, and clears the mark of all jobs.
+ * Returns their number. */
 static int list_jobs_of_guaranteed_teams(const tw_core *core, tw_job **jobs) {
     int count = 0;
     tw_job *job;
@@ -75,7 +84,7 @@
 }
 
 /* Marks the jobs that fit into their team's guarantee together with the team's earlier ones, in the
- * order of their submission. Those of the same moment count for each other. */
+ * order of their submission. Jobs of the same moment are marked together or not at all. */
 static void mark_guaranteed(const tw_core *core, tw_job **jobs, int count) {
     double cpus = 0, gpus = 0;
     for (int from = 0, to; from < count; from = to) {
@@ -94,6 +103,7 @@
     }
 }
 
+/* Works out job->guaranteed for all active jobs. */
 static void update_guaranteed_jobs(tw_core *core) {
     int capacity = 0;
     const tw_job *job;
@@ -113,6 +123,7 @@
     double deadline_at;
 } grouped_job;
 
+/* For qsort: by group, then the earliest deadline, then by id. */
 static int compare_by_group(const void *left, const void *right) {
     const grouped_job *a = left, *b = right;
     if (a->group != b->group) return a->group < b->group ? -1 : 1;
@@ -120,6 +131,8 @@
     return strcmp(a->job->id, b->job->id);
 }
 
+/* Fills queue->jobs with the pending jobs, at most capacity, and sets each group's range of them.
+ */
 static void group_jobs(const tw_core *core, tw_job_queue *queue, int capacity) {
     grouped_job *sorted = tw_alloc((size_t)capacity * sizeof *sorted);
     tw_job *job;
@@ -146,6 +159,7 @@
     double weighed_wait;
 } waiting_job;
 
+/* For qsort: by priority, then the longest weighed wait, then by id. */
 static int compare_by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
     if (a->job->spec.priority != b->job->spec.priority)
@@ -154,18 +168,21 @@
     return strcmp(a->job->id, b->job->id);
 }
 
-/* More waits with a larger job: its time weighs more, by the root of its work. */
+/* How long the job has waited, times the square root of its work: more is lost while a larger job
+ * waits. */
 static double weighed_wait(const tw_core *core, const tw_job *job) {
     const double work =
         job->task_count * fmax(job->spec.expected_run_s, core->context.config->lease_s);
     return (core->context.now - job->submitted_at) * sqrt(work);
 }
 
+/* Whether the job has waited too long for its first task. */
 static bool is_overdue(const tw_core *core, const tw_job *job) {
     if (job->has_run || job->placed_count || job->done_count) return false;
     return core->context.now - job->submitted_at > OVERDUE_AFTER_S;
 }
 
+/* Fills queue->overdue and each priority's range of it. */
 static void list_overdue_jobs(const tw_core *core, tw_job_queue *queue) {
     int count = 0;
     waiting_job *sorted = tw_alloc((size_t)queue->count * sizeof *sorted);
@@ -201,7 +218,8 @@
     return queue;
 }
 
-/* The next overdue job of a priority that may have room now; NULL: none. */
+/* Removes and returns the next overdue job of a priority. NULL: there is none, or the next
+ * placement belongs to the teams' turns. */
 static tw_job *take_overdue_job(const tw_core *core, tw_job_queue *queue,
                                 tw_wire_priority priority) {
     job_range *left = &queue->overdue_by_priority[priority];
@@ -210,7 +228,8 @@
     return queue->overdue[left->start++];
 }
 
-/* The group of a level whose team has the least in use for its share; -1: none of it waits. */
+/* The group of a level whose team has the least in use for its share. -1: no job of the level
+ * waits. */
 static int find_group_to_serve(const tw_core *core, const tw_job_queue *queue, int level) {
     int best = -1;
     double least = INFINITY;
@@ -230,7 +249,7 @@
 
 tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *queue) {
     for (int level = 0; level < LEVEL_COUNT; level++) {
-        /* Before the first level of each priority. */
+        /* Overdue jobs come before both levels of their priority. */
         tw_job *overdue = level % 2 ? NULL : take_overdue_job(core, queue, priority_of(level));
         if (overdue) return overdue;
         const int group = find_group_to_serve(core, queue, level);
--- a/src/core/machine_choice.c
+++ b/src/core/machine_choice.c
@@ -1,9 +1,11 @@
-/* Which machine a task takes: of those with room that meet the deadline the one it prefers, else
- * the one with the least overshoot (GoodServe, section 3.4). */
+/* Which machine with free room a task takes: of those on which it is expected to meet its deadline
+ * the one with most points (preference.c); if there is none, the one with the smallest T, where it
+ * is least late (GoodServe, section 3.4). Called by placement_pass.c for each task. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-/* Takes the machine instead of the one chosen so far, if it is better. */
+/* Replaces the machine chosen so far by the score's, if that one is better and its room is not kept
+ * for others. */
 static void update_choice(const tw_core *core, const tw_demand *demand, const tw_score *score,
                           tw_choice *choice) {
     tw_machine *machine = core->candidates[score->candidate].machine;
@@ -14,7 +16,7 @@
         (meets_deadline == choice->meets_deadline && points <= choice->points))
         return;
     if (!tw_reserve_allows(core, machine, demand->job)) {
-        choice->room_is_reserved = 1;
+        choice->room_is_reserved = true;
         return;
     }
     choice->machine = machine;
@@ -23,7 +25,8 @@
     choice->points = points;
 }
 
-/* Scores the whole fleet for a kind of task that was not yet looked at in this pass. */
+/* Scores all candidates for a kind of task that this pass has not scored yet, and chooses among
+ * them. */
 static void choose_among_unscored(tw_core *core, const tw_demand *demand, tw_choice *choice) {
     tw_score_table *table = tw_scores_begin(core, demand);
     for (int i = 0; i < core->candidate_count; i++) {
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -1,11 +1,17 @@
-/* Passes over the jobs that wait: each task is placed on the machine that suits it best, or on one
- * where work of lower rank is stopped for it. */
+/* Passes over the queue: each task that waits is placed on the machine that suits it best, or, if
+ * no machine has free room, on one where tasks of lower priority are stopped for it. A pass is run
+ * when something has changed (core->scheduling_due), and at once for a job of the highest priority.
+ *
+ * Invariants: a task is placed only within its team's limit; a gang is placed whole or not at all;
+ * what a pass knows (candidates, scores, placement failures) is forgotten when room is given back
+ * within it, since it holds only while room gets less. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define MAX_TASKS_PER_PASS 300 /* tasks; the rest in the next pass */
-#define PASS_INTERVAL_S 0.1
+#define MAX_TASKS_PER_PASS 300 /* the rest is left to the next pass */
+#define PASS_INTERVAL_S 0.1    /* between the starts of two passes, at least */
 
+/* The index of the job's next task that is not placed. -1: there is none. */
 static int find_next_unplaced(tw_job *job) {
     while (job->first_unplaced < job->task_count &&
            job->task_states[job->first_unplaced] != TW_ASSIGNMENT_NONE)
@@ -28,8 +34,24 @@
                  job->spec.image);
 }
 
-/* Places one task on the best machine of the zones given, as bits. 0: no room, or not for its
- * team. */
+/* Chooses a machine for the demand's task, or stops other tasks to make room on one. *choice is
+ * where it goes, with no machine if there is no room for it. */
+static void find_machine(tw_core *core, const tw_demand *demand, tw_choice *choice) {
+    const tw_job *job = demand->job;
+    *choice = tw_scheduler_choose(core, demand);
+    if (choice->machine)
+        core->candidates[choice->candidate].changes++; /* harmless if no task is placed there */
+    else
+        choice->machine = tw_scheduler_preempt(core, demand, false, &choice->room_is_reserved);
+    if (!choice->machine || choice->meets_deadline) return;
+    if (!job->spec.service || job->spec.priority != TW_PRIORITY_PROD) return;
+    /* The service would miss its start objective there: it is better to stop a batch task. */
+    tw_machine *other = tw_scheduler_preempt(core, demand, true, &choice->room_is_reserved);
+    if (other) choice->machine = other;
+}
+
+/* Places one task in one of the zones, given as bits. Returns whether it was placed: there may be
+ * no room, or its team may be at its limit. */
 static bool place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t zones) {
     if (!tw_quota_allows_tasks(core, job, 1) || !tw_gang_reservation_allows_team(core, job))
         return false;
@@ -37,19 +59,11 @@
     demand.zone_mask &= zones;
     const tw_placement_failure kind = tw_placement_failure_of(&demand);
     if (tw_placement_failures_has(core, &kind)) return false;
-    tw_choice choice = tw_scheduler_choose(core, &demand);
-    if (choice.machine)
-        core->candidates[choice.candidate].changes++; /* or none is placed there, to no harm */
-    else
-        choice.machine = tw_scheduler_preempt(core, &demand, false, &choice.room_is_reserved);
-    if (choice.machine && !choice.meets_deadline && job->spec.service &&
-        job->spec.priority == TW_PRIORITY_PROD) {
-        /* Its start objective would be missed there: rather at a batch task's cost. */
-        tw_machine *other = tw_scheduler_preempt(core, &demand, true, &choice.room_is_reserved);
-        if (other) choice.machine = other;
-    }
+    tw_choice choice;
+    find_machine(core, &demand, &choice);
     if (!choice.machine) {
-        /* Not because of what is its own alone, or of holes, which come and go. */
+        /* The failure says nothing about other tasks of this kind if it comes from machines that
+         * only this job passes over, or from reserved room, which comes and goes. */
         if (!choice.room_is_reserved && !job->failed_machine_count)
             tw_placement_failures_add(core, &kind);
         return false;
@@ -62,7 +76,8 @@
     return true;
 }
 
-/* Places up to limit tasks, each under an attempt of its own, or all under the one given. */
+/* Places up to limit tasks of the job in the zones, given as bits. Each task gets an attempt of its
+ * own, or all get common_attempt if it isn't 0. Returns how many were placed. */
 static int place_tasks(tw_core *core, tw_job *job, int limit, uint64_t common_attempt,
                        uint32_t zones) {
     const int max_running = tw_record_max_running(core, job);
@@ -77,7 +92,7 @@
     return placed;
 }
 
-/* Undoes what was placed of a gang since its record last changed. */
+/* Undoes the placements that are newer than the gang's record, and the attempts that they used. */
 static void undo_placements(tw_core *core, tw_job *job, uint64_t next_attempt) {
     tw_placement *placed;
     tw_placement *next;
@@ -90,9 +105,17 @@
     tw_scores_forget(core);
 }
 
-/* Places a gang whole or not at all, or all that is missing of one that has not started. One that
- * must stand in one zone goes where its first task fits best, among the zones with room for all of
- * it. */
+/* The zone to which the first of the newest placements of the gang went. -1: there is no such
+ * placement, or its machine's zone has no number. */
+static int zone_of_first_placement(const tw_job *job) {
+    const tw_placement *first = job->placements;
+    while (first && first->version <= job->version) first = first->job_next;
+    return first ? first->machine->zone_index : -1;
+}
+
+/* Places a whole gang, or all that is missing of a gang that has not started, or nothing. A gang
+ * that must stand in a single zone goes where its first task fits best, among the zones that have
+ * room for all of it. Returns the number of tasks placed. */
 static int place_gang(tw_core *core, tw_job *job) {
     const int count = job->task_count - job->done_count - job->placed_count;
     const uint64_t next_attempt = job->next_attempt;
@@ -104,10 +127,9 @@
             tw_gang_placed(core, job);
             return count;
         }
-        /* Less room than the amounts had it: perhaps another zone. */
-        const tw_placement *first = job->placements;
-        while (first && first->version <= job->version) first = first->job_next;
-        const int zone = first ? first->machine->zone_index : -1;
+        /* The zone has less room than the sums of free amounts said: another one may have enough.
+         */
+        const int zone = zone_of_first_placement(job);
         undo_placements(core, job, next_attempt);
         if (!job->spec.single_zone || zone < 0) return 0;
         zones &= ~(1U << zone);
@@ -115,7 +137,8 @@
     return 0;
 }
 
-/* Places what it can of a job; the number of tasks placed. */
+/* Places what it can of a job, up to limit tasks or a whole gang. Returns the number of tasks
+ * placed. */
 static int place_job(tw_core *core, tw_job *job, int limit) {
     const int count =
         job->spec.gang ? place_gang(core, job) : place_tasks(core, job, limit, 0, UINT32_MAX);
@@ -128,6 +151,7 @@
     return count;
 }
 
+/* Forgets the pass before and works out what holds for all of this one. */
 static void begin_pass(tw_core *core) {
     tw_candidates_begin(core);
     tw_gang_reservation_update(core);
@@ -155,10 +179,10 @@
     bool pass_begun = false;
     tw_job *job;
     while (remaining > 0 && (job = tw_job_queue_next(core, queue))) {
-        if (!pass_begun)
-            begin_pass(core); /* mostly nothing waits: then the fleet isn't looked at */
+        /* Mostly no job waits, and then the fleet need not be looked at. */
+        if (!pass_begun) begin_pass(core);
         pass_begun = true;
-        /* A task a turn while others wait. */
+        /* While others compete, a job gets one task in its turn. */
         const int limit = tw_job_queue_is_contended(queue) ? 1 : remaining;
         const int count = place_job(core, job, limit);
         remaining -= count;
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -1,13 +1,22 @@
-/* Room made by stopping work of lower rank, where that loses least. */
+/* Makes room for a task by stopping tasks of lower priority on one machine, where that loses least.
+ *
+ * The cost of stopping a task is what it has run and not saved, in task seconds; for a task of a
+ * gang that of all its tasks, which stop with it. To it come fixed costs for its priority, for a
+ * deadline that it would then miss, and for a machine on which the new task is late all the same.
+ *
+ * Invariant: tasks are marked (VICTIM_MARK) only while one machine is looked at, so no mark is left
+ * when tw_scheduler_preempt returns. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define SUM_TOLERANCE 1e-3           /* sums over many tasks may */
-#define COST_PER_PRIORITY_S 10       /* task seconds, for each step */
-#define COST_OF_MISSED_DEADLINE_S 60 /* where the deadline is missed all the same */
-#define RESTART_RUN_FACTOR 1.3       /* of the estimate, to be done in time if started over */
-#define VICTIM_MARK UINT64_MAX       /* mark of a task that would be stopped */
+#define SUM_TOLERANCE 1e-3           /* sums over many tasks may be off by less */
+#define COST_PER_PRIORITY_S 10       /* for each step of the stopped task's priority */
+#define COST_OF_MISSED_DEADLINE_S 60 /* where the new task misses its deadline anyway */
+#define RESTART_RUN_FACTOR 1.3       /* of its estimate, that a stopped task needs to start over */
+#define VICTIM_MARK UINT64_MAX       /* a task that would be stopped */
 
+/* What is free on the machine and not promised to others, to whom the room of tasks that were told
+ * to stop is promised. */
 static tw_capacity free_capacity(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_capacity){type->cores - machine->used_cores + machine->vacating_cores,
@@ -20,7 +29,8 @@
            room->memory_gb + tolerance >= spec->memory_gb;
 }
 
-/* A gang that can't be told as a whole would lose what it has done: it is left alone until then. */
+/* Whether stopping the task loses the work of a running gang: where not all its tasks can be told
+ * to save it, the gang is left alone until they can. */
 static bool would_lose_gang(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
@@ -35,22 +45,21 @@
            placed->job->spec.priority < job->spec.priority && !would_lose_gang(core, placed);
 }
 
-/* Run time of a task that is lost when it is stopped. */
+/* The run time, in seconds, that a task loses when it is stopped. */
 static double unsaved_run_s(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
-    const double lost_s = placed->running_since > 0 ? core->context.now - placed->running_since : 0;
-    if (job->spec.checkpoint_s <= 0) return lost_s;
-    /* A gang that can't be told at once falls back to its last checkpoint. */
-    if (job->spec.gang && !tw_gang_can_save(core, job)) return fmin(lost_s, job->spec.checkpoint_s);
-    return fmin(lost_s, job->spec.save_s);
+    const double ran_s = placed->running_since > 0 ? core->context.now - placed->running_since : 0;
+    if (job->spec.checkpoint_s <= 0) return ran_s;
+    /* A gang that can't be told to save as a whole falls back to its last checkpoint. */
+    if (job->spec.gang && !tw_gang_can_save(core, job)) return fmin(ran_s, job->spec.checkpoint_s);
+    return fmin(ran_s, job->spec.save_s);
 }
 
-/* Work lost when it is stopped, in task seconds. One task of a gang takes all the others with it.
- */
+/* What stopping the task costs, in task seconds. A gang's other tasks stop with it. */
 static double preemption_cost_s(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     double lost_s = unsaved_run_s(core, placed) * (job->spec.gang ? job->placed_count : 1);
-    /* Rather one that can start over and still make its deadline. */
+    /* It is better to stop a task that can start over and still meet its deadline. */
     const double estimate_s = tw_job_run_estimate_s(job);
     const double deadline_at = tw_job_deadline(core, job);
     if (isfinite(deadline_at) && core->context.now + RESTART_RUN_FACTOR * estimate_s > deadline_at)
@@ -58,7 +67,8 @@
     return lost_s + 1 + job->spec.priority * COST_PER_PRIORITY_S;
 }
 
-/* Whether it may be enough at all, from sums alone. */
+/* Whether stopping all tasks of lower priority could make enough room, judged by the machine's sums
+ * alone: this rules out most machines cheaply. */
 static bool could_make_room(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     tw_capacity room = free_capacity(core, machine);
     for (tw_wire_priority lower = TW_PRIORITY_IDLE; lower < job->spec.priority; lower++) {
@@ -69,7 +79,8 @@
     return capacity_fits_task(&room, &job->spec, SUM_TOLERANCE);
 }
 
-/* Whether a task of the same gang is chosen on the machine: this one costs nothing more. */
+/* Whether another task of the same gang is a victim on the machine already: this one stops with it
+ * and costs nothing more. */
 static bool gang_is_victim(const tw_machine *machine, const tw_placement *placed) {
     const tw_placement *other;
     if (!placed->job->spec.gang) return false;
@@ -79,7 +90,9 @@
     return false;
 }
 
-/* The one that costs least of those not chosen yet; NULL: none is left. */
+/* The task on the machine that costs least to stop, victims apart. NULL: none is left. While GPUs
+ * are missing, tasks without GPUs are not considered for a task with GPUs. *least_cost_s is its
+ * cost. */
 static tw_placement *find_cheapest_victim(const tw_core *core, const tw_machine *machine,
                                           const tw_job *job, const tw_capacity *room,
                                           double *least_cost_s) {
@@ -100,23 +113,27 @@
     return best;
 }
 
+/* Tells the victim to stop for the job. */
 static void stop_victim(tw_core *core, tw_placement *victim, const tw_job *job) {
     const tw_wire_job *spec = &victim->job->spec;
     tw_log_debug("event=task_preempted task=%s/%d for=%s worker=%s", spec->id, victim->index,
                  job->id, victim->machine->name);
-    /* Saving takes flush_s: only where the one that needs the room can wait for it. */
+    /* Saving takes save_s: the victim saves only if the job can wait for it and meet its deadline.
+     */
     const bool saves =
         spec->checkpoint_s > 0 && core->context.now + spec->save_s < tw_job_deadline(core, job);
     tw_placement_stop(core, victim, saves ? spec->save_s : 0, true);
 }
 
-/* What stopping tasks may cost to be worth it: with the penalty less than the least so far. */
+/* Stopping tasks on a machine is worth it if their cost and the machine's penalty come to less than
+ * the least cost so far. */
 typedef struct {
     double penalty_s, least_cost_s;
 } preemption_limit;
 
-/* Marks tasks to be stopped until there is room; without a limit stops them at once. 0: there is
- * not enough, or it costs too much. */
+/* Marks the cheapest tasks as victims until there is room for the job's task; *cost_s is their
+ * cost. limit: gives up where they cost too much; NULL: no limit, and the victims are told to stop.
+ * Returns whether there is room. The caller clears the marks. */
 static bool select_victims(tw_core *core, const tw_job *job, tw_machine *machine,
                            const preemption_limit *limit, double *cost_s) {
     tw_capacity room = free_capacity(core, machine);
@@ -136,6 +153,7 @@
     return true;
 }
 
+/* Clears the marks of all victims on the machine. */
 static void clear_victim_marks(tw_machine *machine) {
     tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
@@ -143,8 +161,16 @@
     }
 }
 
+/* Whether the machine may take the demand's task once there is room for it. */
+static bool machine_is_allowed(const tw_core *core, const tw_demand *demand,
+                               const tw_machine *machine) {
+    return tw_constraints_allow_machine(core, demand->job, machine) &&
+           tw_constraints_allow_machine_zone(core, demand, machine) &&
+           tw_constraints_leave_gpus(core, machine, demand->job, 1);
+}
+
 struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, bool in_time,
-                                        int *room_is_reserved) {
+                                        bool *room_is_reserved) {
     const tw_job *job = demand->job;
     double least_cost_s = INFINITY;
     double cost_s;
@@ -153,13 +179,10 @@
     for (int i = 0; i < core->candidate_count; i++) {
         tw_machine *machine = core->candidates[i].machine;
         core->pass_steps++;
-        if (!could_make_room(core, machine, job) ||
-            !tw_constraints_allow_machine(core, job, machine) ||
-            !tw_constraints_allow_machine_zone(core, demand, machine) ||
-            !tw_constraints_leave_gpus(core, machine, job, 1))
-            continue;
+        if (!could_make_room(core, machine, job)) continue;
+        if (!machine_is_allowed(core, demand, machine)) continue;
         if (!tw_reserve_allows(core, machine, job)) {
-            *room_is_reserved = 1;
+            *room_is_reserved = true;
             continue;
         }
         const tw_prediction prediction = tw_predict(core, demand, machine);
@@ -175,7 +198,7 @@
     if (!best) return NULL;
     select_victims(core, job, best, NULL, &cost_s);
     clear_victim_marks(best);
-    /* More may have been stopped than it needs. */
+    /* More room may have been made than the task needs, which is of use to others. */
     tw_placement_failures_forget(core);
     tw_scores_forget(core);
     return best;
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -1,14 +1,17 @@
-/* The periodic recheck of GoodServe: a task that will miss its deadline is stopped, and starts
- * again where a full rerun makes it. */
+/* The periodic recheck of GoodServe: a running batch task that is expected to miss its deadline is
+ * stopped if a full rerun on another machine is expected to make it. The next pass then places it
+ * there. Gangs and services are left alone, and at most MAX_RERUNS tasks are stopped in a recheck.
+ */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define MAX_RERUNS 4            /* in a recheck */
-#define MIN_REMAINING_SHARE 0.1 /* of its run time: a task that is past its estimate ends soon */
-#define MIN_SPEEDUP 1.3         /* the other machine, for a rerun to be worth it */
+#define MAX_RERUNS 4            /* tasks stopped in a recheck */
+#define MIN_REMAINING_SHARE 0.1 /* of its run time: left for a task that is past its estimate */
+#define MIN_SPEEDUP 1.3         /* by which the other machine must be faster for a rerun */
 #define INITIAL_CAPACITY 16
 
-/* When a task will end if it misses its deadline, else 0. */
+/* When a running task is expected to end, if that is after its deadline. 0: it meets its deadline,
+ * or has none. *slowness is the larger of the machine's slowness and what the run so far shows. */
 static double expected_late_end(const tw_core *core, const tw_placement *placed, double *slowness) {
     const tw_job *job = placed->job;
     const double estimate_s = tw_job_run_estimate_s(job);
@@ -21,7 +24,7 @@
     return end_at <= deadline_at ? 0 : end_at;
 }
 
-/* Where a full rerun of one of a job's tasks would make the deadline. */
+/* A machine on which a full rerun of one of a job's tasks meets the deadline, and T there. */
 typedef struct {
     tw_machine *machine;
     double total_s;
@@ -32,12 +35,15 @@
     int count, capacity;
 } rerun_targets;
 
+/* Adds a machine to the targets. */
 static void add_target(rerun_targets *targets, tw_machine *machine, double total_s) {
     targets->items = tw_grow(targets->items, targets->count, &targets->capacity, INITIAL_CAPACITY,
                              sizeof *targets->items);
     targets->items[targets->count++] = (rerun_target){machine, total_s};
 }
 
+/* All machines on which a full rerun of one of the job's tasks meets the deadline. The caller frees
+ * the items. */
 static rerun_targets find_rerun_targets(tw_core *core, tw_job *job) {
     const tw_demand demand = tw_demand_of(core, job);
     rerun_targets targets = {0};
@@ -58,7 +64,8 @@
     return targets;
 }
 
-/* Stops a late task if it would be in time elsewhere. 0: it would not. */
+/* Stops a late task if a rerun on one of the targets ends earlier, on a machine that is clearly
+ * faster. Returns whether it was stopped. */
 static bool stop_for_rerun(tw_core *core, tw_placement *placed, double end_at, double slowness,
                            const rerun_targets *targets) {
     const tw_job *job = placed->job;
@@ -76,10 +83,10 @@
     return false;
 }
 
-/* The number of the job's tasks that were stopped, at most `most`. */
+/* Stops late tasks of the job, at most limit. Returns how many were stopped. */
 static int recheck_job(tw_core *core, tw_job *job, int limit) {
     rerun_targets targets = {0};
-    bool targets_known = false; /* once a job, and only if some task of it is late */
+    bool targets_known = false; /* found once for a job, when its first late task is met */
     int stopped = 0;
     tw_placement *placed;
     tw_placement *next;
@@ -110,5 +117,5 @@
         left -= recheck_job(core, job, left);
         if (left <= 0) break;
     }
-    core->scheduling_due = true; /* waits may have ended, too */
+    core->scheduling_due = true; /* some job's retry_at may have come, too */
 }
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -1,22 +1,26 @@
-/* Room kept for classes that need scarce room. Where nothing more can be rented, many small tasks
- * that stand waiting would take every piece of room that is given back, and a larger one, or one
- * with GPUs, would never find a hole. So a service's task leaves enough holes for the arrivals that
- * are expected of the classes that need more GPUs than it does, until their start objective. */
+/* Room that services leave for classes that need scarcer room. Where nothing more can be rented,
+ * many small tasks that wait would take every piece of room that is given back, and a larger task,
+ * or one with more GPUs, would never find room. So a service's task leaves enough holes for the
+ * arrivals that are expected, until their start objective, of the classes that need more GPUs than
+ * it does. A hole is room for one task of a class's sample on a machine.
+ *
+ * class->reserve is how many holes are to be kept, class->reserve_available how many there are:
+ * both are worked out as a pass begins, and the latter follows each placement of a service. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
 #define CACHED_IMAGE_FACTOR                                                                        \
     3 /* times as many holes, where a task starts in time only beside its image */
-#define ROUND_DOWN_SHARE 0.3 /* of a task: as little is not rounded up */
+#define ROUND_DOWN_SHARE 0.3 /* of a task: a fraction up to this is not rounded up */
 
-/* How many tasks of a shape fit into this room. */
+/* How many tasks of a class's sample fit into this room. */
 static int count_fitting_tasks(const tw_capacity *room, const tw_wire_job *spec) {
     const double count = tw_capacity_task_count(room, spec);
     return count > 0 ? (int)count : 0;
 }
 
-/* What a service of the highest priority may have on a machine: free, or held by work of lower
- * priority. */
+/* What a service of the highest priority may have on the machine: what is free and not promised,
+ * and what tasks of lower priority use. */
 static tw_capacity room_for_service(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     tw_capacity room = {type->cores - machine->used_cores + machine->vacating_cores,
@@ -30,12 +34,14 @@
     return room;
 }
 
+/* Whether holes are kept for the class and may be on the machine. */
 static bool machine_counts_for_class(const tw_job_class *class, const tw_machine *machine) {
     return class->reserve > 0 && (class->sample_type_mask & (1U << machine->type_index)) &&
            (!machine->spot || class->sample.spot);
 }
 
-/* Whether a task can start in time only where its image is cached. */
+/* Whether a task of the class starts in time only where its image is cached: no type of machine
+ * that it may use is expected to fetch the image in time. */
 static bool needs_cached_image(const tw_core *core, const tw_job_class *class) {
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_machine_type *type = &core->machine_types[i];
@@ -48,7 +54,8 @@
     return true;
 }
 
-/* How many holes to leave for a class. */
+/* How many holes to keep for a class: those that its arrivals need until their start objective, and
+ * the square root of that, by batches, for the chance that more arrive. */
 static int holes_to_keep(const tw_core *core, const tw_job_class *class) {
     if (!class->has_sample || !class->sample.service || class->sample.gpus <= 0 ||
         class->start_within_s <= 0)
@@ -56,7 +63,7 @@
     double tasks = class->task_rate * class->start_within_s;
     const double batch_tasks = fmax(1, class->batch_tasks);
     tasks += sqrt(tasks * batch_tasks);
-    /* A hole is of use to few of the class's images. */
+    /* A hole is of use only to the tasks whose image is cached beside it. */
     if (needs_cached_image(core, class)) tasks *= CACHED_IMAGE_FACTOR;
     return (int)ceil(tasks - ROUND_DOWN_SHARE);
 }
@@ -102,7 +109,6 @@
     return true;
 }
 
-/* Before a task of the job is placed on the machine. */
 void tw_reserve_take(tw_core *core, const tw_machine *machine, const tw_job *job) {
     if (!job->spec.service) return;
     for (tw_job_class *class = core->job_classes; class; class = class->hh.next)
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -1,18 +1,21 @@
-/* Estimates of run time and of T = q + p * missing GB + slowness * expected run time, after
- * GoodServe. q, p and slowness are moving averages by machine; until a machine has its own, those
- * of its type stand for them. */
+/* Estimates of run times, and of T = q + p * missing GB + slowness * estimate, after GoodServe
+ * (docs/design.md): the time from placing a task on a machine to its end there. q is the machine's
+ * queue delay, p its fetch time for a GB of an image, slowness its run times against their
+ * estimates; all three are moving averages. Until a machine has its own, those of its type stand
+ * for them. */
 #include "core/scheduler_int.h"
 
-#define MARGIN_DEVIATIONS 2 /* of a fetch, that a service has to spare before its deadline */
+#define MARGIN_DEVIATIONS 2 /* of a fetch, to spare before a service's deadline */
 
-/* When its class's start objective is missed, counted anew after a loss; INFINITY: it has none. */
+/* When the start objective of the job's class is missed, counted anew after the job lost its tasks.
+ * INFINITY: its class has none. */
 static double start_objective_at(const tw_job *job) {
     if (!job->job_class || job->job_class->start_within_s <= 0) return INFINITY;
     return fmax(job->submitted_at, job->pending_since) + job->job_class->start_within_s;
 }
 
-/* A gang has its owner's deadline, else its class's objective for the end; and its start objective,
- * with the run that follows. */
+/* The earlier of two: the owner's deadline or, without one, the class's objective for the end; and
+ * the start objective with the run that follows. INFINITY: none applies. */
 static double gang_deadline(const tw_job *job) {
     double deadline_at = start_objective_at(job) + tw_job_run_estimate_s(job);
     if (job->spec.deadline_s >= 0)
@@ -45,7 +48,8 @@
                                  : machine->slowness;
 }
 
-/* What is still to be fetched of an image, in GB. */
+/* What the machine has still to fetch of the job's image, in GB. image: as the machine has it;
+ * NULL: absent. */
 static double missing_gb(const tw_core *core, const tw_job *job, const tw_machine *machine,
                          const tw_image *image) {
     if (!image) return job->spec.image_gb;
@@ -74,8 +78,8 @@
     return result;
 }
 
-/* A service has no run time to make up in: a fetch that is expected to end just before its start
- * objective is late half of the time. */
+/* The margin is a service's: it has no run time in which to make up for a slow fetch, and a fetch
+ * that is expected to end just before its start objective is late half of the time. */
 double tw_predict_end(const tw_core *core, const tw_demand *demand,
                       const tw_prediction *prediction) {
     const double end = core->context.now + prediction->total_s + prediction->margin_s;
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -1,68 +1,110 @@
-/* What the whole core may ask of placement: passes over the queue, what a job is expected to take,
- * what its team and zone allow; what the modules of placement share among themselves stands in
- * scheduler_int.h. Invariants: a pass counts a task's amounts on its machine as it places the task,
- * so that no two are given the same room; a team's limit holds at every step of a pass. Not for
- * other packages. */
+/* What the whole core may ask of the scheduler: passes over the queue of pending jobs, deadlines
+ * and run time estimates, and the limits of teams and zones. What only the scheduler's own modules
+ * share stands in scheduler_int.h. Not for other packages.
+ *
+ * Invariants: a pass counts a task's amounts on its machine as soon as it places the task, so that
+ * no two tasks are given the same room; a team's limit holds after every single placement.
+ *
+ * All times are seconds of the steady clock (core->context.now); names that end in _at are points
+ * in time, names that end in _s are durations in seconds. */
 #ifndef TW_CORE_SCHEDULER_H
 #define TW_CORE_SCHEDULER_H
 #include "core/job.h"
 #include "core/machine.h"
 #include <stdbool.h>
 
-/* By the protocol, once troubles are over: the largest jobs begin within this, too. */
+/* The protocol requires that, once faults have ended, even the largest jobs start within this. */
 #define TW_MAX_START_DELAY_S 240.0
 
-/* What makes room of use to a task. One of this shape found none. */
-typedef struct tw_placement_failure {
+/* What decides, apart from zones and priorities, which machines can take a task: its amounts and
+ * the machines that its job allows. Tasks of the same shape find the same machines. */
+typedef struct tw_task_shape {
     double cores, gpus, memory_gb;
-    uint32_t type_mask, zone_mask;
+    uint32_t type_mask;     /* machine types that the job may use, as bits */
+    bool spot, any_machine; /* the job may use spot machines; and cores that are kept for GPUs */
+} tw_task_shape;
+
+/* The shape of each of a job's tasks. */
+static inline tw_task_shape tw_task_shape_of(const tw_job *job) {
+    return (tw_task_shape){.cores = job->spec.cores,
+                           .gpus = job->spec.gpus,
+                           .memory_gb = job->spec.memory_gb,
+                           .type_mask = job->type_mask,
+                           .spot = job->spec.spot,
+                           .any_machine = job->any_machine};
+}
+
+/* Whether both shapes are the same. */
+static inline bool tw_task_shapes_are_equal(const tw_task_shape *one, const tw_task_shape *other) {
+    return one->cores == other->cores && one->gpus == other->gpus &&
+           one->memory_gb == other->memory_gb && one->type_mask == other->type_mask &&
+           one->spot == other->spot && one->any_machine == other->any_machine;
+}
+
+/* A kind of task for which this pass has found no room: another one of this kind would find none
+ * either. */
+typedef struct tw_placement_failure {
+    tw_task_shape shape;
+    uint32_t zone_mask; /* zones that the task could have gone to, as bits */
     tw_wire_priority priority;
-    bool spot, service, any_machine, gang;
+    bool service, gang;
 } tw_placement_failure;
 
 /* placement_pass.c */
-/* A pass over the queue. */
+/* Runs a pass over the queue: places pending tasks, at most a few hundred, and sets
+ * core->scheduling_due if some are left for the next pass. */
 void tw_scheduler_run(tw_core *core);
-/* Places a job of the highest priority at once; returns whether all its tasks are placed. */
+/* Places a job of the highest priority at once instead of waiting for the next pass. Returns
+ * whether all its tasks are placed now. A job of a lower priority, or one that isn't pending, is
+ * left to the next pass, which is brought forward. */
 bool tw_scheduler_place_now(tw_core *core, tw_job *job);
 
 /* recheck.c */
-/* Stops tasks that will miss their deadline where a full rerun elsewhere makes it. */
+/* Stops batch tasks that are expected to miss their deadline, where a full rerun on another machine
+ * is expected to make it. */
 void tw_scheduler_recheck(tw_core *core);
 
 /* run_estimate.c */
-double tw_job_deadline(const tw_core *core, const tw_job *job); /* steady time; INFINITY: none */
-double
-tw_job_start_deadline(const tw_job *job); /* of a gang: its start objective; INFINITY: none */
-double tw_job_run_estimate_s(const tw_job *job); /* run time on a machine of slowness 1 */
+/* When the job is late: a batch job has its owner's deadline, a service its class's start
+ * objective, a gang the earliest of those that apply to it. INFINITY: there is none. */
+double tw_job_deadline(const tw_core *core, const tw_job *job);
+/* When a gang misses its class's start objective. INFINITY: there is none, or it is no gang. */
+double tw_job_start_deadline(const tw_job *job);
+/* The run time of one of the job's tasks on a machine of slowness 1, in seconds; 0 for a service,
+ * which runs until it is stopped. */
+double tw_job_run_estimate_s(const tw_job *job);
 
 /* constraints.c */
-/* Whether the job's zone, spread and single zone allow one more task there. */
+/* Whether the job's zone, its spread over zones and its single zone allow one more task in the zone
+ * of this name, beside the tasks that are placed. */
 bool tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone);
-/* Whether the team's limit allows so many more tasks of the job. */
+/* Whether the limit of the job's team allows so many more of the job's tasks to run. */
 bool tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks);
-/* Notes the cores and memory that a GPU's user takes along with it, at the most. */
+/* Works out core->cores_per_gpu and core->memory_gb_per_gpu: the most that a task with GPUs takes
+ * for each GPU, over the samples of all job classes. */
 void tw_gpu_share_update(tw_core *core);
 
-/* job_queue.c: pending jobs, in the order in which they should be served */
+/* job_queue.c */
+/* The pending jobs, in the order in which they should be served. */
 typedef struct tw_job_queue tw_job_queue;
-/* The jobs that are pending now, which have to outlive it. With overdue ones, the jobs that have
- * waited too long for their first task are served between the others. Free it with
- * tw_job_queue_free.
- */
+/* Queues the jobs that are pending now; they have to outlive the queue. with_overdue: jobs that
+ * have waited too long for their first task are served between the others. The caller frees the
+ * queue with tw_job_queue_free. */
 tw_job_queue *tw_job_queue_new(tw_core *core, bool with_overdue);
-/* The next job; NULL: all have been served. */
+/* Removes and returns the next job to serve. NULL: all have been served. */
 tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *queue);
-/* That so many tasks of the job that was served last were placed. */
+/* Notes how many tasks of the job that was served last were placed, 0 included: it decides whether
+ * an overdue job is served next. */
 void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *queue, const tw_job *job,
                               int count);
-/* Puts the last job back at its team's head: it may get more when its team's turn comes again. */
+/* Puts the job that was served last back at the head of its team's jobs, so that it may get more
+ * when it is its team's turn again. Overdue jobs are not put back. */
 void tw_job_queue_requeue(tw_job_queue *queue);
-/* Whether another team waits at the same level as the job served last, or an overdue job of its
- * priority, or the last one was overdue itself. */
+/* Whether others compete with the job that was served last: another team that waits at the same
+ * level, or an overdue job of the same priority. Always true for an overdue job. */
 bool tw_job_queue_is_contended(const tw_job_queue *queue);
 void tw_job_queue_free(tw_job_queue *queue);
-/* Whether a job has tasks that may be placed now. */
+/* Whether the job has tasks that may be placed now. */
 bool tw_job_is_pending(const tw_core *core, const tw_job *job);
 
 #endif
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -1,23 +1,26 @@
-/* What each machine is worth to a kind of task. In a pass many tasks are alike, and each that is
- * placed changes one machine only: so the fleet is scored once for a kind, and of a machine where a
- * task was placed the score is worked out again. Room only gets less meanwhile; where some is given
- * back, all scores are forgotten. */
+/* What each candidate is worth to a kind of task. In a pass many tasks are alike, and each
+ * placement changes one machine only. So the candidates are scored once for a kind of task, and a
+ * score is worked out again only if a task was placed on its machine since.
+ *
+ * Invariants: a table is right as long as room only gets less; whoever gives room back within a
+ * pass calls tw_scores_forget. The tables' memory is used again by later passes, and tw_scores_free
+ * frees it. A candidate that can't take the kind of task is not in its table. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 #define INITIAL_CAPACITY 64
-#define TABLES_MAX 8 /* kinds of tasks at once: the teams are served in turn */
+#define TABLES_MAX 8 /* kinds of tasks at once, since the teams are served in turn */
 
-/* All that a score depends on, but the machine. */
+/* All that a score depends on, apart from the machine. */
 typedef struct {
-    double cores, gpus, memory_gb, image_gb, estimate_s;
-    uint32_t type_mask, image_hash;
+    tw_task_shape shape;
+    double image_gb, estimate_s;
+    uint32_t image_hash; /* compared before the names are */
     char image[TW_WIRE_NAME_SIZE];
     tw_wire_priority priority;
-    bool spot, service, any_machine;
+    bool service;
     const tw_job_class *job_class;
-    const tw_job
-        *exclusive_job; /* a job that passes some machines over shares its scores with none */
+    const tw_job *exclusive_job; /* a job that shares its scores with no other; NULL: any job */
 } task_kind;
 
 struct tw_score_table {
@@ -26,40 +29,37 @@
     int count, capacity;
 };
 
-/* The job, if it has to pass over machines that it failed on, or was on under the same attempt. */
+/* The job itself if it can't share scores with others alike: it passes over machines on which it
+ * has failed or was vacated, or machines are reserved for it. Else NULL. */
 static const tw_job *job_with_own_scores(const tw_core *core, const tw_job *job) {
     return job->failed_machine_count || job->gang.vacated_count || job == core->reserving_gang
                ? job
                : NULL;
 }
 
+/* Whether the demand's task is of this kind. */
 static bool kind_matches(const tw_core *core, const task_kind *known, const tw_demand *demand) {
     const tw_job *job = demand->job;
     const tw_wire_job *spec = &job->spec;
-    if (known->cores != spec->cores || known->gpus != spec->gpus ||
-        known->memory_gb != spec->memory_gb || known->image_gb != spec->image_gb ||
+    const tw_task_shape shape = tw_task_shape_of(job);
+    if (!tw_task_shapes_are_equal(&known->shape, &shape) || known->image_gb != spec->image_gb ||
         known->estimate_s != demand->estimate_s)
         return false;
-    if (known->type_mask != job->type_mask || known->spot != spec->spot ||
-        known->service != spec->service || known->any_machine != job->any_machine ||
-        known->job_class != job->job_class || known->priority != job->spec.priority ||
+    if (known->service != spec->service || known->job_class != job->job_class ||
+        known->priority != job->spec.priority ||
         known->exclusive_job != job_with_own_scores(core, job))
         return false;
     return known->image_hash == job->image_hash && !strcmp(known->image, spec->image);
 }
 
+/* The kind of the demand's task. */
 static task_kind kind_of_demand(const tw_core *core, const tw_demand *demand) {
     const tw_job *job = demand->job;
-    task_kind result = {.cores = job->spec.cores,
-                        .gpus = job->spec.gpus,
-                        .memory_gb = job->spec.memory_gb,
+    task_kind result = {.shape = tw_task_shape_of(job),
                         .image_gb = job->spec.image_gb,
                         .estimate_s = demand->estimate_s,
-                        .type_mask = job->type_mask,
                         .image_hash = job->image_hash,
-                        .spot = job->spec.spot,
                         .service = job->spec.service,
-                        .any_machine = job->any_machine,
                         .priority = job->spec.priority,
                         .job_class = job->job_class,
                         .exclusive_job = job_with_own_scores(core, job)};
@@ -67,7 +67,8 @@
     return result;
 }
 
-/* Works a score out, at first and after a task was placed on its machine. */
+/* Works out a score for the candidate as it is now. end_at, total_s and points are set only where
+ * the task can go there. */
 static void update_score(tw_core *core, const tw_demand *demand, tw_score *score) {
     const tw_candidate *candidate = &core->candidates[score->candidate];
     tw_machine *machine = candidate->machine;
@@ -91,14 +92,15 @@
     tw_score *score = &table->items[table->count];
     *score = (tw_score){.candidate = candidate};
     update_score(core, demand, score);
-    /* What doesn't fit won't in this pass. But once its GPUs are taken, a machine may take a task
-     * without GPUs that it had to refuse before. */
+    /* A machine on which the task doesn't fit won't have room for it later in this pass. But a
+     * machine that keeps cores for its GPUs may take a task without GPUs once they are in use: it
+     * stays. */
     if (!score->fits) return NULL;
     table->count++;
     return score->possible ? score : NULL;
 }
 
-/* Room for a table: one that is not in use, else the one filled longest ago. */
+/* A table to fill: an unused one, else the one that was begun longest ago. */
 static tw_score_table *acquire_table(tw_core *core) {
     if (!core->score_tables) core->score_tables = tw_alloc(TABLES_MAX * sizeof *core->score_tables);
     if (core->score_table_count < TABLES_MAX) return &core->score_tables[core->score_table_count++];
