--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -3,8 +3,8 @@
  * Invariants: a request's name is never used twice; a bin's free amounts only get less while a plan
  * packs, but by tw_bin_give; room kept for a class that needs scarce room is not given to services
  * that need less. Not for other packages. */
-#ifndef TW_CORE_PROVISION_H
-#define TW_CORE_PROVISION_H
+#ifndef TW_CORE_AUTOSCALER_H
+#define TW_CORE_AUTOSCALER_H
 #include "core/job.h"
 #include "core/machine.h"
 #include <stdbool.h>
@@ -14,11 +14,11 @@
 /* A kind of machine in a zone, as the cloud has treated us. */
 typedef struct tw_capacity_offer {
     int type_index, zone_index;
-    int spot;
+    bool spot;
     double refused_until;
-    int refused;
+    int refusal_count;
     int machine_count;   /* scratch: machines of the type in the zone */
-    int wanted;          /* to be asked for, as of the last plan */
+    int wanted_count;    /* to be asked for, as of the last plan */
     double wanted_since; /* 0: not wanted */
 } tw_capacity_offer;
 
@@ -27,7 +27,9 @@
     tw_machine *machine;      /* NULL: to come */
     tw_capacity_offer *offer; /* of one to be rented */
     int type_index;
-    int spot, busy, tried;
+    bool spot;
+    bool occupied; /* a task runs on the machine, or may */
+    bool tried;    /* a placement pass has had the chance to use it */
     const char *zone;
     double cores, gpus, memory_gb;
 } tw_bin;
@@ -35,13 +37,13 @@
 typedef struct tw_bins {
     tw_bin *items;
     int count, capacity;
-    struct bin_start *starts; /* where to begin for a kind of task: see bin_packing.c */
-    int nstarts, starts_cap;
+    struct tw_bin_start *starts; /* where to begin for a kind of task: see bin_packing.c */
+    int start_count, start_capacity;
 } tw_bins;
 
 /* Room that a running batch task is expected to give back. */
 typedef struct tw_expected_release {
-    double at;
+    double available_at;
     tw_bin room;
 } tw_expected_release;
 
@@ -54,8 +56,8 @@
 typedef struct tw_rental_request {
     char name[TW_NAME_SIZE];
     int type_index, zone_index, machine_count;
-    int spot, in_flight;
-    double next_try;
+    bool spot, in_flight;
+    double next_attempt_at;
     struct tw_rental_request *prev, *next;
 } tw_rental_request;
 
@@ -86,7 +88,7 @@
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types);
 /* Whether a task without GPUs leaves the bin's GPUs their cores. */
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
-                        int any_machine);
+                        bool any_machine);
 /* Takes a task's room, or gives it back. */
 void tw_bin_take(tw_bin *bin, const tw_wire_job *spec);
 void tw_bin_give(tw_bin *bin, const tw_wire_job *spec);
@@ -94,13 +96,13 @@
 /* expected_releases.c */
 /* Lists the room that running batch tasks are expected to give back, the earliest first. Free it
  * with tw_expected_releases_free. */
-void tw_expected_releases_init(tw_core *core, tw_expected_releases *drain);
+void tw_expected_releases_init(tw_core *core, tw_expected_releases *releases);
 /* When a task of the job would start if it waits its turn for room that is given back, which is
  * taken; INFINITY: there is none that it can use. from: where to begin, the same for all jobs
  * alike, for room only gets less. */
-double tw_expected_releases_start(tw_core *core, tw_expected_releases *drain, const tw_job *job,
-                                  int *from);
-void tw_expected_releases_free(tw_expected_releases *drain);
+double tw_expected_releases_take(tw_core *core, tw_expected_releases *releases, const tw_job *job,
+                                 int *first);
+void tw_expected_releases_free(tw_expected_releases *releases);
 
 /* scale_in.c */
 /* Notes which machines are idle, and has those returned that were for too long. */
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -3,27 +3,29 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define NEARLY_FREE 0.02 /* share of the fleet's price */
-#define RATE_FADES_S 60  /* without arrivals, before their rate is taken to fall, and how fast */
-#define HALF_SHARE 0.5   /* of expected arrivals that spare room is kept for, beside their root */
+#define NEGLIGIBLE_PRICE_SHARE 0.02 /* share of the fleet's price */
+#define RATE_DECAY_S 60    /* without arrivals, before their rate is taken to fall, and how fast */
+#define EXPECTED_SHARE 0.5 /* of expected arrivals that spare room is kept for, beside their root  \
+                            */
 #define ROUND_DOWN_SHARE 0.3 /* of a task of spare room: as little is not rounded up */
 
 /* How many tasks to keep room for, of a class whose tasks must start sooner than a machine boots.
  */
-static int spare_tasks(const tw_core *core, const tw_job_class *class, double fleet_price) {
+static int count_headroom_tasks(const tw_core *core, const tw_job_class *class,
+                                double fleet_price) {
     const tw_wire_job *sample = &class->sample;
     if (!class->has_sample || class->start_within_s <= 0 || !(sample->service || sample->gang))
         return 0;
     const double lead_s =
-        fmax(0, tw_autoscaler_soonest_s(core, class->sample_type_mask, sample->image_gb) -
+        fmax(0, tw_autoscaler_rental_start_s(core, class->sample_type_mask, sample->image_gb) -
                     class->start_within_s);
     const double quiet_s = core->context.now - class->last_arrival_at;
     double rate = class->task_rate;
-    if (quiet_s > RATE_FADES_S) rate *= exp(-(quiet_s - RATE_FADES_S) / RATE_FADES_S);
+    if (quiet_s > RATE_DECAY_S) rate *= exp(-(quiet_s - RATE_DECAY_S) / RATE_DECAY_S);
     const double expected = rate * lead_s;
-    const double group = fmax(1, class->batch_tasks);
-    double tasks =
-        core->context.config->tune.headroom * (HALF_SHARE * expected + sqrt(expected * group));
+    const double batch_tasks = fmax(1, class->batch_tasks);
+    double tasks = core->context.config->tune.headroom *
+                   (EXPECTED_SHARE * expected + sqrt(expected * batch_tasks));
     /* A late start costs the same whatever the task: where twice the room is nearly free beside
      * what the fleet costs, twice the room. */
     double price = INFINITY;
@@ -32,7 +34,7 @@
         if (class->sample_type_mask & (1U << i))
             price = fmin(price, type->on_demand_price / tw_offer_task_count(type, sample));
     }
-    if (2 * tasks * price < NEARLY_FREE * fleet_price) tasks *= 2;
+    if (2 * tasks * price < NEGLIGIBLE_PRICE_SHARE * fleet_price) tasks *= 2;
     if (sample->gang) tasks = fmax(tasks, class->largest_gang);
     return (int)ceil(tasks - ROUND_DOWN_SHARE);
 }
@@ -40,41 +42,42 @@
 /* The order in which spare room is looked for. */
 typedef enum { BIN_IN_USE, BIN_IDLE, BIN_COMING, BIN_STATES } bin_state;
 
-static bin_state state_of(const tw_bin *bin) {
+static bin_state bin_state_of(const tw_bin *bin) {
     if (!bin->machine || bin->machine->state == TW_MACHINE_BOOTING) return BIN_COMING;
-    return bin->busy ? BIN_IN_USE : BIN_IDLE;
+    return bin->occupied ? BIN_IN_USE : BIN_IDLE;
 }
 
 /* How many of `want` tasks of the class the bin has spare room for. zone: NULL: any. */
-static int keep(const tw_core *core, tw_bin *bin, const tw_job_class *class, int want,
-                const char *zone) {
+static int reserve_in_bin(const tw_core *core, tw_bin *bin, const tw_job_class *class, int wanted,
+                          const char *zone) {
     const tw_wire_job *sample = &class->sample;
-    int kept = 0;
+    int reserved = 0;
     if (!tw_bin_is_allowed(bin, sample, class->sample_type_mask)) return 0;
     if (zone && strcmp(zone, bin->zone) != 0) return 0;
     /* Room that placing would not give is no spare room. */
-    if (sample->gpus <= 0 && core->machine_types[bin->type_index].listed.gpus > 0 && !bin->busy)
+    if (sample->gpus <= 0 && core->machine_types[bin->type_index].listed.gpus > 0 && !bin->occupied)
         return 0;
-    while (kept < want && tw_bin_fits(bin, sample) && tw_bin_leaves_gpus(core, bin, sample, 0)) {
+    while (reserved < wanted && tw_bin_fits(bin, sample) &&
+           tw_bin_leaves_gpus(core, bin, sample, false)) {
         tw_bin_take(bin, sample);
         if (bin->machine) bin->machine->kept_as_headroom = true;
-        kept++;
+        reserved++;
     }
-    return kept;
+    return reserved;
 }
 
 /* Where to keep room for gangs that stand in one zone: where most of it is. NULL: anywhere. */
-static const char *spare_zone(tw_core *core, const tw_bins *bins, const tw_job_class *class,
-                              int want) {
+static const char *choose_headroom_zone(tw_core *core, const tw_bins *bins,
+                                        const tw_job_class *class, int wanted) {
     const char *best = NULL;
     int most = 0;
     if (!class->sample.gang || !class->sample.single_zone) return NULL;
     for (int zone = 0; zone < core->zone_count; zone++) {
         int count = 0;
-        for (int i = 0; i < bins->count && count < want; i++) {
+        for (int i = 0; i < bins->count && count < wanted; i++) {
             tw_bin room = bins->items[i];
             room.machine = NULL; /* nothing is kept there yet */
-            count += keep(core, &room, class, want - count, core->zone_names[zone]);
+            count += reserve_in_bin(core, &room, class, wanted - count, core->zone_names[zone]);
         }
         if (count <= most) continue;
         most = count;
@@ -85,20 +88,20 @@
 
 void tw_autoscaler_keep_headroom(tw_core *core, tw_bins *bins, const tw_job_class *class,
                                  double fleet_price) {
-    int want = spare_tasks(core, class, fleet_price);
-    const char *zone = spare_zone(core, bins, class, want);
-    for (bin_state state = BIN_IN_USE; state < BIN_STATES && want > 0; state++)
-        for (int i = 0; i < bins->count && want > 0; i++)
-            if (state_of(&bins->items[i]) == state)
-                want -= keep(core, &bins->items[i], class, want, zone);
-    const tw_offer_filter filter = {.spare = 1, .only_zone = zone};
-    while (want > 0) {
+    int wanted = count_headroom_tasks(core, class, fleet_price);
+    const char *zone = choose_headroom_zone(core, bins, class, wanted);
+    for (bin_state state = BIN_IN_USE; state < BIN_STATES && wanted > 0; state++)
+        for (int i = 0; i < bins->count && wanted > 0; i++)
+            if (bin_state_of(&bins->items[i]) == state)
+                wanted -= reserve_in_bin(core, &bins->items[i], class, wanted, zone);
+    const tw_offer_filter filter = {.for_headroom = true, .required_zone = zone};
+    while (wanted > 0) {
         tw_capacity_offer *offer =
             tw_offer_best(core, &class->sample, class->sample_type_mask, &filter);
         if (!offer) return;
-        tw_bin *bin = tw_offer_bin(core, bins, offer);
-        offer->wanted++;
-        for (; want > 0 && tw_bin_fits(bin, &class->sample); want--)
+        tw_bin *bin = tw_offer_add_bin(core, bins, offer);
+        offer->wanted_count++;
+        for (; wanted > 0 && tw_bin_fits(bin, &class->sample); wanted--)
             tw_bin_take(bin, &class->sample);
     }
 }
--- a/src/core/autoscaler_int.h
+++ b/src/core/autoscaler_int.h
@@ -1,7 +1,7 @@
 /* What the files of provisioning share: the room that a plan packs, and the offers it rents from.
  * Not for the other files of the core. */
-#ifndef TW_PROVISION_INT_H
-#define TW_PROVISION_INT_H
+#ifndef TW_CORE_AUTOSCALER_INT_H
+#define TW_CORE_AUTOSCALER_INT_H
 #include "core/core_int.h"
 #include <stdbool.h>
 
@@ -9,16 +9,16 @@
 /* An empty bin at the end; it is valid until the next one is added. */
 tw_bin *tw_bins_add(tw_bins *bins);
 /* The first bin that may be of use to a job: those before it are too full or not allowed. */
-int tw_bins_first(tw_bins *bins, const struct tw_job *job);
-/* The same for room that is given back, for tw_expected_releases_start. */
-int *tw_bins_first_released(tw_bins *bins, const struct tw_job *job);
+int tw_bins_first_useful(tw_bins *bins, const struct tw_job *job);
+/* The same for room that is given back, for tw_expected_releases_take. */
+int *tw_bins_first_release(tw_bins *bins, const struct tw_job *job);
 void tw_bins_free(tw_bins *bins);
 
 /* Which offers a task may be rented from. */
 typedef struct tw_offer_filter {
-    const char *not_zone;  /* NULL: any */
-    const char *only_zone; /* NULL: any */
-    int spare;             /* room without a task yet: none on GPU machines unless it needs GPUs */
+    const char *excluded_zone; /* NULL: any */
+    const char *required_zone; /* NULL: any */
+    bool for_headroom; /* room without a task yet: none on GPU machines unless it needs GPUs */
 } tw_offer_filter;
 
 /* capacity_offers.c */
@@ -28,13 +28,13 @@
 tw_capacity_offer *tw_offer_best(tw_core *core, const tw_wire_job *spec, uint32_t types,
                                  const tw_offer_filter *filter);
 /* A bin for a machine that is to be rented. */
-tw_bin *tw_offer_bin(tw_core *core, tw_bins *bins, tw_capacity_offer *offer);
+tw_bin *tw_offer_add_bin(tw_core *core, tw_bins *bins, tw_capacity_offer *offer);
 /* Turns what the plan wants of each offer into what is asked of the cloud. */
 void tw_offers_update_wanted(tw_core *core);
 
 /* autoscaler_plan.c */
 /* When a machine rented now would run a task, at the soonest, from now. */
-double tw_autoscaler_soonest_s(const tw_core *core, uint32_t types, double image_gb);
+double tw_autoscaler_rental_start_s(const tw_core *core, uint32_t types, double image_gb);
 /* Work without GPUs for which nothing but GPU machines can be rented may use those that are there,
  * and the cores that are kept for their GPUs. Returns whether it may only now. */
 bool tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best);
@@ -42,12 +42,13 @@
 /* autoscaler_gang.c */
 /* When a gang would start on room that is given back: with the last of so many tasks. */
 double tw_autoscaler_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
-                                tw_expected_releases *drain, int count);
+                                tw_expected_releases *releases, int count);
 /* A gang that would start late on room that is given back takes what there is. */
-void tw_autoscaler_gang_hurry(tw_core *core, tw_job *job, double start);
+void tw_autoscaler_gang_avoid_late_start(tw_core *core, tw_job *job, double start_at);
 /* The zone for a gang that must stand in one: with room for all of it, else the one with the most
  * of those where the rest can be rented. NULL: none. */
-const char *tw_autoscaler_gang_zone(tw_core *core, tw_bins *bins, const tw_job *job, int need);
+const char *tw_autoscaler_gang_zone(tw_core *core, tw_bins *bins, const tw_job *job,
+                                    int task_count);
 
 /* autoscaler_headroom.c */
 /* Keeps spare room for the class, and wants machines for what is missing. fleet_price: of all the
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -6,80 +6,83 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define BOOT_SPREAD 1.2 /* of a type's boot time: most machines are up by then */
-#define RUN_SPREAD 1.1  /* of an estimated run time */
+#define BOOT_TIME_FACTOR 1.2 /* of a type's boot time: most machines are up by then */
+#define RUN_TIME_FACTOR 1.1  /* of an estimated run time */
 
 /* ---- packing ---- */
 
-double tw_autoscaler_soonest_s(const tw_core *core, uint32_t types, double image_gb) {
+double tw_autoscaler_rental_start_s(const tw_core *core, uint32_t types, double image_gb) {
     double soonest = INFINITY;
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_machine_type *type = &core->machine_types[i];
         if (types & (1U << i))
-            soonest = fmin(soonest,
-                           BOOT_SPREAD * type->listed.startup_s + type->fetch_s_per_gb * image_gb);
+            soonest = fmin(soonest, BOOT_TIME_FACTOR * type->listed.startup_s +
+                                        type->fetch_s_per_gb * image_gb);
     }
     return soonest;
 }
 
 /* Whether to rent for a batch task rather than let it wait until `start`. */
-static bool worth_renting(const tw_core *core, const tw_job *job, double start) {
-    if (!isfinite(start)) return true; /* nothing will be given back */
-    if (start <=
-        core->context.now + tw_autoscaler_soonest_s(core, job->type_mask, job->spec.image_gb))
+static bool is_worth_renting(const tw_core *core, const tw_job *job, double start_at) {
+    if (!isfinite(start_at)) return true; /* nothing will be given back */
+    if (start_at <=
+        core->context.now + tw_autoscaler_rental_start_s(core, job->type_mask, job->spec.image_gb))
         return false;
-    return !(start + tw_job_run_estimate_s(job) * RUN_SPREAD <= tw_job_deadline(core, job));
+    return !(start_at + tw_job_run_estimate_s(job) * RUN_TIME_FACTOR <= tw_job_deadline(core, job));
 }
 
 /* Tasks of a job by zone, placed and planned. */
 typedef struct {
-    const char *zone[TW_MAX_ZONES];
-    int count[TW_MAX_ZONES];
-    int used;
-    int most; /* in a zone */
-} spread;
+    const char *zone_names[TW_MAX_ZONES];
+    int task_counts[TW_MAX_ZONES];
+    int zone_count;
+    int max_per_zone; /* in a zone */
+} zone_spread;
 
 /* The zone's place in the spread; -1: there are too many. */
-static int spread_slot(spread *spread, const char *zone) {
+static int find_or_add_zone(zone_spread *spread, const char *zone) {
     int slot = 0;
-    while (slot < spread->used && strcmp(spread->zone[slot], zone) != 0) slot++;
+    while (slot < spread->zone_count && strcmp(spread->zone_names[slot], zone) != 0) slot++;
     if (slot == TW_MAX_ZONES) return -1;
-    if (slot == spread->used) {
-        spread->zone[slot] = zone;
-        spread->count[slot] = 0;
-        spread->used++;
+    if (slot == spread->zone_count) {
+        spread->zone_names[slot] = zone;
+        spread->task_counts[slot] = 0;
+        spread->zone_count++;
     }
     return slot;
 }
 
-static spread spread_of(const tw_job *job) {
-    spread tasks = {.most = job->spec.spread ? (job->task_count + 1) / 2 : INT32_MAX};
+static zone_spread spread_of_job(const tw_job *job) {
+    zone_spread spread = {.max_per_zone = job->spec.spread ? (job->task_count + 1) / 2 : INT32_MAX};
     const tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next) {
-        const int slot = spread_slot(&tasks, placed->machine->zone);
-        if (slot >= 0) tasks.count[slot]++;
+        const int slot = find_or_add_zone(&spread, placed->machine->zone);
+        if (slot >= 0) spread.task_counts[slot]++;
     }
-    return tasks;
+    return spread;
 }
 
 /* How many of `want` tasks the bin takes. */
-static int fill(const tw_core *core, tw_bin *bin, const tw_job *job, spread *tasks, int want) {
+static int pack_into_bin(const tw_core *core, tw_bin *bin, const tw_job *job, zone_spread *spread,
+                         int wanted) {
     int taken = 0;
     if (!tw_bin_is_allowed(bin, &job->spec, job->type_mask)) return 0;
-    if (job->spec.single_zone && tasks->used && strcmp(tasks->zone[0], bin->zone) != 0) return 0;
-    while (taken < want && tw_bin_fits(bin, &job->spec) &&
+    if (job->spec.single_zone && spread->zone_count &&
+        strcmp(spread->zone_names[0], bin->zone) != 0)
+        return 0;
+    while (taken < wanted && tw_bin_fits(bin, &job->spec) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine)) {
-        const int slot = spread_slot(tasks, bin->zone);
-        if (slot < 0 || tasks->count[slot] >= tasks->most) break;
+        const int slot = find_or_add_zone(spread, bin->zone);
+        if (slot < 0 || spread->task_counts[slot] >= spread->max_per_zone) break;
         tw_bin_take(bin, &job->spec);
-        tasks->count[slot]++;
+        spread->task_counts[slot]++;
         taken++;
     }
     return taken;
 }
 
 /* How many tasks of the job could be placed if there were room. */
-static int placeable(const tw_core *core, tw_job *job) {
+static int count_placeable_tasks(const tw_core *core, tw_job *job) {
     const tw_config_team *team = &core->context.config->teams[job->team];
     int count = job->task_count - job->done_count - job->placed_count;
     if (team->gpus_max > 0 && job->spec.gpus > 0)
@@ -90,8 +93,8 @@
         count = (int)fmin(
             count, floor((team->cpus_max - core->team_cores_used[job->team]) / job->spec.cores +
                          TW_CAPACITY_ROUNDING));
-    const int most = tw_record_max_running(core, job) - job->placed_count;
-    return count > most ? most : count;
+    const int max_count = tw_record_max_running(core, job) - job->placed_count;
+    return count > max_count ? max_count : count;
 }
 
 bool tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
@@ -104,67 +107,73 @@
 
 /* How many of them to find or rent room for: of a batch, those that had better not wait; of a gang,
  * all or none. */
-static int needed(tw_core *core, tw_bins *bins, tw_job *job, tw_expected_releases *drain) {
-    const int count = placeable(core, job);
-    int need = 0;
+static int count_tasks_to_provide(tw_core *core, tw_bins *bins, tw_job *job,
+                                  tw_expected_releases *releases) {
+    const int count = count_placeable_tasks(core, job);
+    int needed = 0;
     if (job->spec.service) return count;
-    if (count > 0 && !drain->items)
-        tw_expected_releases_init(core, drain); /* mostly no batch waits */
+    if (count > 0 && !releases->items)
+        tw_expected_releases_init(core, releases); /* mostly no batch waits */
     if (job->spec.gang) {
         if (count < job->task_count - job->done_count - job->placed_count)
             return 0; /* its team's limit */
-        const double start = tw_autoscaler_gang_start(core, bins, job, drain, count);
-        tw_autoscaler_gang_hurry(core, job, start);
-        return worth_renting(core, job, start) ? count : 0;
+        const double start_at = tw_autoscaler_gang_start(core, bins, job, releases, count);
+        tw_autoscaler_gang_avoid_late_start(core, job, start_at);
+        return is_worth_renting(core, job, start_at) ? count : 0;
     }
-    int *from = tw_bins_first_released(bins, job);
+    int *first_release = tw_bins_first_release(bins, job);
     for (int i = 0; i < count; i++)
-        need += worth_renting(core, job, tw_expected_releases_start(core, drain, job, from));
-    return need;
+        needed += is_worth_renting(core, job,
+                                   tw_expected_releases_take(core, releases, job, first_release));
+    return needed;
 }
 
 /* Rents for `need` tasks of the job. */
-static void rent_for(tw_core *core, tw_bins *bins, tw_job *job, spread *tasks, int need) {
-    while (need > 0) {
-        tw_offer_filter filter = {.only_zone =
-                                      job->spec.single_zone && tasks->used ? tasks->zone[0] : NULL};
-        for (int i = 0; i < tasks->used; i++)
-            if (tasks->count[i] >= tasks->most) filter.not_zone = tasks->zone[i];
+static void rent_for_tasks(tw_core *core, tw_bins *bins, tw_job *job, zone_spread *spread,
+                           int needed) {
+    while (needed > 0) {
+        tw_offer_filter filter = {.required_zone = job->spec.single_zone && spread->zone_count
+                                                       ? spread->zone_names[0]
+                                                       : NULL};
+        for (int i = 0; i < spread->zone_count; i++)
+            if (spread->task_counts[i] >= spread->max_per_zone)
+                filter.excluded_zone = spread->zone_names[i];
         tw_capacity_offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
         job->capacity_bound =
-            !offer || offer->refused > 0; /* refused lately: it may be granted again */
+            !offer || offer->refusal_count > 0; /* refused lately: it may be granted again */
         /* Before renting. */
         if (tw_autoscaler_open_gpu_machines(core, job, offer)) return;
         if (!offer) return;
-        const int taken = fill(core, tw_offer_bin(core, bins, offer), job, tasks, need);
+        const int taken =
+            pack_into_bin(core, tw_offer_add_bin(core, bins, offer), job, spread, needed);
         if (!taken) return;
-        offer->wanted++;
-        need -= taken;
+        offer->wanted_count++;
+        needed -= taken;
     }
 }
 
-static void plan_job(tw_core *core, tw_bins *bins, tw_job *job, tw_expected_releases *drain) {
-    int need = needed(core, bins, job, drain);
-    if (need <= 0) return;
-    spread tasks = spread_of(job);
-    if (job->spec.gang && job->spec.single_zone && !tasks.used) {
-        const char *zone = tw_autoscaler_gang_zone(core, bins, job, need);
-        if (zone) spread_slot(&tasks, zone);
+static void plan_job(tw_core *core, tw_bins *bins, tw_job *job, tw_expected_releases *releases) {
+    int needed = count_tasks_to_provide(core, bins, job, releases);
+    if (needed <= 0) return;
+    zone_spread spread = spread_of_job(job);
+    if (job->spec.gang && job->spec.single_zone && !spread.zone_count) {
+        const char *zone = tw_autoscaler_gang_zone(core, bins, job, needed);
+        if (zone) find_or_add_zone(&spread, zone);
     }
     /* Room that placing has tried is of no use to a task, but may be a part of a gang's. */
-    const int first = job->spec.gang ? 0 : tw_bins_first(bins, job);
-    for (int i = first; i < bins->count && need > 0; i++) {
+    const int first = job->spec.gang ? 0 : tw_bins_first_useful(bins, job);
+    for (int i = first; i < bins->count && needed > 0; i++) {
         core->pass_steps++;
         if (!bins->items[i].tried || job->spec.gang)
-            need -= fill(core, &bins->items[i], job, &tasks, need);
+            needed -= pack_into_bin(core, &bins->items[i], job, &spread, needed);
     }
-    rent_for(core, bins, job, &tasks, need);
+    rent_for_tasks(core, bins, job, &spread, needed);
 }
 
 /* ---- the round ---- */
 
 /* Whether a machine's room can be counted on. */
-static bool can_count_on(tw_core *core, const tw_machine *machine) {
+static bool counts_as_capacity(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->return_wanted || machine->cordoned || machine->failed ||
         machine->decommissioning)
         return false;
@@ -181,13 +190,13 @@
     return true;
 }
 
-static void add_machine(tw_core *core, tw_bins *bins, tw_machine *machine) {
+static void add_machine_bin(tw_core *core, tw_bins *bins, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     *tw_bins_add(bins) = (tw_bin){.machine = machine,
                                   .type_index = machine->type_index,
                                   .spot = machine->spot,
                                   .zone = machine->zone,
-                                  .busy = tw_machine_is_occupied(machine),
+                                  .occupied = tw_machine_is_occupied(machine),
                                   /* placing has tried it already */
                                   .tried = machine->state == TW_MACHINE_UP &&
                                            core->context.now - machine->first_answered_at >
@@ -198,14 +207,14 @@
 }
 
 /* What was asked for and isn't answered yet counts as coming. */
-static void add_asked(tw_core *core, tw_bins *bins, const tw_rental_request *rental_request) {
+static void add_requested_bins(tw_core *core, tw_bins *bins, const tw_rental_request *request) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
-        if (offer->type_index != rental_request->type_index ||
-            offer->zone_index != rental_request->zone_index || offer->spot != rental_request->spot)
+        if (offer->type_index != request->type_index || offer->zone_index != request->zone_index ||
+            offer->spot != request->spot)
             continue;
-        for (int k = 0; k < rental_request->machine_count; k++)
-            tw_offer_bin(core, bins, offer)->offer = NULL;
+        for (int k = 0; k < request->machine_count; k++)
+            tw_offer_add_bin(core, bins, offer)->offer = NULL;
     }
 }
 
@@ -213,8 +222,8 @@
 typedef int zone_counts[TW_MAX_ZONES + 1];
 
 /* How many machines of the offer's type its zone has. */
-static int have(const tw_core *core, const tw_capacity_offer *offer, const tw_bins *bins,
-                const zone_counts *counts) {
+static int count_machines_of_offer(const tw_core *core, const tw_capacity_offer *offer,
+                                   const tw_bins *bins, const zone_counts *counts) {
     const char *name = tw_offer_zone(core, offer);
     for (int zone = 0; zone < core->zone_count; zone++)
         if (!strcmp(core->zone_names[zone], name)) return counts[offer->type_index][zone];
@@ -227,28 +236,28 @@
     return count;
 }
 
-static void collect(tw_core *core, tw_bins *bins) {
+static void collect_bins(tw_core *core, tw_bins *bins) {
     zone_counts *counts = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
     for (int i = 0; i < core->machine_type_count; i++) core->machine_types[i].late_sum = 0;
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         machine->kept_as_headroom = false;
-        if (!can_count_on(core, machine)) continue;
-        add_machine(core, bins, machine);
+        if (!counts_as_capacity(core, machine)) continue;
+        add_machine_bin(core, bins, machine);
         counts[machine->type_index][machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index]++;
     }
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
-        offer->wanted = 0;
-        offer->machine_count = have(core, offer, bins, counts);
+        offer->wanted_count = 0;
+        offer->machine_count = count_machines_of_offer(core, offer, bins, counts);
     }
     free(counts);
-    const tw_rental_request *rental_request;
-    DL_FOREACH(core->rental_requests, rental_request) { add_asked(core, bins, rental_request); }
+    const tw_rental_request *request;
+    DL_FOREACH(core->rental_requests, request) { add_requested_bins(core, bins, request); }
 }
 
-static double price_of(const tw_core *core, const tw_bins *bins) {
+static double price_of_bins(const tw_core *core, const tw_bins *bins) {
     double price = 0;
     for (int i = 0; i < bins->count; i++) {
         const tw_wire_machine_type *type = &core->machine_types[bins->items[i].type_index].listed;
@@ -258,35 +267,35 @@
 }
 
 /* Turned-away submissions are planned for until they have not come again for long. */
-static void plan_turned_away(tw_core *core, tw_bins *bins, tw_expected_releases *drain) {
-    tw_rejected_admission *expected;
+static void plan_rejected_admissions(tw_core *core, tw_bins *bins, tw_expected_releases *releases) {
+    tw_rejected_admission *admission;
     tw_rejected_admission *next;
-    HASH_ITER(hh, core->rejected_admissions, expected, next) {
-        if (core->context.now < expected->until)
-            plan_job(core, bins, &expected->job, drain);
+    HASH_ITER(hh, core->rejected_admissions, admission, next) {
+        if (core->context.now < admission->until)
+            plan_job(core, bins, &admission->job, releases);
         else
-            tw_rejected_admission_drop(core, expected);
+            tw_rejected_admission_drop(core, admission);
     }
 }
 
 void tw_autoscaler_plan(tw_core *core) {
     tw_bins bins = {0};
-    tw_expected_releases drain = {0}; /* filled when a batch waits */
-    collect(core, &bins);
-    const int there = bins.count;
+    tw_expected_releases releases = {0}; /* filled when a batch waits */
+    collect_bins(core, &bins);
+    const int existing_count = bins.count;
     tw_job_queue *queue = tw_job_queue_new(core, false);
     tw_job *job;
-    while ((job = tw_job_queue_next(core, queue))) plan_job(core, &bins, job, &drain);
+    while ((job = tw_job_queue_next(core, queue))) plan_job(core, &bins, job, &releases);
     tw_job_queue_free(queue);
-    plan_turned_away(core, &bins, &drain);
-    const double price = price_of(core, &bins);
+    plan_rejected_admissions(core, &bins, &releases);
+    const double price = price_of_bins(core, &bins);
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next)
         tw_autoscaler_keep_headroom(core, &bins, class, price);
-    const bool more = bins.count > there;
+    const bool needs_more = bins.count > existing_count;
     tw_offers_update_wanted(core);
     tw_scale_in_idle(core);
     tw_scale_in_reopen(core);
-    if (!more) tw_scale_in_consolidate(core, &bins); /* else more room is needed, not less */
-    tw_expected_releases_free(&drain);
+    if (!needs_more) tw_scale_in_consolidate(core, &bins); /* else more room is needed, not less */
+    tw_expected_releases_free(&releases);
     tw_bins_free(&bins);
 }
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -19,7 +19,7 @@
 
 /* As when placing: work without GPUs leaves a GPU machine's GPUs their cores. */
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
-                        int any_machine) {
+                        bool any_machine) {
     const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
     if (spec->gpus > 0 || any_machine || type->gpus <= 0) return true;
     double cores_per_gpu = core->cores_per_gpu;
@@ -47,25 +47,26 @@
 
 /* Room in bins only gets less while jobs are packed. So those that are too full for a kind of task,
  * or of a type that it may not use, are passed over by all the jobs alike that come after. */
-struct bin_start {
+struct tw_bin_start {
     tw_task_shape shape;
     const char *zone;
-    int bin, drained; /* where to begin: in the bins, and in the room that is given back */
+    int first_bin,
+        first_release; /* where to begin: in the bins, and in the room that is given back */
 };
 
-static bool same_kind(const struct bin_start *start, const tw_job *job) {
+static bool start_matches(const struct tw_bin_start *start, const tw_job *job) {
     const tw_task_shape shape = tw_task_shape_of(job);
     return tw_task_shapes_are_equal(&start->shape, &shape) && !strcmp(start->zone, job->spec.zone);
 }
 
 /* Valid until the next call. */
-static struct bin_start *start_for(tw_bins *bins, const tw_job *job) {
-    for (int i = 0; i < bins->nstarts; i++)
-        if (same_kind(&bins->starts[i], job)) return &bins->starts[i];
-    bins->starts = tw_grow(bins->starts, bins->nstarts, &bins->starts_cap, INITIAL_START_CAPACITY,
-                           sizeof *bins->starts);
-    struct bin_start *start = &bins->starts[bins->nstarts++];
-    *start = (struct bin_start){.shape = tw_task_shape_of(job), .zone = job->spec.zone};
+static struct tw_bin_start *find_or_add_start(tw_bins *bins, const tw_job *job) {
+    for (int i = 0; i < bins->start_count; i++)
+        if (start_matches(&bins->starts[i], job)) return &bins->starts[i];
+    bins->starts = tw_grow(bins->starts, bins->start_count, &bins->start_capacity,
+                           INITIAL_START_CAPACITY, sizeof *bins->starts);
+    struct tw_bin_start *start = &bins->starts[bins->start_count++];
+    *start = (struct tw_bin_start){.shape = tw_task_shape_of(job), .zone = job->spec.zone};
     return start;
 }
 
@@ -74,14 +75,15 @@
            tw_bin_fits(bin, &job->spec);
 }
 
-int tw_bins_first(tw_bins *bins, const tw_job *job) {
-    struct bin_start *start = start_for(bins, job);
-    while (start->bin < bins->count && !bin_is_useful(&bins->items[start->bin], job)) start->bin++;
-    return start->bin;
+int tw_bins_first_useful(tw_bins *bins, const tw_job *job) {
+    struct tw_bin_start *start = find_or_add_start(bins, job);
+    while (start->first_bin < bins->count && !bin_is_useful(&bins->items[start->first_bin], job))
+        start->first_bin++;
+    return start->first_bin;
 }
 
-int *tw_bins_first_released(tw_bins *bins, const tw_job *job) {
-    return &start_for(bins, job)->drained;
+int *tw_bins_first_release(tw_bins *bins, const tw_job *job) {
+    return &find_or_add_start(bins, job)->first_release;
 }
 
 void tw_bins_free(tw_bins *bins) {
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -3,14 +3,14 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define COST_OF_ONE_MORE 0.001 /* of a price, for each machine of the type that the zone has */
+#define CROWDING_COST_SHARE 0.001 /* of a price, for each machine of the type that the zone has */
 
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer) {
     return core->machine_types[offer->type_index].listed.zones[offer->zone_index];
 }
 
 /* More of an offer than this are not asked for in a round: the next one sees what was granted. */
-static int want_limit(const tw_core *core) {
+static int max_wanted_per_offer(const tw_core *core) {
     return (int)(TW_MAX_RENTAL * fmax(1, core->context.config->cloud_rps));
 }
 
@@ -19,41 +19,43 @@
     return tw_capacity_task_count(&room, spec);
 }
 
-static bool may_rent(const tw_core *core, const tw_capacity_offer *offer, const tw_wire_job *spec,
-                     const tw_offer_filter *filter) {
+static bool offer_is_allowed(const tw_core *core, const tw_capacity_offer *offer,
+                             const tw_wire_job *spec, const tw_offer_filter *filter) {
     if ((offer->spot && !spec->spot) || core->context.now < offer->refused_until ||
-        offer->wanted >= want_limit(core))
+        offer->wanted_count >= max_wanted_per_offer(core))
         return false;
-    if (filter->spare && spec->gpus <= 0 && core->machine_types[offer->type_index].listed.gpus > 0)
+    if (filter->for_headroom && spec->gpus <= 0 &&
+        core->machine_types[offer->type_index].listed.gpus > 0)
         return false;
     const char *zone = tw_offer_zone(core, offer);
     return (!*spec->zone || !strcmp(spec->zone, zone)) &&
-           (!filter->not_zone || strcmp(filter->not_zone, zone) != 0) &&
-           (!filter->only_zone || !strcmp(filter->only_zone, zone));
+           (!filter->excluded_zone || strcmp(filter->excluded_zone, zone) != 0) &&
+           (!filter->required_zone || !strcmp(filter->required_zone, zone));
 }
 
 /* Least cost a task, then the zone that has fewest of the type. */
 tw_capacity_offer *tw_offer_best(tw_core *core, const tw_wire_job *spec, uint32_t types,
                                  const tw_offer_filter *filter) {
     tw_capacity_offer *best = NULL;
-    double least = INFINITY;
+    double least_cost = INFINITY;
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
         const tw_wire_machine_type *type = &core->machine_types[offer->type_index].listed;
-        if (!(types & (1U << offer->type_index)) || !may_rent(core, offer, spec, filter)) continue;
-        const double number = tw_offer_task_count(type, spec);
-        if (number < 1) continue;
-        double cost = (offer->spot ? type->spot_price : type->on_demand_price) / number;
-        cost *= 1 + COST_OF_ONE_MORE * offer->machine_count;
-        if (cost < least) {
-            least = cost;
+        if (!(types & (1U << offer->type_index)) || !offer_is_allowed(core, offer, spec, filter))
+            continue;
+        const double task_count = tw_offer_task_count(type, spec);
+        if (task_count < 1) continue;
+        double cost = (offer->spot ? type->spot_price : type->on_demand_price) / task_count;
+        cost *= 1 + CROWDING_COST_SHARE * offer->machine_count;
+        if (cost < least_cost) {
+            least_cost = cost;
             best = offer;
         }
     }
     return best;
 }
 
-tw_bin *tw_offer_bin(tw_core *core, tw_bins *bins, tw_capacity_offer *offer) {
+tw_bin *tw_offer_add_bin(tw_core *core, tw_bins *bins, tw_capacity_offer *offer) {
     const tw_wire_machine_type *type = &core->machine_types[offer->type_index].listed;
     tw_bin *bin = tw_bins_add(bins);
     *bin = (struct tw_bin){.offer = offer,
@@ -68,26 +70,26 @@
 }
 
 /* Takes machines that were about to be returned before new ones are asked for. */
-static void reopen(tw_core *core, tw_capacity_offer *offer) {
+static void reopen_machines(tw_core *core, tw_capacity_offer *offer) {
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (offer->wanted <= 0) break;
+        if (offer->wanted_count <= 0) break;
         if (!machine->decommissioning || machine->return_wanted ||
             machine->type_index != offer->type_index || machine->spot != offer->spot)
             continue;
         machine->decommissioning = false;
         core->scheduling_due = true;
-        offer->wanted--;
+        offer->wanted_count--;
     }
 }
 
 void tw_offers_update_wanted(tw_core *core) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
-        if (offer->wanted > 0) reopen(core, offer);
-        if (core->context.now < core->scale_out_from) offer->wanted = 0;
-        if (offer->wanted <= 0)
+        if (offer->wanted_count > 0) reopen_machines(core, offer);
+        if (core->context.now < core->scale_out_from) offer->wanted_count = 0;
+        if (offer->wanted_count <= 0)
             offer->wanted_since = 0;
         else if (offer->wanted_since <= 0)
             offer->wanted_since = core->context.now;
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -5,29 +5,29 @@
 #include <stdbool.h>
 
 #define MIN_REMAINING_SHARE 0.1 /* of its run time: a task that is past its estimate ends soon */
-#define START_S 1               /* until a task that does not run yet does */
+#define START_DELAY_S 1         /* until a task that does not run yet does */
 
-static int by_time(const void *left, const void *right) {
+static int compare_by_time(const void *left, const void *right) {
     const tw_expected_release *a = left, *b = right;
-    return a->at < b->at ? -1 : a->at > b->at;
+    return a->available_at < b->available_at ? -1 : a->available_at > b->available_at;
 }
 
 /* When a task is expected to end. */
-static double expected_end(const tw_core *core, const tw_placement *placed) {
+static double expected_task_end(const tw_core *core, const tw_placement *placed) {
     const double slowness = placed->machine->slowness > 0 ? placed->machine->slowness : 1;
     const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
     const double runs_from =
-        placed->running_since > 0 ? placed->running_since : core->context.now + START_S;
+        placed->running_since > 0 ? placed->running_since : core->context.now + START_DELAY_S;
     return fmax(runs_from + run_s, core->context.now + MIN_REMAINING_SHARE * run_s);
 }
 
 /* What a task's end is expected to leave on its machine, beside what is free there already. */
-static tw_expected_release release_of(const tw_core *core, const tw_placement *placed) {
+static tw_expected_release release_of_task(const tw_core *core, const tw_placement *placed) {
     const tw_machine *machine = placed->machine;
     const tw_wire_job *spec = &placed->job->spec;
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_expected_release){
-        .at = expected_end(core, placed),
+        .available_at = expected_task_end(core, placed),
         .room = {.type_index = machine->type_index,
                  .spot = machine->spot,
                  .zone = machine->zone,
@@ -39,38 +39,38 @@
 
 static bool returns_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
 
-void tw_expected_releases_init(tw_core *core, tw_expected_releases *drain) {
+void tw_expected_releases_init(tw_core *core, tw_expected_releases *releases) {
     tw_job *job;
     int capacity = 0;
     DL_FOREACH(core->active_jobs, job) {
         if (returns_capacity(job)) capacity += job->placed_count;
     }
-    drain->items = tw_alloc((size_t)capacity * sizeof *drain->items);
-    drain->count = 0;
+    releases->items = tw_alloc((size_t)capacity * sizeof *releases->items);
+    releases->count = 0;
     DL_FOREACH(core->active_jobs, job) {
         if (!returns_capacity(job)) continue;
         const tw_placement *placed;
         DL_FOREACH2(job->placements, placed, job_next) {
             if (!tw_machine_is_usable(core, placed->machine)) continue;
-            drain->items[drain->count++] = release_of(core, placed);
+            releases->items[releases->count++] = release_of_task(core, placed);
         }
     }
-    qsort(drain->items, (size_t)drain->count, sizeof *drain->items, by_time);
+    qsort(releases->items, (size_t)releases->count, sizeof *releases->items, compare_by_time);
 }
 
-double tw_expected_releases_start(tw_core *core, tw_expected_releases *drain, const tw_job *job,
-                                  int *from) {
-    for (; *from < drain->count; ++*from) {
-        tw_expected_release *release = &drain->items[*from];
+double tw_expected_releases_take(tw_core *core, tw_expected_releases *releases, const tw_job *job,
+                                 int *first) {
+    for (; *first < releases->count; ++*first) {
+        tw_expected_release *release = &releases->items[*first];
         core->pass_steps++;
         if (!tw_bin_is_allowed(&release->room, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&release->room, &job->spec)) continue;
         /* What is given back beside GPUs that stay free is kept for them. */
         if (!tw_bin_leaves_gpus(core, &release->room, &job->spec, job->any_machine)) continue;
         tw_bin_take(&release->room, &job->spec);
-        return fmax(core->context.now, release->at);
+        return fmax(core->context.now, release->available_at);
     }
     return INFINITY;
 }
 
-void tw_expected_releases_free(tw_expected_releases *drain) { free(drain->items); }
+void tw_expected_releases_free(tw_expected_releases *releases) { free(releases->items); }
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -2,13 +2,13 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define PAGE 500
+#define PAGE_SIZE 500
 #define PATH_SIZE 200
 #define TIMEOUT_S 5
 #define RETRY_S 1
-#define OF_LAG 0.5 /* between two readings, of the time that the list lags behind */
+#define INTERVAL_LAG_SHARE 0.5 /* between two readings, of the time that the list lags behind */
 
-static void take_machine(tw_core *core, const tw_wire_rented_machine *listed) {
+static void update_listed_machine(tw_core *core, const tw_wire_rented_machine *listed) {
     if (tw_expiring_names_find(core->returned_machines, listed->id)) return;
     tw_machine *machine = tw_machine_find(core, listed->id);
     if (!machine) {
@@ -33,7 +33,7 @@
     }
 }
 
-static void begin_list(tw_core *core) {
+static void begin_listing(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) { machine->lists_without++; }
@@ -50,8 +50,8 @@
         return;
     }
     const bool first_page = !*core->machine_list_cursor;
-    if (first_page) begin_list(core);
-    for (int i = 0; i < count; i++) take_machine(core, &listed[i]);
+    if (first_page) begin_listing(core);
+    for (int i = 0; i < count; i++) update_listed_machine(core, &listed[i]);
     if (more && count) {
         snprintf(core->machine_list_cursor, sizeof core->machine_list_cursor, "%s",
                  listed[count - 1].id);
@@ -60,7 +60,7 @@
         *core->machine_list_cursor = 0;
         core->machine_lists_read++;
         core->next_machine_list_at =
-            core->context.now + fmax(1, OF_LAG * core->context.config->list_lag_s);
+            core->context.now + fmax(1, INTERVAL_LAG_SHARE * core->context.config->list_lag_s);
     }
     free(listed);
 }
@@ -70,7 +70,7 @@
         !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
         return;
     char path[PATH_SIZE];
-    const int length = snprintf(path, sizeof path, "/rentals?most=%d", PAGE);
+    const int length = snprintf(path, sizeof path, "/rentals?most=%d", PAGE_SIZE);
     if (*core->machine_list_cursor)
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s",
                  core->machine_list_cursor);
--- a/src/core/machine_types.c
+++ b/src/core/machine_types.c
@@ -1,43 +1,44 @@
 /* Machine types and their prices, as the cloud lists them. */
 #include "core/autoscaler_int.h"
 
-#define TYPES_MAX 31 /* a job's types are bits of a word */
+#define MAX_MACHINE_TYPES 31 /* a job's types are bits of a word */
 /* What is taken of a type until something has been learned of it. */
-#define FIRST_DELAY_REPORTS 0.05 /* q, of a report's interval */
-#define FIRST_FETCH_SLOWED 1.1   /* p, of what the type's rate says */
-#define FIRST_FETCH_DEVIATION 0.1
-#define FIRST_OVERDUE_SHARE 0.06
-#define FIRST_INTERFERENCE 0.5
-#define KINDS 2 /* on-demand, spot */
+#define INITIAL_QUEUE_DELAY_HEARTBEATS 0.05 /* q, of a report's interval */
+#define INITIAL_FETCH_SLOWDOWN 1.1          /* p, of what the type's rate says */
+#define INITIAL_FETCH_DEVIATION 0.1
+#define INITIAL_OVERDUE_SHARE 0.06
+#define INITIAL_FETCH_INTERFERENCE 0.5
+#define PRICING_KINDS 2 /* on-demand, spot */
 
-static tw_machine_type type_of(const tw_core *core, const tw_wire_machine_type *listed) {
+static tw_machine_type new_machine_type(const tw_core *core, const tw_wire_machine_type *listed) {
     return (tw_machine_type){.listed = *listed,
                              .slowness = 1,
-                             .queue_delay_s = FIRST_DELAY_REPORTS * core->context.config->report_s,
-                             .fetch_s_per_gb = FIRST_FETCH_SLOWED / listed->fetch_gb_s,
-                             .fetch_deviation = FIRST_FETCH_DEVIATION,
-                             .overdue_share = FIRST_OVERDUE_SHARE,
-                             .fetch_interference = FIRST_INTERFERENCE};
+                             .queue_delay_s =
+                                 INITIAL_QUEUE_DELAY_HEARTBEATS * core->context.config->report_s,
+                             .fetch_s_per_gb = INITIAL_FETCH_SLOWDOWN / listed->fetch_gb_s,
+                             .fetch_deviation = INITIAL_FETCH_DEVIATION,
+                             .overdue_share = INITIAL_OVERDUE_SHARE,
+                             .fetch_interference = INITIAL_FETCH_INTERFERENCE};
 }
 
-static void make_offers(tw_core *core) {
+static void create_offers(tw_core *core) {
     int count = 0;
     for (int i = 0; i < core->machine_type_count; i++)
-        count += KINDS * core->machine_types[i].listed.zone_count;
+        count += PRICING_KINDS * core->machine_types[i].listed.zone_count;
     core->capacity_offers = tw_alloc((size_t)count * sizeof *core->capacity_offers);
     core->capacity_offer_count = 0;
     for (int i = 0; i < core->machine_type_count; i++)
         for (int zone = 0; zone < core->machine_types[i].listed.zone_count; zone++)
-            for (int spot = 0; spot < KINDS; spot++)
+            for (int spot = 0; spot < PRICING_KINDS; spot++)
                 core->capacity_offers[core->capacity_offer_count++] =
                     (tw_capacity_offer){.type_index = i, .zone_index = zone, .spot = spot};
 }
 
-static void take_first(tw_core *core, const tw_wire_machine_type *listed, int count) {
+static void set_machine_types(tw_core *core, const tw_wire_machine_type *listed, int count) {
     core->machine_types = tw_alloc((size_t)count * sizeof *core->machine_types);
     core->machine_type_count = count;
-    for (int i = 0; i < count; i++) core->machine_types[i] = type_of(core, &listed[i]);
-    make_offers(core);
+    for (int i = 0; i < count; i++) core->machine_types[i] = new_machine_type(core, &listed[i]);
+    create_offers(core);
     /* Records read before the types were known. */
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
@@ -47,7 +48,7 @@
 }
 
 /* Only prices move; an index never changes its meaning. */
-static void take_prices(tw_core *core, const tw_wire_machine_type *listed, int count) {
+static void update_prices(tw_core *core, const tw_wire_machine_type *listed, int count) {
     for (int i = 0; i < count; i++) {
         const int type = tw_machine_type_index(core, listed[i].name);
         if (type < 0) continue;
@@ -60,13 +61,13 @@
     tw_wire_machine_type *listed;
     int count;
     if (tw_wire_machine_types_parse(&listed, &count, body, length) || !count) return;
-    if (count > TYPES_MAX) {
-        tw_log_error("event=machine_types_ignored used=%d listed=%d", TYPES_MAX, count);
-        count = TYPES_MAX;
+    if (count > MAX_MACHINE_TYPES) {
+        tw_log_error("event=machine_types_ignored used=%d listed=%d", MAX_MACHINE_TYPES, count);
+        count = MAX_MACHINE_TYPES;
     }
     if (core->machine_type_count)
-        take_prices(core, listed, count);
+        update_prices(core, listed, count);
     else
-        take_first(core, listed, count);
+        set_machine_types(core, listed, count);
     free(listed);
 }
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -3,14 +3,16 @@
 #include <stdbool.h>
 
 #define MAX_TRIES_PER_PASS 4 /* machines looked at in a pass, to empty the next one */
-#define RETRY_REPORTS 3      /* reports until one that could not be emptied is looked at again */
-#define PASS_REPORTS 0.3     /* reports between passes that move tasks */
-#define LEAST_MOVES 2        /* tasks that a pass may move anyway */
-#define WRITE_SHARE 0.25     /* of the state service's changes, for moves */
-#define CLOSING_PART 20      /* one machine is emptied at a time, and one more for so many */
-#define LEAST_UP_LEASES 2    /* leases for which a machine is up before it is emptied */
-#define NEAR_SHARE 0.5       /* of its start objective: how long a moved replica's fetch may take */
-#define BATCH_WEIGHT 2       /* what moving a batch task costs, against a replica */
+#define RETRY_HEARTBEATS 3   /* reports until one that could not be emptied is looked at again */
+#define PASS_INTERVAL_HEARTBEATS 0.3 /* reports between passes that move tasks */
+#define MIN_MOVES_PER_PASS 2         /* tasks that a pass may move anyway */
+#define MOVE_WRITE_SHARE 0.25        /* of the state service's changes, for moves */
+#define MACHINES_PER_DECOMMISSION                                                                  \
+    20                      /* one machine is emptied at a time, and one more for so many */
+#define MIN_UP_LEASES 2     /* leases for which a machine is up before it is emptied */
+#define MAX_FETCH_SHARE 0.5 /* of its start objective: how long a moved replica's fetch may take   \
+                             */
+#define BATCH_MOVE_WEIGHT 2 /* what moving a batch task costs, against a replica */
 
 /* ---- idle machines ---- */
 
@@ -26,7 +28,7 @@
 }
 
 /* Notes since when a machine is idle; returns whether that is for too long. */
-static bool idle_too_long(const tw_core *core, tw_machine *machine) {
+static bool update_idle_since(const tw_core *core, tw_machine *machine) {
     if (holds_work(core, machine) || machine->kept_as_headroom) {
         machine->idle_since = 0;
         return false;
@@ -43,7 +45,7 @@
     HASH_ITER(hh, core->machines, machine, next) {
         if (machine->state != TW_MACHINE_UP || machine->return_wanted || machine->type_index < 0)
             continue;
-        if (!idle_too_long(core, machine)) continue;
+        if (!update_idle_since(core, machine)) continue;
         machine->return_wanted = machine->cordoned = true;
         core->returns_due = true;
         tw_log_info("event=machine_return_requested worker=%s why=idle rented_s=%.0f",
@@ -54,70 +56,71 @@
 /* ---- room elsewhere ---- */
 
 /* Whether its image is there, or comes so fast that a start objective would still be met. */
-static bool image_near(const tw_core *core, const tw_placement *placed, const tw_machine *machine) {
+static bool image_is_near(const tw_core *core, const tw_placement *placed,
+                          const tw_machine *machine) {
     const tw_job *job = placed->job;
     const tw_image *image = tw_image_find(machine, job);
     if (image) return image->ready_at <= 0;
-    const double s_per_gb = machine->fetch_s_per_gb < 0
-                                ? core->machine_types[machine->type_index].fetch_s_per_gb
-                                : machine->fetch_s_per_gb;
+    const double fetch_s_per_gb = machine->fetch_s_per_gb < 0
+                                      ? core->machine_types[machine->type_index].fetch_s_per_gb
+                                      : machine->fetch_s_per_gb;
     return job->job_class &&
-           s_per_gb * job->spec.image_gb <= NEAR_SHARE * job->job_class->start_within_s;
+           fetch_s_per_gb * job->spec.image_gb <= MAX_FETCH_SHARE * job->job_class->start_within_s;
 }
 
 /* Whether a task may only move within its zone. */
-static bool bound_to_zone(const tw_wire_job *spec) {
+static bool is_bound_to_zone(const tw_wire_job *spec) {
     return (spec->spread || spec->single_zone) && spec->task_count > 1;
 }
 
 /* Whether a task that runs elsewhere would start at once in this room. */
-static bool is_home(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
+static bool can_move_into_bin(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
     const tw_job *job = placed->job;
-    if (!bin->machine || bin->machine == placed->machine || !bin->busy) return false;
+    if (!bin->machine || bin->machine == placed->machine || !bin->occupied) return false;
     if (!tw_machine_is_usable(core, bin->machine)) return false;
     if (!tw_bin_is_allowed(bin, &job->spec, job->type_mask) || !tw_bin_fits(bin, &job->spec))
         return false;
-    if (bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return false;
-    return image_near(core, placed, bin->machine) &&
+    if (is_bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return false;
+    return image_is_near(core, placed, bin->machine) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
 }
 
 /* Room for a task elsewhere, where it would start at once; NULL: none. */
-static tw_bin *new_home(const tw_core *core, tw_bins *bins, const tw_placement *placed) {
+static tw_bin *find_destination(const tw_core *core, tw_bins *bins, const tw_placement *placed) {
     for (int i = 0; i < bins->count; i++)
-        if (is_home(core, &bins->items[i], placed)) return &bins->items[i];
+        if (can_move_into_bin(core, &bins->items[i], placed)) return &bins->items[i];
     return NULL;
 }
 
 typedef struct {
     tw_bin *bin;
     const tw_wire_job *spec;
-} taken_room;
+} moved_task;
 
 /* Takes room for all replicas of a machine; returns 0 if there is none for one of them. */
-static bool take_rooms(const tw_core *core, tw_bins *bins, const tw_machine *machine,
-                       taken_room *taken, int *count) {
+static bool take_room_for_replicas(const tw_core *core, tw_bins *bins, const tw_machine *machine,
+                                   moved_task *taken, int *count) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const tw_wire_job *spec = &placed->job->spec;
         if (!placed->counted || !spec->service) continue; /* a batch task ends by itself */
         if (placed->state != TW_TASK_RUNNING || placed->stopping) return false;
-        tw_bin *home = new_home(core, bins, placed);
-        if (!home) return false;
-        tw_bin_take(home, spec);
-        taken[(*count)++] = (taken_room){home, spec};
+        tw_bin *destination = find_destination(core, bins, placed);
+        if (!destination) return false;
+        tw_bin_take(destination, spec);
+        taken[(*count)++] = (moved_task){destination, spec};
     }
     return true;
 }
 
 /* Whether all that runs on a machine could go elsewhere; the room stays as it was. */
-static bool can_empty(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
+static bool can_evict_all(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
     const tw_placement *placed;
     int capacity = 0;
     int count = 0;
     DL_FOREACH(machine->placements, placed) { capacity++; }
-    taken_room *taken = tw_alloc((size_t)capacity * sizeof *taken);
-    const bool possible = take_rooms(core, bins, machine, taken, &count);
+    moved_task *taken = tw_alloc((size_t)capacity * sizeof *taken);
+    const bool possible = take_room_for_replicas(core, bins, machine, taken, &count);
     for (int i = 0; i < count; i++) tw_bin_give(taken[i].bin, taken[i].spec);
     free(taken);
     return possible;
@@ -126,7 +129,7 @@
 /* ---- machines that are being emptied ---- */
 
 /* All the room of a machine, as if nothing ran on it. */
-static tw_bin whole_of(const tw_core *core, const tw_machine *machine) {
+static tw_bin bin_of_whole_machine(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_bin){.type_index = machine->type_index,
                     .spot = machine->spot,
@@ -138,8 +141,8 @@
 
 /* Whether some job waits that may use the machine once there is room: then it is not emptied, for
  * where no more can be rented nothing would replace it. */
-static bool waited_for(const tw_core *core, const tw_machine *machine) {
-    const tw_bin whole = whole_of(core, machine);
+static bool job_waits_for_machine(const tw_core *core, const tw_machine *machine) {
+    const tw_bin whole = bin_of_whole_machine(core, machine);
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (!tw_job_is_pending(core, job) || !tw_quota_allows_tasks(core, job, 1)) continue;
@@ -157,7 +160,7 @@
     HASH_ITER(hh, core->machines, machine, next) {
         if (!machine->decommissioning || machine->return_wanted || machine->type_index < 0)
             continue;
-        if (!waited_for(core, machine)) continue;
+        if (!job_waits_for_machine(core, machine)) continue;
         machine->decommissioning = false;
         core->scheduling_due = true;
         tw_log_info("event=decommission_cancelled worker=%s", machine->name);
@@ -166,39 +169,39 @@
 
 /* A batch task that saves its progress goes where it starts again at once; it ends where it is if
  * there is no such room. Stopped for nothing, it would wait, and a machine be rented for it. */
-static void move_batch(tw_core *core, tw_bins *bins, tw_placement *placed, int *moves) {
+static void evict_batch_task(tw_core *core, tw_bins *bins, tw_placement *placed, int *moves_left) {
     const tw_wire_job *spec = &placed->job->spec;
     if (spec->checkpoint_s <= 0 || placed->state != TW_TASK_RUNNING) return;
     if (spec->gang) return; /* it would stop on all its machines */
-    tw_bin *home = new_home(core, bins, placed);
-    if (!home) return;
-    tw_bin_take(home, spec);
+    tw_bin *destination = find_destination(core, bins, placed);
+    if (!destination) return;
+    tw_bin_take(destination, spec);
     tw_placement_stop(core, placed, spec->save_s, false);
-    (*moves)--;
+    (*moves_left)--;
 }
 
 /* Moves what runs on a machine that is being emptied, a task at a time, so that its start elsewhere
  * is not held up. 0: no more may be moved in this pass. */
-static bool move_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves) {
+static bool evict_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves_left) {
     tw_placement *placed;
     tw_placement *next;
     DL_FOREACH_SAFE(machine->placements, placed, next) {
-        if (*moves <= 0) return false;
+        if (*moves_left <= 0) return false;
         if (!placed->counted || placed->stopping) continue;
         if (!placed->job->spec.service) {
-            move_batch(core, bins, placed, moves);
+            evict_batch_task(core, bins, placed, moves_left);
             continue;
         }
-        tw_bin *home = new_home(core, bins, placed);
-        if (!home) {
+        tw_bin *destination = find_destination(core, bins, placed);
+        if (!destination) {
             machine->decommissioning = false; /* the room has gone */
             break;
         }
-        tw_bin_take(home, &placed->job->spec);
+        tw_bin_take(destination, &placed->job->spec);
         tw_log_debug("event=task_evicted task=%s/%d from=%s", placed->job->id, placed->index,
                      machine->name);
         tw_placement_stop(core, placed, 0, false);
-        (*moves)--;
+        (*moves_left)--;
     }
     return true;
 }
@@ -206,51 +209,51 @@
 /* ---- which machine to empty next ---- */
 
 /* Whether it has been up for long enough, and is not one that was just looked at in vain. */
-static bool may_close(const tw_core *core, const tw_machine *machine) {
+static bool may_decommission(const tw_core *core, const tw_machine *machine) {
     if (!tw_machine_is_usable(core, machine) || machine->spot) return false;
     if (!tw_machine_is_occupied(machine))
         return false; /* it goes when it was idle for long enough */
     if (core->context.now < machine->no_decommission_until) return false;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
-    const double least_up_s = fmax(startup_s, LEAST_UP_LEASES * core->context.config->lease_s);
-    return core->context.now - machine->first_answered_at >= least_up_s;
+    const double min_up_s = fmax(startup_s, MIN_UP_LEASES * core->context.config->lease_s);
+    return core->context.now - machine->first_answered_at >= min_up_s;
 }
 
 /* What returning a machine saves, for what it costs to empty it. */
-static double close_gain(const tw_core *core, const tw_machine *machine) {
+static double decommission_gain(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
-    int replicas = 0, batch = 0;
+    int replica_count = 0, batch_count = 0;
     DL_FOREACH(machine->placements, placed) {
-        replicas += placed->counted && placed->job->spec.service;
-        batch += placed->counted && !placed->job->spec.service;
+        replica_count += placed->counted && placed->job->spec.service;
+        batch_count += placed->counted && !placed->job->spec.service;
     }
     return core->machine_types[machine->type_index].listed.on_demand_price /
-           (1 + replicas + BATCH_WEIGHT * batch);
+           (1 + replica_count + BATCH_MOVE_WEIGHT * batch_count);
 }
 
-static tw_machine *most_to_gain(const tw_core *core) {
+static tw_machine *find_largest_gain(const tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
     struct tw_machine *best = NULL;
-    double most = 0;
+    double largest_gain = 0;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (!may_close(core, machine)) continue;
-        const double gain = close_gain(core, machine);
-        if (gain <= most) continue;
-        most = gain;
+        if (!may_decommission(core, machine)) continue;
+        const double gain = decommission_gain(core, machine);
+        if (gain <= largest_gain) continue;
+        largest_gain = gain;
         best = machine;
     }
     return best;
 }
 
 /* The next machine to empty, of the few that are looked at in a pass; NULL: none. */
-static tw_machine *next_to_close(const tw_core *core, tw_bins *bins) {
+static tw_machine *choose_machine_to_decommission(const tw_core *core, tw_bins *bins) {
     for (int i = 0; i < MAX_TRIES_PER_PASS; i++) {
-        tw_machine *best = most_to_gain(core);
+        tw_machine *best = find_largest_gain(core);
         if (!best) return NULL;
-        if (!waited_for(core, best) && can_empty(core, bins, best)) return best;
+        if (!job_waits_for_machine(core, best) && can_evict_all(core, bins, best)) return best;
         best->no_decommission_until =
-            core->context.now + RETRY_REPORTS * core->context.config->report_s;
+            core->context.now + RETRY_HEARTBEATS * core->context.config->report_s;
     }
     return NULL;
 }
@@ -258,19 +261,19 @@
 /* ---- passes ---- */
 
 /* Each move ends in a write or two: a share of what may be written in the time between passes. */
-static int moves_allowed(const tw_core *core, double between_s) {
-    return (int)fmax(LEAST_MOVES,
-                     ceil(WRITE_SHARE * core->context.config->state_write_rps * between_s));
+static int max_moves_per_pass(const tw_core *core, double interval_s) {
+    return (int)fmax(MIN_MOVES_PER_PASS,
+                     ceil(MOVE_WRITE_SHARE * core->context.config->state_write_rps * interval_s));
 }
 
 /* Whether a machine was asked for that is not there yet. */
-static bool awaits_machine(const tw_bins *bins) {
+static bool is_machine_coming(const tw_bins *bins) {
     for (int i = 0; i < bins->count; i++)
         if (!bins->items[i].machine) return true;
     return false;
 }
 
-static bool service_waits(const tw_core *core) {
+static bool is_service_pending(const tw_core *core) {
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (job->has_spec && job->spec.service && tw_job_is_pending(core, job)) return true;
@@ -278,25 +281,25 @@
     return false;
 }
 
-static bool is_closing(const tw_machine *machine) {
+static bool is_being_emptied(const tw_machine *machine) {
     return machine->decommissioning && !machine->return_wanted;
 }
 
 void tw_scale_in_consolidate(tw_core *core, tw_bins *bins) {
-    const double between_s = PASS_REPORTS * core->context.config->report_s;
+    const double interval_s = PASS_INTERVAL_HEARTBEATS * core->context.config->report_s;
     if (core->context.now < core->next_consolidation_at) return;
-    core->next_consolidation_at = core->context.now + between_s;
-    if (awaits_machine(bins) || service_waits(core)) return;
+    core->next_consolidation_at = core->context.now + interval_s;
+    if (is_machine_coming(bins) || is_service_pending(core)) return;
     tw_machine *machine;
     struct tw_machine *next;
-    int moves = moves_allowed(core, between_s);
-    int closing = 0;
-    HASH_ITER(hh, core->machines, machine, next) { closing += is_closing(machine); }
+    int moves_left = max_moves_per_pass(core, interval_s);
+    int emptied_count = 0;
+    HASH_ITER(hh, core->machines, machine, next) { emptied_count += is_being_emptied(machine); }
     HASH_ITER(hh, core->machines, machine, next) {
-        if (is_closing(machine) && !move_tasks(core, bins, machine, &moves)) return;
+        if (is_being_emptied(machine) && !evict_tasks(core, bins, machine, &moves_left)) return;
     }
-    if (closing >= 1 + (int)HASH_COUNT(core->machines) / CLOSING_PART) return;
-    struct tw_machine *best = next_to_close(core, bins);
+    if (emptied_count >= 1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_DECOMMISSION) return;
+    struct tw_machine *best = choose_machine_to_decommission(core, bins);
     if (!best) return;
     best->decommissioning = true;
     tw_log_info("event=decommission_started worker=%s machine_type=%s", best->name,
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -4,27 +4,28 @@
 
 #define TIMEOUT_S 5
 #define TYPES_TIMEOUT_S 3
-#define TYPES_EVERY_S 60
+#define TYPES_INTERVAL_S 60
 #define TYPES_RETRY_S 0.5 /* until they are known */
-#define PLAN_EVERY_S 0.5
+#define PLAN_INTERVAL_S 0.5
 #define RETRY_S 1
-#define RETURNED_AT_ONCE 100
-#define FLEET_LOG_LEASES 2 /* between two log lines on the fleet */
+#define MAX_RETURNS_PER_REQUEST 100
+#define FLEET_LOG_INTERVAL_LEASES 2 /* between two log lines on the fleet */
 /* How long an offer is left alone after a refusal, in lags of the list. */
-#define AFTER_PART_LAGS 2
-#define AFTER_REFUSAL_MOST_LAGS 6
-#define AFTER_MALFORMED_S 60
+#define PAUSE_AFTER_PARTIAL_GRANT_LAGS 2
+#define MAX_PAUSE_AFTER_REFUSAL_LAGS 6
+#define PAUSE_AFTER_MALFORMED_S 60
 
 /* ---- returning ---- */
 
 static void send_returns(tw_core *core) {
-    char names[RETURNED_AT_ONCE][TW_NAME_SIZE];
+    char names[MAX_RETURNS_PER_REQUEST][TW_NAME_SIZE];
     int count = 0;
     if (!core->returns_due) return;
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (!machine->return_wanted || machine->return_in_flight || count >= RETURNED_AT_ONCE)
+        if (!machine->return_wanted || machine->return_in_flight ||
+            count >= MAX_RETURNS_PER_REQUEST)
             continue;
         snprintf(names[count++], TW_NAME_SIZE, "%s", machine->name);
     }
@@ -40,7 +41,7 @@
     core->return_in_flight = true;
 }
 
-static void returns_done(tw_core *core, const tw_call *call, int status) {
+static void handle_return_response(tw_core *core, const tw_call *call, int status) {
     core->return_in_flight = false;
     for (int i = 0; i < call->count; i++) {
         tw_machine *machine = tw_machine_find(core, call->names[i]);
@@ -59,7 +60,8 @@
 /* ---- rental requests ---- */
 
 /* The offer that a request is for: offers stay, so there is one. */
-static tw_capacity_offer *offer_of(const tw_core *core, const tw_rental_request *request) {
+static tw_capacity_offer *find_offer_of_request(const tw_core *core,
+                                                const tw_rental_request *request) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
         if (offer->type_index == request->type_index && offer->zone_index == request->zone_index &&
@@ -69,9 +71,9 @@
     return NULL;
 }
 
-static void send_request(tw_core *core, tw_rental_request *request) {
-    const tw_capacity_offer *offer = offer_of(core, request);
-    request->in_flight = 1;
+static void send_rental_request(tw_core *core, tw_rental_request *request) {
+    const tw_capacity_offer *offer = find_offer_of_request(core, request);
+    request->in_flight = true;
     tw_call *call =
         tw_call_send(&core->context, TW_CALL_RENT_MACHINES, TW_TO_CLOUD,
                      core->context.config->cloud, "POST", "/rentals",
@@ -83,21 +85,21 @@
 }
 
 /* The offer that most machines have been wanted of for longest. */
-static tw_capacity_offer *most_wanted(const tw_core *core) {
+static tw_capacity_offer *find_most_wanted_offer(const tw_core *core) {
     tw_capacity_offer *best = NULL;
-    double most = 0;
+    double largest_need = 0;
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
-        if (offer->wanted <= 0 || core->context.now < offer->refused_until) continue;
-        const double wanted = offer->wanted * (core->context.now - offer->wanted_since + 0.5);
-        if (wanted <= most) continue;
-        most = wanted;
+        if (offer->wanted_count <= 0 || core->context.now < offer->refused_until) continue;
+        const double need = offer->wanted_count * (core->context.now - offer->wanted_since + 0.5);
+        if (need <= largest_need) continue;
+        largest_need = need;
         best = offer;
     }
     return best;
 }
 
-static void request_of(tw_core *core, tw_capacity_offer *offer) {
+static void request_from_offer(tw_core *core, tw_capacity_offer *offer) {
     tw_rental_request *request = tw_alloc(sizeof *request);
     /* The token makes the name unlike any of another leader's. */
     snprintf(request->name, sizeof request->name, "r-%llu-%llu",
@@ -106,53 +108,54 @@
     request->type_index = offer->type_index;
     request->zone_index = offer->zone_index;
     request->spot = offer->spot;
-    request->machine_count = offer->wanted > TW_MAX_RENTAL ? TW_MAX_RENTAL : offer->wanted;
-    offer->wanted -= request->machine_count;
-    offer->wanted_since = offer->wanted ? core->context.now : 0;
+    request->machine_count =
+        offer->wanted_count > TW_MAX_RENTAL ? TW_MAX_RENTAL : offer->wanted_count;
+    offer->wanted_count -= request->machine_count;
+    offer->wanted_since = offer->wanted_count ? core->context.now : 0;
     DL_APPEND(core->rental_requests, request);
-    send_request(core, request);
+    send_rental_request(core, request);
 }
 
-static void take_rented(tw_core *core, const tw_rental_request *request, const char *name,
-                        double sent) {
+static void add_rented_machine(tw_core *core, const tw_rental_request *request, const char *name,
+                               double sent_at) {
     if (tw_expiring_names_find(core->returned_machines, name)) return;
     if (tw_machine_find(core, name)) return;
     tw_machine *machine = tw_machine_new(core, name);
     machine->type_index = request->type_index;
     machine->spot = request->spot;
-    machine->known_since = sent;
-    tw_machine_set_zone(core, machine, tw_offer_zone(core, offer_of(core, request)));
+    machine->known_since = sent_at;
+    tw_machine_set_zone(core, machine, tw_offer_zone(core, find_offer_of_request(core, request)));
     snprintf(machine->type_name, sizeof machine->type_name, "%s",
              core->machine_types[request->type_index].listed.name);
 }
 
-static void granted(tw_core *core, const tw_rental_request *request,
-                    char (*names)[TW_WIRE_NAME_SIZE], int count, double sent) {
-    tw_capacity_offer *offer = offer_of(core, request);
-    for (int i = 0; i < count; i++) take_rented(core, request, names[i], sent);
+static void handle_grant(tw_core *core, const tw_rental_request *request,
+                         char (*names)[TW_WIRE_NAME_SIZE], int count, double sent_at) {
+    tw_capacity_offer *offer = find_offer_of_request(core, request);
+    for (int i = 0; i < count; i++) add_rented_machine(core, request, names[i], sent_at);
     tw_log_info("event=machines_rented request=%s machine_type=%s zone=%s spot=%d asked=%d got=%d",
                 request->name, core->machine_types[request->type_index].listed.name,
                 tw_offer_zone(core, offer), request->spot, request->machine_count, count);
-    const bool partly = count < request->machine_count;
-    offer->refused = partly ? offer->refused + 1 : 0;
-    if (partly)
+    const bool is_partial = count < request->machine_count;
+    offer->refusal_count = is_partial ? offer->refusal_count + 1 : 0;
+    if (is_partial)
         offer->refused_until =
-            core->context.now + core->context.config->list_lag_s * AFTER_PART_LAGS;
+            core->context.now + core->context.config->list_lag_s * PAUSE_AFTER_PARTIAL_GRANT_LAGS;
 }
 
-static void refused(tw_core *core, const tw_rental_request *request) {
-    tw_capacity_offer *offer = offer_of(core, request);
-    offer->refused++;
+static void handle_refusal(tw_core *core, const tw_rental_request *request) {
+    tw_capacity_offer *offer = find_offer_of_request(core, request);
+    offer->refusal_count++;
     offer->refused_until =
-        core->context.now +
-        core->context.config->list_lag_s * fmin(AFTER_REFUSAL_MOST_LAGS, 1 + offer->refused);
+        core->context.now + core->context.config->list_lag_s *
+                                fmin(MAX_PAUSE_AFTER_REFUSAL_LAGS, 1 + offer->refusal_count);
     tw_log_info("event=rental_refused machine_type=%s zone=%s spot=%d",
                 core->machine_types[request->type_index].listed.name, tw_offer_zone(core, offer),
                 request->spot);
 }
 
-static void request_done(tw_core *core, const tw_call *call, int status, const char *body,
-                         size_t length) {
+static void handle_rental_response(tw_core *core, const tw_call *call, int status, const char *body,
+                                   size_t length) {
     tw_rental_request *request;
     char(*names)[TW_WIRE_NAME_SIZE];
     int count;
@@ -160,17 +163,18 @@
         if (!strcmp(request->name, call->name)) break;
     }
     if (!request) return;
-    request->in_flight = 0;
+    request->in_flight = false;
     if (status == TW_HTTP_OK && !tw_wire_machine_names_parse(&names, &count, body, length)) {
-        granted(core, request, names, count, call->sent_at);
+        handle_grant(core, request, names, count, call->sent_at);
         free(names);
     } else if (status == TW_HTTP_UNAVAILABLE && strstr(body, "no capacity")) {
-        refused(core, request);
+        handle_refusal(core, request);
     } else if (status == TW_HTTP_BAD_REQUEST) {
         tw_log_error("event=rental_answer_malformed request=%s", request->name);
-        offer_of(core, request)->refused_until = core->context.now + AFTER_MALFORMED_S;
+        find_offer_of_request(core, request)->refused_until =
+            core->context.now + PAUSE_AFTER_MALFORMED_S;
     } else { /* unknown: the same name again gets the same answer */
-        request->next_try = core->context.now + RETRY_S;
+        request->next_attempt_at = core->context.now + RETRY_S;
         return;
     }
     DL_DELETE(core->rental_requests, request);
@@ -184,51 +188,51 @@
 typedef struct {
     int up, idle, coming;
     double cores, gpus, batch_gpus;
-} fleet_part;
+} fleet_count;
 
-static void count_machine(fleet_part *part, const tw_machine *machine) {
+static void count_machine(fleet_count *count, const tw_machine *machine) {
     if (machine->state == TW_MACHINE_BOOTING) {
-        part->coming++;
+        count->coming++;
         return;
     }
-    part->up++;
-    part->idle += !tw_machine_is_occupied(machine);
-    part->cores += machine->used_cores;
-    part->gpus += machine->used_gpus;
+    count->up++;
+    count->idle += !tw_machine_is_occupied(machine);
+    count->cores += machine->used_cores;
+    count->gpus += machine->used_gpus;
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (placed->counted && !placed->job->spec.service)
-            part->batch_gpus += placed->job->spec.gpus;
+            count->batch_gpus += placed->job->spec.gpus;
     }
 }
 
 /* What there is and how full it is, for the operators' eyes. */
 static void log_fleet(const tw_core *core) {
     if (!tw_log_on(TW_LOG_INFO)) return;
-    fleet_part(*parts)[2] = tw_alloc((size_t)core->machine_type_count * sizeof *parts);
+    fleet_count(*counts)[2] = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
     const tw_machine *machine;
     const struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         if (machine->type_index >= 0)
-            count_machine(&parts[machine->type_index][!!machine->spot], machine);
+            count_machine(&counts[machine->type_index][!!machine->spot], machine);
     }
     for (int i = 0; i < core->machine_type_count; i++)
         for (int spot = 0; spot < 2; spot++) {
             const tw_wire_machine_type *type = &core->machine_types[i].listed;
-            const fleet_part *part = &parts[i][spot];
-            if (!part->up && !part->coming) continue;
+            const fleet_count *count = &counts[i][spot];
+            if (!count->up && !count->coming) continue;
             tw_log_info(
                 "event=fleet_counted machine_type=%s spot=%d up=%d idle=%d coming=%d cores=%.2f "
                 "gpus=%.2f batch_gpus=%.0f",
-                type->name, spot, part->up, part->idle, part->coming,
-                part->up ? part->cores / (part->up * type->cores) : 0,
-                part->up && type->gpus > 0 ? part->gpus / (part->up * type->gpus) : 0,
-                part->batch_gpus);
+                type->name, spot, count->up, count->idle, count->coming,
+                count->up ? count->cores / (count->up * type->cores) : 0,
+                count->up && type->gpus > 0 ? count->gpus / (count->up * type->gpus) : 0,
+                count->batch_gpus);
         }
-    free(parts);
+    free(counts);
 }
 
-static void ask_types(tw_core *core) {
+static void request_machine_types(tw_core *core) {
     if (core->machine_types_in_flight || core->context.now < core->next_machine_types_at ||
         !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
         return;
@@ -238,34 +242,34 @@
 }
 
 /* Little may be asked of the cloud: what is wanted gathers until a request may go. */
-static void ask_machines(tw_core *core) {
+static void send_due_rental_requests(tw_core *core) {
     tw_rental_request *request;
     DL_FOREACH(core->rental_requests, request) {
-        if (!request->in_flight && core->context.now >= request->next_try &&
+        if (!request->in_flight && core->context.now >= request->next_attempt_at &&
             tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
-            send_request(core, request);
+            send_rental_request(core, request);
     }
     for (tw_capacity_offer *offer;
-         (offer = most_wanted(core)) &&
+         (offer = find_most_wanted_offer(core)) &&
          tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1);)
-        request_of(core, offer);
+        request_from_offer(core, offer);
 }
 
 void tw_autoscaler_tick(tw_core *core) {
-    ask_types(core);
+    request_machine_types(core);
     if (core->phase != TW_PHASE_ACTIVE || !tw_leader_may(core, TW_PERMISSION_COMMAND) ||
         !core->machine_type_count)
         return;
     if (core->context.now >= core->next_plan_at) {
-        core->next_plan_at = core->context.now + PLAN_EVERY_S;
+        core->next_plan_at = core->context.now + PLAN_INTERVAL_S;
         tw_autoscaler_plan(core);
     }
     if (core->context.now >= core->next_fleet_log_at) {
         core->next_fleet_log_at =
-            core->context.now + FLEET_LOG_LEASES * core->context.config->lease_s;
+            core->context.now + FLEET_LOG_INTERVAL_LEASES * core->context.config->lease_s;
         log_fleet(core);
     }
-    ask_machines(core);
+    send_due_rental_requests(core);
     if (!core->return_in_flight && core->context.now >= core->next_return_at) send_returns(core);
     tw_machine_list_tick(core);
 }
@@ -277,16 +281,16 @@
         core->machine_types_in_flight = false;
         if (status == TW_HTTP_OK) tw_machine_types_response(core, body, length);
         core->next_machine_types_at =
-            core->context.now + (core->machine_type_count ? TYPES_EVERY_S : TYPES_RETRY_S);
+            core->context.now + (core->machine_type_count ? TYPES_INTERVAL_S : TYPES_RETRY_S);
         break;
     case TW_CALL_LIST_MACHINES:
         tw_machine_list_page(core, status, body, length);
         break;
     case TW_CALL_RENT_MACHINES:
-        request_done(core, call, status, body, length);
+        handle_rental_response(core, call, status, body, length);
         break;
     case TW_CALL_RETURN_MACHINES:
-        returns_done(core, call, status);
+        handle_return_response(core, call, status);
         break;
     default:
         break;
