--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -1,58 +1,65 @@
-/* Provisioning: offers of the cloud, requests for machines, the room that a plan packs, and what
- * the whole core may ask of it; what its modules share among themselves stands in autoscaler_int.h.
- * Invariants: a request's name is never used twice; a bin's free amounts only get less while a plan
- * packs, but by tw_bin_give; room kept for a class that needs scarce room is not given to services
- * that need less. Not for other packages. */
+/* What the whole core may ask of the autoscaler, which rents machines, empties them and returns
+ * them: the cloud's offers, the requests for machines, and the bins that a plan packs. What only
+ * the autoscaler's own modules share stands in autoscaler_int.h. Not for other packages.
+ *
+ * Invariants: the name of a rental request is never used twice; while a plan packs, a bin's free
+ * amounts only get less, apart from tw_bin_give; an offer, once made, stays at its index.
+ *
+ * All times are seconds of the steady clock (core->context.now); names that end in _at are points
+ * in time, names that end in _s are durations in seconds. */
 #ifndef TW_CORE_AUTOSCALER_H
 #define TW_CORE_AUTOSCALER_H
 #include "core/job.h"
 #include "core/machine.h"
 #include <stdbool.h>
 
-#define TW_MAX_RENTAL 50 /* machines a request to the cloud, by the protocol */
+#define TW_MAX_RENTAL 50 /* machines in one request to the cloud, by the protocol */
 
-/* A kind of machine in a zone, as the cloud has treated us. */
+/* An offer of the cloud: a machine type in a zone, as spot or on-demand machines. */
 typedef struct tw_capacity_offer {
-    int type_index, zone_index;
+    int type_index; /* in core->machine_types */
+    int zone_index; /* in the type's own list of zones, not in core->zone_names */
     bool spot;
-    double refused_until;
-    int refusal_count;
-    int machine_count;   /* scratch: machines of the type in the zone */
-    int wanted_count;    /* to be asked for, as of the last plan */
-    double wanted_since; /* 0: not wanted */
+    double refused_until; /* nothing is asked of the offer before this */
+    int refusal_count;    /* requests in a row that were refused or granted in part */
+    int machine_count;    /* scratch of a plan: machines of the type in the zone, there or coming */
+    int wanted_count;     /* machines that the last plan wants and that aren't asked for yet */
+    double wanted_since;  /* 0: none is wanted */
 } tw_capacity_offer;
 
-/* Room as the plan sees it: of a machine, or of one that is to come. */
+/* A bin of the plan: the free room of a machine, or of one that is to come. */
 typedef struct tw_bin {
-    tw_machine *machine;      /* NULL: to come */
-    tw_capacity_offer *offer; /* of one to be rented */
-    int type_index;
+    tw_machine *machine;      /* NULL: it is to come */
+    tw_capacity_offer *offer; /* from which this plan rents it; NULL: it is there or asked for */
+    int type_index;           /* in core->machine_types */
     bool spot;
-    bool occupied; /* a task runs on the machine, or may */
-    bool tried;    /* a placement pass has had the chance to use it */
-    const char *zone;
-    double cores, gpus, memory_gb;
+    bool occupied;                 /* a task runs on the machine, or may */
+    bool tried;                    /* placement passes have had the chance to use it */
+    const char *zone;              /* belongs to the machine or to its type */
+    double cores, gpus, memory_gb; /* free */
 } tw_bin;
 
+/* The bins of a plan, which own no machines or offers. Freed with tw_bins_free. */
 typedef struct tw_bins {
     tw_bin *items;
     int count, capacity;
-    struct tw_bin_start *starts; /* where to begin for a kind of task: see bin_packing.c */
+    struct tw_bin_start *starts; /* where packing begins for a shape of task, see bin_packing.c */
     int start_count, start_capacity;
 } tw_bins;
 
-/* Room that a running batch task is expected to give back. */
+/* Room that a running batch task is expected to give back when it ends. */
 typedef struct tw_expected_release {
     double available_at;
-    tw_bin room;
+    tw_bin room; /* with what is free on the machine already */
 } tw_expected_release;
 
 typedef struct tw_expected_releases {
-    tw_expected_release *items;
+    tw_expected_release *items; /* the earliest first; NULL: not listed yet */
     int count;
 } tw_expected_releases;
 
-/* A rental request under way, by its name. */
+/* A rental request that the cloud has not answered conclusively. It is sent again under the same
+ * name until it has, since the cloud gives the same answer to the same name. */
 typedef struct tw_rental_request {
     char name[TW_NAME_SIZE];
     int type_index, zone_index, machine_count;
@@ -61,66 +68,70 @@
     struct tw_rental_request *prev, *next;
 } tw_rental_request;
 
-/* A submission that was turned away and will come again: machines are rented for it meanwhile. */
+/* A rejected submission that is expected to come again: machines are rented for it meanwhile. */
 typedef struct tw_rejected_admission {
     char id[TW_WIRE_ID_SIZE];
-    tw_job job; /* not among the jobs: nothing of it is accepted */
+    tw_job job; /* not one of the core's jobs: nothing of it is accepted */
     double until;
     UT_hash_handle hh;
 } tw_rejected_admission;
 
 /* autoscaler_plan.c */
-/* Works out what to rent, to empty and to return. */
+/* Works out which machines to rent, to empty and to return. */
 void tw_autoscaler_plan(tw_core *core);
 
 /* reserve.c */
-/* Works out, as a pass begins, the room to keep and the room that there is. */
+/* Works out, as a pass begins, how much room to keep for each class and how much there is. */
 void tw_reserve_update(tw_core *core);
-/* Whether a task of the job leaves the room that is kept for other classes. */
+/* Whether a task of the job on the machine leaves the room that is kept for other classes. */
 bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job);
-/* Before a task of the job is placed on the machine. */
+/* Notes the room that a task of the job takes; called before it is placed on the machine. */
 void tw_reserve_take(tw_core *core, const tw_machine *machine, const tw_job *job);
 
 /* bin_packing.c */
-/* Whether a task fits into what is free. */
+/* Whether a task fits into what is free in the bin. */
 bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec);
-/* Whether the bin's type, kind and zone are such that the job allows. */
+/* Whether a job may use the bin's machine: its type is one of types (bits), it is no spot machine
+ * if the job takes none, and it is in the job's zone if it names one. */
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types);
-/* Whether a task without GPUs leaves the bin's GPUs their cores. */
+/* Whether a task leaves the bin's free GPUs their cores, as tw_constraints_leave_gpus. any_machine:
+ * the job may use the cores that are kept for GPUs. */
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
                         bool any_machine);
-/* Takes a task's room, or gives it back. */
+/* Takes a task's amounts from what is free in the bin. */
 void tw_bin_take(tw_bin *bin, const tw_wire_job *spec);
+/* Gives a task's amounts back to the bin. */
 void tw_bin_give(tw_bin *bin, const tw_wire_job *spec);
 
 /* expected_releases.c */
-/* Lists the room that running batch tasks are expected to give back, the earliest first. Free it
- * with tw_expected_releases_free. */
+/* Lists the room that running batch tasks are expected to give back, the earliest first. The caller
+ * frees the list with tw_expected_releases_free. */
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *releases);
-/* When a task of the job would start if it waits its turn for room that is given back, which is
- * taken; INFINITY: there is none that it can use. from: where to begin, the same for all jobs
- * alike, for room only gets less. */
+/* Takes the earliest room that a task of the job can use, and returns when the task would start in
+ * it. INFINITY: there is none. *first: the index to begin at, advanced past room that no task of
+ * this shape can use; jobs of the same shape share it, as room only gets less. */
 double tw_expected_releases_take(tw_core *core, tw_expected_releases *releases, const tw_job *job,
                                  int *first);
 void tw_expected_releases_free(tw_expected_releases *releases);
 
 /* scale_in.c */
-/* Notes which machines are idle, and has those returned that were for too long. */
+/* Notes which machines are idle, and wants those returned that have been idle for too long. */
 void tw_scale_in_idle(tw_core *core);
-/* Machines that are being emptied are used again as soon as somebody waits for them. */
+/* Puts machines that are being emptied back into use if a job waits that may use them. */
 void tw_scale_in_reopen(tw_core *core);
-/* Machines whose replicas fit elsewhere are emptied, one by one, and returned. The bins are all the
- * machines there are; room in them is taken for what moves. */
+/* Empties machines whose replicas fit on others, one after the other, so that they are returned.
+ * bins: of all the machines there are; room in them is taken for the tasks that move. */
 void tw_scale_in_consolidate(tw_core *core, tw_bins *bins);
 
 /* capacity_offers.c */
-/* The name of the offer's zone. */
+/* The name of the offer's zone. It belongs to the machine type. */
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer);
 
 /* scale_out.c */
-/* Plans and sends requests for machines when they are due. */
+/* Plans when it is due, and sends the requests to the cloud that are due. */
 void tw_autoscaler_tick(tw_core *core);
-/* The cloud answered. */
+/* Takes the cloud's response to a call of the autoscaler. status: of HTTP, or 0 if there was none.
+ */
 void tw_autoscaler_response(tw_core *core, tw_call *sent, int status, const char *body,
                             size_t length);
 
--- a/src/core/autoscaler_gang.c
+++ b/src/core/autoscaler_gang.c
@@ -1,9 +1,9 @@
-/* What the plan does for gangs, whose tasks are rented for all together or not at all: when one
- * would start on room that is given back, and the zone for one that must stand in a single one. */
+/* What the plan does differently for gangs, whose tasks are rented for all together or not at all:
+ * when a gang would start on room that is given back, and in which zone one that must stand in a
+ * single zone is planned. Called by autoscaler_plan.c. */
 #include "core/autoscaler_int.h"
 
-#define WAIT_RESERVE_SHARE 0.5 /* of a start objective: what a gang that has to wait leaves of it  \
-                                */
+#define WAIT_RESERVE_SHARE 0.5 /* of the start objective, left when a waiting gang starts */
 
 double tw_autoscaler_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
                                 tw_expected_releases *releases, int count) {
@@ -24,7 +24,8 @@
                                     tw_offer_best(core, &job->spec, job->type_mask, &filter));
 }
 
-/* How many tasks of the job the zone's bins hold, at most `most`. */
+/* How many tasks of the job the zone's bins have room for, at most max_count. The bins stay as they
+ * were. */
 static int count_tasks_in_zone(tw_core *core, tw_bins *bins, const tw_job *job, const char *zone,
                                int max_count) {
     int count = 0;
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -1,16 +1,23 @@
-/* Spare room that the plan keeps for classes of jobs whose tasks must start sooner than a machine
- * boots: as much as the arrivals that are expected meanwhile need. */
+/* Headroom: spare room that the plan keeps for classes of jobs whose tasks must start sooner than a
+ * machine boots, for the arrivals that are expected while one would boot. Called by the plan for
+ * each class after all waiting jobs are packed; the rate of arrivals is class->task_rate
+ * (job_class.c).
+ *
+ * Tasks to keep room for = tune.headroom * (EXPECTED_SHARE * e + sqrt(e * b)), where e is the
+ * number of arrivals expected in that time and b the size of a batch of arrivals: the root stands
+ * for their deviation. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define NEGLIGIBLE_PRICE_SHARE 0.02 /* share of the fleet's price */
-#define RATE_DECAY_S 60    /* without arrivals, before their rate is taken to fall, and how fast */
-#define EXPECTED_SHARE 0.5 /* of expected arrivals that spare room is kept for, beside their root  \
-                            */
-#define ROUND_DOWN_SHARE 0.3 /* of a task of spare room: as little is not rounded up */
+#define NEGLIGIBLE_PRICE_SHARE 0.02 /* of the fleet's price: room that costs less is nearly free   \
+                                     */
+#define RATE_DECAY_S                                                                               \
+    60 /* without arrivals until their rate is taken to fall, and how fast it falls */
+#define EXPECTED_SHARE 0.5   /* of the expected arrivals, to which their deviation is added */
+#define ROUND_DOWN_SHARE 0.3 /* of a task: a fraction up to this is not rounded up */
 
-/* How many tasks to keep room for, of a class whose tasks must start sooner than a machine boots.
- */
+/* How many tasks of the class to keep room for. 0: the class is not known well enough, has no start
+ * objective, or is made of batch jobs that aren't gangs. */
 static int count_headroom_tasks(const tw_core *core, const tw_job_class *class,
                                 double fleet_price) {
     const tw_wire_job *sample = &class->sample;
@@ -27,7 +34,7 @@
     double tasks = core->context.config->tune.headroom *
                    (EXPECTED_SHARE * expected + sqrt(expected * batch_tasks));
     /* A late start costs the same whatever the task: where twice the room is nearly free beside
-     * what the fleet costs, twice the room. */
+     * what the fleet costs, twice the room is kept. */
     double price = INFINITY;
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_wire_machine_type *type = &core->machine_types[i].listed;
@@ -39,7 +46,7 @@
     return (int)ceil(tasks - ROUND_DOWN_SHARE);
 }
 
-/* The order in which spare room is looked for. */
+/* What a bin is, in the order in which room is looked for. */
 typedef enum { BIN_IN_USE, BIN_IDLE, BIN_COMING, BIN_STATES } bin_state;
 
 static bin_state bin_state_of(const tw_bin *bin) {
@@ -47,14 +54,15 @@
     return bin->occupied ? BIN_IN_USE : BIN_IDLE;
 }
 
-/* How many of `want` tasks of the class the bin has spare room for. zone: NULL: any. */
+/* Takes room in the bin for up to wanted tasks of the class, and marks its machine as headroom.
+ * Returns for how many. zone: NULL: any. */
 static int reserve_in_bin(const tw_core *core, tw_bin *bin, const tw_job_class *class, int wanted,
                           const char *zone) {
     const tw_wire_job *sample = &class->sample;
     int reserved = 0;
     if (!tw_bin_is_allowed(bin, sample, class->sample_type_mask)) return 0;
     if (zone && strcmp(zone, bin->zone) != 0) return 0;
-    /* Room that placing would not give is no spare room. */
+    /* Room that a placement pass would not give to the class is no headroom. */
     if (sample->gpus <= 0 && core->machine_types[bin->type_index].listed.gpus > 0 && !bin->occupied)
         return 0;
     while (reserved < wanted && tw_bin_fits(bin, sample) &&
@@ -66,7 +74,8 @@
     return reserved;
 }
 
-/* Where to keep room for gangs that stand in one zone: where most of it is. NULL: anywhere. */
+/* The zone in which to keep room for gangs that must stand in a single one: the one with most of
+ * it. NULL: any zone. */
 static const char *choose_headroom_zone(tw_core *core, const tw_bins *bins,
                                         const tw_job_class *class, int wanted) {
     const char *best = NULL;
@@ -76,7 +85,7 @@
         int count = 0;
         for (int i = 0; i < bins->count && count < wanted; i++) {
             tw_bin room = bins->items[i];
-            room.machine = NULL; /* nothing is kept there yet */
+            room.machine = NULL; /* the machine is not marked as headroom by this trial */
             count += reserve_in_bin(core, &room, class, wanted - count, core->zone_names[zone]);
         }
         if (count <= most) continue;
--- a/src/core/autoscaler_int.h
+++ b/src/core/autoscaler_int.h
@@ -1,66 +1,81 @@
-/* What the files of provisioning share: the room that a plan packs, and the offers it rents from.
- * Not for the other files of the core. */
+/* What the autoscaler's modules share: the bins that a plan packs, and the offers that it rents
+ * from. Not for the other modules of the core. Times are as in autoscaler.h. */
 #ifndef TW_CORE_AUTOSCALER_INT_H
 #define TW_CORE_AUTOSCALER_INT_H
 #include "core/core_int.h"
 #include <stdbool.h>
 
 /* bin_packing.c */
-/* An empty bin at the end; it is valid until the next one is added. */
+/* Adds a bin at the end for the caller to fill. It is valid until the next one is added. */
 tw_bin *tw_bins_add(tw_bins *bins);
-/* The first bin that may be of use to a job: those before it are too full or not allowed. */
+/* The index of the first bin that may be of use to a task of the job. Those before it are too full,
+ * not allowed, or were tried by placement passes. bins->count: none. */
 int tw_bins_first_useful(tw_bins *bins, const struct tw_job *job);
-/* The same for room that is given back, for tw_expected_releases_take. */
+/* Where to begin for the job in tw_expected_releases_take. Valid until tw_bins_first_useful or this
+ * function is called for another job. */
 int *tw_bins_first_release(tw_bins *bins, const struct tw_job *job);
+/* Frees the bins' items and starts. */
 void tw_bins_free(tw_bins *bins);
 
-/* Which offers a task may be rented from. */
+/* capacity_offers.c */
+/* From which offers a task may be rented for. */
 typedef struct tw_offer_filter {
-    const char *excluded_zone; /* NULL: any */
-    const char *required_zone; /* NULL: any */
-    bool for_headroom; /* room without a task yet: none on GPU machines unless it needs GPUs */
+    const char *excluded_zone; /* NULL: none */
+    const char *required_zone; /* NULL: any zone will do */
+    bool for_headroom;         /* room without a task yet: on GPU machines only if it needs GPUs */
 } tw_offer_filter;
-
-/* capacity_offers.c */
-/* How many of these a machine of the type holds. */
+/* How many of the job's tasks an empty machine of the type holds, a whole number. */
 double tw_offer_task_count(const tw_wire_machine_type *type, const tw_wire_job *spec);
-/* The offer at which a task costs least, NULL: none. */
+/* The offer at which a task costs least. types: machine types, as bits. NULL: there is none. */
 tw_capacity_offer *tw_offer_best(tw_core *core, const tw_wire_job *spec, uint32_t types,
                                  const tw_offer_filter *filter);
-/* A bin for a machine that is to be rented. */
+/* Adds a bin for a machine that is to be rented from the offer. Valid as tw_bins_add says. */
 tw_bin *tw_offer_add_bin(tw_core *core, tw_bins *bins, tw_capacity_offer *offer);
-/* Turns what the plan wants of each offer into what is asked of the cloud. */
+/* Turns what the plan wants of each offer into what is to be asked of the cloud: machines that were
+ * about to be returned are taken first. */
 void tw_offers_update_wanted(tw_core *core);
 
 /* autoscaler_plan.c */
-/* When a machine rented now would run a task, at the soonest, from now. */
+/* How long it takes at least until a machine that is rented now runs a task: to boot and to fetch
+ * the image. types: that the task may use, as bits. INFINITY: there are none. */
 double tw_autoscaler_rental_start_s(const tw_core *core, uint32_t types, double image_gb);
-/* Work without GPUs for which nothing but GPU machines can be rented may use those that are there,
- * and the cores that are kept for their GPUs. Returns whether it may only now. */
+/* Lets a job without GPUs use GPU machines that are there, and the cores that are kept for their
+ * GPUs, if best is an offer of a GPU machine, or NULL: no other machine can be rented for it.
+ * Returns whether this changed what the job may use. */
 bool tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best);
 
 /* autoscaler_gang.c */
-/* When a gang would start on room that is given back: with the last of so many tasks. */
+/* When a gang would start on room that is given back: when the last of its count tasks has room.
+ * That room is taken. INFINITY: there is not enough. */
 double tw_autoscaler_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
                                 tw_expected_releases *releases, int count);
-/* A gang that would start late on room that is given back takes what there is. */
+/* Lets a gang that would start late, at start_at, on room that is given back use GPU machines, as
+ * tw_autoscaler_open_gpu_machines. */
 void tw_autoscaler_gang_avoid_late_start(tw_core *core, tw_job *job, double start_at);
-/* The zone for a gang that must stand in one: with room for all of it, else the one with the most
- * of those where the rest can be rented. NULL: none. */
+/* The name of the zone for a gang that must stand in a single one: of those in which the rest can
+ * be rented, or all task_count tasks have room, the one with room for most tasks. NULL: there is
+ * none. */
 const char *tw_autoscaler_gang_zone(tw_core *core, tw_bins *bins, const tw_job *job,
                                     int task_count);
 
 /* autoscaler_headroom.c */
-/* Keeps spare room for the class, and wants machines for what is missing. fleet_price: of all the
- * room there is or will be. */
+/* Takes room in the bins for the arrivals that are expected of the class, and wants machines for
+ * what is missing.  fleet_price: of all the machines there are or will be, as the cloud lists
+ * prices.
+ */
 void tw_autoscaler_keep_headroom(tw_core *core, tw_bins *bins, const tw_job_class *class,
                                  double fleet_price);
 
 /* machine_types.c */
+/* Takes the cloud's list of machine types: the first one makes types and offers, later ones change
+ * prices only. */
 void tw_machine_types_response(tw_core *core, const char *body, size_t length);
 
 /* machine_list.c */
+/* Takes a page of the cloud's list of the machines that we hold. status: of HTTP, or 0 if there was
+ * none. */
 void tw_machine_list_page(tw_core *core, int status, const char *body, size_t length);
+/* Asks for the next page when it is due. */
 void tw_machine_list_tick(tw_core *core);
 
 #endif
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -1,13 +1,16 @@
-/* How many machines to rent. Each round packs what waits, and the spare room that arrivals are
- * expected to need while a machine boots (autoscaler_headroom.c), into the room that is there or
- * coming; what does not fit is to be rented where a task costs least. What differs for gangs stands
- * in autoscaler_gang.c. Room is taken bin by bin, so that a round costs jobs times bins, not tasks
- * times bins. */
+/* The plan: how many machines to rent. Each round packs the tasks that wait, and the headroom for
+ * the arrivals that are expected while a machine boots (autoscaler_headroom.c), into the room of
+ * machines that are there or coming. What does not fit is to be rented where a task costs least
+ * (capacity_offers.c). What differs for gangs stands in autoscaler_gang.c.
+ *
+ * A plan decides nothing about single tasks: its bins are scratch, and only offers' wanted counts,
+ * a job's any_machine and capacity_bound, and machines' kept_as_headroom outlive it. Room is taken
+ * bin by bin, so that a round costs jobs times bins, not tasks times bins. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define BOOT_TIME_FACTOR 1.2 /* of a type's boot time: most machines are up by then */
-#define RUN_TIME_FACTOR 1.1  /* of an estimated run time */
+#define BOOT_TIME_FACTOR 1.2 /* of a type's boot time: by then most machines are up */
+#define RUN_TIME_FACTOR 1.1  /* of an estimated run time: by then most tasks have ended */
 
 /* ---- packing ---- */
 
@@ -22,24 +25,25 @@
     return soonest;
 }
 
-/* Whether to rent for a batch task rather than let it wait until `start`. */
+/* Whether to rent for a batch task rather than let it wait for room until start_at. INFINITY: no
+ * room will be given back. */
 static bool is_worth_renting(const tw_core *core, const tw_job *job, double start_at) {
-    if (!isfinite(start_at)) return true; /* nothing will be given back */
+    if (!isfinite(start_at)) return true;
     if (start_at <=
         core->context.now + tw_autoscaler_rental_start_s(core, job->type_mask, job->spec.image_gb))
         return false;
     return !(start_at + tw_job_run_estimate_s(job) * RUN_TIME_FACTOR <= tw_job_deadline(core, job));
 }
 
-/* Tasks of a job by zone, placed and planned. */
+/* A job's tasks by zone, both placed and planned ones. */
 typedef struct {
     const char *zone_names[TW_MAX_ZONES];
     int task_counts[TW_MAX_ZONES];
     int zone_count;
-    int max_per_zone; /* in a zone */
+    int max_per_zone; /* tasks that the job may have in a zone */
 } zone_spread;
 
-/* The zone's place in the spread; -1: there are too many. */
+/* The index of the zone in the spread, to which it is added if need be. -1: the spread is full. */
 static int find_or_add_zone(zone_spread *spread, const char *zone) {
     int slot = 0;
     while (slot < spread->zone_count && strcmp(spread->zone_names[slot], zone) != 0) slot++;
@@ -52,6 +56,7 @@
     return slot;
 }
 
+/* The spread of the job's placed tasks. */
 static zone_spread spread_of_job(const tw_job *job) {
     zone_spread spread = {.max_per_zone = job->spec.spread ? (job->task_count + 1) / 2 : INT32_MAX};
     const tw_placement *placed;
@@ -62,7 +67,7 @@
     return spread;
 }
 
-/* How many of `want` tasks the bin takes. */
+/* Takes room in the bin for up to wanted tasks of the job. Returns for how many. */
 static int pack_into_bin(const tw_core *core, tw_bin *bin, const tw_job *job, zone_spread *spread,
                          int wanted) {
     int taken = 0;
@@ -81,7 +86,7 @@
     return taken;
 }
 
-/* How many tasks of the job could be placed if there were room. */
+/* How many tasks of the job its team's limit and its record would allow to be placed now. */
 static int count_placeable_tasks(const tw_core *core, tw_job *job) {
     const tw_config_team *team = &core->context.config->teams[job->team];
     int count = job->task_count - job->done_count - job->placed_count;
@@ -105,15 +110,15 @@
     return true;
 }
 
-/* How many of them to find or rent room for: of a batch, those that had better not wait; of a gang,
- * all or none. */
+/* How many tasks of the job to find or rent room for: of a service all, of a batch job those for
+ * which renting is better than waiting for room that is given back, of a gang all or none. */
 static int count_tasks_to_provide(tw_core *core, tw_bins *bins, tw_job *job,
                                   tw_expected_releases *releases) {
     const int count = count_placeable_tasks(core, job);
     int needed = 0;
     if (job->spec.service) return count;
     if (count > 0 && !releases->items)
-        tw_expected_releases_init(core, releases); /* mostly no batch waits */
+        tw_expected_releases_init(core, releases); /* only now: mostly no batch job waits */
     if (job->spec.gang) {
         if (count < job->task_count - job->done_count - job->placed_count)
             return 0; /* its team's limit */
@@ -128,7 +133,7 @@
     return needed;
 }
 
-/* Rents for `need` tasks of the job. */
+/* Wants machines for so many tasks of the job, as far as there are offers. */
 static void rent_for_tasks(tw_core *core, tw_bins *bins, tw_job *job, zone_spread *spread,
                            int needed) {
     while (needed > 0) {
@@ -139,9 +144,9 @@
             if (spread->task_counts[i] >= spread->max_per_zone)
                 filter.excluded_zone = spread->zone_names[i];
         tw_capacity_offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
-        job->capacity_bound =
-            !offer || offer->refusal_count > 0; /* refused lately: it may be granted again */
-        /* Before renting. */
+        /* An offer that was refused lately may be granted again: until then the job is bound. */
+        job->capacity_bound = !offer || offer->refusal_count > 0;
+        /* GPU machines that are there come before renting one for a job without GPUs. */
         if (tw_autoscaler_open_gpu_machines(core, job, offer)) return;
         if (!offer) return;
         const int taken =
@@ -152,6 +157,7 @@
     }
 }
 
+/* Finds room in the bins for the tasks of a job that waits, and wants machines for the others. */
 static void plan_job(tw_core *core, tw_bins *bins, tw_job *job, tw_expected_releases *releases) {
     int needed = count_tasks_to_provide(core, bins, job, releases);
     if (needed <= 0) return;
@@ -160,7 +166,8 @@
         const char *zone = tw_autoscaler_gang_zone(core, bins, job, needed);
         if (zone) find_or_add_zone(&spread, zone);
     }
-    /* Room that placing has tried is of no use to a task, but may be a part of a gang's. */
+    /* A bin that placement passes have tried is of no use to a single task, but may hold a part of
+     * a gang. */
     const int first = job->spec.gang ? 0 : tw_bins_first_useful(bins, job);
     for (int i = first; i < bins->count && needed > 0; i++) {
         core->pass_steps++;
@@ -172,15 +179,15 @@
 
 /* ---- the round ---- */
 
-/* Whether a machine's room can be counted on. */
+/* Whether the plan counts on the machine's room. */
 static bool counts_as_capacity(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->return_wanted || machine->cordoned || machine->failed ||
         machine->decommissioning)
         return false;
     if (machine->state == TW_MACHINE_UP)
         return machine->preempted_at <= 0 && !machine->lease_expired;
-    if (machine->overdue) return false; /* may never come */
-    /* Some of those that boot will be late: as many are not counted on. */
+    if (machine->overdue) return false; /* it may never come */
+    /* Some of the machines that boot will be late: of each type that share is not counted on. */
     double *late = &core->machine_types[machine->type_index].late_sum;
     *late += core->machine_types[machine->type_index].overdue_share;
     if (*late >= 1) {
@@ -190,6 +197,7 @@
     return true;
 }
 
+/* Adds a bin for a machine that is there or boots. */
 static void add_machine_bin(tw_core *core, tw_bins *bins, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     *tw_bins_add(bins) = (tw_bin){.machine = machine,
@@ -197,7 +205,7 @@
                                   .spot = machine->spot,
                                   .zone = machine->zone,
                                   .occupied = tw_machine_is_occupied(machine),
-                                  /* placing has tried it already */
+                                  /* by now a pass has had the chance to use it */
                                   .tried = machine->state == TW_MACHINE_UP &&
                                            core->context.now - machine->first_answered_at >
                                                core->context.config->report_s,
@@ -206,7 +214,7 @@
                                   .memory_gb = type->memory_gb - machine->used_memory_gb};
 }
 
-/* What was asked for and isn't answered yet counts as coming. */
+/* Adds bins for the machines of a request that isn't answered yet: they count as coming. */
 static void add_requested_bins(tw_core *core, tw_bins *bins, const tw_rental_request *request) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
@@ -218,16 +226,16 @@
     }
 }
 
-/* Machines by type and zone; the last zone is for those of no zone known by number. */
+/* Machines of a type by zone index; the last count is for machines whose zone has no index. */
 typedef int zone_counts[TW_MAX_ZONES + 1];
 
-/* How many machines of the offer's type its zone has. */
+/* How many machines of the offer's type are in its zone. */
 static int count_machines_of_offer(const tw_core *core, const tw_capacity_offer *offer,
                                    const tw_bins *bins, const zone_counts *counts) {
     const char *name = tw_offer_zone(core, offer);
     for (int zone = 0; zone < core->zone_count; zone++)
         if (!strcmp(core->zone_names[zone], name)) return counts[offer->type_index][zone];
-    /* More zones than have numbers: by name. */
+    /* The zone has no index, since there are too many: its machines are counted by name. */
     int count = 0;
     if (!counts[offer->type_index][TW_MAX_ZONES]) return 0;
     for (int i = 0; i < bins->count; i++)
@@ -236,6 +244,8 @@
     return count;
 }
 
+/* Fills the bins with the machines that the plan counts on, and resets what the last plan noted on
+ * machines, types and offers. */
 static void collect_bins(tw_core *core, tw_bins *bins) {
     zone_counts *counts = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
     for (int i = 0; i < core->machine_type_count; i++) core->machine_types[i].late_sum = 0;
@@ -257,6 +267,7 @@
     DL_FOREACH(core->rental_requests, request) { add_requested_bins(core, bins, request); }
 }
 
+/* What all machines of the bins cost together, as the cloud lists prices. */
 static double price_of_bins(const tw_core *core, const tw_bins *bins) {
     double price = 0;
     for (int i = 0; i < bins->count; i++) {
@@ -266,7 +277,7 @@
     return price;
 }
 
-/* Turned-away submissions are planned for until they have not come again for long. */
+/* Plans for rejected submissions, and drops those that have not come again for long. */
 static void plan_rejected_admissions(tw_core *core, tw_bins *bins, tw_expected_releases *releases) {
     tw_rejected_admission *admission;
     tw_rejected_admission *next;
@@ -280,7 +291,7 @@
 
 void tw_autoscaler_plan(tw_core *core) {
     tw_bins bins = {0};
-    tw_expected_releases releases = {0}; /* filled when a batch waits */
+    tw_expected_releases releases = {0}; /* listed when the first batch job waits */
     collect_bins(core, &bins);
     const int existing_count = bins.count;
     tw_job_queue *queue = tw_job_queue_new(core, false);
@@ -295,7 +306,7 @@
     tw_offers_update_wanted(core);
     tw_scale_in_idle(core);
     tw_scale_in_reopen(core);
-    if (!needs_more) tw_scale_in_consolidate(core, &bins); /* else more room is needed, not less */
+    if (!needs_more) tw_scale_in_consolidate(core, &bins);
     tw_expected_releases_free(&releases);
     tw_bins_free(&bins);
 }
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -1,5 +1,6 @@
-/* Room as a plan sees it: bins, one for each machine that is there or coming, which tasks are taken
- * into. */
+/* The bins of a plan: one for each machine that is there or coming, with its free amounts, from
+ * which tasks are taken. Used by all modules of the autoscaler, and by gang_reservation.c for the
+ * room that it expects. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
@@ -17,7 +18,7 @@
            (!*spec->zone || !strcmp(spec->zone, bin->zone));
 }
 
-/* As when placing: work without GPUs leaves a GPU machine's GPUs their cores. */
+/* As in constraints.c, but for memory. */
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
                         bool any_machine) {
     const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
@@ -45,13 +46,13 @@
     return &bins->items[bins->count++];
 }
 
-/* Room in bins only gets less while jobs are packed. So those that are too full for a kind of task,
- * or of a type that it may not use, are passed over by all the jobs alike that come after. */
+/* Where packing begins for tasks of a shape and zone. Room in bins only gets less while jobs are
+ * packed, so all later jobs alike pass over the bins that are too full or not allowed. */
 struct tw_bin_start {
     tw_task_shape shape;
     const char *zone;
-    int first_bin,
-        first_release; /* where to begin: in the bins, and in the room that is given back */
+    int first_bin;     /* in the bins */
+    int first_release; /* in the expected releases */
 };
 
 static bool start_matches(const struct tw_bin_start *start, const tw_job *job) {
@@ -59,7 +60,7 @@
     return tw_task_shapes_are_equal(&start->shape, &shape) && !strcmp(start->zone, job->spec.zone);
 }
 
-/* Valid until the next call. */
+/* The start for the job's tasks, added at 0 if there is none. Valid until the next call. */
 static struct tw_bin_start *find_or_add_start(tw_bins *bins, const tw_job *job) {
     for (int i = 0; i < bins->start_count; i++)
         if (start_matches(&bins->starts[i], job)) return &bins->starts[i];
@@ -70,6 +71,7 @@
     return start;
 }
 
+/* Whether a task of the job may go into the bin. */
 static bool bin_is_useful(const tw_bin *bin, const tw_job *job) {
     return !bin->tried && tw_bin_is_allowed(bin, &job->spec, job->type_mask) &&
            tw_bin_fits(bin, &job->spec);
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -1,15 +1,16 @@
-/* Offers: a machine type in a zone, as spot or on-demand. Which of them a task is rented from, and
- * what is asked of the cloud. */
+/* Offers: a machine type in a zone, as spot or on-demand machines. Decides from which of them a
+ * task is rented for, and how much of what a plan wants is asked of the cloud. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define CROWDING_COST_SHARE 0.001 /* of a price, for each machine of the type that the zone has */
+#define CROWDING_COST_SHARE                                                                        \
+    0.001 /* of the price, added for each machine of the type in the zone: spreads them */
 
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer) {
     return core->machine_types[offer->type_index].listed.zones[offer->zone_index];
 }
 
-/* More of an offer than this are not asked for in a round: the next one sees what was granted. */
+/* How many machines of an offer a plan may want: the next plan sees what was granted of them. */
 static int max_wanted_per_offer(const tw_core *core) {
     return (int)(TW_MAX_RENTAL * fmax(1, core->context.config->cloud_rps));
 }
@@ -19,6 +20,7 @@
     return tw_capacity_task_count(&room, spec);
 }
 
+/* Whether the task may be rented for from the offer, types apart. */
 static bool offer_is_allowed(const tw_core *core, const tw_capacity_offer *offer,
                              const tw_wire_job *spec, const tw_offer_filter *filter) {
     if ((offer->spot && !spec->spot) || core->context.now < offer->refused_until ||
@@ -33,7 +35,9 @@
            (!filter->required_zone || !strcmp(filter->required_zone, zone));
 }
 
-/* Least cost a task, then the zone that has fewest of the type. */
+/* At almost equal cost the zone with the fewest machines of the type wins, by CROWDING_COST_SHARE.
+ */
+
 tw_capacity_offer *tw_offer_best(tw_core *core, const tw_wire_job *spec, uint32_t types,
                                  const tw_offer_filter *filter) {
     tw_capacity_offer *best = NULL;
@@ -69,7 +73,8 @@
     return bin;
 }
 
-/* Takes machines that were about to be returned before new ones are asked for. */
+/* Puts machines of the offer's type that are being emptied back into use instead of asking for new
+ * ones. */
 static void reopen_machines(tw_core *core, tw_capacity_offer *offer) {
     tw_machine *machine;
     struct tw_machine *next;
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -1,18 +1,19 @@
-/* Room that running batch tasks are expected to give back: whether it is worth waiting for, or a
- * machine is to be rented. Only room counts that the job may use: of a machine's type, zone and
- * kind that it allows, and as much on one machine as its task takes. */
+/* Room that running batch tasks are expected to give back: the plan compares waiting for it with
+ * renting a machine. Room counts for a job only if the job may use the machine and the room on that
+ * one machine is enough for a task: room on different machines is never added up. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define MIN_REMAINING_SHARE 0.1 /* of its run time: a task that is past its estimate ends soon */
-#define START_DELAY_S 1         /* until a task that does not run yet does */
+#define MIN_REMAINING_SHARE 0.1 /* of its run time: left for a task that is past its estimate */
+#define START_DELAY_S 1         /* until a placed task that does not run yet runs */
 
+/* For qsort: the earliest first. */
 static int compare_by_time(const void *left, const void *right) {
     const tw_expected_release *a = left, *b = right;
     return a->available_at < b->available_at ? -1 : a->available_at > b->available_at;
 }
 
-/* When a task is expected to end. */
+/* When a batch task is expected to end. */
 static double expected_task_end(const tw_core *core, const tw_placement *placed) {
     const double slowness = placed->machine->slowness > 0 ? placed->machine->slowness : 1;
     const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
@@ -21,7 +22,8 @@
     return fmax(runs_from + run_s, core->context.now + MIN_REMAINING_SHARE * run_s);
 }
 
-/* What a task's end is expected to leave on its machine, beside what is free there already. */
+/* What is expected to be free on a task's machine when the task ends: its own amounts, and what is
+ * free already. */
 static tw_expected_release release_of_task(const tw_core *core, const tw_placement *placed) {
     const tw_machine *machine = placed->machine;
     const tw_wire_job *spec = &placed->job->spec;
@@ -37,6 +39,7 @@
                      spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}};
 }
 
+/* Whether the job's tasks end by themselves. */
 static bool returns_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
 
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *releases) {
@@ -65,7 +68,7 @@
         core->pass_steps++;
         if (!tw_bin_is_allowed(&release->room, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&release->room, &job->spec)) continue;
-        /* What is given back beside GPUs that stay free is kept for them. */
+        /* Cores that are given back beside free GPUs are kept for those GPUs. */
         if (!tw_bin_leaves_gpus(core, &release->room, &job->spec, job->any_machine)) continue;
         tw_bin_take(&release->room, &job->spec);
         return fmax(core->context.now, release->available_at);
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -1,13 +1,16 @@
-/* The cloud's list of the machines that we hold, read page by page. */
+/* The cloud's list of the machines that we hold, read page by page. It lags behind by list_lag_s.
+ * It tells of machines that we rented before a failover, of failed ones, and by leaving them out of
+ * those that are gone (machine->lists_without counts the listings in a row without a machine). */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define PAGE_SIZE 500
+#define PAGE_SIZE 500 /* machines */
 #define PATH_SIZE 200
 #define TIMEOUT_S 5
 #define RETRY_S 1
-#define INTERVAL_LAG_SHARE 0.5 /* between two readings, of the time that the list lags behind */
+#define INTERVAL_LAG_SHARE 0.5 /* between two readings, of the time by which the list lags */
 
+/* Takes what the list says of a machine, which may be new to us. */
 static void update_listed_machine(tw_core *core, const tw_wire_rented_machine *listed) {
     if (tw_expiring_names_find(core->returned_machines, listed->id)) return;
     tw_machine *machine = tw_machine_find(core, listed->id);
@@ -26,13 +29,14 @@
     if (!*machine->endpoint && *listed->endpoint)
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
     if (listed->state == TW_RENTED_FAILED) machine->failed = 1;
-    /* After a change of leader we need not wait until the worker has found us. */
+    /* After a failover we ask the worker for its state and need not wait until it has found us. */
     if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at && !machine->probed) {
         machine->probed = 1;
         tw_machine_want_probe(core, machine);
     }
 }
 
+/* Counts a listing for all machines; those that it names are set back to 0. */
 static void begin_listing(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
--- a/src/core/machine_types.c
+++ b/src/core/machine_types.c
@@ -1,15 +1,18 @@
-/* Machine types and their prices, as the cloud lists them. */
+/* Machine types and their prices, as the cloud lists them. The first list makes core->machine_types
+ * and the offers; a type keeps its index from then on, and later lists change prices only. Called
+ * by scale_out.c. */
 #include "core/autoscaler_int.h"
 
-#define MAX_MACHINE_TYPES 31 /* a job's types are bits of a word */
-/* What is taken of a type until something has been learned of it. */
-#define INITIAL_QUEUE_DELAY_HEARTBEATS 0.05 /* q, of a report's interval */
-#define INITIAL_FETCH_SLOWDOWN 1.1          /* p, of what the type's rate says */
+#define MAX_MACHINE_TYPES 31 /* a job's types are the bits of an uint32_t */
+/* What is assumed of a type until it has been measured; q and p are those of run_estimate.c. */
+#define INITIAL_QUEUE_DELAY_HEARTBEATS 0.05 /* q, in intervals of heartbeats */
+#define INITIAL_FETCH_SLOWDOWN 1.1          /* p, times what the type's listed rate says */
 #define INITIAL_FETCH_DEVIATION 0.1
 #define INITIAL_OVERDUE_SHARE 0.06
 #define INITIAL_FETCH_INTERFERENCE 0.5
 #define PRICING_KINDS 2 /* on-demand, spot */
 
+/* A type as it is listed, with what is assumed of it. */
 static tw_machine_type new_machine_type(const tw_core *core, const tw_wire_machine_type *listed) {
     return (tw_machine_type){.listed = *listed,
                              .slowness = 1,
@@ -21,6 +24,7 @@
                              .fetch_interference = INITIAL_FETCH_INTERFERENCE};
 }
 
+/* Makes an offer for each type, zone and kind of pricing. */
 static void create_offers(tw_core *core) {
     int count = 0;
     for (int i = 0; i < core->machine_type_count; i++)
@@ -34,12 +38,13 @@
                     (tw_capacity_offer){.type_index = i, .zone_index = zone, .spot = spot};
 }
 
+/* Takes the first list. */
 static void set_machine_types(tw_core *core, const tw_wire_machine_type *listed, int count) {
     core->machine_types = tw_alloc((size_t)count * sizeof *core->machine_types);
     core->machine_type_count = count;
     for (int i = 0; i < count; i++) core->machine_types[i] = new_machine_type(core, &listed[i]);
     create_offers(core);
-    /* Records read before the types were known. */
+    /* Jobs that were read before the types were known don't know theirs yet. */
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (job->has_spec) job->type_mask = tw_machine_type_mask(core, &job->spec);
@@ -47,7 +52,7 @@
     tw_log_info("event=machine_types_listed n=%d", count);
 }
 
-/* Only prices move; an index never changes its meaning. */
+/* Takes the prices of a later list. Types that we don't know are ignored. */
 static void update_prices(tw_core *core, const tw_wire_machine_type *listed, int count) {
     for (int i = 0; i < count; i++) {
         const int type = tw_machine_type_index(core, listed[i].name);
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -1,23 +1,28 @@
-/* Which machines to give back: idle ones, and those whose replicas fit elsewhere. */
+/* Which machines to give back: idle ones, and those whose replicas fit on others.
+ *
+ * A machine that has been idle for too long is cordoned and wanted back (return_wanted), unless the
+ * plan keeps it as headroom. To consolidate, one machine at a time, or a few of a large fleet, is
+ * emptied (decommissioning): its replicas are stopped one by one as there is room elsewhere, where
+ * they start again at once. A machine that is emptied is returned when it is idle, and used again
+ * before that if a job waits that may use it. Called at the end of each plan. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define MAX_TRIES_PER_PASS 4 /* machines looked at in a pass, to empty the next one */
-#define RETRY_HEARTBEATS 3   /* reports until one that could not be emptied is looked at again */
-#define PASS_INTERVAL_HEARTBEATS 0.3 /* reports between passes that move tasks */
-#define MIN_MOVES_PER_PASS 2         /* tasks that a pass may move anyway */
-#define MOVE_WRITE_SHARE 0.25        /* of the state service's changes, for moves */
-#define MACHINES_PER_DECOMMISSION                                                                  \
-    20                      /* one machine is emptied at a time, and one more for so many */
-#define MIN_UP_LEASES 2     /* leases for which a machine is up before it is emptied */
-#define MAX_FETCH_SHARE 0.5 /* of its start objective: how long a moved replica's fetch may take   \
-                             */
-#define BATCH_MOVE_WEIGHT 2 /* what moving a batch task costs, against a replica */
+#define MAX_TRIES_PER_PASS 4         /* machines that a pass tries to find one to empty */
+#define RETRY_HEARTBEATS 3           /* heartbeats until a machine is tried again */
+#define PASS_INTERVAL_HEARTBEATS 0.3 /* heartbeats between passes that move tasks */
+#define MIN_MOVES_PER_PASS 2         /* tasks that a pass may move in any case */
+#define MOVE_WRITE_SHARE 0.25        /* of the state service's writes, for moves */
+#define MACHINES_PER_DECOMMISSION 20 /* one is emptied at a time, and one more for so many */
+#define MIN_UP_LEASES 2              /* for which a machine is up before it is emptied */
+#define MAX_FETCH_SHARE 0.5          /* of its start objective, for a moved replica's fetch */
+#define BATCH_MOVE_WEIGHT 2          /* what moving a batch task costs, where a replica costs 1 */
 
 /* ---- idle machines ---- */
 
-/* Tasks that ended stay in the list until the machine forgot them; those whose direct launch may
- * still come, or come once more, are not forgotten there for long, and don't keep the machine. */
+/* Whether some task keeps the machine from being idle. A task that ended stays in the machine's
+ * list until the machine has forgotten it. If its launch may still arrive, or arrive once more, it
+ * is not forgotten for long: such a task doesn't keep the machine. */
 static bool holds_work(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
@@ -27,7 +32,7 @@
     return false;
 }
 
-/* Notes since when a machine is idle; returns whether that is for too long. */
+/* Notes since when the machine is idle. Returns whether that is for too long. */
 static bool update_idle_since(const tw_core *core, tw_machine *machine) {
     if (holds_work(core, machine) || machine->kept_as_headroom) {
         machine->idle_since = 0;
@@ -55,7 +60,8 @@
 
 /* ---- room elsewhere ---- */
 
-/* Whether its image is there, or comes so fast that a start objective would still be met. */
+/* Whether the task's image is cached on the machine, or is fetched so fast that the task would
+ * still meet its start objective. */
 static bool image_is_near(const tw_core *core, const tw_placement *placed,
                           const tw_machine *machine) {
     const tw_job *job = placed->job;
@@ -73,7 +79,7 @@
     return (spec->spread || spec->single_zone) && spec->task_count > 1;
 }
 
-/* Whether a task that runs elsewhere would start at once in this room. */
+/* Whether a task that runs on another machine would start at once in the bin. */
 static bool can_move_into_bin(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
     const tw_job *job = placed->job;
     if (!bin->machine || bin->machine == placed->machine || !bin->occupied) return false;
@@ -85,25 +91,28 @@
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
 }
 
-/* Room for a task elsewhere, where it would start at once; NULL: none. */
+/* The bin of another machine in which the task would start at once. NULL: there is none. */
 static tw_bin *find_destination(const tw_core *core, tw_bins *bins, const tw_placement *placed) {
     for (int i = 0; i < bins->count; i++)
         if (can_move_into_bin(core, &bins->items[i], placed)) return &bins->items[i];
     return NULL;
 }
 
+/* A task for which room was taken in a bin. */
 typedef struct {
     tw_bin *bin;
     const tw_wire_job *spec;
 } moved_task;
 
-/* Takes room for all replicas of a machine; returns 0 if there is none for one of them. */
+/* Takes room elsewhere for all replicas of the machine, and lists them with their bins. Returns
+ * false if one of them has no room or can't move now; what was listed so far is to be given back
+ * then, too. */
 static bool take_room_for_replicas(const tw_core *core, tw_bins *bins, const tw_machine *machine,
                                    moved_task *taken, int *count) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const tw_wire_job *spec = &placed->job->spec;
-        if (!placed->counted || !spec->service) continue; /* a batch task ends by itself */
+        if (!placed->counted || !spec->service) continue; /* it ends by itself */
         if (placed->state != TW_TASK_RUNNING || placed->stopping) return false;
         tw_bin *destination = find_destination(core, bins, placed);
         if (!destination) return false;
@@ -113,7 +122,7 @@
     return true;
 }
 
-/* Whether all that runs on a machine could go elsewhere; the room stays as it was. */
+/* Whether all replicas of the machine could move. The bins stay as they were. */
 static bool can_evict_all(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
     const tw_placement *placed;
     int capacity = 0;
@@ -128,7 +137,7 @@
 
 /* ---- machines that are being emptied ---- */
 
-/* All the room of a machine, as if nothing ran on it. */
+/* A bin of the machine as if nothing ran on it. */
 static tw_bin bin_of_whole_machine(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_bin){.type_index = machine->type_index,
@@ -139,8 +148,8 @@
                     .memory_gb = type->memory_gb};
 }
 
-/* Whether some job waits that may use the machine once there is room: then it is not emptied, for
- * where no more can be rented nothing would replace it. */
+/* Whether some job waits that may use the machine once it has room. Then it is not emptied: where
+ * no more can be rented, nothing would replace it. */
 static bool job_waits_for_machine(const tw_core *core, const tw_machine *machine) {
     const tw_bin whole = bin_of_whole_machine(core, machine);
     const tw_job *job;
@@ -167,8 +176,9 @@
     }
 }
 
-/* A batch task that saves its progress goes where it starts again at once; it ends where it is if
- * there is no such room. Stopped for nothing, it would wait, and a machine be rented for it. */
+/* Moves a batch task that saves its progress if it starts again at once elsewhere. Without such
+ * room it is left to end where it is: if it were stopped it would wait, and a machine be rented for
+ * it. */
 static void evict_batch_task(tw_core *core, tw_bins *bins, tw_placement *placed, int *moves_left) {
     const tw_wire_job *spec = &placed->job->spec;
     if (spec->checkpoint_s <= 0 || placed->state != TW_TASK_RUNNING) return;
@@ -180,8 +190,8 @@
     (*moves_left)--;
 }
 
-/* Moves what runs on a machine that is being emptied, a task at a time, so that its start elsewhere
- * is not held up. 0: no more may be moved in this pass. */
+/* Moves the tasks of a machine that is being emptied, as far as moves are left in this pass, so
+ * that no start elsewhere is held up. Returns false if no more may be moved in this pass. */
 static bool evict_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves_left) {
     tw_placement *placed;
     tw_placement *next;
@@ -194,7 +204,7 @@
         }
         tw_bin *destination = find_destination(core, bins, placed);
         if (!destination) {
-            machine->decommissioning = false; /* the room has gone */
+            machine->decommissioning = false; /* the room for it has gone since */
             break;
         }
         tw_bin_take(destination, &placed->job->spec);
@@ -208,18 +218,18 @@
 
 /* ---- which machine to empty next ---- */
 
-/* Whether it has been up for long enough, and is not one that was just looked at in vain. */
+/* Whether the machine may be emptied: it has been up for long enough, and was not tried in vain
+ * just now. */
 static bool may_decommission(const tw_core *core, const tw_machine *machine) {
     if (!tw_machine_is_usable(core, machine) || machine->spot) return false;
-    if (!tw_machine_is_occupied(machine))
-        return false; /* it goes when it was idle for long enough */
+    if (!tw_machine_is_occupied(machine)) return false; /* it is returned as an idle one */
     if (core->context.now < machine->no_decommission_until) return false;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
     const double min_up_s = fmax(startup_s, MIN_UP_LEASES * core->context.config->lease_s);
     return core->context.now - machine->first_answered_at >= min_up_s;
 }
 
-/* What returning a machine saves, for what it costs to empty it. */
+/* What returning the machine saves, divided by what it costs to empty it. */
 static double decommission_gain(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     int replica_count = 0, batch_count = 0;
@@ -231,6 +241,7 @@
            (1 + replica_count + BATCH_MOVE_WEIGHT * batch_count);
 }
 
+/* The machine with the largest gain of those that may be emptied. NULL: there is none. */
 static tw_machine *find_largest_gain(const tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
@@ -246,7 +257,7 @@
     return best;
 }
 
-/* The next machine to empty, of the few that are looked at in a pass; NULL: none. */
+/* The next machine to empty. NULL: none of the few that a pass tries. */
 static tw_machine *choose_machine_to_decommission(const tw_core *core, tw_bins *bins) {
     for (int i = 0; i < MAX_TRIES_PER_PASS; i++) {
         tw_machine *best = find_largest_gain(core);
@@ -260,19 +271,21 @@
 
 /* ---- passes ---- */
 
-/* Each move ends in a write or two: a share of what may be written in the time between passes. */
+/* How many tasks a pass may move. Each move ends in a write or two, so they get a share of what may
+ * be written between passes. */
 static int max_moves_per_pass(const tw_core *core, double interval_s) {
     return (int)fmax(MIN_MOVES_PER_PASS,
                      ceil(MOVE_WRITE_SHARE * core->context.config->state_write_rps * interval_s));
 }
 
-/* Whether a machine was asked for that is not there yet. */
+/* Whether a machine was asked for that is not there yet: more room is needed then, not less. */
 static bool is_machine_coming(const tw_bins *bins) {
     for (int i = 0; i < bins->count; i++)
         if (!bins->items[i].machine) return true;
     return false;
 }
 
+/* Whether a service's task waits, which needs room now. */
 static bool is_service_pending(const tw_core *core) {
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
@@ -281,6 +294,7 @@
     return false;
 }
 
+/* Whether the machine is being emptied and not wanted back yet. */
 static bool is_being_emptied(const tw_machine *machine) {
     return machine->decommissioning && !machine->return_wanted;
 }
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -1,22 +1,30 @@
-/* Dealing with the cloud: what is asked of it and when, rental requests, and returns. */
+/* The calls to the cloud: what is asked of it and when, rental requests, returns, and what becomes
+ * of its responses. The cloud takes few calls a second, so each one is counted by
+ * core->cloud_limiter.
+ *
+ * Invariants: a rental request stays in core->rental_requests until the cloud's answer is known,
+ * and until then it is sent again under the same name, to which the cloud gives the same answer; a
+ * machine that we return is forgotten only after the cloud has confirmed it. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
 #define TIMEOUT_S 5
 #define TYPES_TIMEOUT_S 3
 #define TYPES_INTERVAL_S 60
-#define TYPES_RETRY_S 0.5 /* until they are known */
+#define TYPES_RETRY_S 0.5 /* between two attempts until the types are known */
 #define PLAN_INTERVAL_S 0.5
 #define RETRY_S 1
 #define MAX_RETURNS_PER_REQUEST 100
-#define FLEET_LOG_INTERVAL_LEASES 2 /* between two log lines on the fleet */
-/* How long an offer is left alone after a refusal, in lags of the list. */
+#define FLEET_LOG_INTERVAL_LEASES 2 /* between two counts of the fleet in the log */
+/* How long nothing is asked of an offer; in lags of the cloud's list of machines where it says so.
+ */
 #define PAUSE_AFTER_PARTIAL_GRANT_LAGS 2
 #define MAX_PAUSE_AFTER_REFUSAL_LAGS 6
 #define PAUSE_AFTER_MALFORMED_S 60
 
 /* ---- returning ---- */
 
+/* Asks the cloud to take back the machines that are wanted back. */
 static void send_returns(tw_core *core) {
     char names[MAX_RETURNS_PER_REQUEST][TW_NAME_SIZE];
     int count = 0;
@@ -41,13 +49,14 @@
     core->return_in_flight = true;
 }
 
+/* Forgets the machines that were returned, or has their return asked for again. */
 static void handle_return_response(tw_core *core, const tw_call *call, int status) {
     core->return_in_flight = false;
     for (int i = 0; i < call->count; i++) {
         tw_machine *machine = tw_machine_find(core, call->names[i]);
         if (!machine) continue;
         if (status != TW_HTTP_OK) {
-            machine->return_in_flight = 0; /* asked again: releasing twice is harmless */
+            machine->return_in_flight = 0; /* asked for again: returning twice is harmless */
             core->returns_due = true;
             core->next_return_at = core->context.now + RETRY_S;
             continue;
@@ -59,7 +68,7 @@
 
 /* ---- rental requests ---- */
 
-/* The offer that a request is for: offers stay, so there is one. */
+/* The offer that a request is for. Offers stay, so there always is one. */
 static tw_capacity_offer *find_offer_of_request(const tw_core *core,
                                                 const tw_rental_request *request) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
@@ -71,6 +80,7 @@
     return NULL;
 }
 
+/* Sends a request, for the first time or again. */
 static void send_rental_request(tw_core *core, tw_rental_request *request) {
     const tw_capacity_offer *offer = find_offer_of_request(core, request);
     request->in_flight = true;
@@ -84,7 +94,8 @@
     snprintf(call->name, sizeof call->name, "%s", request->name);
 }
 
-/* The offer that most machines have been wanted of for longest. */
+/* The offer with the largest need: machines wanted times the time for which they have been. NULL:
+ * nothing is wanted. */
 static tw_capacity_offer *find_most_wanted_offer(const tw_core *core) {
     tw_capacity_offer *best = NULL;
     double largest_need = 0;
@@ -99,9 +110,10 @@
     return best;
 }
 
+/* Asks the cloud for the machines that are wanted of the offer, as many as a request may name. */
 static void request_from_offer(tw_core *core, tw_capacity_offer *offer) {
     tw_rental_request *request = tw_alloc(sizeof *request);
-    /* The token makes the name unlike any of another leader's. */
+    /* The fencing token makes the name different from those of all other leaders. */
     snprintf(request->name, sizeof request->name, "r-%llu-%llu",
              (unsigned long long)core->fencing_token,
              (unsigned long long)++core->next_rental_request);
@@ -116,6 +128,7 @@
     send_rental_request(core, request);
 }
 
+/* Notes a machine that the cloud has rented to us. sent_at: when it was asked for. */
 static void add_rented_machine(tw_core *core, const tw_rental_request *request, const char *name,
                                double sent_at) {
     if (tw_expiring_names_find(core->returned_machines, name)) return;
@@ -129,6 +142,7 @@
              core->machine_types[request->type_index].listed.name);
 }
 
+/* The cloud granted the request, in full or in part. */
 static void handle_grant(tw_core *core, const tw_rental_request *request,
                          char (*names)[TW_WIRE_NAME_SIZE], int count, double sent_at) {
     tw_capacity_offer *offer = find_offer_of_request(core, request);
@@ -143,6 +157,8 @@
             core->context.now + core->context.config->list_lag_s * PAUSE_AFTER_PARTIAL_GRANT_LAGS;
 }
 
+/* The cloud has no such machines: the offer is left alone, for longer after each refusal in a row.
+ */
 static void handle_refusal(tw_core *core, const tw_rental_request *request) {
     tw_capacity_offer *offer = find_offer_of_request(core, request);
     offer->refusal_count++;
@@ -154,6 +170,7 @@
                 request->spot);
 }
 
+/* Takes the response to a rental request, which ends unless the answer is unknown. */
 static void handle_rental_response(tw_core *core, const tw_call *call, int status, const char *body,
                                    size_t length) {
     tw_rental_request *request;
@@ -173,7 +190,7 @@
         tw_log_error("event=rental_answer_malformed request=%s", request->name);
         find_offer_of_request(core, request)->refused_until =
             core->context.now + PAUSE_AFTER_MALFORMED_S;
-    } else { /* unknown: the same name again gets the same answer */
+    } else { /* unknown: asked again, the same name gets the same answer */
         request->next_attempt_at = core->context.now + RETRY_S;
         return;
     }
@@ -184,12 +201,13 @@
 
 /* ---- time ---- */
 
-/* What there is of a machine type, as spot or on-demand. */
+/* The machines of a type, either spot or on-demand ones, and what is in use of them. */
 typedef struct {
     int up, idle, coming;
     double cores, gpus, batch_gpus;
 } fleet_count;
 
+/* Counts a machine. */
 static void count_machine(fleet_count *count, const tw_machine *machine) {
     if (machine->state == TW_MACHINE_BOOTING) {
         count->coming++;
@@ -206,7 +224,7 @@
     }
 }
 
-/* What there is and how full it is, for the operators' eyes. */
+/* Logs for the operators how many machines there are of each type, and how full they are. */
 static void log_fleet(const tw_core *core) {
     if (!tw_log_on(TW_LOG_INFO)) return;
     fleet_count(*counts)[2] = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
@@ -232,6 +250,7 @@
     free(counts);
 }
 
+/* Asks for the list of machine types when it is due. */
 static void request_machine_types(tw_core *core) {
     if (core->machine_types_in_flight || core->context.now < core->next_machine_types_at ||
         !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
@@ -241,7 +260,8 @@
                  core->context.config->cloud, "GET", "/flavors", NULL, TYPES_TIMEOUT_S);
 }
 
-/* Little may be asked of the cloud: what is wanted gathers until a request may go. */
+/* Sends the rental requests that are due, first the unanswered ones again. The cloud takes few
+ * calls: what is wanted gathers until a request may be sent. */
 static void send_due_rental_requests(tw_core *core) {
     tw_rental_request *request;
     DL_FOREACH(core->rental_requests, request) {
