--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -9,6 +9,7 @@
  * in time, names that end in _s are durations in seconds. */
 #ifndef TW_CORE_AUTOSCALER_H
 #define TW_CORE_AUTOSCALER_H
+#include "core/capacity.h"
 #include "core/job.h"
 #include "core/machine.h"
 #include <stdbool.h>
@@ -33,10 +34,10 @@
     tw_capacity_offer *offer; /* from which this plan rents it; NULL: it is there or asked for */
     int type_index;           /* in core->machine_types */
     bool spot;
-    bool occupied;                 /* a task runs on the machine, or may */
-    bool tried;                    /* placement passes have had the chance to use it */
-    const char *zone;              /* belongs to the machine or to its type */
-    double cores, gpus, memory_gb; /* free */
+    bool occupied;    /* a task runs on the machine, or may */
+    bool tried;       /* placement passes have had the chance to use it */
+    const char *zone; /* belongs to the machine or to its type */
+    tw_capacity room; /* what is free */
 } tw_bin;
 
 /* The bins of a plan, which own no machines or offers. Freed with tw_bins_free. */
@@ -50,7 +51,7 @@
 /* Room that a running batch task is expected to give back when it ends. */
 typedef struct tw_expected_release {
     double available_at;
-    tw_bin room; /* with what is free on the machine already */
+    tw_bin bin; /* with what is free on the machine already */
 } tw_expected_release;
 
 typedef struct tw_expected_releases {
--- a/src/core/autoscaler_gang.c
+++ b/src/core/autoscaler_gang.c
@@ -30,13 +30,13 @@
                                int max_count) {
     int count = 0;
     for (int i = 0; i < bins->count && count < max_count; i++) {
-        tw_bin room = bins->items[i];
+        tw_bin bin = bins->items[i];
         core->pass_steps++;
-        if (strcmp(room.zone, zone) != 0 || !tw_bin_is_allowed(&room, &job->spec, job->type_mask))
+        if (strcmp(bin.zone, zone) != 0 || !tw_bin_is_allowed(&bin, &job->spec, job->type_mask))
             continue;
-        while (count < max_count && tw_bin_fits(&room, &job->spec) &&
-               tw_bin_leaves_gpus(core, &room, &job->spec, job->any_machine)) {
-            tw_bin_take(&room, &job->spec);
+        while (count < max_count && tw_bin_fits(&bin, &job->spec) &&
+               tw_bin_leaves_gpus(core, &bin, &job->spec, job->any_machine)) {
+            tw_bin_take(&bin, &job->spec);
             count++;
         }
     }
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -9,13 +9,22 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define NEGLIGIBLE_PRICE_SHARE 0.02 /* of the fleet's price: room that costs less is nearly free   \
-                                     */
-#define RATE_DECAY_S                                                                               \
-    60 /* without arrivals until their rate is taken to fall, and how fast it falls */
+#define NEGLIGIBLE_PRICE_SHARE 0.02 /* of the fleet's price */
+#define RATE_DECAY_S 60      /* without arrivals until their rate is taken to fall, and how fast */
 #define EXPECTED_SHARE 0.5   /* of the expected arrivals, to which their deviation is added */
 #define ROUND_DOWN_SHARE 0.3 /* of a task: a fraction up to this is not rounded up */
 
+/* What a task of the class costs on the type of machine where it costs least, on-demand. */
+static double lowest_task_price(const tw_core *core, const tw_job_class *class) {
+    double price = INFINITY;
+    for (int i = 0; i < core->machine_type_count; i++) {
+        const tw_wire_machine_type *type = &core->machine_types[i].listed;
+        if (class->sample_type_mask & (1U << i))
+            price = fmin(price, type->on_demand_price / tw_offer_task_count(type, &class->sample));
+    }
+    return price;
+}
+
 /* How many tasks of the class to keep room for. 0: the class is not known well enough, has no start
  * objective, or is made of batch jobs that aren't gangs. */
 static int count_headroom_tasks(const tw_core *core, const tw_job_class *class,
@@ -35,13 +44,8 @@
                    (EXPECTED_SHARE * expected + sqrt(expected * batch_tasks));
     /* A late start costs the same whatever the task: where twice the room is nearly free beside
      * what the fleet costs, twice the room is kept. */
-    double price = INFINITY;
-    for (int i = 0; i < core->machine_type_count; i++) {
-        const tw_wire_machine_type *type = &core->machine_types[i].listed;
-        if (class->sample_type_mask & (1U << i))
-            price = fmin(price, type->on_demand_price / tw_offer_task_count(type, sample));
-    }
-    if (2 * tasks * price < NEGLIGIBLE_PRICE_SHARE * fleet_price) tasks *= 2;
+    if (2 * tasks * lowest_task_price(core, class) < NEGLIGIBLE_PRICE_SHARE * fleet_price)
+        tasks *= 2;
     if (sample->gang) tasks = fmax(tasks, class->largest_gang);
     return (int)ceil(tasks - ROUND_DOWN_SHARE);
 }
@@ -84,9 +88,9 @@
     for (int zone = 0; zone < core->zone_count; zone++) {
         int count = 0;
         for (int i = 0; i < bins->count && count < wanted; i++) {
-            tw_bin room = bins->items[i];
-            room.machine = NULL; /* the machine is not marked as headroom by this trial */
-            count += reserve_in_bin(core, &room, class, wanted - count, core->zone_names[zone]);
+            tw_bin bin = bins->items[i];
+            bin.machine = NULL; /* the machine is not marked as headroom by this trial */
+            count += reserve_in_bin(core, &bin, class, wanted - count, core->zone_names[zone]);
         }
         if (count <= most) continue;
         most = count;
--- a/src/core/autoscaler_int.h
+++ b/src/core/autoscaler_int.h
@@ -24,6 +24,8 @@
     const char *required_zone; /* NULL: any zone will do */
     bool for_headroom;         /* room without a task yet: on GPU machines only if it needs GPUs */
 } tw_offer_filter;
+/* The offer that a request is for. Offers stay, so a request always has one; NULL: none. */
+tw_capacity_offer *tw_offer_of_request(const tw_core *core, const tw_rental_request *request);
 /* How many of the job's tasks an empty machine of the type holds, a whole number. */
 double tw_offer_task_count(const tw_wire_machine_type *type, const tw_wire_job *spec);
 /* The offer at which a task costs least. types: machine types, as bits. NULL: there is none. */
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -209,21 +209,14 @@
                                   .tried = machine->state == TW_MACHINE_UP &&
                                            core->context.now - machine->first_answered_at >
                                                core->context.config->report_s,
-                                  .cores = type->cores - machine->used_cores,
-                                  .gpus = type->gpus - machine->used_gpus,
-                                  .memory_gb = type->memory_gb - machine->used_memory_gb};
+                                  .room = tw_machine_free_capacity(machine, type)};
 }
 
 /* Adds bins for the machines of a request that isn't answered yet: they count as coming. */
 static void add_requested_bins(tw_core *core, tw_bins *bins, const tw_rental_request *request) {
-    for (int i = 0; i < core->capacity_offer_count; i++) {
-        tw_capacity_offer *offer = &core->capacity_offers[i];
-        if (offer->type_index != request->type_index || offer->zone_index != request->zone_index ||
-            offer->spot != request->spot)
-            continue;
-        for (int k = 0; k < request->machine_count; k++)
-            tw_offer_add_bin(core, bins, offer)->offer = NULL;
-    }
+    tw_capacity_offer *offer = tw_offer_of_request(core, request);
+    for (int i = 0; offer && i < request->machine_count; i++)
+        tw_offer_add_bin(core, bins, offer)->offer = NULL;
 }
 
 /* Machines of a type by zone index; the last count is for machines whose zone has no index. */
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -8,9 +8,7 @@
 #define INITIAL_START_CAPACITY 16
 
 bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec) {
-    return bin->cores + TW_CAPACITY_ROUNDING >= spec->cores &&
-           bin->gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
-           bin->memory_gb + TW_CAPACITY_ROUNDING >= spec->memory_gb;
+    return tw_capacity_fits(&bin->room, spec, TW_CAPACITY_ROUNDING);
 }
 
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types) {
@@ -25,20 +23,12 @@
     if (spec->gpus > 0 || any_machine || type->gpus <= 0) return true;
     double cores_per_gpu = core->cores_per_gpu;
     if (cores_per_gpu <= 0) cores_per_gpu = type->cores / type->gpus;
-    return bin->cores - spec->cores + TW_CAPACITY_ROUNDING >= bin->gpus * cores_per_gpu;
+    return bin->room.cores - spec->cores + TW_CAPACITY_ROUNDING >= bin->room.gpus * cores_per_gpu;
 }
 
-void tw_bin_take(tw_bin *bin, const tw_wire_job *spec) {
-    bin->cores -= spec->cores;
-    bin->gpus -= spec->gpus;
-    bin->memory_gb -= spec->memory_gb;
-}
+void tw_bin_take(tw_bin *bin, const tw_wire_job *spec) { tw_capacity_take_task(&bin->room, spec); }
 
-void tw_bin_give(tw_bin *bin, const tw_wire_job *spec) {
-    bin->cores += spec->cores;
-    bin->gpus += spec->gpus;
-    bin->memory_gb += spec->memory_gb;
-}
+void tw_bin_give(tw_bin *bin, const tw_wire_job *spec) { tw_capacity_give_task(&bin->room, spec); }
 
 tw_bin *tw_bins_add(tw_bins *bins) {
     bins->items = tw_grow(bins->items, bins->count, &bins->capacity, INITIAL_BIN_CAPACITY,
--- a/src/core/capacity.h
+++ b/src/core/capacity.h
@@ -3,6 +3,7 @@
 #ifndef TW_CORE_CAPACITY_H
 #define TW_CORE_CAPACITY_H
 #include "wire/wire.h"
+#include <stdbool.h>
 
 /* Amounts are sums of many floating-point numbers, which are off by less than this. */
 #define TW_CAPACITY_ROUNDING 1e-6
@@ -11,6 +12,28 @@
     double cores, gpus, memory_gb;
 } tw_capacity;
 
+/* Whether one of the job's tasks fits into the room, of which each amount may be off by less than
+ * tolerance: TW_CAPACITY_ROUNDING, or more for sums over many tasks. */
+static inline bool tw_capacity_fits(const tw_capacity *room, const tw_wire_job *spec,
+                                    double tolerance) {
+    return room->cores + tolerance >= spec->cores && room->gpus + tolerance >= spec->gpus &&
+           room->memory_gb + tolerance >= spec->memory_gb;
+}
+
+/* Takes the amounts of one of the job's tasks from the room. */
+static inline void tw_capacity_take_task(tw_capacity *room, const tw_wire_job *spec) {
+    room->cores -= spec->cores;
+    room->gpus -= spec->gpus;
+    room->memory_gb -= spec->memory_gb;
+}
+
+/* Gives the amounts of one of the job's tasks back to the room. */
+static inline void tw_capacity_give_task(tw_capacity *room, const tw_wire_job *spec) {
+    room->cores += spec->cores;
+    room->gpus += spec->gpus;
+    room->memory_gb += spec->memory_gb;
+}
+
 /* How many of the job's tasks fit into the room: a whole number, below 0 where an amount of the
  * room is below 0. */
 double tw_capacity_task_count(const tw_capacity *room, const tw_wire_job *spec);
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -3,13 +3,22 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define CROWDING_COST_SHARE                                                                        \
-    0.001 /* of the price, added for each machine of the type in the zone: spreads them */
+#define CROWDING_COST_SHARE 0.001 /* of the price, for each machine of the type in the zone */
 
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer) {
     return core->machine_types[offer->type_index].listed.zones[offer->zone_index];
 }
 
+tw_capacity_offer *tw_offer_of_request(const tw_core *core, const tw_rental_request *request) {
+    for (int i = 0; i < core->capacity_offer_count; i++) {
+        tw_capacity_offer *offer = &core->capacity_offers[i];
+        if (offer->type_index == request->type_index && offer->zone_index == request->zone_index &&
+            offer->spot == request->spot)
+            return offer;
+    }
+    return NULL;
+}
+
 /* How many machines of an offer a plan may want: the next plan sees what was granted of them. */
 static int max_wanted_per_offer(const tw_core *core) {
     return (int)(TW_MAX_RENTAL * fmax(1, core->context.config->cloud_rps));
@@ -66,9 +75,7 @@
                            .type_index = offer->type_index,
                            .spot = offer->spot,
                            .zone = tw_offer_zone(core, offer),
-                           .cores = type->cores,
-                           .gpus = type->gpus,
-                           .memory_gb = type->memory_gb};
+                           .room = {type->cores, type->gpus, type->memory_gb}};
     offer->machine_count++;
     return bin;
 }
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -30,13 +30,12 @@
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_expected_release){
         .available_at = expected_task_end(core, placed),
-        .room = {.type_index = machine->type_index,
-                 .spot = machine->spot,
-                 .zone = machine->zone,
-                 .cores = spec->cores + fmax(0, type->cores - machine->used_cores),
-                 .gpus = spec->gpus + fmax(0, type->gpus - machine->used_gpus),
-                 .memory_gb =
-                     spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}};
+        .bin = {.type_index = machine->type_index,
+                .spot = machine->spot,
+                .zone = machine->zone,
+                .room = {spec->cores + fmax(0, type->cores - machine->used_cores),
+                         spec->gpus + fmax(0, type->gpus - machine->used_gpus),
+                         spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}}};
 }
 
 /* Whether the job's tasks end by themselves. */
@@ -66,11 +65,11 @@
     for (; *first < releases->count; ++*first) {
         tw_expected_release *release = &releases->items[*first];
         core->pass_steps++;
-        if (!tw_bin_is_allowed(&release->room, &job->spec, job->type_mask)) continue;
-        if (!tw_bin_fits(&release->room, &job->spec)) continue;
+        if (!tw_bin_is_allowed(&release->bin, &job->spec, job->type_mask)) continue;
+        if (!tw_bin_fits(&release->bin, &job->spec)) continue;
         /* Cores that are given back beside free GPUs are kept for those GPUs. */
-        if (!tw_bin_leaves_gpus(core, &release->room, &job->spec, job->any_machine)) continue;
-        tw_bin_take(&release->room, &job->spec);
+        if (!tw_bin_leaves_gpus(core, &release->bin, &job->spec, job->any_machine)) continue;
+        tw_bin_take(&release->bin, &job->spec);
         return fmax(core->context.now, release->available_at);
     }
     return INFINITY;
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -57,21 +57,19 @@
 static expected_room expected_room_on(const tw_core *core, const tw_job *job, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const double horizon = core->context.now + MAX_RESERVATION_S;
-    tw_bin room = {.type_index = machine->type_index,
-                   .cores = type->cores - machine->used_cores,
-                   .gpus = type->gpus - machine->used_gpus,
-                   .memory_gb = type->memory_gb - machine->used_memory_gb};
+    tw_bin bin = {.type_index = machine->type_index,
+                  .room = tw_machine_free_capacity(machine, type)};
     expected_room result = {.machine = machine, .available_at = core->context.now};
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const double end = placed->counted ? expected_task_end(core, placed) : INFINITY;
         if (end > horizon) continue;
-        tw_bin_give(&room, &placed->job->spec);
+        tw_bin_give(&bin, &placed->job->spec);
         result.available_at = fmax(result.available_at, end);
     }
-    while (result.task_count < job->task_count && tw_bin_fits(&room, &job->spec) &&
-           tw_bin_leaves_gpus(core, &room, &job->spec, job->any_machine)) {
-        tw_bin_take(&room, &job->spec);
+    while (result.task_count < job->task_count && tw_bin_fits(&bin, &job->spec) &&
+           tw_bin_leaves_gpus(core, &bin, &job->spec, job->any_machine)) {
+        tw_bin_take(&bin, &job->spec);
         result.task_count++;
     }
     return result;
--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -23,8 +23,7 @@
 static int count_free_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                             int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    const tw_capacity room = {type->cores - machine->used_cores, type->gpus - machine->used_gpus,
-                              type->memory_gb - machine->used_memory_gb};
+    const tw_capacity room = tw_machine_free_capacity(machine, type);
     int count = count_tasks_in_room(&room, &job->spec, limit);
     while (count > 0 && !tw_constraints_leave_gpus(core, machine, job, count)) count--;
     return count;
@@ -43,15 +42,11 @@
 static int count_preempting_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                                   int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_capacity room = {type->cores - machine->used_cores + machine->vacating_cores,
-                        type->gpus - machine->used_gpus + machine->vacating_gpus,
-                        type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
+    tw_capacity room = tw_machine_vacating_capacity(machine, type);
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (!tw_preemption_allowed(core, job, placed)) continue;
-        room.cores += placed->job->spec.cores;
-        room.gpus += placed->job->spec.gpus;
-        room.memory_gb += placed->job->spec.memory_gb;
+        tw_capacity_give_task(&room, &placed->job->spec);
     }
     return count_tasks_in_room(&room, &job->spec, limit);
 }
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -17,10 +17,10 @@
 
 #define PRIORITY_COUNT (TW_PRIORITY_PROD + 1)
 #define LEVEL_COUNT (2 * PRIORITY_COUNT) /* within the guarantee or not, of each priority */
-#define OVERDUE_AFTER_S                                                                            \
-    (0.5 * TW_MAX_START_DELAY_S) /* a job that waits longer for its first task is overdue */
-#define GPU_WEIGHT_IN_CORES 16   /* cores that a GPU counts for in a team's use */
-#define OVERDUE_JOB_SERVED (-1)  /* as last_group: an overdue job was served last */
+/* A job that waits longer than this for its first task is overdue. */
+#define OVERDUE_AFTER_S (0.5 * TW_MAX_START_DELAY_S)
+#define GPU_WEIGHT_IN_CORES 16  /* cores that a GPU counts for in a team's use */
+#define OVERDUE_JOB_SERVED (-1) /* as last_group: an overdue job was served last */
 
 /* The jobs of a group or a priority that are still to be served, as a range of an array. */
 typedef struct {
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -15,20 +15,6 @@
 #define RESTART_RUN_FACTOR 1.3       /* of its estimate, that a stopped task needs to start over */
 #define VICTIM_MARK UINT64_MAX       /* a task that would be stopped */
 
-/* What is free on the machine and not promised to others, to whom the room of tasks that were told
- * to stop is promised. */
-static tw_capacity free_capacity(const tw_core *core, const tw_machine *machine) {
-    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    return (tw_capacity){type->cores - machine->used_cores + machine->vacating_cores,
-                         type->gpus - machine->used_gpus + machine->vacating_gpus,
-                         type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
-}
-
-static bool capacity_fits_task(const tw_capacity *room, const tw_wire_job *spec, double tolerance) {
-    return room->cores + tolerance >= spec->cores && room->gpus + tolerance >= spec->gpus &&
-           room->memory_gb + tolerance >= spec->memory_gb;
-}
-
 /* Whether stopping the task loses the work of a running gang: where not all its tasks can be told
  * to save it, the gang is left alone until they can. */
 static bool would_lose_gang(const tw_core *core, const tw_placement *placed) {
@@ -70,13 +56,9 @@
 /* Whether stopping all tasks of lower priority could make enough room, judged by the machine's sums
  * alone: this rules out most machines cheaply. */
 static bool could_make_room(const tw_core *core, const tw_machine *machine, const tw_job *job) {
-    tw_capacity room = free_capacity(core, machine);
-    for (tw_wire_priority lower = TW_PRIORITY_IDLE; lower < job->spec.priority; lower++) {
-        room.cores += machine->used_by_priority[lower].cores;
-        room.gpus += machine->used_by_priority[lower].gpus;
-        room.memory_gb += machine->used_by_priority[lower].memory_gb;
-    }
-    return capacity_fits_task(&room, &job->spec, SUM_TOLERANCE);
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    const tw_capacity room = tw_machine_preemptible_capacity(machine, type, job->spec.priority);
+    return tw_capacity_fits(&room, &job->spec, SUM_TOLERANCE);
 }
 
 /* Whether another task of the same gang is a victim on the machine already: this one stops with it
@@ -136,18 +118,17 @@
  * Returns whether there is room. The caller clears the marks. */
 static bool select_victims(tw_core *core, const tw_job *job, tw_machine *machine,
                            const preemption_limit *limit, double *cost_s) {
-    tw_capacity room = free_capacity(core, machine);
+    const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
+    tw_capacity room = tw_machine_vacating_capacity(machine, type);
     *cost_s = 0;
-    while (!capacity_fits_task(&room, &job->spec, TW_CAPACITY_ROUNDING)) {
+    while (!tw_capacity_fits(&room, &job->spec, TW_CAPACITY_ROUNDING)) {
         double least_cost_s;
         tw_placement *victim = find_cheapest_victim(core, machine, job, &room, &least_cost_s);
         if (!victim) return false;
         victim->mark = VICTIM_MARK;
         *cost_s += least_cost_s;
         if (limit && *cost_s + limit->penalty_s >= limit->least_cost_s) return false;
-        room.cores += victim->job->spec.cores;
-        room.gpus += victim->job->spec.gpus;
-        room.memory_gb += victim->job->spec.memory_gb;
+        tw_capacity_give_task(&room, &victim->job->spec);
         if (!limit) stop_victim(core, victim, job);
     }
     return true;
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -23,15 +23,7 @@
  * and what tasks of lower priority use. */
 static tw_capacity room_for_service(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_capacity room = {type->cores - machine->used_cores + machine->vacating_cores,
-                        type->gpus - machine->used_gpus + machine->vacating_gpus,
-                        type->memory_gb - machine->used_memory_gb + machine->vacating_memory_gb};
-    for (tw_wire_priority priority = TW_PRIORITY_IDLE; priority < TW_PRIORITY_PROD; priority++) {
-        room.cores += machine->used_by_priority[priority].cores;
-        room.gpus += machine->used_by_priority[priority].gpus;
-        room.memory_gb += machine->used_by_priority[priority].memory_gb;
-    }
-    return room;
+    return tw_machine_preemptible_capacity(machine, type, TW_PRIORITY_PROD);
 }
 
 /* Whether holes are kept for the class and may be on the machine. */
@@ -91,8 +83,8 @@
 static int count_lost_holes(const tw_core *core, const tw_machine *machine, const tw_job *job,
                             const tw_job_class *class) {
     const tw_capacity before = room_for_service(core, machine);
-    const tw_capacity after = {before.cores - job->spec.cores, before.gpus - job->spec.gpus,
-                               before.memory_gb - job->spec.memory_gb};
+    tw_capacity after = before;
+    tw_capacity_take_task(&after, &job->spec);
     return count_fitting_tasks(&before, &class->sample) -
            count_fitting_tasks(&after, &class->sample);
 }
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -48,6 +48,11 @@
                                  : machine->slowness;
 }
 
+double tw_machine_fetch_s_per_gb(const tw_core *core, const tw_machine *machine) {
+    return machine->fetch_s_per_gb < 0 ? core->machine_types[machine->type_index].fetch_s_per_gb
+                                       : machine->fetch_s_per_gb;
+}
+
 /* What the machine has still to fetch of the job's image, in GB. image: as the machine has it;
  * NULL: absent. */
 static double missing_gb(const tw_core *core, const tw_job *job, const tw_machine *machine,
@@ -63,8 +68,7 @@
     const tw_machine_type *type = &core->machine_types[machine->type_index];
     const double queue_delay_s =
         machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
-    const double fetch_s_per_gb =
-        machine->fetch_s_per_gb < 0 ? type->fetch_s_per_gb : machine->fetch_s_per_gb;
+    const double fetch_s_per_gb = tw_machine_fetch_s_per_gb(core, machine);
     tw_prediction result = {.image = tw_image_find(machine, job)};
     const double image_missing_gb = missing_gb(core, job, machine, result.image);
     result.fetch_s = fetch_s_per_gb * image_missing_gb;
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -67,9 +67,7 @@
     const tw_job *job = placed->job;
     const tw_image *image = tw_image_find(machine, job);
     if (image) return image->ready_at <= 0;
-    const double fetch_s_per_gb = machine->fetch_s_per_gb < 0
-                                      ? core->machine_types[machine->type_index].fetch_s_per_gb
-                                      : machine->fetch_s_per_gb;
+    const double fetch_s_per_gb = tw_machine_fetch_s_per_gb(core, machine);
     return job->job_class &&
            fetch_s_per_gb * job->spec.image_gb <= MAX_FETCH_SHARE * job->job_class->start_within_s;
 }
@@ -143,9 +141,7 @@
     return (tw_bin){.type_index = machine->type_index,
                     .spot = machine->spot,
                     .zone = machine->zone,
-                    .cores = type->cores,
-                    .gpus = type->gpus,
-                    .memory_gb = type->memory_gb};
+                    .room = {type->cores, type->gpus, type->memory_gb}};
 }
 
 /* Whether some job waits that may use the machine once it has room. Then it is not emptied: where
@@ -158,7 +154,7 @@
         if (!tw_bin_is_allowed(&whole, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&whole, &job->spec)) continue;
         if (!tw_constraints_allow_zone(core, job, machine->zone)) continue;
-        if (job->spec.gpus > 0 || whole.gpus <= 0 || job->any_machine) return true;
+        if (job->spec.gpus > 0 || whole.room.gpus <= 0 || job->any_machine) return true;
     }
     return false;
 }
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -68,21 +68,9 @@
 
 /* ---- rental requests ---- */
 
-/* The offer that a request is for. Offers stay, so there always is one. */
-static tw_capacity_offer *find_offer_of_request(const tw_core *core,
-                                                const tw_rental_request *request) {
-    for (int i = 0; i < core->capacity_offer_count; i++) {
-        tw_capacity_offer *offer = &core->capacity_offers[i];
-        if (offer->type_index == request->type_index && offer->zone_index == request->zone_index &&
-            offer->spot == request->spot)
-            return offer;
-    }
-    return NULL;
-}
-
 /* Sends a request, for the first time or again. */
 static void send_rental_request(tw_core *core, tw_rental_request *request) {
-    const tw_capacity_offer *offer = find_offer_of_request(core, request);
+    const tw_capacity_offer *offer = tw_offer_of_request(core, request);
     request->in_flight = true;
     tw_call *call =
         tw_call_send(&core->context, TW_CALL_RENT_MACHINES, TW_TO_CLOUD,
@@ -137,7 +125,7 @@
     machine->type_index = request->type_index;
     machine->spot = request->spot;
     machine->known_since = sent_at;
-    tw_machine_set_zone(core, machine, tw_offer_zone(core, find_offer_of_request(core, request)));
+    tw_machine_set_zone(core, machine, tw_offer_zone(core, tw_offer_of_request(core, request)));
     snprintf(machine->type_name, sizeof machine->type_name, "%s",
              core->machine_types[request->type_index].listed.name);
 }
@@ -145,7 +133,7 @@
 /* The cloud granted the request, in full or in part. */
 static void handle_grant(tw_core *core, const tw_rental_request *request,
                          char (*names)[TW_WIRE_NAME_SIZE], int count, double sent_at) {
-    tw_capacity_offer *offer = find_offer_of_request(core, request);
+    tw_capacity_offer *offer = tw_offer_of_request(core, request);
     for (int i = 0; i < count; i++) add_rented_machine(core, request, names[i], sent_at);
     tw_log_info("event=machines_rented request=%s machine_type=%s zone=%s spot=%d asked=%d got=%d",
                 request->name, core->machine_types[request->type_index].listed.name,
@@ -160,7 +148,7 @@
 /* The cloud has no such machines: the offer is left alone, for longer after each refusal in a row.
  */
 static void handle_refusal(tw_core *core, const tw_rental_request *request) {
-    tw_capacity_offer *offer = find_offer_of_request(core, request);
+    tw_capacity_offer *offer = tw_offer_of_request(core, request);
     offer->refusal_count++;
     offer->refused_until =
         core->context.now + core->context.config->list_lag_s *
@@ -188,7 +176,7 @@
         handle_refusal(core, request);
     } else if (status == TW_HTTP_BAD_REQUEST) {
         tw_log_error("event=rental_answer_malformed request=%s", request->name);
-        find_offer_of_request(core, request)->refused_until =
+        tw_offer_of_request(core, request)->refused_until =
             core->context.now + PAUSE_AFTER_MALFORMED_S;
     } else { /* unknown: asked again, the same name gets the same answer */
         request->next_attempt_at = core->context.now + RETRY_S;
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -50,6 +50,35 @@
     bool service, gang;
 } tw_placement_failure;
 
+/* What no task uses on the machine, which is of this type. */
+static inline tw_capacity tw_machine_free_capacity(const tw_machine *machine,
+                                                   const tw_wire_machine_type *type) {
+    return (tw_capacity){type->cores - machine->used_cores, type->gpus - machine->used_gpus,
+                         type->memory_gb - machine->used_memory_gb};
+}
+
+/* The same with the room of tasks that were told to stop. It is promised to the tasks for which
+ * they stop, whose amounts count as used already. */
+static inline tw_capacity tw_machine_vacating_capacity(const tw_machine *machine,
+                                                       const tw_wire_machine_type *type) {
+    const tw_capacity room = tw_machine_free_capacity(machine, type);
+    return (tw_capacity){room.cores + machine->vacating_cores, room.gpus + machine->vacating_gpus,
+                         room.memory_gb + machine->vacating_memory_gb};
+}
+
+/* The same with the room of all tasks of a lower priority, of which some may not be stopped. */
+static inline tw_capacity tw_machine_preemptible_capacity(const tw_machine *machine,
+                                                          const tw_wire_machine_type *type,
+                                                          tw_wire_priority priority) {
+    tw_capacity room = tw_machine_vacating_capacity(machine, type);
+    for (tw_wire_priority lower = TW_PRIORITY_IDLE; lower < priority; lower++) {
+        room.cores += machine->used_by_priority[lower].cores;
+        room.gpus += machine->used_by_priority[lower].gpus;
+        room.memory_gb += machine->used_by_priority[lower].memory_gb;
+    }
+    return room;
+}
+
 /* placement_pass.c */
 /* Runs a pass over the queue: places pending tasks, at most a few hundred, and sets
  * core->scheduling_due if some are left for the next pass. */
@@ -73,6 +102,9 @@
 /* The run time of one of the job's tasks on a machine of slowness 1, in seconds; 0 for a service,
  * which runs until it is stopped. */
 double tw_job_run_estimate_s(const tw_job *job);
+/* The time to fetch a GB of an image on the machine, in seconds: its own moving average, or its
+ * type's until it has one. */
+double tw_machine_fetch_s_per_gb(const tw_core *core, const tw_machine *machine);
 
 /* constraints.c */
 /* Whether the job's zone, its spread over zones and its single zone allow one more task in the zone
