--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -53,6 +53,7 @@
 /* What a bin is, in the order in which room is looked for. */
 typedef enum { BIN_IN_USE, BIN_IDLE, BIN_COMING, BIN_STATES } bin_state;
 
+/* The state of the bin's machine. */
 static bin_state bin_state_of(const tw_bin *bin) {
     if (!bin->machine || bin->machine->state == TW_MACHINE_BOOTING) return BIN_COMING;
     return bin->occupied ? BIN_IN_USE : BIN_IDLE;
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -45,6 +45,7 @@
     int first_release; /* in the expected releases */
 };
 
+/* Whether the start is for tasks like the job's. */
 static bool start_matches(const struct tw_bin_start *start, const tw_job *job) {
     const tw_task_shape shape = tw_task_shape_of(job);
     return tw_task_shapes_are_equal(&start->shape, &shape) && !strcmp(start->zone, job->spec.zone);
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -12,6 +12,7 @@
     double cores, used_cores, gpus, used_gpus;
 } zone_usage;
 
+/* Adds a machine to the candidates. */
 static void add_candidate(tw_core *core, tw_machine *machine) {
     core->candidates = tw_grow(core->candidates, core->candidate_count, &core->candidate_capacity,
                                INITIAL_CAPACITY, sizeof *core->candidates);
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -83,14 +83,11 @@
     return strcmp(a->machine->name, b->machine->name);
 }
 
-/* Holds the machines in the zone (-1: in all) where the room comes soonest. Returns when that is;
- * INFINITY: there is not enough. mark: else it is only looked at. */
-static double reserve_in_zone(tw_core *core, tw_job *job, int zone, bool mark) {
+/* Lists the machines in the zone (-1: in all zones) that are expected to have room for tasks of the
+ * gang, the earliest first. rooms: has a place for each candidate. Returns their number. */
+static int list_expected_rooms(tw_core *core, tw_job *job, int zone, expected_room *rooms) {
     const tw_demand demand = tw_demand_of(core, job);
-    expected_room *all = tw_alloc((size_t)core->candidate_count * sizeof *all);
     int count = 0;
-    int tasks = 0;
-    double at = INFINITY;
     for (int i = 0; i < core->candidate_count; i++) {
         tw_machine *machine = core->candidates[i].machine;
         core->pass_steps++;
@@ -98,17 +95,55 @@
             !tw_constraints_allow_machine(core, job, machine) ||
             !tw_constraints_allow_machine_zone(core, &demand, machine))
             continue;
-        all[count] = expected_room_on(core, job, machine);
-        if (all[count].task_count) count++;
+        rooms[count] = expected_room_on(core, job, machine);
+        if (rooms[count].task_count) count++;
     }
-    qsort(all, (size_t)count, sizeof *all, compare_by_time);
-    for (int i = 0; i < count && tasks < job->task_count; i++) {
-        tasks += all[i].task_count;
-        if (mark) all[i].machine->reserved_for_gang = true;
-        if (tasks >= job->task_count) at = all[i].available_at;
+    qsort(rooms, (size_t)count, sizeof *rooms, compare_by_time);
+    return count;
+}
+
+/* When all tasks of the gang are expected to have room in the zone (-1: in all zones together).
+ * INFINITY: they won't within MAX_RESERVATION_S. */
+static double expected_gang_start(tw_core *core, tw_job *job, int zone) {
+    expected_room *rooms = tw_alloc((size_t)core->candidate_count * sizeof *rooms);
+    const int count = list_expected_rooms(core, job, zone, rooms);
+    int task_count = 0;
+    double start_at = INFINITY;
+    for (int i = 0; i < count && task_count < job->task_count; i++) {
+        task_count += rooms[i].task_count;
+        if (task_count >= job->task_count) start_at = rooms[i].available_at;
     }
-    free(all);
-    return at;
+    free(rooms);
+    return start_at;
+}
+
+/* Reserves the machines in the zone (-1: in all zones) that have room for all tasks of the gang
+ * first.
+ */
+static void reserve_machines(tw_core *core, tw_job *job, int zone) {
+    expected_room *rooms = tw_alloc((size_t)core->candidate_count * sizeof *rooms);
+    const int count = list_expected_rooms(core, job, zone, rooms);
+    int task_count = 0;
+    for (int i = 0; i < count && task_count < job->task_count; i++) {
+        task_count += rooms[i].task_count;
+        rooms[i].machine->reserved_for_gang = true;
+    }
+    free(rooms);
+}
+
+/* When the gang is expected to start if machines are reserved for it, and *zone: where (-1: in all
+ * zones together). INFINITY: it isn't within MAX_RESERVATION_S. */
+static double choose_zone(tw_core *core, tw_job *job, int *zone) {
+    *zone = -1;
+    if (!job->spec.single_zone) return expected_gang_start(core, job, -1);
+    double soonest = INFINITY;
+    for (int i = 0; i < core->zone_count; i++) {
+        const double at = expected_gang_start(core, job, i);
+        if (at >= soonest) continue;
+        soonest = at;
+        *zone = i;
+    }
+    return soonest;
 }
 
 void tw_gang_reservation_update(tw_core *core) {
@@ -117,19 +152,13 @@
     core->reserving_gang = NULL;
     tw_job *job = find_longest_waiting_gang(core);
     if (!job) return;
-    int best = -1;
-    double soonest = job->spec.single_zone ? INFINITY : reserve_in_zone(core, job, -1, false);
-    for (int zone = 0; job->spec.single_zone && zone < core->zone_count; zone++) {
-        const double at = reserve_in_zone(core, job, zone, false);
-        if (at >= soonest) continue;
-        soonest = at;
-        best = zone;
-    }
-    if (!isfinite(soonest)) return;
-    reserve_in_zone(core, job, best, true);
+    int zone;
+    const double start_at = choose_zone(core, job, &zone);
+    if (!isfinite(start_at)) return;
+    reserve_machines(core, job, zone);
     core->reserving_gang = job;
-    tw_log_debug("event=gang_room_reserved id=%s zone=%d in_s=%.1f", job->id, best,
-                 soonest - core->context.now);
+    tw_log_debug("event=gang_room_reserved id=%s zone=%d in_s=%.1f", job->id, zone,
+                 start_at - core->context.now);
 }
 
 bool tw_gang_reservation_allows(const tw_core *core, const tw_job *job, const tw_machine *machine) {
--- a/src/core/placement_failures.c
+++ b/src/core/placement_failures.c
@@ -16,6 +16,7 @@
                                   .gang = job->spec.gang};
 }
 
+/* Whether both are the same kind of task. */
 static bool kinds_are_equal(const tw_placement_failure *one, const tw_placement_failure *other) {
     return tw_task_shapes_are_equal(&one->shape, &other->shape) &&
            one->zone_mask == other->zone_mask && one->priority == other->priority &&
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -19,6 +19,7 @@
     return job->first_unplaced < job->task_count ? job->first_unplaced : -1;
 }
 
+/* Logs where a task was placed, and what was expected of it. */
 static void log_placement(const tw_core *core, const tw_demand *demand,
                           const tw_placement *placed) {
     const tw_job *job = demand->job;
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -4,7 +4,7 @@
  *
  * Invariants: a table is right as long as room only gets less; whoever gives room back within a
  * pass calls tw_scores_forget. The tables' memory is used again by later passes, and tw_scores_free
- * frees it. A candidate that can't take the kind of task is not in its table. */
+ * frees it. A candidate on which the task doesn't fit is not in its table. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
