--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -32,7 +32,7 @@
     if (start_at <=
         core->context.now + tw_autoscaler_rental_start_s(core, job->type_mask, job->spec.image_gb))
         return false;
-    return !(start_at + tw_job_run_estimate_s(job) * RUN_TIME_FACTOR <= tw_job_deadline(core, job));
+    return !(start_at + tw_job_run_estimate_s(job) * RUN_TIME_FACTOR <= tw_job_deadline(job));
 }
 
 /* A job's tasks by zone, both placed and planned ones. */
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -4,8 +4,7 @@
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-bool tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone) {
-    (void)core;
+bool tw_constraints_allow_zone(const tw_job *job, const char *zone) {
     if (*job->spec.zone && strcmp(job->spec.zone, zone) != 0) return false;
     if (!job->spec.single_zone && !job->spec.spread) return true;
     const int max_in_zone = (job->task_count + 1) / 2;
@@ -47,8 +46,7 @@
     const double free_gpus = type->gpus - machine->used_gpus;
     double cores_per_gpu = core->cores_per_gpu;
     double memory_gb_per_gpu = core->memory_gb_per_gpu;
-    if (cores_per_gpu <=
-        0) { /* no class with GPUs is known: each GPU keeps its share of the machine */
+    if (cores_per_gpu <= 0) { /* unknown: each GPU keeps its share of the machine */
         cores_per_gpu = type->cores / type->gpus;
         memory_gb_per_gpu = type->memory_gb / type->gpus;
     }
@@ -63,22 +61,21 @@
 static uint32_t allowed_zones(const tw_core *core, const tw_job *job) {
     uint32_t zones = 0;
     for (int zone = 0; zone < core->zone_count; zone++)
-        if (tw_constraints_allow_zone(core, job, core->zone_names[zone])) zones |= 1U << zone;
+        if (tw_constraints_allow_zone(job, core->zone_names[zone])) zones |= 1U << zone;
     return zones;
 }
 
 tw_demand tw_demand_of(const tw_core *core, tw_job *job) {
     return (tw_demand){.job = job,
-                       .deadline_at = tw_job_deadline(core, job),
+                       .deadline_at = tw_job_deadline(job),
                        .start_deadline_at = tw_job_start_deadline(job),
                        .estimate_s = tw_job_run_estimate_s(job),
                        .zone_mask = allowed_zones(core, job)};
 }
 
-bool tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
-                                       const tw_machine *machine) {
+bool tw_constraints_allow_machine_zone(const tw_demand *demand, const tw_machine *machine) {
     if (machine->zone_index >= 0) return !!(demand->zone_mask & (1U << machine->zone_index));
-    return tw_constraints_allow_zone(core, demand->job, machine->zone);
+    return tw_constraints_allow_zone(demand->job, machine->zone);
 }
 
 bool tw_constraints_allow_machine(const tw_core *core, const tw_job *job,
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -33,7 +33,7 @@
     int team_count;
     job_range *groups; /* in jobs; the index is level * team_count + team */
     int last_group;    /* group served last, or OVERDUE_JOB_SERVED */
-    tw_job **overdue;  /* by priority, then the longest weighed wait first */
+    tw_job **overdue;  /* by priority, then the longest weighted wait first */
     job_range overdue_by_priority[PRIORITY_COUNT]; /* in overdue, by priority */
 };
 
@@ -86,18 +86,18 @@
 /* Marks the jobs that fit into their team's guarantee together with the team's earlier ones, in the
  * order of their submission. Jobs of the same moment are marked together or not at all. */
 static void mark_guaranteed(const tw_core *core, tw_job **jobs, int count) {
-    double cpus = 0, gpus = 0;
-    for (int from = 0, to; from < count; from = to) {
-        const tw_config_team *team = &core->context.config->teams[jobs[from]->team];
-        if (!from || jobs[from]->team != jobs[from - 1]->team) cpus = gpus = 0;
-        for (to = from; to < count && submitted_together(jobs[to], jobs[from]); to++) {
-            const int tasks = jobs[to]->task_count - jobs[to]->done_count;
-            cpus += jobs[to]->spec.cores * tasks;
-            gpus += jobs[to]->spec.gpus * tasks;
+    double cpus = 0, gpus = 0; /* of the team's jobs so far */
+    for (int first = 0, end; first < count; first = end) {
+        const tw_config_team *team = &core->context.config->teams[jobs[first]->team];
+        if (!first || jobs[first]->team != jobs[first - 1]->team) cpus = gpus = 0;
+        for (end = first; end < count && submitted_together(jobs[end], jobs[first]); end++) {
+            const int tasks = jobs[end]->task_count - jobs[end]->done_count;
+            cpus += jobs[end]->spec.cores * tasks;
+            gpus += jobs[end]->spec.gpus * tasks;
         }
         const bool fits = (team->gpus <= 0 || gpus <= team->gpus + TW_CAPACITY_ROUNDING) &&
                           (team->cpus <= 0 || cpus <= team->cpus + TW_CAPACITY_ROUNDING);
-        for (int i = from; i < to; i++)
+        for (int i = first; i < end; i++)
             jobs[i]->guaranteed =
                 fits && (jobs[i]->spec.gpus > 0 ? team->gpus > 0 : team->cpus > 0);
     }
@@ -117,6 +117,7 @@
 
 /* ---- groups ---- */
 
+/* A pending job, with what orders it. */
 typedef struct {
     tw_job *job;
     int group;
@@ -140,7 +141,7 @@
         if (!tw_job_is_pending(core, job)) continue;
         const int level = level_of(job->spec.priority, job->guaranteed);
         sorted[queue->count++] =
-            (grouped_job){job, level * queue->team_count + job->team, tw_job_deadline(core, job)};
+            (grouped_job){job, level * queue->team_count + job->team, tw_job_deadline(job)};
     }
     qsort(sorted, (size_t)queue->count, sizeof *sorted, compare_by_group);
     for (int i = 0; i < queue->count; i++) {
@@ -154,23 +155,24 @@
 
 /* ---- overdue jobs ---- */
 
+/* An overdue job, with what orders it. */
 typedef struct {
     tw_job *job;
-    double weighed_wait;
+    double weighted_wait;
 } waiting_job;
 
-/* For qsort: by priority, then the longest weighed wait, then by id. */
+/* For qsort: by priority, then the longest weighted wait, then by id. */
 static int compare_by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
     if (a->job->spec.priority != b->job->spec.priority)
         return a->job->spec.priority < b->job->spec.priority ? -1 : 1;
-    if (a->weighed_wait != b->weighed_wait) return a->weighed_wait > b->weighed_wait ? -1 : 1;
+    if (a->weighted_wait != b->weighted_wait) return a->weighted_wait > b->weighted_wait ? -1 : 1;
     return strcmp(a->job->id, b->job->id);
 }
 
 /* How long the job has waited, times the square root of its work: more is lost while a larger job
  * waits. */
-static double weighed_wait(const tw_core *core, const tw_job *job) {
+static double weighted_wait(const tw_core *core, const tw_job *job) {
     const double work =
         job->task_count * fmax(job->spec.expected_run_s, core->context.config->lease_s);
     return (core->context.now - job->submitted_at) * sqrt(work);
@@ -189,7 +191,7 @@
     queue->overdue = tw_alloc((size_t)queue->count * sizeof(tw_job *));
     for (int i = 0; i < queue->count; i++) {
         tw_job *job = queue->jobs[i];
-        if (is_overdue(core, job)) sorted[count++] = (waiting_job){job, weighed_wait(core, job)};
+        if (is_overdue(core, job)) sorted[count++] = (waiting_job){job, weighted_wait(core, job)};
     }
     qsort(sorted, (size_t)count, sizeof *sorted, compare_by_wait);
     for (int i = 0; i < count; i++) {
--- a/src/core/machine_choice.c
+++ b/src/core/machine_choice.c
@@ -9,7 +9,7 @@
 static void update_choice(const tw_core *core, const tw_demand *demand, const tw_score *score,
                           tw_choice *choice) {
     tw_machine *machine = core->candidates[score->candidate].machine;
-    if (!tw_constraints_allow_machine_zone(core, demand, machine)) return;
+    if (!tw_constraints_allow_machine_zone(demand, machine)) return;
     const bool meets_deadline = score->end_at <= demand->deadline_at;
     const double points = meets_deadline ? score->points : -score->total_s;
     if (meets_deadline < choice->meets_deadline ||
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -128,8 +128,7 @@
             tw_gang_placed(core, job);
             return count;
         }
-        /* The zone has less room than the sums of free amounts said: another one may have enough.
-         */
+        /* There is less room than the sums of free amounts said: another zone may have enough. */
         const int zone = zone_of_first_placement(job);
         undo_placements(core, job, next_attempt);
         if (!job->spec.single_zone || zone < 0) return 0;
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -47,7 +47,7 @@
     double lost_s = unsaved_run_s(core, placed) * (job->spec.gang ? job->placed_count : 1);
     /* It is better to stop a task that can start over and still meet its deadline. */
     const double estimate_s = tw_job_run_estimate_s(job);
-    const double deadline_at = tw_job_deadline(core, job);
+    const double deadline_at = tw_job_deadline(job);
     if (isfinite(deadline_at) && core->context.now + RESTART_RUN_FACTOR * estimate_s > deadline_at)
         lost_s += estimate_s;
     return lost_s + 1 + job->spec.priority * COST_PER_PRIORITY_S;
@@ -103,14 +103,15 @@
     /* Saving takes save_s: the victim saves only if the job can wait for it and meet its deadline.
      */
     const bool saves =
-        spec->checkpoint_s > 0 && core->context.now + spec->save_s < tw_job_deadline(core, job);
+        spec->checkpoint_s > 0 && core->context.now + spec->save_s < tw_job_deadline(job);
     tw_placement_stop(core, victim, saves ? spec->save_s : 0, true);
 }
 
 /* Stopping tasks on a machine is worth it if their cost and the machine's penalty come to less than
  * the least cost so far. */
 typedef struct {
-    double penalty_s, least_cost_s;
+    double penalty_s;    /* of the machine: the new task would be late there */
+    double least_cost_s; /* of the machines looked at so far, with their penalties */
 } preemption_limit;
 
 /* Marks the cheapest tasks as victims until there is room for the job's task; *cost_s is their
@@ -146,7 +147,7 @@
 static bool machine_is_allowed(const tw_core *core, const tw_demand *demand,
                                const tw_machine *machine) {
     return tw_constraints_allow_machine(core, demand->job, machine) &&
-           tw_constraints_allow_machine_zone(core, demand, machine) &&
+           tw_constraints_allow_machine_zone(demand, machine) &&
            tw_constraints_leave_gpus(core, machine, demand->job, 1);
 }
 
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -15,7 +15,7 @@
 static double expected_late_end(const tw_core *core, const tw_placement *placed, double *slowness) {
     const tw_job *job = placed->job;
     const double estimate_s = tw_job_run_estimate_s(job);
-    const double deadline_at = tw_job_deadline(core, job);
+    const double deadline_at = tw_job_deadline(job);
     const double ran_s = core->context.now - placed->running_since;
     if (!isfinite(deadline_at) || estimate_s <= 0) return 0;
     *slowness = fmax(tw_machine_slowness(core, placed->machine), ran_s / estimate_s);
@@ -55,7 +55,7 @@
             !tw_machine_has_room(machine, &core->machine_types[machine->type_index], &job->spec) ||
             !tw_machine_is_usable(core, machine) ||
             !tw_constraints_allow_machine(core, job, machine) ||
-            !tw_constraints_allow_machine_zone(core, &demand, machine))
+            !tw_constraints_allow_machine_zone(&demand, machine))
             continue;
         const double total_s = tw_predict(core, &demand, machine).total_s;
         if (core->context.now + total_s <= demand.deadline_at)
@@ -76,7 +76,7 @@
             continue;
         tw_log_info("event=task_rescheduled task=%s/%d from=%s to=%s late_s=%.1f", job->id,
                     placed->index, placed->machine->name, target->machine->name,
-                    end_at - tw_job_deadline(core, job));
+                    end_at - tw_job_deadline(job));
         tw_placement_stop(core, placed, job->spec.checkpoint_s > 0 ? job->spec.save_s : 0, false);
         return true;
     }
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -25,8 +25,7 @@
     return deadline_at;
 }
 
-double tw_job_deadline(const tw_core *core, const tw_job *job) {
-    (void)core;
+double tw_job_deadline(const tw_job *job) {
     if (job->spec.gang) return gang_deadline(job);
     if (!job->spec.service && job->spec.deadline_s >= 0)
         return job->submitted_at + job->spec.deadline_s;
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -153,7 +153,7 @@
         if (!tw_job_is_pending(core, job) || !tw_quota_allows_tasks(core, job, 1)) continue;
         if (!tw_bin_is_allowed(&whole, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&whole, &job->spec)) continue;
-        if (!tw_constraints_allow_zone(core, job, machine->zone)) continue;
+        if (!tw_constraints_allow_zone(job, machine->zone)) continue;
         if (job->spec.gpus > 0 || whole.room.gpus <= 0 || job->any_machine) return true;
     }
     return false;
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -96,7 +96,7 @@
 /* run_estimate.c */
 /* When the job is late: a batch job has its owner's deadline, a service its class's start
  * objective, a gang the earliest of those that apply to it. INFINITY: there is none. */
-double tw_job_deadline(const tw_core *core, const tw_job *job);
+double tw_job_deadline(const tw_job *job);
 /* When a gang misses its class's start objective. INFINITY: there is none, or it is no gang. */
 double tw_job_start_deadline(const tw_job *job);
 /* The run time of one of the job's tasks on a machine of slowness 1, in seconds; 0 for a service,
@@ -109,7 +109,7 @@
 /* constraints.c */
 /* Whether the job's zone, its spread over zones and its single zone allow one more task in the zone
  * of this name, beside the tasks that are placed. */
-bool tw_constraints_allow_zone(const tw_core *core, const tw_job *job, const char *zone);
+bool tw_constraints_allow_zone(const tw_job *job, const char *zone);
 /* Whether the limit of the job's team allows so many more of the job's tasks to run. */
 bool tw_quota_allows_tasks(const tw_core *core, const tw_job *job, int tasks);
 /* Works out core->cores_per_gpu and core->memory_gb_per_gpu: the most that a task with GPUs takes
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -43,8 +43,7 @@
 /* The demand of the job's next task. */
 tw_demand tw_demand_of(const tw_core *core, struct tw_job *job);
 /* Whether the machine's zone is one that the demand allows. */
-bool tw_constraints_allow_machine_zone(const tw_core *core, const tw_demand *demand,
-                                       const struct tw_machine *machine);
+bool tw_constraints_allow_machine_zone(const tw_demand *demand, const struct tw_machine *machine);
 /* Whether the job's tasks may go to a usable machine, whatever its zone and its free room. */
 bool tw_constraints_allow_machine(const tw_core *core, const struct tw_job *job,
                                   const struct tw_machine *machine);
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -24,7 +24,7 @@
 } task_kind;
 
 struct tw_score_table {
-    task_kind kind;
+    task_kind kind; /* that the scores are for */
     tw_score *items;
     int count, capacity;
 };
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -162,8 +162,7 @@
         return;
     }
     if (job && job->task_states[reported->index] == TW_ASSIGNMENT_NONE &&
-        tw_constraints_allow_zone(core, job, machine->zone) &&
-        tw_quota_allows_tasks(core, job, 1)) {
+        tw_constraints_allow_zone(job, machine->zone) && tw_quota_allows_tasks(core, job, 1)) {
         tw_placement *placed =
             tw_placement_new(core, job, reported->index, machine, reported->attempt);
         if (!placed) return;
