--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -1,15 +1,14 @@
-/* Room as a plan sees it: bins, one for each machine that is there or coming, which tasks are taken
- * into. */
+/* The bins of a plan: one for each machine that is there or coming, with its free amounts, from
+ * which tasks are taken. Used by all modules of the autoscaler, and by gang_reservation.c for the
+ * room that it expects. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define FIRST_BINS 64
-#define FIRST_STARTS 16
+#define INITIAL_BIN_CAPACITY 64
+#define INITIAL_START_CAPACITY 16
 
 bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec) {
-    return bin->cores + TW_CAPACITY_ROUNDING >= spec->cores &&
-           bin->gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
-           bin->memory_gb + TW_CAPACITY_ROUNDING >= spec->memory_gb;
+    return tw_capacity_fits(&bin->room, spec, TW_CAPACITY_ROUNDING);
 }
 
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types) {
@@ -17,82 +16,67 @@
            (!*spec->zone || !strcmp(spec->zone, bin->zone));
 }
 
-/* As when placing: work without GPUs leaves a GPU machine's GPUs their cores. */
+/* As in constraints.c, but for memory. */
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
-                        int any_machine) {
+                        bool any_machine) {
     const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
     if (spec->gpus > 0 || any_machine || type->gpus <= 0) return true;
     double cores_per_gpu = core->cores_per_gpu;
     if (cores_per_gpu <= 0) cores_per_gpu = type->cores / type->gpus;
-    return bin->cores - spec->cores + TW_CAPACITY_ROUNDING >= bin->gpus * cores_per_gpu;
+    return bin->room.cores - spec->cores + TW_CAPACITY_ROUNDING >= bin->room.gpus * cores_per_gpu;
 }
 
-void tw_bin_take(tw_bin *bin, const tw_wire_job *spec) {
-    bin->cores -= spec->cores;
-    bin->gpus -= spec->gpus;
-    bin->memory_gb -= spec->memory_gb;
-}
+void tw_bin_take(tw_bin *bin, const tw_wire_job *spec) { tw_capacity_take_task(&bin->room, spec); }
 
-void tw_bin_give(tw_bin *bin, const tw_wire_job *spec) {
-    bin->cores += spec->cores;
-    bin->gpus += spec->gpus;
-    bin->memory_gb += spec->memory_gb;
-}
+void tw_bin_give(tw_bin *bin, const tw_wire_job *spec) { tw_capacity_give_task(&bin->room, spec); }
 
 tw_bin *tw_bins_add(tw_bins *bins) {
-    bins->items =
-        tw_grow(bins->items, bins->count, &bins->capacity, FIRST_BINS, sizeof *bins->items);
+    bins->items = tw_grow(bins->items, bins->count, &bins->capacity, INITIAL_BIN_CAPACITY,
+                          sizeof *bins->items);
     return &bins->items[bins->count++];
 }
 
-/* Room in bins only gets less while jobs are packed. So those that are too full for a kind of task,
- * or of a type that it may not use, are passed over by all the jobs alike that come after. */
-struct bin_start {
-    double cores, gpus, memory_gb;
-    uint32_t types;
-    int spot, any_machine;
+/* Where packing begins for tasks of a shape and zone. Room in bins only gets less while jobs are
+ * packed, so all later jobs alike pass over the bins that are too full or not allowed. */
+struct tw_bin_start {
+    tw_task_shape shape;
     const char *zone;
-    int bin, drained; /* where to begin: in the bins, and in the room that is given back */
+    int first_bin;     /* in the bins */
+    int first_release; /* in the expected releases */
 };
 
-static bool same_kind(const struct bin_start *start, const tw_job *job) {
-    const tw_wire_job *spec = &job->spec;
-    return start->cores == spec->cores && start->gpus == spec->gpus &&
-           start->memory_gb == spec->memory_gb && start->types == job->type_mask &&
-           start->spot == spec->spot && start->any_machine == job->any_machine &&
-           !strcmp(start->zone, spec->zone);
+/* Whether the start is for tasks like the job's. */
+static bool start_matches(const struct tw_bin_start *start, const tw_job *job) {
+    const tw_task_shape shape = tw_task_shape_of(job);
+    return tw_task_shapes_are_equal(&start->shape, &shape) && !strcmp(start->zone, job->spec.zone);
 }
 
-/* Valid until the next call. */
-static struct bin_start *start_for(tw_bins *bins, const tw_job *job) {
-    for (int i = 0; i < bins->nstarts; i++)
-        if (same_kind(&bins->starts[i], job)) return &bins->starts[i];
-    bins->starts =
-        tw_grow(bins->starts, bins->nstarts, &bins->starts_cap, FIRST_STARTS, sizeof *bins->starts);
-    struct bin_start *start = &bins->starts[bins->nstarts++];
-    *start = (struct bin_start){.cores = job->spec.cores,
-                                .gpus = job->spec.gpus,
-                                .memory_gb = job->spec.memory_gb,
-                                .types = job->type_mask,
-                                .spot = job->spec.spot,
-                                .any_machine = job->any_machine,
-                                .zone = job->spec.zone};
+/* The start for the job's tasks, added at 0 if there is none. Valid until the next call. */
+static struct tw_bin_start *find_or_add_start(tw_bins *bins, const tw_job *job) {
+    for (int i = 0; i < bins->start_count; i++)
+        if (start_matches(&bins->starts[i], job)) return &bins->starts[i];
+    bins->starts = tw_grow(bins->starts, bins->start_count, &bins->start_capacity,
+                           INITIAL_START_CAPACITY, sizeof *bins->starts);
+    struct tw_bin_start *start = &bins->starts[bins->start_count++];
+    *start = (struct tw_bin_start){.shape = tw_task_shape_of(job), .zone = job->spec.zone};
     return start;
 }
 
+/* Whether a task of the job may go into the bin. */
 static bool bin_is_useful(const tw_bin *bin, const tw_job *job) {
     return !bin->tried && tw_bin_is_allowed(bin, &job->spec, job->type_mask) &&
            tw_bin_fits(bin, &job->spec);
 }
 
-int tw_bins_first(tw_bins *bins, const tw_job *job) {
-    struct bin_start *start = start_for(bins, job);
-    while (start->bin < bins->count && !bin_is_useful(&bins->items[start->bin], job)) start->bin++;
-    return start->bin;
+int tw_bins_first_useful(tw_bins *bins, const tw_job *job) {
+    struct tw_bin_start *start = find_or_add_start(bins, job);
+    while (start->first_bin < bins->count && !bin_is_useful(&bins->items[start->first_bin], job))
+        start->first_bin++;
+    return start->first_bin;
 }
 
-int *tw_bins_first_released(tw_bins *bins, const tw_job *job) {
-    return &start_for(bins, job)->drained;
+int *tw_bins_first_release(tw_bins *bins, const tw_job *job) {
+    return &find_or_add_start(bins, job)->first_release;
 }
 
 void tw_bins_free(tw_bins *bins) {
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -1,76 +1,78 @@
-/* Room that running batch tasks are expected to give back: whether it is worth waiting for, or a
- * machine is to be rented. Only room counts that the job may use: of a machine's type, zone and
- * kind that it allows, and as much on one machine as its task takes. */
+/* Room that running batch tasks are expected to give back: the plan compares waiting for it with
+ * renting a machine. Room counts for a job only if the job may use the machine and the room on that
+ * one machine is enough for a task: room on different machines is never added up. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define LEAST_REST 0.1 /* of its run time: a task that is past its estimate ends soon */
-#define START_S 1      /* until a task that does not run yet does */
+#define MIN_REMAINING_SHARE 0.1 /* of its run time: left for a task that is past its estimate */
+#define START_DELAY_S 1         /* until a placed task that does not run yet runs */
 
-static int by_time(const void *left, const void *right) {
+/* For qsort: the earliest first. */
+static int compare_by_time(const void *left, const void *right) {
     const tw_expected_release *a = left, *b = right;
-    return a->at < b->at ? -1 : a->at > b->at;
+    return a->available_at < b->available_at ? -1 : a->available_at > b->available_at;
 }
 
-/* When a task is expected to end. */
-static double expected_end(const tw_core *core, const tw_placement *placed) {
+/* When a batch task is expected to end. */
+static double expected_task_end(const tw_core *core, const tw_placement *placed) {
     const double slowness = placed->machine->slowness > 0 ? placed->machine->slowness : 1;
     const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
     const double runs_from =
-        placed->running_since > 0 ? placed->running_since : core->context.now + START_S;
-    return fmax(runs_from + run_s, core->context.now + LEAST_REST * run_s);
+        placed->running_since > 0 ? placed->running_since : core->context.now + START_DELAY_S;
+    return fmax(runs_from + run_s, core->context.now + MIN_REMAINING_SHARE * run_s);
 }
 
-/* What a task's end is expected to leave on its machine, beside what is free there already. */
-static tw_expected_release release_of(const tw_core *core, const tw_placement *placed) {
+/* What is expected to be free on a task's machine when the task ends: its own amounts, and what is
+ * free already. */
+static tw_expected_release release_of_task(const tw_core *core, const tw_placement *placed) {
     const tw_machine *machine = placed->machine;
     const tw_wire_job *spec = &placed->job->spec;
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_expected_release){
-        .at = expected_end(core, placed),
-        .room = {.type_index = machine->type_index,
-                 .spot = machine->spot,
-                 .zone = machine->zone,
-                 .cores = spec->cores + fmax(0, type->cores - machine->used_cores),
-                 .gpus = spec->gpus + fmax(0, type->gpus - machine->used_gpus),
-                 .memory_gb =
-                     spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}};
+        .available_at = expected_task_end(core, placed),
+        .bin = {.type_index = machine->type_index,
+                .spot = machine->spot,
+                .zone = machine->zone,
+                .room = {spec->cores + fmax(0, type->cores - machine->used_cores),
+                         spec->gpus + fmax(0, type->gpus - machine->used_gpus),
+                         spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}}};
 }
 
+/* Whether the job's tasks end by themselves. */
 static bool returns_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
 
-void tw_expected_releases_init(tw_core *core, tw_expected_releases *drain) {
+void tw_expected_releases_init(tw_core *core, tw_expected_releases *releases) {
     tw_job *job;
     int capacity = 0;
     DL_FOREACH(core->active_jobs, job) {
         if (returns_capacity(job)) capacity += job->placed_count;
     }
-    drain->items = tw_alloc((size_t)capacity * sizeof *drain->items);
-    drain->count = 0;
+    releases->items = tw_alloc((size_t)capacity * sizeof *releases->items);
+    releases->count = 0;
     DL_FOREACH(core->active_jobs, job) {
         if (!returns_capacity(job)) continue;
         const tw_placement *placed;
         DL_FOREACH2(job->placements, placed, job_next) {
             if (!tw_machine_is_usable(core, placed->machine)) continue;
-            drain->items[drain->count++] = release_of(core, placed);
+            releases->items[releases->count++] = release_of_task(core, placed);
         }
     }
-    qsort(drain->items, (size_t)drain->count, sizeof *drain->items, by_time);
+    qsort(releases->items, (size_t)releases->count, sizeof *releases->items, compare_by_time);
 }
 
-double tw_expected_releases_start(tw_core *core, tw_expected_releases *drain, const tw_job *job,
-                                  int *from) {
-    for (; *from < drain->count; ++*from) {
-        tw_expected_release *release = &drain->items[*from];
+double tw_expected_releases_take(tw_core *core, tw_expected_releases *releases, const tw_job *job,
+                                 int *first) {
+    for (; *first < releases->count; ++*first) {
+        tw_expected_release *release = &releases->items[*first];
         core->pass_steps++;
-        if (!tw_bin_is_allowed(&release->room, &job->spec, job->type_mask)) continue;
-        if (!tw_bin_fits(&release->room, &job->spec)) continue;
-        /* What is given back beside GPUs that stay free is kept for them. */
-        if (!tw_bin_leaves_gpus(core, &release->room, &job->spec, job->any_machine)) continue;
-        tw_bin_take(&release->room, &job->spec);
-        return fmax(core->context.now, release->at);
+        if (!tw_bin_is_allowed(&release->bin, &job->spec, job->type_mask)) continue;
+        if (!tw_bin_fits(&release->bin, &job->spec)) continue;
+        /* Cores that are given back beside free GPUs are kept for those GPUs. */
+        if (!tw_bin_leaves_gpus(core, &release->bin, &job->spec, job->any_machine)) continue;
+        tw_bin_take(&release->bin, &job->spec);
+        return fmax(core->context.now, release->available_at);
     }
     return INFINITY;
 }
 
-void tw_expected_releases_free(tw_expected_releases *drain) { free(drain->items); }
+void tw_expected_releases_free(tw_expected_releases *releases) { free(releases->items); }
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -1,45 +1,51 @@
-/* Who is served next: by priority; then work within its team's guarantee; then the teams in turn,
- * the one with the least in use for its share first; within a team the earliest deadline first.
+/* The order in which pending jobs are served: by priority; then work within its team's guarantee;
+ * then the teams in turn, the one with the least in use for its share first; within a team the
+ * earliest deadline first.
  *
- * Where more waits than there is room for, that order alone may keep a job waiting without end:
- * behind deadlines that are earlier each time, behind teams whose services take less, behind the
- * many tasks of arrays that have begun. So of the room that a priority is given at most every
- * second placement goes to the job that has waited longest for its first task, whosever turn it is.
+ * Where more work waits than there is room for, that order alone may keep a job waiting without
+ * end: behind deadlines that are earlier each time, behind teams whose services take less, behind
+ * the many tasks of arrays that have begun. So within each priority at most every second placement
+ * goes to an overdue job: the one that has waited longest for its first task, whichever team's turn
+ * it is (core->overdue_credit).
  *
  * A group is the jobs of one level and one team. Levels: first the highest priority's jobs within
- * their team's guarantee, then the highest priority's other jobs, then the next priority's. */
+ * their team's guarantee, then the highest priority's other jobs, then the next priority's.
+ *
+ * Used by the scheduler for each pass and by the autoscaler for each plan. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define PRIORITIES (TW_PRIORITY_PROD + 1)
-#define LEVELS (2 * PRIORITIES) /* within the guarantee or not, of each priority */
-#define OVERDUE_AFTER_S                                                                            \
-    (0.5 * TW_MAX_START_DELAY_S) /* a job that waits longer for its first task is overdue */
-#define GPU_IN_CORES 16          /* what a GPU counts in a team's use */
-#define SERVED_OVERDUE (-1)      /* instead of a group: an overdue job was served last */
+#define PRIORITY_COUNT (TW_PRIORITY_PROD + 1)
+#define LEVEL_COUNT (2 * PRIORITY_COUNT) /* within the guarantee or not, of each priority */
+/* A job that waits longer than this for its first task is overdue. */
+#define OVERDUE_AFTER_S (0.5 * TW_MAX_START_DELAY_S)
+#define GPU_WEIGHT_IN_CORES 16  /* cores that a GPU counts for in a team's use */
+#define OVERDUE_JOB_SERVED (-1) /* as last_group: an overdue job was served last */
 
 /* The jobs of a group or a priority that are still to be served, as a range of an array. */
 typedef struct {
     int start, end;
-} range;
+} job_range;
 
 struct tw_job_queue {
     tw_job **jobs; /* by group, then by deadline */
     int count;
     int team_count;
-    range *groups;                         /* in jobs; the index is level * team_count + team */
-    int last;                              /* group served last, or SERVED_OVERDUE */
-    tw_job **overdue;                      /* by priority, then the longest weighed wait first */
-    range overdue_by_priority[PRIORITIES]; /* in overdue, by priority */
+    job_range *groups; /* in jobs; the index is level * team_count + team */
+    int last_group;    /* group served last, or OVERDUE_JOB_SERVED */
+    tw_job **overdue;  /* by priority, then the longest weighted wait first */
+    job_range overdue_by_priority[PRIORITY_COUNT]; /* in overdue, by priority */
 };
 
-static bool is_empty(range of) { return of.start >= of.end; }
+/* Whether all jobs of the range have been served. */
+static bool range_is_empty(job_range jobs) { return jobs.start >= jobs.end; }
 
 /* The level of jobs of this priority that are within their team's guarantee or not. */
 static int level_of(tw_wire_priority priority, bool guaranteed) {
     return (TW_PRIORITY_PROD - (int)priority) * 2 + !guaranteed;
 }
 
+/* The priority of the level's jobs. */
 static tw_wire_priority priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
 bool tw_job_is_pending(const tw_core *core, const tw_job *job) {
@@ -50,19 +56,22 @@
 
 /* ---- which jobs are within their team's guarantee ---- */
 
-static int by_submission(const void *left, const void *right) {
+/* For qsort: by team, then by the time of submission. */
+static int compare_by_submission(const void *left, const void *right) {
     const tw_job *a = *(tw_job *const *)left, *b = *(tw_job *const *)right;
     if (a->team != b->team) return a->team < b->team ? -1 : 1;
     if (a->submitted_at != b->submitted_at) return a->submitted_at < b->submitted_at ? -1 : 1;
     return 0;
 }
 
+/* Whether both jobs are of one team and were submitted at the same moment. */
 static bool submitted_together(const tw_job *a, const tw_job *b) {
     return a->team == b->team && a->submitted_at == b->submitted_at;
 }
 
-/* The unfinished jobs of teams that have a guarantee; none of the others is guaranteed. */
-static int list_with_guarantee(const tw_core *core, tw_job **jobs) {
+/* Lists the unfinished jobs of teams that have a guarantee, and clears the mark of all jobs.
+ * Returns their number. */
+static int list_jobs_of_guaranteed_teams(const tw_core *core, tw_job **jobs) {
     int count = 0;
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
@@ -75,64 +84,69 @@
 }
 
 /* Marks the jobs that fit into their team's guarantee together with the team's earlier ones, in the
- * order of their submission. Those of the same moment count for each other. */
+ * order of their submission. Jobs of the same moment are marked together or not at all. */
 static void mark_guaranteed(const tw_core *core, tw_job **jobs, int count) {
-    double cpus = 0, gpus = 0;
-    for (int from = 0, to; from < count; from = to) {
-        const tw_config_team *team = &core->context.config->teams[jobs[from]->team];
-        if (!from || jobs[from]->team != jobs[from - 1]->team) cpus = gpus = 0;
-        for (to = from; to < count && submitted_together(jobs[to], jobs[from]); to++) {
-            const int tasks = jobs[to]->task_count - jobs[to]->done_count;
-            cpus += jobs[to]->spec.cores * tasks;
-            gpus += jobs[to]->spec.gpus * tasks;
+    double cpus = 0, gpus = 0; /* of the team's jobs so far */
+    for (int first = 0, end; first < count; first = end) {
+        const tw_config_team *team = &core->context.config->teams[jobs[first]->team];
+        if (!first || jobs[first]->team != jobs[first - 1]->team) cpus = gpus = 0;
+        for (end = first; end < count && submitted_together(jobs[end], jobs[first]); end++) {
+            const int tasks = jobs[end]->task_count - jobs[end]->done_count;
+            cpus += jobs[end]->spec.cores * tasks;
+            gpus += jobs[end]->spec.gpus * tasks;
         }
         const bool fits = (team->gpus <= 0 || gpus <= team->gpus + TW_CAPACITY_ROUNDING) &&
                           (team->cpus <= 0 || cpus <= team->cpus + TW_CAPACITY_ROUNDING);
-        for (int i = from; i < to; i++)
+        for (int i = first; i < end; i++)
             jobs[i]->guaranteed =
                 fits && (jobs[i]->spec.gpus > 0 ? team->gpus > 0 : team->cpus > 0);
     }
 }
 
-static void note_guaranteed(tw_core *core) {
+/* Works out job->guaranteed for all active jobs. */
+static void update_guaranteed_jobs(tw_core *core) {
     int capacity = 0;
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) { capacity++; }
     struct tw_job **jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
-    const int count = list_with_guarantee(core, jobs);
-    qsort(jobs, (size_t)count, sizeof(struct tw_job *), by_submission);
+    const int count = list_jobs_of_guaranteed_teams(core, jobs);
+    qsort(jobs, (size_t)count, sizeof(struct tw_job *), compare_by_submission);
     mark_guaranteed(core, jobs, count);
     free(jobs);
 }
 
 /* ---- groups ---- */
 
+/* A pending job, with what orders it. */
 typedef struct {
     tw_job *job;
     int group;
-    double due;
+    double deadline_at;
 } grouped_job;
 
-static int by_group(const void *left, const void *right) {
+/* For qsort: by group, then the earliest deadline, then by id. */
+static int compare_by_group(const void *left, const void *right) {
     const grouped_job *a = left, *b = right;
     if (a->group != b->group) return a->group < b->group ? -1 : 1;
-    if (a->due != b->due) return a->due < b->due ? -1 : 1;
+    if (a->deadline_at != b->deadline_at) return a->deadline_at < b->deadline_at ? -1 : 1;
     return strcmp(a->job->id, b->job->id);
 }
 
-static void group_jobs(const tw_core *core, tw_job_queue *turns, int capacity) {
+/* Fills queue->jobs with the pending jobs, at most capacity, and sets each group's range of them.
+ */
+static void group_jobs(const tw_core *core, tw_job_queue *queue, int capacity) {
     grouped_job *sorted = tw_alloc((size_t)capacity * sizeof *sorted);
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (!tw_job_is_pending(core, job)) continue;
         const int level = level_of(job->spec.priority, job->guaranteed);
-        sorted[turns->count++] =
-            (grouped_job){job, level * turns->team_count + job->team, tw_job_deadline(core, job)};
+        sorted[queue->count++] =
+            (grouped_job){job, level * queue->team_count + job->team, tw_job_deadline(job)};
     }
-    qsort(sorted, (size_t)turns->count, sizeof *sorted, by_group);
-    for (int i = 0; i < turns->count; i++) {
-        range *group = &turns->groups[sorted[i].group];
-        turns->jobs[i] = sorted[i].job;
+    qsort(sorted, (size_t)queue->count, sizeof *sorted, compare_by_group);
+    for (int i = 0; i < queue->count; i++) {
+        job_range *group = &queue->groups[sorted[i].group];
+        queue->jobs[i] = sorted[i].job;
         if (!i || sorted[i].group != sorted[i - 1].group) group->start = i;
         group->end = i + 1;
     }
@@ -141,46 +155,51 @@
 
 /* ---- overdue jobs ---- */
 
+/* An overdue job, with what orders it. */
 typedef struct {
     tw_job *job;
-    double weight;
+    double weighted_wait;
 } waiting_job;
 
-static int by_wait(const void *left, const void *right) {
+/* For qsort: by priority, then the longest weighted wait, then by id. */
+static int compare_by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
     if (a->job->spec.priority != b->job->spec.priority)
         return a->job->spec.priority < b->job->spec.priority ? -1 : 1;
-    if (a->weight != b->weight) return a->weight > b->weight ? -1 : 1;
+    if (a->weighted_wait != b->weighted_wait) return a->weighted_wait > b->weighted_wait ? -1 : 1;
     return strcmp(a->job->id, b->job->id);
 }
 
-/* More waits with a larger job: its time weighs more, by the root of its work. */
-static double weighed_wait(const tw_core *core, const tw_job *job) {
+/* How long the job has waited, times the square root of its work: more is lost while a larger job
+ * waits. */
+static double weighted_wait(const tw_core *core, const tw_job *job) {
     const double work =
         job->task_count * fmax(job->spec.expected_run_s, core->context.config->lease_s);
     return (core->context.now - job->submitted_at) * sqrt(work);
 }
 
+/* Whether the job has waited too long for its first task. */
 static bool is_overdue(const tw_core *core, const tw_job *job) {
     if (job->has_run || job->placed_count || job->done_count) return false;
     return core->context.now - job->submitted_at > OVERDUE_AFTER_S;
 }
 
-static void note_overdue(const tw_core *core, tw_job_queue *turns) {
+/* Fills queue->overdue and each priority's range of it. */
+static void list_overdue_jobs(const tw_core *core, tw_job_queue *queue) {
     int count = 0;
-    waiting_job *sorted = tw_alloc((size_t)turns->count * sizeof *sorted);
-    turns->overdue = tw_alloc((size_t)turns->count * sizeof(tw_job *));
-    for (int i = 0; i < turns->count; i++) {
-        tw_job *job = turns->jobs[i];
-        if (is_overdue(core, job)) sorted[count++] = (waiting_job){job, weighed_wait(core, job)};
+    waiting_job *sorted = tw_alloc((size_t)queue->count * sizeof *sorted);
+    queue->overdue = tw_alloc((size_t)queue->count * sizeof(tw_job *));
+    for (int i = 0; i < queue->count; i++) {
+        tw_job *job = queue->jobs[i];
+        if (is_overdue(core, job)) sorted[count++] = (waiting_job){job, weighted_wait(core, job)};
     }
-    qsort(sorted, (size_t)count, sizeof *sorted, by_wait);
+    qsort(sorted, (size_t)count, sizeof *sorted, compare_by_wait);
     for (int i = 0; i < count; i++) {
         const tw_wire_priority priority = sorted[i].job->spec.priority;
-        turns->overdue[i] = sorted[i].job;
+        queue->overdue[i] = sorted[i].job;
         if (!i || sorted[i - 1].job->spec.priority != priority)
-            turns->overdue_by_priority[priority].start = i;
-        turns->overdue_by_priority[priority].end = i + 1;
+            queue->overdue_by_priority[priority].start = i;
+        queue->overdue_by_priority[priority].end = i + 1;
     }
     free(sorted);
 }
@@ -188,84 +207,87 @@
 /* ---- turns ---- */
 
 tw_job_queue *tw_job_queue_new(tw_core *core, bool with_overdue) {
-    tw_job_queue *turns = tw_alloc(sizeof *turns);
+    tw_job_queue *queue = tw_alloc(sizeof *queue);
     int capacity = 0;
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) { capacity += tw_job_is_pending(core, job); }
-    if (capacity) note_guaranteed(core);
-    turns->team_count = (int)core->context.config->nteams;
-    turns->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
-    turns->groups = tw_alloc((size_t)(LEVELS * turns->team_count) * sizeof *turns->groups);
-    group_jobs(core, turns, capacity);
-    if (with_overdue) note_overdue(core, turns);
-    return turns;
+    if (capacity) update_guaranteed_jobs(core);
+    queue->team_count = (int)core->context.config->nteams;
+    queue->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
+    queue->groups = tw_alloc((size_t)(LEVEL_COUNT * queue->team_count) * sizeof *queue->groups);
+    group_jobs(core, queue, capacity);
+    if (with_overdue) list_overdue_jobs(core, queue);
+    return queue;
 }
 
-/* The next overdue job of a priority that may have room now; NULL: none. */
-static tw_job *next_overdue(const tw_core *core, tw_job_queue *turns, tw_wire_priority priority) {
-    range *left = &turns->overdue_by_priority[priority];
-    if (core->overdue_credit[priority] <= 0 || is_empty(*left)) return NULL;
-    turns->last = SERVED_OVERDUE;
-    return turns->overdue[left->start++];
+/* Removes and returns the next overdue job of a priority. NULL: there is none, or the next
+ * placement belongs to the teams' turns. */
+static tw_job *take_overdue_job(const tw_core *core, tw_job_queue *queue,
+                                tw_wire_priority priority) {
+    job_range *left = &queue->overdue_by_priority[priority];
+    if (core->overdue_credit[priority] <= 0 || range_is_empty(*left)) return NULL;
+    queue->last_group = OVERDUE_JOB_SERVED;
+    return queue->overdue[left->start++];
 }
 
-/* The group of a level whose team has the least in use for its share; -1: none of it waits. */
-static int next_group(const tw_core *core, const tw_job_queue *turns, int level) {
+/* The group of a level whose team has the least in use for its share. -1: no job of the level
+ * waits. */
+static int find_group_to_serve(const tw_core *core, const tw_job_queue *queue, int level) {
     int best = -1;
     double least = INFINITY;
-    for (int team = 0; team < turns->team_count; team++) {
-        const int group = level * turns->team_count + team;
-        if (is_empty(turns->groups[group])) continue;
+    for (int team = 0; team < queue->team_count; team++) {
+        const int group = level * queue->team_count + team;
+        if (range_is_empty(queue->groups[group])) continue;
         const double in_use =
-            core->team_gpus_used[team] * GPU_IN_CORES + core->team_cores_used[team];
-        const double use = in_use / core->context.config->teams[team].share;
-        if (use < least) {
-            least = use;
+            core->team_gpus_used[team] * GPU_WEIGHT_IN_CORES + core->team_cores_used[team];
+        const double used_share = in_use / core->context.config->teams[team].share;
+        if (used_share < least) {
+            least = used_share;
             best = group;
         }
     }
     return best;
 }
 
-tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *turns) {
-    for (int level = 0; level < LEVELS; level++) {
-        /* Before the first level of each priority. */
-        tw_job *overdue = level % 2 ? NULL : next_overdue(core, turns, priority_of(level));
+tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *queue) {
+    for (int level = 0; level < LEVEL_COUNT; level++) {
+        /* Overdue jobs come before both levels of their priority. */
+        tw_job *overdue = level % 2 ? NULL : take_overdue_job(core, queue, priority_of(level));
         if (overdue) return overdue;
-        const int group = next_group(core, turns, level);
+        const int group = find_group_to_serve(core, queue, level);
         if (group < 0) continue;
-        turns->last = group;
-        return turns->jobs[turns->groups[group].start++];
+        queue->last_group = group;
+        return queue->jobs[queue->groups[group].start++];
     }
     return NULL;
 }
 
-void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *turns, const tw_job *job,
+void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *queue, const tw_job *job,
                               int count) {
     int *credit = &core->overdue_credit[job->spec.priority];
-    if (turns->last == SERVED_OVERDUE)
+    if (queue->last_group == OVERDUE_JOB_SERVED)
         *credit -= count > 0;
     else if (count > 0)
         *credit = 1;
 }
 
-void tw_job_queue_requeue(tw_job_queue *turns) {
-    if (turns->last != SERVED_OVERDUE) turns->groups[turns->last].start--;
+void tw_job_queue_requeue(tw_job_queue *queue) {
+    if (queue->last_group != OVERDUE_JOB_SERVED) queue->groups[queue->last_group].start--;
 }
 
-bool tw_job_queue_is_contended(const tw_job_queue *turns) {
-    if (turns->last == SERVED_OVERDUE) return true;
-    const int level = turns->last / turns->team_count;
-    if (!is_empty(turns->overdue_by_priority[priority_of(level)])) return true;
-    const int first = level * turns->team_count;
-    for (int group = first; group < first + turns->team_count; group++)
-        if (group != turns->last && !is_empty(turns->groups[group])) return true;
+bool tw_job_queue_is_contended(const tw_job_queue *queue) {
+    if (queue->last_group == OVERDUE_JOB_SERVED) return true;
+    const int level = queue->last_group / queue->team_count;
+    if (!range_is_empty(queue->overdue_by_priority[priority_of(level)])) return true;
+    const int first = level * queue->team_count;
+    for (int group = first; group < first + queue->team_count; group++)
+        if (group != queue->last_group && !range_is_empty(queue->groups[group])) return true;
     return false;
 }
 
-void tw_job_queue_free(tw_job_queue *turns) {
-    free(turns->jobs);
-    free(turns->overdue);
-    free(turns->groups);
-    free(turns);
+void tw_job_queue_free(tw_job_queue *queue) {
+    free(queue->jobs);
+    free(queue->overdue);
+    free(queue->groups);
+    free(queue);
 }
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -1,14 +1,17 @@
-/* The cloud's list of the machines that we hold, read page by page. */
+/* The cloud's list of the machines that we hold, read page by page. It lags behind by list_lag_s.
+ * It tells of machines that we rented before a failover, of failed ones, and by leaving them out of
+ * those that are gone (machine->lists_without counts the listings in a row without a machine). */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define PAGE 500
+#define PAGE_SIZE 500 /* machines */
 #define PATH_SIZE 200
 #define TIMEOUT_S 5
 #define RETRY_S 1
-#define OF_LAG 0.5 /* between two readings, of the time that the list lags behind */
+#define INTERVAL_LAG_SHARE 0.5 /* between two readings, of the time by which the list lags */
 
-static void take_machine(tw_core *core, const tw_wire_rented_machine *listed) {
+/* Takes what the list says of a machine, which may be new to us. */
+static void update_listed_machine(tw_core *core, const tw_wire_rented_machine *listed) {
     if (tw_expiring_names_find(core->returned_machines, listed->id)) return;
     tw_machine *machine = tw_machine_find(core, listed->id);
     if (!machine) {
@@ -26,14 +29,15 @@
     if (!*machine->endpoint && *listed->endpoint)
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
     if (listed->state == TW_RENTED_FAILED) machine->failed = 1;
-    /* After a change of leader we need not wait until the worker has found us. */
+    /* After a failover we ask the worker for its state and need not wait until it has found us. */
     if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at && !machine->probed) {
         machine->probed = 1;
         tw_machine_want_probe(core, machine);
     }
 }
 
-static void begin_list(tw_core *core) {
+/* Counts a listing for all machines; those that it names are set back to 0. */
+static void begin_listing(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) { machine->lists_without++; }
@@ -50,8 +54,8 @@
         return;
     }
     const bool first_page = !*core->machine_list_cursor;
-    if (first_page) begin_list(core);
-    for (int i = 0; i < count; i++) take_machine(core, &listed[i]);
+    if (first_page) begin_listing(core);
+    for (int i = 0; i < count; i++) update_listed_machine(core, &listed[i]);
     if (more && count) {
         snprintf(core->machine_list_cursor, sizeof core->machine_list_cursor, "%s",
                  listed[count - 1].id);
@@ -60,7 +64,7 @@
         *core->machine_list_cursor = 0;
         core->machine_lists_read++;
         core->next_machine_list_at =
-            core->context.now + fmax(1, OF_LAG * core->context.config->list_lag_s);
+            core->context.now + fmax(1, INTERVAL_LAG_SHARE * core->context.config->list_lag_s);
     }
     free(listed);
 }
@@ -70,7 +74,7 @@
         !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
         return;
     char path[PATH_SIZE];
-    const int length = snprintf(path, sizeof path, "/rentals?most=%d", PAGE);
+    const int length = snprintf(path, sizeof path, "/rentals?most=%d", PAGE_SIZE);
     if (*core->machine_list_cursor)
         snprintf(path + length, sizeof path - (size_t)length, "&since=%s",
                  core->machine_list_cursor);
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -1,19 +1,27 @@
-/* Passes over the jobs that wait: each task is placed on the machine that suits it best, or on one
- * where work of lower rank is stopped for it. */
+/* Passes over the queue: each task that waits is placed on the machine that suits it best, or, if
+ * no machine has free room, on one where tasks of lower priority are stopped for it. A pass is run
+ * when something has changed (core->scheduling_due), and at once for a job of the highest priority.
+ *
+ * Invariants: a task is placed only within its team's limit; a gang is placed whole or not at all;
+ * what a pass knows (candidates, scores, placement failures) is forgotten when room is given back
+ * within it, since it holds only while room gets less. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define MOST_IN_PASS 300 /* tasks; the rest in the next pass */
-#define BETWEEN_PASSES_S 0.1
+#define MAX_TASKS_PER_PASS 300 /* the rest is left to the next pass */
+#define PASS_INTERVAL_S 0.1    /* between the starts of two passes, at least */
 
-static int next_free(tw_job *job) {
+/* The index of the job's next task that is not placed. -1: there is none. */
+static int find_next_unplaced(tw_job *job) {
     while (job->first_unplaced < job->task_count &&
            job->task_states[job->first_unplaced] != TW_ASSIGNMENT_NONE)
         job->first_unplaced++;
     return job->first_unplaced < job->task_count ? job->first_unplaced : -1;
 }
 
-static void log_place(const tw_core *core, const tw_demand *demand, const tw_placement *placed) {
+/* Logs where a task was placed, and what was expected of it. */
+static void log_placement(const tw_core *core, const tw_demand *demand,
+                          const tw_placement *placed) {
     const tw_job *job = demand->job;
     const tw_machine *machine = placed->machine;
     if (!tw_log_on(TW_LOG_DEBUG)) return;
@@ -27,92 +35,110 @@
                  job->spec.image);
 }
 
-/* Places one task on the best machine of the zones given, as bits. 0: no room, or not for its
- * team. */
-static bool place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t among) {
+/* Chooses a machine for the demand's task, or stops other tasks to make room on one. *choice is
+ * where it goes, with no machine if there is no room for it. */
+static void find_machine(tw_core *core, const tw_demand *demand, tw_choice *choice) {
+    const tw_job *job = demand->job;
+    *choice = tw_scheduler_choose(core, demand);
+    if (choice->machine)
+        core->candidates[choice->candidate].changes++; /* harmless if no task is placed there */
+    else
+        choice->machine = tw_scheduler_preempt(core, demand, false, &choice->room_is_reserved);
+    if (!choice->machine || choice->meets_deadline) return;
+    if (!job->spec.service || job->spec.priority != TW_PRIORITY_PROD) return;
+    /* The service would miss its start objective there: it is better to stop a batch task. */
+    tw_machine *other = tw_scheduler_preempt(core, demand, true, &choice->room_is_reserved);
+    if (other) choice->machine = other;
+}
+
+/* Places one task in one of the zones, given as bits. Returns whether it was placed: there may be
+ * no room, or its team may be at its limit. */
+static bool place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t zones) {
     if (!tw_quota_allows_tasks(core, job, 1) || !tw_gang_reservation_allows_team(core, job))
         return false;
     tw_demand demand = tw_demand_of(core, job);
-    demand.zone_mask &= among;
+    demand.zone_mask &= zones;
     const tw_placement_failure kind = tw_placement_failure_of(&demand);
     if (tw_placement_failures_has(core, &kind)) return false;
-    tw_choice choice = tw_scheduler_choose(core, &demand);
-    if (choice.machine)
-        core->candidates[choice.candidate].changes++; /* or none is placed there, to no harm */
-    else
-        choice.machine = tw_scheduler_preempt(core, &demand, false, &choice.kept);
-    if (choice.machine && !choice.meets && job->spec.service &&
-        job->spec.priority == TW_PRIORITY_PROD) {
-        /* Its start objective would be missed there: rather at a batch task's cost. */
-        tw_machine *other = tw_scheduler_preempt(core, &demand, true, &choice.kept);
-        if (other) choice.machine = other;
-    }
+    tw_choice choice;
+    find_machine(core, &demand, &choice);
     if (!choice.machine) {
-        /* Not because of what is its own alone, or of holes, which come and go. */
-        if (!choice.kept && !job->failed_machine_count) tw_placement_failures_add(core, &kind);
+        /* The failure says nothing about other tasks of this kind if it comes from machines that
+         * only this job passes over, or from reserved room, which comes and goes. */
+        if (!choice.room_is_reserved && !job->failed_machine_count)
+            tw_placement_failures_add(core, &kind);
         return false;
     }
     if (job->spec.gpus > 0) tw_placement_failures_forget_cpu(core);
     tw_reserve_take(core, choice.machine, job);
     const tw_placement *placed = tw_placement_new(core, job, index, choice.machine, attempt);
     if (!placed) return false;
-    log_place(core, &demand, placed);
+    log_placement(core, &demand, placed);
     return true;
 }
 
-/* Places up to limit tasks, each under an attempt of its own, or all under the one given. */
+/* Places up to limit tasks of the job in the zones, given as bits. Each task gets an attempt of its
+ * own, or all get common_attempt if it isn't 0. Returns how many were placed. */
 static int place_tasks(tw_core *core, tw_job *job, int limit, uint64_t common_attempt,
-                       uint32_t among) {
-    const int most_live = tw_record_max_running(core, job);
+                       uint32_t zones) {
+    const int max_running = tw_record_max_running(core, job);
     int placed = 0;
     int index;
-    while (placed < limit && job->placed_count < most_live && (index = next_free(job)) >= 0) {
+    while (placed < limit && job->placed_count < max_running &&
+           (index = find_next_unplaced(job)) >= 0) {
         const uint64_t attempt = common_attempt ? common_attempt : job->next_attempt;
-        if (!place_task(core, job, index, attempt, among)) break;
+        if (!place_task(core, job, index, attempt, zones)) break;
         placed++;
     }
     return placed;
 }
 
-/* Undoes what was placed of a gang since its record last changed. */
-static void take_back(tw_core *core, tw_job *job, uint64_t next_try) {
+/* Undoes the placements that are newer than the gang's record, and the attempts that they used. */
+static void undo_placements(tw_core *core, tw_job *job, uint64_t next_attempt) {
     tw_placement *placed;
     tw_placement *next;
     DL_FOREACH_SAFE2(job->placements, placed, next, job_next) {
         if (placed->version > tw_store_version(job->record))
             tw_attempt_terminate_on(core, placed, TW_EVIDENCE_PLACEMENT_UNDONE);
     }
-    job->next_attempt = next_try;
+    job->next_attempt = next_attempt;
     tw_placement_failures_forget(core);
     tw_scores_forget(core);
 }
 
-/* Places a gang whole or not at all, or all that is missing of one that has not started. One that
- * must stand in one zone goes where its first task fits best, among the zones with room for all of
- * it. */
+/* The zone to which the first of the newest placements of the gang went. -1: there is no such
+ * placement, or its machine's zone has no number. */
+static int zone_of_first_placement(const tw_job *job) {
+    const tw_placement *first = job->placements;
+    while (first && first->version <= tw_store_version(job->record)) first = first->job_next;
+    return first ? first->machine->zone_index : -1;
+}
+
+/* Places a whole gang, or all that is missing of a gang that has not started, or nothing. A gang
+ * that must stand in a single zone goes where its first task fits best, among the zones that have
+ * room for all of it. Returns the number of tasks placed. */
 static int place_gang(tw_core *core, tw_job *job) {
     const int count = job->task_count - job->done_count - job->placed_count;
-    const uint64_t next_try = job->next_attempt;
-    const uint64_t attempt = job->placed_count ? job->gang.attempt : next_try;
+    const uint64_t next_attempt = job->next_attempt;
+    const uint64_t attempt = job->placed_count ? job->gang.attempt : next_attempt;
     if (!tw_gang_is_pending(job) || !tw_quota_allows_tasks(core, job, count)) return 0;
-    uint32_t among = tw_gang_candidate_zones(core, job, count);
-    while (among) {
-        if (place_tasks(core, job, count, attempt, among) == count) {
+    uint32_t zones = tw_gang_candidate_zones(core, job, count);
+    while (zones) {
+        if (place_tasks(core, job, count, attempt, zones) == count) {
             tw_gang_placed(core, job);
             return count;
         }
-        /* Less room than the amounts had it: perhaps another zone. */
-        const tw_placement *first = job->placements;
-        while (first && first->version <= tw_store_version(job->record)) first = first->job_next;
-        const int zone = first ? first->machine->zone_index : -1;
-        take_back(core, job, next_try);
+        /* There is less room than the sums of free amounts said: another zone may have enough. */
+        const int zone = zone_of_first_placement(job);
+        undo_placements(core, job, next_attempt);
         if (!job->spec.single_zone || zone < 0) return 0;
-        among &= ~(1U << zone);
+        zones &= ~(1U << zone);
     }
     return 0;
 }
 
-/* Places what it can of a job; the number of tasks placed. */
+/* Places what it can of a job, up to limit tasks or a whole gang. Returns the number of tasks
+ * placed. */
 static int place_job(tw_core *core, tw_job *job, int limit) {
     const int count =
         job->spec.gang ? place_gang(core, job) : place_tasks(core, job, limit, 0, UINT32_MAX);
@@ -126,6 +152,7 @@
     return count;
 }
 
+/* Forgets the pass before and works out what holds for all of this one. */
 static void begin_pass(tw_core *core) {
     tw_candidates_begin(core);
     tw_gang_reservation_update(core);
@@ -141,27 +168,28 @@
         return false;
     }
     begin_pass(core);
-    place_job(core, job, MOST_IN_PASS);
+    place_job(core, job, MAX_TASKS_PER_PASS);
     return job->placed_count + job->done_count == job->task_count;
 }
 
 void tw_scheduler_run(tw_core *core) {
     core->scheduling_due = false;
-    core->next_pass_at = core->context.now + BETWEEN_PASSES_S;
-    tw_job_queue *turns = tw_job_queue_new(core, true);
-    int left = MOST_IN_PASS;
-    bool begun = false;
+    core->next_pass_at = core->context.now + PASS_INTERVAL_S;
+    tw_job_queue *queue = tw_job_queue_new(core, true);
+    int remaining = MAX_TASKS_PER_PASS;
+    bool pass_begun = false;
     tw_job *job;
-    while (left > 0 && (job = tw_job_queue_next(core, turns))) {
-        if (!begun) begin_pass(core); /* mostly nothing waits: then the fleet isn't looked at */
-        begun = true;
-        /* A task a turn while others wait. */
-        const int share = tw_job_queue_is_contended(turns) ? 1 : left;
-        const int count = place_job(core, job, share);
-        left -= count;
-        tw_job_queue_note_placed(core, turns, job, count);
-        if (count && count == share && tw_job_is_pending(core, job)) tw_job_queue_requeue(turns);
+    while (remaining > 0 && (job = tw_job_queue_next(core, queue))) {
+        /* Mostly no job waits, and then the fleet need not be looked at. */
+        if (!pass_begun) begin_pass(core);
+        pass_begun = true;
+        /* While others compete, a job gets one task in its turn. */
+        const int limit = tw_job_queue_is_contended(queue) ? 1 : remaining;
+        const int count = place_job(core, job, limit);
+        remaining -= count;
+        tw_job_queue_note_placed(core, queue, job, count);
+        if (count && count == limit && tw_job_is_pending(core, job)) tw_job_queue_requeue(queue);
     }
-    if (left <= 0) core->scheduling_due = true;
-    tw_job_queue_free(turns);
+    if (remaining <= 0) core->scheduling_due = true;
+    tw_job_queue_free(queue);
 }
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -1,38 +1,40 @@
-/* Estimates of run time and of T = q + p * missing GB + slowness * expected run time, after
- * GoodServe. q, p and slowness are moving averages by machine; until a machine has its own, those
- * of its type stand for them. */
+/* Estimates of run times, and of T = q + p * missing GB + slowness * estimate, after GoodServe
+ * (docs/design.md): the time from placing a task on a machine to its end there. q is the machine's
+ * queue delay, p its fetch time for a GB of an image, slowness its run times against their
+ * estimates; all three are moving averages. Until a machine has its own, those of its type stand
+ * for them. */
 #include "core/scheduler_int.h"
 
-#define MARGIN_DEVIATIONS 2 /* of a fetch, that a service has to spare before its deadline */
+#define MARGIN_DEVIATIONS 2 /* of a fetch, to spare before a service's deadline */
 
-/* When its class's start objective is missed, counted anew after a loss; INFINITY: it has none. */
-static double start_due(const tw_job *job) {
+/* When the start objective of the job's class is missed, counted anew after the job lost its tasks.
+ * INFINITY: its class has none. */
+static double start_objective_at(const tw_job *job) {
     if (!job->job_class || job->job_class->start_within_s <= 0) return INFINITY;
     return fmax(job->submitted_at, job->pending_since) + job->job_class->start_within_s;
 }
 
-/* A gang has its owner's deadline, else its class's objective for the end; and its start objective,
- * with the run that follows. */
-static double gang_due(const tw_job *job) {
-    double due = start_due(job) + tw_job_run_estimate_s(job);
+/* The earlier of two: the owner's deadline or, without one, the class's objective for the end; and
+ * the start objective with the run that follows. INFINITY: none applies. */
+static double gang_deadline(const tw_job *job) {
+    double deadline_at = start_objective_at(job) + tw_job_run_estimate_s(job);
     if (job->spec.deadline_s >= 0)
-        due = fmin(due, job->submitted_at + job->spec.deadline_s);
+        deadline_at = fmin(deadline_at, job->submitted_at + job->spec.deadline_s);
     else if (job->job_class && job->job_class->finish_within_s > 0)
-        due = fmin(due, job->submitted_at + job->job_class->finish_within_s);
-    return due;
+        deadline_at = fmin(deadline_at, job->submitted_at + job->job_class->finish_within_s);
+    return deadline_at;
 }
 
-double tw_job_deadline(const tw_core *core, const tw_job *job) {
-    (void)core;
-    if (job->spec.gang) return gang_due(job);
+double tw_job_deadline(const tw_job *job) {
+    if (job->spec.gang) return gang_deadline(job);
     if (!job->spec.service && job->spec.deadline_s >= 0)
         return job->submitted_at + job->spec.deadline_s;
     /* A service's deadline is its class's start objective. */
-    return start_due(job);
+    return start_objective_at(job);
 }
 
 double tw_job_start_deadline(const tw_job *job) {
-    return job->spec.gang ? start_due(job) : INFINITY;
+    return job->spec.gang ? start_objective_at(job) : INFINITY;
 }
 
 double tw_job_run_estimate_s(const tw_job *job) {
@@ -45,7 +47,13 @@
                                  : machine->slowness;
 }
 
-/* What is still to be fetched of an image, in GB. */
+double tw_machine_fetch_s_per_gb(const tw_core *core, const tw_machine *machine) {
+    return machine->fetch_s_per_gb < 0 ? core->machine_types[machine->type_index].fetch_s_per_gb
+                                       : machine->fetch_s_per_gb;
+}
+
+/* What the machine has still to fetch of the job's image, in GB. image: as the machine has it;
+ * NULL: absent. */
 static double missing_gb(const tw_core *core, const tw_job *job, const tw_machine *machine,
                          const tw_image *image) {
     if (!image) return job->spec.image_gb;
@@ -57,24 +65,24 @@
 tw_prediction tw_predict(const tw_core *core, const tw_demand *demand, const tw_machine *machine) {
     const tw_job *job = demand->job;
     const tw_machine_type *type = &core->machine_types[machine->type_index];
-    const double delay_s =
+    const double queue_delay_s =
         machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
-    const double s_per_gb =
-        machine->fetch_s_per_gb < 0 ? type->fetch_s_per_gb : machine->fetch_s_per_gb;
+    const double fetch_s_per_gb = tw_machine_fetch_s_per_gb(core, machine);
     tw_prediction result = {.image = tw_image_find(machine, job)};
-    const double gb = missing_gb(core, job, machine, result.image);
-    result.fetch_s = s_per_gb * gb;
+    const double image_missing_gb = missing_gb(core, job, machine, result.image);
+    result.fetch_s = fetch_s_per_gb * image_missing_gb;
     result.run_s = tw_machine_slowness(core, machine) * demand->estimate_s;
-    result.total_s = delay_s +
+    result.total_s = queue_delay_s +
                      result.fetch_s * tw_image_fetch_slowdown(core, machine, result.image) +
                      result.run_s;
     if (job->spec.service)
-        result.margin_s = MARGIN_DEVIATIONS * type->fetch_deviation * s_per_gb * gb;
+        result.margin_s =
+            MARGIN_DEVIATIONS * type->fetch_deviation * fetch_s_per_gb * image_missing_gb;
     return result;
 }
 
-/* A service has no run time to make up in: a fetch that is expected to end just before its start
- * objective is late half of the time. */
+/* The margin is a service's: it has no run time in which to make up for a slow fetch, and a fetch
+ * that is expected to end just before its start objective is late half of the time. */
 double tw_predict_end(const tw_core *core, const tw_demand *demand,
                       const tw_prediction *prediction) {
     const double end = core->context.now + prediction->total_s + prediction->margin_s;
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -1,21 +1,28 @@
-/* Which machines to give back: idle ones, and those whose replicas fit elsewhere. */
+/* Which machines to give back: idle ones, and those whose replicas fit on others.
+ *
+ * A machine that has been idle for too long is cordoned and wanted back (return_wanted), unless the
+ * plan keeps it as headroom. To consolidate, one machine at a time, or a few of a large fleet, is
+ * emptied (decommissioning): its replicas are stopped one by one as there is room elsewhere, where
+ * they start again at once. A machine that is emptied is returned when it is idle, and used again
+ * before that if a job waits that may use it. Called at the end of each plan. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define TRIES 4           /* machines looked at in a pass, to empty the next one */
-#define RETRY_REPORTS 3   /* reports until one that could not be emptied is looked at again */
-#define PASS_REPORTS 0.3  /* reports between passes that move tasks */
-#define LEAST_MOVES 2     /* tasks that a pass may move anyway */
-#define WRITE_SHARE 0.25  /* of the state service's changes, for moves */
-#define CLOSING_PART 20   /* one machine is emptied at a time, and one more for so many */
-#define LEAST_UP_LEASES 2 /* leases for which a machine is up before it is emptied */
-#define NEAR_SHARE 0.5    /* of its start objective: how long a moved replica's fetch may take */
-#define BATCH_WEIGHT 2    /* what moving a batch task costs, against a replica */
+#define MAX_TRIES_PER_PASS 4         /* machines that a pass tries to find one to empty */
+#define RETRY_HEARTBEATS 3           /* heartbeats until a machine is tried again */
+#define PASS_INTERVAL_HEARTBEATS 0.3 /* heartbeats between passes that move tasks */
+#define MIN_MOVES_PER_PASS 2         /* tasks that a pass may move in any case */
+#define MOVE_WRITE_SHARE 0.25        /* of the state service's writes, for moves */
+#define MACHINES_PER_DECOMMISSION 20 /* one is emptied at a time, and one more for so many */
+#define MIN_UP_LEASES 2              /* for which a machine is up before it is emptied */
+#define MAX_FETCH_SHARE 0.5          /* of its start objective, for a moved replica's fetch */
+#define BATCH_MOVE_WEIGHT 2          /* what moving a batch task costs, where a replica costs 1 */
 
 /* ---- idle machines ---- */
 
-/* Tasks that ended stay in the list until the machine forgot them; those whose direct launch may
- * still come, or come once more, are not forgotten there for long, and don't keep the machine. */
+/* Whether some task keeps the machine from being idle. A task that ended stays in the machine's
+ * list until the machine has forgotten it. If its launch may still arrive, or arrive once more, it
+ * is not forgotten for long: such a task doesn't keep the machine. */
 static bool holds_work(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
@@ -25,8 +32,8 @@
     return false;
 }
 
-/* Notes since when a machine is idle; returns whether that is for too long. */
-static bool idle_too_long(const tw_core *core, tw_machine *machine) {
+/* Notes since when the machine is idle. Returns whether that is for too long. */
+static bool update_idle_since(const tw_core *core, tw_machine *machine) {
     if (holds_work(core, machine) || machine->kept_as_headroom) {
         machine->idle_since = 0;
         return false;
@@ -43,7 +50,7 @@
     HASH_ITER(hh, core->machines, machine, next) {
         if (machine->state != TW_MACHINE_UP || machine->return_wanted || machine->type_index < 0)
             continue;
-        if (!idle_too_long(core, machine)) continue;
+        if (!update_idle_since(core, machine)) continue;
         machine->return_wanted = machine->cordoned = true;
         core->returns_due = true;
         tw_log_info("event=machine_return_requested worker=%s why=idle rented_s=%.0f",
@@ -53,71 +60,74 @@
 
 /* ---- room elsewhere ---- */
 
-/* Whether its image is there, or comes so fast that a start objective would still be met. */
-static bool image_near(const tw_core *core, const tw_placement *placed, const tw_machine *machine) {
+/* Whether the task's image is cached on the machine, or is fetched so fast that the task would
+ * still meet its start objective. */
+static bool image_is_near(const tw_core *core, const tw_placement *placed,
+                          const tw_machine *machine) {
     const tw_job *job = placed->job;
     const tw_image *image = tw_image_find(machine, job);
     if (image) return image->ready_at <= 0;
-    const double s_per_gb = machine->fetch_s_per_gb < 0
-                                ? core->machine_types[machine->type_index].fetch_s_per_gb
-                                : machine->fetch_s_per_gb;
+    const double fetch_s_per_gb = tw_machine_fetch_s_per_gb(core, machine);
     return job->job_class &&
-           s_per_gb * job->spec.image_gb <= NEAR_SHARE * job->job_class->start_within_s;
+           fetch_s_per_gb * job->spec.image_gb <= MAX_FETCH_SHARE * job->job_class->start_within_s;
 }
 
 /* Whether a task may only move within its zone. */
-static bool bound_to_zone(const tw_wire_job *spec) {
+static bool is_bound_to_zone(const tw_wire_job *spec) {
     return (spec->spread || spec->single_zone) && spec->task_count > 1;
 }
 
-/* Whether a task that runs elsewhere would start at once in this room. */
-static bool is_home(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
+/* Whether a task that runs on another machine would start at once in the bin. */
+static bool can_move_into_bin(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
     const tw_job *job = placed->job;
-    if (!bin->machine || bin->machine == placed->machine || !bin->busy) return false;
+    if (!bin->machine || bin->machine == placed->machine || !bin->occupied) return false;
     if (!tw_machine_is_usable(core, bin->machine)) return false;
     if (!tw_bin_is_allowed(bin, &job->spec, job->type_mask) || !tw_bin_fits(bin, &job->spec))
         return false;
-    if (bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return false;
-    return image_near(core, placed, bin->machine) &&
+    if (is_bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return false;
+    return image_is_near(core, placed, bin->machine) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
 }
 
-/* Room for a task elsewhere, where it would start at once; NULL: none. */
-static tw_bin *new_home(const tw_core *core, tw_bins *bins, const tw_placement *placed) {
+/* The bin of another machine in which the task would start at once. NULL: there is none. */
+static tw_bin *find_destination(const tw_core *core, tw_bins *bins, const tw_placement *placed) {
     for (int i = 0; i < bins->count; i++)
-        if (is_home(core, &bins->items[i], placed)) return &bins->items[i];
+        if (can_move_into_bin(core, &bins->items[i], placed)) return &bins->items[i];
     return NULL;
 }
 
+/* A task for which room was taken in a bin. */
 typedef struct {
     tw_bin *bin;
     const tw_wire_job *spec;
-} taken_room;
+} moved_task;
 
-/* Takes room for all replicas of a machine; returns 0 if there is none for one of them. */
-static bool take_rooms(const tw_core *core, tw_bins *bins, const tw_machine *machine,
-                       taken_room *taken, int *count) {
+/* Takes room elsewhere for all replicas of the machine, and lists them with their bins. Returns
+ * false if one of them has no room or can't move now; what was listed so far is to be given back
+ * then, too. */
+static bool take_room_for_replicas(const tw_core *core, tw_bins *bins, const tw_machine *machine,
+                                   moved_task *taken, int *count) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const tw_wire_job *spec = &placed->job->spec;
-        if (!placed->counted || !spec->service) continue; /* a batch task ends by itself */
+        if (!placed->counted || !spec->service) continue; /* it ends by itself */
         if (placed->state != TW_TASK_RUNNING || placed->stopping) return false;
-        tw_bin *home = new_home(core, bins, placed);
-        if (!home) return false;
-        tw_bin_take(home, spec);
-        taken[(*count)++] = (taken_room){home, spec};
+        tw_bin *destination = find_destination(core, bins, placed);
+        if (!destination) return false;
+        tw_bin_take(destination, spec);
+        taken[(*count)++] = (moved_task){destination, spec};
     }
     return true;
 }
 
-/* Whether all that runs on a machine could go elsewhere; the room stays as it was. */
-static bool can_empty(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
+/* Whether all replicas of the machine could move. The bins stay as they were. */
+static bool can_evict_all(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
     const tw_placement *placed;
     int capacity = 0;
     int count = 0;
     DL_FOREACH(machine->placements, placed) { capacity++; }
-    taken_room *taken = tw_alloc((size_t)capacity * sizeof *taken);
-    const bool possible = take_rooms(core, bins, machine, taken, &count);
+    moved_task *taken = tw_alloc((size_t)capacity * sizeof *taken);
+    const bool possible = take_room_for_replicas(core, bins, machine, taken, &count);
     for (int i = 0; i < count; i++) tw_bin_give(taken[i].bin, taken[i].spec);
     free(taken);
     return possible;
@@ -125,28 +135,26 @@
 
 /* ---- machines that are being emptied ---- */
 
-/* All the room of a machine, as if nothing ran on it. */
-static tw_bin whole_of(const tw_core *core, const tw_machine *machine) {
+/* A bin of the machine as if nothing ran on it. */
+static tw_bin bin_of_whole_machine(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_bin){.type_index = machine->type_index,
                     .spot = machine->spot,
                     .zone = machine->zone,
-                    .cores = type->cores,
-                    .gpus = type->gpus,
-                    .memory_gb = type->memory_gb};
+                    .room = {type->cores, type->gpus, type->memory_gb}};
 }
 
-/* Whether some job waits that may use the machine once there is room: then it is not emptied, for
- * where no more can be rented nothing would replace it. */
-static bool waited_for(const tw_core *core, const tw_machine *machine) {
-    const tw_bin whole = whole_of(core, machine);
+/* Whether some job waits that may use the machine once it has room. Then it is not emptied: where
+ * no more can be rented, nothing would replace it. */
+static bool job_waits_for_machine(const tw_core *core, const tw_machine *machine) {
+    const tw_bin whole = bin_of_whole_machine(core, machine);
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (!tw_job_is_pending(core, job) || !tw_quota_allows_tasks(core, job, 1)) continue;
         if (!tw_bin_is_allowed(&whole, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&whole, &job->spec)) continue;
-        if (!tw_constraints_allow_zone(core, job, machine->zone)) continue;
-        if (job->spec.gpus > 0 || whole.gpus <= 0 || job->any_machine) return true;
+        if (!tw_constraints_allow_zone(job, machine->zone)) continue;
+        if (job->spec.gpus > 0 || whole.room.gpus <= 0 || job->any_machine) return true;
     }
     return false;
 }
@@ -157,120 +165,124 @@
     HASH_ITER(hh, core->machines, machine, next) {
         if (!machine->decommissioning || machine->return_wanted || machine->type_index < 0)
             continue;
-        if (!waited_for(core, machine)) continue;
+        if (!job_waits_for_machine(core, machine)) continue;
         machine->decommissioning = false;
         core->scheduling_due = true;
         tw_log_info("event=decommission_cancelled worker=%s", machine->name);
     }
 }
 
-/* A batch task that saves its progress goes where it starts again at once; it ends where it is if
- * there is no such room. Stopped for nothing, it would wait, and a machine be rented for it. */
-static void move_batch(tw_core *core, tw_bins *bins, tw_placement *placed, int *moves) {
+/* Moves a batch task that saves its progress if it starts again at once elsewhere. Without such
+ * room it is left to end where it is: if it were stopped it would wait, and a machine be rented for
+ * it. */
+static void evict_batch_task(tw_core *core, tw_bins *bins, tw_placement *placed, int *moves_left) {
     const tw_wire_job *spec = &placed->job->spec;
     if (spec->checkpoint_s <= 0 || placed->state != TW_TASK_RUNNING) return;
     if (spec->gang) return; /* it would stop on all its machines */
-    tw_bin *home = new_home(core, bins, placed);
-    if (!home) return;
-    tw_bin_take(home, spec);
+    tw_bin *destination = find_destination(core, bins, placed);
+    if (!destination) return;
+    tw_bin_take(destination, spec);
     tw_placement_stop(core, placed, spec->save_s, false);
-    (*moves)--;
+    (*moves_left)--;
 }
 
-/* Moves what runs on a machine that is being emptied, a task at a time, so that its start elsewhere
- * is not held up. 0: no more may be moved in this pass. */
-static bool move_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves) {
+/* Moves the tasks of a machine that is being emptied, as far as moves are left in this pass, so
+ * that no start elsewhere is held up. Returns false if no more may be moved in this pass. */
+static bool evict_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves_left) {
     tw_placement *placed;
     tw_placement *next;
     DL_FOREACH_SAFE(machine->placements, placed, next) {
-        if (*moves <= 0) return false;
+        if (*moves_left <= 0) return false;
         if (!placed->counted || placed->stopping) continue;
         if (!placed->job->spec.service) {
-            move_batch(core, bins, placed, moves);
+            evict_batch_task(core, bins, placed, moves_left);
             continue;
         }
-        tw_bin *home = new_home(core, bins, placed);
-        if (!home) {
-            machine->decommissioning = false; /* the room has gone */
+        tw_bin *destination = find_destination(core, bins, placed);
+        if (!destination) {
+            machine->decommissioning = false; /* the room for it has gone since */
             break;
         }
-        tw_bin_take(home, &placed->job->spec);
+        tw_bin_take(destination, &placed->job->spec);
         tw_log_debug("event=task_evicted task=%s/%d from=%s", placed->job->id, placed->index,
                      machine->name);
         tw_placement_stop(core, placed, 0, false);
-        (*moves)--;
+        (*moves_left)--;
     }
     return true;
 }
 
 /* ---- which machine to empty next ---- */
 
-/* Whether it has been up for long enough, and is not one that was just looked at in vain. */
-static bool may_close(const tw_core *core, const tw_machine *machine) {
+/* Whether the machine may be emptied: it has been up for long enough, and was not tried in vain
+ * just now. */
+static bool may_decommission(const tw_core *core, const tw_machine *machine) {
     if (!tw_machine_is_usable(core, machine) || machine->spot) return false;
-    if (!tw_machine_is_occupied(machine))
-        return false; /* it goes when it was idle for long enough */
+    if (!tw_machine_is_occupied(machine)) return false; /* it is returned as an idle one */
     if (core->context.now < machine->no_decommission_until) return false;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
-    const double least_up_s = fmax(startup_s, LEAST_UP_LEASES * core->context.config->lease_s);
-    return core->context.now - machine->first_answered_at >= least_up_s;
+    const double min_up_s = fmax(startup_s, MIN_UP_LEASES * core->context.config->lease_s);
+    return core->context.now - machine->first_answered_at >= min_up_s;
 }
 
-/* What returning a machine saves, for what it costs to empty it. */
-static double close_gain(const tw_core *core, const tw_machine *machine) {
+/* What returning the machine saves, divided by what it costs to empty it. */
+static double decommission_gain(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
-    int replicas = 0, batch = 0;
+    int replica_count = 0, batch_count = 0;
     DL_FOREACH(machine->placements, placed) {
-        replicas += placed->counted && placed->job->spec.service;
-        batch += placed->counted && !placed->job->spec.service;
+        replica_count += placed->counted && placed->job->spec.service;
+        batch_count += placed->counted && !placed->job->spec.service;
     }
     return core->machine_types[machine->type_index].listed.on_demand_price /
-           (1 + replicas + BATCH_WEIGHT * batch);
+           (1 + replica_count + BATCH_MOVE_WEIGHT * batch_count);
 }
 
-static tw_machine *most_to_gain(const tw_core *core) {
+/* The machine with the largest gain of those that may be emptied. NULL: there is none. */
+static tw_machine *find_largest_gain(const tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
     struct tw_machine *best = NULL;
-    double most = 0;
+    double largest_gain = 0;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (!may_close(core, machine)) continue;
-        const double gain = close_gain(core, machine);
-        if (gain <= most) continue;
-        most = gain;
+        if (!may_decommission(core, machine)) continue;
+        const double gain = decommission_gain(core, machine);
+        if (gain <= largest_gain) continue;
+        largest_gain = gain;
         best = machine;
     }
     return best;
 }
 
-/* The next machine to empty, of the few that are looked at in a pass; NULL: none. */
-static tw_machine *next_to_close(const tw_core *core, tw_bins *bins) {
-    for (int i = 0; i < TRIES; i++) {
-        tw_machine *best = most_to_gain(core);
+/* The next machine to empty. NULL: none of the few that a pass tries. */
+static tw_machine *choose_machine_to_decommission(const tw_core *core, tw_bins *bins) {
+    for (int i = 0; i < MAX_TRIES_PER_PASS; i++) {
+        tw_machine *best = find_largest_gain(core);
         if (!best) return NULL;
-        if (!waited_for(core, best) && can_empty(core, bins, best)) return best;
+        if (!job_waits_for_machine(core, best) && can_evict_all(core, bins, best)) return best;
         best->no_decommission_until =
-            core->context.now + RETRY_REPORTS * core->context.config->report_s;
+            core->context.now + RETRY_HEARTBEATS * core->context.config->report_s;
     }
     return NULL;
 }
 
 /* ---- passes ---- */
 
-/* Each move ends in a write or two: a share of what may be written in the time between passes. */
-static int moves_allowed(const tw_core *core, double between_s) {
-    return (int)fmax(LEAST_MOVES,
-                     ceil(WRITE_SHARE * core->context.config->state_write_rps * between_s));
+/* How many tasks a pass may move. Each move ends in a write or two, so they get a share of what may
+ * be written between passes. */
+static int max_moves_per_pass(const tw_core *core, double interval_s) {
+    return (int)fmax(MIN_MOVES_PER_PASS,
+                     ceil(MOVE_WRITE_SHARE * core->context.config->state_write_rps * interval_s));
 }
 
-/* Whether a machine was asked for that is not there yet. */
-static bool awaits_machine(const tw_bins *bins) {
+/* Whether a machine was asked for that is not there yet: more room is needed then, not less. */
+static bool is_machine_coming(const tw_bins *bins) {
     for (int i = 0; i < bins->count; i++)
         if (!bins->items[i].machine) return true;
     return false;
 }
 
-static bool service_waits(const tw_core *core) {
+/* Whether a service's task waits, which needs room now. */
+static bool is_service_pending(const tw_core *core) {
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (job->has_spec && job->spec.service && tw_job_is_pending(core, job)) return true;
@@ -278,25 +290,26 @@
     return false;
 }
 
-static bool is_closing(const tw_machine *machine) {
+/* Whether the machine is being emptied and not wanted back yet. */
+static bool is_being_emptied(const tw_machine *machine) {
     return machine->decommissioning && !machine->return_wanted;
 }
 
 void tw_scale_in_consolidate(tw_core *core, tw_bins *bins) {
-    const double between_s = PASS_REPORTS * core->context.config->report_s;
+    const double interval_s = PASS_INTERVAL_HEARTBEATS * core->context.config->report_s;
     if (core->context.now < core->next_consolidation_at) return;
-    core->next_consolidation_at = core->context.now + between_s;
-    if (awaits_machine(bins) || service_waits(core)) return;
+    core->next_consolidation_at = core->context.now + interval_s;
+    if (is_machine_coming(bins) || is_service_pending(core)) return;
     tw_machine *machine;
     struct tw_machine *next;
-    int moves = moves_allowed(core, between_s);
-    int closing = 0;
-    HASH_ITER(hh, core->machines, machine, next) { closing += is_closing(machine); }
+    int moves_left = max_moves_per_pass(core, interval_s);
+    int emptied_count = 0;
+    HASH_ITER(hh, core->machines, machine, next) { emptied_count += is_being_emptied(machine); }
     HASH_ITER(hh, core->machines, machine, next) {
-        if (is_closing(machine) && !move_tasks(core, bins, machine, &moves)) return;
+        if (is_being_emptied(machine) && !evict_tasks(core, bins, machine, &moves_left)) return;
     }
-    if (closing >= 1 + (int)HASH_COUNT(core->machines) / CLOSING_PART) return;
-    struct tw_machine *best = next_to_close(core, bins);
+    if (emptied_count >= 1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_DECOMMISSION) return;
+    struct tw_machine *best = choose_machine_to_decommission(core, bins);
     if (!best) return;
     best->decommissioning = true;
     tw_log_info("event=decommission_started worker=%s machine_type=%s", best->name,
