--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -148,7 +148,7 @@
 }
 
 /* The task no longer runs there; to: what it is now. */
-static void stop_counting(tw_core *core, tw_placement *placed, int to) {
+static void stop_counting(tw_core *core, tw_placement *placed, tw_assignment to) {
     if (!placed->counted) return;
     tw_job *job = placed->job;
     tw_placement_account(core, placed, -1);
--- a/src/core/command_messages.c
+++ b/src/core/command_messages.c
@@ -20,7 +20,7 @@
 /* The right that the orders need in an answer to a report. */
 static tw_permission needed_permission(const tw_command_list *commands) {
     for (int i = 0; i < commands->count; i++) {
-        const int verb = commands->list[i].kind;
+        const tw_wire_command_kind verb = commands->list[i].kind;
         if (verb == TW_COMMAND_FORGET) return TW_PERMISSION_COMMAND;
         if (verb == TW_COMMAND_LAUNCH && !is_stopped_at_once(commands, i))
             return TW_PERMISSION_COMMAND;
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -141,10 +141,10 @@
         if (job->task_states[live->index] != TW_ASSIGNMENT_NONE) continue;
         tw_placement *placed = tw_placement_new(core, job, live->index, machine, live->attempt);
         if (!placed) continue;
-        placed->inherited = 1;
+        placed->inherited = true;
         placed->launch_sent = true;
         placed->version = 0;
-        if (cancelled) placed->stopping = 1;
+        if (cancelled) placed->stopping = true;
     }
     if (job->spec.gang) tw_gang_restored(job);
     if (cancelled) tw_job_note_cancelled(core, job);
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -15,7 +15,7 @@
         machine = tw_machine_new(core, listed->id);
         machine->known_since = core->context.now - listed->rented_s;
     }
-    machine->listed = 1;
+    machine->listed = true;
     machine->lists_without = 0;
     machine->spot = listed->spot;
     if (!*machine->zone) tw_machine_set_zone(core, machine, listed->zone);
@@ -25,7 +25,7 @@
         machine->type_index = tw_machine_type_index(core, listed->machine_type);
     if (!*machine->endpoint && *listed->endpoint)
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
-    if (listed->state == TW_RENTED_FAILED) machine->failed = 1;
+    if (listed->state == TW_RENTED_FAILED) machine->failed = true;
     /* After a change of leader we need not wait until the worker has found us. */
     if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at && !machine->probed) {
         machine->probed = 1;
--- a/src/core/machine_statistics.c
+++ b/src/core/machine_statistics.c
@@ -53,10 +53,10 @@
     const double start_s =
         machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
     const double long_gb = type->listed.fetch_gb_s * 2 * core->context.config->report_s;
-    if (placed->image_state > 0) {
+    if (placed->image_state == TW_IMAGE_CACHED) {
         move_average(&machine->queue_delay_s, type->queue_delay_s, delay, weight);
         move_average(&type->queue_delay_s, type->queue_delay_s, delay, weight * TYPE_WEIGHT);
-    } else if (!placed->image_state && placed->job->spec.image_gb > long_gb) {
+    } else if (placed->image_state == TW_IMAGE_ABSENT && placed->job->spec.image_gb > long_gb) {
         learn_fetch(core, placed, delay - start_s);
     }
 }
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -108,7 +108,7 @@
 
 /* Why a machine is given up; NULL: it is not. */
 static const char *reason_to_give_up(tw_core *core, const tw_machine *machine, double expires_at) {
-    if (machine->lost_launches >= TW_UNRESPONSIVE_AT) return "deaf";
+    if (machine->lost_launches >= TW_MAX_LOST_LAUNCHES) return "deaf";
     if (tw_machine_is_silent(core, machine) &&
         core->context.now > tw_cluster_delegates_until(core->cluster, machine->zone) &&
         !tw_zone_is_unreachable(core, machine))
@@ -151,7 +151,7 @@
     const bool boots = machine->state == TW_MACHINE_BOOTING && !sent;
     if (boots && !machine->overdue && machine->type_index >= 0 &&
         age_s > BOOT_OVERDUE * boot_s + config->report_s) {
-        machine->overdue = 1;
+        machine->overdue = true;
         tw_statistics_note_boot(core, machine);
     }
     if (machine->return_wanted) return;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -43,7 +43,7 @@
     placed->placed_at = core->context.now;
     const tw_image *image = tw_image_find(machine, job);
     placed->concurrent_fetches = tw_image_count_fetches(core, machine, image);
-    if (image) placed->image_state = image->ready_at <= 0 ? 1 : -1;
+    if (image) placed->image_state = image->ready_at <= 0 ? TW_IMAGE_CACHED : TW_IMAGE_FETCHING;
     placed->counted = true;
     DL_APPEND2(job->placements, placed, job_prev, job_next);
     DL_APPEND(machine->placements, placed);
@@ -68,11 +68,11 @@
         return;
     }
     if (!placed->stopping) placed->stopped_at = core->context.now;
-    placed->stopping = 1;
+    placed->stopping = true;
     placed->grace_s = grace_s;
     if (preempted && !placed->preempted) {
         tw_placement_account(core, placed, -1);
-        placed->preempted = 1;
+        placed->preempted = true;
         tw_placement_account(core, placed, 1);
     }
     tw_machine_want_commands(core, placed->machine);
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -30,7 +30,7 @@
     }
     core->returns_due = count > 0; /* until none is left */
     if (!count || !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1)) return;
-    for (int i = 0; i < count; i++) tw_machine_find(core, names[i])->return_in_flight = 1;
+    for (int i = 0; i < count; i++) tw_machine_find(core, names[i])->return_in_flight = true;
     tw_call *call = tw_call_send(&core->context, TW_CALL_RETURN_MACHINES, TW_TO_CLOUD,
                                  core->context.config->cloud, "POST", "/rentals/release",
                                  tw_wire_machine_names_text(names, count), TIMEOUT_S);
@@ -46,7 +46,7 @@
         tw_machine *machine = tw_machine_find(core, call->names[i]);
         if (!machine) continue;
         if (status != TW_HTTP_OK) {
-            machine->return_in_flight = 0; /* asked again: releasing twice is harmless */
+            machine->return_in_flight = false; /* asked again: releasing twice is harmless */
             core->returns_due = true;
             core->next_return_at = core->context.now + RETRY_S;
             continue;
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -13,7 +13,7 @@
 /* Refused for want of room: the report that shows why is near. */
 #define RETRY_REFUSED_REPORTS 0.3
 
-static void note_task_error(tw_core *core, tw_placement *placed, int cause) {
+static void note_task_error(tw_core *core, tw_placement *placed, tw_wire_exit_cause cause) {
     tw_job *job = placed->job;
     const tw_machine *machine = placed->machine;
     job->consecutive_errors++;
@@ -167,7 +167,7 @@
         tw_placement *placed =
             tw_placement_new(core, job, reported->index, machine, reported->attempt);
         if (!placed) return;
-        placed->inherited = 1;
+        placed->inherited = true;
         placed->mark = core->heartbeat_mark;
         if (job->spec.gang && job->placed_count == 1) tw_gang_restored(job);
         tw_reconcile_task(core, placed, heartbeat, reported);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -30,7 +30,8 @@
     commands->list[commands->count++] = command;
 }
 
-static void add_command(tw_command_list *commands, int verb, const tw_placement *placed) {
+static void add_command(tw_command_list *commands, tw_wire_command_kind verb,
+                        const tw_placement *placed) {
     tw_command_list_add(commands,
                         (tw_wire_command){.kind = verb,
                                           .index = placed->index,
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -42,7 +42,7 @@
         core->context.now - machine->answered_at <
             HEARD_LATELY_LEASES * core->context.config->lease_s &&
         !machine->lease_expired && silence_is_credible(core)) {
-        machine->lost_launches += TW_UNRESPONSIVE_AT;
+        machine->lost_launches += TW_MAX_LOST_LAUNCHES;
         tw_log_info("event=machine_unresponsive worker=%s incarnation=%llu lost_tasks=%d",
                     machine->name, (unsigned long long)heartbeat->incarnation, lost);
     }
@@ -70,7 +70,7 @@
     if (machine->type_index < 0)
         machine->type_index = tw_machine_type_index(core, heartbeat->machine_type);
     if (!machine->confirmed && heartbeat->fencing_token >= tw_cluster_token(core->cluster)) {
-        machine->confirmed = 1;
+        machine->confirmed = true;
         machine->confirmed_at = core->context.now;
         core->scheduling_due = true;
     }
@@ -92,9 +92,9 @@
         return;
     }
     placed->launch_sent = false;
-    if (++placed->lost_launches >= TW_UNRESPONSIVE_AT &&
-        machine->lost_launches < TW_UNRESPONSIVE_AT && silence_is_credible(core)) {
-        machine->lost_launches = TW_UNRESPONSIVE_AT;
+    if (++placed->lost_launches >= TW_MAX_LOST_LAUNCHES &&
+        machine->lost_launches < TW_MAX_LOST_LAUNCHES && silence_is_credible(core)) {
+        machine->lost_launches = TW_MAX_LOST_LAUNCHES;
         tw_log_info("event=machine_unresponsive worker=%s lost_launches=%d", machine->name,
                     placed->lost_launches);
     }
