--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -1,15 +1,16 @@
 /* The decision that an attempt can no longer run, and what follows from it for the task, its job
- * and its machine. */
+ * and its machine. See attempt_termination.h for the invariant; the rules of evidence_holds are
+ * argued in docs/design.md, "Why each rule holds". */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* How long after a direct launch was sent it may still be carried out once more, in leases.
- * Meanwhile the machine must list the attempt. One that is done is kept for less: started again it
- * exits as soon as it has its image, and most attempts end so. */
-#define REPEATED_LEASES 12
-#define REPEATED_DONE_LEASES 2
+/* For how many leases after a direct launch was sent it may still be carried out once more; the
+ * machine must list the attempt meanwhile. An attempt that is done is kept for less: started again,
+ * it exits as soon as it has its image, and most attempts end so. */
+#define LAUNCH_REPEAT_LEASES 12
+#define DONE_LAUNCH_REPEAT_LEASES 2
 
-static const char *const names[TW_EVIDENCE_KINDS] = {
+static const char *const evidence_names[TW_EVIDENCE_KINDS] = {
     [TW_EVIDENCE_EXITED] = "exited",
     [TW_EVIDENCE_ABSENT] = "absent",
     [TW_EVIDENCE_LAUNCH_LOST] = "launch_lost",
@@ -24,25 +25,25 @@
 };
 
 const char *tw_termination_evidence_name(tw_termination_evidence evidence) {
-    return names[evidence];
+    return evidence_names[evidence];
 }
 
 /* ---- the decision ---- */
 
-/* A report without it. What is known to have been on the machine (reported, or written by a
- * predecessor) is gone if nothing on the way could still start it: the machine refuses older
- * tokens, and no direct launch of ours is under way. */
+/* Whether an attempt that the heartbeat doesn't name is gone for good. One that was on the machine,
+ * or may have been since an earlier leader recorded it, is gone if no message on its way can still
+ * start it: the machine refuses older tokens, and no direct launch of this leader is under way. */
 static bool is_certainly_absent(const tw_placement *placed) {
-    const bool was_there = placed->inherited || placed->reported;
-    return was_there && placed->machine->confirmed && !placed->direct_launches;
+    const bool known_on_machine = placed->inherited || placed->reported;
+    return known_on_machine && placed->machine->confirmed && !placed->direct_launches;
 }
 
-/* The answer that held the launch was lost, and is not executed late. Only the next report proper
- * tells: an answer to direct orders may have overtaken the answer that holds the launch. */
+/* An answer that was lost is not carried out late. Only the next ordinary heartbeat shows that it
+ * was lost: a response to direct commands may have overtaken the answer with the launch. */
 bool tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
-                        bool answers_order) {
-    const bool was_there = placed->inherited || placed->reported;
-    return !was_there && !answers_order && !placed->direct_launches &&
+                        bool answers_command) {
+    const bool known_on_machine = placed->inherited || placed->reported;
+    return !known_on_machine && !answers_command && !placed->direct_launches &&
            placed->launch_sequence < heartbeat->sequence;
 }
 
@@ -56,25 +57,26 @@
 bool tw_launch_may_repeat(const tw_core *core, const tw_placement *placed) {
     if (placed->direct_launch_at <= 0) return false;
     const bool is_done = placed->state == TW_TASK_EXITED && placed->cause == TW_CAUSE_DONE;
-    const double kept = is_done ? REPEATED_DONE_LEASES : REPEATED_LEASES;
-    return core->context.now < placed->direct_launch_at + kept * core->context.config->lease_s;
+    const double leases = is_done ? DONE_LAUNCH_REPEAT_LEASES : LAUNCH_REPEAT_LEASES;
+    return core->context.now < placed->direct_launch_at + leases * core->context.config->lease_s;
 }
 
 bool tw_attempt_was_launched(const tw_placement *placed) {
     return placed->launch_sent || placed->direct_launches || placed->inherited;
 }
 
-/* A worker kills and forgets all with its session. Ours was launched in a session that we know. In
- * which one a predecessor launched is not known: it may be the reported one, after this report or
- * by a message still on its way, unless the machine refused the predecessor in an earlier session
- * already. (`confirmed` is as of before this report; one that confirms ends it as absent.) */
+/* Whether the attempt could run only in an incarnation before the heartbeat's: with its incarnation
+ * a worker kills and forgets all tasks. This leader knows the incarnation that it launched in. An
+ * earlier leader may have launched in the new one, or by a message that is still on its way, unless
+ * the machine refused that leader's token in the old one already. `confirmed` is as of before this
+ * heartbeat; a heartbeat that confirms the machine ends the attempt as absent. */
 static bool is_of_earlier_incarnation(const tw_placement *placed,
                                       const tw_wire_heartbeat *heartbeat) {
     if (placed->inherited) return placed->machine->confirmed;
     return placed->launch_sent && placed->launch_incarnation < heartbeat->incarnation;
 }
 
-/* Whether the attempt can't run any more, nor be started by what is still on its way. */
+/* Whether the attempt can't run any more, nor be started by a message on its way. */
 static bool evidence_holds(const tw_core *core, const tw_placement *placed,
                            const tw_attempt_termination *end) {
     const tw_machine *machine = placed->machine;
@@ -108,8 +110,8 @@
     return !tw_cluster_is_leader(core->cluster);
 }
 
-/* Grounds that need not hold: the path that offers them asks just that. With the others the path is
- * wrong. */
+/* Whether a caller may offer the evidence without knowing that it holds. With all other evidence
+ * the caller is at fault if it doesn't hold. */
 static bool may_be_refuted(tw_termination_evidence evidence) {
     return evidence == TW_EVIDENCE_ABSENT || evidence == TW_EVIDENCE_LAUNCH_LOST ||
            evidence == TW_EVIDENCE_NEW_INCARNATION;
@@ -117,8 +119,8 @@
 
 /* ---- what follows ---- */
 
-/* Ends of attempts that never were on a machine, or that nobody decides about, are told at `debug`.
- */
+/* Terminations of attempts that were never on a machine, or that were not decided, are logged at
+ * `debug`. */
 static bool is_logged_at_info(tw_termination_evidence evidence) {
     return evidence != TW_EVIDENCE_NOT_LAUNCHED && evidence != TW_EVIDENCE_NOT_RECORDED &&
            evidence != TW_EVIDENCE_PLACEMENT_UNDONE && evidence != TW_EVIDENCE_TERM_ENDED;
@@ -137,7 +139,7 @@
                  "incarnation=%llu sequence=%llu "
                  "heartbeat_token=%llu confirmed=%d age_s=%.2f",
                  placed->job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
-                 names[end->evidence], end->reported ? end->reported->cause : 0,
+                 evidence_names[end->evidence], end->reported ? end->reported->cause : 0,
                  (unsigned long long)tw_cluster_token(core->cluster), placed->inherited,
                  (unsigned long long)placed->launch_incarnation,
                  (unsigned long long)placed->launch_sequence, placed->direct_launches,
@@ -147,17 +149,17 @@
                  core->context.now - placed->placed_at);
 }
 
-/* The task no longer runs there; to: what it is now. */
-static void stop_counting(tw_core *core, tw_placement *placed, tw_assignment to) {
+/* The task no longer counts on its machine. assignment: what it is now. */
+static void stop_counting(tw_core *core, tw_placement *placed, tw_assignment assignment) {
     if (!placed->counted) return;
     tw_job *job = placed->job;
     tw_placement_account(core, placed, -1);
     placed->counted = false;
     DL_DELETE2(job->placements, placed, job_prev, job_next);
     job->placed_count--;
-    if (job->task_states) job->task_states[placed->index] = (uint8_t)to;
-    if (to == TW_ASSIGNMENT_DONE) job->done_count++;
-    if (to == TW_ASSIGNMENT_NONE) {
+    if (job->task_states) job->task_states[placed->index] = (uint8_t)assignment;
+    if (assignment == TW_ASSIGNMENT_DONE) job->done_count++;
+    if (assignment == TW_ASSIGNMENT_NONE) {
         if (placed->index < job->first_unplaced) job->first_unplaced = placed->index;
         job->pending_since = core->context.now;
         if (job->spec.gang) tw_gang_task_gone(core, placed);
@@ -177,7 +179,8 @@
     tw_job_placement_gone(core, job);
 }
 
-/* The machine may still tell of it, and is to forget it. */
+/* Whether the placement stays in the machine's list, since the machine may still name the attempt
+ * and is to forget it. */
 static bool stays_on_machine(tw_termination_evidence evidence) {
     return evidence == TW_EVIDENCE_EXITED || evidence == TW_EVIDENCE_GANG_DONE;
 }
@@ -191,7 +194,7 @@
             tw_invariant_broken(core, TW_INVARIANT_TERMINATION,
                                 "task=%s/%d attempt=%llu worker=%s evidence=%s", job->id,
                                 placed->index, (unsigned long long)placed->attempt,
-                                placed->machine->name, names[evidence]);
+                                placed->machine->name, evidence_names[evidence]);
         return false;
     }
     const bool was_on_job = placed->counted;
@@ -202,7 +205,8 @@
     stop_counting(core, placed, is_done ? TW_ASSIGNMENT_DONE : TW_ASSIGNMENT_NONE);
     if (stays_on_machine(evidence)) return true;
     tw_attempt_forget(core, placed);
-    /* The record of one that was taken back was not changed; one of an ended term is not ours. */
+    /* A placement that is undone is not in the record yet, and after the term the record is not
+     * this node's to write. */
     if (was_on_job && evidence != TW_EVIDENCE_PLACEMENT_UNDONE &&
         evidence != TW_EVIDENCE_TERM_ENDED)
         tw_job_mark_changed(core, job, false);
--- a/src/core/command_messages.c
+++ b/src/core/command_messages.c
@@ -1,11 +1,13 @@
-/* The text of orders, with the check that this node may give them. Every message with orders is
- * made here, so that no path can give one under another token, or when its right has lapsed. */
+/* The text of messages with commands, and the check that this node has the permission for them.
+ *
+ * Every message with commands is made here, so that no path can send one under another token, or
+ * when the permission has ended. A delegate's messages hold only stops. */
 #include "core/workers.h"
 #include "core/heartbeat_forwarder.h"
 #include <stdbool.h>
 
-/* A launch that is stopped by a later order of the same message settles one whose fate is unknown;
- * it starts nothing. */
+/* Whether a later command of the same message stops the task of that launch. Such a launch starts
+ * nothing: it settles an earlier one whose fate is unknown. */
 static bool is_stopped_at_once(const tw_command_list *commands, int launch) {
     const tw_wire_command *launched = &commands->list[launch];
     for (int i = launch + 1; i < commands->count; i++) {
@@ -17,22 +19,22 @@
     return false;
 }
 
-/* The right that the orders need in an answer to a report. */
+/* The permission that the commands need in an answer to a heartbeat. */
 static tw_permission needed_permission(const tw_command_list *commands) {
     for (int i = 0; i < commands->count; i++) {
-        const tw_wire_command_kind verb = commands->list[i].kind;
-        if (verb == TW_COMMAND_FORGET) return TW_PERMISSION_COMMAND;
-        if (verb == TW_COMMAND_LAUNCH && !is_stopped_at_once(commands, i))
+        const tw_wire_command_kind kind = commands->list[i].kind;
+        if (kind == TW_COMMAND_FORGET) return TW_PERMISSION_COMMAND;
+        if (kind == TW_COMMAND_LAUNCH && !is_stopped_at_once(commands, i))
             return TW_PERMISSION_COMMAND;
     }
     return TW_PERMISSION_RENEW;
 }
 
 char *tw_commands_reply_text(tw_core *core, const tw_command_list *commands) {
-    const tw_permission right = needed_permission(commands);
-    if (!tw_cluster_may(core->cluster, right)) {
+    const tw_permission permission = needed_permission(commands);
+    if (!tw_cluster_may(core->cluster, permission)) {
         tw_invariant_broken(core, TW_INVARIANT_PERMISSION, "commands=%d permission=%d",
-                            commands->count, right);
+                            commands->count, permission);
         return NULL;
     }
     return tw_wire_commands_text(tw_cluster_token(core->cluster), 0, commands->list,
--- a/src/core/counters.c
+++ b/src/core/counters.c
@@ -1,9 +1,10 @@
-/* Counters of decisions and of broken invariants, as log lines. */
+/* Counters of decisions and of broken invariants, and their log lines. See counters.h. */
 #include "core/core_int.h"
 #include <stdarg.h>
 
-#define LONGEST_DETAIL 400
-#define LONGEST_LINE 700
+/* Bytes of a log line's details, and of the line of all counters; what is longer is cut. */
+#define MAX_DETAIL 400
+#define MAX_LINE 700
 
 static const char *const invariant_names[TW_INVARIANTS] = {
     [TW_INVARIANT_PLACED_TWICE] = "placed_twice",
@@ -21,7 +22,7 @@
 };
 
 void tw_invariant_broken(tw_core *core, tw_invariant which, const char *format, ...) {
-    char detail[LONGEST_DETAIL];
+    char detail[MAX_DETAIL];
     va_list arguments;
     va_start(arguments, format);
     vsnprintf(detail, sizeof detail, format, arguments);
@@ -43,18 +44,19 @@
     for (int i = 0; i < count; i++) {
         const size_t length = strlen(line);
         if (!counts[i]) continue;
-        snprintf(line + length, LONGEST_LINE - length, " %s_%s=%llu", prefix, names[i],
+        snprintf(line + length, MAX_LINE - length, " %s_%s=%llu", prefix, names[i],
                  (unsigned long long)counts[i]);
     }
 }
 
 void tw_core_log_counters(const tw_core *core) {
-    char line[LONGEST_LINE] = "";
-    const char *grounds[TW_EVIDENCE_KINDS];
+    char line[MAX_LINE] = "";
+    const char *evidence_names[TW_EVIDENCE_KINDS];
     for (int i = 0; i < TW_EVIDENCE_KINDS; i++)
-        grounds[i] = tw_termination_evidence_name((tw_termination_evidence)i);
-    append_counters(line, "terminated", grounds, core->counters.terminated, TW_EVIDENCE_KINDS);
-    append_counters(line, "kept", grounds, core->counters.kept, TW_EVIDENCE_KINDS);
+        evidence_names[i] = tw_termination_evidence_name((tw_termination_evidence)i);
+    append_counters(line, "terminated", evidence_names, core->counters.terminated,
+                    TW_EVIDENCE_KINDS);
+    append_counters(line, "kept", evidence_names, core->counters.kept, TW_EVIDENCE_KINDS);
     append_counters(line, "rejected", rejection_names, core->counters.rejected, TW_REJECTIONS);
     append_counters(line, "broken", invariant_names, core->counters.broken, TW_INVARIANTS);
     tw_log_debug("event=counters_logged%s", line);
--- a/src/core/delegate_reply.c
+++ b/src/core/delegate_reply.c
@@ -3,7 +3,8 @@
 #include "core/heartbeat_forwarder.h"
 #include "core/workers.h"
 
-/* Most commands in an answer, which stays under 64 KiB; the rest comes with the next one. */
+/* Commands in one answer, which stays under the protocol's 64 KiB; the rest come in the next one.
+ */
 #define MAX_STOPS 500
 
 static void answer_worker(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat) {
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -1,23 +1,25 @@
-/* Reports at a node that does not lead: handed to the leader, and its answer back to the worker.
+/* Workers' heartbeats at a node that does not lead: forwarded to the leader, whose answer goes back
+ * to the worker.
  *
- * Where the leader can't be reached, a deputy answers (lease_delegate.c); while none is known, or
- * this node is no deputy yet, the report is held for a while. */
+ * If the leader can't be reached, this node answers as a lease delegate (delegate_reply.c). While
+ * no leader is known, or this node is not a delegate yet, the heartbeat is held for a while: a
+ * rejected worker tries the other nodes, which with its zone cut off costs it 5 s each, and its
+ * lease. A heartbeat is held well under the 4 s that its worker waits for the answer. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-/* A worker waits 4 s, by the protocol: this leaves time to become a deputy. */
-#define RELAY_TIMEOUT_S 1.0
-/* How long a report is held, in all. */
+/* How long the leader's response is waited for, which leaves time to become a delegate. */
+#define FORWARD_TIMEOUT_S 1.0
+/* How long a heartbeat is held, in all. */
 #define HOLD_S 2.2
-/* Between two tries of the held reports. */
+/* Between two attempts to have the held heartbeats answered. */
 #define RETRY_S 0.2
 
-/* The connections that held reports may take: one in so many. */
+/* Held heartbeats may take one in so many of the node's sockets. */
 #define HELD_SHARE 2
 
-/* Holds a report. A worker that is turned away tries the other nodes; with its zone cut off that
- * costs it 5 s each, and its lease. So while the leader changes, a report waits here, well under
- * the worker's 4 s. Takes the body. */
+/* Holds the heartbeat until that time; rejects it if the time is over, or too many are held. Takes
+ * the body. */
 static void hold_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
                            double until) {
     if (core->context.now >= until ||
@@ -36,8 +38,8 @@
     core->held_count++;
 }
 
-/* Hands a report to the leader; else answers it as a deputy, or holds it until the time. Takes the
- * body. */
+/* Forwards the heartbeat to the leader; if that is not possible, answers it as a delegate or holds
+ * it until that time. Takes the body. */
 static void forward_or_hold(tw_core *core, uint64_t connection, const char *worker, char *body,
                             double until) {
     const char *leader = tw_cluster_leader_addr(core->cluster);
@@ -47,14 +49,14 @@
     }
     if (core->context.now >= core->forwarding_paused_until) {
         tw_call *sent = tw_call_send(&core->context, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader,
-                                     "POST", "/peer/hello", strdup(body), RELAY_TIMEOUT_S);
+                                     "POST", "/peer/hello", strdup(body), FORWARD_TIMEOUT_S);
         sent->connection = connection;
         sent->text = body;
         sent->until = until;
         snprintf(sent->name, sizeof sent->name, "%s", worker);
         return;
     }
-    /* Read when it came, so it is known by its text, unless it waited long. */
+    /* It was read when it came, so the cache knows its text, unless it was held for long. */
     const tw_wire_heartbeat *heartbeat =
         tw_wire_heartbeat_cache_read(core->heartbeat_cache, body, strlen(body));
     if (!heartbeat) {
@@ -67,10 +69,12 @@
     }
 }
 
-/* A report that waited: answered by this node where it leads by now. Takes the body. */
+/* Tries again to have a held heartbeat answered, by this node if it leads by now. Takes the body.
+ */
 static void retry_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
                             double until) {
-    /* A leader without power to answer must not let a report wait anew: its worker waits 4 s. */
+    /* A leader that may not answer must not hold the heartbeat for a second time: its worker waits
+     * 4 s in all. */
     if (!tw_cluster_may(core->cluster, TW_PERMISSION_RENEW)) {
         forward_or_hold(core, connection, worker, body, until);
         return;
@@ -96,8 +100,8 @@
     tw_held_heartbeats_tick(core);
 }
 
-/* The text, with an end, in memory of its own. */
-static char *copy_of(const char *text, size_t len) {
+/* A copy of the text that ends with a 0; the caller frees it. */
+static char *copy_text(const char *text, size_t len) {
     char *copy = tw_alloc(len + 1);
     memcpy(copy, text, len);
     return copy;
@@ -112,8 +116,8 @@
     } else {
         if (tw_cluster_redirect_home(core->cluster, connection, heartbeat->worker, heartbeat->zone))
             return;
-        /* Where its zone has no node that answers it, the leader does; through us, if it comes back
-         * from there as well. */
+        /* If its zone has no node that answers the worker, the leader does: directly, or through
+         * this node if the worker came back from the leader. */
         if (!tw_cluster_leader_addr(core->cluster)) {
             tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
@@ -122,26 +126,26 @@
             tw_cluster_redirect_to_leader(core->cluster, connection, heartbeat->worker))
             return;
     }
-    forward_or_hold(core, connection, heartbeat->worker, copy_of(body, len),
+    forward_or_hold(core, connection, heartbeat->worker, copy_text(body, len),
                     core->context.now + HOLD_S);
 }
 
 void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
                                    size_t len) {
-    char *report = sent->text;
+    char *text = sent->text;
     sent->text = NULL;
-    if (tw_cluster_is_leader(core->cluster)) { /* it is us by now */
-        retry_heartbeat(core, sent->connection, sent->name, report, sent->until);
+    if (tw_cluster_is_leader(core->cluster)) { /* this node leads by now */
+        retry_heartbeat(core, sent->connection, sent->name, text, sent->until);
     } else if (status == TW_HTTP_OK) {
         core->forwarding_paused_until = 0;
         tw_cluster_note_forwarded(core->cluster, sent->name, sent->sent_at);
-        tw_reply(&core->context, sent->connection, TW_HTTP_OK, 0, copy_of(body, len));
-        free(report);
+        tw_reply(&core->context, sent->connection, TW_HTTP_OK, 0, copy_text(body, len));
+        free(text);
     } else if (!status) {
-        core->forwarding_paused_until = core->context.now + RELAY_TIMEOUT_S;
-        forward_or_hold(core, sent->connection, sent->name, report, sent->until);
+        core->forwarding_paused_until = core->context.now + FORWARD_TIMEOUT_S;
+        forward_or_hold(core, sent->connection, sent->name, text, sent->until);
     } else {
-        hold_heartbeat(core, sent->connection, sent->name, report, sent->until);
+        hold_heartbeat(core, sent->connection, sent->name, text, sent->until);
     }
 }
 
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -1,36 +1,39 @@
-/* Images on machines: which are cached or on their way, and how much fetches slow each other. */
+/* Images on machines: which are cached or being fetched, and how much fetches slow each other.
+ *
+ * What is known is inferred from tasks that use an image, so it may differ from the machine's own
+ * cache. Invariant: a machine's list holds an image once, the most recently used one first. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-#define MAX_IMAGES 64 /* remembered of a machine */
+/* Images that are remembered of a machine. */
+#define MAX_IMAGES 64
 
 uint32_t tw_image_hash(const char *name) {
     const uint32_t offset_basis = 2166136261u;
     const uint32_t prime = 16777619u;
-    uint32_t sum = offset_basis; /* FNV-1a */
-    for (; *name; name++) sum = (sum ^ (unsigned char)*name) * prime;
-    return sum;
+    uint32_t hash = offset_basis; /* FNV-1a */
+    for (; *name; name++) hash = (hash ^ (unsigned char)*name) * prime;
+    return hash;
 }
 
 tw_image *tw_image_find(const tw_machine *machine, const tw_job *job) {
-    tw_image *each;
-    DL_FOREACH(machine->images, each) {
-        if (each->name_hash == job->image_hash && !strcmp(each->name, job->spec.image)) return each;
+    tw_image *image;
+    DL_FOREACH(machine->images, image) {
+        if (image->name_hash == job->image_hash && !strcmp(image->name, job->spec.image))
+            return image;
     }
     return NULL;
 }
 
-/* Images on their way to the machine, without `but`. */
 int tw_image_count_fetches(const tw_core *core, const tw_machine *machine, const tw_image *but) {
-    const tw_image *each;
+    const tw_image *image;
     int count = 0;
-    DL_FOREACH(machine->images, each) {
-        count += each->ready_at > core->context.now && each != but;
+    DL_FOREACH(machine->images, image) {
+        count += image->ready_at > core->context.now && image != but;
     }
     return count;
 }
 
-/* How many times as long a fetch takes there beside those under way. */
 double tw_image_fetch_slowdown(const tw_core *core, const tw_machine *machine,
                                const tw_image *but) {
     const double share =
@@ -38,42 +41,44 @@
     return 1 + share * tw_image_count_fetches(core, machine, but);
 }
 
-/* Those that no longer fit beside the newest are dropped there, the least recently used first. */
-static void drop_old(const tw_core *core, tw_machine *machine, const tw_image *newest) {
-    const double room_gb = machine->type_index < 0
-                               ? INFINITY
-                               : core->machine_types[machine->type_index].listed.cache_gb;
-    tw_image *each, *next;
+/* Forgets images that no longer fit into the machine's cache beside the newest one, as the machine
+ * drops them: the least recently used first. */
+static void drop_least_recently_used(const tw_core *core, tw_machine *machine,
+                                     const tw_image *newest) {
+    const double cache_gb = machine->type_index < 0
+                                ? INFINITY
+                                : core->machine_types[machine->type_index].listed.cache_gb;
+    tw_image *image, *next;
     double total_gb = 0;
     int count = 0;
-    DL_FOREACH_SAFE(machine->images, each, next) {
-        total_gb += each->size_gb;
+    DL_FOREACH_SAFE(machine->images, image, next) {
+        total_gb += image->size_gb;
         count++;
-        if (each != newest && (total_gb > room_gb || count > MAX_IMAGES)) {
-            DL_DELETE(machine->images, each);
-            free(each);
+        if (image != newest && (total_gb > cache_gb || count > MAX_IMAGES)) {
+            DL_DELETE(machine->images, image);
+            free(image);
         }
     }
 }
 
 void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, bool ready) {
-    tw_image *found = tw_image_find(machine, job);
-    if (!found) {
-        found = tw_alloc(sizeof *found);
-        snprintf(found->name, sizeof found->name, "%s", job->spec.image);
-        found->name_hash = job->image_hash;
-        found->size_gb = job->spec.image_gb;
+    tw_image *image = tw_image_find(machine, job);
+    if (!image) {
+        image = tw_alloc(sizeof *image);
+        snprintf(image->name, sizeof image->name, "%s", job->spec.image);
+        image->name_hash = job->image_hash;
+        image->size_gb = job->spec.image_gb;
         double s_per_gb =
             machine->type_index >= 0 ? core->machine_types[machine->type_index].fetch_s_per_gb : 1;
         if (machine->fetch_s_per_gb > 0) s_per_gb = machine->fetch_s_per_gb;
-        found->ready_at = core->context.now + job->spec.image_gb * s_per_gb *
+        image->ready_at = core->context.now + job->spec.image_gb * s_per_gb *
                                                   tw_image_fetch_slowdown(core, machine, NULL);
-        DL_PREPEND(machine->images, found);
-    } else if (machine->images != found) { /* most recently used first, as the machine keeps them */
-        DL_DELETE(machine->images, found);
-        DL_PREPEND(machine->images, found);
+        DL_PREPEND(machine->images, image);
+    } else if (machine->images != image) {
+        DL_DELETE(machine->images, image);
+        DL_PREPEND(machine->images, image);
     }
-    found->used_at = core->context.now;
-    if (ready) found->ready_at = 0;
-    drop_old(core, machine, found);
+    image->used_at = core->context.now;
+    if (ready) image->ready_at = 0;
+    drop_least_recently_used(core, machine, image);
 }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -1,33 +1,34 @@
-/* Machines, by name: where each stands and of which type it is. */
+/* Machines by name: their zones and types, and what goes with a machine that is forgotten. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-int tw_machine_type_index(const tw_core *core, const char *label) {
+int tw_machine_type_index(const tw_core *core, const char *name) {
     for (int i = 0; i < core->machine_type_count; i++)
-        if (!strcmp(core->machine_types[i].listed.name, label)) return i;
+        if (!strcmp(core->machine_types[i].listed.name, name)) return i;
     return -1;
 }
 
 tw_machine *tw_machine_find(tw_core *core, const char *name) {
-    tw_machine *found;
-    HASH_FIND_STR(core->machines, name, found);
-    return found;
+    tw_machine *machine;
+    HASH_FIND_STR(core->machines, name, machine);
+    return machine;
 }
 
 tw_machine *tw_machine_new(tw_core *core, const char *name) {
-    tw_machine *added = tw_alloc(sizeof *added);
-    snprintf(added->name, sizeof added->name, "%s", name);
-    added->type_index = -1;
-    added->known_since = core->context.now;
-    added->slowness = added->queue_delay_s = added->fetch_s_per_gb = -1; /* the type's prior */
-    added->zone_index = -1;
-    const size_t length = strlen(added->name);
+    tw_machine *machine = tw_alloc(sizeof *machine);
+    snprintf(machine->name, sizeof machine->name, "%s", name);
+    machine->type_index = -1;
+    machine->known_since = core->context.now;
+    machine->slowness = machine->queue_delay_s = machine->fetch_s_per_gb =
+        -1; /* the type's prior */
+    machine->zone_index = -1;
+    const size_t length = strlen(machine->name);
     if (length > core->longest_machine_name) core->longest_machine_name = length;
-    HASH_ADD_STR(core->machines, name, added);
-    return added;
+    HASH_ADD_STR(core->machines, name, machine);
+    return machine;
 }
 
-/* Zones by number, so that a pass over the fleet compares no names. */
+/* Zones have an index, so that a pass over all machines compares no names. */
 void tw_machine_set_zone(tw_core *core, tw_machine *machine, const char *zone) {
     if (machine->zone_index >= 0 && !strcmp(machine->zone, zone)) return;
     snprintf(machine->zone, sizeof machine->zone, "%s", zone);
@@ -49,13 +50,14 @@
     return false;
 }
 
-static void forget_failures(tw_core *core, const tw_machine *dropped) {
-    tw_job *each;
-    DL_FOREACH(core->active_jobs, each) {
-        for (int i = 0; i < each->failed_machine_count; i++)
-            if (each->failed_machines[i] == dropped) each->failed_machines[i] = NULL;
-        for (int i = 0; i < each->gang.vacated_count; i++)
-            if (each->gang.vacated[i] == dropped) each->gang.vacated[i] = NULL;
+/* Removes the machine from what jobs remember of failures and vacated machines. */
+static void forget_failures(tw_core *core, const tw_machine *machine) {
+    tw_job *job;
+    DL_FOREACH(core->active_jobs, job) {
+        for (int i = 0; i < job->failed_machine_count; i++)
+            if (job->failed_machines[i] == machine) job->failed_machines[i] = NULL;
+        for (int i = 0; i < job->gang.vacated_count; i++)
+            if (job->gang.vacated[i] == machine) job->gang.vacated[i] = NULL;
     }
 }
 
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -1,10 +1,8 @@
-/* Placements: what may run on a machine, and the amounts that this takes of it and of its team's
- * limit. A task that may run somewhere counts as running there until a newer report, its machine's
- * return or a lapsed lease says otherwise. */
+/* Placements: what may run on a machine, and the amounts that this takes of the machine and of its
+ * team's limit. See placement.h for the invariants. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Adds (sign 1) or takes off (-1) what the task holds. */
 void tw_placement_account(tw_core *core, tw_placement *placed, double sign) {
     const tw_wire_job *spec = &placed->job->spec;
     tw_machine *machine = placed->machine;
@@ -26,7 +24,6 @@
     }
 }
 
-/* The caller marks the job changed. */
 tw_placement *tw_placement_new(tw_core *core, tw_job *job, int index, tw_machine *machine,
                                uint64_t attempt) {
     if (job->task_states[index] != TW_ASSIGNMENT_NONE) {
@@ -59,7 +56,7 @@
 void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, bool preempted) {
     if (!placed->counted) return;
     if (placed->job->spec.gang) {
-        /* Before anything changes: whether all of it can be told. */
+        /* A gang saves a checkpoint only if all of its machines can be told now. */
         if (grace_s > 0 && !tw_gang_can_save(core, placed->job)) grace_s = 0;
         tw_gang_stop(core, placed->job, grace_s);
     }
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -1,20 +1,28 @@
-/* Machines that fail what they start. Two errors of different jobs in a row make one suspect: it
- * gets nothing new, and goes back once it is empty. But jobs may be at fault, a fault may pass, and
- * services never end, so a suspect that is not empty is tried again, with one task at a time, after
- * pauses that grow. */
+/* Quarantine of machines that fail what they start.
+ *
+ * Two errors of different jobs in a row put a machine into quarantine: it gets nothing new, and is
+ * returned once it is empty. But the jobs may be at fault, a fault may pass, and services never
+ * end: a machine that is not empty gets a probation, with one task at a time, after a quarantine
+ * that doubles each time. Called by the reconciliation of tasks, and once a tick for cordoned
+ * machines.
+ */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define BLAME_FIRST 2     /* an error of a job that has not failed elsewhere */
-#define BLAME_AGAIN 1     /* one that has failed on another machine: it may be the job's fault */
-#define BLAME_MOST 4      /* suspect from here on */
-#define LONGEST_PAUSE 8.0 /* between trials, in leases */
+/* Failure scores: of an error of a job that has not failed elsewhere, and of one that has, which
+ * may be the job's fault. */
+#define FIRST_ERROR_SCORE 2
+#define REPEATED_ERROR_SCORE 1
+/* Score from which on a machine is quarantined. */
+#define QUARANTINE_SCORE 4
+/* Longest quarantine, in leases. */
+#define MAX_QUARANTINE_LEASES 8.0
 
 static void quarantine_machine(tw_core *core, tw_machine *machine) {
     machine->quarantine_s =
         machine->on_probation ? 2 * machine->quarantine_s : core->context.config->lease_s;
     machine->quarantine_s =
-        fmin(machine->quarantine_s, LONGEST_PAUSE * core->context.config->lease_s);
+        fmin(machine->quarantine_s, MAX_QUARANTINE_LEASES * core->context.config->lease_s);
     machine->probation_at = core->context.now + machine->quarantine_s;
     machine->cordoned = true;
     machine->on_probation = false;
@@ -22,8 +30,7 @@
                 machine->quarantine_s);
 }
 
-/* A task of p's job failed; elsewhere: machines on which the job has failed before. */
-void tw_quarantine_note_failure(tw_core *core, const tw_placement *placed, int elsewhere) {
+void tw_quarantine_note_failure(tw_core *core, const tw_placement *placed, int failed_elsewhere) {
     tw_machine *machine = placed->machine;
     if (placed->running_since > 0)
         machine->longest_failed_run_s =
@@ -34,8 +41,8 @@
         quarantine_machine(core, machine);
     } else if (strcmp(machine->last_failed_job, placed->job->id) != 0) {
         snprintf(machine->last_failed_job, sizeof machine->last_failed_job, "%s", placed->job->id);
-        machine->failure_score += elsewhere ? BLAME_AGAIN : BLAME_FIRST;
-        if (machine->failure_score >= BLAME_MOST) quarantine_machine(core, machine);
+        machine->failure_score += failed_elsewhere ? REPEATED_ERROR_SCORE : FIRST_ERROR_SCORE;
+        if (machine->failure_score >= QUARANTINE_SCORE) quarantine_machine(core, machine);
     }
 }
 
@@ -50,8 +57,8 @@
     }
 }
 
-/* A task that was started after the last error and has run for longer than those that failed shows
- * that the machine works. Services never end, so an end is not waited for. */
+/* Only a task that was started after the last error, and has run for longer than those that failed,
+ * shows that the machine works. Its end is not waited for, since services never end. */
 void tw_quarantine_note_running(tw_core *core, const tw_placement *placed) {
     tw_machine *machine = placed->machine;
     if (!machine->failure_score || machine->cordoned || placed->running_since <= machine->failed_at)
@@ -61,7 +68,6 @@
         tw_quarantine_clear(core, machine);
 }
 
-/* Lets a suspect be tried again when its pause is over. */
 void tw_quarantine_tick(tw_core *core, tw_machine *machine) {
     if (!machine->cordoned || machine->probation_at <= 0 ||
         core->context.now < machine->probation_at)
@@ -72,7 +78,8 @@
     tw_log_info("event=machine_probation_started worker=%s", machine->name);
 }
 
-/* A machine on trial gets one task, and no other until that one has run for a while. */
+/* On probation a machine gets one task, and no other until that one has run for a while, which
+ * clears the machine. */
 bool tw_quarantine_allows(const tw_machine *machine) {
     const tw_placement *placed;
     if (!machine->on_probation) return true;
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -1,53 +1,55 @@
-/* What a report says of one task: it is fetched, runs, has ended, or is one that we don't know. */
+/* Reconciliation of one task that a heartbeat names with its placement, or with its job if it has
+ * no placement: the task is fetched, runs, has exited, or is not known. Called for each task of a
+ * heartbeat that is taken in. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* A job that failed on so many other machines is at fault itself. */
-#define ELSEWHERE_BLAMES_JOB 2
-/* Pause before the task is tried again: elsewhere at once, nearly; else growing up to the longest.
- */
+/* A job that failed on so many other machines is at fault itself, and no machine is. */
+#define JOB_FAULT_MACHINES 2
+/* Pause before a task of the job is placed again: short while another machine may be the remedy;
+ * else it doubles with each error, up to a maximum. */
 #define RETRY_ELSEWHERE_S 0.2
 #define RETRY_FIRST_S 0.5
 #define RETRY_DOUBLINGS 8
-#define RETRY_LONGEST_LEASES 3
-/* Refused for want of room: the report that shows why is near. */
-#define RETRY_REFUSED_REPORTS 0.3
+#define RETRY_MAX_LEASES 3
+/* Pause after a refusal for want of room, in heartbeats: the next one shows what takes the room. */
+#define RETRY_REFUSED_HEARTBEATS 0.3
 
-static void note_task_error(tw_core *core, tw_placement *placed, tw_wire_exit_cause cause) {
+static void note_task_failure(tw_core *core, tw_placement *placed, tw_wire_exit_cause cause) {
     tw_job *job = placed->job;
     const tw_machine *machine = placed->machine;
     job->consecutive_errors++;
-    /* Failing on several machines in a row, it is the job; then no machine is blamed for it. */
-    int elsewhere = 0;
+    int failed_elsewhere = 0;
     for (int i = 0; i < job->failed_machine_count; i++)
-        elsewhere += job->failed_machines[i] && job->failed_machines[i] != machine;
-    const int most = (int)(sizeof job->failed_machines / sizeof job->failed_machines[0]);
-    const int slot = job->failed_machine_count < most ? job->failed_machine_count++
-                                                      : job->consecutive_errors % most;
+        failed_elsewhere += job->failed_machines[i] && job->failed_machines[i] != machine;
+    const int max_machines = (int)(sizeof job->failed_machines / sizeof job->failed_machines[0]);
+    const int slot = job->failed_machine_count < max_machines
+                         ? job->failed_machine_count++
+                         : job->consecutive_errors % max_machines;
     job->failed_machines[slot] = placed->machine;
-    const double longest = core->context.config->lease_s * RETRY_LONGEST_LEASES;
+    const double max_pause_s = core->context.config->lease_s * RETRY_MAX_LEASES;
     const int doublings =
         job->consecutive_errors > RETRY_DOUBLINGS ? RETRY_DOUBLINGS : job->consecutive_errors;
-    const double pause = elsewhere < ELSEWHERE_BLAMES_JOB
-                             ? RETRY_ELSEWHERE_S
-                             : fmin(longest, RETRY_FIRST_S * (double)(1 << doublings));
-    /* It may be the only machine that fits, and a fault may pass. */
-    job->failed_machines_until = core->context.now + longest;
-    job->retry_at = core->context.now + pause;
-    if (cause == TW_CAUSE_ERROR && elsewhere < ELSEWHERE_BLAMES_JOB)
-        tw_quarantine_note_failure(core, placed, elsewhere);
+    const double pause_s = failed_elsewhere < JOB_FAULT_MACHINES
+                               ? RETRY_ELSEWHERE_S
+                               : fmin(max_pause_s, RETRY_FIRST_S * (double)(1 << doublings));
+    /* The machine is avoided for a time only: no other one may fit, and a fault may pass. */
+    job->failed_machines_until = core->context.now + max_pause_s;
+    job->retry_at = core->context.now + pause_s;
+    if (cause == TW_CAUSE_ERROR && failed_elsewhere < JOB_FAULT_MACHINES)
+        tw_quarantine_note_failure(core, placed, failed_elsewhere);
 }
 
 static void reconcile_exited_task(tw_core *core, tw_placement *placed,
                                   const tw_wire_heartbeat *heartbeat,
                                   const tw_wire_task *reported) {
     tw_job *job = placed->job;
-    const tw_attempt_termination end = {
+    const tw_attempt_termination termination = {
         .evidence = TW_EVIDENCE_EXITED, .heartbeat = heartbeat, .reported = reported};
     placed->state = TW_TASK_EXITED;
     placed->cause = reported->cause;
     if (!placed->counted) return;
-    const bool over = job->state != TW_JOB_PENDING;
+    const bool job_is_over = job->state != TW_JOB_PENDING;
     switch (reported->cause) {
     case TW_CAUSE_DONE:
         tw_statistics_note_run(core, placed);
@@ -63,15 +65,16 @@
         break;
     case TW_CAUSE_ERROR:
     case TW_CAUSE_UNKNOWN_TASK:
-        if (!over) note_task_error(core, placed, reported->cause);
+        if (!job_is_over) note_task_failure(core, placed, reported->cause);
         break;
     default:
-        job->retry_at = core->context.now + RETRY_REFUSED_REPORTS * core->context.config->report_s;
+        job->retry_at =
+            core->context.now + RETRY_REFUSED_HEARTBEATS * core->context.config->report_s;
         break;
     }
-    tw_attempt_terminate(core, placed, &end);
+    tw_attempt_terminate(core, placed, &termination);
     if (reported->cause == TW_CAUSE_DONE && job->spec.gang) tw_gang_done(core, job);
-    if (!over && job->done_count == job->task_count)
+    if (!job_is_over && job->done_count == job->task_count)
         tw_job_finish(core, job, TW_JOB_DONE);
     else
         tw_job_mark_changed(core, job, false);
@@ -79,8 +82,7 @@
 
 static void note_task_started(tw_core *core, tw_placement *placed) {
     const tw_job *job = placed->job;
-    /* A gang's task that was not seen waiting may have waited for the others: that is no delay of
-     * its machine. */
+    /* A gang's task may have waited for the others unseen, which is no delay of its machine. */
     if (!job->spec.gang) tw_statistics_note_start(core, placed);
     placed->running_since = core->context.now;
     tw_log_debug(
@@ -104,10 +106,11 @@
         reconcile_exited_task(core, placed, heartbeat, reported);
         return;
     }
-    const bool waits = reported->state == TW_TASK_WAITING && placed->state != TW_TASK_WAITING;
+    const bool began_to_wait =
+        reported->state == TW_TASK_WAITING && placed->state != TW_TASK_WAITING;
     placed->state = reported->state;
     if (!job->has_spec) return;
-    if (waits) { /* its image is there */
+    if (began_to_wait) { /* so it has its image */
         tw_statistics_note_start(core, placed);
         tw_image_note_use(core, machine, job, true);
     }
@@ -116,21 +119,22 @@
         note_task_started(core, placed);
     else if (reported->state == TW_TASK_FETCHING && !tw_image_find(machine, job))
         tw_image_note_use(core, machine, job, false);
-    /* A task of a broken gang tells that it runs until it ends: that shows nothing. */
+    /* A task of a broken gang is reported as running until it exits, which shows nothing. */
     if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != TW_GANG_RUNNING))
         return;
     const double ran_s = core->context.now - placed->running_since;
     if (ran_s > 2 * core->context.config->lease_s) job->consecutive_errors = 0;
     tw_quarantine_note_running(core, placed);
-    if (ran_s > core->context.config->lease_s) job->has_run = 1;
+    if (ran_s > core->context.config->lease_s) job->has_run = true;
 }
 
-/* It ended before we knew of it; its job, unless NULL, still wants it. */
+/* The task exited before this node knew of its placement. job: still needs its tasks; NULL: none
+ * does. */
 static void reconcile_unknown_exit(tw_core *core, const tw_machine *machine,
                                    const tw_wire_task *reported, tw_job *job,
                                    tw_command_list *commands) {
-    const bool done = reported->cause == TW_CAUSE_DONE;
-    if (job && done && job->task_states[reported->index] == TW_ASSIGNMENT_NONE) {
+    const bool is_done = reported->cause == TW_CAUSE_DONE;
+    if (job && is_done && job->task_states[reported->index] == TW_ASSIGNMENT_NONE) {
         job->task_states[reported->index] = TW_ASSIGNMENT_DONE;
         job->done_count++;
         if (job->spec.gang) tw_gang_done(core, job);
@@ -139,10 +143,10 @@
         else
             tw_job_mark_changed(core, job, false);
     }
-    /* Only a machine that refuses older tokens can't be made to start it again; and without
-     * authority another leader may know of it. */
+    /* A machine that has not seen this token may be made to start the task again by an earlier
+     * leader's launch; and without authority a later leader may know of the attempt. */
     if (commands && tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND) && machine->confirmed &&
-        (!job || !done || tw_store_is_settled(job->record)))
+        (!job || !is_done || tw_store_is_settled(job->record)))
         tw_command_list_add(commands,
                             (tw_wire_command){.kind = TW_COMMAND_FORGET,
                                               .index = reported->index,
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -1,16 +1,31 @@
-/* Commands to machines: those in the answers to their reports, and those sent to their own
- * address. */
+/* Commands for machines: those in the answers to their heartbeats, and direct ones, which are sent
+ * to a machine's own address.
+ *
+ * Commands in an answer to a heartbeat are never carried out late. Direct ones may be, as long as
+ * fencing token and incarnation match:
+ *   - a launch is of a durable placement, which counts as running until its fate is known;
+ *   - a stop names one attempt, which is never launched again;
+ *   - a forget is not sent directly, nor for an attempt whose direct launch is under way, or was
+ *     sent so lately that it may be carried out once more. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-#define MAX_ORDERS 500  /* keeps an answer under the protocol's 64 KiB; the rest in the next one */
-#define MOST_EXITED 200 /* on a machine: keeps its report far under the protocol's 64 KiB */
-#define MAX_ASKED 0.06  /* silent machines asked at once, as a share of the sockets */
-#define DIRECT_S 1.5    /* a direct order's answer is waited for */
-#define SPARE_TTL 0.1   /* a launch should arrive under our authority: of its length, left then */
-#define SILENT_REPORTS 1.5   /* without a report for so long, a machine is asked itself */
-#define PAUSE_MOST_REPORTS 8 /* between direct orders to one that doesn't answer */
-#define MOST_PROBES 4
+/* Commands in one answer, which stays under the protocol's 64 KiB; the rest come in the next one.
+ */
+#define MAX_COMMANDS 500
+/* Exited tasks that a machine keeps, so that its heartbeat stays far under the 64 KiB. */
+#define MAX_EXITED 200
+/* Silent machines that are probed at once, as a share of the node's sockets. */
+#define MAX_PROBES_PER_SOCKET 0.06
+#define DIRECT_TIMEOUT_S 1.5
+/* Share of the leader's lease that must be left, so that a direct launch arrives under it. */
+#define MIN_AUTHORITY_SHARE 0.1
+/* A machine without a heartbeat for so many intervals is probed. */
+#define SILENT_HEARTBEATS 1.5
+/* Longest pause between direct commands to a machine that doesn't respond, in intervals. */
+#define MAX_PAUSE_HEARTBEATS 8
+/* Probes of a machine that doesn't respond, or whose responses don't confirm it. */
+#define MAX_PROBES 4
 
 static void subtract_capacity(tw_capacity *from, const tw_wire_job *spec) {
     from->cores -= spec->cores;
@@ -20,62 +35,63 @@
 
 tw_command_list tw_command_list_new(tw_core *core) {
     if (!core->command_scratch)
-        core->command_scratch = tw_alloc(MAX_ORDERS * sizeof *core->command_scratch);
+        core->command_scratch = tw_alloc(MAX_COMMANDS * sizeof *core->command_scratch);
     return (tw_command_list){core->command_scratch, 0};
 }
 
 void tw_command_list_add(tw_command_list *commands, tw_wire_command command, const char *job) {
-    if (commands->count >= MAX_ORDERS) return;
+    if (commands->count >= MAX_COMMANDS) return;
     snprintf(command.job, sizeof command.job, "%s", job);
     commands->list[commands->count++] = command;
 }
 
-static void add_command(tw_command_list *commands, tw_wire_command_kind verb,
+static void add_command(tw_command_list *commands, tw_wire_command_kind kind,
                         const tw_placement *placed) {
     tw_command_list_add(commands,
-                        (tw_wire_command){.kind = verb,
+                        (tw_wire_command){.kind = kind,
                                           .index = placed->index,
                                           .attempt = placed->attempt,
-                                          .grace_s = verb == TW_COMMAND_STOP ? placed->grace_s : 0},
+                                          .grace_s = kind == TW_COMMAND_STOP ? placed->grace_s : 0},
                         placed->job->id);
 }
 
 static bool may_launch(const tw_placement *placed) {
-    /* A predecessor's is never launched again: whether it still comes is settled first, and then
-     * the task gets a new attempt. */
+    /* An attempt of an earlier leader is never launched again: first it is settled whether it may
+     * still start, and then the task gets a new attempt. */
     return !placed->inherited && !placed->reported && !placed->stopping && placed->counted &&
            placed->job->state == TW_JOB_PENDING && !placed->job->cancelling &&
            tw_store_is_durable(placed->job->record, placed->version);
 }
 
-/* A gang's task whose image is there long before the last one's is launched later. */
-static bool is_early(const tw_core *core, const tw_placement *placed) {
+/* A gang's task whose image is there long before the others' is launched later. */
+static bool must_wait_for_gang(const tw_core *core, const tw_placement *placed) {
     return core->context.now < placed->launch_after;
 }
 
-/* Takes off `room` what tasks that still save hold, though they count as gone. */
+/* Adds stops. Subtracts from the amounts what preempted tasks hold that still save a checkpoint:
+ * their room is promised to others, but it is not free yet. */
 static void add_stops(const tw_machine *machine, tw_command_list *commands, uint64_t sequence,
-                      tw_capacity *room) {
-    const tw_placement *each;
-    DL_FOREACH(machine->placements, each) {
-        if (!each->counted || !each->stopping) continue;
-        if (!each->reported && each->direct_launches && sequence &&
-            (each->launch_sequence ? each->launch_sequence < sequence
-                                   : !machine->command_in_flight))
-            /* A direct launch got no answer and may still come: started and stopped here, it
-             * can't start then. Without that a lost one would leave the task in between for
-             * ever: a kill of what the machine doesn't have tells nothing. */
-            add_command(commands, TW_COMMAND_LAUNCH, each);
-        if (each->state != TW_TASK_SAVING || each->grace_s <= 0)
-            add_command(commands, TW_COMMAND_STOP, each);
-        const bool saves = each->grace_s > 0 && each->job->spec.checkpoint_s > 0 &&
-                           each->state != TW_TASK_FETCHING;
-        if (saves && each->preempted) subtract_capacity(room, &each->job->spec);
+                      tw_capacity *available) {
+    const tw_placement *placed;
+    DL_FOREACH(machine->placements, placed) {
+        if (!placed->counted || !placed->stopping) continue;
+        if (!placed->reported && placed->direct_launches && sequence &&
+            (placed->launch_sequence ? placed->launch_sequence < sequence
+                                     : !machine->command_in_flight))
+            /* A direct launch got no response, and may still arrive. The machine launches and stops
+             * the task now, and then refuses the late launch. A stop alone would not settle whether
+             * the launch was lost: of a task that the machine doesn't have it tells nothing. */
+            add_command(commands, TW_COMMAND_LAUNCH, placed);
+        if (placed->state != TW_TASK_SAVING || placed->grace_s <= 0)
+            add_command(commands, TW_COMMAND_STOP, placed);
+        const bool is_saving = placed->grace_s > 0 && placed->job->spec.checkpoint_s > 0 &&
+                               placed->state != TW_TASK_FETCHING;
+        if (is_saving && placed->preempted) subtract_capacity(available, &placed->job->spec);
     }
 }
 
-/* An earlier attempt of the task has ended, or this one would not be placed: checked again where it
- * is launched, since a task that runs twice starts here. */
+/* Whether the attempt is the task's only one. Placing it required that; it is checked again where
+ * it is launched, since a task that runs twice would start here. */
 static bool is_only_attempt(tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     if (placed->counted && !placed->inherited &&
@@ -99,84 +115,79 @@
     placed->direct_launch_at = core->context.now;
 }
 
-/* room: all of the machine's, less what still saves. */
+/* Adds launches. available: the machine's amounts, less what still saves a checkpoint. */
 static void add_launches(tw_core *core, tw_machine *machine, tw_command_list *commands,
-                         uint64_t sequence, tw_capacity room) {
-    tw_placement *each;
-    DL_FOREACH(machine->placements, each) {
-        if (!each->counted || each->preempted) continue;
-        if (may_launch(each) && !each->launch_sent) continue;
-        subtract_capacity(&room, &each->job->spec);
+                         uint64_t sequence, tw_capacity available) {
+    tw_placement *placed;
+    DL_FOREACH(machine->placements, placed) {
+        if (!placed->counted || placed->preempted) continue;
+        if (may_launch(placed) && !placed->launch_sent) continue;
+        subtract_capacity(&available, &placed->job->spec);
     }
-    DL_FOREACH(machine->placements, each) {
-        if (!may_launch(each) || is_early(core, each)) continue;
-        const tw_wire_job *spec = &each->job->spec;
-        if (each->launch_sent && !sequence) continue; /* its first launch is on the way */
-        if (!each->launch_sent) {
-            if (room.cores + TW_CAPACITY_ROUNDING < spec->cores ||
-                room.gpus + TW_CAPACITY_ROUNDING < spec->gpus ||
-                room.memory_gb + TW_CAPACITY_ROUNDING < spec->memory_gb)
+    DL_FOREACH(machine->placements, placed) {
+        if (!may_launch(placed) || must_wait_for_gang(core, placed)) continue;
+        const tw_wire_job *spec = &placed->job->spec;
+        if (placed->launch_sent && !sequence) continue; /* its first launch is on its way */
+        if (!placed->launch_sent) {
+            if (available.cores + TW_CAPACITY_ROUNDING < spec->cores ||
+                available.gpus + TW_CAPACITY_ROUNDING < spec->gpus ||
+                available.memory_gb + TW_CAPACITY_ROUNDING < spec->memory_gb)
                 continue;
-            subtract_capacity(&room, spec);
+            subtract_capacity(&available, spec);
         }
-        if (commands->count >= MAX_ORDERS) break;
-        if (!is_only_attempt(core, each)) continue;
-        add_command(commands, TW_COMMAND_LAUNCH, each);
-        log_launch(each, sequence);
-        each->launch_sent = true;
-        each->launch_incarnation = machine->incarnation;
+        if (commands->count >= MAX_COMMANDS) break;
+        if (!is_only_attempt(core, placed)) continue;
+        add_command(commands, TW_COMMAND_LAUNCH, placed);
+        log_launch(placed, sequence);
+        placed->launch_sent = true;
+        placed->launch_incarnation = machine->incarnation;
         if (sequence)
-            each->launch_sequence = sequence;
+            placed->launch_sequence = sequence;
         else
-            note_direct_launch(core, each);
+            note_direct_launch(core, placed);
     }
 }
 
 static int count_exited(const tw_machine *machine) {
-    const tw_placement *each;
+    const tw_placement *placed;
     int count = 0;
-    DL_FOREACH(machine->placements, each) { count += each->state == TW_TASK_EXITED; }
+    DL_FOREACH(machine->placements, placed) { count += placed->state == TW_TASK_EXITED; }
     return count;
 }
 
 static void add_forgets(const tw_core *core, const tw_machine *machine, tw_command_list *commands) {
-    int too_many = count_exited(machine) - MOST_EXITED; /* the oldest stand first */
-    const tw_placement *each;
-    DL_FOREACH(machine->placements, each) {
-        if (each->state != TW_TASK_EXITED || !each->reported || each->direct_launches) continue;
-        /* A repeated launch starts what the machine has forgotten. */
-        if (tw_launch_may_repeat(core, each) && too_many-- <= 0) continue;
-        if (each->cause == TW_CAUSE_DONE && !tw_store_is_settled(each->job->record) &&
-            each->job->durable_state == TW_JOB_PENDING)
-            continue; /* not durable yet */
-        add_command(commands, TW_COMMAND_FORGET, each);
+    int surplus = count_exited(machine) - MAX_EXITED; /* the oldest come first */
+    const tw_placement *placed;
+    DL_FOREACH(machine->placements, placed) {
+        if (placed->state != TW_TASK_EXITED || !placed->reported || placed->direct_launches)
+            continue;
+        /* A launch that is carried out once more starts a task that the machine has forgotten. */
+        if (tw_launch_may_repeat(core, placed) && surplus-- <= 0) continue;
+        if (placed->cause == TW_CAUSE_DONE && !tw_store_is_settled(placed->job->record) &&
+            placed->job->durable_state == TW_JOB_PENDING)
+            continue; /* the record doesn't say yet that the task is done */
+        add_command(commands, TW_COMMAND_FORGET, placed);
     }
 }
 
-/* From a report's answer (tick > 0) they are never executed late; direct ones may be, as long as
- * token and session match:
- * - a launch is of a durable placement, which counts as running until its fate is known;
- * - a kill names one attempt, which is never started again;
- * - a forget is not sent directly, nor for an attempt whose direct launch is still under way, or
- * was sent so lately that it may come once more. */
 void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
                      uint64_t sequence) {
-    tw_capacity room = {0, 0, 0};
+    tw_capacity available = {0, 0, 0};
     if (machine->type_index >= 0) {
         const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-        room = (tw_capacity){type->cores, type->gpus, type->memory_gb};
+        available = (tw_capacity){type->cores, type->gpus, type->memory_gb};
     }
-    add_stops(machine, commands, sequence, &room);
+    add_stops(machine, commands, sequence, &available);
     if (!tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND)) {
         core->counters.rejected[TW_REJECTED_COMMANDS]++;
         return;
     }
     if (machine->type_index < 0) return;
-    add_launches(core, machine, commands, sequence, room);
+    add_launches(core, machine, commands, sequence, available);
     if (sequence) add_forgets(core, machine, commands);
 }
 
-/* ---- direct orders ---- */
+/* ---- direct commands ---- */
 
 static void queue_machine(tw_core *core, tw_machine *machine) {
     if (machine->in_command_queue) return;
@@ -197,14 +208,14 @@
 static tw_call *send_to_machine(tw_core *core, tw_machine *machine, const char *method,
                                 const char *path, char *body) {
     tw_call *call = tw_call_send(&core->context, TW_CALL_SEND_COMMANDS, TW_TO_WORKER,
-                                 machine->endpoint, method, path, body, DIRECT_S);
+                                 machine->endpoint, method, path, body, DIRECT_TIMEOUT_S);
     snprintf(call->name, sizeof call->name, "%s", machine->name);
     machine->command_in_flight = true;
     core->commands_in_flight++;
     return call;
 }
 
-/* Which tasks are launched by these orders: their fate is unknown until the answer. */
+/* Notes with the call which tasks its commands launch: their fate is unknown until the response. */
 static void note_launches(tw_call *call, const tw_command_list *commands) {
     call->names = tw_alloc((size_t)commands->count * TW_NAME_SIZE);
     call->tokens = tw_alloc((size_t)commands->count * sizeof *call->tokens);
@@ -216,8 +227,9 @@
     }
 }
 
-/* Orders that order nothing make a machine know our token, and tell what is on it. Commands go only
- * to one that answered lately: others might carry them out late. */
+/* Sends the machine's direct commands, or a probe: an empty list of commands shows the machine this
+ * term's token, and its response lists its tasks. Commands are sent only to a machine that is in
+ * touch; another one might carry them out late. */
 static void send_direct_commands(tw_core *core, tw_machine *machine) {
     if (machine->command_in_flight || core->context.now < machine->no_commands_before ||
         (!machine->commands_wanted && !machine->probe_wanted))
@@ -229,7 +241,7 @@
     if (machine->return_wanted || !*machine->endpoint) return;
     if (!probe && (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > in_touch_s))
         return;
-    if (!machine->incarnation) { /* its session is not known yet */
+    if (!machine->incarnation) { /* commands must name it, and it is not known yet */
         send_to_machine(core, machine, "GET", "/inspect", NULL);
         return;
     }
@@ -241,50 +253,52 @@
     note_launches(send_to_machine(core, machine, "POST", "/orders", body), &commands);
 }
 
-static void scan_machines(tw_core *core) {
-    const int most = (int)(MAX_ASKED * core->context.config->sockets);
-    int asked = core->commands_in_flight;
-    tw_machine *each, *next;
-    HASH_ITER(hh, core->machines, each, next) {
-        if (each->command_in_flight || core->context.now < each->no_commands_before) continue;
-        /* Its reports may reach a node that can't reach us, while we reach the machine. */
-        if (each->state == TW_MACHINE_UP &&
-            core->context.now - each->last_contact_at >
-                SILENT_REPORTS * core->context.config->report_s &&
-            asked < most) {
-            each->probe_wanted = true;
-            asked++;
+/* Queues the machines for which direct commands or probes are wanted, silent ones among them. */
+static void queue_due_machines(tw_core *core) {
+    const int max_in_flight = (int)(MAX_PROBES_PER_SOCKET * core->context.config->sockets);
+    int in_flight = core->commands_in_flight;
+    tw_machine *machine, *next;
+    HASH_ITER(hh, core->machines, machine, next) {
+        if (machine->command_in_flight || core->context.now < machine->no_commands_before) continue;
+        /* The heartbeats may reach only a node that can't reach this one, while this node reaches
+         * the machine. */
+        if (machine->state == TW_MACHINE_UP &&
+            core->context.now - machine->last_contact_at >
+                SILENT_HEARTBEATS * core->context.config->report_s &&
+            in_flight < max_in_flight) {
+            machine->probe_wanted = true;
+            in_flight++;
         }
-        if (each->commands_wanted || each->probe_wanted) queue_machine(core, each);
+        if (machine->commands_wanted || machine->probe_wanted) queue_machine(core, machine);
     }
 }
 
-/* Runs after every input, so it looks only at machines that something was wanted of; at all of them
- * once a tick. */
+/* Runs after every input, so it looks only at machines that were queued, and once a tick at all. */
 void tw_commands_send_direct(tw_core *core) {
-    tw_machine *due;
-    if (!tw_cluster_authority_lasts(core->cluster, SPARE_TTL * tw_cluster_lease_s(core->cluster)))
+    tw_machine *machine;
+    if (!tw_cluster_authority_lasts(core->cluster,
+                                    MIN_AUTHORITY_SHARE * tw_cluster_lease_s(core->cluster)))
         return;
     if (core->context.now >= core->next_command_scan_at) {
         core->next_command_scan_at = core->context.now + tw_core_tick_s(core);
-        scan_machines(core);
+        queue_due_machines(core);
     }
-    while ((due = core->command_queue)) {
-        DL_DELETE2(core->command_queue, due, queue_prev, queue_next);
-        due->in_command_queue = false;
-        send_direct_commands(core, due);
+    while ((machine = core->command_queue)) {
+        DL_DELETE2(core->command_queue, machine, queue_prev, queue_next);
+        machine->in_command_queue = false;
+        send_direct_commands(core, machine);
     }
 }
 
-/* A launch that was sent so is no longer under way; refused: it won't start. */
+/* A direct launch of the task is no longer under way. refused: the machine did not carry it out. */
 static void settle_launch(const tw_machine *machine, const char *task, uint64_t attempt,
                           bool refused) {
-    tw_placement *each;
+    tw_placement *placed;
     char name[TW_NAME_SIZE];
-    DL_FOREACH(machine->placements, each) {
-        snprintf(name, sizeof name, "%s/%d", each->job->id, each->index);
-        if (each->attempt != attempt || strcmp(name, task) != 0) continue;
-        tw_launch_answered(each, refused);
+    DL_FOREACH(machine->placements, placed) {
+        snprintf(name, sizeof name, "%s/%d", placed->job->id, placed->index);
+        if (placed->attempt != attempt || strcmp(name, task) != 0) continue;
+        tw_launch_answered(placed, refused);
         return;
     }
 }
@@ -299,11 +313,11 @@
     if (status == 0) {
         machine->failed_sends++;
         const double pause =
-            machine->last_contact_at ? fmin(1 + machine->failed_sends, PAUSE_MOST_REPORTS) : 1;
+            machine->last_contact_at ? fmin(1 + machine->failed_sends, MAX_PAUSE_HEARTBEATS) : 1;
         machine->no_commands_before = core->context.now + pause * core->context.config->report_s;
-        if (!machine->last_contact_at && ++machine->failed_probes < MOST_PROBES)
+        if (!machine->last_contact_at && ++machine->failed_probes < MAX_PROBES)
             tw_machine_want_probe(core, machine);
-        return; /* may still arrive: the placements keep their mark */
+        return; /* the commands may still arrive: the fate of their launches stays unknown */
     }
     for (int i = 0; i < call->count; i++)
         settle_launch(machine, call->names[i], call->tokens[i], status != TW_HTTP_OK);
@@ -315,7 +329,7 @@
         tw_cluster_observe_token(core->cluster, heartbeat.fencing_token, NULL);
     } else if (!strcmp(heartbeat.worker, machine->name)) {
         tw_worker_heartbeat_apply(core, machine, &heartbeat, NULL);
-        if (!machine->confirmed && machine->probed++ < MOST_PROBES)
+        if (!machine->confirmed && machine->probed++ < MAX_PROBES)
             tw_machine_want_probe(core, machine);
     }
     tw_wire_heartbeat_free(&heartbeat);
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -1,60 +1,67 @@
-/* Taking a worker's report in, and answering it. */
+/* Workers' heartbeats: taking one in, and answering it.
+ *
+ * Invariants: of a worker only heartbeats that are newer than all before are taken in, and none of
+ * an incarnation whose lease has surely expired; only a node that may renew leases answers. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Among so many machines, one that seems not to hear us is believed to. */
-#define MACHINES_PER_DEAF 15
-/* A lease that lapsed although we answered less than this ago, in leases. */
-#define HEARD_LATELY_LEASES 0.5
+/* Of so many machines one is believed to be unresponsive within a lease. */
+#define MACHINES_PER_UNRESPONSIVE 15
+/* A lease can't have expired by itself if a heartbeat was answered less than this ago, in leases.
+ */
+#define ANSWERED_LATELY_LEASES 0.5
 
 static tw_placement *find_placement(const tw_machine *machine, const tw_wire_task *reported) {
-    tw_placement *each;
-    DL_FOREACH(machine->placements, each) {
-        if (each->attempt == reported->attempt && each->index == reported->index &&
-            !strcmp(each->job->id, reported->job))
-            return each;
+    tw_placement *placed;
+    DL_FOREACH(machine->placements, placed) {
+        if (placed->attempt == reported->attempt && placed->index == reported->index &&
+            !strcmp(placed->job->id, reported->job))
+            return placed;
     }
     return NULL;
 }
 
-/* Many machines that seem not to hear us: then it is us, or the network. */
-static bool silence_is_credible(tw_core *core) {
+/* Whether a machine that seems not to take this node's answers is believed to be at fault. Where
+ * many seem so, the fault is this node's or the network's. */
+static bool is_unresponsiveness_credible(tw_core *core) {
     if (core->context.now - core->unresponsive_since > core->context.config->lease_s) {
         core->unresponsive_since = core->context.now;
         core->unresponsive_count = 0;
     }
-    return ++core->unresponsive_count <= 1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_DEAF;
+    return ++core->unresponsive_count <=
+           1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_UNRESPONSIVE;
 }
 
-/* The session is over: the worker has killed and forgotten all. */
+/* The worker's earlier incarnation is over: the worker has killed and forgotten all its tasks. */
 static void on_new_incarnation(tw_core *core, tw_machine *machine,
                                const tw_wire_heartbeat *heartbeat) {
-    const tw_attempt_termination end = {.evidence = TW_EVIDENCE_NEW_INCARNATION,
-                                        .heartbeat = heartbeat};
-    tw_placement *each, *next;
-    int lost = 0;
-    DL_FOREACH_SAFE(machine->placements, each, next) {
-        const bool was_on_job = each->counted;
-        if (tw_attempt_terminate(core, each, &end)) lost += was_on_job;
+    const tw_attempt_termination termination = {.evidence = TW_EVIDENCE_NEW_INCARNATION,
+                                                .heartbeat = heartbeat};
+    tw_placement *placed, *next;
+    int lost_tasks = 0;
+    DL_FOREACH_SAFE(machine->placements, placed, next) {
+        const bool was_on_job = placed->counted;
+        if (tw_attempt_terminate(core, placed, &termination)) lost_tasks += was_on_job;
     }
-    /* It reported, we answered, and still its lease lapsed: it does not hear us. */
+    /* Its heartbeats were answered, and still its lease expired: the answers don't reach it. */
     if (machine->confirmed &&
         core->context.now - machine->answered_at <
-            HEARD_LATELY_LEASES * core->context.config->lease_s &&
-        !machine->lease_expired && silence_is_credible(core)) {
+            ANSWERED_LATELY_LEASES * core->context.config->lease_s &&
+        !machine->lease_expired && is_unresponsiveness_credible(core)) {
         machine->lost_launches += TW_MAX_LOST_LAUNCHES;
         tw_log_info("event=machine_unresponsive worker=%s incarnation=%llu lost_tasks=%d",
-                    machine->name, (unsigned long long)heartbeat->incarnation, lost);
+                    machine->name, (unsigned long long)heartbeat->incarnation, lost_tasks);
     }
 }
 
-/* Nearly always it says what is known: to compare costs a tenth of printing it anew. */
-static void copy_if_changed(char *known, size_t size, const char *told) {
-    if (strcmp(known, told) != 0) snprintf(known, size, "%s", told);
+/* A heartbeat nearly always repeats what is known, and to compare that costs a tenth of printing it
+ * anew. */
+static void copy_if_changed(char *known, size_t size, const char *value) {
+    if (strcmp(known, value) != 0) snprintf(known, size, "%s", value);
 }
 
-/* What it says of the machine itself. */
-static void note_machine(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *heartbeat) {
+/* Takes in what the heartbeat says of the machine itself. */
+static void update_machine(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *heartbeat) {
     if (heartbeat->incarnation != machine->incarnation)
         machine->incarnation_learned_at = core->context.now;
     machine->incarnation = heartbeat->incarnation;
@@ -81,60 +88,61 @@
     }
 }
 
-/* The answer that held the launch was lost, and is not executed late. */
+/* The answer with the launch was lost, and no copy of it is carried out late: the task is launched
+ * again, unless it is to be stopped. */
 static void handle_lost_launch(tw_core *core, tw_placement *placed,
                                const tw_wire_heartbeat *heartbeat) {
     tw_machine *machine = placed->machine;
     if (placed->stopping) {
-        const tw_attempt_termination end = {.evidence = TW_EVIDENCE_LAUNCH_LOST,
-                                            .heartbeat = heartbeat};
-        tw_attempt_terminate(core, placed, &end);
+        const tw_attempt_termination termination = {.evidence = TW_EVIDENCE_LAUNCH_LOST,
+                                                    .heartbeat = heartbeat};
+        tw_attempt_terminate(core, placed, &termination);
         return;
     }
     placed->launch_sent = false;
     if (++placed->lost_launches >= TW_MAX_LOST_LAUNCHES &&
-        machine->lost_launches < TW_MAX_LOST_LAUNCHES && silence_is_credible(core)) {
+        machine->lost_launches < TW_MAX_LOST_LAUNCHES && is_unresponsiveness_credible(core)) {
         machine->lost_launches = TW_MAX_LOST_LAUNCHES;
         tw_log_info("event=machine_unresponsive worker=%s lost_launches=%d", machine->name,
                     placed->lost_launches);
     }
 }
 
-/* A task that the report doesn't name. answers_order: the report answers direct orders. */
+/* The heartbeat doesn't name the task. answers_command: it came in an answer to direct commands. */
 static void reconcile_missing_task(tw_core *core, tw_placement *placed,
-                                   const tw_wire_heartbeat *heartbeat, bool answers_order) {
-    const bool not_launched = tw_launch_was_lost(placed, heartbeat, answers_order);
+                                   const tw_wire_heartbeat *heartbeat, bool answers_command) {
+    const bool launch_lost = tw_launch_was_lost(placed, heartbeat, answers_command);
     const bool forgotten = placed->state == TW_TASK_EXITED && placed->reported;
-    const bool done_unseen = not_launched && !placed->counted; /* with its gang */
-    if (forgotten || done_unseen) {
+    const bool done_with_gang = launch_lost && !placed->counted;
+    if (forgotten || done_with_gang) {
         tw_attempt_forget(core, placed);
     } else if (placed->inherited || placed->reported) {
-        const tw_attempt_termination end = {.evidence = TW_EVIDENCE_ABSENT,
-                                            .heartbeat = heartbeat,
-                                            .answers_command = answers_order};
-        tw_attempt_terminate(core, placed, &end);
-    } else if (not_launched) {
+        const tw_attempt_termination termination = {.evidence = TW_EVIDENCE_ABSENT,
+                                                    .heartbeat = heartbeat,
+                                                    .answers_command = answers_command};
+        tw_attempt_terminate(core, placed, &termination);
+    } else if (launch_lost) {
         handle_lost_launch(core, placed, heartbeat);
     }
 }
 
 bool tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
                                const tw_wire_heartbeat *heartbeat, tw_command_list *commands) {
-    const bool same_session = heartbeat->incarnation == machine->incarnation;
+    const bool same_incarnation = heartbeat->incarnation == machine->incarnation;
     if (heartbeat->incarnation < machine->incarnation ||
-        (same_session && heartbeat->sequence <= machine->sequence)) {
+        (same_incarnation && heartbeat->sequence <= machine->sequence)) {
         core->counters.rejected[TW_REJECTED_OLDER_HEARTBEAT]++;
         return false;
     }
-    /* Its lease has surely lapsed: of that session only late reports can come, held by a cut or
-     * sent by a machine that goes on after it hung. Whatever they name runs no more. */
-    if (machine->lease_expired && same_session) {
+    /* The lease of this incarnation has surely expired. Its heartbeats are late ones, which a cut
+     * delayed or which a machine sent that goes on after it hung: what they name runs no more. */
+    if (machine->lease_expired && same_incarnation) {
         core->counters.rejected[TW_REJECTED_EXPIRED_HEARTBEAT]++;
         return false;
     }
     if (machine->incarnation && heartbeat->incarnation > machine->incarnation)
         on_new_incarnation(core, machine, heartbeat);
-    note_machine(core, machine, heartbeat);
+    update_machine(core, machine, heartbeat);
     core->heartbeat_mark++;
     for (int i = 0; i < heartbeat->task_count; i++) {
         tw_placement *placed = find_placement(machine, &heartbeat->tasks[i]);
@@ -145,11 +153,11 @@
             tw_reconcile_unknown_task(core, machine, heartbeat, &heartbeat->tasks[i], commands);
         }
     }
-    tw_placement *each, *next;
-    DL_FOREACH_SAFE(machine->placements, each, next) {
-        if (each->mark == core->heartbeat_mark || (!each->launch_sent && !each->inherited))
+    tw_placement *placed, *next;
+    DL_FOREACH_SAFE(machine->placements, placed, next) {
+        if (placed->mark == core->heartbeat_mark || (!placed->launch_sent && !placed->inherited))
             continue;
-        reconcile_missing_task(core, each, heartbeat, commands == NULL);
+        reconcile_missing_task(core, placed, heartbeat, commands == NULL);
     }
     return true;
 }
@@ -164,8 +172,9 @@
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
-/* Overtaken by the answer to direct orders, or a late copy. The worker of the former must not be
- * turned away; the latter must not make a dead machine look alive. */
+/* The heartbeat was overtaken by the answer to direct commands, or it is a late copy. In the first
+ * case the worker must not be rejected, or it would look for another node; in the second one the
+ * answer must not make a dead machine look alive. */
 static void answer_older_heartbeat(tw_core *core, uint64_t connection, tw_machine *machine,
                                    const tw_wire_heartbeat *heartbeat) {
     if (heartbeat->incarnation != machine->incarnation || machine->lease_expired) {
@@ -197,30 +206,32 @@
     reply_commands(core, connection, &commands);
 }
 
-/* A late report of a machine that we returned. */
-static bool is_returned(tw_core *core, const tw_machine *machine, const char *name) {
+/* Whether the heartbeat is a late one of a machine that was returned. */
+static bool was_returned(tw_core *core, const tw_machine *machine, const char *name) {
     if (tw_expiring_names_find(core->returned_machines, name)) return true;
     return machine && machine->return_in_flight;
 }
 
-/* At a node that may answer workers. */
+/* Takes in a heartbeat at a node that may renew leases. */
 static void receive_as_leader(tw_core *core, uint64_t connection,
                               const tw_wire_heartbeat *heartbeat, bool from_peer) {
-    /* Sent to its own zone, where it is answered even if that is cut off from ours. */
-    const bool is_ours = !strcmp(heartbeat->zone, core->context.config->location);
-    if (!from_peer && (is_ours ? tw_cluster_redirect_safer(core->cluster, connection,
-                                                           heartbeat->worker, heartbeat->zone)
-                               : tw_cluster_redirect_home(core->cluster, connection,
-                                                          heartbeat->worker, heartbeat->zone)))
+    /* A worker of another zone is redirected to its own, where it is answered also while that zone
+     * is cut off from this node's. */
+    const bool is_of_own_zone = !strcmp(heartbeat->zone, core->context.config->location);
+    if (!from_peer &&
+        (is_of_own_zone ? tw_cluster_redirect_safer(core->cluster, connection, heartbeat->worker,
+                                                    heartbeat->zone)
+                        : tw_cluster_redirect_home(core->cluster, connection, heartbeat->worker,
+                                                   heartbeat->zone)))
         return;
     if (tw_cluster_is_loading(core->cluster)) {
-        /* Renewed, nothing more: what should run there is not known yet. */
+        /* Its lease is renewed, nothing more: what should run there is not known yet. */
         core->answered_while_loading_at = core->context.now;
         reply_commands(core, connection, &no_commands);
         return;
     }
     tw_machine *machine = tw_machine_find(core, heartbeat->worker);
-    if (is_returned(core, machine, heartbeat->worker)) {
+    if (was_returned(core, machine, heartbeat->worker)) {
         core->counters.rejected[TW_REJECTED_RETURNED_MACHINE]++;
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "returned");
         return;
@@ -250,14 +261,15 @@
     if (tw_cluster_is_leader(core->cluster) &&
         heartbeat->fencing_token > tw_cluster_token(core->cluster))
         tw_cluster_step_down(core->cluster, "a worker saw a later token");
-    if (tw_cluster_may(core->cluster, TW_PERMISSION_RENEW))
+    if (tw_cluster_may(core->cluster, TW_PERMISSION_RENEW)) {
         receive_as_leader(core, connection, heartbeat, from_peer);
-    else if (from_peer) {
+    } else if (from_peer) {
         core->counters.rejected[TW_REJECTED_NO_PERMISSION]++;
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "not the leader");
-    } else if (heartbeat->fencing_token >
-               tw_cluster_leader_token(core->cluster)) /* somebody we don't know leads by now */
+    } else if (heartbeat->fencing_token > tw_cluster_leader_token(core->cluster)) {
+        /* The worker has seen the token of a later leader, whose name this node doesn't know. */
         tw_reply(&core->context, connection, TW_HTTP_MISDIRECTED, 0, tw_wire_redirect_text(NULL));
-    else
+    } else {
         tw_heartbeat_forward(core, connection, heartbeat, body, length);
+    }
 }
