--- a/src/core/delegate_reply.c
+++ b/src/core/delegate_reply.c
@@ -13,9 +13,7 @@
         const tw_wire_task *task = &heartbeat->tasks[i];
         if (task->state == TW_TASK_EXITED) continue;
         if (!tw_cluster_delegate_stops(core->cluster, task->job)) continue;
-        const tw_wire_command stop = {
-            .kind = TW_COMMAND_STOP, .index = task->index, .attempt = task->attempt};
-        tw_command_list_add(&commands, stop, task->job);
+        tw_command_list_add(&commands, TW_COMMAND_STOP, task);
     }
     char *text = tw_commands_delegate_text(core, heartbeat, &commands);
     if (text)
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -8,7 +8,8 @@
 
 /* After a failover workers need a while to find the new leader, in leases. */
 #define FIND_LEADER_LEASES 0.3
-/* A machine that never sent a heartbeat and left so many probes without a response gets none. */
+/* A machine that never sent a heartbeat and left so many probes without a response is not waited
+ * for like that. */
 #define MAX_FAILED_PROBES 2
 /* Bounds, in intervals, of how old the last heartbeat is of a machine that counts as silent in its
  * zone: a worker that looks for another node is late by half an interval. */
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -135,43 +135,57 @@
     }
 }
 
-static void machine_tick(tw_core *core, tw_machine *machine) {
+/* Time in seconds that the machine is expected to boot in. */
+static double expected_boot_s(const tw_core *core, const tw_machine *machine) {
+    if (machine->type_index < 0) return core->context.config->lease_s * BOOT_UNKNOWN_LEASES;
+    return core->machine_types[machine->type_index].listed.startup_s;
+}
+
+/* Notes once that a machine has been booting for longer than is usual for its type. */
+static void note_overdue_boot(tw_core *core, tw_machine *machine, double boot_s) {
+    const double age_s = core->context.now - machine->known_since;
+    if (machine->overdue || machine->type_index < 0) return;
+    if (age_s <= BOOT_OVERDUE * boot_s + core->context.config->report_s) return;
+    machine->overdue = true;
+    tw_statistics_note_boot(core, machine);
+}
+
+/* Whether a machine has been booting for so long that it will never be up. A new leader waits for a
+ * lease first, in which workers find it. */
+static bool boot_has_failed(const tw_core *core, const tw_machine *machine, double boot_s) {
     const tw_config *config = core->context.config;
-    const double boot_s = machine->type_index >= 0
-                              ? core->machine_types[machine->type_index].listed.startup_s
-                              : config->lease_s * BOOT_UNKNOWN_LEASES;
     const double age_s = core->context.now - machine->known_since;
+    return age_s > BOOT_FAILED * boot_s + config->list_lag_s &&
+           core->context.now - tw_cluster_term_began_at(core->cluster) > config->lease_s;
+}
+
+static void machine_tick(tw_core *core, tw_machine *machine) {
+    const double boot_s = expected_boot_s(core, machine);
     const int launched = count_launched(machine);
     if (machine->state == TW_MACHINE_UP && !tw_machine_is_usable(core, machine))
         terminate_unlaunched(core, machine);
     if (machine->type_index < 0 && *machine->type_name)
         machine->type_index = tw_machine_type_index(core, machine->type_name);
-    /* A lease does not end within its length of a report: few machines need a closer look. */
+    /* A lease doesn't expire within its length of an answer, so few machines need a closer look. */
     const bool is_renewed = core->context.now <= machine->answered_at + tw_lease_max_s(core);
     const double expires_at = is_renewed ? INFINITY : tw_lease_expires_at(core, machine);
     if (launched && core->context.now > expires_at && tw_cluster_delegates_known(core->cluster))
         expire_lease(core, machine);
-    /* One with a predecessor's tasks is up: it is silent, below, if we don't hear of it. */
+    /* A machine with an earlier leader's tasks is up, also if this node has heard nothing of it. */
     const bool is_booting = machine->state == TW_MACHINE_BOOTING && !launched;
-    if (is_booting && !machine->overdue && machine->type_index >= 0 &&
-        age_s > BOOT_OVERDUE * boot_s + config->report_s) {
-        machine->overdue = true;
-        tw_statistics_note_boot(core, machine);
-    }
+    if (is_booting) note_overdue_boot(core, machine, boot_s);
     if (machine->return_wanted) return;
-    if (machine->failed) {
-        request_return(core, machine, "failed");
-    } else if (is_booting) {
-        if (age_s > BOOT_FAILED * boot_s + config->list_lag_s &&
-            core->context.now - tw_cluster_term_began_at(core->cluster) > config->lease_s)
-            request_return(core, machine, "never_up");
-    } else {
-        const char *why = return_reason(core, machine, expires_at);
-        if (why)
-            request_return(core, machine, why);
-        else
-            return_when_empty(core, machine);
-    }
+    const char *why = NULL;
+    if (machine->failed)
+        why = "failed";
+    else if (is_booting)
+        why = boot_has_failed(core, machine, boot_s) ? "never_up" : NULL;
+    else
+        why = return_reason(core, machine, expires_at);
+    if (why)
+        request_return(core, machine, why);
+    else if (!is_booting)
+        return_when_empty(core, machine);
 }
 
 static void forget_returned_machines(tw_core *core) {
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -15,18 +15,29 @@
 /* Pause after a refusal for want of room, in heartbeats: the next one shows what takes the room. */
 #define RETRY_REFUSED_HEARTBEATS 0.3
 
-static void note_task_failure(tw_core *core, tw_placement *placed, tw_wire_exit_cause cause) {
-    tw_job *job = placed->job;
-    const tw_machine *machine = placed->machine;
-    job->consecutive_errors++;
-    int failed_elsewhere = 0;
+/* Number of other machines on which the job has failed lately. */
+static int count_failed_elsewhere(const tw_job *job, const tw_machine *machine) {
+    int count = 0;
     for (int i = 0; i < job->failed_machine_count; i++)
-        failed_elsewhere += job->failed_machines[i] && job->failed_machines[i] != machine;
+        count += job->failed_machines[i] && job->failed_machines[i] != machine;
+    return count;
+}
+
+/* Notes that the job failed on the machine, in the place of an earlier one if there are too many.
+ */
+static void note_failed_machine(tw_job *job, tw_machine *machine) {
     const int max_machines = (int)(sizeof job->failed_machines / sizeof job->failed_machines[0]);
     const int slot = job->failed_machine_count < max_machines
                          ? job->failed_machine_count++
                          : job->consecutive_errors % max_machines;
-    job->failed_machines[slot] = placed->machine;
+    job->failed_machines[slot] = machine;
+}
+
+static void note_task_failure(tw_core *core, tw_placement *placed, tw_wire_exit_cause cause) {
+    tw_job *job = placed->job;
+    job->consecutive_errors++;
+    const int failed_elsewhere = count_failed_elsewhere(job, placed->machine);
+    note_failed_machine(job, placed->machine);
     const double max_pause_s = core->context.config->lease_s * RETRY_MAX_LEASES;
     const int doublings =
         job->consecutive_errors > RETRY_DOUBLINGS ? RETRY_DOUBLINGS : job->consecutive_errors;
@@ -40,16 +51,9 @@
         tw_quarantine_note_failure(core, placed, failed_elsewhere);
 }
 
-static void reconcile_exited_task(tw_core *core, tw_placement *placed,
-                                  const tw_wire_heartbeat *heartbeat,
-                                  const tw_wire_task *reported) {
+/* What the exit tells of the machine and of the job. */
+static void note_exit(tw_core *core, tw_placement *placed, const tw_wire_task *reported) {
     tw_job *job = placed->job;
-    const tw_attempt_termination termination = {
-        .evidence = TW_EVIDENCE_EXITED, .heartbeat = heartbeat, .reported = reported};
-    placed->state = TW_TASK_EXITED;
-    placed->cause = reported->cause;
-    if (!placed->counted) return;
-    const bool job_is_over = job->state != TW_JOB_PENDING;
     switch (reported->cause) {
     case TW_CAUSE_DONE:
         tw_statistics_note_run(core, placed);
@@ -65,13 +69,26 @@
         break;
     case TW_CAUSE_ERROR:
     case TW_CAUSE_UNKNOWN_TASK:
-        if (!job_is_over) note_task_failure(core, placed, reported->cause);
+        if (job->state == TW_JOB_PENDING) note_task_failure(core, placed, reported->cause);
         break;
     default:
         job->retry_at =
             core->context.now + RETRY_REFUSED_HEARTBEATS * core->context.config->report_s;
         break;
     }
+}
+
+static void reconcile_exited_task(tw_core *core, tw_placement *placed,
+                                  const tw_wire_heartbeat *heartbeat,
+                                  const tw_wire_task *reported) {
+    tw_job *job = placed->job;
+    const tw_attempt_termination termination = {
+        .evidence = TW_EVIDENCE_EXITED, .heartbeat = heartbeat, .reported = reported};
+    placed->state = TW_TASK_EXITED;
+    placed->cause = reported->cause;
+    if (!placed->counted) return;
+    const bool job_is_over = job->state != TW_JOB_PENDING;
+    note_exit(core, placed, reported);
     tw_attempt_terminate(core, placed, &termination);
     if (reported->cause == TW_CAUSE_DONE && job->spec.gang) tw_gang_done(core, job);
     if (!job_is_over && job->done_count == job->task_count)
@@ -147,11 +164,7 @@
      * leader's launch; and without authority a later leader may know of the attempt. */
     if (commands && tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND) && machine->confirmed &&
         (!job || !is_done || tw_store_is_settled(job->record)))
-        tw_command_list_add(commands,
-                            (tw_wire_command){.kind = TW_COMMAND_FORGET,
-                                              .index = reported->index,
-                                              .attempt = reported->attempt},
-                            reported->job);
+        tw_command_list_add(commands, TW_COMMAND_FORGET, reported);
 }
 
 void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine,
@@ -182,10 +195,5 @@
     }
     tw_log_info("event=unknown_task_stopped task=%s/%d attempt=%llu worker=%s", reported->job,
                 reported->index, (unsigned long long)reported->attempt, machine->name);
-    if (commands)
-        tw_command_list_add(commands,
-                            (tw_wire_command){.kind = TW_COMMAND_STOP,
-                                              .index = reported->index,
-                                              .attempt = reported->attempt},
-                            reported->job);
+    if (commands) tw_command_list_add(commands, TW_COMMAND_STOP, reported);
 }
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -39,20 +39,27 @@
     return (tw_command_list){core->command_scratch, 0};
 }
 
-void tw_command_list_add(tw_command_list *commands, tw_wire_command command, const char *job) {
+static void append_command(tw_command_list *commands, tw_wire_command command, const char *job) {
     if (commands->count >= MAX_COMMANDS) return;
     snprintf(command.job, sizeof command.job, "%s", job);
     commands->list[commands->count++] = command;
 }
 
+void tw_command_list_add(tw_command_list *commands, tw_wire_command_kind kind,
+                         const tw_wire_task *task) {
+    append_command(commands,
+                   (tw_wire_command){.kind = kind, .index = task->index, .attempt = task->attempt},
+                   task->job);
+}
+
 static void add_command(tw_command_list *commands, tw_wire_command_kind kind,
                         const tw_placement *placed) {
-    tw_command_list_add(commands,
-                        (tw_wire_command){.kind = kind,
-                                          .index = placed->index,
-                                          .attempt = placed->attempt,
-                                          .grace_s = kind == TW_COMMAND_STOP ? placed->grace_s : 0},
-                        placed->job->id);
+    append_command(commands,
+                   (tw_wire_command){.kind = kind,
+                                     .index = placed->index,
+                                     .attempt = placed->attempt,
+                                     .grace_s = kind == TW_COMMAND_STOP ? placed->grace_s : 0},
+                   placed->job->id);
 }
 
 static bool may_launch(const tw_placement *placed) {
@@ -102,6 +109,13 @@
     return false;
 }
 
+/* Whether the task fits into the amounts. */
+static bool fits(const tw_capacity *available, const tw_wire_job *spec) {
+    return available->cores + TW_CAPACITY_ROUNDING >= spec->cores &&
+           available->gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
+           available->memory_gb + TW_CAPACITY_ROUNDING >= spec->memory_gb;
+}
+
 static void log_launch(const tw_placement *placed, uint64_t sequence) {
     tw_log_debug("event=task_launched task=%s/%d attempt=%llu worker=%s incarnation=%llu "
                  "sequence=%llu direct=%d",
@@ -110,41 +124,45 @@
                  (unsigned long long)sequence, !sequence);
 }
 
-static void note_direct_launch(const tw_core *core, tw_placement *placed) {
-    placed->direct_launches++;
-    placed->direct_launch_at = core->context.now;
+/* sequence: of the heartbeat that is answered with the launch; 0: it is direct. */
+static void note_launch(const tw_core *core, tw_placement *placed, uint64_t sequence) {
+    placed->launch_sent = true;
+    placed->launch_incarnation = placed->machine->incarnation;
+    if (sequence) {
+        placed->launch_sequence = sequence;
+    } else {
+        placed->direct_launches++;
+        placed->direct_launch_at = core->context.now;
+    }
 }
 
-/* Adds launches. available: the machine's amounts, less what still saves a checkpoint. */
-static void add_launches(tw_core *core, tw_machine *machine, tw_command_list *commands,
-                         uint64_t sequence, tw_capacity available) {
-    tw_placement *placed;
+/* Subtracts what the machine's tasks hold that are, or may be, there already. */
+static void subtract_launched(const tw_machine *machine, tw_capacity *available) {
+    const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (!placed->counted || placed->preempted) continue;
         if (may_launch(placed) && !placed->launch_sent) continue;
-        subtract_capacity(&available, &placed->job->spec);
+        subtract_capacity(available, &placed->job->spec);
     }
+}
+
+/* Adds launches. available: the machine's amounts, less what still saves a checkpoint. */
+static void add_launches(tw_core *core, tw_machine *machine, tw_command_list *commands,
+                         uint64_t sequence, tw_capacity available) {
+    tw_placement *placed;
+    subtract_launched(machine, &available);
     DL_FOREACH(machine->placements, placed) {
         if (!may_launch(placed) || must_wait_for_gang(core, placed)) continue;
-        const tw_wire_job *spec = &placed->job->spec;
         if (placed->launch_sent && !sequence) continue; /* its first launch is on its way */
         if (!placed->launch_sent) {
-            if (available.cores + TW_CAPACITY_ROUNDING < spec->cores ||
-                available.gpus + TW_CAPACITY_ROUNDING < spec->gpus ||
-                available.memory_gb + TW_CAPACITY_ROUNDING < spec->memory_gb)
-                continue;
-            subtract_capacity(&available, spec);
+            if (!fits(&available, &placed->job->spec)) continue;
+            subtract_capacity(&available, &placed->job->spec);
         }
         if (commands->count >= MAX_COMMANDS) break;
         if (!is_only_attempt(core, placed)) continue;
         add_command(commands, TW_COMMAND_LAUNCH, placed);
         log_launch(placed, sequence);
-        placed->launch_sent = true;
-        placed->launch_incarnation = machine->incarnation;
-        if (sequence)
-            placed->launch_sequence = sequence;
-        else
-            note_direct_launch(core, placed);
+        note_launch(core, placed, sequence);
     }
 }
 
@@ -303,6 +321,16 @@
     }
 }
 
+/* No response to direct commands or a probe came: pauses, and probes again for a few times. */
+static void note_failed_send(tw_core *core, tw_machine *machine) {
+    machine->failed_sends++;
+    const double pause =
+        machine->last_contact_at ? fmin(1 + machine->failed_sends, MAX_PAUSE_HEARTBEATS) : 1;
+    machine->no_commands_before = core->context.now + pause * core->context.config->report_s;
+    if (!machine->last_contact_at && ++machine->failed_probes < MAX_PROBES)
+        tw_machine_want_probe(core, machine);
+}
+
 void tw_commands_response(tw_core *core, tw_call *call, int status, const char *body,
                           size_t length) {
     tw_machine *machine = tw_machine_find(core, call->name);
@@ -311,12 +339,7 @@
     machine->command_in_flight = false;
     if (machine->commands_wanted || machine->probe_wanted) queue_machine(core, machine);
     if (status == 0) {
-        machine->failed_sends++;
-        const double pause =
-            machine->last_contact_at ? fmin(1 + machine->failed_sends, MAX_PAUSE_HEARTBEATS) : 1;
-        machine->no_commands_before = core->context.now + pause * core->context.config->report_s;
-        if (!machine->last_contact_at && ++machine->failed_probes < MAX_PROBES)
-            tw_machine_want_probe(core, machine);
+        note_failed_send(core, machine);
         return; /* the commands may still arrive: the fate of their launches stays unknown */
     }
     for (int i = 0; i < call->count; i++)
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -7,8 +7,8 @@
 
 /* Of so many machines one is believed to be unresponsive within a lease. */
 #define MACHINES_PER_UNRESPONSIVE 15
-/* A lease can't have expired by itself if a heartbeat was answered less than this ago, in leases.
- */
+/* A worker whose lease expired though a heartbeat was answered less than this ago, in leases, did
+ * not get the answer. */
 #define ANSWERED_LATELY_LEASES 0.5
 
 static tw_placement *find_placement(const tw_machine *machine, const tw_wire_task *reported) {
@@ -126,6 +126,27 @@
     }
 }
 
+/* Reconciles the tasks that the heartbeat names, then those that it doesn't. */
+static void reconcile_tasks(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *heartbeat,
+                            tw_command_list *commands) {
+    core->heartbeat_mark++;
+    for (int i = 0; i < heartbeat->task_count; i++) {
+        tw_placement *placed = find_placement(machine, &heartbeat->tasks[i]);
+        if (placed) {
+            placed->mark = core->heartbeat_mark;
+            tw_reconcile_task(core, placed, heartbeat, &heartbeat->tasks[i]);
+        } else {
+            tw_reconcile_unknown_task(core, machine, heartbeat, &heartbeat->tasks[i], commands);
+        }
+    }
+    tw_placement *placed, *next;
+    DL_FOREACH_SAFE(machine->placements, placed, next) {
+        if (placed->mark == core->heartbeat_mark) continue;
+        if (!placed->launch_sent && !placed->inherited) continue;
+        reconcile_missing_task(core, placed, heartbeat, commands == NULL);
+    }
+}
+
 bool tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
                                const tw_wire_heartbeat *heartbeat, tw_command_list *commands) {
     const bool same_incarnation = heartbeat->incarnation == machine->incarnation;
@@ -143,22 +164,7 @@
     if (machine->incarnation && heartbeat->incarnation > machine->incarnation)
         on_new_incarnation(core, machine, heartbeat);
     update_machine(core, machine, heartbeat);
-    core->heartbeat_mark++;
-    for (int i = 0; i < heartbeat->task_count; i++) {
-        tw_placement *placed = find_placement(machine, &heartbeat->tasks[i]);
-        if (placed) {
-            placed->mark = core->heartbeat_mark;
-            tw_reconcile_task(core, placed, heartbeat, &heartbeat->tasks[i]);
-        } else {
-            tw_reconcile_unknown_task(core, machine, heartbeat, &heartbeat->tasks[i], commands);
-        }
-    }
-    tw_placement *placed, *next;
-    DL_FOREACH_SAFE(machine->placements, placed, next) {
-        if (placed->mark == core->heartbeat_mark || (!placed->launch_sent && !placed->inherited))
-            continue;
-        reconcile_missing_task(core, placed, heartbeat, commands == NULL);
-    }
+    reconcile_tasks(core, machine, heartbeat, commands);
     return true;
 }
 
@@ -185,6 +191,16 @@
     reply_commands(core, connection, &no_commands);
 }
 
+/* The machine has booted, or it is new to this leader. */
+static void note_first_answer(tw_core *core, tw_machine *machine,
+                              const tw_wire_heartbeat *heartbeat) {
+    machine->first_answered_at = core->context.now;
+    if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
+    tw_log_info("event=machine_started worker=%s machine_type=%s zone=%s spot=%d after=%.1f",
+                machine->name, heartbeat->machine_type, heartbeat->zone, heartbeat->spot,
+                core->context.now - machine->known_since);
+}
+
 static void answer_heartbeat(tw_core *core, uint64_t connection, tw_machine *machine,
                              const tw_wire_heartbeat *heartbeat) {
     tw_command_list commands = tw_command_list_new(core);
@@ -193,13 +209,7 @@
         return;
     }
     machine->answered_at = core->context.now;
-    if (machine->first_answered_at <= 0) {
-        machine->first_answered_at = core->context.now;
-        if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
-        tw_log_info("event=machine_started worker=%s machine_type=%s zone=%s spot=%d after=%.1f",
-                    machine->name, heartbeat->machine_type, heartbeat->zone, heartbeat->spot,
-                    core->context.now - machine->known_since);
-    }
+    if (machine->first_answered_at <= 0) note_first_answer(core, machine, heartbeat);
     tw_commands_due(core, machine, &commands, heartbeat->sequence);
     machine->probe_wanted = machine->commands_wanted = false;
     if (!machine->confirmed) tw_machine_want_probe(core, machine);
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -115,9 +115,10 @@
 
 /* An empty list, in the core's scratch: the list made before is no longer valid. */
 tw_command_list tw_command_list_new(tw_core *core);
-/* Adds a command for a task of that job. If the list is full, the command is left out: it is due
- * again with the next heartbeat. */
-void tw_command_list_add(tw_command_list *commands, tw_wire_command command, const char *job);
+/* Adds a stop or a forget for a task that a heartbeat names. If the list is full, the command is
+ * left out: it is due again with the next heartbeat. */
+void tw_command_list_add(tw_command_list *commands, tw_wire_command_kind kind,
+                         const tw_wire_task *task);
 /* Adds the commands that are due for the machine. sequence: of the heartbeat that is answered; 0:
  * direct commands. */
 void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
