--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -109,12 +109,37 @@
     tw_image_note_use(core, placed->machine, job, true);
 }
 
+/* The task was reported as fetching, waiting, running or saving: notes when its image arrived and
+ * when it started. began_to_wait: it waits for its gang since this heartbeat. */
+static void note_progress(tw_core *core, tw_placement *placed, bool began_to_wait) {
+    const tw_job *job = placed->job;
+    if (began_to_wait) { /* so it has its image */
+        tw_statistics_note_start(core, placed);
+        tw_image_note_use(core, placed->machine, job, true);
+    }
+    if (job->spec.gang) tw_gang_task_reported(core, placed);
+    if (placed->state == TW_TASK_RUNNING && placed->running_since <= 0)
+        note_task_started(core, placed);
+    else if (placed->state == TW_TASK_FETCHING && !tw_image_find(placed->machine, job))
+        tw_image_note_use(core, placed->machine, job, false);
+}
+
+/* What a task that was seen running shows of its job and of its machine. */
+static void note_running(tw_core *core, const tw_placement *placed) {
+    tw_job *job = placed->job;
+    /* A task of a broken gang is reported as running until it exits, which shows nothing. */
+    if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != TW_GANG_RUNNING))
+        return;
+    const double ran_s = core->context.now - placed->running_since;
+    if (ran_s > 2 * core->context.config->lease_s) job->consecutive_errors = 0;
+    tw_quarantine_note_running(core, placed);
+    if (ran_s > core->context.config->lease_s) job->has_run = true;
+}
+
 void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *heartbeat,
                        const tw_wire_task *reported) {
-    tw_machine *machine = placed->machine;
-    tw_job *job = placed->job;
     if (!placed->reported) {
-        machine->lost_launches = 0;
+        placed->machine->lost_launches = 0;
         placed->lost_launches = 0;
     }
     placed->reported = placed->launch_sent = true;
@@ -126,23 +151,9 @@
     const bool began_to_wait =
         reported->state == TW_TASK_WAITING && placed->state != TW_TASK_WAITING;
     placed->state = reported->state;
-    if (!job->has_spec) return;
-    if (began_to_wait) { /* so it has its image */
-        tw_statistics_note_start(core, placed);
-        tw_image_note_use(core, machine, job, true);
-    }
-    if (job->spec.gang) tw_gang_task_reported(core, placed);
-    if (reported->state == TW_TASK_RUNNING && placed->running_since <= 0)
-        note_task_started(core, placed);
-    else if (reported->state == TW_TASK_FETCHING && !tw_image_find(machine, job))
-        tw_image_note_use(core, machine, job, false);
-    /* A task of a broken gang is reported as running until it exits, which shows nothing. */
-    if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != TW_GANG_RUNNING))
-        return;
-    const double ran_s = core->context.now - placed->running_since;
-    if (ran_s > 2 * core->context.config->lease_s) job->consecutive_errors = 0;
-    tw_quarantine_note_running(core, placed);
-    if (ran_s > core->context.config->lease_s) job->has_run = true;
+    if (!placed->job->has_spec) return;
+    note_progress(core, placed, began_to_wait);
+    note_running(core, placed);
 }
 
 /* The task exited before this node knew of its placement. job: still needs its tasks; NULL: none
@@ -167,30 +178,45 @@
         tw_command_list_add(commands, TW_COMMAND_FORGET, reported);
 }
 
+/* The job of the task, if it still needs tasks; NULL: there is none, or it doesn't. */
+static tw_job *find_pending_job(tw_core *core, const tw_wire_task *reported) {
+    tw_job *job = tw_job_find(core, reported->job);
+    if (!job || !job->task_states || job->state != TW_JOB_PENDING) return NULL;
+    return reported->index < job->task_count ? job : NULL;
+}
+
+/* Whether the task may go on where it is, in the place of a new attempt. */
+static bool may_go_on(const tw_core *core, const tw_job *job, const tw_machine *machine,
+                      const tw_wire_task *reported) {
+    return job->task_states[reported->index] == TW_ASSIGNMENT_NONE &&
+           tw_constraints_allow_zone(core, job, machine->zone) &&
+           tw_quota_allows_tasks(core, job, 1);
+}
+
+/* Makes a placement for a task that goes on where it is. */
+static void restore_placement(tw_core *core, tw_job *job, tw_machine *machine,
+                              const tw_wire_heartbeat *heartbeat, const tw_wire_task *reported) {
+    tw_placement *placed = tw_placement_new(core, job, reported->index, machine, reported->attempt);
+    if (!placed) return;
+    placed->inherited = true;
+    placed->mark = core->heartbeat_mark;
+    if (job->spec.gang && job->placed_count == 1) tw_gang_restored(job);
+    tw_reconcile_task(core, placed, heartbeat, reported);
+    tw_job_mark_changed(core, job, false);
+    tw_log_info("event=unknown_task_adopted task=%s/%d worker=%s", reported->job, reported->index,
+                machine->name);
+}
+
 void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine,
                                const tw_wire_heartbeat *heartbeat, const tw_wire_task *reported,
                                tw_command_list *commands) {
-    tw_job *job = tw_job_find(core, reported->job);
-    if (job &&
-        (!job->task_states || job->state != TW_JOB_PENDING || reported->index >= job->task_count))
-        job = NULL;
+    tw_job *job = find_pending_job(core, reported);
     if (reported->state == TW_TASK_EXITED) {
         reconcile_unknown_exit(core, machine, reported, job, commands);
         return;
     }
-    if (job && job->task_states[reported->index] == TW_ASSIGNMENT_NONE &&
-        tw_constraints_allow_zone(core, job, machine->zone) &&
-        tw_quota_allows_tasks(core, job, 1)) {
-        tw_placement *placed =
-            tw_placement_new(core, job, reported->index, machine, reported->attempt);
-        if (!placed) return;
-        placed->inherited = true;
-        placed->mark = core->heartbeat_mark;
-        if (job->spec.gang && job->placed_count == 1) tw_gang_restored(job);
-        tw_reconcile_task(core, placed, heartbeat, reported);
-        tw_job_mark_changed(core, job, false);
-        tw_log_info("event=unknown_task_adopted task=%s/%d worker=%s", reported->job,
-                    reported->index, machine->name);
+    if (job && may_go_on(core, job, machine, reported)) {
+        restore_placement(core, job, machine, heartbeat, reported);
         return;
     }
     tw_log_info("event=unknown_task_stopped task=%s/%d attempt=%llu worker=%s", reported->job,
