--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -18,7 +18,7 @@
         machine = tw_machine_new(core, listed->id);
         machine->known_since = core->context.now - listed->rented_s;
     }
-    machine->listed = 1;
+    machine->listed = true;
     machine->lists_without = 0;
     machine->spot = listed->spot;
     if (!*machine->zone) tw_machine_set_zone(core, machine, listed->zone);
@@ -28,7 +28,7 @@
         machine->type_index = tw_machine_type_index(core, listed->machine_type);
     if (!*machine->endpoint && *listed->endpoint)
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
-    if (listed->state == TW_RENTED_FAILED) machine->failed = 1;
+    if (listed->state == TW_RENTED_FAILED) machine->failed = true;
     /* After a failover we ask the worker for its state and need not wait until it has found us. */
     if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at && !machine->probed) {
         machine->probed = 1;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -1,10 +1,8 @@
-/* Placements: what may run on a machine, and the amounts that this takes of it and of its team's
- * limit. A task that may run somewhere counts as running there until a newer report, its machine's
- * return or a lapsed lease says otherwise. */
+/* Placements: what may run on a machine, and the amounts that this takes of the machine and of its
+ * team's limit. See placement.h for the invariants. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Adds (sign 1) or takes off (-1) what the task holds. */
 void tw_placement_account(tw_core *core, tw_placement *placed, double sign) {
     const tw_wire_job *spec = &placed->job->spec;
     tw_machine *machine = placed->machine;
@@ -26,7 +24,6 @@
     }
 }
 
-/* The caller marks the job changed. */
 tw_placement *tw_placement_new(tw_core *core, tw_job *job, int index, tw_machine *machine,
                                uint64_t attempt) {
     if (job->task_states[index] != TW_ASSIGNMENT_NONE) {
@@ -43,7 +40,7 @@
     placed->placed_at = core->context.now;
     const tw_image *image = tw_image_find(machine, job);
     placed->concurrent_fetches = tw_image_count_fetches(core, machine, image);
-    if (image) placed->image_state = image->ready_at <= 0 ? 1 : -1;
+    if (image) placed->image_state = image->ready_at <= 0 ? TW_IMAGE_CACHED : TW_IMAGE_FETCHING;
     placed->counted = true;
     DL_APPEND2(job->placements, placed, job_prev, job_next);
     DL_APPEND(machine->placements, placed);
@@ -59,7 +56,7 @@
 void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, bool preempted) {
     if (!placed->counted) return;
     if (placed->job->spec.gang) {
-        /* Before anything changes: whether all of it can be told. */
+        /* A gang saves a checkpoint only if all of its machines can be told now. */
         if (grace_s > 0 && !tw_gang_can_save(core, placed->job)) grace_s = 0;
         tw_gang_stop(core, placed->job, grace_s);
     }
@@ -68,11 +65,11 @@
         return;
     }
     if (!placed->stopping) placed->stopped_at = core->context.now;
-    placed->stopping = 1;
+    placed->stopping = true;
     placed->grace_s = grace_s;
     if (preempted && !placed->preempted) {
         tw_placement_account(core, placed, -1);
-        placed->preempted = 1;
+        placed->preempted = true;
         tw_placement_account(core, placed, 1);
     }
     tw_machine_want_commands(core, placed->machine);
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -39,7 +39,7 @@
     }
     core->returns_due = count > 0; /* until none is left */
     if (!count || !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1)) return;
-    for (int i = 0; i < count; i++) tw_machine_find(core, names[i])->return_in_flight = 1;
+    for (int i = 0; i < count; i++) tw_machine_find(core, names[i])->return_in_flight = true;
     tw_call *call = tw_call_send(&core->context, TW_CALL_RETURN_MACHINES, TW_TO_CLOUD,
                                  core->context.config->cloud, "POST", "/rentals/release",
                                  tw_wire_machine_names_text(names, count), TIMEOUT_S);
@@ -56,7 +56,7 @@
         tw_machine *machine = tw_machine_find(core, call->names[i]);
         if (!machine) continue;
         if (status != TW_HTTP_OK) {
-            machine->return_in_flight = 0; /* asked for again: returning twice is harmless */
+            machine->return_in_flight = false; /* asked for again: returning twice is harmless */
             core->returns_due = true;
             core->next_return_at = core->context.now + RETRY_S;
             continue;
