--- a/emulator/main.c
+++ b/emulator/main.c
@@ -91,7 +91,7 @@
 
 /* A life is another number each time; the stand-in's own lives are far apart from one another. */
 static void restart(replica *at) {
-    const uint64_t life = at->guard.life + 1;
+    const uint64_t life = at->guard.boot_id + 1;
     tw_shards_guard_boot(&at->guard, life);
     at->last_term = 0; /* what it has not heard of in this life, it can't hold against anybody */
 }
@@ -115,8 +115,8 @@
         snprintf(answer, ANSWER_SIZE,
                  "{\"term\":%lu,\"life\":%lu,\"floor\":%lu,\"open\":%lu,\"started\":%s,"
                  "\"running\":0}",
-                 (unsigned long)guard->term, (unsigned long)guard->life,
-                 (unsigned long)guard->floor, (unsigned long)guard->newest,
+                 (unsigned long)guard->term, (unsigned long)guard->boot_id,
+                 (unsigned long)guard->minimum_epoch, (unsigned long)guard->newest,
                  guard->started ? "true" : "false");
         return status;
     }
--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -43,8 +43,8 @@
 void tw_daemon_start_machine(daemon_node *node, const tw_standby_effect *effect) {
     char body[BODY_SIZE];
     snprintf(body, sizeof body, "{\"term\":%lu,\"life\":%lu,\"floor\":%lu}",
-             (unsigned long)effect->term, (unsigned long)effect->life,
-             (unsigned long)effect->floor);
+             (unsigned long)effect->term, (unsigned long)effect->boot_id,
+             (unsigned long)effect->minimum_epoch);
     call_machine(node, CALL_MACHINE, effect->machine, "/start", body, effect->term);
 }
 
@@ -66,13 +66,15 @@
 }
 
 /* What the machine has, by its answer to /check or /start; -1: it can't be read. */
-static int read_machine(tw_standby_machine *to, int status, const char *body, size_t length) {
+static int read_machine(tw_standby_machine_status *to, int status, const char *body,
+                        size_t length) {
     uint64_t running = 0;
     cJSON *object = cJSON_ParseWithLength(body, length);
-    *to = (tw_standby_machine){0};
+    *to = (tw_standby_machine_status){0};
     const bool failed =
         (status != OK && status != CONFLICT) || read_number(object, "term", &to->term) ||
-        read_number(object, "life", &to->life) || read_number(object, "floor", &to->floor) ||
+        read_number(object, "life", &to->boot_id) ||
+        read_number(object, "floor", &to->minimum_epoch) ||
         read_number(object, "open", &to->newest) || read_number(object, "running", &running);
     to->started = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(object, "started"));
     to->running = (int)running;
@@ -83,7 +85,7 @@
 static void take_response(daemon_node *node, const call *ended, int status, const char *body,
                           size_t length) {
     const double now = tw_daemon_steady_s();
-    tw_standby_machine machine;
+    tw_standby_machine_status machine;
     switch (ended->kind) {
     case CALL_STATE:
         tw_standby_answered(node->standby, now, ended->about, status, body, length);
--- a/src/daemon/clients.c
+++ b/src/daemon/clients.c
@@ -14,7 +14,7 @@
 void tw_daemon_answer(daemon_node *node, const tw_shards_effect *effect) {
     tw_rpc_answer answer = {.verdict = effect->verdict,
                             .revision = effect->revision,
-                            .floor = effect->floor,
+                            .floor = effect->minimum_epoch,
                             .progress = effect->progress};
     if (effect->verdict == TW_SHARDS_NOT_LEADER) name_leader(node, &answer);
     tw_rpc_answer_call(node->server, effect->id, &answer);
@@ -24,8 +24,8 @@
 
 static void answer_show(daemon_node *node, const tw_rpc_call *asked) {
     const bool ready = tw_standby_decides(node->standby, tw_daemon_steady_s());
-    const int nshares = ready ? tw_shards_count(node->shares) : 0;
-    const int nmachines = ready && asked->show_machines ? tw_shards_machines(node->shares) : 0;
+    const int nshares = ready ? tw_shards_shard_count(node->shares) : 0;
+    const int nmachines = ready && asked->show_machines ? tw_shards_machine_count(node->shares) : 0;
     tw_rpc_answer answer = {.verdict = ready ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER,
                             .revision = ready ? tw_shards_revision(node->shares) : 0};
     name_leader(node, &answer);
@@ -34,7 +34,7 @@
     for (int i = 0; i < nshares; i++)
         answer.shares[answer.nshares++] = tw_shards_view_of(node->shares, i);
     for (int i = 0; i < nmachines; i++) {
-        const tw_shards_tell machine = tw_shards_machine(node->shares, i);
+        const tw_shards_notification machine = tw_shards_machine_at(node->shares, i);
         if (machine.state != TW_SHARDS_ABSENT) answer.tells[answer.ntells++] = machine;
     }
     tw_rpc_answer_call(node->server, asked->id, &answer);
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -52,11 +52,12 @@
     case TW_STANDBY_START:
         tw_daemon_start_machine(node, effect);
         break;
-    case TW_STANDBY_TELL:
-        if (!strcmp(effect->table->tell.owner, node->settings->name))
-            tw_shards_owner_told(node->owner, tw_daemon_steady_s(), &effect->table->tell);
+    case TW_STANDBY_NOTIFY:
+        if (!strcmp(effect->table->notification.owner, node->settings->name))
+            tw_shards_owner_notified(node->owner, tw_daemon_steady_s(),
+                                     &effect->table->notification);
         else
-            tw_daemon_keep_tell(node, &effect->table->tell);
+            tw_daemon_keep_tell(node, &effect->table->notification);
         break;
     case TW_STANDBY_ANSWER:
         tw_daemon_answer(node, effect->table);
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -25,7 +25,7 @@
 /* What an owner is to be told with its next report. */
 typedef struct owner_tells {
     char owner[TW_SHARDS_NAME];
-    tw_shards_tell *tells;
+    tw_shards_notification *tells;
     int count;
     UT_hash_handle hh;
 } owner_tells;
@@ -71,7 +71,7 @@
 
 /* owners.c: this node as an owner, and what other owners are told */
 owner_tells *tw_daemon_tells_of(daemon_node *node, const char *owner);
-void tw_daemon_keep_tell(daemon_node *node, const tw_shards_tell *tell);
+void tw_daemon_keep_tell(daemon_node *node, const tw_shards_notification *tell);
 void tw_daemon_free_tells(daemon_node *node);
 void tw_daemon_take_owner_effects(daemon_node *node);
 /* Sends what there is to say to another node that leads; takes its answer. */
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -18,7 +18,7 @@
     return found;
 }
 
-void tw_daemon_keep_tell(daemon_node *node, const tw_shards_tell *tell) {
+void tw_daemon_keep_tell(daemon_node *node, const tw_shards_notification *tell) {
     owner_tells *of = tw_daemon_tells_of(node, tell->owner);
     for (int i = 0; i < of->count; i++) {
         if (strcmp(of->tells[i].machine, tell->machine) != 0) continue;
@@ -92,7 +92,7 @@
     tw_rpc_answer answer;
     if (!tw_reporter_answer(node->reporter, &answer)) return;
     for (int i = 0; i < answer.ntells; i++)
-        tw_shards_owner_told(node->owner, tw_daemon_steady_s(), &answer.tells[i]);
+        tw_shards_owner_notified(node->owner, tw_daemon_steady_s(), &answer.tells[i]);
     tw_rpc_answer_free(&answer);
     tw_daemon_take_owner_effects(node);
 }
--- a/src/rpc/convert.cpp
+++ b/src/rpc/convert.cpp
@@ -30,7 +30,7 @@
     to.spread = from.spread() ? 1 : 0;
     to.count = from.count();
     to.revision = from.revision();
-    const bool fits = copy_text(to.share, from.share()) && copy_text(to.owner, from.owner()) &&
+    const bool fits = copy_text(to.shard, from.share()) && copy_text(to.owner, from.owner()) &&
                       copy_text(to.machine, from.machine()) && copy_text(to.zone, from.zone()) &&
                       copy_text(to.key, from.key()) && copy_text(to.to, from.to()) &&
                       copy_text(to.image, from.image());
@@ -39,7 +39,7 @@
     using name = char[TW_SHARDS_NAME];
     to.machines = new_items<name>(from.machines_size());
     for (const std::string &each : from.machines())
-        if (!copy_text(to.machines[to.nmachines++], each)) {
+        if (!copy_text(to.machines[to.machine_count++], each)) {
             std::free(to.machines);
             return false;
         }
@@ -48,7 +48,7 @@
 
 void write_change(const tw_shards_request &from, messages::ChangeRequest &to) {
     to.set_kind(static_cast<messages::ChangeRequest::Kind>(from.kind));
-    to.set_share(from.share);
+    to.set_share(from.shard);
     to.set_owner(from.owner);
     to.set_least(from.least);
     to.set_spread(from.spread != 0);
@@ -59,7 +59,7 @@
     to.set_image(from.image);
     to.set_count(from.count);
     to.set_revision(from.revision);
-    for (int i = 0; i < from.nmachines; i++) to.add_machines(from.machines[i]);
+    for (int i = 0; i < from.machine_count; i++) to.add_machines(from.machines[i]);
 }
 
 void write_reply(const tw_rpc_answer &from, messages::ChangeReply &to) {
@@ -113,10 +113,10 @@
         share->set_draining(view.draining);
     }
     for (int i = 0; i < from.ntells; i++) {
-        const tw_shards_tell &tell = from.tells[i];
+        const tw_shards_notification &tell = from.tells[i];
         messages::Machine *machine = to.add_machines();
         machine->set_name(tell.machine);
-        machine->set_share(tell.share);
+        machine->set_share(tell.shard);
         machine->set_owner(tell.owner);
         machine->set_state(tw_shards_state_name(tell.state));
         machine->set_epoch(tell.epoch);
@@ -130,7 +130,7 @@
     to.revision = from.revision();
     to.retry_after_s = from.retry_after_s();
     to.shares = new_items<tw_shards_view>(from.shares_size());
-    to.tells = new_items<tw_shards_tell>(from.machines_size());
+    to.tells = new_items<tw_shards_notification>(from.machines_size());
     for (const messages::Share &share : from.shares()) {
         tw_shards_view &view = to.shares[to.nshares++];
         copy_text(view.name, share.name());
@@ -142,9 +142,9 @@
         view.draining = share.draining();
     }
     for (const messages::Machine &machine : from.machines()) {
-        tw_shards_tell &tell = to.tells[to.ntells++];
+        tw_shards_notification &tell = to.tells[to.ntells++];
         copy_text(tell.machine, machine.name());
-        copy_text(tell.share, machine.share());
+        copy_text(tell.shard, machine.share());
         copy_text(tell.owner, machine.owner());
         tell.state = read_state(machine.state());
         tell.epoch = machine.epoch();
@@ -186,9 +186,9 @@
 void write_tells(const tw_rpc_answer &from, messages::ReportReply &to) {
     to.set_leads(from.verdict == TW_SHARDS_OK);
     for (int i = 0; i < from.ntells; i++) {
-        const tw_shards_tell &tell = from.tells[i];
+        const tw_shards_notification &tell = from.tells[i];
         messages::Tell *each = to.add_tells();
-        each->set_share(tell.share);
+        each->set_share(tell.shard);
         each->set_machine(tell.machine);
         each->set_state(tell.state);
         each->set_epoch(tell.epoch);
@@ -200,15 +200,15 @@
 void read_tells(const messages::ReportReply &from, tw_rpc_answer &to) {
     to = {};
     to.verdict = from.leads() ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER;
-    to.tells = new_items<tw_shards_tell>(from.tells_size());
+    to.tells = new_items<tw_shards_notification>(from.tells_size());
     for (const messages::Tell &each : from.tells()) {
         if (each.state() < TW_SHARDS_ABSENT || each.state() > TW_SHARDS_RELEASED) continue;
-        tw_shards_tell &tell = to.tells[to.ntells];
+        tw_shards_notification &tell = to.tells[to.ntells];
         tell.state = static_cast<tw_shards_state>(each.state());
         tell.epoch = each.epoch();
         tell.drain_s = each.drain_s();
         tell.term = each.term();
-        if (copy_text(tell.share, each.share()) && copy_text(tell.machine, each.machine()))
+        if (copy_text(tell.shard, each.share()) && copy_text(tell.machine, each.machine()))
             to.ntells++;
     }
 }
@@ -224,7 +224,7 @@
     to.set_kind(static_cast<messages::FollowMessage::Kind>(from.kind));
     to.set_term(from.term);
     to.set_number(from.number);
-    to.set_ledger(from.ledger);
+    to.set_ledger(from.store_revision);
     to.set_digest(from.digest);
     to.set_more(from.more != 0);
     to.set_after(from.after);
@@ -247,7 +247,7 @@
     to.kind = static_cast<tw_standby_message_kind>(from.kind());
     to.term = from.term();
     to.number = from.number();
-    to.ledger = from.ledger();
+    to.store_revision = from.ledger();
     to.digest = from.digest();
     to.more = from.more() ? 1 : 0;
     if (!copy_text(to.after, from.after()) || !copy_text(to.successor, from.successor()))
@@ -269,10 +269,10 @@
     to.set_state(tw_standby_state_name(status.state));
     to.set_term(status.term);
     to.set_number(status.number);
-    to.set_ledger(status.ledger);
+    to.set_ledger(status.store_revision);
     to.set_digest(status.digest);
     to.set_lag(status.lag);
-    to.set_held_back(status.held_back);
+    to.set_held_back(status.quarantined);
     to.set_records(status.records);
     to.set_differences(status.differences);
     to.set_snapshots(status.snapshots);
@@ -297,17 +297,17 @@
     }
     status.term = from.term();
     status.number = from.number();
-    status.ledger = from.ledger();
+    status.store_revision = from.ledger();
     status.digest = from.digest();
     status.lag = from.lag();
-    status.held_back = from.held_back();
+    status.quarantined = from.held_back();
     status.records = from.records();
     status.differences = from.differences();
     status.snapshots = from.snapshots();
     status.gaps = from.gaps();
-    to.followers = new_items<tw_standby_follower>(from.followers_size());
+    to.followers = new_items<tw_standby_follower_status>(from.followers_size());
     for (const messages::Follower &each : from.followers()) {
-        tw_standby_follower &added = to.followers[to.nfollowers++];
+        tw_standby_follower_status &added = to.followers[to.nfollowers++];
         copy_text(added.name, each.name());
         added.lag = each.lag();
         added.silent_s = each.silent_s();
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -49,12 +49,12 @@
     tw_shards_progress progress; /* CHANGE */
     tw_shards_view *shares;      /* SHOW */
     int nshares;
-    tw_shards_tell *tells; /* SHOW: machines; REPORT: what the owner is told */
+    tw_shards_notification *tells; /* SHOW: machines; REPORT: what the owner is told */
     int ntells;
     tw_standby_message message; /* FOLLOW */
     char node[TW_SHARDS_NAME];  /* STANDBY */
     tw_standby_status status;   /* STANDBY */
-    tw_standby_follower *followers;
+    tw_standby_follower_status *followers;
     int nfollowers;
 } tw_rpc_answer;
 void tw_rpc_answer_free(tw_rpc_answer *answer);
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -48,8 +48,8 @@
   private:
     tw_rpc_answer answer = {};
     std::vector<tw_shards_view> shares;
-    std::vector<tw_shards_tell> tells;
-    std::vector<tw_standby_follower> followers;
+    std::vector<tw_shards_notification> tells;
+    std::vector<tw_standby_follower_status> followers;
     messages::FollowMessage feed;
 };
 
--- a/src/shards/choose.c
+++ b/src/shards/choose.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 typedef struct {
-    machine *machine;
+    tw_shards_machine *machine;
     int holds;
 } candidate;
 
@@ -18,11 +18,11 @@
 }
 
 /* Machines that the share has in each zone and keeps for now; the caller frees it. */
-static int *sizes_by_zone(const tw_shards *shares, int share_index) {
-    const share_sets *sets = &shares->sets[share_index];
-    int *sizes = tw_shards_alloc(sizeof *sizes * (size_t)shares->nzones);
-    for (int zone = 0; zone < shares->nzones; zone++) {
-        const roaring_bitmap_t *machines = shares->zones[zone].machines;
+static int *sizes_by_zone(const tw_shards *shards, int shard_index) {
+    const tw_shards_shard_sets *sets = &shards->sets[shard_index];
+    int *sizes = tw_shards_alloc(sizeof *sizes * (size_t)shards->zone_count);
+    for (int zone = 0; zone < shards->zone_count; zone++) {
+        const roaring_bitmap_t *machines = shards->zones[zone].machines;
         sizes[zone] = (int)(roaring_bitmap_and_cardinality(sets->open, machines) +
                             roaring_bitmap_and_cardinality(sets->taken, machines));
     }
@@ -30,37 +30,38 @@
 }
 
 /* The machines that may go, as a set that the caller frees. */
-static roaring_bitmap_t *allowed(const tw_shards *shares, const move_record *record) {
-    const roaring_bitmap_t *open = shares->sets[record->from].open;
+static roaring_bitmap_t *allowed(const tw_shards *shards, const tw_shards_move_record *record) {
+    const roaring_bitmap_t *open = shards->sets[record->from].open;
     roaring_bitmap_t *set =
         record->only ? tw_shards_ranges_parse(record->only) : roaring_bitmap_copy(open);
     if (!set) return roaring_bitmap_create();
     roaring_bitmap_and_inplace(set, open);
-    roaring_bitmap_andnot_inplace(set, shares->unchecked);
+    roaring_bitmap_andnot_inplace(set, shards->quarantined);
     return set;
 }
 
-int tw_shards_choose(const tw_shards *shares, const move_record *record, int most,
-                     machine ***chosen) {
-    roaring_bitmap_t *set = allowed(shares, record);
+int tw_shards_choose(const tw_shards *shards, const tw_shards_move_record *record, int most,
+                     tw_shards_machine ***chosen) {
+    roaring_bitmap_t *set = allowed(shards, record);
     const size_t room = (size_t)roaring_bitmap_get_cardinality(set);
     candidate *candidates = tw_shards_alloc(sizeof *candidates * room);
-    const named_set *image = record->image[0] ? tw_shards_find_image(shares, record->image) : NULL;
+    const tw_shards_named_set *image =
+        record->image[0] ? tw_shards_find_image(shards, record->image) : NULL;
     int count = 0;
     roaring_uint32_iterator_t each;
     roaring_init_iterator(set, &each);
     for (; each.has_value; roaring_advance_uint32_iterator(&each)) {
         const uint32_t index = each.current_value;
         const bool holds = image && roaring_bitmap_contains(image->machines, index);
-        candidates[count++] = (candidate){shares->machines[index], holds};
+        candidates[count++] = (candidate){shards->machines[index], holds};
     }
     qsort(candidates, (size_t)count, sizeof *candidates, better);
-    int *left = sizes_by_zone(shares, record->from);
-    const int spread = shares->header.shares[record->from].spread;
+    int *left = sizes_by_zone(shards, record->from);
+    const int spread = shards->header.shards[record->from].spread;
     int taken = 0;
-    *chosen = tw_shards_alloc(sizeof(machine *) * (size_t)count);
+    *chosen = tw_shards_alloc(sizeof(tw_shards_machine *) * (size_t)count);
     for (int i = 0; i < count && taken < most; i++) {
-        machine *each_machine = candidates[i].machine;
+        tw_shards_machine *each_machine = candidates[i].machine;
         if (spread && left[each_machine->zone] <= 1) continue;
         left[each_machine->zone]--;
         (*chosen)[taken++] = each_machine;
--- a/src/shards/guard.c
+++ b/src/shards/guard.c
@@ -9,8 +9,8 @@
     return names[verdict];
 }
 
-void tw_shards_guard_boot(tw_shards_guard *guard, uint64_t life) {
-    *guard = (tw_shards_guard){.life = life};
+void tw_shards_guard_boot(tw_shards_guard *guard, uint64_t boot_id) {
+    *guard = (tw_shards_guard){.boot_id = boot_id};
 }
 
 /* Whether the order's term is not overtaken; the machine then knows it. A leader that was deposed
@@ -26,15 +26,15 @@
     return takes_term(guard, term) ? TW_SHARDS_GUARD_REPEATED : TW_SHARDS_GUARD_OLD_TERM;
 }
 
-tw_shards_guard_verdict tw_shards_guard_start(tw_shards_guard *guard, uint64_t term, uint64_t life,
-                                              uint64_t floor) {
+tw_shards_guard_verdict tw_shards_guard_start(tw_shards_guard *guard, uint64_t term,
+                                              uint64_t boot_id, uint64_t minimum_epoch) {
     if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
     /* A floor that was drawn for an earlier life of the machine is too low: epochs of that life
      * could be opened again. */
-    if (life != guard->life) return TW_SHARDS_GUARD_OTHER_LIFE;
+    if (boot_id != guard->boot_id) return TW_SHARDS_GUARD_OTHER_BOOT;
     if (guard->started) return TW_SHARDS_GUARD_REPEATED;
     guard->started = 1;
-    guard->floor = floor;
+    guard->minimum_epoch = minimum_epoch;
     return TW_SHARDS_GUARD_RAISED;
 }
 
@@ -42,7 +42,7 @@
                                              uint64_t epoch) {
     if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
     if (!guard->started) return TW_SHARDS_GUARD_NOT_STARTED;
-    if (epoch <= guard->floor || epoch < guard->newest) return TW_SHARDS_GUARD_OLD;
+    if (epoch <= guard->minimum_epoch || epoch < guard->newest) return TW_SHARDS_GUARD_OLD;
     if (epoch == guard->newest) return TW_SHARDS_GUARD_REPEATED;
     guard->newest = epoch;
     return TW_SHARDS_GUARD_RAISED;
--- a/src/shards/leader.c
+++ b/src/shards/leader.c
@@ -8,22 +8,22 @@
 
 /* ---- effects ---- */
 
-tw_shards_effect *tw_shards_emit(tw_shards *shares, tw_shards_effect_kind kind) {
+tw_shards_effect *tw_shards_emit(tw_shards *shards, tw_shards_effect_kind kind) {
     tw_shards_effect *effect = tw_shards_alloc(sizeof *effect);
     effect->kind = kind;
-    if (shares->last_effect)
-        shares->last_effect->next = effect;
+    if (shards->last_effect)
+        shards->last_effect->next = effect;
     else
-        shares->effects = effect;
-    shares->last_effect = effect;
+        shards->effects = effect;
+    shards->last_effect = effect;
     return effect;
 }
 
-tw_shards_effect *tw_shards_next(tw_shards *shares) {
-    tw_shards_effect *first = shares->effects;
+tw_shards_effect *tw_shards_next(tw_shards *shards) {
+    tw_shards_effect *first = shards->effects;
     if (!first) return NULL;
-    shares->effects = first->next;
-    if (!shares->effects) shares->last_effect = NULL;
+    shards->effects = first->next;
+    if (!shards->effects) shards->last_effect = NULL;
     first->next = NULL;
     return first;
 }
@@ -34,227 +34,230 @@
     free(effect);
 }
 
-static tw_shards_tell tell_of(const tw_shards *shares, const machine *machine) {
-    tw_shards_tell tell = {.state = tw_shards_state_of(shares, machine)};
-    const share *of = &shares->header.shares[machine->cell.share];
-    const move *held_by = tw_shards_move_by_number(shares, machine->cell.move);
-    tw_shards_copy_name(tell.owner, of->owner);
-    tw_shards_copy_name(tell.share, of->name);
-    tw_shards_copy_name(tell.machine, machine->name);
-    tell.epoch = tw_shards_epoch_of(shares, machine);
-    tell.term = shares->token;
-    if (held_by) tell.drain_s = fmax(0, held_by->now.deadline - shares->wall);
-    return tell;
+static tw_shards_notification notification_of(const tw_shards *shards,
+                                              const tw_shards_machine *machine) {
+    tw_shards_notification notification = {.state = tw_shards_state_of(shards, machine)};
+    const tw_shards_shard *of = &shards->header.shards[machine->cell.shard];
+    const tw_shards_move *held_by = tw_shards_move_by_number(shards, machine->cell.move);
+    tw_shards_copy_name(notification.owner, of->owner);
+    tw_shards_copy_name(notification.shard, of->name);
+    tw_shards_copy_name(notification.machine, machine->name);
+    notification.epoch = tw_shards_epoch_of(shards, machine);
+    notification.term = shards->token;
+    if (held_by) notification.drain_s = fmax(0, held_by->now.deadline - shards->wall);
+    return notification;
 }
 
-void tw_shards_emit_tell(tw_shards *shares, machine *machine) {
-    tw_shards_emit(shares, TW_SHARDS_TELL)->tell = tell_of(shares, machine);
-    machine->told_at = shares->now;
+void tw_shards_emit_notification(tw_shards *shards, tw_shards_machine *machine) {
+    tw_shards_emit(shards, TW_SHARDS_NOTIFY)->notification = notification_of(shards, machine);
+    machine->notified_at = shards->now;
 }
 
-void tw_shards_answer(tw_shards *shares, const tw_shards_request *request,
+void tw_shards_answer(tw_shards *shards, const tw_shards_request *request,
                       tw_shards_verdict verdict) {
-    tw_shards_effect *effect = tw_shards_emit(shares, TW_SHARDS_ANSWER);
-    const move *about = request->key[0] ? tw_shards_move_by_key(shares, request->key) : NULL;
+    tw_shards_effect *effect = tw_shards_emit(shards, TW_SHARDS_ANSWER);
+    const tw_shards_move *about =
+        request->key[0] ? tw_shards_move_by_key(shards, request->key) : NULL;
     effect->id = request->id;
     effect->verdict = verdict;
-    effect->revision = shares->header.revision;
-    effect->floor = shares->txn.floor;
-    if (about && verdict == TW_SHARDS_OK) effect->progress = tw_shards_progress_of(shares, about);
+    effect->revision = shards->header.revision;
+    effect->minimum_epoch = shards->txn.minimum_epoch;
+    if (about && verdict == TW_SHARDS_OK) effect->progress = tw_shards_progress_of(shards, about);
 }
 
 /* ---- begin and end ---- */
 
 tw_shards *tw_shards_new(const tw_shards_settings *settings) {
-    tw_shards *shares = tw_shards_alloc(sizeof *shares);
-    shares->settings = *settings;
-    shares->budget = settings->txn_ops;
-    shares->unchecked = roaring_bitmap_create();
-    return shares;
+    tw_shards *shards = tw_shards_alloc(sizeof *shards);
+    shards->settings = *settings;
+    shards->budget = settings->txn_ops;
+    shards->quarantined = roaring_bitmap_create();
+    return shards;
 }
 
-void tw_shards_free(tw_shards *shares) {
+void tw_shards_free(tw_shards *shards) {
     tw_shards_effect *effect;
-    if (!shares) return;
-    tw_shards_resign(shares);
-    while ((effect = tw_shards_next(shares))) tw_shards_effect_free(effect);
-    free(shares->txn.machines);
-    free(shares->txn.marks);
-    roaring_bitmap_free(shares->unchecked);
-    free(shares);
+    if (!shards) return;
+    tw_shards_resign(shards);
+    while ((effect = tw_shards_next(shards))) tw_shards_effect_free(effect);
+    free(shards->txn.machines);
+    free(shards->txn.marks);
+    roaring_bitmap_free(shards->quarantined);
+    free(shards);
 }
 
-void tw_shards_lead(tw_shards *shares, double now, const char *leader_key, uint64_t token) {
-    shares->now = shares->budget_at = now;
-    shares->token = token;
-    shares->deciding = shares->listed = false;
-    strncpy(shares->leader_key, leader_key, KEY_SIZE - 1);
-    tw_shards_reload(shares);
+void tw_shards_lead(tw_shards *shards, double now, const char *leader_key, uint64_t token) {
+    shards->now = shards->budget_at = now;
+    shards->token = token;
+    shards->deciding = shards->quarantine_listed = false;
+    strncpy(shards->leader_key, leader_key, KEY_SIZE - 1);
+    tw_shards_reload(shards);
 }
 
-void tw_shards_authority(tw_shards *shares, double until) { shares->authority_until = until; }
-
-void tw_shards_resign(tw_shards *shares) {
-    tw_shards_refuse_all(shares, TW_SHARDS_NOT_LEADER);
-    tw_shards_abandon(shares);
-    tw_shards_forget_pages(shares);
-    tw_shards_clear(shares);
-    shares->in_flight = shares->reading = shares->loaded = false;
-    shares->deciding = false;
-    shares->token = 0;
-    shares->authority_until = 0;
+void tw_shards_authority(tw_shards *shards, double until) { shards->authority_until = until; }
+
+void tw_shards_resign(tw_shards *shards) {
+    tw_shards_refuse_all(shards, TW_SHARDS_NOT_LEADER);
+    tw_shards_abandon(shards);
+    tw_shards_forget_pages(shards);
+    tw_shards_clear(shards);
+    shards->in_flight = shards->reading = shards->loaded = false;
+    shards->deciding = false;
+    shards->token = 0;
+    shards->authority_until = 0;
 }
 
 /* ---- machines are asked before the first decision ---- */
 
-bool tw_shards_is_checked(const tw_shards *shares, const machine *machine) {
-    return !roaring_bitmap_contains(shares->unchecked, (uint32_t)machine->index);
+bool tw_shards_is_confirmed(const tw_shards *shards, const tw_shards_machine *machine) {
+    return !roaring_bitmap_contains(shards->quarantined, (uint32_t)machine->index);
 }
 
-int tw_shards_any_held_back(const tw_shards *shares, int share_index) {
-    return roaring_bitmap_intersect(shares->sets[share_index].open, shares->unchecked);
+int tw_shards_any_quarantined(const tw_shards *shards, int shard_index) {
+    return roaring_bitmap_intersect(shards->sets[shard_index].open, shards->quarantined);
 }
 
-bool tw_shards_deciding(const tw_shards *shares) { return shares->loaded && shares->deciding; }
+bool tw_shards_deciding(const tw_shards *shards) { return shards->loaded && shards->deciding; }
 
-int tw_shards_unchecked(const tw_shards *shares) {
-    return (int)roaring_bitmap_get_cardinality(shares->unchecked);
+int tw_shards_quarantined_count(const tw_shards *shards) {
+    return (int)roaring_bitmap_get_cardinality(shards->quarantined);
 }
 
 /* ---- one transaction after the other ---- */
 
-static void refill(tw_shards *shares) {
-    const double most = fmax(shares->settings.write_rps, shares->settings.txn_ops);
-    const double gained = fmax(0, shares->now - shares->budget_at) * shares->settings.write_rps;
-    shares->budget = fmin(most, shares->budget + gained);
-    shares->budget_at = shares->now;
+static void refill(tw_shards *shards) {
+    const double most = fmax(shards->settings.write_rps, shards->settings.txn_ops);
+    const double gained = fmax(0, shards->now - shards->budget_at) * shards->settings.write_rps;
+    shards->budget = fmin(most, shards->budget + gained);
+    shards->budget_at = shards->now;
 }
 
 /* Requests and steps take turns, so that neither keeps the other waiting for long. */
-static void advance(tw_shards *shares) {
-    if (!tw_shards_deciding(shares) || shares->in_flight || shares->budget <= 0) return;
-    shares->steps_first = !shares->steps_first;
-    if (shares->steps_first && tw_shards_step_moves(shares)) return;
-    if (tw_shards_serve_request(shares)) return;
-    if (!shares->steps_first) tw_shards_step_moves(shares);
+static void advance(tw_shards *shards) {
+    if (!tw_shards_deciding(shards) || shards->in_flight || shards->budget <= 0) return;
+    shards->steps_first = !shards->steps_first;
+    if (shards->steps_first && tw_shards_step_moves(shards)) return;
+    if (tw_shards_serve_request(shards)) return;
+    if (!shards->steps_first) tw_shards_step_moves(shards);
 }
 
-void tw_shards_decide(tw_shards *shares, double now) {
-    shares->now = now;
-    shares->deciding = true;
-    advance(shares);
+void tw_shards_decide(tw_shards *shards, double now) {
+    shards->now = now;
+    shards->deciding = true;
+    advance(shards);
 }
 
-void tw_shards_checked(tw_shards *shares, double now, const char *name) {
-    const machine *found = tw_shards_find(shares, name);
+void tw_shards_machine_confirmed(tw_shards *shards, double now, const char *name) {
+    const tw_shards_machine *found = tw_shards_find(shards, name);
     if (!found) return;
-    shares->now = now;
-    roaring_bitmap_remove(shares->unchecked, (uint32_t)found->index);
-    advance(shares);
+    shards->now = now;
+    roaring_bitmap_remove(shards->quarantined, (uint32_t)found->index);
+    advance(shards);
 }
 
-void tw_shards_written(tw_shards *shares, double now, uint64_t id, tw_shards_outcome outcome,
+void tw_shards_written(tw_shards *shards, double now, uint64_t id, tw_shards_outcome outcome,
                        uint64_t revision) {
-    if (!shares->in_flight || id != shares->txn.id) return;
-    shares->now = now;
-    refill(shares);
+    if (!shards->in_flight || id != shards->txn.id) return;
+    shards->now = now;
+    refill(shards);
     if (outcome == TW_SHARDS_APPLIED) {
-        tw_shards_apply(shares, revision);
-        tw_shards_answer_applied(shares);
-        advance(shares);
+        tw_shards_apply(shards, revision);
+        tw_shards_answer_applied(shards);
+        advance(shards);
         return;
     }
-    tw_shards_requeue(shares);
+    tw_shards_requeue(shards);
     if (outcome == TW_SHARDS_PUT_OFF) {
-        tw_shards_abandon(shares);
-        shares->in_flight = false;
-        shares->budget = -shares->settings.retry_s * shares->settings.write_rps;
+        tw_shards_abandon(shards);
+        shards->in_flight = false;
+        shards->budget = -shards->settings.retry_s * shards->settings.write_rps;
         return;
     }
     /* Whether it was carried out is seen by reading. If it is carried out after that, it fails, or
      * the next transaction over the same records does, and all is read once more. */
-    tw_shards_reload(shares);
+    tw_shards_reload(shards);
 }
 
 static tw_shards_request copy_of(const tw_shards_request *request) {
     tw_shards_request copy = *request;
-    if (!request->nmachines) {
+    if (!request->machine_count) {
         copy.machines = NULL;
         return copy;
     }
-    const size_t size = sizeof *copy.machines * (size_t)request->nmachines;
+    const size_t size = sizeof *copy.machines * (size_t)request->machine_count;
     copy.machines = tw_shards_alloc(size);
     memcpy(copy.machines, request->machines, size);
     return copy;
 }
 
-void tw_shards_request_in(tw_shards *shares, double now, const tw_shards_request *request) {
-    shares->now = now;
-    const bool leads = shares->token && now < shares->authority_until;
-    if (!leads || shares->nrequests >= MOST_WAITING) {
-        tw_shards_answer(shares, request, leads ? TW_SHARDS_OVERLOADED : TW_SHARDS_NOT_LEADER);
+void tw_shards_request_in(tw_shards *shards, double now, const tw_shards_request *request) {
+    shards->now = now;
+    const bool leads = shards->token && now < shards->authority_until;
+    if (!leads || shards->request_count >= MOST_WAITING) {
+        tw_shards_answer(shards, request, leads ? TW_SHARDS_OVERLOADED : TW_SHARDS_NOT_LEADER);
         return;
     }
-    waiting *added = tw_shards_alloc(sizeof *added);
+    tw_shards_waiting_request *added = tw_shards_alloc(sizeof *added);
     added->request = copy_of(request);
-    DL_APPEND(shares->requests, added);
-    shares->nrequests++;
-    refill(shares);
-    advance(shares);
+    DL_APPEND(shards->requests, added);
+    shards->request_count++;
+    refill(shards);
+    advance(shards);
 }
 
 /* ---- owners ---- */
 
 /* The machine, if it is the owner's under this epoch; else the owner is told that it has lost it.
  */
-static machine *owned(tw_shards *shares, const char *owner, const char *name, uint64_t epoch) {
-    machine *found = shares->loaded ? tw_shards_find(shares, name) : NULL;
-    if (!shares->loaded) return NULL;
-    if (found && !strcmp(shares->header.shares[found->cell.share].owner, owner) &&
-        tw_shards_epoch_of(shares, found) == epoch)
+static tw_shards_machine *owned(tw_shards *shards, const char *owner, const char *name,
+                                uint64_t epoch) {
+    tw_shards_machine *found = shards->loaded ? tw_shards_find(shards, name) : NULL;
+    if (!shards->loaded) return NULL;
+    if (found && !strcmp(shards->header.shards[found->cell.shard].owner, owner) &&
+        tw_shards_epoch_of(shards, found) == epoch)
         return found;
-    tw_shards_tell *tell = &tw_shards_emit(shares, TW_SHARDS_TELL)->tell;
-    tw_shards_copy_name(tell->owner, owner);
-    tw_shards_copy_name(tell->machine, name);
-    tell->state = TW_SHARDS_RELEASED;
-    tell->epoch = epoch;
-    tell->term = shares->token;
+    tw_shards_notification *notification = &tw_shards_emit(shards, TW_SHARDS_NOTIFY)->notification;
+    tw_shards_copy_name(notification->owner, owner);
+    tw_shards_copy_name(notification->machine, name);
+    notification->state = TW_SHARDS_RELEASED;
+    notification->epoch = epoch;
+    notification->term = shards->token;
     return NULL;
 }
 
-void tw_shards_drained(tw_shards *shares, const char *owner, const char *name, uint64_t epoch) {
-    machine *found = owned(shares, owner, name, epoch);
+void tw_shards_drained(tw_shards *shards, const char *owner, const char *name, uint64_t epoch) {
+    tw_shards_machine *found = owned(shards, owner, name, epoch);
     if (found) found->drained = epoch;
-    advance(shares);
+    advance(shards);
 }
 
-void tw_shards_opened(tw_shards *shares, const char *owner, const char *name, uint64_t epoch) {
-    machine *found = owned(shares, owner, name, epoch);
+void tw_shards_opened(tw_shards *shards, const char *owner, const char *name, uint64_t epoch) {
+    tw_shards_machine *found = owned(shards, owner, name, epoch);
     if (found) found->opened = epoch;
-    if (found && tw_shards_state_of(shares, found) != TW_SHARDS_TAKEN)
-        tw_shards_emit_tell(shares, found);
-    advance(shares);
+    if (found && tw_shards_state_of(shards, found) != TW_SHARDS_TAKEN)
+        tw_shards_emit_notification(shards, found);
+    advance(shards);
 }
 
-void tw_shards_sync(tw_shards *shares, const char *owner) {
-    for (int i = 0; i < shares->nmachines; i++) {
-        machine *each = shares->machines[i];
+void tw_shards_sync(tw_shards *shards, const char *owner) {
+    for (int i = 0; i < shards->machine_count; i++) {
+        tw_shards_machine *each = shards->machines[i];
         if (each->cell.state == TW_SHARDS_ABSENT) continue;
-        if (!strcmp(shares->header.shares[each->cell.share].owner, owner))
-            tw_shards_emit_tell(shares, each);
+        if (!strcmp(shards->header.shards[each->cell.shard].owner, owner))
+            tw_shards_emit_notification(shards, each);
     }
 }
 
-void tw_shards_load(tw_shards *shares, const char *name, int running) {
-    machine *found = tw_shards_find(shares, name);
+void tw_shards_set_machine_load(tw_shards *shards, const char *name, int running) {
+    tw_shards_machine *found = tw_shards_find(shards, name);
     if (found) found->load = running;
 }
 
-void tw_shards_holds(tw_shards *shares, const char *name, const char *image, int holds) {
-    const machine *found = tw_shards_find(shares, name);
+void tw_shards_set_image_held(tw_shards *shards, const char *name, const char *image, int holds) {
+    const tw_shards_machine *found = tw_shards_find(shards, name);
     if (!found) return;
-    named_set *set =
-        holds ? tw_shards_make_image(shares, image) : tw_shards_find_image(shares, image);
+    tw_shards_named_set *set =
+        holds ? tw_shards_make_image(shards, image) : tw_shards_find_image(shards, image);
     if (set && holds)
         roaring_bitmap_add(set->machines, (uint32_t)found->index);
     else if (set)
@@ -263,41 +266,41 @@
 
 /* ---- time ---- */
 
-static void repeat_tells(tw_shards *shares) {
-    for (int i = 0; i < shares->nmachines; i++) {
-        machine *each = shares->machines[i];
+static void repeat_notifications(tw_shards *shards) {
+    for (int i = 0; i < shards->machine_count; i++) {
+        tw_shards_machine *each = shards->machines[i];
         if (each->cell.state == TW_SHARDS_ABSENT) continue;
-        const tw_shards_state state = tw_shards_state_of(shares, each);
-        const uint64_t epoch = tw_shards_epoch_of(shares, each);
+        const tw_shards_state state = tw_shards_state_of(shards, each);
+        const uint64_t epoch = tw_shards_epoch_of(shards, each);
         const bool waited_for = (state == TW_SHARDS_DRAINING && each->drained != epoch) ||
                                 (state == TW_SHARDS_TAKEN && each->opened != epoch);
-        if (waited_for && shares->now >= each->told_at + shares->settings.retry_s)
-            tw_shards_emit_tell(shares, each);
+        if (waited_for && shards->now >= each->notified_at + shards->settings.retry_s)
+            tw_shards_emit_notification(shards, each);
     }
 }
 
-void tw_shards_tick(tw_shards *shares, double now, double wall) {
-    shares->now = now;
-    shares->wall = wall;
-    refill(shares);
-    if (!shares->token) return;
-    if (now >= shares->authority_until) tw_shards_refuse_waiting(shares, TW_SHARDS_NOT_LEADER);
-    if (!shares->loaded && !shares->reading && now >= shares->read_after)
-        tw_shards_read_next(shares, "");
-    if (!shares->loaded) return;
-    repeat_tells(shares);
-    advance(shares);
+void tw_shards_tick(tw_shards *shards, double now, double wall) {
+    shards->now = now;
+    shards->wall = wall;
+    refill(shards);
+    if (!shards->token) return;
+    if (now >= shards->authority_until) tw_shards_refuse_waiting(shards, TW_SHARDS_NOT_LEADER);
+    if (!shards->loaded && !shards->reading && now >= shards->read_after)
+        tw_shards_read_next(shards, "");
+    if (!shards->loaded) return;
+    repeat_notifications(shards);
+    advance(shards);
 }
 
 /* ---- what is recorded ---- */
 
-bool tw_shards_ready(const tw_shards *shares) { return shares->token && shares->loaded; }
-uint64_t tw_shards_revision(const tw_shards *shares) { return shares->header.revision; }
-int tw_shards_count(const tw_shards *shares) { return shares->header.nshares; }
+bool tw_shards_ready(const tw_shards *shards) { return shards->token && shards->loaded; }
+uint64_t tw_shards_revision(const tw_shards *shards) { return shards->header.revision; }
+int tw_shards_shard_count(const tw_shards *shards) { return shards->header.shard_count; }
 
-tw_shards_view tw_shards_view_of(const tw_shards *shares, int index) {
-    const share *of = &shares->header.shares[index];
-    const share_sets *sets = &shares->sets[index];
+tw_shards_view tw_shards_view_of(const tw_shards *shards, int index) {
+    const tw_shards_shard *of = &shards->header.shards[index];
+    const tw_shards_shard_sets *sets = &shards->sets[index];
     tw_shards_view view = {.least = of->least,
                            .spread = of->spread,
                            .open = (int)roaring_bitmap_get_cardinality(sets->open),
@@ -308,16 +311,17 @@
     return view;
 }
 
-int tw_shards_machines(const tw_shards *shares) { return shares->nmachines; }
+int tw_shards_machine_count(const tw_shards *shards) { return shards->machine_count; }
 
-tw_shards_tell tw_shards_machine(const tw_shards *shares, int index) {
-    const machine *found = shares->machines[index];
-    if (found->cell.state == TW_SHARDS_ABSENT) return (tw_shards_tell){.state = TW_SHARDS_ABSENT};
-    return tell_of(shares, found);
+tw_shards_notification tw_shards_machine_at(const tw_shards *shards, int index) {
+    const tw_shards_machine *found = shards->machines[index];
+    if (found->cell.state == TW_SHARDS_ABSENT)
+        return (tw_shards_notification){.state = TW_SHARDS_ABSENT};
+    return notification_of(shards, found);
 }
 
-tw_shards_tell tw_shards_machine_named(const tw_shards *shares, const char *name) {
-    const machine *found = tw_shards_find(shares, name);
-    return found ? tw_shards_machine(shares, found->index)
-                 : (tw_shards_tell){.state = TW_SHARDS_ABSENT};
+tw_shards_notification tw_shards_machine_named(const tw_shards *shards, const char *name) {
+    const tw_shards_machine *found = tw_shards_find(shards, name);
+    return found ? tw_shards_machine_at(shards, found->index)
+                 : (tw_shards_notification){.state = TW_SHARDS_ABSENT};
 }
--- a/src/shards/load.c
+++ b/src/shards/load.c
@@ -11,21 +11,21 @@
 #define DECIMAL 10
 
 /* Forgets the table and begins to read it. Requests that wait go on waiting. */
-void tw_shards_reload(tw_shards *shares) {
-    tw_shards_abandon(shares);
-    shares->in_flight = false;
-    shares->loaded = false;
-    tw_shards_clear(shares);
-    shares->read_after = shares->now;
-    tw_shards_read_next(shares, "");
+void tw_shards_reload(tw_shards *shards) {
+    tw_shards_abandon(shards);
+    shards->in_flight = false;
+    shards->loaded = false;
+    tw_shards_clear(shards);
+    shards->read_after = shards->now;
+    tw_shards_read_next(shards, "");
 }
 
-void tw_shards_read_next(tw_shards *shares, const char *after) {
-    tw_shards_effect *effect = tw_shards_emit(shares, TW_SHARDS_READ);
+void tw_shards_read_next(tw_shards *shards, const char *after) {
+    tw_shards_effect *effect = tw_shards_emit(shards, TW_SHARDS_READ);
     effect->text = strdup(after);
     if (!effect->text) abort();
-    effect->id = shares->call = ++shares->next_call;
-    shares->reading = true;
+    effect->id = shards->call = ++shards->next_call;
+    shards->reading = true;
 }
 
 /* The part of the key after the prefix; NULL: it has another one. */
@@ -38,125 +38,125 @@
 
 /* A page comes in the order of keys: cells, moves, names, table. What is read needs the opposite
  * order, so texts are kept as they come and taken in when the last page is there. */
-static int take_table(tw_shards *shares, const tw_wire_entry *entry) {
-    header read;
+static int take_table(tw_shards *shards, const tw_wire_entry *entry) {
+    tw_shards_header read;
     if (strcmp(entry->key, TW_SHARDS_PREFIX "table") != 0) return 0;
     if (tw_shards_header_parse(&read, entry->value)) return -1;
-    shares->header_stamp = entry->mod_revision;
-    tw_shards_set_header(shares, &read);
+    shards->header_mod_revision = entry->mod_revision;
+    tw_shards_set_header(shards, &read);
     return 0;
 }
 
-static int take_move(tw_shards *shares, const tw_wire_entry *entry) {
-    move_record record;
+static int take_move(tw_shards *shards, const tw_wire_entry *entry) {
+    tw_shards_move_record record;
     if (!rest_of(entry->key, TW_SHARDS_PREFIX "move/")) return 0;
     if (tw_shards_move_parse(&record, entry->value)) return -1;
-    if (record.from >= shares->header.nshares || record.to >= shares->header.nshares) {
+    if (record.from >= shards->header.shard_count || record.to >= shards->header.shard_count) {
         free(record.only);
         return -1;
     }
-    tw_shards_add_move(shares, &record)->stamp = entry->mod_revision;
+    tw_shards_add_move(shards, &record)->mod_revision = entry->mod_revision;
     return 0;
 }
 
-static int take_names(tw_shards *shares, const tw_wire_entry *entry) {
+static int take_names(tw_shards *shards, const tw_wire_entry *entry) {
     const char *digits = rest_of(entry->key, TW_SHARDS_PREFIX "names/");
     if (!digits) return 0;
     const int block = block_of(digits);
-    tw_shards_slot(shares, block * BLOCK);
-    shares->name_stamps[block] = entry->mod_revision;
-    return tw_shards_names_parse(shares, block, entry->value);
+    tw_shards_slot(shards, block * BLOCK);
+    shards->name_mod_revisions[block] = entry->mod_revision;
+    return tw_shards_names_parse(shards, block, entry->value);
 }
 
-static int take_cells(tw_shards *shares, const tw_wire_entry *entry) {
+static int take_cells(tw_shards *shards, const tw_wire_entry *entry) {
     const char *digits = rest_of(entry->key, TW_SHARDS_PREFIX "cells/");
     if (!digits) return 0;
     const int block = block_of(digits);
-    tw_shards_slot(shares, block * BLOCK);
-    shares->cell_stamps[block] = entry->mod_revision;
-    return tw_shards_cells_parse(shares, block, entry->value);
+    tw_shards_slot(shards, block * BLOCK);
+    shards->cell_mod_revisions[block] = entry->mod_revision;
+    return tw_shards_cells_parse(shards, block, entry->value);
 }
 
 /* Texts of the pages so far. */
-struct kept_page {
+struct tw_shards_kept_page {
     tw_wire_entry *entries;
     int count;
-    struct kept_page *next;
+    struct tw_shards_kept_page *next;
 };
 
-static int take_all(tw_shards *shares, struct kept_page *pages) {
+static int take_all(tw_shards *shards, struct tw_shards_kept_page *pages) {
     static int (*const takes[])(tw_shards * shares, const tw_wire_entry *entry) = {
         take_table, take_move, take_names, take_cells};
-    const struct kept_page *page;
+    const struct tw_shards_kept_page *page;
     for (size_t i = 0; i < sizeof takes / sizeof *takes; i++) LL_FOREACH(pages, page) {
             for (int j = 0; j < page->count; j++)
-                if (takes[i](shares, &page->entries[j])) return -1;
+                if (takes[i](shards, &page->entries[j])) return -1;
         }
     return 0;
 }
 
-static void free_pages(tw_shards *shares) {
-    struct kept_page *page;
-    struct kept_page *after;
-    LL_FOREACH_SAFE(shares->pages, page, after) {
+static void free_pages(tw_shards *shards) {
+    struct tw_shards_kept_page *page;
+    struct tw_shards_kept_page *after;
+    LL_FOREACH_SAFE(shards->pages, page, after) {
         tw_wire_entries_free(page->entries, page->count);
         free(page);
     }
-    shares->pages = NULL;
+    shards->pages = NULL;
 }
 
-static void read_later(tw_shards *shares) {
-    free_pages(shares);
-    shares->read_after = shares->now + shares->settings.retry_s;
+static void read_later(tw_shards *shards) {
+    free_pages(shards);
+    shards->read_after = shards->now + shards->settings.retry_s;
 }
 
-static void tell_all(tw_shards *shares) {
-    for (int i = 0; i < shares->nmachines; i++)
-        if (shares->machines[i]->cell.state != TW_SHARDS_ABSENT)
-            tw_shards_emit_tell(shares, shares->machines[i]);
+static void notify_all(tw_shards *shards) {
+    for (int i = 0; i < shards->machine_count; i++)
+        if (shards->machines[i]->cell.state != TW_SHARDS_ABSENT)
+            tw_shards_emit_notification(shards, shards->machines[i]);
 }
 
 /* Filled once in a term, since machines that come later are this leader's own; those that are gone
  * are left out each time. */
-static void list_unchecked(tw_shards *shares) {
+static void list_quarantined(tw_shards *shards) {
     roaring_bitmap_t *present = roaring_bitmap_create();
-    for (int i = 0; i < shares->nmachines; i++)
-        if (shares->machines[i]->cell.state != TW_SHARDS_ABSENT)
+    for (int i = 0; i < shards->machine_count; i++)
+        if (shards->machines[i]->cell.state != TW_SHARDS_ABSENT)
             roaring_bitmap_add(present, (uint32_t)i);
-    if (shares->listed)
-        roaring_bitmap_and_inplace(shares->unchecked, present);
+    if (shards->quarantine_listed)
+        roaring_bitmap_and_inplace(shards->quarantined, present);
     else
-        roaring_bitmap_overwrite(shares->unchecked, present);
-    shares->listed = true;
+        roaring_bitmap_overwrite(shards->quarantined, present);
+    shards->quarantine_listed = true;
     roaring_bitmap_free(present);
 }
 
-void tw_shards_page(tw_shards *shares, double now, uint64_t id, const char *text, size_t length) {
-    shares->now = now;
-    if (!shares->token || !shares->reading || id != shares->call) return;
-    shares->reading = false;
-    struct kept_page *page = tw_shards_alloc(sizeof *page);
+void tw_shards_page(tw_shards *shards, double now, uint64_t id, const char *text, size_t length) {
+    shards->now = now;
+    if (!shards->token || !shards->reading || id != shards->call) return;
+    shards->reading = false;
+    struct tw_shards_kept_page *page = tw_shards_alloc(sizeof *page);
     int more = 0;
     if (!text || tw_wire_entries_parse(&page->entries, &page->count, &more, text, length)) {
         free(page);
-        read_later(shares);
+        read_later(shards);
         return;
     }
-    LL_APPEND(shares->pages, page);
+    LL_APPEND(shards->pages, page);
     if (more && page->count) {
-        tw_shards_read_next(shares, page->entries[page->count - 1].key);
+        tw_shards_read_next(shards, page->entries[page->count - 1].key);
         return;
     }
-    const int failed = take_all(shares, shares->pages);
-    free_pages(shares);
+    const int failed = take_all(shards, shards->pages);
+    free_pages(shards);
     if (failed) {
-        tw_shards_clear(shares);
-        read_later(shares);
+        tw_shards_clear(shards);
+        read_later(shards);
         return;
     }
-    shares->loaded = true;
-    list_unchecked(shares);
-    tell_all(shares);
+    shards->loaded = true;
+    list_quarantined(shards);
+    notify_all(shards);
 }
 
-void tw_shards_forget_pages(tw_shards *shares) { free_pages(shares); }
+void tw_shards_forget_pages(tw_shards *shards) { free_pages(shards); }
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -9,7 +9,7 @@
  * leader doesn't bring it back under the old epoch. After that the machine's guard refuses it. */
 #define FORGET_RETRIES 100
 
-typedef struct owned {
+typedef struct tw_shards_owned_machine {
     char name[TW_SHARDS_NAME];
     uint64_t epoch;
     uint64_t term; /* of the leader that was heard last about it */
@@ -21,13 +21,13 @@
     double drain_until;
     double said_at; /* when the last message about it went out */
     UT_hash_handle hh;
-} owned;
+} tw_shards_owned_machine;
 
 struct tw_shards_owner {
     double retry_s, synced_at;
     uint64_t term; /* the newest of all leaders that were heard */
     int synced;
-    owned *machines;
+    tw_shards_owned_machine *machines;
     tw_shards_owner_effect *effects, *last_effect;
 };
 
@@ -38,8 +38,8 @@
 }
 
 void tw_shards_owner_free(tw_shards_owner *owner) {
-    owned *each;
-    owned *after;
+    tw_shards_owned_machine *each;
+    tw_shards_owned_machine *after;
     tw_shards_owner_effect *effect;
     if (!owner) return;
     while ((effect = tw_shards_owner_next(owner))) free(effect);
@@ -50,7 +50,8 @@
     free(owner);
 }
 
-static void emit(tw_shards_owner *owner, tw_shards_owner_effect_kind kind, const owned *about) {
+static void emit(tw_shards_owner *owner, tw_shards_owner_effect_kind kind,
+                 const tw_shards_owned_machine *about) {
     tw_shards_owner_effect *effect = tw_shards_alloc(sizeof *effect);
     effect->kind = kind;
     if (about) {
@@ -74,14 +75,14 @@
     return first;
 }
 
-static owned *find(const tw_shards_owner *owner, const char *name) {
-    owned *found;
+static tw_shards_owned_machine *find(const tw_shards_owner *owner, const char *name) {
+    tw_shards_owned_machine *found;
     HASH_FIND_STR(owner->machines, name, found);
     return found;
 }
 
 /* What there is to say of a machine now; said again until the leader's word changes it. */
-static void say(tw_shards_owner *owner, double now, owned *machine) {
+static void say(tw_shards_owner *owner, double now, tw_shards_owned_machine *machine) {
     machine->said_at = now;
     if (machine->state == TW_SHARDS_TAKEN)
         emit(owner, machine->confirmed ? TW_SHARDS_OWNER_OPENED : TW_SHARDS_OWNER_OPEN, machine);
@@ -89,71 +90,75 @@
         emit(owner, TW_SHARDS_OWNER_DRAINED, machine);
 }
 
-static void forget(tw_shards_owner *owner, owned *machine) {
+static void forget(tw_shards_owner *owner, tw_shards_owned_machine *machine) {
     HASH_DEL(owner->machines, machine);
     free(machine);
 }
 
-static owned *make(tw_shards_owner *owner, const char *name) {
-    owned *made = tw_shards_alloc(sizeof *made);
+static tw_shards_owned_machine *make(tw_shards_owner *owner, const char *name) {
+    tw_shards_owned_machine *made = tw_shards_alloc(sizeof *made);
     tw_shards_copy_name(made->name, name);
     HASH_ADD_STR(owner->machines, name, made);
     return made;
 }
 
-void tw_shards_owner_told(tw_shards_owner *owner, double now, const tw_shards_tell *tell) {
-    owned *machine = find(owner, tell->machine);
+void tw_shards_owner_notified(tw_shards_owner *owner, double now,
+                              const tw_shards_notification *notification) {
+    tw_shards_owned_machine *machine = find(owner, notification->machine);
     /* A deposed leader may go on telling what held in its term. */
-    if (tell->term < owner->term) return;
-    owner->term = tell->term;
-    if (machine && (tell->epoch < machine->epoch ||
-                    (tell->epoch == machine->epoch && tell->state < machine->state)))
+    if (notification->term < owner->term) return;
+    owner->term = notification->term;
+    if (machine &&
+        (notification->epoch < machine->epoch ||
+         (notification->epoch == machine->epoch && notification->state < machine->state)))
         return; /* late, or repeated by a leader that is behind */
-    if (!machine && tell->state == TW_SHARDS_RELEASED) return;
-    if (!machine) machine = make(owner, tell->machine);
-    if (tell->epoch != machine->epoch) {
+    if (!machine && notification->state == TW_SHARDS_RELEASED) return;
+    if (!machine) machine = make(owner, notification->machine);
+    if (notification->epoch != machine->epoch) {
         machine->running = 0;
         machine->confirmed = machine->stopped = false;
-        machine->epoch = tell->epoch;
+        machine->epoch = notification->epoch;
         /* An owner that first hears of a machine that was open before can't vouch for what an
          * earlier life of it has running there. */
-        machine->followed = tell->state == TW_SHARDS_TAKEN;
+        machine->followed = notification->state == TW_SHARDS_TAKEN;
     }
     /* An order that waits for its answer goes out again under the new leader's term: the machine
      * may refuse the one that was sent. */
-    const bool next_leader = machine->term != tell->term && tell->state == TW_SHARDS_TAKEN;
-    machine->term = tell->term;
-    const bool changed = tell->state != machine->state || next_leader;
-    machine->state = tell->state;
-    if (tell->state == TW_SHARDS_DRAINING) machine->drain_until = now + tell->drain_s;
+    const bool next_leader =
+        machine->term != notification->term && notification->state == TW_SHARDS_TAKEN;
+    machine->term = notification->term;
+    const bool changed = notification->state != machine->state || next_leader;
+    machine->state = notification->state;
+    if (notification->state == TW_SHARDS_DRAINING)
+        machine->drain_until = now + notification->drain_s;
     if (changed || machine->state == TW_SHARDS_DRAINING) say(owner, now, machine);
     if (changed) machine->said_at = now;
 }
 
 void tw_shards_owner_confirmed(tw_shards_owner *owner, const char *name, uint64_t epoch) {
-    owned *machine = find(owner, name);
+    tw_shards_owned_machine *machine = find(owner, name);
     if (!machine || machine->epoch != epoch) return;
     machine->confirmed = true;
     if (machine->state == TW_SHARDS_TAKEN) emit(owner, TW_SHARDS_OWNER_OPENED, machine);
 }
 
 uint64_t tw_shards_owner_epoch(const tw_shards_owner *owner, const char *name) {
-    const owned *machine = find(owner, name);
+    const tw_shards_owned_machine *machine = find(owner, name);
     return machine && machine->state == TW_SHARDS_OPEN ? machine->epoch : 0;
 }
 
 void tw_shards_owner_sent(tw_shards_owner *owner, const char *name, uint64_t epoch) {
-    owned *machine = find(owner, name);
+    tw_shards_owned_machine *machine = find(owner, name);
     if (machine && machine->epoch == epoch) machine->running++;
 }
 
 void tw_shards_owner_refused(tw_shards_owner *owner, const char *name, uint64_t epoch) {
-    owned *machine = find(owner, name);
+    tw_shards_owned_machine *machine = find(owner, name);
     if (machine && machine->epoch == epoch) machine->state = TW_SHARDS_RELEASED;
 }
 
 void tw_shards_owner_ended(tw_shards_owner *owner, const char *name, uint64_t epoch) {
-    owned *machine = find(owner, name);
+    tw_shards_owned_machine *machine = find(owner, name);
     if (!machine || machine->epoch != epoch || !machine->running) return;
     machine->running--;
     if (machine->state == TW_SHARDS_DRAINING && machine->followed && !machine->running)
@@ -161,8 +166,8 @@
 }
 
 void tw_shards_owner_tick(tw_shards_owner *owner, double now) {
-    owned *machine;
-    owned *after;
+    tw_shards_owned_machine *machine;
+    tw_shards_owned_machine *after;
     if (!owner->synced || now >= owner->synced_at + owner->retry_s) {
         owner->synced = 1;
         owner->synced_at = now;
--- a/src/shards/record.c
+++ b/src/shards/record.c
@@ -118,14 +118,14 @@
 
 /* ---- the table ---- */
 
-char *tw_shards_header_text(const header *header) {
+char *tw_shards_header_text(const tw_shards_header *header) {
     cJSON *object = cJSON_CreateObject();
     add_number(object, "revision", (double)header->revision);
     add_number(object, "epoch", (double)header->epoch);
     add_number(object, "move", (double)header->move);
     cJSON *list = cJSON_AddArrayToObject(object, "shares");
-    for (int i = 0; i < header->nshares; i++) {
-        const share *each = &header->shares[i];
+    for (int i = 0; i < header->shard_count; i++) {
+        const tw_shards_shard *each = &header->shards[i];
         cJSON *item = cJSON_CreateObject();
         cJSON_AddStringToObject(item, "name", each->name);
         cJSON_AddStringToObject(item, "owner", each->owner);
@@ -137,7 +137,7 @@
     return finish(object);
 }
 
-static int read_share(const cJSON *item, share *to) {
+static int read_shard(const cJSON *item, tw_shards_shard *to) {
     return read_name(item, "name", to->name) || read_name(item, "owner", to->owner) ||
                    read_count(item, "epoch", &to->epoch) || read_int(item, "least", &to->least) ||
                    read_int(item, "spread", &to->spread)
@@ -145,25 +145,25 @@
                : 0;
 }
 
-int tw_shards_header_parse(header *header, const char *text) {
+int tw_shards_header_parse(tw_shards_header *header, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "shares");
     const cJSON *item;
     bool failed = !cJSON_IsArray(list) || read_count(object, "revision", &header->revision) ||
                   read_count(object, "epoch", &header->epoch) ||
                   read_count(object, "move", &header->move);
-    header->shares = NULL;
-    header->nshares = 0;
+    header->shards = NULL;
+    header->shard_count = 0;
     if (!failed) {
-        header->shares = tw_shards_alloc(sizeof *header->shares * (size_t)cJSON_GetArraySize(list));
+        header->shards = tw_shards_alloc(sizeof *header->shards * (size_t)cJSON_GetArraySize(list));
         cJSON_ArrayForEach(item, list) {
-            failed = failed || read_share(item, &header->shares[header->nshares++]);
+            failed = failed || read_shard(item, &header->shards[header->shard_count++]);
         }
     }
     if (failed) {
-        free(header->shares);
-        header->shares = NULL;
-        header->nshares = 0;
+        free(header->shards);
+        header->shards = NULL;
+        header->shard_count = 0;
     }
     cJSON_Delete(object);
     return failed ? -1 : 0;
@@ -172,19 +172,19 @@
 /* ---- cells ---- */
 
 /* As it will be when the transaction in flight is applied. */
-static const cell *coming(const machine *machine) {
+static const tw_shards_cell *coming(const tw_shards_machine *machine) {
     return machine->changing ? &machine->next : &machine->cell;
 }
 
-static bool alike(const cell *first, const cell *second) {
-    return first->share == second->share && first->state == second->state &&
+static bool alike(const tw_shards_cell *first, const tw_shards_cell *second) {
+    return first->shard == second->shard && first->state == second->state &&
            first->epoch == second->epoch && first->move == second->move;
 }
 
-static void add_cells(cJSON *list, const cell *has, const roaring_bitmap_t *machines) {
+static void add_cells(cJSON *list, const tw_shards_cell *has, const roaring_bitmap_t *machines) {
     cJSON *item = cJSON_CreateObject();
     char *ranges = tw_shards_ranges(machines);
-    add_number(item, "share", has->share);
+    add_number(item, "share", has->shard);
     cJSON_AddStringToObject(item, "state", tw_shards_state_name(has->state));
     add_number(item, "epoch", (double)has->epoch);
     if (has->move) add_number(item, "move", (double)has->move);
@@ -193,18 +193,18 @@
     free(ranges);
 }
 
-char *tw_shards_cells_text(const tw_shards *shares, int block) {
+char *tw_shards_cells_text(const tw_shards *shards, int block) {
     const int first = block * BLOCK;
-    const int end = first + BLOCK < shares->nmachines ? first + BLOCK : shares->nmachines;
+    const int end = first + BLOCK < shards->machine_count ? first + BLOCK : shards->machine_count;
     cJSON *object = cJSON_CreateObject();
     cJSON *list = cJSON_AddArrayToObject(object, "cells");
     uint64_t listed = 0;
     for (int i = first; i < end; i++) {
-        const cell *has = coming(shares->machines[i]);
+        const tw_shards_cell *has = coming(shards->machines[i]);
         if (has->state == TW_SHARDS_ABSENT || (listed >> (i - first) & 1)) continue;
         roaring_bitmap_t *same = roaring_bitmap_create();
         for (int j = i; j < end; j++) {
-            if (!alike(has, coming(shares->machines[j]))) continue;
+            if (!alike(has, coming(shards->machines[j]))) continue;
             listed |= (uint64_t)1 << (j - first);
             roaring_bitmap_add(same, (uint32_t)j);
         }
@@ -224,17 +224,17 @@
     return -1;
 }
 
-static int read_cell(const tw_shards *shares, const cJSON *item, cell *to) {
-    *to = (cell){0};
-    if (read_int(item, "share", &to->share) || read_count(item, "epoch", &to->epoch)) return -1;
-    if (to->share >= shares->header.nshares || read_state(item, &to->state)) return -1;
+static int read_cell(const tw_shards *shards, const cJSON *item, tw_shards_cell *to) {
+    *to = (tw_shards_cell){0};
+    if (read_int(item, "share", &to->shard) || read_count(item, "epoch", &to->epoch)) return -1;
+    if (to->shard >= shards->header.shard_count || read_state(item, &to->state)) return -1;
     if (cJSON_GetObjectItemCaseSensitive(item, "move") && read_count(item, "move", &to->move))
         return -1;
     return 0;
 }
 
 /* Sets the cells of the block's machines, which must have been named. */
-int tw_shards_cells_parse(tw_shards *shares, int block, const char *text) {
+int tw_shards_cells_parse(tw_shards *shards, int block, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "cells");
     const cJSON *item;
@@ -243,16 +243,16 @@
         const cJSON *ranges = cJSON_GetObjectItemCaseSensitive(item, "machines");
         roaring_bitmap_t *set =
             cJSON_IsString(ranges) ? tw_shards_ranges_parse(ranges->valuestring) : NULL;
-        cell to;
-        failed = failed || !set || read_cell(shares, item, &to);
+        tw_shards_cell to;
+        failed = failed || !set || read_cell(shards, item, &to);
         if (!failed) {
             roaring_uint32_iterator_t each;
             roaring_init_iterator(set, &each);
             for (; each.has_value && !failed; roaring_advance_uint32_iterator(&each)) {
                 const int index = (int)each.current_value;
-                failed = index / BLOCK != block || index >= shares->nmachines ||
-                         !shares->machines[index]->name[0];
-                if (!failed) tw_shards_set_cell(shares, shares->machines[index], to);
+                failed = index / BLOCK != block || index >= shards->machine_count ||
+                         !shards->machines[index]->name[0];
+                if (!failed) tw_shards_set_cell(shards, shards->machines[index], to);
             }
         }
         if (set) roaring_bitmap_free(set);
@@ -263,22 +263,22 @@
 
 /* ---- names ---- */
 
-char *tw_shards_names_text(const tw_shards *shares, int block) {
+char *tw_shards_names_text(const tw_shards *shards, int block) {
     const int first = block * BLOCK;
-    const int end = first + BLOCK < shares->nmachines ? first + BLOCK : shares->nmachines;
+    const int end = first + BLOCK < shards->machine_count ? first + BLOCK : shards->machine_count;
     cJSON *object = cJSON_CreateObject();
     for (int i = first; i < end; i++) {
-        const machine *each = shares->machines[i];
+        const tw_shards_machine *each = shards->machines[i];
         if (coming(each)->state == TW_SHARDS_ABSENT) continue;
         char index[RANGE_SIZE];
         snprintf(index, sizeof index, "%d", i);
-        const char *const pair[] = {each->name, shares->zones[each->zone].name};
+        const char *const pair[] = {each->name, shards->zones[each->zone].name};
         cJSON_AddItemToObject(object, index, cJSON_CreateStringArray(pair, 2));
     }
     return finish(object);
 }
 
-static int read_named(tw_shards *shares, int block, const cJSON *item) {
+static int read_named(tw_shards *shards, int block, const cJSON *item) {
     const cJSON *name = cJSON_GetArrayItem(item, 0);
     const cJSON *zone = cJSON_GetArrayItem(item, 1);
     const char *at = item->string;
@@ -286,25 +286,25 @@
     if (read_index(&at, &index) || *at || (int)index / BLOCK != block) return -1;
     if (!cJSON_IsString(name) || strlen(name->valuestring) >= TW_SHARDS_NAME) return -1;
     if (!cJSON_IsString(zone) || strlen(zone->valuestring) >= TW_SHARDS_NAME) return -1;
-    if (!name->valuestring[0] || tw_shards_find(shares, name->valuestring)) return -1;
-    machine *slot = tw_shards_slot(shares, (int)index);
-    const int zone_index = tw_shards_zone_index(shares, zone->valuestring);
-    tw_shards_name_machine(shares, slot, name->valuestring, zone_index);
+    if (!name->valuestring[0] || tw_shards_find(shards, name->valuestring)) return -1;
+    tw_shards_machine *slot = tw_shards_slot(shards, (int)index);
+    const int zone_index = tw_shards_zone_index(shards, zone->valuestring);
+    tw_shards_name_machine(shards, slot, name->valuestring, zone_index);
     return 0;
 }
 
-int tw_shards_names_parse(tw_shards *shares, int block, const char *text) {
+int tw_shards_names_parse(tw_shards *shards, int block, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *item;
     bool failed = !cJSON_IsObject(object);
-    cJSON_ArrayForEach(item, object) { failed = failed || read_named(shares, block, item); }
+    cJSON_ArrayForEach(item, object) { failed = failed || read_named(shards, block, item); }
     cJSON_Delete(object);
     return failed ? -1 : 0;
 }
 
 /* ---- moves ---- */
 
-char *tw_shards_move_text(const move_record *record) {
+char *tw_shards_move_text(const tw_shards_move_record *record) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "key", record->key);
     cJSON_AddStringToObject(object, "image", record->image);
@@ -324,10 +324,10 @@
     return finish(object);
 }
 
-int tw_shards_move_parse(move_record *record, const char *text) {
+int tw_shards_move_parse(tw_shards_move_record *record, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *only = cJSON_GetObjectItemCaseSensitive(object, "only");
-    *record = (move_record){0};
+    *record = (tw_shards_move_record){0};
     const bool failed =
         read_name(object, "key", record->key) || read_name(object, "image", record->image) ||
         read_count(object, "number", &record->number) || read_int(object, "from", &record->from) ||
--- a/src/shards/step.c
+++ b/src/shards/step.c
@@ -6,67 +6,70 @@
 #include <utlist.h>
 
 /* Adds machines to a move whose record is in the transaction, as many as there is room for. */
-void tw_shards_mark(tw_shards *shares, move *marked, machine **chosen, int count) {
+void tw_shards_mark(tw_shards *shards, tw_shards_move *marked, tw_shards_machine **chosen,
+                    int count) {
     for (int i = 0; i < count; i++) {
-        if (!tw_shards_has_room(shares, chosen[i], CELLS, 3)) continue;
-        cell to = chosen[i]->cell;
+        if (!tw_shards_has_room(shards, chosen[i], TW_SHARDS_RECORD_CELLS, 3)) continue;
+        tw_shards_cell to = chosen[i]->cell;
         to.state = TW_SHARDS_DRAINING;
         to.move = marked->next.number;
-        tw_shards_change(shares, chosen[i], to);
+        tw_shards_change(shards, chosen[i], to);
         marked->next.marked++;
     }
 }
 
 /* Machines that the share can give without falling below its least size. */
-static int may_give(const tw_shards *shares, int index) {
-    const share_sets *sets = &shares->sets[index];
+static int may_give(const tw_shards *shards, int index) {
+    const tw_shards_shard_sets *sets = &shards->sets[index];
     return (int)(roaring_bitmap_get_cardinality(sets->open) +
                  roaring_bitmap_get_cardinality(sets->taken)) -
-           shares->header.shares[index].least;
+           shards->header.shards[index].least;
 }
 
 /* Machines that didn't fit into the transaction that began the move, or are gone since. Where no
  * more can be had, the move is content with those it has. */
-static void mark_more(tw_shards *shares, move *of) {
+static void mark_more(tw_shards *shards, tw_shards_move *of) {
     const int missing = of->next.wanted - of->next.marked;
-    const int spare = may_give(shares, of->now.from);
-    machine **chosen;
+    const int spare = may_give(shards, of->now.from);
+    tw_shards_machine **chosen;
     if (missing <= 0 || of->next.cancelled) return;
     const int count =
-        tw_shards_choose(shares, &of->now, missing < spare ? missing : spare, &chosen);
+        tw_shards_choose(shards, &of->now, missing < spare ? missing : spare, &chosen);
     if (count)
-        tw_shards_mark(shares, of, chosen, count);
-    else if (!tw_shards_any_held_back(shares, of->now.from))
+        tw_shards_mark(shards, of, chosen, count);
+    else if (!tw_shards_any_quarantined(shards, of->now.from))
         of->next.wanted = of->next.marked;
     free(chosen);
 }
 
 /* Whether the old owner is not to be waited for: it said that nothing runs there, or had its time.
  */
-static bool drained(const tw_shards *shares, const move *of, const machine *machine) {
-    return machine->drained == tw_shards_epoch_of(shares, machine) ||
-           shares->wall >= of->now.deadline + shares->settings.grace_s;
+static bool drained(const tw_shards *shards, const tw_shards_move *of,
+                    const tw_shards_machine *machine) {
+    return machine->drained == tw_shards_epoch_of(shards, machine) ||
+           shards->wall >= of->now.deadline + shards->settings.grace_s;
 }
 
 /* The cell after the machine's next step; returns 0 if none is due. */
-static bool next_cell(tw_shards *shares, move *of, machine *machine, cell *to) {
+static bool next_cell(tw_shards *shards, tw_shards_move *of, tw_shards_machine *machine,
+                      tw_shards_cell *to) {
     const int back = of->now.cancelled;
     *to = machine->cell;
     switch (machine->cell.state) {
     case TW_SHARDS_DRAINING:
-        if (!back && !drained(shares, of, machine)) return false;
+        if (!back && !drained(shards, of, machine)) return false;
         to->state = TW_SHARDS_RELEASED;
         return true;
     case TW_SHARDS_RELEASED:
         to->state = TW_SHARDS_TAKEN;
-        to->share = back ? of->now.from : of->now.to;
+        to->shard = back ? of->now.from : of->now.to;
         return true;
     case TW_SHARDS_TAKEN:
-        if (machine->opened != tw_shards_epoch_of(shares, machine)) return false;
+        if (machine->opened != tw_shards_epoch_of(shards, machine)) return false;
         to->state = TW_SHARDS_OPEN;
         to->epoch = machine->opened;
         to->move = 0;
-        if (to->share == of->now.to)
+        if (to->shard == of->now.to)
             of->next.moved++;
         else
             of->next.returned++;
@@ -76,64 +79,65 @@
     }
 }
 
-static void step_machine(tw_shards *shares, move *of, machine *machine) {
-    cell to;
+static void step_machine(tw_shards *shards, tw_shards_move *of, tw_shards_machine *machine) {
+    tw_shards_cell to;
     /* A machine that has not answered this leader may have taken later orders of an earlier one. */
-    if (!tw_shards_is_checked(shares, machine)) return;
-    if (machine->changing || !tw_shards_has_room(shares, machine, CELLS, 2)) return;
-    if (!next_cell(shares, of, machine, &to)) return;
+    if (!tw_shards_is_confirmed(shards, machine)) return;
+    if (machine->changing || !tw_shards_has_room(shards, machine, TW_SHARDS_RECORD_CELLS, 2))
+        return;
+    if (!next_cell(shards, of, machine, &to)) return;
     if (to.state == TW_SHARDS_TAKEN) {
-        header *next = tw_shards_change_header(shares);
-        if (next->epoch == shares->header.epoch) next->epoch++;
+        tw_shards_header *next = tw_shards_change_header(shards);
+        if (next->epoch == shards->header.epoch) next->epoch++;
         to.epoch = next->epoch;
     }
-    tw_shards_change(shares, machine, to);
+    tw_shards_change(shards, machine, to);
 }
 
-static bool differs(const move *of) {
+static bool differs(const tw_shards_move *of) {
     return of->next.wanted != of->now.wanted || of->next.marked != of->now.marked;
 }
 
-static bool step_move(tw_shards *shares, move *of) {
+static bool step_move(tw_shards *shards, tw_shards_move *of) {
     roaring_uint32_iterator_t each;
-    tw_shards_begin(shares);
-    tw_shards_change_move(shares, of);
+    tw_shards_begin(shards);
+    tw_shards_change_move(shards, of);
     roaring_init_iterator(of->machines, &each);
     for (; each.has_value; roaring_advance_uint32_iterator(&each))
-        step_machine(shares, of, shares->machines[each.current_value]);
-    mark_more(shares, of);
-    if ((shares->txn.nmachines || differs(of)) && !tw_shards_commit(shares)) return true;
-    tw_shards_abandon(shares);
+        step_machine(shards, of, shards->machines[each.current_value]);
+    mark_more(shards, of);
+    if ((shards->txn.machine_count || differs(of)) && !tw_shards_commit(shards)) return true;
+    tw_shards_abandon(shards);
     return false;
 }
 
 /* Machines that were opened without a move: new, restarted, or of a share that changed hands. */
-static bool step_opened(tw_shards *shares) {
-    tw_shards_begin(shares);
-    for (int i = 0; i < shares->nmachines; i++) {
-        machine *each = shares->machines[i];
+static bool step_opened(tw_shards *shards) {
+    tw_shards_begin(shards);
+    for (int i = 0; i < shards->machine_count; i++) {
+        tw_shards_machine *each = shards->machines[i];
         if (each->cell.state == TW_SHARDS_ABSENT || each->cell.move || !each->opened) continue;
-        if (tw_shards_state_of(shares, each) != TW_SHARDS_TAKEN) continue;
-        if (each->opened != tw_shards_epoch_of(shares, each)) continue;
-        if (!tw_shards_is_checked(shares, each)) continue;
-        if (!tw_shards_has_room(shares, each, CELLS, 0)) continue;
-        cell to = each->cell;
+        if (tw_shards_state_of(shards, each) != TW_SHARDS_TAKEN) continue;
+        if (each->opened != tw_shards_epoch_of(shards, each)) continue;
+        if (!tw_shards_is_confirmed(shards, each)) continue;
+        if (!tw_shards_has_room(shards, each, TW_SHARDS_RECORD_CELLS, 0)) continue;
+        tw_shards_cell to = each->cell;
         to.state = TW_SHARDS_OPEN;
         to.epoch = each->opened;
-        tw_shards_change(shares, each, to);
+        tw_shards_change(shards, each, to);
     }
-    if (shares->txn.nmachines && !tw_shards_commit(shares)) return true;
-    tw_shards_abandon(shares);
+    if (shards->txn.machine_count && !tw_shards_commit(shards)) return true;
+    tw_shards_abandon(shards);
     return false;
 }
 
 /* Whether the move may have a step to make now. */
-static bool may_step(const move *of) { return !of->now.done; }
+static bool may_step(const tw_shards_move *of) { return !of->now.done; }
 
-bool tw_shards_step_moves(tw_shards *shares) {
-    move *each;
-    DL_FOREACH2(shares->moves, each, link) {
-        if (may_step(each) && step_move(shares, each)) return true;
+bool tw_shards_step_moves(tw_shards *shards) {
+    tw_shards_move *each;
+    DL_FOREACH2(shards->moves, each, link) {
+        if (may_step(each) && step_move(shards, each)) return true;
     }
-    return step_opened(shares);
+    return step_opened(shards);
 }
--- a/src/standby/feed.c
+++ b/src/standby/feed.c
@@ -34,7 +34,7 @@
 
 void tw_standby_heard(tw_standby *standby, double now, const char *name, uint64_t term,
                       uint64_t number) {
-    follower *heard;
+    tw_standby_follower *heard;
     tw_standby_refresh(standby, now);
     if (!standby->leads) return;
     HASH_FIND_STR(standby->followers, name, heard);
@@ -51,17 +51,17 @@
 static void fill_snapshot(tw_standby *standby, tw_standby_message *message, const char *after) {
     size_t bytes = 0;
     int room = 0;
-    const record *from;
+    const tw_standby_record *from;
     message->kind = TW_STANDBY_SNAPSHOT;
     strcpy(message->after, after);
     tw_standby_view_sort(&standby->view);
     for (from = standby->view.records; from && strcmp(from->key, after) <= 0;) from = from->hh.next;
-    const record *each = from;
+    const tw_standby_record *each = from;
     for (; each && bytes < PART_BYTES; each = each->hh.next, room++) bytes += strlen(each->data);
     message->more = each != NULL;
     message->entries = tw_standby_alloc(sizeof *message->entries * (size_t)room);
     for (; from != each; from = from->hh.next) {
-        tw_wire_entry entry = {.mod_revision = from->stamp, .value = from->data};
+        tw_wire_entry entry = {.mod_revision = from->mod_revision, .value = from->data};
         strcpy(entry.key, from->key);
         tw_wire_entry *copy = tw_standby_copy_entries(&entry, 1);
         message->entries[message->count++] = *copy;
@@ -70,18 +70,18 @@
 }
 
 /* The change after that number; NULL: it is not kept any more. */
-static const change *change_after(const tw_standby *standby, uint64_t number) {
-    const change *each;
+static const tw_standby_change *change_after(const tw_standby *standby, uint64_t number) {
+    const tw_standby_change *each;
     DL_FOREACH(standby->log.changes, each) {
         if (each->number == number + 1) return each;
     }
     return NULL;
 }
 
-static void fill_change(tw_standby_message *message, const change *sent) {
+static void fill_change(tw_standby_message *message, const tw_standby_change *sent) {
     message->kind = TW_STANDBY_CHANGE;
     message->number = sent->number;
-    message->ledger = sent->ledger;
+    message->store_revision = sent->store_revision;
     message->digest = sent->digest;
     message->entries = tw_standby_copy_entries(sent->entries, sent->count);
     message->count = sent->count;
@@ -90,7 +90,7 @@
 tw_standby_message tw_standby_serve(tw_standby *standby, double now,
                                     const tw_standby_position *position) {
     tw_standby_refresh(standby, now);
-    const view *own = &standby->view;
+    const tw_standby_view *own = &standby->view;
     tw_standby_message message = {.kind = TW_STANDBY_DENIED, .term = standby->heard_term};
     strcpy(message.successor, standby->successor);
     if (!standby->leads) return message;
@@ -98,10 +98,10 @@
     message.term = standby->lease.token;
     if (!own->loaded || own->term != standby->lease.token) return message;
     message.number = own->number;
-    message.ledger = own->ledger;
+    message.store_revision = own->store_revision;
     message.digest = own->digest;
     const bool in_snapshot = position->after[0] && position->term == own->term;
-    const change *next = change_after(standby, position->number);
+    const tw_standby_change *next = change_after(standby, position->number);
     if (in_snapshot)
         fill_snapshot(standby, &message, position->after);
     else if (position->term == own->term && position->number == own->number)
@@ -131,14 +131,14 @@
 }
 
 static int take_change(tw_standby *standby, const tw_standby_message *message) {
-    view *own = &standby->view;
+    tw_standby_view *own = &standby->view;
     const tw_standby_position *at = &standby->position;
     if (message->term == at->term && message->number <= at->number) return 1; /* it came twice */
     if (message->term != at->term || message->number != at->number + 1 || at->after[0])
         return begin_anew(standby);
     tw_standby_view_apply(own, message->entries, message->count);
     own->number = message->number;
-    own->ledger = message->ledger;
+    own->store_revision = message->store_revision;
     tw_standby_advance(&standby->position, message);
     return same_digest(standby, message) ? 1 : begin_anew(standby);
 }
@@ -150,7 +150,7 @@
         return begin_anew(standby);
     if (begins) {
         tw_standby_view_clear(&standby->staged);
-        standby->staged.ledger = message->ledger;
+        standby->staged.store_revision = message->store_revision;
     }
     tw_standby_view_apply(&standby->staged, message->entries, message->count);
     tw_standby_advance(at, message);
@@ -160,7 +160,7 @@
     standby->view.loaded = true;
     standby->view.term = at->term;
     standby->view.number = at->number;
-    standby->staged = (view){0};
+    standby->staged = (tw_standby_view){0};
     standby->snapshots++;
     return 1;
 }
@@ -212,13 +212,14 @@
 
 /* ---- for operators ---- */
 
-tw_standby_follower *tw_standby_followers(const tw_standby *standby, double now, int *count) {
+tw_standby_follower_status *tw_standby_followers(const tw_standby *standby, double now,
+                                                 int *count) {
     const unsigned most = HASH_COUNT(standby->followers);
-    tw_standby_follower *list = tw_standby_alloc(sizeof *list * most);
-    const follower *each;
+    tw_standby_follower_status *list = tw_standby_alloc(sizeof *list * most);
+    const tw_standby_follower *each;
     *count = 0;
     for (each = standby->leads ? standby->followers : NULL; each; each = each->hh.next) {
-        tw_standby_follower *next = &list[(*count)++];
+        tw_standby_follower_status *next = &list[(*count)++];
         strcpy(next->name, each->name);
         next->lag = standby->view.number - each->number;
         next->silent_s = now - each->seen_at;
--- a/src/standby/lease.c
+++ b/src/standby/lease.c
@@ -12,7 +12,8 @@
 
 #define MS_PER_S 1000.0
 
-void tw_standby_lease_init(lease *lease, const char *name, const char *control, double ttl_s) {
+void tw_standby_lease_init(tw_standby_lease *lease, const char *name, const char *control,
+                           double ttl_s) {
     memset(lease, 0, sizeof *lease);
     snprintf(lease->name, sizeof lease->name, "%s", name);
     snprintf(lease->control, sizeof lease->control, "%s", control);
@@ -20,76 +21,77 @@
     lease->poll_s = ttl_s * POLL_RATIO;
 }
 
-bool tw_standby_lease_leads(const lease *lease, double now) {
-    return lease->state == LEASE_LEADING && now < lease->authority_until;
+bool tw_standby_lease_leads(const tw_standby_lease *lease, double now) {
+    return lease->state == TW_STANDBY_LEASE_LEADING && now < lease->authority_until;
 }
 
-static void follow(lease *lease, double now, double pause_s) {
-    lease->state = LEASE_FOLLOWING;
+static void follow(tw_standby_lease *lease, double now, double pause_s) {
+    lease->state = TW_STANDBY_LEASE_FOLLOWING;
     lease->authority_until = 0;
-    lease->token = lease->hold = 0;
+    lease->token = lease->lease_id = 0;
     lease->absent_since = 0;
     lease->next_at = now + pause_s;
 }
 
 /* ---- calls ---- */
 
-static lease_call read_key(void) {
-    lease_call call = {.method = "GET"};
+static tw_standby_lease_call read_key(void) {
+    tw_standby_lease_call call = {.method = "GET"};
     snprintf(call.path, sizeof call.path, "/kv/%s", TW_STANDBY_KEY);
     return call;
 }
 
-static lease_call ask_grant(const lease *lease) {
-    lease_call call = {.method = "POST"};
+static tw_standby_lease_call ask_grant(const tw_standby_lease *lease) {
+    tw_standby_lease_call call = {.method = "POST"};
     snprintf(call.path, sizeof call.path, "/grants");
     snprintf(call.body, sizeof call.body, "{\"lifeMs\":%.0f}", lease->ttl_s * MS_PER_S);
     return call;
 }
 
-static lease_call write_key(const lease *lease) {
-    lease_call call = {.method = "POST"};
+static tw_standby_lease_call write_key(const tw_standby_lease *lease) {
+    tw_standby_lease_call call = {.method = "POST"};
     snprintf(call.path, sizeof call.path, "/txn");
     snprintf(call.body, sizeof call.body,
              "{\"if\":[{\"k\":\"%s\",\"stamp\":0}],\"apply\":[{\"write\":\"%s\",\"data\":{"
              "\"name\":\"%s\",\"control\":\"%s\"},\"hold\":%lu}]}",
              TW_STANDBY_KEY, TW_STANDBY_KEY, lease->name, lease->control,
-             (unsigned long)lease->hold);
+             (unsigned long)lease->lease_id);
     return call;
 }
 
-static lease_call renew(const lease *lease) {
-    lease_call call = {.method = "POST", .body = "{}"};
-    snprintf(call.path, sizeof call.path, "/grants/%lu/renew", (unsigned long)lease->hold);
+static tw_standby_lease_call renew(const tw_standby_lease *lease) {
+    tw_standby_lease_call call = {.method = "POST", .body = "{}"};
+    snprintf(call.path, sizeof call.path, "/grants/%lu/renew", (unsigned long)lease->lease_id);
     return call;
 }
 
-lease_call tw_standby_lease_tick(lease *lease, double now) {
-    const lease_call none = {.method = "GET"};
-    if (lease->state == LEASE_LEADING && now >= lease->authority_until) follow(lease, now, 0);
+tw_standby_lease_call tw_standby_lease_tick(tw_standby_lease *lease, double now) {
+    const tw_standby_lease_call none = {.method = "GET"};
+    if (lease->state == TW_STANDBY_LEASE_LEADING && now >= lease->authority_until)
+        follow(lease, now, 0);
     if (lease->busy || now < lease->next_at) return none;
     lease->busy = true;
     lease->asked_in = lease->state;
     lease->sent_at = now;
     switch (lease->state) {
-    case LEASE_GRANTING:
+    case TW_STANDBY_LEASE_GRANTING:
         return ask_grant(lease);
-    case LEASE_WRITING:
+    case TW_STANDBY_LEASE_WRITING:
         return write_key(lease);
-    case LEASE_LEADING:
+    case TW_STANDBY_LEASE_LEADING:
         return renew(lease);
     default:
         return read_key();
     }
 }
 
-lease_call tw_standby_lease_release(lease *lease) {
-    lease_call call = {.method = "DELETE"};
-    if (lease->hold)
-        snprintf(call.path, sizeof call.path, "/grants/%lu", (unsigned long)lease->hold);
-    lease->state = LEASE_FOLLOWING;
+tw_standby_lease_call tw_standby_lease_release(tw_standby_lease *lease) {
+    tw_standby_lease_call call = {.method = "DELETE"};
+    if (lease->lease_id)
+        snprintf(call.path, sizeof call.path, "/grants/%lu", (unsigned long)lease->lease_id);
+    lease->state = TW_STANDBY_LEASE_FOLLOWING;
     lease->authority_until = 0;
-    lease->hold = lease->written = 0;
+    lease->lease_id = lease->written_lease_id = 0;
     return call;
 }
 
@@ -101,9 +103,9 @@
 }
 
 /* Counted from the sending of the grant: the lease is no older than that. */
-static void begin_leading(lease *lease, double now, uint64_t token) {
-    lease->state = LEASE_LEADING;
-    lease->hold = lease->written;
+static void begin_leading(tw_standby_lease *lease, double now, uint64_t token) {
+    lease->state = TW_STANDBY_LEASE_LEADING;
+    lease->lease_id = lease->written_lease_id;
     lease->token = lease->leader_token = token;
     lease->authority_until = lease->granted_at + lease->ttl_s * (1 - MARGIN_RATIO);
     lease->next_at = now;
@@ -112,20 +114,21 @@
 }
 
 /* Nobody holds the key: asks for a lease, or looks again until others have had their time. */
-static void take_absent(lease *lease, double now) {
+static void take_absent(tw_standby_lease *lease, double now) {
     lease->leader_name[0] = lease->leader_control[0] = 0;
     lease->leader_token = 0;
     if (lease->absent_since <= 0) lease->absent_since = now;
     const double begin_at = lease->absent_since + lease->yield_s;
     if (now >= begin_at) {
-        lease->state = LEASE_GRANTING;
+        lease->state = TW_STANDBY_LEASE_GRANTING;
         lease->next_at = now;
     } else {
         lease->next_at = fmin(begin_at, now + lease->poll_s);
     }
 }
 
-static void take_key(lease *lease, double now, int status, const char *body, size_t length) {
+static void take_key(tw_standby_lease *lease, double now, int status, const char *body,
+                     size_t length) {
     if (status == STATUS_ABSENT) {
         take_absent(lease, now);
         return;
@@ -139,22 +142,25 @@
     read_text(data, "name", lease->leader_name, sizeof lease->leader_name);
     read_text(data, "control", lease->leader_control, sizeof lease->leader_control);
     lease->leader_token = cJSON_IsNumber(stamp) ? (uint64_t)stamp->valuedouble : 0;
-    const cJSON *hold = cJSON_GetObjectItemCaseSensitive(entry, "hold");
+    const cJSON *lease_id = cJSON_GetObjectItemCaseSensitive(entry, "hold");
     /* The write of this node's own key was carried out, and its answer lost. */
-    if (cJSON_IsNumber(hold) && lease->written && (uint64_t)hold->valuedouble == lease->written)
+    if (cJSON_IsNumber(lease_id) && lease->written_lease_id &&
+        (uint64_t)lease_id->valuedouble == lease->written_lease_id)
         begin_leading(lease, now, lease->leader_token);
     cJSON_Delete(entry);
 }
 
-static void take_grant(lease *lease, double now, int status, const char *body, size_t length) {
-    if (status == STATUS_OK && !tw_wire_lease_id_parse(&lease->hold, body, length))
-        lease->state = LEASE_WRITING;
+static void take_grant(tw_standby_lease *lease, double now, int status, const char *body,
+                       size_t length) {
+    if (status == STATUS_OK && !tw_wire_lease_id_parse(&lease->lease_id, body, length))
+        lease->state = TW_STANDBY_LEASE_WRITING;
     else
         follow(lease, now, lease->poll_s);
-    lease->written = lease->hold;
+    lease->written_lease_id = lease->lease_id;
 }
 
-static void take_write(lease *lease, double now, int status, const char *body, size_t length) {
+static void take_write(tw_standby_lease *lease, double now, int status, const char *body,
+                       size_t length) {
     uint64_t revision;
     if (status != STATUS_OK || tw_wire_revision_parse(&revision, body, length)) {
         follow(lease, now, lease->poll_s);
@@ -163,7 +169,7 @@
     begin_leading(lease, now, revision);
 }
 
-static void take_renewal(lease *lease, double now, int status) {
+static void take_renewal(tw_standby_lease *lease, double now, int status) {
     if (status == STATUS_ABSENT) {
         follow(lease, now, 0);
         return;
@@ -173,24 +179,24 @@
     lease->next_at = lease->sent_at + lease->ttl_s / RENEWALS;
 }
 
-void tw_standby_lease_answer(lease *lease, double now, int status, const char *body,
+void tw_standby_lease_answer(tw_standby_lease *lease, double now, int status, const char *body,
                              size_t length) {
     if (!lease->busy) return;
     lease->busy = false;
     /* Authority may have ended meanwhile; then it is no answer to what this node is doing now. */
     if (lease->asked_in != lease->state) return;
     switch (lease->state) {
-    case LEASE_FOLLOWING:
+    case TW_STANDBY_LEASE_FOLLOWING:
         take_key(lease, now, status, body, length);
         break;
-    case LEASE_GRANTING:
+    case TW_STANDBY_LEASE_GRANTING:
         lease->granted_at = lease->sent_at;
         take_grant(lease, now, status, body, length);
         break;
-    case LEASE_WRITING:
+    case TW_STANDBY_LEASE_WRITING:
         take_write(lease, now, status, body, length);
         break;
-    case LEASE_LEADING:
+    case TW_STANDBY_LEASE_LEADING:
         take_renewal(lease, now, status);
         break;
     }
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -98,7 +98,8 @@
 static tw_standby_state state_of(const tw_standby *standby) {
     if (standby->leads)
         return tw_shards_deciding(standby->table) ? TW_STANDBY_DECIDING : TW_STANDBY_CHECKING;
-    if (standby->lease.state == LEASE_GRANTING || standby->lease.state == LEASE_WRITING)
+    if (standby->lease.state == TW_STANDBY_LEASE_GRANTING ||
+        standby->lease.state == TW_STANDBY_LEASE_WRITING)
         return TW_STANDBY_FENCING;
     if (tw_standby_silent(standby)) return TW_STANDBY_SUSPECTING;
     return tw_standby_is_behind(standby) ? TW_STANDBY_BEHIND : TW_STANDBY_FOLLOWING;
@@ -127,8 +128,8 @@
 }
 
 static void forget_followers(tw_standby *standby) {
-    follower *each;
-    follower *after;
+    tw_standby_follower *each;
+    tw_standby_follower *after;
     HASH_ITER(hh, standby->followers, each, after) {
         HASH_DEL(standby->followers, each);
         free(each);
@@ -165,7 +166,7 @@
     if (tw_shards_deciding(standby->table) || !check_is_over(standby)) return;
     tw_standby_check_silent(standby);
     tw_standby_say(standby, "event=decisions_started term=%lu quarantined=%d differences=%ld",
-                   (unsigned long)standby->lease.token, tw_shards_unchecked(standby->table),
+                   (unsigned long)standby->lease.token, tw_shards_quarantined_count(standby->table),
                    standby->differences);
     tw_shards_decide(standby->table, standby->now);
 }
@@ -182,13 +183,14 @@
 /* ---- lease ---- */
 
 static void step_lease(tw_standby *standby) {
-    lease *lease = &standby->lease;
+    tw_standby_lease *lease = &standby->lease;
     const bool silent = tw_standby_silent(standby) && !standby->leads;
     lease->poll_s = lease->ttl_s * (silent ? POLL_FAST_RATIO : POLL_RATIO);
-    if (silent && lease->state == LEASE_FOLLOWING && lease->next_at > standby->now + lease->poll_s)
+    if (silent && lease->state == TW_STANDBY_LEASE_FOLLOWING &&
+        lease->next_at > standby->now + lease->poll_s)
         lease->next_at = standby->now + lease->poll_s;
     lease->yield_s = yield_of(standby);
-    const lease_call due = tw_standby_lease_tick(lease, standby->now);
+    const tw_standby_lease_call due = tw_standby_lease_tick(lease, standby->now);
     if (due.path[0])
         standby->lease_call =
             tw_standby_call(standby, due.method, due.path, due.body[0] ? due.body : NULL);
@@ -266,7 +268,7 @@
 
 void tw_standby_resign(tw_standby *standby, double now) {
     tw_standby_refresh(standby, now);
-    const lease_call release = tw_standby_lease_release(&standby->lease);
+    const tw_standby_lease_call release = tw_standby_lease_release(&standby->lease);
     standby->lease.next_at = now + standby->lease.poll_s;
     if (release.path[0])
         standby->release_call = tw_standby_call(standby, release.method, release.path, NULL);
@@ -275,7 +277,7 @@
 }
 
 static tw_shards_verdict judge_promotion(const tw_standby *standby, const char *node) {
-    const follower *found;
+    const tw_standby_follower *found;
     if (!standby->leads || !tw_shards_deciding(standby->table) || standby->promotion)
         return TW_SHARDS_NOT_LEADER;
     if (!strcmp(node, standby->settings.name)) return TW_SHARDS_OK;
@@ -318,11 +320,11 @@
     return (tw_standby_status){.state = state_of(standby),
                                .term = standby->heard_term,
                                .number = standby->view.number,
-                               .ledger = standby->view.ledger,
+                               .store_revision = standby->view.store_revision,
                                .digest = standby->view.digest,
                                .lag = lags ? standby->active_number - standby->view.number : 0,
-                               .held_back =
-                                   standby->leads ? tw_shards_unchecked(standby->table) : 0,
+                               .quarantined =
+                                   standby->leads ? tw_shards_quarantined_count(standby->table) : 0,
                                .records = (int)HASH_COUNT(standby->view.records),
                                .differences = standby->differences,
                                .snapshots = standby->snapshots,
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -47,7 +47,7 @@
     TW_STANDBY_CALL,   /* to the state service; answer with tw_standby_answered */
     TW_STANDBY_CHECK,  /* to a machine: asks what it has open, and announces the term */
     TW_STANDBY_START,  /* to a machine: its floor; answer both with tw_standby_machine_answered */
-    TW_STANDBY_TELL,   /* to an owner, of the table */
+    TW_STANDBY_NOTIFY, /* to an owner, of the table */
     TW_STANDBY_ANSWER, /* to a client, of the table */
     TW_STANDBY_LOG_LINE
 } tw_standby_effect_kind;
@@ -59,9 +59,9 @@
     char path[TW_STANDBY_PATH];
     char *body; /* CALL; NULL: none */
     char machine[TW_SHARDS_NAME];
-    uint64_t term, life, floor; /* CHECK: term; START */
-    tw_shards_effect *table;    /* TELL, ANSWER */
-    char line[TW_STANDBY_LOG];  /* LOG_LINE: key=value */
+    uint64_t term, boot_id, minimum_epoch; /* CHECK: term; START */
+    tw_shards_effect *table;               /* TELL, ANSWER */
+    char line[TW_STANDBY_LOG];             /* LOG_LINE: key=value */
     struct tw_standby_effect *next;
 } tw_standby_effect;
 /* The next effect, or NULL; free it with tw_standby_effect_free. */
@@ -89,12 +89,12 @@
 
 /* What a machine has, by its answer to CHECK or START, taken or refused. */
 typedef struct {
-    uint64_t term, life, floor, newest;
+    uint64_t term, boot_id, minimum_epoch, newest;
     int started, running;
-} tw_standby_machine;
+} tw_standby_machine_status;
 /* answer NULL: none came. */
 void tw_standby_machine_answered(tw_standby *standby, double now, const char *machine,
-                                 uint64_t term, const tw_standby_machine *answer);
+                                 uint64_t term, const tw_standby_machine_status *answer);
 
 /* ---- the feed: active to standbys ---- */
 
@@ -114,11 +114,11 @@
 
 typedef struct {
     tw_standby_message_kind kind;
-    uint64_t term;          /* of the sender; DENIED: the newest it knows */
-    uint64_t number;        /* CHANGE: its own; SNAPSHOT: at which it began; else newest */
-    uint64_t ledger;        /* revision of the state service that the view is of */
-    uint64_t digest;        /* HEARTBEAT, CHANGE: of all records after it */
-    tw_wire_entry *entries; /* data NULL: removed */
+    uint64_t term;           /* of the sender; DENIED: the newest it knows */
+    uint64_t number;         /* CHANGE: its own; SNAPSHOT: at which it began; else newest */
+    uint64_t store_revision; /* revision of the state service that the view is of */
+    uint64_t digest;         /* HEARTBEAT, CHANGE: of all records after it */
+    tw_wire_entry *entries;  /* data NULL: removed */
     int count;
     bool more;                      /* SNAPSHOT: further parts follow */
     char after[TW_WIRE_KEY_SIZE];   /* SNAPSHOT: the part begins after this key */
@@ -144,9 +144,9 @@
 
 typedef struct {
     tw_standby_state state;
-    uint64_t term, number, ledger, digest;
+    uint64_t term, number, store_revision, digest;
     uint64_t lag;         /* changes that the active one has more */
-    int held_back;        /* machines that have not answered */
+    int quarantined;      /* machines that have not answered */
     int records;          /* in the view */
     long differences;     /* between view, records and machines, at the last takeover */
     long snapshots, gaps; /* taken, found in the feed, since the start */
@@ -157,9 +157,9 @@
     char name[TW_SHARDS_NAME];
     uint64_t lag;
     double silent_s;
-} tw_standby_follower;
+} tw_standby_follower_status;
 /* The followers of this node, as active one; *count of them; the caller frees them. */
-tw_standby_follower *tw_standby_followers(const tw_standby *standby, double now, int *count);
+tw_standby_follower_status *tw_standby_followers(const tw_standby *standby, double now, int *count);
 
 /* Control address of the active one; "": not known, or silent. *retry_after_s: when to ask again.
  */
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -23,11 +23,11 @@
 /* ---- lease.c: the leader's key ---- */
 
 typedef enum {
-    LEASE_FOLLOWING, /* reads the key now and then */
-    LEASE_GRANTING,  /* nobody leads: asks for a lease */
-    LEASE_WRITING,   /* writes the key, if it is still absent */
-    LEASE_LEADING
-} lease_state;
+    TW_STANDBY_LEASE_FOLLOWING, /* reads the key now and then */
+    TW_STANDBY_LEASE_GRANTING,  /* nobody leads: asks for a lease */
+    TW_STANDBY_LEASE_WRITING,   /* writes the key, if it is still absent */
+    TW_STANDBY_LEASE_LEADING
+} tw_standby_lease_state;
 
 typedef struct {
     char name[TW_SHARDS_NAME], control[TW_STANDBY_ADDRESS]; /* of this node */
@@ -35,112 +35,119 @@
     double poll_s;  /* between two reads of the key */
     double yield_s; /* from seeing the key absent to asking for a lease */
     double absent_since;
-    lease_state state;
-    lease_state asked_in;   /* state at the sending of the call in flight */
-    uint64_t hold;          /* the lease */
-    uint64_t written;       /* with which this node wrote, or tried to write, the key last */
-    uint64_t token;         /* revision of the key that this node wrote */
-    double authority_until; /* 0: none */
-    double sent_at;         /* of the call in flight */
-    double granted_at;      /* when the lease was asked for */
+    tw_standby_lease_state state;
+    tw_standby_lease_state asked_in; /* state at the sending of the call in flight */
+    uint64_t lease_id;               /* the lease */
+    uint64_t written_lease_id; /* with which this node wrote, or tried to write, the key last */
+    uint64_t token;            /* revision of the key that this node wrote */
+    double authority_until;    /* 0: none */
+    double sent_at;            /* of the call in flight */
+    double granted_at;         /* when the lease was asked for */
     bool busy;
     double next_at; /* no call before it */
     /* as read last; "" and 0: nobody */
     char leader_name[TW_SHARDS_NAME], leader_control[TW_STANDBY_ADDRESS];
     uint64_t leader_token;
-} lease;
+} tw_standby_lease;
 
 /* A call to make; path "": none is due. */
 typedef struct {
     const char *method;
     char path[TW_STANDBY_PATH], body[512];
-} lease_call;
+} tw_standby_lease_call;
 
-void tw_standby_lease_init(lease *lease, const char *name, const char *control, double ttl_s);
+void tw_standby_lease_init(tw_standby_lease *lease, const char *name, const char *control,
+                           double ttl_s);
 /* The call that is due now; answer it with tw_standby_lease_answer before the next one. */
-lease_call tw_standby_lease_tick(lease *lease, double now);
-void tw_standby_lease_answer(lease *lease, double now, int status, const char *body, size_t length);
-bool tw_standby_lease_leads(const lease *lease, double now);
+tw_standby_lease_call tw_standby_lease_tick(tw_standby_lease *lease, double now);
+void tw_standby_lease_answer(tw_standby_lease *lease, double now, int status, const char *body,
+                             size_t length);
+bool tw_standby_lease_leads(const tw_standby_lease *lease, double now);
 /* Gives the lease back, so that another node need not wait for its end; path "": it has none. */
-lease_call tw_standby_lease_release(lease *lease);
+tw_standby_lease_call tw_standby_lease_release(tw_standby_lease *lease);
 
 /* ---- view.c: records and their numbered changes ---- */
 
-typedef struct record {
+typedef struct tw_standby_record {
     char key[TW_WIRE_KEY_SIZE];
-    uint64_t stamp, hash;
+    uint64_t mod_revision, hash;
     char *data; /* JSON text */
     UT_hash_handle hh;
-} record;
+} tw_standby_record;
 
 typedef struct {
-    record *records;
+    tw_standby_record *records;
     uint64_t digest; /* sum of the records' hashes, so that their order does not matter */
     bool loaded;
-    uint64_t term, number; /* of the last change in it */
-    uint64_t ledger;       /* revision of the state service that it is of */
-} view;
+    uint64_t term, number;   /* of the last change in it */
+    uint64_t store_revision; /* revision of the state service that it is of */
+} tw_standby_view;
 
-void tw_standby_view_clear(view *view);
+void tw_standby_view_clear(tw_standby_view *view);
 /* Entries that are not newer than what is there change nothing. */
-void tw_standby_view_apply(view *view, const tw_wire_entry *entries, int count);
+void tw_standby_view_apply(tw_standby_view *view, const tw_wire_entry *entries, int count);
 /* A list as the state service gives it; the caller frees it. */
-char *tw_standby_view_list(view *view);
-void tw_standby_view_sort(view *view);
+char *tw_standby_view_list(tw_standby_view *view);
+void tw_standby_view_sort(tw_standby_view *view);
 
 /* A change that followers may still need. */
-typedef struct change {
-    uint64_t number, ledger, digest;
+typedef struct tw_standby_change {
+    uint64_t number, store_revision, digest;
     tw_wire_entry *entries;
     int count;
     size_t bytes;
-    struct change *prev, *next;
-} change;
+    struct tw_standby_change *prev, *next;
+} tw_standby_change;
 
 typedef struct {
-    change *changes; /* the oldest first, without gaps */
+    tw_standby_change *changes; /* the oldest first, without gaps */
     int count;
     size_t bytes;
-} change_log;
+} tw_standby_change_log;
 
-void tw_standby_log_add(change_log *log, const view *view, tw_wire_entry *entries, int count);
-void tw_standby_log_clear(change_log *log);
+void tw_standby_log_add(tw_standby_change_log *log, const tw_standby_view *view,
+                        tw_wire_entry *entries, int count);
+void tw_standby_log_clear(tw_standby_change_log *log);
 tw_wire_entry *tw_standby_copy_entries(const tw_wire_entry *entries, int count);
 
 /* ---- the standby ---- */
 
 /* A machine on the way to being used under this term. */
-typedef enum { MACHINE_ASKED, MACHINE_RENEWING, MACHINE_STARTING } machine_step;
-typedef struct checked {
+typedef enum {
+    TW_STANDBY_CHECK_ASKED,
+    TW_STANDBY_CHECK_RENEWING,
+    TW_STANDBY_CHECK_STARTING
+} tw_standby_check_step;
+typedef struct tw_standby_machine_check {
     char name[TW_SHARDS_NAME];
-    machine_step step;
-    uint64_t life, floor; /* STARTING */
-    int announced;        /* that it is held back was logged */
+    tw_standby_check_step step;
+    uint64_t boot_id, minimum_epoch; /* STARTING */
+    int quarantine_logged;           /* that it is held back was logged */
     double next_at;
     UT_hash_handle hh;
-} checked;
+} tw_standby_machine_check;
 
 /* A client's request for a machine whose life has to be asked for first. */
-typedef struct registration {
+typedef struct tw_standby_registration {
     tw_shards_request request;
-    int passed;    /* to the table */
-    uint64_t life; /* of the machine when it was asked; 0: it did not answer */
+    int passed;       /* to the table */
+    uint64_t boot_id; /* of the machine when it was asked; 0: it did not answer */
     double since;
-    struct registration *prev, *next;
-} registration;
+    struct tw_standby_registration *prev, *next;
+} tw_standby_registration;
 
-typedef struct follower {
+typedef struct tw_standby_follower {
     char name[TW_SHARDS_NAME];
     uint64_t number;
     double seen_at;
     UT_hash_handle hh;
-} follower;
+} tw_standby_follower;
 
 struct tw_standby {
     tw_standby_settings settings;
     tw_shards *table;
     double now;
-    lease lease;
+    tw_standby_lease lease;
     tw_standby_state state;
     bool leads;
     bool began_checking;
@@ -149,13 +156,13 @@
     uint64_t active_number; /* of its last change */
     double lag_since;       /* 0: there is none */
     char successor[TW_SHARDS_NAME];
-    view view, staged; /* staged: a snapshot that is not complete */
+    tw_standby_view view, staged; /* staged: a snapshot that is not complete */
     tw_standby_position position;
-    change_log log;
-    follower *followers;
-    checked *machines;
+    tw_standby_change_log log;
+    tw_standby_follower *followers;
+    tw_standby_machine_check *machines;
     double checking_since;
-    registration *registrations;
+    tw_standby_registration *registrations;
     uint64_t last_call, lease_call, read_call, write_call, confirm_call, release_call;
     uint64_t read_id, write_id; /* of the table */
     char *write_body;
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -33,7 +33,7 @@
 static void confirm_view(tw_standby *standby) {
     char path[TW_STANDBY_PATH];
     snprintf(path, sizeof path, "/follow?starts=%s&since=%lu&holdMs=0", TW_SHARDS_PREFIX,
-             (unsigned long)standby->view.ledger);
+             (unsigned long)standby->view.store_revision);
     standby->confirm_call = tw_standby_call(standby, "GET", path, NULL);
 }
 
@@ -60,14 +60,14 @@
     tw_wire_entry *entries = NULL;
     int count = 0;
     int more = 0;
-    uint64_t ledger = 0;
+    uint64_t store_revision = 0;
     const bool good = status == STATUS_OK &&
                       !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
-                      !tw_wire_revision_parse(&ledger, body, length);
+                      !tw_wire_revision_parse(&store_revision, body, length);
     if (good) {
         /* Of several pages the first one's revision holds: changes since are in later ones only in
          * part. */
-        if (!standby->view.ledger) standby->view.ledger = ledger;
+        if (!standby->view.store_revision) standby->view.store_revision = store_revision;
         tw_standby_view_apply(&standby->view, entries, count);
         if (!more) renumber(standby);
     }
@@ -80,9 +80,10 @@
 void tw_standby_confirm_answered(tw_standby *standby, int status, const char *body, size_t length) {
     tw_wire_entry *changes = NULL;
     int count = 0;
-    uint64_t ledger = 0;
-    const bool good = status == STATUS_OK && !tw_wire_revision_parse(&ledger, body, length) &&
-                      ledger >= standby->lease.token &&
+    uint64_t store_revision = 0;
+    const bool good = status == STATUS_OK &&
+                      !tw_wire_revision_parse(&store_revision, body, length) &&
+                      store_revision >= standby->lease.token &&
                       !tw_wire_changes_parse("log", &changes, &count, body, length);
     if (!good) {
         tw_standby_say(standby, "event=view_refused status=%d", status);
@@ -92,10 +93,10 @@
     tw_standby_view_apply(&standby->view, changes, count);
     tw_wire_entries_free(changes, count);
     standby->differences += count;
-    standby->view.ledger = ledger;
+    standby->view.store_revision = store_revision;
     renumber(standby);
-    tw_standby_say(standby, "event=view_confirmed revision=%lu changes=%d", (unsigned long)ledger,
-                   count);
+    tw_standby_say(standby, "event=view_confirmed revision=%lu changes=%d",
+                   (unsigned long)store_revision, count);
     char *list = tw_standby_view_list(&standby->view);
     tw_shards_page(standby->table, standby->now, standby->read_id, list, strlen(list));
     free(list);
@@ -129,7 +130,7 @@
     if (tw_wire_changes_parse("apply", &changes, &count, body, strlen(body))) return;
     for (int i = 0; i < count; i++) changes[i].mod_revision = revision;
     tw_standby_view_apply(&standby->view, changes, count);
-    standby->view.ledger = revision;
+    standby->view.store_revision = revision;
     standby->view.number = ++standby->active_number;
     tw_standby_log_add(&standby->log, &standby->view, changes, count);
 }
@@ -161,8 +162,8 @@
         case TW_SHARDS_WRITE:
             begin_write(standby, effect);
             break;
-        case TW_SHARDS_TELL:
-            pass_on(standby, TW_STANDBY_TELL, effect);
+        case TW_SHARDS_NOTIFY:
+            pass_on(standby, TW_STANDBY_NOTIFY, effect);
             kept = true;
             break;
         case TW_SHARDS_ANSWER:
--- a/src/standby/view.c
+++ b/src/standby/view.c
@@ -19,9 +19,9 @@
     return hash;
 }
 
-static uint64_t hash_of(const char *key, uint64_t stamp, const char *data) {
+static uint64_t hash_of(const char *key, uint64_t mod_revision, const char *data) {
     uint64_t hash = add_bytes(HASH_BASIS, key, strlen(key) + 1);
-    hash = add_bytes(hash, &stamp, sizeof stamp);
+    hash = add_bytes(hash, &mod_revision, sizeof mod_revision);
     return add_bytes(hash, data, strlen(data));
 }
 
@@ -33,47 +33,47 @@
 
 /* ---- records ---- */
 
-static void drop(view *view, record *dropped) {
+static void drop(tw_standby_view *view, tw_standby_record *dropped) {
     view->digest -= dropped->hash;
     HASH_DEL(view->records, dropped);
     free(dropped->data);
     free(dropped);
 }
 
-void tw_standby_view_clear(view *cleared) {
-    record *each;
-    record *after;
+void tw_standby_view_clear(tw_standby_view *cleared) {
+    tw_standby_record *each;
+    tw_standby_record *after;
     HASH_ITER(hh, cleared->records, each, after) { drop(cleared, each); }
-    *cleared = (view){0};
+    *cleared = (tw_standby_view){0};
 }
 
-static void put(view *view, const tw_wire_entry *entry) {
-    record *found;
+static void put(tw_standby_view *view, const tw_wire_entry *entry) {
+    tw_standby_record *found;
     HASH_FIND_STR(view->records, entry->key, found);
-    if (found && found->stamp >= entry->mod_revision) return;
+    if (found && found->mod_revision >= entry->mod_revision) return;
     if (found) drop(view, found);
     if (!entry->value) return;
-    record *added = tw_standby_alloc(sizeof *added);
+    tw_standby_record *added = tw_standby_alloc(sizeof *added);
     strcpy(added->key, entry->key);
-    added->stamp = entry->mod_revision;
+    added->mod_revision = entry->mod_revision;
     added->data = copy_text(entry->value);
-    added->hash = hash_of(added->key, added->stamp, added->data);
+    added->hash = hash_of(added->key, added->mod_revision, added->data);
     view->digest += added->hash;
     HASH_ADD_STR(view->records, key, added);
 }
 
-void tw_standby_view_apply(view *view, const tw_wire_entry *entries, int count) {
+void tw_standby_view_apply(tw_standby_view *view, const tw_wire_entry *entries, int count) {
     for (int i = 0; i < count; i++) put(view, &entries[i]);
 }
 
-static int by_key(const record *first, const record *second) {
+static int by_key(const tw_standby_record *first, const tw_standby_record *second) {
     return strcmp(first->key, second->key);
 }
 
-void tw_standby_view_sort(view *view) { HASH_SORT(view->records, by_key); }
+void tw_standby_view_sort(tw_standby_view *view) { HASH_SORT(view->records, by_key); }
 
-char *tw_standby_view_list(view *view) {
-    const record *each;
+char *tw_standby_view_list(tw_standby_view *view) {
+    const tw_standby_record *each;
     cJSON *object = cJSON_CreateObject();
     cJSON *entries = cJSON_AddArrayToObject(object, "entries");
     tw_standby_view_sort(view);
@@ -81,11 +81,11 @@
         cJSON *entry = cJSON_CreateObject();
         cJSON_AddStringToObject(entry, "k", each->key);
         cJSON_AddRawToObject(entry, "data", each->data);
-        cJSON_AddNumberToObject(entry, "stamp", (double)each->stamp);
+        cJSON_AddNumberToObject(entry, "stamp", (double)each->mod_revision);
         cJSON_AddItemToArray(entries, entry);
     }
     cJSON_AddBoolToObject(object, "more", 0);
-    cJSON_AddNumberToObject(object, "ledger", (double)view->ledger);
+    cJSON_AddNumberToObject(object, "ledger", (double)view->store_revision);
     char *text = cJSON_PrintUnformatted(object);
     if (!text) abort();
     cJSON_Delete(object);
@@ -103,7 +103,7 @@
     return copies;
 }
 
-static void drop_change(change_log *log, change *dropped) {
+static void drop_change(tw_standby_change_log *log, tw_standby_change *dropped) {
     DL_DELETE(log->changes, dropped);
     log->count--;
     log->bytes -= dropped->bytes;
@@ -112,10 +112,11 @@
 }
 
 /* Takes the entries over. A follower that is slow gets a snapshot instead of room without bound. */
-void tw_standby_log_add(change_log *log, const view *view, tw_wire_entry *entries, int count) {
-    change *added = tw_standby_alloc(sizeof *added);
+void tw_standby_log_add(tw_standby_change_log *log, const tw_standby_view *view,
+                        tw_wire_entry *entries, int count) {
+    tw_standby_change *added = tw_standby_alloc(sizeof *added);
     added->number = view->number;
-    added->ledger = view->ledger;
+    added->store_revision = view->store_revision;
     added->digest = view->digest;
     added->entries = entries;
     added->count = count;
@@ -129,6 +130,6 @@
         drop_change(log, log->changes);
 }
 
-void tw_standby_log_clear(change_log *log) {
+void tw_standby_log_clear(tw_standby_change_log *log) {
     while (log->changes) drop_change(log, log->changes);
 }
--- a/tests/shards/expect.c
+++ b/tests/shards/expect.c
@@ -35,7 +35,7 @@
     }
     const long got = !strcmp(read->words[1], "gaps")        ? status.gaps
                      : !strcmp(read->words[1], "snapshots") ? status.snapshots
-                                                            : status.held_back;
+                                                            : status.quarantined;
     if ((double)got < number(read, 3))
         tw_world_fail(world, "%s: %ld %s", read->words[2], got, read->words[1]);
     return 0;
@@ -49,7 +49,7 @@
 static void expect_size(world *world, const words *read) {
     tw_shards *reader = tw_judge_read(world);
     int size = -1;
-    for (int i = 0; i < tw_shards_count(reader); i++) {
+    for (int i = 0; i < tw_shards_shard_count(reader); i++) {
         const tw_shards_view view = tw_shards_view_of(reader, i);
         if (!strcmp(view.name, read->words[2])) size = view.open + view.taken + view.draining;
     }
@@ -60,12 +60,12 @@
 static void expect_owner(world *world, const words *read) {
     tw_shards *reader = tw_judge_read(world);
     bool found = false;
-    for (int i = 0; i < tw_shards_machines(reader); i++) {
-        const tw_shards_tell cell = tw_shards_machine(reader, i);
+    for (int i = 0; i < tw_shards_machine_count(reader); i++) {
+        const tw_shards_notification cell = tw_shards_machine_at(reader, i);
         if (strcmp(cell.machine, read->words[2]) != 0) continue;
         found = true;
-        if (strcmp(cell.share, read->words[3]) != 0)
-            tw_world_fail(world, "%s is in %s", cell.machine, cell.share);
+        if (strcmp(cell.shard, read->words[3]) != 0)
+            tw_world_fail(world, "%s is in %s", cell.machine, cell.shard);
     }
     tw_shards_free(reader);
     if (!found) tw_world_fail(world, "%s is in no share", read->words[2]);
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -76,7 +76,7 @@
 static int read_owner(world *world, const char *share) {
     tw_shards *reader = tw_judge_read(world);
     int owner = -1;
-    for (int i = 0; i < tw_shards_count(reader); i++) {
+    for (int i = 0; i < tw_shards_shard_count(reader); i++) {
         const tw_shards_view view = tw_shards_view_of(reader, i);
         for (int j = 0; j < world->nnodes; j++)
             if (!strcmp(view.name, share) && !strcmp(view.owner, world->nodes[j].name)) owner = j;
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -62,7 +62,7 @@
 
 /* A state that a leader changed on its own, of a machine that has not heard of its term. Renewed
  * epochs, and those of a share's new owner, are for machines that take nothing else. */
-static void judge_checked(world *world, const machine *of, const tw_shards_tell *cell) {
+static void judge_checked(world *world, const machine *of, const tw_shards_notification *cell) {
     const bool decided = cell->state == TW_SHARDS_DRAINING || cell->state == TW_SHARDS_RELEASED ||
                          (cell->state == TW_SHARDS_OPEN && cell->epoch == of->recorded_epoch);
     if (world->lease_s <= 0 || cell->state == of->recorded_state || !decided) return;
@@ -143,7 +143,7 @@
     return NULL;
 }
 
-static void judge_cell(world *world, const tw_shards_tell *cell) {
+static void judge_cell(world *world, const tw_shards_notification *cell) {
     machine *of = machine_named(world, cell->machine);
     if (!of) return;
     if (cell->epoch < of->recorded_epoch ||
@@ -159,8 +159,8 @@
 void tw_judge_records(world *world) {
     if (world->nmachines > JUDGED_ALWAYS && world->transactions % JUDGED_EVERY) return;
     tw_shards *reader = tw_judge_read(world);
-    for (int i = 0; i < tw_shards_machines(reader); i++) {
-        const tw_shards_tell cell = tw_shards_machine(reader, i);
+    for (int i = 0; i < tw_shards_machine_count(reader); i++) {
+        const tw_shards_notification cell = tw_shards_machine_at(reader, i);
         if (cell.state != TW_SHARDS_ABSENT) judge_cell(world, &cell);
     }
     tw_shards_free(reader);
@@ -170,13 +170,13 @@
     const tw_shards *table = world->nodes[at].leader;
     tw_shards *reader = tw_judge_read(world);
     if (tw_shards_revision(table) != tw_shards_revision(reader) ||
-        tw_shards_machines(table) != tw_shards_machines(reader))
+        tw_shards_machine_count(table) != tw_shards_machine_count(reader))
         tw_world_fail(world, "stale_view: %s decides by revision %lu of %lu", world->nodes[at].name,
                       (unsigned long)tw_shards_revision(table),
                       (unsigned long)tw_shards_revision(reader));
-    for (int i = 0; i < tw_shards_machines(reader) && !world->failure[0]; i++) {
-        const tw_shards_tell has = tw_shards_machine(table, i);
-        const tw_shards_tell recorded = tw_shards_machine(reader, i);
+    for (int i = 0; i < tw_shards_machine_count(reader) && !world->failure[0]; i++) {
+        const tw_shards_notification has = tw_shards_machine_at(table, i);
+        const tw_shards_notification recorded = tw_shards_machine_at(reader, i);
         if (has.state != recorded.state || has.epoch != recorded.epoch)
             tw_world_fail(world, "stale_view: %s has %s as %s", world->nodes[at].name,
                           recorded.machine, tw_shards_state_name(has.state));
@@ -190,8 +190,8 @@
 static void judge_machines(world *world, const tw_shards *reader) {
     int *seen = calloc((size_t)world->nmachines + 1, sizeof *seen);
     if (!seen) abort();
-    for (int i = 0; i < tw_shards_machines(reader); i++) {
-        const tw_shards_tell cell = tw_shards_machine(reader, i);
+    for (int i = 0; i < tw_shards_machine_count(reader); i++) {
+        const tw_shards_notification cell = tw_shards_machine_at(reader, i);
         const machine *of = machine_named(world, cell.machine);
         if (cell.state == TW_SHARDS_ABSENT || !of) continue;
         seen[of - world->machines]++;
@@ -228,7 +228,7 @@
 }
 
 static int is_defined(const tw_shards *reader, const char *share) {
-    for (int i = 0; i < tw_shards_count(reader); i++)
+    for (int i = 0; i < tw_shards_shard_count(reader); i++)
         if (!strcmp(tw_shards_view_of(reader, i).name, share)) return 1;
     return 0;
 }
@@ -236,12 +236,12 @@
 static void judge_client(world *world, tw_shards *reader, const client *asked) {
     tw_shards_verdict verdict;
     if (!asked->answered) {
-        tw_world_fail(world, "unanswered: %s %s", asked->request.key, asked->request.share);
+        tw_world_fail(world, "unanswered: %s %s", asked->request.key, asked->request.shard);
         return;
     }
     if (asked->request.kind == TW_SHARDS_DEFINE && asked->verdict == TW_SHARDS_OK &&
-        !is_defined(reader, asked->request.share))
-        tw_world_fail(world, "lost: share %s was accepted", asked->request.share);
+        !is_defined(reader, asked->request.shard))
+        tw_world_fail(world, "lost: share %s was accepted", asked->request.shard);
     if (asked->request.kind != TW_SHARDS_MOVE || asked->verdict != TW_SHARDS_OK) return;
     const tw_shards_progress progress = watch(world, reader, asked->request.key, &verdict);
     if (verdict == TW_SHARDS_UNKNOWN_MOVE) return; /* over for long */
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -44,7 +44,7 @@
     tw_shards_request request = {.kind = TW_SHARDS_MOVE};
     if (read->count < 5) return -1;
     copy_name(request.key, read->words[1]);
-    copy_name(request.share, read->words[2]);
+    copy_name(request.shard, read->words[2]);
     copy_name(request.to, read->words[3]);
     request.count = (int)number(read, 4);
     for (int i = 5; i < read->count; i++) {
@@ -61,7 +61,7 @@
     added->named = calloc(MOST_WORDS, sizeof *added->named);
     if (!added->named) abort();
     for (char *name = strtok(list, ","); name; name = strtok(NULL, ","))
-        copy_name(added->named[added->request.nmachines++], name);
+        copy_name(added->named[added->request.machine_count++], name);
     added->request.machines = added->named;
     return 0;
 }
@@ -78,7 +78,7 @@
 static int do_share(world *world, const words *read) {
     tw_shards_request request = {.kind = TW_SHARDS_DEFINE, .spread = read->count > 4};
     if (read->count < 4) return -1;
-    copy_name(request.share, read->words[1]);
+    copy_name(request.shard, read->words[1]);
     copy_name(request.owner, read->words[2]);
     request.least = (int)number(read, 3);
     tw_world_client(world, &request);
@@ -257,7 +257,7 @@
 static int do_holds(world *world, const words *read) {
     tw_shards *leader = world->nodes[world->leading].leader;
     if (read->count != 3 || !leader) return -1;
-    tw_shards_holds(leader, read->words[1], read->words[2], 1);
+    tw_shards_set_image_held(leader, read->words[1], read->words[2], 1);
     return 0;
 }
 
--- a/tests/shards/shards_world.h
+++ b/tests/shards/shards_world.h
@@ -57,7 +57,7 @@
     event_kind kind;
     int node, machine, number, attempt;
     uint64_t id, epoch, life; /* life: of the node that it is for; 0: any */
-    tw_shards_tell tell;
+    tw_shards_notification tell;
     tw_shards_request_kind report;
     int flag, status;
     char *text;
@@ -66,7 +66,7 @@
     char *path;
     tw_standby_position position;
     tw_standby_message *feed;
-    tw_standby_machine said;
+    tw_standby_machine_status said;
     struct event *next;
 } event;
 
@@ -223,7 +223,7 @@
 void tw_world_effects(world *world, int node);
 void tw_world_call_state(world *world, int node, event *call);
 void tw_world_take_answer(world *world, const tw_shards_effect *effect);
-void tw_world_tell_owner(world *world, int from, const tw_shards_tell *tell);
+void tw_world_tell_owner(world *world, int from, const tw_shards_notification *tell);
 int tw_world_machine_index(const world *world, const char *name);
 int tw_world_node_index(const world *world, const char *name);
 /* A machine's verdict on an order, with the judge's own record and planted faults. Returns whether
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -91,7 +91,7 @@
     if (world->lease_s > 0 && effect->verdict == TW_SHARDS_NOT_LEADER)
         tw_elections_refused(world, asked);
     if (effect->verdict == TW_SHARDS_NOT_LEADER || effect->verdict == TW_SHARDS_OVERLOADED ||
-        effect->verdict == TW_SHARDS_HELD_BACK)
+        effect->verdict == TW_SHARDS_QUARANTINED)
         return;
     if (effect->progress.done && !asked->done_at) asked->done_at = world->now;
     if (!asked->answered) asked->verdict = effect->verdict;
@@ -112,10 +112,10 @@
     if (id / MOST_MACHINES != registered->boot) return; /* to an earlier start of it */
     registered->registered = true;
     tw_shards_guard_start(&registered->guard, world->nodes[world->leading].token,
-                          registered->guard.life, effect->floor);
+                          registered->guard.boot_id, effect->minimum_epoch);
 }
 
-void tw_world_tell_owner(world *world, int from, const tw_shards_tell *tell) {
+void tw_world_tell_owner(world *world, int from, const tw_shards_notification *tell) {
     for (int i = 0; i < world->nnodes; i++) {
         if (strcmp(world->nodes[i].name, tell->owner) != 0) continue;
         if (i != from && tw_elections_is_cut(world, from, i)) return;
@@ -186,8 +186,8 @@
 static void decide_at_once(world *world, int at) {
     tw_shards *table = world->nodes[at].leader;
     if (!tw_shards_ready(table) || tw_shards_deciding(table)) return;
-    for (int i = 0; i < tw_shards_machines(table); i++)
-        tw_shards_checked(table, world->now, tw_shards_machine(table, i).machine);
+    for (int i = 0; i < tw_shards_machine_count(table); i++)
+        tw_shards_machine_confirmed(table, world->now, tw_shards_machine_at(table, i).machine);
     tw_shards_decide(table, world->now);
 }
 
@@ -200,8 +200,8 @@
         case TW_SHARDS_WRITE:
             call_state(world, at, effect);
             break;
-        case TW_SHARDS_TELL:
-            tw_world_tell_owner(world, at, &effect->tell);
+        case TW_SHARDS_NOTIFY:
+            tw_world_tell_owner(world, at, &effect->notification);
             break;
         case TW_SHARDS_ANSWER:
             if (effect->id >= FIRST_MACHINE_ID)
@@ -355,7 +355,7 @@
     if (due->life != about->boot || about->accepted) return;
     if (about->alive && about->registered) return;
     snprintf(request.machine, sizeof request.machine, "%s", about->name);
-    snprintf(request.share, sizeof request.share, "%s", about->share);
+    snprintf(request.shard, sizeof request.shard, "%s", about->share);
     snprintf(request.zone, sizeof request.zone, "%s", about->zone);
     if (world->lease_s > 0) {
         tw_elections_machine(world, &request);
@@ -381,7 +381,8 @@
         (at->standby && tw_standby_decides(at->standby, tw_elections_now(world, due->node)));
     for (int i = 0; i < world->nmachines && leads; i++)
         if (world->machines[i].alive)
-            tw_shards_load(at->leader, world->machines[i].name, world->machines[i].nrunning);
+            tw_shards_set_machine_load(at->leader, world->machines[i].name,
+                                       world->machines[i].nrunning);
     /* The lease is renewed: the key still stands, and nobody is being elected. */
     if (at->token && !world->electing && world->state.down_since < 0 &&
         tw_simulator_state_version(&world->state, "leader") == at->token)
@@ -469,7 +470,7 @@
         tw_world_handle_answer(world, event);
         break;
     case EVENT_TELL:
-        tw_shards_owner_told(world->nodes[event->node].owner, world->now, &event->tell);
+        tw_shards_owner_notified(world->nodes[event->node].owner, world->now, &event->tell);
         tw_world_refresh_replica(world, event->node, event->tell.machine);
         break;
     case EVENT_REPORT:
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -143,13 +143,13 @@
 
 /* ---- machines ---- */
 
-static tw_standby_machine machine_says(const machine *at) {
-    return (tw_standby_machine){.term = at->guard.term,
-                                .life = at->guard.life,
-                                .floor = at->guard.floor,
-                                .newest = at->guard.newest,
-                                .started = at->guard.started,
-                                .running = at->nrunning};
+static tw_standby_machine_status machine_says(const machine *at) {
+    return (tw_standby_machine_status){.term = at->guard.term,
+                                       .boot_id = at->guard.boot_id,
+                                       .minimum_epoch = at->guard.minimum_epoch,
+                                       .newest = at->guard.newest,
+                                       .started = at->guard.started,
+                                       .running = at->nrunning};
 }
 
 /* A planted fault: the controller takes it that the machine has answered, and has not asked it. */
@@ -176,8 +176,8 @@
     sent->machine = tw_world_machine_index(world, effect->machine);
     sent->flag = effect->kind == TW_STANDBY_START;
     sent->term = effect->term;
-    sent->id = effect->life;
-    sent->floor = effect->floor;
+    sent->id = effect->boot_id;
+    sent->floor = effect->minimum_epoch;
     if (sent->machine < 0) sent->machine = 0;
 }
 
@@ -295,8 +295,8 @@
         case TW_STANDBY_START:
             order_machine(world, at, effect);
             break;
-        case TW_STANDBY_TELL:
-            tw_world_tell_owner(world, at, &effect->table->tell);
+        case TW_STANDBY_NOTIFY:
+            tw_world_tell_owner(world, at, &effect->table->notification);
             break;
         case TW_STANDBY_ANSWER:
             take_answer(world, effect->table);
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -205,12 +205,12 @@
 static int do_move(options *chosen, const char *const *words) {
     tw_shards_request request = {.kind = TW_SHARDS_MOVE, .revision = chosen->revision};
     copy(request.key, words[1]);
-    copy(request.share, words[2]);
+    copy(request.shard, words[2]);
     copy(request.to, words[3]);
     if (chosen->image) copy(request.image, chosen->image);
     request.count = (int)strtol(words[4], NULL, DECIMAL);
     request.machines = chosen->machines;
-    request.nmachines = chosen->nmachines;
+    request.machine_count = chosen->nmachines;
     return change(chosen, &request);
 }
 
@@ -223,7 +223,7 @@
 
 static int do_define(options *chosen, const char *const *words) {
     tw_shards_request request = {.kind = TW_SHARDS_DEFINE, .spread = chosen->spread};
-    copy(request.share, words[1]);
+    copy(request.shard, words[1]);
     copy(request.owner, words[2]);
     request.least = (int)strtol(words[3], NULL, DECIMAL);
     return change(chosen, &request);
@@ -232,7 +232,7 @@
 static int do_add(options *chosen, const char *const *words) {
     tw_shards_request request = {.kind = TW_SHARDS_ADD};
     copy(request.machine, words[1]);
-    copy(request.share, words[2]);
+    copy(request.shard, words[2]);
     copy(request.zone, words[3]);
     return change(chosen, &request);
 }
--- a/tools/traywallctl/print.c
+++ b/tools/traywallctl/print.c
@@ -23,8 +23,8 @@
     if (answer->ntells)
         printf("%-24s %-20s %-20s %-9s %s\n", "MACHINE", "SHARE", "OWNER", "STATE", "EPOCH");
     for (int i = 0; i < answer->ntells; i++) {
-        const tw_shards_tell *each = &answer->tells[i];
-        printf("%-24s %-20s %-20s %-9s %lu\n", each->machine, each->share, each->owner,
+        const tw_shards_notification *each = &answer->tells[i];
+        printf("%-24s %-20s %-20s %-9s %lu\n", each->machine, each->shard, each->owner,
                tw_shards_state_name(each->state), (unsigned long)each->epoch);
     }
 }
@@ -41,10 +41,10 @@
     return object;
 }
 
-static cJSON *machine_json(const tw_shards_tell *machine) {
+static cJSON *machine_json(const tw_shards_notification *machine) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "name", machine->machine);
-    cJSON_AddStringToObject(object, "share", machine->share);
+    cJSON_AddStringToObject(object, "share", machine->shard);
     cJSON_AddStringToObject(object, "owner", machine->owner);
     cJSON_AddStringToObject(object, "state", tw_shards_state_name(machine->state));
     cJSON_AddNumberToObject(object, "epoch", (double)machine->epoch);
@@ -106,8 +106,9 @@
     printf("%-22s %-12s %-10s term %lu, change %lu, lag %lu, revision %lu, digest %016lx, "
            "%d records, %d held back\n",
            address, answer->node, tw_standby_state_name(status->state), (unsigned long)status->term,
-           (unsigned long)status->number, (unsigned long)status->lag, (unsigned long)status->ledger,
-           (unsigned long)status->digest, status->records, status->held_back);
+           (unsigned long)status->number, (unsigned long)status->lag,
+           (unsigned long)status->store_revision, (unsigned long)status->digest, status->records,
+           status->quarantined);
     for (int i = 0; i < answer->nfollowers; i++)
         printf("    followed by %-12s lag %lu, heard %.1f s ago\n", answer->followers[i].name,
                (unsigned long)answer->followers[i].lag, answer->followers[i].silent_s);
@@ -125,10 +126,10 @@
     cJSON_AddNumberToObject(object, "term", (double)status->term);
     cJSON_AddNumberToObject(object, "number", (double)status->number);
     cJSON_AddNumberToObject(object, "lag", (double)status->lag);
-    cJSON_AddNumberToObject(object, "revision", (double)status->ledger);
+    cJSON_AddNumberToObject(object, "revision", (double)status->store_revision);
     cJSON_AddStringToObject(object, "digest", digest);
     cJSON_AddNumberToObject(object, "records", status->records);
-    cJSON_AddNumberToObject(object, "held_back", status->held_back);
+    cJSON_AddNumberToObject(object, "held_back", status->quarantined);
     cJSON_AddNumberToObject(object, "differences", (double)status->differences);
     cJSON_AddNumberToObject(object, "snapshots", (double)status->snapshots);
     cJSON_AddNumberToObject(object, "gaps", (double)status->gaps);
