--- a/emulator/main.c
+++ b/emulator/main.c
@@ -77,9 +77,9 @@
         return note_order(at, tw_shards_guard_open(guard, term, epoch), term, epoch);
     if (!strcmp(path, "/stop"))
         return note_order(at, tw_shards_guard_stop(guard, term, epoch), term, 0);
-    const uint64_t life = number_in(body, "life");
-    const uint64_t floor = number_in(body, "floor");
-    return note_order(at, tw_shards_guard_start(guard, term, life, floor), term, 0);
+    const uint64_t boot_id = number_in(body, "life");
+    const uint64_t minimum_epoch = number_in(body, "floor");
+    return note_order(at, tw_shards_guard_start(guard, term, boot_id, minimum_epoch), term, 0);
 }
 
 static int is_order(const char *path) {
@@ -91,8 +91,8 @@
 
 /* A life is another number each time; the stand-in's own lives are far apart from one another. */
 static void restart(replica *at) {
-    const uint64_t life = at->guard.boot_id + 1;
-    tw_shards_guard_boot(&at->guard, life);
+    const uint64_t boot_id = at->guard.boot_id + 1;
+    tw_shards_guard_boot(&at->guard, boot_id);
     at->last_term = 0; /* what it has not heard of in this life, it can't hold against anybody */
 }
 
--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -11,10 +11,11 @@
 #define BODY_SIZE 160
 enum { OK = 200, CONFLICT = 409 };
 
-static call *begin_call(daemon_node *node, call_kind kind, const char *address, const char *method,
-                        const char *path, const char *body) {
+static tw_daemon_call *begin_call(tw_daemon_node *node, tw_daemon_call_kind kind,
+                                  const char *address, const char *method, const char *path,
+                                  const char *body) {
     const double timeout_s = node->settings->lease_s / CALLS_IN_LEASE;
-    call *begun = tw_daemon_alloc(sizeof *begun);
+    tw_daemon_call *begun = tw_daemon_alloc(sizeof *begun);
     begun->id = ++node->last_call;
     begun->kind = kind;
     HASH_ADD(hh, node->calls, id, sizeof begun->id, begun);
@@ -22,33 +23,34 @@
     return begun;
 }
 
-void tw_daemon_call_state(daemon_node *node, const tw_standby_effect *effect) {
-    begin_call(node, CALL_STATE, node->settings->state, effect->method, effect->path, effect->body)
+void tw_daemon_call_state(tw_daemon_node *node, const tw_standby_effect *effect) {
+    begin_call(node, TW_DAEMON_CALL_STATE, node->settings->state, effect->method, effect->path,
+               effect->body)
         ->about = effect->id;
 }
 
-static void call_machine(daemon_node *node, call_kind kind, const char *machine, const char *path,
-                         const char *body, uint64_t about) {
-    call *begun = begin_call(node, kind, machine, "POST", path, body);
+static void call_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *machine,
+                         const char *path, const char *body, uint64_t about) {
+    tw_daemon_call *begun = begin_call(node, kind, machine, "POST", path, body);
     begun->about = about;
     snprintf(begun->machine, sizeof begun->machine, "%s", machine);
 }
 
-void tw_daemon_check_machine(daemon_node *node, const tw_standby_effect *effect) {
+void tw_daemon_check_machine(tw_daemon_node *node, const tw_standby_effect *effect) {
     char body[BODY_SIZE];
     snprintf(body, sizeof body, "{\"term\":%lu}", (unsigned long)effect->term);
-    call_machine(node, CALL_MACHINE, effect->machine, "/check", body, effect->term);
+    call_machine(node, TW_DAEMON_CALL_MACHINE, effect->machine, "/check", body, effect->term);
 }
 
-void tw_daemon_start_machine(daemon_node *node, const tw_standby_effect *effect) {
+void tw_daemon_start_machine(tw_daemon_node *node, const tw_standby_effect *effect) {
     char body[BODY_SIZE];
     snprintf(body, sizeof body, "{\"term\":%lu,\"life\":%lu,\"floor\":%lu}",
              (unsigned long)effect->term, (unsigned long)effect->boot_id,
              (unsigned long)effect->minimum_epoch);
-    call_machine(node, CALL_MACHINE, effect->machine, "/start", body, effect->term);
+    call_machine(node, TW_DAEMON_CALL_MACHINE, effect->machine, "/start", body, effect->term);
 }
 
-void tw_daemon_order_machine(daemon_node *node, call_kind kind, const char *path,
+void tw_daemon_order_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *path,
                              const tw_shards_owner_effect *effect) {
     char body[BODY_SIZE];
     snprintf(body, sizeof body, "{\"term\":%lu,\"epoch\":%lu}", (unsigned long)effect->term,
@@ -82,32 +84,32 @@
     return failed ? -1 : 0;
 }
 
-static void take_response(daemon_node *node, const call *ended, int status, const char *body,
-                          size_t length) {
+static void take_response(tw_daemon_node *node, const tw_daemon_call *ended, int status,
+                          const char *body, size_t length) {
     const double now = tw_daemon_steady_s();
     tw_standby_machine_status machine;
     switch (ended->kind) {
-    case CALL_STATE:
+    case TW_DAEMON_CALL_STATE:
         tw_standby_answered(node->standby, now, ended->about, status, body, length);
         break;
-    case CALL_MACHINE: {
+    case TW_DAEMON_CALL_MACHINE: {
         const int failed = read_machine(&machine, status, body, length);
         tw_standby_machine_answered(node->standby, now, ended->machine, ended->about,
                                     failed ? NULL : &machine);
         break;
     }
-    case CALL_OPEN:
+    case TW_DAEMON_CALL_OPEN:
         if (status == OK) tw_shards_owner_confirmed(node->owner, ended->machine, ended->about);
         break;
-    case CALL_OTHER:
+    case TW_DAEMON_CALL_OTHER:
         break;
     }
 }
 
 void tw_daemon_on_response(void *context, uint64_t id, int status, const char *body,
                            size_t length) {
-    daemon_node *node = context;
-    call *ended;
+    tw_daemon_node *node = context;
+    tw_daemon_call *ended;
     HASH_FIND(hh, node->calls, &id, sizeof id, ended);
     if (!ended) return;
     HASH_DEL(node->calls, ended);
--- a/src/daemon/clients.c
+++ b/src/daemon/clients.c
@@ -7,14 +7,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void name_leader(daemon_node *node, tw_rpc_answer *answer) {
+static void name_leader(tw_daemon_node *node, tw_rpc_answer *answer) {
     tw_standby_leader(node->standby, tw_daemon_steady_s(), answer->leader, &answer->retry_after_s);
 }
 
-void tw_daemon_answer(daemon_node *node, const tw_shards_effect *effect) {
+void tw_daemon_answer(tw_daemon_node *node, const tw_shards_effect *effect) {
     tw_rpc_answer answer = {.verdict = effect->verdict,
                             .revision = effect->revision,
-                            .floor = effect->minimum_epoch,
+                            .minimum_epoch = effect->minimum_epoch,
                             .progress = effect->progress};
     if (effect->verdict == TW_SHARDS_NOT_LEADER) name_leader(node, &answer);
     tw_rpc_answer_call(node->server, effect->id, &answer);
@@ -22,66 +22,69 @@
 
 /* ---- calls of clients ---- */
 
-static void answer_show(daemon_node *node, const tw_rpc_call *asked) {
+static void answer_show(tw_daemon_node *node, const tw_rpc_call *asked) {
     const bool ready = tw_standby_decides(node->standby, tw_daemon_steady_s());
-    const int nshares = ready ? tw_shards_shard_count(node->shares) : 0;
-    const int nmachines = ready && asked->show_machines ? tw_shards_machine_count(node->shares) : 0;
+    const int shard_count = ready ? tw_shards_shard_count(node->shards) : 0;
+    const int machine_count =
+        ready && asked->show_machines ? tw_shards_machine_count(node->shards) : 0;
     tw_rpc_answer answer = {.verdict = ready ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER,
-                            .revision = ready ? tw_shards_revision(node->shares) : 0};
+                            .revision = ready ? tw_shards_revision(node->shards) : 0};
     name_leader(node, &answer);
-    answer.shares = tw_daemon_alloc(sizeof *answer.shares * (size_t)nshares);
-    answer.tells = tw_daemon_alloc(sizeof *answer.tells * (size_t)nmachines);
-    for (int i = 0; i < nshares; i++)
-        answer.shares[answer.nshares++] = tw_shards_view_of(node->shares, i);
-    for (int i = 0; i < nmachines; i++) {
-        const tw_shards_notification machine = tw_shards_machine_at(node->shares, i);
-        if (machine.state != TW_SHARDS_ABSENT) answer.tells[answer.ntells++] = machine;
+    answer.shards = tw_daemon_alloc(sizeof *answer.shards * (size_t)shard_count);
+    answer.notifications = tw_daemon_alloc(sizeof *answer.notifications * (size_t)machine_count);
+    for (int i = 0; i < shard_count; i++)
+        answer.shards[answer.shard_count++] = tw_shards_view_of(node->shards, i);
+    for (int i = 0; i < machine_count; i++) {
+        const tw_shards_notification machine = tw_shards_machine_at(node->shards, i);
+        if (machine.state != TW_SHARDS_ABSENT)
+            answer.notifications[answer.notification_count++] = machine;
     }
     tw_rpc_answer_call(node->server, asked->id, &answer);
     tw_rpc_answer_free(&answer);
 }
 
-static void take_owner_report(daemon_node *node, const tw_rpc_call *asked) {
+static void take_owner_report(tw_daemon_node *node, const tw_rpc_call *asked) {
     const bool decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
     tw_rpc_answer answer = {.verdict = decides ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER};
     tw_standby_heard(node->standby, tw_daemon_steady_s(), asked->owner, asked->position.term,
                      asked->position.number);
-    for (int i = 0; i < asked->nmessages && decides; i++) {
+    for (int i = 0; i < asked->message_count && decides; i++) {
         const tw_rpc_message *message = &asked->messages[i];
         if (message->kind == TW_SHARDS_OWNER_SYNC)
-            tw_shards_sync(node->shares, asked->owner);
+            tw_shards_sync(node->shards, asked->owner);
         else if (message->kind == TW_SHARDS_OWNER_DRAINED)
-            tw_shards_drained(node->shares, asked->owner, message->machine, message->epoch);
+            tw_shards_drained(node->shards, asked->owner, message->machine, message->epoch);
         else
-            tw_shards_opened(node->shares, asked->owner, message->machine, message->epoch);
+            tw_shards_opened(node->shards, asked->owner, message->machine, message->epoch);
     }
     tw_daemon_settle(node);
     /* What is kept is of the term at hand: it is dropped when the term ends. */
-    owner_tells *of = decides ? tw_daemon_tells_of(node, asked->owner) : NULL;
-    answer.tells = of ? of->tells : NULL;
-    answer.ntells = of ? of->count : 0;
+    tw_daemon_owner_notifications *of =
+        decides ? tw_daemon_notifications_of(node, asked->owner) : NULL;
+    answer.notifications = of ? of->notifications : NULL;
+    answer.notification_count = of ? of->count : 0;
     tw_rpc_answer_call(node->server, asked->id, &answer);
     if (of) of->count = 0; /* if the answer is lost, the owner's next SYNC brings them again */
 }
 
-static void answer_follower(daemon_node *node, const tw_rpc_call *asked) {
+static void answer_follower(tw_daemon_node *node, const tw_rpc_call *asked) {
     tw_rpc_answer answer = {
         .message = tw_standby_serve(node->standby, tw_daemon_steady_s(), &asked->position)};
     tw_rpc_answer_call(node->server, asked->id, &answer);
     tw_rpc_answer_free(&answer);
 }
 
-static void answer_standby(daemon_node *node, const tw_rpc_call *asked) {
+static void answer_standby(tw_daemon_node *node, const tw_rpc_call *asked) {
     const double now = tw_daemon_steady_s();
     tw_rpc_answer answer = {.status = tw_standby_status_of(node->standby, now)};
     snprintf(answer.node, sizeof answer.node, "%s", node->settings->name);
     name_leader(node, &answer);
-    answer.followers = tw_standby_followers(node->standby, now, &answer.nfollowers);
+    answer.followers = tw_standby_followers(node->standby, now, &answer.follower_count);
     tw_rpc_answer_call(node->server, asked->id, &answer);
     tw_rpc_answer_free(&answer);
 }
 
-static void take_call(daemon_node *node, const tw_rpc_call *asked) {
+static void take_call(tw_daemon_node *node, const tw_rpc_call *asked) {
     const double now = tw_daemon_steady_s();
     switch (asked->method) {
     case TW_RPC_SHOW:
@@ -106,7 +109,7 @@
 }
 
 void tw_daemon_on_called(struct ev_loop *loop, ev_async *watcher, int events) {
-    daemon_node *node = watcher->data;
+    tw_daemon_node *node = watcher->data;
     tw_rpc_call asked;
     (void)loop;
     (void)events;
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -41,7 +41,7 @@
 
 /* ---- effects ---- */
 
-static void carry_out(daemon_node *node, const tw_standby_effect *effect) {
+static void carry_out(tw_daemon_node *node, const tw_standby_effect *effect) {
     switch (effect->kind) {
     case TW_STANDBY_CALL:
         tw_daemon_call_state(node, effect);
@@ -57,7 +57,7 @@
             tw_shards_owner_notified(node->owner, tw_daemon_steady_s(),
                                      &effect->table->notification);
         else
-            tw_daemon_keep_tell(node, &effect->table->notification);
+            tw_daemon_keep_notification(node, &effect->table->notification);
         break;
     case TW_STANDBY_ANSWER:
         tw_daemon_answer(node, effect->table);
@@ -68,7 +68,7 @@
     }
 }
 
-static bool take_effects(daemon_node *node) {
+static bool take_effects(tw_daemon_node *node) {
     tw_standby_effect *effect;
     bool taken = false;
     while ((effect = tw_standby_next(node->standby))) {
@@ -81,10 +81,10 @@
 }
 
 /* What the owner says to its own table may bring about more. */
-void tw_daemon_settle(daemon_node *node) {
+void tw_daemon_settle(tw_daemon_node *node) {
     while (take_effects(node)) continue;
     const bool decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
-    if (node->decided && !decides) tw_daemon_free_tells(node);
+    if (node->decided && !decides) tw_daemon_free_notifications(node);
     node->decided = decides;
 }
 
@@ -116,7 +116,7 @@
 /* ---- time ---- */
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int events) {
-    daemon_node *node = timer->data;
+    tw_daemon_node *node = timer->data;
     const double now = tw_daemon_steady_s();
     (void)loop;
     (void)events;
@@ -136,21 +136,21 @@
 /* ---- begin and end ---- */
 
 static void wake_called(void *context) {
-    daemon_node *node = context;
+    tw_daemon_node *node = context;
     ev_async_send(node->loop, &node->called);
 }
 
 static void wake_reported(void *context) {
-    daemon_node *node = context;
+    tw_daemon_node *node = context;
     ev_async_send(node->loop, &node->reported);
 }
 
 static void wake_fed(void *context) {
-    daemon_node *node = context;
+    tw_daemon_node *node = context;
     ev_async_send(node->loop, &node->fed);
 }
 
-static void start_watchers(daemon_node *node) {
+static void start_watchers(tw_daemon_node *node) {
     ev_async_init(&node->called, tw_daemon_on_called);
     ev_async_init(&node->fed, on_fed);
     ev_async_init(&node->reported, on_reported);
@@ -166,7 +166,7 @@
     ev_signal_start(node->loop, &node->interrupted);
 }
 
-static void start_net(daemon_node *node) {
+static void start_net(tw_daemon_node *node) {
     const tw_net_handler handler = {.request = on_request, .response = tw_daemon_on_response};
     const tw_net_limits limits = {.max_server = MOST_SERVER_SOCKETS,
                                   .max_client = MOST_CLIENT_SOCKETS,
@@ -176,7 +176,7 @@
 }
 
 /* Gives the lease back, and waits for the answers to calls for a moment at most. */
-static void release_lease(daemon_node *node) {
+static void release_lease(tw_daemon_node *node) {
     tw_standby_resign(node->standby, tw_daemon_steady_s());
     tw_daemon_settle(node);
     const double until = tw_daemon_steady_s() + END_S;
@@ -184,17 +184,17 @@
     while (HASH_COUNT(node->calls) && tw_daemon_steady_s() < until) ev_run(node->loop, EVRUN_ONCE);
 }
 
-static void free_node(daemon_node *node) {
-    call *each;
-    call *after;
+static void free_node(tw_daemon_node *node) {
+    tw_daemon_call *each;
+    tw_daemon_call *after;
     tw_rpc_server_stop(node->server);
     tw_reporter_stop(node->reporter);
     tw_subscriber_stop(node->subscriber);
     tw_net_free(node->net);
     tw_standby_free(node->standby);
-    tw_shards_free(node->shares);
+    tw_shards_free(node->shards);
     tw_shards_owner_free(node->owner);
-    tw_daemon_free_tells(node);
+    tw_daemon_free_notifications(node);
     HASH_ITER(hh, node->calls, each, after) {
         HASH_DEL(node->calls, each);
         free(each);
@@ -203,13 +203,13 @@
 }
 
 int tw_daemon_run(const tw_daemon_settings *settings) {
-    daemon_node node = {.settings = settings, .loop = ev_default_loop(EVFLAG_AUTO)};
+    tw_daemon_node node = {.settings = settings, .loop = ev_default_loop(EVFLAG_AUTO)};
     const tw_standby_settings standby = {
         .name = settings->name, .control = settings->control, .lease_s = settings->lease_s};
     signal(SIGPIPE, SIG_IGN);
-    node.shares = tw_shards_new(&settings->shares);
-    node.standby = tw_standby_new(&standby, node.shares, tw_daemon_steady_s());
-    node.owner = tw_shards_owner_new(settings->shares.retry_s);
+    node.shards = tw_shards_new(&settings->shards);
+    node.standby = tw_standby_new(&standby, node.shards, tw_daemon_steady_s());
+    node.owner = tw_shards_owner_new(settings->shards.retry_s);
     node.messages = tw_daemon_alloc(sizeof *node.messages * MOST_TELLS);
     start_net(&node);
     start_watchers(&node);
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -10,7 +10,7 @@
     const char *state;   /* the state service, IP:port */
     const char *control; /* where the control interface listens, IP:port */
     double lease_s;
-    tw_shards_settings shares;
+    tw_shards_settings shards;
 } tw_daemon_settings;
 
 /* Runs until SIGTERM or SIGINT; 0, or -1: the control address can't be listened on. */
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -11,24 +11,29 @@
 
 #define MOST_TELLS 4096 /* for an owner between two of its reports; it asks for all then */
 
-typedef enum { CALL_STATE, CALL_MACHINE, CALL_OPEN, CALL_OTHER } call_kind;
+typedef enum {
+    TW_DAEMON_CALL_STATE,
+    TW_DAEMON_CALL_MACHINE,
+    TW_DAEMON_CALL_OPEN,
+    TW_DAEMON_CALL_OTHER
+} tw_daemon_call_kind;
 
 /* A call over HTTP that is on its way. */
-typedef struct call {
+typedef struct tw_daemon_call {
     uint64_t id;
-    call_kind kind;
+    tw_daemon_call_kind kind;
     uint64_t about; /* STATE: number of the standby's call; MACHINE: the term; OPEN: the epoch */
     char machine[TW_SHARDS_NAME];
     UT_hash_handle hh;
-} call;
+} tw_daemon_call;
 
 /* What an owner is to be told with its next report. */
-typedef struct owner_tells {
+typedef struct tw_daemon_owner_notifications {
     char owner[TW_SHARDS_NAME];
-    tw_shards_notification *tells;
+    tw_shards_notification *notifications;
     int count;
     UT_hash_handle hh;
-} owner_tells;
+} tw_daemon_owner_notifications;
 
 typedef struct {
     const tw_daemon_settings *settings;
@@ -40,50 +45,50 @@
     char followed[TW_RPC_ADDRESS]; /* whose feed is read; "": nobody's */
     double follow_at, backoff_s;   /* when a feed that ended is opened again */
     tw_standby *standby;
-    tw_shards *shares;
+    tw_shards *shards;
     tw_shards_owner *owner;
     bool decided; /* when looked at last */
     uint64_t last_call;
-    call *calls;
-    owner_tells *tells;
+    tw_daemon_call *calls;
+    tw_daemon_owner_notifications *notifications;
     tw_rpc_message *messages; /* for the leader, until they are sent */
-    int nmessages;
+    int message_count;
     ev_async called, reported, fed;
     ev_timer tick;
     ev_signal terminated, interrupted;
-} daemon_node;
+} tw_daemon_node;
 
 /* daemon.c */
 double tw_daemon_steady_s(void);
 /* Zeroed memory; the program ends where there is none. */
 void *tw_daemon_alloc(size_t size);
 /* Carries out all effects, until nothing more follows from them. */
-void tw_daemon_settle(daemon_node *node);
+void tw_daemon_settle(tw_daemon_node *node);
 
 /* calls.c: calls over HTTP, to the state service and to machines */
-void tw_daemon_call_state(daemon_node *node, const tw_standby_effect *effect);
-void tw_daemon_check_machine(daemon_node *node, const tw_standby_effect *effect);
-void tw_daemon_start_machine(daemon_node *node, const tw_standby_effect *effect);
+void tw_daemon_call_state(tw_daemon_node *node, const tw_standby_effect *effect);
+void tw_daemon_check_machine(tw_daemon_node *node, const tw_standby_effect *effect);
+void tw_daemon_start_machine(tw_daemon_node *node, const tw_standby_effect *effect);
 /* An owner's order, /open or /stop. */
-void tw_daemon_order_machine(daemon_node *node, call_kind kind, const char *path,
+void tw_daemon_order_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *path,
                              const tw_shards_owner_effect *effect);
 void tw_daemon_on_response(void *context, uint64_t id, int status, const char *body, size_t length);
 
 /* owners.c: this node as an owner, and what other owners are told */
-owner_tells *tw_daemon_tells_of(daemon_node *node, const char *owner);
-void tw_daemon_keep_tell(daemon_node *node, const tw_shards_notification *tell);
-void tw_daemon_free_tells(daemon_node *node);
-void tw_daemon_take_owner_effects(daemon_node *node);
+tw_daemon_owner_notifications *tw_daemon_notifications_of(tw_daemon_node *node, const char *owner);
+void tw_daemon_keep_notification(tw_daemon_node *node, const tw_shards_notification *notification);
+void tw_daemon_free_notifications(tw_daemon_node *node);
+void tw_daemon_take_owner_effects(tw_daemon_node *node);
 /* Sends what there is to say to another node that leads; takes its answer. */
-void tw_daemon_report(daemon_node *node);
-void tw_daemon_take_report(daemon_node *node);
+void tw_daemon_report(tw_daemon_node *node);
+void tw_daemon_take_report(tw_daemon_node *node);
 
 /* following.c: this node as a standby */
-void tw_daemon_follow(daemon_node *node);
-void tw_daemon_take_feed(daemon_node *node);
+void tw_daemon_follow(tw_daemon_node *node);
+void tw_daemon_take_feed(tw_daemon_node *node);
 
 /* clients.c: calls over the control interface, and effects that answer them */
-void tw_daemon_answer(daemon_node *node, const tw_shards_effect *effect);
+void tw_daemon_answer(tw_daemon_node *node, const tw_shards_effect *effect);
 void tw_daemon_on_called(struct ev_loop *loop, ev_async *watcher, int events);
 
 #endif
--- a/src/daemon/following.c
+++ b/src/daemon/following.c
@@ -17,13 +17,13 @@
 }
 
 /* Of the controller that is followed now, from where this node is. */
-static void open_feed(daemon_node *node) {
+static void open_feed(tw_daemon_node *node) {
     const tw_standby_position position = tw_standby_position_of(node->standby);
     tw_subscriber_open(node->subscriber, node->followed, &position);
 }
 
 /* Opens a feed that has ended again, each time a little later. */
-static void open_again(daemon_node *node, double now) {
+static void open_again(tw_daemon_node *node, double now) {
     const double lease_s = node->settings->lease_s;
     if (now < node->follow_at) return;
     node->backoff_s = fmin(2 * node->backoff_s, MOST_BACKOFF_RATIO * lease_s);
@@ -31,7 +31,7 @@
     open_feed(node);
 }
 
-void tw_daemon_follow(daemon_node *node) {
+void tw_daemon_follow(tw_daemon_node *node) {
     const double now = tw_daemon_steady_s();
     const char *active = tw_standby_active(node->standby);
     const char *address = strcmp(active, node->settings->control) != 0 ? active : "";
@@ -45,7 +45,7 @@
     }
 }
 
-void tw_daemon_take_feed(daemon_node *node) {
+void tw_daemon_take_feed(tw_daemon_node *node) {
     tw_standby_message message;
     while (tw_subscriber_next(node->subscriber, &message)) {
         const int follows = tw_standby_take(node->standby, tw_daemon_steady_s(), &message);
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -57,19 +57,19 @@
         settings->lease_s = number_of(state, text, LEAST_LEASE_S);
         break;
     case OPT_DRAIN:
-        settings->shares.drain_s = number_of(state, text, 0);
+        settings->shards.drain_s = number_of(state, text, 0);
         break;
     case OPT_GRACE:
-        settings->shares.grace_s = number_of(state, text, LEAST_GRACE_S);
+        settings->shards.grace_s = number_of(state, text, LEAST_GRACE_S);
         break;
     case OPT_RATE:
-        settings->shares.write_rps = number_of(state, text, 1);
+        settings->shards.write_rps = number_of(state, text, 1);
         break;
     case OPT_VALUE:
-        settings->shares.value_bytes = (size_t)number_of(state, text, 1) * KB;
+        settings->shards.value_bytes = (size_t)number_of(state, text, 1) * KB;
         break;
     case OPT_OPS:
-        settings->shares.txn_ops = (int)number_of(state, text, LEAST_OPS);
+        settings->shards.txn_ops = (int)number_of(state, text, LEAST_OPS);
         break;
     case ARGP_KEY_END:
         if (!settings->name || !settings->state || !settings->control)
@@ -87,13 +87,13 @@
                                      .doc = "Keeps the shares of a fleet. LOG_LEVEL: error, info "
                                             "or debug."};
     tw_daemon_settings settings = {.lease_s = LEASE_S,
-                                   .shares = {.drain_s = DRAIN_S,
+                                   .shards = {.drain_s = DRAIN_S,
                                               .grace_s = GRACE_S,
                                               .value_bytes = VALUE_KB * (size_t)KB,
                                               .txn_ops = TXN_OPS,
                                               .write_rps = WRITE_RPS}};
     argp_parse(&argp, count, arguments, 0, NULL, &settings);
-    settings.shares.retry_s = settings.shares.grace_s / RETRIES_PER_GRACE;
+    settings.shards.retry_s = settings.shards.grace_s / RETRIES_PER_GRACE;
     const char *level = getenv("LOG_LEVEL");
     tw_log_init(level ? level : "info", settings.name);
     if (!tw_daemon_run(&settings)) return 0;
--- a/src/daemon/reporter.c
+++ b/src/daemon/reporter.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-typedef enum { REPORTER_IDLE, REPORTER_BUSY, REPORTER_ANSWERED } reporter_state;
+typedef enum { TW_REPORTER_IDLE, TW_REPORTER_BUSY, TW_REPORTER_ANSWERED } reporter_state;
 
 struct tw_reporter {
     pthread_t thread;
@@ -20,7 +20,7 @@
     char owner[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
     tw_standby_position position;
     tw_rpc_message *messages;
-    int nmessages;
+    int message_count;
     tw_rpc_answer answer;
     tw_rpc_client *client;
     char client_address[TW_RPC_ADDRESS];
@@ -41,7 +41,7 @@
     tw_rpc_call call = {.method = TW_RPC_REPORT,
                         .position = reporter->position,
                         .messages = reporter->messages,
-                        .nmessages = reporter->nmessages};
+                        .message_count = reporter->message_count};
     tw_rpc_answer answer = {0};
     char address[TW_RPC_ADDRESS];
     snprintf(call.owner, sizeof call.owner, "%s", reporter->owner);
@@ -53,7 +53,7 @@
     pthread_mutex_lock(&reporter->mutex);
     reporter->failed = status != TW_RPC_OK;
     reporter->answer = answer;
-    reporter->state = REPORTER_ANSWERED;
+    reporter->state = TW_REPORTER_ANSWERED;
     reporter->done(reporter->context);
 }
 
@@ -61,7 +61,7 @@
     tw_reporter *reporter = context;
     pthread_mutex_lock(&reporter->mutex);
     while (!reporter->stopping) {
-        if (reporter->state == REPORTER_BUSY && reporter->messages)
+        if (reporter->state == TW_REPORTER_BUSY && reporter->messages)
             report_once(reporter);
         else
             pthread_cond_wait(&reporter->changed, &reporter->mutex);
@@ -86,7 +86,7 @@
 
 bool tw_reporter_idle(tw_reporter *reporter) {
     pthread_mutex_lock(&reporter->mutex);
-    const bool idle = reporter->state == REPORTER_IDLE;
+    const bool idle = reporter->state == TW_REPORTER_IDLE;
     pthread_mutex_unlock(&reporter->mutex);
     return idle;
 }
@@ -97,19 +97,19 @@
     snprintf(reporter->address, sizeof reporter->address, "%s", address);
     reporter->position = *position;
     reporter->messages = messages;
-    reporter->nmessages = count;
-    reporter->state = REPORTER_BUSY;
+    reporter->message_count = count;
+    reporter->state = TW_REPORTER_BUSY;
     pthread_cond_signal(&reporter->changed);
     pthread_mutex_unlock(&reporter->mutex);
 }
 
 bool tw_reporter_answer(tw_reporter *reporter, tw_rpc_answer *answer) {
     pthread_mutex_lock(&reporter->mutex);
-    const bool answered = reporter->state == REPORTER_ANSWERED;
+    const bool answered = reporter->state == TW_REPORTER_ANSWERED;
     if (answered) {
         *answer = reporter->answer;
         if (reporter->failed) answer->verdict = TW_SHARDS_NOT_LEADER;
-        reporter->state = REPORTER_IDLE;
+        reporter->state = TW_REPORTER_IDLE;
     }
     pthread_mutex_unlock(&reporter->mutex);
     return answered;
@@ -122,7 +122,7 @@
     pthread_cond_signal(&reporter->changed);
     pthread_mutex_unlock(&reporter->mutex);
     pthread_join(reporter->thread, NULL);
-    if (reporter->state == REPORTER_ANSWERED) tw_rpc_answer_free(&reporter->answer);
+    if (reporter->state == TW_REPORTER_ANSWERED) tw_rpc_answer_free(&reporter->answer);
     if (reporter->client) tw_rpc_client_free(reporter->client);
     free(reporter->messages);
     pthread_cond_destroy(&reporter->changed);
--- a/src/daemon/subscriber.c
+++ b/src/daemon/subscriber.c
@@ -22,24 +22,24 @@
     bool open;            /* the thread reads a feed of this generation */
     tw_rpc_feed *feed;    /* at hand, to be cancelled from outside */
     tw_standby_message kept[MOST_KEPT];
-    int nkept;
+    int kept_count;
 };
 
 static void drop_kept(tw_subscriber *subscriber) {
-    for (int i = 0; i < subscriber->nkept; i++) tw_standby_message_free(&subscriber->kept[i]);
-    subscriber->nkept = 0;
+    for (int i = 0; i < subscriber->kept_count; i++) tw_standby_message_free(&subscriber->kept[i]);
+    subscriber->kept_count = 0;
 }
 
 /* Whether the message is of the feed that is wanted and was kept; waits for room. */
 static bool keep(tw_subscriber *subscriber, uint64_t generation, tw_standby_message *message) {
-    while (subscriber->nkept == MOST_KEPT && subscriber->generation == generation &&
+    while (subscriber->kept_count == MOST_KEPT && subscriber->generation == generation &&
            !subscriber->stopping)
         pthread_cond_wait(&subscriber->changed, &subscriber->mutex);
     if (subscriber->generation != generation || subscriber->stopping) {
         tw_standby_message_free(message);
         return false;
     }
-    subscriber->kept[subscriber->nkept++] = *message;
+    subscriber->kept[subscriber->kept_count++] = *message;
     subscriber->wake(subscriber->context);
     return true;
 }
@@ -112,12 +112,12 @@
 
 bool tw_subscriber_next(tw_subscriber *subscriber, tw_standby_message *message) {
     pthread_mutex_lock(&subscriber->mutex);
-    const bool has = subscriber->nkept > 0;
+    const bool has = subscriber->kept_count > 0;
     if (has) {
         *message = subscriber->kept[0];
-        subscriber->nkept--;
+        subscriber->kept_count--;
         memmove(subscriber->kept, subscriber->kept + 1,
-                sizeof *subscriber->kept * (size_t)subscriber->nkept);
+                sizeof *subscriber->kept * (size_t)subscriber->kept_count);
         pthread_cond_broadcast(&subscriber->changed);
     }
     pthread_mutex_unlock(&subscriber->mutex);
@@ -126,7 +126,7 @@
 
 bool tw_subscriber_is_open(tw_subscriber *subscriber) {
     pthread_mutex_lock(&subscriber->mutex);
-    const bool open = subscriber->open || subscriber->nkept > 0;
+    const bool open = subscriber->open || subscriber->kept_count > 0;
     pthread_mutex_unlock(&subscriber->mutex);
     return open;
 }
--- a/src/router/pick.c
+++ b/src/router/pick.c
@@ -5,7 +5,8 @@
 #include <stdbool.h>
 
 /* Whether the first is to be preferred; expected: when each would end. */
-static bool better(const replica *first, const replica *second, double deadline, double now) {
+static bool better(const tw_router_replica *first, const tw_router_replica *second, double deadline,
+                   double now) {
     const bool first_meets = now + first->service_s <= deadline;
     const bool second_meets = now + second->service_s <= deadline;
     if (first_meets != second_meets) return first_meets;
@@ -15,11 +16,12 @@
     return first->running < second->running;
 }
 
-replica *tw_router_pick(const tw_router *route, const request *of, double now) {
-    replica *best = NULL;
-    replica *each;
-    replica *after;
-    HASH_ITER(hh, route->replicas, each, after) {
+tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *of,
+                                  double now) {
+    tw_router_replica *best = NULL;
+    tw_router_replica *each;
+    tw_router_replica *after;
+    HASH_ITER(hh, router->replicas, each, after) {
         if (!each->epoch || each->running >= each->slots) continue;
         if (!best || better(each, best, of->deadline, now)) best = each;
     }
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -58,26 +58,26 @@
 
 typedef struct tw_router tw_router;
 tw_router *tw_router_new(const tw_router_settings *settings);
-void tw_router_free(tw_router *route);
+void tw_router_free(tw_router *router);
 
 /* A replica, new or changed: the epoch of its machine, 0 while nothing new may go there (it drains
  * or is gone); how many requests it runs at once; how long one takes, as a first estimate. */
-void tw_router_replica(tw_router *route, double now, const char *name, uint64_t epoch, int slots,
-                       double service_s);
+void tw_router_set_replica(tw_router *router, double now, const char *name, uint64_t epoch,
+                           int slots, double service_s);
 /* A team's weight in the turns, 1 where none was set. */
-void tw_router_team(tw_router *route, const char *name, double share);
+void tw_router_set_team_weight(tw_router *router, const char *name, double weight);
 /* A request, by a number that is used once; it is over, one way or the other, by its deadline. */
-void tw_router_request(tw_router *route, double now, uint64_t request, const char *team,
-                       double deadline);
-void tw_router_part(tw_router *route, double now, uint64_t request, int attempt);
-void tw_router_ended(tw_router *route, double now, uint64_t request, int attempt,
-                     tw_router_end end);
-void tw_router_tick(tw_router *route, double now);
+void tw_router_add_request(tw_router *router, double now, uint64_t request, const char *team,
+                           double deadline);
+void tw_router_part_received(tw_router *router, double now, uint64_t request, int attempt);
+void tw_router_attempt_ended(tw_router *router, double now, uint64_t request, int attempt,
+                             tw_router_end end);
+void tw_router_tick(tw_router *router, double now);
 /* The next effect, or NULL; free it with free. */
-tw_router_effect *tw_router_next(tw_router *route);
+tw_router_effect *tw_router_next(tw_router *router);
 
 /* Requests that have no final answer yet; those of them that wait for a replica. */
-int tw_router_open(const tw_router *route);
-int tw_router_waiting(const tw_router *route);
+int tw_router_open_count(const tw_router *router);
+int tw_router_waiting_count(const tw_router *router);
 
 #endif
--- a/src/router/router_int.h
+++ b/src/router/router_int.h
@@ -4,49 +4,49 @@
 #include "router/router.h"
 #include <uthash.h>
 
-typedef enum { REQUEST_WAITING, REQUEST_SENT } request_state;
+typedef enum { TW_ROUTER_REQUEST_WAITING, TW_ROUTER_REQUEST_SENT } tw_router_request_state;
 
-typedef struct team team;
+typedef struct tw_router_team tw_router_team;
 
-typedef struct request {
+typedef struct tw_router_request {
     uint64_t number;
-    request_state state;
-    team *team;
+    tw_router_request_state state;
+    tw_router_team *team;
     double deadline, sent_at;
-    int attempt;                  /* the present one, or the last */
-    int passed_on;                /* a part of its answer */
-    char replica[TW_ROUTER_NAME]; /* of the present attempt */
-    struct request *prev, *next;  /* in its team's queue */
+    int attempt;                           /* the present one, or the last */
+    int passed_on;                         /* a part of its answer */
+    char replica[TW_ROUTER_NAME];          /* of the present attempt */
+    struct tw_router_request *prev, *next; /* in its team's queue */
     UT_hash_handle hh;
-} request;
+} tw_router_request;
 
-struct team {
+struct tw_router_team {
     char name[TW_ROUTER_NAME];
-    double share, served; /* requests sent, divided by the share */
-    request *waiting;
+    double weight, served; /* requests sent, divided by the share */
+    tw_router_request *waiting;
     int count;
     UT_hash_handle hh;
 };
 
-typedef struct replica {
+typedef struct tw_router_replica {
     char name[TW_ROUTER_NAME];
     uint64_t epoch; /* 0: nothing new */
     int slots, running;
     double service_s; /* moving average */
     UT_hash_handle hh;
-} replica;
+} tw_router_replica;
 
 struct tw_router {
     tw_router_settings settings;
     double retries; /* that may be made now */
-    request *requests;
-    replica *replicas;
-    team *teams;
+    tw_router_request *requests;
+    tw_router_replica *replicas;
+    tw_router_team *teams;
     tw_router_effect *effects;
 };
 
 void *tw_router_alloc(size_t size);
 /* pick.c: the replica for the request; NULL: none has room. */
-replica *tw_router_pick(const tw_router *route, const request *of, double now);
+tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *of, double now);
 
 #endif
--- a/src/rpc/client.cpp
+++ b/src/rpc/client.cpp
@@ -73,7 +73,7 @@
     tw_rpc::messages::ReportReply reply;
     tw_rpc::write_report(call, request);
     const grpc::Status status = client->stub->Report(&context, request, &reply);
-    if (status.ok()) tw_rpc::read_tells(reply, answer);
+    if (status.ok()) tw_rpc::read_notifications(reply, answer);
     return status_of(status);
 }
 
--- a/src/rpc/convert.cpp
+++ b/src/rpc/convert.cpp
@@ -67,7 +67,7 @@
     to.set_verdict(tw_shards_verdict_name(from.verdict));
     to.set_leader(from.leader);
     to.set_revision(from.revision);
-    to.set_floor(from.floor);
+    to.set_floor(from.minimum_epoch);
     to.set_retry_after_s(from.retry_after_s);
     to.set_done(progress.done != 0);
     to.set_wanted(progress.wanted);
@@ -84,7 +84,7 @@
     to.verdict = read_verdict(from.verdict());
     copy_text(to.leader, from.leader());
     to.revision = from.revision();
-    to.floor = from.floor();
+    to.minimum_epoch = from.floor();
     to.retry_after_s = from.retry_after_s();
     to.progress.done = from.done() ? 1 : 0;
     to.progress.wanted = from.wanted();
@@ -101,25 +101,25 @@
     to.set_leader(from.leader);
     to.set_revision(from.revision);
     to.set_retry_after_s(from.retry_after_s);
-    for (int i = 0; i < from.nshares; i++) {
-        const tw_shards_view &view = from.shares[i];
-        messages::Share *share = to.add_shares();
-        share->set_name(view.name);
-        share->set_owner(view.owner);
-        share->set_least(view.least);
-        share->set_spread(view.spread != 0);
-        share->set_open(view.open);
-        share->set_taken(view.taken);
-        share->set_draining(view.draining);
+    for (int i = 0; i < from.shard_count; i++) {
+        const tw_shards_view &view = from.shards[i];
+        messages::Share *shard = to.add_shares();
+        shard->set_name(view.name);
+        shard->set_owner(view.owner);
+        shard->set_least(view.least);
+        shard->set_spread(view.spread != 0);
+        shard->set_open(view.open);
+        shard->set_taken(view.taken);
+        shard->set_draining(view.draining);
     }
-    for (int i = 0; i < from.ntells; i++) {
-        const tw_shards_notification &tell = from.tells[i];
+    for (int i = 0; i < from.notification_count; i++) {
+        const tw_shards_notification &notification = from.notifications[i];
         messages::Machine *machine = to.add_machines();
-        machine->set_name(tell.machine);
-        machine->set_share(tell.shard);
-        machine->set_owner(tell.owner);
-        machine->set_state(tw_shards_state_name(tell.state));
-        machine->set_epoch(tell.epoch);
+        machine->set_name(notification.machine);
+        machine->set_share(notification.shard);
+        machine->set_owner(notification.owner);
+        machine->set_state(tw_shards_state_name(notification.state));
+        machine->set_epoch(notification.epoch);
     }
 }
 
@@ -129,25 +129,25 @@
     copy_text(to.leader, from.leader());
     to.revision = from.revision();
     to.retry_after_s = from.retry_after_s();
-    to.shares = new_items<tw_shards_view>(from.shares_size());
-    to.tells = new_items<tw_shards_notification>(from.machines_size());
-    for (const messages::Share &share : from.shares()) {
-        tw_shards_view &view = to.shares[to.nshares++];
-        copy_text(view.name, share.name());
-        copy_text(view.owner, share.owner());
-        view.least = share.least();
-        view.spread = share.spread() ? 1 : 0;
-        view.open = share.open();
-        view.taken = share.taken();
-        view.draining = share.draining();
+    to.shards = new_items<tw_shards_view>(from.shares_size());
+    to.notifications = new_items<tw_shards_notification>(from.machines_size());
+    for (const messages::Share &shard : from.shares()) {
+        tw_shards_view &view = to.shards[to.shard_count++];
+        copy_text(view.name, shard.name());
+        copy_text(view.owner, shard.owner());
+        view.least = shard.least();
+        view.spread = shard.spread() ? 1 : 0;
+        view.open = shard.open();
+        view.taken = shard.taken();
+        view.draining = shard.draining();
     }
     for (const messages::Machine &machine : from.machines()) {
-        tw_shards_notification &tell = to.tells[to.ntells++];
-        copy_text(tell.machine, machine.name());
-        copy_text(tell.shard, machine.share());
-        copy_text(tell.owner, machine.owner());
-        tell.state = read_state(machine.state());
-        tell.epoch = machine.epoch();
+        tw_shards_notification &notification = to.notifications[to.notification_count++];
+        copy_text(notification.machine, machine.name());
+        copy_text(notification.shard, machine.share());
+        copy_text(notification.owner, machine.owner());
+        notification.state = read_state(machine.state());
+        notification.epoch = machine.epoch();
     }
 }
 
@@ -160,10 +160,10 @@
     to.messages = new_items<tw_rpc_message>(from.messages_size());
     for (const messages::OwnerMessage &each : from.messages()) {
         if (each.kind() > messages::OwnerMessage::OPENED) continue;
-        tw_rpc_message &message = to.messages[to.nmessages];
+        tw_rpc_message &message = to.messages[to.message_count];
         message.kind = kinds[each.kind()];
         message.epoch = each.epoch();
-        if (copy_text(message.machine, each.machine())) to.nmessages++;
+        if (copy_text(message.machine, each.machine())) to.message_count++;
     }
     return true;
 }
@@ -172,7 +172,7 @@
     to.set_owner(from.owner);
     to.set_term(from.position.term);
     to.set_number(from.position.number);
-    for (int i = 0; i < from.nmessages; i++) {
+    for (int i = 0; i < from.message_count; i++) {
         const tw_rpc_message &message = from.messages[i];
         messages::OwnerMessage *each = to.add_messages();
         each->set_kind(message.kind == TW_SHARDS_OWNER_DRAINED  ? messages::OwnerMessage::DRAINED
@@ -183,33 +183,34 @@
     }
 }
 
-void write_tells(const tw_rpc_answer &from, messages::ReportReply &to) {
+void write_notifications(const tw_rpc_answer &from, messages::ReportReply &to) {
     to.set_leads(from.verdict == TW_SHARDS_OK);
-    for (int i = 0; i < from.ntells; i++) {
-        const tw_shards_notification &tell = from.tells[i];
+    for (int i = 0; i < from.notification_count; i++) {
+        const tw_shards_notification &notification = from.notifications[i];
         messages::Tell *each = to.add_tells();
-        each->set_share(tell.shard);
-        each->set_machine(tell.machine);
-        each->set_state(tell.state);
-        each->set_epoch(tell.epoch);
-        each->set_drain_s(tell.drain_s);
-        each->set_term(tell.term);
+        each->set_share(notification.shard);
+        each->set_machine(notification.machine);
+        each->set_state(notification.state);
+        each->set_epoch(notification.epoch);
+        each->set_drain_s(notification.drain_s);
+        each->set_term(notification.term);
     }
 }
 
-void read_tells(const messages::ReportReply &from, tw_rpc_answer &to) {
+void read_notifications(const messages::ReportReply &from, tw_rpc_answer &to) {
     to = {};
     to.verdict = from.leads() ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER;
-    to.tells = new_items<tw_shards_notification>(from.tells_size());
+    to.notifications = new_items<tw_shards_notification>(from.tells_size());
     for (const messages::Tell &each : from.tells()) {
         if (each.state() < TW_SHARDS_ABSENT || each.state() > TW_SHARDS_RELEASED) continue;
-        tw_shards_notification &tell = to.tells[to.ntells];
-        tell.state = static_cast<tw_shards_state>(each.state());
-        tell.epoch = each.epoch();
-        tell.drain_s = each.drain_s();
-        tell.term = each.term();
-        if (copy_text(tell.shard, each.share()) && copy_text(tell.machine, each.machine()))
-            to.ntells++;
+        tw_shards_notification &notification = to.notifications[to.notification_count];
+        notification.state = static_cast<tw_shards_state>(each.state());
+        notification.epoch = each.epoch();
+        notification.drain_s = each.drain_s();
+        notification.term = each.term();
+        if (copy_text(notification.shard, each.share()) &&
+            copy_text(notification.machine, each.machine()))
+            to.notification_count++;
     }
 }
 
@@ -278,7 +279,7 @@
     to.set_snapshots(status.snapshots);
     to.set_gaps(status.gaps);
     to.set_leader(from.leader);
-    for (int i = 0; i < from.nfollowers; i++) {
+    for (int i = 0; i < from.follower_count; i++) {
         messages::Follower *added = to.add_followers();
         added->set_name(from.followers[i].name);
         added->set_lag(from.followers[i].lag);
@@ -307,7 +308,7 @@
     status.gaps = from.gaps();
     to.followers = new_items<tw_standby_follower_status>(from.followers_size());
     for (const messages::Follower &each : from.followers()) {
-        tw_standby_follower_status &added = to.followers[to.nfollowers++];
+        tw_standby_follower_status &added = to.followers[to.follower_count++];
         copy_text(added.name, each.name());
         added.lag = each.lag();
         added.silent_s = each.silent_s();
@@ -324,11 +325,11 @@
 }
 
 extern "C" void tw_rpc_answer_free(tw_rpc_answer *answer) {
-    std::free(answer->shares);
-    std::free(answer->tells);
+    std::free(answer->shards);
+    std::free(answer->notifications);
     std::free(answer->followers);
     tw_standby_message_free(&answer->message);
     answer->followers = nullptr;
-    answer->shares = nullptr;
-    answer->tells = nullptr;
+    answer->shards = nullptr;
+    answer->notifications = nullptr;
 }
--- a/src/rpc/convert.hpp
+++ b/src/rpc/convert.hpp
@@ -30,8 +30,8 @@
 void read_show(const messages::ShowReply &from, tw_rpc_answer &to);
 bool read_report(const messages::ReportRequest &from, tw_rpc_call &to);
 void write_report(const tw_rpc_call &from, messages::ReportRequest &to);
-void write_tells(const tw_rpc_answer &from, messages::ReportReply &to);
-void read_tells(const messages::ReportReply &from, tw_rpc_answer &to);
+void write_notifications(const tw_rpc_answer &from, messages::ReportReply &to);
+void read_notifications(const messages::ReportReply &from, tw_rpc_answer &to);
 bool read_follow(const messages::FollowRequest &from, tw_rpc_call &to);
 void write_feed(const tw_standby_message &from, messages::FollowMessage &to);
 /// Whether it could be read; the message's entries belong to the caller.
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -36,7 +36,7 @@
     char owner[TW_SHARDS_NAME];   /* REPORT; FOLLOW, PROMOTE: the standby's name */
     tw_standby_position position; /* FOLLOW; REPORT: term and number */
     tw_rpc_message *messages;     /* REPORT */
-    int nmessages;
+    int message_count;
 } tw_rpc_call;
 void tw_rpc_call_free(tw_rpc_call *call);
 
@@ -45,17 +45,17 @@
     tw_shards_verdict verdict;
     char leader[TW_RPC_ADDRESS]; /* its control address; "": not known */
     double retry_after_s;        /* above 0: ask again after it */
-    uint64_t revision, floor;
+    uint64_t revision, minimum_epoch;
     tw_shards_progress progress; /* CHANGE */
-    tw_shards_view *shares;      /* SHOW */
-    int nshares;
-    tw_shards_notification *tells; /* SHOW: machines; REPORT: what the owner is told */
-    int ntells;
+    tw_shards_view *shards;      /* SHOW */
+    int shard_count;
+    tw_shards_notification *notifications; /* SHOW: machines; REPORT: what the owner is told */
+    int notification_count;
     tw_standby_message message; /* FOLLOW */
     char node[TW_SHARDS_NAME];  /* STANDBY */
     tw_standby_status status;   /* STANDBY */
     tw_standby_follower_status *followers;
-    int nfollowers;
+    int follower_count;
 } tw_rpc_answer;
 void tw_rpc_answer_free(tw_rpc_answer *answer);
 
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -29,16 +29,16 @@
   public:
     owned_answer() = default;
     explicit owned_answer(const tw_rpc_answer &from) : answer(from) {
-        shares.assign(from.shares, from.shares + from.nshares);
-        tells.assign(from.tells, from.tells + from.ntells);
-        followers.assign(from.followers, from.followers + from.nfollowers);
+        shards.assign(from.shards, from.shards + from.shard_count);
+        notifications.assign(from.notifications, from.notifications + from.notification_count);
+        followers.assign(from.followers, from.followers + from.follower_count);
         write_feed(from.message, feed);
     }
     /// Valid as long as this object is.
     tw_rpc_answer view() {
         tw_rpc_answer copy = answer;
-        copy.shares = shares.data();
-        copy.tells = tells.data();
+        copy.shards = shards.data();
+        copy.notifications = notifications.data();
         copy.followers = followers.data();
         copy.message = {};
         return copy;
@@ -47,8 +47,8 @@
 
   private:
     tw_rpc_answer answer = {};
-    std::vector<tw_shards_view> shares;
-    std::vector<tw_shards_notification> tells;
+    std::vector<tw_shards_view> shards;
+    std::vector<tw_shards_notification> notifications;
     std::vector<tw_standby_follower_status> followers;
     messages::FollowMessage feed;
 };
@@ -184,7 +184,7 @@
         call.method = TW_RPC_REPORT;
         if (!read_report(*request, call)) return malformed();
         if (!calls.ask(call, answer)) return unavailable();
-        write_tells(answer.view(), *reply);
+        write_notifications(answer.view(), *reply);
         return grpc::Status::OK;
     }
 
--- a/tests/router/properties.cpp
+++ b/tests/router/properties.cpp
@@ -67,8 +67,8 @@
     RC_ASSERT(effect->status == TW_ROUTER_OK || effect->retry_after_s >= 1);
 }
 
-void take_effects(history &seen, tw_router *route) {
-    while (tw_router_effect *effect = tw_router_next(route)) {
+void take_effects(history &seen, tw_router *router) {
+    while (tw_router_effect *effect = tw_router_next(router)) {
         const tw_router_effect taken = *effect;
         std::free(effect);
         RC_ASSERT(taken.kind == TW_ROUTER_SEND || taken.request != seen.stale);
@@ -92,78 +92,78 @@
 }
 
 /// An attempt ends, or speaks once more though it has ended before (a late answer).
-void end_attempt(history &seen, tw_router *route, const step &drawn, tw_router_end end) {
+void end_attempt(history &seen, tw_router *router, const step &drawn, tw_router_end end) {
     if (seen.sent.empty()) return;
     const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
     if (about.number != seen.latest[about.request]) seen.stale = about.request;
-    tw_router_ended(route, seen.now, about.request, about.number, end);
+    tw_router_attempt_ended(router, seen.now, about.request, about.number, end);
 }
 
-void send_part(history &seen, tw_router *route, const step &drawn) {
+void send_part(history &seen, tw_router *router, const step &drawn) {
     if (seen.sent.empty()) return;
     const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
     if (about.number != seen.latest[about.request]) seen.stale = about.request;
-    tw_router_part(route, seen.now, about.request, about.number);
+    tw_router_part_received(router, seen.now, about.request, about.number);
 }
 
-void change_replica(history &seen, tw_router *route, const step &drawn) {
+void change_replica(history &seen, tw_router *router, const step &drawn) {
     const std::string name = replica_name(drawn.which);
     seen.epochs[name] = drawn.other % 3 == 0 ? 0 : static_cast<uint64_t>(drawn.other);
-    tw_router_replica(route, seen.now, name.c_str(), seen.epochs[name], slots, 1);
+    tw_router_set_replica(router, seen.now, name.c_str(), seen.epochs[name], slots, 1);
 }
 
-void make_request(history &seen, tw_router *route, const step &drawn) {
+void make_request(history &seen, tw_router *router, const step &drawn) {
     seen.answers[++seen.last_request] = 0;
     const char *team = drawn.which % 2 == 0 ? "front" : "letters";
-    tw_router_request(route, seen.now, seen.last_request, team, seen.now + deadline_s);
+    tw_router_add_request(router, seen.now, seen.last_request, team, seen.now + deadline_s);
 }
 
-void play(history &seen, tw_router *route, const step &drawn) {
+void play(history &seen, tw_router *router, const step &drawn) {
     static const tw_router_end ends[] = {TW_ROUTER_DONE, TW_ROUTER_REFUSED, TW_ROUTER_BROKEN,
                                          TW_ROUTER_LOST};
     switch (drawn.kind) {
     case 0:
     case 1:
     case 2:
-        make_request(seen, route, drawn);
+        make_request(seen, router, drawn);
         break;
     case 3:
-        change_replica(seen, route, drawn);
+        change_replica(seen, router, drawn);
         break;
     case 4:
-        send_part(seen, route, drawn);
+        send_part(seen, router, drawn);
         break;
     case 5:
         seen.now += step_s;
-        tw_router_tick(route, seen.now);
+        tw_router_tick(router, seen.now);
         break;
     default:
-        end_attempt(seen, route, drawn, ends[drawn.other % 4]);
+        end_attempt(seen, router, drawn, ends[drawn.other % 4]);
     }
-    take_effects(seen, route);
+    take_effects(seen, router);
     seen.stale = 0;
-    RC_ASSERT(tw_router_waiting(route) <= 2 * (most_waiting + replica_count * slots));
+    RC_ASSERT(tw_router_waiting_count(router) <= 2 * (most_waiting + replica_count * slots));
 }
 
-tw_router *new_route() {
+tw_router *new_router() {
     const tw_router_settings settings = {most_waiting, most_attempts, 0.5, 4, 0.25};
     return tw_router_new(&settings);
 }
 
 void check_history(const std::vector<step> &steps) {
     history seen;
-    tw_router *route = new_route();
+    tw_router *router = new_router();
     for (int i = 0; i < replica_count; i++) {
         seen.epochs[replica_name(i)] = 1;
-        tw_router_replica(route, 0, replica_name(i).c_str(), 1, slots, 1);
+        tw_router_set_replica(router, 0, replica_name(i).c_str(), 1, slots, 1);
     }
-    for (const step &drawn : steps) play(seen, route, drawn);
+    for (const step &drawn : steps) play(seen, router, drawn);
     seen.now += 2 * deadline_s;
-    tw_router_tick(route, seen.now);
-    take_effects(seen, route);
+    tw_router_tick(router, seen.now);
+    take_effects(seen, router);
     for (const auto &each : seen.answers) RC_ASSERT(each.second == 1);
-    RC_ASSERT(tw_router_open(route) == 0);
-    tw_router_free(route);
+    RC_ASSERT(tw_router_open_count(router) == 0);
+    tw_router_free(router);
 }
 
 /// With one slot and both teams waiting, the team with three times the share is sent three times as
@@ -172,65 +172,65 @@
     constexpr unsigned share = 3;
     constexpr unsigned rounds = 8;
     const tw_router_settings settings = {static_cast<int>(rounds * (share + 1)), 1, 0, 0, 0.25};
-    tw_router *route = tw_router_new(&settings);
+    tw_router *router = tw_router_new(&settings);
     const uint64_t most = uint64_t{2} * rounds * (share + 1);
     unsigned front = 0;
-    tw_router_team(route, "front", share);
+    tw_router_set_team_weight(router, "front", share);
     for (uint64_t number = 1; number <= most; number++)
-        tw_router_request(route, 0, number, number % 2 == 0 ? "front" : "letters", deadline_s);
-    tw_router_replica(route, 0, "r0", 1, 1, 1);
+        tw_router_add_request(router, 0, number, number % 2 == 0 ? "front" : "letters", deadline_s);
+    tw_router_set_replica(router, 0, "r0", 1, 1, 1);
     for (unsigned i = 0; i < rounds * (share + 1); i++) {
-        tw_router_effect *effect = tw_router_next(route);
+        tw_router_effect *effect = tw_router_next(router);
         while (effect != nullptr && effect->kind != TW_ROUTER_SEND) {
             std::free(effect);
-            effect = tw_router_next(route);
+            effect = tw_router_next(router);
         }
         RC_ASSERT(effect != nullptr);
         front += effect->request % 2 == 0;
-        tw_router_ended(route, 0, effect->request, effect->attempt, TW_ROUTER_DONE);
+        tw_router_attempt_ended(router, 0, effect->request, effect->attempt, TW_ROUTER_DONE);
         std::free(effect);
     }
     RC_ASSERT(front >= rounds * share - 1 && front <= rounds * share + 1);
-    tw_router_free(route);
+    tw_router_free(router);
 }
 
 /// Past its room a team is refused at once, with the time to come back; a request that is retried
 /// goes before those that came after it.
 void check_queue() {
-    tw_router *route = new_route();
+    tw_router *router = new_router();
     for (uint64_t number = 1; number <= most_waiting + 1U; number++)
-        tw_router_request(route, 0, number, "front", deadline_s);
-    tw_router_effect *refused = tw_router_next(route);
+        tw_router_add_request(router, 0, number, "front", deadline_s);
+    tw_router_effect *refused = tw_router_next(router);
     RC_ASSERT(refused != nullptr && refused->kind == TW_ROUTER_ANSWER);
     RC_ASSERT(refused->request == most_waiting + 1U);
     RC_ASSERT(refused->status == TW_ROUTER_FULL && refused->retry_after_s >= 1);
     std::free(refused);
-    tw_router_replica(route, 0, "r0", 1, 1, 1);
-    std::free(tw_router_next(route));
-    tw_router_ended(route, 0, 1, 1, TW_ROUTER_REFUSED);
-    tw_router_effect *again = tw_router_next(route);
+    tw_router_set_replica(router, 0, "r0", 1, 1, 1);
+    std::free(tw_router_next(router));
+    tw_router_attempt_ended(router, 0, 1, 1, TW_ROUTER_REFUSED);
+    tw_router_effect *again = tw_router_next(router);
     RC_ASSERT(again != nullptr && again->kind == TW_ROUTER_SEND);
     RC_ASSERT(again->request == 1 && again->attempt == 2);
     std::free(again);
-    tw_router_free(route);
+    tw_router_free(router);
 }
 
 /// The slowest replica that meets the deadline; where none does, the fastest.
 void check_pick() {
-    tw_router *route = new_route();
-    tw_router_replica(route, 0, "fast", 1, 1, 1);
-    tw_router_replica(route, 0, "slow", 1, 1, 3);
-    tw_router_replica(route, 0, "slowest", 1, 1, 9);
-    tw_router_request(route, 0, 1, "front", 4);
-    tw_router_request(route, 0, 2, "front", 0.5);
+    tw_router *router = new_router();
+    tw_router_set_replica(router, 0, "fast", 1, 1, 1);
+    tw_router_set_replica(router, 0, "slow", 1, 1, 3);
+    tw_router_set_replica(router, 0, "slowest", 1, 1, 9);
+    tw_router_add_request(router, 0, 1, "front", 4);
+    tw_router_add_request(router, 0, 2, "front", 0.5);
     const char *const expected[] = {"slow", "fast"};
     for (const char *name : expected) {
-        tw_router_effect *effect = tw_router_next(route);
+        tw_router_effect *effect = tw_router_next(router);
         RC_ASSERT(effect != nullptr);
         RC_ASSERT(std::string(effect->replica) == name);
         std::free(effect);
     }
-    tw_router_free(route);
+    tw_router_free(router);
 }
 
 } // namespace
--- a/tests/shards/expect.c
+++ b/tests/shards/expect.c
@@ -4,17 +4,17 @@
 #include <stdio.h>
 #include <string.h>
 
-static const tw_standby *standby_named(const world *world, const char *name) {
+static const tw_standby *standby_named(const tw_world *world, const char *name) {
     const int at = tw_script_node(world, name);
-    return at < 0 || !world->nodes[at].life ? NULL : world->nodes[at].standby;
+    return at < 0 || !world->nodes[at].incarnation ? NULL : world->nodes[at].standby;
 }
 
 /* expect leader NODE NAME|nobody: whom the node sends clients to */
-static void expect_leader(world *world, const words *read) {
+static void expect_leader(tw_world *world, const tw_script_words *read) {
     const int at = tw_script_node(world, read->words[2]);
     char leader[TW_STANDBY_ADDRESS] = "";
     double retry_after_s = 0;
-    if (at >= 0 && world->nodes[at].life)
+    if (at >= 0 && world->nodes[at].incarnation)
         tw_standby_leader(world->nodes[at].standby, tw_elections_now(world, at), leader,
                           &retry_after_s);
     if (strcmp(leader[0] ? leader : "nobody", read->words[3]) != 0)
@@ -23,7 +23,7 @@
 }
 
 /* expect state NODE NAME; expect gaps|snapshots|held_back NODE LEAST */
-static int expect_standby(world *world, const words *read) {
+static int expect_standby(tw_world *world, const tw_script_words *read) {
     tw_standby *asked = (tw_standby *)standby_named(world, read->words[2]);
     if (!asked || read->count != 4) return -1;
     const int at = tw_script_node(world, read->words[2]);
@@ -41,12 +41,12 @@
     return 0;
 }
 
-static void expect_range(world *world, const char *what, double got, double least, double most) {
+static void expect_range(tw_world *world, const char *what, double got, double least, double most) {
     if (got < least || got > most)
         tw_world_fail(world, "expected %s from %g to %g, got %g", what, least, most, got);
 }
 
-static void expect_size(world *world, const words *read) {
+static void expect_size(tw_world *world, const tw_script_words *read) {
     tw_shards *reader = tw_judge_read(world);
     int size = -1;
     for (int i = 0; i < tw_shards_shard_count(reader); i++) {
@@ -57,22 +57,22 @@
     expect_range(world, read->words[2], size, number(read, 3), number(read, 4));
 }
 
-static void expect_owner(world *world, const words *read) {
+static void expect_owner(tw_world *world, const tw_script_words *read) {
     tw_shards *reader = tw_judge_read(world);
     bool found = false;
     for (int i = 0; i < tw_shards_machine_count(reader); i++) {
-        const tw_shards_notification cell = tw_shards_machine_at(reader, i);
-        if (strcmp(cell.machine, read->words[2]) != 0) continue;
+        const tw_shards_notification machine = tw_shards_machine_at(reader, i);
+        if (strcmp(machine.machine, read->words[2]) != 0) continue;
         found = true;
-        if (strcmp(cell.shard, read->words[3]) != 0)
-            tw_world_fail(world, "%s is in %s", cell.machine, cell.shard);
+        if (strcmp(machine.shard, read->words[3]) != 0)
+            tw_world_fail(world, "%s is in %s", machine.machine, machine.shard);
     }
     tw_shards_free(reader);
     if (!found) tw_world_fail(world, "%s is in no share", read->words[2]);
 }
 
-static void expect_answer(world *world, const words *read) {
-    const client *asked = tw_script_client(world, read->words[2]);
+static void expect_answer(tw_world *world, const tw_script_words *read) {
+    const tw_world_client *asked = tw_script_client(world, read->words[2]);
     const char *got = "none";
     if (asked && asked->answered) got = tw_shards_verdict_name(asked->verdict);
     if (strcmp(got, read->words[3]) != 0)
@@ -80,10 +80,10 @@
 }
 
 /* The same key twice: the last request of that key. */
-static void expect_again(world *world, const words *read) {
+static void expect_again(tw_world *world, const tw_script_words *read) {
     const char *got = "none";
-    for (int i = 0; i < world->nclients; i++) {
-        const client *each = &world->clients[i];
+    for (int i = 0; i < world->client_count; i++) {
+        const tw_world_client *each = &world->clients[i];
         if (!strcmp(each->request.key, read->words[2]) && each->answered)
             got = tw_shards_verdict_name(each->verdict);
     }
@@ -91,8 +91,8 @@
         tw_world_fail(world, "%s was answered %s at last", read->words[2], got);
 }
 
-static int expect_move(world *world, const words *read) {
-    const client *asked = tw_script_client(world, read->words[2]);
+static int expect_move(tw_world *world, const tw_script_words *read) {
+    const tw_world_client *asked = tw_script_client(world, read->words[2]);
     const char *what = read->words[1];
     double got = -1;
     if (asked && !strcmp(what, "moved")) got = asked->progress.moved;
@@ -108,7 +108,7 @@
     return 0;
 }
 
-int tw_script_expect(world *world, const words *read) {
+int tw_script_expect(tw_world *world, const tw_script_words *read) {
     if (read->count < 3) return -1;
     const char *what = read->words[1];
     if (!strcmp(what, "size") && read->count == 5)
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -11,41 +11,41 @@
 /* ---- gateways: a controller routes the requests of its shares ---- */
 
 /* Tells the route under which epoch the machine may get requests now. */
-void tw_world_refresh_replica(world *world, int at, const char *name) {
+void tw_world_refresh_replica(tw_world *world, int at, const char *name) {
     const uint64_t epoch = tw_shards_owner_epoch(world->nodes[at].owner, name);
-    tw_router_replica(world->nodes[at].route, world->now, name, epoch, SLOTS, FIRST_SERVICE_S);
+    tw_router_set_replica(world->nodes[at].router, world->now, name, epoch, SLOTS, FIRST_SERVICE_S);
 }
 
-static void send_work(world *world, int at, const tw_router_effect *effect) {
+static void send_work(tw_world *world, int at, const tw_router_effect *effect) {
     const int to = tw_world_machine_index(world, effect->replica);
     tw_judge_use(world, at, to, effect->epoch);
     tw_shards_owner_sent(world->nodes[at].owner, effect->replica, effect->epoch);
     const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S) + world->slow_s;
-    event *sent = tw_world_event(world, after, EVENT_WORK);
+    tw_world_event *sent = tw_world_add_event(world, after, EVENT_WORK);
     sent->node = at;
-    sent->life = world->nodes[at].life;
+    sent->incarnation = world->nodes[at].incarnation;
     sent->machine = to;
     sent->number = (int)effect->request;
     sent->attempt = effect->attempt;
     sent->epoch = effect->epoch;
 }
 
-static void reply_to_user(world *world, int at, const tw_router_effect *effect) {
+static void reply_to_user(tw_world *world, int at, const tw_router_effect *effect) {
     const int times = world->plant_double ? 2 : !world->plant_drop;
     for (int i = 0; i < times; i++) {
         const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S);
-        event *reply = tw_world_event(world, after, EVENT_REPLY);
+        tw_world_event *reply = tw_world_add_event(world, after, EVENT_REPLY);
         reply->number = (int)effect->request;
         reply->node = at;
-        reply->life = world->nodes[at].life;
+        reply->incarnation = world->nodes[at].incarnation;
         reply->status = (int)effect->status;
     }
     world->plant_double = world->plant_drop = 0;
 }
 
-void tw_world_route_effects(world *world, int at) {
+void tw_world_router_effects(tw_world *world, int at) {
     tw_router_effect *effect;
-    while ((effect = tw_router_next(world->nodes[at].route))) {
+    while ((effect = tw_router_next(world->nodes[at].router))) {
         if (effect->kind == TW_ROUTER_SEND) send_work(world, at, effect);
         if (effect->kind == TW_ROUTER_ANSWER) reply_to_user(world, at, effect);
         free(effect);
@@ -58,78 +58,79 @@
     return status ? TW_ROUTER_BROKEN : TW_ROUTER_LOST;
 }
 
-void tw_world_handle_worked(world *world, const event *answer) {
-    const node *at = &world->nodes[answer->node];
+void tw_world_handle_worked(tw_world *world, const tw_world_event *answer) {
+    const tw_world_node *at = &world->nodes[answer->node];
     const char *name = world->machines[answer->machine].name;
     if (answer->status == BAD) {
         tw_shards_owner_refused(at->owner, name, answer->epoch);
         tw_world_refresh_replica(world, answer->node, name);
     }
     tw_shards_owner_ended(at->owner, name, answer->epoch);
-    tw_router_ended(at->route, world->now, (uint64_t)answer->number, answer->attempt,
-                    end_of(answer->status));
+    tw_router_attempt_ended(at->router, world->now, (uint64_t)answer->number, answer->attempt,
+                            end_of(answer->status));
 }
 
 /* ---- users ---- */
 
 /* The node that owns the share by the records; -1: none. */
-static int read_owner(world *world, const char *share) {
+static int read_owner(tw_world *world, const char *shard) {
     tw_shards *reader = tw_judge_read(world);
     int owner = -1;
     for (int i = 0; i < tw_shards_shard_count(reader); i++) {
         const tw_shards_view view = tw_shards_view_of(reader, i);
-        for (int j = 0; j < world->nnodes; j++)
-            if (!strcmp(view.name, share) && !strcmp(view.owner, world->nodes[j].name)) owner = j;
+        for (int j = 0; j < world->node_count; j++)
+            if (!strcmp(view.name, shard) && !strcmp(view.owner, world->nodes[j].name)) owner = j;
     }
     tw_shards_free(reader);
     return owner;
 }
 
-static int owner_of(world *world, load *of) {
+static int owner_of(tw_world *world, tw_world_load *of) {
     if (of->owner_known_at != world->transactions + 1) {
-        of->owner = read_owner(world, of->share);
+        of->owner = read_owner(world, of->shard);
         of->owner_known_at = world->transactions + 1;
     }
     return of->owner;
 }
 
-void tw_world_handle_arrival(world *world, const event *due) {
-    const load *of = &world->loads[due->number];
+void tw_world_handle_arrival(tw_world *world, const tw_world_event *due) {
+    const tw_world_load *of = &world->loads[due->number];
     if (world->now > of->until) return;
-    tw_world_event(world, 1 / of->rate, EVENT_ARRIVAL)->number = due->number;
-    if (world->nrequests == world->requests_room) {
-        world->requests_room = world->requests_room ? 2 * world->requests_room : TEXT;
+    tw_world_add_event(world, 1 / of->rate, EVENT_ARRIVAL)->number = due->number;
+    if (world->request_count == world->request_room) {
+        world->request_room = world->request_room ? 2 * world->request_room : TEXT;
         world->requests =
-            realloc(world->requests, sizeof *world->requests * (size_t)world->requests_room);
+            realloc(world->requests, sizeof *world->requests * (size_t)world->request_room);
         if (!world->requests) abort();
     }
-    world->requests[world->nrequests] = (user_request){.load = due->number};
-    tw_world_event(world, 0, EVENT_REQUEST)->number = world->nrequests++;
+    world->requests[world->request_count] = (tw_world_user_request){.load = due->number};
+    tw_world_add_event(world, 0, EVENT_REQUEST)->number = world->request_count++;
 }
 
 /* Sends the request, and again where the connection broke or nothing came for longer than the
  * deadline. Only the last try's answer is heard, since its connection is the only open one. */
-void tw_world_handle_request(world *world, const event *due) {
-    user_request *asked = &world->requests[due->number];
-    load *of = &world->loads[asked->load];
+void tw_world_handle_request(tw_world *world, const tw_world_event *due) {
+    tw_world_user_request *asked = &world->requests[due->number];
+    tw_world_load *of = &world->loads[asked->load];
     if (asked->answers) return;
-    tw_world_event(world, USER_LOOKS_S, EVENT_REQUEST)->number = due->number;
-    const bool open = asked->life && world->nodes[asked->node].life == asked->life;
+    tw_world_add_event(world, USER_LOOKS_S, EVENT_REQUEST)->number = due->number;
+    const bool open =
+        asked->incarnation && world->nodes[asked->node].incarnation == asked->incarnation;
     if (open) tw_judge_unanswered(world, due->number);
     if (open && world->now < asked->sent_at + 2 * USER_DEADLINE_S) return;
     const int to = owner_of(world, of);
-    if (to < 0 || !world->nodes[to].life || world->nodes[to].hung_until > world->now) return;
+    if (to < 0 || !world->nodes[to].incarnation || world->nodes[to].hung_until > world->now) return;
     asked->node = to;
-    asked->life = world->nodes[to].life;
+    asked->incarnation = world->nodes[to].incarnation;
     asked->sent_at = world->now;
-    tw_router_request(world->nodes[to].route, world->now, (uint64_t)due->number, of->share,
-                      world->now + USER_DEADLINE_S);
-    tw_world_route_effects(world, to);
+    tw_router_add_request(world->nodes[to].router, world->now, (uint64_t)due->number, of->shard,
+                          world->now + USER_DEADLINE_S);
+    tw_world_router_effects(world, to);
 }
 
-void tw_world_handle_reply(world *world, const event *reply) {
-    user_request *asked = &world->requests[reply->number];
-    if (asked->node != reply->node || asked->life != reply->life) return;
+void tw_world_handle_reply(tw_world *world, const tw_world_event *reply) {
+    tw_world_user_request *asked = &world->requests[reply->number];
+    if (asked->node != reply->node || asked->incarnation != reply->incarnation) return;
     asked->answers++;
     asked->status = reply->status;
     world->failed += reply->status != OK;
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -21,9 +21,9 @@
 
 /* ---- while it plays ---- */
 
-void tw_judge_use(world *world, int node, int at, uint64_t epoch) {
-    for (int i = 0; i < world->nuses; i++) {
-        const use *each = &world->uses[i];
+void tw_judge_use(tw_world *world, int node, int at, uint64_t epoch) {
+    for (int i = 0; i < world->use_count; i++) {
+        const tw_world_use *each = &world->uses[i];
         if (each->machine != at || each->epoch != epoch) continue;
         if (each->node != node)
             tw_world_fail(world, "two_owners: %s and %s use epoch %lu of %s",
@@ -31,27 +31,27 @@
                           (unsigned long)epoch, world->machines[at].name);
         return;
     }
-    if (world->nuses == world->uses_room) {
-        world->uses_room = world->uses_room ? 2 * world->uses_room : TEXT;
-        world->uses = realloc(world->uses, sizeof *world->uses * (size_t)world->uses_room);
+    if (world->use_count == world->use_room) {
+        world->use_room = world->use_room ? 2 * world->use_room : TEXT;
+        world->uses = realloc(world->uses, sizeof *world->uses * (size_t)world->use_room);
         if (!world->uses) abort();
     }
-    world->uses[world->nuses++] = (use){at, node, epoch};
+    world->uses[world->use_count++] = (tw_world_use){at, node, epoch};
 }
 
-void tw_judge_work(world *world, int node, int at, uint64_t epoch) {
-    const machine *works = &world->machines[at];
+void tw_judge_work(tw_world *world, int node, int at, uint64_t epoch) {
+    const tw_world_machine *works = &world->machines[at];
     if (epoch < works->judged_epoch)
         tw_world_fail(world, "old_epoch: %s runs a request of epoch %lu after %lu", works->name,
                       (unsigned long)epoch, (unsigned long)works->judged_epoch);
-    for (int i = 0; i < works->nrunning; i++)
+    for (int i = 0; i < works->running_count; i++)
         if (works->running[i].node != node)
             tw_world_fail(world, "two_owners: %s runs requests of %s and %s", works->name,
                           world->nodes[works->running[i].node].name, world->nodes[node].name);
 }
 
-void tw_judge_order(world *world, int at, uint64_t term) {
-    const machine *takes = &world->machines[at];
+void tw_judge_order(tw_world *world, int at, uint64_t term) {
+    const tw_world_machine *takes = &world->machines[at];
     if (term < takes->judged_term)
         tw_world_fail(world, "old_term: %s takes an order of term %lu after %lu", takes->name,
                       (unsigned long)term, (unsigned long)takes->judged_term);
@@ -62,22 +62,24 @@
 
 /* A state that a leader changed on its own, of a machine that has not heard of its term. Renewed
  * epochs, and those of a share's new owner, are for machines that take nothing else. */
-static void judge_checked(world *world, const machine *of, const tw_shards_notification *cell) {
-    const bool decided = cell->state == TW_SHARDS_DRAINING || cell->state == TW_SHARDS_RELEASED ||
-                         (cell->state == TW_SHARDS_OPEN && cell->epoch == of->recorded_epoch);
-    if (world->lease_s <= 0 || cell->state == of->recorded_state || !decided) return;
+static void judge_checked(tw_world *world, const tw_world_machine *of,
+                          const tw_shards_notification *machine) {
+    const bool decided = machine->state == TW_SHARDS_DRAINING ||
+                         machine->state == TW_SHARDS_RELEASED ||
+                         (machine->state == TW_SHARDS_OPEN && machine->epoch == of->recorded_epoch);
+    if (world->lease_s <= 0 || machine->state == of->recorded_state || !decided) return;
     if (!of->alive || !of->guard.started || of->guard.term >= world->newest_term) return;
     tw_world_fail(world, "unchecked: %s is made %s under term %lu, and knows %lu", of->name,
-                  tw_shards_state_name(cell->state), (unsigned long)world->newest_term,
+                  tw_shards_state_name(machine->state), (unsigned long)world->newest_term,
                   (unsigned long)of->guard.term);
 }
 
 /* At any time at most one controller may say that it decides. */
-void tw_judge_deciders(world *world) {
+void tw_judge_deciders(tw_world *world) {
     int deciders = 0;
-    for (int i = 0; i < world->nnodes; i++) {
-        const node *each = &world->nodes[i];
-        if (!each->life || !each->standby || each->hung_until > world->now) continue;
+    for (int i = 0; i < world->node_count; i++) {
+        const tw_world_node *each = &world->nodes[i];
+        if (!each->incarnation || !each->standby || each->hung_until > world->now) continue;
         deciders += tw_standby_decides(each->standby, tw_elections_now(world, i));
     }
     if (deciders > 1) tw_world_fail(world, "two_deciders: %d", deciders);
@@ -89,7 +91,7 @@
     if (gap > world->longest_gap) world->longest_gap = gap;
 }
 
-tw_shards *tw_judge_read(world *world) {
+tw_shards *tw_judge_read(tw_world *world) {
     tw_shards *reader = tw_shards_new(&world->settings);
     char after[TEXT] = "";
     tw_shards_effect *effect;
@@ -119,17 +121,17 @@
 }
 
 /* A request whose connection is open and whose deadline is over for long, at a node that lives. */
-void tw_judge_unanswered(world *world, int number) {
-    const user_request *asked = &world->requests[number];
+void tw_judge_unanswered(tw_world *world, int number) {
+    const tw_world_user_request *asked = &world->requests[number];
     if (world->now > asked->sent_at + USER_DEADLINE_S + LONGEST_ANSWER_S &&
         world->nodes[asked->node].hung_until < asked->sent_at)
         tw_world_fail(world, "request %d was dropped", number);
 }
 
 /* By what users heard and machines served alone. */
-void tw_judge_requests(world *world) {
-    for (int i = 0; i < world->nrequests; i++) {
-        const user_request *each = &world->requests[i];
+void tw_judge_requests(tw_world *world) {
+    for (int i = 0; i < world->request_count; i++) {
+        const tw_world_user_request *each = &world->requests[i];
         if (each->answers != 1)
             tw_world_fail(world, "request %d got %d final answers", i, each->answers);
         if (each->answers && each->status == OK && !each->completions)
@@ -137,36 +139,36 @@
     }
 }
 
-static machine *machine_named(world *world, const char *name) {
-    for (int i = 0; i < world->nmachines; i++)
+static tw_world_machine *machine_named(tw_world *world, const char *name) {
+    for (int i = 0; i < world->machine_count; i++)
         if (!strcmp(world->machines[i].name, name)) return &world->machines[i];
     return NULL;
 }
 
-static void judge_cell(world *world, const tw_shards_notification *cell) {
-    machine *of = machine_named(world, cell->machine);
+static void judge_cell(tw_world *world, const tw_shards_notification *machine) {
+    tw_world_machine *of = machine_named(world, machine->machine);
     if (!of) return;
-    if (cell->epoch < of->recorded_epoch ||
-        (cell->epoch == of->recorded_epoch && cell->state < of->recorded_state))
+    if (machine->epoch < of->recorded_epoch ||
+        (machine->epoch == of->recorded_epoch && machine->state < of->recorded_state))
         tw_world_fail(world, "went_back: %s is %s under %lu, was %s under %lu", of->name,
-                      tw_shards_state_name(cell->state), (unsigned long)cell->epoch,
+                      tw_shards_state_name(machine->state), (unsigned long)machine->epoch,
                       tw_shards_state_name(of->recorded_state), (unsigned long)of->recorded_epoch);
-    judge_checked(world, of, cell);
-    of->recorded_epoch = cell->epoch;
-    of->recorded_state = cell->state;
+    judge_checked(world, of, machine);
+    of->recorded_epoch = machine->epoch;
+    of->recorded_state = machine->state;
 }
 
-void tw_judge_records(world *world) {
-    if (world->nmachines > JUDGED_ALWAYS && world->transactions % JUDGED_EVERY) return;
+void tw_judge_records(tw_world *world) {
+    if (world->machine_count > JUDGED_ALWAYS && world->transactions % JUDGED_EVERY) return;
     tw_shards *reader = tw_judge_read(world);
     for (int i = 0; i < tw_shards_machine_count(reader); i++) {
-        const tw_shards_notification cell = tw_shards_machine_at(reader, i);
-        if (cell.state != TW_SHARDS_ABSENT) judge_cell(world, &cell);
+        const tw_shards_notification machine = tw_shards_machine_at(reader, i);
+        if (machine.state != TW_SHARDS_ABSENT) judge_cell(world, &machine);
     }
     tw_shards_free(reader);
 }
 
-void tw_judge_view(world *world, int at) {
+void tw_judge_view(tw_world *world, int at) {
     const tw_shards *table = world->nodes[at].leader;
     tw_shards *reader = tw_judge_read(world);
     if (tw_shards_revision(table) != tw_shards_revision(reader) ||
@@ -187,29 +189,29 @@
 /* ---- at the end ---- */
 
 /* Counts how often each machine stands in the table, and that it is open there. */
-static void judge_machines(world *world, const tw_shards *reader) {
-    int *seen = calloc((size_t)world->nmachines + 1, sizeof *seen);
+static void judge_machines(tw_world *world, const tw_shards *reader) {
+    int *seen = calloc((size_t)world->machine_count + 1, sizeof *seen);
     if (!seen) abort();
     for (int i = 0; i < tw_shards_machine_count(reader); i++) {
-        const tw_shards_notification cell = tw_shards_machine_at(reader, i);
-        const machine *of = machine_named(world, cell.machine);
-        if (cell.state == TW_SHARDS_ABSENT || !of) continue;
+        const tw_shards_notification machine = tw_shards_machine_at(reader, i);
+        const tw_world_machine *of = machine_named(world, machine.machine);
+        if (machine.state == TW_SHARDS_ABSENT || !of) continue;
         seen[of - world->machines]++;
-        if (world->lease_s > 0 && of->alive && of->guard.newest != cell.epoch)
+        if (world->lease_s > 0 && of->alive && of->guard.newest != machine.epoch)
             tw_world_fail(world, "stuck: %s has epoch %lu open, recorded is %lu", of->name,
-                          (unsigned long)of->guard.newest, (unsigned long)cell.epoch);
-        if (cell.state != TW_SHARDS_OPEN)
+                          (unsigned long)of->guard.newest, (unsigned long)machine.epoch);
+        if (machine.state != TW_SHARDS_OPEN)
             tw_world_fail(world, "stuck: %s is %s of %s", of->name,
-                          tw_shards_state_name(cell.state), cell.owner);
+                          tw_shards_state_name(machine.state), machine.owner);
     }
-    for (int i = 0; i < world->nmachines; i++)
+    for (int i = 0; i < world->machine_count; i++)
         if (seen[i] != world->machines[i].alive)
             tw_world_fail(world, "%s stands %d times in the table", world->machines[i].name,
                           seen[i]);
     free(seen);
 }
 
-static tw_shards_progress watch(const world *world, tw_shards *reader, const char *key,
+static tw_shards_progress watch(const tw_world *world, tw_shards *reader, const char *key,
                                 tw_shards_verdict *verdict) {
     tw_shards_request request = {.kind = TW_SHARDS_WATCH, .id = 1};
     tw_shards_progress progress = {0};
@@ -227,13 +229,13 @@
     return progress;
 }
 
-static int is_defined(const tw_shards *reader, const char *share) {
+static int is_defined(const tw_shards *reader, const char *shard) {
     for (int i = 0; i < tw_shards_shard_count(reader); i++)
-        if (!strcmp(tw_shards_view_of(reader, i).name, share)) return 1;
+        if (!strcmp(tw_shards_view_of(reader, i).name, shard)) return 1;
     return 0;
 }
 
-static void judge_client(world *world, tw_shards *reader, const client *asked) {
+static void judge_client(tw_world *world, tw_shards *reader, const tw_world_client *asked) {
     tw_shards_verdict verdict;
     if (!asked->answered) {
         tw_world_fail(world, "unanswered: %s %s", asked->request.key, asked->request.shard);
@@ -251,10 +253,10 @@
                       progress.moved, progress.returned, progress.lost, progress.wanted);
 }
 
-void tw_judge_end(world *world) {
+void tw_judge_end(tw_world *world) {
     tw_judge_requests(world);
     tw_shards *reader = tw_judge_read(world);
     judge_machines(world, reader);
-    for (int i = 0; i < world->nclients; i++) judge_client(world, reader, &world->clients[i]);
+    for (int i = 0; i < world->client_count; i++) judge_client(world, reader, &world->clients[i]);
     tw_shards_free(reader);
 }
--- a/tests/shards/machines.c
+++ b/tests/shards/machines.c
@@ -5,10 +5,11 @@
 #include <string.h>
 
 /* What a machine says of a request to the node that sent it; 0: the connection broke. */
-static void answer_work(world *world, const served *about, int at, int status) {
-    event *sent = tw_world_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_WORKED);
+static void answer_work(tw_world *world, const tw_world_served *about, int at, int status) {
+    tw_world_event *sent =
+        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_WORKED);
     sent->node = about->node;
-    sent->life = about->life;
+    sent->incarnation = about->incarnation;
     sent->machine = at;
     sent->number = about->request;
     sent->attempt = about->attempt;
@@ -16,16 +17,16 @@
     sent->status = status;
 }
 
-void tw_world_end_running(world *world, int at, int status) {
-    machine *ends = &world->machines[at];
-    for (int i = 0; i < ends->nrunning; i++) answer_work(world, &ends->running[i], at, status);
-    world->moved += ends->nrunning;
-    ends->nrunning = 0;
-    ends->life++; /* their ends no longer count */
+void tw_world_end_running(tw_world *world, int at, int status) {
+    tw_world_machine *ends = &world->machines[at];
+    for (int i = 0; i < ends->running_count; i++) answer_work(world, &ends->running[i], at, status);
+    world->moved += ends->running_count;
+    ends->running_count = 0;
+    ends->incarnation++; /* their ends no longer count */
 }
 
-int tw_world_order(world *world, int at, uint64_t term, tw_shards_guard_verdict verdict) {
-    machine *takes = &world->machines[at];
+int tw_world_order(tw_world *world, int at, uint64_t term, tw_shards_guard_verdict verdict) {
+    tw_world_machine *takes = &world->machines[at];
     if (verdict != TW_SHARDS_GUARD_RAISED && verdict != TW_SHARDS_GUARD_REPEATED) return 0;
     tw_judge_order(world, at, term);
     takes->judged_term = term;
@@ -33,12 +34,12 @@
 }
 
 /* A planted fault: the machine takes any term. */
-static void forget_term(const world *world, machine *at) {
+static void forget_term(const tw_world *world, tw_world_machine *at) {
     if (world->plant_term) at->guard.term = 0;
 }
 
-void tw_world_handle_open(world *world, const event *order) {
-    machine *opened = &world->machines[order->machine];
+void tw_world_handle_open(tw_world *world, const tw_world_event *order) {
+    tw_world_machine *opened = &world->machines[order->machine];
     if (!opened->alive || !opened->registered) return;
     forget_term(world, opened);
     const tw_shards_guard_verdict verdict =
@@ -49,21 +50,21 @@
         tw_world_fail(world, "%s confirms epoch %lu after %lu", opened->name,
                       (unsigned long)order->epoch, (unsigned long)opened->judged_epoch);
     opened->judged_epoch = order->epoch;
-    event *sent = tw_world_message(world, EVENT_OPENED);
+    tw_world_event *sent = tw_world_message(world, EVENT_OPENED);
     if (!sent) return;
     sent->node = order->node;
-    sent->life = order->life;
+    sent->incarnation = order->incarnation;
     sent->epoch = order->epoch;
-    sent->text = tw_world_text(opened->name);
+    sent->text = tw_world_copy_text(opened->name);
 }
 
-void tw_world_handle_work(world *world, const event *order) {
-    machine *at = &world->machines[order->machine];
-    const served work = {.request = order->number,
-                         .attempt = order->attempt,
-                         .node = order->node,
-                         .life = order->life,
-                         .epoch = order->epoch};
+void tw_world_handle_work(tw_world *world, const tw_world_event *order) {
+    tw_world_machine *at = &world->machines[order->machine];
+    const tw_world_served work = {.request = order->number,
+                                  .attempt = order->attempt,
+                                  .node = order->node,
+                                  .incarnation = order->incarnation,
+                                  .epoch = order->epoch};
     const bool accepts = tw_shards_guard_accepts(&at->guard, order->epoch) || world->plant_old;
     if (!at->alive || !accepts) {
         world->refused += at->alive;
@@ -71,37 +72,37 @@
         return;
     }
     tw_judge_work(world, order->node, order->machine, order->epoch);
-    at->running = realloc(at->running, sizeof *at->running * (size_t)(at->nrunning + 1));
+    at->running = realloc(at->running, sizeof *at->running * (size_t)(at->running_count + 1));
     if (!at->running) abort();
-    at->running[at->nrunning++] = work;
+    at->running[at->running_count++] = work;
     const double service_s = world->loads[world->requests[order->number].load].service_s;
-    event *finish = tw_world_event(world, service_s, EVENT_FINISH);
+    tw_world_event *finish = tw_world_add_event(world, service_s, EVENT_FINISH);
     finish->machine = order->machine;
     finish->number = order->number;
     finish->attempt = order->attempt;
-    finish->life = at->life;
+    finish->incarnation = at->incarnation;
 }
 
-void tw_world_handle_finish(world *world, const event *due) {
-    machine *at = &world->machines[due->machine];
-    if (at->life != due->life) return;
-    for (int i = 0; i < at->nrunning; i++) {
+void tw_world_handle_finish(tw_world *world, const tw_world_event *due) {
+    tw_world_machine *at = &world->machines[due->machine];
+    if (at->incarnation != due->incarnation) return;
+    for (int i = 0; i < at->running_count; i++) {
         if (at->running[i].request != due->number || at->running[i].attempt != due->attempt)
             continue;
         world->completed++;
         world->requests[due->number].completions++;
         answer_work(world, &at->running[i], due->machine, OK);
-        at->running[i] = at->running[--at->nrunning];
+        at->running[i] = at->running[--at->running_count];
         return;
     }
 }
 
-void tw_world_handle_stop(world *world, const event *order) {
-    machine *at = &world->machines[order->machine];
+void tw_world_handle_stop(tw_world *world, const tw_world_event *order) {
+    tw_world_machine *at = &world->machines[order->machine];
     forget_term(world, at);
     const tw_shards_guard_verdict verdict =
         tw_shards_guard_stop(&at->guard, order->term, order->epoch);
     if (!tw_world_order(world, order->machine, order->term, verdict)) return;
-    if (at->nrunning && at->running[0].epoch == order->epoch)
+    if (at->running_count && at->running[0].epoch == order->epoch)
         tw_world_end_running(world, order->machine, CONFLICT);
 }
--- a/tests/shards/properties.cpp
+++ b/tests/shards/properties.cpp
@@ -35,7 +35,7 @@
 
 std::string machine_name(int number) { return "m" + std::to_string(number % machine_count); }
 
-std::string share_name(int number) {
+std::string shard_name(int number) {
     static const char *const names[] = {"batch", "chat", "spare"};
     return names[number % 3];
 }
@@ -76,8 +76,8 @@
     static const char *const states[] = {"draining", "released", "taken", "open"};
     const std::string state = states[drawn.second % 4];
     const std::string span = seconds(2 + drawn.second);
-    const std::string move = "move k" + std::to_string(key) + " " + share_name(drawn.first) + " " +
-                             share_name(drawn.first + 1 + drawn.second % 2) + " ";
+    const std::string move = "move k" + std::to_string(key) + " " + shard_name(drawn.first) + " " +
+                             shard_name(drawn.first + 1 + drawn.second % 2) + " ";
     switch (drawn.kind) {
     case 0:
     case 1:
@@ -106,7 +106,7 @@
     case 13:
         return "outage " + span;
     case 14:
-        return "share " + share_name(drawn.first) + " " + node_name(drawn.second) + " 1";
+        return "share " + shard_name(drawn.first) + " " + node_name(drawn.second) + " 1";
     default:
         return "late 0.3 " + span;
     }
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -9,8 +9,8 @@
 #define DEFAULT_VALUE_BYTES 8192
 #define FIRST_LEADER_S 0.01
 
-static words split(const char *line) {
-    words read = {.count = 0};
+static tw_script_words split(const char *line) {
+    tw_script_words read = {.count = 0};
     while (read.count < MOST_WORDS) {
         line += strspn(line, " \n");
         const size_t length = strcspn(line, " \n");
@@ -23,24 +23,25 @@
 
 static void copy_name(char *to, const char *from) { snprintf(to, TW_SHARDS_NAME, "%s", from); }
 
-int tw_script_node(const world *world, const char *name) {
-    for (int i = 0; !strcmp(name, "leader") && world->lease_s > 0 && i < world->nnodes; i++) {
-        const node *each = &world->nodes[i];
-        if (each->life && tw_standby_decides(each->standby, tw_elections_now(world, i))) return i;
+int tw_script_node(const tw_world *world, const char *name) {
+    for (int i = 0; !strcmp(name, "leader") && world->lease_s > 0 && i < world->node_count; i++) {
+        const tw_world_node *each = &world->nodes[i];
+        if (each->incarnation && tw_standby_decides(each->standby, tw_elections_now(world, i)))
+            return i;
     }
     return !strcmp(name, "leader") ? world->leading : tw_world_node_index(world, name);
 }
 
 /* ---- requests of clients ---- */
 
-client *tw_script_client(world *world, const char *key) {
-    for (int i = 0; i < world->nclients; i++)
+tw_world_client *tw_script_client(tw_world *world, const char *key) {
+    for (int i = 0; i < world->client_count; i++)
         if (!strcmp(world->clients[i].request.key, key)) return &world->clients[i];
     return NULL;
 }
 
 /* move KEY FROM TO COUNT|MACHINE,... [image=NAME] [revision=N] */
-static int do_move(world *world, const words *read) {
+static int do_move(tw_world *world, const tw_script_words *read) {
     tw_shards_request request = {.kind = TW_SHARDS_MOVE};
     if (read->count < 5) return -1;
     copy_name(request.key, read->words[1]);
@@ -53,7 +54,7 @@
         if (!strncmp(read->words[i], "image=", 6)) copy_name(request.image, value + 1);
         if (!strncmp(read->words[i], "revision=", 9)) request.revision = strtoull(value + 1, 0, 10);
     }
-    client *added = tw_world_client(world, &request);
+    tw_world_client *added = tw_world_add_client(world, &request);
     added->follow = 1;
     if (read->words[4][0] >= '0' && read->words[4][0] <= '9') return 0;
     char list[WORD];
@@ -66,59 +67,59 @@
     return 0;
 }
 
-static int do_cancel(world *world, const words *read) {
+static int do_cancel(tw_world *world, const tw_script_words *read) {
     tw_shards_request request = {.kind = TW_SHARDS_CANCEL};
     if (read->count != 2) return -1;
     copy_name(request.key, read->words[1]);
-    tw_world_client(world, &request);
+    tw_world_add_client(world, &request);
     return 0;
 }
 
 /* share NAME OWNER LEAST [spread] */
-static int do_share(world *world, const words *read) {
+static int do_share(tw_world *world, const tw_script_words *read) {
     tw_shards_request request = {.kind = TW_SHARDS_DEFINE, .spread = read->count > 4};
     if (read->count < 4) return -1;
     copy_name(request.shard, read->words[1]);
     copy_name(request.owner, read->words[2]);
     request.least = (int)number(read, 3);
-    tw_world_client(world, &request);
+    tw_world_add_client(world, &request);
     return 0;
 }
 
 /* ---- machines ---- */
 
-static void register_machine(world *world, int at, double after) {
-    event *due = tw_world_event(world, after, EVENT_MACHINE);
+static void register_machine(tw_world *world, int at, double after) {
+    tw_world_event *due = tw_world_add_event(world, after, EVENT_MACHINE);
     due->machine = at;
-    due->life = world->machines[at].boot;
+    due->incarnation = world->machines[at].boot_id;
 }
 
 /* machines N SHARE ZONE */
-static int do_machines(world *world, const words *read) {
+static int do_machines(tw_world *world, const tw_script_words *read) {
     if (read->count != 4) return -1;
-    for (int i = 0; i < (int)number(read, 1) && world->nmachines < MOST_MACHINES; i++) {
-        const int at = world->nmachines++;
-        machine *added = &world->machines[at];
+    for (int i = 0; i < (int)number(read, 1) && world->machine_count < MOST_MACHINES; i++) {
+        const int at = world->machine_count++;
+        tw_world_machine *added = &world->machines[at];
         snprintf(added->name, sizeof added->name, "m%d", at);
-        copy_name(added->share, read->words[2]);
+        copy_name(added->shard, read->words[2]);
         copy_name(added->zone, read->words[3]);
         added->alive = true;
-        tw_shards_guard_boot(&added->guard, added->boot + 1);
+        tw_shards_guard_boot(&added->guard, added->boot_id + 1);
         register_machine(world, at, 0.1);
     }
     return 0;
 }
 
 /* take MACHINE; restart MACHINE; reboot MACHINE: the same, and it tells nobody */
-static int do_machine(world *world, const words *read) {
+static int do_machine(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 2 ? tw_world_machine_index(world, read->words[1]) : -1;
     if (at < 0) return -1;
-    machine *struck = &world->machines[at];
+    tw_world_machine *struck = &world->machines[at];
     tw_world_end_running(world, at, 0);
-    struck->boot++;
+    struck->boot_id++;
     struck->registered = struck->accepted = false;
     struck->judged_term = 0; /* it knows of none in this life */
-    tw_shards_guard_boot(&struck->guard, struck->boot + 1);
+    tw_shards_guard_boot(&struck->guard, struck->boot_id + 1);
     struck->alive = strcmp(read->words[0], "take") != 0;
     if (strcmp(read->words[0], "reboot") != 0) register_machine(world, at, 0.1);
     return 0;
@@ -126,7 +127,7 @@
 
 /* ---- troubles ---- */
 
-static int do_node(world *world, const words *read) {
+static int do_node(tw_world *world, const tw_script_words *read) {
     const int at = read->count > 1 ? tw_script_node(world, read->words[1]) : -1;
     const double seconds = read->count > 2 ? number(read, 2) : -1;
     if (at < 0) return -1;
@@ -138,13 +139,13 @@
         tw_world_lead_later(world, at);
     else if (!strcmp(read->words[0], "elected"))
         tw_world_lead(world, at);
-    else if (!world->nodes[at].life)
+    else if (!world->nodes[at].incarnation)
         tw_world_start_node(world, at);
     return 0;
 }
 
 /* killlead NODE S, hanglead NODE S: the leader ends (hangs), and NODE leads at once. */
-static int do_succession(world *world, const words *read) {
+static int do_succession(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 3 ? tw_script_node(world, read->words[1]) : -1;
     if (at < 0) return -1;
     if (!strcmp(read->words[0], "killlead"))
@@ -156,7 +157,7 @@
 }
 
 /* losewrites N TEXT, dropwrites N TEXT, latewrites N TEXT S */
-static int do_writes(world *world, const words *read) {
+static int do_writes(tw_world *world, const tw_script_words *read) {
     if (read->count < 3) return -1;
     copy_name(world->strike_text, read->words[2]);
     const int count = (int)number(read, 1);
@@ -168,43 +169,43 @@
 }
 
 /* loss SHARE; late SHARE S; slow S */
-static int do_network(world *world, const words *read) {
+static int do_network(tw_world *world, const tw_script_words *read) {
     if (read->count < 2) return -1;
     if (!strcmp(read->words[0], "loss")) world->loss = number(read, 1);
     if (!strcmp(read->words[0], "slow")) world->slow_s = number(read, 1);
     if (!strcmp(read->words[0], "late")) {
-        world->late_share = number(read, 1);
+        world->late_fraction = number(read, 1);
         world->late_s = read->count > 2 ? number(read, 2) : 1;
     }
     return 0;
 }
 
-static int do_outage(world *world, const words *read) {
+static int do_outage(tw_world *world, const tw_script_words *read) {
     const bool on = read->count > 1 && number(read, 1) > 0;
     tw_simulator_state_outage(&world->state, world->now, on);
     if (!on) return 0;
-    event *end = tw_world_event(world, number(read, 1), EVENT_COMMAND);
+    tw_world_event *end = tw_world_add_event(world, number(read, 1), EVENT_COMMAND);
     end->text = strdup("outage 0");
     return end->text ? 0 : -1;
 }
 
 /* load SHARE RATE SERVICE_S FOR_S */
-static int do_load(world *world, const words *read) {
-    if (read->count != 5 || world->nloads == MOST_NODES) return -1;
-    load *added = &world->loads[world->nloads];
-    copy_name(added->share, read->words[1]);
+static int do_load(tw_world *world, const tw_script_words *read) {
+    if (read->count != 5 || world->load_count == MOST_NODES) return -1;
+    tw_world_load *added = &world->loads[world->load_count];
+    copy_name(added->shard, read->words[1]);
     added->rate = number(read, 2);
     added->service_s = number(read, 3);
     added->until = world->now + number(read, 4);
-    tw_world_event(world, 0, EVENT_ARRIVAL)->number = world->nloads++;
+    tw_world_add_event(world, 0, EVENT_ARRIVAL)->number = world->load_count++;
     return 0;
 }
 
 /* when TEXT COMMAND...: once a transaction with this text is carried out, before its answer */
-static int do_when(world *world, const char *line) {
-    if (world->ntriggers == MOST_TRIGGERS) return -1;
-    trigger *added = &world->triggers[world->ntriggers++];
-    const words read = split(line);
+static int do_when(tw_world *world, const char *line) {
+    if (world->trigger_count == MOST_TRIGGERS) return -1;
+    tw_world_trigger *added = &world->triggers[world->trigger_count++];
+    const tw_script_words read = split(line);
     if (read.count < 3) return -1;
     copy_name(added->text, read.words[1]);
     added->from = world->now;
@@ -214,8 +215,8 @@
 }
 
 /* cut NODE NODE|state|machines S */
-static int do_cut(world *world, const words *read) {
-    if (read->count != 4 || world->ncuts == MOST_CUTS) return -1;
+static int do_cut(tw_world *world, const tw_script_words *read) {
+    if (read->count != 4 || world->cut_count == MOST_CUTS) return -1;
     const int one = tw_script_node(world, read->words[1]);
     const char *other = read->words[2];
     int end = tw_script_node(world, other);
@@ -223,19 +224,19 @@
     if (!strcmp(other, "machines")) end = END_MACHINES;
     if (one < 0 || (end < 0 && strcmp(other, "state") != 0 && strcmp(other, "machines") != 0))
         return -1;
-    world->cuts[world->ncuts++] = (cut){one, end, world->now + number(read, 3)};
+    world->cuts[world->cut_count++] = (tw_world_cut){one, end, world->now + number(read, 3)};
     return 0;
 }
 
 /* spoil N: the next N changes of the feed lose a record on their way */
-static int do_spoil(world *world, const words *read) {
+static int do_spoil(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
     world->spoil_changes = (int)number(read, 1);
     return 0;
 }
 
 /* clock NODE RATE STEP_S: its clocks run at that rate, and its time of day jumps */
-static int do_clock(world *world, const words *read) {
+static int do_clock(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 4 ? tw_script_node(world, read->words[1]) : -1;
     if (at < 0) return -1;
     world->nodes[at].rate = number(read, 2);
@@ -244,9 +245,9 @@
 }
 
 /* promote NODE: a client asks the leader to hand over */
-static int do_promote(world *world, const words *read) {
+static int do_promote(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
-    event *asked = tw_world_event(world, 0, EVENT_PROMOTE);
+    tw_world_event *asked = tw_world_add_event(world, 0, EVENT_PROMOTE);
     asked->node = tw_script_node(world, "leader");
     asked->text = strdup(read->words[1]);
     if (!asked->text) abort();
@@ -254,7 +255,7 @@
 }
 
 /* holds MACHINE IMAGE: the leader hears that the machine holds the image */
-static int do_holds(world *world, const words *read) {
+static int do_holds(tw_world *world, const tw_script_words *read) {
     tw_shards *leader = world->nodes[world->leading].leader;
     if (read->count != 3 || !leader) return -1;
     tw_shards_set_image_held(leader, read->words[1], read->words[2], 1);
@@ -262,7 +263,7 @@
 }
 
 /* plant drop|double|old: a fault of the gateways or machines, which the judge must find */
-static int do_plant(world *world, const words *read) {
+static int do_plant(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
     if (!strcmp(read->words[1], "drop")) world->plant_drop = 1;
     if (!strcmp(read->words[1], "double")) world->plant_double = 1;
@@ -274,7 +275,7 @@
 }
 
 /* print takeover; print feed */
-static int print_standby(const world *world, const char *what) {
+static int print_standby(const tw_world *world, const char *what) {
     if (!strcmp(what, "takeover"))
         printf("takeover: seconds=%.2f from_term_to_decision=%.3f state_calls=%ld "
                "state_bytes=%ld\n",
@@ -287,8 +288,9 @@
 }
 
 /* print KEY: what the move took, and what happened since the last count */
-static int do_print(world *world, const words *read) {
-    const client *asked = read->count == 2 ? tw_script_client(world, read->words[1]) : NULL;
+static int do_print(tw_world *world, const tw_script_words *read) {
+    const tw_world_client *asked =
+        read->count == 2 ? tw_script_client(world, read->words[1]) : NULL;
     if (!asked && read->count == 2) return print_standby(world, read->words[1]);
     if (!asked) return -1;
     printf("%s: machines=%d seconds=%.2f transactions=%d changes=%d completed=%ld ended=%ld "
@@ -300,7 +302,7 @@
 }
 
 /* count: begins to count changes anew */
-static int do_count(world *world, const words *read) {
+static int do_count(tw_world *world, const tw_script_words *read) {
     (void)read;
     world->changes = world->transactions = 0;
     world->completed = world->moved = world->refused = world->failed = 0;
@@ -316,7 +318,7 @@
 
 static const struct command {
     const char *name;
-    int (*carry_out)(world *, const words *);
+    int (*carry_out)(tw_world *, const tw_script_words *);
 } commands[] = {
     {"move", do_move},
     {"cancel", do_cancel},
@@ -351,8 +353,8 @@
     {"promote", do_promote},
 };
 
-int tw_script_command(world *world, char *line) {
-    const words read = split(line);
+int tw_script_command(tw_world *world, char *line) {
+    const tw_script_words read = split(line);
     if (read.count && !strcmp(read.words[0], "when")) return do_when(world, line);
     for (size_t i = 0; i < sizeof commands / sizeof *commands; i++) {
         if (!read.count || strcmp(read.words[0], commands[i].name) != 0) continue;
@@ -363,7 +365,7 @@
     return -1;
 }
 
-static int do_set(world *world, const words *read) {
+static int do_set(tw_world *world, const tw_script_words *read) {
     const double value = read->count == 3 ? number(read, 2) : -1;
     const char *name = read->words[1];
     if (value < 0) return -1;
@@ -379,18 +381,18 @@
     return 0;
 }
 
-static void read_line(world *world, const char *line) {
-    const words read = split(line);
+static void read_line(tw_world *world, const char *line) {
+    const tw_script_words read = split(line);
     const char *first = read.words[0];
     if (!read.count || first[0] == '#') return;
     if (!strcmp(first, "set")) {
         if (do_set(world, &read)) tw_world_fail(world, "can't be taken: %.100s", line);
-    } else if (!strcmp(first, "node") && world->nnodes < MOST_NODES && read.count == 2) {
-        copy_name(world->nodes[world->nnodes++].name, read.words[1]);
+    } else if (!strcmp(first, "node") && world->node_count < MOST_NODES && read.count == 2) {
+        copy_name(world->nodes[world->node_count++].name, read.words[1]);
     } else if (!strcmp(first, "end")) {
         world->end = number(&read, 1);
     } else if (!strcmp(first, "at") && read.count > 2) {
-        event *due = tw_world_event(world, number(&read, 1), EVENT_COMMAND);
+        tw_world_event *due = tw_world_add_event(world, number(&read, 1), EVENT_COMMAND);
         const char *rest = strstr(line, read.words[1]) + strlen(read.words[1]);
         due->text = strdup(rest + strspn(rest, " "));
         if (!due->text) abort();
@@ -399,7 +401,7 @@
     }
 }
 
-static void read_text(world *world, const char *text) {
+static void read_text(tw_world *world, const char *text) {
     while (*text) {
         char line[TEXT];
         const size_t length = strcspn(text, "\n");
@@ -409,29 +411,29 @@
     }
 }
 
-static void free_world(world *world) {
-    event *first;
+static void free_world(tw_world *world) {
+    tw_world_event *first;
     while ((first = world->events)) {
         world->events = first->next;
         tw_world_free_event(first);
     }
-    for (int i = 0; i < world->nnodes; i++) tw_world_end_node(world, i, -1);
-    for (int i = 0; i < world->nclients; i++) free(world->clients[i].named);
+    for (int i = 0; i < world->node_count; i++) tw_world_end_node(world, i, -1);
+    for (int i = 0; i < world->client_count; i++) free(world->clients[i].named);
     tw_simulator_state_free(&world->state);
     gsl_rng_free(world->rng);
-    for (int i = 0; i < world->nmachines; i++) free(world->machines[i].running);
+    for (int i = 0; i < world->machine_count; i++) free(world->machines[i].running);
     free(world->requests);
     free(world->machines);
     free(world->uses);
     free(world);
 }
 
-static void play(world *world) {
-    event *first;
-    for (int i = 0; i < world->nnodes; i++) tw_world_start_node(world, i);
+static void play(tw_world *world) {
+    tw_world_event *first;
+    for (int i = 0; i < world->node_count; i++) tw_world_start_node(world, i);
     world->now = FIRST_LEADER_S;
     world->undecided_since = -1; /* until the first leader */
-    if (world->nnodes && world->lease_s <= 0) tw_world_lead(world, 0);
+    if (world->node_count && world->lease_s <= 0) tw_world_lead(world, 0);
     while (!world->failure[0] && (first = world->events) && first->at <= world->end) {
         world->events = first->next;
         world->now = first->at;
@@ -445,7 +447,7 @@
 }
 
 int tw_shards_play(const char *text, char *why, size_t size) {
-    world *played = calloc(1, sizeof *played);
+    tw_world *played = calloc(1, sizeof *played);
     if (!played) abort();
     played->machines = calloc(MOST_MACHINES, sizeof *played->machines);
     if (!played->machines) abort();
--- a/tests/shards/script_int.h
+++ b/tests/shards/script_int.h
@@ -10,13 +10,15 @@
 typedef struct {
     char words[MOST_WORDS][WORD];
     int count;
-} words;
+} tw_script_words;
 
-static inline double number(const words *read, int i) { return strtod(read->words[i], NULL); }
+static inline double number(const tw_script_words *read, int i) {
+    return strtod(read->words[i], NULL);
+}
 /* "leader": the one that decides, or was named last. -1: none. */
-int tw_script_node(const world *world, const char *name);
-client *tw_script_client(world *world, const char *key);
+int tw_script_node(const tw_world *world, const char *name);
+tw_world_client *tw_script_client(tw_world *world, const char *key);
 /* expect.c: the command expect */
-int tw_script_expect(world *world, const words *read);
+int tw_script_expect(tw_world *world, const tw_script_words *read);
 
 #endif
--- a/tests/shards/shards_world.h
+++ b/tests/shards/shards_world.h
@@ -49,76 +49,76 @@
     EVENT_REPORTED, /* owner to the leader it knows */
     EVENT_ASKED,    /* a client's request arrives at a controller */
     EVENT_PROMOTE   /* so does one for a promotion */
-} event_kind;
+} tw_world_event_kind;
 
-typedef struct event {
+typedef struct tw_world_event {
     double at;
     uint64_t order;
-    event_kind kind;
+    tw_world_event_kind kind;
     int node, machine, number, attempt;
-    uint64_t id, epoch, life; /* life: of the node that it is for; 0: any */
-    tw_shards_notification tell;
+    uint64_t id, epoch, incarnation; /* life: of the node that it is for; 0: any */
+    tw_shards_notification notification;
     tw_shards_request_kind report;
     int flag, status;
     char *text;
-    uint64_t term, floor;
+    uint64_t term, minimum_epoch;
     const char *method; /* STATE, of a controller that elects; text: the body */
     char *path;
     tw_standby_position position;
     tw_standby_message *feed;
     tw_standby_machine_status said;
-    struct event *next;
-} event;
+    struct tw_world_event *next;
+} tw_world_event;
 
 typedef struct {
     char name[TW_SHARDS_NAME];
     tw_shards *leader;
     tw_shards_owner *owner;
-    tw_router *route;
-    uint64_t token; /* it leads by */
-    uint64_t life;  /* 0: ended */
+    tw_router *router;
+    uint64_t fencing_token; /* it leads by */
+    uint64_t incarnation;   /* 0: ended */
     double hung_until;
     tw_standby *standby;      /* NULL: leaders are named by the scenario */
     double rate, wall_step_s; /* of its clocks: steady, time of day */
-} node;
+} tw_world_node;
 
 /* No message passes between the two ends. */
 typedef struct {
     int one, other;
     double until;
-} cut;
+} tw_world_cut;
 
 typedef struct {
-    char name[TW_SHARDS_NAME], share[TW_SHARDS_NAME], zone[TW_SHARDS_NAME];
+    char name[TW_SHARDS_NAME], shard[TW_SHARDS_NAME], zone[TW_SHARDS_NAME];
     tw_shards_guard guard;
     bool alive, registered;
     bool accepted;         /* whoever registered it heard so, and does not ask again */
-    uint64_t boot;         /* counts its starts */
-    uint64_t life;         /* changes when what runs there is ended */
+    uint64_t boot_id;      /* counts its starts */
+    uint64_t incarnation;  /* changes when what runs there is ended */
     uint64_t judged_epoch; /* the highest that it confirmed */
     uint64_t judged_term;  /* of the orders it took in this life */
     uint64_t recorded_epoch;
     tw_shards_state recorded_state;
-    struct served *running; /* requests that run there */
-    int nrunning;
-} machine;
+    struct tw_world_served *running; /* requests that run there */
+    int running_count;
+} tw_world_machine;
 
 /* A request as a machine serves it. */
-typedef struct served {
+typedef struct tw_world_served {
     int request, attempt, node;
-    uint64_t life, epoch; /* life: of the node */
-} served;
+    uint64_t incarnation, epoch; /* life: of the node */
+} tw_world_served;
 
 /* A user's request to a model, as the user sees it. */
 typedef struct {
-    int load;        /* which one it is of */
-    int node;        /* that it was sent to last */
-    uint64_t life;   /* of it; an answer of an earlier try is not heard */
-    int answers;     /* final ones that were heard */
-    int status;      /* of the last one */
-    int completions; /* times that a machine completed it */
+    int load;             /* which one it is of */
+    int node;             /* that it was sent to last */
+    uint64_t incarnation; /* of it; an answer of an earlier try is not heard */
+    int answers;          /* final ones that were heard */
+    int status;           /* of the last one */
+    int completions;      /* times that a machine completed it */
     double sent_at;
-} user_request;
+} tw_world_user_request;
 
 /* A client's request to the leader. */
 typedef struct {
@@ -134,58 +134,58 @@
     bool heard;       /* whether its last request was answered */
     double again_at;  /* not before */
     double done_at, asked_at, tried_at;
-} client;
+} tw_world_client;
 
 typedef struct {
-    char share[TW_SHARDS_NAME];
+    char shard[TW_SHARDS_NAME];
     double rate, service_s, until;
     int owner, owner_known_at; /* as read after so many transactions, plus one */
-} load;
+} tw_world_load;
 
 /* Strikes once, when a transaction with this text is handled by the state service. */
 typedef struct {
     char text[TW_SHARDS_NAME], command[TEXT];
     int used;
     double from;
-} trigger;
+} tw_world_trigger;
 
 /* Which machine and epoch was used by which controller. */
 typedef struct {
     int machine, node;
     uint64_t epoch;
-} use;
+} tw_world_use;
 
 typedef struct {
     double now, end;
-    uint64_t order, next_life, next_id;
-    event *events;
+    uint64_t order, next_incarnation, next_id;
+    tw_world_event *events;
     gsl_rng *rng;
     tw_simulator_state state;
     tw_shards_settings settings;
-    node nodes[MOST_NODES];
-    int nnodes, leading, electing; /* until the next leader begins, nobody's lease is renewed */
-    machine *machines;
-    int nmachines;
-    client clients[MOST_REQUESTS];
-    int nclients;
-    load loads[MOST_NODES];
-    int nloads;
-    trigger triggers[MOST_TRIGGERS];
-    int ntriggers;
-    use *uses;
-    int nuses, uses_room;
-    double loss, late_share, late_s, slow_s;    /* of messages between nodes and machines */
+    tw_world_node nodes[MOST_NODES];
+    int node_count, leading, electing; /* until the next leader begins, nobody's lease is renewed */
+    tw_world_machine *machines;
+    int machine_count;
+    tw_world_client clients[MOST_REQUESTS];
+    int client_count;
+    tw_world_load loads[MOST_NODES];
+    int load_count;
+    tw_world_trigger triggers[MOST_TRIGGERS];
+    int trigger_count;
+    tw_world_use *uses;
+    int use_count, use_room;
+    double loss, late_fraction, late_s, slow_s; /* of messages between nodes and machines */
     int lose_answers, drop_writes, late_writes; /* next transactions with the text below */
     char strike_text[TW_SHARDS_NAME];
     double late_write_s;
     int transactions, changes;
     double last_change_s; /* when a transaction of shares was last applied */
-    user_request *requests;
-    int nrequests, requests_room;
+    tw_world_user_request *requests;
+    int request_count, request_room;
     int plant_drop, plant_double, plant_old; /* faults for the judge to find */
     double lease_s;                          /* above 0: controllers elect their leader */
-    cut cuts[MOST_CUTS];
-    int ncuts;
+    tw_world_cut cuts[MOST_CUTS];
+    int cut_count;
     uint64_t newest_term;                /* recorded */
     double undecided_since, longest_gap; /* how long no controller decided */
     int terms;                           /* recorded since the count */
@@ -201,78 +201,78 @@
     int promotions;
     long refused, completed, moved, failed;
     char failure[TEXT];
-} world;
+} tw_world;
 
 /* world.c */
-event *tw_world_event(world *world, double after, event_kind kind);
-void tw_world_fail(world *world, const char *format, ...) __attribute__((format(printf, 2, 3)));
-void tw_world_handle(world *world, event *event);
-void tw_world_lead(world *world, int node);
-void tw_world_lead_later(world *world, int node);
-void tw_world_end_node(world *world, int node, double back_after_s);
-void tw_world_start_node(world *world, int node);
-double tw_world_draw(world *world, double from, double to);
+tw_world_event *tw_world_add_event(tw_world *world, double after, tw_world_event_kind kind);
+void tw_world_fail(tw_world *world, const char *format, ...) __attribute__((format(printf, 2, 3)));
+void tw_world_handle(tw_world *world, tw_world_event *event);
+void tw_world_lead(tw_world *world, int node);
+void tw_world_lead_later(tw_world *world, int node);
+void tw_world_end_node(tw_world *world, int node, double back_after_s);
+void tw_world_start_node(tw_world *world, int node);
+double tw_world_draw(tw_world *world, double from, double to);
 /* Ends all that runs there; status: what its senders hear. */
-void tw_world_end_running(world *world, int machine, int status);
-client *tw_world_client(world *world, const tw_shards_request *request);
+void tw_world_end_running(tw_world *world, int machine, int status);
+tw_world_client *tw_world_add_client(tw_world *world, const tw_shards_request *request);
 /* A message that takes its time; NULL: it is lost. */
-event *tw_world_message(world *world, event_kind kind);
-void tw_world_free_event(event *event);
+tw_world_event *tw_world_message(tw_world *world, tw_world_event_kind kind);
+void tw_world_free_event(tw_world_event *event);
 /* A copy, "" for NULL. */
-char *tw_world_text(const char *text);
-void tw_world_effects(world *world, int node);
-void tw_world_call_state(world *world, int node, event *call);
-void tw_world_take_answer(world *world, const tw_shards_effect *effect);
-void tw_world_tell_owner(world *world, int from, const tw_shards_notification *tell);
-int tw_world_machine_index(const world *world, const char *name);
-int tw_world_node_index(const world *world, const char *name);
+char *tw_world_copy_text(const char *text);
+void tw_world_effects(tw_world *world, int node);
+void tw_world_call_state(tw_world *world, int node, tw_world_event *call);
+void tw_world_take_answer(tw_world *world, const tw_shards_effect *effect);
+void tw_world_notify_owner(tw_world *world, int from, const tw_shards_notification *notification);
+int tw_world_machine_index(const tw_world *world, const char *name);
+int tw_world_node_index(const tw_world *world, const char *name);
 /* A machine's verdict on an order, with the judge's own record and planted faults. Returns whether
  * it was taken. */
-int tw_world_order(world *world, int machine, uint64_t term, tw_shards_guard_verdict verdict);
+int tw_world_order(tw_world *world, int machine, uint64_t term, tw_shards_guard_verdict verdict);
 /* state_calls.c: calls to the state service and their answers */
-void tw_world_handle_state(world *world, const event *call);
-void tw_world_handle_answer(world *world, const event *answer);
+void tw_world_handle_state(tw_world *world, const tw_world_event *call);
+void tw_world_handle_answer(tw_world *world, const tw_world_event *answer);
 /* machines.c */
-void tw_world_handle_open(world *world, const event *order);
-void tw_world_handle_work(world *world, const event *order);
-void tw_world_handle_finish(world *world, const event *due);
-void tw_world_handle_stop(world *world, const event *order);
+void tw_world_handle_open(tw_world *world, const tw_world_event *order);
+void tw_world_handle_work(tw_world *world, const tw_world_event *order);
+void tw_world_handle_finish(tw_world *world, const tw_world_event *due);
+void tw_world_handle_stop(tw_world *world, const tw_world_event *order);
 /* gateways.c: a controller routes the requests of its shares; users */
-void tw_world_refresh_replica(world *world, int at, const char *name);
-void tw_world_route_effects(world *world, int at);
-void tw_world_handle_worked(world *world, const event *answer);
-void tw_world_handle_arrival(world *world, const event *due);
-void tw_world_handle_request(world *world, const event *due);
-void tw_world_handle_reply(world *world, const event *reply);
+void tw_world_refresh_replica(tw_world *world, int at, const char *name);
+void tw_world_router_effects(tw_world *world, int at);
+void tw_world_handle_worked(tw_world *world, const tw_world_event *answer);
+void tw_world_handle_arrival(tw_world *world, const tw_world_event *due);
+void tw_world_handle_request(tw_world *world, const tw_world_event *due);
+void tw_world_handle_reply(tw_world *world, const tw_world_event *reply);
 /* ../standby/elections.c: controllers that elect their leader and follow it */
-void tw_elections_start(world *world, int node);
-void tw_elections_end(world *world, int node);
-void tw_elections_tick(world *world, int node);
-void tw_elections_effects(world *world, int node);
-void tw_elections_report(world *world, int from, tw_shards_owner_effect_kind kind,
+void tw_elections_start(tw_world *world, int node);
+void tw_elections_end(tw_world *world, int node);
+void tw_elections_tick(tw_world *world, int node);
+void tw_elections_effects(tw_world *world, int node);
+void tw_elections_report(tw_world *world, int from, tw_shards_owner_effect_kind kind,
                          const char *machine, uint64_t epoch);
-void tw_elections_client(world *world, int number);
-void tw_elections_refused(world *world, client *asked);
-void tw_elections_machine(world *world, const tw_shards_request *request);
-void tw_elections_handle(world *world, event *event);
-int tw_elections_is_cut(const world *world, int one, int other);
+void tw_elections_client(tw_world *world, int number);
+void tw_elections_refused(tw_world *world, tw_world_client *asked);
+void tw_elections_machine(tw_world *world, const tw_shards_request *request);
+void tw_elections_handle(tw_world *world, tw_world_event *event);
+int tw_elections_is_cut(const tw_world *world, int one, int other);
 /* A node's clocks. */
-double tw_elections_now(const world *world, int node);
-double tw_elections_wall(const world *world, int node);
+double tw_elections_now(const tw_world *world, int node);
+double tw_elections_wall(const tw_world *world, int node);
 /* script.c */
-int tw_script_command(world *world, char *line);
+int tw_script_command(tw_world *world, char *line);
 /* judge.c */
-void tw_judge_use(world *world, int node, int machine, uint64_t epoch);
-void tw_judge_work(world *world, int node, int machine, uint64_t epoch);
-void tw_judge_order(world *world, int machine, uint64_t term);
+void tw_judge_use(tw_world *world, int node, int machine, uint64_t epoch);
+void tw_judge_work(tw_world *world, int node, int machine, uint64_t epoch);
+void tw_judge_order(tw_world *world, int machine, uint64_t term);
 /* The node is about to decide: what it has must be what stands in the records. */
-void tw_judge_view(world *world, int node);
-void tw_judge_deciders(world *world);
-void tw_judge_requests(world *world);
-void tw_judge_unanswered(world *world, int request);
-void tw_judge_records(world *world);
-void tw_judge_end(world *world);
+void tw_judge_view(tw_world *world, int node);
+void tw_judge_deciders(tw_world *world);
+void tw_judge_requests(tw_world *world);
+void tw_judge_unanswered(tw_world *world, int request);
+void tw_judge_records(tw_world *world);
+void tw_judge_end(tw_world *world);
 /* What stands in the state service, read by a node of the judge's own; free with tw_shards_free. */
-tw_shards *tw_judge_read(world *world);
+tw_shards *tw_judge_read(tw_world *world);
 
 #endif
--- a/tests/shards/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -7,22 +7,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void strike(world *world, const char *body) {
-    for (int i = 0; i < world->ntriggers; i++) {
-        trigger *set = &world->triggers[i];
+static void strike(tw_world *world, const char *body) {
+    for (int i = 0; i < world->trigger_count; i++) {
+        tw_world_trigger *set = &world->triggers[i];
         if (set->used || world->now < set->from || !strstr(body, set->text)) continue;
         set->used = 1;
         tw_script_command(world, set->command);
     }
 }
 
-static int struck(int *left, const world *world, const char *body) {
+static int struck(int *left, const tw_world *world, const char *body) {
     if (!*left || !strstr(body, world->strike_text)) return 0;
     --*left;
     return 1;
 }
 
-static void answer_call(world *world, const event *call, int status, char *text) {
+static void answer_call(tw_world *world, const tw_world_event *call, int status, char *text) {
     double after = tw_world_draw(world, FASTEST_S, SLOWEST_S);
     const bool cut = world->lease_s > 0 && tw_elections_is_cut(world, call->node, END_STATE);
     if (cut || (!status && world->lease_s > 0)) {
@@ -31,25 +31,25 @@
         free(text);
         text = NULL;
     }
-    event *answer = tw_world_event(world, after, EVENT_ANSWER);
+    tw_world_event *answer = tw_world_add_event(world, after, EVENT_ANSWER);
     answer->node = call->node;
-    answer->life = call->life;
+    answer->incarnation = call->incarnation;
     answer->id = call->id;
     answer->flag = call->flag;
     answer->status = status;
     answer->text = text;
 }
 
-static void put_late(world *world, const event *call) {
-    event *late = tw_world_event(world, world->late_write_s, EVENT_STATE);
+static void put_late(tw_world *world, const tw_world_event *call) {
+    tw_world_event *late = tw_world_add_event(world, world->late_write_s, EVENT_STATE);
     late->node = call->node;
     late->flag = 1;
     late->number = 1; /* nobody waits for the answer */
-    late->text = tw_world_text(call->text);
-    if (call->path) late->path = tw_world_text(call->path);
+    late->text = tw_world_copy_text(call->text);
+    if (call->path) late->path = tw_world_copy_text(call->path);
 }
 
-static void handle_transaction(world *world, const event *call) {
+static void handle_transaction(tw_world *world, const tw_world_event *call) {
     char *answer = NULL;
     if (!call->number && struck(&world->drop_writes, world, call->text)) {
         answer_call(world, call, 0, NULL);
@@ -82,7 +82,7 @@
 
 /* A planted fault: to a standby the leader's key seems gone, and its own one recorded. Returns the
  * status of the answer that it gets; 0: the call is none of these. */
-static int skip_fence(const world *world, const event *call, char **answer) {
+static int skip_fence(const tw_world *world, const tw_world_event *call, char **answer) {
     const char *key = TW_STANDBY_KEY;
     char text[TEXT];
     const uint64_t recorded = tw_simulator_state_version(&world->state, key);
@@ -92,12 +92,12 @@
     const bool active = asks && !strcmp(tw_standby_active(asks), world->nodes[call->node].name);
     if (!world->plant_fence || active || !recorded || (!reads && !writes)) return 0;
     snprintf(text, sizeof text, "{\"ledger\":%lu}", (unsigned long)recorded + 1);
-    *answer = tw_world_text(text);
+    *answer = tw_world_copy_text(text);
     return reads ? ABSENT : OK;
 }
 
 /* A call of a controller that elects: the path says what it is. */
-static void handle_call(world *world, const event *call) {
+static void handle_call(tw_world *world, const tw_world_event *call) {
     char *answer = NULL;
     const int late = call->number; /* it was sent long ago, and nobody waits for its answer */
     const int skipped = skip_fence(world, call, &answer);
@@ -124,7 +124,7 @@
     }
 }
 
-void tw_world_handle_state(world *world, const event *call) {
+void tw_world_handle_state(tw_world *world, const tw_world_event *call) {
     char *answer = NULL;
     if (call->path) {
         handle_call(world, call);
@@ -145,8 +145,8 @@
     return status ? TW_SHARDS_PUT_OFF : TW_SHARDS_UNKNOWN;
 }
 
-void tw_world_handle_answer(world *world, const event *answer) {
-    node *at = &world->nodes[answer->node];
+void tw_world_handle_answer(tw_world *world, const tw_world_event *answer) {
+    tw_world_node *at = &world->nodes[answer->node];
     const char *text = answer->text ? answer->text : "";
     uint64_t revision = 0;
     if (at->standby) {
@@ -159,8 +159,8 @@
         if (outcome == TW_SHARDS_APPLIED) tw_wire_revision_parse(&revision, text, strlen(text));
         /* a node that finds the leader's key changed gives up, as the service's election does */
         if (outcome == TW_SHARDS_REFUSED &&
-            tw_simulator_state_version(&world->state, "leader") != at->token) {
-            at->token = 0;
+            tw_simulator_state_version(&world->state, "leader") != at->fencing_token) {
+            at->fencing_token = 0;
             tw_shards_resign(at->leader);
         }
         tw_shards_written(at->leader, world->now, answer->id, outcome, revision);
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -16,11 +16,11 @@
 #define AUTHORITY_S 0.5
 #define ELECTION_S 0.7 /* the old leader's authority is over by then */
 
-double tw_world_draw(world *world, double from, double to) {
+double tw_world_draw(tw_world *world, double from, double to) {
     return from + (to - from) * gsl_rng_uniform(world->rng);
 }
 
-void tw_world_fail(world *world, const char *format, ...) {
+void tw_world_fail(tw_world *world, const char *format, ...) {
     va_list arguments;
     if (world->failure[0]) return;
     int length = snprintf(world->failure, sizeof world->failure, "t=%.2f ", world->now);
@@ -29,20 +29,20 @@
     va_end(arguments);
 }
 
-event *tw_world_event(world *world, double after, event_kind kind) {
-    event *added = calloc(1, sizeof *added);
+tw_world_event *tw_world_add_event(tw_world *world, double after, tw_world_event_kind kind) {
+    tw_world_event *added = calloc(1, sizeof *added);
     if (!added) abort();
     added->at = world->now + after;
     added->order = ++world->order;
     added->kind = kind;
-    event **place = &world->events;
+    tw_world_event **place = &world->events;
     while (*place && (*place)->at <= added->at) place = &(*place)->next;
     added->next = *place;
     *place = added;
     return added;
 }
 
-void tw_world_free_event(event *freed) {
+void tw_world_free_event(tw_world_event *freed) {
     free(freed->text);
     free(freed->path);
     if (freed->feed) tw_standby_message_free(freed->feed);
@@ -50,15 +50,15 @@
     free(freed);
 }
 
-event *tw_world_message(world *world, event_kind kind) {
+tw_world_event *tw_world_message(tw_world *world, tw_world_event_kind kind) {
     double after = tw_world_draw(world, FASTEST_S, SLOWEST_S) + world->slow_s;
     if (tw_world_draw(world, 0, 1) < world->loss) return NULL;
-    if (tw_world_draw(world, 0, 1) < world->late_share)
+    if (tw_world_draw(world, 0, 1) < world->late_fraction)
         after += tw_world_draw(world, 0, world->late_s);
-    return tw_world_event(world, after, kind);
+    return tw_world_add_event(world, after, kind);
 }
 
-char *tw_world_text(const char *text) {
+char *tw_world_copy_text(const char *text) {
     char *copy = strdup(text ? text : "");
     if (!copy) abort();
     return copy;
@@ -66,26 +66,27 @@
 
 /* ---- effects of a node ---- */
 
-static void call_state(world *world, int at, const tw_shards_effect *effect) {
-    event *call = tw_world_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
+static void call_state(tw_world *world, int at, const tw_shards_effect *effect) {
+    tw_world_event *call =
+        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
     char path[PATH_SIZE];
     call->node = at;
-    call->life = world->nodes[at].life;
+    call->incarnation = world->nodes[at].incarnation;
     call->id = effect->id;
     call->flag = effect->kind == TW_SHARDS_WRITE;
     if (call->flag) {
-        call->text = tw_world_text(effect->text);
+        call->text = tw_world_copy_text(effect->text);
         return;
     }
     snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARDS_PREFIX,
              effect->text[0] ? "&since=" : "", effect->text, TW_SHARDS_PAGE);
-    call->text = tw_world_text(path);
+    call->text = tw_world_copy_text(path);
 }
 
-void tw_world_take_answer(world *world, const tw_shards_effect *effect) {
+void tw_world_take_answer(tw_world *world, const tw_shards_effect *effect) {
     tw_log_debug("t=%.3f answer=%lu verdict=%s moved=%d", world->now, (unsigned long)effect->id,
                  tw_shards_verdict_name(effect->verdict), effect->progress.moved);
-    client *asked = &world->clients[effect->id % MOST_REQUESTS];
+    tw_world_client *asked = &world->clients[effect->id % MOST_REQUESTS];
     if (effect->id / MOST_REQUESTS != asked->attempt) return;
     asked->heard = true;
     if (world->lease_s > 0 && effect->verdict == TW_SHARDS_NOT_LEADER)
@@ -105,66 +106,66 @@
 }
 
 /* The answer to a machine that registers: it may be opened from now on. */
-static void take_registration(world *world, const tw_shards_effect *effect) {
+static void take_registration(tw_world *world, const tw_shards_effect *effect) {
     const uint64_t id = effect->id - FIRST_MACHINE_ID;
-    machine *registered = &world->machines[id % MOST_MACHINES];
+    tw_world_machine *registered = &world->machines[id % MOST_MACHINES];
     if (effect->verdict != TW_SHARDS_OK || registered->registered) return;
-    if (id / MOST_MACHINES != registered->boot) return; /* to an earlier start of it */
+    if (id / MOST_MACHINES != registered->boot_id) return; /* to an earlier start of it */
     registered->registered = true;
-    tw_shards_guard_start(&registered->guard, world->nodes[world->leading].token,
+    tw_shards_guard_start(&registered->guard, world->nodes[world->leading].fencing_token,
                           registered->guard.boot_id, effect->minimum_epoch);
 }
 
-void tw_world_tell_owner(world *world, int from, const tw_shards_notification *tell) {
-    for (int i = 0; i < world->nnodes; i++) {
-        if (strcmp(world->nodes[i].name, tell->owner) != 0) continue;
+void tw_world_notify_owner(tw_world *world, int from, const tw_shards_notification *notification) {
+    for (int i = 0; i < world->node_count; i++) {
+        if (strcmp(world->nodes[i].name, notification->owner) != 0) continue;
         if (i != from && tw_elections_is_cut(world, from, i)) return;
-        event *sent = tw_world_message(world, EVENT_TELL);
+        tw_world_event *sent = tw_world_message(world, EVENT_TELL);
         if (!sent) return;
         sent->node = i;
-        sent->tell = *tell;
+        sent->notification = *notification;
     }
 }
 
-int tw_world_machine_index(const world *world, const char *name) {
-    for (int i = 0; i < world->nmachines; i++)
+int tw_world_machine_index(const tw_world *world, const char *name) {
+    for (int i = 0; i < world->machine_count; i++)
         if (!strcmp(world->machines[i].name, name)) return i;
     return -1;
 }
 
-int tw_world_node_index(const world *world, const char *name) {
-    for (int i = 0; i < world->nnodes; i++)
+int tw_world_node_index(const tw_world *world, const char *name) {
+    for (int i = 0; i < world->node_count; i++)
         if (!strcmp(world->nodes[i].name, name)) return i;
     return -1;
 }
 
-static void to_machine(world *world, int from, event_kind kind,
+static void to_machine(tw_world *world, int from, tw_world_event_kind kind,
                        const tw_shards_owner_effect *order) {
-    event *sent =
+    tw_world_event *sent =
         tw_elections_is_cut(world, from, END_MACHINES) ? NULL : tw_world_message(world, kind);
     if (!sent) return;
     sent->node = from;
-    sent->life = world->nodes[from].life;
+    sent->incarnation = world->nodes[from].incarnation;
     sent->machine = tw_world_machine_index(world, order->machine);
     sent->epoch = order->epoch;
     sent->term = order->term;
 }
 
-static void report(world *world, int from, tw_shards_owner_effect_kind kind, const char *name,
+static void report(tw_world *world, int from, tw_shards_owner_effect_kind kind, const char *name,
                    uint64_t epoch) {
     if (world->lease_s > 0) {
         tw_elections_report(world, from, kind, name, epoch);
         return;
     }
-    event *sent = tw_world_message(world, EVENT_REPORT);
+    tw_world_event *sent = tw_world_message(world, EVENT_REPORT);
     if (!sent) return;
     sent->number = (int)kind;
     sent->machine = from;
     sent->epoch = epoch;
-    sent->text = tw_world_text(name);
+    sent->text = tw_world_copy_text(name);
 }
 
-static void owner_effects(world *world, int at) {
+static void owner_effects(tw_world *world, int at) {
     tw_shards_owner_effect *effect;
     while ((effect = tw_shards_owner_next(world->nodes[at].owner))) {
         switch (effect->kind) {
@@ -183,7 +184,7 @@
 }
 
 /* Where leaders are named by the scenario, machines need not be asked by them. */
-static void decide_at_once(world *world, int at) {
+static void decide_at_once(tw_world *world, int at) {
     tw_shards *table = world->nodes[at].leader;
     if (!tw_shards_ready(table) || tw_shards_deciding(table)) return;
     for (int i = 0; i < tw_shards_machine_count(table); i++)
@@ -191,7 +192,7 @@
     tw_shards_decide(table, world->now);
 }
 
-static void table_effects(world *world, int at) {
+static void table_effects(tw_world *world, int at) {
     tw_shards_effect *effect;
     decide_at_once(world, at);
     while ((effect = tw_shards_next(world->nodes[at].leader))) {
@@ -201,7 +202,7 @@
             call_state(world, at, effect);
             break;
         case TW_SHARDS_NOTIFY:
-            tw_world_tell_owner(world, at, &effect->notification);
+            tw_world_notify_owner(world, at, &effect->notification);
             break;
         case TW_SHARDS_ANSWER:
             if (effect->id >= FIRST_MACHINE_ID)
@@ -214,73 +215,73 @@
     }
 }
 
-void tw_world_effects(world *world, int at) {
-    if (!world->nodes[at].life) return;
+void tw_world_effects(tw_world *world, int at) {
+    if (!world->nodes[at].incarnation) return;
     if (world->lease_s > 0)
         tw_elections_effects(world, at);
     else
         table_effects(world, at);
     owner_effects(world, at);
-    tw_world_route_effects(world, at);
+    tw_world_router_effects(world, at);
 }
 
 /* ---- life of nodes ---- */
 
-static const tw_router_settings route_settings = {.most_waiting = 1000,
-                                                  .most_attempts = 5,
-                                                  .retry_ratio = 0.5,
-                                                  .retry_burst = 50,
-                                                  .average_ratio = 0.2};
+static const tw_router_settings router_settings = {.most_waiting = 1000,
+                                                   .most_attempts = 5,
+                                                   .retry_ratio = 0.5,
+                                                   .retry_burst = 50,
+                                                   .average_ratio = 0.2};
 
-void tw_world_start_node(world *world, int at) {
-    node *started = &world->nodes[at];
+void tw_world_start_node(tw_world *world, int at) {
+    tw_world_node *started = &world->nodes[at];
     started->leader = tw_shards_new(&world->settings);
     started->owner = tw_shards_owner_new(world->settings.retry_s);
-    started->route = tw_router_new(&route_settings);
-    started->life = ++world->next_life;
-    started->token = 0;
+    started->router = tw_router_new(&router_settings);
+    started->incarnation = ++world->next_incarnation;
+    started->fencing_token = 0;
     started->hung_until = 0;
     if (world->lease_s > 0) tw_elections_start(world, at);
-    event *tick = tw_world_event(world, tw_world_draw(world, 0, TICK_S), EVENT_TICK);
+    tw_world_event *tick = tw_world_add_event(world, tw_world_draw(world, 0, TICK_S), EVENT_TICK);
     tick->node = at;
-    tick->life = started->life;
+    tick->incarnation = started->incarnation;
 }
 
-void tw_world_lead_later(world *world, int at) {
+void tw_world_lead_later(tw_world *world, int at) {
     char line[TEXT];
     snprintf(line, sizeof line, "elected %s", world->nodes[at].name);
     world->electing = 1;
-    tw_world_event(world, ELECTION_S, EVENT_COMMAND)->text = tw_world_text(line);
+    tw_world_add_event(world, ELECTION_S, EVENT_COMMAND)->text = tw_world_copy_text(line);
 }
 
-void tw_world_end_node(world *world, int at, double back_after_s) {
-    node *ended = &world->nodes[at];
-    if (!ended->life) return;
+void tw_world_end_node(tw_world *world, int at, double back_after_s) {
+    tw_world_node *ended = &world->nodes[at];
+    if (!ended->incarnation) return;
     if (ended->standby) tw_elections_end(world, at);
     tw_shards_free(ended->leader);
     tw_shards_owner_free(ended->owner);
-    tw_router_free(ended->route);
-    ended->route = NULL;
+    tw_router_free(ended->router);
+    ended->router = NULL;
     ended->leader = NULL;
     ended->owner = NULL;
-    ended->life = 0;
+    ended->incarnation = 0;
     if (back_after_s < 0) return;
     if (at == world->leading && world->lease_s <= 0)
-        tw_world_lead_later(world, (at + 1) % world->nnodes);
-    event *back = tw_world_event(world, back_after_s, EVENT_COMMAND);
+        tw_world_lead_later(world, (at + 1) % world->node_count);
+    tw_world_event *back = tw_world_add_event(world, back_after_s, EVENT_COMMAND);
     char line[TEXT];
     snprintf(line, sizeof line, "start %s", ended->name);
-    back->text = tw_world_text(line);
+    back->text = tw_world_copy_text(line);
 }
 
 /* The node has won an election: the leader's key has a new revision. The one before isn't told. */
-void tw_world_lead(world *world, int at) {
+void tw_world_lead(tw_world *world, int at) {
     char *answer;
     char body[TEXT];
     uint64_t token;
-    for (int i = 0; i < world->nnodes && !world->nodes[at].life; i++) at = i;
-    node *leader = &world->nodes[at];
-    if (!leader->life) {
+    for (int i = 0; i < world->node_count && !world->nodes[at].incarnation; i++) at = i;
+    tw_world_node *leader = &world->nodes[at];
+    if (!leader->incarnation) {
         tw_world_lead_later(world, at);
         return;
     }
@@ -295,8 +296,8 @@
         return;
     }
     world->leading = at;
-    if (leader->token) tw_shards_resign(leader->leader);
-    leader->token = token;
+    if (leader->fencing_token) tw_shards_resign(leader->leader);
+    leader->fencing_token = token;
     world->electing = 0;
     tw_shards_lead(leader->leader, world->now, "leader", token);
     tw_shards_authority(leader->leader, world->now + AUTHORITY_S);
@@ -305,10 +306,10 @@
 
 /* ---- owners and the leader ---- */
 
-static void handle_report(world *world, const event *said) {
-    node *leader = &world->nodes[world->leading];
+static void handle_report(tw_world *world, const tw_world_event *said) {
+    tw_world_node *leader = &world->nodes[world->leading];
     const char *owner = world->nodes[said->machine].name;
-    if (!leader->life || leader->hung_until > world->now) return;
+    if (!leader->incarnation || leader->hung_until > world->now) return;
     if (said->number == TW_SHARDS_OWNER_SYNC)
         tw_shards_sync(leader->leader, owner);
     else if (said->number == TW_SHARDS_OWNER_DRAINED)
@@ -318,107 +319,107 @@
     tw_world_effects(world, world->leading);
 }
 
-static void handle_client(world *world, const event *due) {
-    client *asks = &world->clients[due->number];
+static void handle_client(tw_world *world, const tw_world_event *due) {
+    tw_world_client *asks = &world->clients[due->number];
     if (world->lease_s > 0) {
         tw_elections_client(world, due->number);
         return;
     }
-    node *leader = &world->nodes[world->leading];
+    tw_world_node *leader = &world->nodes[world->leading];
     if (asks->answered && (!asks->follow || asks->verdict != TW_SHARDS_OK || asks->done_at)) return;
     const bool due_again =
         asks->answered || !asks->attempt || world->now >= asks->tried_at + CLIENT_RETRY_S;
-    if (due_again && leader->life && leader->hung_until <= world->now) {
+    if (due_again && leader->incarnation && leader->hung_until <= world->now) {
         asks->tried_at = world->now;
         asks->request.id = ++asks->attempt * MOST_REQUESTS + (uint64_t)due->number;
         tw_shards_request_in(leader->leader, world->now, &asks->request);
         tw_world_effects(world, world->leading);
     }
-    tw_world_event(world, FOLLOW_S, EVENT_CLIENT)->number = due->number;
+    tw_world_add_event(world, FOLLOW_S, EVENT_CLIENT)->number = due->number;
 }
 
-client *tw_world_client(world *world, const tw_shards_request *request) {
-    if (world->nclients == MOST_REQUESTS - 1) abort();
-    client *added = &world->clients[world->nclients++];
+tw_world_client *tw_world_add_client(tw_world *world, const tw_shards_request *request) {
+    if (world->client_count == MOST_REQUESTS - 1) abort();
+    tw_world_client *added = &world->clients[world->client_count++];
     added->request = *request;
     added->asked_at = world->now;
-    tw_world_event(world, 0, EVENT_CLIENT)->number = world->nclients - 1;
+    tw_world_add_event(world, 0, EVENT_CLIENT)->number = world->client_count - 1;
     return added;
 }
 
-static void handle_machine(world *world, const event *due) {
-    machine *about = &world->machines[due->machine];
-    const node *leader = &world->nodes[world->leading];
+static void handle_machine(tw_world *world, const tw_world_event *due) {
+    tw_world_machine *about = &world->machines[due->machine];
+    const tw_world_node *leader = &world->nodes[world->leading];
     tw_shards_request request = {.kind = about->alive ? TW_SHARDS_ADD : TW_SHARDS_REMOVE,
-                                 .id = FIRST_MACHINE_ID + about->boot * MOST_MACHINES +
+                                 .id = FIRST_MACHINE_ID + about->boot_id * MOST_MACHINES +
                                        (uint64_t)due->machine};
-    if (due->life != about->boot || about->accepted) return;
+    if (due->incarnation != about->boot_id || about->accepted) return;
     if (about->alive && about->registered) return;
     snprintf(request.machine, sizeof request.machine, "%s", about->name);
-    snprintf(request.shard, sizeof request.shard, "%s", about->share);
+    snprintf(request.shard, sizeof request.shard, "%s", about->shard);
     snprintf(request.zone, sizeof request.zone, "%s", about->zone);
     if (world->lease_s > 0) {
         tw_elections_machine(world, &request);
-    } else if (leader->life && leader->hung_until <= world->now &&
+    } else if (leader->incarnation && leader->hung_until <= world->now &&
                tw_shards_ready(leader->leader)) {
         tw_shards_request_in(leader->leader, world->now, &request);
         tw_world_effects(world, world->leading);
     }
-    event *again = tw_world_event(world, 2 * CLIENT_RETRY_S, EVENT_MACHINE);
+    tw_world_event *again = tw_world_add_event(world, 2 * CLIENT_RETRY_S, EVENT_MACHINE);
     again->machine = due->machine;
-    again->life = due->life;
+    again->incarnation = due->incarnation;
 }
 
 /* ---- dispatch ---- */
 
-static void handle_tick(world *world, const event *due) {
-    node *at = &world->nodes[due->node];
-    event *again = tw_world_event(world, TICK_S, EVENT_TICK);
+static void handle_tick(tw_world *world, const tw_world_event *due) {
+    tw_world_node *at = &world->nodes[due->node];
+    tw_world_event *again = tw_world_add_event(world, TICK_S, EVENT_TICK);
     again->node = due->node;
-    again->life = due->life;
+    again->incarnation = due->incarnation;
     const bool leads =
-        at->token ||
+        at->fencing_token ||
         (at->standby && tw_standby_decides(at->standby, tw_elections_now(world, due->node)));
-    for (int i = 0; i < world->nmachines && leads; i++)
+    for (int i = 0; i < world->machine_count && leads; i++)
         if (world->machines[i].alive)
             tw_shards_set_machine_load(at->leader, world->machines[i].name,
-                                       world->machines[i].nrunning);
+                                       world->machines[i].running_count);
     /* The lease is renewed: the key still stands, and nobody is being elected. */
-    if (at->token && !world->electing && world->state.down_since < 0 &&
-        tw_simulator_state_version(&world->state, "leader") == at->token)
+    if (at->fencing_token && !world->electing && world->state.down_since < 0 &&
+        tw_simulator_state_version(&world->state, "leader") == at->fencing_token)
         tw_shards_authority(at->leader, world->now + AUTHORITY_S);
     if (at->standby)
         tw_elections_tick(world, due->node);
     else
         tw_shards_tick(at->leader, world->now, world->now);
     tw_shards_owner_tick(at->owner, world->now);
-    tw_router_tick(at->route, world->now);
+    tw_router_tick(at->router, world->now);
 }
 
 /* Whether the event is for a node that has ended, or was started anew since. */
-static bool outlived(const world *world, const event *event) {
-    const uint64_t life = event->node >= 0 ? world->nodes[event->node].life : 0;
+static bool outlived(const tw_world *world, const tw_world_event *event) {
+    const uint64_t incarnation = event->node >= 0 ? world->nodes[event->node].incarnation : 0;
     switch (event->kind) {
     case EVENT_TICK:
     case EVENT_ANSWER:
     case EVENT_OPENED:
     case EVENT_FEED:
     case EVENT_ORDERED:
-        return life != event->life;
+        return incarnation != event->incarnation;
     case EVENT_WORKED:
-        return !life || (event->life && life != event->life);
+        return !incarnation || (event->incarnation && incarnation != event->incarnation);
     case EVENT_TELL:
     case EVENT_FOLLOW:
     case EVENT_REPORTED:
     case EVENT_ASKED:
     case EVENT_PROMOTE:
-        return !life;
+        return !incarnation;
     default:
         return false;
     }
 }
 
-static int is_for_node(const event *event) {
+static int is_for_node(const tw_world_event *event) {
     switch (event->kind) {
     case EVENT_TICK:
     case EVENT_ANSWER:
@@ -438,11 +439,11 @@
 }
 
 /* What comes for a node that stands still waits, in its order. */
-static int postponed(world *world, event *event) {
+static int postponed(tw_world *world, tw_world_event *event) {
     const double until = is_for_node(event) ? world->nodes[event->node].hung_until : 0;
     if (until <= world->now) return 0;
-    struct event *later = tw_world_event(world, until - world->now, event->kind);
-    struct event *next = later->next;
+    struct tw_world_event *later = tw_world_add_event(world, until - world->now, event->kind);
+    struct tw_world_event *next = later->next;
     const uint64_t order = later->order;
     const double at = later->at;
     *later = *event;
@@ -454,7 +455,7 @@
     return 1;
 }
 
-void tw_world_handle(world *world, event *event) {
+void tw_world_handle(tw_world *world, tw_world_event *event) {
     if (outlived(world, event) || postponed(world, event)) return;
     switch (event->kind) {
     case EVENT_COMMAND:
@@ -470,8 +471,8 @@
         tw_world_handle_answer(world, event);
         break;
     case EVENT_TELL:
-        tw_shards_owner_notified(world->nodes[event->node].owner, world->now, &event->tell);
-        tw_world_refresh_replica(world, event->node, event->tell.machine);
+        tw_shards_owner_notified(world->nodes[event->node].owner, world->now, &event->notification);
+        tw_world_refresh_replica(world, event->node, event->notification.machine);
         break;
     case EVENT_REPORT:
         handle_report(world, event);
--- a/tools/traywallctl/ask.c
+++ b/tools/traywallctl/ask.c
@@ -13,7 +13,7 @@
 #define SHORTEST_PAUSE_S 0.05
 #define NS_PER_S 1e9
 
-int add_servers(servers *servers, const char *text) {
+int tw_ctl_add_servers(tw_ctl_servers *servers, const char *text) {
     while (*text) {
         const size_t length = strcspn(text, ",");
         if (!length || length >= TW_RPC_ADDRESS || servers->count == MOST_SERVERS) return -1;
@@ -43,8 +43,8 @@
     return status;
 }
 
-tw_rpc_status ask_one(const servers *servers, const char *address, const tw_rpc_call *call,
-                      tw_rpc_answer *answer) {
+tw_rpc_status tw_ctl_ask_one(const tw_ctl_servers *servers, const char *address,
+                             const tw_rpc_call *call, tw_rpc_answer *answer) {
     return try_one(address, call, servers->timeout_s, answer);
 }
 
@@ -56,13 +56,13 @@
     bool redirected; /* the last answer named the leader */
 } search;
 
-static double try_timeout_s(const servers *servers, double left_s) {
+static double try_timeout_s(const tw_ctl_servers *servers, double left_s) {
     const double most_s = servers->count > 1 ? servers->timeout_s * TRY_RATIO : servers->timeout_s;
     return fmin(left_s, most_s);
 }
 
 /* Whether the answer, or that there is none, is what the client gets. */
-static bool is_final(const servers *servers, const search *at, tw_rpc_status status,
+static bool is_final(const tw_ctl_servers *servers, const search *at, tw_rpc_status status,
                      const tw_rpc_answer *answer, double left_s) {
     if (status == TW_RPC_OK && answer->verdict != TW_SHARDS_NOT_LEADER) return true;
     const bool nobody_there = at->in_round >= servers->count && at->unreachable == at->in_round;
@@ -70,7 +70,7 @@
 }
 
 /* Chooses whom to ask next; returns how long to wait before it. */
-static double choose_next(const servers *servers, search *at, tw_rpc_status status,
+static double choose_next(const tw_ctl_servers *servers, search *at, tw_rpc_status status,
                           const tw_rpc_answer *answer, char *asked) {
     const bool named =
         status == TW_RPC_OK && answer->leader[0] && strcmp(answer->leader, asked) != 0;
@@ -88,8 +88,8 @@
     return fmax(SHORTEST_PAUSE_S, wait_s);
 }
 
-tw_rpc_status ask_leader(const servers *servers, const tw_rpc_call *call, tw_rpc_answer *answer,
-                         char asked[TW_RPC_ADDRESS]) {
+tw_rpc_status tw_ctl_ask_leader(const tw_ctl_servers *servers, const tw_rpc_call *call,
+                                tw_rpc_answer *answer, char asked[TW_RPC_ADDRESS]) {
     const double until = now_s() + servers->timeout_s;
     search at = {0};
     snprintf(asked, TW_RPC_ADDRESS, "%s", servers->addresses[0]);
--- a/tools/traywallctl/ask.h
+++ b/tools/traywallctl/ask.h
@@ -9,15 +9,15 @@
     char addresses[MOST_SERVERS][TW_RPC_ADDRESS];
     int count;
     double timeout_s; /* of a whole command */
-} servers;
+} tw_ctl_servers;
 
 /* Adds addresses, several with commas between; -1: too many, or too long. */
-int add_servers(servers *servers, const char *text);
+int tw_ctl_add_servers(tw_ctl_servers *servers, const char *text);
 /* Asks this daemon only. */
-tw_rpc_status ask_one(const servers *servers, const char *address, const tw_rpc_call *call,
-                      tw_rpc_answer *answer);
+tw_rpc_status tw_ctl_ask_one(const tw_ctl_servers *servers, const char *address,
+                             const tw_rpc_call *call, tw_rpc_answer *answer);
 /* Asks until a daemon that leads has answered, or the time is over; *asked: who answered last. */
-tw_rpc_status ask_leader(const servers *servers, const tw_rpc_call *call, tw_rpc_answer *answer,
-                         char asked[TW_RPC_ADDRESS]);
+tw_rpc_status tw_ctl_ask_leader(const tw_ctl_servers *servers, const tw_rpc_call *call,
+                                tw_rpc_answer *answer, char asked[TW_RPC_ADDRESS]);
 
 #endif
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -22,15 +22,15 @@
 const char *argp_program_version = "traywallctl " TW_VERSION;
 
 typedef struct {
-    servers servers;
+    tw_ctl_servers servers;
     int json, spread, wait;
     const char *image;
     uint64_t revision;
     char machines[MOST_MACHINES][TW_SHARDS_NAME];
-    int nmachines;
+    int machine_count;
     const char *arguments[MOST_ARGUMENTS];
-    int narguments;
-} options;
+    int argument_count;
+} tw_ctl_options;
 
 static const struct argp_option argp_options[] = {
     {"server", OPT_SERVER, "IP:PORT", 0,
@@ -46,17 +46,18 @@
     {"wait", OPT_WAIT, NULL, 0, "move, cancel: until the move is over", 0},
     {NULL, 0, NULL, 0, NULL, 0}};
 
-static void add_machine(struct argp_state *state, options *chosen, const char *name) {
-    if (chosen->nmachines == MOST_MACHINES) argp_error(state, "too many machines");
+static void add_machine(struct argp_state *state, tw_ctl_options *chosen, const char *name) {
+    if (chosen->machine_count == MOST_MACHINES) argp_error(state, "too many machines");
     if (strlen(name) >= TW_SHARDS_NAME) argp_error(state, "name too long: %s", name);
-    snprintf(chosen->machines[chosen->nmachines++], TW_SHARDS_NAME, "%s", name);
+    snprintf(chosen->machines[chosen->machine_count++], TW_SHARDS_NAME, "%s", name);
 }
 
 static error_t parse(int key, char *text, struct argp_state *state) {
-    options *chosen = state->input;
+    tw_ctl_options *chosen = state->input;
     switch (key) {
     case OPT_SERVER:
-        if (add_servers(&chosen->servers, text)) argp_error(state, "no such servers: %s", text);
+        if (tw_ctl_add_servers(&chosen->servers, text))
+            argp_error(state, "no such servers: %s", text);
         break;
     case OPT_TIMEOUT:
         chosen->servers.timeout_s = strtod(text, NULL);
@@ -82,9 +83,9 @@
         chosen->wait = 1;
         break;
     case ARGP_KEY_ARG:
-        if (chosen->narguments == MOST_ARGUMENTS) argp_error(state, "too many arguments");
+        if (chosen->argument_count == MOST_ARGUMENTS) argp_error(state, "too many arguments");
         if (strlen(text) >= TW_SHARDS_NAME) argp_error(state, "name too long: %s", text);
-        chosen->arguments[chosen->narguments++] = text;
+        chosen->arguments[chosen->argument_count++] = text;
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -102,31 +103,31 @@
     return answer->verdict == TW_SHARDS_OK ? EXIT_SUCCESS : EXIT_REFUSED;
 }
 
-static int show(const options *chosen, bool machines) {
+static int show(const tw_ctl_options *chosen, bool machines) {
     const tw_rpc_call call = {.method = TW_RPC_SHOW, .show_machines = machines};
     tw_rpc_answer answer = {0};
     char asked[TW_RPC_ADDRESS];
-    const tw_rpc_status status = ask_leader(&chosen->servers, &call, &answer, asked);
+    const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
     if (status == TW_RPC_OK && answer.verdict != TW_SHARDS_OK)
-        print_change(chosen->json, &answer);
+        tw_ctl_print_change(chosen->json, &answer);
     else if (status == TW_RPC_OK && chosen->json)
-        print_shares_json(&answer);
+        tw_ctl_print_shards_json(&answer);
     else if (status == TW_RPC_OK)
-        print_shares_text(&answer);
+        tw_ctl_print_shards_text(&answer);
     const int code = exit_code(status, &answer);
     tw_rpc_answer_free(&answer);
     return code;
 }
 
 typedef struct {
-    const options *chosen;
+    const tw_ctl_options *chosen;
     tw_rpc_answer last;
 } watching;
 
 static int watched(void *context, const tw_rpc_answer *answer) {
     watching *watch = context;
     watch->last = *answer;
-    if (answer->verdict != TW_SHARDS_NOT_LEADER) print_change(watch->chosen->json, answer);
+    if (answer->verdict != TW_SHARDS_NOT_LEADER) tw_ctl_print_change(watch->chosen->json, answer);
     return 0;
 }
 
@@ -136,7 +137,7 @@
 }
 
 /* Goes on at the daemon that leads now, as long as one is found within the time limit. */
-static int follow_move(const options *chosen, const char *server, const char *key) {
+static int follow_move(const tw_ctl_options *chosen, const char *server, const char *key) {
     tw_rpc_call call = {.method = TW_RPC_CHANGE, .request.kind = TW_SHARDS_WATCH};
     char asked[TW_RPC_ADDRESS];
     snprintf(call.request.key, sizeof call.request.key, "%s", key);
@@ -147,40 +148,40 @@
         tw_rpc_status status = tw_rpc_client_watch(client, key, WATCH_TIMEOUT_S, watched, &watch);
         tw_rpc_client_free(client);
         if (!interrupted(status, &watch.last)) return exit_code(status, &watch.last);
-        status = ask_leader(&chosen->servers, &call, &watch.last, asked);
+        status = tw_ctl_ask_leader(&chosen->servers, &call, &watch.last, asked);
         if (status == TW_RPC_OK && watch.last.verdict == TW_SHARDS_OK) continue;
-        if (status == TW_RPC_OK) print_change(chosen->json, &watch.last);
+        if (status == TW_RPC_OK) tw_ctl_print_change(chosen->json, &watch.last);
         return exit_code(status, &watch.last);
     }
 }
 
-static int change(const options *chosen, const tw_shards_request *request) {
+static int change(const tw_ctl_options *chosen, const tw_shards_request *request) {
     const tw_rpc_call call = {.method = TW_RPC_CHANGE, .request = *request};
     tw_rpc_answer answer = {0};
     char asked[TW_RPC_ADDRESS];
-    const tw_rpc_status status = ask_leader(&chosen->servers, &call, &answer, asked);
+    const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
     const bool accepted = status == TW_RPC_OK && answer.verdict == TW_SHARDS_OK;
     const bool waits = request->kind == TW_SHARDS_WATCH || (chosen->wait && request->key[0]);
     if (accepted && waits) return follow_move(chosen, asked, request->key);
-    if (status == TW_RPC_OK) print_change(chosen->json, &answer);
+    if (status == TW_RPC_OK) tw_ctl_print_change(chosen->json, &answer);
     return exit_code(status, &answer);
 }
 
 /* ---- standbys ---- */
 
 /* Each server that was named, for itself. */
-static int do_standby(options *chosen, const char *const *words) {
+static int do_standby(tw_ctl_options *chosen, const char *const *words) {
     const tw_rpc_call call = {.method = TW_RPC_STANDBY};
     int code = EXIT_SUCCESS;
     (void)words;
     for (int i = 0; i < chosen->servers.count; i++) {
         const char *address = chosen->servers.addresses[i];
         tw_rpc_answer answer = {0};
-        const tw_rpc_status status = ask_one(&chosen->servers, address, &call, &answer);
+        const tw_rpc_status status = tw_ctl_ask_one(&chosen->servers, address, &call, &answer);
         if (status == TW_RPC_OK && chosen->json)
-            print_standby_json(&answer, address);
+            tw_ctl_print_standby_json(&answer, address);
         else if (status == TW_RPC_OK)
-            print_standby_text(&answer, address);
+            tw_ctl_print_standby_text(&answer, address);
         else
             code = exit_code(status, &answer);
         tw_rpc_answer_free(&answer);
@@ -188,13 +189,13 @@
     return code;
 }
 
-static int do_promote(options *chosen, const char *const *words) {
+static int do_promote(tw_ctl_options *chosen, const char *const *words) {
     tw_rpc_call call = {.method = TW_RPC_PROMOTE};
     tw_rpc_answer answer = {0};
     char asked[TW_RPC_ADDRESS];
     snprintf(call.owner, sizeof call.owner, "%s", words[1]);
-    const tw_rpc_status status = ask_leader(&chosen->servers, &call, &answer, asked);
-    if (status == TW_RPC_OK) print_change(chosen->json, &answer);
+    const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
+    if (status == TW_RPC_OK) tw_ctl_print_change(chosen->json, &answer);
     return exit_code(status, &answer);
 }
 
@@ -202,7 +203,7 @@
 
 static void copy(char *to, const char *from) { snprintf(to, TW_SHARDS_NAME, "%s", from); }
 
-static int do_move(options *chosen, const char *const *words) {
+static int do_move(tw_ctl_options *chosen, const char *const *words) {
     tw_shards_request request = {.kind = TW_SHARDS_MOVE, .revision = chosen->revision};
     copy(request.key, words[1]);
     copy(request.shard, words[2]);
@@ -210,18 +211,18 @@
     if (chosen->image) copy(request.image, chosen->image);
     request.count = (int)strtol(words[4], NULL, DECIMAL);
     request.machines = chosen->machines;
-    request.machine_count = chosen->nmachines;
+    request.machine_count = chosen->machine_count;
     return change(chosen, &request);
 }
 
-static int do_key(options *chosen, const char *const *words) {
+static int do_key(tw_ctl_options *chosen, const char *const *words) {
     const bool cancels = !strcmp(words[0], "cancel");
     tw_shards_request request = {.kind = cancels ? TW_SHARDS_CANCEL : TW_SHARDS_WATCH};
     copy(request.key, words[1]);
     return change(chosen, &request);
 }
 
-static int do_define(options *chosen, const char *const *words) {
+static int do_define(tw_ctl_options *chosen, const char *const *words) {
     tw_shards_request request = {.kind = TW_SHARDS_DEFINE, .spread = chosen->spread};
     copy(request.shard, words[1]);
     copy(request.owner, words[2]);
@@ -229,7 +230,7 @@
     return change(chosen, &request);
 }
 
-static int do_add(options *chosen, const char *const *words) {
+static int do_add(tw_ctl_options *chosen, const char *const *words) {
     tw_shards_request request = {.kind = TW_SHARDS_ADD};
     copy(request.machine, words[1]);
     copy(request.shard, words[2]);
@@ -237,20 +238,20 @@
     return change(chosen, &request);
 }
 
-static int do_remove(options *chosen, const char *const *words) {
+static int do_remove(tw_ctl_options *chosen, const char *const *words) {
     tw_shards_request request = {.kind = TW_SHARDS_REMOVE};
     copy(request.machine, words[1]);
     return change(chosen, &request);
 }
 
-static int do_show(options *chosen, const char *const *words) {
+static int do_show(tw_ctl_options *chosen, const char *const *words) {
     return show(chosen, !strcmp(words[0], "machines"));
 }
 
 static const struct command {
     const char *name;
     int words; /* with its own name */
-    int (*carry_out)(options *chosen, const char *const *words);
+    int (*carry_out)(tw_ctl_options *chosen, const char *const *words);
 } commands[] = {{"shares", 1, do_show},    {"machines", 1, do_show}, {"move", 5, do_move},
                 {"watch", 2, do_key},      {"cancel", 2, do_key},    {"define", 4, do_define},
                 {"add", 4, do_add},        {"remove", 2, do_remove}, {"standby", 1, do_standby},
@@ -273,13 +274,13 @@
 int main(int count, char **arguments) {
     static const struct argp argp = {
         .options = argp_options, .parser = parse, .args_doc = "COMMAND ...", .doc = doc};
-    static options chosen = {.servers = {.timeout_s = TIMEOUT_S}};
+    static tw_ctl_options chosen = {.servers = {.timeout_s = TIMEOUT_S}};
     argp_parse(&argp, count, arguments, 0, NULL, &chosen);
-    if (!chosen.servers.count) add_servers(&chosen.servers, "127.0.0.1:7070");
+    if (!chosen.servers.count) tw_ctl_add_servers(&chosen.servers, "127.0.0.1:7070");
     for (size_t i = 0; i < sizeof commands / sizeof *commands; i++) {
         const struct command *each = &commands[i];
-        if (!chosen.narguments || strcmp(chosen.arguments[0], each->name) != 0) continue;
-        if (chosen.narguments != each->words) break;
+        if (!chosen.argument_count || strcmp(chosen.arguments[0], each->name) != 0) continue;
+        if (chosen.argument_count != each->words) break;
         return each->carry_out(&chosen, chosen.arguments);
     }
     fprintf(stderr, "traywallctl: no such command, or other arguments than it takes: --help\n");
--- a/tools/traywallctl/print.c
+++ b/tools/traywallctl/print.c
@@ -12,32 +12,32 @@
     cJSON_Delete(object);
 }
 
-void print_shares_text(const tw_rpc_answer *answer) {
+void tw_ctl_print_shards_text(const tw_rpc_answer *answer) {
     printf("revision %lu\n", (unsigned long)answer->revision);
     printf("%-20s %-20s %6s %6s %6s %8s\n", "SHARE", "OWNER", "LEAST", "OPEN", "TAKEN", "DRAINING");
-    for (int i = 0; i < answer->nshares; i++) {
-        const tw_shards_view *each = &answer->shares[i];
+    for (int i = 0; i < answer->shard_count; i++) {
+        const tw_shards_view *each = &answer->shards[i];
         printf("%-20s %-20s %6d %6d %6d %8d%s\n", each->name, each->owner, each->least, each->open,
                each->taken, each->draining, each->spread ? " spread" : "");
     }
-    if (answer->ntells)
+    if (answer->notification_count)
         printf("%-24s %-20s %-20s %-9s %s\n", "MACHINE", "SHARE", "OWNER", "STATE", "EPOCH");
-    for (int i = 0; i < answer->ntells; i++) {
-        const tw_shards_notification *each = &answer->tells[i];
+    for (int i = 0; i < answer->notification_count; i++) {
+        const tw_shards_notification *each = &answer->notifications[i];
         printf("%-24s %-20s %-20s %-9s %lu\n", each->machine, each->shard, each->owner,
                tw_shards_state_name(each->state), (unsigned long)each->epoch);
     }
 }
 
-static cJSON *share_json(const tw_shards_view *share) {
+static cJSON *shard_json(const tw_shards_view *shard) {
     cJSON *object = cJSON_CreateObject();
-    cJSON_AddStringToObject(object, "name", share->name);
-    cJSON_AddStringToObject(object, "owner", share->owner);
-    cJSON_AddNumberToObject(object, "least", share->least);
-    cJSON_AddBoolToObject(object, "spread", share->spread);
-    cJSON_AddNumberToObject(object, "open", share->open);
-    cJSON_AddNumberToObject(object, "taken", share->taken);
-    cJSON_AddNumberToObject(object, "draining", share->draining);
+    cJSON_AddStringToObject(object, "name", shard->name);
+    cJSON_AddStringToObject(object, "owner", shard->owner);
+    cJSON_AddNumberToObject(object, "least", shard->least);
+    cJSON_AddBoolToObject(object, "spread", shard->spread);
+    cJSON_AddNumberToObject(object, "open", shard->open);
+    cJSON_AddNumberToObject(object, "taken", shard->taken);
+    cJSON_AddNumberToObject(object, "draining", shard->draining);
     return object;
 }
 
@@ -51,15 +51,15 @@
     return object;
 }
 
-void print_shares_json(const tw_rpc_answer *answer) {
+void tw_ctl_print_shards_json(const tw_rpc_answer *answer) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddNumberToObject(object, "revision", (double)answer->revision);
-    cJSON *shares = cJSON_AddArrayToObject(object, "shares");
-    for (int i = 0; i < answer->nshares; i++)
-        cJSON_AddItemToArray(shares, share_json(&answer->shares[i]));
+    cJSON *shards = cJSON_AddArrayToObject(object, "shares");
+    for (int i = 0; i < answer->shard_count; i++)
+        cJSON_AddItemToArray(shards, shard_json(&answer->shards[i]));
     cJSON *machines = cJSON_AddArrayToObject(object, "machines");
-    for (int i = 0; i < answer->ntells; i++)
-        cJSON_AddItemToArray(machines, machine_json(&answer->tells[i]));
+    for (int i = 0; i < answer->notification_count; i++)
+        cJSON_AddItemToArray(machines, machine_json(&answer->notifications[i]));
     print_json(object);
 }
 
@@ -81,7 +81,7 @@
     print_json(object);
 }
 
-void print_change(bool json, const tw_rpc_answer *answer) {
+void tw_ctl_print_change(bool json, const tw_rpc_answer *answer) {
     const tw_shards_progress *progress = &answer->progress;
     if (json) {
         print_change_json(answer);
@@ -101,7 +101,7 @@
 
 /* ---- standbys ---- */
 
-void print_standby_text(const tw_rpc_answer *answer, const char *address) {
+void tw_ctl_print_standby_text(const tw_rpc_answer *answer, const char *address) {
     const tw_standby_status *status = &answer->status;
     printf("%-22s %-12s %-10s term %lu, change %lu, lag %lu, revision %lu, digest %016lx, "
            "%d records, %d held back\n",
@@ -109,12 +109,12 @@
            (unsigned long)status->number, (unsigned long)status->lag,
            (unsigned long)status->store_revision, (unsigned long)status->digest, status->records,
            status->quarantined);
-    for (int i = 0; i < answer->nfollowers; i++)
+    for (int i = 0; i < answer->follower_count; i++)
         printf("    followed by %-12s lag %lu, heard %.1f s ago\n", answer->followers[i].name,
                (unsigned long)answer->followers[i].lag, answer->followers[i].silent_s);
 }
 
-void print_standby_json(const tw_rpc_answer *answer, const char *address) {
+void tw_ctl_print_standby_json(const tw_rpc_answer *answer, const char *address) {
     const tw_standby_status *status = &answer->status;
     char digest[TW_SHARDS_NAME];
     cJSON *object = cJSON_CreateObject();
@@ -134,7 +134,7 @@
     cJSON_AddNumberToObject(object, "snapshots", (double)status->snapshots);
     cJSON_AddNumberToObject(object, "gaps", (double)status->gaps);
     cJSON *followers = cJSON_AddArrayToObject(object, "followers");
-    for (int i = 0; i < answer->nfollowers; i++) {
+    for (int i = 0; i < answer->follower_count; i++) {
         cJSON *each = cJSON_CreateObject();
         cJSON_AddStringToObject(each, "name", answer->followers[i].name);
         cJSON_AddNumberToObject(each, "lag", (double)answer->followers[i].lag);
--- a/tools/traywallctl/print.h
+++ b/tools/traywallctl/print.h
@@ -4,12 +4,12 @@
 #include "rpc/rpc.h"
 #include <stdbool.h>
 
-void print_shares_text(const tw_rpc_answer *answer);
-void print_shares_json(const tw_rpc_answer *answer);
+void tw_ctl_print_shards_text(const tw_rpc_answer *answer);
+void tw_ctl_print_shards_json(const tw_rpc_answer *answer);
 /* A verdict, and how far a move is. */
-void print_change(bool json, const tw_rpc_answer *answer);
+void tw_ctl_print_change(bool json, const tw_rpc_answer *answer);
 /* What the daemon at that address is. */
-void print_standby_text(const tw_rpc_answer *answer, const char *address);
-void print_standby_json(const tw_rpc_answer *answer, const char *address);
+void tw_ctl_print_standby_text(const tw_rpc_answer *answer, const char *address);
+void tw_ctl_print_standby_json(const tw_rpc_answer *answer, const char *address);
 
 #endif
