--- a/emulator/main.c
+++ b/emulator/main.c
@@ -93,7 +93,7 @@
 static void restart(replica *at) {
     const uint64_t boot_id = at->guard.boot_id + 1;
     tw_shards_guard_boot(&at->guard, boot_id);
-    at->last_term = 0; /* what it has not heard of in this life, it can't hold against anybody */
+    at->last_term = 0; /* what it has not heard of since this boot, it can't hold against anybody */
 }
 
 static int run_request(replica *at, uint64_t epoch) {
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -210,7 +210,7 @@
     node.shards = tw_shards_new(&settings->shards);
     node.standby = tw_standby_new(&standby, node.shards, tw_daemon_steady_s());
     node.owner = tw_shards_owner_new(settings->shards.retry_s);
-    node.messages = tw_daemon_alloc(sizeof *node.messages * MOST_TELLS);
+    node.messages = tw_daemon_alloc(sizeof *node.messages * TW_DAEMON_MOST_NOTIFICATIONS);
     start_net(&node);
     start_watchers(&node);
     node.reporter =
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -1,4 +1,8 @@
-/* What the files of the daemon share. Not for other packages. */
+/* What the files of the daemon have in common. Not for other packages.
+ *
+ * All of it runs on the loop's thread; reporter.c and subscriber.c have a thread each, which wakes
+ * the loop. Whatever changes a state machine calls tw_daemon_settle before it returns to the loop.
+ */
 #ifndef TW_DAEMON_INT_H
 #define TW_DAEMON_INT_H
 #include "daemon/daemon.h"
@@ -9,7 +13,9 @@
 #include <stdbool.h>
 #include <uthash.h>
 
-#define MOST_TELLS 4096 /* for an owner between two of its reports; it asks for all then */
+#define TW_DAEMON_MOST_NOTIFICATIONS                                                               \
+    4096 /* for an owner between two of its reports; it then asks                                  \
+                                             for all */
 
 typedef enum {
     TW_DAEMON_CALL_STATE,
@@ -27,7 +33,7 @@
     UT_hash_handle hh;
 } tw_daemon_call;
 
-/* What an owner is to be told with its next report. */
+/* Notifications for an owner, which its next report takes with it. */
 typedef struct tw_daemon_owner_notifications {
     char owner[TW_SHARDS_NAME];
     tw_shards_notification *notifications;
@@ -66,29 +72,42 @@
 void tw_daemon_settle(tw_daemon_node *node);
 
 /* calls.c: calls over HTTP, to the state service and to machines */
+/* Calls the state service. */
 void tw_daemon_call_state(tw_daemon_node *node, const tw_standby_effect *effect);
+/* Sends /check or /start to a machine. */
 void tw_daemon_check_machine(tw_daemon_node *node, const tw_standby_effect *effect);
 void tw_daemon_start_machine(tw_daemon_node *node, const tw_standby_effect *effect);
-/* An owner's order, /open or /stop. */
+/* Sends an owner's command, /open or /stop, to a machine. */
 void tw_daemon_order_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *path,
                              const tw_shards_owner_effect *effect);
+/* Takes the answer to a call; NULL and 0: none came. */
 void tw_daemon_on_response(void *context, uint64_t id, int status, const char *body, size_t length);
 
-/* owners.c: this node as an owner, and what other owners are told */
+/* owners.c: this node as an owner, and the notifications of other owners */
+/* The notifications of that owner, made where there are none. */
 tw_daemon_owner_notifications *tw_daemon_notifications_of(tw_daemon_node *node, const char *owner);
+/* Keeps a notification until the owner's next report, in place of an older one of the machine. */
 void tw_daemon_keep_notification(tw_daemon_node *node, const tw_shards_notification *notification);
+/* Forgets the notifications of all owners, as at the end of a term. */
 void tw_daemon_free_notifications(tw_daemon_node *node);
+/* Carries out the effects of this node as an owner. */
 void tw_daemon_take_owner_effects(tw_daemon_node *node);
-/* Sends what there is to say to another node that leads; takes its answer. */
+/* Sends the messages of this node as an owner to another node that leads, unless a report is on its
+ * way. */
 void tw_daemon_report(tw_daemon_node *node);
+/* Takes the answer to the last report. */
 void tw_daemon_take_report(tw_daemon_node *node);
 
 /* following.c: this node as a standby */
+/* Opens the feed of the active controller, and opens it again where it has ended. */
 void tw_daemon_follow(tw_daemon_node *node);
+/* Takes the messages of the feed that have come. */
 void tw_daemon_take_feed(tw_daemon_node *node);
 
 /* clients.c: calls over the control interface, and effects that answer them */
+/* Answers a client, as the effect says. */
 void tw_daemon_answer(tw_daemon_node *node, const tw_shards_effect *effect);
+/* Takes the calls that came in; an event of the loop. */
 void tw_daemon_on_called(struct ev_loop *loop, ev_async *watcher, int events);
 
 #endif
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -1,11 +1,12 @@
-/* This node as an owner of shares, and what the leader has to tell other owners. */
+/* This node as an owner of shards, and the notifications that it keeps for other owners while it
+ * leads. */
 #include "daemon/daemon_int.h"
 #include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- what owners are told ---- */
+/* ---- notifications of other owners ---- */
 
 tw_daemon_owner_notifications *tw_daemon_notifications_of(tw_daemon_node *node, const char *owner) {
     tw_daemon_owner_notifications *found;
@@ -13,7 +14,8 @@
     if (found) return found;
     found = tw_daemon_alloc(sizeof *found);
     snprintf(found->owner, sizeof found->owner, "%s", owner);
-    found->notifications = tw_daemon_alloc(sizeof *found->notifications * MOST_TELLS);
+    found->notifications =
+        tw_daemon_alloc(sizeof *found->notifications * TW_DAEMON_MOST_NOTIFICATIONS);
     HASH_ADD_STR(node->notifications, owner, found);
     return found;
 }
@@ -25,7 +27,7 @@
         of->notifications[i] = *notification; /* the later one holds */
         return;
     }
-    if (of->count < MOST_TELLS) of->notifications[of->count++] = *notification;
+    if (of->count < TW_DAEMON_MOST_NOTIFICATIONS) of->notifications[of->count++] = *notification;
 }
 
 void tw_daemon_free_notifications(tw_daemon_node *node) {
@@ -52,7 +54,7 @@
             tw_shards_opened(node->shards, owner, effect->machine, effect->epoch);
         return;
     }
-    if (node->message_count == MOST_TELLS) return; /* said again later */
+    if (node->message_count == TW_DAEMON_MOST_NOTIFICATIONS) return; /* said again later */
     tw_rpc_message *message = &node->messages[node->message_count++];
     message->kind = effect->kind;
     message->epoch = effect->epoch;
--- a/src/daemon/reporter.c
+++ b/src/daemon/reporter.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-typedef enum { TW_REPORTER_IDLE, TW_REPORTER_BUSY, TW_REPORTER_ANSWERED } reporter_state;
+typedef enum { TW_REPORTER_IDLE, TW_REPORTER_BUSY, TW_REPORTER_ANSWERED } tw_reporter_state;
 
 struct tw_reporter {
     pthread_t thread;
@@ -14,7 +14,7 @@
     pthread_cond_t changed;
     void (*done)(void *context);
     void *context;
-    reporter_state state;
+    tw_reporter_state state;
     int stopping, failed;
     double timeout_s;
     char owner[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -1,4 +1,4 @@
-/* The ledger: requests from their coming to their one final answer. */
+/* The records of requests, from their arrival to their one final answer. */
 #include "router/router_int.h"
 #include <math.h>
 #include <stdbool.h>
@@ -89,7 +89,7 @@
     team_named(router, name)->weight = weight;
 }
 
-/* The team whose turn it is: that has been served least for its share; NULL: nobody waits. A team
+/* The team whose turn it is: that has been served least for its weight; NULL: nobody waits. A team
  * that had nothing waiting does not save up turns. */
 static tw_router_team *next_team(tw_router *router) {
     tw_router_team *best = NULL;
--- a/src/router/router_int.h
+++ b/src/router/router_int.h
@@ -1,4 +1,7 @@
-/* What the files of the route share. Not for other packages. */
+/* The records that the files of the router have in common. Not for other packages.
+ *
+ * A request stands in the hash of the router, and in its team's queue while it waits. A replica
+ * counts the attempts that run on it; it is never forgotten. */
 #ifndef TW_ROUTER_INT_H
 #define TW_ROUTER_INT_H
 #include "router/router.h"
@@ -22,7 +25,7 @@
 
 struct tw_router_team {
     char name[TW_ROUTER_NAME];
-    double weight, served; /* requests sent, divided by the share */
+    double weight, served; /* requests sent, divided by the weight */
     tw_router_request *waiting;
     int count;
     UT_hash_handle hh;
@@ -45,8 +48,9 @@
     tw_router_effect *effects;
 };
 
+/* Zeroed memory; the program ends where there is none. */
 void *tw_router_alloc(size_t size);
-/* pick.c: the replica for the request; NULL: none has room. */
+/* The replica for the request; NULL: none has room. (pick.c) */
 tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *of, double now);
 
 #endif
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -1,5 +1,6 @@
 /* The control interface over gRPC, behind C: a server whose calls are answered by the daemon's own
- * thread, and a blocking client. No C++ type and no exception passes this header.
+ * thread, and a blocking client. No C++ type and no exception passes this header. src/daemon uses
+ * both, tools/traywallctl the client. control.proto has the messages.
  *
  * The server's threads belong to gRPC. A call waits there until tw_rpc_answer_call is called with
  * its number, for at most TW_RPC_WAIT_S; then the client gets UNAVAILABLE and may ask again. */
@@ -12,12 +13,12 @@
 #define TW_RPC_WAIT_S 8
 
 typedef enum {
-    TW_RPC_SHOW,
-    TW_RPC_CHANGE,
-    TW_RPC_REPORT,
-    TW_RPC_FOLLOW,
-    TW_RPC_PROMOTE,
-    TW_RPC_STANDBY
+    TW_RPC_SHOW,    /* the shards, and the machines where asked for */
+    TW_RPC_CHANGE,  /* a request to the leader */
+    TW_RPC_REPORT,  /* an owner's messages to the leader; notifications come back */
+    TW_RPC_FOLLOW,  /* the next message of the feed */
+    TW_RPC_PROMOTE, /* hands leadership over to a standby */
+    TW_RPC_STANDBY  /* the status of the node that is asked */
 } tw_rpc_method;
 
 /* An owner's message to the leader: OWNER_SYNC, OWNER_DRAINED or OWNER_OPENED. */
@@ -38,6 +39,7 @@
     tw_rpc_message *messages;     /* REPORT */
     int message_count;
 } tw_rpc_call;
+/* Frees what the call holds. */
 void tw_rpc_call_free(tw_rpc_call *call);
 
 /* What a call is answered with; the arrays belong to the answer. */
@@ -57,19 +59,20 @@
     tw_standby_follower_status *followers;
     int follower_count;
 } tw_rpc_answer;
+/* Frees what the answer holds. */
 void tw_rpc_answer_free(tw_rpc_answer *answer);
 
 /* ---- server ---- */
 
 typedef struct tw_rpc_server tw_rpc_server;
 /* Listens on an address IP:port. wake is called from another thread whenever a call came in.
- * NULL: the address can't be listened on. */
+ * Returns NULL where the address can't be listened on. Free it with tw_rpc_server_stop. */
 tw_rpc_server *tw_rpc_server_start(const char *address, void (*wake)(void *context), void *context);
-/* The next call that came in; 0: there is none. */
+/* Takes the next call that came in. Returns 0 where there is none. */
 int tw_rpc_server_next(tw_rpc_server *server, tw_rpc_call *call);
-/* Answers a call; the answer is copied. */
+/* Answers the call `id`. The answer is copied. A call that was given up meanwhile is ignored. */
 void tw_rpc_answer_call(tw_rpc_server *server, uint64_t id, const tw_rpc_answer *answer);
-/* Ends the server; calls that wait get UNAVAILABLE. */
+/* Ends and frees the server; calls that wait get UNAVAILABLE. NULL is allowed. */
 void tw_rpc_server_stop(tw_rpc_server *server);
 
 /* ---- client ---- */
@@ -81,6 +84,7 @@
 } tw_rpc_status;
 
 typedef struct tw_rpc_client tw_rpc_client;
+/* Makes a client of the daemon at IP:port, without connecting to it. */
 tw_rpc_client *tw_rpc_client_new(const char *address);
 void tw_rpc_client_free(tw_rpc_client *client);
 /* Sends the call (its id is not used) and waits for the answer, for timeout_s at most. */
@@ -92,10 +96,12 @@
 typedef struct tw_rpc_feed tw_rpc_feed;
 tw_rpc_feed *tw_rpc_feed_open(tw_rpc_client *client, const char *node,
                               const tw_standby_position *position, double pause_s);
-/* Waits for the next message; free it with tw_standby_message_free. 0: the feed has ended. */
+/* Waits for the next message. The caller frees it with tw_standby_message_free. Returns 0 where the
+ * feed has ended. */
 int tw_rpc_feed_next(tw_rpc_feed *feed, tw_standby_message *message);
 /* Ends the feed, also while its connection is made; may be called from any thread. */
 void tw_rpc_feed_cancel(tw_rpc_feed *feed);
+/* Frees the feed. */
 void tw_rpc_feed_close(tw_rpc_feed *feed);
 /* Calls `each` for every change of the move until it is over, refused, or `each` returns non-zero.
  */
--- a/src/shards/choose.c
+++ b/src/shards/choose.c
@@ -1,5 +1,5 @@
-/* Which machines of a share go first: those with the fewest requests, of these the ones that hold
- * the wanted image, and never the last machine of a zone where the share is to stay spread. */
+/* Which machines of a shard go first: those with the fewest requests, of these the ones that hold
+ * the wanted image, and never the last machine of a zone where the shard is to stay spread. */
 #include "shards/shards_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
     return a->machine->index - b->machine->index;
 }
 
-/* Machines that the share has in each zone and keeps for now; the caller frees it. */
+/* Machines that the shard has in each zone and keeps for now; the caller frees it. */
 static int *sizes_by_zone(const tw_shards *shards, int shard_index) {
     const tw_shards_shard_sets *sets = &shards->sets[shard_index];
     int *sizes = tw_shards_alloc(sizeof *sizes * (size_t)shards->zone_count);
--- a/src/shards/guard.c
+++ b/src/shards/guard.c
@@ -1,5 +1,5 @@
-/* What stands on a machine and lets only the newest epoch run, by orders of the newest term only.
- */
+/* The guard of a machine: it lets requests of the newest epoch run, and takes commands of the
+ * newest term only. */
 #include "shards/shards.h"
 #include <stdbool.h>
 
@@ -29,8 +29,8 @@
 tw_shards_guard_verdict tw_shards_guard_start(tw_shards_guard *guard, uint64_t term,
                                               uint64_t boot_id, uint64_t minimum_epoch) {
     if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
-    /* A floor that was drawn for an earlier life of the machine is too low: epochs of that life
-     * could be opened again. */
+    /* A minimum epoch that was drawn for an earlier boot of the machine is too low: epochs of that
+     * boot could be opened again. */
     if (boot_id != guard->boot_id) return TW_SHARDS_GUARD_OTHER_BOOT;
     if (guard->started) return TW_SHARDS_GUARD_REPEATED;
     guard->started = 1;
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -1,4 +1,4 @@
-/* An owner of shares: which of its machines may get requests, under which epoch, and what it has
+/* An owner of shards: which of its machines may get requests, under which epoch, and what it has
  * to tell. It keeps nothing that must outlive it; after a start it asks the leader. */
 #include "shards/shards_int.h"
 #include <stdbool.h>
--- a/src/shards/record.c
+++ b/src/shards/record.c
@@ -1,6 +1,6 @@
 /* Texts of the records in the state service.
  *
- *   shares/table        revision, last epoch and move, all shares
+ *   shares/table        revision, last epoch and move, all shards
  *   shares/cells/NNNN   who has the machines of a block: those alike stand together, as ranges
  *   shares/names/NNNN   the names and zones of a block's machines
  *   shares/move/KEY     a move
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -112,7 +112,7 @@
     answer_first(shards, TW_SHARDS_TOO_LARGE);
 }
 
-/* ---- shares ---- */
+/* ---- shards ---- */
 
 static bool is_defined_so(const tw_shards_shard *of, const tw_shards_request *request) {
     return !strcmp(of->owner, request->owner) && of->least == request->least &&
@@ -186,7 +186,7 @@
 }
 
 /* A machine that has restarted runs nothing: one that drained is released at once, any other one
- * is to be opened again under the next epoch, which no late command of its earlier life has. */
+ * is to be opened again under the next epoch, which no late command of its earlier boot has. */
 static tw_shards_verdict renew_machine(tw_shards *shards, tw_shards_machine *renewed, int *full) {
     tw_shards_cell to = renewed->cell;
     *full = !tw_shards_has_room(shards, renewed, TW_SHARDS_RECORD_CELLS, 1);
@@ -279,7 +279,7 @@
     return request->count > 0 ? TW_SHARDS_OK : TW_SHARDS_INVALID;
 }
 
-/* Whether every machine named is open in the share that is to give it. */
+/* Whether every machine named is open in the shard that is to give it. */
 static tw_shards_verdict judge_named(const tw_shards *shards, const tw_shards_move_record *record) {
     roaring_bitmap_t *named = tw_shards_ranges_parse(record->only);
     tw_shards_verdict verdict = TW_SHARDS_OK;
--- a/src/shards/shards_int.h
+++ b/src/shards/shards_int.h
@@ -1,7 +1,11 @@
-/* What the leader's part of the package shares among its files. Not for other packages.
+/* What the files of the leader have in common. Not for other packages.
  *
- * Everything that stands in the state service is kept twice: as recorded, and as it will be when
- * the transaction in flight is applied (`next`). Only what is recorded is told or chosen from. */
+ * tw_shards owns everything in this header. It keeps the records of the state service twice: as
+ * recorded, and as they will be when the transaction in flight is applied (`next`).
+ *
+ * Invariants: owners are notified of, and machines are chosen by, what is recorded only; at most
+ * one transaction is in flight; a machine's index never changes while the table is loaded; each set
+ * of machines agrees with the cells, since only tw_shards_set_cell changes a cell. */
 #ifndef TW_SHARDS_INT_H
 #define TW_SHARDS_INT_H
 #include "shards/shards.h"
@@ -17,7 +21,7 @@
 /* Requests that may wait. */
 #define MOST_WAITING 8192
 
-/* Who has a machine. */
+/* The state of one machine in the table. */
 typedef struct {
     int shard; /* index; DRAINING: that gives; RELEASED: had it last */
     tw_shards_state state;
@@ -25,14 +29,16 @@
     uint64_t move;  /* number of the move that holds it; 0: none */
 } tw_shards_cell;
 
+/* A place in the table. An ABSENT machine has no name, and its place may be given to another one.
+ */
 typedef struct tw_shards_machine {
     char name[TW_SHARDS_NAME];
     int index;
-    int zone; /* index in shares->zones */
+    int zone; /* index in shards->zones */
     tw_shards_cell cell, next;
     bool changing;            /* next is in the transaction in flight */
-    uint64_t drained, opened; /* epochs for which the owner said so */
-    double notified_at;       /* when its owner was last told */
+    uint64_t drained, opened; /* epochs for which the owner reported it */
+    double notified_at;       /* when its owner was notified last */
     int load;
     UT_hash_handle hh;
 } tw_shards_machine;
@@ -43,18 +49,18 @@
     int least, spread;
 } tw_shards_shard;
 
-/* The record of all shares. */
+/* The record of all shards. */
 typedef struct {
     uint64_t revision, epoch, move; /* last ones that were given */
     tw_shards_shard *shards;
     int shard_count;
 } tw_shards_header;
 
-/* What a record says of a move. */
+/* The record of a move. */
 typedef struct {
     char key[TW_SHARDS_NAME], image[TW_SHARDS_NAME];
     uint64_t number;
-    int from, to;       /* shares */
+    int from, to;       /* shards */
     int wanted, marked; /* machines asked for, and chosen so far */
     int moved, returned, lost;
     int cancelled, done;
@@ -63,6 +69,7 @@
     char *only;      /* indexes of the machines named, as ranges; NULL: any */
 } tw_shards_move_record;
 
+/* A move, and the machines that it holds. */
 typedef struct tw_shards_move {
     tw_shards_move_record now, next;
     uint64_t mod_revision;
@@ -71,16 +78,18 @@
     struct tw_shards_move *prev, *link; /* in the order of their numbers */
 } tw_shards_move;
 
-/* Machines of a share by what is recorded. */
+/* Machines of a shard by what is recorded. */
 typedef struct {
     roaring_bitmap_t *open, *taken, *draining;
 } tw_shards_shard_sets;
 
+/* The machines of a zone, or those that hold an image. */
 typedef struct {
     char name[TW_SHARDS_NAME];
     roaring_bitmap_t *machines;
 } tw_shards_named_set;
 
+/* A request that has no answer yet. */
 typedef struct tw_shards_waiting_request {
     tw_shards_request request;
     struct tw_shards_waiting_request *prev, *next;
@@ -109,7 +118,7 @@
     double authority_until;
     bool loaded, reading;
     bool deciding;                     /* see tw_shards_decide */
-    bool quarantine_listed;            /* `unchecked` was filled in this term */
+    bool quarantine_listed;            /* `quarantined` was filled in this term */
     roaring_bitmap_t *quarantined;     /* machines that have not answered in this term, by index */
     struct tw_shards_kept_page *pages; /* read so far, see load.c */
     double read_after;                 /* no reading before it */
@@ -122,7 +131,7 @@
     tw_shards_machine *by_name;
     uint64_t *cell_mod_revisions, *name_mod_revisions; /* by block */
     int block_count;
-    tw_shards_shard_sets *sets; /* by share */
+    tw_shards_shard_sets *sets; /* by shard */
     tw_shards_named_set *zones, *images;
     int zone_count, image_count;
     tw_shards_move *moves;
@@ -135,35 +144,51 @@
 };
 
 /* memory.c */
+/* Zeroed memory; the program ends where there is none. */
 void *tw_shards_alloc(size_t size);
+/* Room for one item more than `count`; new room is not zeroed. Returns the items. */
 void *tw_shards_grow(void *items, int count, int *room, size_t size);
+/* Copies a name; one that is too long is cut. */
 void tw_shards_copy_name(char *to, const char *from);
 
 /* table.c */
+/* Forgets everything that stands in records, and the hints. */
 void tw_shards_clear(tw_shards *shards);
+/* The machine of that name, or NULL. */
 tw_shards_machine *tw_shards_find(const tw_shards *shards, const char *name);
+/* The machine of that index, made with all before it where it doesn't exist. */
 tw_shards_machine *tw_shards_slot(tw_shards *shards, int index);
+/* Gives an ABSENT machine a name and a zone, or takes them away. */
 void tw_shards_name_machine(tw_shards *shards, tw_shards_machine *machine, const char *name,
                             int zone);
 void tw_shards_unname_machine(tw_shards *shards, tw_shards_machine *machine);
+/* The index of the shard of that name, or -1. */
 int tw_shards_shard_index(const tw_shards *shards, const char *name);
+/* The index of the zone of that name, made where it doesn't exist. */
 int tw_shards_zone_index(tw_shards *shards, const char *name);
-/* NULL: no machine was ever said to hold it. */
+/* The machines that hold the image; NULL: none was ever said to hold it. */
 tw_shards_named_set *tw_shards_find_image(const tw_shards *shards, const char *name);
 tw_shards_named_set *tw_shards_make_image(tw_shards *shards, const char *name);
+/* Changes a recorded cell, and the sets that the machine is in. */
 void tw_shards_set_cell(tw_shards *shards, tw_shards_machine *machine, tw_shards_cell to);
+/* Changes the recorded header. Its list of shards belongs to the table from now on. */
 void tw_shards_set_header(tw_shards *shards, const tw_shards_header *to);
+/* The move of that key or number, or NULL. */
 tw_shards_move *tw_shards_move_by_key(const tw_shards *shards, const char *key);
 tw_shards_move *tw_shards_move_by_number(const tw_shards *shards, uint64_t number);
+/* Puts the moves into the order of their numbers. */
 void tw_shards_sort_moves(tw_shards *shards);
+/* Adds a recorded move. The record's text belongs to the table from now on. */
 tw_shards_move *tw_shards_add_move(tw_shards *shards, const tw_shards_move_record *record);
 void tw_shards_drop_move(tw_shards *shards, tw_shards_move *move);
-/* The state and epoch that hold for a machine, its share's owner considered. */
+/* The state and epoch that hold for a machine: a shard that has changed hands makes its open
+ * machines TAKEN, under the shard's epoch. */
 tw_shards_state tw_shards_state_of(const tw_shards *shards, const tw_shards_machine *machine);
 uint64_t tw_shards_epoch_of(const tw_shards *shards, const tw_shards_machine *machine);
+/* The progress of a move by what is recorded. */
 tw_shards_progress tw_shards_progress_of(const tw_shards *shards, const tw_shards_move *move);
 
-/* record.c: texts of records; the caller frees them */
+/* record.c: texts of records, which the caller frees, and their parsers */
 char *tw_shards_header_text(const tw_shards_header *header);
 int tw_shards_header_parse(tw_shards_header *header, const char *text);
 char *tw_shards_cells_text(const tw_shards *shards, int block);
@@ -172,11 +197,12 @@
 int tw_shards_names_parse(tw_shards *shards, int block, const char *text);
 char *tw_shards_move_text(const tw_shards_move_record *record);
 int tw_shards_move_parse(tw_shards_move_record *record, const char *text);
+/* A set of indexes as ranges, as in "0-3,7", and back; NULL: the text is none. */
 char *tw_shards_ranges(const roaring_bitmap_t *set);
 roaring_bitmap_t *tw_shards_ranges_parse(const char *text);
 
 /* choose.c */
-/* Machines of the move's giving share that may go, the best first, in *chosen, which the caller
+/* Machines of the move's giving shard that may go, the best first, in *chosen, which the caller
  * frees; returns how many, at most `most`. */
 int tw_shards_choose(const tw_shards *shards, const tw_shards_move_record *record, int most,
                      tw_shards_machine ***chosen);
@@ -184,28 +210,42 @@
 /* transaction.c */
 /* Which records of a machine's block a change concerns. */
 typedef enum { TW_SHARDS_RECORD_CELLS = 1, TW_SHARDS_RECORD_NAMES = 2 } tw_shards_record_kinds;
+/* Begins a transaction that changes nothing yet. */
 void tw_shards_begin(tw_shards *shards);
 /* Whether these records of the machine's block fit into the transaction beside `others` more. */
 bool tw_shards_has_room(const tw_shards *shards, const tw_shards_machine *machine,
                         tw_shards_record_kinds records, int others);
+/* Puts a machine's next cell into the transaction. */
 void tw_shards_change(tw_shards *shards, tw_shards_machine *machine, tw_shards_cell to);
+/* The next header or move record of the transaction, to be changed by the caller. */
 tw_shards_header *tw_shards_change_header(tw_shards *shards);
 tw_shards_move_record *tw_shards_change_move(tw_shards *shards, tw_shards_move *move);
 /* Sends it; -1: a value is too large, and nothing is changed. */
 int tw_shards_commit(tw_shards *shards);
-/* Forgets what was put into it. */
+/* Forgets what was put into the transaction. */
 void tw_shards_abandon(tw_shards *shards);
+/* Makes what was put into the transaction what is recorded, as of that store revision. */
 void tw_shards_apply(tw_shards *shards, uint64_t revision);
 
 /* load.c */
+/* Forgets the table and begins to read it. Requests that wait go on waiting. */
 void tw_shards_reload(tw_shards *shards);
+/* Asks for the page of keys after that one; "": the first page. */
 void tw_shards_read_next(tw_shards *shards, const char *after);
+/* Frees the pages read so far. */
 void tw_shards_forget_pages(tw_shards *shards);
 
+/* step.c */
+/* Adds machines to a move whose record is in the transaction, as many as there is room for. */
 void tw_shards_mark(tw_shards *shards, tw_shards_move *marked, tw_shards_machine **chosen,
                     int count);
+
+/* request.c */
+/* Puts the requests of a transaction that was not applied back to the front of the queue. */
 void tw_shards_requeue(tw_shards *shards);
+/* Answers the requests of the transaction OK. */
 void tw_shards_answer_applied(tw_shards *shards);
+/* Answers the requests that wait; refuse_all also those of the transaction. */
 void tw_shards_refuse_waiting(tw_shards *shards, tw_shards_verdict verdict);
 void tw_shards_refuse_all(tw_shards *shards, tw_shards_verdict verdict);
 /* request.c, step.c: each begins at most one transaction and says whether it did */
@@ -213,13 +253,16 @@
 bool tw_shards_step_moves(tw_shards *shards);
 
 /* leader.c */
+/* Notifies the owner of a machine. */
 void tw_shards_emit_notification(tw_shards *shards, tw_shards_machine *machine);
+/* Answers a request. */
 void tw_shards_answer(tw_shards *shards, const tw_shards_request *request,
                       tw_shards_verdict verdict);
 /* Whether the machine has answered under this term, so that its state may be changed. */
 bool tw_shards_is_confirmed(const tw_shards *shards, const tw_shards_machine *machine);
-/* Whether an open machine of the share waits for that. */
+/* Whether an open machine of the shard is in quarantine. */
 int tw_shards_any_quarantined(const tw_shards *shards, int shard_index);
+/* Adds an effect to those that tw_shards_next gives out. */
 tw_shards_effect *tw_shards_emit(tw_shards *shards, tw_shards_effect_kind kind);
 
 #endif
--- a/src/shards/step.c
+++ b/src/shards/step.c
@@ -18,7 +18,7 @@
     }
 }
 
-/* Machines that the share can give without falling below its least size. */
+/* Machines that the shard can give without falling below its least size. */
 static int may_give(const tw_shards *shards, int index) {
     const tw_shards_shard_sets *sets = &shards->sets[index];
     return (int)(roaring_bitmap_get_cardinality(sets->open) +
@@ -111,7 +111,7 @@
     return false;
 }
 
-/* Machines that were opened without a move: new, restarted, or of a share that changed hands. */
+/* Machines that were opened without a move: new, restarted, or of a shard that changed hands. */
 static bool step_opened(tw_shards *shards) {
     tw_shards_begin(shards);
     for (int i = 0; i < shards->machine_count; i++) {
--- a/src/shards/table.c
+++ b/src/shards/table.c
@@ -1,4 +1,4 @@
-/* The table as it is recorded: machines by index and name, their sets by share, zone and image,
+/* The table as it is recorded: machines by index and name, their sets by shard, zone and image,
  * and moves. Whatever changes a cell goes through tw_shards_set_cell, which keeps the sets. */
 #include "shards/shards_int.h"
 #include <stdlib.h>
@@ -40,7 +40,7 @@
     return machine->cell.epoch > of_shard ? machine->cell.epoch : of_shard;
 }
 
-/* A share that changes hands costs one record: its open machines count as taken until the new
+/* A shard that changes hands costs one record: its open machines count as taken until the new
  * owner has opened each of them. */
 tw_shards_state tw_shards_state_of(const tw_shards *shards, const tw_shards_machine *machine) {
     const tw_shards_cell *has = &machine->cell;
@@ -177,7 +177,7 @@
     return &shards->images[added];
 }
 
-/* ---- shares ---- */
+/* ---- shards ---- */
 
 int tw_shards_shard_index(const tw_shards *shards, const char *name) {
     for (int i = 0; i < shards->header.shard_count; i++)
@@ -185,7 +185,7 @@
     return -1;
 }
 
-/* Takes over the other header's list of shares. */
+/* Takes over the other header's list of shards. */
 void tw_shards_set_header(tw_shards *shards, const tw_shards_header *to) {
     const int before = shards->header.shard_count;
     for (int i = 0; i < shards->machine_count; i++) leave_sets(shards, shards->machines[i]);
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -1,6 +1,8 @@
 /* Machines are asked under the new term what they have open, before anything is decided about them.
- * The same way a machine that registers is asked for its life before it gets an epoch, so that its
- * floor can't be taken for that of a later life. */
+ * In the same way a machine that registers is asked for its boot id before it gets an epoch, so
+ * that its minimum epoch can't be taken for that of a later boot.
+ *
+ * Invariant: a machine of the table leaves quarantine only by its own answer under this term. */
 #include "standby/standby_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -103,7 +105,8 @@
     return true;
 }
 
-/* What waits for the machine's life; 0: it has not answered, and is asked further. */
+/* Passes on the registrations that wait for the machine's boot id; 0: the machine has not answered,
+ * and is asked further. Returns whether there were any. */
 static bool pass_waiting(tw_standby *standby, const char *name, uint64_t boot_id) {
     tw_standby_registration *each;
     tw_standby_registration *after;
@@ -125,8 +128,8 @@
     pass_to_table(standby, keep(standby, &request), boot_id);
 }
 
-static void take_floor(tw_standby *standby, const tw_standby_registration *answered,
-                       const tw_shards_effect *answer) {
+static void take_minimum_epoch(tw_standby *standby, const tw_standby_registration *answered,
+                               const tw_shards_effect *answer) {
     if (answer->verdict == TW_SHARDS_OK) {
         tw_standby_machine_check *machine = make(standby, answered->request.machine);
         if (answered->boot_id)
@@ -146,14 +149,14 @@
     }
     if (!found) return answer->id >= OWN_REQUEST;
     DL_DELETE(standby->registrations, found);
-    if (standby->leads) take_floor(standby, found, answer);
+    if (standby->leads) take_minimum_epoch(standby, found, answer);
     free(found);
     return answer->id >= OWN_REQUEST;
 }
 
 /* ---- answers ---- */
 
-static void hold_back(tw_standby *standby, tw_standby_machine_check *machine, const char *reason) {
+static void quarantine(tw_standby *standby, tw_standby_machine_check *machine, const char *reason) {
     if (!machine->quarantine_logged)
         tw_standby_say(standby, "event=machine_quarantined machine=%s reason=%s", machine->name,
                        reason);
@@ -185,7 +188,7 @@
         forget(standby, machine);
     } else if (answer->newest > recorded.epoch) {
         differs(standby, &recorded, answer);
-        hold_back(standby, machine, "ahead_of_records");
+        quarantine(standby, machine, "ahead_of_records");
     } else if (!answer->started || (was_open && answer->newest < recorded.epoch)) {
         differs(standby, &recorded, answer);
         renew(standby, machine, answer->boot_id);
@@ -194,8 +197,8 @@
     }
 }
 
-/* Whether the machine has the floor that was sent; an answer of an earlier life of it, which may
- * come late, says nothing of this one. */
+/* Ends the start of a machine that has the minimum epoch that was sent. An answer of an earlier
+ * boot, which may come late, says nothing of this one. */
 static void take_started(tw_standby *standby, tw_standby_machine_check *machine,
                          const tw_standby_machine_status *answer) {
     const bool same_boot = answer->boot_id == machine->boot_id;
@@ -208,7 +211,7 @@
 static void take_answer(tw_standby *standby, tw_standby_machine_check *machine,
                         const tw_standby_machine_status *answer) {
     if (answer->term > standby->lease.token) {
-        hold_back(standby, machine, "later_term");
+        quarantine(standby, machine, "later_term");
     } else if (machine->step == TW_STANDBY_CHECK_STARTING) {
         take_started(standby, machine, answer);
     } else if (machine->step == TW_STANDBY_CHECK_ASKED &&
@@ -259,7 +262,7 @@
 
 void tw_standby_check_silent(tw_standby *standby) {
     for (tw_standby_machine_check *each = standby->machines; each; each = each->hh.next)
-        if (each->step == TW_STANDBY_CHECK_ASKED) hold_back(standby, each, "silent");
+        if (each->step == TW_STANDBY_CHECK_ASKED) quarantine(standby, each, "silent");
 }
 
 void tw_standby_check_clear(tw_standby *standby) {
--- a/src/standby/lease.c
+++ b/src/standby/lease.c
@@ -138,10 +138,10 @@
     if (status != STATUS_OK) return;
     cJSON *entry = cJSON_ParseWithLength(body, length);
     const cJSON *data = cJSON_GetObjectItemCaseSensitive(entry, "data");
-    const cJSON *stamp = cJSON_GetObjectItemCaseSensitive(entry, "stamp");
+    const cJSON *mod_revision = cJSON_GetObjectItemCaseSensitive(entry, "stamp");
     read_text(data, "name", lease->leader_name, sizeof lease->leader_name);
     read_text(data, "control", lease->leader_control, sizeof lease->leader_control);
-    lease->leader_token = cJSON_IsNumber(stamp) ? (uint64_t)stamp->valuedouble : 0;
+    lease->leader_token = cJSON_IsNumber(mod_revision) ? (uint64_t)mod_revision->valuedouble : 0;
     const cJSON *lease_id = cJSON_GetObjectItemCaseSensitive(entry, "hold");
     /* The write of this node's own key was carried out, and its answer lost. */
     if (cJSON_IsNumber(lease_id) && lease->written_lease_id &&
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -156,7 +156,7 @@
 }
 
 /* Checking begins once the table is read, and ends when the machines have answered or their time is
- * over; those that have not are held back alone. */
+ * over; only those that have not answered are quarantined. */
 static void step_checking(tw_standby *standby) {
     if (!standby->leads || !tw_shards_ready(standby->table)) return;
     if (!standby->began_checking) {
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -1,4 +1,9 @@
-/* What the files of the package share. Not for other packages. */
+/* What the files of the package have in common. Not for other packages.
+ *
+ * lease.c holds the leader's key, view.c the records and their changes, feed.c sends and takes the
+ * feed, check.c asks the machines, table.c makes the table's calls, standby.c joins them. The
+ * lease, the view and the log are plain values inside tw_standby, which alone frees what they hold.
+ */
 #ifndef TW_STANDBY_INT_H
 #define TW_STANDBY_INT_H
 #include "standby/standby.h"
@@ -6,10 +11,10 @@
 #include <uthash.h>
 
 /* Ratios to the lease. */
-#define SUSPECT_RATIO 0.25   /* silence after which the active one is suspected */
+#define SUSPECT_RATIO 0.25   /* silence after which the active controller is suspected */
 #define POLL_RATIO 0.5       /* between reads of the key */
 #define POLL_FAST_RATIO 0.08 /* the same, while the active one is suspected */
-#define CHECK_RATIO 0.15     /* a machine that hasn't answered by then is held back */
+#define CHECK_RATIO 0.15     /* a machine that hasn't answered by then is quarantined */
 #define YIELD_RATIO 0.25     /* a standby that is behind leaves others so long to go first */
 #define LAG_RATIO 0.1        /* one that lacks a few changes */
 #define JITTER_RATIO 0.03
@@ -122,12 +127,12 @@
     char name[TW_SHARDS_NAME];
     tw_standby_check_step step;
     uint64_t boot_id, minimum_epoch; /* STARTING */
-    int quarantine_logged;           /* that it is held back was logged */
+    int quarantine_logged;           /* that it is quarantined was logged */
     double next_at;
     UT_hash_handle hh;
 } tw_standby_machine_check;
 
-/* A client's request for a machine whose life has to be asked for first. */
+/* A client's request for a machine whose boot id has to be asked for first. */
 typedef struct tw_standby_registration {
     tw_shards_request request;
     int passed;       /* to the table */
@@ -173,32 +178,43 @@
 };
 
 /* standby.c */
+/* Zeroed memory; the program ends where there is none. */
 void *tw_standby_alloc(size_t size);
+/* Adds an effect to those that tw_standby_next gives out. */
 tw_standby_effect *tw_standby_emit(tw_standby *standby, tw_standby_effect_kind kind);
+/* Adds a LOG_LINE. */
 void tw_standby_say(tw_standby *standby, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-/* Goes on with whatever is due now. */
+/* Makes the steps that are due now. */
 void tw_standby_step(tw_standby *standby);
+/* Whether the active controller is suspected. */
 bool tw_standby_silent(const tw_standby *standby);
+/* Whether the view is missing or old, so that other standbys are preferred. */
 bool tw_standby_is_behind(const tw_standby *standby);
 
 /* table.c: the table's calls to the state service, and the view that the active one keeps */
+/* Adds a CALL and returns its number. body NULL: it has none. */
 uint64_t tw_standby_call(tw_standby *standby, const char *method, const char *path,
                          const char *body);
+/* Takes the table's effects, until nothing more follows from them. */
 void tw_standby_take_table(tw_standby *standby);
+/* The answers to the call that reads records, compares the view or writes. */
 void tw_standby_read_answered(tw_standby *standby, int status, const char *body, size_t length);
 void tw_standby_confirm_answered(tw_standby *standby, int status, const char *body, size_t length);
 void tw_standby_write_answered(tw_standby *standby, int status, const char *body, size_t length);
 
 /* check.c */
+/* Asks every machine of the table what it has open. */
 void tw_standby_check_all(tw_standby *standby);
+/* Repeats the commands that were not answered. */
 void tw_standby_check_tick(tw_standby *standby);
-/* Those that have not answered are held back. */
+/* Quarantines the machines that have not answered. */
 void tw_standby_check_silent(tw_standby *standby);
+/* Forgets all machines and registrations, as at the end of a term. */
 void tw_standby_check_clear(tw_standby *standby);
-/* Machines that have not answered under this term. */
+/* Number of machines that have not answered under this term. */
 int tw_standby_check_waiting(const tw_standby *standby);
-/* Whether the request is about a machine whose life is asked for first. */
+/* Takes a request for a machine whose boot id has to be asked for first. False: it is none. */
 bool tw_standby_register(tw_standby *standby, const tw_shards_request *request);
 /* An answer of the table to a registration of ours, or of a client: START follows. Returns whether
  * it was our own, of which no client hears. */
--- a/src/standby/view.c
+++ b/src/standby/view.c
@@ -1,4 +1,6 @@
-/* The records as one controller has them, and the latest changes by number. */
+/* The records as one controller has them, and the latest changes by number.
+ *
+ * Invariant: the digest is the sum of the hashes of the records in the view. */
 #include "standby/standby_int.h"
 #include <cjson/cJSON.h>
 #include <stdlib.h>
--- a/tests/router/properties.cpp
+++ b/tests/router/properties.cpp
@@ -1,4 +1,4 @@
-// Properties of the route, over drawn histories of a gateway: replicas that answer, refuse, break,
+// Properties of the router, over drawn histories of a gateway: replicas that answer, refuse, break,
 // are lost, stream parts, drain and come back; answers of earlier attempts that come late. Each
 // request gets exactly one final answer; nothing follows it; after a part was passed on only that
 // attempt speaks; a replica that drains gets nothing new; slots and queues are kept. Seeds:
@@ -166,8 +166,8 @@
     tw_router_free(router);
 }
 
-/// With one slot and both teams waiting, the team with three times the share is sent three times as
-/// often.
+/// With one slot and both teams waiting, the team with three times the weight is sent three times
+/// as often.
 void check_shares() {
     constexpr unsigned share = 3;
     constexpr unsigned rounds = 8;
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -1,4 +1,4 @@
-/* Gateways, which route the requests of a controller's shares, and users. */
+/* Gateways, which route the requests of a controller's shards, and users. */
 #include "shards_world.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -8,9 +8,9 @@
 #define FIRST_SERVICE_S 0.5
 #define USER_LOOKS_S 0.25
 
-/* ---- gateways: a controller routes the requests of its shares ---- */
+/* ---- gateways: a controller routes the requests of its shards ---- */
 
-/* Tells the route under which epoch the machine may get requests now. */
+/* Tells the router under which epoch the machine may get requests now. */
 void tw_world_refresh_replica(tw_world *world, int at, const char *name) {
     const uint64_t epoch = tw_shards_owner_epoch(world->nodes[at].owner, name);
     tw_router_set_replica(world->nodes[at].router, world->now, name, epoch, SLOTS, FIRST_SERVICE_S);
@@ -21,7 +21,7 @@
     tw_judge_use(world, at, to, effect->epoch);
     tw_shards_owner_sent(world->nodes[at].owner, effect->replica, effect->epoch);
     const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S) + world->slow_s;
-    tw_world_event *sent = tw_world_add_event(world, after, EVENT_WORK);
+    tw_world_event *sent = tw_world_add_event(world, after, TW_WORLD_WORK);
     sent->node = at;
     sent->incarnation = world->nodes[at].incarnation;
     sent->machine = to;
@@ -34,7 +34,7 @@
     const int times = world->plant_double ? 2 : !world->plant_drop;
     for (int i = 0; i < times; i++) {
         const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S);
-        tw_world_event *reply = tw_world_add_event(world, after, EVENT_REPLY);
+        tw_world_event *reply = tw_world_add_event(world, after, TW_WORLD_REPLY);
         reply->number = (int)effect->request;
         reply->node = at;
         reply->incarnation = world->nodes[at].incarnation;
@@ -72,7 +72,7 @@
 
 /* ---- users ---- */
 
-/* The node that owns the share by the records; -1: none. */
+/* The node that owns the shard by the records; -1: none. */
 static int read_owner(tw_world *world, const char *shard) {
     tw_shards *reader = tw_judge_read(world);
     int owner = -1;
@@ -96,7 +96,7 @@
 void tw_world_handle_arrival(tw_world *world, const tw_world_event *due) {
     const tw_world_load *of = &world->loads[due->number];
     if (world->now > of->until) return;
-    tw_world_add_event(world, 1 / of->rate, EVENT_ARRIVAL)->number = due->number;
+    tw_world_add_event(world, 1 / of->rate, TW_WORLD_ARRIVAL)->number = due->number;
     if (world->request_count == world->request_room) {
         world->request_room = world->request_room ? 2 * world->request_room : TEXT;
         world->requests =
@@ -104,7 +104,7 @@
         if (!world->requests) abort();
     }
     world->requests[world->request_count] = (tw_world_user_request){.load = due->number};
-    tw_world_add_event(world, 0, EVENT_REQUEST)->number = world->request_count++;
+    tw_world_add_event(world, 0, TW_WORLD_REQUEST)->number = world->request_count++;
 }
 
 /* Sends the request, and again where the connection broke or nothing came for longer than the
@@ -113,7 +113,7 @@
     tw_world_user_request *asked = &world->requests[due->number];
     tw_world_load *of = &world->loads[asked->load];
     if (asked->answers) return;
-    tw_world_add_event(world, USER_LOOKS_S, EVENT_REQUEST)->number = due->number;
+    tw_world_add_event(world, USER_LOOKS_S, TW_WORLD_REQUEST)->number = due->number;
     const bool open =
         asked->incarnation && world->nodes[asked->node].incarnation == asked->incarnation;
     if (open) tw_judge_unanswered(world, due->number);
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -4,9 +4,9 @@
  *   - within one epoch a recorded state never goes back;
  *   - a machine runs requests of one controller at a time;
  *   - no order of an earlier term is taken after a later one's, none of a term that isn't recorded,
- *     and no floor for another life of the machine; at most one controller decides; it begins with
+ *     and no floor for another boot of the machine; at most one controller decides; it begins with
  *     the view that stands in the records, and changes no machine that has not heard its term;
- *   - in the end every move is over, every machine is open in one share, every client is answered.
+ *   - in the end every move is over, every machine is open in one shard, every client is answered.
  */
 #include "shards_world.h"
 #include <stdbool.h>
@@ -61,7 +61,7 @@
 }
 
 /* A state that a leader changed on its own, of a machine that has not heard of its term. Renewed
- * epochs, and those of a share's new owner, are for machines that take nothing else. */
+ * epochs, and those of a shard's new owner, are for machines that take nothing else. */
 static void judge_checked(tw_world *world, const tw_world_machine *of,
                           const tw_shards_notification *machine) {
     const bool decided = machine->state == TW_SHARDS_DRAINING ||
--- a/tests/shards/machines.c
+++ b/tests/shards/machines.c
@@ -7,7 +7,7 @@
 /* What a machine says of a request to the node that sent it; 0: the connection broke. */
 static void answer_work(tw_world *world, const tw_world_served *about, int at, int status) {
     tw_world_event *sent =
-        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_WORKED);
+        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), TW_WORLD_WORKED);
     sent->node = about->node;
     sent->incarnation = about->incarnation;
     sent->machine = at;
@@ -50,7 +50,7 @@
         tw_world_fail(world, "%s confirms epoch %lu after %lu", opened->name,
                       (unsigned long)order->epoch, (unsigned long)opened->judged_epoch);
     opened->judged_epoch = order->epoch;
-    tw_world_event *sent = tw_world_message(world, EVENT_OPENED);
+    tw_world_event *sent = tw_world_message(world, TW_WORLD_OPENED);
     if (!sent) return;
     sent->node = order->node;
     sent->incarnation = order->incarnation;
@@ -76,7 +76,7 @@
     if (!at->running) abort();
     at->running[at->running_count++] = work;
     const double service_s = world->loads[world->requests[order->number].load].service_s;
-    tw_world_event *finish = tw_world_add_event(world, service_s, EVENT_FINISH);
+    tw_world_event *finish = tw_world_add_event(world, service_s, TW_WORLD_FINISH);
     finish->machine = order->machine;
     finish->number = order->number;
     finish->attempt = order->attempt;
--- a/tests/shards/properties.cpp
+++ b/tests/shards/properties.cpp
@@ -1,6 +1,6 @@
-// Properties of shares, over drawn histories: whatever moves, ends, hangs, restarts and losses come
+// Properties of shards, over drawn histories: whatever moves, ends, hangs, restarts and losses come
 // in whatever order, a machine never has two owners, its epochs never fall, every client is
-// answered, and once the troubles are over every move ends and every machine is open in one share.
+// answered, and once the troubles are over every move ends and every machine is open in one shard.
 // The same where the controllers elect their leader themselves and follow it, with cuts between any
 // two ends, clocks that drift, and promotions; then at no time do two controllers decide, and no
 // machine takes an order of an earlier term after a later one's. A history that breaks this is
@@ -13,7 +13,7 @@
 #include <vector>
 
 extern "C" {
-#include "shares_play.h"
+#include "shards_play.h"
 }
 
 namespace {
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -89,7 +89,7 @@
 /* ---- machines ---- */
 
 static void register_machine(tw_world *world, int at, double after) {
-    tw_world_event *due = tw_world_add_event(world, after, EVENT_MACHINE);
+    tw_world_event *due = tw_world_add_event(world, after, TW_WORLD_MACHINE);
     due->machine = at;
     due->incarnation = world->machines[at].boot_id;
 }
@@ -97,7 +97,8 @@
 /* machines N SHARE ZONE */
 static int do_machines(tw_world *world, const tw_script_words *read) {
     if (read->count != 4) return -1;
-    for (int i = 0; i < (int)number(read, 1) && world->machine_count < MOST_MACHINES; i++) {
+    for (int i = 0; i < (int)number(read, 1) && world->machine_count < TW_WORLD_MOST_MACHINES;
+         i++) {
         const int at = world->machine_count++;
         tw_world_machine *added = &world->machines[at];
         snprintf(added->name, sizeof added->name, "m%d", at);
@@ -118,7 +119,7 @@
     tw_world_end_running(world, at, 0);
     struck->boot_id++;
     struck->registered = struck->accepted = false;
-    struck->judged_term = 0; /* it knows of none in this life */
+    struck->judged_term = 0; /* it knows of none since this boot */
     tw_shards_guard_boot(&struck->guard, struck->boot_id + 1);
     struck->alive = strcmp(read->words[0], "take") != 0;
     if (strcmp(read->words[0], "reboot") != 0) register_machine(world, at, 0.1);
@@ -184,26 +185,26 @@
     const bool on = read->count > 1 && number(read, 1) > 0;
     tw_simulator_state_outage(&world->state, world->now, on);
     if (!on) return 0;
-    tw_world_event *end = tw_world_add_event(world, number(read, 1), EVENT_COMMAND);
+    tw_world_event *end = tw_world_add_event(world, number(read, 1), TW_WORLD_COMMAND);
     end->text = strdup("outage 0");
     return end->text ? 0 : -1;
 }
 
 /* load SHARE RATE SERVICE_S FOR_S */
 static int do_load(tw_world *world, const tw_script_words *read) {
-    if (read->count != 5 || world->load_count == MOST_NODES) return -1;
+    if (read->count != 5 || world->load_count == TW_WORLD_MOST_NODES) return -1;
     tw_world_load *added = &world->loads[world->load_count];
     copy_name(added->shard, read->words[1]);
     added->rate = number(read, 2);
     added->service_s = number(read, 3);
     added->until = world->now + number(read, 4);
-    tw_world_add_event(world, 0, EVENT_ARRIVAL)->number = world->load_count++;
+    tw_world_add_event(world, 0, TW_WORLD_ARRIVAL)->number = world->load_count++;
     return 0;
 }
 
 /* when TEXT COMMAND...: once a transaction with this text is carried out, before its answer */
 static int do_when(tw_world *world, const char *line) {
-    if (world->trigger_count == MOST_TRIGGERS) return -1;
+    if (world->trigger_count == TW_WORLD_MOST_TRIGGERS) return -1;
     tw_world_trigger *added = &world->triggers[world->trigger_count++];
     const tw_script_words read = split(line);
     if (read.count < 3) return -1;
@@ -216,12 +217,12 @@
 
 /* cut NODE NODE|state|machines S */
 static int do_cut(tw_world *world, const tw_script_words *read) {
-    if (read->count != 4 || world->cut_count == MOST_CUTS) return -1;
+    if (read->count != 4 || world->cut_count == TW_WORLD_MOST_CUTS) return -1;
     const int one = tw_script_node(world, read->words[1]);
     const char *other = read->words[2];
     int end = tw_script_node(world, other);
-    if (!strcmp(other, "state")) end = END_STATE;
-    if (!strcmp(other, "machines")) end = END_MACHINES;
+    if (!strcmp(other, "state")) end = TW_WORLD_END_STATE;
+    if (!strcmp(other, "machines")) end = TW_WORLD_END_MACHINES;
     if (one < 0 || (end < 0 && strcmp(other, "state") != 0 && strcmp(other, "machines") != 0))
         return -1;
     world->cuts[world->cut_count++] = (tw_world_cut){one, end, world->now + number(read, 3)};
@@ -247,7 +248,7 @@
 /* promote NODE: a client asks the leader to hand over */
 static int do_promote(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
-    tw_world_event *asked = tw_world_add_event(world, 0, EVENT_PROMOTE);
+    tw_world_event *asked = tw_world_add_event(world, 0, TW_WORLD_PROMOTE);
     asked->node = tw_script_node(world, "leader");
     asked->text = strdup(read->words[1]);
     if (!asked->text) abort();
@@ -387,12 +388,13 @@
     if (!read.count || first[0] == '#') return;
     if (!strcmp(first, "set")) {
         if (do_set(world, &read)) tw_world_fail(world, "can't be taken: %.100s", line);
-    } else if (!strcmp(first, "node") && world->node_count < MOST_NODES && read.count == 2) {
+    } else if (!strcmp(first, "node") && world->node_count < TW_WORLD_MOST_NODES &&
+               read.count == 2) {
         copy_name(world->nodes[world->node_count++].name, read.words[1]);
     } else if (!strcmp(first, "end")) {
         world->end = number(&read, 1);
     } else if (!strcmp(first, "at") && read.count > 2) {
-        tw_world_event *due = tw_world_add_event(world, number(&read, 1), EVENT_COMMAND);
+        tw_world_event *due = tw_world_add_event(world, number(&read, 1), TW_WORLD_COMMAND);
         const char *rest = strstr(line, read.words[1]) + strlen(read.words[1]);
         due->text = strdup(rest + strspn(rest, " "));
         if (!due->text) abort();
@@ -449,7 +451,7 @@
 int tw_shards_play(const char *text, char *why, size_t size) {
     tw_world *played = calloc(1, sizeof *played);
     if (!played) abort();
-    played->machines = calloc(MOST_MACHINES, sizeof *played->machines);
+    played->machines = calloc(TW_WORLD_MOST_MACHINES, sizeof *played->machines);
     if (!played->machines) abort();
     played->settings = (tw_shards_settings){.drain_s = 3,
                                             .grace_s = 2,
--- a/tests/shards/shares_play.h
+++ b/tests/shards/shards_play.h
@@ -1,4 +1,4 @@
-/* Plays scenarios of shares; the commands are in README.md. */
+/* Plays scenarios of shards; the commands are in README.md. */
 #ifndef TW_SHARDS_PLAY_H
 #define TW_SHARDS_PLAY_H
 #include <stddef.h>
--- a/tests/shards/shards_world.h
+++ b/tests/shards/shards_world.h
@@ -1,4 +1,4 @@
-/* A simulated world for shares: controllers (a leader's and an owner's state machine each),
+/* A simulated world for shards: controllers (a leader's and an owner's state machine each),
  * machines with guards, the state service's stand-in of simulator/, messages that take time, get
  * lost or come late. Everything random follows from one seed. Scenario commands:
  * tests/shards/README.md. */
@@ -6,7 +6,7 @@
 #define TW_SHARDS_WORLD_H
 #include "router/router.h"
 #include "shards/shards.h"
-#include "shares_play.h"
+#include "shards_play.h"
 #include "standby/standby.h"
 #include "world.h"
 #include <gsl/gsl_rng.h>
@@ -18,37 +18,43 @@
 #define SLOWEST_S 0.02
 #define CALLS_IN_LEASE 3.0 /* a call that is not answered lasts so much of the lease */
 enum { OK = 200, BAD = 400, ABSENT = 404, CONFLICT = 409 };
-enum { MOST_NODES = 4, MOST_MACHINES = 5000, MOST_REQUESTS = 256, MOST_TRIGGERS = 32, TEXT = 256 };
-enum { MOST_CUTS = 32 };
+enum {
+    TW_WORLD_MOST_NODES = 4,
+    TW_WORLD_MOST_MACHINES = 5000,
+    TW_WORLD_MOST_REQUESTS = 256,
+    TW_WORLD_MOST_TRIGGERS = 32,
+    TEXT = 256
+};
+enum { TW_WORLD_MOST_CUTS = 32 };
 /* Ends of a link beside nodes, which are named by their index. */
-enum { END_STATE = -1, END_MACHINES = -2 };
+enum { TW_WORLD_END_STATE = -1, TW_WORLD_END_MACHINES = -2 };
 
 typedef enum {
-    EVENT_COMMAND, /* text: a line of the scenario */
-    EVENT_TICK,    /* node */
-    EVENT_STATE,   /* a call of a leader arrives at the state service */
-    EVENT_ANSWER,  /* its answer comes back */
-    EVENT_TELL,    /* leader to owner */
-    EVENT_REPORT,  /* owner to leader: drained, opened, sync */
-    EVENT_OPEN,    /* owner to machine */
-    EVENT_OPENED,  /* machine to owner */
-    EVENT_WORK,    /* owner to machine: a request */
-    EVENT_WORKED,  /* machine to owner: it ended, or was refused */
-    EVENT_STOP,    /* owner to machine: end what runs under the epoch */
-    EVENT_ARRIVAL, /* a request of the load comes to the share's owner */
-    EVENT_REQUEST, /* a user's request comes to the share's owner, or is sent again */
-    EVENT_REPLY,   /* its answer comes to the user */
-    EVENT_FINISH,  /* a machine's request is complete */
-    EVENT_CLIENT,  /* a client sends, or repeats, its request to the leader */
-    EVENT_MACHINE, /* a machine registers with the leader, or is gone */
+    TW_WORLD_COMMAND, /* text: a line of the scenario */
+    TW_WORLD_TICK,    /* node */
+    TW_WORLD_STATE,   /* a call of a leader arrives at the state service */
+    TW_WORLD_ANSWER,  /* its answer comes back */
+    TW_WORLD_NOTIFY,  /* leader to owner */
+    TW_WORLD_REPORT,  /* owner to leader: drained, opened, sync */
+    TW_WORLD_OPEN,    /* owner to machine */
+    TW_WORLD_OPENED,  /* machine to owner */
+    TW_WORLD_WORK,    /* owner to machine: a request */
+    TW_WORLD_WORKED,  /* machine to owner: it ended, or was refused */
+    TW_WORLD_STOP,    /* owner to machine: end what runs under the epoch */
+    TW_WORLD_ARRIVAL, /* a request of the load comes to the shard's owner */
+    TW_WORLD_REQUEST, /* a user's request comes to the shard's owner, or is sent again */
+    TW_WORLD_REPLY,   /* its answer comes to the user */
+    TW_WORLD_FINISH,  /* a machine's request is complete */
+    TW_WORLD_CLIENT,  /* a client sends, or repeats, its request to the leader */
+    TW_WORLD_MACHINE, /* a machine registers with the leader, or is gone */
     /* where controllers elect their leader themselves (tests/standby) */
-    EVENT_FOLLOW,   /* a standby asks the active one for what comes after its position */
-    EVENT_FEED,     /* the answer */
-    EVENT_ORDER,    /* leader to machine: check or start */
-    EVENT_ORDERED,  /* the machine's answer */
-    EVENT_REPORTED, /* owner to the leader it knows */
-    EVENT_ASKED,    /* a client's request arrives at a controller */
-    EVENT_PROMOTE   /* so does one for a promotion */
+    TW_WORLD_FOLLOW,   /* a standby asks the active one for what comes after its position */
+    TW_WORLD_FEED,     /* the answer */
+    TW_WORLD_ORDER,    /* leader to machine: check or start */
+    TW_WORLD_ORDERED,  /* the machine's answer */
+    TW_WORLD_REPORTED, /* owner to the leader it knows */
+    TW_WORLD_ASKED,    /* a client's request arrives at a controller */
+    TW_WORLD_PROMOTE   /* so does one for a promotion */
 } tw_world_event_kind;
 
 typedef struct tw_world_event {
@@ -96,7 +102,7 @@
     uint64_t boot_id;      /* counts its starts */
     uint64_t incarnation;  /* changes when what runs there is ended */
     uint64_t judged_epoch; /* the highest that it confirmed */
-    uint64_t judged_term;  /* of the orders it took in this life */
+    uint64_t judged_term;  /* of the orders it took since this boot */
     uint64_t recorded_epoch;
     tw_shards_state recorded_state;
     struct tw_world_served *running; /* requests that run there */
@@ -162,15 +168,15 @@
     gsl_rng *rng;
     tw_simulator_state state;
     tw_shards_settings settings;
-    tw_world_node nodes[MOST_NODES];
+    tw_world_node nodes[TW_WORLD_MOST_NODES];
     int node_count, leading, electing; /* until the next leader begins, nobody's lease is renewed */
     tw_world_machine *machines;
     int machine_count;
-    tw_world_client clients[MOST_REQUESTS];
+    tw_world_client clients[TW_WORLD_MOST_REQUESTS];
     int client_count;
-    tw_world_load loads[MOST_NODES];
+    tw_world_load loads[TW_WORLD_MOST_NODES];
     int load_count;
-    tw_world_trigger triggers[MOST_TRIGGERS];
+    tw_world_trigger triggers[TW_WORLD_MOST_TRIGGERS];
     int trigger_count;
     tw_world_use *uses;
     int use_count, use_room;
@@ -179,12 +185,12 @@
     char strike_text[TW_SHARDS_NAME];
     double late_write_s;
     int transactions, changes;
-    double last_change_s; /* when a transaction of shares was last applied */
+    double last_change_s; /* when a transaction of shards was last applied */
     tw_world_user_request *requests;
     int request_count, request_room;
     int plant_drop, plant_double, plant_old; /* faults for the judge to find */
     double lease_s;                          /* above 0: controllers elect their leader */
-    tw_world_cut cuts[MOST_CUTS];
+    tw_world_cut cuts[TW_WORLD_MOST_CUTS];
     int cut_count;
     uint64_t newest_term;                /* recorded */
     double undecided_since, longest_gap; /* how long no controller decided */
@@ -237,7 +243,7 @@
 void tw_world_handle_work(tw_world *world, const tw_world_event *order);
 void tw_world_handle_finish(tw_world *world, const tw_world_event *due);
 void tw_world_handle_stop(tw_world *world, const tw_world_event *order);
-/* gateways.c: a controller routes the requests of its shares; users */
+/* gateways.c: a controller routes the requests of its shards; users */
 void tw_world_refresh_replica(tw_world *world, int at, const char *name);
 void tw_world_router_effects(tw_world *world, int at);
 void tw_world_handle_worked(tw_world *world, const tw_world_event *answer);
--- a/tests/shards/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -24,14 +24,15 @@
 
 static void answer_call(tw_world *world, const tw_world_event *call, int status, char *text) {
     double after = tw_world_draw(world, FASTEST_S, SLOWEST_S);
-    const bool cut = world->lease_s > 0 && tw_elections_is_cut(world, call->node, END_STATE);
+    const bool cut =
+        world->lease_s > 0 && tw_elections_is_cut(world, call->node, TW_WORLD_END_STATE);
     if (cut || (!status && world->lease_s > 0)) {
         after = world->lease_s / CALLS_IN_LEASE;
         status = 0;
         free(text);
         text = NULL;
     }
-    tw_world_event *answer = tw_world_add_event(world, after, EVENT_ANSWER);
+    tw_world_event *answer = tw_world_add_event(world, after, TW_WORLD_ANSWER);
     answer->node = call->node;
     answer->incarnation = call->incarnation;
     answer->id = call->id;
@@ -41,7 +42,7 @@
 }
 
 static void put_late(tw_world *world, const tw_world_event *call) {
-    tw_world_event *late = tw_world_add_event(world, world->late_write_s, EVENT_STATE);
+    tw_world_event *late = tw_world_add_event(world, world->late_write_s, TW_WORLD_STATE);
     late->node = call->node;
     late->flag = 1;
     late->number = 1; /* nobody waits for the answer */
@@ -101,7 +102,7 @@
     char *answer = NULL;
     const int late = call->number; /* it was sent long ago, and nobody waits for its answer */
     const int skipped = skip_fence(world, call, &answer);
-    if (!late && tw_elections_is_cut(world, call->node, END_STATE)) {
+    if (!late && tw_elections_is_cut(world, call->node, TW_WORLD_END_STATE)) {
         answer_call(world, call, 0, NULL);
         free(answer);
     } else if (skipped) {
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -68,7 +68,7 @@
 
 static void call_state(tw_world *world, int at, const tw_shards_effect *effect) {
     tw_world_event *call =
-        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
+        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), TW_WORLD_STATE);
     char path[PATH_SIZE];
     call->node = at;
     call->incarnation = world->nodes[at].incarnation;
@@ -86,8 +86,8 @@
 void tw_world_take_answer(tw_world *world, const tw_shards_effect *effect) {
     tw_log_debug("t=%.3f answer=%lu verdict=%s moved=%d", world->now, (unsigned long)effect->id,
                  tw_shards_verdict_name(effect->verdict), effect->progress.moved);
-    tw_world_client *asked = &world->clients[effect->id % MOST_REQUESTS];
-    if (effect->id / MOST_REQUESTS != asked->attempt) return;
+    tw_world_client *asked = &world->clients[effect->id % TW_WORLD_MOST_REQUESTS];
+    if (effect->id / TW_WORLD_MOST_REQUESTS != asked->attempt) return;
     asked->heard = true;
     if (world->lease_s > 0 && effect->verdict == TW_SHARDS_NOT_LEADER)
         tw_elections_refused(world, asked);
@@ -108,9 +108,9 @@
 /* The answer to a machine that registers: it may be opened from now on. */
 static void take_registration(tw_world *world, const tw_shards_effect *effect) {
     const uint64_t id = effect->id - FIRST_MACHINE_ID;
-    tw_world_machine *registered = &world->machines[id % MOST_MACHINES];
+    tw_world_machine *registered = &world->machines[id % TW_WORLD_MOST_MACHINES];
     if (effect->verdict != TW_SHARDS_OK || registered->registered) return;
-    if (id / MOST_MACHINES != registered->boot_id) return; /* to an earlier start of it */
+    if (id / TW_WORLD_MOST_MACHINES != registered->boot_id) return; /* to an earlier start of it */
     registered->registered = true;
     tw_shards_guard_start(&registered->guard, world->nodes[world->leading].fencing_token,
                           registered->guard.boot_id, effect->minimum_epoch);
@@ -120,7 +120,7 @@
     for (int i = 0; i < world->node_count; i++) {
         if (strcmp(world->nodes[i].name, notification->owner) != 0) continue;
         if (i != from && tw_elections_is_cut(world, from, i)) return;
-        tw_world_event *sent = tw_world_message(world, EVENT_TELL);
+        tw_world_event *sent = tw_world_message(world, TW_WORLD_NOTIFY);
         if (!sent) return;
         sent->node = i;
         sent->notification = *notification;
@@ -141,8 +141,9 @@
 
 static void to_machine(tw_world *world, int from, tw_world_event_kind kind,
                        const tw_shards_owner_effect *order) {
-    tw_world_event *sent =
-        tw_elections_is_cut(world, from, END_MACHINES) ? NULL : tw_world_message(world, kind);
+    tw_world_event *sent = tw_elections_is_cut(world, from, TW_WORLD_END_MACHINES)
+                               ? NULL
+                               : tw_world_message(world, kind);
     if (!sent) return;
     sent->node = from;
     sent->incarnation = world->nodes[from].incarnation;
@@ -157,7 +158,7 @@
         tw_elections_report(world, from, kind, name, epoch);
         return;
     }
-    tw_world_event *sent = tw_world_message(world, EVENT_REPORT);
+    tw_world_event *sent = tw_world_message(world, TW_WORLD_REPORT);
     if (!sent) return;
     sent->number = (int)kind;
     sent->machine = from;
@@ -171,10 +172,10 @@
         switch (effect->kind) {
         case TW_SHARDS_OWNER_OPEN:
             tw_judge_use(world, at, tw_world_machine_index(world, effect->machine), effect->epoch);
-            to_machine(world, at, EVENT_OPEN, effect);
+            to_machine(world, at, TW_WORLD_OPEN, effect);
             break;
         case TW_SHARDS_OWNER_STOP:
-            to_machine(world, at, EVENT_STOP, effect);
+            to_machine(world, at, TW_WORLD_STOP, effect);
             break;
         default:
             report(world, at, effect->kind, effect->machine, effect->epoch);
@@ -242,7 +243,8 @@
     started->fencing_token = 0;
     started->hung_until = 0;
     if (world->lease_s > 0) tw_elections_start(world, at);
-    tw_world_event *tick = tw_world_add_event(world, tw_world_draw(world, 0, TICK_S), EVENT_TICK);
+    tw_world_event *tick =
+        tw_world_add_event(world, tw_world_draw(world, 0, TICK_S), TW_WORLD_TICK);
     tick->node = at;
     tick->incarnation = started->incarnation;
 }
@@ -251,7 +253,7 @@
     char line[TEXT];
     snprintf(line, sizeof line, "elected %s", world->nodes[at].name);
     world->electing = 1;
-    tw_world_add_event(world, ELECTION_S, EVENT_COMMAND)->text = tw_world_copy_text(line);
+    tw_world_add_event(world, ELECTION_S, TW_WORLD_COMMAND)->text = tw_world_copy_text(line);
 }
 
 void tw_world_end_node(tw_world *world, int at, double back_after_s) {
@@ -268,7 +270,7 @@
     if (back_after_s < 0) return;
     if (at == world->leading && world->lease_s <= 0)
         tw_world_lead_later(world, (at + 1) % world->node_count);
-    tw_world_event *back = tw_world_add_event(world, back_after_s, EVENT_COMMAND);
+    tw_world_event *back = tw_world_add_event(world, back_after_s, TW_WORLD_COMMAND);
     char line[TEXT];
     snprintf(line, sizeof line, "start %s", ended->name);
     back->text = tw_world_copy_text(line);
@@ -331,19 +333,19 @@
         asks->answered || !asks->attempt || world->now >= asks->tried_at + CLIENT_RETRY_S;
     if (due_again && leader->incarnation && leader->hung_until <= world->now) {
         asks->tried_at = world->now;
-        asks->request.id = ++asks->attempt * MOST_REQUESTS + (uint64_t)due->number;
+        asks->request.id = ++asks->attempt * TW_WORLD_MOST_REQUESTS + (uint64_t)due->number;
         tw_shards_request_in(leader->leader, world->now, &asks->request);
         tw_world_effects(world, world->leading);
     }
-    tw_world_add_event(world, FOLLOW_S, EVENT_CLIENT)->number = due->number;
+    tw_world_add_event(world, FOLLOW_S, TW_WORLD_CLIENT)->number = due->number;
 }
 
 tw_world_client *tw_world_add_client(tw_world *world, const tw_shards_request *request) {
-    if (world->client_count == MOST_REQUESTS - 1) abort();
+    if (world->client_count == TW_WORLD_MOST_REQUESTS - 1) abort();
     tw_world_client *added = &world->clients[world->client_count++];
     added->request = *request;
     added->asked_at = world->now;
-    tw_world_add_event(world, 0, EVENT_CLIENT)->number = world->client_count - 1;
+    tw_world_add_event(world, 0, TW_WORLD_CLIENT)->number = world->client_count - 1;
     return added;
 }
 
@@ -351,7 +353,7 @@
     tw_world_machine *about = &world->machines[due->machine];
     const tw_world_node *leader = &world->nodes[world->leading];
     tw_shards_request request = {.kind = about->alive ? TW_SHARDS_ADD : TW_SHARDS_REMOVE,
-                                 .id = FIRST_MACHINE_ID + about->boot_id * MOST_MACHINES +
+                                 .id = FIRST_MACHINE_ID + about->boot_id * TW_WORLD_MOST_MACHINES +
                                        (uint64_t)due->machine};
     if (due->incarnation != about->boot_id || about->accepted) return;
     if (about->alive && about->registered) return;
@@ -365,7 +367,7 @@
         tw_shards_request_in(leader->leader, world->now, &request);
         tw_world_effects(world, world->leading);
     }
-    tw_world_event *again = tw_world_add_event(world, 2 * CLIENT_RETRY_S, EVENT_MACHINE);
+    tw_world_event *again = tw_world_add_event(world, 2 * CLIENT_RETRY_S, TW_WORLD_MACHINE);
     again->machine = due->machine;
     again->incarnation = due->incarnation;
 }
@@ -374,7 +376,7 @@
 
 static void handle_tick(tw_world *world, const tw_world_event *due) {
     tw_world_node *at = &world->nodes[due->node];
-    tw_world_event *again = tw_world_add_event(world, TICK_S, EVENT_TICK);
+    tw_world_event *again = tw_world_add_event(world, TICK_S, TW_WORLD_TICK);
     again->node = due->node;
     again->incarnation = due->incarnation;
     const bool leads =
@@ -400,19 +402,19 @@
 static bool outlived(const tw_world *world, const tw_world_event *event) {
     const uint64_t incarnation = event->node >= 0 ? world->nodes[event->node].incarnation : 0;
     switch (event->kind) {
-    case EVENT_TICK:
-    case EVENT_ANSWER:
-    case EVENT_OPENED:
-    case EVENT_FEED:
-    case EVENT_ORDERED:
+    case TW_WORLD_TICK:
+    case TW_WORLD_ANSWER:
+    case TW_WORLD_OPENED:
+    case TW_WORLD_FEED:
+    case TW_WORLD_ORDERED:
         return incarnation != event->incarnation;
-    case EVENT_WORKED:
+    case TW_WORLD_WORKED:
         return !incarnation || (event->incarnation && incarnation != event->incarnation);
-    case EVENT_TELL:
-    case EVENT_FOLLOW:
-    case EVENT_REPORTED:
-    case EVENT_ASKED:
-    case EVENT_PROMOTE:
+    case TW_WORLD_NOTIFY:
+    case TW_WORLD_FOLLOW:
+    case TW_WORLD_REPORTED:
+    case TW_WORLD_ASKED:
+    case TW_WORLD_PROMOTE:
         return !incarnation;
     default:
         return false;
@@ -421,17 +423,17 @@
 
 static int is_for_node(const tw_world_event *event) {
     switch (event->kind) {
-    case EVENT_TICK:
-    case EVENT_ANSWER:
-    case EVENT_TELL:
-    case EVENT_OPENED:
-    case EVENT_WORKED:
-    case EVENT_FOLLOW:
-    case EVENT_FEED:
-    case EVENT_ORDERED:
-    case EVENT_REPORTED:
-    case EVENT_ASKED:
-    case EVENT_PROMOTE:
+    case TW_WORLD_TICK:
+    case TW_WORLD_ANSWER:
+    case TW_WORLD_NOTIFY:
+    case TW_WORLD_OPENED:
+    case TW_WORLD_WORKED:
+    case TW_WORLD_FOLLOW:
+    case TW_WORLD_FEED:
+    case TW_WORLD_ORDERED:
+    case TW_WORLD_REPORTED:
+    case TW_WORLD_ASKED:
+    case TW_WORLD_PROMOTE:
         return 1;
     default:
         return 0;
@@ -458,56 +460,56 @@
 void tw_world_handle(tw_world *world, tw_world_event *event) {
     if (outlived(world, event) || postponed(world, event)) return;
     switch (event->kind) {
-    case EVENT_COMMAND:
+    case TW_WORLD_COMMAND:
         tw_script_command(world, event->text);
         break;
-    case EVENT_TICK:
+    case TW_WORLD_TICK:
         handle_tick(world, event);
         break;
-    case EVENT_STATE:
+    case TW_WORLD_STATE:
         tw_world_handle_state(world, event);
         break;
-    case EVENT_ANSWER:
+    case TW_WORLD_ANSWER:
         tw_world_handle_answer(world, event);
         break;
-    case EVENT_TELL:
+    case TW_WORLD_NOTIFY:
         tw_shards_owner_notified(world->nodes[event->node].owner, world->now, &event->notification);
         tw_world_refresh_replica(world, event->node, event->notification.machine);
         break;
-    case EVENT_REPORT:
+    case TW_WORLD_REPORT:
         handle_report(world, event);
         break;
-    case EVENT_OPEN:
+    case TW_WORLD_OPEN:
         tw_world_handle_open(world, event);
         break;
-    case EVENT_OPENED:
+    case TW_WORLD_OPENED:
         tw_shards_owner_confirmed(world->nodes[event->node].owner, event->text, event->epoch);
         break;
-    case EVENT_WORK:
+    case TW_WORLD_WORK:
         tw_world_handle_work(world, event);
         break;
-    case EVENT_WORKED:
+    case TW_WORLD_WORKED:
         tw_world_handle_worked(world, event);
         break;
-    case EVENT_STOP:
+    case TW_WORLD_STOP:
         tw_world_handle_stop(world, event);
         break;
-    case EVENT_ARRIVAL:
+    case TW_WORLD_ARRIVAL:
         tw_world_handle_arrival(world, event);
         break;
-    case EVENT_REQUEST:
+    case TW_WORLD_REQUEST:
         tw_world_handle_request(world, event);
         break;
-    case EVENT_REPLY:
+    case TW_WORLD_REPLY:
         tw_world_handle_reply(world, event);
         break;
-    case EVENT_FINISH:
+    case TW_WORLD_FINISH:
         tw_world_handle_finish(world, event);
         break;
-    case EVENT_CLIENT:
+    case TW_WORLD_CLIENT:
         handle_client(world, event);
         break;
-    case EVENT_MACHINE:
+    case TW_WORLD_MACHINE:
         handle_machine(world, event);
         break;
     default:
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -64,7 +64,7 @@
 
 static void ask_feed(tw_world *world, int at) {
     const int active = active_of(world, at);
-    tw_world_event *asked = active == at ? NULL : to_node(world, at, active, EVENT_FOLLOW);
+    tw_world_event *asked = active == at ? NULL : to_node(world, at, active, TW_WORLD_FOLLOW);
     if (!asked) return;
     asked->id = world->nodes[at].incarnation;
     asked->position = tw_standby_position_of(world->nodes[at].standby);
@@ -95,7 +95,7 @@
     const double began = processor_s();
     tw_standby_message message = tw_standby_serve(active, now, &asked->position);
     count_feed(world, &message, processor_s() - began);
-    tw_world_event *sent = to_node(world, asked->node, from, EVENT_FEED);
+    tw_world_event *sent = to_node(world, asked->node, from, TW_WORLD_FEED);
     if (!sent) {
         tw_standby_message_free(&message);
         return;
@@ -123,7 +123,7 @@
 
 void tw_elections_report(tw_world *world, int from, tw_shards_owner_effect_kind kind,
                          const char *machine, uint64_t epoch) {
-    tw_world_event *sent = to_node(world, from, active_of(world, from), EVENT_REPORTED);
+    tw_world_event *sent = to_node(world, from, active_of(world, from), TW_WORLD_REPORTED);
     if (!sent) return;
     sent->machine = (int)kind;
     sent->epoch = epoch;
@@ -157,7 +157,7 @@
 /* A planted fault: the controller takes it that the machine has answered, and has not asked it. */
 static void skip_check(tw_world *world, int at, const tw_standby_effect *effect) {
     const int asked = tw_world_machine_index(world, effect->machine);
-    tw_world_event *answer = tw_world_add_event(world, FASTEST_S, EVENT_ORDERED);
+    tw_world_event *answer = tw_world_add_event(world, FASTEST_S, TW_WORLD_ORDERED);
     answer->node = at;
     answer->incarnation = world->nodes[at].incarnation;
     answer->machine = asked;
@@ -170,8 +170,9 @@
         skip_check(world, at, effect);
         return;
     }
-    tw_world_event *sent =
-        tw_elections_is_cut(world, at, END_MACHINES) ? NULL : tw_world_message(world, EVENT_ORDER);
+    tw_world_event *sent = tw_elections_is_cut(world, at, TW_WORLD_END_MACHINES)
+                               ? NULL
+                               : tw_world_message(world, TW_WORLD_ORDER);
     if (!sent) return;
     sent->number = at;
     sent->incarnation = world->nodes[at].incarnation;
@@ -196,9 +197,9 @@
         tw_world_fail(world, "other_life: %s takes a floor for life %lu in its life %lu", at->name,
                       (unsigned long)order->id, (unsigned long)at->boot_id + 1);
     if (order->flag && taken) at->registered = true;
-    tw_world_event *answer = tw_elections_is_cut(world, order->number, END_MACHINES)
+    tw_world_event *answer = tw_elections_is_cut(world, order->number, TW_WORLD_END_MACHINES)
                                  ? NULL
-                                 : tw_world_message(world, EVENT_ORDERED);
+                                 : tw_world_message(world, TW_WORLD_ORDERED);
     if (!answer) return;
     answer->node = order->number;
     answer->incarnation = order->incarnation;
@@ -224,17 +225,17 @@
 void tw_elections_client(tw_world *world, int number) {
     tw_world_client *asks = &world->clients[number];
     if (asks->answered && (!asks->follow || asks->verdict != TW_SHARDS_OK || asks->done_at)) return;
-    tw_world_add_event(world, PAUSE_S, EVENT_CLIENT)->number = number;
+    tw_world_add_event(world, PAUSE_S, TW_WORLD_CLIENT)->number = number;
     if (asks->attempt && !asks->heard && world->now < asks->tried_at + TRY_S) return;
     if (asks->attempt && !asks->heard) asks->server = (asks->server + 1) % world->node_count;
     asks->tried_at = world->now;
     asks->heard = false;
     asks->attempt++;
-    tw_world_event *sent = tw_world_message(world, EVENT_ASKED);
+    tw_world_event *sent = tw_world_message(world, TW_WORLD_ASKED);
     if (!sent) return;
     sent->node = asks->server;
     sent->number = number;
-    sent->id = asks->attempt * MOST_REQUESTS + (uint64_t)number;
+    sent->id = asks->attempt * TW_WORLD_MOST_REQUESTS + (uint64_t)number;
 }
 
 static void handle_asked(tw_world *world, const tw_world_event *asked) {
@@ -263,7 +264,7 @@
 
 static void call_state(tw_world *world, int at, tw_standby_effect *effect) {
     tw_world_event *call =
-        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), EVENT_STATE);
+        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), TW_WORLD_STATE);
     call->node = at;
     call->incarnation = world->nodes[at].incarnation;
     call->id = effect->id;
@@ -282,8 +283,8 @@
         tw_world_take_answer(world, answer);
     } else if (answer->verdict == TW_SHARDS_OK) {
         const uint64_t id = answer->id - FIRST_MACHINE_ID;
-        tw_world_machine *registered = &world->machines[id % MOST_MACHINES];
-        if (id / MOST_MACHINES == registered->boot_id) registered->accepted = true;
+        tw_world_machine *registered = &world->machines[id % TW_WORLD_MOST_MACHINES];
+        if (id / TW_WORLD_MOST_MACHINES == registered->boot_id) registered->accepted = true;
     }
 }
 
@@ -327,27 +328,27 @@
 
 void tw_elections_handle(tw_world *world, tw_world_event *event) {
     switch (event->kind) {
-    case EVENT_FOLLOW:
+    case TW_WORLD_FOLLOW:
         handle_follow(world, event);
         break;
-    case EVENT_FEED:
+    case TW_WORLD_FEED:
         handle_feed(world, event);
         break;
-    case EVENT_ORDER:
+    case TW_WORLD_ORDER:
         handle_order(world, event);
         break;
-    case EVENT_ORDERED:
+    case TW_WORLD_ORDERED:
         tw_standby_machine_answered(
             world->nodes[event->node].standby, tw_elections_now(world, event->node),
             world->machines[event->machine].name, event->term, &event->said);
         break;
-    case EVENT_REPORTED:
+    case TW_WORLD_REPORTED:
         handle_reported(world, event);
         break;
-    case EVENT_ASKED:
+    case TW_WORLD_ASKED:
         handle_asked(world, event);
         break;
-    case EVENT_PROMOTE:
+    case TW_WORLD_PROMOTE:
         handle_promote(world, event);
         break;
     default:
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -1,4 +1,4 @@
-/* traywallctl: asks a daemon for its shares, and changes them.
+/* traywallctl: asks a daemon for its shards, and changes them.
  *
  * Exit codes: 0 done, 1 refused (the verdict is printed), 2 nobody answers, 3 no daemon could
  * answer in time: ask again with the same key; 64 usage. */
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #define MOST_ARGUMENTS 8
-#define MOST_MACHINES 1000
+#define TW_WORLD_MOST_MACHINES 1000
 #define TIMEOUT_S 10.0
 #define WATCH_TIMEOUT_S 3600.0
 #define DECIMAL 10
@@ -26,7 +26,7 @@
     int json, spread, wait;
     const char *image;
     uint64_t revision;
-    char machines[MOST_MACHINES][TW_SHARDS_NAME];
+    char machines[TW_WORLD_MOST_MACHINES][TW_SHARDS_NAME];
     int machine_count;
     const char *arguments[MOST_ARGUMENTS];
     int argument_count;
@@ -47,7 +47,7 @@
     {NULL, 0, NULL, 0, NULL, 0}};
 
 static void add_machine(struct argp_state *state, tw_ctl_options *chosen, const char *name) {
-    if (chosen->machine_count == MOST_MACHINES) argp_error(state, "too many machines");
+    if (chosen->machine_count == TW_WORLD_MOST_MACHINES) argp_error(state, "too many machines");
     if (strlen(name) >= TW_SHARDS_NAME) argp_error(state, "name too long: %s", name);
     snprintf(chosen->machines[chosen->machine_count++], TW_SHARDS_NAME, "%s", name);
 }
