--- a/src/daemon/reporter.c
+++ b/src/daemon/reporter.c
@@ -15,7 +15,7 @@
     void (*done)(void *context);
     void *context;
     tw_reporter_state state;
-    int stopping, failed;
+    bool stopping, failed;
     double timeout_s;
     char owner[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
     tw_standby_position position;
@@ -118,7 +118,7 @@
 void tw_reporter_stop(tw_reporter *reporter) {
     if (!reporter) return;
     pthread_mutex_lock(&reporter->mutex);
-    reporter->stopping = 1;
+    reporter->stopping = true;
     pthread_cond_signal(&reporter->changed);
     pthread_mutex_unlock(&reporter->mutex);
     pthread_join(reporter->thread, NULL);
--- a/src/daemon/subscriber.c
+++ b/src/daemon/subscriber.c
@@ -17,10 +17,10 @@
     char node[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
     double pause_s;
     tw_standby_position position;
-    int stopping, wanted; /* wanted: a feed is to be opened */
-    uint64_t generation;  /* counts tw_subscriber_open */
-    bool open;            /* the thread reads a feed of this generation */
-    tw_rpc_feed *feed;    /* at hand, to be cancelled from outside */
+    bool stopping, wanted; /* wanted: a feed is to be opened */
+    uint64_t generation;   /* counts tw_subscriber_open */
+    bool open;             /* the thread reads a feed of this generation */
+    tw_rpc_feed *feed;     /* at hand, to be cancelled from outside */
     tw_standby_message kept[MOST_KEPT];
     int kept_count;
 };
@@ -52,12 +52,12 @@
     tw_standby_message message;
     tw_rpc_client *client = tw_rpc_client_new(subscriber->address);
     tw_rpc_feed *feed = tw_rpc_feed_open(client, subscriber->node, &position, subscriber->pause_s);
-    subscriber->wanted = 0;
+    subscriber->wanted = false;
     subscriber->feed = feed;
     bool goes_on = true;
     while (goes_on) {
         pthread_mutex_unlock(&subscriber->mutex);
-        const int came = tw_rpc_feed_next(feed, &message);
+        const bool came = tw_rpc_feed_next(feed, &message);
         pthread_mutex_lock(&subscriber->mutex);
         goes_on = came && keep(subscriber, generation, &message);
     }
@@ -134,7 +134,7 @@
 void tw_subscriber_stop(tw_subscriber *subscriber) {
     if (!subscriber) return;
     pthread_mutex_lock(&subscriber->mutex);
-    subscriber->stopping = 1;
+    subscriber->stopping = true;
     subscriber->generation++;
     if (subscriber->feed) tw_rpc_feed_cancel(subscriber->feed);
     pthread_cond_broadcast(&subscriber->changed);
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -223,7 +223,7 @@
     tw_router_request *found = current(router, number, attempt);
     (void)now;
     if (!found) return;
-    found->passed_on = 1;
+    found->passed_on = true;
     emit(router, TW_ROUTER_PART, found);
 }
 
--- a/src/router/router_int.h
+++ b/src/router/router_int.h
@@ -5,6 +5,7 @@
 #ifndef TW_ROUTER_INT_H
 #define TW_ROUTER_INT_H
 #include "router/router.h"
+#include <stdbool.h>
 #include <uthash.h>
 
 typedef enum { TW_ROUTER_REQUEST_WAITING, TW_ROUTER_REQUEST_SENT } tw_router_request_state;
@@ -17,7 +18,7 @@
     tw_router_team *team;
     double deadline, sent_at;
     int attempt;                           /* the present one, or the last */
-    int passed_on;                         /* a part of its answer */
+    bool passed_on;                        /* a part of its answer */
     char replica[TW_ROUTER_NAME];          /* of the present attempt */
     struct tw_router_request *prev, *next; /* in its team's queue */
     UT_hash_handle hh;
--- a/src/rpc/client.cpp
+++ b/src/rpc/client.cpp
@@ -32,7 +32,7 @@
                    tw_rpc_answer &answer) {
     tw_rpc::messages::ShowRequest request;
     tw_rpc::messages::ShowReply reply;
-    request.set_machines(call.show_machines != 0);
+    request.set_machines(call.show_machines);
     const grpc::Status status = client->stub->Show(&context, request, &reply);
     if (status.ok()) tw_rpc::read_show(reply, answer);
     return status_of(status);
@@ -130,13 +130,13 @@
     return feed.release();
 }
 
-extern "C" int tw_rpc_feed_next(tw_rpc_feed *feed, tw_standby_message *message) {
+extern "C" bool tw_rpc_feed_next(tw_rpc_feed *feed, tw_standby_message *message) {
     tw_rpc::messages::FollowMessage came;
     if (feed->reader == nullptr) feed->reader = feed->stub->Follow(&feed->context, feed->request);
-    if (!feed->reader->Read(&came)) return 0;
-    if (tw_rpc::read_feed(came, *message)) return 1;
+    if (!feed->reader->Read(&came)) return false;
+    if (tw_rpc::read_feed(came, *message)) return true;
     tw_standby_message_free(message);
-    return 0;
+    return false;
 }
 
 extern "C" void tw_rpc_feed_cancel(tw_rpc_feed *feed) { feed->context.TryCancel(); }
--- a/src/rpc/convert.cpp
+++ b/src/rpc/convert.cpp
@@ -69,7 +69,7 @@
     to.set_revision(from.revision);
     to.set_floor(from.minimum_epoch);
     to.set_retry_after_s(from.retry_after_s);
-    to.set_done(progress.done != 0);
+    to.set_done(progress.done);
     to.set_wanted(progress.wanted);
     to.set_draining(progress.draining);
     to.set_released(progress.released);
@@ -86,7 +86,7 @@
     to.revision = from.revision();
     to.minimum_epoch = from.floor();
     to.retry_after_s = from.retry_after_s();
-    to.progress.done = from.done() ? 1 : 0;
+    to.progress.done = from.done();
     to.progress.wanted = from.wanted();
     to.progress.draining = from.draining();
     to.progress.released = from.released();
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -8,6 +8,7 @@
 #define TW_RPC_H
 #include "shards/shards.h"
 #include "standby/standby.h"
+#include <stdbool.h>
 
 #define TW_RPC_ADDRESS 64
 #define TW_RPC_WAIT_S 8
@@ -32,7 +33,7 @@
 typedef struct {
     uint64_t id;
     tw_rpc_method method;
-    int show_machines;            /* SHOW */
+    bool show_machines;           /* SHOW */
     tw_shards_request request;    /* CHANGE; its machines belong to the call */
     char owner[TW_SHARDS_NAME];   /* REPORT; FOLLOW, PROMOTE: the standby's name */
     tw_standby_position position; /* FOLLOW; REPORT: term and number */
@@ -68,8 +69,8 @@
 /* Listens on an address IP:port. wake is called from another thread whenever a call came in.
  * Returns NULL where the address can't be listened on. Free it with tw_rpc_server_stop. */
 tw_rpc_server *tw_rpc_server_start(const char *address, void (*wake)(void *context), void *context);
-/* Takes the next call that came in. Returns 0 where there is none. */
-int tw_rpc_server_next(tw_rpc_server *server, tw_rpc_call *call);
+/* Takes the next call that came in. Returns false where there is none. */
+bool tw_rpc_server_next(tw_rpc_server *server, tw_rpc_call *call);
 /* Answers the call `id`. The answer is copied. A call that was given up meanwhile is ignored. */
 void tw_rpc_answer_call(tw_rpc_server *server, uint64_t id, const tw_rpc_answer *answer);
 /* Ends and frees the server; calls that wait get UNAVAILABLE. NULL is allowed. */
@@ -96,9 +97,9 @@
 typedef struct tw_rpc_feed tw_rpc_feed;
 tw_rpc_feed *tw_rpc_feed_open(tw_rpc_client *client, const char *node,
                               const tw_standby_position *position, double pause_s);
-/* Waits for the next message. The caller frees it with tw_standby_message_free. Returns 0 where the
- * feed has ended. */
-int tw_rpc_feed_next(tw_rpc_feed *feed, tw_standby_message *message);
+/* Waits for the next message. The caller frees it with tw_standby_message_free. Returns false where
+ * the feed has ended. */
+bool tw_rpc_feed_next(tw_rpc_feed *feed, tw_standby_message *message);
 /* Ends the feed, also while its connection is made; may be called from any thread. */
 void tw_rpc_feed_cancel(tw_rpc_feed *feed);
 /* Frees the feed. */
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -139,7 +139,7 @@
         tw_rpc_call call = {};
         owned_answer answer;
         call.method = TW_RPC_SHOW;
-        call.show_machines = request->machines() ? 1 : 0;
+        call.show_machines = request->machines();
         if (!calls.ask(call, answer)) return unavailable();
         write_show(answer.view(), *reply);
         return grpc::Status::OK;
@@ -265,8 +265,8 @@
     return started->server == nullptr ? nullptr : started.release();
 }
 
-extern "C" int tw_rpc_server_next(tw_rpc_server *server, tw_rpc_call *call) {
-    return server->calls.next(*call) ? 1 : 0;
+extern "C" bool tw_rpc_server_next(tw_rpc_server *server, tw_rpc_call *call) {
+    return server->calls.next(*call);
 }
 
 extern "C" void tw_rpc_answer_call(tw_rpc_server *server, uint64_t id,
--- a/src/shards/guard.c
+++ b/src/shards/guard.c
@@ -33,7 +33,7 @@
      * boot could be opened again. */
     if (boot_id != guard->boot_id) return TW_SHARDS_GUARD_OTHER_BOOT;
     if (guard->started) return TW_SHARDS_GUARD_REPEATED;
-    guard->started = 1;
+    guard->started = true;
     guard->minimum_epoch = minimum_epoch;
     return TW_SHARDS_GUARD_RAISED;
 }
--- a/src/shards/leader.c
+++ b/src/shards/leader.c
@@ -113,7 +113,7 @@
     return !roaring_bitmap_contains(shards->quarantined, (uint32_t)machine->index);
 }
 
-int tw_shards_any_quarantined(const tw_shards *shards, int shard_index) {
+bool tw_shards_any_quarantined(const tw_shards *shards, int shard_index) {
     return roaring_bitmap_intersect(shards->sets[shard_index].open, shards->quarantined);
 }
 
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -26,7 +26,7 @@
 struct tw_shards_owner {
     double retry_s, synced_at;
     uint64_t term; /* the newest of all leaders that were heard */
-    int synced;
+    bool synced;
     tw_shards_owned_machine *machines;
     tw_shards_owner_effect *effects, *last_effect;
 };
@@ -169,7 +169,7 @@
     tw_shards_owned_machine *machine;
     tw_shards_owned_machine *after;
     if (!owner->synced || now >= owner->synced_at + owner->retry_s) {
-        owner->synced = 1;
+        owner->synced = true;
         owner->synced_at = now;
         emit(owner, TW_SHARDS_OWNER_SYNC, NULL);
     }
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -159,7 +159,7 @@
 
 /* The verdict, or TW_SHARDS_OK and *full where the transaction has no room for it. */
 static tw_shards_verdict add_machine(tw_shards *shards, const tw_shards_request *request,
-                                     int *full) {
+                                     bool *full) {
     const int index = tw_shards_shard_index(shards, request->shard);
     if (index < 0) return TW_SHARDS_UNKNOWN_SHARD;
     if (!request->machine[0] || !request->zone[0]) return TW_SHARDS_INVALID;
@@ -175,7 +175,7 @@
     return TW_SHARDS_OK;
 }
 
-static tw_shards_verdict remove_machine(tw_shards *shards, tw_shards_machine *gone, int *full) {
+static tw_shards_verdict remove_machine(tw_shards *shards, tw_shards_machine *gone, bool *full) {
     tw_shards_move *held_by = tw_shards_move_by_number(shards, gone->cell.move);
     *full = !tw_shards_has_room(shards, gone, TW_SHARDS_RECORD_CELLS | TW_SHARDS_RECORD_NAMES,
                                 held_by != NULL);
@@ -187,7 +187,7 @@
 
 /* A machine that has restarted runs nothing: one that drained is released at once, any other one
  * is to be opened again under the next epoch, which no late command of its earlier boot has. */
-static tw_shards_verdict renew_machine(tw_shards *shards, tw_shards_machine *renewed, int *full) {
+static tw_shards_verdict renew_machine(tw_shards *shards, tw_shards_machine *renewed, bool *full) {
     tw_shards_cell to = renewed->cell;
     *full = !tw_shards_has_room(shards, renewed, TW_SHARDS_RECORD_CELLS, 1);
     if (*full || to.state == TW_SHARDS_RELEASED) return TW_SHARDS_OK;
@@ -204,7 +204,7 @@
 }
 
 static tw_shards_verdict change_machine(tw_shards *shards, const tw_shards_request *request,
-                                        int *full) {
+                                        bool *full) {
     tw_shards_machine *found = tw_shards_find(shards, request->machine);
     if (!found && request->kind == TW_SHARDS_ADD) return add_machine(shards, request, full);
     if (!found && request->kind == TW_SHARDS_REMOVE) return TW_SHARDS_OK; /* it is gone already */
@@ -221,7 +221,7 @@
 }
 
 static bool serve_machines(tw_shards *shards) {
-    int full = 0;
+    bool full = false;
     tw_shards_begin(shards);
     while (is_of_machine(shards->requests) && !full) {
         const tw_shards_verdict verdict = change_machine(shards, &shards->requests->request, &full);
@@ -383,10 +383,10 @@
     return shards->in_flight;
 }
 
-static int serve_watch(tw_shards *shards, const tw_shards_request *request) {
+static bool serve_watch(tw_shards *shards, const tw_shards_request *request) {
     const tw_shards_move *found = tw_shards_move_by_key(shards, request->key);
     answer_first(shards, found ? TW_SHARDS_OK : TW_SHARDS_UNKNOWN_MOVE);
-    return 0;
+    return false;
 }
 
 bool tw_shards_serve_request(tw_shards *shards) {
--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -102,7 +102,7 @@
 
 /* The progress of a move, in machines. */
 typedef struct {
-    int done;                              /* the move is over */
+    bool done;                             /* the move is over */
     int wanted, draining, released, taken; /* of those wanted, by state */
     int moved, returned, lost;             /* open in the new shard, given back, gone meanwhile */
 } tw_shards_progress;
@@ -282,7 +282,7 @@
 typedef struct {
     uint64_t boot_id;       /* of the machine: another number after each of its starts */
     uint64_t term;          /* the newest that it has heard of since this boot */
-    int started;            /* whether it has its minimum epoch */
+    bool started;           /* whether it has its minimum epoch */
     uint64_t minimum_epoch; /* epochs up to this one are of an earlier boot of the machine */
     uint64_t newest;        /* the epoch opened last; 0: none */
 } tw_shards_guard;
--- a/src/shards/shards_int.h
+++ b/src/shards/shards_int.h
@@ -261,7 +261,7 @@
 /* Whether the machine has answered under this term, so that its state may be changed. */
 bool tw_shards_is_confirmed(const tw_shards *shards, const tw_shards_machine *machine);
 /* Whether an open machine of the shard is in quarantine. */
-int tw_shards_any_quarantined(const tw_shards *shards, int shard_index);
+bool tw_shards_any_quarantined(const tw_shards *shards, int shard_index);
 /* Adds an effect to those that tw_shards_next gives out. */
 tw_shards_effect *tw_shards_emit(tw_shards *shards, tw_shards_effect_kind kind);
 
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -20,7 +20,7 @@
     char (*keys)[KEY_SIZE];
     int count, room;
     size_t bytes;
-    int too_large;
+    bool too_large;
 } body;
 
 void tw_shards_begin(tw_shards *shards) {
@@ -108,7 +108,7 @@
     if (!data) return;
     const size_t length = strlen(data);
     to->bytes += length + KEY_SIZE;
-    if (length > shards->settings.value_bytes || to->bytes > MOST_BODY) to->too_large = 1;
+    if (length > shards->settings.value_bytes || to->bytes > MOST_BODY) to->too_large = true;
 }
 
 static void add_blocks(const tw_shards *shards, body *to) {
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -88,7 +88,7 @@
 }
 
 static void pass_to_table(tw_standby *standby, tw_standby_registration *kept, uint64_t boot_id) {
-    kept->passed = 1;
+    kept->passed = true;
     kept->boot_id = boot_id;
     tw_shards_request_in(standby->table, standby->now, &kept->request);
 }
@@ -160,7 +160,7 @@
     if (!machine->quarantine_logged)
         tw_standby_say(standby, "event=machine_quarantined machine=%s reason=%s", machine->name,
                        reason);
-    machine->quarantine_logged = 1;
+    machine->quarantine_logged = true;
 }
 
 static void accept(tw_standby *standby, tw_standby_machine_check *machine) {
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -102,8 +102,8 @@
 /* The guard of a machine, by its answer to CHECK or START, taken or refused. */
 typedef struct {
     uint64_t term, boot_id, minimum_epoch, newest;
-    int started; /* whether it has its minimum epoch */
-    int running; /* requests that run there */
+    bool started; /* whether it has its minimum epoch */
+    int running;  /* requests that run there */
 } tw_standby_machine_status;
 /* Takes a machine's answer to the CHECK or START of that term. NULL: no answer came. */
 void tw_standby_machine_answered(tw_standby *standby, double now, const char *machine,
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -127,7 +127,7 @@
     char name[TW_SHARDS_NAME];
     tw_standby_check_step step;
     uint64_t boot_id, minimum_epoch; /* STARTING */
-    int quarantine_logged;           /* that it is quarantined was logged */
+    bool quarantine_logged;          /* that it is quarantined was logged */
     double next_at;
     UT_hash_handle hh;
 } tw_standby_machine_check;
@@ -135,7 +135,7 @@
 /* A client's request for a machine whose boot id has to be asked for first. */
 typedef struct tw_standby_registration {
     tw_shards_request request;
-    int passed;       /* to the table */
+    bool passed;      /* to the table */
     uint64_t boot_id; /* of the machine when it was asked; 0: it did not answer */
     double since;
     struct tw_standby_registration *prev, *next;
