--- a/src/shards/leader.c
+++ b/src/shards/leader.c
@@ -207,7 +207,8 @@
 
 /* ---- owners ---- */
 
-/* The machine, if it is the owner's under this epoch; else the owner is told that it has lost it.
+/* The machine, if it is the owner's under this epoch; else the owner is notified that it has lost
+ * it.
  */
 static tw_shards_machine *owned(tw_shards *shards, const char *owner, const char *name,
                                 uint64_t epoch) {
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -1,5 +1,7 @@
-/* An owner of shards: which of its machines may get requests, under which epoch, and what it has
- * to tell. It keeps nothing that must outlive it; after a start it asks the leader. */
+/* An owner of shards: which of its machines may get requests, under which epoch, and its messages
+ * to the leader and to machines. It keeps nothing that must outlive it; after a start it asks the
+ * leader.
+ */
 #include "shards/shards_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -81,7 +83,8 @@
     return found;
 }
 
-/* What there is to say of a machine now; said again until the leader's word changes it. */
+/* Sends the message that a machine's state calls for. It is repeated until a notification changes
+ * the state. */
 static void say(tw_shards_owner *owner, double now, tw_shards_owned_machine *machine) {
     machine->said_at = now;
     if (machine->state == TW_SHARDS_TAKEN)
--- a/src/shards/table.c
+++ b/src/shards/table.c
@@ -263,7 +263,7 @@
     return progress;
 }
 
-/* ---- all of it ---- */
+/* ---- the whole table ---- */
 
 static void clear_named(tw_shards_named_set **sets, int *count) {
     for (int i = 0; i < *count; i++) roaring_bitmap_free((*sets)[i].machines);
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -231,7 +231,7 @@
     tw_shards_sort_moves(shards);
 }
 
-/* Owners of shards that have just changed hands are told of all machines. */
+/* Notifies the owners of shards that have just changed hands of all their machines. */
 static void notify_new_owners(tw_shards *shards, const tw_shards_header *before) {
     for (int i = 0; i < shards->machine_count; i++) {
         tw_shards_machine *each = shards->machines[i];
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -136,7 +136,7 @@
     }
 }
 
-/* Nothing that was to be ordered under the term goes out any more. */
+/* Ends the term at hand: no command of the term goes out any more. */
 static void end_term(tw_standby *standby) {
     tw_standby_say(standby, "event=leader_stepped_down");
     standby->leads = false;
@@ -227,7 +227,7 @@
     tw_standby_emit(standby, TW_STANDBY_ANSWER)->table = answer;
 }
 
-/* The client that asked for a promotion is told, whatever became of the release: this node has
+/* Answers the client that asked for a promotion, whatever became of the release: this node has
  * stopped deciding. */
 static void release_answered(tw_standby *standby, int status) {
     const bool released = status == STATUS_OK || status == STATUS_ABSENT;
