--- a/src/daemon/clients.c
+++ b/src/daemon/clients.c
@@ -14,7 +14,7 @@
 void tw_daemon_answer(tw_daemon_node *node, const tw_shards_effect *effect) {
     tw_rpc_answer answer = {.verdict = effect->verdict,
                             .revision = effect->revision,
-                            .minimum_epoch = effect->floor,
+                            .minimum_epoch = effect->minimum_epoch,
                             .progress = effect->progress};
     if (effect->verdict == TW_SHARDS_NOT_LEADER) name_leader(node, &answer);
     tw_rpc_answer_call(node->server, effect->id, &answer);
@@ -24,8 +24,9 @@
 
 static void answer_show(tw_daemon_node *node, const tw_rpc_call *asked) {
     const bool ready = tw_standby_decides(node->standby, tw_daemon_steady_s());
-    const int shard_count = ready ? tw_shards_count(node->shards) : 0;
-    const int machine_count = ready && asked->show_machines ? tw_shards_machines(node->shards) : 0;
+    const int shard_count = ready ? tw_shards_shard_count(node->shards) : 0;
+    const int machine_count =
+        ready && asked->show_machines ? tw_shards_machine_count(node->shards) : 0;
     tw_rpc_answer answer = {.verdict = ready ? TW_SHARDS_OK : TW_SHARDS_NOT_LEADER,
                             .revision = ready ? tw_shards_revision(node->shards) : 0};
     name_leader(node, &answer);
@@ -34,7 +35,7 @@
     for (int i = 0; i < shard_count; i++)
         answer.shards[answer.shard_count++] = tw_shards_view_of(node->shards, i);
     for (int i = 0; i < machine_count; i++) {
-        const tw_shards_tell machine = tw_shards_machine(node->shards, i);
+        const tw_shards_notification machine = tw_shards_machine_at(node->shards, i);
         if (machine.state != TW_SHARDS_ABSENT)
             answer.notifications[answer.notification_count++] = machine;
     }
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -52,11 +52,12 @@
     case TW_STANDBY_START:
         tw_daemon_start_machine(node, effect);
         break;
-    case TW_STANDBY_TELL:
-        if (!strcmp(effect->table->tell.owner, node->settings->name))
-            tw_shards_owner_told(node->owner, tw_daemon_steady_s(), &effect->table->tell);
+    case TW_STANDBY_NOTIFY:
+        if (!strcmp(effect->table->notification.owner, node->settings->name))
+            tw_shards_owner_notified(node->owner, tw_daemon_steady_s(),
+                                     &effect->table->notification);
         else
-            tw_daemon_keep_notification(node, &effect->table->tell);
+            tw_daemon_keep_notification(node, &effect->table->notification);
         break;
     case TW_STANDBY_ANSWER:
         tw_daemon_answer(node, effect->table);
@@ -209,7 +210,7 @@
     node.shards = tw_shards_new(&settings->shards);
     node.standby = tw_standby_new(&standby, node.shards, tw_daemon_steady_s());
     node.owner = tw_shards_owner_new(settings->shards.retry_s);
-    node.messages = tw_daemon_alloc(sizeof *node.messages * MOST_TELLS);
+    node.messages = tw_daemon_alloc(sizeof *node.messages * TW_DAEMON_MOST_NOTIFICATIONS);
     start_net(&node);
     start_watchers(&node);
     node.reporter =
--- a/src/daemon/reporter.c
+++ b/src/daemon/reporter.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-typedef enum { TW_REPORTER_IDLE, TW_REPORTER_BUSY, TW_REPORTER_ANSWERED } reporter_state;
+typedef enum { TW_REPORTER_IDLE, TW_REPORTER_BUSY, TW_REPORTER_ANSWERED } tw_reporter_state;
 
 struct tw_reporter {
     pthread_t thread;
@@ -14,8 +14,8 @@
     pthread_cond_t changed;
     void (*done)(void *context);
     void *context;
-    reporter_state state;
-    int stopping, failed;
+    tw_reporter_state state;
+    bool stopping, failed;
     double timeout_s;
     char owner[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
     tw_standby_position position;
@@ -118,7 +118,7 @@
 void tw_reporter_stop(tw_reporter *reporter) {
     if (!reporter) return;
     pthread_mutex_lock(&reporter->mutex);
-    reporter->stopping = 1;
+    reporter->stopping = true;
     pthread_cond_signal(&reporter->changed);
     pthread_mutex_unlock(&reporter->mutex);
     pthread_join(reporter->thread, NULL);
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -1,4 +1,4 @@
-/* The ledger: requests from their coming to their one final answer. */
+/* The records of requests, from their arrival to their one final answer. */
 #include "router/router_int.h"
 #include <math.h>
 #include <stdbool.h>
@@ -21,7 +21,7 @@
 /* ---- effects ---- */
 
 static tw_router_effect *emit(tw_router *router, tw_router_effect_kind kind,
-                              const tw_router_request_record *about) {
+                              const tw_router_request *about) {
     tw_router_effect *effect = tw_router_alloc(sizeof *effect);
     effect->kind = kind;
     effect->request = about->number;
@@ -48,12 +48,12 @@
 }
 
 void tw_router_free(tw_router *router) {
-    tw_router_request_record *each;
-    tw_router_request_record *after;
-    tw_router_replica_record *one;
-    tw_router_replica_record *next;
-    tw_router_team_record *of;
-    tw_router_team_record *other;
+    tw_router_request *each;
+    tw_router_request *after;
+    tw_router_replica *one;
+    tw_router_replica *next;
+    tw_router_team *of;
+    tw_router_team *other;
     tw_router_effect *effect;
     if (!router) return;
     HASH_ITER(hh, router->requests, each, after) {
@@ -74,8 +74,8 @@
 
 /* ---- teams ---- */
 
-static tw_router_team_record *team_named(tw_router *router, const char *name) {
-    tw_router_team_record *found;
+static tw_router_team *team_named(tw_router *router, const char *name) {
+    tw_router_team *found;
     HASH_FIND_STR(router->teams, name, found);
     if (found) return found;
     found = tw_router_alloc(sizeof *found);
@@ -85,25 +85,25 @@
     return found;
 }
 
-void tw_router_team(tw_router *router, const char *name, double weight) {
+void tw_router_set_team_weight(tw_router *router, const char *name, double weight) {
     team_named(router, name)->weight = weight;
 }
 
-/* The team whose turn it is: that has been served least for its share; NULL: nobody waits. A team
+/* The team whose turn it is: that has been served least for its weight; NULL: nobody waits. A team
  * that had nothing waiting does not save up turns. */
-static tw_router_team_record *next_team(tw_router *router) {
-    tw_router_team_record *best = NULL;
-    tw_router_team_record *each;
-    tw_router_team_record *after;
+static tw_router_team *next_team(tw_router *router) {
+    tw_router_team *best = NULL;
+    tw_router_team *each;
+    tw_router_team *after;
     HASH_ITER(hh, router->teams, each, after) {
         if (each->waiting && (!best || each->served < best->served)) best = each;
     }
     return best;
 }
 
-static void enqueue(tw_router *router, tw_router_request_record *waits, bool at_front) {
-    tw_router_team_record *of = waits->team;
-    const tw_router_team_record *least = next_team(router);
+static void enqueue(tw_router *router, tw_router_request *waits, bool at_front) {
+    tw_router_team *of = waits->team;
+    const tw_router_team *least = next_team(router);
     if (!of->waiting && least) of->served = fmax(of->served, least->served);
     if (at_front)
         DL_PREPEND(of->waiting, waits);
@@ -113,7 +113,7 @@
     waits->state = TW_ROUTER_REQUEST_WAITING;
 }
 
-static void dequeue(tw_router_request_record *waits) {
+static void dequeue(tw_router_request *waits) {
     DL_DELETE(waits->team->waiting, waits);
     waits->team->count--;
 }
@@ -121,8 +121,8 @@
 /* ---- one final answer ---- */
 
 static double time_to_come_back(const tw_router *router) {
-    const tw_router_replica_record *each;
-    const tw_router_replica_record *after;
+    const tw_router_replica *each;
+    const tw_router_replica *after;
     double shortest = INFINITY;
     HASH_ITER(hh, router->replicas, each, after) {
         if (each->epoch) shortest = fmin(shortest, each->service_s);
@@ -130,14 +130,14 @@
     return isfinite(shortest) ? fmax(1, ceil(shortest)) : 1;
 }
 
-static void leave_replica(tw_router *router, const tw_router_request_record *left) {
-    tw_router_replica_record *at;
+static void leave_replica(tw_router *router, const tw_router_request *left) {
+    tw_router_replica *at;
     HASH_FIND_STR(router->replicas, left->replica, at);
     if (at && at->running) at->running--;
 }
 
 /* Gives the final answer and forgets the request: what comes of it later is not known any more. */
-static void answer(tw_router *router, tw_router_request_record *over, tw_router_status status) {
+static void answer(tw_router *router, tw_router_request *over, tw_router_status status) {
     tw_router_effect *effect = emit(router, TW_ROUTER_ANSWER, over);
     effect->status = status;
     if (status != TW_ROUTER_OK) effect->retry_after_s = time_to_come_back(router);
@@ -146,15 +146,14 @@
     free(over);
 }
 
-static void cancel(tw_router *router, const tw_router_request_record *sent) {
+static void cancel(tw_router *router, const tw_router_request *sent) {
     tw_router_effect *effect = emit(router, TW_ROUTER_CANCEL, sent);
     copy_name(effect->replica, sent->replica);
 }
 
 /* ---- sending ---- */
 
-static void send_to(tw_router *router, tw_router_request_record *sent, tw_router_replica_record *to,
-                    double now) {
+static void send_to(tw_router *router, tw_router_request *sent, tw_router_replica *to, double now) {
     dequeue(sent);
     sent->state = TW_ROUTER_REQUEST_SENT;
     sent->attempt++;
@@ -169,9 +168,9 @@
 
 /* As long as the team whose turn it is finds a replica. */
 static void send_waiting(tw_router *router, double now) {
-    tw_router_team_record *turn;
+    tw_router_team *turn;
     while ((turn = next_team(router))) {
-        tw_router_replica_record *to = tw_router_pick(router, turn->waiting, now);
+        tw_router_replica *to = tw_router_pick(router, turn->waiting, now);
         if (!to) return;
         send_to(router, turn->waiting, to, now);
     }
@@ -179,9 +178,9 @@
 
 /* ---- inputs ---- */
 
-void tw_router_replica(tw_router *router, double now, const char *name, uint64_t epoch, int slots,
-                       double service_s) {
-    tw_router_replica_record *changed;
+void tw_router_set_replica(tw_router *router, double now, const char *name, uint64_t epoch,
+                           int slots, double service_s) {
+    tw_router_replica *changed;
     HASH_FIND_STR(router->replicas, name, changed);
     if (!changed) {
         changed = tw_router_alloc(sizeof *changed);
@@ -194,9 +193,9 @@
     send_waiting(router, now);
 }
 
-void tw_router_request(tw_router *router, double now, uint64_t number, const char *team_name,
-                       double deadline) {
-    tw_router_request_record *came = tw_router_alloc(sizeof *came);
+void tw_router_add_request(tw_router *router, double now, uint64_t number, const char *team_name,
+                           double deadline) {
+    tw_router_request *came = tw_router_alloc(sizeof *came);
     came->number = number;
     came->team = team_named(router, team_name);
     came->deadline = deadline;
@@ -213,39 +212,39 @@
 }
 
 /* The request, if this is its present attempt. What earlier ones say is dropped. */
-static tw_router_request_record *current(const tw_router *router, uint64_t number, int attempt) {
-    tw_router_request_record *found;
+static tw_router_request *current(const tw_router *router, uint64_t number, int attempt) {
+    tw_router_request *found;
     HASH_FIND(hh, router->requests, &number, sizeof number, found);
     if (!found || found->state != TW_ROUTER_REQUEST_SENT || found->attempt != attempt) return NULL;
     return found;
 }
 
-void tw_router_part(tw_router *router, double now, uint64_t number, int attempt) {
-    tw_router_request_record *found = current(router, number, attempt);
+void tw_router_part_received(tw_router *router, double now, uint64_t number, int attempt) {
+    tw_router_request *found = current(router, number, attempt);
     (void)now;
     if (!found) return;
-    found->passed_on = 1;
+    found->passed_on = true;
     emit(router, TW_ROUTER_PART, found);
 }
 
 /* Whether another attempt may be made; it is then paid for. */
-static bool may_retry(tw_router *router, const tw_router_request_record *failed, double now) {
+static bool may_retry(tw_router *router, const tw_router_request *failed, double now) {
     if (failed->passed_on || failed->attempt >= router->settings.most_attempts) return false;
     if (now >= failed->deadline || router->retries < 1) return false;
     router->retries -= 1;
     return true;
 }
 
-static void learn(const tw_router *router, const tw_router_request_record *done, double now) {
-    tw_router_replica_record *at;
+static void learn(const tw_router *router, const tw_router_request *done, double now) {
+    tw_router_replica *at;
     const double weight = router->settings.average_ratio;
     HASH_FIND_STR(router->replicas, done->replica, at);
     if (at) at->service_s += weight * (now - done->sent_at - at->service_s);
 }
 
-void tw_router_ended(tw_router *router, double now, uint64_t number, int attempt,
-                     tw_router_end end) {
-    tw_router_request_record *found = current(router, number, attempt);
+void tw_router_attempt_ended(tw_router *router, double now, uint64_t number, int attempt,
+                             tw_router_end end) {
+    tw_router_request *found = current(router, number, attempt);
     if (!found) return;
     leave_replica(router, found);
     if (end == TW_ROUTER_DONE) {
@@ -262,8 +261,8 @@
 }
 
 void tw_router_tick(tw_router *router, double now) {
-    tw_router_request_record *each;
-    tw_router_request_record *after;
+    tw_router_request *each;
+    tw_router_request *after;
     HASH_ITER(hh, router->requests, each, after) {
         if (now < each->deadline) continue;
         if (each->state == TW_ROUTER_REQUEST_SENT) {
@@ -275,11 +274,11 @@
     send_waiting(router, now);
 }
 
-int tw_router_open(const tw_router *router) { return (int)HASH_COUNT(router->requests); }
+int tw_router_open_count(const tw_router *router) { return (int)HASH_COUNT(router->requests); }
 
-int tw_router_waiting(const tw_router *router) {
-    const tw_router_team_record *each;
-    const tw_router_team_record *after;
+int tw_router_waiting_count(const tw_router *router) {
+    const tw_router_team *each;
+    const tw_router_team *after;
     int waiting = 0;
     HASH_ITER(hh, router->teams, each, after) { waiting += each->count; }
     return waiting;
--- a/tests/router/properties.cpp
+++ b/tests/router/properties.cpp
@@ -1,4 +1,4 @@
-// Properties of the route, over drawn histories of a gateway: replicas that answer, refuse, break,
+// Properties of the router, over drawn histories of a gateway: replicas that answer, refuse, break,
 // are lost, stream parts, drain and come back; answers of earlier attempts that come late. Each
 // request gets exactly one final answer; nothing follows it; after a part was passed on only that
 // attempt speaks; a replica that drains gets nothing new; slots and queues are kept. Seeds:
@@ -96,26 +96,26 @@
     if (seen.sent.empty()) return;
     const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
     if (about.number != seen.latest[about.request]) seen.stale = about.request;
-    tw_router_ended(router, seen.now, about.request, about.number, end);
+    tw_router_attempt_ended(router, seen.now, about.request, about.number, end);
 }
 
 void send_part(history &seen, tw_router *router, const step &drawn) {
     if (seen.sent.empty()) return;
     const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
     if (about.number != seen.latest[about.request]) seen.stale = about.request;
-    tw_router_part(router, seen.now, about.request, about.number);
+    tw_router_part_received(router, seen.now, about.request, about.number);
 }
 
 void change_replica(history &seen, tw_router *router, const step &drawn) {
     const std::string name = replica_name(drawn.which);
     seen.epochs[name] = drawn.other % 3 == 0 ? 0 : static_cast<uint64_t>(drawn.other);
-    tw_router_replica(router, seen.now, name.c_str(), seen.epochs[name], slots, 1);
+    tw_router_set_replica(router, seen.now, name.c_str(), seen.epochs[name], slots, 1);
 }
 
 void make_request(history &seen, tw_router *router, const step &drawn) {
     seen.answers[++seen.last_request] = 0;
     const char *team = drawn.which % 2 == 0 ? "front" : "letters";
-    tw_router_request(router, seen.now, seen.last_request, team, seen.now + deadline_s);
+    tw_router_add_request(router, seen.now, seen.last_request, team, seen.now + deadline_s);
 }
 
 void play(history &seen, tw_router *router, const step &drawn) {
@@ -142,7 +142,7 @@
     }
     take_effects(seen, router);
     seen.stale = 0;
-    RC_ASSERT(tw_router_waiting(router) <= 2 * (most_waiting + replica_count * slots));
+    RC_ASSERT(tw_router_waiting_count(router) <= 2 * (most_waiting + replica_count * slots));
 }
 
 tw_router *new_router() {
@@ -155,19 +155,19 @@
     tw_router *router = new_router();
     for (int i = 0; i < replica_count; i++) {
         seen.epochs[replica_name(i)] = 1;
-        tw_router_replica(router, 0, replica_name(i).c_str(), 1, slots, 1);
+        tw_router_set_replica(router, 0, replica_name(i).c_str(), 1, slots, 1);
     }
     for (const step &drawn : steps) play(seen, router, drawn);
     seen.now += 2 * deadline_s;
     tw_router_tick(router, seen.now);
     take_effects(seen, router);
     for (const auto &each : seen.answers) RC_ASSERT(each.second == 1);
-    RC_ASSERT(tw_router_open(router) == 0);
+    RC_ASSERT(tw_router_open_count(router) == 0);
     tw_router_free(router);
 }
 
-/// With one slot and both teams waiting, the team with three times the share is sent three times as
-/// often.
+/// With one slot and both teams waiting, the team with three times the weight is sent three times
+/// as often.
 void check_shares() {
     constexpr unsigned share = 3;
     constexpr unsigned rounds = 8;
@@ -175,10 +175,10 @@
     tw_router *router = tw_router_new(&settings);
     const uint64_t most = uint64_t{2} * rounds * (share + 1);
     unsigned front = 0;
-    tw_router_team(router, "front", share);
+    tw_router_set_team_weight(router, "front", share);
     for (uint64_t number = 1; number <= most; number++)
-        tw_router_request(router, 0, number, number % 2 == 0 ? "front" : "letters", deadline_s);
-    tw_router_replica(router, 0, "r0", 1, 1, 1);
+        tw_router_add_request(router, 0, number, number % 2 == 0 ? "front" : "letters", deadline_s);
+    tw_router_set_replica(router, 0, "r0", 1, 1, 1);
     for (unsigned i = 0; i < rounds * (share + 1); i++) {
         tw_router_effect *effect = tw_router_next(router);
         while (effect != nullptr && effect->kind != TW_ROUTER_SEND) {
@@ -187,7 +187,7 @@
         }
         RC_ASSERT(effect != nullptr);
         front += effect->request % 2 == 0;
-        tw_router_ended(router, 0, effect->request, effect->attempt, TW_ROUTER_DONE);
+        tw_router_attempt_ended(router, 0, effect->request, effect->attempt, TW_ROUTER_DONE);
         std::free(effect);
     }
     RC_ASSERT(front >= rounds * share - 1 && front <= rounds * share + 1);
@@ -199,15 +199,15 @@
 void check_queue() {
     tw_router *router = new_router();
     for (uint64_t number = 1; number <= most_waiting + 1U; number++)
-        tw_router_request(router, 0, number, "front", deadline_s);
+        tw_router_add_request(router, 0, number, "front", deadline_s);
     tw_router_effect *refused = tw_router_next(router);
     RC_ASSERT(refused != nullptr && refused->kind == TW_ROUTER_ANSWER);
     RC_ASSERT(refused->request == most_waiting + 1U);
     RC_ASSERT(refused->status == TW_ROUTER_FULL && refused->retry_after_s >= 1);
     std::free(refused);
-    tw_router_replica(router, 0, "r0", 1, 1, 1);
+    tw_router_set_replica(router, 0, "r0", 1, 1, 1);
     std::free(tw_router_next(router));
-    tw_router_ended(router, 0, 1, 1, TW_ROUTER_REFUSED);
+    tw_router_attempt_ended(router, 0, 1, 1, TW_ROUTER_REFUSED);
     tw_router_effect *again = tw_router_next(router);
     RC_ASSERT(again != nullptr && again->kind == TW_ROUTER_SEND);
     RC_ASSERT(again->request == 1 && again->attempt == 2);
@@ -218,11 +218,11 @@
 /// The slowest replica that meets the deadline; where none does, the fastest.
 void check_pick() {
     tw_router *router = new_router();
-    tw_router_replica(router, 0, "fast", 1, 1, 1);
-    tw_router_replica(router, 0, "slow", 1, 1, 3);
-    tw_router_replica(router, 0, "slowest", 1, 1, 9);
-    tw_router_request(router, 0, 1, "front", 4);
-    tw_router_request(router, 0, 2, "front", 0.5);
+    tw_router_set_replica(router, 0, "fast", 1, 1, 1);
+    tw_router_set_replica(router, 0, "slow", 1, 1, 3);
+    tw_router_set_replica(router, 0, "slowest", 1, 1, 9);
+    tw_router_add_request(router, 0, 1, "front", 4);
+    tw_router_add_request(router, 0, 2, "front", 0.5);
     const char *const expected[] = {"slow", "fast"};
     for (const char *name : expected) {
         tw_router_effect *effect = tw_router_next(router);
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -4,9 +4,9 @@
  *   - within one epoch a recorded state never goes back;
  *   - a machine runs requests of one controller at a time;
  *   - no order of an earlier term is taken after a later one's, none of a term that isn't recorded,
- *     and no floor for another life of the machine; at most one controller decides; it begins with
+ *     and no floor for another boot of the machine; at most one controller decides; it begins with
  *     the view that stands in the records, and changes no machine that has not heard its term;
- *   - in the end every move is over, every machine is open in one share, every client is answered.
+ *   - in the end every move is over, every machine is open in one shard, every client is answered.
  */
 #include "shards_world.h"
 #include <stdbool.h>
@@ -61,14 +61,16 @@
 }
 
 /* A state that a leader changed on its own, of a machine that has not heard of its term. Renewed
- * epochs, and those of a share's new owner, are for machines that take nothing else. */
-static void judge_checked(tw_world *world, const tw_world_machine *of, const tw_shards_tell *cell) {
-    const bool decided = cell->state == TW_SHARDS_DRAINING || cell->state == TW_SHARDS_RELEASED ||
-                         (cell->state == TW_SHARDS_OPEN && cell->epoch == of->recorded_epoch);
-    if (world->lease_s <= 0 || cell->state == of->recorded_state || !decided) return;
+ * epochs, and those of a shard's new owner, are for machines that take nothing else. */
+static void judge_checked(tw_world *world, const tw_world_machine *of,
+                          const tw_shards_notification *machine) {
+    const bool decided = machine->state == TW_SHARDS_DRAINING ||
+                         machine->state == TW_SHARDS_RELEASED ||
+                         (machine->state == TW_SHARDS_OPEN && machine->epoch == of->recorded_epoch);
+    if (world->lease_s <= 0 || machine->state == of->recorded_state || !decided) return;
     if (!of->alive || !of->guard.started || of->guard.term >= world->newest_term) return;
     tw_world_fail(world, "unchecked: %s is made %s under term %lu, and knows %lu", of->name,
-                  tw_shards_state_name(cell->state), (unsigned long)world->newest_term,
+                  tw_shards_state_name(machine->state), (unsigned long)world->newest_term,
                   (unsigned long)of->guard.term);
 }
 
@@ -143,25 +145,25 @@
     return NULL;
 }
 
-static void judge_cell(tw_world *world, const tw_shards_tell *cell) {
-    tw_world_machine *of = machine_named(world, cell->machine);
+static void judge_cell(tw_world *world, const tw_shards_notification *machine) {
+    tw_world_machine *of = machine_named(world, machine->machine);
     if (!of) return;
-    if (cell->epoch < of->recorded_epoch ||
-        (cell->epoch == of->recorded_epoch && cell->state < of->recorded_state))
+    if (machine->epoch < of->recorded_epoch ||
+        (machine->epoch == of->recorded_epoch && machine->state < of->recorded_state))
         tw_world_fail(world, "went_back: %s is %s under %lu, was %s under %lu", of->name,
-                      tw_shards_state_name(cell->state), (unsigned long)cell->epoch,
+                      tw_shards_state_name(machine->state), (unsigned long)machine->epoch,
                       tw_shards_state_name(of->recorded_state), (unsigned long)of->recorded_epoch);
-    judge_checked(world, of, cell);
-    of->recorded_epoch = cell->epoch;
-    of->recorded_state = cell->state;
+    judge_checked(world, of, machine);
+    of->recorded_epoch = machine->epoch;
+    of->recorded_state = machine->state;
 }
 
 void tw_judge_records(tw_world *world) {
     if (world->machine_count > JUDGED_ALWAYS && world->transactions % JUDGED_EVERY) return;
     tw_shards *reader = tw_judge_read(world);
-    for (int i = 0; i < tw_shards_machines(reader); i++) {
-        const tw_shards_tell cell = tw_shards_machine(reader, i);
-        if (cell.state != TW_SHARDS_ABSENT) judge_cell(world, &cell);
+    for (int i = 0; i < tw_shards_machine_count(reader); i++) {
+        const tw_shards_notification machine = tw_shards_machine_at(reader, i);
+        if (machine.state != TW_SHARDS_ABSENT) judge_cell(world, &machine);
     }
     tw_shards_free(reader);
 }
@@ -170,13 +172,13 @@
     const tw_shards *table = world->nodes[at].leader;
     tw_shards *reader = tw_judge_read(world);
     if (tw_shards_revision(table) != tw_shards_revision(reader) ||
-        tw_shards_machines(table) != tw_shards_machines(reader))
+        tw_shards_machine_count(table) != tw_shards_machine_count(reader))
         tw_world_fail(world, "stale_view: %s decides by revision %lu of %lu", world->nodes[at].name,
                       (unsigned long)tw_shards_revision(table),
                       (unsigned long)tw_shards_revision(reader));
-    for (int i = 0; i < tw_shards_machines(reader) && !world->failure[0]; i++) {
-        const tw_shards_tell has = tw_shards_machine(table, i);
-        const tw_shards_tell recorded = tw_shards_machine(reader, i);
+    for (int i = 0; i < tw_shards_machine_count(reader) && !world->failure[0]; i++) {
+        const tw_shards_notification has = tw_shards_machine_at(table, i);
+        const tw_shards_notification recorded = tw_shards_machine_at(reader, i);
         if (has.state != recorded.state || has.epoch != recorded.epoch)
             tw_world_fail(world, "stale_view: %s has %s as %s", world->nodes[at].name,
                           recorded.machine, tw_shards_state_name(has.state));
@@ -190,17 +192,17 @@
 static void judge_machines(tw_world *world, const tw_shards *reader) {
     int *seen = calloc((size_t)world->machine_count + 1, sizeof *seen);
     if (!seen) abort();
-    for (int i = 0; i < tw_shards_machines(reader); i++) {
-        const tw_shards_tell cell = tw_shards_machine(reader, i);
-        const tw_world_machine *of = machine_named(world, cell.machine);
-        if (cell.state == TW_SHARDS_ABSENT || !of) continue;
+    for (int i = 0; i < tw_shards_machine_count(reader); i++) {
+        const tw_shards_notification machine = tw_shards_machine_at(reader, i);
+        const tw_world_machine *of = machine_named(world, machine.machine);
+        if (machine.state == TW_SHARDS_ABSENT || !of) continue;
         seen[of - world->machines]++;
-        if (world->lease_s > 0 && of->alive && of->guard.newest != cell.epoch)
+        if (world->lease_s > 0 && of->alive && of->guard.newest != machine.epoch)
             tw_world_fail(world, "stuck: %s has epoch %lu open, recorded is %lu", of->name,
-                          (unsigned long)of->guard.newest, (unsigned long)cell.epoch);
-        if (cell.state != TW_SHARDS_OPEN)
+                          (unsigned long)of->guard.newest, (unsigned long)machine.epoch);
+        if (machine.state != TW_SHARDS_OPEN)
             tw_world_fail(world, "stuck: %s is %s of %s", of->name,
-                          tw_shards_state_name(cell.state), cell.owner);
+                          tw_shards_state_name(machine.state), machine.owner);
     }
     for (int i = 0; i < world->machine_count; i++)
         if (seen[i] != world->machines[i].alive)
@@ -228,7 +230,7 @@
 }
 
 static int is_defined(const tw_shards *reader, const char *shard) {
-    for (int i = 0; i < tw_shards_count(reader); i++)
+    for (int i = 0; i < tw_shards_shard_count(reader); i++)
         if (!strcmp(tw_shards_view_of(reader, i).name, shard)) return 1;
     return 0;
 }
@@ -236,12 +238,12 @@
 static void judge_client(tw_world *world, tw_shards *reader, const tw_world_client *asked) {
     tw_shards_verdict verdict;
     if (!asked->answered) {
-        tw_world_fail(world, "unanswered: %s %s", asked->request.key, asked->request.share);
+        tw_world_fail(world, "unanswered: %s %s", asked->request.key, asked->request.shard);
         return;
     }
     if (asked->request.kind == TW_SHARDS_DEFINE && asked->verdict == TW_SHARDS_OK &&
-        !is_defined(reader, asked->request.share))
-        tw_world_fail(world, "lost: share %s was accepted", asked->request.share);
+        !is_defined(reader, asked->request.shard))
+        tw_world_fail(world, "lost: share %s was accepted", asked->request.shard);
     if (asked->request.kind != TW_SHARDS_MOVE || asked->verdict != TW_SHARDS_OK) return;
     const tw_shards_progress progress = watch(world, reader, asked->request.key, &verdict);
     if (verdict == TW_SHARDS_UNKNOWN_MOVE) return; /* over for long */
