--- a/fuzz/play.c
+++ b/fuzz/play.c
@@ -15,7 +15,7 @@
     tw_simulator *sim = tw_simulator_new(NULL);
     memset(verdict, 0, sizeof *verdict);
     for (size_t i = 0; i < day->count; i++) {
-        if (!tw_simulator_line(sim, day->lines[i], error, sizeof error)) continue;
+        if (!tw_simulator_take_line(sim, day->lines[i], error, sizeof error)) continue;
         verdict->failed = 1;
         snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_NOT_TAKEN);
         snprintf(verdict->detail, sizeof verdict->detail, "%.200s: %.200s", error, day->lines[i]);
--- a/simulator/command.c
+++ b/simulator/command.c
@@ -5,123 +5,132 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void text_option(const tw_simulator_words *w, const char *key, char *to, size_t size,
+static void copy_option(const tw_simulator_words *words, const char *key, char *to, size_t size,
                         const char *otherwise) {
-    const char *value = tw_simulator_option(w, key);
+    const char *value = tw_simulator_option(words, key);
     snprintf(to, size, "%s", value ? value : otherwise);
 }
 
-static int rank_of(const char *name) {
+static int parse_priority(const char *name) {
     static const char *const ranks[] = {"idle", "normal", "high", "prod"};
     for (int i = 0; i < 4; i++)
         if (!strcmp(name, ranks[i])) return i;
     return TW_PRIORITY_NORMAL;
 }
 
-static int job_index(tw_simulator *sim, const char *id) {
+static int find_or_add_job(tw_simulator *sim, const char *id) {
     tw_simulator_job *job = tw_simulator_job_find(&sim->world, id);
     if (!job) job = tw_simulator_job_new(&sim->world, id);
     return job->index;
 }
 
-static void job_spec(tw_wire_job *s, const tw_simulator_words *w) {
+static void read_job_spec(tw_wire_job *spec, const tw_simulator_words *words) {
     char text[TW_SIMULATOR_NAME];
-    text_option(w, "lane", s->job_class, sizeof s->job_class, "lane");
-    text_option(w, "crew", s->team, sizeof s->team, "crew");
-    text_option(w, "bundle", s->image, sizeof s->image, "img-1");
-    text_option(w, "yard", s->zone, sizeof s->zone, "");
-    text_option(w, "shape", text, sizeof text, "batch");
-    s->service = !strcmp(text, "service");
-    s->gang = !strcmp(text, "group");
-    text_option(w, "rank", text, sizeof text, "normal");
-    s->priority = rank_of(text);
-    s->task_count = (int)tw_simulator_option_number(w, "pieces", 1);
-    s->cores = tw_simulator_option_number(w, "cores", 2);
-    s->gpus = tw_simulator_option_number(w, "gpus", 0);
-    s->memory_gb = tw_simulator_option_number(w, "mem", 4);
-    s->image_gb = tw_simulator_option_number(w, "image", 1);
-    s->single_zone = (int)tw_simulator_option_number(w, "same", 0);
-    s->spread = (int)tw_simulator_option_number(w, "apart", 0);
-    s->spot = (int)tw_simulator_option_number(w, "loaner", 0);
-    s->expected_run_s = s->service ? 0 : tw_simulator_option_number(w, "expect", 10);
-    s->checkpoint_s = tw_simulator_option_number(w, "snapshot", 0);
-    s->save_s = tw_simulator_option_number(w, "flush", 0);
-    s->deadline_s = tw_simulator_option_number(w, "due", -1);
-    const char *type = tw_simulator_option(w, "rack");
+    copy_option(words, "lane", spec->job_class, sizeof spec->job_class, "lane");
+    copy_option(words, "crew", spec->team, sizeof spec->team, "crew");
+    copy_option(words, "bundle", spec->image, sizeof spec->image, "img-1");
+    copy_option(words, "yard", spec->zone, sizeof spec->zone, "");
+    copy_option(words, "shape", text, sizeof text, "batch");
+    spec->service = !strcmp(text, "service");
+    spec->gang = !strcmp(text, "group");
+    copy_option(words, "rank", text, sizeof text, "normal");
+    spec->priority = parse_priority(text);
+    spec->task_count = (int)tw_simulator_option_number(words, "pieces", 1);
+    spec->cores = tw_simulator_option_number(words, "cores", 2);
+    spec->gpus = tw_simulator_option_number(words, "gpus", 0);
+    spec->memory_gb = tw_simulator_option_number(words, "mem", 4);
+    spec->image_gb = tw_simulator_option_number(words, "image", 1);
+    spec->single_zone = (int)tw_simulator_option_number(words, "same", 0);
+    spec->spread = (int)tw_simulator_option_number(words, "apart", 0);
+    spec->spot = (int)tw_simulator_option_number(words, "loaner", 0);
+    spec->expected_run_s = spec->service ? 0 : tw_simulator_option_number(words, "expect", 10);
+    spec->checkpoint_s = tw_simulator_option_number(words, "snapshot", 0);
+    spec->save_s = tw_simulator_option_number(words, "flush", 0);
+    spec->deadline_s = tw_simulator_option_number(words, "due", -1);
+    const char *type = tw_simulator_option(words, "rack");
     if (!type) return;
-    s->machine_types = tw_simulator_zeroed(TW_WIRE_NAME_SIZE);
-    snprintf(s->machine_types[0], TW_WIRE_NAME_SIZE, "%s", type);
-    s->machine_type_count = 1;
+    spec->machine_types = tw_simulator_allocate(TW_WIRE_NAME_SIZE);
+    snprintf(spec->machine_types[0], TW_WIRE_NAME_SIZE, "%s", type);
+    spec->machine_type_count = 1;
 }
 
-static int submitted_job(tw_simulator *sim, const char *id, const tw_simulator_words *w) {
-    int index = job_index(sim, id);
+static int prepare_submission(tw_simulator *sim, const char *id, const tw_simulator_words *words) {
+    int index = find_or_add_job(sim, id);
     tw_simulator_job *job = sim->world.jobs[index];
     if (job->submitted) return index;
-    job_spec(&job->spec, w);
-    job->run_s = tw_simulator_option_number(w, "run", job->spec.expected_run_s);
-    job->fails = (int)tw_simulator_option_number(w, "fails", 0);
+    read_job_spec(&job->spec, words);
+    job->run_s = tw_simulator_option_number(words, "run", job->spec.expected_run_s);
+    job->fails = (int)tw_simulator_option_number(words, "fails", 0);
     job->submitted = 1;
-    job->done = tw_simulator_zeroed((size_t)(job->spec.task_count > 0 ? job->spec.task_count : 1));
+    job->done =
+        tw_simulator_allocate((size_t)(job->spec.task_count > 0 ? job->spec.task_count : 1));
     job->first_try = sim->world.now;
     return index;
 }
 
-static void submit(tw_simulator *sim, const tw_simulator_words *w) {
-    tw_simulator_user_send(sim, submitted_job(sim, w->word[1], w), TW_SIMULATOR_SUBMIT);
+static void submit_job(tw_simulator *sim, const tw_simulator_words *words) {
+    tw_simulator_user_send(sim, prepare_submission(sim, words->words[1], words),
+                           TW_SIMULATOR_SUBMIT);
 }
 
-static void cancel(tw_simulator *sim, const tw_simulator_words *w) {
-    tw_simulator_user_cancel(sim, job_index(sim, w->word[1]));
+static void cancel_job(tw_simulator *sim, const tw_simulator_words *words) {
+    tw_simulator_user_cancel(sim, find_or_add_job(sim, words->words[1]));
 }
 
-static void poll(tw_simulator *sim, const tw_simulator_words *w) {
-    tw_simulator_user_send(sim, job_index(sim, w->word[1]), TW_SIMULATOR_POLL);
+static void poll_job(tw_simulator *sim, const tw_simulator_words *words) {
+    tw_simulator_user_send(sim, find_or_add_job(sim, words->words[1]), TW_SIMULATOR_POLL);
 }
 
 /* For jobs with ids in a row. */
-static void many(tw_simulator *sim, const tw_simulator_words *w, bool cancels) {
-    const char *first = w->word[1];
-    int from = strlen(first) > 4 ? tw_simulator_int(first + 4) : 0,
-        n = tw_simulator_int(w->word[2]);
-    for (int k = 0; k < n; k++) {
+static void act_on_jobs(tw_simulator *sim, const tw_simulator_words *words, bool cancels) {
+    const char *first = words->words[1];
+    int from = strlen(first) > 4 ? tw_simulator_parse_int(first + 4) : 0,
+        count = tw_simulator_parse_int(words->words[2]);
+    for (int k = 0; k < count; k++) {
         char id[TW_WIRE_ID_SIZE];
         snprintf(id, sizeof id, "run-%06d", from + k);
         if (cancels)
-            tw_simulator_user_cancel(sim, job_index(sim, id));
+            tw_simulator_user_cancel(sim, find_or_add_job(sim, id));
         else
-            tw_simulator_user_send(sim, submitted_job(sim, id, w), TW_SIMULATOR_SUBMIT);
+            tw_simulator_user_send(sim, prepare_submission(sim, id, words), TW_SIMULATOR_SUBMIT);
     }
 }
 
-static void submit_many(tw_simulator *sim, const tw_simulator_words *w) { many(sim, w, false); }
-static void cancel_many(tw_simulator *sim, const tw_simulator_words *w) { many(sim, w, true); }
+static void submit_jobs(tw_simulator *sim, const tw_simulator_words *words) {
+    act_on_jobs(sim, words, false);
+}
+static void cancel_jobs(tw_simulator *sim, const tw_simulator_words *words) {
+    act_on_jobs(sim, words, true);
+}
 
 /* `raw METHOD PATH STATUS BODY` */
-static void raw(tw_simulator *sim, const tw_simulator_words *w) {
+static void send_raw(tw_simulator *sim, const tw_simulator_words *words) {
     int node = tw_simulator_pick_node(sim);
     if (node < 0) return;
-    const char *rest = w->line;
+    const char *rest = words->line;
     for (int i = 0; i < 4; i++) {
         rest += strspn(rest, " \t");
         rest += strcspn(rest, " \t\r\n");
     }
     rest += strspn(rest, " \t");
-    char *body = tw_simulator_text(rest);
+    char *body = tw_simulator_copy_text(rest);
     body[strcspn(body, "\r\n")] = 0;
-    tw_simulator_conn *c = tw_simulator_conn_new(sim, node, TW_SIMULATOR_CONN_RAW);
-    c->wanted = tw_simulator_int(w->word[3]);
-    snprintf(c->what, sizeof c->what, "%.20s %.30s %.100s", w->word[1], w->word[2], body);
-    tw_simulator_node_request(sim, node, TW_PORT_API, c->id, w->word[1], w->word[2], body);
+    tw_simulator_connection *connection =
+        tw_simulator_connection_new(sim, node, TW_SIMULATOR_CONNECTION_RAW);
+    connection->wanted = tw_simulator_parse_int(words->words[3]);
+    snprintf(connection->what, sizeof connection->what, "%.20s %.30s %.100s", words->words[1],
+             words->words[2], body);
+    tw_simulator_node_request(sim, node, TW_PORT_API, connection->id, words->words[1],
+                              words->words[2], body);
     free(body);
 }
 
 const tw_simulator_command tw_simulator_commands[] = {
-    {"submit", 2, TW_SIMULATOR_NO_TROUBLE, submit},
-    {"submits", 3, TW_SIMULATOR_NO_TROUBLE, submit_many},
-    {"abort", 2, TW_SIMULATOR_NO_TROUBLE, cancel},
-    {"aborts", 3, TW_SIMULATOR_NO_TROUBLE, cancel_many},
-    {"poll", 2, TW_SIMULATOR_NO_TROUBLE, poll},
-    {"raw", 4, TW_SIMULATOR_NO_TROUBLE, raw},
+    {"submit", 2, TW_SIMULATOR_NO_TROUBLE, submit_job},
+    {"submits", 3, TW_SIMULATOR_NO_TROUBLE, submit_jobs},
+    {"abort", 2, TW_SIMULATOR_NO_TROUBLE, cancel_job},
+    {"aborts", 3, TW_SIMULATOR_NO_TROUBLE, cancel_jobs},
+    {"poll", 2, TW_SIMULATOR_NO_TROUBLE, poll_job},
+    {"raw", 4, TW_SIMULATOR_NO_TROUBLE, send_raw},
     {"expect", 2, TW_SIMULATOR_NO_TROUBLE, tw_simulator_expect},
     {NULL, 0, 0, NULL}};
--- a/simulator/controller.c
+++ b/simulator/controller.c
@@ -21,9 +21,9 @@
 }
 
 static void request(tw_simulator_controller *controller, tw_simulator_clock clock, int port,
-                    uint64_t conn, const char *method, const char *path, const char *body) {
-    tw_core_request(core_of(controller), clock.steady, clock.wall, port, conn, method, path, body,
-                    strlen(body));
+                    uint64_t connection, const char *method, const char *path, const char *body) {
+    tw_core_request(core_of(controller), clock.steady, clock.wall, port, connection, method, path,
+                    body, strlen(body));
     check(controller);
 }
 
@@ -68,7 +68,7 @@
 
 tw_simulator_controller *tw_simulator_controller_local(const tw_simulator_controller_start *start,
                                                        char *error, size_t error_size) {
-    local_controller *local = tw_simulator_zeroed(sizeof *local);
+    local_controller *local = tw_simulator_allocate(sizeof *local);
     local->base.methods = &local_methods;
     if (tw_config_parse(&local->conf, start->settings, error, error_size)) {
         free(local);
--- a/simulator/controller_remote.c
+++ b/simulator/controller_remote.c
@@ -104,7 +104,7 @@
 /* A text of that length; NULL for a negative one or if it doesn't come. */
 static char *read_text(remote_controller *remote, long size) {
     if (size < 0) return NULL;
-    char *text = tw_simulator_zeroed((size_t)size + 1);
+    char *text = tw_simulator_allocate((size_t)size + 1);
     if (fread(text, 1, (size_t)size, remote->from) == (size_t)size) return text;
     remote->base.failure = ENDED;
     free(text);
@@ -120,7 +120,7 @@
 }
 
 static void read_effect(remote_controller *remote, tw_simulator_reader reader) {
-    tw_effect *effect = tw_simulator_zeroed(sizeof *effect);
+    tw_effect *effect = tw_simulator_allocate(sizeof *effect);
     char method[TW_SIMULATOR_NAME];
     effect->kind = (int)tw_simulator_read_int(&reader);
     effect->id = tw_simulator_read_count(&reader);
@@ -170,11 +170,11 @@
 /* ---- inputs ---- */
 
 static void request(tw_simulator_controller *controller, tw_simulator_clock clock, int port,
-                    uint64_t conn, const char *method, const char *path, const char *body) {
+                    uint64_t connection, const char *method, const char *path, const char *body) {
     remote_controller *remote = (remote_controller *)controller;
     const size_t path_size = strlen(path), body_size = strlen(body);
     send_head(remote, "request %a %a %d %" PRIu64 " %s %zu %zu\n", clock.steady, clock.wall, port,
-              conn, method, path_size, body_size);
+              connection, method, path_size, body_size);
     send_all(remote, path, path_size);
     send_all(remote, body, body_size);
     read_answer(remote);
@@ -227,7 +227,7 @@
 tw_simulator_controller *tw_simulator_controller_remote(const char *program,
                                                         const tw_simulator_controller_start *start,
                                                         char *error, size_t error_size) {
-    remote_controller *remote = tw_simulator_zeroed(sizeof *remote);
+    remote_controller *remote = tw_simulator_allocate(sizeof *remote);
     remote->base.methods = &remote_methods;
     remote->last = &remote->first;
     const int result = spawn(remote, program);
--- a/simulator/draw.c
+++ b/simulator/draw.c
@@ -6,22 +6,23 @@
 
 #define SEED_STEP 8 /* not the number of streams: one more must not change the others */
 
-double tw_simulator_draw(tw_simulator_world *w, int kind, double from, double to) {
-    if (!w->draws[kind]) {
-        w->draws[kind] = gsl_rng_alloc(gsl_rng_taus2);
-        if (!w->draws[kind]) abort();
-        gsl_rng_set(w->draws[kind], (unsigned long)w->seed * SEED_STEP + (unsigned)kind + 1);
+double tw_simulator_draw(tw_simulator_world *world, int kind, double from, double to) {
+    if (!world->draws[kind]) {
+        world->draws[kind] = gsl_rng_alloc(gsl_rng_taus2);
+        if (!world->draws[kind]) abort();
+        gsl_rng_set(world->draws[kind],
+                    (unsigned long)world->seed * SEED_STEP + (unsigned)kind + 1);
     }
-    return from + (to - from) * gsl_rng_uniform(w->draws[kind]);
+    return from + (to - from) * gsl_rng_uniform(world->draws[kind]);
 }
 
-int tw_simulator_draw_index(tw_simulator_world *w, int kind, int n) {
-    return (int)tw_simulator_draw(w, kind, 0, n);
+int tw_simulator_draw_index(tw_simulator_world *world, int kind, int count) {
+    return (int)tw_simulator_draw(world, kind, 0, count);
 }
 
-void tw_simulator_draws_free(tw_simulator_world *w) {
-    for (int i = 0; i < TW_SIMULATOR_DRAWS; i++) {
-        if (w->draws[i]) gsl_rng_free(w->draws[i]);
-        w->draws[i] = NULL;
+void tw_simulator_draws_free(tw_simulator_world *world) {
+    for (int i = 0; i < TW_SIMULATOR_DRAW_KINDS; i++) {
+        if (world->draws[i]) gsl_rng_free(world->draws[i]);
+        world->draws[i] = NULL;
     }
 }
--- a/simulator/event.c
+++ b/simulator/event.c
@@ -6,61 +6,65 @@
 #define FIRST_CAP 256
 
 static bool before(const tw_simulator_event *a, const tw_simulator_event *b) {
-    return a->at < b->at || (a->at == b->at && a->seq < b->seq);
+    return a->at < b->at || (a->at == b->at && a->sequence < b->sequence);
 }
 
-static void push(tw_simulator *sim, tw_simulator_event *e, double at) {
-    e->at = at > sim->world.now ? at : sim->world.now;
-    e->seq = ++sim->seq;
-    e->queued = true;
-    if (sim->nheap == sim->heap_cap) {
-        sim->heap_cap = sim->heap_cap ? 2 * sim->heap_cap : FIRST_CAP;
-        sim->heap = realloc(sim->heap, sim->heap_cap * sizeof(tw_simulator_event *));
-        if (!sim->heap) abort();
+static void push(tw_simulator *sim, tw_simulator_event *event, double at) {
+    event->at = at > sim->world.now ? at : sim->world.now;
+    event->sequence = ++sim->last_sequence;
+    event->queued = true;
+    if (sim->event_count == sim->event_capacity) {
+        sim->event_capacity = sim->event_capacity ? 2 * sim->event_capacity : FIRST_CAP;
+        sim->events = realloc(sim->events, sim->event_capacity * sizeof(tw_simulator_event *));
+        if (!sim->events) abort();
     }
-    tw_simulator_event **heap = sim->heap;
-    size_t i = sim->nheap++;
-    for (; i && before(e, heap[(i - 1) / 2]); i = (i - 1) / 2) heap[i] = heap[(i - 1) / 2];
-    heap[i] = e;
+    tw_simulator_event **events = sim->events;
+    size_t i = sim->event_count++;
+    for (; i && before(event, events[(i - 1) / 2]); i = (i - 1) / 2)
+        events[i] = events[(i - 1) / 2];
+    events[i] = event;
 }
 
-tw_simulator_event *tw_simulator_at(tw_simulator *sim, double at,
-                                    void (*act)(tw_simulator *sim, tw_simulator_event *e)) {
-    tw_simulator_event *e = tw_simulator_zeroed(sizeof *e);
-    e->act = act;
-    push(sim, e, at);
-    return e;
+tw_simulator_event *tw_simulator_schedule_at(tw_simulator *sim, double at,
+                                             void (*act)(tw_simulator *sim,
+                                                         tw_simulator_event *e)) {
+    tw_simulator_event *event = tw_simulator_allocate(sizeof *event);
+    event->act = act;
+    push(sim, event, at);
+    return event;
 }
 
-tw_simulator_event *tw_simulator_after(tw_simulator *sim, double seconds,
-                                       void (*act)(tw_simulator *sim, tw_simulator_event *e)) {
-    return tw_simulator_at(sim, sim->world.now + seconds, act);
+tw_simulator_event *tw_simulator_schedule_after(tw_simulator *sim, double seconds,
+                                                void (*act)(tw_simulator *sim,
+                                                            tw_simulator_event *e)) {
+    return tw_simulator_schedule_at(sim, sim->world.now + seconds, act);
 }
 
-void tw_simulator_again(tw_simulator *sim, tw_simulator_event *e, double seconds) {
-    push(sim, e, sim->world.now + seconds);
+void tw_simulator_reschedule_after(tw_simulator *sim, tw_simulator_event *event, double seconds) {
+    push(sim, event, sim->world.now + seconds);
 }
 
-void tw_simulator_again_at(tw_simulator *sim, tw_simulator_event *e, double at) {
-    push(sim, e, at);
+void tw_simulator_reschedule_at(tw_simulator *sim, tw_simulator_event *event, double at) {
+    push(sim, event, at);
 }
 
 tw_simulator_event *tw_simulator_next_event(tw_simulator *sim) {
-    if (!sim->nheap) return NULL;
-    tw_simulator_event **heap = sim->heap, *first = heap[0], *last = heap[--sim->nheap];
+    if (!sim->event_count) return NULL;
+    tw_simulator_event **events = sim->events, *first = events[0],
+                       *last = events[--sim->event_count];
     size_t i = 0;
-    for (size_t k; (k = 2 * i + 1) < sim->nheap; i = k) {
-        if (k + 1 < sim->nheap && before(heap[k + 1], heap[k])) k++;
-        if (!before(heap[k], last)) break;
-        heap[i] = heap[k];
+    for (size_t k; (k = 2 * i + 1) < sim->event_count; i = k) {
+        if (k + 1 < sim->event_count && before(events[k + 1], events[k])) k++;
+        if (!before(events[k], last)) break;
+        events[i] = events[k];
     }
-    heap[i] = last;
+    events[i] = last;
     first->queued = false;
     return first;
 }
 
-void tw_simulator_event_free(tw_simulator_event *e) {
-    free(e->path);
-    free(e->body);
-    free(e);
+void tw_simulator_event_free(tw_simulator_event *event) {
+    free(event->path);
+    free(event->body);
+    free(event);
 }
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -24,16 +24,16 @@
 #define PEER_LEASES 0.25
 #define EPSILON 1e-6
 
-double tw_simulator_gang_wait_s(const tw_simulator_world *w) {
-    return w->gang_wait_s > 0 ? w->gang_wait_s : WAIT_LEASES * w->lease_s;
+double tw_simulator_gang_wait_s(const tw_simulator_world *world) {
+    return world->gang_wait_s > 0 ? world->gang_wait_s : WAIT_LEASES * world->lease_s;
 }
 
-double tw_simulator_gang_peer_s(const tw_simulator_world *w) {
-    return w->gang_peer_s > 0 ? w->gang_peer_s : PEER_LEASES * w->lease_s;
+double tw_simulator_gang_peer_s(const tw_simulator_world *world) {
+    return world->gang_peer_s > 0 ? world->gang_peer_s : PEER_LEASES * world->lease_s;
 }
 
 static tw_simulator_gang *find_gang(tw_simulator_job *job, uint64_t attempt) {
-    for (int i = job->ngangs; i-- > 0;)
+    for (int i = job->gang_count; i-- > 0;)
         if (job->gangs[i].attempt == attempt) return &job->gangs[i];
     return NULL;
 }
@@ -41,212 +41,223 @@
 static tw_simulator_gang *gang_of(tw_simulator_job *job, uint64_t attempt) {
     tw_simulator_gang *gang = find_gang(job, attempt);
     if (gang) return gang;
-    job->gangs = tw_simulator_grow(job->gangs, job->ngangs, &job->gangs_cap, sizeof *job->gangs);
-    gang = &job->gangs[job->ngangs++];
+    job->gangs =
+        tw_simulator_grow(job->gangs, job->gang_count, &job->gang_capacity, sizeof *job->gangs);
+    gang = &job->gangs[job->gang_count++];
     memset(gang, 0, sizeof *gang);
     gang->attempt = attempt;
     gang->state = TW_SIMULATOR_GANG_GATHERING;
     return gang;
 }
 
-static bool is_member(const tw_simulator_task *t) {
-    return t->stage == TW_TASK_RUNNING || t->stage == TW_TASK_SAVING;
+static bool is_member(const tw_simulator_task *task) {
+    return task->stage == TW_TASK_RUNNING || task->stage == TW_TASK_SAVING;
 }
 
-static bool executes(const tw_simulator_world *w, const tw_simulator_worker *x) {
-    return !x->gone && x->up && w->now >= x->hung_until;
+static bool executes(const tw_simulator_world *world, const tw_simulator_worker *worker) {
+    return !worker->gone && worker->up && world->now >= worker->hung_until;
 }
 
 /* ---- progress ---- */
 
-static void save(tw_simulator_job *job, double progress_s) {
+static void save_progress(tw_simulator_job *job, double progress_s) {
     job->gang_saved_s = fmax(job->gang_saved_s, fmin(progress_s, job->run_s));
 }
 
 /* The job's progress up to now, with the checkpoints that it has passed. */
-static void advance(tw_simulator_world *w, tw_simulator_job *job, tw_simulator_gang *gang) {
+static void advance_progress(tw_simulator_world *world, tw_simulator_job *job,
+                             tw_simulator_gang *gang) {
     double interval_s = job->spec.checkpoint_s;
     if (gang->state != TW_SIMULATOR_GANG_RUNNING) return;
-    gang->progress_s += (w->now - gang->advanced_at) / gang->slow;
-    gang->advanced_at = w->now;
+    gang->progress_s += (world->now - gang->advanced_at) / gang->slowdown;
+    gang->advanced_at = world->now;
     if (interval_s > 0)
-        save(job, floor((fmin(gang->progress_s, job->run_s) + EPSILON) / interval_s) * interval_s);
+        save_progress(job, floor((fmin(gang->progress_s, job->run_s) + EPSILON) / interval_s) *
+                               interval_s);
     if (gang->progress_s + EPSILON < job->run_s || job->fails) return;
     gang->state = TW_SIMULATOR_GANG_DONE;
-    for (int i = 0; i < job->spec.task_count; i++) tw_simulator_task_done(w, job, i);
+    for (int i = 0; i < job->spec.task_count; i++) tw_simulator_task_done(world, job, i);
 }
 
-static void break_up(tw_simulator_gang *gang) {
+static void break_gang(tw_simulator_gang *gang) {
     if (gang->state == TW_SIMULATOR_GANG_RUNNING || gang->state == TW_SIMULATOR_GANG_STOPPING)
         gang->state = TW_SIMULATOR_GANG_BROKEN;
 }
 
 /* ---- start ---- */
 
-static void member_starts(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t) {
-    bool fails = x->faulty || t->job->fails;
-    t->stage = TW_TASK_RUNNING;
-    t->started_at = w->now;
-    t->end_at = fails ? w->now + FAILS_AFTER_S : NEVER;
-    if (!fails) t->job->started++;
-    x->changed = true;
+static void start_member(tw_simulator_world *world, tw_simulator_worker *worker,
+                         tw_simulator_task *task) {
+    bool fails = worker->faulty || task->job->fails;
+    task->stage = TW_TASK_RUNNING;
+    task->started_at = world->now;
+    task->end_at = fails ? world->now + FAILS_AFTER_S : NEVER;
+    if (!fails) task->job->started++;
+    worker->changed = true;
 }
 
-static void start(tw_simulator_world *w, tw_simulator_job *job, tw_simulator_gang *gang) {
+static void start_gang(tw_simulator_world *world, tw_simulator_job *job, tw_simulator_gang *gang) {
     gang->state = TW_SIMULATOR_GANG_RUNNING;
     gang->progress_s = fmin(job->gang_saved_s, job->run_s);
-    gang->advanced_at = w->now;
+    gang->advanced_at = world->now;
     job->gang_starts++;
-    if (job->begun_at <= 0) job->begun_at = w->now;
-    for (int i = 0; i < w->nworkers; i++) {
-        tw_simulator_worker *x = w->workers[i];
-        for (int k = 0; k < x->ntasks && executes(w, x); k++) {
-            tw_simulator_task *t = &x->tasks[k];
-            if (t->job == job && t->attempt == gang->attempt && t->stage == TW_TASK_WAITING)
-                member_starts(w, x, t);
+    if (job->begun_at <= 0) job->begun_at = world->now;
+    for (int i = 0; i < world->worker_count; i++) {
+        tw_simulator_worker *worker = world->workers[i];
+        for (int k = 0; k < worker->task_count && executes(world, worker); k++) {
+            tw_simulator_task *task = &worker->tasks[k];
+            if (task->job == job && task->attempt == gang->attempt &&
+                task->stage == TW_TASK_WAITING)
+                start_member(world, worker, task);
         }
     }
 }
 
-void tw_simulator_gang_image_there(tw_simulator_world *w, tw_simulator_worker *x,
-                                   tw_simulator_task *t) {
-    t->stage = TW_TASK_WAITING;
-    t->end_at = w->now + tw_simulator_gang_wait_s(w);
-    x->changed = true;
-    gang_of(t->job, t->attempt);
-    tw_simulator_judge_start(w, x, t);
-    if (t->job->ndone == t->job->spec.task_count) tw_simulator_task_exit(x, t, TW_CAUSE_DONE);
+void tw_simulator_gang_image_fetched(tw_simulator_world *world, tw_simulator_worker *worker,
+                                     tw_simulator_task *task) {
+    task->stage = TW_TASK_WAITING;
+    task->end_at = world->now + tw_simulator_gang_wait_s(world);
+    worker->changed = true;
+    gang_of(task->job, task->attempt);
+    tw_simulator_judge_start(world, worker, task);
+    if (task->job->done_count == task->job->spec.task_count)
+        tw_simulator_task_exit(worker, task, TW_CAUSE_DONE);
 }
 
 /* ---- stop ---- */
 
 /* Whether a task that is told to stop now can still save with the others. */
-static bool is_in_time(const tw_simulator_world *w, const tw_simulator_gang *gang) {
-    return w->now <= gang->first_stop_at + tw_simulator_gang_peer_s(w);
+static bool is_in_time(const tw_simulator_world *world, const tw_simulator_gang *gang) {
+    return world->now <= gang->first_stop_at + tw_simulator_gang_peer_s(world);
 }
 
 /* A running task is told to stop; the first one of its gang stops the progress of all. */
-static void stop_running(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
-                         tw_simulator_gang *gang, double grace_s) {
-    const tw_wire_job *spec = &t->job->spec;
+static void stop_running(tw_simulator_world *world, tw_simulator_worker *worker,
+                         tw_simulator_task *task, tw_simulator_gang *gang, double grace_s) {
+    const tw_wire_job *spec = &task->job->spec;
     bool can_save = spec->checkpoint_s > 0 && grace_s >= spec->save_s;
     bool in_time = gang->state == TW_SIMULATOR_GANG_RUNNING ||
-                   (gang->state == TW_SIMULATOR_GANG_STOPPING && is_in_time(w, gang));
+                   (gang->state == TW_SIMULATOR_GANG_STOPPING && is_in_time(world, gang));
     if (!can_save || !in_time) {
-        tw_simulator_task_exit(x, t, TW_CAUSE_STOPPED);
-        break_up(gang);
+        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        break_gang(gang);
         return;
     }
-    if (gang->state == TW_SIMULATOR_GANG_RUNNING) gang->first_stop_at = w->now;
+    if (gang->state == TW_SIMULATOR_GANG_RUNNING) gang->first_stop_at = world->now;
     gang->state = TW_SIMULATOR_GANG_STOPPING;
-    t->stage = TW_TASK_SAVING;
-    t->end_at = w->now + spec->save_s;
-    x->changed = true;
+    task->stage = TW_TASK_SAVING;
+    task->end_at = world->now + spec->save_s;
+    worker->changed = true;
 }
 
-void tw_simulator_gang_stop(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
-                            double grace_s) {
-    tw_simulator_gang *gang = gang_of(t->job, t->attempt);
-    advance(w, t->job, gang);
-    if (!is_member(t)) {
-        tw_simulator_task_exit(x, t, TW_CAUSE_STOPPED);
+void tw_simulator_gang_stop(tw_simulator_world *world, tw_simulator_worker *worker,
+                            tw_simulator_task *task, double grace_s) {
+    tw_simulator_gang *gang = gang_of(task->job, task->attempt);
+    advance_progress(world, task->job, gang);
+    if (!is_member(task)) {
+        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
     } else if (gang->state == TW_SIMULATOR_GANG_DONE) {
-        tw_simulator_task_exit(x, t, TW_CAUSE_DONE);
-    } else if (t->stage == TW_TASK_RUNNING) {
-        stop_running(w, x, t, gang, grace_s);
+        tw_simulator_task_exit(worker, task, TW_CAUSE_DONE);
+    } else if (task->stage == TW_TASK_RUNNING) {
+        stop_running(world, worker, task, gang, grace_s);
     } else if (grace_s <= 0) {
-        tw_simulator_task_exit(x, t, TW_CAUSE_STOPPED);
-        break_up(gang);
+        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        break_gang(gang);
     }
 }
 
 /* ---- time ---- */
 
 /* What is known of a gang's tasks now. */
-static void count_task(tw_simulator_world *w, const tw_simulator_worker *x,
-                       const tw_simulator_task *t) {
-    tw_simulator_gang *gang = find_gang(t->job, t->attempt);
+static void count_task(tw_simulator_world *world, const tw_simulator_worker *worker,
+                       const tw_simulator_task *task) {
+    tw_simulator_gang *gang = find_gang(task->job, task->attempt);
     if (!gang) return;
-    gang->nwaiting += t->stage == TW_TASK_WAITING && executes(w, x);
-    gang->nmembers += is_member(t) && executes(w, x);
-    gang->nsaving += t->stage == TW_TASK_SAVING && executes(w, x);
-    bool awaited = gang->state == TW_SIMULATOR_GANG_GATHERING && t->stage == TW_TASK_WAITING;
-    if (awaited || is_member(t)) gang->slowest = fmax(gang->slowest, x->slow);
-}
-
-static void count_tasks(tw_simulator_world *w) {
-    for (int i = 0; i < w->njobs; i++)
-        for (int k = 0; k < w->jobs[i]->ngangs; k++) {
-            tw_simulator_gang *gang = &w->jobs[i]->gangs[k];
-            gang->nwaiting = gang->nmembers = gang->nsaving = 0;
-            gang->slowest = 0;
+    gang->waiting_count += task->stage == TW_TASK_WAITING && executes(world, worker);
+    gang->member_count += is_member(task) && executes(world, worker);
+    gang->saving_count += task->stage == TW_TASK_SAVING && executes(world, worker);
+    bool awaited = gang->state == TW_SIMULATOR_GANG_GATHERING && task->stage == TW_TASK_WAITING;
+    if (awaited || is_member(task))
+        gang->greatest_slowdown = fmax(gang->greatest_slowdown, worker->slowdown);
+}
+
+static void count_tasks(tw_simulator_world *world) {
+    for (int i = 0; i < world->job_count; i++)
+        for (int k = 0; k < world->jobs[i]->gang_count; k++) {
+            tw_simulator_gang *gang = &world->jobs[i]->gangs[k];
+            gang->waiting_count = gang->member_count = gang->saving_count = 0;
+            gang->greatest_slowdown = 0;
         }
-    for (int i = 0; i < w->nworkers; i++) {
-        const tw_simulator_worker *x = w->workers[i];
-        for (int k = 0; k < x->ntasks && !x->gone; k++)
-            if (x->tasks[k].job && x->tasks[k].job->spec.gang) count_task(w, x, &x->tasks[k]);
+    for (int i = 0; i < world->worker_count; i++) {
+        const tw_simulator_worker *worker = world->workers[i];
+        for (int k = 0; k < worker->task_count && !worker->gone; k++)
+            if (worker->tasks[k].job && worker->tasks[k].job->spec.gang)
+                count_task(world, worker, &worker->tasks[k]);
     }
 }
 
-static void gang_tick(tw_simulator_world *w, tw_simulator_job *job, tw_simulator_gang *gang) {
+static void advance_gang(tw_simulator_world *world, tw_simulator_job *job,
+                         tw_simulator_gang *gang) {
     int all = job->spec.task_count;
-    advance(w, job, gang);
-    if (gang->slowest > 0) gang->slow = gang->slowest;
-    if (gang->state == TW_SIMULATOR_GANG_GATHERING && gang->nwaiting >= all) {
-        start(w, job, gang);
+    advance_progress(world, job, gang);
+    if (gang->greatest_slowdown > 0) gang->slowdown = gang->greatest_slowdown;
+    if (gang->state == TW_SIMULATOR_GANG_GATHERING && gang->waiting_count >= all) {
+        start_gang(world, job, gang);
     } else if (gang->state == TW_SIMULATOR_GANG_RUNNING ||
                gang->state == TW_SIMULATOR_GANG_STOPPING) {
-        bool late = gang->state == TW_SIMULATOR_GANG_STOPPING && gang->nsaving < all &&
-                    !is_in_time(w, gang);
-        if (gang->nmembers < all || late) break_up(gang);
+        bool late = gang->state == TW_SIMULATOR_GANG_STOPPING && gang->saving_count < all &&
+                    !is_in_time(world, gang);
+        if (gang->member_count < all || late) break_gang(gang);
     }
 }
 
-void tw_simulator_gangs_tick(tw_simulator_world *w) {
-    count_tasks(w);
-    for (int i = 0; i < w->njobs; i++)
-        for (int k = 0; k < w->jobs[i]->ngangs; k++)
-            gang_tick(w, w->jobs[i], &w->jobs[i]->gangs[k]);
+void tw_simulator_gangs_advance(tw_simulator_world *world) {
+    count_tasks(world);
+    for (int i = 0; i < world->job_count; i++)
+        for (int k = 0; k < world->jobs[i]->gang_count; k++)
+            advance_gang(world, world->jobs[i], &world->jobs[i]->gangs[k]);
 }
 
 /* Its gang is broken: it saves nothing, and finds out that the others are gone. */
-static void broken_tick(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
-                        tw_simulator_gang *gang) {
-    bool told = t->stage == TW_TASK_SAVING;
-    bool late = gang->first_stop_at > 0 && !is_in_time(w, gang);
-    if (t->peers_at <= 0)
-        t->peers_at =
-            w->now + tw_simulator_draw(w, TW_SIMULATOR_DRAW_GANGS, 0, tw_simulator_gang_peer_s(w));
-    if (late || w->now >= t->peers_at)
-        tw_simulator_task_exit(x, t, told && late ? TW_CAUSE_STOPPED : TW_CAUSE_GANG_BROKEN);
-}
-
-static void saving_tick(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
-                        tw_simulator_gang *gang) {
+static void advance_broken_task(tw_simulator_world *world, tw_simulator_worker *worker,
+                                tw_simulator_task *task, tw_simulator_gang *gang) {
+    bool told = task->stage == TW_TASK_SAVING;
+    bool late = gang->first_stop_at > 0 && !is_in_time(world, gang);
+    if (task->peers_at <= 0)
+        task->peers_at = world->now + tw_simulator_draw(world, TW_SIMULATOR_DRAW_GANGS, 0,
+                                                        tw_simulator_gang_peer_s(world));
+    if (late || world->now >= task->peers_at)
+        tw_simulator_task_exit(worker, task,
+                               told && late ? TW_CAUSE_STOPPED : TW_CAUSE_GANG_BROKEN);
+}
+
+static void advance_saving_task(tw_simulator_world *world, tw_simulator_worker *worker,
+                                tw_simulator_task *task, tw_simulator_gang *gang) {
     bool all_told =
-        gang->state == TW_SIMULATOR_GANG_SAVED || gang->nsaving >= t->job->spec.task_count;
-    if (!all_told || w->now < t->end_at) return;
+        gang->state == TW_SIMULATOR_GANG_SAVED || gang->saving_count >= task->job->spec.task_count;
+    if (!all_told || world->now < task->end_at) return;
     gang->state = TW_SIMULATOR_GANG_SAVED;
-    save(t->job, gang->progress_s);
-    t->saved = 1;
-    tw_simulator_task_exit(x, t, TW_CAUSE_STOPPED);
+    save_progress(task->job, gang->progress_s);
+    task->saved = 1;
+    tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
 }
 
-void tw_simulator_gang_task_tick(tw_simulator_world *w, tw_simulator_worker *x,
-                                 tw_simulator_task *t) {
-    tw_simulator_gang *gang = gang_of(t->job, t->attempt);
-    if (t->stage == TW_TASK_WAITING) {
-        if (w->now >= t->end_at) tw_simulator_task_exit(x, t, TW_CAUSE_GANG_INCOMPLETE);
-    } else if (!is_member(t)) {
+void tw_simulator_gang_task_advance(tw_simulator_world *world, tw_simulator_worker *worker,
+                                    tw_simulator_task *task) {
+    tw_simulator_gang *gang = gang_of(task->job, task->attempt);
+    if (task->stage == TW_TASK_WAITING) {
+        if (world->now >= task->end_at)
+            tw_simulator_task_exit(worker, task, TW_CAUSE_GANG_INCOMPLETE);
+    } else if (!is_member(task)) {
         return;
-    } else if (t->stage == TW_TASK_RUNNING && w->now >= t->end_at) {
-        tw_simulator_task_exit(x, t, TW_CAUSE_ERROR);
-        break_up(gang);
+    } else if (task->stage == TW_TASK_RUNNING && world->now >= task->end_at) {
+        tw_simulator_task_exit(worker, task, TW_CAUSE_ERROR);
+        break_gang(gang);
     } else if (gang->state == TW_SIMULATOR_GANG_DONE) {
-        tw_simulator_task_exit(x, t, TW_CAUSE_DONE);
+        tw_simulator_task_exit(worker, task, TW_CAUSE_DONE);
     } else if (gang->state == TW_SIMULATOR_GANG_BROKEN) {
-        broken_tick(w, x, t, gang);
-    } else if (t->stage == TW_TASK_SAVING) {
-        saving_tick(w, x, t, gang);
+        advance_broken_task(world, worker, task, gang);
+    } else if (task->stage == TW_TASK_SAVING) {
+        advance_saving_task(world, worker, task, gang);
     }
 }
--- a/simulator/judge_live.c
+++ b/simulator/judge_live.c
@@ -16,43 +16,45 @@
 
 /* ---- unanswered ---- */
 
-static void judge_answers(tw_simulator_world *w, const tw_simulator_job *job) {
-    double since = fmax(w->troubles_end, fmax(job->accepted_at, job->answered_at));
-    if (job->accepted && w->now > since + UNANSWERED_S)
-        tw_simulator_break(w, "unanswered", "%s: no question is answered since %.2f", job->spec.id,
-                           since);
+static void judge_answers(tw_simulator_world *world, const tw_simulator_job *job) {
+    double since = fmax(world->troubles_end, fmax(job->accepted_at, job->answered_at));
+    if (job->accepted && world->now > since + UNANSWERED_S)
+        tw_simulator_rule_broken(world, "unanswered", "%s: no question is answered since %.2f",
+                                 job->spec.id, since);
 }
 
 /* ---- stuck ---- */
 
 typedef struct {
     double cpus, gpus, memory;
-} room;
+} free_capacity;
 
-static bool is_on_machine(const tw_simulator_task *t) {
-    return t->job && t->stage != TW_TASK_EXITED;
+static bool is_on_machine(const tw_simulator_task *task) {
+    return task->job && task->stage != TW_TASK_EXITED;
 }
 
-static bool has_begun(const tw_simulator_task *t) {
-    return t->stage != TW_TASK_FETCHING && t->stage != TW_TASK_WAITING;
+static bool has_begun(const tw_simulator_task *task) {
+    return task->stage != TW_TASK_FETCHING && task->stage != TW_TASK_WAITING;
 }
 
 /* What each machine can still take (less than nothing: no task may start there). Counts each job's
  * tasks on machines. */
-static room *free_rooms(tw_simulator_world *w) {
-    room *rooms = tw_simulator_zeroed((size_t)(w->nworkers + 1) * sizeof *rooms);
-    for (int i = 0; i < w->njobs; i++) w->jobs[i]->on_machine = w->jobs[i]->unstarted = 0;
-    for (int i = 0; i < w->nworkers; i++) {
-        const tw_simulator_worker *x = w->workers[i];
-        const tw_wire_machine_type *f = &w->types[x->type_index];
-        rooms[i] = (room){f->cores, f->gpus, f->memory_gb};
-        if (x->gone || !x->up || x->faulty || x->warned_at >= 0 || w->now < x->hung_until)
+static free_capacity *free_capacities(tw_simulator_world *world) {
+    free_capacity *rooms = tw_simulator_allocate((size_t)(world->worker_count + 1) * sizeof *rooms);
+    for (int i = 0; i < world->job_count; i++)
+        world->jobs[i]->on_machine = world->jobs[i]->unstarted = 0;
+    for (int i = 0; i < world->worker_count; i++) {
+        const tw_simulator_worker *worker = world->workers[i];
+        const tw_wire_machine_type *type = &world->types[worker->type_index];
+        rooms[i] = (free_capacity){type->cores, type->gpus, type->memory_gb};
+        if (worker->gone || !worker->up || worker->faulty || worker->preempted_at >= 0 ||
+            world->now < worker->hung_until)
             rooms[i].cpus = -1;
-        for (int k = 0; k < x->ntasks && !x->gone; k++) {
-            tw_simulator_job *job = x->tasks[k].job;
-            if (!is_on_machine(&x->tasks[k])) continue;
+        for (int k = 0; k < worker->task_count && !worker->gone; k++) {
+            tw_simulator_job *job = worker->tasks[k].job;
+            if (!is_on_machine(&worker->tasks[k])) continue;
             job->on_machine++;
-            job->unstarted += job->spec.gang && !has_begun(&x->tasks[k]);
+            job->unstarted += job->spec.gang && !has_begun(&worker->tasks[k]);
             rooms[i].cpus -= job->spec.cores;
             rooms[i].gpus -= job->spec.gpus;
             rooms[i].memory -= job->spec.memory_gb;
@@ -61,36 +63,38 @@
     return rooms;
 }
 
-static bool is_allowed(const tw_simulator_worker *x, const tw_wire_job *spec) {
+static bool is_allowed(const tw_simulator_worker *worker, const tw_wire_job *spec) {
     bool type = spec->machine_type_count < 0;
     for (int i = 0; i < spec->machine_type_count; i++)
-        type |= !strcmp(spec->machine_types[i], x->type);
-    return type && (!x->spot || spec->spot) && (!*spec->zone || !strcmp(spec->zone, x->zone));
+        type |= !strcmp(spec->machine_types[i], worker->type);
+    return type && (!worker->spot || spec->spot) &&
+           (!*spec->zone || !strcmp(spec->zone, worker->zone));
 }
 
 /* How many tasks of a job a machine has room for. */
-static int tasks_that_fit(const room *r, const tw_wire_job *spec, int wanted) {
-    int n = 0;
-    for (room left = *r; n < wanted; n++) {
+static int tasks_that_fit(const free_capacity *capacity, const tw_wire_job *spec, int wanted) {
+    int count = 0;
+    for (free_capacity left = *capacity; count < wanted; count++) {
         left.cpus -= spec->cores;
         left.gpus -= spec->gpus;
         left.memory -= spec->memory_gb;
         if (left.cpus < -EPSILON || left.gpus < -EPSILON || left.memory < -EPSILON) break;
     }
-    return n;
+    return count;
 }
 
 /* Whether the machines of a zone (NULL: of all zones) have room for so many tasks. */
-static bool has_room(const tw_simulator_world *w, const room *rooms, const tw_wire_job *spec,
-                     const char *zone, int wanted) {
-    int n = 0;
-    for (int i = 0; i < w->nworkers && n < wanted; i++) {
-        const tw_simulator_worker *x = w->workers[i];
-        if (rooms[i].cpus < 0 || !is_allowed(x, spec) || (zone && strcmp(zone, x->zone) != 0))
+static bool has_room(const tw_simulator_world *world, const free_capacity *rooms,
+                     const tw_wire_job *spec, const char *zone, int wanted) {
+    int count = 0;
+    for (int i = 0; i < world->worker_count && count < wanted; i++) {
+        const tw_simulator_worker *worker = world->workers[i];
+        if (rooms[i].cpus < 0 || !is_allowed(worker, spec) ||
+            (zone && strcmp(zone, worker->zone) != 0))
             continue;
-        n += tasks_that_fit(&rooms[i], spec, wanted - n);
+        count += tasks_that_fit(&rooms[i], spec, wanted - count);
     }
-    return n >= wanted;
+    return count >= wanted;
 }
 
 /* So many tasks must start together, or one. Those of a gang that wait already have their room; in
@@ -101,86 +105,87 @@
     return spec->gang || (spec->service && spec->single_zone) ? spec->task_count : 1;
 }
 
-static bool could_start(const tw_simulator_world *w, const room *rooms,
+static bool could_start(const tw_simulator_world *world, const free_capacity *rooms,
                         const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_at_once(job);
     if (wanted > 1 && spec->spread) return false; /* not judged */
-    if (!spec->single_zone || wanted == 1) return has_room(w, rooms, spec, NULL, wanted);
-    for (int i = 0; i < w->nworkers; i++)
-        if (has_room(w, rooms, spec, w->workers[i]->zone, wanted)) return true;
+    if (!spec->single_zone || wanted == 1) return has_room(world, rooms, spec, NULL, wanted);
+    for (int i = 0; i < world->worker_count; i++)
+        if (has_room(world, rooms, spec, world->workers[i]->zone, wanted)) return true;
     return false;
 }
 
-static bool is_under_limit(const tw_simulator_world *w, const tw_simulator_job *job) {
+static bool is_under_limit(const tw_simulator_world *world, const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_at_once(job), i = 0;
-    while (i < w->nteams && strcmp(w->teams[i].name, spec->team) != 0) i++;
-    if (i == w->nteams) return false;
+    while (i < world->team_count && strcmp(world->teams[i].name, spec->team) != 0) i++;
+    if (i == world->team_count) return false;
     double cpus = wanted * spec->cores, gpus = wanted * spec->gpus;
-    for (int k = 0; k < w->nworkers; k++) {
-        const tw_simulator_worker *x = w->workers[k];
-        for (int t = 0; t < x->ntasks && !x->gone; t++) {
-            if (!is_on_machine(&x->tasks[t])) continue;
-            const tw_wire_job *other = &x->tasks[t].job->spec;
+    for (int k = 0; k < world->worker_count; k++) {
+        const tw_simulator_worker *worker = world->workers[k];
+        for (int t = 0; t < worker->task_count && !worker->gone; t++) {
+            if (!is_on_machine(&worker->tasks[t])) continue;
+            const tw_wire_job *other = &worker->tasks[t].job->spec;
             if (strcmp(other->team, spec->team) != 0) continue;
             cpus += other->cores;
             gpus += other->gpus;
         }
     }
-    const tw_simulator_team *team = &w->teams[i];
+    const tw_simulator_team *team = &world->teams[i];
     return (team->cpus_max <= 0 || cpus <= team->cpus_max + EPSILON) &&
            (team->gpus_max <= 0 || gpus <= team->gpus_max + EPSILON);
 }
 
 /* Tasks on machines that do something useful there, or will by themselves. */
-static int useful(const tw_simulator_job *job) { return job->on_machine - job->unstarted; }
+static int useful_tasks(const tw_simulator_job *job) { return job->on_machine - job->unstarted; }
 
 /* Accepted, not cancelled, not over, and no task of it is on a machine, or only such that wait for
  * the rest of their gang. */
 static bool is_waiting(const tw_simulator_job *job) {
     return job->accepted && job->cancel_asked_at <= 0 && !job->fails && !job->told_over &&
-           job->ndone < job->spec.task_count && !useful(job);
+           job->done_count < job->spec.task_count && !useful_tasks(job);
 }
 
-static void judge_waiting(tw_simulator_world *w, tw_simulator_job *job, const room *rooms) {
-    bool waits = w->now >= w->troubles_end && is_waiting(job) && could_start(w, rooms, job) &&
-                 is_under_limit(w, job);
+static void judge_waiting(tw_simulator_world *world, tw_simulator_job *job,
+                          const free_capacity *rooms) {
+    bool waits = world->now >= world->troubles_end && is_waiting(job) &&
+                 could_start(world, rooms, job) && is_under_limit(world, job);
     if (!waits)
         job->waits_since = 0;
     else if (job->waits_since <= 0)
-        job->waits_since = w->now;
-    else if (w->now > job->waits_since + STUCK_S)
-        tw_simulator_break(w, "stuck", "%s waits since %.2f while a machine has room", job->spec.id,
-                           job->waits_since);
+        job->waits_since = world->now;
+    else if (world->now > job->waits_since + STUCK_S)
+        tw_simulator_rule_broken(world, "stuck", "%s waits since %.2f while a machine has room",
+                                 job->spec.id, job->waits_since);
 }
 
-void tw_simulator_judge_live(tw_simulator_world *w) {
-    room *rooms = free_rooms(w);
-    for (int i = 0; i < w->njobs; i++) {
-        judge_answers(w, w->jobs[i]);
-        judge_waiting(w, w->jobs[i], rooms);
+void tw_simulator_judge_live(tw_simulator_world *world) {
+    free_capacity *rooms = free_capacities(world);
+    for (int i = 0; i < world->job_count; i++) {
+        judge_answers(world, world->jobs[i]);
+        judge_waiting(world, world->jobs[i], rooms);
     }
     free(rooms);
 }
 
 /* ---- unserved ---- */
 
-static double size_of(const tw_wire_job *spec) {
+static double size_of_job(const tw_wire_job *spec) {
     return spec->task_count * (spec->cores + GPU_WEIGHT * spec->gpus);
 }
 
 /* Jobs that count: old enough, not refused as impossible, not cancelled, without a mistake. */
-static bool counts(const tw_simulator_world *w, const tw_simulator_job *job) {
+static bool counts(const tw_simulator_world *world, const tw_simulator_job *job) {
     bool refused =
         job->last_status == TW_SIMULATOR_MALFORMED || job->last_status == TW_SIMULATOR_IMPOSSIBLE;
     return job->submitted && !refused && job->cancel_asked_at <= 0 && !job->fails &&
-           w->now >= job->first_try + w->served_age_s;
+           world->now >= job->first_try + world->served_age_s;
 }
 
 /* At least half of its tasks are done or on a machine. */
 static bool is_served(const tw_simulator_job *job) {
-    return job->ndone + useful(job) >= LEAST_SERVED * job->spec.task_count;
+    return job->done_count + useful_tasks(job) >= LEAST_SERVED * job->spec.task_count;
 }
 
 static bool began_in_time(const tw_simulator_job *job) {
@@ -191,56 +196,59 @@
 typedef struct {
     const char *class, *team; /* NULL: any */
     double least_size;
-} kind;
+} job_group;
 
-static bool is_of(const kind *k, const tw_wire_job *spec) {
-    return (!k->class || !strcmp(k->class, spec->job_class)) &&
-           (!k->team || !strcmp(k->team, spec->team)) && size_of(spec) >= k->least_size;
+static bool is_of(const job_group *group, const tw_wire_job *spec) {
+    return (!group->class || !strcmp(group->class, spec->job_class)) &&
+           (!group->team || !strcmp(group->team, spec->team)) &&
+           size_of_job(spec) >= group->least_size;
 }
 
-static void judge_kind(tw_simulator_world *w, const kind *k, const char *what, const char *name) {
+static void judge_kind(tw_simulator_world *world, const job_group *group, const char *what,
+                       const char *name) {
     int all = 0, served = 0;
-    for (int i = 0; i < w->njobs; i++) {
-        const tw_simulator_job *job = w->jobs[i];
-        if (!counts(w, job) || !is_of(k, &job->spec)) continue;
+    for (int i = 0; i < world->job_count; i++) {
+        const tw_simulator_job *job = world->jobs[i];
+        if (!counts(world, job) || !is_of(group, &job->spec)) continue;
         all++;
-        served += is_served(job) && (k->least_size <= 0 || began_in_time(job));
+        served += is_served(job) && (group->least_size <= 0 || began_in_time(job));
     }
     if (served < LEAST_SERVED * all)
-        tw_simulator_break(w, "unserved", "%s %s: %d of %d jobs", what, name, served, all);
+        tw_simulator_rule_broken(world, "unserved", "%s %s: %d of %d jobs", what, name, served,
+                                 all);
 }
 
 /* The first that counts of its class or team. */
-static int is_first(const tw_simulator_world *w, const tw_simulator_job *job, bool by_team) {
+static int is_first(const tw_simulator_world *world, const tw_simulator_job *job, bool by_team) {
     for (int i = 0; i < job->index; i++) {
-        const tw_wire_job *a = &w->jobs[i]->spec, *b = &job->spec;
-        if (counts(w, w->jobs[i]) &&
+        const tw_wire_job *a = &world->jobs[i]->spec, *b = &job->spec;
+        if (counts(world, world->jobs[i]) &&
             !strcmp(by_team ? a->team : a->job_class, by_team ? b->team : b->job_class))
             return 0;
     }
     return 1;
 }
 
-static kind largest_of(const tw_simulator_world *w, const char *class) {
-    kind k = {.class = class};
-    for (int i = 0; i < w->njobs; i++) {
-        const tw_simulator_job *job = w->jobs[i];
-        if (counts(w, job) && !strcmp(job->spec.job_class, class))
-            k.least_size = fmax(k.least_size, LARGEST_SHARE * size_of(&job->spec));
+static job_group largest_of(const tw_simulator_world *world, const char *class) {
+    job_group group = {.class = class};
+    for (int i = 0; i < world->job_count; i++) {
+        const tw_simulator_job *job = world->jobs[i];
+        if (counts(world, job) && !strcmp(job->spec.job_class, class))
+            group.least_size = fmax(group.least_size, LARGEST_SHARE * size_of_job(&job->spec));
     }
-    return k;
+    return group;
 }
 
-void tw_simulator_judge_served(tw_simulator_world *w) {
-    free(free_rooms(w)); /* counts tasks on machines */
-    for (int i = 0; i < w->njobs; i++) {
-        const tw_simulator_job *job = w->jobs[i];
+void tw_simulator_judge_served(tw_simulator_world *world) {
+    free(free_capacities(world)); /* counts tasks on machines */
+    for (int i = 0; i < world->job_count; i++) {
+        const tw_simulator_job *job = world->jobs[i];
         const char *class = job->spec.job_class, *team = job->spec.team;
-        if (!counts(w, job)) continue;
-        if (is_first(w, job, true)) judge_kind(w, &(kind){.team = team}, "team", team);
-        if (!is_first(w, job, false)) continue;
-        kind largest = largest_of(w, class);
-        judge_kind(w, &(kind){.class = class}, "class", class);
-        judge_kind(w, &largest, "largest of class", class);
+        if (!counts(world, job)) continue;
+        if (is_first(world, job, true)) judge_kind(world, &(job_group){.team = team}, "team", team);
+        if (!is_first(world, job, false)) continue;
+        job_group largest = largest_of(world, class);
+        judge_kind(world, &(job_group){.class = class}, "class", class);
+        judge_kind(world, &largest, "largest of class", class);
     }
 }
--- a/simulator/network.c
+++ b/simulator/network.c
@@ -14,10 +14,10 @@
 }
 
 static bool is_cut(const tw_simulator *sim, const char *a, const char *b) {
-    const tw_simulator_troubles *t = &sim->trouble;
-    if (sim->world.now >= t->cut_until || !*a || !*b) return false;
-    return (!strcmp(a, t->cut_from) && !strcmp(b, t->cut_to)) ||
-           (!strcmp(b, t->cut_from) && !strcmp(a, t->cut_to));
+    const tw_simulator_troubles *troubles = &sim->trouble;
+    if (sim->world.now >= troubles->cut_until || !*a || !*b) return false;
+    return (!strcmp(a, troubles->cut_from) && !strcmp(b, troubles->cut_to)) ||
+           (!strcmp(b, troubles->cut_from) && !strcmp(a, troubles->cut_to));
 }
 
 double tw_simulator_travel(const tw_simulator *sim, const char *from, const char *to) {
@@ -28,124 +28,135 @@
 }
 
 bool tw_simulator_reaches_state(const tw_simulator *sim, int node) {
-    const tw_simulator_node *n = &sim->nodes[node];
+    const tw_simulator_node *node_state = &sim->nodes[node];
     double now = sim->world.now;
-    return now >= n->alone_until && now >= n->cut_state_until &&
+    return now >= node_state->alone_until && now >= node_state->cut_state_until &&
            !tw_simulator_cut_off(sim, sim->world.node_zone[node]);
 }
 
 /* ---- answers ---- */
 
-static void answer_arrives(tw_simulator *sim, tw_simulator_event *e) {
-    tw_simulator_node_response(sim, e);
+static void deliver_answer(tw_simulator *sim, tw_simulator_event *event) {
+    tw_simulator_node_response(sim, event);
 }
 
-void tw_simulator_respond(tw_simulator *sim, int node, int generation, uint64_t call, int status,
-                          char *body, double seconds) {
-    tw_simulator_event *e = tw_simulator_after(sim, seconds, answer_arrives);
-    e->node = node;
-    e->generation = generation;
-    e->id = call;
-    e->status = status;
-    e->body = body;
+void tw_simulator_schedule_response(tw_simulator *sim, int node, int generation, uint64_t call,
+                                    int status, char *body, double seconds) {
+    tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, deliver_answer);
+    event->node = node;
+    event->generation = generation;
+    event->id = call;
+    event->status = status;
+    event->body = body;
 }
 
 /* ---- arrivals ---- */
 
-static const char *body_of(const tw_simulator_event *e) { return e->body ? e->body : ""; }
+static const char *body_of(const tw_simulator_event *event) {
+    return event->body ? event->body : "";
+}
 
 /* A watch stays open until something changes or its time is over, and longer for a node that the
  * state service's answers don't reach. */
-static void follow_arrives(tw_simulator *sim, tw_simulator_event *e) {
+static void deliver_follow(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_state *state = &sim->world.state;
-    bool up = state->down_since < 0, reached = tw_simulator_reaches_state(sim, e->node);
-    bool open = sim->world.now < e->time;
-    if (sim->nodes[e->node].generation != e->generation) return;
-    if (!reached || sim->world.now < sim->nodes[e->node].no_state_until) {
-        tw_simulator_again(sim, e, WATCH_LOOK_S);
+    bool up = state->down_since < 0, reached = tw_simulator_reaches_state(sim, event->node);
+    bool open = sim->world.now < event->time;
+    if (sim->nodes[event->node].generation != event->generation) return;
+    if (!reached || sim->world.now < sim->nodes[event->node].no_state_until) {
+        tw_simulator_reschedule_after(sim, event, WATCH_LOOK_S);
         return;
     }
     if (up) tw_simulator_state_expire(state, sim->world.now);
-    if (open && (!up || state->revision == e->session)) {
-        tw_simulator_again(sim, e, WATCH_LOOK_S);
+    if (open && (!up || state->revision == event->incarnation)) {
+        tw_simulator_reschedule_after(sim, event, WATCH_LOOK_S);
         return;
     }
     char *out;
-    int status = tw_simulator_state_request(state, sim->world.now, e->method, e->path, "", &out);
+    int status =
+        tw_simulator_state_request(state, sim->world.now, event->method, event->path, "", &out);
     if (open && (status != TW_SIMULATOR_OK || strstr(out, "\"log\":[]"))) {
         free(out);
-        e->session = state->revision; /* looked at up to here */
-        tw_simulator_again(sim, e, WATCH_LOOK_S);
+        event->incarnation = state->revision; /* looked at up to here */
+        tw_simulator_reschedule_after(sim, event, WATCH_LOOK_S);
         return;
     }
-    tw_simulator_respond(sim, e->node, e->generation, e->id, status, out, TW_SIMULATOR_LATENCY);
+    tw_simulator_schedule_response(sim, event->node, event->generation, event->id, status, out,
+                                   TW_SIMULATOR_LATENCY);
 }
 
-static void state_arrives(tw_simulator *sim, tw_simulator_event *e) {
+static void deliver_to_state(tw_simulator *sim, tw_simulator_event *event) {
     char *out;
-    int status = tw_simulator_state_request(&sim->world.state, sim->world.now, e->method, e->path,
-                                            body_of(e), &out);
-    bool lost = e->kind || !tw_simulator_reaches_state(sim, e->node);
-    tw_simulator_reports_kept(sim);
-    if (!strcmp(e->path, "/txn") && sim->trouble.lose_txns > 0 && status == TW_SIMULATOR_OK) {
+    int status = tw_simulator_state_request(&sim->world.state, sim->world.now, event->method,
+                                            event->path, body_of(event), &out);
+    bool lost = event->kind || !tw_simulator_reaches_state(sim, event->node);
+    tw_simulator_deliver_held_heartbeats(sim);
+    if (!strcmp(event->path, "/txn") && sim->trouble.lose_txns > 0 && status == TW_SIMULATOR_OK) {
         sim->trouble.lose_txns--;
         lost = true;
     }
     if (lost)
         free(out);
     else
-        tw_simulator_respond(sim, e->node, e->generation, e->id, status, out, TW_SIMULATOR_LATENCY);
+        tw_simulator_schedule_response(sim, event->node, event->generation, event->id, status, out,
+                                       TW_SIMULATOR_LATENCY);
 }
 
-static void cloud_arrives(tw_simulator *sim, tw_simulator_event *e) {
+static void deliver_to_cloud(tw_simulator *sim, tw_simulator_event *event) {
     char *out;
     int status = TW_SIMULATOR_UNAVAILABLE;
     if (sim->world.now < sim->trouble.no_cloud_until)
-        out = tw_simulator_text("{\"error\":\"trouble\"}");
+        out = tw_simulator_copy_text("{\"error\":\"trouble\"}");
     else
-        status = tw_simulator_cloud_request(&sim->world, e->method, e->path, body_of(e), &out);
-    tw_simulator_respond(sim, e->node, e->generation, e->id, status, out, TW_SIMULATOR_LATENCY);
+        status = tw_simulator_cloud_request(&sim->world, event->method, event->path, body_of(event),
+                                            &out);
+    tw_simulator_schedule_response(sim, event->node, event->generation, event->id, status, out,
+                                   TW_SIMULATOR_LATENCY);
 }
 
-static void command_arrives(tw_simulator *sim, tw_simulator_event *e) {
-    tw_simulator_worker *x = sim->world.workers[e->target];
-    if (x->gone || !x->up) return;
-    if (sim->world.now < x->hung_until) { /* executed when it goes on */
-        tw_simulator_again_at(sim, e, x->hung_until);
+static void deliver_command(tw_simulator *sim, tw_simulator_event *event) {
+    tw_simulator_worker *worker = sim->world.workers[event->target];
+    if (worker->gone || !worker->up) return;
+    if (sim->world.now < worker->hung_until) { /* executed when it goes on */
+        tw_simulator_reschedule_at(sim, event, worker->hung_until);
         return;
     }
     char *out;
-    int status = tw_simulator_worker_request(&sim->world, x, e->method, e->path, body_of(e), &out);
-    double back = tw_simulator_travel(sim, sim->world.node_zone[e->node], x->zone);
-    if (back < 0 || sim->world.now < x->deaf_until)
+    int status = tw_simulator_worker_request(&sim->world, worker, event->method, event->path,
+                                             body_of(event), &out);
+    double back = tw_simulator_travel(sim, sim->world.node_zone[event->node], worker->zone);
+    if (back < 0 || sim->world.now < worker->unresponsive_until)
         free(out);
     else
-        tw_simulator_respond(sim, e->node, e->generation, e->id, status, out, back);
+        tw_simulator_schedule_response(sim, event->node, event->generation, event->id, status, out,
+                                       back);
 }
 
-static void peer_arrives(tw_simulator *sim, tw_simulator_event *e) {
-    if (!sim->nodes[e->target].alive) return;
-    tw_simulator_conn *c = tw_simulator_conn_new(sim, e->target, TW_SIMULATOR_CONN_PEER);
-    c->source = e->node;
-    c->source_generation = e->generation;
-    c->call = e->id;
-    tw_simulator_node_request(sim, e->target, TW_PORT_PEER, c->id, e->method, e->path, body_of(e));
+static void deliver_to_peer(tw_simulator *sim, tw_simulator_event *event) {
+    if (!sim->nodes[event->target].alive) return;
+    tw_simulator_connection *connection =
+        tw_simulator_connection_new(sim, event->target, TW_SIMULATOR_CONNECTION_PEER);
+    connection->source = event->node;
+    connection->source_generation = event->generation;
+    connection->call = event->id;
+    tw_simulator_node_request(sim, event->target, TW_PORT_PEER, connection->id, event->method,
+                              event->path, body_of(event));
 }
 
 /* ---- departures ---- */
 
-static tw_simulator_event *carry(tw_simulator *sim, double seconds,
-                                 void (*act)(tw_simulator *, tw_simulator_event *), int node,
-                                 tw_effect *f) {
-    tw_simulator_event *e = tw_simulator_after(sim, seconds, act);
-    e->node = node;
-    e->generation = sim->nodes[node].generation;
-    e->id = f->id;
-    e->method = f->method;
-    e->path = f->path;
-    e->body = f->body;
-    f->path = f->body = NULL;
-    return e;
+static tw_simulator_event *schedule_arrival(tw_simulator *sim, double seconds,
+                                            void (*act)(tw_simulator *, tw_simulator_event *),
+                                            int node, tw_effect *effect) {
+    tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, act);
+    event->node = node;
+    event->generation = sim->nodes[node].generation;
+    event->id = effect->id;
+    event->method = effect->method;
+    event->path = effect->path;
+    event->body = effect->body;
+    effect->path = effect->body = NULL;
+    return event;
 }
 
 /* Whether the state service's limit of requests allows one more. */
@@ -159,80 +170,83 @@
 }
 
 /* Whether a transaction's answer gets lost; it may be carried out late, too. */
-static int transaction_trouble(tw_simulator *sim, double *latency) {
-    tw_simulator_troubles *t = &sim->trouble;
-    if (t->late_txn_s > 0) {
-        *latency = t->late_txn_s;
-        t->late_txn_s = 0;
+static int strike_transaction(tw_simulator *sim, double *latency) {
+    tw_simulator_troubles *troubles = &sim->trouble;
+    if (troubles->late_txn_s > 0) {
+        *latency = troubles->late_txn_s;
+        troubles->late_txn_s = 0;
         return 1;
     }
-    if (tw_simulator_strikes(sim, &t->late_writes, TW_SIMULATOR_LATE_WRITES,
-                             TW_SIMULATOR_DRAW_WRITES)) {
+    if (tw_simulator_trouble_strikes(sim, &troubles->late_writes, TW_SIMULATOR_LATE_WRITES,
+                                     TW_SIMULATOR_DRAW_WRITES)) {
         *latency = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_WRITES,
                                      TW_SIMULATOR_HELD_LEAST_S, TW_SIMULATOR_WRITE_HELD_MOST_S);
         return 1;
     }
-    return tw_simulator_strikes(sim, &t->lost_writes, TW_SIMULATOR_LOST_WRITES,
-                                TW_SIMULATOR_DRAW_WRITES);
+    return tw_simulator_trouble_strikes(sim, &troubles->lost_writes, TW_SIMULATOR_LOST_WRITES,
+                                        TW_SIMULATOR_DRAW_WRITES);
 }
 
-static void call_state(tw_simulator *sim, int node, tw_effect *f) {
-    const tw_simulator_node *n = &sim->nodes[node];
+static void call_state(tw_simulator *sim, int node, tw_effect *effect) {
+    const tw_simulator_node *node_state = &sim->nodes[node];
     double now = sim->world.now;
     int status = 0;
-    if (now < n->cut_state_until) sim->strokes[TW_SIMULATOR_CUT_STATE]++;
-    if (now < n->cut_state_until && n->cut_state_refuses) {
-        tw_simulator_respond(sim, node, n->generation, f->id, 0, NULL, TW_SIMULATOR_LATENCY);
+    if (now < node_state->cut_state_until) sim->strike_counts[TW_SIMULATOR_CUT_STATE]++;
+    if (now < node_state->cut_state_until && node_state->cut_state_refuses) {
+        tw_simulator_schedule_response(sim, node, node_state->generation, effect->id, 0, NULL,
+                                       TW_SIMULATOR_LATENCY);
         return;
     }
     if (!tw_simulator_reaches_state(sim, node)) return;
     if (!allows_request(sim))
         status = TW_SIMULATOR_TOO_MANY;
-    else if (now < n->no_state_until)
+    else if (now < node_state->no_state_until)
         status = TW_SIMULATOR_UNAVAILABLE;
     if (status) {
-        tw_simulator_respond(sim, node, n->generation, f->id, status, tw_simulator_text("{}"),
-                             TW_SIMULATOR_LATENCY);
+        tw_simulator_schedule_response(sim, node, node_state->generation, effect->id, status,
+                                       tw_simulator_copy_text("{}"), TW_SIMULATOR_LATENCY);
         return;
     }
     double latency =
         now < sim->trouble.slow_state_until ? sim->trouble.slow_state_s : TW_SIMULATOR_LATENCY;
-    if (!strcmp(f->path, "/txn")) {
-        int lost = transaction_trouble(sim, &latency);
-        carry(sim, latency, state_arrives, node, f)->kind = lost;
+    if (!strcmp(effect->path, "/txn")) {
+        int lost = strike_transaction(sim, &latency);
+        schedule_arrival(sim, latency, deliver_to_state, node, effect)->kind = lost;
         return;
     }
-    const char *hold = strstr(f->path, "holdMs=");
-    double until = now + (hold ? tw_simulator_number(hold + strlen("holdMs=")) / 1000 : 0);
-    bool watches = !strncmp(f->path, "/follow", strlen("/follow"));
-    carry(sim, latency, watches ? follow_arrives : state_arrives, node, f)->time = until;
+    const char *hold = strstr(effect->path, "holdMs=");
+    double until = now + (hold ? tw_simulator_parse_number(hold + strlen("holdMs=")) / 1000 : 0);
+    bool watches = !strncmp(effect->path, "/follow", strlen("/follow"));
+    schedule_arrival(sim, latency, watches ? deliver_follow : deliver_to_state, node, effect)
+        ->time = until;
 }
 
-static void call_peer(tw_simulator *sim, int node, tw_effect *f) {
-    const tw_simulator_world *w = &sim->world;
-    int to = tw_simulator_int(f->addr + strlen("10.0.0.")) - 1;
-    if (w->now < sim->trouble.refuse_peers_until) {
-        tw_simulator_respond(sim, node, sim->nodes[node].generation, f->id, 0, NULL,
-                             TW_SIMULATOR_LATENCY);
+static void call_peer(tw_simulator *sim, int node, tw_effect *effect) {
+    const tw_simulator_world *world = &sim->world;
+    int to = tw_simulator_parse_int(effect->addr + strlen("10.0.0.")) - 1;
+    if (world->now < sim->trouble.refuse_peers_until) {
+        tw_simulator_schedule_response(sim, node, sim->nodes[node].generation, effect->id, 0, NULL,
+                                       TW_SIMULATOR_LATENCY);
         return;
     }
-    double seconds = tw_simulator_travel(sim, w->node_zone[node], w->node_zone[to]);
-    bool alone = w->now < sim->nodes[node].alone_until || w->now < sim->nodes[to].alone_until;
+    double seconds = tw_simulator_travel(sim, world->node_zone[node], world->node_zone[to]);
+    bool alone =
+        world->now < sim->nodes[node].alone_until || world->now < sim->nodes[to].alone_until;
     if (alone || seconds < 0) return;
-    carry(sim, seconds, peer_arrives, node, f)->target = to;
+    schedule_arrival(sim, seconds, deliver_to_peer, node, effect)->target = to;
 }
 
 /* Whether a direct command is held up: nobody waits for it any more when it is carried out. */
-static int command_late(tw_simulator *sim, int machine, const tw_effect *f, double *seconds) {
-    tw_simulator_troubles *t = &sim->trouble;
-    if (t->late_commands_to == machine) {
-        *seconds = t->late_commands_s;
-        t->late_commands_to = -1;
+static int delay_command(tw_simulator *sim, int machine, const tw_effect *effect, double *seconds) {
+    tw_simulator_troubles *troubles = &sim->trouble;
+    if (troubles->late_commands_to == machine) {
+        *seconds = troubles->late_commands_s;
+        troubles->late_commands_to = -1;
         return 1;
     }
-    if (strcmp(f->path, "/orders") != 0 ||
-        !tw_simulator_strikes(sim, &t->late_commands, TW_SIMULATOR_LATE_COMMANDS,
-                              TW_SIMULATOR_DRAW_COMMANDS))
+    if (strcmp(effect->path, "/orders") != 0 ||
+        !tw_simulator_trouble_strikes(sim, &troubles->late_commands, TW_SIMULATOR_LATE_COMMANDS,
+                                      TW_SIMULATOR_DRAW_COMMANDS))
         return 0;
     *seconds = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_COMMANDS, TW_SIMULATOR_HELD_LEAST_S,
                                  TW_SIMULATOR_COMMAND_HELD_MOST_S);
@@ -240,49 +254,52 @@
 }
 
 /* A direct command that is carried out comes once more later; nobody waits for that answer. */
-static void repeat_command(tw_simulator *sim, int node, int machine, const tw_effect *f) {
-    const tw_simulator_troubles *t = &sim->trouble;
-    if (strcmp(f->path, "/orders") != 0 ||
-        !tw_simulator_strikes(sim, &t->repeated_commands, TW_SIMULATOR_REPEATED_COMMANDS,
-                              TW_SIMULATOR_DRAW_REPEATS))
+static void repeat_command(tw_simulator *sim, int node, int machine, const tw_effect *effect) {
+    const tw_simulator_troubles *troubles = &sim->trouble;
+    if (strcmp(effect->path, "/orders") != 0 ||
+        !tw_simulator_trouble_strikes(sim, &troubles->repeated_commands,
+                                      TW_SIMULATOR_REPEATED_COMMANDS, TW_SIMULATOR_DRAW_REPEATS))
         return;
     const double seconds =
         tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_REPEATS, TW_SIMULATOR_HELD_LEAST_S,
                           TW_SIMULATOR_COMMAND_HELD_MOST_S);
-    tw_simulator_event *e = tw_simulator_after(sim, seconds, command_arrives);
-    e->node = node;
-    e->generation = sim->nodes[node].generation;
-    e->target = machine;
-    e->method = f->method;
-    e->path = tw_simulator_text(f->path);
-    e->body = tw_simulator_text(f->body ? f->body : "");
+    tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, deliver_command);
+    event->node = node;
+    event->generation = sim->nodes[node].generation;
+    event->target = machine;
+    event->method = effect->method;
+    event->path = tw_simulator_copy_text(effect->path);
+    event->body = tw_simulator_copy_text(effect->body ? effect->body : "");
 }
 
-static void call_worker(tw_simulator *sim, int node, tw_effect *f) {
-    const tw_simulator_world *w = &sim->world;
-    int to = tw_simulator_int(f->addr + strlen("10.1.0.")) - 1;
-    if (to < 0 || to >= w->nworkers) return;
-    const tw_simulator_worker *x = w->workers[to];
-    double seconds = tw_simulator_travel(sim, w->node_zone[node], x->zone);
-    if (w->now < x->deaf_until) sim->strokes[TW_SIMULATOR_DEAF]++;
-    if (seconds < 0 || w->now < x->deaf_until || w->now < sim->nodes[node].no_workers_until) return;
-    int late = command_late(sim, to, f, &seconds);
-    if (!late) repeat_command(sim, node, to, f);
-    tw_simulator_event *e = carry(sim, seconds, command_arrives, node, f);
-    e->target = to;
-    if (late) e->id = 0;
+static void call_worker(tw_simulator *sim, int node, tw_effect *effect) {
+    const tw_simulator_world *world = &sim->world;
+    int to = tw_simulator_parse_int(effect->addr + strlen("10.1.0.")) - 1;
+    if (to < 0 || to >= world->worker_count) return;
+    const tw_simulator_worker *worker = world->workers[to];
+    double seconds = tw_simulator_travel(sim, world->node_zone[node], worker->zone);
+    if (world->now < worker->unresponsive_until) sim->strike_counts[TW_SIMULATOR_UNRESPONSIVE]++;
+    if (seconds < 0 || world->now < worker->unresponsive_until ||
+        world->now < sim->nodes[node].no_workers_until)
+        return;
+    int late = delay_command(sim, to, effect, &seconds);
+    if (!late) repeat_command(sim, node, to, effect);
+    tw_simulator_event *event = schedule_arrival(sim, seconds, deliver_command, node, effect);
+    event->target = to;
+    if (late) event->id = 0;
 }
 
-void tw_simulator_call(tw_simulator *sim, int node, tw_effect *f) {
-    tw_simulator_respond(sim, node, sim->nodes[node].generation, f->id, 0, NULL, f->timeout_s);
-    bool leaves_region = f->to == TW_TO_STATE || f->to == TW_TO_CLOUD;
+void tw_simulator_send_call(tw_simulator *sim, int node, tw_effect *effect) {
+    tw_simulator_schedule_response(sim, node, sim->nodes[node].generation, effect->id, 0, NULL,
+                                   effect->timeout_s);
+    bool leaves_region = effect->to == TW_TO_STATE || effect->to == TW_TO_CLOUD;
     if (leaves_region && tw_simulator_cut_off(sim, sim->world.node_zone[node])) return;
-    if (f->to == TW_TO_STATE)
-        call_state(sim, node, f);
-    else if (f->to == TW_TO_CLOUD)
-        carry(sim, CLOUD_LATENCY, cloud_arrives, node, f);
-    else if (f->to == TW_TO_PEER)
-        call_peer(sim, node, f);
+    if (effect->to == TW_TO_STATE)
+        call_state(sim, node, effect);
+    else if (effect->to == TW_TO_CLOUD)
+        schedule_arrival(sim, CLOUD_LATENCY, deliver_to_cloud, node, effect);
+    else if (effect->to == TW_TO_PEER)
+        call_peer(sim, node, effect);
     else
-        call_worker(sim, node, f);
+        call_worker(sim, node, effect);
 }
--- a/simulator/odd.c
+++ b/simulator/odd.c
@@ -11,22 +11,22 @@
 #define FIRST_ODD_ID 900000
 #define TOO_MUCH 1e6
 
-static int draw_index(tw_simulator *sim, int n) {
-    return tw_simulator_draw_index(&sim->world, TW_SIMULATOR_DRAW_ODD, n);
+static int draw_index(tw_simulator *sim, int count) {
+    return tw_simulator_draw_index(&sim->world, TW_SIMULATOR_DRAW_ODD, count);
 }
 
 /* Some accepted job that was told to be over in that way (0: not over), or NULL. */
 static tw_simulator_job *pick_job(tw_simulator *sim, int told_over) {
-    tw_simulator_world *w = &sim->world;
-    int first = w->njobs ? draw_index(sim, w->njobs) : 0;
-    for (int i = 0; i < w->njobs; i++) {
-        tw_simulator_job *job = w->jobs[(first + i) % w->njobs];
+    tw_simulator_world *world = &sim->world;
+    int first = world->job_count ? draw_index(sim, world->job_count) : 0;
+    for (int i = 0; i < world->job_count; i++) {
+        tw_simulator_job *job = world->jobs[(first + i) % world->job_count];
         if (job->submitted && job->accepted && job->told_over == told_over) return job;
     }
     return NULL;
 }
 
-static void repeat(tw_simulator *sim) {
+static void repeat_submission(tw_simulator *sim) {
     const tw_simulator_job *job = pick_job(sim, 0);
     if (job) tw_simulator_user_send_to(sim, job->index, TW_SIMULATOR_SUBMIT, -1);
 }
@@ -57,7 +57,7 @@
     if (job) tw_simulator_user_send_to(sim, job->index, TW_SIMULATOR_CANCEL, -1);
 }
 
-static tw_wire_job odd_job(tw_simulator *sim) {
+static tw_wire_job make_odd_job(tw_simulator *sim) {
     tw_wire_job spec = {.job_class = "lane",
                         .image = "img-1",
                         .priority = TW_PRIORITY_HIGH,
@@ -69,12 +69,13 @@
                         .expected_run_s = 10,
                         .deadline_s = -1};
     snprintf(spec.id, sizeof spec.id, "run-%06d", FIRST_ODD_ID + sim->next_odd++);
-    if (sim->world.nteams) snprintf(spec.team, sizeof spec.team, "%s", sim->world.teams[0].name);
+    if (sim->world.team_count)
+        snprintf(spec.team, sizeof spec.team, "%s", sim->world.teams[0].name);
     return spec;
 }
 
-static void fits_nothing(tw_simulator *sim) {
-    tw_wire_job spec = odd_job(sim);
+static void submit_impossible(tw_simulator *sim) {
+    tw_wire_job spec = make_odd_job(sim);
     switch (draw_index(sim, 3)) {
     case 0:
         spec.cores = TOO_MUCH;
@@ -89,10 +90,10 @@
                           TW_SIMULATOR_IMPOSSIBLE);
 }
 
-static void lacks_field(tw_simulator *sim) {
+static void submit_without_field(tw_simulator *sim) {
     static const char *const needed[] = {"lane",   "crew",  "shape",    "rank",
                                          "pieces", "cores", "memoryGb", "bundle"};
-    tw_wire_job spec = odd_job(sim);
+    tw_wire_job spec = make_odd_job(sim);
     char *text = tw_simulator_job_text(&spec);
     cJSON *o = cJSON_Parse(text);
     cJSON_DeleteItemFromObjectCaseSensitive(
@@ -103,18 +104,22 @@
 }
 
 static void ask_unknown(tw_simulator *sim) {
-    tw_wire_job spec = odd_job(sim);
+    tw_wire_job spec = make_odd_job(sim);
     tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_POLL, NULL, TW_SIMULATOR_UNKNOWN);
 }
 
-static void next(tw_simulator *sim, tw_simulator_event *e) {
-    static void (*const kinds[])(tw_simulator *) = {
-        repeat, repeat_with_other_fields, cancel_done, fits_nothing, lacks_field, ask_unknown};
+static void send_odd_request(tw_simulator *sim, tw_simulator_event *event) {
+    static void (*const kinds[])(tw_simulator *) = {repeat_submission,    repeat_with_other_fields,
+                                                    cancel_done,          submit_impossible,
+                                                    submit_without_field, ask_unknown};
     if (sim->world.now >= sim->trouble.odd_requests_until) return;
-    sim->strokes[TW_SIMULATOR_ODD_REQUESTS]++;
+    sim->strike_counts[TW_SIMULATOR_ODD_REQUESTS]++;
     kinds[draw_index(sim, sizeof kinds / sizeof *kinds)](sim);
-    tw_simulator_again(
-        sim, e, tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_ODD, EVERY_LEAST_S, EVERY_MOST_S));
+    tw_simulator_reschedule_after(
+        sim, event,
+        tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_ODD, EVERY_LEAST_S, EVERY_MOST_S));
 }
 
-void tw_simulator_odd_start(tw_simulator *sim) { tw_simulator_after(sim, 0, next); }
+void tw_simulator_odd_start(tw_simulator *sim) {
+    tw_simulator_schedule_after(sim, 0, send_odd_request);
+}
--- a/simulator/simulator.c
+++ b/simulator/simulator.c
@@ -10,7 +10,7 @@
 #define HASH_PRIME 1099511628211u
 
 tw_simulator *tw_simulator_new(const char *name) {
-    tw_simulator *sim = tw_simulator_zeroed(sizeof *sim);
+    tw_simulator *sim = tw_simulator_allocate(sizeof *sim);
     snprintf(sim->name, sizeof sim->name, "%s", name ? name : "");
     sim->quiet = !name;
     sim->trace = name && getenv("TW_TRACE");
@@ -19,7 +19,7 @@
     sim->world.job_ended = tw_simulator_job_ended;
     sim->world.context = sim;
     sim->trouble.late_commands_to = -1;
-    sim->trouble.copy_report_of = -1;
+    sim->trouble.copy_heartbeat_of = -1;
     sim->rps = 1e9;
     sim->request_tokens = 1e9;
     sim->end_s = DEFAULT_END_S;
@@ -28,68 +28,70 @@
 }
 
 void tw_simulator_earlier_version(tw_simulator *sim, const char *program) {
-    sim->earlier = program && *program ? program : NULL;
+    sim->earlier_program = program && *program ? program : NULL;
 }
 
 bool tw_simulator_lacks_earlier_version(const tw_simulator *sim) {
-    return sim->needs_earlier && !sim->earlier;
+    return sim->needs_earlier && !sim->earlier_program;
 }
 
 void tw_simulator_fail(tw_simulator *sim, const char *what, const char *detail) {
-    tw_simulator_world *w = &sim->world;
-    if (!sim->failed++ && !*w->rule)
-        snprintf(w->detail, sizeof w->detail, "t=%.2f %s %s", w->now, what, detail);
-    if (!sim->quiet) printf("FAIL %s: t=%.2f %s %s\n", sim->name, w->now, what, detail);
+    tw_simulator_world *world = &sim->world;
+    if (!sim->failed++ && !*world->rule)
+        snprintf(world->detail, sizeof world->detail, "t=%.2f %s %s", world->now, what, detail);
+    if (!sim->quiet) printf("FAIL %s: t=%.2f %s %s\n", sim->name, world->now, what, detail);
 }
 
-static void hash(tw_simulator *sim, const void *bytes, size_t size) {
+static void add_to_digest(tw_simulator *sim, const void *bytes, size_t size) {
     const unsigned char *p = bytes;
     for (size_t i = 0; i < size; i++) sim->digest = (sim->digest ^ p[i]) * HASH_PRIME;
 }
 
 void tw_simulator_digest(tw_simulator *sim, int kind, int who, int status, const char *body) {
     const int numbers[] = {kind, who, status};
-    hash(sim, &sim->world.now, sizeof sim->world.now);
-    hash(sim, numbers, sizeof numbers);
-    if (body) hash(sim, body, strlen(body));
+    add_to_digest(sim, &sim->world.now, sizeof sim->world.now);
+    add_to_digest(sim, numbers, sizeof numbers);
+    if (body) add_to_digest(sim, body, strlen(body));
 }
 
 void tw_simulator_run(tw_simulator *sim, tw_simulator_verdict *verdict) {
-    tw_simulator_world *w = &sim->world;
-    tw_simulator_event *e;
-    for (int i = 0; i < w->nnodes; i++) tw_simulator_node_start_after(sim, i, 0);
+    tw_simulator_world *world = &sim->world;
+    tw_simulator_event *event;
+    for (int i = 0; i < world->node_count; i++) tw_simulator_node_start_after(sim, i, 0);
     tw_simulator_workers_start(sim);
-    while (w->nnodes && !*w->rule && (e = tw_simulator_next_event(sim))) {
-        bool over = e->at > sim->end_s;
+    while (world->node_count && !*world->rule && (event = tw_simulator_next_event(sim))) {
+        bool over = event->at > sim->end_s;
         if (!over) {
-            w->now = e->at;
-            e->act(sim, e);
+            world->now = event->at;
+            event->act(sim, event);
         }
-        if (!e->queued) tw_simulator_event_free(e);
+        if (!event->queued) tw_simulator_event_free(event);
         if (over) break;
     }
-    if (w->served_age_s > 0 && !*w->rule) tw_simulator_judge_served(w);
+    if (world->served_age_s > 0 && !*world->rule) tw_simulator_judge_served(world);
     memset(verdict, 0, sizeof *verdict);
-    memcpy(verdict->rule, w->rule, sizeof verdict->rule);
-    memcpy(verdict->detail, w->detail, sizeof verdict->detail);
+    memcpy(verdict->rule, world->rule, sizeof verdict->rule);
+    memcpy(verdict->detail, world->detail, sizeof verdict->detail);
     verdict->failed = sim->failed;
-    verdict->crossings = w->crossings;
-    verdict->end_s = w->now;
+    verdict->crossings = world->crossings;
+    verdict->end_s = world->now;
     verdict->digest = sim->digest;
 }
 
 void tw_simulator_free(tw_simulator *sim) {
     if (!sim) return;
-    for (int i = 0; i < sim->world.nnodes; i++) tw_simulator_node_kill(sim, i); /* adds events */
-    for (size_t i = 0; i < sim->nheap; i++) tw_simulator_event_free(sim->heap[i]);
-    free(sim->heap);
-    tw_simulator_conn *c, *next;
-    HASH_ITER(hh, sim->conns, c, next) {
-        HASH_DEL(sim->conns, c);
-        free(c);
+    for (int i = 0; i < sim->world.node_count; i++)
+        tw_simulator_node_kill(sim, i); /* adds events */
+    for (size_t i = 0; i < sim->event_count; i++) tw_simulator_event_free(sim->events[i]);
+    free(sim->events);
+    tw_simulator_connection *connection, *next;
+    HASH_ITER(hh, sim->connections, connection, next) {
+        HASH_DEL(sim->connections, connection);
+        free(connection);
     }
-    for (int i = 0; i < sim->trouble.nkept; i++) free(sim->trouble.kept[i].body);
-    free(sim->trouble.kept);
+    for (int i = 0; i < sim->trouble.held_heartbeat_count; i++)
+        free(sim->trouble.held_heartbeats[i].body);
+    free(sim->trouble.held_heartbeats);
     free(sim->teams);
     free(sim->objectives);
     free(sim->next_limits);
--- a/simulator/simulator.h
+++ b/simulator/simulator.h
@@ -28,7 +28,7 @@
 /* Whether the lines taken so far ask for the earlier version, and there is no program for it. */
 bool tw_simulator_lacks_earlier_version(const tw_simulator *sim);
 /* Takes one line of the scenario language; 0, or -1 with a text. */
-int tw_simulator_line(tw_simulator *sim, const char *line, char *error, size_t error_size);
+int tw_simulator_take_line(tw_simulator *sim, const char *line, char *error, size_t error_size);
 /* Plays the lines taken so far to their end or to the first broken rule. Once only. Without any
  * node nothing happens. */
 void tw_simulator_run(tw_simulator *sim, tw_simulator_verdict *verdict);
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -13,19 +13,19 @@
 #define TW_SIMULATOR_HELD_LEAST_S 2.0
 #define TW_SIMULATOR_WRITE_HELD_MOST_S 12.0
 #define TW_SIMULATOR_COMMAND_HELD_MOST_S 16.0
-#define TW_SIMULATOR_REPORT_HELD_MOST_LEASES 2.5
+#define TW_SIMULATOR_HEARTBEAT_HELD_MOST_LEASES 2.5
 
 /* Something that happens at a time. What the fields hold is up to `act`. */
 typedef struct tw_simulator_event {
     double at;
-    uint64_t seq; /* events of one moment happen in the order of their coming */
+    uint64_t sequence; /* events of one moment happen in the order of their coming */
     bool queued;
     void (*act)(tw_simulator *sim, struct tw_simulator_event *e);
     int node, generation; /* of the node that called */
     int target;           /* node, machine or job */
     int kind, status;
     double time;
-    uint64_t id, session;
+    uint64_t id, incarnation;
     const char *method;
     char *path, *body;
 } tw_simulator_event;
@@ -33,7 +33,7 @@
 typedef struct {
     tw_simulator_controller *controller;
     int alive, generation;
-    bool old;                       /* starts with the earlier version */
+    bool earlier_version;           /* starts with the earlier version */
     double no_state_until;          /* the state service gives 503 to this node only */
     double no_workers_until;        /* messages from and to workers get lost for it */
     double alone_until;             /* state service and peers hang for it */
@@ -42,14 +42,14 @@
     bool cut_state_refuses;         /* connections are refused; otherwise they hang */
     double still_from, still_until; /* stands still while its clocks run on */
     double sends_late_until;        /* what it decides leaves only then, while its clocks run on */
-    tw_effect *unsent, **last_unsent;
+    tw_effect *delayed_effects, **last_delayed_effect;
 } tw_simulator_node;
 
 enum {
-    TW_SIMULATOR_CONN_REPORT,
-    TW_SIMULATOR_CONN_USER,
-    TW_SIMULATOR_CONN_PEER,
-    TW_SIMULATOR_CONN_RAW
+    TW_SIMULATOR_CONNECTION_HEARTBEAT,
+    TW_SIMULATOR_CONNECTION_USER,
+    TW_SIMULATOR_CONNECTION_PEER,
+    TW_SIMULATOR_CONNECTION_RAW
 };
 /* A request that a node has got and not answered yet. */
 typedef struct {
@@ -57,37 +57,37 @@
     int kind, node;
     int target; /* machine or job; -1: a job that nobody submitted, see `what` */
     int user_kind;
-    int once;                      /* not repeated when it fails */
+    int tried_once;                /* not repeated when it fails */
     int arrived, replied;          /* a user's request: at the node; answered by it */
     int source, source_generation; /* a peer's */
     int wanted;                    /* raw and odd requests: the status it must get */
     double sent;
-    uint64_t session, call;
+    uint64_t incarnation, call;
     char what[TW_SIMULATOR_TITLE];
     UT_hash_handle hh;
-} tw_simulator_conn;
+} tw_simulator_connection;
 
 /* A share of messages is struck until some time. */
 typedef struct {
     double share, until;
-} tw_simulator_share;
+} tw_simulator_message_share;
 
 /* A report kept for the next leader, or for a later one. */
 typedef struct {
     int machine;
-    int leaders; /* that begin until it arrives */
-    uint64_t session;
+    int leaders_until_delivery; /* that begin until it arrives */
+    uint64_t incarnation;
     double sent;
     char *body;
-} tw_simulator_kept;
+} tw_simulator_held_heartbeat;
 
 /* Troubles and habits whose strokes are counted, by the names of their commands. */
 enum {
     TW_SIMULATOR_LATE_WRITES,
     TW_SIMULATOR_LOST_WRITES,
-    TW_SIMULATOR_LATE_REPORTS,
+    TW_SIMULATOR_LATE_HEARTBEATS,
     TW_SIMULATOR_MUTE,
-    TW_SIMULATOR_DEAF,
+    TW_SIMULATOR_UNRESPONSIVE,
     TW_SIMULATOR_LATE_COMMANDS,
     TW_SIMULATOR_CUT_STATE,
     TW_SIMULATOR_SLOW_NODE,
@@ -97,24 +97,25 @@
     TW_SIMULATOR_CANCEL_AT_END,
     TW_SIMULATOR_CANCEL_NOW,
     TW_SIMULATOR_ODD_REQUESTS,
-    TW_SIMULATOR_STROKES
+    TW_SIMULATOR_TROUBLE_KINDS
 };
 
 /* Troubles that are on. */
 typedef struct {
-    tw_simulator_share late_writes, lost_writes, late_reports, late_commands, repeated_commands;
-    int late_reports_kept; /* the copies are kept for that many leaders; 0: they aren't */
-    tw_simulator_kept *kept;
-    int nkept, kept_cap;
+    tw_simulator_message_share late_writes, lost_writes, late_heartbeats, late_commands,
+        repeated_commands;
+    int late_heartbeat_leaders; /* the copies are kept for that many leaders; 0: they aren't */
+    tw_simulator_held_heartbeat *held_heartbeats;
+    int held_heartbeat_count, held_heartbeat_capacity;
     uint64_t leader_version; /* of the leader's key, when last looked at */
     double close_looks_until, odd_requests_until;
-    tw_simulator_share cancel_at_end;
+    tw_simulator_message_share cancel_at_end;
     int lose_txns;        /* so many answers of transactions */
     double late_txn_s;    /* the next transaction is applied that late */
     int late_commands_to; /* the next direct command to this machine; -1: none */
     double late_commands_s;
-    int copy_report_of; /* the next report of this machine comes again; -1: none */
-    double copy_report_s;
+    int copy_heartbeat_of; /* the next report of this machine comes again; -1: none */
+    double copy_heartbeat_s;
     char cut_from[TW_SIMULATOR_NAME], cut_to[TW_SIMULATOR_NAME];
     bool cut_holds; /* messages are delivered at its end */
     double cut_until;
@@ -129,8 +130,8 @@
 struct tw_simulator {
     char name[TW_SIMULATOR_TITLE];
     bool quiet, trace;
-    const char *earlier; /* program of the earlier version (tw_core_server), or NULL */
-    int needs_earlier;   /* a line asks for a node of the earlier version */
+    const char *earlier_program; /* program of the earlier version (tw_core_server), or NULL */
+    int needs_earlier;           /* a line asks for a node of the earlier version */
     tw_simulator_world world;
     tw_simulator_node nodes[TW_SIMULATOR_MAX_NODES];
     tw_simulator_troubles trouble;
@@ -138,21 +139,21 @@
     char *objectives, *teams;                /* settings text */
     char *next_limits;                       /* the same, of the state service's limits to come */
     double end_s;
-    tw_simulator_event **heap;
-    size_t nheap, heap_cap;
-    uint64_t seq, last_conn, last_flight;
-    tw_simulator_conn *conns;
+    tw_simulator_event **events;
+    size_t event_count, event_capacity;
+    uint64_t last_sequence, last_connection, last_heartbeat;
+    tw_simulator_connection *connections;
     int next_node; /* the load balancer's */
     int failed;
     uint64_t digest;
-    unsigned strokes[TW_SIMULATOR_STROKES];
+    unsigned strike_counts[TW_SIMULATOR_TROUBLE_KINDS];
     int next_odd; /* number of the next job that can't be taken */
 };
 
 /* A line of the scenario language, in words. */
 typedef struct {
-    char *word[TW_SIMULATOR_MAX_WORDS];
-    int n;
+    char *words[TW_SIMULATOR_MAX_WORDS];
+    int count;
     const char *line; /* all of it */
 } tw_simulator_words;
 
@@ -161,16 +162,17 @@
 void tw_simulator_digest(tw_simulator *sim, int kind, int who, int status, const char *body);
 
 /* ---- event.c ---- */
-tw_simulator_event *tw_simulator_after(tw_simulator *sim, double seconds,
-                                       void (*act)(tw_simulator *sim, tw_simulator_event *e));
-tw_simulator_event *tw_simulator_at(tw_simulator *sim, double at,
-                                    void (*act)(tw_simulator *sim, tw_simulator_event *e));
+tw_simulator_event *tw_simulator_schedule_after(tw_simulator *sim, double seconds,
+                                                void (*act)(tw_simulator *sim,
+                                                            tw_simulator_event *e));
+tw_simulator_event *tw_simulator_schedule_at(tw_simulator *sim, double at,
+                                             void (*act)(tw_simulator *sim, tw_simulator_event *e));
 /* The event that happens now does so again. */
-void tw_simulator_again(tw_simulator *sim, tw_simulator_event *e, double seconds);
-void tw_simulator_again_at(tw_simulator *sim, tw_simulator_event *e, double at);
+void tw_simulator_reschedule_after(tw_simulator *sim, tw_simulator_event *event, double seconds);
+void tw_simulator_reschedule_at(tw_simulator *sim, tw_simulator_event *event, double at);
 /* NULL: there is none. */
 tw_simulator_event *tw_simulator_next_event(tw_simulator *sim);
-void tw_simulator_event_free(tw_simulator_event *e);
+void tw_simulator_event_free(tw_simulator_event *event);
 
 /* ---- network.c ---- */
 /* Whether a zone is cut off from everything. */
@@ -178,11 +180,11 @@
 /* How long a message between zones takes; < 0: it never arrives. */
 double tw_simulator_travel(const tw_simulator *sim, const char *from, const char *to);
 /* A node's call goes out; its answer comes to tw_simulator_node_response. */
-void tw_simulator_call(tw_simulator *sim, int node, tw_effect *f);
+void tw_simulator_send_call(tw_simulator *sim, int node, tw_effect *effect);
 /* An answer to a node's call comes after that time. Takes the body. Later answers to a call are
  * ignored by the core, so that a timeout may simply follow. */
-void tw_simulator_respond(tw_simulator *sim, int node, int generation, uint64_t call, int status,
-                          char *body, double seconds);
+void tw_simulator_schedule_response(tw_simulator *sim, int node, int generation, uint64_t call,
+                                    int status, char *body, double seconds);
 
 /* Whether answers of the state service reach a node. */
 bool tw_simulator_reaches_state(const tw_simulator *sim, int node);
@@ -192,26 +194,26 @@
 void tw_simulator_node_start_after(tw_simulator *sim, int node, double seconds);
 void tw_simulator_node_kill(tw_simulator *sim, int node);
 /* What the node has decided leaves when its `sends_late_until` has come. */
-void tw_simulator_node_sends_late(tw_simulator *sim, int node);
+void tw_simulator_node_delay_messages(tw_simulator *sim, int node);
 /* The node that holds the leader's key; -1: none. */
 int tw_simulator_leader(tw_simulator *sim);
 /* By name, or "leader"; -1: none. */
 int tw_simulator_node_find(tw_simulator *sim, const char *name);
-tw_simulator_conn *tw_simulator_conn_new(tw_simulator *sim, int node, int kind);
-void tw_simulator_node_request(tw_simulator *sim, int node, int port, uint64_t conn,
+tw_simulator_connection *tw_simulator_connection_new(tw_simulator *sim, int node, int kind);
+void tw_simulator_node_request(tw_simulator *sim, int node, int port, uint64_t connection,
                                const char *method, const char *path, const char *body);
 
 /* The answer to a call of a node arrives. */
-void tw_simulator_node_response(tw_simulator *sim, tw_simulator_event *e);
+void tw_simulator_node_response(tw_simulator *sim, tw_simulator_event *event);
 
 /* ---- report.c: workers and their reports ---- */
 /* All machines, twenty times a second. */
 void tw_simulator_workers_start(tw_simulator *sim);
-void tw_simulator_report_answered(tw_simulator *sim, const tw_simulator_conn *c,
-                                  const tw_effect *f);
+void tw_simulator_heartbeat_answered(tw_simulator *sim, const tw_simulator_connection *connection,
+                                     const tw_effect *effect);
 
 /* A new leader has begun, or not: reports that were kept for it arrive. */
-void tw_simulator_reports_kept(tw_simulator *sim);
+void tw_simulator_deliver_held_heartbeats(tw_simulator *sim);
 
 /* ---- user.c ---- */
 void tw_simulator_user_send(tw_simulator *sim, int job, int kind);
@@ -222,9 +224,10 @@
 void tw_simulator_user_odd(tw_simulator *sim, const char *id, int kind, char *body, int wanted);
 /* A submission with other fields than the job's. */
 void tw_simulator_user_submit_as(tw_simulator *sim, int job, const tw_wire_job *spec);
-void tw_simulator_user_answered(tw_simulator *sim, tw_simulator_conn *c, tw_effect *f);
+void tw_simulator_user_answered(tw_simulator *sim, tw_simulator_connection *connection,
+                                tw_effect *effect);
 /* The node that had the request ended. */
-void tw_simulator_user_unanswered(tw_simulator *sim, tw_simulator_conn *c);
+void tw_simulator_user_unanswered(tw_simulator *sim, tw_simulator_connection *connection);
 char *tw_simulator_job_text(const tw_wire_job *spec);
 /* The node that a user's new connection comes to; -1: none can be reached. */
 int tw_simulator_pick_node(tw_simulator *sim);
@@ -252,17 +255,19 @@
 extern const tw_simulator_command tw_simulator_habit_commands[];
 extern const tw_simulator_command tw_simulator_upgrade_commands[];
 /* A trouble lasts at least that much longer. */
-void tw_simulator_trouble_for(tw_simulator *sim, double seconds);
+void tw_simulator_extend_troubles(tw_simulator *sim, double seconds);
 /* Whether a message is struck; counted. */
-int tw_simulator_strikes(tw_simulator *sim, const tw_simulator_share *share, int stroke, int draw);
+int tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
+                                 int trouble, int draw);
 /* The node begins as one of the earlier version; -1: there is no such node. */
-int tw_simulator_node_old(tw_simulator *sim, const char *name);
-void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *w);
+int tw_simulator_use_earlier_version(tw_simulator *sim, const char *name);
+void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words);
 /* The state service's limits to come, as nodes that start are told: value=KB ops=N write_rps=N
  * rps=N. */
-void tw_simulator_set_next(tw_simulator *sim, const tw_simulator_words *w);
+void tw_simulator_set_next_limits(tw_simulator *sim, const tw_simulator_words *words);
 /* The value of `key=`, or NULL. */
-const char *tw_simulator_option(const tw_simulator_words *w, const char *key);
-double tw_simulator_option_number(const tw_simulator_words *w, const char *key, double otherwise);
+const char *tw_simulator_option(const tw_simulator_words *words, const char *key);
+double tw_simulator_option_number(const tw_simulator_words *words, const char *key,
+                                  double otherwise);
 
 #endif
--- a/simulator/state.c
+++ b/simulator/state.c
@@ -18,29 +18,30 @@
 #define KB 1024
 #define MOST_BYTES ((size_t)64 * KB) /* of a transaction */
 
-void tw_simulator_state_init(tw_simulator_state *s) {
-    memset(s, 0, sizeof *s);
-    s->down_since = -1;
-    s->revision = FIRST_REVISION;
-    s->limits = (tw_simulator_limits){NO_LIMIT, DEFAULT_VALUE_KB, DEFAULT_TXN_OPS};
-    s->told = (tw_simulator_limits){DEFAULT_WRITE_RPS, DEFAULT_VALUE_KB, DEFAULT_TXN_OPS};
+void tw_simulator_state_init(tw_simulator_state *state) {
+    memset(state, 0, sizeof *state);
+    state->down_since = -1;
+    state->revision = FIRST_REVISION;
+    state->limits = (tw_simulator_limits){NO_LIMIT, DEFAULT_VALUE_KB, DEFAULT_TXN_OPS};
+    state->announced_limits =
+        (tw_simulator_limits){DEFAULT_WRITE_RPS, DEFAULT_VALUE_KB, DEFAULT_TXN_OPS};
 }
 
-void tw_simulator_state_free(tw_simulator_state *s) {
-    for (size_t i = 0; i < s->nkeys; i++) {
-        free(s->keys[i].key);
-        free(s->keys[i].value);
+void tw_simulator_state_free(tw_simulator_state *state) {
+    for (size_t i = 0; i < state->key_count; i++) {
+        free(state->keys[i].key);
+        free(state->keys[i].value);
     }
-    free(s->keys);
-    free(s->leases);
+    free(state->keys);
+    free(state->leases);
 }
 
 /* Place of the first key that isn't before this one. */
-static size_t key_place(const tw_simulator_state *s, const char *key) {
-    size_t low = 0, high = s->nkeys;
+static size_t key_place(const tw_simulator_state *state, const char *key) {
+    size_t low = 0, high = state->key_count;
     while (low < high) {
         size_t mid = (low + high) / 2;
-        if (strcmp(s->keys[mid].key, key) < 0)
+        if (strcmp(state->keys[mid].key, key) < 0)
             low = mid + 1;
         else
             high = mid;
@@ -48,139 +49,143 @@
     return low;
 }
 
-static tw_simulator_key *key_find(const tw_simulator_state *s, const char *key) {
-    size_t i = key_place(s, key);
-    return i < s->nkeys && !strcmp(s->keys[i].key, key) ? &s->keys[i] : NULL;
+static tw_simulator_key *key_find(const tw_simulator_state *state, const char *key) {
+    size_t i = key_place(state, key);
+    return i < state->key_count && !strcmp(state->keys[i].key, key) ? &state->keys[i] : NULL;
 }
 
-const char *tw_simulator_state_value(const tw_simulator_state *s, const char *key) {
-    const tw_simulator_key *k = key_find(s, key);
-    return k ? k->value : NULL;
+const char *tw_simulator_state_value(const tw_simulator_state *state, const char *key) {
+    const tw_simulator_key *entry = key_find(state, key);
+    return entry ? entry->value : NULL;
 }
 
-uint64_t tw_simulator_state_version(const tw_simulator_state *s, const char *key) {
-    const tw_simulator_key *k = key_find(s, key);
-    return k ? k->version : 0;
+uint64_t tw_simulator_state_version(const tw_simulator_state *state, const char *key) {
+    const tw_simulator_key *entry = key_find(state, key);
+    return entry ? entry->version : 0;
 }
 
-static void key_put(tw_simulator_state *s, const char *key, char *value, uint64_t lease) {
-    size_t i = key_place(s, key);
-    if (i == s->nkeys || strcmp(s->keys[i].key, key) != 0) {
-        if (s->nkeys == s->keys_cap) {
-            s->keys_cap = s->keys_cap ? 2 * s->keys_cap : 16;
-            s->keys = realloc(s->keys, s->keys_cap * sizeof *s->keys);
-            if (!s->keys) abort();
+static void key_put(tw_simulator_state *state, const char *key, char *value, uint64_t lease) {
+    size_t i = key_place(state, key);
+    if (i == state->key_count || strcmp(state->keys[i].key, key) != 0) {
+        if (state->key_count == state->key_capacity) {
+            state->key_capacity = state->key_capacity ? 2 * state->key_capacity : 16;
+            state->keys = realloc(state->keys, state->key_capacity * sizeof *state->keys);
+            if (!state->keys) abort();
         }
-        memmove(&s->keys[i + 1], &s->keys[i], (s->nkeys - i) * sizeof *s->keys);
-        s->nkeys++;
-        s->keys[i] = (tw_simulator_key){.key = tw_simulator_text(key)};
+        memmove(&state->keys[i + 1], &state->keys[i], (state->key_count - i) * sizeof *state->keys);
+        state->key_count++;
+        state->keys[i] = (tw_simulator_key){.key = tw_simulator_copy_text(key)};
     }
-    free(s->keys[i].value);
-    s->keys[i].value = value;
-    s->keys[i].version = s->revision;
-    s->keys[i].lease = lease;
+    free(state->keys[i].value);
+    state->keys[i].value = value;
+    state->keys[i].version = state->revision;
+    state->keys[i].lease = lease;
 }
 
-static void key_remove(tw_simulator_state *s, tw_simulator_key *k) {
-    tw_simulator_removal *r = &s->removals[s->nremovals++ % TW_SIMULATOR_MAX_REMOVALS];
-    snprintf(r->key, sizeof r->key, "%s", k->key);
-    r->revision = s->revision;
-    free(k->key);
-    free(k->value);
-    memmove(k, k + 1, (s->nkeys - (size_t)(k - s->keys) - 1) * sizeof *k);
-    s->nkeys--;
+static void key_remove(tw_simulator_state *state, tw_simulator_key *entry) {
+    tw_simulator_removal *removal =
+        &state->removals[state->removal_count++ % TW_SIMULATOR_MAX_REMOVALS];
+    snprintf(removal->key, sizeof removal->key, "%s", entry->key);
+    removal->revision = state->revision;
+    free(entry->key);
+    free(entry->value);
+    memmove(entry, entry + 1,
+            (state->key_count - (size_t)(entry - state->keys) - 1) * sizeof *entry);
+    state->key_count--;
 }
 
-static tw_simulator_lease *lease_find(const tw_simulator_state *s, uint64_t id) {
-    for (int i = 0; i < s->nleases; i++)
-        if (s->leases[i].id == id) return &s->leases[i];
+static tw_simulator_lease *lease_find(const tw_simulator_state *state, uint64_t id) {
+    for (int i = 0; i < state->lease_count; i++)
+        if (state->leases[i].id == id) return &state->leases[i];
     return NULL;
 }
 
-static void lease_end(tw_simulator_state *s, tw_simulator_lease *lease) {
-    s->revision++;
-    for (size_t i = s->nkeys; i-- > 0;)
-        if (s->keys[i].lease == lease->id) key_remove(s, &s->keys[i]);
-    *lease = s->leases[--s->nleases];
+static void lease_end(tw_simulator_state *state, tw_simulator_lease *lease) {
+    state->revision++;
+    for (size_t i = state->key_count; i-- > 0;)
+        if (state->keys[i].lease == lease->id) key_remove(state, &state->keys[i]);
+    *lease = state->leases[--state->lease_count];
 }
 
-void tw_simulator_state_outage(tw_simulator_state *s, double now, bool on) {
+void tw_simulator_state_outage(tw_simulator_state *state, double now, bool on) {
     if (on) {
-        s->down_since = now;
+        state->down_since = now;
         return;
     }
-    for (int i = 0; i < s->nleases; i++) s->leases[i].until = now + s->leases[i].ttl;
-    s->down_since = -1;
+    for (int i = 0; i < state->lease_count; i++)
+        state->leases[i].until = now + state->leases[i].ttl;
+    state->down_since = -1;
 }
 
-static cJSON *entry(const tw_simulator_key *k) {
+static cJSON *entry_json(const tw_simulator_key *entry) {
     cJSON *o = cJSON_CreateObject();
-    cJSON_AddStringToObject(o, "k", k->key);
-    cJSON_AddRawToObject(o, "data", k->value);
-    cJSON_AddNumberToObject(o, "stamp", (double)k->version);
-    if (k->lease) cJSON_AddNumberToObject(o, "hold", (double)k->lease);
+    cJSON_AddStringToObject(o, "k", entry->key);
+    cJSON_AddRawToObject(o, "data", entry->value);
+    cJSON_AddNumberToObject(o, "stamp", (double)entry->version);
+    if (entry->lease) cJSON_AddNumberToObject(o, "hold", (double)entry->lease);
     return o;
 }
 
-static char *revision_text(const tw_simulator_state *s) {
+static char *print_revision(const tw_simulator_state *state) {
     char text[64];
-    snprintf(text, sizeof text, "{\"ledger\":%llu}", (unsigned long long)s->revision);
-    return tw_simulator_text(text);
+    snprintf(text, sizeof text, "{\"ledger\":%llu}", (unsigned long long)state->revision);
+    return tw_simulator_copy_text(text);
 }
 
 /* ---- transactions ---- */
 
-static int allows_writes(tw_simulator_state *s, double now, int n) {
-    s->write_tokens += (now - s->write_at) * s->limits.write_rps;
-    s->write_at = now;
-    if (s->write_tokens > s->limits.write_rps) s->write_tokens = s->limits.write_rps;
-    if (s->write_tokens < n) return 0;
-    s->write_tokens -= n;
+static int allows_writes(tw_simulator_state *state, double now, int count) {
+    state->write_tokens += (now - state->write_at) * state->limits.write_rps;
+    state->write_at = now;
+    if (state->write_tokens > state->limits.write_rps)
+        state->write_tokens = state->limits.write_rps;
+    if (state->write_tokens < count) return 0;
+    state->write_tokens -= count;
     return 1;
 }
 
 /* Keys whose version isn't as the transaction demands. */
-static cJSON *failed_keys(const tw_simulator_state *s, const cJSON *conditions) {
+static cJSON *failed_keys(const tw_simulator_state *state, const cJSON *conditions) {
     cJSON *failed = cJSON_CreateArray();
-    const cJSON *c;
-    cJSON_ArrayForEach(c, conditions) {
-        const char *key = tw_simulator_json_text(c, "k");
-        const tw_simulator_key *k = key_find(s, key);
-        if ((k ? k->version : 0) != (uint64_t)tw_simulator_json_number(c, "stamp"))
+    const cJSON *change;
+    cJSON_ArrayForEach(change, conditions) {
+        const char *key = tw_simulator_json_text(change, "k");
+        const tw_simulator_key *entry = key_find(state, key);
+        if ((entry ? entry->version : 0) != (uint64_t)tw_simulator_json_number(change, "stamp"))
             cJSON_AddItemToArray(failed, cJSON_CreateString(key));
     }
     return failed;
 }
 
-static int leases_live(const tw_simulator_state *s, const cJSON *changes) {
-    const cJSON *c;
-    cJSON_ArrayForEach(c, changes) {
-        uint64_t lease = (uint64_t)tw_simulator_json_number(c, "hold");
-        if (lease && !lease_find(s, lease)) return 0;
+static int leases_live(const tw_simulator_state *state, const cJSON *changes) {
+    const cJSON *change;
+    cJSON_ArrayForEach(change, changes) {
+        uint64_t lease = (uint64_t)tw_simulator_json_number(change, "hold");
+        if (lease && !lease_find(state, lease)) return 0;
     }
     return 1;
 }
 
-static void apply(tw_simulator_state *s, const cJSON *changes) {
-    const cJSON *c;
-    s->revision++;
-    cJSON_ArrayForEach(c, changes) {
-        const char *removed = tw_simulator_json_text(c, "remove");
-        tw_simulator_key *k = *removed ? key_find(s, removed) : NULL;
-        if (k) key_remove(s, k);
+static void apply_changes(tw_simulator_state *state, const cJSON *changes) {
+    const cJSON *change;
+    state->revision++;
+    cJSON_ArrayForEach(change, changes) {
+        const char *removed = tw_simulator_json_text(change, "remove");
+        tw_simulator_key *entry = *removed ? key_find(state, removed) : NULL;
+        if (entry) key_remove(state, entry);
         if (*removed) continue;
-        key_put(s, tw_simulator_json_text(c, "write"),
-                cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(c, "data")),
-                (uint64_t)tw_simulator_json_number(c, "hold"));
+        key_put(state, tw_simulator_json_text(change, "write"),
+                cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(change, "data")),
+                (uint64_t)tw_simulator_json_number(change, "hold"));
     }
 }
 
 /* Whether the transaction, or a value in it, is larger than the limits allow. */
-static int too_large(const tw_simulator_state *s, const char *body, const cJSON *txn) {
+static int is_too_large(const tw_simulator_state *state, const char *body, const cJSON *txn) {
     const cJSON *changes = cJSON_GetObjectItemCaseSensitive(txn, "apply");
     const cJSON *conditions = cJSON_GetObjectItemCaseSensitive(txn, "if");
-    if (strlen(body) > MOST_BYTES || cJSON_GetArraySize(changes) > s->limits.txn_ops ||
-        cJSON_GetArraySize(conditions) > CONDITIONS_PER_OP * s->limits.txn_ops)
+    if (strlen(body) > MOST_BYTES || cJSON_GetArraySize(changes) > state->limits.txn_ops ||
+        cJSON_GetArraySize(conditions) > CONDITIONS_PER_OP * state->limits.txn_ops)
         return 1;
     const cJSON *change;
     cJSON_ArrayForEach(change, changes) {
@@ -189,40 +194,41 @@
         char *text = cJSON_PrintUnformatted(data);
         const size_t length = strlen(text);
         free(text);
-        if ((double)length > s->limits.value_kb * KB) return 1;
+        if ((double)length > state->limits.value_kb * KB) return 1;
     }
     return 0;
 }
 
-static int transaction(tw_simulator_state *s, double now, const char *body, char **out) {
+static int carry_out_transaction(tw_simulator_state *state, double now, const char *body,
+                                 char **out) {
     cJSON *txn = cJSON_Parse(body);
     const cJSON *changes = cJSON_GetObjectItemCaseSensitive(txn, "apply");
     int status = TW_SIMULATOR_OK;
-    if (too_large(s, body, txn)) {
-        s->too_large++;
+    if (is_too_large(state, body, txn)) {
+        state->too_large_count++;
         cJSON_Delete(txn);
-        *out = tw_simulator_text("{\"error\":\"too large\"}");
+        *out = tw_simulator_copy_text("{\"error\":\"too large\"}");
         return TW_SIMULATOR_MALFORMED;
     }
-    if (!allows_writes(s, now, cJSON_GetArraySize(changes))) {
+    if (!allows_writes(state, now, cJSON_GetArraySize(changes))) {
         cJSON_Delete(txn);
-        *out = tw_simulator_text("{}");
+        *out = tw_simulator_copy_text("{}");
         return TW_SIMULATOR_TOO_MANY;
     }
-    cJSON *failed = failed_keys(s, cJSON_GetObjectItemCaseSensitive(txn, "if"));
-    if (!leases_live(s, changes)) {
-        *out = tw_simulator_text("{\"error\":\"no such lease\"}");
+    cJSON *failed = failed_keys(state, cJSON_GetObjectItemCaseSensitive(txn, "if"));
+    if (!leases_live(state, changes)) {
+        *out = tw_simulator_copy_text("{\"error\":\"no such lease\"}");
         status = TW_SIMULATOR_MALFORMED;
     } else if (cJSON_GetArraySize(failed)) {
         cJSON *answer = cJSON_CreateObject();
         cJSON_AddItemToObject(answer, "failed", failed);
-        cJSON_AddNumberToObject(answer, "ledger", (double)s->revision);
+        cJSON_AddNumberToObject(answer, "ledger", (double)state->revision);
         *out = tw_simulator_json_print(answer);
         failed = NULL;
         status = TW_SIMULATOR_CONFLICT;
     } else {
-        apply(s, changes);
-        *out = revision_text(s);
+        apply_changes(state, changes);
+        *out = print_revision(state);
     }
     cJSON_Delete(failed);
     cJSON_Delete(txn);
@@ -232,7 +238,7 @@
 /* ---- reads ---- */
 
 /* The text of a query's field, or "". */
-static void query(const char *path, const char *field, char *to, size_t size) {
+static void read_query_field(const char *path, const char *field, char *to, size_t size) {
     const char *at = strstr(path, field);
     *to = 0;
     if (!at) return;
@@ -240,25 +246,26 @@
     snprintf(to, size, "%.*s", (int)strcspn(at, "&"), at);
 }
 
-static int list(const tw_simulator_state *s, const char *path, char **out) {
+static int list_keys(const tw_simulator_state *state, const char *path, char **out) {
     char starts[TW_SIMULATOR_KEY], since[TW_SIMULATOR_KEY], most_text[NUMBER_SIZE];
-    query(path, "starts=", starts, sizeof starts);
-    query(path, "since=", since, sizeof since);
-    query(path, "most=", most_text, sizeof most_text);
-    int most = *most_text ? tw_simulator_int(most_text) : DEFAULT_LIST, n = 0, more = 0;
+    read_query_field(path, "starts=", starts, sizeof starts);
+    read_query_field(path, "since=", since, sizeof since);
+    read_query_field(path, "most=", most_text, sizeof most_text);
+    int most = *most_text ? tw_simulator_parse_int(most_text) : DEFAULT_LIST, count = 0, more = 0;
     cJSON *answer = cJSON_CreateObject(), *entries = cJSON_AddArrayToObject(answer, "entries");
-    for (size_t i = key_place(s, strcmp(since, starts) > 0 ? since : starts); i < s->nkeys; i++) {
-        const tw_simulator_key *k = &s->keys[i];
-        if (strncmp(k->key, starts, strlen(starts)) != 0) break;
-        if (*since && strcmp(k->key, since) <= 0) continue;
-        if (n++ >= most) {
+    for (size_t i = key_place(state, strcmp(since, starts) > 0 ? since : starts);
+         i < state->key_count; i++) {
+        const tw_simulator_key *entry = &state->keys[i];
+        if (strncmp(entry->key, starts, strlen(starts)) != 0) break;
+        if (*since && strcmp(entry->key, since) <= 0) continue;
+        if (count++ >= most) {
             more = 1;
             break;
         }
-        cJSON_AddItemToArray(entries, entry(k));
+        cJSON_AddItemToArray(entries, entry_json(entry));
     }
     cJSON_AddBoolToObject(answer, "more", more);
-    cJSON_AddNumberToObject(answer, "ledger", (double)s->revision);
+    cJSON_AddNumberToObject(answer, "ledger", (double)state->revision);
     *out = tw_simulator_json_print(answer);
     return TW_SIMULATOR_OK;
 }
@@ -273,24 +280,25 @@
 }
 
 /* Answers at once with what there is; whoever carries the request waits for more. */
-static int follow(const tw_simulator_state *s, const char *path, char **out) {
+static int follow_changes(const tw_simulator_state *state, const char *path, char **out) {
     char starts[TW_SIMULATOR_KEY], since_text[NUMBER_SIZE];
-    query(path, "starts=", starts, sizeof starts);
-    query(path, "since=", since_text, sizeof since_text);
+    read_query_field(path, "starts=", starts, sizeof starts);
+    read_query_field(path, "since=", since_text, sizeof since_text);
     uint64_t since = strtoull(since_text, NULL, DECIMAL);
     size_t prefix = strlen(starts);
     cJSON *answer = cJSON_CreateObject();
-    cJSON_AddNumberToObject(answer, "ledger", (double)s->revision);
+    cJSON_AddNumberToObject(answer, "ledger", (double)state->revision);
     cJSON *log = cJSON_AddArrayToObject(answer, "log");
-    for (size_t i = key_place(s, starts); i < s->nkeys && s->revision > since; i++) {
-        const tw_simulator_key *k = &s->keys[i];
-        if (strncmp(k->key, starts, prefix) != 0) break;
-        if (k->version > since) log_change(log, k->key, k->value, k->version);
+    for (size_t i = key_place(state, starts); i < state->key_count && state->revision > since;
+         i++) {
+        const tw_simulator_key *entry = &state->keys[i];
+        if (strncmp(entry->key, starts, prefix) != 0) break;
+        if (entry->version > since) log_change(log, entry->key, entry->value, entry->version);
     }
-    for (int i = 0; i < s->nremovals && i < TW_SIMULATOR_MAX_REMOVALS; i++) {
-        const tw_simulator_removal *r = &s->removals[i];
-        if (!strncmp(r->key, starts, prefix) && r->revision > since)
-            log_change(log, r->key, NULL, r->revision);
+    for (int i = 0; i < state->removal_count && i < TW_SIMULATOR_MAX_REMOVALS; i++) {
+        const tw_simulator_removal *removal = &state->removals[i];
+        if (!strncmp(removal->key, starts, prefix) && removal->revision > since)
+            log_change(log, removal->key, NULL, removal->revision);
     }
     *out = tw_simulator_json_print(answer);
     return TW_SIMULATOR_OK;
@@ -298,53 +306,55 @@
 
 /* ---- leases ---- */
 
-static int lease_new(tw_simulator_state *s, double now, const char *body, char **out) {
+static int lease_new(tw_simulator_state *state, double now, const char *body, char **out) {
     cJSON *o = cJSON_Parse(body);
     double ttl = tw_simulator_json_number(o, "lifeMs") / 1000;
     char text[64];
     cJSON_Delete(o);
-    s->leases = tw_simulator_grow(s->leases, s->nleases, &s->leases_cap, sizeof *s->leases);
-    s->leases[s->nleases++] = (tw_simulator_lease){++s->last_lease, ttl, now + ttl};
-    snprintf(text, sizeof text, "{\"hold\":%llu}", (unsigned long long)s->last_lease);
-    *out = tw_simulator_text(text);
+    state->leases = tw_simulator_grow(state->leases, state->lease_count, &state->lease_capacity,
+                                      sizeof *state->leases);
+    state->leases[state->lease_count++] = (tw_simulator_lease){++state->last_lease, ttl, now + ttl};
+    snprintf(text, sizeof text, "{\"hold\":%llu}", (unsigned long long)state->last_lease);
+    *out = tw_simulator_copy_text(text);
     return TW_SIMULATOR_OK;
 }
 
-static int lease_change(tw_simulator_state *s, double now, const char *method, const char *path,
+static int lease_change(tw_simulator_state *state, double now, const char *method, const char *path,
                         char **out) {
     const char *prefix = "/grants/";
-    *out = tw_simulator_text("{}");
+    *out = tw_simulator_copy_text("{}");
     if (strncmp(path, prefix, strlen(prefix)) != 0) return TW_SIMULATOR_MALFORMED;
-    tw_simulator_lease *lease = lease_find(s, strtoull(path + strlen(prefix), NULL, DECIMAL));
+    tw_simulator_lease *lease = lease_find(state, strtoull(path + strlen(prefix), NULL, DECIMAL));
     if (!lease) return TW_SIMULATOR_UNKNOWN;
     if (!strcmp(method, "DELETE"))
-        lease_end(s, lease);
+        lease_end(state, lease);
     else
         lease->until = now + lease->ttl;
     return TW_SIMULATOR_OK;
 }
 
-void tw_simulator_state_expire(tw_simulator_state *s, double now) {
-    for (int i = 0; i < s->nleases; i++)
-        if (now > s->leases[i].until) lease_end(s, &s->leases[i--]);
+void tw_simulator_state_expire(tw_simulator_state *state, double now) {
+    for (int i = 0; i < state->lease_count; i++)
+        if (now > state->leases[i].until) lease_end(state, &state->leases[i--]);
 }
 
-int tw_simulator_state_request(tw_simulator_state *s, double now, const char *method,
+int tw_simulator_state_request(tw_simulator_state *state, double now, const char *method,
                                const char *path, const char *body, char **out) {
     *out = NULL;
-    if (s->down_since >= 0) {
-        *out = tw_simulator_text("{}");
+    if (state->down_since >= 0) {
+        *out = tw_simulator_copy_text("{}");
         return TW_SIMULATOR_UNAVAILABLE;
     }
-    tw_simulator_state_expire(s, now);
-    if (!strcmp(path, "/txn")) return transaction(s, now, body, out);
-    if (!strncmp(path, "/kv?", 4)) return list(s, path, out);
-    if (!strncmp(path, "/follow?", 8)) return follow(s, path, out);
+    tw_simulator_state_expire(state, now);
+    if (!strcmp(path, "/txn")) return carry_out_transaction(state, now, body, out);
+    if (!strncmp(path, "/kv?", 4)) return list_keys(state, path, out);
+    if (!strncmp(path, "/follow?", 8)) return follow_changes(state, path, out);
     if (!strncmp(path, "/kv/", 4)) {
-        const tw_simulator_key *k = key_find(s, path + 4);
-        *out = k ? tw_simulator_json_print(entry(k)) : tw_simulator_text("{\"ledger\":1}");
-        return k ? TW_SIMULATOR_OK : TW_SIMULATOR_UNKNOWN;
+        const tw_simulator_key *entry = key_find(state, path + 4);
+        *out = entry ? tw_simulator_json_print(entry_json(entry))
+                     : tw_simulator_copy_text("{\"ledger\":1}");
+        return entry ? TW_SIMULATOR_OK : TW_SIMULATOR_UNKNOWN;
     }
-    if (!strcmp(path, "/grants")) return lease_new(s, now, body, out);
-    return lease_change(s, now, method, path, out);
+    if (!strcmp(path, "/grants")) return lease_new(state, now, body, out);
+    return lease_change(state, now, method, path, out);
 }
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -7,291 +7,316 @@
 #include <string.h>
 
 #define NEVER 1e18
-#define FAILS_AFTER_S 0.3   /* a task on a faulty machine, or of a job with a mistake */
-#define REDIRECT_S 0.1      /* until a worker reports to the node it was sent to */
-#define NEXT_NODE_S 1.0     /* until it tries the next node */
-#define CHANGE_REPORT_S 0.5 /* least time between reports */
+#define FAILS_AFTER_S 0.3      /* a task on a faulty machine, or of a job with a mistake */
+#define REDIRECT_S 0.1         /* until a worker reports to the node it was sent to */
+#define NEXT_NODE_S 1.0        /* until it tries the next node */
+#define CHANGE_HEARTBEAT_S 0.5 /* least time between reports */
 #define EPSILON 1e-6
 
 static const char *const stages[] = {"pulling", "running", "flushing", "exited", "waiting"};
 const char *const tw_simulator_causes[TW_CAUSE_OTHER] = {
     "", "done", "stopped", "error", "no_room", "busy", "no_such", "peers", "alone"};
 
-bool tw_simulator_task_active(const tw_simulator_task *t) {
-    return t->stage == TW_TASK_RUNNING || t->stage == TW_TASK_SAVING || t->stage == TW_TASK_WAITING;
+bool tw_simulator_task_active(const tw_simulator_task *task) {
+    return task->stage == TW_TASK_RUNNING || task->stage == TW_TASK_SAVING ||
+           task->stage == TW_TASK_WAITING;
 }
 
-static cJSON *task_json(const tw_simulator_task *t) {
+static cJSON *task_json(const tw_simulator_task *task) {
     char name[TW_WIRE_ID_SIZE + 16];
     cJSON *o = cJSON_CreateObject();
-    snprintf(name, sizeof name, "%s/%d", t->job_id, t->index);
+    snprintf(name, sizeof name, "%s/%d", task->job_id, task->index);
     cJSON_AddStringToObject(o, "piece", name);
-    cJSON_AddNumberToObject(o, "try", (double)t->attempt);
-    cJSON_AddStringToObject(o, "stage", stages[t->stage]);
-    if (t->stage == TW_TASK_EXITED)
-        cJSON_AddStringToObject(o, "cause", tw_simulator_causes[t->cause]);
-    if (t->saved) cJSON_AddBoolToObject(o, "saved", 1);
+    cJSON_AddNumberToObject(o, "try", (double)task->attempt);
+    cJSON_AddStringToObject(o, "stage", stages[task->stage]);
+    if (task->stage == TW_TASK_EXITED)
+        cJSON_AddStringToObject(o, "cause", tw_simulator_causes[task->cause]);
+    if (task->saved) cJSON_AddBoolToObject(o, "saved", 1);
     return o;
 }
 
-char *tw_simulator_worker_report(const tw_simulator_world *w, tw_simulator_worker *x) {
+char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker) {
     cJSON *o = cJSON_CreateObject();
-    cJSON_AddStringToObject(o, "tray", x->id);
-    cJSON_AddStringToObject(o, "endpoint", x->endpoint);
-    cJSON_AddStringToObject(o, "rack", x->type);
-    cJSON_AddStringToObject(o, "yard", x->zone);
-    cJSON_AddBoolToObject(o, "loaner", x->spot);
-    cJSON_AddNumberToObject(o, "shift", (double)x->session);
-    cJSON_AddNumberToObject(o, "tick", (double)++x->tick);
-    cJSON_AddNumberToObject(o, "baton", (double)x->token);
-    if (x->warned_at >= 0)
-        cJSON_AddNumberToObject(o, "warningS", x->warned_at > w->now ? x->warned_at - w->now : 0);
+    cJSON_AddStringToObject(o, "tray", worker->id);
+    cJSON_AddStringToObject(o, "endpoint", worker->endpoint);
+    cJSON_AddStringToObject(o, "rack", worker->type);
+    cJSON_AddStringToObject(o, "yard", worker->zone);
+    cJSON_AddBoolToObject(o, "loaner", worker->spot);
+    cJSON_AddNumberToObject(o, "shift", (double)worker->incarnation);
+    cJSON_AddNumberToObject(o, "tick", (double)++worker->sequence);
+    cJSON_AddNumberToObject(o, "baton", (double)worker->fencing_token);
+    if (worker->preempted_at >= 0)
+        cJSON_AddNumberToObject(
+            o, "warningS",
+            worker->preempted_at > world->now ? worker->preempted_at - world->now : 0);
     cJSON *tasks = cJSON_AddArrayToObject(o, "pieces");
-    for (int i = 0; i < x->ntasks; i++) cJSON_AddItemToArray(tasks, task_json(&x->tasks[i]));
+    for (int i = 0; i < worker->task_count; i++)
+        cJSON_AddItemToArray(tasks, task_json(&worker->tasks[i]));
     return tw_simulator_json_print(o);
 }
 
-bool tw_simulator_worker_due(const tw_simulator_world *w, const tw_simulator_worker *x) {
-    if (x->gone || !x->up || w->now < x->hung_until || x->in_flight) return false;
-    return w->now >= x->next_report || (x->changed && w->now >= x->last_report + CHANGE_REPORT_S);
+bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
+                                       const tw_simulator_worker *worker) {
+    if (worker->gone || !worker->up || world->now < worker->hung_until || worker->in_flight)
+        return false;
+    return world->now >= worker->next_heartbeat ||
+           (worker->changed && world->now >= worker->last_heartbeat + CHANGE_HEARTBEAT_S);
 }
 
 /* ---- commands ---- */
 
-void tw_simulator_task_exit(tw_simulator_worker *x, tw_simulator_task *t, int cause) {
-    t->stage = TW_TASK_EXITED;
-    t->cause = cause;
-    if (t->job) t->job->exits[cause]++;
-    x->changed = true;
+void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause) {
+    task->stage = TW_TASK_EXITED;
+    task->cause = cause;
+    if (task->job) task->job->exits[cause]++;
+    worker->changed = true;
 }
 
-static tw_simulator_task *task_find(tw_simulator_worker *x, const char *job_id, int index,
+static tw_simulator_task *find_task(tw_simulator_worker *worker, const char *job_id, int index,
                                     uint64_t attempt) {
-    for (int i = 0; i < x->ntasks; i++) {
-        tw_simulator_task *t = &x->tasks[i];
-        if (t->index == index && t->attempt == attempt && !strcmp(t->job_id, job_id)) return t;
+    for (int i = 0; i < worker->task_count; i++) {
+        tw_simulator_task *task = &worker->tasks[i];
+        if (task->index == index && task->attempt == attempt && !strcmp(task->job_id, job_id))
+            return task;
     }
     return NULL;
 }
 
-static int has_image(const tw_simulator_worker *x, const char *name) {
-    for (int i = 0; i < x->nimages; i++)
-        if (!strcmp(x->images[i], name)) return 1;
+static int has_image(const tw_simulator_worker *worker, const char *name) {
+    for (int i = 0; i < worker->image_count; i++)
+        if (!strcmp(worker->images[i], name)) return 1;
     return 0;
 }
 
 /* Why a machine refuses to start its newest task; TW_CAUSE_NONE: it doesn't. */
-static int refusal(const tw_simulator_world *w, const tw_simulator_worker *x,
-                   const tw_simulator_task *t) {
-    if (!t->job || !t->job->submitted || t->index < 0 || t->index >= t->job->spec.task_count)
+static int find_refusal(const tw_simulator_world *world, const tw_simulator_worker *worker,
+                        const tw_simulator_task *task) {
+    if (!task->job || !task->job->submitted || task->index < 0 ||
+        task->index >= task->job->spec.task_count)
         return TW_CAUSE_UNKNOWN_TASK;
-    const tw_wire_machine_type *f = &w->types[x->type_index];
-    double cpus = t->job->spec.cores, gpus = t->job->spec.gpus, memory = t->job->spec.memory_gb;
-    for (int i = 0; i < x->ntasks; i++) {
-        const tw_simulator_task *other = &x->tasks[i];
-        if (other == t || other->stage == TW_TASK_EXITED) continue;
-        if (other->job == t->job && other->index == t->index) return TW_CAUSE_BUSY;
+    const tw_wire_machine_type *type = &world->types[worker->type_index];
+    double cpus = task->job->spec.cores, gpus = task->job->spec.gpus,
+           memory = task->job->spec.memory_gb;
+    for (int i = 0; i < worker->task_count; i++) {
+        const tw_simulator_task *other = &worker->tasks[i];
+        if (other == task || other->stage == TW_TASK_EXITED) continue;
+        if (other->job == task->job && other->index == task->index) return TW_CAUSE_BUSY;
         cpus += other->job->spec.cores;
         gpus += other->job->spec.gpus;
         memory += other->job->spec.memory_gb;
     }
-    bool fits =
-        cpus <= f->cores + EPSILON && gpus <= f->gpus + EPSILON && memory <= f->memory_gb + EPSILON;
+    bool fits = cpus <= type->cores + EPSILON && gpus <= type->gpus + EPSILON &&
+                memory <= type->memory_gb + EPSILON;
     return fits ? TW_CAUSE_NONE : TW_CAUSE_NO_ROOM;
 }
 
-static void launch(tw_simulator_world *w, tw_simulator_worker *x, const char *job_id, int index,
-                   uint64_t attempt) {
-    x->tasks = tw_simulator_grow(x->tasks, x->ntasks, &x->tasks_cap, sizeof *x->tasks);
-    tw_simulator_task *t = &x->tasks[x->ntasks++];
-    memset(t, 0, sizeof *t);
-    snprintf(t->job_id, sizeof t->job_id, "%s", job_id);
-    t->job = tw_simulator_job_find(w, job_id);
-    t->index = index;
-    t->attempt = attempt;
-    x->changed = true;
-    int cause = refusal(w, x, t);
+static void launch_task(tw_simulator_world *world, tw_simulator_worker *worker, const char *job_id,
+                        int index, uint64_t attempt) {
+    worker->tasks = tw_simulator_grow(worker->tasks, worker->task_count, &worker->task_capacity,
+                                      sizeof *worker->tasks);
+    tw_simulator_task *task = &worker->tasks[worker->task_count++];
+    memset(task, 0, sizeof *task);
+    snprintf(task->job_id, sizeof task->job_id, "%s", job_id);
+    task->job = tw_simulator_job_find(world, job_id);
+    task->index = index;
+    task->attempt = attempt;
+    worker->changed = true;
+    int cause = find_refusal(world, worker, task);
     if (cause != TW_CAUSE_NONE) {
-        tw_simulator_task_exit(x, t, cause);
+        tw_simulator_task_exit(worker, task, cause);
         return;
     }
-    double fetch_s = t->job->spec.image_gb / w->types[x->type_index].fetch_gb_s;
-    t->stage = TW_TASK_FETCHING;
-    t->ready_at = w->now + (has_image(x, t->job->spec.image) ? 0 : fetch_s);
+    double fetch_s = task->job->spec.image_gb / world->types[worker->type_index].fetch_gb_s;
+    task->stage = TW_TASK_FETCHING;
+    task->ready_at = world->now + (has_image(worker, task->job->spec.image) ? 0 : fetch_s);
 }
 
 /* Run time that a task has reached. */
-static double progress(const tw_simulator_world *w, const tw_simulator_worker *x,
-                       const tw_simulator_task *t) {
-    return t->from_s + (w->now - t->started_at) / x->slow;
+static double progress_of(const tw_simulator_world *world, const tw_simulator_worker *worker,
+                          const tw_simulator_task *task) {
+    return task->from_s + (world->now - task->started_at) / worker->slowdown;
 }
 
-static void stop(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
-                 double grace_s) {
-    const tw_wire_job *spec = &t->job->spec;
+static void stop_task(tw_simulator_world *world, tw_simulator_worker *worker,
+                      tw_simulator_task *task, double grace_s) {
+    const tw_wire_job *spec = &task->job->spec;
     if (spec->gang) {
-        tw_simulator_gang_stop(w, x, t, grace_s);
-    } else if (t->stage == TW_TASK_RUNNING && spec->checkpoint_s > 0 && grace_s >= spec->save_s) {
-        t->stage = TW_TASK_SAVING;
-        t->stopped_at_s = progress(w, x, t);
-        t->end_at = w->now + spec->save_s;
-    } else if (t->stage != TW_TASK_SAVING || grace_s <= 0) {
-        tw_simulator_task_exit(x, t, TW_CAUSE_STOPPED);
+        tw_simulator_gang_stop(world, worker, task, grace_s);
+    } else if (task->stage == TW_TASK_RUNNING && spec->checkpoint_s > 0 &&
+               grace_s >= spec->save_s) {
+        task->stage = TW_TASK_SAVING;
+        task->stopped_at_s = progress_of(world, worker, task);
+        task->end_at = world->now + spec->save_s;
+    } else if (task->stage != TW_TASK_SAVING || grace_s <= 0) {
+        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
     }
 }
 
-static void command(tw_simulator_world *w, tw_simulator_worker *x, const cJSON *o) {
+static void execute_command(tw_simulator_world *world, tw_simulator_worker *worker,
+                            const cJSON *o) {
     char job_id[TW_WIRE_ID_SIZE];
     const char *name = tw_simulator_json_text(o, "piece"), *slash = strrchr(name, '/');
     if (!slash || (size_t)(slash - name) >= sizeof job_id) return;
     snprintf(job_id, sizeof job_id, "%.*s", (int)(slash - name), name);
-    int index = tw_simulator_int(slash + 1);
+    int index = tw_simulator_parse_int(slash + 1);
     uint64_t attempt = (uint64_t)tw_simulator_json_number(o, "try");
     const char *verb = tw_simulator_json_text(o, "verb");
-    tw_simulator_task *t = task_find(x, job_id, index, attempt);
+    tw_simulator_task *task = find_task(worker, job_id, index, attempt);
     if (!strcmp(verb, "launch")) {
-        if (!t) launch(w, x, job_id, index, attempt);
-    } else if (!strcmp(verb, "kill") && t && t->stage != TW_TASK_EXITED) {
-        stop(w, x, t, tw_simulator_json_number(o, "mercyS"));
-    } else if (!strcmp(verb, "forget") && t && t->stage == TW_TASK_EXITED) {
-        *t = x->tasks[--x->ntasks];
-        x->changed = true;
+        if (!task) launch_task(world, worker, job_id, index, attempt);
+    } else if (!strcmp(verb, "kill") && task && task->stage != TW_TASK_EXITED) {
+        stop_task(world, worker, task, tw_simulator_json_number(o, "mercyS"));
+    } else if (!strcmp(verb, "forget") && task && task->stage == TW_TASK_EXITED) {
+        *task = worker->tasks[--worker->task_count];
+        worker->changed = true;
     }
 }
 
-static void commands(tw_simulator_world *w, tw_simulator_worker *x, const cJSON *body) {
+static void execute_commands(tw_simulator_world *world, tw_simulator_worker *worker,
+                             const cJSON *body) {
     const cJSON *o;
-    uint64_t token = (uint64_t)tw_simulator_json_number(body, "baton");
-    if (token > x->token) {
-        x->token = token;
-        x->changed = true;
+    uint64_t fencing_token = (uint64_t)tw_simulator_json_number(body, "baton");
+    if (fencing_token > worker->fencing_token) {
+        worker->fencing_token = fencing_token;
+        worker->changed = true;
+    }
+    cJSON_ArrayForEach(o, cJSON_GetObjectItemCaseSensitive(body, "orders")) {
+        execute_command(world, worker, o);
     }
-    cJSON_ArrayForEach(o, cJSON_GetObjectItemCaseSensitive(body, "orders")) { command(w, x, o); }
 }
 
-void tw_simulator_worker_answer(tw_simulator_world *w, tw_simulator_worker *x, double sent,
-                                uint64_t session, int status, const char *body) {
-    if (x->gone || session != x->session) return;
+void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
+                                uint64_t incarnation, int status, const char *body) {
+    if (worker->gone || incarnation != worker->incarnation) return;
     cJSON *o = cJSON_Parse(body ? body : "");
     const char *leader = tw_simulator_json_text(o, "foreman");
-    double token = tw_simulator_json_number(o, "baton");
+    double fencing_token = tw_simulator_json_number(o, "baton");
     if (status == TW_SIMULATOR_OK) {
-        if (token > 0 && (uint64_t)token >= x->token) {
-            if (sent > x->lease_from) x->lease_from = sent;
-            commands(w, x, o);
+        if (fencing_token > 0 && (uint64_t)fencing_token >= worker->fencing_token) {
+            if (sent > worker->lease_from) worker->lease_from = sent;
+            execute_commands(world, worker, o);
         }
-    } else if (status == TW_SIMULATOR_ELSEWHERE && *leader) {
-        for (int i = 0; i < w->nnodes; i++)
-            if (!strcmp(w->nodes[i], leader)) x->node = i;
-        x->next_report = w->now + REDIRECT_S;
+    } else if (status == TW_SIMULATOR_REDIRECTED && *leader) {
+        for (int i = 0; i < world->node_count; i++)
+            if (!strcmp(world->nodes[i], leader)) worker->node = i;
+        worker->next_heartbeat = world->now + REDIRECT_S;
     } else {
-        x->node = (x->node + 1) % w->nnodes;
-        x->next_report = w->now + NEXT_NODE_S;
+        worker->node = (worker->node + 1) % world->node_count;
+        worker->next_heartbeat = world->now + NEXT_NODE_S;
     }
     cJSON_Delete(o);
 }
 
-int tw_simulator_worker_request(tw_simulator_world *w, tw_simulator_worker *x, const char *method,
-                                const char *path, const char *body, char **out) {
+int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
+                                const char *method, const char *path, const char *body,
+                                char **out) {
     int status = TW_SIMULATOR_OK;
     if (!strcmp(method, "POST") && !strcmp(path, "/orders")) {
         cJSON *o = cJSON_Parse(body);
-        if ((uint64_t)tw_simulator_json_number(o, "baton") < x->token ||
-            (uint64_t)tw_simulator_json_number(o, "shift") != x->session)
+        if ((uint64_t)tw_simulator_json_number(o, "baton") < worker->fencing_token ||
+            (uint64_t)tw_simulator_json_number(o, "shift") != worker->incarnation)
             status = TW_SIMULATOR_CONFLICT;
         else
-            commands(w, x, o);
+            execute_commands(world, worker, o);
         cJSON_Delete(o);
     }
-    *out = tw_simulator_worker_report(w, x);
+    *out = tw_simulator_worker_heartbeat(world, worker);
     return status;
 }
 
 /* ---- time ---- */
 
 /* Checkpoints outlive the machine. */
-static void save(tw_simulator_job *job, int index, double reached_s) {
+static void save_progress(tw_simulator_job *job, int index, double reached_s) {
     if (!job->saved)
-        job->saved = tw_simulator_zeroed((size_t)job->spec.task_count * sizeof *job->saved);
+        job->saved = tw_simulator_allocate((size_t)job->spec.task_count * sizeof *job->saved);
     job->saved[index] = fmax(job->saved[index], reached_s);
 }
 
 /* A running task saves after each interval of progress. */
-static void save_by_itself(const tw_simulator_world *w, const tw_simulator_worker *x,
-                           const tw_simulator_task *t) {
-    const tw_wire_job *spec = &t->job->spec;
+static void save_by_itself(const tw_simulator_world *world, const tw_simulator_worker *worker,
+                           const tw_simulator_task *task) {
+    const tw_wire_job *spec = &task->job->spec;
     if (spec->checkpoint_s <= 0 || spec->service) return;
-    double intervals = floor((progress(w, x, t) - t->from_s) / spec->checkpoint_s);
-    if (intervals > 0) save(t->job, t->index, t->from_s + intervals * spec->checkpoint_s);
+    double intervals =
+        floor((progress_of(world, worker, task) - task->from_s) / spec->checkpoint_s);
+    if (intervals > 0)
+        save_progress(task->job, task->index, task->from_s + intervals * spec->checkpoint_s);
 }
 
-static void task_start(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t) {
-    tw_simulator_job *job = t->job;
-    bool fails = x->faulty || job->fails;
-    t->stage = TW_TASK_RUNNING;
-    x->changed = true;
-    t->started_at = w->now;
-    t->from_s = job->saved ? fmin(job->saved[t->index], job->run_s) : 0;
-    t->end_at = job->spec.service ? NEVER : w->now + (job->run_s - t->from_s) * x->slow;
-    if (fails) t->end_at = w->now + FAILS_AFTER_S;
-    if (job->done[t->index]) t->end_at = w->now;
+static void start_task(tw_simulator_world *world, tw_simulator_worker *worker,
+                       tw_simulator_task *task) {
+    tw_simulator_job *job = task->job;
+    bool fails = worker->faulty || job->fails;
+    task->stage = TW_TASK_RUNNING;
+    worker->changed = true;
+    task->started_at = world->now;
+    task->from_s = job->saved ? fmin(job->saved[task->index], job->run_s) : 0;
+    task->end_at =
+        job->spec.service ? NEVER : world->now + (job->run_s - task->from_s) * worker->slowdown;
+    if (fails) task->end_at = world->now + FAILS_AFTER_S;
+    if (job->done[task->index]) task->end_at = world->now;
     if (!fails) job->started++;
-    if (job->begun_at <= 0) job->begun_at = w->now;
-    tw_simulator_judge_start(w, x, t);
+    if (job->begun_at <= 0) job->begun_at = world->now;
+    tw_simulator_judge_start(world, worker, task);
 }
 
-void tw_simulator_task_done(tw_simulator_world *w, tw_simulator_job *job, int index) {
+void tw_simulator_task_done(tw_simulator_world *world, tw_simulator_job *job, int index) {
     if (job->done[index]) return;
     job->done[index] = 1;
-    if (++job->ndone == job->spec.task_count && w->job_ended) w->job_ended(w->context, job);
+    if (++job->done_count == job->spec.task_count && world->job_ended)
+        world->job_ended(world->context, job);
 }
 
-static void task_tick(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t) {
-    tw_simulator_job *job = t->job;
-    if (t->stage == TW_TASK_FETCHING && w->now >= t->ready_at) {
-        if (!has_image(x, job->spec.image) && x->nimages < TW_SIMULATOR_MAX_IMAGES)
-            snprintf(x->images[x->nimages++], TW_SIMULATOR_NAME, "%s", job->spec.image);
+static void advance_task(tw_simulator_world *world, tw_simulator_worker *worker,
+                         tw_simulator_task *task) {
+    tw_simulator_job *job = task->job;
+    if (task->stage == TW_TASK_FETCHING && world->now >= task->ready_at) {
+        if (!has_image(worker, job->spec.image) && worker->image_count < TW_SIMULATOR_MAX_IMAGES)
+            snprintf(worker->images[worker->image_count++], TW_SIMULATOR_NAME, "%s",
+                     job->spec.image);
         if (job->spec.gang)
-            tw_simulator_gang_image_there(w, x, t);
+            tw_simulator_gang_image_fetched(world, worker, task);
         else
-            task_start(w, x, t);
+            start_task(world, worker, task);
     }
     if (job && job->spec.gang) {
-        tw_simulator_gang_task_tick(w, x, t);
+        tw_simulator_gang_task_advance(world, worker, task);
         return;
     }
-    if (t->stage == TW_TASK_RUNNING) save_by_itself(w, x, t);
-    if (t->stage == TW_TASK_SAVING && w->now >= t->end_at) {
-        t->saved = 1;
-        save(job, t->index, fmin(t->stopped_at_s, job->run_s));
-        tw_simulator_task_exit(x, t, TW_CAUSE_STOPPED);
+    if (task->stage == TW_TASK_RUNNING) save_by_itself(world, worker, task);
+    if (task->stage == TW_TASK_SAVING && world->now >= task->end_at) {
+        task->saved = 1;
+        save_progress(job, task->index, fmin(task->stopped_at_s, job->run_s));
+        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
     }
-    if (t->stage == TW_TASK_RUNNING && w->now >= t->end_at) {
-        bool fails = x->faulty || job->fails;
-        tw_simulator_task_exit(x, t, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
-        if (!fails) tw_simulator_task_done(w, job, t->index);
+    if (task->stage == TW_TASK_RUNNING && world->now >= task->end_at) {
+        bool fails = worker->faulty || job->fails;
+        tw_simulator_task_exit(worker, task, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
+        if (!fails) tw_simulator_task_done(world, job, task->index);
     }
 }
 
-void tw_simulator_worker_tick(tw_simulator_world *w, tw_simulator_worker *x) {
-    if (x->gone) return;
-    if (!x->up) {
-        if (w->now < x->up_at) return;
-        x->up = 1;
-        x->lease_from = w->now;
-        x->next_report = w->now;
-        x->node = x->endpoint[strlen("10.1.0.")] % w->nnodes;
+void tw_simulator_worker_advance(tw_simulator_world *world, tw_simulator_worker *worker) {
+    if (worker->gone) return;
+    if (!worker->up) {
+        if (world->now < worker->up_at) return;
+        worker->up = 1;
+        worker->lease_from = world->now;
+        worker->next_heartbeat = world->now;
+        worker->node = worker->endpoint[strlen("10.1.0.")] % world->node_count;
     }
-    bool lapsed = w->now > x->lease_from + w->lease_s;
-    if (w->now < x->hung_until) {
-        if (lapsed) x->ntasks = 0; /* it may go on with them only within its lease */
+    bool lease_expired = world->now > worker->lease_from + world->lease_s;
+    if (world->now < worker->hung_until) {
+        if (lease_expired)
+            worker->task_count = 0; /* it may go on with them only within its lease */
         return;
     }
-    if (lapsed) {
-        x->ntasks = 0;
-        x->session++;
-        x->lease_from = w->now;
-        x->changed = true;
+    if (lease_expired) {
+        worker->task_count = 0;
+        worker->incarnation++;
+        worker->lease_from = world->now;
+        worker->changed = true;
     }
-    for (int i = 0; i < x->ntasks; i++) task_tick(w, x, &x->tasks[i]);
+    for (int i = 0; i < worker->task_count; i++) advance_task(world, worker, &worker->tasks[i]);
 }
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -27,7 +27,7 @@
     TW_SIMULATOR_MALFORMED = 400,
     TW_SIMULATOR_UNKNOWN = 404,
     TW_SIMULATOR_CONFLICT = 409,
-    TW_SIMULATOR_ELSEWHERE = 421,
+    TW_SIMULATOR_REDIRECTED = 421,
     TW_SIMULATOR_IMPOSSIBLE = 422,
     TW_SIMULATOR_TOO_MANY = 429,
     TW_SIMULATOR_FAILURES = 500, /* from here on */
@@ -54,17 +54,17 @@
 } tw_simulator_limits;
 typedef struct {
     tw_simulator_key *keys; /* in key order */
-    size_t nkeys, keys_cap;
+    size_t key_count, key_capacity;
     tw_simulator_removal removals[TW_SIMULATOR_MAX_REMOVALS];
-    int nremovals;
+    int removal_count;
     uint64_t revision, last_lease;
     tw_simulator_lease *leases;
-    int nleases, leases_cap;
+    int lease_count, lease_capacity;
     double down_since; /* < 0: up */
     double write_tokens, write_at;
-    tw_simulator_limits limits; /* that hold now */
-    tw_simulator_limits told;   /* as the nodes' settings have them */
-    int too_large;              /* transactions refused for what they hold */
+    tw_simulator_limits limits;           /* that hold now */
+    tw_simulator_limits announced_limits; /* as the nodes' settings have them */
+    int too_large_count;                  /* transactions refused for what they hold */
 } tw_simulator_state;
 
 /* ---- machines and jobs ---- */
@@ -82,11 +82,11 @@
     uint64_t attempt;
     int state;
     double progress_s, advanced_at; /* of the job, up to that moment */
-    double slow;                    /* of its slowest machine */
+    double slowdown;                /* of its slowest machine */
     double first_stop_at;           /* when the first task was told to save */
     /* Counted anew all the time: tasks that wait; that run or save; that save; and the slowest. */
-    int nwaiting, nmembers, nsaving;
-    double slowest;
+    int waiting_count, member_count, saving_count;
+    double greatest_slowdown;
 } tw_simulator_gang;
 
 typedef struct {
@@ -97,9 +97,9 @@
     double first_try, accepted_at, begun_at, told_over_at, told_cancel_at, cancel_asked_at;
     uint8_t *done; /* by task */
     double *saved; /* run time in checkpoints, by task; NULL: none yet */
-    int ndone;
+    int done_count;
     tw_simulator_gang *gangs; /* of a gang: its attempts */
-    int ngangs, gangs_cap;
+    int gang_count, gang_capacity;
     double gang_saved_s;       /* run time in checkpoints */
     int gang_starts;           /* times that all tasks began together */
     int exits[TW_CAUSE_OTHER]; /* by cause */
@@ -130,21 +130,21 @@
         endpoint[TW_SIMULATOR_NAME];
     int spot, type_index, up, gone;
     double rented_at, up_at;
-    uint64_t session, tick, token;
+    uint64_t incarnation, sequence, fencing_token;
     double lease_from;  /* when the last answered report was sent */
     int node;           /* that it reports to */
     uint64_t in_flight; /* number of the report that waits for its answer, 0: none */
     bool changed;
-    double next_report, last_report;
-    double hung_until, slow, warned_at;
-    double deaf_until;  /* answers and direct commands don't arrive */
-    double mute_until;  /* reports reach no controller */
-    bool faulty;        /* every task fails */
-    double hold_next_s; /* the next report comes that much later */
+    double next_heartbeat, last_heartbeat;
+    double hung_until, slowdown, preempted_at;
+    double unresponsive_until;     /* answers and direct commands don't arrive */
+    double mute_until;             /* reports reach no controller */
+    bool faulty;                   /* every task fails */
+    double delay_next_heartbeat_s; /* the next report comes that much later */
     tw_simulator_task *tasks;
-    int ntasks, tasks_cap;
+    int task_count, task_capacity;
     char images[TW_SIMULATOR_MAX_IMAGES][TW_SIMULATOR_NAME];
-    int nimages;
+    int image_count;
 } tw_simulator_worker;
 
 typedef struct {
@@ -161,7 +161,7 @@
 enum {
     TW_SIMULATOR_DRAW_TRAVEL,
     TW_SIMULATOR_DRAW_WRITES,
-    TW_SIMULATOR_DRAW_REPORTS,
+    TW_SIMULATOR_DRAW_HEARTBEATS,
     TW_SIMULATOR_DRAW_COMMANDS,
     TW_SIMULATOR_DRAW_BOOT,
     TW_SIMULATOR_DRAW_LOOKS,
@@ -169,36 +169,36 @@
     TW_SIMULATOR_DRAW_ODD,
     TW_SIMULATOR_DRAW_GANGS,
     TW_SIMULATOR_DRAW_REPEATS,
-    TW_SIMULATOR_DRAWS
+    TW_SIMULATOR_DRAW_KINDS
 };
 
 typedef struct {
     double now;
     unsigned seed;
-    gsl_rng *draws[TW_SIMULATOR_DRAWS]; /* made when first used */
-    double report_s, lease_s, cancel_s;
+    gsl_rng *draws[TW_SIMULATOR_DRAW_KINDS]; /* made when first used */
+    double heartbeat_s, lease_s, cancel_s;
     double gang_wait_s, gang_peer_s; /* 0: in proportion to the lease */
     double mem_mb;                   /* memory of a node, 0: as in its settings */
-    int nnodes;
+    int node_count;
     char nodes[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME],
         node_zone[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME];
     tw_simulator_team teams[TW_SIMULATOR_MAX_TEAMS];
-    int nteams;
+    int team_count;
     tw_simulator_state state;
     /* cloud */
     tw_wire_machine_type types[TW_SIMULATOR_MAX_TYPES];
-    int ntypes, capacity[TW_SIMULATOR_MAX_TYPES];
-    int refuse;        /* no capacity */
-    double fast_until; /* machines rented until then are up within two seconds */
-    int never_up;      /* that many of the next machines never boot */
+    int type_count, capacity[TW_SIMULATOR_MAX_TYPES];
+    int refuses_rentals; /* no capacity */
+    double fast_until;   /* machines rented until then are up within two seconds */
+    int never_up;        /* that many of the next machines never boot */
     double boot_s;
     tw_simulator_rental *rentals;
-    int nrentals, rentals_cap;
+    int rental_count, rental_capacity;
     tw_simulator_worker **workers;
-    int nworkers, workers_cap;
+    int worker_count, worker_capacity;
     /* users */
     tw_simulator_job **jobs;
-    int njobs, jobs_cap;
+    int job_count, job_capacity;
     tw_simulator_job *jobs_by_id;
     void (*job_ended)(void *context,
                       tw_simulator_job *job); /* its last task completed; may be NULL */
@@ -212,116 +212,117 @@
 } tw_simulator_world;
 
 /* The number at the start of a text; 0: there is none. */
-int tw_simulator_int(const char *text);
-double tw_simulator_number(const char *text);
+int tw_simulator_parse_int(const char *text);
+double tw_simulator_parse_number(const char *text);
 /* Helpers: abort when memory is out. */
-char *tw_simulator_text(const char *text);
-void *tw_simulator_zeroed(size_t size);
+char *tw_simulator_copy_text(const char *text);
+void *tw_simulator_allocate(size_t size);
 /* Makes room for one more item in an array. */
-void *tw_simulator_grow(void *items, int n, int *cap, size_t size);
+void *tw_simulator_grow(void *items, int count, int *capacity, size_t size);
 const char *tw_simulator_json_text(const cJSON *object, const char *field);
 double tw_simulator_json_number(const cJSON *object, const char *field);
 /* Prints and deletes. */
 char *tw_simulator_json_print(cJSON *object);
 
-void tw_simulator_world_init(tw_simulator_world *w);
-void tw_simulator_world_free(tw_simulator_world *w);
+void tw_simulator_world_init(tw_simulator_world *world);
+void tw_simulator_world_free(tw_simulator_world *world);
 
 /* ---- draw.c: from the seed, which must not change after the first draw ---- */
 
-double tw_simulator_draw(tw_simulator_world *w, int kind, double from, double to);
-int tw_simulator_draw_index(tw_simulator_world *w, int kind, int n); /* 0 .. n - 1 */
-void tw_simulator_draws_free(tw_simulator_world *w);
+double tw_simulator_draw(tw_simulator_world *world, int kind, double from, double to);
+int tw_simulator_draw_index(tw_simulator_world *world, int kind, int count); /* 0 .. n - 1 */
+void tw_simulator_draws_free(tw_simulator_world *world);
 
 /* ---- state service: status, and the body in *out (free it) ---- */
 
-void tw_simulator_state_init(tw_simulator_state *s);
-void tw_simulator_state_free(tw_simulator_state *s);
-int tw_simulator_state_request(tw_simulator_state *s, double now, const char *method,
+void tw_simulator_state_init(tw_simulator_state *state);
+void tw_simulator_state_free(tw_simulator_state *state);
+int tw_simulator_state_request(tw_simulator_state *state, double now, const char *method,
                                const char *path, const char *body, char **out);
 /* Ends the leases whose time is over. */
-void tw_simulator_state_expire(tw_simulator_state *s, double now);
-void tw_simulator_state_outage(tw_simulator_state *s, double now, bool on);
+void tw_simulator_state_expire(tw_simulator_state *state, double now);
+void tw_simulator_state_outage(tw_simulator_state *state, double now, bool on);
 /* The value of a key as it stands, also during an outage; NULL: there is none. */
 /* The version of a key; 0: there is none. */
-uint64_t tw_simulator_state_version(const tw_simulator_state *s, const char *key);
-const char *tw_simulator_state_value(const tw_simulator_state *s, const char *key);
+uint64_t tw_simulator_state_version(const tw_simulator_state *state, const char *key);
+const char *tw_simulator_state_value(const tw_simulator_state *state, const char *key);
 
 /* ---- cloud ---- */
 
-int tw_simulator_cloud_request(tw_simulator_world *w, const char *method, const char *path,
+int tw_simulator_cloud_request(tw_simulator_world *world, const char *method, const char *path,
                                const char *body, char **out);
-tw_simulator_worker *tw_simulator_rent(tw_simulator_world *w, int type, const char *zone, int spot,
-                                       double boot_s);
-tw_simulator_worker *tw_simulator_worker_by_id(const tw_simulator_world *w, const char *id);
+tw_simulator_worker *tw_simulator_add_machine(tw_simulator_world *world, int type, const char *zone,
+                                              int spot, double boot_s);
+tw_simulator_worker *tw_simulator_worker_by_id(const tw_simulator_world *world, const char *id);
 
 /* ---- workers ---- */
 
-char *tw_simulator_worker_report(const tw_simulator_world *w, tw_simulator_worker *x);
+char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker);
 /* The answer to a report sent at `sent` in that session. */
-void tw_simulator_worker_answer(tw_simulator_world *w, tw_simulator_worker *x, double sent,
-                                uint64_t session, int status, const char *body);
+void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
+                                uint64_t incarnation, int status, const char *body);
 /* A direct request of a controller. */
-int tw_simulator_worker_request(tw_simulator_world *w, tw_simulator_worker *x, const char *method,
-                                const char *path, const char *body, char **out);
+int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
+                                const char *method, const char *path, const char *body, char **out);
 /* Time passes: tasks go on, leases end. */
-void tw_simulator_worker_tick(tw_simulator_world *w, tw_simulator_worker *x);
+void tw_simulator_worker_advance(tw_simulator_world *world, tw_simulator_worker *worker);
 /* Whether a report is due now. */
-bool tw_simulator_worker_due(const tw_simulator_world *w, const tw_simulator_worker *x);
+bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
+                                       const tw_simulator_worker *worker);
 extern const char *const tw_simulator_causes[TW_CAUSE_OTHER];
 /* On its machine: waiting for its gang, running or saving. */
-bool tw_simulator_task_active(const tw_simulator_task *t);
+bool tw_simulator_task_active(const tw_simulator_task *task);
 
-void tw_simulator_task_exit(tw_simulator_worker *x, tw_simulator_task *t, int cause);
-void tw_simulator_task_done(tw_simulator_world *w, tw_simulator_job *job, int index);
+void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause);
+void tw_simulator_task_done(tw_simulator_world *world, tw_simulator_job *job, int index);
 
 /* ---- gang.c ---- */
 
-double tw_simulator_gang_wait_s(const tw_simulator_world *w);
-double tw_simulator_gang_peer_s(const tw_simulator_world *w);
+double tw_simulator_gang_wait_s(const tw_simulator_world *world);
+double tw_simulator_gang_peer_s(const tw_simulator_world *world);
 /* A task of a gang has its image; is told to stop (it hasn't exited); lives on. */
-void tw_simulator_gang_image_there(tw_simulator_world *w, tw_simulator_worker *x,
-                                   tw_simulator_task *t);
-void tw_simulator_gang_stop(tw_simulator_world *w, tw_simulator_worker *x, tw_simulator_task *t,
-                            double grace_s);
-void tw_simulator_gang_task_tick(tw_simulator_world *w, tw_simulator_worker *x,
-                                 tw_simulator_task *t);
+void tw_simulator_gang_image_fetched(tw_simulator_world *world, tw_simulator_worker *worker,
+                                     tw_simulator_task *task);
+void tw_simulator_gang_stop(tw_simulator_world *world, tw_simulator_worker *worker,
+                            tw_simulator_task *task, double grace_s);
+void tw_simulator_gang_task_advance(tw_simulator_world *world, tw_simulator_worker *worker,
+                                    tw_simulator_task *task);
 /* Time passes for all gangs; call it before the workers' turns. */
-void tw_simulator_gangs_tick(tw_simulator_world *w);
+void tw_simulator_gangs_advance(tw_simulator_world *world);
 
 /* ---- jobs ---- */
 
-tw_simulator_job *tw_simulator_job_find(const tw_simulator_world *w, const char *id);
+tw_simulator_job *tw_simulator_job_find(const tw_simulator_world *world, const char *id);
 /* A new one that nobody has submitted yet. */
-tw_simulator_job *tw_simulator_job_new(tw_simulator_world *w, const char *id);
-int tw_simulator_job_running(const tw_simulator_world *w, const char *id);
+tw_simulator_job *tw_simulator_job_new(tw_simulator_world *world, const char *id);
+int tw_simulator_job_tasks_running(const tw_simulator_world *world, const char *id);
 /* How many of its tasks are in that state on their machines. */
-int tw_simulator_job_in(const tw_simulator_world *w, const char *id, int stage);
+int tw_simulator_job_tasks_in_stage(const tw_simulator_world *world, const char *id, int stage);
 
 /* ---- judge ---- */
 
 enum { TW_SIMULATOR_SUBMIT = 's', TW_SIMULATOR_POLL = 'p', TW_SIMULATOR_CANCEL = 'a' };
 /* A rule was broken; the first one counts. */
-void tw_simulator_break(tw_simulator_world *w, const char *rule, const char *fmt, ...)
+void tw_simulator_rule_broken(tw_simulator_world *world, const char *rule, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 /* What a user was told in answer to a request sent at `sent`. An answer is older than another only
  * if its request was sent after the other answer was told; what merely crosses it is counted in
  * `crossings`. job NULL: nobody submitted it. */
-void tw_simulator_judge_told(tw_simulator_world *w, tw_simulator_job *job, const char *id, int kind,
-                             double sent, int status, const char *body);
+void tw_simulator_judge_told(tw_simulator_world *world, tw_simulator_job *job, const char *id,
+                             int kind, double sent, int status, const char *body);
 /* What is told of a job that can't be taken. */
-void tw_simulator_judge_bad(tw_simulator_world *w, const char *id, int status);
+void tw_simulator_judge_impossible_job(tw_simulator_world *world, const char *id, int status);
 /* A task has its image and starts. */
-void tw_simulator_judge_start(tw_simulator_world *w, const tw_simulator_worker *x,
-                              const tw_simulator_task *t);
+void tw_simulator_judge_start(tw_simulator_world *world, const tw_simulator_worker *worker,
+                              const tw_simulator_task *task);
 /* What must hold at any time. */
-void tw_simulator_judge_now(tw_simulator_world *w);
+void tw_simulator_judge_now(tw_simulator_world *world);
 
 /* ---- judge_live.c: what must hold once all troubles are over ---- */
 
 /* Call it about once a second. */
-void tw_simulator_judge_live(tw_simulator_world *w);
+void tw_simulator_judge_live(tw_simulator_world *world);
 /* At the end, if the scenario asks for it. */
-void tw_simulator_judge_served(tw_simulator_world *w);
+void tw_simulator_judge_served(tw_simulator_world *world);
 
 #endif
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -202,7 +202,7 @@
 static void run_service(int node) {
     static int submissions;
     if (submissions++ < SERVICE_SUBMISSIONS) ask_as_user(node, "POST", "/v1/jobs", service_text);
-    if (tw_simulator_job_running(&world, SERVICE_ID) == SERVICE_REPLICAS) kill_leader();
+    if (tw_simulator_job_tasks_running(&world, SERVICE_ID) == SERVICE_REPLICAS) kill_leader();
 }
 
 static void await_new_leader(void) {
@@ -241,7 +241,7 @@
         ask_as_user(node, "POST", "/v1/jobs/" SERVICE_ID "/abort", "{}");
         break;
     case STEP_GONE:
-        if (tw_simulator_job_running(&world, SERVICE_ID) == 0) step++;
+        if (tw_simulator_job_tasks_running(&world, SERVICE_ID) == 0) step++;
         break;
     case STEP_END: {
         const tw_simulator_job *service = tw_simulator_job_find(&world, SERVICE_ID);
@@ -252,16 +252,16 @@
 
 static void send_report(int index) {
     tw_simulator_worker *worker = world.workers[index];
-    char *body = tw_simulator_worker_report(&world, worker);
+    char *body = tw_simulator_worker_heartbeat(&world, worker);
     struct sent_call *call = call_node(worker->node, "POST", "/hello", body, REPORT_TIMEOUT_S);
     free(body);
     call->worker = index;
     call->sent = world.now;
-    call->session = worker->session;
+    call->session = worker->incarnation;
     worker->in_flight = 1;
     worker->changed = false;
-    worker->last_report = world.now;
-    worker->next_report = world.now + world.report_s;
+    worker->last_heartbeat = world.now;
+    worker->next_heartbeat = world.now + world.heartbeat_s;
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int events) {
@@ -271,10 +271,10 @@
     (void)events;
     world.now = now();
     if (world.now > LIMIT_S) finish("no progress");
-    tw_simulator_gangs_tick(&world);
-    for (int i = 0; i < world.nworkers; i++) {
-        tw_simulator_worker_tick(&world, world.workers[i]);
-        if (tw_simulator_worker_due(&world, world.workers[i])) send_report(i);
+    tw_simulator_gangs_advance(&world);
+    for (int i = 0; i < world.worker_count; i++) {
+        tw_simulator_worker_advance(&world, world.workers[i]);
+        if (tw_simulator_worker_heartbeat_due(&world, world.workers[i])) send_report(i);
     }
     if (*world.rule) finish(world.detail);
     if (!user_waits && world.now >= next_act) {
@@ -289,17 +289,17 @@
     if (tw_wire_job_parse(&job->spec, text, strlen(text), &why)) finish(why);
     job->run_s = 0.5;
     job->submitted = 1;
-    job->done = tw_simulator_zeroed((size_t)tasks);
+    job->done = tw_simulator_allocate((size_t)tasks);
 }
 
 static void init_world(void) {
     tw_simulator_world_init(&world);
-    world.report_s = REPORT_S;
+    world.heartbeat_s = REPORT_S;
     world.lease_s = LEASE_S;
-    world.nnodes = NODES;
+    world.node_count = NODES;
     for (int node = 0; node < NODES; node++)
         snprintf(world.nodes[node], TW_SIMULATOR_NAME, "tray-%d", node);
-    world.ntypes = 1;
+    world.type_count = 1;
     world.types[0] = (tw_wire_machine_type){.name = "cpu",
                                             .cores = 4,
                                             .memory_gb = 16,
@@ -335,7 +335,7 @@
 
 static void rent_workers(void) {
     for (int i = 0; i < WORKERS; i++) {
-        tw_simulator_worker *worker = tw_simulator_rent(&world, 0, i ? "b" : "a", 0, 0);
+        tw_simulator_worker *worker = tw_simulator_add_machine(&world, 0, i ? "b" : "a", 0, 0);
         snprintf(worker->endpoint, sizeof worker->endpoint, "127.0.0.1:%d",
                  base_port + STAND_IN_PORTS + PORT_WORKER + i);
     }
--- a/tests/runner/fuzz_test.c
+++ b/tests/runner/fuzz_test.c
@@ -39,7 +39,7 @@
         digest = digest_of(&day, digest);
         tw_simulator *sim = tw_simulator_new(NULL);
         for (size_t i = 0; i < day.count; i++)
-            check(!tw_simulator_line(sim, day.lines[i], error, sizeof error), error);
+            check(!tw_simulator_take_line(sim, day.lines[i], error, sizeof error), error);
         tw_simulator_free(sim);
         tw_fuzz_day_free(&day);
     }
@@ -58,7 +58,7 @@
         tw_fuzz_draw_upgrade(seed, &day);
         tw_simulator *sim = tw_simulator_new(NULL);
         for (size_t i = 0; i < day.count; i++) {
-            check(!tw_simulator_line(sim, day.lines[i], error, sizeof error), error);
+            check(!tw_simulator_take_line(sim, day.lines[i], error, sizeof error), error);
             old |= !strncmp(day.lines[i], "old ", strlen("old "));
             upgraded |= strstr(day.lines[i], " upgrade ") != NULL;
         }
--- a/tests/runner/simulator_gang_test.c
+++ b/tests/runner/simulator_gang_test.c
@@ -35,20 +35,20 @@
 static void begin(fixture *f) {
     tw_simulator_world *w = &f->w;
     tw_simulator_world_init(w);
-    w->nnodes = 1;
+    w->node_count = 1;
     w->lease_s = LEASE_S;
     w->gang_wait_s = WAIT_S;
     w->gang_peer_s = PEER_S;
-    w->ntypes = 1;
+    w->type_count = 1;
     w->types[0] =
         (tw_wire_machine_type){.name = "cpu", .cores = 4, .memory_gb = 16, .fetch_gb_s = 1};
-    w->nteams = 1;
+    w->team_count = 1;
     strcpy(w->teams[0].name, "crew");
     for (int i = 0; i < MACHINES; i++) {
-        tw_simulator_worker *x = tw_simulator_rent(w, 0, i < MACHINES / 2 ? "a" : "b", 0, 0);
+        tw_simulator_worker *x = tw_simulator_add_machine(w, 0, i < MACHINES / 2 ? "a" : "b", 0, 0);
         x->up = 1;
-        x->session = 1;
-        x->slow = 1;
+        x->incarnation = 1;
+        x->slowdown = 1;
     }
     w->now = 1;
     f->job = tw_simulator_job_new(w, ID);
@@ -64,7 +64,7 @@
     spec->save_s = FLUSH_S;
     f->job->run_s = RUN_S;
     f->job->submitted = f->job->accepted = 1;
-    f->job->done = tw_simulator_zeroed(TASKS);
+    f->job->done = tw_simulator_allocate(TASKS);
 }
 
 /* Ends the world; rule: the one that must be broken, "" for none. */
@@ -78,8 +78,8 @@
     int steps = (int)lround(seconds / STEP_S);
     for (int step = 0; step < steps; step++) {
         f->w.now += STEP_S;
-        tw_simulator_gangs_tick(&f->w);
-        for (int i = 0; i < MACHINES; i++) tw_simulator_worker_tick(&f->w, f->w.workers[i]);
+        tw_simulator_gangs_advance(&f->w);
+        for (int i = 0; i < MACHINES; i++) tw_simulator_worker_advance(&f->w, f->w.workers[i]);
         tw_simulator_judge_now(&f->w);
     }
 }
@@ -90,7 +90,7 @@
     snprintf(body, sizeof body,
              "{\"baton\":1,\"shift\":%d,\"orders\":[{\"verb\":\"%s\",\"piece\":\"" ID
              "/%d\",\"try\":%d,\"mercyS\":%g}]}",
-             (int)f->w.workers[machine]->session, verb, index, attempt, grace_s);
+             (int)f->w.workers[machine]->incarnation, verb, index, attempt, grace_s);
     int status =
         tw_simulator_worker_request(&f->w, f->w.workers[machine], "POST", "/orders", body, &answer);
     check(status == TW_SIMULATOR_OK, "an order is refused");
@@ -119,7 +119,7 @@
 
 static const tw_simulator_task *task(const fixture *f, int machine, int attempt) {
     const tw_simulator_worker *x = f->w.workers[machine];
-    for (int i = 0; i < x->ntasks; i++)
+    for (int i = 0; i < x->task_count; i++)
         if (x->tasks[i].attempt == (uint64_t)attempt) return &x->tasks[i];
     return NULL;
 }
@@ -147,7 +147,7 @@
 }
 
 static bool reports(fixture *f, int machine, const char *text) {
-    char *report = tw_simulator_worker_report(&f->w, f->w.workers[machine]);
+    char *report = tw_simulator_worker_heartbeat(&f->w, f->w.workers[machine]);
     bool found = strstr(report, text) != NULL;
     free(report);
     return found;
@@ -248,14 +248,15 @@
 static void test_slowest_and_done(void) {
     fixture f;
     begin(&f);
-    f.w.workers[1]->slow = 2;
+    f.w.workers[1]->slowdown = 2;
     f.w.workers[2]->mute_until = 1e9; /* its reports reach nobody */
     run_for(&f, 2 * RUN_S - 1);
     check(all_in(&f, 1, TW_TASK_RUNNING), "a gang is faster than its slowest machine");
     check(is_about(f.job->gang_saved_s, 2 * SNAPSHOT_S), "checkpoints aren't taken");
     pass(&f, 1.2);
     check(all_exited(&f, 1, TW_CAUSE_DONE, 0), "a gang isn't done together");
-    check(f.job->ndone == TASKS && f.job->done[0] && f.job->done[2], "a done gang isn't noted");
+    check(f.job->done_count == TASKS && f.job->done[0] && f.job->done[2],
+          "a done gang isn't noted");
     launch(&f, 3, 1, 2);
     pass(&f, 0.2);
     check(has_exited(&f, 3, 2, TW_CAUSE_DONE, false), "a done task doesn't exit with done again");
@@ -275,7 +276,7 @@
               has_exited(f, 2, 1, TW_CAUSE_GANG_BROKEN, false),
           "the others don't notice in time");
     check(is_about(f->job->gang_saved_s, 2 * SNAPSHOT_S), "progress isn't that of a checkpoint");
-    check(!f->job->ndone, "a broken gang is done");
+    check(!f->job->done_count, "a broken gang is done");
 }
 
 static void take(fixture *f) { f->w.workers[1]->gone = 1; }
@@ -288,7 +289,7 @@
     lost_case(&f, take);
     end(&f, "", "a machine of a running gang is taken");
     lost_case(&f, forget_lease);
-    check(f.w.workers[1]->session == 2, "a lease doesn't end");
+    check(f.w.workers[1]->incarnation == 2, "a lease doesn't end");
     end(&f, "", "a lease ends under a running gang");
     lost_case(&f, stop_without_grace);
     check(has_exited(&f, 1, 1, TW_CAUSE_STOPPED, false),
--- a/tests/runner/simulator_test.c
+++ b/tests/runner/simulator_test.c
@@ -19,7 +19,7 @@
 
 static void line(tw_simulator *sim, const char *text) {
     char error[200];
-    if (!tw_simulator_line(sim, text, error, sizeof error)) return;
+    if (!tw_simulator_take_line(sim, text, error, sizeof error)) return;
     printf("FAIL sim: %s\n", error);
     failures++;
 }
@@ -130,7 +130,7 @@
     tw_simulator *sim = tw_simulator_new(NULL);
     for (size_t i = 0; i < sizeof bad / sizeof *bad; i++) {
         char error[200] = "";
-        check(tw_simulator_line(sim, bad[i], error, sizeof error) == -1 && *error, bad[i]);
+        check(tw_simulator_take_line(sim, bad[i], error, sizeof error) == -1 && *error, bad[i]);
     }
     line(sim, "# comment");
     line(sim, "");
@@ -165,13 +165,13 @@
 
 static void world_of_one_machine(tw_simulator_world *w) {
     tw_simulator_world_init(w);
-    w->nnodes = 1;
-    w->ntypes = 1;
+    w->node_count = 1;
+    w->type_count = 1;
     w->types[0] =
         (tw_wire_machine_type){.name = "cpu", .cores = 4, .memory_gb = 16, .fetch_gb_s = 1};
-    w->nteams = 1;
+    w->team_count = 1;
     strcpy(w->teams[0].name, "crew");
-    tw_simulator_rent(w, 0, "a", 0, 0)->up = 1;
+    tw_simulator_add_machine(w, 0, "a", 0, 0)->up = 1;
     w->now = 1;
 }
 
@@ -185,20 +185,21 @@
     job->submitted = job->accepted = 1;
     job->accepted_at = job->answered_at = w->now;
     job->first_try = w->now;
-    job->done = tw_simulator_zeroed(1);
+    job->done = tw_simulator_allocate(1);
     return job;
 }
 
 static void put_on_machine(tw_simulator_world *w, tw_simulator_job *job) {
     tw_simulator_worker *x = w->workers[0];
-    x->tasks = tw_simulator_grow(x->tasks, x->ntasks, &x->tasks_cap, sizeof *x->tasks);
-    x->tasks[x->ntasks] = (tw_simulator_task){.job = job, .stage = TW_TASK_RUNNING, .attempt = 1};
-    strcpy(x->tasks[x->ntasks++].job_id, job->spec.id);
+    x->tasks = tw_simulator_grow(x->tasks, x->task_count, &x->task_capacity, sizeof *x->tasks);
+    x->tasks[x->task_count] =
+        (tw_simulator_task){.job = job, .stage = TW_TASK_RUNNING, .attempt = 1};
+    strcpy(x->tasks[x->task_count++].job_id, job->spec.id);
 }
 
 static void pass(tw_simulator_world *w, int seconds, bool answered) {
     for (int second = 0; second < seconds; second++) {
-        for (int i = 0; i < w->njobs && answered; i++) w->jobs[i]->answered_at = w->now;
+        for (int i = 0; i < w->job_count && answered; i++) w->jobs[i]->answered_at = w->now;
         tw_simulator_judge_live(w);
         w->now += 1;
     }
@@ -287,7 +288,7 @@
     pass(&w, 60, true);
     put_on_machine(&w, w.jobs[0]);
     pass(&w, 10, true);
-    w.workers[0]->ntasks = 0;
+    w.workers[0]->task_count = 0;
     pass(&w, 60, true);
     expect_rule(&w, "", "a job that was on a machine meanwhile");
 }
@@ -302,7 +303,7 @@
     for (int i = 0; i < 4; i++) {
         snprintf(id, sizeof id, "run-%06d", i + 1);
         tw_simulator_job *job = accepted_job(&w, id, i == 3 ? 4 : 1);
-        job->ndone = i >= 4 - done;
+        job->done_count = i >= 4 - done;
         job->begun_at = begun_at;
     }
     w.now = 300;
@@ -320,10 +321,10 @@
 static void test_took_bad(void) {
     tw_simulator_world w;
     world_of_one_machine(&w);
-    tw_simulator_judge_bad(&w, "run-900001", 422);
-    tw_simulator_judge_bad(&w, "run-900001", 503);
+    tw_simulator_judge_impossible_job(&w, "run-900001", 422);
+    tw_simulator_judge_impossible_job(&w, "run-900001", 503);
     check(!*w.rule, "a refusal is taken for an acceptance");
-    tw_simulator_judge_bad(&w, "run-900001", 201);
+    tw_simulator_judge_impossible_job(&w, "run-900001", 201);
     expect_rule(&w, "took_bad", "a job that can't run is accepted");
 }
 
--- a/tests/soak/calls.c
+++ b/tests/soak/calls.c
@@ -14,7 +14,7 @@
 void soak_call_node(soak *run, int node, int port, const char *method, const char *path,
                     const char *body, double timeout_s, soak_answered *answered, void *data) {
     char address[SOAK_TEXT];
-    soak_call *call = tw_simulator_zeroed(sizeof *call);
+    soak_call *call = tw_simulator_allocate(sizeof *call);
     call->id = ++run->last_call;
     call->answered = answered;
     call->data = data;
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -40,10 +40,10 @@
 /* A share of the machines that are up, until some time. */
 static void strike_machines(soak *run, const soak_fault *fault) {
     const double until = run->world.now + fault->lasts_s;
-    for (int i = 0; i < run->world.nworkers; i++) {
+    for (int i = 0; i < run->world.worker_count; i++) {
         tw_simulator_worker *worker = run->world.workers[i];
         if (worker->gone || !worker->up || soak_draw(run, 0, 1) > fault->share / 2) continue;
-        if (fault->kind == FAULT_DEAF) worker->deaf_until = until;
+        if (fault->kind == FAULT_DEAF) worker->unresponsive_until = until;
         if (fault->kind == FAULT_MUTE) worker->mute_until = until;
         if (fault->kind == FAULT_HANG) worker->hung_until = until;
     }
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -97,7 +97,7 @@
 }
 
 void soak_after(soak *of, double seconds, void (*act)(soak *of, void *data), void *data) {
-    delayed *due = tw_simulator_zeroed(sizeof *due);
+    delayed *due = tw_simulator_allocate(sizeof *due);
     due->of = of;
     due->act = act;
     due->data = data;
@@ -185,8 +185,8 @@
              "%s seed %u: %d nodes, %d machines (%d in all), %d jobs, %d leaders, %d faults, "
              "harness late by "
              "%.3f s, %.0f s; %s",
-             verdict, of->seed, of->plan.nodes, of->plan.machines, of->world.nworkers,
-             of->world.njobs, of->leaders, struck, of->latest_s, of->world.now, why);
+             verdict, of->seed, of->plan.nodes, of->plan.machines, of->world.worker_count,
+             of->world.job_count, of->leaders, struck, of->latest_s, of->world.now, why);
     char path[SOAK_PATH];
     snprintf(path, sizeof path, "%s/verdict.txt", of->directory);
     FILE *file = fopen(path, "w");
@@ -276,7 +276,7 @@
                                                                .on_demand_price = 8,
                                                                .spot_price = 4,
                                                                .startup_s = STARTUP_S}};
-    world->ntypes = MACHINE_TYPES;
+    world->type_count = MACHINE_TYPES;
     for (int type = 0; type < MACHINE_TYPES; type++) {
         world->types[type] = types[type];
         world->types[type].zone_count = zones;
@@ -292,7 +292,7 @@
     tw_simulator_world *world = &of->world;
     tw_simulator_world_init(world);
     world->seed = of->seed;
-    world->report_s = REPORT_S;
+    world->heartbeat_s = REPORT_S;
     world->lease_s = LEASE_S;
     world->cancel_s = CANCEL_S;
     world->gang_wait_s = GANG_WAIT_S;
@@ -300,10 +300,10 @@
     world->boot_s = BOOT_S;
     world->job_ended = soak_job_ended;
     world->context = of;
-    world->nteams = 2;
+    world->team_count = 2;
     world->teams[0] = (tw_simulator_team){"crew-0", 16, 150};
     world->teams[1] = (tw_simulator_team){"crew-1", 24, 250};
-    world->nnodes = of->plan.nodes;
+    world->node_count = of->plan.nodes;
     for (int node = 0; node < of->plan.nodes; node++) {
         name_node(world->nodes[node], node);
         snprintf(world->node_zone[node], TW_SIMULATOR_NAME, "%c", 'a' + node % of->plan.zones);
@@ -312,7 +312,7 @@
     /* Half of the machines are there at the start. */
     for (int i = 0; i < of->plan.machines / 2; i++) {
         char zone[2] = {(char)('a' + i % of->plan.zones), 0};
-        tw_simulator_rent(world, i % 3 == 2, zone, 0, 0);
+        tw_simulator_add_machine(world, i % 3 == 2, zone, 0, 0);
     }
 }
 
--- a/tests/soak/stand_ins.c
+++ b/tests/soak/stand_ins.c
@@ -82,10 +82,10 @@
 
 static void watch(soak *run, passage *request) {
     const char *hold = strstr(request->path, "holdMs=");
-    soak_watch *added = tw_simulator_zeroed(sizeof *added);
+    soak_watch *added = tw_simulator_allocate(sizeof *added);
     added->request = request;
     added->until =
-        run->world.now + (hold ? tw_simulator_number(hold + strlen("holdMs=")) / 1000 : 0);
+        run->world.now + (hold ? tw_simulator_parse_number(hold + strlen("holdMs=")) / 1000 : 0);
     added->next = run->watches;
     run->watches = added;
 }
@@ -136,7 +136,7 @@
     if (!strncmp(request->path, "/follow?", strlen("/follow?"))) {
         watch(run, request);
     } else if (is_refused(run, request->caller)) {
-        answer(run, request, TW_SIMULATOR_UNAVAILABLE, tw_simulator_text("{}"));
+        answer(run, request, TW_SIMULATOR_UNAVAILABLE, tw_simulator_copy_text("{}"));
     } else if (changes && soak_strikes(run, &run->late_writes)) {
         request->unanswered = true;
         soak_after(run, soak_draw(run, LEAST_HELD_S, MOST_HELD_S), carry_out_state, request);
@@ -170,8 +170,8 @@
     const int most = (int)(2 * LIST_LAG_S / SNAPSHOT_S);
     int age = soak_draw_index(run, most);
     if (age >= run->list_count) age = run->list_count - 1;
-    return tw_simulator_text(run->list_count ? run->lists[run->list_count - 1 - age]
-                                             : "{\"trays\":[],\"more\":false}");
+    return tw_simulator_copy_text(run->list_count ? run->lists[run->list_count - 1 - age]
+                                                  : "{\"trays\":[],\"more\":false}");
 }
 
 static void take_snapshot(soak *run) {
@@ -190,7 +190,7 @@
 static void ask_cloud(soak *run, passage *request) {
     char *body;
     int status = TW_SIMULATOR_OK;
-    run->world.refuse = run->world.nworkers >= MOST_MACHINES;
+    run->world.refuses_rentals = run->world.worker_count >= MOST_MACHINES;
     if (!strcmp(request->method, "GET") &&
         strncmp(request->path, "/flavors", strlen("/flavors")) != 0)
         body = lagging_list(run);
@@ -207,7 +207,7 @@
 static void ask_machine(soak *run, void *data) {
     passage *request = data;
     tw_simulator_worker *worker = run->world.workers[request->target - SOAK_WORKERS];
-    if (worker->gone || !worker->up || run->world.now < worker->deaf_until) {
+    if (worker->gone || !worker->up || run->world.now < worker->unresponsive_until) {
         end(request);
         return;
     }
@@ -216,7 +216,7 @@
         return;
     }
     char *body;
-    tw_simulator_worker_tick(&run->world, worker); /* a lease that has ended ends first */
+    tw_simulator_worker_advance(&run->world, worker); /* a lease that has ended ends first */
     const int status = tw_simulator_worker_request(&run->world, worker, request->method,
                                                    request->path, request->body, &body);
     if (strstr(request->body, "\"launch\"")) soak_moment_came(run, MOMENT_LAUNCH);
@@ -226,10 +226,10 @@
 
 /* The same once more, for whose answer nobody waits. */
 static void repeat_later(soak *run, const passage *request) {
-    passage *copy = tw_simulator_zeroed(sizeof *copy);
+    passage *copy = tw_simulator_allocate(sizeof *copy);
     *copy = *request;
-    copy->path = tw_simulator_text(request->path);
-    copy->body = tw_simulator_text(request->body);
+    copy->path = tw_simulator_copy_text(request->path);
+    copy->body = tw_simulator_copy_text(request->body);
     copy->unanswered = true;
     soak_after(run, soak_draw(run, LEAST_HELD_S, MOST_REPEATED_S), ask_machine, copy);
 }
@@ -250,7 +250,7 @@
 static void peer_answered(soak *run, void *data, int status, const char *body) {
     passage *request = data;
     if (status)
-        answer(run, request, status, tw_simulator_text(body));
+        answer(run, request, status, tw_simulator_copy_text(body));
     else
         end(request); /* it is gone, or stands still */
 }
@@ -280,13 +280,13 @@
     soak *run = context;
     (void)length;
     run->world.now = soak_now() - run->started_at;
-    passage *request = tw_simulator_zeroed(sizeof *request);
+    passage *request = tw_simulator_allocate(sizeof *request);
     request->conn = conn;
     request->caller = port / KNOWN_PORTS;
     request->target = port % KNOWN_PORTS;
     snprintf(request->method, sizeof request->method, "%s", method);
-    request->path = tw_simulator_text(path);
-    request->body = tw_simulator_text(body);
+    request->path = tw_simulator_copy_text(path);
+    request->body = tw_simulator_copy_text(body);
     const double seconds = soak_travel(run, request->caller, request->target);
     soak_note(run, "node", request->caller, "party", request->target, seconds < 0 ? "lost" : path,
               body);
@@ -316,10 +316,10 @@
             for (int peer = 0; peer < run->plan.nodes; peer++)
                 well &= listen_for(run, node, peer, SOAK_PEERS_PORT + peer);
         }
-        for (int i = run->listening; i < run->world.nworkers; i++)
+        for (int i = run->listening; i < run->world.worker_count; i++)
             well &= listen_for(run, node, SOAK_WORKERS + i, SOAK_MACHINE_PORT + i);
     }
-    for (; run->listening < run->world.nworkers; run->listening++) {
+    for (; run->listening < run->world.worker_count; run->listening++) {
         tw_simulator_worker *worker = run->world.workers[run->listening];
         soak_address(run, worker->endpoint, SOAK_STAND_IN_HOST, SOAK_MACHINE_PORT + run->listening);
     }
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -65,7 +65,7 @@
 static void ask(soak *run, user_job *user, int kind, int node, bool once) {
     const tw_simulator_job *job = run->world.jobs[user->index];
     char path[SOAK_PATH];
-    request *asked = tw_simulator_zeroed(sizeof *asked);
+    request *asked = tw_simulator_allocate(sizeof *asked);
     *asked = (request){user, kind, once, run->world.now};
     snprintf(path, sizeof path, "/v1/jobs%s%s%s", kind == TW_SIMULATOR_SUBMIT ? "" : "/",
              kind == TW_SIMULATOR_SUBMIT ? "" : job->spec.id,
@@ -123,7 +123,7 @@
 
 static int services_running(const soak *run) {
     int count = 0;
-    for (int i = 0; i < run->world.njobs; i++)
+    for (int i = 0; i < run->world.job_count; i++)
         count += run->world.jobs[i]->spec.service && run->world.jobs[i]->cancel_asked_at <= 0;
     return count;
 }
@@ -134,7 +134,7 @@
     if (!strcmp(kinds[kind].shape, "service") && services_running(run) >= MOST_SERVICES) kind = 0;
     const double run_s = soak_draw(run, kinds[kind].least_s, kinds[kind].most_s);
     char text[1024], id[SOAK_TEXT];
-    snprintf(id, sizeof id, "run-%06d", run->world.njobs + 1);
+    snprintf(id, sizeof id, "run-%06d", run->world.job_count + 1);
     snprintf(
         text, sizeof text,
         "{\"id\":\"%s\",\"lane\":\"lane\",\"crew\":\"crew-%d\",\"shape\":\"%s\",\"rank\":\"%s\","
@@ -154,8 +154,8 @@
     job->run_s = run_s;
     job->submitted = 1;
     job->first_try = run->world.now;
-    job->done = tw_simulator_zeroed((size_t)job->spec.task_count);
-    user_job *user = tw_simulator_zeroed(sizeof *user);
+    job->done = tw_simulator_allocate((size_t)job->spec.task_count);
+    user_job *user = tw_simulator_allocate(sizeof *user);
     user->index = job->index;
     const bool cancels = job->spec.service || soak_draw(run, 0, 1) < CANCEL_SHARE;
     if (cancels) user->cancel_at = run->world.now + soak_draw(run, 1, 15);
@@ -192,16 +192,16 @@
 }
 
 int soak_users_served(soak *run, char *what, size_t size) {
-    for (int i = 0; i < run->world.njobs; i++) {
+    for (int i = 0; i < run->world.job_count; i++) {
         const tw_simulator_job *job = run->world.jobs[i];
         const int is_over = job->told_over;
         const bool runs =
             job->accepted && job->spec.service && job->cancel_asked_at <= 0 &&
-            tw_simulator_job_running(&run->world, job->spec.id) == job->spec.task_count;
+            tw_simulator_job_tasks_running(&run->world, job->spec.id) == job->spec.task_count;
         if (is_over || runs) continue;
         snprintf(what, size, "%s: accepted=%d done=%d of %d cancelled=%d running=%d", job->spec.id,
-                 job->accepted, job->ndone, job->spec.task_count, job->cancel_asked_at > 0,
-                 tw_simulator_job_running(&run->world, job->spec.id));
+                 job->accepted, job->done_count, job->spec.task_count, job->cancel_asked_at > 0,
+                 tw_simulator_job_tasks_running(&run->world, job->spec.id));
         return 0;
     }
     return 1;
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -8,7 +8,7 @@
 #define NEXT_NODE_S 1.0
 #define LEAST_HELD_S 1.0
 #define HELD_LEASES 2.5
-#define KEPT_SPREAD_S 0.3
+#define HELD_SPREAD_S 0.3
 #define KEPT_MOST_LEADERS 3
 #define FIRST_HOST_DIGIT 3
 
@@ -36,7 +36,7 @@
     const bool awaited = sent->flight && worker->in_flight == sent->flight;
     if (awaited && run->world.now >= worker->hung_until) {
         worker->in_flight = 0;
-        tw_simulator_worker_tick(&run->world, worker); /* a lease that has ended ends first */
+        tw_simulator_worker_advance(&run->world, worker); /* a lease that has ended ends first */
         if (strstr(sent->answer, "\"launch\"")) soak_moment_came(run, MOMENT_LAUNCH);
         tw_simulator_worker_answer(&run->world, worker, sent->sent, sent->session, sent->status,
                                    sent->answer);
@@ -48,7 +48,7 @@
     report *sent = data;
     const tw_simulator_worker *worker = run->world.workers[sent->machine];
     const double seconds = soak_travel(run, sent->node, SOAK_WORKERS + sent->machine);
-    const bool deaf = status && run->world.now < worker->deaf_until;
+    const bool deaf = status && run->world.now < worker->unresponsive_until;
     const bool late = run->world.now + seconds >= sent->sent + ANSWER_TIMEOUT_S;
     soak_note(run, "node", sent->node, "worker", sent->machine,
               seconds < 0 || deaf || late ? "report's answer lost" : "report's answer", body);
@@ -57,7 +57,7 @@
         return;
     }
     sent->status = status;
-    sent->answer = tw_simulator_text(body);
+    sent->answer = tw_simulator_copy_text(body);
     if (seconds > 0)
         soak_after(run, seconds, answer_arrives, sent);
     else
@@ -69,8 +69,8 @@
     tw_simulator_worker *worker = run->world.workers[sent->machine];
     if (worker->in_flight == sent->flight) {
         worker->in_flight = 0;
-        worker->node = (worker->node + 1) % run->world.nnodes;
-        worker->next_report = run->world.now + NEXT_NODE_S;
+        worker->node = (worker->node + 1) % run->world.node_count;
+        worker->next_heartbeat = run->world.now + NEXT_NODE_S;
     }
     end(sent);
 }
@@ -86,13 +86,13 @@
 }
 
 static report *make(const soak *run, int machine, int node, const char *body, uint64_t flight) {
-    report *made = tw_simulator_zeroed(sizeof *made);
+    report *made = tw_simulator_allocate(sizeof *made);
     made->machine = machine;
     made->node = node;
     made->flight = flight;
-    made->session = run->world.workers[machine]->session;
+    made->session = run->world.workers[machine]->incarnation;
     made->sent = run->world.now;
-    made->body = tw_simulator_text(body);
+    made->body = tw_simulator_copy_text(body);
     /* The endpoint as this controller sees it. */
     char host[SOAK_TEXT], digits[SOAK_TEXT];
     soak_address(run, host, SOAK_STAND_IN_HOST, 0);
@@ -113,7 +113,7 @@
         run->kept =
             tw_simulator_grow(run->kept, run->kept_count, &run->kept_cap, sizeof *run->kept);
         const int leaders = 1 + soak_draw_index(run, KEPT_MOST_LEADERS);
-        run->kept[run->kept_count++] = (soak_kept){machine, leaders, tw_simulator_text(body)};
+        run->kept[run->kept_count++] = (soak_kept){machine, leaders, tw_simulator_copy_text(body)};
     }
 }
 
@@ -126,7 +126,7 @@
         }
         for (int node = 0; node < run->plan.nodes; node++) {
             report *copy = make(run, run->kept[i].machine, node, run->kept[i].body, 0);
-            soak_after(run, soak_draw(run, 0, KEPT_SPREAD_S), arrives, copy);
+            soak_after(run, soak_draw(run, 0, HELD_SPREAD_S), arrives, copy);
         }
         free(run->kept[i].body);
     }
@@ -136,11 +136,11 @@
 static void send_report(soak *run, int machine) {
     tw_simulator_world *world = &run->world;
     tw_simulator_worker *worker = world->workers[machine];
-    char *body = tw_simulator_worker_report(world, worker);
+    char *body = tw_simulator_worker_heartbeat(world, worker);
     worker->changed = false;
     worker->in_flight = ++run->last_flight;
-    worker->last_report = world->now;
-    worker->next_report = world->now + world->report_s * soak_draw(run, 0.75, 1.25);
+    worker->last_heartbeat = world->now;
+    worker->next_heartbeat = world->now + world->heartbeat_s * soak_draw(run, 0.75, 1.25);
     copies(run, machine, body);
     double seconds = soak_travel(run, SOAK_WORKERS + machine, worker->node);
     if (world->now < worker->mute_until) seconds = -1;
@@ -157,10 +157,11 @@
 }
 
 void soak_workers_tick(soak *run) {
-    tw_simulator_gangs_tick(&run->world);
-    for (int i = 0; i < run->world.nworkers; i++) {
-        tw_simulator_worker_tick(&run->world, run->world.workers[i]);
-        if (tw_simulator_worker_due(&run->world, run->world.workers[i])) send_report(run, i);
+    tw_simulator_gangs_advance(&run->world);
+    for (int i = 0; i < run->world.worker_count; i++) {
+        tw_simulator_worker_advance(&run->world, run->world.workers[i]);
+        if (tw_simulator_worker_heartbeat_due(&run->world, run->world.workers[i]))
+            send_report(run, i);
     }
     tw_simulator_judge_now(&run->world);
 }
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -19,7 +19,7 @@
 
 static double answered_after(const tw_effect *effect) {
     const char *hold = strstr(effect->path, "holdMs=");
-    return hold ? tw_simulator_number(hold + strlen("holdMs=")) / 1000 : LATENCY;
+    return hold ? tw_simulator_parse_number(hold + strlen("holdMs=")) / 1000 : LATENCY;
 }
 
 /* Heartbeats are many and differ in their times: those that say the same in a row are shown once.
@@ -73,8 +73,9 @@
 
 /* What a node that knows nobody answers to a heartbeat. */
 static char *heartbeat_answer(void) {
-    return tw_simulator_text("{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
-                             "\"upS\":500,\"deputyS\":500}");
+    return tw_simulator_copy_text(
+        "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
+        "\"upS\":500,\"deputyS\":500}");
 }
 
 static int answer_to(conversation *c, const waiting_call *call, char **body) {
@@ -85,7 +86,7 @@
     if (call->to == TW_TO_CLOUD)
         return tw_simulator_cloud_request(&c->world, call->method, call->path, sent, body);
     const bool heartbeat = !strcmp(call->path, "/peer/ping");
-    *body = heartbeat ? heartbeat_answer() : tw_simulator_text("{}");
+    *body = heartbeat ? heartbeat_answer() : tw_simulator_copy_text("{}");
     return TW_SIMULATOR_OK;
 }
 
@@ -181,7 +182,7 @@
 void conversation_around(conversation *c) {
     tw_simulator_world *w = &c->world;
     tw_simulator_world_init(w);
-    w->ntypes = 1;
+    w->type_count = 1;
     w->types[0] = (tw_wire_machine_type){.name = "cpu",
                                          .cores = 16,
                                          .memory_gb = 64,
@@ -192,9 +193,9 @@
                                          .startup_s = 20,
                                          .zone_count = 1,
                                          .zones = {"a"}};
-    tw_simulator_worker *machine = tw_simulator_rent(w, 0, "a", 0, 0);
+    tw_simulator_worker *machine = tw_simulator_add_machine(w, 0, "a", 0, 0);
     machine->up = 1;
-    w->refuse = 1;
+    w->refuses_rentals = 1;
     w->state.write_tokens = w->state.limits.write_rps;
 }
 
