--- a/fuzz/draw_fleet.c
+++ b/fuzz/draw_fleet.c
@@ -21,7 +21,7 @@
 void tw_fuzz_settings(tw_fuzz_plan *plan) {
     plan->term = plan->lease * ELECTION_PERCENT / 100;
     tw_fuzz_day_add(plan->day, "set lease %s", tw_fuzz_seconds_of(plan->lease).text);
-    tw_fuzz_day_add(plan->day, "set report %s", tw_fuzz_seconds_of(plan->report).text);
+    tw_fuzz_day_add(plan->day, "set heartbeat %s", tw_fuzz_seconds_of(plan->report).text);
     tw_fuzz_day_add(plan->day, "set cancel %s", tw_fuzz_seconds_of(plan->cancel).text);
 }
 
@@ -63,7 +63,7 @@
         const int real_boot_s = plan->boot / TW_FUZZ_SECOND;
         const int nominal_boot_s = told_boot_s > real_boot_s ? told_boot_s : real_boot_s;
         tw_fuzz_day_add(plan->day,
-                        "rack %s cores=%d gpus=%d mem=%d cap=%d price=%d boot=%d fetch=%d",
+                        "machine_type %s cores=%d gpus=%d mem=%d cap=%d price=%d boot=%d fetch=%d",
                         rack->label, rack->cores, rack->gpus, 4 * rack->cores, capacity, prices[i],
                         nominal_boot_s, TW_FUZZ_ONE_OF(dice, 1, 1, 4));
     }
--- a/fuzz/draw_jobs.c
+++ b/fuzz/draw_jobs.c
@@ -67,8 +67,8 @@
                    : made->service ? TW_FUZZ_ONE_OF(dice, 1, 2, 3, 4)
                                    : TW_FUZZ_ONE_OF(dice, 1, 1, 2, 3, 4, 6, 12);
     if (made->service) snprintf(made->options, sizeof made->options, " shape=service");
-    if (made->group) snprintf(made->options, sizeof made->options, " shape=group");
-    option(made, " pieces=%d", made->pieces);
+    if (made->group) snprintf(made->options, sizeof made->options, " shape=gang");
+    option(made, " tasks=%d", made->pieces);
 }
 
 static void draw_amounts(tw_fuzz_plan *plan, job *made) {
@@ -78,12 +78,12 @@
            on_gpus ? TW_FUZZ_ONE_OF(dice, 1, 4) : TW_FUZZ_ONE_OF(dice, 1, 2, 4, 8));
     if (on_gpus) option(made, " gpus=%d", TW_FUZZ_ONE_OF(dice, 1, 1, 2, 4));
     if (tw_fuzz_dice_percent(dice, BIG_IMAGES))
-        option(made, " image=%d", TW_FUZZ_ONE_OF(dice, 2, 4));
-    option(made, " bundle=img-%d", tw_fuzz_dice_range(dice, 1, 3));
+        option(made, " image_gb=%d", TW_FUZZ_ONE_OF(dice, 2, 4));
+    option(made, " image_name=img-%d", tw_fuzz_dice_range(dice, 1, 3));
     if (!on_gpus && tw_fuzz_dice_percent(dice, BOUND_TO_RACK)) {
         const size_t length = strlen(made->options);
         const int rack = tw_fuzz_dice_range(dice, 0, plan->racks - 1);
-        snprintf(made->options + length, sizeof made->options - length, " rack=%s",
+        snprintf(made->options + length, sizeof made->options - length, " machine_type=%s",
                  plan->rack[rack].label);
     }
 }
@@ -92,13 +92,13 @@
     tw_fuzz_dice *dice = &plan->dice;
     const size_t length = strlen(made->options);
     if (tw_fuzz_dice_percent(dice, BOUND_TO_ZONE))
-        snprintf(made->options + length, sizeof made->options - length, " yard=%s",
+        snprintf(made->options + length, sizeof made->options - length, " zone=%s",
                  tw_fuzz_any_zone(plan));
     else if (plan->zones > 1 && tw_fuzz_dice_percent(dice, APART))
-        option(made, " apart=%d", 1);
+        option(made, " spread=%d", 1);
     else if (tw_fuzz_dice_percent(dice, made->group ? SAME_PLACE_GROUPS : SAME_PLACE))
-        option(made, " same=%d", 1);
-    if (tw_fuzz_dice_percent(dice, LOANERS)) option(made, " loaner=%d", 1);
+        option(made, " single_zone=%d", 1);
+    if (tw_fuzz_dice_percent(dice, LOANERS)) option(made, " spot=%d", 1);
 }
 
 /* How long its tasks run: often until about an anchor. */
@@ -120,20 +120,20 @@
     tw_fuzz_dice *dice = &plan->dice;
     size_t length = strlen(made->options);
     length += (size_t)snprintf(
-        made->options + length, sizeof made->options - length, " rank=%s crew=crew-%d lane=lane-%d",
-        ranks[tw_fuzz_dice_range(dice, 0, 3)], tw_fuzz_dice_range(dice, 0, plan->teams - 1),
-        tw_fuzz_dice_range(dice, 0, 2));
+        made->options + length, sizeof made->options - length,
+        " priority=%s team=crew-%d class=lane-%d", ranks[tw_fuzz_dice_range(dice, 0, 3)],
+        tw_fuzz_dice_range(dice, 0, plan->teams - 1), tw_fuzz_dice_range(dice, 0, 2));
     if (!made->service) {
         const int expected = made->run * TW_FUZZ_ONE_OF(dice, 50, 100, 100, 150) / 100;
         snprintf(made->options + length, sizeof made->options - length, " expect=%s run=%s",
                  tw_fuzz_seconds_of(expected).text, tw_fuzz_seconds_of(made->run).text);
         if (tw_fuzz_dice_percent(dice, WITH_DUE))
-            option(made, " due=%d",
+            option(made, " deadline=%d",
                    1 + made->run * TW_FUZZ_ONE_OF(dice, 150, 300, 600) / 100 / TW_FUZZ_SECOND);
     }
     if (tw_fuzz_dice_percent(dice, made->saving)) {
-        option(made, " snapshot=%d", TW_FUZZ_ONE_OF(dice, 1, 5));
-        option(made, " flush=%d", TW_FUZZ_ONE_OF(dice, 1, 3));
+        option(made, " checkpoint=%d", TW_FUZZ_ONE_OF(dice, 1, 5));
+        option(made, " save=%d", TW_FUZZ_ONE_OF(dice, 1, 3));
     }
     if (tw_fuzz_dice_percent(dice, FAILING)) option(made, " fails=%d", 1);
 }
@@ -181,7 +181,7 @@
     if (!tw_fuzz_dice_percent(dice, CANCELLED)) return;
     const int moment = cancel_moment(plan, made);
     const int count = TW_FUZZ_ONE_OF(dice, 1, 1, 1, 2, 4);
-    for (int i = 0; i < count; i++) tw_fuzz_at(plan, moment + i, "abort %s", made->id);
+    for (int i = 0; i < count; i++) tw_fuzz_at(plan, moment + i, "cancel %s", made->id);
     if (tw_fuzz_dice_percent(dice, ASKED_CLOSELY)) ask_closely(plan, made->id, moment);
     if (tw_fuzz_dice_percent(dice, REPEATED))
         tw_fuzz_at(plan, moment + tw_fuzz_dice_range(dice, 0, 100), "submit %s", made->id);
@@ -216,7 +216,7 @@
     made.submitted = tw_fuzz_dice_half(dice) ? anchor - tw_fuzz_dice_range(dice, 0, plan->lease)
                                              : tw_fuzz_near(plan, anchor);
     if (made.submitted < FIRST_SUBMISSION) made.submitted = FIRST_SUBMISSION;
-    option(&made, " shape=group pieces=%d", made.pieces);
+    option(&made, " shape=gang tasks=%d", made.pieces);
     draw_amounts(plan, &made);
     draw_place(plan, &made);
     draw_run(plan, &made);
@@ -233,7 +233,7 @@
     made.submitted = tw_fuzz_near(plan, tw_fuzz_anchor(plan));
     if (made.submitted < FIRST_SUBMISSION) made.submitted = FIRST_SUBMISSION;
     tw_fuzz_at(plan, made.submitted,
-               "submit %s shape=service rank=prod pieces=%d cores=%d crew=crew-%d", made.id,
+               "submit %s shape=service priority=prod tasks=%d cores=%d team=crew-%d", made.id,
                TW_FUZZ_ONE_OF(dice, 1, 2, 4), TW_FUZZ_ONE_OF(dice, 4, 8),
                tw_fuzz_dice_range(dice, 0, plan->teams - 1));
 }
@@ -286,12 +286,12 @@
         made.submitted = first + i * FLOOD_STEP;
         const int run = TW_FUZZ_ONE_OF(dice, 20, 50, 100, 300);
         tw_fuzz_at(plan, made.submitted,
-                   "submit %s cores=1 image=0.2 crew=crew-%d expect=%s run=%s", made.id,
+                   "submit %s cores=1 image_gb=0.2 team=crew-%d expect=%s run=%s", made.id,
                    tw_fuzz_dice_range(dice, 0, plan->teams - 1), tw_fuzz_seconds_of(run).text,
                    tw_fuzz_seconds_of(run).text);
         if (!tw_fuzz_dice_percent(dice, CANCELLED_IN_FLOOD)) continue;
         const int moment = made.submitted + tw_fuzz_dice_range(dice, 0, run + TW_FUZZ_SECOND);
-        tw_fuzz_at(plan, moment, "abort %s", made.id);
+        tw_fuzz_at(plan, moment, "cancel %s", made.id);
         if (tw_fuzz_dice_percent(dice, ASKED_CLOSELY)) ask_closely(plan, made.id, moment);
     }
 }
--- a/fuzz/draw_promise.c
+++ b/fuzz/draw_promise.c
@@ -21,9 +21,10 @@
 /* What runs before the trouble and must still run, under its first start, after it. A replica takes
  * most of a machine, so that none is moved to empty another machine. */
 static void draw_running(tw_fuzz_plan *plan) {
-    tw_fuzz_at(plan, SUBMITTED_AT, "submit run-000001 shape=service rank=prod pieces=%d cores=10%s",
-               plan->machines, plan->zones == 2 ? " apart=1" : "");
-    tw_fuzz_at(plan, SUBMITTED_AT, "submit run-000002 pieces=%d cores=1 expect=200 run=200",
+    tw_fuzz_at(plan, SUBMITTED_AT,
+               "submit run-000001 shape=service priority=prod tasks=%d cores=10%s", plan->machines,
+               plan->zones == 2 ? " spread=1" : "");
+    tw_fuzz_at(plan, SUBMITTED_AT, "submit run-000002 tasks=%d cores=1 expect=200 run=200",
                plan->machines);
 }
 
@@ -60,8 +61,9 @@
     draw_running(plan);
     tw_fuzz_at(plan, TROUBLE_AT, "refusepeers %s", tw_fuzz_seconds_of(length).text);
     for (int zone = 0; zone < plan->zones; zone++)
-        tw_fuzz_at(plan, submitted, "submit run-00000%d shape=service rank=prod yard=%s cores=1",
-                   3 + zone, tw_fuzz_zone(zone));
+        tw_fuzz_at(plan, submitted,
+                   "submit run-00000%d shape=service priority=prod zone=%s cores=1", 3 + zone,
+                   tw_fuzz_zone(zone));
     for (int zone = 0; zone < plan->zones; zone++)
         tw_fuzz_at(plan, submitted + plan->lease / 2, "expect running run-00000%d 1 1", 3 + zone);
     expect_still_running(plan, TROUBLE_AT + length + plan->lease);
@@ -75,7 +77,7 @@
     draw_running(plan);
     tw_fuzz_at(plan, TROUBLE_AT, "refuse 1");
     for (int i = 0; i < plan->machines; i++) {
-        tw_fuzz_at(plan, TROUBLE_AT - plan->report, "holdreport %d %s", i,
+        tw_fuzz_at(plan, TROUBLE_AT - plan->report, "holdheartbeat %d %s", i,
                    tw_fuzz_seconds_of(length).text);
         tw_fuzz_at(plan, TROUBLE_AT, "hang %d %s", i, tw_fuzz_seconds_of(length).text);
     }
@@ -86,9 +88,9 @@
 /* A machine fails whatever it gets: a job's tasks are tried on another. */
 static void bear_faulty_machine(tw_fuzz_plan *plan) {
     const int run = tw_fuzz_dice_range(&plan->dice, 300, 600);
-    tw_fuzz_at(plan, 100, "sick 0");
+    tw_fuzz_at(plan, 100, "faulty 0");
     for (int zone = 0; zone < plan->zones; zone++)
-        tw_fuzz_at(plan, SUBMITTED_AT, "submit run-00000%d pieces=4 yard=%s expect=%s", 1 + zone,
+        tw_fuzz_at(plan, SUBMITTED_AT, "submit run-00000%d tasks=4 zone=%s expect=%s", 1 + zone,
                    tw_fuzz_zone(zone), tw_fuzz_seconds_of(run).text);
     for (int zone = 0; zone < plan->zones; zone++)
         tw_fuzz_at(plan, SUBMITTED_AT + 3 * run + TRIED_AGAIN, "expect done run-00000%d", 1 + zone);
@@ -100,9 +102,9 @@
     const int at_once = plan->machines * CORES / 4;
     const int run = tw_fuzz_dice_range(&plan->dice, 300, 600);
     tw_fuzz_at(plan, 100, "refuse 1");
-    tw_fuzz_at(plan, SUBMITTED_AT, "submit run-000001 crew=crew pieces=%d cores=4 expect=%s",
+    tw_fuzz_at(plan, SUBMITTED_AT, "submit run-000001 team=crew tasks=%d cores=4 expect=%s",
                8 * at_once, tw_fuzz_seconds_of(run).text);
-    tw_fuzz_at(plan, SUBMITTED_AT + 100, "submit run-000002 crew=late pieces=%d cores=4 expect=%s",
+    tw_fuzz_at(plan, SUBMITTED_AT + 100, "submit run-000002 team=late tasks=%d cores=4 expect=%s",
                at_once, tw_fuzz_seconds_of(run).text);
     tw_fuzz_at(plan, SUBMITTED_AT + 5 * run + SPARE, "expect done run-000002");
 }
@@ -155,7 +157,7 @@
         draw_long_lease(plan);
     else
         tw_fuzz_draw_leases(plan);
-    tw_fuzz_day_add(plan->day, "rack cpu cores=%d mem=64 cap=%d boot=20", CORES,
+    tw_fuzz_day_add(plan->day, "machine_type cpu cores=%d mem=64 cap=%d boot=20", CORES,
                     2 * plan->machines);
     for (int i = 0; i < plan->machines; i++)
         tw_fuzz_day_add(plan->day, "machine cpu %s", tw_fuzz_zone(i / machines_in_zone));
--- a/fuzz/draw_successors.c
+++ b/fuzz/draw_successors.c
@@ -26,15 +26,15 @@
     tw_fuzz_dice *dice = &plan->dice;
     int when = tw_fuzz_near(plan, tw_fuzz_anchor(plan));
     if (when < 3 * TW_FUZZ_SECOND) when = 3 * TW_FUZZ_SECOND;
-    tw_fuzz_at(plan, when, "latereports 1 %s next 2", tw_fuzz_seconds_of(plan->report * 3).text);
+    tw_fuzz_at(plan, when, "lateheartbeats 1 %s next 2", tw_fuzz_seconds_of(plan->report * 3).text);
     when += plan->report * 3;
     const int away = plan->lease * tw_fuzz_dice_range(dice, 105, 150) / 100;
     tw_fuzz_at(plan, when, "kill all %s", tw_fuzz_seconds_of(away).text);
     when += away + 2 * plan->term + plan->report;
-    tw_fuzz_at(plan, when, "latereports 1 %s next",
+    tw_fuzz_at(plan, when, "lateheartbeats 1 %s next",
                seconds(plan, LAST_COPIES_MIN, LAST_COPIES_MAX).text);
     when += LAST_COPIES_MAX;
-    tw_fuzz_at(plan, when, "submit run-%06d pieces=%d expect=30", ++plan->jobs,
+    tw_fuzz_at(plan, when, "submit run-%06d tasks=%d expect=30", ++plan->jobs,
                tw_fuzz_dice_range(dice, 1, TASKS_MAX));
     when += tw_fuzz_dice_range(dice, LAUNCHED_MIN, LAUNCHED_MAX);
     const int hangs = plan->lease * tw_fuzz_dice_range(dice, 40, 90) / 100;
--- a/fuzz/draw_troubles.c
+++ b/fuzz/draw_troubles.c
@@ -73,7 +73,7 @@
 static void draw_nostate(tw_fuzz_plan *plan, int when) {
     node_for(plan, when, "nostate", OF_LEADER);
 }
-static void draw_alone(tw_fuzz_plan *plan, int when) { node_for(plan, when, "alone", OF_LEADER); }
+static void draw_alone(tw_fuzz_plan *plan, int when) { node_for(plan, when, "isolate", OF_LEADER); }
 static void draw_noworkers(tw_fuzz_plan *plan, int when) {
     node_for(plan, when, "noworkers", OF_WORKERS_LEADER);
 }
@@ -90,16 +90,16 @@
     machine_for(plan, when, "hang", duration(plan));
 }
 static void draw_deaf(tw_fuzz_plan *plan, int when) {
-    machine_for(plan, when, "deaf", duration(plan));
+    machine_for(plan, when, "unresponsive", duration(plan));
 }
 static void draw_lateorders(tw_fuzz_plan *plan, int when) {
-    machine_for(plan, when, "lateorders", duration(plan));
+    machine_for(plan, when, "latecommand", duration(plan));
 }
 static void draw_dupreport(tw_fuzz_plan *plan, int when) {
-    machine_for(plan, when, "dupreport", duration(plan));
+    machine_for(plan, when, "dupheartbeat", duration(plan));
 }
 static void draw_holdreport(tw_fuzz_plan *plan, int when) {
-    machine_for(plan, when, "holdreport", duration(plan));
+    machine_for(plan, when, "holdheartbeat", duration(plan));
 }
 
 static void draw_kill_all(tw_fuzz_plan *plan, int when) {
@@ -118,7 +118,8 @@
 
 static void draw_island(tw_fuzz_plan *plan, int when) {
     const int length = duration(plan);
-    tw_fuzz_at(plan, when, "island %s %s", tw_fuzz_any_zone(plan), tw_fuzz_seconds_of(length).text);
+    tw_fuzz_at(plan, when, "isolatezone %s %s", tw_fuzz_any_zone(plan),
+               tw_fuzz_seconds_of(length).text);
     tw_fuzz_until(plan, when + length);
 }
 
@@ -155,7 +156,7 @@
     const int count = tw_fuzz_dice_range(&plan->dice, 2, plan->machines + 2);
     for (int i = 0; i < count; i++) {
         if (held)
-            tw_fuzz_at(plan, when - plan->report, "holdreport %d %s", i,
+            tw_fuzz_at(plan, when - plan->report, "holdheartbeat %d %s", i,
                        tw_fuzz_seconds_of(length).text);
         tw_fuzz_at(plan, when, "hang %d %s", i, tw_fuzz_seconds_of(length).text);
     }
@@ -166,12 +167,12 @@
     if (tw_fuzz_dice_half(&plan->dice))
         tw_fuzz_at(plan, when, "take %d", machine(plan));
     else
-        machine_for(plan, when, "warn", tw_fuzz_dice_range(&plan->dice, NOTICE_MIN, NOTICE_MAX));
+        machine_for(plan, when, "notice", tw_fuzz_dice_range(&plan->dice, NOTICE_MIN, NOTICE_MAX));
 }
 
 static void draw_sick(tw_fuzz_plan *plan, int when) {
     if (tw_fuzz_dice_half(&plan->dice))
-        tw_fuzz_at(plan, when, "sick %d", machine(plan));
+        tw_fuzz_at(plan, when, "faulty %d", machine(plan));
     else
         tw_fuzz_at(plan, when, "slow %d %d", machine(plan), TW_FUZZ_ONE_OF(&plan->dice, 2, 4));
 }
@@ -207,7 +208,7 @@
     share_for(plan, when, "latecommands", "");
 }
 static void draw_latereports(tw_fuzz_plan *plan, int when) {
-    share_for(plan, when, "latereports", tw_fuzz_dice_half(&plan->dice) ? " next" : "");
+    share_for(plan, when, "lateheartbeats", tw_fuzz_dice_half(&plan->dice) ? " next" : "");
 }
 static void draw_mute(tw_fuzz_plan *plan, int when) {
     machine_for(plan, when, "mute", duration(plan));
--- a/simulator/command.c
+++ b/simulator/command.c
@@ -12,9 +12,9 @@
 }
 
 static int parse_priority(const char *name) {
-    static const char *const ranks[] = {"idle", "normal", "high", "prod"};
+    static const char *const priorities[] = {"idle", "normal", "high", "prod"};
     for (int i = 0; i < 4; i++)
-        if (!strcmp(name, ranks[i])) return i;
+        if (!strcmp(name, priorities[i])) return i;
     return TW_PRIORITY_NORMAL;
 }
 
@@ -26,28 +26,28 @@
 
 static void read_job_spec(tw_wire_job *spec, const tw_simulator_words *words) {
     char text[TW_SIMULATOR_NAME];
-    copy_option(words, "lane", spec->job_class, sizeof spec->job_class, "lane");
-    copy_option(words, "crew", spec->team, sizeof spec->team, "crew");
-    copy_option(words, "bundle", spec->image, sizeof spec->image, "img-1");
-    copy_option(words, "yard", spec->zone, sizeof spec->zone, "");
+    copy_option(words, "class", spec->job_class, sizeof spec->job_class, "lane");
+    copy_option(words, "team", spec->team, sizeof spec->team, "crew");
+    copy_option(words, "image_name", spec->image, sizeof spec->image, "img-1");
+    copy_option(words, "zone", spec->zone, sizeof spec->zone, "");
     copy_option(words, "shape", text, sizeof text, "batch");
     spec->service = !strcmp(text, "service");
-    spec->gang = !strcmp(text, "group");
-    copy_option(words, "rank", text, sizeof text, "normal");
+    spec->gang = tw_simulator_is_value(text, "gang");
+    copy_option(words, "priority", text, sizeof text, "normal");
     spec->priority = parse_priority(text);
-    spec->task_count = (int)tw_simulator_option_number(words, "pieces", 1);
+    spec->task_count = (int)tw_simulator_option_number(words, "tasks", 1);
     spec->cores = tw_simulator_option_number(words, "cores", 2);
     spec->gpus = tw_simulator_option_number(words, "gpus", 0);
     spec->memory_gb = tw_simulator_option_number(words, "mem", 4);
-    spec->image_gb = tw_simulator_option_number(words, "image", 1);
-    spec->single_zone = (int)tw_simulator_option_number(words, "same", 0);
-    spec->spread = (int)tw_simulator_option_number(words, "apart", 0);
-    spec->spot = (int)tw_simulator_option_number(words, "loaner", 0);
+    spec->image_gb = tw_simulator_option_number(words, "image_gb", 1);
+    spec->single_zone = (int)tw_simulator_option_number(words, "single_zone", 0);
+    spec->spread = (int)tw_simulator_option_number(words, "spread", 0);
+    spec->spot = (int)tw_simulator_option_number(words, "spot", 0);
     spec->expected_run_s = spec->service ? 0 : tw_simulator_option_number(words, "expect", 10);
-    spec->checkpoint_s = tw_simulator_option_number(words, "snapshot", 0);
-    spec->save_s = tw_simulator_option_number(words, "flush", 0);
-    spec->deadline_s = tw_simulator_option_number(words, "due", -1);
-    const char *type = tw_simulator_option(words, "rack");
+    spec->checkpoint_s = tw_simulator_option_number(words, "checkpoint", 0);
+    spec->save_s = tw_simulator_option_number(words, "save", 0);
+    spec->deadline_s = tw_simulator_option_number(words, "deadline", -1);
+    const char *type = tw_simulator_option(words, "machine_type");
     if (!type) return;
     spec->machine_types = tw_simulator_allocate(TW_WIRE_NAME_SIZE);
     snprintf(spec->machine_types[0], TW_WIRE_NAME_SIZE, "%s", type);
@@ -128,8 +128,8 @@
 const tw_simulator_command tw_simulator_commands[] = {
     {"submit", 2, TW_SIMULATOR_NO_TROUBLE, submit_job},
     {"submits", 3, TW_SIMULATOR_NO_TROUBLE, submit_jobs},
-    {"abort", 2, TW_SIMULATOR_NO_TROUBLE, cancel_job},
-    {"aborts", 3, TW_SIMULATOR_NO_TROUBLE, cancel_jobs},
+    {"cancel", 2, TW_SIMULATOR_NO_TROUBLE, cancel_job},
+    {"cancels", 3, TW_SIMULATOR_NO_TROUBLE, cancel_jobs},
     {"poll", 2, TW_SIMULATOR_NO_TROUBLE, poll_job},
     {"raw", 4, TW_SIMULATOR_NO_TROUBLE, send_raw},
     {"expect", 2, TW_SIMULATOR_NO_TROUBLE, tw_simulator_expect},
--- a/simulator/expect.c
+++ b/simulator/expect.c
@@ -139,11 +139,11 @@
 /* How often a trouble struck. */
 static int struck(expectation *expected) {
     static const char *const names[TW_SIMULATOR_TROUBLE_KINDS] = {
-        "latewrites",   "lostwrites",  "latereports", "mute",       "deaf",
-        "latecommands", "cutstate",    "slownode",    "latesends",  "repeatcommands",
-        "closelooks",   "cancelatend", "cancelnow",   "oddrequests"};
+        "latewrites",   "lostwrites",  "lateheartbeats", "mute",       "unresponsive",
+        "latecommands", "cutstate",    "slownode",       "latesends",  "repeatcommands",
+        "closelooks",   "cancelatend", "cancelnow",      "oddrequests"};
     for (int i = 0; i < TW_SIMULATOR_TROUBLE_KINDS; i++)
-        if (!strcmp(names[i], expected->arguments[0]))
+        if (tw_simulator_is_command(expected->arguments[0], names[i]))
             return in_range(expected, expected->sim->strike_counts[i], expected->arguments[1],
                             expected->arguments[2]);
     return 0;
@@ -169,14 +169,14 @@
     const char *name;
     int (*holds)(expectation *x);
 } kinds[] = {{"done", is_done},
-             {"aborted", is_cancelled},
+             {"cancelled", is_cancelled},
              {"accepted", is_accepted},
              {"refused", is_refused},
              {"starts", starts},
              {"running", running},
              {"machines", machines},
              {"gone", is_gone},
-             {"shift", is_in_incarnation},
+             {"incarnation", is_in_incarnation},
              {"leader", has_leader},
              {"steps", steps},
              {"struck", struck},
@@ -198,7 +198,8 @@
     for (int i = 0; i < 4 && i + 2 < words->count; i++) expected.arguments[i] = words->words[i + 2];
     expected.job = tw_simulator_job_find(&sim->world, expected.arguments[0]);
     for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++)
-        if (!strcmp(words->words[1], kinds[i].name)) holds = kinds[i].holds(&expected);
+        if (tw_simulator_is_expectation(words->words[1], kinds[i].name))
+            holds = kinds[i].holds(&expected);
     if (holds) return;
     snprintf(text, sizeof text, "%s %s %s %s %s got %s", words->words[1], expected.arguments[0],
              expected.arguments[1], expected.arguments[2], expected.arguments[3], expected.got);
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -20,10 +20,12 @@
 }
 
 const char *tw_simulator_option(const tw_simulator_words *words, const char *key) {
-    size_t size = strlen(key);
-    for (int i = 0; i < words->count; i++)
-        if (!strncmp(words->words[i], key, size) && words->words[i][size] == '=')
-            return words->words[i] + size + 1;
+    for (int i = 0; i < words->count; i++) {
+        const char *word = words->words[i], *equals = strchr(word, '=');
+        if (!equals) continue;
+        if (tw_simulator_is_word(TW_SIMULATOR_WORD_OPTION, word, (size_t)(equals - word), key))
+            return equals + 1;
+    }
     return NULL;
 }
 
@@ -173,7 +175,7 @@
         const char *name;
         double *value;
     } values[] = {{"lease", &world->lease_s},
-                  {"report", &world->heartbeat_s},
+                  {"heartbeat", &world->heartbeat_s},
                   {"cancel", &world->cancel_s},
                   {"gang_wait", &world->gang_wait_s},
                   {"gang_peer", &world->gang_peer_s},
@@ -193,7 +195,7 @@
         return 0;
     }
     for (size_t i = 0; i < COUNT(values); i++)
-        if (!strcmp(words->words[1], values[i].name)) {
+        if (tw_simulator_is_value(words->words[1], values[i].name)) {
             *values[i].value = value;
             world->state.limits = *limits;
             return 0;
@@ -219,7 +221,7 @@
     int min_words;
     int (*take)(tw_simulator *sim, const tw_simulator_words *w);
 } settings[] = {{"node", 3, add_node},           {"old", 2, set_old},
-                {"team", 2, add_team},           {"rack", 2, add_type},
+                {"team", 2, add_team},           {"machine_type", 2, add_type},
                 {"machine", 3, add_machine},     {"machines", 4, add_many_machines},
                 {"objective", 3, add_objective}, {"set", 3, set_value},
                 {"judge", 2, set_judge},         {"end", 2, set_end}};
@@ -232,7 +234,7 @@
         tw_simulator_upgrade_commands};
     for (size_t i = 0; i < COUNT(tables); i++)
         for (const tw_simulator_command *command = tables[i]; command->name; command++)
-            if (!strcmp(command->name, name)) return command;
+            if (tw_simulator_is_command(name, command->name)) return command;
     return NULL;
 }
 
@@ -279,7 +281,7 @@
         result = take_command(sim, &words, error, error_size);
     } else if (words.count) {
         size_t i = 0, setting_count = sizeof settings / sizeof *settings;
-        while (i < setting_count && strcmp(settings[i].name, words.words[0]) != 0) i++;
+        while (i < setting_count && !tw_simulator_is_command(words.words[0], settings[i].name)) i++;
         if (i == setting_count)
             result = fail(error, error_size, "unknown line", line);
         else if (words.count < settings[i].min_words)
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -241,6 +241,22 @@
 /* ---- odd.c: requests that make no sense ---- */
 void tw_simulator_odd_start(tw_simulator *sim);
 
+/* ---- vocabulary.c ---- */
+/* Where a word of the scenario language stands. */
+typedef enum {
+    TW_SIMULATOR_WORD_COMMAND,    /* the command or setting of a line, or a trouble's name */
+    TW_SIMULATOR_WORD_OPTION,     /* the key of `key=value` */
+    TW_SIMULATOR_WORD_VALUE,      /* what is set, or the value of an option */
+    TW_SIMULATOR_WORD_EXPECTATION /* after `expect` */
+} tw_simulator_word_place;
+/* Whether a text of that length is this word, in its current or in an earlier form. */
+bool tw_simulator_is_word(tw_simulator_word_place place, const char *text, size_t length,
+                          const char *word);
+/* The same for a whole text. */
+bool tw_simulator_is_command(const char *text, const char *word);
+bool tw_simulator_is_value(const char *text, const char *word);
+bool tw_simulator_is_expectation(const char *text, const char *word);
+
 /* ---- script.c, command.c, trouble.c, upgrade.c, expect.c ---- */
 typedef struct {
     const char *name;
--- a/tests/runner/fuzz_test.c
+++ b/tests/runner/fuzz_test.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /* Changes with every change of what is drawn: give it the number that the test prints. */
-#define DRAWN_DIGEST 11359837528370184628u
+#define DRAWN_DIGEST 15753392031410744863u
 
 #define HASH_START 14695981039346656037u
 #define HASH_PRIME 1099511628211u
@@ -92,20 +92,20 @@
         "team crew",
         "team other",
         "set cancel 1.00",
-        "rack cpu cores=16 mem=64 cap=8 boot=20",
-        "rack g8 cores=32 gpus=8 mem=128 cap=4 price=10 boot=20",
+        "machine_type cpu cores=16 mem=64 cap=8 boot=20",
+        "machine_type g8 cores=32 gpus=8 mem=128 cap=4 price=10 boot=20",
         "machine cpu a",
         "machine cpu a",
         "machine cpu b",
-        "at 5.00 submit run-000001 pieces=3 expect=60 run=60 cores=2",
-        "at 6.00 submit run-000002 pieces=2 crew=other expect=5",
+        "at 5.00 submit run-000001 tasks=3 expect=60 run=60 cores=2",
+        "at 6.00 submit run-000002 tasks=2 team=other expect=5",
         "at 9.00 kill leader 4.00",
         "at 15.00 slowstate 0.20 5.00",
         "at 20.10 hang 0 30.00",
         "at 20.15 hang 1 9.00",
         "at 20.15 hang 2 9.00",
         "at 20.20 poll run-000002",
-        "at 20.30 abort run-000001",
+        "at 20.30 cancel run-000001",
         "at 20.40 poll run-000001",
         "at 25.00 submit run-000002",
         "end 80.00"};
--- a/tests/runner/simulator_test.c
+++ b/tests/runner/simulator_test.c
@@ -1,6 +1,7 @@
 /* The simulation itself: equal lines give equal runs, whatever else ran in between; lines that
  * can't be taken are told; and the judge complains where it must, and only there. */
 #include "simulator.h"
+#include "simulator_int.h"
 #include "world.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -29,12 +30,12 @@
                                         "node tray-1 b",
                                         "node tray-2 a",
                                         "team crew gpus_max=8",
-                                        "rack cpu cores=16 mem=64 cap=8 boot=20",
+                                        "machine_type cpu cores=16 mem=64 cap=8 boot=20",
                                         "machine cpu a",
                                         "machine cpu b",
                                         "at 4 closelooks 40",
-                                        "at 5 latereports 0.3 40",
-                                        "at 6 submits run-000001 6 pieces=2 expect=6",
+                                        "at 5 lateheartbeats 0.3 40",
+                                        "at 6 submits run-000001 6 tasks=2 expect=6",
                                         "at 9 latewrites 0.3 20",
                                         "at 20 kill leader 4",
                                         "at 25 oddrequests 10",
@@ -64,6 +65,67 @@
     check(other != alone, "another seed gives the same run");
 }
 
+/* A day in words that have had another form: how it was written before, and how it is now. */
+static const char *const old_and_new_lines[][2] = {
+    {"team other", "team other"},
+    {"set report 1", "set heartbeat 1"},
+    {"rack g8 cores=32 gpus=8 mem=128", "machine_type g8 cores=32 gpus=8 mem=128"},
+    {"at 3.9 expect shift 0 1", "at 3.9 expect incarnation 0 1"},
+    {"at 4 submit run-000001 lane=l crew=other rank=high pieces=2 bundle=img-2 image=2 yard=a "
+     "rack=cpu same=1 loaner=1 snapshot=1 flush=1 due=60 expect=20",
+     "at 4 submit run-000001 class=l team=other priority=high tasks=2 image_name=img-2 image_gb=2 "
+     "zone=a machine_type=cpu single_zone=1 spot=1 checkpoint=1 save=1 deadline=60 expect=20"},
+    {"at 4 submit run-000002 shape=group pieces=2 apart=1 expect=10",
+     "at 4 submit run-000002 shape=gang tasks=2 spread=1 expect=10"},
+    {"at 5 submits run-000010 3 pieces=2 expect=40", "at 5 submits run-000010 3 tasks=2 expect=40"},
+    {"at 7 aborts run-000010 2", "at 7 cancels run-000010 2"},
+    {"at 8 abort run-000001", "at 8 cancel run-000001"},
+    {"at 9 deaf 0 2", "at 9 unresponsive 0 2"},
+    {"at 12 alone tray-0 2", "at 12 isolate tray-0 2"},
+    {"at 16 island b 2", "at 16 isolatezone b 2"},
+    {"at 19 lateorders 0 3", "at 19 latecommand 0 3"},
+    {"at 19 dupreport 0 3", "at 19 dupheartbeat 0 3"},
+    {"at 20 holdreport 1 2", "at 20 holdheartbeat 1 2"},
+    {"at 21 latereports 0.5 5", "at 21 lateheartbeats 0.5 5"},
+    {"at 23 sick 0 1", "at 23 faulty 0 1"},
+    {"at 24 submit run-000003 pieces=4 expect=5", "at 24 submit run-000003 tasks=4 expect=5"},
+    {"at 25 warn 1 10", "at 25 notice 1 10"},
+    {"at 49 expect aborted run-000001", "at 49 expect cancelled run-000001"},
+    {"at 49 expect struck latereports 1", "at 49 expect struck lateheartbeats 1"},
+    {"at 49 expect struck deaf 1", "at 49 expect struck unresponsive 1"}};
+
+static tw_simulator *day_in_words(int form) {
+    tw_simulator *sim = small_day(7);
+    for (size_t i = 0; i < sizeof old_and_new_lines / sizeof *old_and_new_lines; i++)
+        line(sim, old_and_new_lines[i][form]);
+    return sim;
+}
+
+/* What a user of that day sends for its first job: every field that an option gives is there. */
+static const char first_job[] =
+    "{\"id\":\"run-000001\",\"lane\":\"l\",\"crew\":\"other\",\"shape\":\"batch\",\"rank\":"
+    "\"high\","
+    "\"pieces\":2,\"cores\":2,\"gpus\":0,\"memoryGb\":4,\"bundle\":\"img-2\",\"imageGb\":2,"
+    "\"racks\":[\"cpu\"],\"yard\":\"a\",\"samePlace\":true,\"apart\":false,\"loaner\":true,"
+    "\"expectS\":20,\"snapshotS\":1,\"flushS\":1,\"dueS\":60}";
+
+static void check_first_job(int form) {
+    tw_simulator *sim = day_in_words(form);
+    tw_simulator_verdict verdict;
+    tw_simulator_run(sim, &verdict);
+    const tw_simulator_job *job = tw_simulator_job_find(&sim->world, "run-000001");
+    char *text = job ? tw_simulator_job_text(&job->spec) : NULL;
+    check(text && !strcmp(text, first_job), text ? text : "the day has no first job");
+    free(text);
+    tw_simulator_free(sim);
+}
+
+static void test_earlier_words(void) {
+    check(run(day_in_words(0)) == run(day_in_words(1)), "earlier words say something else");
+    check_first_job(0);
+    check_first_job(1);
+}
+
 /* A node in a process of its own does what one in this process does, to the letter: `server` is a
  * tw_core_server of this very version. */
 static void test_remote_nodes(const char *server) {
@@ -152,7 +214,7 @@
 static void test_no_nodes(void) {
     tw_simulator_verdict v;
     tw_simulator *sim = tw_simulator_new(NULL);
-    line(sim, "rack cpu cores=16");
+    line(sim, "machine_type cpu cores=16");
     line(sim, "machine cpu a");
     line(sim, "at 5 submit run-000001");
     line(sim, "at 6 kill leader");
@@ -349,6 +411,7 @@
         return 2;
     }
     test_equal_runs();
+    test_earlier_words();
     test_remote_nodes(argv[1]);
     test_upgrades(argv[1]);
     test_without_earlier_version();
