--- a/bench/bench.h
+++ b/bench/bench.h
@@ -16,11 +16,11 @@
 
 /* Kinds of inputs to the core, to be combined. */
 typedef enum {
-    TW_BENCH_REPORT = 1,   /* a worker's report */
-    TW_BENCH_USER = 2,     /* a user's request */
-    TW_BENCH_PEER = 4,     /* another node's message */
-    TW_BENCH_ANSWER = 8,   /* an answer to one of the core's own calls */
-    TW_BENCH_RECORDS = 16, /* an answer that holds a page of job records */
+    TW_BENCH_HEARTBEAT = 1, /* a worker's report */
+    TW_BENCH_USER = 2,      /* a user's request */
+    TW_BENCH_PEER = 4,      /* another node's message */
+    TW_BENCH_ANSWER = 8,    /* an answer to one of the core's own calls */
+    TW_BENCH_RECORDS = 16,  /* an answer that holds a page of job records */
     TW_BENCH_TICK = 32
 } tw_bench_kind;
 
@@ -115,9 +115,9 @@
     tw_bench_run *run;
 } tw_bench_case;
 
-tw_bench_run tw_bench_case_report;
+tw_bench_run tw_bench_case_heartbeat;
 tw_bench_run tw_bench_case_change;
-tw_bench_run tw_bench_case_relay;
+tw_bench_run tw_bench_case_forwarding;
 tw_bench_run tw_bench_case_placement;
 tw_bench_run tw_bench_case_pass;
 tw_bench_run tw_bench_case_plan;
--- a/bench/cases/cases.c
+++ b/bench/cases/cases.c
@@ -4,8 +4,9 @@
 #include <stddef.h>
 
 const tw_bench_case tw_bench_cases[] = {
-    {"report", "a report that says nothing new, at the leader", false, tw_bench_case_report},
-    {"relay", "the same at a follower, which hands it to the leader", false, tw_bench_case_relay},
+    {"report", "a report that says nothing new, at the leader", false, tw_bench_case_heartbeat},
+    {"relay", "the same at a follower, which hands it to the leader", false,
+     tw_bench_case_forwarding},
     {"change", "a report that says that a task is done", false, tw_bench_case_change},
     {"placement", "a submission that is placed at once", false, tw_bench_case_placement},
     {"pass", "a report that frees room, and the scheduling pass", false, tw_bench_case_pass},
--- a/bench/cases/change.c
+++ b/bench/cases/change.c
@@ -12,7 +12,7 @@
 static void report_done(tw_bench_fleet *fleet, int machine, tw_bench_meter *meter) {
     tw_bench_fleet_end_task(fleet, machine);
     tw_bench_fleet_measure(fleet, meter);
-    tw_bench_fleet_report(fleet, machine);
+    tw_bench_fleet_send_heartbeat(fleet, machine);
     tw_bench_fleet_measure(fleet, NULL);
 }
 
@@ -38,7 +38,7 @@
     result.machines = load.machines;
     result.tasks = load.tasks;
     for (int i = 0; i < ROUNDS; i++) {
-        tw_bench_meter meter = {.kinds = TW_BENCH_REPORT};
+        tw_bench_meter meter = {.kinds = TW_BENCH_HEARTBEAT};
         for (int k = 0; k < REPORTS; k++) change(fleet, i * REPORTS + k, load.machines, &meter);
         tw_bench_result_round(&result, &meter, REPORTS);
     }
@@ -55,7 +55,7 @@
     result.tasks = load->tasks;
     result.jobs = load->waiting;
     for (int i = 0; i < ROUNDS; i++) {
-        tw_bench_meter meter = {.kinds = TW_BENCH_REPORT};
+        tw_bench_meter meter = {.kinds = TW_BENCH_HEARTBEAT};
         for (int k = 0; k < REPORTS; k++) {
             pause(fleet);
             report_done(fleet, (i * REPORTS + k) % load->machines, &meter);
--- a/bench/cases/memory.c
+++ b/bench/cases/memory.c
@@ -64,7 +64,7 @@
     const tw_bench_load idle = {.machines = machines};
     const tw_bench_load busy = {.machines = machines, .tasks = TASKS};
     const tw_bench_load full = {.machines = machines, .tasks = TASKS, .waiting = WAITING};
-    const tw_bench_load old = {.machines = 1, .finished = finished};
+    const tw_bench_load old = {.machines = 1, .completed = finished};
     if (machines < 2 || finished < 1) return -1;
     const double of_one = heap_of(&one);
     const double of_idle = heap_of(&idle);
--- a/bench/cases/report.c
+++ b/bench/cases/report.c
@@ -16,7 +16,7 @@
     tw_bench_fleet_settle(fleet);
     for (int i = 0; i < REPORTS; i++) {
         tw_bench_fleet_measure(fleet, &meter);
-        tw_bench_fleet_report(fleet, (first + i) % machines);
+        tw_bench_fleet_send_heartbeat(fleet, (first + i) % machines);
         tw_bench_fleet_settle(fleet);
         tw_bench_fleet_measure(fleet, NULL);
     }
@@ -37,22 +37,22 @@
     return 0;
 }
 
-int tw_bench_case_report(const tw_bench_sizes *sizes, tw_bench_results *results) {
+int tw_bench_case_heartbeat(const tw_bench_sizes *sizes, tw_bench_results *results) {
     int tasks;
     for (int i = 0; (tasks = tw_bench_size_of(sizes->tasks, usual_tasks, TASK_SIZES, i)) >= 0;
          i++) {
         const tw_bench_load load = {.machines = sizes->machines, .tasks = tasks};
-        if (run("report", &load, TW_BENCH_REPORT, results)) return -1;
+        if (run("report", &load, TW_BENCH_HEARTBEAT, results)) return -1;
     }
     return 0;
 }
 
-int tw_bench_case_relay(const tw_bench_sizes *sizes, tw_bench_results *results) {
+int tw_bench_case_forwarding(const tw_bench_sizes *sizes, tw_bench_results *results) {
     int tasks;
     for (int i = 0; (tasks = tw_bench_size_of(sizes->tasks, usual_tasks, TASK_SIZES, i)) >= 0;
          i++) {
         const tw_bench_load load = {.machines = sizes->machines, .tasks = tasks, .follower = 1};
-        if (run("relay", &load, TW_BENCH_REPORT | TW_BENCH_ANSWER, results)) return -1;
+        if (run("relay", &load, TW_BENCH_HEARTBEAT | TW_BENCH_ANSWER, results)) return -1;
     }
     return 0;
 }
--- a/bench/cases/takeover.c
+++ b/bench/cases/takeover.c
@@ -23,7 +23,7 @@
          (finished = tw_bench_size_of(sizes->jobs, usual_finished, FINISHED_SIZES, i)) >= 0; i++) {
         const tw_bench_load load = {.machines = sizes->machines,
                                     .tasks = tw_bench_size(sizes->tasks, TASKS),
-                                    .finished = finished};
+                                    .completed = finished};
         tw_bench_result result = tw_bench_result_of("takeover", "record");
         result.machines = load.machines;
         result.tasks = load.tasks;
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -25,7 +25,7 @@
     const char *path;
     const char *body;
     int status;
-} input;
+} core_input;
 
 /* ---- settings ---- */
 
@@ -53,9 +53,10 @@
         abort();
     }
     fleet->conf.tune.idle_ratio = 100; /* machines without tasks stay */
-    fleet->now = fleet->next_tick = fleet->next_report = fleet->next_peers = STEADY_START;
+    fleet->now = fleet->next_tick = fleet->next_heartbeat = fleet->next_peer_heartbeats =
+        STEADY_START;
     fleet->revision = (uint64_t)tw_bench_jobs_kept(load) + 1;
-    if (load->follower) fleet->token = fleet->revision;
+    if (load->follower) fleet->fencing_token = fleet->revision;
     fleet->submitted = tw_bench_jobs_kept(load);
     tw_bench_workers_init(fleet);
     return fleet;
@@ -85,33 +86,35 @@
 /* ---- what goes in ---- */
 
 /* Gives the core an input; its effects, in their order. */
-static tw_effect *give(tw_bench_fleet *fleet, const input *in) {
+static tw_effect *give(tw_bench_fleet *fleet, const core_input *input) {
     const double wall = WALL_START + fleet->now;
-    const size_t length = in->body ? strlen(in->body) : 0;
+    const size_t length = input->body ? strlen(input->body) : 0;
     tw_effect *effects = NULL;
     tw_effect **end = &effects;
-    if (in->kind == TW_BENCH_TICK)
+    if (input->kind == TW_BENCH_TICK)
         tw_core_tick(fleet->core, fleet->now, wall);
-    else if (in->kind & (TW_BENCH_ANSWER | TW_BENCH_RECORDS))
-        tw_core_response(fleet->core, fleet->now, wall, in->id, in->status, in->body, length);
+    else if (input->kind & (TW_BENCH_ANSWER | TW_BENCH_RECORDS))
+        tw_core_response(fleet->core, fleet->now, wall, input->id, input->status, input->body,
+                         length);
     else
-        tw_core_request(fleet->core, fleet->now, wall, in->port, in->id, in->method, in->path,
-                        in->body, length);
+        tw_core_request(fleet->core, fleet->now, wall, input->port, input->id, input->method,
+                        input->path, input->body, length);
     while ((*end = tw_core_next_effect(fleet->core))) end = &(*end)->next;
     return effects;
 }
 
 /* The measured part, which bench/instructions knows by its name. */
-tw_effect *tw_bench_measured(tw_bench_fleet *fleet, const input *in);
-__attribute__((noinline)) tw_effect *tw_bench_measured(tw_bench_fleet *fleet, const input *in) {
-    return give(fleet, in);
+tw_effect *tw_bench_measured(tw_bench_fleet *fleet, const core_input *input);
+__attribute__((noinline)) tw_effect *tw_bench_measured(tw_bench_fleet *fleet,
+                                                       const core_input *input) {
+    return give(fleet, input);
 }
 
-static tw_effect *give_measured(tw_bench_fleet *fleet, const input *in) {
+static tw_effect *give_measured(tw_bench_fleet *fleet, const core_input *input) {
     tw_bench_meter *meter = fleet->meter;
     const uint64_t steps = tw_core_pass_steps(fleet->core);
     const tw_bench_counters before = tw_bench_counters_now();
-    tw_effect *effects = tw_bench_measured(fleet, in);
+    tw_effect *effects = tw_bench_measured(fleet, input);
     const tw_bench_counters after = tw_bench_counters_now();
     meter->inputs++;
     meter->steps += tw_core_pass_steps(fleet->core) - steps;
@@ -142,17 +145,17 @@
         answer->call = effect->id;
         tw_bench_serve(fleet, effect, answer);
         DL_APPEND(fleet->pending, answer);
-    } else if (effect->id == fleet->reported_by) {
+    } else if (effect->id == fleet->heartbeat_request) {
         if (effect->status == TW_BENCH_OK)
-            tw_bench_worker_orders(fleet, fleet->reporting, effect->body);
+            tw_bench_worker_execute(fleet, fleet->heartbeat_worker, effect->body);
     } else {
         submission_answered(fleet, effect);
     }
 }
 
-static void play_input(tw_bench_fleet *fleet, const input *in) {
-    const bool measured = fleet->meter && (fleet->meter->kinds & in->kind);
-    tw_effect *effects = measured ? give_measured(fleet, in) : give(fleet, in);
+static void play_input(tw_bench_fleet *fleet, const core_input *input) {
+    const bool measured = fleet->meter && (fleet->meter->kinds & input->kind);
+    tw_effect *effects = measured ? give_measured(fleet, input) : give(fleet, input);
     while (effects) {
         tw_effect *next = effects->next;
         take(fleet, effects);
@@ -164,45 +167,45 @@
 /* ---- inputs of all kinds ---- */
 
 static void tick(tw_bench_fleet *fleet) {
-    const input in = {.kind = TW_BENCH_TICK};
-    play_input(fleet, &in);
+    const core_input input = {.kind = TW_BENCH_TICK};
+    play_input(fleet, &input);
 }
 
 static void answer_call(tw_bench_fleet *fleet, tw_bench_pending *answer) {
-    const input in = {
+    const core_input input = {
         .kind = answer->kind, .id = answer->call, .body = answer->body, .status = answer->status};
     DL_DELETE(fleet->pending, answer);
     if (answer->at > fleet->now) fleet->now = answer->at;
-    play_input(fleet, &in);
+    play_input(fleet, &input);
     free(answer->body);
     free(answer);
 }
 
-void tw_bench_fleet_report(tw_bench_fleet *fleet, int machine) {
+void tw_bench_fleet_send_heartbeat(tw_bench_fleet *fleet, int machine) {
     const bool own_zone = fleet->workers[machine].zone == 'a';
-    char *text = tw_bench_worker_report(fleet, machine);
-    const input in = {.kind = TW_BENCH_REPORT,
-                      .port = own_zone ? TW_PORT_API : TW_PORT_PEER,
-                      .id = ++fleet->requests,
-                      .method = "POST",
-                      .path = own_zone ? "/hello" : "/peer/hello",
-                      .body = text};
-    fleet->reported_by = in.id;
-    fleet->reporting = machine;
-    play_input(fleet, &in);
+    char *text = tw_bench_worker_heartbeat(fleet, machine);
+    const core_input input = {.kind = TW_BENCH_HEARTBEAT,
+                              .port = own_zone ? TW_PORT_API : TW_PORT_PEER,
+                              .id = ++fleet->requests,
+                              .method = "POST",
+                              .path = own_zone ? "/hello" : "/peer/hello",
+                              .body = text};
+    fleet->heartbeat_request = input.id;
+    fleet->heartbeat_worker = machine;
+    play_input(fleet, &input);
     free(text);
 }
 
-static void peers_ping(tw_bench_fleet *fleet) {
+static void send_peer_heartbeats(tw_bench_fleet *fleet) {
     for (size_t i = 0; i < fleet->conf.npeers; i++) {
         char *text = tw_bench_peer_text(fleet, fleet->conf.peers[i].name);
-        const input in = {.kind = TW_BENCH_PEER,
-                          .port = TW_PORT_PEER,
-                          .id = ++fleet->requests,
-                          .method = "POST",
-                          .path = "/peer/ping",
-                          .body = text};
-        play_input(fleet, &in);
+        const core_input input = {.kind = TW_BENCH_PEER,
+                                  .port = TW_PORT_PEER,
+                                  .id = ++fleet->requests,
+                                  .method = "POST",
+                                  .path = "/peer/ping",
+                                  .body = text};
+        play_input(fleet, &input);
         free(text);
     }
 }
@@ -212,13 +215,13 @@
     waits->request = ++fleet->requests;
     waits->again_at = 0;
     HASH_ADD(hh, fleet->submissions, request, sizeof waits->request, waits);
-    const input in = {.kind = TW_BENCH_USER,
-                      .port = TW_PORT_API,
-                      .id = waits->request,
-                      .method = "POST",
-                      .path = "/v1/jobs",
-                      .body = text};
-    play_input(fleet, &in);
+    const core_input input = {.kind = TW_BENCH_USER,
+                              .port = TW_PORT_API,
+                              .id = waits->request,
+                              .method = "POST",
+                              .path = "/v1/jobs",
+                              .body = text};
+    play_input(fleet, &input);
     free(text);
 }
 
@@ -262,12 +265,12 @@
 }
 
 static void reports_until(tw_bench_fleet *fleet, double until) {
-    while (fleet->load.machines && fleet->next_report <= until) {
-        if (fleet->next_report > fleet->now) fleet->now = fleet->next_report;
+    while (fleet->load.machines && fleet->next_heartbeat <= until) {
+        if (fleet->next_heartbeat > fleet->now) fleet->now = fleet->next_heartbeat;
         answer_until(fleet, fleet->now);
-        tw_bench_fleet_report(fleet, fleet->reporter);
-        fleet->reporter = (fleet->reporter + 1) % fleet->load.machines;
-        fleet->next_report += TW_BENCH_REPORT_S / fleet->load.machines;
+        tw_bench_fleet_send_heartbeat(fleet, fleet->next_worker);
+        fleet->next_worker = (fleet->next_worker + 1) % fleet->load.machines;
+        fleet->next_heartbeat += TW_BENCH_HEARTBEAT_S / fleet->load.machines;
     }
 }
 
@@ -276,9 +279,9 @@
     reports_until(fleet, until);
     answer_until(fleet, until);
     fleet->now = fmax(fleet->now, until);
-    if (fleet->now >= fleet->next_peers) {
-        fleet->next_peers = fleet->now + PEERS_EVERY_S;
-        peers_ping(fleet);
+    if (fleet->now >= fleet->next_peer_heartbeats) {
+        fleet->next_peer_heartbeats = fleet->now + PEERS_EVERY_S;
+        send_peer_heartbeats(fleet);
     }
     submit_again(fleet);
 }
@@ -307,9 +310,9 @@
     fleet->core = tw_core_new(&fleet->conf, SEED, fleet->now, WALL_START + fleet->now);
     while (!load->follower && !fleet->all_read && fleet->now < latest)
         tw_bench_fleet_advance(fleet, tw_core_tick_s(fleet->core));
-    tw_bench_fleet_advance(fleet, KNOWN_AFTER_REPORTS * TW_BENCH_REPORT_S);
+    tw_bench_fleet_advance(fleet, KNOWN_AFTER_REPORTS * TW_BENCH_HEARTBEAT_S);
     if (load->follower) return 0;
-    if (fleet->records != tw_bench_jobs_kept(load) || fleet->released) return -1;
+    if (fleet->records != tw_bench_jobs_kept(load) || fleet->returned) return -1;
     return tw_bench_fleet_running(fleet) == load->machines * load->tasks ? 0 : -1;
 }
 
@@ -322,4 +325,4 @@
 
 int tw_bench_fleet_accepted(const tw_bench_fleet *fleet) { return fleet->accepted; }
 int tw_bench_fleet_records(const tw_bench_fleet *fleet) { return fleet->records; }
-int tw_bench_fleet_released(const tw_bench_fleet *fleet) { return fleet->released; }
+int tw_bench_fleet_returned(const tw_bench_fleet *fleet) { return fleet->returned; }
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -12,15 +12,15 @@
 
 #define TW_BENCH_TASKS_PER_JOB 16
 #define TW_BENCH_MACHINE_CORES 96
-#define TW_BENCH_REPORT_S 4.0
+#define TW_BENCH_HEARTBEAT_S 4.0
 
 /* What the fleet holds at the start. */
 typedef struct {
     int machines;
-    int tasks;    /* running on each machine, of one core each */
-    int finished; /* jobs that are done */
-    int waiting;  /* jobs that find no room on machines with 8 tasks */
-    int follower; /* another node leads */
+    int tasks;     /* running on each machine, of one core each */
+    int completed; /* jobs that are done */
+    int waiting;   /* jobs that find no room on machines with 8 tasks */
+    int follower;  /* another node leads */
 } tw_bench_load;
 
 typedef struct tw_bench_fleet tw_bench_fleet;
@@ -43,7 +43,7 @@
 void tw_bench_fleet_settle(tw_bench_fleet *fleet);
 
 /* The machine reports now. */
-void tw_bench_fleet_report(tw_bench_fleet *fleet, int machine);
+void tw_bench_fleet_send_heartbeat(tw_bench_fleet *fleet, int machine);
 /* From now on it reports its first task that runs as done. */
 void tw_bench_fleet_end_task(tw_bench_fleet *fleet, int machine);
 /* A user submits a batch job of one task with one core; its number. */
@@ -56,6 +56,6 @@
 /* Tasks that are on machines. */
 int tw_bench_fleet_running(const tw_bench_fleet *fleet);
 /* Machines that the node gave back: none, as the fleet is made. */
-int tw_bench_fleet_released(const tw_bench_fleet *fleet);
+int tw_bench_fleet_returned(const tw_bench_fleet *fleet);
 
 #endif
--- a/bench/fleet_int.h
+++ b/bench/fleet_int.h
@@ -24,11 +24,11 @@
 
 typedef struct {
     char zone;
-    uint64_t tick; /* of its last message */
-    uint64_t token;
+    uint64_t sequence; /* of its last message */
+    uint64_t fencing_token;
     tw_bench_task *tasks;
-    int count;
-    int capacity;
+    int task_count;
+    int task_capacity;
 } tw_bench_worker;
 
 /* A call of the node that waits for its answer. */
@@ -57,22 +57,22 @@
     tw_bench_meter *meter;
     double now;
     double next_tick;
-    double next_report;
-    int reporter; /* machine whose report is due next */
-    double next_peers;
+    double next_heartbeat;
+    int next_worker; /* machine whose report is due next */
+    double next_peer_heartbeats;
     uint64_t requests;
     uint64_t revision;
-    uint64_t token;
+    uint64_t fencing_token;
     tw_bench_pending *pending;
     tw_bench_submission *submissions;
     tw_bench_worker *workers;
-    uint64_t reported_by; /* request of the report on its way, and its machine */
-    int reporting;
+    uint64_t heartbeat_request; /* request of the report on its way, and its machine */
+    int heartbeat_worker;
     int submitted;
     int accepted;
     int records;
     bool all_read;
-    int released;
+    int returned;
 };
 
 /* Zeroed room; ends the program where there is none. */
@@ -103,8 +103,8 @@
 void tw_bench_workers_init(tw_bench_fleet *fleet);
 void tw_bench_workers_free(tw_bench_fleet *fleet);
 /* The next report of a machine. Free the text. */
-char *tw_bench_worker_report(tw_bench_fleet *fleet, int machine);
+char *tw_bench_worker_heartbeat(tw_bench_fleet *fleet, int machine);
 /* Carries out commands: the body of a report's answer or of direct orders. */
-void tw_bench_worker_orders(tw_bench_fleet *fleet, int machine, const char *body);
+void tw_bench_worker_execute(tw_bench_fleet *fleet, int machine, const char *body);
 
 #endif
--- a/bench/main.c
+++ b/bench/main.c
@@ -43,14 +43,14 @@
 }
 
 static void list_cases(void) {
-    for (const tw_bench_case *c = tw_bench_cases; c->name; c++)
-        printf("%-10s %s\n", c->name, c->about);
+    for (const tw_bench_case *bench_case = tw_bench_cases; bench_case->name; bench_case++)
+        printf("%-10s %s\n", bench_case->name, bench_case->about);
 }
 
 static bool is_case(const char *name) {
-    const tw_bench_case *c = tw_bench_cases;
-    while (c->name && strcmp(c->name, name) != 0) c++;
-    return c->name != NULL;
+    const tw_bench_case *bench_case = tw_bench_cases;
+    while (bench_case->name && strcmp(bench_case->name, name) != 0) bench_case++;
+    return bench_case->name != NULL;
 }
 
 static error_t parse(int key, char *text, struct argp_state *state) {
@@ -88,7 +88,7 @@
 }
 
 /* 0, or -1 if a fleet failed. */
-static int run_case(const tw_bench_case *c, const tw_bench_sizes *asked,
+static int run_case(const tw_bench_case *bench_case, const tw_bench_sizes *asked,
                     tw_bench_results *results) {
     int machines;
     for (int i = 0;
@@ -96,20 +96,21 @@
          i++) {
         tw_bench_sizes sizes = *asked;
         sizes.machines = machines;
-        if (c->run(&sizes, results)) {
-            fprintf(stderr, "tw_bench: %s: no such fleet of %d machines\n", c->name, machines);
+        if (bench_case->run(&sizes, results)) {
+            fprintf(stderr, "tw_bench: %s: no such fleet of %d machines\n", bench_case->name,
+                    machines);
             return -1;
         }
-        if (c->once) break;
+        if (bench_case->once) break;
     }
     return 0;
 }
 
 static int run_all(const options *chosen, tw_bench_results *results) {
     int failed = 0;
-    for (const tw_bench_case *c = tw_bench_cases; c->name; c++) {
-        if (chosen->only && strcmp(chosen->only, c->name) != 0) continue;
-        failed |= run_case(c, &chosen->sizes, results);
+    for (const tw_bench_case *bench_case = tw_bench_cases; bench_case->name; bench_case++) {
+        if (chosen->only && strcmp(chosen->only, bench_case->name) != 0) continue;
+        failed |= run_case(bench_case, &chosen->sizes, results);
     }
     return failed;
 }
--- a/bench/records.c
+++ b/bench/records.c
@@ -38,12 +38,12 @@
 }
 
 int tw_bench_jobs_kept(const tw_bench_load *load) {
-    return load->finished + running_jobs(load) + load->waiting;
+    return load->completed + running_jobs(load) + load->waiting;
 }
 
 void tw_bench_task_at(const tw_bench_load *load, int machine, int k, tw_bench_task *task) {
     int slot = k * load->machines + machine;
-    tw_bench_job_id(task->job, sizeof task->job, load->finished + slot / tasks_per_job(load));
+    tw_bench_job_id(task->job, sizeof task->job, load->completed + slot / tasks_per_job(load));
     task->index = slot % tasks_per_job(load);
     task->attempt = 1;
     task->done = false;
@@ -67,7 +67,7 @@
     return spec;
 }
 
-static char *finished_record(void) {
+static char *completed_record(void) {
     tw_wire_record record = {.state = TW_JOB_DONE,
                              .task_count = TW_BENCH_TASKS_PER_JOB,
                              .done_count = TW_BENCH_TASKS_PER_JOB,
@@ -77,7 +77,7 @@
 }
 
 static char *running_record(const tw_bench_load *load, int job) {
-    const int first = (job - load->finished) * tasks_per_job(load);
+    const int first = (job - load->completed) * tasks_per_job(load);
     int pieces = running_tasks(load) - first;
     if (pieces > tasks_per_job(load)) pieces = tasks_per_job(load);
     tw_wire_assignment *live = tw_bench_alloc((size_t)pieces * sizeof *live);
@@ -109,8 +109,8 @@
 }
 
 static char *record_of(const tw_bench_load *load, int job) {
-    if (job < load->finished) return finished_record();
-    if (job < load->finished + running_jobs(load)) return running_record(load, job);
+    if (job < load->completed) return completed_record();
+    if (job < load->completed + running_jobs(load)) return running_record(load, job);
     return waiting_record(job);
 }
 
--- a/bench/services.c
+++ b/bench/services.c
@@ -37,7 +37,7 @@
         return;
     }
     snprintf(text, sizeof text, "{\"k\":\"%s\",\"data\":{\"node\":\"tray-1\"},\"stamp\":%llu}",
-             path + strlen("/kv/"), (unsigned long long)fleet->token);
+             path + strlen("/kv/"), (unsigned long long)fleet->fencing_token);
     answer_with(answer, TW_BENCH_OK, copy_of(text));
 }
 
@@ -74,7 +74,7 @@
         answer_with(answer, TW_BENCH_OK, copy_of(text));
     } else { /* a transaction: always carried out */
         answer_with(answer, TW_BENCH_OK, revision_text(++fleet->revision));
-        if (!fleet->token) fleet->token = fleet->revision;
+        if (!fleet->fencing_token) fleet->fencing_token = fleet->revision;
     }
 }
 
@@ -119,7 +119,7 @@
     } else if (!strcmp(call->method, "GET")) {
         answer_with(answer, TW_BENCH_OK, machine_list(fleet, call->path));
     } else if (!strcmp(call->path, "/rentals/release")) {
-        fleet->released++;
+        fleet->returned++;
         answer_with(answer, TW_BENCH_OK, copy_of("{}"));
     } else {
         answer_with(answer, TW_BENCH_UNAVAILABLE, copy_of("{\"error\":\"no capacity\"}"));
@@ -129,14 +129,14 @@
 /* ---- other nodes and workers ---- */
 
 char *tw_bench_peer_text(const tw_bench_fleet *fleet, const char *name) {
-    tw_wire_peer_heartbeat ping = {.highest_token = fleet->token,
-                                   .store_reachable = 1,
-                                   .uptime_s = fleet->now,
-                                   .since_delegate_answer_s = fleet->now};
-    snprintf(ping.name, sizeof ping.name, "%s", name);
-    ping.is_leader = fleet->load.follower && !strcmp(name, "tray-1");
-    if (ping.is_leader) snprintf(ping.leader, sizeof ping.leader, "%s", name);
-    return tw_wire_peer_heartbeat_text(&ping, NULL, 0);
+    tw_wire_peer_heartbeat heartbeat = {.highest_token = fleet->fencing_token,
+                                        .store_reachable = 1,
+                                        .uptime_s = fleet->now,
+                                        .since_delegate_answer_s = fleet->now};
+    snprintf(heartbeat.name, sizeof heartbeat.name, "%s", name);
+    heartbeat.is_leader = fleet->load.follower && !strcmp(name, "tray-1");
+    if (heartbeat.is_leader) snprintf(heartbeat.leader, sizeof heartbeat.leader, "%s", name);
+    return tw_wire_peer_heartbeat_text(&heartbeat, NULL, 0);
 }
 
 static const char *peer_at(const tw_bench_fleet *fleet, const char *address) {
@@ -150,7 +150,7 @@
     if (!strcmp(call->path, "/peer/ping"))
         answer_with(answer, TW_BENCH_OK, tw_bench_peer_text(fleet, peer_at(fleet, call->addr)));
     else if (!strcmp(call->path, "/peer/hello"))
-        answer_with(answer, TW_BENCH_OK, tw_wire_commands_text(fleet->token, 0, NULL, 0));
+        answer_with(answer, TW_BENCH_OK, tw_wire_commands_text(fleet->fencing_token, 0, NULL, 0));
     else
         answer_with(answer, TW_BENCH_UNAVAILABLE, copy_of("{}"));
 }
@@ -161,8 +161,8 @@
         answer_with(answer, TW_BENCH_UNKNOWN, copy_of("{}"));
         return;
     }
-    if (call->body) tw_bench_worker_orders(fleet, machine, call->body);
-    answer_with(answer, TW_BENCH_OK, tw_bench_worker_report(fleet, machine));
+    if (call->body) tw_bench_worker_execute(fleet, machine, call->body);
+    answer_with(answer, TW_BENCH_OK, tw_bench_worker_heartbeat(fleet, machine));
 }
 
 void tw_bench_serve(tw_bench_fleet *fleet, const tw_effect *call, tw_bench_pending *answer) {
--- a/bench/workers.c
+++ b/bench/workers.c
@@ -13,12 +13,12 @@
     const tw_bench_load *load = &fleet->load;
     fleet->workers = tw_bench_alloc((size_t)load->machines * sizeof *fleet->workers);
     for (int i = 0; i < load->machines; i++) {
-        tw_bench_worker *w = &fleet->workers[i];
-        w->zone = load->follower || i % 2 == 0 ? 'a' : 'b';
-        w->count = load->tasks;
-        w->capacity = load->tasks > CAPACITY ? load->tasks : CAPACITY;
-        w->tasks = tw_bench_alloc((size_t)w->capacity * sizeof *w->tasks);
-        for (int k = 0; k < load->tasks; k++) tw_bench_task_at(load, i, k, &w->tasks[k]);
+        tw_bench_worker *worker = &fleet->workers[i];
+        worker->zone = load->follower || i % 2 == 0 ? 'a' : 'b';
+        worker->task_count = load->tasks;
+        worker->task_capacity = load->tasks > CAPACITY ? load->tasks : CAPACITY;
+        worker->tasks = tw_bench_alloc((size_t)worker->task_capacity * sizeof *worker->tasks);
+        for (int k = 0; k < load->tasks; k++) tw_bench_task_at(load, i, k, &worker->tasks[k]);
     }
 }
 
@@ -27,14 +27,14 @@
     free(fleet->workers);
 }
 
-static void print_task(FILE *out, const tw_bench_task *t) {
-    fprintf(out, "{\"piece\":\"%s/%d\",\"try\":%llu,\"stage\":\"%s\"%s}", t->job, t->index,
-            (unsigned long long)t->attempt, t->done ? "exited" : "running",
-            t->done ? ",\"cause\":\"done\"" : "");
+static void print_task(FILE *out, const tw_bench_task *task) {
+    fprintf(out, "{\"piece\":\"%s/%d\",\"try\":%llu,\"stage\":\"%s\"%s}", task->job, task->index,
+            (unsigned long long)task->attempt, task->done ? "exited" : "running",
+            task->done ? ",\"cause\":\"done\"" : "");
 }
 
-char *tw_bench_worker_report(tw_bench_fleet *fleet, int machine) {
-    tw_bench_worker *w = &fleet->workers[machine];
+char *tw_bench_worker_heartbeat(tw_bench_fleet *fleet, int machine) {
+    tw_bench_worker *worker = &fleet->workers[machine];
     char name[TW_WIRE_NAME_SIZE];
     char *text = NULL;
     size_t size = 0;
@@ -45,10 +45,11 @@
             "{\"tray\":\"%s\",\"endpoint\":\"%s:9000\",\"rack\":\"c96\",\"yard\":\"%c\","
             "\"loaner\":false,\"shift\":1,\"tick\":%llu,\"baton\":%llu,\"warningS\":null,"
             "\"pieces\":[",
-            name, name, w->zone, (unsigned long long)++w->tick, (unsigned long long)w->token);
-    for (int k = 0; k < w->count; k++) {
+            name, name, worker->zone, (unsigned long long)++worker->sequence,
+            (unsigned long long)worker->fencing_token);
+    for (int k = 0; k < worker->task_count; k++) {
         if (k) fputc(',', out);
-        print_task(out, &w->tasks[k]);
+        print_task(out, &worker->tasks[k]);
     }
     fputs("]}", out);
     fclose(out);
@@ -67,63 +68,64 @@
     return cJSON_IsNumber(value) ? (uint64_t)value->valuedouble : 0;
 }
 
-static int find(const tw_bench_worker *w, const tw_bench_task *wanted) {
+static int find_task(const tw_bench_worker *worker, const tw_bench_task *wanted) {
     int k = 0;
-    while (k < w->count &&
-           (w->tasks[k].attempt != wanted->attempt || w->tasks[k].index != wanted->index ||
-            strcmp(w->tasks[k].job, wanted->job) != 0))
+    while (k < worker->task_count && (worker->tasks[k].attempt != wanted->attempt ||
+                                      worker->tasks[k].index != wanted->index ||
+                                      strcmp(worker->tasks[k].job, wanted->job) != 0))
         k++;
     return k;
 }
 
-static void add(tw_bench_worker *w, const tw_bench_task *t) {
-    if (w->count == w->capacity) {
-        w->capacity *= 2;
-        w->tasks = realloc(w->tasks, (size_t)w->capacity * sizeof *w->tasks);
-        if (!w->tasks) abort();
+static void add_task(tw_bench_worker *worker, const tw_bench_task *task) {
+    if (worker->task_count == worker->task_capacity) {
+        worker->task_capacity *= 2;
+        worker->tasks =
+            realloc(worker->tasks, (size_t)worker->task_capacity * sizeof *worker->tasks);
+        if (!worker->tasks) abort();
     }
-    w->tasks[w->count++] = *t;
+    worker->tasks[worker->task_count++] = *task;
 }
 
 /* Tasks run as soon as they are launched, and are gone as soon as they are stopped. */
-static void execute(tw_bench_worker *w, const cJSON *order) {
-    const char *name = text_of(order, "piece");
+static void execute_command(tw_bench_worker *worker, const cJSON *command) {
+    const char *name = text_of(command, "piece");
     const char *slash = strchr(name, '/');
-    tw_bench_task wanted = {.attempt = number_of(order, "try")};
+    tw_bench_task wanted = {.attempt = number_of(command, "try")};
     if (!slash || (size_t)(slash - name) >= sizeof wanted.job) return;
     memcpy(wanted.job, name, (size_t)(slash - name));
     wanted.index = (int)strtol(slash + 1, NULL, DECIMAL);
-    int k = find(w, &wanted);
-    if (!strcmp(text_of(order, "verb"), "launch")) {
-        if (k == w->count) add(w, &wanted);
-    } else if (k < w->count) {
-        w->tasks[k] = w->tasks[--w->count];
+    int k = find_task(worker, &wanted);
+    if (!strcmp(text_of(command, "verb"), "launch")) {
+        if (k == worker->task_count) add_task(worker, &wanted);
+    } else if (k < worker->task_count) {
+        worker->tasks[k] = worker->tasks[--worker->task_count];
     }
 }
 
-void tw_bench_worker_orders(tw_bench_fleet *fleet, int machine, const char *body) {
-    tw_bench_worker *w = &fleet->workers[machine];
+void tw_bench_worker_execute(tw_bench_fleet *fleet, int machine, const char *body) {
+    tw_bench_worker *worker = &fleet->workers[machine];
     cJSON *answer = cJSON_Parse(body);
-    const cJSON *order;
-    uint64_t token = number_of(answer, "baton");
-    if (token > w->token) w->token = token;
-    cJSON_ArrayForEach(order, cJSON_GetObjectItemCaseSensitive(answer, "orders")) {
-        execute(w, order);
+    const cJSON *command;
+    uint64_t fencing_token = number_of(answer, "baton");
+    if (fencing_token > worker->fencing_token) worker->fencing_token = fencing_token;
+    cJSON_ArrayForEach(command, cJSON_GetObjectItemCaseSensitive(answer, "orders")) {
+        execute_command(worker, command);
     }
     cJSON_Delete(answer);
 }
 
 void tw_bench_fleet_end_task(tw_bench_fleet *fleet, int machine) {
-    tw_bench_worker *w = &fleet->workers[machine];
+    tw_bench_worker *worker = &fleet->workers[machine];
     int k = 0;
-    while (k < w->count && w->tasks[k].done) k++;
-    if (k < w->count) w->tasks[k].done = true;
+    while (k < worker->task_count && worker->tasks[k].done) k++;
+    if (k < worker->task_count) worker->tasks[k].done = true;
 }
 
 int tw_bench_fleet_running(const tw_bench_fleet *fleet) {
     int running = 0;
     for (int i = 0; i < fleet->load.machines; i++)
-        for (int k = 0; k < fleet->workers[i].count; k++)
+        for (int k = 0; k < fleet->workers[i].task_count; k++)
             running += !fleet->workers[i].tasks[k].done;
     return running;
 }
--- a/fuzz/day.c
+++ b/fuzz/day.c
@@ -10,7 +10,7 @@
 #include <string.h>
 #include <unistd.h>
 
-static void append(tw_fuzz_day *day, char *line) {
+static void append_line(tw_fuzz_day *day, char *line) {
     if (day->count == day->capacity) {
         day->capacity = day->capacity ? 2 * day->capacity : 64;
         day->lines = realloc(day->lines, day->capacity * sizeof *day->lines);
@@ -25,7 +25,7 @@
     va_start(arguments, format);
     if (vasprintf(&line, format, arguments) < 0) abort();
     va_end(arguments);
-    append(day, line);
+    append_line(day, line);
 }
 
 void tw_fuzz_day_copy(tw_fuzz_day *to, const tw_fuzz_day *from) {
--- a/fuzz/draw.c
+++ b/fuzz/draw.c
@@ -8,8 +8,8 @@
 enum { FIRST_ANCHOR_S = 8, LAST_ANCHOR_S = 40, ANCHORS_APART_S = 30 };
 /* Shares of days, in percent. */
 enum {
-    PROMISES = 10,
-    FLOODS = 8,
+    GUARANTEE_DAYS = 10,
+    FLOOD_DAYS = 8,
     LONG_DAYS = 15,
     REQUEST_LIMITS = 15,
     GANG_DAYS = 50,
@@ -28,7 +28,7 @@
     return seconds;
 }
 
-void tw_fuzz_at(tw_fuzz_plan *plan, int when, const char *format, ...) {
+void tw_fuzz_add_at(tw_fuzz_plan *plan, int when, const char *format, ...) {
     va_list arguments;
     char *what = NULL;
     if (when < 0) when = 0;
@@ -37,18 +37,18 @@
     va_end(arguments);
     tw_fuzz_day_add(plan->day, "at %s %s", tw_fuzz_seconds_of(when).text, what);
     free(what);
-    tw_fuzz_until(plan, when);
+    tw_fuzz_extend_until(plan, when);
 }
 
-void tw_fuzz_until(tw_fuzz_plan *plan, int when) {
-    if (when > plan->last) plan->last = when;
+void tw_fuzz_extend_until(tw_fuzz_plan *plan, int when) {
+    if (when > plan->last_moment) plan->last_moment = when;
 }
 
-int tw_fuzz_anchor(tw_fuzz_plan *plan) {
-    return plan->anchor[tw_fuzz_dice_range(&plan->dice, 0, plan->anchors - 1)];
+int tw_fuzz_draw_anchor(tw_fuzz_plan *plan) {
+    return plan->anchors[tw_fuzz_dice_range(&plan->dice, 0, plan->anchor_count - 1)];
 }
 
-int tw_fuzz_near(tw_fuzz_plan *plan, int moment) {
+int tw_fuzz_draw_moment_near(tw_fuzz_plan *plan, int moment) {
     static const int weights[] = {1, 3, 4, 4, 2, 1};
     tw_fuzz_dice *dice = &plan->dice;
     switch (tw_fuzz_dice_weighted(dice, weights, sizeof weights / sizeof *weights)) {
@@ -67,23 +67,23 @@
     }
 }
 
-const char *tw_fuzz_zone(int zone) {
+const char *tw_fuzz_zone_name(int zone) {
     static const char *const names[TW_FUZZ_ZONES_MAX] = {"a", "b", "c"};
     return names[zone];
 }
 
-const char *tw_fuzz_any_zone(tw_fuzz_plan *plan) {
-    return tw_fuzz_zone(tw_fuzz_dice_range(&plan->dice, 0, plan->zones - 1));
+const char *tw_fuzz_draw_zone(tw_fuzz_plan *plan) {
+    return tw_fuzz_zone_name(tw_fuzz_dice_range(&plan->dice, 0, plan->zone_count - 1));
 }
 
 static void draw_anchors(tw_fuzz_plan *plan) {
     tw_fuzz_dice *dice = &plan->dice;
     static const int weights[] = {5, 3, 1};
-    plan->anchors = 1 + (int)tw_fuzz_dice_weighted(dice, weights, TW_FUZZ_ANCHORS_MAX);
+    plan->anchor_count = 1 + (int)tw_fuzz_dice_weighted(dice, weights, TW_FUZZ_ANCHORS_MAX);
     int moment =
         tw_fuzz_dice_range(dice, FIRST_ANCHOR_S * TW_FUZZ_SECOND, LAST_ANCHOR_S * TW_FUZZ_SECOND);
-    for (int i = 0; i < plan->anchors; i++) {
-        plan->anchor[i] = moment;
+    for (int i = 0; i < plan->anchor_count; i++) {
+        plan->anchors[i] = moment;
         moment += tw_fuzz_dice_range(dice, plan->term, ANCHORS_APART_S * TW_FUZZ_SECOND);
     }
 }
@@ -93,7 +93,7 @@
     tw_fuzz_draw_fleet(plan);
     tw_fuzz_day_add(plan->day, "set seed %d", tw_fuzz_dice_range(dice, 1, WORLD_SEED_MAX));
     draw_anchors(plan);
-    if (tw_fuzz_dice_percent(dice, FLOODS))
+    if (tw_fuzz_dice_percent(dice, FLOOD_DAYS))
         tw_fuzz_draw_flood(plan);
     else
         tw_fuzz_draw_jobs(plan);
@@ -102,37 +102,37 @@
     const int calm = tw_fuzz_dice_percent(dice, LONG_DAYS)
                          ? CALM_S * TW_FUZZ_SECOND
                          : plan->lease + plan->cancel + 5 * TW_FUZZ_SECOND;
-    int last = plan->last;
-    tw_fuzz_until(plan, last + calm);
+    int last = plan->last_moment;
+    tw_fuzz_extend_until(plan, last + calm);
     /* Drawn last: days without it stay as they were. */
     if (tw_fuzz_dice_percent(dice, REQUEST_LIMITS))
         tw_fuzz_day_add(plan->day, "set rps %d", TW_FUZZ_ONE_OF(dice, 10, 15, 20, 30));
     if (tw_fuzz_dice_percent(dice, GANG_DAYS)) {
-        plan->last = last;
+        plan->last_moment = last;
         tw_fuzz_draw_gangs(plan);
-        last = plan->last;
-        tw_fuzz_until(plan, last + calm);
+        last = plan->last_moment;
+        tw_fuzz_extend_until(plan, last + calm);
     }
     if (tw_fuzz_dice_percent(dice, SUCCESSOR_DAYS)) {
-        plan->last = last;
-        tw_fuzz_draw_successors(plan);
-        last = plan->last;
-        tw_fuzz_until(plan, last + calm);
+        plan->last_moment = last;
+        tw_fuzz_draw_late_news(plan);
+        last = plan->last_moment;
+        tw_fuzz_extend_until(plan, last + calm);
     }
     if (!tw_fuzz_dice_percent(dice, REPEAT_DAYS)) return;
-    plan->last = last;
+    plan->last_moment = last;
     tw_fuzz_draw_repeats(plan);
-    tw_fuzz_until(plan, plan->last + calm);
+    tw_fuzz_extend_until(plan, plan->last_moment + calm);
 }
 
 void tw_fuzz_draw(uint32_t seed, tw_fuzz_day *day) {
     tw_fuzz_plan plan = {.day = day};
     tw_fuzz_dice_init(&plan.dice, seed);
-    if (tw_fuzz_dice_percent(&plan.dice, PROMISES))
-        tw_fuzz_draw_promise(&plan);
+    if (tw_fuzz_dice_percent(&plan.dice, GUARANTEE_DAYS))
+        tw_fuzz_draw_guarantee(&plan);
     else
         draw_troubled(&plan);
-    tw_fuzz_day_add(day, "end %s", tw_fuzz_seconds_of(plan.last).text);
+    tw_fuzz_day_add(day, "end %s", tw_fuzz_seconds_of(plan.last_moment).text);
     tw_fuzz_day_sort(day);
     tw_fuzz_dice_free(&plan.dice);
 }
--- a/fuzz/draw_upgrade.c
+++ b/fuzz/draw_upgrade.c
@@ -16,22 +16,22 @@
     tw_fuzz_plan plan;
     int end;                      /* of the day */
     int order[TW_FUZZ_NODES_MAX]; /* in which nodes are upgraded by name */
-} roll;
+} rolling_upgrade;
 
 /* How many nodes the day has, and when it ends. */
-static void read_day(roll *roll, const tw_fuzz_day *day) {
+static void read_day(rolling_upgrade *upgrade, const tw_fuzz_day *day) {
     for (size_t i = 0; i < day->count; i++) {
         const char *line = day->lines[i];
-        roll->plan.nodes += tw_fuzz_line_is(line, "node ");
+        upgrade->plan.node_count += tw_fuzz_line_is(line, "node ");
         if (tw_fuzz_line_is(line, "end "))
-            roll->end = (int)tw_fuzz_line_hundredths(line + strlen("end "));
+            upgrade->end = (int)tw_fuzz_line_hundredths(line + strlen("end "));
     }
-    if (roll->plan.nodes > TW_FUZZ_NODES_MAX) abort();
+    if (upgrade->plan.node_count > TW_FUZZ_NODES_MAX) abort();
 }
 
 /* What a day expects holds with its own troubles; the rules hold with any. Commands that come once
  * more break a rule with the version in production (scenario repeated_launch). */
-static void drop_unfit(tw_fuzz_day *day) {
+static void drop_unfit_lines(tw_fuzz_day *day) {
     size_t kept = 0;
     for (size_t i = 0; i < day->count; i++) {
         if (strstr(day->lines[i], " expect ") || strstr(day->lines[i], " repeatcommands "))
@@ -42,70 +42,73 @@
     day->count = kept;
 }
 
-static void draw_order(roll *roll) {
-    for (int i = 0; i < roll->plan.nodes; i++) {
-        const int k = tw_fuzz_dice_range(&roll->plan.dice, 0, i);
-        roll->order[i] = roll->order[k];
-        roll->order[k] = i;
+static void draw_order(rolling_upgrade *upgrade) {
+    for (int i = 0; i < upgrade->plan.node_count; i++) {
+        const int k = tw_fuzz_dice_range(&upgrade->plan.dice, 0, i);
+        upgrade->order[i] = upgrade->order[k];
+        upgrade->order[k] = i;
     }
 }
 
-static void draw_old(roll *roll) {
-    tw_fuzz_dice *dice = &roll->plan.dice;
+static void draw_old_nodes(rolling_upgrade *upgrade) {
+    tw_fuzz_dice *dice = &upgrade->plan.dice;
     const bool all = tw_fuzz_dice_percent(dice, ALL_OLD);
-    const int always = tw_fuzz_dice_range(dice, 0, roll->plan.nodes - 1);
-    for (int i = 0; i < roll->plan.nodes; i++)
+    const int always = tw_fuzz_dice_range(dice, 0, upgrade->plan.node_count - 1);
+    for (int i = 0; i < upgrade->plan.node_count; i++)
         if (all || i == always || tw_fuzz_dice_half(dice))
-            tw_fuzz_day_add(roll->plan.day, "old tray-%d", i);
+            tw_fuzz_day_add(upgrade->plan.day, "old tray-%d", i);
 }
 
-static int draw_moment(roll *roll) {
+static int draw_moment(rolling_upgrade *upgrade) {
     const int first = FIRST_S * TW_FUZZ_SECOND;
-    return tw_fuzz_dice_range(&roll->plan.dice, first, roll->end > first ? roll->end : first);
+    return tw_fuzz_dice_range(&upgrade->plan.dice, first,
+                              upgrade->end > first ? upgrade->end : first);
 }
 
-static void draw_step(roll *roll, int when, int step, bool by_leadership, bool leader_first) {
-    const int back = tw_fuzz_dice_range(&roll->plan.dice, BACK_MIN_S * TW_FUZZ_SECOND,
+static void draw_step(rolling_upgrade *upgrade, int when, int step, bool by_leadership,
+                      bool leader_first) {
+    const int back = tw_fuzz_dice_range(&upgrade->plan.dice, BACK_MIN_S * TW_FUZZ_SECOND,
                                         BACK_MAX_S * TW_FUZZ_SECOND);
     const tw_fuzz_seconds back_s = tw_fuzz_seconds_of(back);
     if (!by_leadership)
-        tw_fuzz_at(&roll->plan, when, "upgrade tray-%d %s", roll->order[step], back_s.text);
+        tw_fuzz_add_at(&upgrade->plan, when, "upgrade tray-%d %s", upgrade->order[step],
+                       back_s.text);
     else if (leader_first && step == 0)
-        tw_fuzz_at(&roll->plan, when, "upgrade leader %s", back_s.text);
+        tw_fuzz_add_at(&upgrade->plan, when, "upgrade leader %s", back_s.text);
     else
-        tw_fuzz_at(&roll->plan, when, "upgrade next %s", back_s.text);
+        tw_fuzz_add_at(&upgrade->plan, when, "upgrade next %s", back_s.text);
 }
 
-static void draw_roll(roll *roll) {
-    tw_fuzz_dice *dice = &roll->plan.dice;
+static void draw_upgrades(rolling_upgrade *upgrade) {
+    tw_fuzz_dice *dice = &upgrade->plan.dice;
     const bool by_leadership = tw_fuzz_dice_percent(dice, BY_LEADERSHIP);
     const bool leader_first = tw_fuzz_dice_percent(dice, LEADER_FIRST);
     const int steps = tw_fuzz_dice_percent(dice, HALTS)
-                          ? tw_fuzz_dice_range(dice, 0, roll->plan.nodes - 1)
-                          : roll->plan.nodes;
+                          ? tw_fuzz_dice_range(dice, 0, upgrade->plan.node_count - 1)
+                          : upgrade->plan.node_count;
     const int together = TW_FUZZ_ONE_OF(dice, 1, 1, 1, 2, 3);
     int when = tw_fuzz_dice_range(dice, FIRST_S * TW_FUZZ_SECOND,
-                                  roll->end / 2 + FIRST_S * TW_FUZZ_SECOND);
+                                  upgrade->end / 2 + FIRST_S * TW_FUZZ_SECOND);
     for (int step = 0; step < steps; step++) {
-        draw_step(roll, when, step, by_leadership, leader_first);
+        draw_step(upgrade, when, step, by_leadership, leader_first);
         if ((step + 1) % together == 0)
             when += tw_fuzz_dice_range(dice, APART_MIN_S * TW_FUZZ_SECOND,
                                        APART_MAX_S * TW_FUZZ_SECOND);
     }
     if (tw_fuzz_dice_percent(dice, GOES_BACK))
-        tw_fuzz_at(&roll->plan, draw_moment(roll), "downgrade tray-%d",
-                   tw_fuzz_dice_range(dice, 0, roll->plan.nodes - 1));
+        tw_fuzz_add_at(&upgrade->plan, draw_moment(upgrade), "downgrade tray-%d",
+                       tw_fuzz_dice_range(dice, 0, upgrade->plan.node_count - 1));
 }
 
 void tw_fuzz_draw_upgrade(uint32_t seed, tw_fuzz_day *day) {
-    roll roll = {.plan = {.day = day}};
+    rolling_upgrade upgrade = {.plan = {.day = day}};
     tw_fuzz_draw(seed, day);
-    drop_unfit(day);
-    read_day(&roll, day);
-    tw_fuzz_dice_init(&roll.plan.dice, seed ^ SECOND_STREAM);
-    draw_order(&roll);
-    draw_old(&roll);
-    draw_roll(&roll);
+    drop_unfit_lines(day);
+    read_day(&upgrade, day);
+    tw_fuzz_dice_init(&upgrade.plan.dice, seed ^ SECOND_STREAM);
+    draw_order(&upgrade);
+    draw_old_nodes(&upgrade);
+    draw_upgrades(&upgrade);
     tw_fuzz_day_sort(day);
-    tw_fuzz_dice_free(&roll.plan.dice);
+    tw_fuzz_dice_free(&upgrade.plan.dice);
 }
--- a/fuzz/plan.h
+++ b/fuzz/plan.h
@@ -6,28 +6,28 @@
 #include "fuzz.h"
 
 enum { TW_FUZZ_SECOND = 100, TW_FUZZ_ZONES_MAX = 3, TW_FUZZ_NODES_MAX = 5 };
-enum { TW_FUZZ_RACKS_MAX = 3, TW_FUZZ_TEAMS_MAX = 3, TW_FUZZ_ANCHORS_MAX = 3 };
+enum { TW_FUZZ_TYPES_MAX = 3, TW_FUZZ_TEAMS_MAX = 3, TW_FUZZ_ANCHORS_MAX = 3 };
 
 typedef struct {
-    const char *label;
+    const char *name;
     int cores, gpus;
-} tw_fuzz_rack;
+} tw_fuzz_machine_type;
 
 typedef struct {
     tw_fuzz_dice dice;
     tw_fuzz_day *day;
-    int lease, report, cancel;
+    int lease, heartbeat, cancel;
     int term; /* the leader's lease, about: how long an election takes */
-    int nodes, zones;
-    int racks;
-    tw_fuzz_rack rack[TW_FUZZ_RACKS_MAX];
-    int machines; /* up at the start */
-    int boot;     /* until a rented machine is up */
-    int teams;
-    int anchors; /* what happens is drawn close to these moments */
-    int anchor[TW_FUZZ_ANCHORS_MAX];
-    int last; /* the last moment at which something begins or ends */
-    int jobs; /* ids given so far */
+    int node_count, zone_count;
+    int type_count;
+    tw_fuzz_machine_type types[TW_FUZZ_TYPES_MAX];
+    int machine_count; /* up at the start */
+    int boot;          /* until a rented machine is up */
+    int team_count;
+    int anchor_count; /* what happens is drawn close to these moments */
+    int anchors[TW_FUZZ_ANCHORS_MAX];
+    int last_moment; /* the last moment at which something begins or ends */
+    int job_count;   /* ids given so far */
 } tw_fuzz_plan;
 
 typedef struct {
@@ -37,28 +37,28 @@
 /* Hundredths as seconds. */
 tw_fuzz_seconds tw_fuzz_seconds_of(int hundredths);
 /* Adds a line at a moment (rounded up to zero). */
-void tw_fuzz_at(tw_fuzz_plan *plan, int when, const char *format, ...)
+void tw_fuzz_add_at(tw_fuzz_plan *plan, int when, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 /* Something goes on until then. */
-void tw_fuzz_until(tw_fuzz_plan *plan, int when);
+void tw_fuzz_extend_until(tw_fuzz_plan *plan, int when);
 /* An anchor, and moments around it: at once, within an election, within a lease. */
-int tw_fuzz_anchor(tw_fuzz_plan *plan);
-int tw_fuzz_near(tw_fuzz_plan *plan, int moment);
-const char *tw_fuzz_zone(int zone);
-const char *tw_fuzz_any_zone(tw_fuzz_plan *plan);
+int tw_fuzz_draw_anchor(tw_fuzz_plan *plan);
+int tw_fuzz_draw_moment_near(tw_fuzz_plan *plan, int moment);
+const char *tw_fuzz_zone_name(int zone);
+const char *tw_fuzz_draw_zone(tw_fuzz_plan *plan);
 
 /* The parts of a draw. */
 /* Adds the lines that set lease, report and cancellation. */
-void tw_fuzz_settings(tw_fuzz_plan *plan);
+void tw_fuzz_add_settings(tw_fuzz_plan *plan);
 void tw_fuzz_draw_leases(tw_fuzz_plan *plan);
 void tw_fuzz_draw_fleet(tw_fuzz_plan *plan);
-void tw_fuzz_draw_promise(tw_fuzz_plan *plan);
+void tw_fuzz_draw_guarantee(tw_fuzz_plan *plan);
 void tw_fuzz_draw_jobs(tw_fuzz_plan *plan);
 void tw_fuzz_draw_habits(tw_fuzz_plan *plan);
 /* Drawn last, so that days without gangs stay as they were. */
 void tw_fuzz_draw_gangs(tw_fuzz_plan *plan);
 void tw_fuzz_draw_flood(tw_fuzz_plan *plan);
-void tw_fuzz_draw_successors(tw_fuzz_plan *plan);
+void tw_fuzz_draw_late_news(tw_fuzz_plan *plan);
 void tw_fuzz_draw_repeats(tw_fuzz_plan *plan);
 void tw_fuzz_draw_troubles(tw_fuzz_plan *plan, int count);
 
--- a/fuzz/pool.c
+++ b/fuzz/pool.c
@@ -17,17 +17,17 @@
 typedef struct {
     uint32_t seed;
     bool shrink;
-} request;
+} pool_request;
 
 typedef struct {
     pid_t process;
     int requests, results; /* our ends of its pipes */
     bool busy;
-    request given;
-} worker;
+    pool_request given;
+} pool_worker;
 
 struct tw_fuzz_pool {
-    worker *workers;
+    pool_worker *workers;
     unsigned count;
     tw_fuzz_draw_function *draw;
     char directory[512];
@@ -45,8 +45,8 @@
     if (tw_fuzz_day_write(day, comment, result->path)) *result->path = 0;
 }
 
-static void work_on(const request *given, tw_fuzz_draw_function *draw, const char *directory,
-                    tw_fuzz_result *result) {
+static void play_request(const pool_request *given, tw_fuzz_draw_function *draw,
+                         const char *directory, tw_fuzz_result *result) {
     tw_fuzz_day day = {0};
     memset(result, 0, sizeof *result);
     result->seed = given->seed;
@@ -66,15 +66,16 @@
     tw_fuzz_day_free(&day);
 }
 
-static _Noreturn void work(int requests, int results, const tw_fuzz_pool *pool, pid_t parent) {
-    request given;
+static _Noreturn void run_worker(int requests, int results, const tw_fuzz_pool *pool,
+                                 pid_t parent) {
+    pool_request given;
     tw_fuzz_result result;
     signal(SIGINT, SIG_IGN); /* the parent ends us */
     signal(SIGTERM, SIG_DFL);
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(0);
     while (read(requests, &given, sizeof given) == (ssize_t)sizeof given) {
-        work_on(&given, pool->draw, pool->directory, &result);
+        play_request(&given, pool->draw, pool->directory, &result);
         if (write(results, &result, sizeof result) != (ssize_t)sizeof result) break;
     }
     _exit(0);
@@ -82,7 +83,7 @@
 
 /* ---- in the parent ---- */
 
-static int start(worker *started, const tw_fuzz_pool *pool) {
+static int start_worker(pool_worker *started, const tw_fuzz_pool *pool) {
     int requests[2], results[2];
     const pid_t parent = getpid();
     if (pipe(requests)) return -1;
@@ -95,7 +96,7 @@
     if (!started->process) {
         close(requests[1]);
         close(results[0]);
-        work(requests[0], results[1], pool, parent);
+        run_worker(requests[0], results[1], pool, parent);
     }
     close(requests[0]);
     close(results[1]);
@@ -109,11 +110,11 @@
 }
 
 /* How the worker ended. */
-static int end(worker *ended) {
+static int end_worker(pool_worker *worker) {
     int status = 0;
-    close(ended->requests);
-    close(ended->results);
-    while (waitpid(ended->process, &status, 0) < 0 && errno == EINTR) continue;
+    close(worker->requests);
+    close(worker->results);
+    while (waitpid(worker->process, &status, 0) < 0 && errno == EINTR) continue;
     return status;
 }
 
@@ -125,7 +126,7 @@
     if (!pool->workers) abort();
     pool->draw = draw;
     snprintf(pool->directory, sizeof pool->directory, "%s", directory);
-    while (pool->count < workers && !start(&pool->workers[pool->count], pool)) pool->count++;
+    while (pool->count < workers && !start_worker(&pool->workers[pool->count], pool)) pool->count++;
     if (pool->count) return pool;
     tw_fuzz_pool_free(pool);
     return NULL;
@@ -143,7 +144,7 @@
 
 void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, bool shrink) {
     for (unsigned i = 0; i < pool->count; i++) {
-        worker *idle = &pool->workers[i];
+        pool_worker *idle = &pool->workers[i];
         if (idle->busy) continue;
         memset(&idle->given, 0, sizeof idle->given);
         idle->given.seed = seed;
@@ -156,14 +157,14 @@
 }
 
 /* The result of a worker, or what ended it. */
-static void take(tw_fuzz_pool *pool, worker *from, tw_fuzz_result *result) {
+static void take_result(tw_fuzz_pool *pool, pool_worker *from, tw_fuzz_result *result) {
     from->busy = false;
     if (read(from->results, result, sizeof *result) == (ssize_t)sizeof *result) return;
     memset(result, 0, sizeof *result);
     result->seed = from->given.seed;
     result->shrunk = from->given.shrink;
-    tw_fuzz_ended_by(end(from), &result->verdict);
-    if (start(from, pool)) *from = pool->workers[--pool->count];
+    tw_fuzz_ended_by(end_worker(from), &result->verdict);
+    if (start_worker(from, pool)) *from = pool->workers[--pool->count];
 }
 
 int tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result) {
@@ -177,7 +178,7 @@
     if (!count || poll(waiting, count, milliseconds) <= 0) return 0;
     for (unsigned i = 0; i < count; i++) {
         if (!waiting[i].revents) continue;
-        take(pool, &pool->workers[of[i]], result);
+        take_result(pool, &pool->workers[of[i]], result);
         return 1;
     }
     return 0;
@@ -186,7 +187,7 @@
 void tw_fuzz_pool_free(tw_fuzz_pool *pool) {
     for (unsigned i = 0; i < pool->count; i++) {
         kill(pool->workers[i].process, SIGKILL);
-        end(&pool->workers[i]);
+        end_worker(&pool->workers[i]);
     }
     free(pool->workers);
     free(pool);
--- a/fuzz/shrink.c
+++ b/fuzz/shrink.c
@@ -17,7 +17,7 @@
     tw_simulator_verdict verdict;
 } shrinking;
 
-static int breaks(shrinking *state, const tw_fuzz_day *day) {
+static int breaks_rule(shrinking *state, const tw_fuzz_day *day) {
     tw_simulator_verdict verdict;
     if (state->plays >= state->plays_max) return 0;
     state->plays++;
@@ -30,7 +30,7 @@
 /* Takes the candidate instead of the day if it still breaks the rule; frees what is not kept. */
 static int keep_if_it_breaks(shrinking *state, tw_fuzz_day *candidate) {
     tw_fuzz_day *loser = candidate;
-    const int kept = breaks(state, candidate);
+    const int kept = breaks_rule(state, candidate);
     if (kept) {
         const tw_fuzz_day smaller = *candidate;
         *candidate = *state->day;
@@ -40,7 +40,7 @@
     return kept;
 }
 
-static int without_lines(shrinking *state, size_t from, size_t count) {
+static int try_without_lines(shrinking *state, size_t from, size_t count) {
     tw_fuzz_day candidate = {0};
     for (size_t i = 0; i < state->day->count; i++)
         if (i < from || i >= from + count) tw_fuzz_day_add(&candidate, "%s", state->day->lines[i]);
@@ -55,14 +55,14 @@
         size_t end = state->day->count;
         while (end) {
             const size_t from = end > block ? end - block : 0;
-            dropped += without_lines(state, from, end - from);
+            dropped += try_without_lines(state, from, end - from);
             end = from;
         }
     }
     return dropped;
 }
 
-static int with_line(shrinking *state, size_t index, const char *line) {
+static int try_line(shrinking *state, size_t index, const char *line) {
     tw_fuzz_day candidate = {0};
     if (!strcmp(line, state->day->lines[index])) return 0;
     for (size_t i = 0; i < state->day->count; i++)
@@ -81,7 +81,7 @@
         100L * end_s >= tw_fuzz_line_hundredths(state->day->lines[last] + 4))
         return 0;
     snprintf(line, sizeof line, "end %d", end_s);
-    return with_line(state, last, line);
+    return try_line(state, last, line);
 }
 
 static bool has_digits_only(const char *word, size_t length) {
@@ -89,16 +89,16 @@
 }
 
 /* A line with `length` characters from `at` on replaced. */
-static int with_words(shrinking *state, size_t index, size_t at, size_t length,
-                      const char *instead) {
+static int try_words(shrinking *state, size_t index, size_t at, size_t length,
+                     const char *instead) {
     char line[LINE_SIZE];
     const char *old = state->day->lines[index];
     snprintf(line, sizeof line, "%.*s%s%s", (int)at, old, instead, old + at + length);
-    return with_line(state, index, line);
+    return try_line(state, index, line);
 }
 
 /* A number gets smaller: the least that still does, of some. */
-static int smaller_number(shrinking *state, size_t index, size_t at, size_t length) {
+static int shrink_number(shrinking *state, size_t index, size_t at, size_t length) {
     char instead[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
     const bool whole = !memchr(word, '.', length);
@@ -112,51 +112,51 @@
             snprintf(instead, sizeof instead, "%ld", shorter / 100);
         else
             snprintf(instead, sizeof instead, "%ld.%02ld", shorter / 100, shorter % 100);
-        if (with_words(state, index, at, length, instead)) return 1;
+        if (try_words(state, index, at, length, instead)) return 1;
     }
     return 0;
 }
 
 /* A duration is rounded to a second or a tenth. */
-static bool rounder_number(shrinking *state, size_t index, size_t at, size_t length) {
+static bool round_number(shrinking *state, size_t index, size_t at, size_t length) {
     char instead[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
     if (!memchr(word, '.', length)) return false;
     const long value = tw_fuzz_line_hundredths(word);
     if (value % 100 == 0) return false;
     snprintf(instead, sizeof instead, "%ld.00", value / 100);
-    if (value >= 100 && with_words(state, index, at, length, instead)) return true;
+    if (value >= 100 && try_words(state, index, at, length, instead)) return true;
     snprintf(instead, sizeof instead, "%ld.%ld0", value / 100, value % 100 / 10);
-    return value >= 10 && with_words(state, index, at, length, instead);
+    return value >= 10 && try_words(state, index, at, length, instead);
 }
 
 /* `key=value` of a line goes, or its number gets smaller. */
-static int smaller_option(shrinking *state, size_t index, size_t at, size_t length) {
+static int shrink_option(shrinking *state, size_t index, size_t at, size_t length) {
     const char *word = state->day->lines[index] + at;
     const char *equals = memchr(word, '=', length);
     const size_t key = (size_t)(equals - word) + 1;
-    if (with_words(state, index, at - 1, length + 1, "")) return 1;
+    if (try_words(state, index, at - 1, length + 1, "")) return 1;
     if (!has_digits_only(word + key, length - key)) return 0;
-    return smaller_number(state, index, at + key, length - key);
+    return shrink_number(state, index, at + key, length - key);
 }
 
-static bool smaller_word(shrinking *state, size_t index, size_t at, size_t length) {
+static bool shrink_word(shrinking *state, size_t index, size_t at, size_t length) {
     const char *word = state->day->lines[index] + at;
-    if (memchr(word, '=', length)) return smaller_option(state, index, at, length);
+    if (memchr(word, '=', length)) return shrink_option(state, index, at, length);
     if (!has_digits_only(word, length)) return false;
-    const int changed = smaller_number(state, index, at, length);
+    const int changed = shrink_number(state, index, at, length);
     if (changed) return true;
-    return rounder_number(state, index, at, length);
+    return round_number(state, index, at, length);
 }
 
 /* The words of a line from the third on (of `at` lines: after the moment and the command). */
-static int smaller_line(shrinking *state, size_t index) {
+static int shrink_line(shrinking *state, size_t index) {
     int changed = 0;
     size_t at = tw_fuzz_line_is(state->day->lines[index], "at ") ? 3 : 0, word = 0;
     if (tw_fuzz_line_is(state->day->lines[index], "end ")) return 0;
     while (state->day->lines[index][at]) {
         const size_t length = strcspn(state->day->lines[index] + at, " ");
-        if (word++ && smaller_word(state, index, at, length)) {
+        if (word++ && shrink_word(state, index, at, length)) {
             changed++; /* the same place again: another word stands there, or a smaller number */
             if (at >= strlen(state->day->lines[index])) break;
             continue;
@@ -166,14 +166,14 @@
     return changed;
 }
 
-static int smaller_lines(shrinking *state) {
+static int shrink_lines(shrinking *state) {
     int changed = 0;
-    for (size_t i = state->day->count; i-- > 0;) changed += smaller_line(state, i);
+    for (size_t i = state->day->count; i-- > 0;) changed += shrink_line(state, i);
     return changed;
 }
 
 /* Everything from a moment on comes so much earlier. */
-static int earlier_from(shrinking *state, long moment, long by) {
+static int try_earlier(shrinking *state, long moment, long by) {
     tw_fuzz_day candidate = {0};
     for (size_t i = 0; i < state->day->count; i++) {
         const char *line = state->day->lines[i], *rest = line + 3;
@@ -199,7 +199,7 @@
         const long when = tw_fuzz_line_hundredths(line + 3), gap = when - before;
         const long tries[] = {gap, gap / 2, gap / 4, 100};
         for (size_t k = 0; gap > 100 && k < sizeof tries / sizeof *tries; k++) {
-            if (!earlier_from(state, when, tries[k])) continue;
+            if (!try_earlier(state, when, tries[k])) continue;
             changed++;
             break;
         }
@@ -211,13 +211,13 @@
 unsigned tw_fuzz_shrink(tw_fuzz_day *day, const char *rule, unsigned plays_max,
                         tw_simulator_verdict *verdict) {
     shrinking state = {.day = day, .rule = rule, .plays_max = plays_max};
-    if (breaks(&state, day)) {
+    if (breaks_rule(&state, day)) {
         int changed =
             strcmp(rule, TW_FUZZ_EXPECTED) != 0; /* with less in it, less can be expected */
         for (int round = 0; changed && round < ROUNDS_MAX; round++) {
             changed = end_early(&state);
             changed += drop_lines(&state);
-            changed += smaller_lines(&state);
+            changed += shrink_lines(&state);
             changed += close_gaps(&state);
             changed += end_early(&state);
         }
--- a/tests/runner/bench_test.c
+++ b/tests/runner/bench_test.c
@@ -21,11 +21,11 @@
 /* The one result of a case at these sizes. */
 static tw_bench_result run(const char *name, int machines, int tasks, int jobs) {
     const tw_bench_sizes sizes = {machines, tasks, jobs};
-    const tw_bench_case *c = tw_bench_cases;
+    const tw_bench_case *bench_case = tw_bench_cases;
     tw_bench_results results = {0};
     tw_bench_result result = tw_bench_result_of(name, "");
-    while (c->name && strcmp(c->name, name) != 0) c++;
-    check(c->name && !c->run(&sizes, &results), "doesn't run", name);
+    while (bench_case->name && strcmp(bench_case->name, name) != 0) bench_case++;
+    check(bench_case->name && !bench_case->run(&sizes, &results), "doesn't run", name);
     check(results.count == 1, "gives not one result", name);
     if (results.count == 1) result = results.items[0];
     tw_bench_results_free(&results);
@@ -69,12 +69,12 @@
     int jobs;
     double steps; /* at most, for one of what the case measures */
     double allocations;
-} bound;
+} figure_bound;
 
 static void test_bounds(void) {
     /* Steps as measured, a look at each machine for a placement and at most one a shape for a pass;
      * allocations as measured, with at most a twentieth to spare, in whole numbers. */
-    static const bound bounds[] = {
+    static const figure_bound bounds[] = {
         {"report", SMALL, 0, -1, 0, 4},
         {"report", SMALL, 40, -1, 0, 4},
         {"relay", SMALL, 8, -1, 0, 9},
@@ -88,13 +88,13 @@
         {"takeover", SMALL, 0, 1000, 0, 25},
     };
     for (size_t i = 0; i < sizeof bounds / sizeof *bounds; i++) {
-        const bound *b = &bounds[i];
-        const tw_bench_result result = run(b->name, b->machines, b->tasks, b->jobs);
-        if (result.steps <= b->steps && result.allocations <= b->allocations) continue;
+        const figure_bound *bound = &bounds[i];
+        const tw_bench_result result = run(bound->name, bound->machines, bound->tasks, bound->jobs);
+        if (result.steps <= bound->steps && result.allocations <= bound->allocations) continue;
         printf("FAIL bench: %s machines=%d tasks=%d jobs=%d: %.2f steps of %.2f, %.2f allocations "
                "of %.2f\n",
-               b->name, b->machines, b->tasks, b->jobs, result.steps, b->steps, result.allocations,
-               b->allocations);
+               bound->name, bound->machines, bound->tasks, bound->jobs, result.steps, bound->steps,
+               result.allocations, bound->allocations);
         failures++;
     }
 }
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -72,7 +72,7 @@
     int is_user; /* by a user; else by a worker, and the rest is set */
     int worker;  /* index in the world */
     double sent; /* seconds since the start */
-    uint64_t session;
+    uint64_t incarnation;
 };
 
 static tw_simulator_world world;
@@ -181,7 +181,7 @@
     }
     tw_simulator_worker *worker = world.workers[call->worker];
     worker->in_flight = 0;
-    tw_simulator_worker_answer(&world, worker, call->sent, call->session, status, body);
+    tw_simulator_worker_answer(&world, worker, call->sent, call->incarnation, status, body);
 }
 
 /* The index of a node by its name; -1: none of them. */
@@ -250,14 +250,14 @@
     }
 }
 
-static void send_report(int index) {
+static void send_heartbeat(int index) {
     tw_simulator_worker *worker = world.workers[index];
     char *body = tw_simulator_worker_heartbeat(&world, worker);
     struct sent_call *call = call_node(worker->node, "POST", "/hello", body, REPORT_TIMEOUT_S);
     free(body);
     call->worker = index;
     call->sent = world.now;
-    call->session = worker->incarnation;
+    call->incarnation = worker->incarnation;
     worker->in_flight = 1;
     worker->changed = false;
     worker->last_heartbeat = world.now;
@@ -274,7 +274,7 @@
     tw_simulator_gangs_advance(&world);
     for (int i = 0; i < world.worker_count; i++) {
         tw_simulator_worker_advance(&world, world.workers[i]);
-        if (tw_simulator_worker_heartbeat_due(&world, world.workers[i])) send_report(i);
+        if (tw_simulator_worker_heartbeat_due(&world, world.workers[i])) send_heartbeat(i);
     }
     if (*world.rule) finish(world.detail);
     if (!user_waits && world.now >= next_act) {
--- a/tests/runner/runner.c
+++ b/tests/runner/runner.c
@@ -45,19 +45,19 @@
 /* Returns -1 for a file that can't be played, NOT_RUN for one that needs what isn't at hand. */
 static int play(const scenario *played, const char *said_as, tw_simulator_verdict *verdict) {
     char line[MAX_LINE], error[500];
-    FILE *f = fopen(played->path, "r");
-    if (!f) {
+    FILE *file = fopen(played->path, "r");
+    if (!file) {
         printf("FAIL %s: can't be read\n", played->name);
         return -1;
     }
     tw_simulator *sim = tw_simulator_new(said_as);
     int result = 0;
-    while (!result && fgets(line, sizeof line, f)) {
+    while (!result && fgets(line, sizeof line, file)) {
         const char *text = line_in(line, played->variant);
         if (text) result = tw_simulator_take_line(sim, text, error, sizeof error);
         if (result) printf("FAIL %s: %s\n", played->name, error);
     }
-    fclose(f);
+    fclose(file);
     if (!result && played->more)
         result = tw_simulator_take_line(sim, played->more, error, sizeof error);
     if (!result && tw_simulator_lacks_earlier_version(sim)) {
@@ -98,19 +98,19 @@
 /* The names of a file's variants, in the order of their coming; how many. */
 static int variants_of(const char *path, char names[MAX_VARIANTS][NAME_SIZE]) {
     char line[MAX_LINE];
-    int n = 0;
-    FILE *f = fopen(path, "r");
-    while (f && fgets(line, sizeof line, f)) {
+    int count = 0;
+    FILE *file = fopen(path, "r");
+    while (file && fgets(line, sizeof line, file)) {
         const char *with = after(line, "with");
         size_t size = with ? strcspn(with, " \r\n") : 0;
         bool known = !size || size >= NAME_SIZE;
-        for (int i = 0; i < n; i++) known |= strlen(names[i]) == size && after(with, names[i]);
-        if (known || n == MAX_VARIANTS) continue;
-        memcpy(names[n], with, size);
-        names[n++][size] = 0;
+        for (int i = 0; i < count; i++) known |= strlen(names[i]) == size && after(with, names[i]);
+        if (known || count == MAX_VARIANTS) continue;
+        memcpy(names[count], with, size);
+        names[count++][size] = 0;
     }
-    if (f) fclose(f);
-    return n;
+    if (file) fclose(file);
+    return count;
 }
 
 static void name_it(scenario *played) {
--- a/tests/runner/simulator_test.c
+++ b/tests/runner/simulator_test.c
@@ -49,12 +49,12 @@
 }
 
 static uint64_t run(tw_simulator *sim) {
-    tw_simulator_verdict v;
-    tw_simulator_run(sim, &v);
+    tw_simulator_verdict verdict;
+    tw_simulator_run(sim, &verdict);
     tw_simulator_free(sim);
-    check(!*v.rule && !v.failed, v.detail);
-    check(v.end_s > 49, "a run ends too early");
-    return v.digest;
+    check(!*verdict.rule && !verdict.failed, verdict.detail);
+    check(verdict.end_s > 49, "a run ends too early");
+    return verdict.digest;
 }
 
 static void test_equal_runs(void) {
@@ -159,7 +159,7 @@
 /* Without a program of the earlier version a day with old nodes is not played as if they were new.
  */
 static void test_without_earlier_version(void) {
-    tw_simulator_verdict v;
+    tw_simulator_verdict verdict;
     tw_simulator *sim = small_day(7);
     tw_simulator_earlier_version(sim, NULL);
     check(!tw_simulator_lacks_earlier_version(sim),
@@ -167,20 +167,20 @@
     line(sim, "at 5 downgrade tray-0 1");
     check(tw_simulator_lacks_earlier_version(sim),
           "a day with a downgrade needs the earlier version");
-    tw_simulator_run(sim, &v);
-    check(v.failed == 1, "a node can't start and nobody is told");
+    tw_simulator_run(sim, &verdict);
+    check(verdict.failed == 1, "a node can't start and nobody is told");
     tw_simulator_free(sim);
 }
 
 /* A process that ends by itself, here one that is no tw_core_server, is a broken rule or a node
  * that can't start. */
 static void test_process_that_ends(void) {
-    tw_simulator_verdict v;
+    tw_simulator_verdict verdict;
     tw_simulator *sim = small_day(7);
     tw_simulator_earlier_version(sim, "/bin/false");
     line(sim, "old tray-1");
-    tw_simulator_run(sim, &v);
-    check(v.failed == 1, "a process that ends at once goes unnoticed");
+    tw_simulator_run(sim, &verdict);
+    check(verdict.failed == 1, "a process that ends at once goes unnoticed");
     tw_simulator_free(sim);
 }
 
@@ -201,120 +201,123 @@
 
 /* What a line breaks at a world of its own: expectations that don't hold are counted. */
 static void test_failed_lines(void) {
-    tw_simulator_verdict v;
+    tw_simulator_verdict verdict;
     tw_simulator *sim = small_day(7);
     line(sim, "at 30 expect done run-000099");
     line(sim, "at 30 raw GET /up 404");
-    tw_simulator_run(sim, &v);
-    check(v.failed == 2, "lines that don't hold aren't counted");
+    tw_simulator_run(sim, &verdict);
+    check(verdict.failed == 2, "lines that don't hold aren't counted");
     tw_simulator_free(sim);
 }
 
 /* A day without nodes, as a search may make it of a smaller one. */
 static void test_no_nodes(void) {
-    tw_simulator_verdict v;
+    tw_simulator_verdict verdict;
     tw_simulator *sim = tw_simulator_new(NULL);
     line(sim, "machine_type cpu cores=16");
     line(sim, "machine cpu a");
     line(sim, "at 5 submit run-000001");
     line(sim, "at 6 kill leader");
-    tw_simulator_run(sim, &v);
-    check(!*v.rule && !v.failed && v.end_s <= 0, "something happens without nodes");
+    tw_simulator_run(sim, &verdict);
+    check(!*verdict.rule && !verdict.failed && verdict.end_s <= 0,
+          "something happens without nodes");
     tw_simulator_free(sim);
 }
 
 /* ---- the judge ---- */
 
-static void world_of_one_machine(tw_simulator_world *w) {
-    tw_simulator_world_init(w);
-    w->node_count = 1;
-    w->type_count = 1;
-    w->types[0] =
+static void world_of_one_machine(tw_simulator_world *world) {
+    tw_simulator_world_init(world);
+    world->node_count = 1;
+    world->type_count = 1;
+    world->types[0] =
         (tw_wire_machine_type){.name = "cpu", .cores = 4, .memory_gb = 16, .fetch_gb_s = 1};
-    w->team_count = 1;
-    strcpy(w->teams[0].name, "crew");
-    tw_simulator_add_machine(w, 0, "a", 0, 0)->up = 1;
-    w->now = 1;
+    world->team_count = 1;
+    strcpy(world->teams[0].name, "crew");
+    tw_simulator_add_machine(world, 0, "a", 0, 0)->up = 1;
+    world->now = 1;
 }
 
-static tw_simulator_job *accepted_job(tw_simulator_world *w, const char *id, int cores) {
-    tw_simulator_job *job = tw_simulator_job_new(w, id);
+static tw_simulator_job *accepted_job(tw_simulator_world *world, const char *id, int cores) {
+    tw_simulator_job *job = tw_simulator_job_new(world, id);
     strcpy(job->spec.job_class, "lane");
     strcpy(job->spec.team, "crew");
     job->spec.task_count = 1;
     job->spec.cores = cores;
     job->spec.memory_gb = 1;
     job->submitted = job->accepted = 1;
-    job->accepted_at = job->answered_at = w->now;
-    job->first_try = w->now;
+    job->accepted_at = job->answered_at = world->now;
+    job->first_try = world->now;
     job->done = tw_simulator_allocate(1);
     return job;
 }
 
-static void put_on_machine(tw_simulator_world *w, tw_simulator_job *job) {
-    tw_simulator_worker *x = w->workers[0];
-    x->tasks = tw_simulator_grow(x->tasks, x->task_count, &x->task_capacity, sizeof *x->tasks);
-    x->tasks[x->task_count] =
+static void put_on_machine(tw_simulator_world *world, tw_simulator_job *job) {
+    tw_simulator_worker *worker = world->workers[0];
+    worker->tasks = tw_simulator_grow(worker->tasks, worker->task_count, &worker->task_capacity,
+                                      sizeof *worker->tasks);
+    worker->tasks[worker->task_count] =
         (tw_simulator_task){.job = job, .stage = TW_TASK_RUNNING, .attempt = 1};
-    strcpy(x->tasks[x->task_count++].job_id, job->spec.id);
+    strcpy(worker->tasks[worker->task_count++].job_id, job->spec.id);
 }
 
-static void pass(tw_simulator_world *w, int seconds, bool answered) {
+static void pass(tw_simulator_world *world, int seconds, bool answered) {
     for (int second = 0; second < seconds; second++) {
-        for (int i = 0; i < w->job_count && answered; i++) w->jobs[i]->answered_at = w->now;
-        tw_simulator_judge_live(w);
-        w->now += 1;
+        for (int i = 0; i < world->job_count && answered; i++)
+            world->jobs[i]->answered_at = world->now;
+        tw_simulator_judge_live(world);
+        world->now += 1;
     }
 }
 
 /* The rule that is broken in that time; "" for none. Ends the world. */
-static void expect_rule(tw_simulator_world *w, const char *rule, const char *what) {
-    check(!strcmp(w->rule, rule), what);
-    tw_simulator_world_free(w);
+static void expect_rule(tw_simulator_world *world, const char *rule, const char *what) {
+    check(!strcmp(world->rule, rule), what);
+    tw_simulator_world_free(world);
 }
 
 static void test_unanswered(void) {
-    tw_simulator_world w;
-    world_of_one_machine(&w);
-    put_on_machine(&w, accepted_job(&w, "run-000001", 1));
-    pass(&w, 74, false);
-    check(!*w.rule, "unanswered too early");
-    pass(&w, 4, false);
-    expect_rule(&w, "unanswered", "nobody answers for 75 s");
-
-    world_of_one_machine(&w);
-    put_on_machine(&w, accepted_job(&w, "run-000001", 1));
-    w.troubles_end = 100;
-    pass(&w, 170, false);
-    expect_rule(&w, "", "unanswered counts from the end of the troubles");
+    tw_simulator_world world;
+    world_of_one_machine(&world);
+    put_on_machine(&world, accepted_job(&world, "run-000001", 1));
+    pass(&world, 74, false);
+    check(!*world.rule, "unanswered too early");
+    pass(&world, 4, false);
+    expect_rule(&world, "unanswered", "nobody answers for 75 s");
+
+    world_of_one_machine(&world);
+    put_on_machine(&world, accepted_job(&world, "run-000001", 1));
+    world.troubles_end = 100;
+    pass(&world, 170, false);
+    expect_rule(&world, "", "unanswered counts from the end of the troubles");
 }
 
 /* limit: of the team's cores; the job takes 2 of the machine's 4. */
 static void stuck_case(int taken, double limit, bool cancelled, double troubles_end,
                        const char *rule, const char *what) {
-    tw_simulator_world w;
-    world_of_one_machine(&w);
-    w.teams[0].cpus_max = limit;
-    w.troubles_end = troubles_end;
-    if (taken) put_on_machine(&w, accepted_job(&w, "run-000001", taken));
-    tw_simulator_job *job = accepted_job(&w, "run-000002", 2);
-    if (cancelled) job->cancel_asked_at = w.now;
-    pass(&w, 120, true);
-    expect_rule(&w, rule, what);
+    tw_simulator_world world;
+    world_of_one_machine(&world);
+    world.teams[0].cpus_max = limit;
+    world.troubles_end = troubles_end;
+    if (taken) put_on_machine(&world, accepted_job(&world, "run-000001", taken));
+    tw_simulator_job *job = accepted_job(&world, "run-000002", 2);
+    if (cancelled) job->cancel_asked_at = world.now;
+    pass(&world, 120, true);
+    expect_rule(&world, rule, what);
 }
 
 /* One task of a gang of three waits, and its machine has room for so many more. */
 static void waiting_gang_case(int free_tasks, const char *rule, const char *what) {
-    tw_simulator_world w;
-    world_of_one_machine(&w);
-    tw_simulator_job *gang = accepted_job(&w, "run-000003", 1);
+    tw_simulator_world world;
+    world_of_one_machine(&world);
+    tw_simulator_job *gang = accepted_job(&world, "run-000003", 1);
     gang->spec.gang = 1;
     gang->spec.cores = 4.0 / (1 + free_tasks);
     gang->spec.task_count = 3;
-    put_on_machine(&w, gang);
-    w.workers[0]->tasks[0].stage = TW_TASK_WAITING;
-    pass(&w, 120, true);
-    expect_rule(&w, rule, what);
+    put_on_machine(&world, gang);
+    world.workers[0]->tasks[0].stage = TW_TASK_WAITING;
+    pass(&world, 120, true);
+    expect_rule(&world, rule, what);
 }
 
 static void test_stuck(void) {
@@ -325,52 +328,52 @@
     stuck_case(2, 4, false, 0, "stuck", "a team just under its limit");
     stuck_case(0, 0, true, 0, "", "a cancelled job");
     stuck_case(0, 0, false, 60, "", "troubles that are over for a minute only");
-    tw_simulator_world w;
-    world_of_one_machine(&w);
-    tw_simulator_job *gang = accepted_job(&w, "run-000003", 2);
+    tw_simulator_world world;
+    world_of_one_machine(&world);
+    tw_simulator_job *gang = accepted_job(&world, "run-000003", 2);
     gang->spec.gang = 1;
     gang->spec.task_count = 3;
-    pass(&w, 120, true);
-    expect_rule(&w, "", "a gang that doesn't fit as a whole");
+    pass(&world, 120, true);
+    expect_rule(&world, "", "a gang that doesn't fit as a whole");
     waiting_gang_case(2, "stuck", "a gang whose tasks wait for ever beside room for the rest");
     waiting_gang_case(1, "", "a gang that can't be completed");
-    world_of_one_machine(&w);
-    gang = accepted_job(&w, "run-000003", 2);
+    world_of_one_machine(&world);
+    gang = accepted_job(&world, "run-000003", 2);
     gang->spec.gang = 1;
     gang->spec.task_count = 2;
-    put_on_machine(&w, gang);
-    pass(&w, 120, true);
-    expect_rule(&w, "", "a gang that runs");
-    world_of_one_machine(&w);
-    strcpy(accepted_job(&w, "run-000004", 2)->spec.zone, "b");
-    pass(&w, 120, true);
-    expect_rule(&w, "", "a machine in a zone that isn't allowed");
-    world_of_one_machine(&w);
-    accepted_job(&w, "run-000005", 2);
-    pass(&w, 60, true);
-    put_on_machine(&w, w.jobs[0]);
-    pass(&w, 10, true);
-    w.workers[0]->task_count = 0;
-    pass(&w, 60, true);
-    expect_rule(&w, "", "a job that was on a machine meanwhile");
+    put_on_machine(&world, gang);
+    pass(&world, 120, true);
+    expect_rule(&world, "", "a gang that runs");
+    world_of_one_machine(&world);
+    strcpy(accepted_job(&world, "run-000004", 2)->spec.zone, "b");
+    pass(&world, 120, true);
+    expect_rule(&world, "", "a machine in a zone that isn't allowed");
+    world_of_one_machine(&world);
+    accepted_job(&world, "run-000005", 2);
+    pass(&world, 60, true);
+    put_on_machine(&world, world.jobs[0]);
+    pass(&world, 10, true);
+    world.workers[0]->task_count = 0;
+    pass(&world, 60, true);
+    expect_rule(&world, "", "a job that was on a machine meanwhile");
 }
 
 /* Of four jobs so many are done, the last one is the largest. */
 static void served_case(int done, double begun_at, double age_s, const char *rule,
                         const char *what) {
-    tw_simulator_world w;
+    tw_simulator_world world;
     char id[32];
-    world_of_one_machine(&w);
-    w.served_age_s = age_s;
+    world_of_one_machine(&world);
+    world.served_age_s = age_s;
     for (int i = 0; i < 4; i++) {
         snprintf(id, sizeof id, "run-%06d", i + 1);
-        tw_simulator_job *job = accepted_job(&w, id, i == 3 ? 4 : 1);
+        tw_simulator_job *job = accepted_job(&world, id, i == 3 ? 4 : 1);
         job->done_count = i >= 4 - done;
         job->begun_at = begun_at;
     }
-    w.now = 300;
-    tw_simulator_judge_served(&w);
-    expect_rule(&w, rule, what);
+    world.now = 300;
+    tw_simulator_judge_served(&world);
+    expect_rule(&world, rule, what);
 }
 
 static void test_unserved(void) {
@@ -381,28 +384,28 @@
 }
 
 static void test_took_bad(void) {
-    tw_simulator_world w;
-    world_of_one_machine(&w);
-    tw_simulator_judge_impossible_job(&w, "run-900001", 422);
-    tw_simulator_judge_impossible_job(&w, "run-900001", 503);
-    check(!*w.rule, "a refusal is taken for an acceptance");
-    tw_simulator_judge_impossible_job(&w, "run-900001", 201);
-    expect_rule(&w, "took_bad", "a job that can't run is accepted");
+    tw_simulator_world world;
+    world_of_one_machine(&world);
+    tw_simulator_judge_impossible_job(&world, "run-900001", 422);
+    tw_simulator_judge_impossible_job(&world, "run-900001", 503);
+    check(!*world.rule, "a refusal is taken for an acceptance");
+    tw_simulator_judge_impossible_job(&world, "run-900001", 201);
+    expect_rule(&world, "took_bad", "a job that can't run is accepted");
 }
 
 static void test_told(void) {
-    tw_simulator_world w;
+    tw_simulator_world world;
     const char *done = "{\"stage\":\"done\"}", *pending = "{\"stage\":\"pending\"}";
-    world_of_one_machine(&w);
-    tw_simulator_job *job = accepted_job(&w, "run-000001", 1);
+    world_of_one_machine(&world);
+    tw_simulator_job *job = accepted_job(&world, "run-000001", 1);
     job->done[0] = 1;
-    w.now = 10;
-    tw_simulator_judge_told(&w, job, job->spec.id, TW_SIMULATOR_POLL, 9, 200, done);
-    w.now = 11;
-    tw_simulator_judge_told(&w, job, job->spec.id, TW_SIMULATOR_POLL, 9.5, 200, pending);
-    check(!*w.rule && w.crossings == 1, "an answer that crosses a newer one");
-    tw_simulator_judge_told(&w, job, job->spec.id, TW_SIMULATOR_POLL, 10.5, 200, pending);
-    expect_rule(&w, "went_back", "an answer that is older");
+    world.now = 10;
+    tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9, 200, done);
+    world.now = 11;
+    tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9.5, 200, pending);
+    check(!*world.rule && world.crossings == 1, "an answer that crosses a newer one");
+    tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 10.5, 200, pending);
+    expect_rule(&world, "went_back", "an answer that is older");
 }
 
 int main(int argc, char **argv) {
--- a/tests/soak/calls.c
+++ b/tests/soak/calls.c
@@ -4,31 +4,31 @@
 
 #define CONNECTIONS_PER_ADDRESS 1000
 
-typedef struct soak_call {
+typedef struct tw_soak_call {
     uint64_t id;
-    soak_answered *answered;
+    tw_soak_answered *answered;
     void *data;
     UT_hash_handle hh;
-} soak_call;
+} tw_soak_call;
 
-void soak_call_node(soak *run, int node, int port, const char *method, const char *path,
-                    const char *body, double timeout_s, soak_answered *answered, void *data) {
-    char address[SOAK_TEXT];
-    soak_call *call = tw_simulator_allocate(sizeof *call);
+void tw_soak_call_node(tw_soak *run, int node, int port, const char *method, const char *path,
+                       const char *body, double timeout_s, tw_soak_answered *answered, void *data) {
+    char address[TW_SOAK_TEXT];
+    tw_soak_call *call = tw_simulator_allocate(sizeof *call);
     call->id = ++run->last_call;
     call->answered = answered;
     call->data = data;
     HASH_ADD(hh, run->calls, id, sizeof call->id, call);
-    soak_address(run, address, SOAK_NODE_HOST + node, port);
+    tw_soak_address(run, address, TW_SOAK_NODE_HOST + node, port);
     tw_net_call(run->net, call->id, address, CONNECTIONS_PER_ADDRESS, method, path, body,
                 timeout_s);
 }
 
-void soak_response(void *context, uint64_t id, int status, const char *body, size_t length) {
-    soak *run = context;
-    soak_call *call;
+void tw_soak_response(void *context, uint64_t id, int status, const char *body, size_t length) {
+    tw_soak *run = context;
+    tw_soak_call *call;
     (void)length;
-    run->world.now = soak_now() - run->started_at;
+    run->world.now = tw_soak_now() - run->started_at;
     HASH_FIND(hh, run->calls, &id, sizeof id, call);
     if (!call) return;
     HASH_DEL(run->calls, call);
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -45,34 +45,34 @@
                                 "[[settings.teams]]\nname = \"crew-1\"\ncpus = 8.0\ngpus = "
                                 "2.0\ngpus_max = 24.0\ncpus_max = 250.0\n";
 
-static soak run;
+static tw_soak run;
 static int machines; /* instead of the plan's; 0: the plan's */
 
-double soak_now(void) {
+double tw_soak_now(void) {
     struct timespec time;
     clock_gettime(CLOCK_MONOTONIC, &time);
     return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
-double soak_draw(soak *of, double from, double to) {
-    return from + (to - from) * gsl_rng_uniform(of->rng);
+double tw_soak_draw(tw_soak *of, double from, double to) {
+    return from + (to - from) * gsl_rng_uniform(of->generator);
 }
 
-int soak_draw_index(soak *of, int count) {
-    return (int)gsl_rng_uniform_int(of->rng, (unsigned long)count);
+int tw_soak_draw_index(tw_soak *of, int count) {
+    return (int)gsl_rng_uniform_int(of->generator, (unsigned long)count);
 }
 
-bool soak_strikes(soak *of, const soak_share *share) {
-    return of->world.now < share->until && soak_draw(of, 0, 1) < share->share;
+bool tw_soak_strikes(tw_soak *of, const tw_soak_share *share) {
+    return of->world.now < share->until && tw_soak_draw(of, 0, 1) < share->share;
 }
 
-void soak_address(const soak *of, char *text, int host, int port) {
-    snprintf(text, SOAK_TEXT, "127.%u.%d.%d:%d", FIRST_NETWORK + of->seed % NETWORKS,
+void tw_soak_address(const tw_soak *of, char *text, int host, int port) {
+    snprintf(text, TW_SOAK_TEXT, "127.%u.%d.%d:%d", FIRST_NETWORK + of->seed % NETWORKS,
              1 + (int)(getpid() % OCTETS), host, port);
 }
 
-void soak_note(soak *of, const char *from, int from_number, const char *to, int to_number,
-               const char *what, const char *body) {
+void tw_soak_note(tw_soak *of, const char *from, int from_number, const char *to, int to_number,
+                  const char *what, const char *body) {
     if (of->trace)
         fprintf(of->trace, "%.3f %s %d -> %s %d %s %.*s\n", of->world.now, from, from_number, to,
                 to_number, what, LONGEST_NOTE, body);
@@ -82,22 +82,22 @@
 
 typedef struct {
     ev_timer timer;
-    soak *of;
-    void (*act)(soak *of, void *data);
+    tw_soak *of;
+    void (*act)(tw_soak *of, void *data);
     void *data;
-} delayed;
+} delayed_action;
 
 static void on_delayed(struct ev_loop *loop, ev_timer *timer, int events) {
-    delayed *due = timer->data;
+    delayed_action *due = timer->data;
     (void)loop;
     (void)events;
-    due->of->world.now = soak_now() - due->of->started_at;
+    due->of->world.now = tw_soak_now() - due->of->started_at;
     due->act(due->of, due->data);
     free(due);
 }
 
-void soak_after(soak *of, double seconds, void (*act)(soak *of, void *data), void *data) {
-    delayed *due = tw_simulator_allocate(sizeof *due);
+void tw_soak_after(tw_soak *of, double seconds, void (*act)(tw_soak *of, void *data), void *data) {
+    delayed_action *due = tw_simulator_allocate(sizeof *due);
     due->of = of;
     due->act = act;
     due->data = data;
@@ -108,9 +108,9 @@
 
 /* ---- controllers ---- */
 
-static void name_node(char *name, int node) { snprintf(name, SOAK_TEXT, "tray-%d", node); }
+static void name_node(char *name, int node) { snprintf(name, TW_SOAK_TEXT, "tray-%d", node); }
 
-bool soak_start_node(soak *of, int node) {
+bool tw_soak_start_node(tw_soak *of, int node) {
     tw_loopback_settings settings = {.teams = team_text,
                                      .report_s = REPORT_S,
                                      .lease_s = LEASE_S,
@@ -119,28 +119,29 @@
                                      .gang_peer_s = GANG_PEER_S,
                                      .list_lag_s = LIST_LAG_S,
                                      .sockets = SOCKETS};
-    char path[SOAK_PATH];
+    char path[TW_SOAK_PATH];
     name_node(settings.name, node);
     snprintf(settings.zone, sizeof settings.zone, "%s", of->world.node_zone[node]);
-    soak_address(of, settings.api_address, SOAK_NODE_HOST + node, SOAK_API_PORT);
-    soak_address(of, settings.peer_address, SOAK_NODE_HOST + node, SOAK_PEER_PORT);
-    soak_address(of, settings.cloud, SOAK_STAND_IN_HOST + node, SOAK_CLOUD_PORT);
-    soak_address(of, settings.state, SOAK_STAND_IN_HOST + node, SOAK_STATE_PORT);
+    tw_soak_address(of, settings.api_address, TW_SOAK_NODE_HOST + node, TW_SOAK_API_PORT);
+    tw_soak_address(of, settings.peer_address, TW_SOAK_NODE_HOST + node, TW_SOAK_PEER_PORT);
+    tw_soak_address(of, settings.cloud, TW_SOAK_STAND_IN_HOST + node, TW_SOAK_CLOUD_PORT);
+    tw_soak_address(of, settings.state, TW_SOAK_STAND_IN_HOST + node, TW_SOAK_STATE_PORT);
     for (int other = 0; other < of->plan.nodes; other++) {
         if (other == node) continue;
         tw_loopback_peer *peer = &settings.peers[settings.peer_count++];
         name_node(peer->name, other);
         snprintf(peer->zone, sizeof peer->zone, "%s", of->world.node_zone[other]);
-        soak_address(of, peer->endpoint, SOAK_STAND_IN_HOST + node, SOAK_PEERS_PORT + other);
+        tw_soak_address(of, peer->endpoint, TW_SOAK_STAND_IN_HOST + node,
+                        TW_SOAK_PEERS_PORT + other);
     }
     snprintf(path, sizeof path, "%s/node-%d.toml", of->directory, node);
     return tw_loopback_write(path, &settings) && tw_loopback_start(&of->nodes, node, path);
 }
 
-int soak_leader(soak *of) {
+int tw_soak_leader(tw_soak *of) {
     const char *value = tw_simulator_state_value(&of->world.state, "leader");
     for (int node = 0; value && node < of->plan.nodes; node++) {
-        char text[SOAK_TEXT + 16];
+        char text[TW_SOAK_TEXT + 16];
         snprintf(text, sizeof text, "\"node\":\"%s\"", of->world.nodes[node]);
         if (strstr(value, text)) return node;
     }
@@ -150,8 +151,8 @@
 /* ---- verdict ---- */
 
 /* How many lines of the controllers' logs hold the text; the first of them is kept. */
-static int log_lines(const soak *of, const char *text, char *first, size_t size) {
-    char path[SOAK_PATH], line[4096];
+static int log_lines(const tw_soak *of, const char *text, char *first, size_t size) {
+    char path[TW_SOAK_PATH], line[4096];
     int count = 0;
     for (int node = 0; node < of->plan.nodes; node++) {
         snprintf(path, sizeof path, "%s/node-%d.log", of->directory, node);
@@ -165,10 +166,10 @@
     return count;
 }
 
-void soak_finish(soak *of, const char *verdict, const char *why) {
+void tw_soak_finish(tw_soak *of, const char *verdict, const char *why) {
     if (of->finished) return;
     of->finished = 1;
-    char said[SOAK_PATH + 400], first[400] = "";
+    char said[TW_SOAK_PATH + 400], first[400] = "";
     const bool ended_well = tw_loopback_stop(&of->nodes);
     if (!strcmp(verdict, "ok") && !ended_well) {
         verdict = "FAIL";
@@ -180,14 +181,14 @@
         why = first;
     }
     int struck = 0;
-    for (int kind = 0; kind < FAULT_KINDS; kind++) struck += of->struck[kind];
+    for (int kind = 0; kind < TW_SOAK_FAULT_KINDS; kind++) struck += of->struck[kind];
     snprintf(said, sizeof said,
              "%s seed %u: %d nodes, %d machines (%d in all), %d jobs, %d leaders, %d faults, "
              "harness late by "
              "%.3f s, %.0f s; %s",
              verdict, of->seed, of->plan.nodes, of->plan.machines, of->world.worker_count,
              of->world.job_count, of->leaders, struck, of->latest_s, of->world.now, why);
-    char path[SOAK_PATH];
+    char path[TW_SOAK_PATH];
     snprintf(path, sizeof path, "%s/verdict.txt", of->directory);
     FILE *file = fopen(path, "w");
     if (file) {
@@ -204,55 +205,55 @@
 /* ---- time ---- */
 
 /* A controller that ended by itself, however: each end is a failure. */
-static void check_ends(soak *of) {
+static void check_ends(tw_soak *of) {
     int status;
-    char why[SOAK_PATH];
+    char why[TW_SOAK_PATH];
     const int node = tw_loopback_ended(&of->nodes, &status);
     if (node < 0) return;
     snprintf(why, sizeof why, "controller %d ended by itself with status %d", node, status);
-    soak_finish(of, "FAIL", why);
+    tw_soak_finish(of, "FAIL", why);
 }
 
-static void check_recovered(soak *of) {
+static void check_recovered(tw_soak *of) {
     char waiting[400] = "";
     const double over = fmax(of->troubles_s, of->world.troubles_end);
     if (of->world.now < over) return;
-    if (soak_users_served(of, waiting, sizeof waiting))
-        soak_finish(of, "ok", "all served");
+    if (tw_soak_users_served(of, waiting, sizeof waiting))
+        tw_soak_finish(of, "ok", "all served");
     else if (of->world.now > over + RECOVERY_S)
-        soak_finish(of, "FAIL", waiting);
+        tw_soak_finish(of, "FAIL", waiting);
 }
 
-static void kill_series(soak *of) {
+static void kill_series(tw_soak *of) {
     static uint64_t killed;
     const uint64_t version = tw_simulator_state_version(&of->world.state, "leader");
-    const int leader = soak_leader(of);
+    const int leader = tw_soak_leader(of);
     if (!of->leaders_to_kill || leader < 0 || version == killed || !of->nodes.pid[leader]) return;
     killed = version;
     of->leaders_to_kill--;
     tw_loopback_kill(&of->nodes, leader);
     of->thaw_at[leader] = 0;
-    of->restart_at[leader] = of->world.now + soak_draw(of, 0.1, 2);
+    of->restart_at[leader] = of->world.now + tw_soak_draw(of, 0.1, 2);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int events) {
     (void)loop;
     (void)timer;
     (void)events;
-    run.world.now = soak_now() - run.started_at;
+    run.world.now = tw_soak_now() - run.started_at;
     if (run.last_tick > 0)
         run.latest_s = fmax(run.latest_s, run.world.now - run.last_tick - TICK_S);
     run.last_tick = run.world.now;
-    soak_faults_tick(&run);
+    tw_soak_faults_tick(&run);
     kill_series(&run);
-    soak_workers_tick(&run);
-    soak_stand_ins_tick(&run);
-    soak_users_tick(&run);
+    tw_soak_workers_tick(&run);
+    tw_soak_stand_ins_tick(&run);
+    tw_soak_users_tick(&run);
     check_ends(&run);
     if (run.latest_s > LATE_LEASES * LEASE_S)
-        soak_finish(&run, "invalid", "the harness itself was late");
+        tw_soak_finish(&run, "invalid", "the harness itself was late");
     else if (*run.world.rule)
-        soak_finish(&run, "FAIL", run.world.detail);
+        tw_soak_finish(&run, "FAIL", run.world.detail);
     check_recovered(&run);
 }
 
@@ -288,7 +289,7 @@
     world->capacity[1] = machines - world->capacity[0];
 }
 
-static void init_world(soak *of) {
+static void init_world(tw_soak *of) {
     tw_simulator_world *world = &of->world;
     tw_simulator_world_init(world);
     world->seed = of->seed;
@@ -298,7 +299,7 @@
     world->gang_wait_s = GANG_WAIT_S;
     world->gang_peer_s = GANG_PEER_S;
     world->boot_s = BOOT_S;
-    world->job_ended = soak_job_ended;
+    world->job_ended = tw_soak_job_ended;
     world->context = of;
     world->team_count = 2;
     world->teams[0] = (tw_simulator_team){"crew-0", 16, 150};
@@ -316,12 +317,12 @@
     }
 }
 
-static void write_plan(const soak *of) {
-    char path[SOAK_PATH];
+static void write_plan(const tw_soak *of) {
+    char path[TW_SOAK_PATH];
     snprintf(path, sizeof path, "%s/plan.txt", of->directory);
     FILE *file = fopen(path, "w");
     if (!file) return;
-    soak_plan_print(&of->plan, file);
+    tw_soak_plan_print(&of->plan, file);
     fclose(file);
 }
 
@@ -368,32 +369,32 @@
 }
 
 int main(int argc, char **argv) {
-    char path[SOAK_PATH];
+    char path[TW_SOAK_PATH];
     parse_arguments(argc, argv);
     prctl(PR_SET_PDEATHSIG, SIGTERM);
     signal(SIGPIPE, SIG_IGN);
     setvbuf(stdout, NULL, _IOLBF, 0);
-    run.rng = gsl_rng_alloc(gsl_rng_taus2);
-    gsl_rng_set(run.rng, run.seed + 1000003UL);
-    soak_plan_make(&run.plan, run.seed, run.troubles_s, LEASE_S);
+    run.generator = gsl_rng_alloc(gsl_rng_taus2);
+    gsl_rng_set(run.generator, run.seed + 1000003UL);
+    tw_soak_plan_make(&run.plan, run.seed, run.troubles_s, LEASE_S);
     if (machines > 0) run.plan.machines = machines;
     write_plan(&run);
     snprintf(path, sizeof path, "%s/messages.txt", run.directory);
     run.trace = fopen(path, "w");
     run.nodes.log_directory = run.directory;
-    run.started_at = soak_now();
+    run.started_at = tw_soak_now();
     run.loop = ev_default_loop(0);
     const tw_net_limits limits = {.max_server = MOST_CONNECTIONS,
                                   .max_client = MOST_CONNECTIONS,
                                   .idle_s = IDLE_S,
                                   .max_response = 4 << 20};
-    const tw_net_handler handler = {soak_request, soak_response};
+    const tw_net_handler handler = {tw_soak_request, tw_soak_response};
     run.net = tw_net_new(run.loop, &limits, &handler, &run);
     init_world(&run);
-    if (!soak_listen(&run)) soak_finish(&run, "invalid", "no free addresses");
+    if (!tw_soak_listen(&run)) tw_soak_finish(&run, "invalid", "no free addresses");
     for (int node = 0; node < run.plan.nodes; node++)
-        if (!soak_start_node(&run, node))
-            soak_finish(&run, "FAIL", "a controller can't be started");
+        if (!tw_soak_start_node(&run, node))
+            tw_soak_finish(&run, "FAIL", "a controller can't be started");
     ev_timer tick;
     ev_timer_init(&tick, on_tick, TICK_S, TICK_S);
     ev_timer_start(run.loop, &tick);
--- a/tests/soak/plan.c
+++ b/tests/soak/plan.c
@@ -14,34 +14,44 @@
 #define COPIES_LEAST_S 1.5
 #define COPIES_MOST_S 4.0
 
-static const char *const names[FAULT_KINDS] = {"kill",          "kill_all",
-                                               "freeze",        "leaders",
-                                               "cut_peers",     "cut_state",
-                                               "cut_workers",   "island",
-                                               "refuse_state",  "outage",
-                                               "late_reports",  "kept_reports",
-                                               "late_commands", "repeated_commands",
-                                               "late_writes",   "lost_answers",
-                                               "deaf",          "mute",
-                                               "hang",          "sessions",
-                                               "fast_boots"};
+static const char *const names[TW_SOAK_FAULT_KINDS] = {"kill",          "kill_all",
+                                                       "freeze",        "leaders",
+                                                       "cut_peers",     "cut_state",
+                                                       "cut_workers",   "island",
+                                                       "refuse_state",  "outage",
+                                                       "late_reports",  "kept_reports",
+                                                       "late_commands", "repeated_commands",
+                                                       "late_writes",   "lost_answers",
+                                                       "deaf",          "mute",
+                                                       "hang",          "sessions",
+                                                       "fast_boots"};
 
 /* How often each kind is drawn. */
-static const int weights[FAULT_KINDS] = {[FAULT_KILL] = 6,          [FAULT_KILL_ALL] = 1,
-                                         [FAULT_FREEZE] = 6,        [FAULT_LEADERS] = 3,
-                                         [FAULT_CUT_PEERS] = 4,     [FAULT_CUT_STATE] = 5,
-                                         [FAULT_CUT_WORKERS] = 4,   [FAULT_ISLAND] = 2,
-                                         [FAULT_REFUSE_STATE] = 4,  [FAULT_OUTAGE] = 2,
-                                         [FAULT_LATE_REPORTS] = 3,  [FAULT_KEPT_REPORTS] = 4,
-                                         [FAULT_LATE_COMMANDS] = 3, [FAULT_REPEATED_COMMANDS] = 4,
-                                         [FAULT_LATE_WRITES] = 3,   [FAULT_LOST_ANSWERS] = 2,
-                                         [FAULT_DEAF] = 2,          [FAULT_MUTE] = 2,
-                                         [FAULT_HANG] = 4,          [FAULT_SESSIONS] = 2,
-                                         [FAULT_FAST_BOOTS] = 1};
+static const int weights[TW_SOAK_FAULT_KINDS] = {[TW_SOAK_FAULT_KILL] = 6,
+                                                 [TW_SOAK_FAULT_KILL_ALL] = 1,
+                                                 [TW_SOAK_FAULT_FREEZE] = 6,
+                                                 [TW_SOAK_FAULT_LEADERS] = 3,
+                                                 [TW_SOAK_FAULT_CUT_PEERS] = 4,
+                                                 [TW_SOAK_FAULT_CUT_STATE] = 5,
+                                                 [TW_SOAK_FAULT_CUT_WORKERS] = 4,
+                                                 [TW_SOAK_FAULT_ISOLATE_ZONE] = 2,
+                                                 [TW_SOAK_FAULT_REFUSE_STATE] = 4,
+                                                 [TW_SOAK_FAULT_OUTAGE] = 2,
+                                                 [TW_SOAK_FAULT_LATE_HEARTBEATS] = 3,
+                                                 [TW_SOAK_FAULT_HELD_HEARTBEATS] = 4,
+                                                 [TW_SOAK_FAULT_LATE_COMMANDS] = 3,
+                                                 [TW_SOAK_FAULT_REPEATED_COMMANDS] = 4,
+                                                 [TW_SOAK_FAULT_LATE_WRITES] = 3,
+                                                 [TW_SOAK_FAULT_LOST_ANSWERS] = 2,
+                                                 [TW_SOAK_FAULT_UNRESPONSIVE] = 2,
+                                                 [TW_SOAK_FAULT_MUTE] = 2,
+                                                 [TW_SOAK_FAULT_HANG] = 4,
+                                                 [TW_SOAK_FAULT_INCARNATIONS] = 2,
+                                                 [TW_SOAK_FAULT_FAST_BOOTS] = 1};
 
-const char *soak_fault_name(soak_fault_kind kind) { return names[kind]; }
+const char *tw_soak_fault_name(tw_soak_fault_kind kind) { return names[kind]; }
 
-static double draw(gsl_rng *rng, double from, double to) {
+static double draw_number(gsl_rng *rng, double from, double to) {
     return from + (to - from) * gsl_rng_uniform(rng);
 }
 
@@ -49,69 +59,70 @@
     return (int)gsl_rng_uniform_int(rng, (unsigned long)count);
 }
 
-static soak_fault_kind draw_kind(gsl_rng *rng) {
+static tw_soak_fault_kind draw_kind(gsl_rng *rng) {
     int all = 0;
-    for (int kind = 0; kind < FAULT_KINDS; kind++) all += weights[kind];
+    for (int kind = 0; kind < TW_SOAK_FAULT_KINDS; kind++) all += weights[kind];
     int left = draw_index(rng, all);
     int kind = 0;
     while (left >= weights[kind]) left -= weights[kind++];
-    return (soak_fault_kind)kind;
+    return (tw_soak_fault_kind)kind;
 }
 
 /* Kinds that last for over a lease whatever was drawn. */
-static double length_of(gsl_rng *rng, soak_fault_kind kind, double lease_s) {
+static double length_of(gsl_rng *rng, tw_soak_fault_kind kind, double lease_s) {
     switch (kind) {
-    case FAULT_KILL:
-    case FAULT_KILL_ALL:
-        return draw(rng, 0.1, 0.6 * lease_s);
-    case FAULT_SESSIONS:
-        return draw(rng, 1.05, 1.3) * lease_s;
-    case FAULT_LATE_REPORTS:
-    case FAULT_KEPT_REPORTS:
-    case FAULT_LATE_COMMANDS:
-    case FAULT_REPEATED_COMMANDS:
-        return draw(rng, 1, 3) * lease_s;
+    case TW_SOAK_FAULT_KILL:
+    case TW_SOAK_FAULT_KILL_ALL:
+        return draw_number(rng, 0.1, 0.6 * lease_s);
+    case TW_SOAK_FAULT_INCARNATIONS:
+        return draw_number(rng, 1.05, 1.3) * lease_s;
+    case TW_SOAK_FAULT_LATE_HEARTBEATS:
+    case TW_SOAK_FAULT_HELD_HEARTBEATS:
+    case TW_SOAK_FAULT_LATE_COMMANDS:
+    case TW_SOAK_FAULT_REPEATED_COMMANDS:
+        return draw_number(rng, 1, 3) * lease_s;
     default:
-        return draw(rng, 0.1, LONGEST_LEASES) * lease_s;
+        return draw_number(rng, 0.1, LONGEST_LEASES) * lease_s;
     }
 }
 
-static soak_fault draw_fault(gsl_rng *rng, const soak_plan *plan, double at_s, double lease_s) {
-    soak_fault fault = {.at_s = at_s, .kind = draw_kind(rng)};
+static tw_soak_fault draw_fault(gsl_rng *rng, const tw_soak_plan *plan, double at_s,
+                                double lease_s) {
+    tw_soak_fault fault = {.at_s = at_s, .kind = draw_kind(rng)};
     fault.lasts_s = length_of(rng, fault.kind, lease_s);
-    fault.moment = (soak_moment)draw_index(rng, MOMENT_CANCEL + 1);
+    fault.moment = (tw_soak_moment)draw_index(rng, TW_SOAK_MOMENT_CANCEL + 1);
     fault.node = gsl_rng_uniform(rng) < 0.6 ? -1 : draw_index(rng, plan->nodes);
     fault.other = draw_index(rng, plan->nodes);
     fault.direction = draw_index(rng, 3);
     fault.held = draw_index(rng, 2);
-    fault.share = draw(rng, 0.1, 0.9);
+    fault.share = draw_number(rng, 0.1, 0.9);
     return fault;
 }
 
-static void add(soak_plan *plan, const soak_fault *fault) {
-    if (plan->fault_count < SOAK_MOST_FAULTS) plan->faults[plan->fault_count++] = *fault;
+static void add_fault(tw_soak_plan *plan, const tw_soak_fault *fault) {
+    if (plan->fault_count < TW_SOAK_MOST_FAULTS) plan->faults[plan->fault_count++] = *fault;
 }
 
 /* All sessions end while copies of reports are kept; then, just after launches, machines hang and
  * the leader ends: its successor has older news of the machines than the launches. */
-static void add_successor(gsl_rng *rng, soak_plan *plan, double at_s, double lease_s) {
-    const double away_s = draw(rng, SESSIONS_LEAST, SESSIONS_MOST) * lease_s;
-    const double copies_s = away_s + draw(rng, COPIES_LEAST_S, COPIES_MOST_S);
-    const double end_s = at_s + copies_s + draw(rng, 0, COPIES_MOST_S);
-    const soak_fault chain[] = {
-        {.at_s = at_s, .kind = FAULT_KEPT_REPORTS, .lasts_s = copies_s, .share = 1},
-        {.at_s = at_s + 1, .kind = FAULT_SESSIONS, .lasts_s = away_s, .node = -1},
-        {.at_s = end_s, .kind = FAULT_HANG, .lasts_s = 0.8 * lease_s, .share = 1},
+static void add_successor(gsl_rng *rng, tw_soak_plan *plan, double at_s, double lease_s) {
+    const double away_s = draw_number(rng, SESSIONS_LEAST, SESSIONS_MOST) * lease_s;
+    const double copies_s = away_s + draw_number(rng, COPIES_LEAST_S, COPIES_MOST_S);
+    const double end_s = at_s + copies_s + draw_number(rng, 0, COPIES_MOST_S);
+    const tw_soak_fault chain[] = {
+        {.at_s = at_s, .kind = TW_SOAK_FAULT_HELD_HEARTBEATS, .lasts_s = copies_s, .share = 1},
+        {.at_s = at_s + 1, .kind = TW_SOAK_FAULT_INCARNATIONS, .lasts_s = away_s, .node = -1},
+        {.at_s = end_s, .kind = TW_SOAK_FAULT_HANG, .lasts_s = 0.8 * lease_s, .share = 1},
         {.at_s = end_s,
-         .kind = FAULT_KILL,
+         .kind = TW_SOAK_FAULT_KILL,
          .lasts_s = 0.6 * lease_s,
          .node = -1,
-         .moment = MOMENT_LAUNCH},
+         .moment = TW_SOAK_MOMENT_LAUNCH},
     };
-    for (size_t i = 0; i < sizeof chain / sizeof *chain; i++) add(plan, &chain[i]);
+    for (size_t i = 0; i < sizeof chain / sizeof *chain; i++) add_fault(plan, &chain[i]);
 }
 
-void soak_plan_make(soak_plan *plan, unsigned seed, double troubles_s, double lease_s) {
+void tw_soak_plan_make(tw_soak_plan *plan, unsigned seed, double troubles_s, double lease_s) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(rng, seed);
     static const int sizes[] = {3, 3, 3, 5, 5, 7};
@@ -119,22 +130,22 @@
     plan->zones = 2 + draw_index(rng, 2);
     plan->machines = draw_index(rng, 10) ? 10 + draw_index(rng, 40) : 120;
     double at_s = FIRST_FAULT_S;
-    while (at_s < troubles_s && plan->fault_count < SOAK_MOST_FAULTS) {
-        const soak_fault fault = draw_fault(rng, plan, at_s, lease_s);
-        add(plan, &fault);
-        at_s += draw(rng, LEAST_PAUSE_S, MOST_PAUSE_S);
+    while (at_s < troubles_s && plan->fault_count < TW_SOAK_MOST_FAULTS) {
+        const tw_soak_fault fault = draw_fault(rng, plan, at_s, lease_s);
+        add_fault(plan, &fault);
+        at_s += draw_number(rng, LEAST_PAUSE_S, MOST_PAUSE_S);
     }
     if (gsl_rng_uniform(rng) < SUCCESSOR_SHARE)
-        add_successor(rng, plan, draw(rng, FIRST_FAULT_S, 0.5 * troubles_s), lease_s);
+        add_successor(rng, plan, draw_number(rng, FIRST_FAULT_S, 0.5 * troubles_s), lease_s);
     gsl_rng_free(rng);
 }
 
-void soak_plan_print(const soak_plan *plan, FILE *to) {
+void tw_soak_plan_print(const tw_soak_plan *plan, FILE *to) {
     static const char *const moments[] = {"now", "launch", "leader", "cancel"};
     static const char *const directions[] = {"both", "from", "to"};
     fprintf(to, "nodes %d zones %d machines %d\n", plan->nodes, plan->zones, plan->machines);
     for (int i = 0; i < plan->fault_count; i++) {
-        const soak_fault *fault = &plan->faults[i];
+        const tw_soak_fault *fault = &plan->faults[i];
         fprintf(
             to,
             "at %.2f %s lasts=%.2f moment=%s node=%d other=%d direction=%s held=%d share=%.2f\n",
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -26,30 +26,30 @@
              {"service", 2, 1, 4, 0, 0},
              {"group", 2, 2, 4, 2, 8}};
 
-typedef struct soak_user_job {
+typedef struct tw_soak_user_job {
     int index;                   /* in the world */
     double next_poll, cancel_at; /* 0: not cancelled at a time of its own */
     bool submitting, polling, cancelling;
-    struct soak_user_job *next;
-} user_job;
+    struct tw_soak_user_job *next;
+} tw_soak_user_job;
 
 /* A user's request on its way. */
 typedef struct {
-    user_job *user;
+    tw_soak_user_job *user;
     int kind, once;
     double sent;
-} request;
+} user_request;
 
 /* ---- asking ---- */
 
-static void look_closely(soak *run, user_job *user);
+static void look_closely(tw_soak *run, tw_soak_user_job *user);
 
-static void told(soak *run, void *data, int status, const char *body) {
-    request *asked = data;
-    user_job *user = asked->user;
+static void take_answer(tw_soak *run, void *data, int status, const char *body) {
+    user_request *asked = data;
+    tw_soak_user_job *user = asked->user;
     tw_simulator_job *job = run->world.jobs[user->index];
     const int was_accepted = job->accepted, was_over = job->told_over;
-    soak_note(run, "user", asked->kind, "job", user->index, job->spec.id, body);
+    tw_soak_note(run, "user", asked->kind, "job", user->index, job->spec.id, body);
     if (status)
         tw_simulator_judge_told(&run->world, job, job->spec.id, asked->kind, asked->sent, status,
                                 body);
@@ -57,16 +57,16 @@
     if (!asked->once && asked->kind == TW_SIMULATOR_POLL) user->polling = false;
     if (!asked->once && asked->kind == TW_SIMULATOR_CANCEL) user->cancelling = false;
     if (asked->kind == TW_SIMULATOR_CANCEL && job->told_over != was_over)
-        soak_moment_came(run, MOMENT_CANCEL);
+        tw_soak_moment_came(run, TW_SOAK_MOMENT_CANCEL);
     free(asked);
     if (was_accepted != job->accepted || was_over != job->told_over) look_closely(run, user);
 }
 
-static void ask(soak *run, user_job *user, int kind, int node, bool once) {
+static void send_request(tw_soak *run, tw_soak_user_job *user, int kind, int node, bool once) {
     const tw_simulator_job *job = run->world.jobs[user->index];
-    char path[SOAK_PATH];
-    request *asked = tw_simulator_allocate(sizeof *asked);
-    *asked = (request){user, kind, once, run->world.now};
+    char path[TW_SOAK_PATH];
+    user_request *asked = tw_simulator_allocate(sizeof *asked);
+    *asked = (user_request){user, kind, once, run->world.now};
     snprintf(path, sizeof path, "/v1/jobs%s%s%s", kind == TW_SIMULATOR_SUBMIT ? "" : "/",
              kind == TW_SIMULATOR_SUBMIT ? "" : job->spec.id,
              kind == TW_SIMULATOR_CANCEL ? "/abort" : "");
@@ -75,65 +75,67 @@
     cJSON *whole = text ? cJSON_Parse(text) : NULL;
     char *body =
         whole ? cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(whole, "j")) : NULL;
-    soak_call_node(run, node, SOAK_API_PORT, kind == TW_SIMULATOR_POLL ? "GET" : "POST", path,
-                   body ? body : "", kind == TW_SIMULATOR_POLL ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S,
-                   told, asked);
+    tw_soak_call_node(run, node, TW_SOAK_API_PORT, kind == TW_SIMULATOR_POLL ? "GET" : "POST", path,
+                      body ? body : "",
+                      kind == TW_SIMULATOR_POLL ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S, take_answer,
+                      asked);
     cJSON_Delete(whole);
     free(text);
     free(body);
 }
 
-static int any_node(soak *run) { return soak_draw_index(run, run->plan.nodes); }
+static int draw_node(tw_soak *run) { return tw_soak_draw_index(run, run->plan.nodes); }
 
-static void look(soak *run, void *data) {
-    user_job *user = data;
+static void ask_all_nodes(tw_soak *run, void *data) {
+    tw_soak_user_job *user = data;
     for (int node = 0; node < run->plan.nodes; node++) {
-        ask(run, user, TW_SIMULATOR_POLL, node, true);
-        if (soak_draw(run, 0, 1) < 0.2) ask(run, user, TW_SIMULATOR_SUBMIT, node, true);
+        send_request(run, user, TW_SIMULATOR_POLL, node, true);
+        if (tw_soak_draw(run, 0, 1) < 0.2) send_request(run, user, TW_SIMULATOR_SUBMIT, node, true);
     }
 }
 
-static void look_closely(soak *run, user_job *user) {
-    for (int i = 0; i < LOOKS; i++) soak_after(run, soak_draw(run, 0, LOOK_WITHIN_S), look, user);
+static void look_closely(tw_soak *run, tw_soak_user_job *user) {
+    for (int i = 0; i < LOOKS; i++)
+        tw_soak_after(run, tw_soak_draw(run, 0, LOOK_WITHIN_S), ask_all_nodes, user);
 }
 
-static void cancel(soak *run, user_job *user) {
+static void cancel_job(tw_soak *run, tw_soak_user_job *user) {
     tw_simulator_job *job = run->world.jobs[user->index];
     if (job->cancel_asked_at <= 0) job->cancel_asked_at = run->world.now;
     user->cancelling = true;
-    ask(run, user, TW_SIMULATOR_CANCEL, any_node(run), false);
+    send_request(run, user, TW_SIMULATOR_CANCEL, draw_node(run), false);
 }
 
-void soak_job_ended(void *context, tw_simulator_job *job) {
-    soak *run = context;
-    if (!job->accepted || job->told_over || soak_draw(run, 0, 1) > CANCEL_AT_END_SHARE) return;
-    for (user_job *user = run->user_jobs; user; user = user->next)
-        if (user->index == job->index) cancel(run, user);
+void tw_soak_job_ended(void *context, tw_simulator_job *job) {
+    tw_soak *run = context;
+    if (!job->accepted || job->told_over || tw_soak_draw(run, 0, 1) > CANCEL_AT_END_SHARE) return;
+    for (tw_soak_user_job *user = run->user_jobs; user; user = user->next)
+        if (user->index == job->index) cancel_job(run, user);
 }
 
 /* ---- submitting ---- */
 
-static int draw_kind(soak *run) {
+static int draw_kind(tw_soak *run) {
     int all = 0, kind = 0;
     for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++) all += kinds[i].weight;
-    int left = soak_draw_index(run, all);
+    int left = tw_soak_draw_index(run, all);
     while (left >= kinds[kind].weight) left -= kinds[kind++].weight;
     return kind;
 }
 
-static int services_running(const soak *run) {
+static int services_running(const tw_soak *run) {
     int count = 0;
     for (int i = 0; i < run->world.job_count; i++)
         count += run->world.jobs[i]->spec.service && run->world.jobs[i]->cancel_asked_at <= 0;
     return count;
 }
 
-static void submit_new(soak *run) {
+static void submit_job(tw_soak *run) {
     static const char *const ranks[] = {"prod", "high", "normal", "idle"};
     int kind = draw_kind(run);
     if (!strcmp(kinds[kind].shape, "service") && services_running(run) >= MOST_SERVICES) kind = 0;
-    const double run_s = soak_draw(run, kinds[kind].least_s, kinds[kind].most_s);
-    char text[1024], id[SOAK_TEXT];
+    const double run_s = tw_soak_draw(run, kinds[kind].least_s, kinds[kind].most_s);
+    char text[1024], id[TW_SOAK_TEXT];
     snprintf(id, sizeof id, "run-%06d", run->world.job_count + 1);
     snprintf(
         text, sizeof text,
@@ -141,57 +143,59 @@
         "\"pieces\":%d,\"cores\":%d,\"gpus\":%d,\"memoryGb\":4,\"bundle\":\"img-%d\","
         "\"imageGb\":0.2,\"samePlace\":%s,\"apart\":false,\"loaner\":false,\"expectS\":%.1f,"
         "\"snapshotS\":%d,\"flushS\":0.3}",
-        id, soak_draw_index(run, TEAMS), kinds[kind].shape, ranks[soak_draw_index(run, 4)],
-        kinds[kind].least + soak_draw_index(run, kinds[kind].most - kinds[kind].least + 1),
-        1 + soak_draw_index(run, 4), soak_draw_index(run, 3) ? 0 : 1, soak_draw_index(run, 5),
-        soak_draw_index(run, 4) ? "false" : "true", run_s, soak_draw_index(run, 2));
+        id, tw_soak_draw_index(run, TEAMS), kinds[kind].shape, ranks[tw_soak_draw_index(run, 4)],
+        kinds[kind].least + tw_soak_draw_index(run, kinds[kind].most - kinds[kind].least + 1),
+        1 + tw_soak_draw_index(run, 4), tw_soak_draw_index(run, 3) ? 0 : 1,
+        tw_soak_draw_index(run, 5), tw_soak_draw_index(run, 4) ? "false" : "true", run_s,
+        tw_soak_draw_index(run, 2));
     tw_simulator_job *job = tw_simulator_job_new(&run->world, id);
     const char *why;
     if (tw_wire_job_parse(&job->spec, text, strlen(text), &why)) {
-        soak_finish(run, "FAIL", why);
+        tw_soak_finish(run, "FAIL", why);
         return;
     }
     job->run_s = run_s;
     job->submitted = 1;
     job->first_try = run->world.now;
     job->done = tw_simulator_allocate((size_t)job->spec.task_count);
-    user_job *user = tw_simulator_allocate(sizeof *user);
+    tw_soak_user_job *user = tw_simulator_allocate(sizeof *user);
     user->index = job->index;
-    const bool cancels = job->spec.service || soak_draw(run, 0, 1) < CANCEL_SHARE;
-    if (cancels) user->cancel_at = run->world.now + soak_draw(run, 1, 15);
+    const bool cancels = job->spec.service || tw_soak_draw(run, 0, 1) < CANCEL_SHARE;
+    if (cancels) user->cancel_at = run->world.now + tw_soak_draw(run, 1, 15);
     user->next = run->user_jobs;
     run->user_jobs = user;
     user->submitting = true;
-    ask(run, user, TW_SIMULATOR_SUBMIT, any_node(run), false);
+    send_request(run, user, TW_SIMULATOR_SUBMIT, draw_node(run), false);
 }
 
 /* ---- time ---- */
 
-static void user_tick(soak *run, user_job *user) {
+static void advance_user(tw_soak *run, tw_soak_user_job *user) {
     const tw_simulator_job *job = run->world.jobs[user->index];
-    if (run->world.now < user->next_poll || (job->told_over && soak_draw(run, 0, 1) > 0.05)) return;
+    if (run->world.now < user->next_poll || (job->told_over && tw_soak_draw(run, 0, 1) > 0.05))
+        return;
     user->next_poll = run->world.now + POLL_EVERY_S;
     if (!job->accepted && !user->submitting) {
         user->submitting = true;
-        ask(run, user, TW_SIMULATOR_SUBMIT, any_node(run), false);
+        send_request(run, user, TW_SIMULATOR_SUBMIT, draw_node(run), false);
     } else if (job->accepted && !user->polling) {
         user->polling = true;
-        ask(run, user, TW_SIMULATOR_POLL, any_node(run), false);
+        send_request(run, user, TW_SIMULATOR_POLL, draw_node(run), false);
     }
     const bool wants_end =
         (user->cancel_at > 0 && run->world.now >= user->cancel_at) || job->cancel_asked_at > 0;
-    if (job->accepted && wants_end && !job->told_over && !user->cancelling) cancel(run, user);
+    if (job->accepted && wants_end && !job->told_over && !user->cancelling) cancel_job(run, user);
 }
 
-void soak_users_tick(soak *run) {
+void tw_soak_users_tick(tw_soak *run) {
     if (run->world.now >= run->next_submission && run->world.now < run->troubles_s) {
-        run->next_submission = run->world.now + soak_draw(run, LEAST_PAUSE_S, MOST_PAUSE_S);
-        submit_new(run);
+        run->next_submission = run->world.now + tw_soak_draw(run, LEAST_PAUSE_S, MOST_PAUSE_S);
+        submit_job(run);
     }
-    for (user_job *user = run->user_jobs; user; user = user->next) user_tick(run, user);
+    for (tw_soak_user_job *user = run->user_jobs; user; user = user->next) advance_user(run, user);
 }
 
-int soak_users_served(soak *run, char *what, size_t size) {
+int tw_soak_users_served(tw_soak *run, char *what, size_t size) {
     for (int i = 0; i < run->world.job_count; i++) {
         const tw_simulator_job *job = run->world.jobs[i];
         const int is_over = job->told_over;
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -15,153 +15,162 @@
 /* A report on its way to a controller. */
 typedef struct {
     int machine, node;
-    uint64_t flight, session; /* flight 0: a copy, for whose answer nobody waits */
-    double sent;
+    uint64_t heartbeat, incarnation; /* flight 0: a copy, for whose answer nobody waits */
+    double sent_at;
     char *body;
     int status;
     char *answer;
-} report;
+} sent_heartbeat;
 
-static void end(report *sent) {
-    free(sent->body);
-    free(sent->answer);
-    free(sent);
+static void free_heartbeat(sent_heartbeat *heartbeat) {
+    free(heartbeat->body);
+    free(heartbeat->answer);
+    free(heartbeat);
 }
 
 /* ---- the answer ---- */
 
-static void answer_arrives(soak *run, void *data) {
-    report *sent = data;
-    tw_simulator_worker *worker = run->world.workers[sent->machine];
-    const bool awaited = sent->flight && worker->in_flight == sent->flight;
+static void deliver_answer(tw_soak *run, void *data) {
+    sent_heartbeat *heartbeat = data;
+    tw_simulator_worker *worker = run->world.workers[heartbeat->machine];
+    const bool awaited = heartbeat->heartbeat && worker->in_flight == heartbeat->heartbeat;
     if (awaited && run->world.now >= worker->hung_until) {
         worker->in_flight = 0;
         tw_simulator_worker_advance(&run->world, worker); /* a lease that has ended ends first */
-        if (strstr(sent->answer, "\"launch\"")) soak_moment_came(run, MOMENT_LAUNCH);
-        tw_simulator_worker_answer(&run->world, worker, sent->sent, sent->session, sent->status,
-                                   sent->answer);
+        if (strstr(heartbeat->answer, "\"launch\""))
+            tw_soak_moment_came(run, TW_SOAK_MOMENT_LAUNCH);
+        tw_simulator_worker_answer(&run->world, worker, heartbeat->sent_at, heartbeat->incarnation,
+                                   heartbeat->status, heartbeat->answer);
     }
-    end(sent);
+    free_heartbeat(heartbeat);
 }
 
-static void answered(soak *run, void *data, int status, const char *body) {
-    report *sent = data;
-    const tw_simulator_worker *worker = run->world.workers[sent->machine];
-    const double seconds = soak_travel(run, sent->node, SOAK_WORKERS + sent->machine);
-    const bool deaf = status && run->world.now < worker->unresponsive_until;
-    const bool late = run->world.now + seconds >= sent->sent + ANSWER_TIMEOUT_S;
-    soak_note(run, "node", sent->node, "worker", sent->machine,
-              seconds < 0 || deaf || late ? "report's answer lost" : "report's answer", body);
-    if (seconds < 0 || deaf || late) {
-        end(sent);
+static void take_answer(tw_soak *run, void *data, int status, const char *body) {
+    sent_heartbeat *heartbeat = data;
+    const tw_simulator_worker *worker = run->world.workers[heartbeat->machine];
+    const double seconds =
+        tw_soak_travel(run, heartbeat->node, TW_SOAK_WORKERS + heartbeat->machine);
+    const bool unresponsive = status && run->world.now < worker->unresponsive_until;
+    const bool late = run->world.now + seconds >= heartbeat->sent_at + ANSWER_TIMEOUT_S;
+    tw_soak_note(run, "node", heartbeat->node, "worker", heartbeat->machine,
+                 seconds < 0 || unresponsive || late ? "report's answer lost" : "report's answer",
+                 body);
+    if (seconds < 0 || unresponsive || late) {
+        free_heartbeat(heartbeat);
         return;
     }
-    sent->status = status;
-    sent->answer = tw_simulator_copy_text(body);
+    heartbeat->status = status;
+    heartbeat->answer = tw_simulator_copy_text(body);
     if (seconds > 0)
-        soak_after(run, seconds, answer_arrives, sent);
+        tw_soak_after(run, seconds, deliver_answer, heartbeat);
     else
-        answer_arrives(run, sent);
+        deliver_answer(run, heartbeat);
 }
 
-static void given_up(soak *run, void *data) {
-    report *sent = data;
-    tw_simulator_worker *worker = run->world.workers[sent->machine];
-    if (worker->in_flight == sent->flight) {
+static void give_up(tw_soak *run, void *data) {
+    sent_heartbeat *heartbeat = data;
+    tw_simulator_worker *worker = run->world.workers[heartbeat->machine];
+    if (worker->in_flight == heartbeat->heartbeat) {
         worker->in_flight = 0;
         worker->node = (worker->node + 1) % run->world.node_count;
         worker->next_heartbeat = run->world.now + NEXT_NODE_S;
     }
-    end(sent);
+    free_heartbeat(heartbeat);
 }
 
 /* ---- the report ---- */
 
-static void arrives(soak *run, void *data) {
-    report *sent = data;
-    soak_note(run, "worker", sent->machine, "node", sent->node,
-              sent->flight ? "report" : "copy of a report", sent->body);
-    soak_call_node(run, sent->node, SOAK_API_PORT, "POST", "/hello", sent->body, ANSWER_TIMEOUT_S,
-                   answered, sent);
+static void deliver_heartbeat(tw_soak *run, void *data) {
+    sent_heartbeat *heartbeat = data;
+    tw_soak_note(run, "worker", heartbeat->machine, "node", heartbeat->node,
+                 heartbeat->heartbeat ? "report" : "copy of a report", heartbeat->body);
+    tw_soak_call_node(run, heartbeat->node, TW_SOAK_API_PORT, "POST", "/hello", heartbeat->body,
+                      ANSWER_TIMEOUT_S, take_answer, heartbeat);
 }
 
-static report *make(const soak *run, int machine, int node, const char *body, uint64_t flight) {
-    report *made = tw_simulator_allocate(sizeof *made);
-    made->machine = machine;
-    made->node = node;
-    made->flight = flight;
-    made->session = run->world.workers[machine]->incarnation;
-    made->sent = run->world.now;
-    made->body = tw_simulator_copy_text(body);
+static sent_heartbeat *make_heartbeat(const tw_soak *run, int machine, int node, const char *body,
+                                      uint64_t number) {
+    sent_heartbeat *heartbeat = tw_simulator_allocate(sizeof *heartbeat);
+    heartbeat->machine = machine;
+    heartbeat->node = node;
+    heartbeat->heartbeat = number;
+    heartbeat->incarnation = run->world.workers[machine]->incarnation;
+    heartbeat->sent_at = run->world.now;
+    heartbeat->body = tw_simulator_copy_text(body);
     /* The endpoint as this controller sees it. */
-    char host[SOAK_TEXT], digits[SOAK_TEXT];
-    soak_address(run, host, SOAK_STAND_IN_HOST, 0);
+    char host[TW_SOAK_TEXT], digits[TW_SOAK_TEXT];
+    tw_soak_address(run, host, TW_SOAK_STAND_IN_HOST, 0);
     *(strrchr(host, '.') + 1) = 0;
-    char *at = strstr(made->body, host);
-    snprintf(digits, sizeof digits, "%d", SOAK_STAND_IN_HOST + node);
+    char *at = strstr(heartbeat->body, host);
+    snprintf(digits, sizeof digits, "%d", TW_SOAK_STAND_IN_HOST + node);
     if (at) memcpy(at + strlen(host), digits, FIRST_HOST_DIGIT);
-    return made;
+    return heartbeat;
 }
 
-static void copies(soak *run, int machine, const char *body) {
-    if (soak_strikes(run, &run->late_reports)) {
-        report *copy = make(run, machine, soak_draw_index(run, run->plan.nodes), body, 0);
-        soak_after(run, soak_draw(run, LEAST_HELD_S, HELD_LEASES * run->world.lease_s), arrives,
-                   copy);
+static void copy_heartbeat(tw_soak *run, int machine, const char *body) {
+    if (tw_soak_strikes(run, &run->late_heartbeats)) {
+        sent_heartbeat *copy =
+            make_heartbeat(run, machine, tw_soak_draw_index(run, run->plan.nodes), body, 0);
+        tw_soak_after(run, tw_soak_draw(run, LEAST_HELD_S, HELD_LEASES * run->world.lease_s),
+                      deliver_heartbeat, copy);
     }
-    if (soak_strikes(run, &run->kept_reports)) {
-        run->kept =
-            tw_simulator_grow(run->kept, run->kept_count, &run->kept_cap, sizeof *run->kept);
-        const int leaders = 1 + soak_draw_index(run, KEPT_MOST_LEADERS);
-        run->kept[run->kept_count++] = (soak_kept){machine, leaders, tw_simulator_copy_text(body)};
+    if (tw_soak_strikes(run, &run->held_heartbeat_share)) {
+        run->held_heartbeats =
+            tw_simulator_grow(run->held_heartbeats, run->held_heartbeat_count,
+                              &run->held_heartbeat_capacity, sizeof *run->held_heartbeats);
+        const int leaders = 1 + tw_soak_draw_index(run, KEPT_MOST_LEADERS);
+        run->held_heartbeats[run->held_heartbeat_count++] =
+            (tw_soak_held_heartbeat){machine, leaders, tw_simulator_copy_text(body)};
     }
 }
 
-void soak_new_leader(soak *run) {
+void tw_soak_new_leader(tw_soak *run) {
     int still_kept = 0;
-    for (int i = 0; i < run->kept_count; i++) {
-        if (--run->kept[i].leaders > 0) {
-            run->kept[still_kept++] = run->kept[i];
+    for (int i = 0; i < run->held_heartbeat_count; i++) {
+        if (--run->held_heartbeats[i].leaders_until_delivery > 0) {
+            run->held_heartbeats[still_kept++] = run->held_heartbeats[i];
             continue;
         }
         for (int node = 0; node < run->plan.nodes; node++) {
-            report *copy = make(run, run->kept[i].machine, node, run->kept[i].body, 0);
-            soak_after(run, soak_draw(run, 0, HELD_SPREAD_S), arrives, copy);
+            sent_heartbeat *copy = make_heartbeat(run, run->held_heartbeats[i].machine, node,
+                                                  run->held_heartbeats[i].body, 0);
+            tw_soak_after(run, tw_soak_draw(run, 0, HELD_SPREAD_S), deliver_heartbeat, copy);
         }
-        free(run->kept[i].body);
+        free(run->held_heartbeats[i].body);
     }
-    run->kept_count = still_kept;
+    run->held_heartbeat_count = still_kept;
 }
 
-static void send_report(soak *run, int machine) {
+static void send_heartbeat(tw_soak *run, int machine) {
     tw_simulator_world *world = &run->world;
     tw_simulator_worker *worker = world->workers[machine];
     char *body = tw_simulator_worker_heartbeat(world, worker);
     worker->changed = false;
-    worker->in_flight = ++run->last_flight;
+    worker->in_flight = ++run->last_heartbeat;
     worker->last_heartbeat = world->now;
-    worker->next_heartbeat = world->now + world->heartbeat_s * soak_draw(run, 0.75, 1.25);
-    copies(run, machine, body);
-    double seconds = soak_travel(run, SOAK_WORKERS + machine, worker->node);
+    worker->next_heartbeat = world->now + world->heartbeat_s * tw_soak_draw(run, 0.75, 1.25);
+    copy_heartbeat(run, machine, body);
+    double seconds = tw_soak_travel(run, TW_SOAK_WORKERS + machine, worker->node);
     if (world->now < worker->mute_until) seconds = -1;
-    soak_after(run, ANSWER_TIMEOUT_S, given_up,
-               make(run, machine, worker->node, "", worker->in_flight));
+    tw_soak_after(run, ANSWER_TIMEOUT_S, give_up,
+                  make_heartbeat(run, machine, worker->node, "", worker->in_flight));
     if (seconds >= 0) {
-        report *sent = make(run, machine, worker->node, body, worker->in_flight);
+        sent_heartbeat *heartbeat =
+            make_heartbeat(run, machine, worker->node, body, worker->in_flight);
         if (seconds > 0)
-            soak_after(run, seconds, arrives, sent);
+            tw_soak_after(run, seconds, deliver_heartbeat, heartbeat);
         else
-            arrives(run, sent);
+            deliver_heartbeat(run, heartbeat);
     }
     free(body);
 }
 
-void soak_workers_tick(soak *run) {
+void tw_soak_workers_tick(tw_soak *run) {
     tw_simulator_gangs_advance(&run->world);
     for (int i = 0; i < run->world.worker_count; i++) {
         tw_simulator_worker_advance(&run->world, run->world.workers[i]);
         if (tw_simulator_worker_heartbeat_due(&run->world, run->world.workers[i]))
-            send_report(run, i);
+            send_heartbeat(run, i);
     }
     tw_simulator_judge_now(&run->world);
 }
--- a/tests/unit/config_test.c
+++ b/tests/unit/config_test.c
@@ -215,14 +215,14 @@
     char changed[LONGEST];
     const char *equals = strstr(good[line], " = ");
     join(text, line, NULL);
-    outcome_show("", "(out)", platform_outcome(text), usual);
+    tw_test_outcome_show("", "(out)", platform_outcome(text), usual);
     for (size_t i = 0; equals && i < value_count; i++) {
         snprintf(changed, sizeof changed, "%.*s = %s", (int)(equals - good[line]), good[line],
                  values[i]);
         join(text, line, changed);
-        outcome_show("", values[i], platform_outcome(text), usual);
+        tw_test_outcome_show("", values[i], platform_outcome(text), usual);
     }
-    outcome_end(usual);
+    tw_test_outcome_end(usual);
 }
 
 /* What the operators' file with this text makes of the good settings. */
@@ -256,17 +256,17 @@
         printf("operators %s\n", operators_keys[i]);
         for (size_t k = 0; k < operators_value_count; k++) {
             snprintf(text, sizeof text, "%s: %s\n", operators_keys[i], operators_values[k]);
-            outcome_show("", operators_values[k], operators_outcome(path, text), usual);
+            tw_test_outcome_show("", operators_values[k], operators_outcome(path, text), usual);
         }
-        outcome_end(usual);
+        tw_test_outcome_end(usual);
     }
-    outcome_show("", "(empty)", operators_outcome(path, ""), usual);
-    outcome_show("", "[1]", operators_outcome(path, "[1]\n"), usual);
-    outcome_show("", "headroom: {", operators_outcome(path, "headroom: {\n"), usual);
-    outcome_show("", "two keys", operators_outcome(path, "headroom: 3\nema: 0.5\n"), usual);
-    outcome_show("", "two keys, the first is bad",
-                 operators_outcome(path, "headroom: -3\nema: 7\n"), usual);
-    outcome_end(usual);
+    tw_test_outcome_show("", "(empty)", operators_outcome(path, ""), usual);
+    tw_test_outcome_show("", "[1]", operators_outcome(path, "[1]\n"), usual);
+    tw_test_outcome_show("", "headroom: {", operators_outcome(path, "headroom: {\n"), usual);
+    tw_test_outcome_show("", "two keys", operators_outcome(path, "headroom: 3\nema: 0.5\n"), usual);
+    tw_test_outcome_show("", "two keys, the first is bad",
+                         operators_outcome(path, "headroom: -3\nema: 7\n"), usual);
+    tw_test_outcome_end(usual);
 }
 
 int main(int argc, char **argv) {
@@ -279,8 +279,8 @@
     char path[] = "/tmp/tw_config_test_XXXXXX";
     join(text, good_count, NULL);
     char *usual = platform_outcome(text);
-    outcome_show("", "good", platform_outcome(text), "");
-    outcome_end("");
+    tw_test_outcome_show("", "good", platform_outcome(text), "");
+    tw_test_outcome_end("");
     for (size_t i = 0; i < good_count; i++) {
         printf("line %zu %s\n", i, good[i]);
         vary_line(i, usual);
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -13,8 +13,9 @@
 
 /* ---- the controller and what is around it ---- */
 
-static tw_simulator_clock clock_of(const conversation *c) {
-    return (tw_simulator_clock){.steady = STEADY_START + c->now, .wall = WALL_START + c->now};
+static tw_simulator_clock clock_of(const tw_test_conversation *conversation) {
+    return (tw_simulator_clock){.steady = STEADY_START + conversation->now,
+                                .wall = WALL_START + conversation->now};
 }
 
 static double answered_after(const tw_effect *effect) {
@@ -24,50 +25,54 @@
 
 /* Heartbeats are many and differ in their times: those that say the same in a row are shown once.
  */
-static int is_shown(conversation *c, const tw_effect *effect) {
+static int is_shown(tw_test_conversation *conversation, const tw_effect *effect) {
     if (strcmp(effect->path, "/peer/ping") != 0) return 1;
     const char *times = strstr(effect->body, "\"upS\"");
     const size_t length = times ? (size_t)(times - effect->body) : strlen(effect->body);
-    if (strlen(c->heartbeat) == length && !strncmp(c->heartbeat, effect->body, length)) return 0;
-    snprintf(c->heartbeat, sizeof c->heartbeat, "%.*s", (int)length, effect->body);
+    if (strlen(conversation->heartbeat) == length &&
+        !strncmp(conversation->heartbeat, effect->body, length))
+        return 0;
+    snprintf(conversation->heartbeat, sizeof conversation->heartbeat, "%.*s", (int)length,
+             effect->body);
     return 1;
 }
 
-static void show_call(conversation *c, const tw_effect *effect) {
+static void show_call(tw_test_conversation *conversation, const tw_effect *effect) {
     const char *body = effect->body ? effect->body : "";
     if (effect->to == TW_TO_STATE && !strcmp(effect->path, "/txn"))
         printf("write %s\n", body);
-    else if (effect->to == TW_TO_PEER && is_shown(c, effect))
+    else if (effect->to == TW_TO_PEER && is_shown(conversation, effect))
         printf("peer %s %s %s\n", effect->addr, effect->path, body);
     else if (effect->to == TW_TO_WORKER)
         printf("worker %s %s %s\n", effect->addr, effect->path, body);
 }
 
-static void take_call(conversation *c, tw_effect *effect) {
-    if (c->count == CONVERSATION_MAX_WAITING) abort();
-    show_call(c, effect);
-    c->waiting[c->count++] = (waiting_call){.id = effect->id,
-                                            .at = c->now + answered_after(effect),
-                                            .to = effect->to,
-                                            .method = effect->method,
-                                            .path = effect->path,
-                                            .body = effect->body};
+static void take_call(tw_test_conversation *conversation, tw_effect *effect) {
+    if (conversation->waiting_count == TW_TEST_CONVERSATION_MAX_WAITING) abort();
+    show_call(conversation, effect);
+    conversation->waiting[conversation->waiting_count++] =
+        (tw_test_waiting_call){.id = effect->id,
+                               .at = conversation->now + answered_after(effect),
+                               .to = effect->to,
+                               .method = effect->method,
+                               .path = effect->path,
+                               .body = effect->body};
     effect->path = effect->body = NULL;
 }
 
-static void take_effects(conversation *c) {
-    const tw_simulator_controller_methods *methods = c->controller->methods;
+static void take_effects(tw_test_conversation *conversation) {
+    const tw_simulator_controller_methods *methods = conversation->controller->methods;
     tw_effect *effect;
-    while ((effect = methods->next(c->controller))) {
+    while ((effect = methods->next(conversation->controller))) {
         if (effect->kind == TW_EFFECT_REPLY)
             printf("reply %llu %d %s\n", (unsigned long long)effect->id, effect->status,
                    effect->body ? effect->body : "");
         else
-            take_call(c, effect);
+            take_call(conversation, effect);
         tw_core_effect_free(effect);
     }
-    if (!c->controller->failure) return;
-    printf("%s\n", c->controller->failure);
+    if (!conversation->controller->failure) return;
+    printf("%s\n", conversation->controller->failure);
     exit(1);
 }
 
@@ -78,78 +83,86 @@
         "\"upS\":500,\"deputyS\":500}");
 }
 
-static int answer_to(conversation *c, const waiting_call *call, char **body) {
+static int answer_to(tw_test_conversation *conversation, const tw_test_waiting_call *call,
+                     char **body) {
     const char *sent = call->body ? call->body : "";
     if (call->to == TW_TO_STATE)
-        return tw_simulator_state_request(&c->world.state, c->now, call->method, call->path, sent,
-                                          body);
+        return tw_simulator_state_request(&conversation->world.state, conversation->now,
+                                          call->method, call->path, sent, body);
     if (call->to == TW_TO_CLOUD)
-        return tw_simulator_cloud_request(&c->world, call->method, call->path, sent, body);
+        return tw_simulator_cloud_request(&conversation->world, call->method, call->path, sent,
+                                          body);
     const bool heartbeat = !strcmp(call->path, "/peer/ping");
     *body = heartbeat ? heartbeat_answer() : tw_simulator_copy_text("{}");
     return TW_SIMULATOR_OK;
 }
 
-static void answer(conversation *c, int i) {
-    waiting_call call = c->waiting[i];
+static void answer(tw_test_conversation *conversation, int i) {
+    tw_test_waiting_call call = conversation->waiting[i];
     char *body = NULL;
-    c->waiting[i] = c->waiting[--c->count];
-    const int status = answer_to(c, &call, &body);
-    c->controller->methods->response(c->controller, clock_of(c), call.id, status, body ? body : "");
-    take_effects(c);
+    conversation->waiting[i] = conversation->waiting[--conversation->waiting_count];
+    const int status = answer_to(conversation, &call, &body);
+    conversation->controller->methods->response(conversation->controller, clock_of(conversation),
+                                                call.id, status, body ? body : "");
+    take_effects(conversation);
     free(body);
     free(call.path);
     free(call.body);
 }
 
 /* The call that is answered first, or -1. */
-static int first_waiting(const conversation *c) {
+static int first_waiting(const tw_test_conversation *conversation) {
     int first = -1;
-    for (int i = 0; i < c->count; i++)
-        if (first < 0 || c->waiting[i].at < c->waiting[first].at ||
-            (c->waiting[i].at <= c->waiting[first].at && c->waiting[i].id < c->waiting[first].id))
+    for (int i = 0; i < conversation->waiting_count; i++)
+        if (first < 0 || conversation->waiting[i].at < conversation->waiting[first].at ||
+            (conversation->waiting[i].at <= conversation->waiting[first].at &&
+             conversation->waiting[i].id < conversation->waiting[first].id))
             first = i;
     return first;
 }
 
 /* Lets time pass up to that moment. */
-void conversation_until(conversation *c, double moment) {
+void tw_test_conversation_advance_to(tw_test_conversation *conversation, double moment) {
     for (;;) {
-        const int first = first_waiting(c);
-        const double at = first < 0 ? INFINITY : c->waiting[first].at;
-        if (fmin(at, c->next_tick) > moment) break;
-        c->now = c->world.now = fmin(at, c->next_tick);
-        if (at <= c->next_tick) {
-            answer(c, first);
+        const int first = first_waiting(conversation);
+        const double at = first < 0 ? INFINITY : conversation->waiting[first].at;
+        if (fmin(at, conversation->next_tick) > moment) break;
+        conversation->now = conversation->world.now = fmin(at, conversation->next_tick);
+        if (at <= conversation->next_tick) {
+            answer(conversation, first);
             continue;
         }
-        c->controller->methods->tick(c->controller, clock_of(c));
-        c->next_tick = c->now + c->controller->methods->tick_s(c->controller);
-        take_effects(c);
+        conversation->controller->methods->tick(conversation->controller, clock_of(conversation));
+        conversation->next_tick =
+            conversation->now + conversation->controller->methods->tick_s(conversation->controller);
+        take_effects(conversation);
     }
-    c->now = c->world.now = moment;
+    conversation->now = conversation->world.now = moment;
 }
 
-void conversation_ask(conversation *c, int port, const char *method, const char *path,
-                      const char *body) {
-    printf("> %llu %s %s %s\n", (unsigned long long)++c->last_conn, method, path, body);
-    c->controller->methods->request(c->controller, clock_of(c), port, c->last_conn, method, path,
-                                    body);
-    take_effects(c);
+void tw_test_conversation_request(tw_test_conversation *conversation, int port, const char *method,
+                                  const char *path, const char *body) {
+    printf("> %llu %s %s %s\n", (unsigned long long)++conversation->last_connection, method, path,
+           body);
+    conversation->controller->methods->request(conversation->controller, clock_of(conversation),
+                                               port, conversation->last_connection, method, path,
+                                               body);
+    take_effects(conversation);
 }
 
-void conversation_put(conversation *c, const char *key, const char *value) {
+void tw_test_conversation_put(tw_test_conversation *conversation, const char *key,
+                              const char *value) {
     char body[MAX_LINE], *answer_body;
     snprintf(body, sizeof body, "{\"if\":[],\"apply\":[{\"write\":\"%s\",\"data\":%s}]}", key,
              value);
-    if (tw_simulator_state_request(&c->world.state, c->now, "POST", "/txn", body, &answer_body) !=
-        TW_SIMULATOR_OK)
+    if (tw_simulator_state_request(&conversation->world.state, conversation->now, "POST", "/txn",
+                                   body, &answer_body) != TW_SIMULATOR_OK)
         abort();
     free(answer_body);
 }
 
-void conversation_show_record(const conversation *c, const char *key) {
-    const char *value = tw_simulator_state_value(&c->world.state, key);
+void tw_test_conversation_show_record(const tw_test_conversation *conversation, const char *key) {
+    const char *value = tw_simulator_state_value(&conversation->world.state, key);
     printf("record %s %s\n", key, value ? value : "-");
 }
 
@@ -165,45 +178,46 @@
     "[settings.limits]\ncpu_share = 0.1\nmem_mb = 56.0\nsockets = 600\n";
 
 /* A new state service, one machine up, and the node has just started. */
-void conversation_begin(conversation *c, const char *program) {
+void tw_test_conversation_start_node(tw_test_conversation *conversation, const char *program) {
     char error[TW_SIMULATOR_MESSAGE];
     const tw_simulator_controller_start start = {
-        .settings = settings, .seed = SEED, .clock = clock_of(c)};
-    c->controller = program ? tw_simulator_controller_remote(program, &start, error, sizeof error)
-                            : tw_simulator_controller_local(&start, error, sizeof error);
-    if (c->controller) {
-        take_effects(c);
+        .settings = settings, .seed = SEED, .clock = clock_of(conversation)};
+    conversation->controller =
+        program ? tw_simulator_controller_remote(program, &start, error, sizeof error)
+                : tw_simulator_controller_local(&start, error, sizeof error);
+    if (conversation->controller) {
+        take_effects(conversation);
         return;
     }
     printf("%s\n", error);
     exit(1);
 }
 
-void conversation_around(conversation *c) {
-    tw_simulator_world *w = &c->world;
-    tw_simulator_world_init(w);
-    w->type_count = 1;
-    w->types[0] = (tw_wire_machine_type){.name = "cpu",
-                                         .cores = 16,
-                                         .memory_gb = 64,
-                                         .cache_gb = 200,
-                                         .fetch_gb_s = 1,
-                                         .on_demand_price = 1,
-                                         .spot_price = 1,
-                                         .startup_s = 20,
-                                         .zone_count = 1,
-                                         .zones = {"a"}};
-    tw_simulator_worker *machine = tw_simulator_add_machine(w, 0, "a", 0, 0);
+void tw_test_conversation_init(tw_test_conversation *conversation) {
+    tw_simulator_world *world = &conversation->world;
+    tw_simulator_world_init(world);
+    world->type_count = 1;
+    world->types[0] = (tw_wire_machine_type){.name = "cpu",
+                                             .cores = 16,
+                                             .memory_gb = 64,
+                                             .cache_gb = 200,
+                                             .fetch_gb_s = 1,
+                                             .on_demand_price = 1,
+                                             .spot_price = 1,
+                                             .startup_s = 20,
+                                             .zone_count = 1,
+                                             .zones = {"a"}};
+    tw_simulator_worker *machine = tw_simulator_add_machine(world, 0, "a", 0, 0);
     machine->up = 1;
-    w->refuses_rentals = 1;
-    w->state.write_tokens = w->state.limits.write_rps;
+    world->refuses_rentals = 1;
+    world->state.write_tokens = world->state.limits.write_rps;
 }
 
-void conversation_end(conversation *c) {
-    c->controller->methods->free(c->controller);
-    for (int i = 0; i < c->count; i++) {
-        free(c->waiting[i].path);
-        free(c->waiting[i].body);
+void tw_test_conversation_free(tw_test_conversation *conversation) {
+    conversation->controller->methods->free(conversation->controller);
+    for (int i = 0; i < conversation->waiting_count; i++) {
+        free(conversation->waiting[i].path);
+        free(conversation->waiting[i].body);
     }
-    tw_simulator_world_free(&c->world);
+    tw_simulator_world_free(&conversation->world);
 }
--- a/tests/unit/conversation.h
+++ b/tests/unit/conversation.h
@@ -5,7 +5,7 @@
 #include "controller.h"
 #include "world.h"
 
-#define CONVERSATION_MAX_WAITING 64
+#define TW_TEST_CONVERSATION_MAX_WAITING 64
 
 /* A call of the controller that has not been answered yet. */
 typedef struct {
@@ -14,30 +14,31 @@
     int to;
     const char *method;
     char *path, *body;
-} waiting_call;
+} tw_test_waiting_call;
 
 typedef struct {
     tw_simulator_controller *controller;
     tw_simulator_world world;
     double now, next_tick;
-    waiting_call waiting[CONVERSATION_MAX_WAITING];
-    int count;
-    uint64_t last_conn;
+    tw_test_waiting_call waiting[TW_TEST_CONVERSATION_MAX_WAITING];
+    int waiting_count;
+    uint64_t last_connection;
     char heartbeat[TW_SIMULATOR_MESSAGE]; /* the last one shown, without its times */
-} conversation;
+} tw_test_conversation;
 
 /* The state service is empty, the machine is up. */
-void conversation_around(conversation *c);
+void tw_test_conversation_init(tw_test_conversation *conversation);
 /* The node starts: with a core in this process, or (not NULL) one that a tw_core_server runs. */
-void conversation_begin(conversation *c, const char *program);
-void conversation_end(conversation *c);
+void tw_test_conversation_start_node(tw_test_conversation *conversation, const char *program);
+void tw_test_conversation_free(tw_test_conversation *conversation);
 /* Lets time pass up to that moment. */
-void conversation_until(conversation *c, double moment);
+void tw_test_conversation_advance_to(tw_test_conversation *conversation, double moment);
 /* Asks the node, port TW_PORT_*. */
-void conversation_ask(conversation *c, int port, const char *method, const char *path,
-                      const char *body);
+void tw_test_conversation_request(tw_test_conversation *conversation, int port, const char *method,
+                                  const char *path, const char *body);
 /* Writes a key of the state service, before the node starts. */
-void conversation_put(conversation *c, const char *key, const char *value);
-void conversation_show_record(const conversation *c, const char *key);
+void tw_test_conversation_put(tw_test_conversation *conversation, const char *key,
+                              const char *value);
+void tw_test_conversation_show_record(const tw_test_conversation *conversation, const char *key);
 
 #endif
--- a/tests/unit/outcome.c
+++ b/tests/unit/outcome.c
@@ -30,7 +30,7 @@
     last = NULL;
 }
 
-void outcome_show(const char *prefix, const char *label, char *outcome, const char *usual) {
+void tw_test_outcome_show(const char *prefix, const char *label, char *outcome, const char *usual) {
     if (last && !strcmp(last, outcome)) {
         printf(" %s", label);
         free(outcome);
@@ -41,4 +41,4 @@
     last = outcome;
 }
 
-void outcome_end(const char *usual) { print_last(usual); }
+void tw_test_outcome_end(const char *usual) { print_last(usual); }
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -35,160 +35,171 @@
 #define RUNS "\"stage\":\"running\""
 #define DONE "\"stage\":\"exited\",\"cause\":\"done\""
 
-static void submit(conversation *c, const char *body) {
-    conversation_ask(c, TW_PORT_API, "POST", "/v1/jobs", body);
+static void submit(tw_test_conversation *conversation, const char *body) {
+    tw_test_conversation_request(conversation, TW_PORT_API, "POST", "/v1/jobs", body);
 }
-static void report(conversation *c, const char *body) {
-    conversation_ask(c, TW_PORT_API, "POST", "/hello", body);
+static void report(tw_test_conversation *conversation, const char *body) {
+    tw_test_conversation_request(conversation, TW_PORT_API, "POST", "/hello", body);
 }
-static void poll(conversation *c, const char *path) {
-    conversation_ask(c, TW_PORT_API, "GET", path, "");
+static void poll(tw_test_conversation *conversation, const char *path) {
+    tw_test_conversation_request(conversation, TW_PORT_API, "GET", path, "");
 }
-static void heartbeat(conversation *c, const char *body) {
-    conversation_ask(c, TW_PORT_PEER, "POST", "/peer/ping", body);
+static void heartbeat(tw_test_conversation *conversation, const char *body) {
+    tw_test_conversation_request(conversation, TW_PORT_PEER, "POST", "/peer/ping", body);
 }
 
 /* It leads: jobs are accepted, run, end and are cancelled; records are written. */
-static void leads(conversation *c, const char *program) {
-    conversation_around(c);
-    conversation_begin(c, program);
-    conversation_until(c, 3);
-    report(c, REPORT("1", "0", ""));
-    conversation_until(c, 3.2);
-    report(c, REPORT("2", "101", ""));
-    submit(c, JOB("run-000001", "batch", TASKS("2")));
-    conversation_until(c, 3.5);
-    submit(c, JOB("run-000002", "service", TASKS("1")));
-    conversation_until(c, 4);
-    heartbeat(c, "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
-                 "\"upS\":503,\"deputyS\":503}");
-    report(c, REPORT("3", "101",
-                     PIECE("run-000001/0", "1", RUNS) "," PIECE(
-                         "run-000001/1", "1", RUNS) "," PIECE("run-000002/0", "1", RUNS)));
-    conversation_until(c, 5);
-    report(c, REPORT("4", "101",
-                     PIECE("run-000001/0", "1", DONE) "," PIECE(
-                         "run-000001/1", "1", RUNS) "," PIECE("run-000002/0", "1", RUNS)));
-    conversation_until(c, 6);
-    conversation_show_record(c, "job/run-000001");
-    conversation_show_record(c, "job/run-000002");
-    conversation_ask(c, TW_PORT_API, "POST", "/v1/jobs/run-000002/abort", "");
-    conversation_until(c, 6.5);
-    conversation_show_record(c, "job/run-000002");
-    report(c, REPORT("5", "101",
-                     PIECE("run-000001/1", "2", DONE) "," PIECE("run-000002/0", "1", RUNS)));
-    conversation_until(c, 7.5);
-    heartbeat(c, "{\"name\":\"tray-1\",\"token\":101,\"stateOk\":true,\"leading\":false,"
-                 "\"upS\":506,\"deputyS\":506}");
-    report(c, REPORT("6", "101",
-                     PIECE("run-000002/0", "1",
-                           "\"stage\":\"exited\",\"cause\":\"stopped\",\"saved\":true")));
-    conversation_until(c, 9);
-    poll(c, "/v1/jobs/run-000001");
-    poll(c, "/v1/jobs/run-000002");
-    conversation_until(c, 9.5);
-    conversation_show_record(c, "job/run-000001");
-    conversation_show_record(c, "job/run-000002");
-    conversation_show_record(c, "leader");
+static void leads(tw_test_conversation *conversation, const char *program) {
+    tw_test_conversation_init(conversation);
+    tw_test_conversation_start_node(conversation, program);
+    tw_test_conversation_advance_to(conversation, 3);
+    report(conversation, REPORT("1", "0", ""));
+    tw_test_conversation_advance_to(conversation, 3.2);
+    report(conversation, REPORT("2", "101", ""));
+    submit(conversation, JOB("run-000001", "batch", TASKS("2")));
+    tw_test_conversation_advance_to(conversation, 3.5);
+    submit(conversation, JOB("run-000002", "service", TASKS("1")));
+    tw_test_conversation_advance_to(conversation, 4);
+    heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
+                            "\"upS\":503,\"deputyS\":503}");
+    report(conversation,
+           REPORT("3", "101",
+                  PIECE("run-000001/0", "1", RUNS) "," PIECE("run-000001/1", "1", RUNS) "," PIECE(
+                      "run-000002/0", "1", RUNS)));
+    tw_test_conversation_advance_to(conversation, 5);
+    report(conversation,
+           REPORT("4", "101",
+                  PIECE("run-000001/0", "1", DONE) "," PIECE("run-000001/1", "1", RUNS) "," PIECE(
+                      "run-000002/0", "1", RUNS)));
+    tw_test_conversation_advance_to(conversation, 6);
+    tw_test_conversation_show_record(conversation, "job/run-000001");
+    tw_test_conversation_show_record(conversation, "job/run-000002");
+    tw_test_conversation_request(conversation, TW_PORT_API, "POST", "/v1/jobs/run-000002/abort",
+                                 "");
+    tw_test_conversation_advance_to(conversation, 6.5);
+    tw_test_conversation_show_record(conversation, "job/run-000002");
+    report(
+        conversation,
+        REPORT("5", "101", PIECE("run-000001/1", "2", DONE) "," PIECE("run-000002/0", "1", RUNS)));
+    tw_test_conversation_advance_to(conversation, 7.5);
+    heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":101,\"stateOk\":true,\"leading\":false,"
+                            "\"upS\":506,\"deputyS\":506}");
+    report(conversation,
+           REPORT("6", "101",
+                  PIECE("run-000002/0", "1",
+                        "\"stage\":\"exited\",\"cause\":\"stopped\",\"saved\":true")));
+    tw_test_conversation_advance_to(conversation, 9);
+    poll(conversation, "/v1/jobs/run-000001");
+    poll(conversation, "/v1/jobs/run-000002");
+    tw_test_conversation_advance_to(conversation, 9.5);
+    tw_test_conversation_show_record(conversation, "job/run-000001");
+    tw_test_conversation_show_record(conversation, "job/run-000002");
+    tw_test_conversation_show_record(conversation, "leader");
 }
 
 #define OLD_JOB(id, tasks) "\"j\":" JOB(id, "batch", tasks)
 /* It takes over records as a predecessor left them: running, partly done, cancelled, done. What may
  * run is not started again, what is done stays so. */
-static void takes_over(conversation *c, const char *program) {
-    conversation_around(c);
-    conversation_put(
-        c, "job/run-000001",
+static void takes_over(tw_test_conversation *conversation, const char *program) {
+    tw_test_conversation_init(conversation);
+    tw_test_conversation_put(
+        conversation, "job/run-000001",
         "{\"s\":0," OLD_JOB("run-000001",
                             TASKS("3")) ",\"c\":1,\"t\":999999990,\"n\":6,"
                                         "\"f\":\"1\",\"l\":\"0:4:n-000001,2:5:n-000001\"}");
-    conversation_put(c, "job/run-000002",
-                     "{\"s\":3," OLD_JOB("run-000002", TASKS("2")) ",\"t\":999999991,\"n\":2,"
-                                                                   "\"l\":\"0:1:n-000001\"}");
-    conversation_put(c, "job/run-000003", "{\"s\":2,\"p\":4,\"c\":4}");
-    conversation_put(c, "job/run-000004", "{\"s\":3,\"p\":4,\"c\":1}");
-    conversation_put(c, "new/run-000005", "1");
-    conversation_begin(c, program);
-    conversation_until(c, 4);
-    report(c, REPORT("71", "90",
-                     PIECE("run-000001/0", "4", RUNS) "," PIECE(
-                         "run-000001/2", "5", RUNS) "," PIECE("run-000002/0", "1", RUNS)));
-    conversation_until(c, 5);
-    report(c,
+    tw_test_conversation_put(
+        conversation, "job/run-000002",
+        "{\"s\":3," OLD_JOB("run-000002", TASKS("2")) ",\"t\":999999991,\"n\":2,"
+                                                      "\"l\":\"0:1:n-000001\"}");
+    tw_test_conversation_put(conversation, "job/run-000003", "{\"s\":2,\"p\":4,\"c\":4}");
+    tw_test_conversation_put(conversation, "job/run-000004", "{\"s\":3,\"p\":4,\"c\":1}");
+    tw_test_conversation_put(conversation, "new/run-000005", "1");
+    tw_test_conversation_start_node(conversation, program);
+    tw_test_conversation_advance_to(conversation, 4);
+    report(conversation,
+           REPORT("71", "90",
+                  PIECE("run-000001/0", "4", RUNS) "," PIECE("run-000001/2", "5", RUNS) "," PIECE(
+                      "run-000002/0", "1", RUNS)));
+    tw_test_conversation_advance_to(conversation, 5);
+    report(conversation,
            REPORT("72", "106",
                   PIECE("run-000001/0", "4", DONE) "," PIECE("run-000001/2", "5", RUNS) "," PIECE(
                       "run-000002/0", "1", "\"stage\":\"exited\",\"cause\":\"stopped\"")));
-    conversation_until(c, 6);
+    tw_test_conversation_advance_to(conversation, 6);
     for (int i = 1; i <= 5; i++) {
         char path[TW_SIMULATOR_NAME];
         snprintf(path, sizeof path, "/v1/jobs/run-%06d", i);
-        poll(c, path);
+        poll(conversation, path);
     }
-    conversation_until(c, 7);
+    tw_test_conversation_advance_to(conversation, 7);
     for (int i = 1; i <= 4; i++) {
         char key[TW_SIMULATOR_NAME];
         snprintf(key, sizeof key, "job/run-%06d", i);
-        conversation_show_record(c, key);
+        tw_test_conversation_show_record(conversation, key);
     }
-    conversation_show_record(c, "new/run-000005");
-    conversation_show_record(c, "leader");
+    tw_test_conversation_show_record(conversation, "new/run-000005");
+    tw_test_conversation_show_record(conversation, "leader");
 }
 
 /* Another node leads: heartbeats, reports that are handed on, users' requests. */
-static void follows(conversation *c, const char *program) {
-    conversation_around(c);
-    conversation_put(c, "leader", "{\"node\":\"tray-1\"}");
-    conversation_put(c, "job/run-000001",
-                     "{\"s\":0," OLD_JOB("run-000001", TASKS("1")) ",\"t\":999999990,\"n\":2,"
-                                                                   "\"l\":\"0:1:n-000001\"}");
-    conversation_begin(c, program);
-    conversation_until(c, 2);
-    heartbeat(c, "{\"name\":\"tray-1\",\"leader\":\"tray-1\",\"token\":101,\"stateOk\":true,"
-                 "\"leading\":true,\"upS\":500,\"deputyS\":500,\"aborted\":[\"run-000009\"]}");
-    report(c, REPORT("71", "101", PIECE("run-000001/0", "1", RUNS)));
-    conversation_until(c, 3);
-    poll(c, "/v1/jobs/run-000001");
-    submit(c, JOB("run-000002", "batch", TASKS("1")));
-    conversation_until(c, 3.5);
-    conversation_ask(c, TW_PORT_API, "POST", "/v1/jobs/run-000002/abort", "");
-    conversation_ask(c, TW_PORT_PEER, "POST", "/peer/hello", REPORT("72", "101", ""));
-    conversation_until(c, 4);
-    heartbeat(c, "{\"name\":\"tray-1\",\"token\":90}");
-    conversation_show_record(c, "job/run-000002");
-    conversation_show_record(c, "new/run-000002");
+static void follows(tw_test_conversation *conversation, const char *program) {
+    tw_test_conversation_init(conversation);
+    tw_test_conversation_put(conversation, "leader", "{\"node\":\"tray-1\"}");
+    tw_test_conversation_put(
+        conversation, "job/run-000001",
+        "{\"s\":0," OLD_JOB("run-000001", TASKS("1")) ",\"t\":999999990,\"n\":2,"
+                                                      "\"l\":\"0:1:n-000001\"}");
+    tw_test_conversation_start_node(conversation, program);
+    tw_test_conversation_advance_to(conversation, 2);
+    heartbeat(conversation,
+              "{\"name\":\"tray-1\",\"leader\":\"tray-1\",\"token\":101,\"stateOk\":true,"
+              "\"leading\":true,\"upS\":500,\"deputyS\":500,\"aborted\":[\"run-000009\"]}");
+    report(conversation, REPORT("71", "101", PIECE("run-000001/0", "1", RUNS)));
+    tw_test_conversation_advance_to(conversation, 3);
+    poll(conversation, "/v1/jobs/run-000001");
+    submit(conversation, JOB("run-000002", "batch", TASKS("1")));
+    tw_test_conversation_advance_to(conversation, 3.5);
+    tw_test_conversation_request(conversation, TW_PORT_API, "POST", "/v1/jobs/run-000002/abort",
+                                 "");
+    tw_test_conversation_request(conversation, TW_PORT_PEER, "POST", "/peer/hello",
+                                 REPORT("72", "101", ""));
+    tw_test_conversation_advance_to(conversation, 4);
+    heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":90}");
+    tw_test_conversation_show_record(conversation, "job/run-000002");
+    tw_test_conversation_show_record(conversation, "new/run-000002");
 }
 
 /* Fields that it doesn't know, in heartbeats and records, and a record that is divided. */
-static void unknown_fields(conversation *c, const char *program) {
-    conversation_around(c);
-    conversation_put(
-        c, "job/run-000001",
+static void unknown_fields(tw_test_conversation *conversation, const char *program) {
+    tw_test_conversation_init(conversation);
+    tw_test_conversation_put(
+        conversation, "job/run-000001",
         "{\"s\":0," OLD_JOB("run-000001", TASKS("2")) ",\"t\":999999990,\"n\":2,"
                                                       "\"l\":\"0:1:n-000001\",\"zz\":7}");
-    conversation_put(c, "job/run-000002",
-                     "{\"s\":0,\"p\":2,\"c\":0,\"parts\":{\"set\":\"90-1\",\"n\":2}}");
-    conversation_put(c, "job/run-000003",
-                     "{\"s\":2,\"p\":2,\"c\":2,\"parts\":{\"set\":\"90-2\",\"n\":2}}");
-    conversation_put(c, "part/run-000002/90-1/0", "\"{}\"");
-    conversation_begin(c, program);
-    conversation_until(c, 4);
-    heartbeat(c, "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
-                 "\"upS\":503,\"deputyS\":503,\"recordFormat\":2}");
-    report(c, REPORT("71", "90", PIECE("run-000001/0", "1", DONE)));
-    conversation_until(c, 6);
-    poll(c, "/v1/jobs/run-000001");
-    poll(c, "/v1/jobs/run-000002");
-    poll(c, "/v1/jobs/run-000003");
-    conversation_until(c, 7);
-    conversation_show_record(c, "job/run-000001");
-    conversation_show_record(c, "job/run-000002");
-    conversation_show_record(c, "job/run-000003");
-    conversation_show_record(c, "part/run-000002/90-1/0");
+    tw_test_conversation_put(conversation, "job/run-000002",
+                             "{\"s\":0,\"p\":2,\"c\":0,\"parts\":{\"set\":\"90-1\",\"n\":2}}");
+    tw_test_conversation_put(conversation, "job/run-000003",
+                             "{\"s\":2,\"p\":2,\"c\":2,\"parts\":{\"set\":\"90-2\",\"n\":2}}");
+    tw_test_conversation_put(conversation, "part/run-000002/90-1/0", "\"{}\"");
+    tw_test_conversation_start_node(conversation, program);
+    tw_test_conversation_advance_to(conversation, 4);
+    heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
+                            "\"upS\":503,\"deputyS\":503,\"recordFormat\":2}");
+    report(conversation, REPORT("71", "90", PIECE("run-000001/0", "1", DONE)));
+    tw_test_conversation_advance_to(conversation, 6);
+    poll(conversation, "/v1/jobs/run-000001");
+    poll(conversation, "/v1/jobs/run-000002");
+    poll(conversation, "/v1/jobs/run-000003");
+    tw_test_conversation_advance_to(conversation, 7);
+    tw_test_conversation_show_record(conversation, "job/run-000001");
+    tw_test_conversation_show_record(conversation, "job/run-000002");
+    tw_test_conversation_show_record(conversation, "job/run-000003");
+    tw_test_conversation_show_record(conversation, "part/run-000002/90-1/0");
 }
 
 static const struct {
     const char *name;
-    void (*play)(conversation *c, const char *program);
+    void (*play)(tw_test_conversation *conversation, const char *program);
 } conversations[] = {{"leads", leads},
                      {"takes_over", takes_over},
                      {"follows", follows},
@@ -233,9 +244,9 @@
     if (argc == 2 && !strcmp(argv[1], "--records")) return write_records_again();
     for (size_t i = 0; argc > 1 && i < sizeof conversations / sizeof *conversations; i++) {
         if (strcmp(argv[1], conversations[i].name) != 0) continue;
-        conversation c = {0};
-        conversations[i].play(&c, argc > 2 ? argv[2] : NULL);
-        conversation_end(&c);
+        tw_test_conversation conversation = {0};
+        conversations[i].play(&conversation, argc > 2 ? argv[2] : NULL);
+        tw_test_conversation_free(&conversation);
         return 0;
     }
     fprintf(stderr, "usage: tw_versions_test CONVERSATION [TW_CORE_SERVER] | --records\n");
--- a/tests/unit/wire_dump.c
+++ b/tests/unit/wire_dump.c
@@ -225,7 +225,7 @@
     "\"samePlace\":true,\"apart\":false,\"loaner\":true,\"expectS\":240.25,\"snapshotS\":30.0,"    \
     "\"flushS\":4.0,\"dueS\":900.5}"
 
-const message_kind message_kinds[] = {
+const tw_test_message_kind tw_test_message_kinds[] = {
     {"job", JOB, parse_job, true},
     {"report",
      "{\"tray\":\"n-000231\",\"endpoint\":\"10.1.0.232:9000\",\"rack\":\"g8\",\"yard\":\"a\","
@@ -279,4 +279,5 @@
      "{\"k\":\"new/run-000412\",\"data\":{\"s\":2,\"p\":16},\"stamp\":415}],\"more\":true}",
      parse_records, false},
 };
-const size_t message_kind_count = sizeof message_kinds / sizeof *message_kinds;
+const size_t tw_test_message_kind_count =
+    sizeof tw_test_message_kinds / sizeof *tw_test_message_kinds;
--- a/tests/unit/wire_print.c
+++ b/tests/unit/wire_print.c
@@ -169,7 +169,7 @@
     show(out, "ping divided", tw_wire_peer_heartbeat_text(&divides, NULL, 0));
 }
 
-void print_messages(FILE *out) {
+void tw_test_print_messages(FILE *out) {
     print_stages(out);
     print_orders(out);
     print_cloud(out);
--- a/tests/unit/wire_test.c
+++ b/tests/unit/wire_test.c
@@ -76,7 +76,7 @@
 static const size_t malformed_count = sizeof malformed / sizeof *malformed;
 
 /* The line that the kind's parser writes about text. Free it. */
-static char *parsed(const message_kind *kind, const char *text) {
+static char *parsed(const tw_test_message_kind *kind, const char *text) {
     char *line = NULL;
     size_t size = 0;
     FILE *out = open_memstream(&line, &size);
@@ -86,21 +86,21 @@
     return line;
 }
 
-static void show(const message_kind *kind, const char *label, const char *text) {
+static void show(const tw_test_message_kind *kind, const char *label, const char *text) {
     char *whole = parsed(kind, kind->text);
     char prefix[LONGEST];
     snprintf(prefix, sizeof prefix, "%s ", kind->name);
-    outcome_show(prefix, label, parsed(kind, text), whole);
+    tw_test_outcome_show(prefix, label, parsed(kind, text), whole);
     free(whole);
 }
 
-static void show_end(const message_kind *kind) {
+static void show_end(const tw_test_message_kind *kind) {
     char *whole = parsed(kind, kind->text);
-    outcome_end(whole);
+    tw_test_outcome_end(whole);
     free(whole);
 }
 
-static void show_tree(const message_kind *kind, const char *label, const cJSON *root) {
+static void show_tree(const tw_test_message_kind *kind, const char *label, const cJSON *root) {
     char *text = cJSON_PrintUnformatted(root);
     if (!text) abort();
     show(kind, label, text);
@@ -117,7 +117,7 @@
 
 /* Parses the whole message root with each replacement of one field of object, which is part of it.
  */
-static void vary_field(const message_kind *kind, const cJSON *root, cJSON *object,
+static void vary_field(const tw_test_message_kind *kind, const cJSON *root, cJSON *object,
                        const char *field) {
     printf("field %s\n", field);
     cJSON *original = cJSON_Duplicate(cJSON_GetObjectItemCaseSensitive(object, field), 1);
@@ -134,7 +134,7 @@
 }
 
 /* Varies every field of object, one of the message's, and of the objects within it. */
-static void vary_fields(const message_kind *kind, const char *prefix, const cJSON *root,
+static void vary_fields(const tw_test_message_kind *kind, const char *prefix, const cJSON *root,
                         cJSON *object) {
     char names[32][TW_WIRE_NAME_SIZE];
     int count = 0;
@@ -150,7 +150,7 @@
 }
 
 /* With two fields wrong, one of them is named: the order of the checks. */
-static void vary_pairs(const message_kind *kind) {
+static void vary_pairs(const tw_test_message_kind *kind) {
     cJSON *root = cJSON_Parse(kind->text);
     int count = cJSON_GetArraySize(root);
     char label[LONGEST];
@@ -170,11 +170,11 @@
     cJSON_Delete(root);
 }
 
-static void show_kind(const message_kind *kind) {
+static void show_kind(const tw_test_message_kind *kind) {
     char label[LONGEST];
     printf("parse %s\n", kind->name);
     show(kind, "whole", kind->text);
-    outcome_end("");
+    tw_test_outcome_end("");
     for (size_t i = 0; i < malformed_count; i++) {
         snprintf(label, sizeof label, "text %zu", i);
         show(kind, label, malformed[i]);
@@ -197,7 +197,7 @@
 
 int main(void) {
     show_ids();
-    print_messages(stdout);
-    for (size_t i = 0; i < message_kind_count; i++) show_kind(&message_kinds[i]);
+    tw_test_print_messages(stdout);
+    for (size_t i = 0; i < tw_test_message_kind_count; i++) show_kind(&tw_test_message_kinds[i]);
     return 0;
 }
--- a/tests/unit/wire_test.h
+++ b/tests/unit/wire_test.h
@@ -10,12 +10,12 @@
     const char *name, *text;
     void (*parse)(FILE *out, const char *text, size_t length);
     bool says_why; /* a refusal names what is wrong */
-} message_kind;
+} tw_test_message_kind;
 
-extern const message_kind message_kinds[];
-extern const size_t message_kind_count;
+extern const tw_test_message_kind tw_test_message_kinds[];
+extern const size_t tw_test_message_kind_count;
 
 /* Writes every kind of message that is printed, each with values at the edges of its fields. */
-void print_messages(FILE *out);
+void tw_test_print_messages(FILE *out);
 
 #endif
--- a/tools/explore/explore.c
+++ b/tools/explore/explore.c
@@ -24,7 +24,7 @@
     const char *directory, *rule, *play;
     uint32_t print;
     int until_first, each, upgrade;
-} options;
+} explore_options;
 
 typedef struct {
     char name[32];
@@ -32,7 +32,7 @@
 } rule_count;
 
 typedef struct {
-    options options;
+    explore_options options;
     tw_fuzz_pool *pool;
     uint64_t next; /* seed to be played next */
     uint64_t played, broken;
@@ -46,7 +46,7 @@
 
 static volatile sig_atomic_t stopped;
 
-static void stop(int signal_number) { stopped = signal_number; }
+static void handle_signal(int signal_number) { stopped = signal_number; }
 
 static double steady_s(void) {
     struct timespec now;
@@ -91,7 +91,7 @@
     return value;
 }
 
-static void parse_seeds(struct argp_state *state, const char *text, options *chosen) {
+static void parse_seeds(struct argp_state *state, const char *text, explore_options *chosen) {
     char *rest;
     chosen->first = chosen->last = seed_of(state, text, &rest);
     if (*rest == '-') chosen->last = seed_of(state, rest + 1, &rest);
@@ -99,7 +99,7 @@
 }
 
 /* Seeds that were most likely never played: from the time of day. */
-static void fresh_seeds(unsigned long days, options *chosen) {
+static void fresh_seeds(unsigned long days, explore_options *chosen) {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
     const uint64_t mixed =
@@ -108,8 +108,8 @@
     chosen->last = chosen->first + (uint32_t)days - 1;
 }
 
-static error_t parse(int key, char *text, struct argp_state *state) {
-    options *chosen = state->input;
+static error_t parse_option(int key, char *text, struct argp_state *state) {
+    explore_options *chosen = state->input;
     char *rest;
     switch (key) {
     case 's':
@@ -197,22 +197,21 @@
 static rule_count *count_of(exploration *run, const char *name) {
     for (unsigned i = 0; i < run->rule_count; i++)
         if (!strcmp(run->rules[i].name, name)) return &run->rules[i];
-    rule_count *count =
-        &run->rules[run->rule_count < RULES_MAX ? run->rule_count++ : RULES_MAX - 1];
-    snprintf(count->name, sizeof count->name, "%s", name);
-    return count;
+    rule_count *rule = &run->rules[run->rule_count < RULES_MAX ? run->rule_count++ : RULES_MAX - 1];
+    snprintf(rule->name, sizeof rule->name, "%s", name);
+    return rule;
 }
 
 static void take_broken(exploration *run, const tw_fuzz_result *result) {
-    rule_count *count = count_of(run, result->verdict.rule);
+    rule_count *rule = count_of(run, result->verdict.rule);
     clear_progress(run);
     printf("BROKE seed %u: %s\n", result->seed, result->verdict.detail);
     fflush(stdout);
     run->broken++;
-    count->broken++;
+    rule->broken++;
     if (run->options.rule && strcmp(run->options.rule, result->verdict.rule) != 0) return;
-    if (count->shrunk >= run->options.shrinks || run->queued == QUEUE_MAX) return;
-    count->shrunk++;
+    if (rule->shrunk >= run->options.shrinks || run->queued == QUEUE_MAX) return;
+    rule->shrunk++;
     run->queue[run->queued++] = result->seed;
 }
 
@@ -223,7 +222,7 @@
            verdict->failed ? verdict->rule : "-");
 }
 
-static void take(exploration *run, const tw_fuzz_result *result) {
+static void take_result(exploration *run, const tw_fuzz_result *result) {
     if (!result->shrunk) {
         run->played++;
         if (run->options.each) tell_day(run, result);
@@ -241,7 +240,7 @@
 
 /* Whether another day may begin. */
 static bool may_begin(const exploration *run) {
-    const options *chosen = &run->options;
+    const explore_options *chosen = &run->options;
     if (run->next > chosen->last || (chosen->until_first && run->broken)) return false;
     return chosen->seconds <= 0 || steady_s() - run->began < chosen->seconds;
 }
@@ -263,7 +262,7 @@
     while (!stopped) {
         give_work(run);
         if (!tw_fuzz_pool_busy(run->pool)) break;
-        if (tw_fuzz_pool_wait(run->pool, WAIT_MS, &result)) take(run, &result);
+        if (tw_fuzz_pool_wait(run->pool, WAIT_MS, &result)) take_result(run, &result);
         tell_progress(run, 0);
     }
     tell_sum(run);
@@ -308,7 +307,7 @@
 int main(int argc, char **argv) {
     const struct argp argp = {
         argp_options,
-        parse,
+        parse_option,
         0,
         "Plays days that are drawn from seeds, and looks for one that breaks a rule.",
         0,
@@ -331,7 +330,7 @@
         fprintf(stderr, "%s: %s\n", run.options.directory, strerror(errno));
         return 2;
     }
-    const struct sigaction action = {.sa_handler = stop};
+    const struct sigaction action = {.sa_handler = handle_signal};
     sigaction(SIGINT, &action, NULL);
     sigaction(SIGTERM, &action, NULL);
     signal(SIGPIPE, SIG_IGN);
