--- a/bench/bench.h
+++ b/bench/bench.h
@@ -14,9 +14,9 @@
 
 /* ---- measure.c: what a part of the run costs ---- */
 
-/* Kinds of inputs to the core, to be combined. */
+/* Kinds of inputs to the core, as bits that can be combined. */
 typedef enum {
-    TW_BENCH_HEARTBEAT = 1, /* a worker's report */
+    TW_BENCH_HEARTBEAT = 1, /* a worker's heartbeat */
     TW_BENCH_USER = 2,      /* a user's request */
     TW_BENCH_PEER = 4,      /* another node's message */
     TW_BENCH_ANSWER = 8,    /* an answer to one of the core's own calls */
--- a/bench/cases/change.c
+++ b/bench/cases/change.c
@@ -1,14 +1,14 @@
-/* Reports that say that a task is done: alone, and with the scheduling pass that the room it frees
- * brings about, with jobs waiting that still find none. */
+/* Heartbeats that say that a task is done: alone, and with the scheduling pass that the room it
+ * frees brings about, with jobs waiting that still find none. */
 #include "cases/waiting.h"
 #include "fleet.h"
 
 #define ROUNDS 5
-#define REPORTS 20 /* in a round */
+#define HEARTBEATS 20 /* in a round */
 #define TASKS 8
 #define PAUSE_S 0.2 /* longer than the shortest time between passes */
 
-/* The machine's next report says that a task is done. */
+/* The machine's next heartbeat says that a task is done. */
 static void report_done(tw_bench_fleet *fleet, int machine, tw_bench_meter *meter) {
     tw_bench_fleet_end_task(fleet, machine);
     tw_bench_fleet_measure(fleet, meter);
@@ -21,8 +21,8 @@
     tw_bench_fleet_settle(fleet);
 }
 
-/* Two machines with tasks of different jobs: the first one's report brings the pass about, so that
- * none is due with the second's. */
+/* Two machines with tasks of different jobs: the first one's heartbeat brings the pass about, so
+ * that none is due with the second's. */
 static void change(tw_bench_fleet *fleet, int number, int machines, tw_bench_meter *meter) {
     pause(fleet);
     report_done(fleet, number % machines, NULL);
@@ -39,8 +39,9 @@
     result.tasks = load.tasks;
     for (int i = 0; i < ROUNDS; i++) {
         tw_bench_meter meter = {.kinds = TW_BENCH_HEARTBEAT};
-        for (int k = 0; k < REPORTS; k++) change(fleet, i * REPORTS + k, load.machines, &meter);
-        tw_bench_result_round(&result, &meter, REPORTS);
+        for (int k = 0; k < HEARTBEATS; k++)
+            change(fleet, i * HEARTBEATS + k, load.machines, &meter);
+        tw_bench_result_round(&result, &meter, HEARTBEATS);
     }
     tw_bench_results_add(results, &result);
     tw_bench_fleet_free(fleet);
@@ -56,11 +57,11 @@
     result.jobs = load->waiting;
     for (int i = 0; i < ROUNDS; i++) {
         tw_bench_meter meter = {.kinds = TW_BENCH_HEARTBEAT};
-        for (int k = 0; k < REPORTS; k++) {
+        for (int k = 0; k < HEARTBEATS; k++) {
             pause(fleet);
-            report_done(fleet, (i * REPORTS + k) % load->machines, &meter);
+            report_done(fleet, (i * HEARTBEATS + k) % load->machines, &meter);
         }
-        tw_bench_result_round(&result, &meter, REPORTS);
+        tw_bench_result_round(&result, &meter, HEARTBEATS);
     }
     tw_bench_results_add(results, &result);
     tw_bench_fleet_free(fleet);
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -11,10 +11,10 @@
 #define STEADY_START 1000.0
 #define WALL_START 1e9
 #define PEERS_EVERY_S 1.0
-#define SETTLED_S 0.05        /* answers on their way come within that time */
-#define LONGEST_START_S 1e4   /* with the largest number of records */
-#define KNOWN_AFTER_REPORTS 3 /* each machine has said that it knows the leader's token */
-#define WORST_S 1.0           /* before a turned away submission comes again, if no time was told */
+#define SETTLED_S 0.05           /* answers on their way come within that time */
+#define LONGEST_START_S 1e4      /* with the largest number of records */
+#define KNOWN_AFTER_HEARTBEATS 3 /* each machine has said that it knows the leader's token */
+#define WORST_S 1.0 /* before a turned away submission comes again, if no time was told */
 
 /* An input to the core. */
 typedef struct {
@@ -264,7 +264,7 @@
     answer_until(fleet, until);
 }
 
-static void reports_until(tw_bench_fleet *fleet, double until) {
+static void send_heartbeats_until(tw_bench_fleet *fleet, double until) {
     while (fleet->load.machines && fleet->next_heartbeat <= until) {
         if (fleet->next_heartbeat > fleet->now) fleet->now = fleet->next_heartbeat;
         answer_until(fleet, fleet->now);
@@ -276,7 +276,7 @@
 
 /* All but ticks, up to a time. */
 static void play_until(tw_bench_fleet *fleet, double until) {
-    reports_until(fleet, until);
+    send_heartbeats_until(fleet, until);
     answer_until(fleet, until);
     fleet->now = fmax(fleet->now, until);
     if (fleet->now >= fleet->next_peer_heartbeats) {
@@ -310,7 +310,7 @@
     fleet->core = tw_core_new(&fleet->conf, SEED, fleet->now, WALL_START + fleet->now);
     while (!load->follower && !fleet->all_read && fleet->now < latest)
         tw_bench_fleet_advance(fleet, tw_core_tick_s(fleet->core));
-    tw_bench_fleet_advance(fleet, KNOWN_AFTER_REPORTS * TW_BENCH_HEARTBEAT_S);
+    tw_bench_fleet_advance(fleet, KNOWN_AFTER_HEARTBEATS * TW_BENCH_HEARTBEAT_S);
     if (load->follower) return 0;
     if (fleet->records != tw_bench_jobs_kept(load) || fleet->returned) return -1;
     return tw_bench_fleet_running(fleet) == load->machines * load->tasks ? 0 : -1;
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -2,7 +2,7 @@
  * other nodes and the workers, as simply as possible, in made-up time. The node finds its jobs in
  * the state service, as any new leader does: that makes a fleet of any size without placing it.
  *
- * Job numbers: finished ones first, then those that run, then those that wait, then what is
+ * Job numbers: completed ones first, then those that run, then those that wait, then what is
  * submitted later. A running job has up to TW_BENCH_TASKS_PER_JOB tasks, each on another machine.
  * Machines stand in zones a and b in turn; at a follower, all in its own. */
 #ifndef TW_BENCH_FLEET_H
@@ -35,27 +35,27 @@
 /* A fleet with the node, started; NULL: it doesn't come to that state. */
 tw_bench_fleet *tw_bench_fleet_ready(const tw_bench_load *load);
 
-/* Plays so many seconds: ticks, answers, reports, messages of the other nodes. */
+/* Plays so many seconds: ticks, answers, heartbeats, messages of the other nodes. */
 void tw_bench_fleet_advance(tw_bench_fleet *fleet, double seconds);
 /* The same, but with a single tick at the end. */
 void tw_bench_fleet_tick_after(tw_bench_fleet *fleet, double seconds);
 /* Answers what the node has asked so far, and what it asks then. */
 void tw_bench_fleet_settle(tw_bench_fleet *fleet);
 
-/* The machine reports now. */
+/* The machine sends a heartbeat now. */
 void tw_bench_fleet_send_heartbeat(tw_bench_fleet *fleet, int machine);
-/* From now on it reports its first task that runs as done. */
+/* From now on its heartbeats say that its first task that runs is done. */
 void tw_bench_fleet_end_task(tw_bench_fleet *fleet, int machine);
 /* A user submits a batch job of one task with one core; its number. */
 int tw_bench_fleet_submit(tw_bench_fleet *fleet);
 
-/* Submissions accepted so far; turned away ones are submitted again when told. */
+/* Submissions accepted so far; rejected ones are submitted again when that is due. */
 int tw_bench_fleet_accepted(const tw_bench_fleet *fleet);
-/* Records that the node has read; machines that got an answer to a report. */
+/* Records that the node has read; machines that got an answer to a heartbeat. */
 int tw_bench_fleet_records(const tw_bench_fleet *fleet);
 /* Tasks that are on machines. */
 int tw_bench_fleet_running(const tw_bench_fleet *fleet);
-/* Machines that the node gave back: none, as the fleet is made. */
+/* Machines that the node has returned: none, as the fleet is made. */
 int tw_bench_fleet_returned(const tw_bench_fleet *fleet);
 
 #endif
--- a/bench/fleet_int.h
+++ b/bench/fleet_int.h
@@ -58,7 +58,7 @@
     double now;
     double next_tick;
     double next_heartbeat;
-    int next_worker; /* machine whose report is due next */
+    int next_worker; /* machine whose heartbeat is due next */
     double next_peer_heartbeats;
     uint64_t requests;
     uint64_t revision;
@@ -66,7 +66,7 @@
     tw_bench_pending *pending;
     tw_bench_submission *submissions;
     tw_bench_worker *workers;
-    uint64_t heartbeat_request; /* request of the report on its way, and its machine */
+    uint64_t heartbeat_request; /* request of the heartbeat on its way, and its machine */
     int heartbeat_worker;
     int submitted;
     int accepted;
@@ -102,9 +102,9 @@
 
 void tw_bench_workers_init(tw_bench_fleet *fleet);
 void tw_bench_workers_free(tw_bench_fleet *fleet);
-/* The next report of a machine. Free the text. */
+/* The next heartbeat of a machine. Free the text. */
 char *tw_bench_worker_heartbeat(tw_bench_fleet *fleet, int machine);
-/* Carries out commands: the body of a report's answer or of direct orders. */
+/* Carries out commands: the body of a heartbeat's answer or of direct commands. */
 void tw_bench_worker_execute(tw_bench_fleet *fleet, int machine, const char *body);
 
 #endif
--- a/bench/workers.c
+++ b/bench/workers.c
@@ -1,4 +1,4 @@
-/* The workers of a made-up fleet: what they report and how they carry out commands. */
+/* The workers of a made-up fleet: their heartbeats and how they carry out commands. */
 #include "fleet_int.h"
 #include <cjson/cJSON.h>
 #include <stdbool.h>
--- a/fuzz/dice.c
+++ b/fuzz/dice.c
@@ -20,7 +20,7 @@
     return tw_fuzz_dice_range(dice, 1, 100) <= percent;
 }
 
-int tw_fuzz_dice_half(tw_fuzz_dice *dice) { return tw_fuzz_dice_range(dice, 0, 1); }
+bool tw_fuzz_dice_half(tw_fuzz_dice *dice) { return tw_fuzz_dice_range(dice, 0, 1) == 1; }
 
 int tw_fuzz_dice_one_of(tw_fuzz_dice *dice, const int *numbers, size_t count) {
     return numbers[tw_fuzz_dice_range(dice, 0, (int)count - 1)];
--- a/fuzz/dice.h
+++ b/fuzz/dice.h
@@ -14,9 +14,10 @@
 void tw_fuzz_dice_free(tw_fuzz_dice *dice);
 /* One of least ... most, each as likely. */
 int tw_fuzz_dice_range(tw_fuzz_dice *dice, int least, int most);
-/* 1 in so many percent of cases. */
+/* True in so many percent of cases. */
 bool tw_fuzz_dice_percent(tw_fuzz_dice *dice, int percent);
-int tw_fuzz_dice_half(tw_fuzz_dice *dice);
+/* True in half of the cases. */
+bool tw_fuzz_dice_half(tw_fuzz_dice *dice);
 /* One of the numbers. */
 int tw_fuzz_dice_one_of(tw_fuzz_dice *dice, const int *numbers, size_t count);
 /* An index, as likely as its weight. */
--- a/fuzz/draw_fleet.c
+++ b/fuzz/draw_fleet.c
@@ -1,10 +1,11 @@
-/* The fleet of a day: nodes and zones, settings, racks, teams and the machines that are up. */
+/* The fleet of a day: nodes and zones, settings, machine types, teams and the machines that are up.
+ */
 #include "plan.h"
 
 /* Shares in percent. */
 enum { USUAL_SETTINGS = 40, TIGHT_TEAMS = 50, WRITE_LIMITS = 12, OBJECTIVES = 20, SPOT = 25 };
 /* Percent of a worker's lease: how long the leader's key lives by the settings; the time between
- * reports. */
+ * heartbeats. */
 enum { ELECTION_PERCENT = 12, USUAL_HEARTBEAT = 15 };
 
 static void draw_nodes(tw_fuzz_plan *plan) {
@@ -26,7 +27,7 @@
     tw_fuzz_day_add(plan->day, "set cancel %s", tw_fuzz_seconds_of(plan->cancel).text);
 }
 
-/* Leases are short, so that a day in which one lapses is short; the rest are ratios of them. */
+/* Leases are short, so that a day in which one expires is short; the rest are ratios of them. */
 void tw_fuzz_draw_leases(tw_fuzz_plan *plan) {
     tw_fuzz_dice *dice = &plan->dice;
     plan->lease = 10 * TW_FUZZ_SECOND;
--- a/fuzz/draw_promise.c
+++ b/fuzz/draw_promise.c
@@ -1,4 +1,4 @@
-/* Days of one trouble that the service promises to bear: nothing is lost, started again or left
+/* Days of one trouble that the service guarantees to bear: nothing is lost, started again or left
  * waiting, though it would be if nobody took care. The rules say nothing of that, so the day itself
  * says what must hold. */
 #include "plan.h"
@@ -125,7 +125,7 @@
 }
 
 /* A worker waits some seconds for an answer before it tries another node: next to these, a lease of
- * half a minute is long, and a trouble that costs each worker an unanswered report costs no
+ * half a minute is long, and a trouble that costs each worker an unanswered heartbeat costs no
  * machine. */
 enum { ANY_LEASE, LONG_LEASE };
 
--- a/fuzz/draw_successors.c
+++ b/fuzz/draw_successors.c
@@ -1,12 +1,12 @@
 /* Troubles with messages that are old or come twice: those in which a leader has old news from
- * before a predecessor's last deeds: copies of reports of several sessions that wait for it, while
- * the machines themselves are silent; and a node that stands still between deciding and sending, so
- * that what it sends is old. */
+ * before a predecessor's last deeds: copies of heartbeats of several incarnations that are held for
+ * it, while the machines themselves are silent; and a node that stands still between deciding and
+ * sending, so that what it sends is old. */
 #include "plan.h"
 
 /* Hundredths of a second. */
 enum {
-    LAST_COPIES_MIN = 50, /* how long copies are made in the new session */
+    LAST_COPIES_MIN = 50, /* how long copies are made in the new incarnation */
     LAST_COPIES_MAX = 300,
     LAUNCHED_MIN = 100, /* from a job's submission to the end of its leader */
     LAUNCHED_MAX = 400,
@@ -20,8 +20,8 @@
     return tw_fuzz_seconds_of(tw_fuzz_dice_range(&plan->dice, least, most));
 }
 
-/* All sessions end, and copies from before and after reach the leader after the next one: it has
- * the machines' news only through them, for they hang. */
+/* All incarnations end, and copies from before and after reach the leader after the next one: it
+ * has the machines' news only through them, for they hang. */
 static void draw_incarnations(tw_fuzz_plan *plan) {
     tw_fuzz_dice *dice = &plan->dice;
     int when = tw_fuzz_draw_moment_near(plan, tw_fuzz_draw_anchor(plan));
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -1,4 +1,4 @@
-/* A search for days that break a rule. A day is text in the scenario language
+/* Looks for days that break a rule. A day is text in the scenario language
  * (tests/scenarios/README.md): one seed draws one day, the simulated world plays and judges it, and
  * a day that breaks a rule is shrunk while the same rule still breaks. Draws use whole numbers
  * only, so that a seed gives the same day on any machine. Nothing here prints or reads a clock. */
@@ -77,8 +77,8 @@
 unsigned tw_fuzz_pool_busy(const tw_fuzz_pool *pool);
 /* Gives an idle worker a seed to play, or to play and shrink. */
 void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, bool shrink);
-/* Waits for a result for at most so long: 1 with a result, 0 without one (also after a signal). */
-int tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result);
+/* Waits for a result for at most so long; false: there is none (also after a signal). */
+bool tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result);
 /* Ends the workers, whatever they do. */
 void tw_fuzz_pool_free(tw_fuzz_pool *pool);
 
--- a/fuzz/plan.h
+++ b/fuzz/plan.h
@@ -1,5 +1,8 @@
-/* What the parts of a draw share. All times are whole hundredths of a second, so that no number of
- * a day depends on how a machine rounds. */
+/* What the parts of a draw share.
+ *
+ * Invariants: all times are whole hundredths of a second, so that no number of a day depends on how
+ * a machine rounds; each part draws from the plan's dice in a fixed order, and parts that came
+ * later draw last, so that the days of a seed stay as they were. */
 #ifndef TW_FUZZ_PLAN_H
 #define TW_FUZZ_PLAN_H
 #include "dice.h"
@@ -48,7 +51,7 @@
 const char *tw_fuzz_draw_zone(tw_fuzz_plan *plan);
 
 /* The parts of a draw. */
-/* Adds the lines that set lease, report and cancellation. */
+/* Adds the lines that set the lease and the times of heartbeats and cancellations. */
 void tw_fuzz_add_settings(tw_fuzz_plan *plan);
 void tw_fuzz_draw_leases(tw_fuzz_plan *plan);
 void tw_fuzz_draw_fleet(tw_fuzz_plan *plan);
--- a/fuzz/pool.c
+++ b/fuzz/pool.c
@@ -167,7 +167,7 @@
     if (start_worker(from, pool)) *from = pool->workers[--pool->count];
 }
 
-int tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result) {
+bool tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result) {
     struct pollfd waiting[pool->count];
     unsigned of[pool->count], count = 0;
     for (unsigned i = 0; i < pool->count; i++) {
@@ -175,13 +175,13 @@
         waiting[count] = (struct pollfd){.fd = pool->workers[i].results, .events = POLLIN};
         of[count++] = i;
     }
-    if (!count || poll(waiting, count, milliseconds) <= 0) return 0;
+    if (!count || poll(waiting, count, milliseconds) <= 0) return false;
     for (unsigned i = 0; i < count; i++) {
         if (!waiting[i].revents) continue;
         take_result(pool, &pool->workers[of[i]], result);
-        return 1;
+        return true;
     }
-    return 0;
+    return false;
 }
 
 void tw_fuzz_pool_free(tw_fuzz_pool *pool) {
--- a/fuzz/shrink.c
+++ b/fuzz/shrink.c
@@ -17,20 +17,20 @@
     tw_simulator_verdict verdict;
 } shrinking;
 
-static int breaks_rule(shrinking *state, const tw_fuzz_day *day) {
+static bool breaks_rule(shrinking *state, const tw_fuzz_day *day) {
     tw_simulator_verdict verdict;
-    if (state->plays >= state->plays_max) return 0;
+    if (state->plays >= state->plays_max) return false;
     state->plays++;
     tw_fuzz_play_apart(day, &verdict); /* a day with less in it may end its process */
-    if (!verdict.failed || strcmp(verdict.rule, state->rule) != 0) return 0;
+    if (!verdict.failed || strcmp(verdict.rule, state->rule) != 0) return false;
     state->verdict = verdict;
-    return 1;
+    return true;
 }
 
 /* Takes the candidate instead of the day if it still breaks the rule; frees what is not kept. */
-static int keep_if_it_breaks(shrinking *state, tw_fuzz_day *candidate) {
+static bool keep_if_it_breaks(shrinking *state, tw_fuzz_day *candidate) {
     tw_fuzz_day *loser = candidate;
-    const int kept = breaks_rule(state, candidate);
+    const bool kept = breaks_rule(state, candidate);
     if (kept) {
         const tw_fuzz_day smaller = *candidate;
         *candidate = *state->day;
@@ -62,24 +62,24 @@
     return dropped;
 }
 
-static int try_line(shrinking *state, size_t index, const char *line) {
+static bool try_line(shrinking *state, size_t index, const char *line) {
     tw_fuzz_day candidate = {0};
-    if (!strcmp(line, state->day->lines[index])) return 0;
+    if (!strcmp(line, state->day->lines[index])) return false;
     for (size_t i = 0; i < state->day->count; i++)
         tw_fuzz_day_add(&candidate, "%s", i == index ? line : state->day->lines[i]);
     tw_fuzz_day_sort(&candidate);
     return keep_if_it_breaks(state, &candidate);
 }
 
-/* The day ends as soon as the rule is broken. */
-static int end_early(shrinking *state) {
+/* Tries to end the day as soon as the rule is broken. */
+static bool end_early(shrinking *state) {
     char line[64];
     const size_t last = state->day->count - 1;
-    if (!tw_fuzz_line_is(state->day->lines[last], "end ")) return 0;
+    if (!tw_fuzz_line_is(state->day->lines[last], "end ")) return false;
     const int end_s = (int)state->verdict.end_s + 1;
     if (state->verdict.end_s <= 0 ||
         100L * end_s >= tw_fuzz_line_hundredths(state->day->lines[last] + 4))
-        return 0;
+        return false;
     snprintf(line, sizeof line, "end %d", end_s);
     return try_line(state, last, line);
 }
@@ -89,16 +89,16 @@
 }
 
 /* A line with `length` characters from `at` on replaced. */
-static int try_words(shrinking *state, size_t index, size_t at, size_t length,
-                     const char *instead) {
+static bool try_words(shrinking *state, size_t index, size_t at, size_t length,
+                      const char *instead) {
     char line[LINE_SIZE];
     const char *old = state->day->lines[index];
     snprintf(line, sizeof line, "%.*s%s%s", (int)at, old, instead, old + at + length);
     return try_line(state, index, line);
 }
 
-/* A number gets smaller: the least that still does, of some. */
-static int shrink_number(shrinking *state, size_t index, size_t at, size_t length) {
+/* Tries smaller numbers in place of this one, the smallest first. */
+static bool shrink_number(shrinking *state, size_t index, size_t at, size_t length) {
     char instead[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
     const bool whole = !memchr(word, '.', length);
@@ -112,12 +112,12 @@
             snprintf(instead, sizeof instead, "%ld", shorter / 100);
         else
             snprintf(instead, sizeof instead, "%ld.%02ld", shorter / 100, shorter % 100);
-        if (try_words(state, index, at, length, instead)) return 1;
+        if (try_words(state, index, at, length, instead)) return true;
     }
-    return 0;
+    return false;
 }
 
-/* A duration is rounded to a second or a tenth. */
+/* Tries to round a duration down to whole seconds, then to tenths. */
 static bool round_number(shrinking *state, size_t index, size_t at, size_t length) {
     char instead[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
@@ -130,13 +130,13 @@
     return value >= 10 && try_words(state, index, at, length, instead);
 }
 
-/* `key=value` of a line goes, or its number gets smaller. */
-static int shrink_option(shrinking *state, size_t index, size_t at, size_t length) {
+/* Tries to drop `key=value` from a line, or to make its number smaller. */
+static bool shrink_option(shrinking *state, size_t index, size_t at, size_t length) {
     const char *word = state->day->lines[index] + at;
     const char *equals = memchr(word, '=', length);
     const size_t key = (size_t)(equals - word) + 1;
-    if (try_words(state, index, at - 1, length + 1, "")) return 1;
-    if (!has_digits_only(word + key, length - key)) return 0;
+    if (try_words(state, index, at - 1, length + 1, "")) return true;
+    if (!has_digits_only(word + key, length - key)) return false;
     return shrink_number(state, index, at + key, length - key);
 }
 
@@ -144,7 +144,7 @@
     const char *word = state->day->lines[index] + at;
     if (memchr(word, '=', length)) return shrink_option(state, index, at, length);
     if (!has_digits_only(word, length)) return false;
-    const int changed = shrink_number(state, index, at, length);
+    const bool changed = shrink_number(state, index, at, length);
     if (changed) return true;
     return round_number(state, index, at, length);
 }
@@ -172,8 +172,8 @@
     return changed;
 }
 
-/* Everything from a moment on comes so much earlier. */
-static int try_earlier(shrinking *state, long moment, long by) {
+/* Tries the day in which everything from a moment on happens that much earlier. */
+static bool try_earlier(shrinking *state, long moment, long by) {
     tw_fuzz_day candidate = {0};
     for (size_t i = 0; i < state->day->count; i++) {
         const char *line = state->day->lines[i], *rest = line + 3;
@@ -189,7 +189,7 @@
     return keep_if_it_breaks(state, &candidate);
 }
 
-/* Gaps between moments close: whole, by half, by a second. */
+/* Tries to close the gaps between moments: wholly, by half, by a quarter, by a second. */
 static int close_gaps(shrinking *state) {
     int changed = 0;
     long before = 100L * FIRST_S;
--- a/simulator/cloud.c
+++ b/simulator/cloud.c
@@ -120,7 +120,7 @@
         return TW_SIMULATOR_MALFORMED;
     for (int i = 0; i < count; i++) {
         tw_simulator_worker *worker = tw_simulator_worker_by_id(world, names[i]);
-        if (worker) worker->gone = 1;
+        if (worker) worker->gone = true;
     }
     free(names);
     return TW_SIMULATOR_OK;
--- a/simulator/command.c
+++ b/simulator/command.c
@@ -61,7 +61,7 @@
     read_job_spec(&job->spec, words);
     job->run_s = tw_simulator_option_number(words, "run", job->spec.expected_run_s);
     job->fails = (int)tw_simulator_option_number(words, "fails", 0);
-    job->submitted = 1;
+    job->submitted = true;
     job->done =
         tw_simulator_allocate((size_t)(job->spec.task_count > 0 ? job->spec.task_count : 1));
     job->first_try = sim->world.now;
--- a/simulator/event.c
+++ b/simulator/event.c
@@ -1,4 +1,4 @@
-/* Events: a heap by time, then by order of coming. */
+/* The queue of events: a binary heap, by time and then by the order of scheduling. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
--- a/simulator/expect.c
+++ b/simulator/expect.c
@@ -18,15 +18,15 @@
            (!*most || value <= tw_simulator_parse_number(most));
 }
 
-static int is_done(expectation *expected) {
+static bool is_done(expectation *expected) {
     return expected->job && expected->job->told_over == TW_JOB_DONE;
 }
-static int is_cancelled(expectation *expected) {
+static bool is_cancelled(expectation *expected) {
     return expected->job && expected->job->told_over == TW_JOB_CANCELLED;
 }
-static int is_accepted(expectation *expected) { return expected->job && expected->job->accepted; }
+static bool is_accepted(expectation *expected) { return expected->job && expected->job->accepted; }
 
-static int is_refused(expectation *expected) {
+static bool is_refused(expectation *expected) {
     int status = expected->job ? expected->job->last_status : -1;
     snprintf(expected->got, sizeof expected->got, "status %d", status);
     return expected->job && !expected->job->accepted &&
@@ -34,25 +34,25 @@
 }
 
 /* The last answer to a cancellation. */
-static int cancel_answered(expectation *expected) {
+static bool cancel_answered(expectation *expected) {
     int status = expected->job ? expected->job->cancel_status : -1;
     snprintf(expected->got, sizeof expected->got, "status %d", status);
     return status == tw_simulator_parse_int(expected->arguments[1]);
 }
 
-static int starts(expectation *expected) {
+static bool starts(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->started : -1, expected->arguments[1],
                     expected->arguments[2]);
 }
 
-static int running(expectation *expected) {
+static bool running(expectation *expected) {
     return in_range(expected,
                     tw_simulator_job_tasks_running(&expected->sim->world, expected->arguments[0]),
                     expected->arguments[1], expected->arguments[2]);
 }
 
 /* Tasks of a gang that wait for the others. */
-static int waiting(expectation *expected) {
+static bool waiting(expectation *expected) {
     return in_range(expected,
                     tw_simulator_job_tasks_in_stage(&expected->sim->world, expected->arguments[0],
                                                     TW_TASK_WAITING),
@@ -60,33 +60,33 @@
 }
 
 /* How often all tasks of a gang began together, and under how many attempts some came. */
-static int gang_starts(expectation *expected) {
+static bool gang_starts(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_starts : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
-static int attempts(expectation *expected) {
+static bool attempts(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_count : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
 
 /* A gang's progress that is safe, in seconds. */
-static int saved(expectation *expected) {
+static bool saved(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_saved_s : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
 
 /* How many tasks of a job ended with a cause. */
-static int exits(expectation *expected) {
+static bool exits(expectation *expected) {
     int cause = TW_CAUSE_DONE;
     while (cause < TW_CAUSE_OTHER &&
            strcmp(tw_simulator_causes[cause], expected->arguments[1]) != 0)
         cause++;
-    if (!expected->job || cause == TW_CAUSE_OTHER) return 0;
+    if (!expected->job || cause == TW_CAUSE_OTHER) return false;
     return in_range(expected, expected->job->exits[cause], expected->arguments[2],
                     expected->arguments[3]);
 }
 
-static int machines(expectation *expected) {
+static bool machines(expectation *expected) {
     int count = 0;
     for (int i = 0; i < expected->sim->world.worker_count; i++)
         count += !expected->sim->world.workers[i]->gone;
@@ -98,20 +98,20 @@
     return i >= 0 && i < expected->sim->world.worker_count ? expected->sim->world.workers[i] : NULL;
 }
 
-static int is_gone(expectation *expected) {
+static bool is_gone(expectation *expected) {
     return find_machine(expected) && find_machine(expected)->gone;
 }
 
-static int is_in_incarnation(expectation *expected) {
+static bool is_in_incarnation(expectation *expected) {
     return in_range(expected,
                     find_machine(expected) ? (double)find_machine(expected)->incarnation : -1,
                     expected->arguments[1], expected->arguments[1]);
 }
 
-static int has_leader(expectation *expected) { return tw_simulator_leader(expected->sim) >= 0; }
+static bool has_leader(expectation *expected) { return tw_simulator_leader(expected->sim) >= 0; }
 
 /* Of the node that leads, since it started. */
-static int steps(expectation *expected) {
+static bool steps(expectation *expected) {
     int leader = tw_simulator_leader(expected->sim);
     tw_simulator_controller *controller =
         leader < 0 ? NULL : expected->sim->nodes[leader].controller;
@@ -120,7 +120,7 @@
 }
 
 /* How many nodes start with the earlier version. */
-static int old_nodes(expectation *expected) {
+static bool old_nodes(expectation *expected) {
     int count = 0;
     for (int i = 0; i < expected->sim->world.node_count; i++)
         count += expected->sim->nodes[i].earlier_version;
@@ -128,16 +128,16 @@
 }
 
 /* Whether the node that leads is of the `old` or of the `new` version. */
-static int leader_version(expectation *expected) {
+static bool leader_version(expectation *expected) {
     int leader = tw_simulator_leader(expected->sim);
-    if (leader < 0) return 0;
+    if (leader < 0) return false;
     snprintf(expected->got, sizeof expected->got, "%s",
              expected->sim->nodes[leader].earlier_version ? "old" : "new");
     return !strcmp(expected->got, expected->arguments[0]);
 }
 
 /* How often a trouble struck. */
-static int struck(expectation *expected) {
+static bool struck(expectation *expected) {
     static const char *const names[TW_SIMULATOR_TROUBLE_KINDS] = {
         "latewrites",   "lostwrites",  "lateheartbeats", "mute",       "unresponsive",
         "latecommands", "cutstate",    "slownode",       "latesends",  "repeatcommands",
@@ -146,17 +146,17 @@
         if (tw_simulator_is_command(expected->arguments[0], names[i]))
             return in_range(expected, expected->sim->strike_counts[i], expected->arguments[1],
                             expected->arguments[2]);
-    return 0;
+    return false;
 }
 
 /* Transactions that the state service refused for their size. */
-static int too_large(expectation *expected) {
+static bool too_large(expectation *expected) {
     return in_range(expected, expected->sim->world.state.too_large_count, expected->arguments[0],
                     expected->arguments[1]);
 }
 
 /* Keys with this prefix in the state service. */
-static int keys(expectation *expected) {
+static bool keys(expectation *expected) {
     const tw_simulator_state *state = &expected->sim->world.state;
     int count = 0;
     for (size_t i = 0; i < state->key_count; i++)
@@ -167,7 +167,7 @@
 
 static const struct {
     const char *name;
-    int (*holds)(expectation *x);
+    bool (*holds)(expectation *x);
 } kinds[] = {{"done", is_done},
              {"cancelled", is_cancelled},
              {"accepted", is_accepted},
@@ -194,7 +194,7 @@
 void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words) {
     expectation expected = {.sim = sim, .arguments = {"", "", "", ""}};
     char text[TW_SIMULATOR_MESSAGE];
-    int holds = 0;
+    bool holds = false;
     for (int i = 0; i < 4 && i + 2 < words->count; i++) expected.arguments[i] = words->words[i + 2];
     expected.job = tw_simulator_job_find(&sim->world, expected.arguments[0]);
     for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++)
--- a/simulator/judge.c
+++ b/simulator/judge.c
@@ -1,4 +1,5 @@
-/* The judge: the rules of the protocol, looked at from outside the controllers. */
+/* The judge: it checks the rules of the protocol from outside the controllers, by what tasks run on
+ * machines and what users are told. */
 #include "world.h"
 #include <stdarg.h>
 #include <stdbool.h>
@@ -108,10 +109,10 @@
 
 /* Whether an answer that contradicts what was told at `told` is older than it, or only crossed
  * it. */
-static int is_older(tw_simulator_world *world, double sent, double told) {
-    if (sent > told) return 1;
+static bool is_older(tw_simulator_world *world, double sent, double told) {
+    if (sent > told) return true;
     world->crossings++;
-    return 0;
+    return false;
 }
 
 /* A job that was accepted is refused or not known. */
@@ -163,11 +164,11 @@
     const char *said = tw_simulator_json_text(o, "stage");
     job->answered_at = world->now;
     if (!job->accepted) job->accepted_at = world->now;
-    job->accepted = 1;
+    job->accepted = true;
     int stage = !strcmp(said, "done")      ? TW_JOB_DONE
                 : !strcmp(said, "aborted") ? TW_JOB_CANCELLED
                                            : 0;
-    /* Two ends of one job contradict each other in whatever order they are told. */
+    /* Two final states of one job contradict each other, in whatever order they are told. */
     bool other_end = stage && job->told_over && stage != job->told_over;
     if (other_end || (!stage && job->told_over && is_older(world, sent, job->told_over_at)))
         tw_simulator_rule_broken(world, "went_back", "%s is called %s", id, said);
--- a/simulator/judge_live.c
+++ b/simulator/judge_live.c
@@ -219,14 +219,14 @@
 }
 
 /* The first that counts of its class or team. */
-static int is_first(const tw_simulator_world *world, const tw_simulator_job *job, bool by_team) {
+static bool is_first(const tw_simulator_world *world, const tw_simulator_job *job, bool by_team) {
     for (int i = 0; i < job->index; i++) {
         const tw_wire_job *a = &world->jobs[i]->spec, *b = &job->spec;
         if (counts(world, world->jobs[i]) &&
             !strcmp(by_team ? a->team : a->job_class, by_team ? b->team : b->job_class))
-            return 0;
+            return false;
     }
-    return 1;
+    return true;
 }
 
 static job_group largest_of(const tw_simulator_world *world, const char *class) {
--- a/simulator/network.c
+++ b/simulator/network.c
@@ -160,28 +160,28 @@
 }
 
 /* Whether the state service's limit of requests allows one more. */
-static int allows_request(tw_simulator *sim) {
+static bool allows_request(tw_simulator *sim) {
     double now = sim->world.now;
     sim->request_tokens = fmin(sim->rps, sim->request_tokens + (now - sim->requests_at) * sim->rps);
     sim->requests_at = now;
-    if (--sim->request_tokens >= 0) return 1;
+    if (--sim->request_tokens >= 0) return true;
     sim->request_tokens = 0;
-    return 0;
+    return false;
 }
 
 /* Whether a transaction's answer gets lost; it may be carried out late, too. */
-static int strike_transaction(tw_simulator *sim, double *latency) {
+static bool strike_transaction(tw_simulator *sim, double *latency) {
     tw_simulator_troubles *troubles = &sim->trouble;
     if (troubles->late_txn_s > 0) {
         *latency = troubles->late_txn_s;
         troubles->late_txn_s = 0;
-        return 1;
+        return true;
     }
     if (tw_simulator_trouble_strikes(sim, &troubles->late_writes, TW_SIMULATOR_LATE_WRITES,
                                      TW_SIMULATOR_DRAW_WRITES)) {
         *latency = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_WRITES,
                                      TW_SIMULATOR_HELD_LEAST_S, TW_SIMULATOR_WRITE_HELD_MOST_S);
-        return 1;
+        return true;
     }
     return tw_simulator_trouble_strikes(sim, &troubles->lost_writes, TW_SIMULATOR_LOST_WRITES,
                                         TW_SIMULATOR_DRAW_WRITES);
@@ -210,7 +210,7 @@
     double latency =
         now < sim->trouble.slow_state_until ? sim->trouble.slow_state_s : TW_SIMULATOR_LATENCY;
     if (!strcmp(effect->path, "/txn")) {
-        int lost = strike_transaction(sim, &latency);
+        bool lost = strike_transaction(sim, &latency);
         schedule_arrival(sim, latency, deliver_to_state, node, effect)->kind = lost;
         return;
     }
@@ -237,20 +237,21 @@
 }
 
 /* Whether a direct command is held up: nobody waits for it any more when it is carried out. */
-static int delay_command(tw_simulator *sim, int machine, const tw_effect *effect, double *seconds) {
+static bool delay_command(tw_simulator *sim, int machine, const tw_effect *effect,
+                          double *seconds) {
     tw_simulator_troubles *troubles = &sim->trouble;
     if (troubles->late_commands_to == machine) {
         *seconds = troubles->late_commands_s;
         troubles->late_commands_to = -1;
-        return 1;
+        return true;
     }
     if (strcmp(effect->path, "/orders") != 0 ||
         !tw_simulator_trouble_strikes(sim, &troubles->late_commands, TW_SIMULATOR_LATE_COMMANDS,
                                       TW_SIMULATOR_DRAW_COMMANDS))
-        return 0;
+        return false;
     *seconds = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_COMMANDS, TW_SIMULATOR_HELD_LEAST_S,
                                  TW_SIMULATOR_COMMAND_HELD_MOST_S);
-    return 1;
+    return true;
 }
 
 /* A direct command that is carried out comes once more later; nobody waits for that answer. */
@@ -282,7 +283,7 @@
     if (seconds < 0 || world->now < worker->unresponsive_until ||
         world->now < sim->nodes[node].no_workers_until)
         return;
-    int late = delay_command(sim, to, effect, &seconds);
+    bool late = delay_command(sim, to, effect, &seconds);
     if (!late) repeat_command(sim, node, to, effect);
     tw_simulator_event *event = schedule_arrival(sim, seconds, deliver_command, node, effect);
     event->target = to;
--- a/simulator/node.c
+++ b/simulator/node.c
@@ -60,7 +60,7 @@
     free(connection);
 }
 
-/* A heartbeat, or its answer, as the version before divided records sends it. */
+/* A peer heartbeat, or its answer, as a version that does not read chunked records sends it. */
 static void remove_record_format(char *body) {
     static const char field[] = ",\"recordFormat\":2";
     char *at = body ? strstr(body, field) : NULL;
@@ -240,7 +240,7 @@
     node_state->controller =
         new_controller(sim, node_state->earlier_version, &start, error, error_size);
     if (!node_state->controller) return -1;
-    node_state->alive = 1;
+    node_state->alive = true;
     node_state->generation++;
     tw_simulator_event *event = tw_simulator_schedule_after(sim, FIRST_TICK_S * node, tick_node);
     event->node = node;
@@ -262,7 +262,7 @@
 void tw_simulator_node_kill(tw_simulator *sim, int node) {
     tw_simulator_node *node_state = &sim->nodes[node];
     if (!node_state->alive) return;
-    node_state->alive = 0;
+    node_state->alive = false;
     node_state->still_until = node_state->sends_late_until = 0;
     while (node_state->delayed_effects) {
         tw_effect *effect = node_state->delayed_effects;
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -258,7 +258,7 @@
     if (!command) return fail(error, error_size, "unknown command", words->line);
     if (words->count - 2 < command->min_words)
         return fail(error, error_size, "too few words", words->line);
-    if (!strcmp(command->name, "downgrade")) sim->needs_earlier = 1;
+    if (!strcmp(command->name, "downgrade")) sim->needs_earlier = true;
     const char *rest = words->line;
     for (int i = 0; i < 2; i++) { /* after `at` and the time */
         rest += strspn(rest, SPACE);
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -1,4 +1,13 @@
-/* The parts of a simulation: events, network, controllers, users, scenario language. Internal. */
+/* The parts of a simulation: events, network, nodes, workers, users and the scenario language.
+ * Internal to simulator/.
+ *
+ * Invariants:
+ * - Time passes from event to event only; events of one moment happen in the order in which they
+ *   were scheduled, so that equal lines give equal runs.
+ * - A node that ends gets another generation: what was on its way to or from an earlier generation
+ *   is dropped.
+ * - Every message that users and workers get goes into the digest.
+ * - A text that a function takes as an event's or effect's body is freed by it. */
 #ifndef TW_SIMULATOR_INT_H
 #define TW_SIMULATOR_INT_H
 #include "controller.h"
@@ -9,7 +18,7 @@
 #define TW_SIMULATOR_LATENCY 0.002
 #define TW_SIMULATOR_MAX_WORDS 64
 #define TW_SIMULATOR_POLL_S 5.0
-/* A message that is held up. */
+/* How long messages are held up. */
 #define TW_SIMULATOR_HELD_LEAST_S 2.0
 #define TW_SIMULATOR_WRITE_HELD_MOST_S 12.0
 #define TW_SIMULATOR_COMMAND_HELD_MOST_S 16.0
@@ -32,12 +41,13 @@
 
 typedef struct {
     tw_simulator_controller *controller;
-    int alive, generation;
+    int generation;
+    bool alive;
     bool earlier_version;           /* starts with the earlier version */
     double no_state_until;          /* the state service gives 503 to this node only */
     double no_workers_until;        /* messages from and to workers get lost for it */
     double alone_until;             /* state service and peers hang for it */
-    double old_format_until;        /* its heartbeats say nothing of the records it reads */
+    double old_format_until;        /* its heartbeats do not say which record format it reads */
     double cut_state_until;         /* the state service alone can't be reached */
     bool cut_state_refuses;         /* connections are refused; otherwise they hang */
     double still_from, still_until; /* stands still while its clocks run on */
@@ -57,8 +67,8 @@
     int kind, node;
     int target; /* machine or job; -1: a job that nobody submitted, see `what` */
     int user_kind;
-    int tried_once;                /* not repeated when it fails */
-    int arrived, replied;          /* a user's request: at the node; answered by it */
+    bool tried_once;               /* not repeated when it fails */
+    bool arrived, replied;         /* a user's request: at the node; answered by it */
     int source, source_generation; /* a peer's */
     int wanted;                    /* raw and odd requests: the status it must get */
     double sent;
@@ -67,12 +77,12 @@
     UT_hash_handle hh;
 } tw_simulator_connection;
 
-/* A share of messages is struck until some time. */
+/* A trouble strikes a share of messages until some time. */
 typedef struct {
     double share, until;
 } tw_simulator_message_share;
 
-/* A report kept for the next leader, or for a later one. */
+/* A copy of a heartbeat, held until a new leader or a later one has begun. */
 typedef struct {
     int machine;
     int leaders_until_delivery; /* that begin until it arrives */
@@ -114,7 +124,7 @@
     double late_txn_s;    /* the next transaction is applied that late */
     int late_commands_to; /* the next direct command to this machine; -1: none */
     double late_commands_s;
-    int copy_heartbeat_of; /* the next report of this machine comes again; -1: none */
+    int copy_heartbeat_of; /* the next heartbeat of this machine arrives again; -1: none */
     double copy_heartbeat_s;
     char cut_from[TW_SIMULATOR_NAME], cut_to[TW_SIMULATOR_NAME];
     bool cut_holds; /* messages are delivered at its end */
@@ -131,7 +141,7 @@
     char name[TW_SIMULATOR_TITLE];
     bool quiet, trace;
     const char *earlier_program; /* program of the earlier version (tw_core_server), or NULL */
-    int needs_earlier;           /* a line asks for a node of the earlier version */
+    bool needs_earlier;          /* a line asks for a node of the earlier version */
     tw_simulator_world world;
     tw_simulator_node nodes[TW_SIMULATOR_MAX_NODES];
     tw_simulator_troubles trouble;
@@ -157,8 +167,10 @@
     const char *line; /* all of it */
 } tw_simulator_words;
 
-/* ---- sim.c: messages and digest ---- */
+/* ---- simulator.c: failures and digest ---- */
+/* Counts a line that does not hold, and prints it unless the simulation is quiet. */
 void tw_simulator_fail(tw_simulator *sim, const char *what, const char *detail);
+/* Adds what somebody was told at this moment to the digest. */
 void tw_simulator_digest(tw_simulator *sim, int kind, int who, int status, const char *body);
 
 /* ---- event.c ---- */
@@ -167,10 +179,10 @@
                                                             tw_simulator_event *e));
 tw_simulator_event *tw_simulator_schedule_at(tw_simulator *sim, double at,
                                              void (*act)(tw_simulator *sim, tw_simulator_event *e));
-/* The event that happens now does so again. */
+/* The event that happens now is scheduled once more, instead of being freed. */
 void tw_simulator_reschedule_after(tw_simulator *sim, tw_simulator_event *event, double seconds);
 void tw_simulator_reschedule_at(tw_simulator *sim, tw_simulator_event *event, double at);
-/* NULL: there is none. */
+/* The earliest event, taken out of the queue; NULL: there is none. */
 tw_simulator_event *tw_simulator_next_event(tw_simulator *sim);
 void tw_simulator_event_free(tw_simulator_event *event);
 
@@ -206,13 +218,13 @@
 /* The answer to a call of a node arrives. */
 void tw_simulator_node_response(tw_simulator *sim, tw_simulator_event *event);
 
-/* ---- report.c: workers and their reports ---- */
+/* ---- worker_heartbeat.c: workers and their heartbeats ---- */
 /* All machines, twenty times a second. */
 void tw_simulator_workers_start(tw_simulator *sim);
 void tw_simulator_heartbeat_answered(tw_simulator *sim, const tw_simulator_connection *connection,
                                      const tw_effect *effect);
 
-/* A new leader has begun, or not: reports that were kept for it arrive. */
+/* If a new leader has begun, the heartbeats that were held for it arrive. */
 void tw_simulator_deliver_held_heartbeats(tw_simulator *sim);
 
 /* ---- user.c ---- */
@@ -272,9 +284,9 @@
 extern const tw_simulator_command tw_simulator_upgrade_commands[];
 /* A trouble lasts at least that much longer. */
 void tw_simulator_extend_troubles(tw_simulator *sim, double seconds);
-/* Whether a message is struck; counted. */
-int tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
-                                 int trouble, int draw);
+/* Whether a trouble strikes a message, by a draw of that kind; strikes are counted. */
+bool tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
+                                  int trouble, int draw);
 /* The node begins as one of the earlier version; -1: there is no such node. */
 int tw_simulator_use_earlier_version(tw_simulator *sim, const char *name);
 void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words);
--- a/simulator/state.c
+++ b/simulator/state.c
@@ -1,5 +1,8 @@
-/* Stand-in for the state service: keys in order, versions, transactions, leases, watches, limits.
- */
+/* Stand-in for the state service: a key-value store with versions, transactions with compares,
+ * leases, watches and limits.
+ *
+ * Invariants: `keys` is in ascending order of keys; the revision grows with every change and is the
+ * version of the keys that it changed; the last removals are kept for watches. */
 #include "world.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -134,14 +137,14 @@
 
 /* ---- transactions ---- */
 
-static int allows_writes(tw_simulator_state *state, double now, int count) {
+static bool allows_writes(tw_simulator_state *state, double now, int count) {
     state->write_tokens += (now - state->write_at) * state->limits.write_rps;
     state->write_at = now;
     if (state->write_tokens > state->limits.write_rps)
         state->write_tokens = state->limits.write_rps;
-    if (state->write_tokens < count) return 0;
+    if (state->write_tokens < count) return false;
     state->write_tokens -= count;
-    return 1;
+    return true;
 }
 
 /* Keys whose version isn't as the transaction demands. */
@@ -157,13 +160,13 @@
     return failed;
 }
 
-static int leases_live(const tw_simulator_state *state, const cJSON *changes) {
+static bool leases_live(const tw_simulator_state *state, const cJSON *changes) {
     const cJSON *change;
     cJSON_ArrayForEach(change, changes) {
         uint64_t lease = (uint64_t)tw_simulator_json_number(change, "hold");
-        if (lease && !lease_find(state, lease)) return 0;
+        if (lease && !lease_find(state, lease)) return false;
     }
-    return 1;
+    return true;
 }
 
 static void apply_changes(tw_simulator_state *state, const cJSON *changes) {
@@ -181,12 +184,12 @@
 }
 
 /* Whether the transaction, or a value in it, is larger than the limits allow. */
-static int is_too_large(const tw_simulator_state *state, const char *body, const cJSON *txn) {
+static bool is_too_large(const tw_simulator_state *state, const char *body, const cJSON *txn) {
     const cJSON *changes = cJSON_GetObjectItemCaseSensitive(txn, "apply");
     const cJSON *conditions = cJSON_GetObjectItemCaseSensitive(txn, "if");
     if (strlen(body) > MOST_BYTES || cJSON_GetArraySize(changes) > state->limits.txn_ops ||
         cJSON_GetArraySize(conditions) > CONDITIONS_PER_OP * state->limits.txn_ops)
-        return 1;
+        return true;
     const cJSON *change;
     cJSON_ArrayForEach(change, changes) {
         const cJSON *data = cJSON_GetObjectItemCaseSensitive(change, "data");
@@ -194,9 +197,9 @@
         char *text = cJSON_PrintUnformatted(data);
         const size_t length = strlen(text);
         free(text);
-        if ((double)length > state->limits.value_kb * KB) return 1;
+        if ((double)length > state->limits.value_kb * KB) return true;
     }
-    return 0;
+    return false;
 }
 
 static int carry_out_transaction(tw_simulator_state *state, double now, const char *body,
--- a/simulator/trouble.c
+++ b/simulator/trouble.c
@@ -28,12 +28,12 @@
     world->troubles_end = fmax(world->troubles_end, world->now + seconds);
 }
 
-int tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
-                                 int trouble, int draw) {
-    if (sim->world.now >= share->until) return 0;
-    if (tw_simulator_draw(&sim->world, draw, 0, 1) >= share->share) return 0;
+bool tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
+                                  int trouble, int draw) {
+    if (sim->world.now >= share->until) return false;
+    if (tw_simulator_draw(&sim->world, draw, 0, 1) >= share->share) return false;
     sim->strike_counts[trouble]++;
-    return 1;
+    return true;
 }
 
 /* `NAME SHARE SECONDS`; what is held up arrives after that time still. */
@@ -184,7 +184,7 @@
 
 static void remove_machine(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_worker *worker = find_machine(sim, words);
-    if (worker) worker->gone = 1;
+    if (worker) worker->gone = true;
 }
 
 static void announce_preemption(tw_simulator *sim, const tw_simulator_words *words) {
--- a/simulator/upgrade.c
+++ b/simulator/upgrade.c
@@ -9,7 +9,7 @@
     int i = tw_simulator_node_find(sim, name);
     if (i < 0) return -1;
     sim->nodes[i].earlier_version = true;
-    sim->needs_earlier = 1;
+    sim->needs_earlier = true;
     return 0;
 }
 
--- a/simulator/user.c
+++ b/simulator/user.c
@@ -126,7 +126,7 @@
 
 void tw_simulator_user_answered(tw_simulator *sim, tw_simulator_connection *connection,
                                 tw_effect *effect) {
-    connection->replied = 1;
+    connection->replied = true;
     if (tw_simulator_cut_off(sim, sim->world.node_zone[connection->node])) return;
     tw_simulator_event *event = tw_simulator_schedule_after(sim, draw_travel(sim), receive_answer);
     event->id = connection->id;
@@ -136,7 +136,7 @@
 }
 
 void tw_simulator_user_unanswered(tw_simulator *sim, tw_simulator_connection *connection) {
-    connection->replied = 1;
+    connection->replied = true;
     tw_simulator_schedule_after(sim, TW_SIMULATOR_LATENCY, give_up)->id = connection->id;
 }
 
@@ -151,7 +151,7 @@
         }
         connection->node = node;
     }
-    connection->arrived = 1;
+    connection->arrived = true;
     tw_simulator_node_request(sim, connection->node, TW_PORT_API, connection->id, event->method,
                               event->path, event->body ? event->body : "");
 }
@@ -205,7 +205,7 @@
 
 void tw_simulator_user_send_to(tw_simulator *sim, int index, int kind, int node) {
     if (node < 0) node = tw_simulator_pick_node(sim);
-    if (node >= 0) send_job(sim, index, kind, node)->tried_once = 1;
+    if (node >= 0) send_job(sim, index, kind, node)->tried_once = true;
 }
 
 void tw_simulator_user_cancel(tw_simulator *sim, int index) {
@@ -217,7 +217,7 @@
     int node = tw_simulator_pick_node(sim);
     if (node < 0) return;
     send_request(sim, index, spec->id, TW_SIMULATOR_SUBMIT, node, tw_simulator_job_text(spec))
-        ->tried_once = 1;
+        ->tried_once = true;
 }
 
 void tw_simulator_user_odd(tw_simulator *sim, const char *id, int kind, char *body, int wanted) {
@@ -227,6 +227,6 @@
         return;
     }
     tw_simulator_connection *connection = send_request(sim, -1, id, kind, node, body);
-    connection->tried_once = 1;
+    connection->tried_once = true;
     connection->wanted = wanted;
 }
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -1,4 +1,8 @@
-/* Stand-in for a worker: the tasks of a machine, its reports, leases and commands. */
+/* Stand-in for a worker: the tasks of a machine, its heartbeats, its lease and its commands.
+ *
+ * Invariants: a worker carries out commands only under the highest fencing token that it has seen
+ * and in its own incarnation; when its lease expires it ends all its tasks and begins a new
+ * incarnation. */
 #include "world.h"
 #include <math.h>
 #include <stdbool.h>
@@ -8,9 +12,9 @@
 
 #define NEVER 1e18
 #define FAILS_AFTER_S 0.3      /* a task on a faulty machine, or of a job with a mistake */
-#define REDIRECT_S 0.1         /* until a worker reports to the node it was sent to */
+#define REDIRECT_S 0.1         /* until a redirected worker sends its next heartbeat */
 #define NEXT_NODE_S 1.0        /* until it tries the next node */
-#define CHANGE_HEARTBEAT_S 0.5 /* least time between reports */
+#define CHANGE_HEARTBEAT_S 0.5 /* least time between heartbeats */
 #define EPSILON 1e-6
 
 static const char *const stages[] = {"pulling", "running", "flushing", "exited", "waiting"};
@@ -82,10 +86,10 @@
     return NULL;
 }
 
-static int has_image(const tw_simulator_worker *worker, const char *name) {
+static bool has_image(const tw_simulator_worker *worker, const char *name) {
     for (int i = 0; i < worker->image_count; i++)
-        if (!strcmp(worker->images[i], name)) return 1;
-    return 0;
+        if (!strcmp(worker->images[i], name)) return true;
+    return false;
 }
 
 /* Why a machine refuses to start its newest task; TW_CAUSE_NONE: it doesn't. */
@@ -301,7 +305,7 @@
     if (worker->gone) return;
     if (!worker->up) {
         if (world->now < worker->up_at) return;
-        worker->up = 1;
+        worker->up = true;
         worker->lease_from = world->now;
         worker->next_heartbeat = world->now;
         worker->node = worker->endpoint[strlen("10.1.0.")] % world->node_count;
--- a/simulator/worker_heartbeat.c
+++ b/simulator/worker_heartbeat.c
@@ -1,5 +1,5 @@
-/* Workers in the simulation: they run twenty times a second, and their reports and the answers to
- * these travel over the network. */
+/* Workers in the simulation: they are advanced twenty times a second, and their heartbeats and the
+ * answers to these travel over the simulated network. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -10,7 +10,7 @@
 #define JUDGE_LIVE_S 1.0
 #define ANSWER_TIMEOUT_S 4.0
 #define NEXT_NODE_S 1.0
-#define HELD_SPREAD_S 0.3 /* kept reports arrive within that time */
+#define HELD_SPREAD_S 0.3 /* held heartbeats arrive within that time */
 #define ANY_NODE (-1) /* a late copy: to a node of the worker's zone, or whoever leads by then */
 
 static void deliver_heartbeat(tw_simulator *sim, tw_simulator_event *event) {
@@ -69,7 +69,7 @@
     worker->next_heartbeat = sim->world.now + NEXT_NODE_S;
 }
 
-/* flight: 0 if nobody waits for the answer. */
+/* heartbeat: its number; 0 if nobody waits for the answer. */
 static void schedule_heartbeat(tw_simulator *sim, int machine, int node, double seconds,
                                const char *body, uint64_t heartbeat) {
     tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, deliver_heartbeat);
@@ -97,22 +97,22 @@
     uint64_t version = tw_simulator_state_version(&sim->world.state, "leader");
     if (!version || version == troubles->leader_version) return;
     troubles->leader_version = version;
-    int still_kept = 0;
+    int still_held = 0;
     for (int i = 0; i < troubles->held_heartbeat_count; i++) {
         if (--troubles->held_heartbeats[i].leaders_until_delivery > 0) {
-            troubles->held_heartbeats[still_kept++] = troubles->held_heartbeats[i];
+            troubles->held_heartbeats[still_held++] = troubles->held_heartbeats[i];
             continue;
         }
         for (int count = 0; count < sim->world.node_count; count++)
             schedule_held_heartbeat(sim, &troubles->held_heartbeats[i], count);
         free(troubles->held_heartbeats[i].body);
     }
-    if (still_kept < troubles->held_heartbeat_count)
+    if (still_held < troubles->held_heartbeat_count)
         tw_simulator_extend_troubles(sim, HELD_SPREAD_S);
-    troubles->held_heartbeat_count = still_kept;
+    troubles->held_heartbeat_count = still_held;
 }
 
-/* A copy of a report arrives again much later, at any node, or when a new leader begins. */
+/* A copy of a heartbeat arrives again much later, at any node, or when a new leader has begun. */
 static void copy_heartbeat(tw_simulator *sim, int machine, const char *body) {
     tw_simulator_world *world = &sim->world;
     tw_simulator_troubles *troubles = &sim->trouble;
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -1,6 +1,14 @@
-/* Stand-ins for what is around the controllers: state service, cloud, workers; and the judge of
- * the protocol's rules. They answer requests as text and keep no time of their own, so that the
- * simulation and the end-to-end test over loopback share them. */
+/* The world around the controllers: stand-ins for the state service, the cloud, the workers and the
+ * users' jobs, and the judge of the protocol's rules.
+ *
+ * Invariants:
+ * - Requests come and answers go as text; nothing here knows a network or keeps a clock. Whoever
+ *   uses the world sets `now` (seconds, never decreasing) and carries the messages, so that the
+ *   simulation, the end-to-end test and the soak share it.
+ * - Everything is owned by the tw_simulator_world and freed with it. Workers and jobs are never
+ *   removed and keep their index and address; a machine that is no more is `gone`.
+ * - Only the first broken rule is kept, in `rule` and `detail`.
+ * - Random numbers come from `seed` alone, one stream for each kind of draw. */
 #ifndef TW_SIMULATOR_WORLD_H
 #define TW_SIMULATOR_WORLD_H
 #include "wire/wire.h"
@@ -20,7 +28,7 @@
 #define TW_SIMULATOR_TITLE 160
 #define TW_SIMULATOR_MESSAGE 400
 
-/* What requests are answered. */
+/* HTTP status codes of answers. */
 enum {
     TW_SIMULATOR_OK = 200,
     TW_SIMULATOR_CREATED = 201,
@@ -60,7 +68,7 @@
     uint64_t revision, last_lease;
     tw_simulator_lease *leases;
     int lease_count, lease_capacity;
-    double down_since; /* < 0: up */
+    double down_since; /* since when there is an outage; < 0: there is none */
     double write_tokens, write_at;
     tw_simulator_limits limits;           /* that hold now */
     tw_simulator_limits announced_limits; /* as the nodes' settings have them */
@@ -128,19 +136,20 @@
 typedef struct {
     char id[TW_SIMULATOR_NAME], type[TW_SIMULATOR_NAME], zone[TW_SIMULATOR_NAME],
         endpoint[TW_SIMULATOR_NAME];
-    int spot, type_index, up, gone;
+    int type_index;
+    bool spot, up, gone;
     double rented_at, up_at;
     uint64_t incarnation, sequence, fencing_token;
-    double lease_from;  /* when the last answered report was sent */
-    int node;           /* that it reports to */
-    uint64_t in_flight; /* number of the report that waits for its answer, 0: none */
+    double lease_from;  /* when the last answered heartbeat was sent */
+    int node;           /* the controller that gets its heartbeats */
+    uint64_t in_flight; /* number of the heartbeat that waits for its answer, 0: none */
     bool changed;
     double next_heartbeat, last_heartbeat;
     double hung_until, slowdown, preempted_at;
     double unresponsive_until;     /* answers and direct commands don't arrive */
-    double mute_until;             /* reports reach no controller */
+    double mute_until;             /* its heartbeats reach no controller */
     bool faulty;                   /* every task fails */
-    double delay_next_heartbeat_s; /* the next report comes that much later */
+    double delay_next_heartbeat_s; /* the next heartbeat arrives that much later */
     tw_simulator_task *tasks;
     int task_count, task_capacity;
     char images[TW_SIMULATOR_MAX_IMAGES][TW_SIMULATOR_NAME];
@@ -211,17 +220,18 @@
     char rule[32], detail[512];
 } tw_simulator_world;
 
-/* The number at the start of a text; 0: there is none. */
+/* The number at the start of a text; 0 if there is none. */
 int tw_simulator_parse_int(const char *text);
 double tw_simulator_parse_number(const char *text);
-/* Helpers: abort when memory is out. */
+/* The functions that allocate end the program when there is no memory; free() what they return. */
 char *tw_simulator_copy_text(const char *text);
 void *tw_simulator_allocate(size_t size);
-/* Makes room for one more item in an array. */
+/* Makes room for one more item in an array of so many items of that size: returns the array, which
+ * may have moved, and updates its capacity. */
 void *tw_simulator_grow(void *items, int count, int *capacity, size_t size);
 const char *tw_simulator_json_text(const cJSON *object, const char *field);
 double tw_simulator_json_number(const cJSON *object, const char *field);
-/* Prints and deletes. */
+/* The object as text without spaces; deletes the object. */
 char *tw_simulator_json_print(cJSON *object);
 
 void tw_simulator_world_init(tw_simulator_world *world);
@@ -239,70 +249,82 @@
 void tw_simulator_state_free(tw_simulator_state *state);
 int tw_simulator_state_request(tw_simulator_state *state, double now, const char *method,
                                const char *path, const char *body, char **out);
-/* Ends the leases whose time is over. */
+/* Ends the leases that have expired and removes their keys. */
 void tw_simulator_state_expire(tw_simulator_state *state, double now);
+/* Begins or ends an outage; leases start anew when it ends. */
 void tw_simulator_state_outage(tw_simulator_state *state, double now, bool on);
-/* The value of a key as it stands, also during an outage; NULL: there is none. */
-/* The version of a key; 0: there is none. */
+/* The version of a key, which is the revision of its last change, also during an outage; 0: there
+ * is no such key. */
 uint64_t tw_simulator_state_version(const tw_simulator_state *state, const char *key);
+/* The value of a key, also during an outage; NULL: there is no such key. Owned by the state. */
 const char *tw_simulator_state_value(const tw_simulator_state *state, const char *key);
 
 /* ---- cloud ---- */
 
 int tw_simulator_cloud_request(tw_simulator_world *world, const char *method, const char *path,
                                const char *body, char **out);
+/* Adds a machine that is up after boot_s seconds, as if it had been rented; type: index of its
+ * machine type. Owned by the world. */
 tw_simulator_worker *tw_simulator_add_machine(tw_simulator_world *world, int type, const char *zone,
                                               int spot, double boot_s);
+/* NULL: there is no machine of that name. */
 tw_simulator_worker *tw_simulator_worker_by_id(const tw_simulator_world *world, const char *id);
 
 /* ---- workers ---- */
 
+/* The worker's next heartbeat; counts its sequence up. Free the text. */
 char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker);
-/* The answer to a report sent at `sent` in that session. */
+/* The worker takes the answer to a heartbeat that it sent at `sent` in that incarnation. */
 void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
                                 uint64_t incarnation, int status, const char *body);
 /* A direct request of a controller. */
 int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
                                 const char *method, const char *path, const char *body, char **out);
-/* Time passes: tasks go on, leases end. */
+/* Brings a worker to the world's `now`: it boots, its tasks proceed, its lease may end. */
 void tw_simulator_worker_advance(tw_simulator_world *world, tw_simulator_worker *worker);
-/* Whether a report is due now. */
+/* Whether the worker sends a heartbeat now. */
 bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
                                        const tw_simulator_worker *worker);
+/* The names of the causes in the protocol, by TW_CAUSE_*. */
 extern const char *const tw_simulator_causes[TW_CAUSE_OTHER];
-/* On its machine: waiting for its gang, running or saving. */
+/* Whether a task occupies its machine: it waits for its gang, runs or saves. */
 bool tw_simulator_task_active(const tw_simulator_task *task);
 
+/* A task ends with a cause (TW_CAUSE_*), and is reported as exited until it is forgotten. */
 void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause);
+/* A task of a job is complete, for good. */
 void tw_simulator_task_done(tw_simulator_world *world, tw_simulator_job *job, int index);
 
 /* ---- gang.c ---- */
 
+/* Seconds that a task waits for the rest of its gang, and within which it finds out that the gang
+ * is broken. */
 double tw_simulator_gang_wait_s(const tw_simulator_world *world);
 double tw_simulator_gang_peer_s(const tw_simulator_world *world);
-/* A task of a gang has its image; is told to stop (it hasn't exited); lives on. */
+/* What happens to one task of a gang: its image has been fetched; it is told to stop before it has
+ * exited, with that grace period; time passes. */
 void tw_simulator_gang_image_fetched(tw_simulator_world *world, tw_simulator_worker *worker,
                                      tw_simulator_task *task);
 void tw_simulator_gang_stop(tw_simulator_world *world, tw_simulator_worker *worker,
                             tw_simulator_task *task, double grace_s);
 void tw_simulator_gang_task_advance(tw_simulator_world *world, tw_simulator_worker *worker,
                                     tw_simulator_task *task);
-/* Time passes for all gangs; call it before the workers' turns. */
+/* Brings all gangs to the world's `now`; call it before the workers are advanced. */
 void tw_simulator_gangs_advance(tw_simulator_world *world);
 
 /* ---- jobs ---- */
 
 tw_simulator_job *tw_simulator_job_find(const tw_simulator_world *world, const char *id);
-/* A new one that nobody has submitted yet. */
+/* Adds a job that nobody has submitted yet. Owned by the world. */
 tw_simulator_job *tw_simulator_job_new(tw_simulator_world *world, const char *id);
 int tw_simulator_job_tasks_running(const tw_simulator_world *world, const char *id);
-/* How many of its tasks are in that state on their machines. */
+/* How many tasks of a job are in that stage (TW_TASK_*) on machines that are not gone. */
 int tw_simulator_job_tasks_in_stage(const tw_simulator_world *world, const char *id, int stage);
 
 /* ---- judge ---- */
 
 enum { TW_SIMULATOR_SUBMIT = 's', TW_SIMULATOR_POLL = 'p', TW_SIMULATOR_CANCEL = 'a' };
-/* A rule was broken; the first one counts. */
+/* Records that a rule of the protocol is broken; does nothing after the first one. */
 void tw_simulator_rule_broken(tw_simulator_world *world, const char *rule, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 /* What a user was told in answer to a request sent at `sent`. An answer is older than another only
@@ -310,12 +332,12 @@
  * `crossings`. job NULL: nobody submitted it. */
 void tw_simulator_judge_told(tw_simulator_world *world, tw_simulator_job *job, const char *id,
                              int kind, double sent, int status, const char *body);
-/* What is told of a job that can't be taken. */
+/* A user is told that status for a job that no machine can run, or whose text is malformed. */
 void tw_simulator_judge_impossible_job(tw_simulator_world *world, const char *id, int status);
 /* A task has its image and starts. */
 void tw_simulator_judge_start(tw_simulator_world *world, const tw_simulator_worker *worker,
                               const tw_simulator_task *task);
-/* What must hold at any time. */
+/* Checks what must hold at any time. */
 void tw_simulator_judge_now(tw_simulator_world *world);
 
 /* ---- judge_live.c: what must hold once all troubles are over ---- */
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -53,21 +53,21 @@
     _exit(EXIT_NO_PROGRAM);
 }
 
-int tw_loopback_start(tw_loopback_nodes *nodes, int node, const char *settings_path) {
+bool tw_loopback_start(tw_loopback_nodes *nodes, int node, const char *settings_path) {
     const pid_t parent = getpid();
     const pid_t pid = fork();
-    if (pid < 0) return 0;
+    if (pid < 0) return false;
     if (pid == 0) become_controller(nodes, node, settings_path, parent);
     nodes->pid[node] = pid;
-    return 1;
+    return true;
 }
 
-int tw_loopback_kill(tw_loopback_nodes *nodes, int node) {
-    if (!nodes->pid[node]) return 0;
+bool tw_loopback_kill(tw_loopback_nodes *nodes, int node) {
+    if (!nodes->pid[node]) return false;
     kill(nodes->pid[node], SIGKILL);
     waitpid(nodes->pid[node], NULL, 0);
     nodes->pid[node] = 0;
-    return 1;
+    return true;
 }
 
 void tw_loopback_signal(const tw_loopback_nodes *nodes, int node, int signal_number) {
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -32,15 +32,15 @@
     pid_t pid[TW_LOOPBACK_NODES]; /* 0: not started, or killed */
 } tw_loopback_nodes;
 
-/* Writes the settings file; returns 0 if it can't. */
+/* Writes the settings file; false if it can't be written. */
 bool tw_loopback_write(const char *path, const tw_loopback_settings *settings);
 
-/* Starts a controller with that settings file; it ends when the test does. Returns 0 if it can't.
- */
-int tw_loopback_start(tw_loopback_nodes *nodes, int node, const char *settings_path);
+/* Starts a controller with that settings file; it ends when the test does. False if no
+ * process can be started. */
+bool tw_loopback_start(tw_loopback_nodes *nodes, int node, const char *settings_path);
 
-/* Kills a controller without a warning and waits for its end; returns 0 if it doesn't run. */
-int tw_loopback_kill(tw_loopback_nodes *nodes, int node);
+/* Kills a controller without notice and waits for its end; false if it doesn't run. */
+bool tw_loopback_kill(tw_loopback_nodes *nodes, int node);
 
 /* Sends a signal to a controller that runs. */
 void tw_loopback_signal(const tw_loopback_nodes *nodes, int node, int signal_number);
@@ -49,7 +49,8 @@
  * from then on. */
 int tw_loopback_ended(tw_loopback_nodes *nodes, int *status);
 
-/* Asks all that run to end and waits for them; returns 0 and prints why if one ended badly. */
+/* Asks all that run to end and waits for them; false, with the reason printed, if one ended badly.
+ */
 bool tw_loopback_stop(tw_loopback_nodes *nodes);
 
 #endif
--- a/tests/runner/bench_test.c
+++ b/tests/runner/bench_test.c
@@ -39,7 +39,7 @@
     return fabs(second - first) <= share * fabs(first) + 1e-9;
 }
 
-static void test_reports_cost_the_same_in_large_fleets(void) {
+static void test_heartbeats_cost_the_same_in_large_fleets(void) {
     static const char *const names[] = {"report", "relay"};
     for (size_t i = 0; i < sizeof names / sizeof *names; i++) {
         const tw_bench_result small = run(names[i], SMALL, 8, -1);
@@ -155,7 +155,7 @@
 }
 
 int main(void) {
-    test_reports_cost_the_same_in_large_fleets();
+    test_heartbeats_cost_the_same_in_large_fleets();
     test_takeover_is_linear();
     test_bounds();
     test_counts_repeat();
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -23,7 +23,7 @@
 #define WORKERS 2
 #define MAX_CALLS 100000
 #define ADDRESS_SIZE 64
-#define REPORT_S 0.4
+#define HEARTBEAT_S 0.4
 #define LEASE_S 8
 #define CANCEL_S 20
 #define LIST_LAG_S 0.5
@@ -32,7 +32,7 @@
 #define TICK_S 0.05
 #define ACT_EVERY_S 0.2
 #define USER_TIMEOUT_S 5
-#define REPORT_TIMEOUT_S 4
+#define HEARTBEAT_TIMEOUT_S 4
 #define CONNECTIONS_PER_ADDRESS 4
 /* Ports of one run lie together: nodes, their peers' ports, then the stand-ins. */
 #define PORTS_PER_RUN 100
@@ -253,7 +253,7 @@
 static void send_heartbeat(int index) {
     tw_simulator_worker *worker = world.workers[index];
     char *body = tw_simulator_worker_heartbeat(&world, worker);
-    struct sent_call *call = call_node(worker->node, "POST", "/hello", body, REPORT_TIMEOUT_S);
+    struct sent_call *call = call_node(worker->node, "POST", "/hello", body, HEARTBEAT_TIMEOUT_S);
     free(body);
     call->worker = index;
     call->sent = world.now;
@@ -294,7 +294,7 @@
 
 static void init_world(void) {
     tw_simulator_world_init(&world);
-    world.heartbeat_s = REPORT_S;
+    world.heartbeat_s = HEARTBEAT_S;
     world.lease_s = LEASE_S;
     world.node_count = NODES;
     for (int node = 0; node < NODES; node++)
@@ -351,7 +351,7 @@
 
 static bool start_node(int node) {
     tw_loopback_settings settings = {.teams = "[[settings.teams]]\nname = \"crew\"\n",
-                                     .report_s = REPORT_S,
+                                     .report_s = HEARTBEAT_S,
                                      .lease_s = LEASE_S,
                                      .cancel_s = CANCEL_S,
                                      .list_lag_s = LIST_LAG_S,
--- a/tests/runner/simulator_gang_test.c
+++ b/tests/runner/simulator_gang_test.c
@@ -86,8 +86,8 @@
     }
 }
 
-static void order(gang_fixture *fixture, int machine, const char *verb, int index, int attempt,
-                  double grace_s) {
+static void send_command(gang_fixture *fixture, int machine, const char *verb, int index,
+                         int attempt, double grace_s) {
     char body[256], *answer = NULL;
     snprintf(body, sizeof body,
              "{\"baton\":1,\"shift\":%d,\"orders\":[{\"verb\":\"%s\",\"piece\":\"" ID
@@ -95,16 +95,16 @@
              (int)fixture->world.workers[machine]->incarnation, verb, index, attempt, grace_s);
     int status = tw_simulator_worker_request(&fixture->world, fixture->world.workers[machine],
                                              "POST", "/orders", body, &answer);
-    check(status == TW_SIMULATOR_OK, "an order is refused");
+    check(status == TW_SIMULATOR_OK, "a command is refused");
     free(answer);
 }
 
 static void launch(gang_fixture *fixture, int machine, int index, int attempt) {
-    order(fixture, machine, "launch", index, attempt, 0);
+    send_command(fixture, machine, "launch", index, attempt, 0);
 }
 
 static void stop(gang_fixture *fixture, int machine, int index, int attempt, double grace_s) {
-    order(fixture, machine, "kill", index, attempt, grace_s);
+    send_command(fixture, machine, "kill", index, attempt, grace_s);
 }
 
 /* Task i on machine i. */
@@ -150,9 +150,10 @@
 }
 
 static bool reports(gang_fixture *fixture, int machine, const char *text) {
-    char *report = tw_simulator_worker_heartbeat(&fixture->world, fixture->world.workers[machine]);
-    bool found = strstr(report, text) != NULL;
-    free(report);
+    char *heartbeat =
+        tw_simulator_worker_heartbeat(&fixture->world, fixture->world.workers[machine]);
+    bool found = strstr(heartbeat, text) != NULL;
+    free(heartbeat);
     return found;
 }
 
@@ -174,7 +175,7 @@
     launch(&fixture, 2, 2, 2);
     pass(&fixture, 5);
     check(is_in(&fixture, 0, 1, TW_TASK_WAITING), "a task of another attempt completes the gang");
-    order(&fixture, 2, "kill", 2, 2, 0);
+    send_command(&fixture, 2, "kill", 2, 2, 0);
     launch(&fixture, 3, 2, 1);
     pass(&fixture, 3.9);
     check(is_in(&fixture, 0, 1, TW_TASK_WAITING), "the gang starts before the last image is there");
@@ -254,7 +255,7 @@
     gang_fixture fixture;
     begin(&fixture);
     fixture.world.workers[1]->slowdown = 2;
-    fixture.world.workers[2]->mute_until = 1e9; /* its reports reach nobody */
+    fixture.world.workers[2]->mute_until = 1e9; /* its heartbeats reach nobody */
     run_for(&fixture, 2 * RUN_S - 1);
     check(all_in(&fixture, 1, TW_TASK_RUNNING), "a gang is faster than its slowest machine");
     check(is_about(fixture.job->gang_saved_s, 2 * SNAPSHOT_S), "checkpoints aren't taken");
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -14,7 +14,7 @@
 #include <time.h>
 #include <unistd.h>
 
-#define REPORT_S 0.5
+#define HEARTBEAT_S 0.5
 #define LEASE_S 5.0
 #define CANCEL_S 13.0
 #define GANG_WAIT_S 10.0
@@ -112,7 +112,7 @@
 
 bool tw_soak_start_node(tw_soak *of, int node) {
     tw_loopback_settings settings = {.teams = team_text,
-                                     .report_s = REPORT_S,
+                                     .report_s = HEARTBEAT_S,
                                      .lease_s = LEASE_S,
                                      .cancel_s = CANCEL_S,
                                      .gang_wait_s = GANG_WAIT_S,
@@ -293,7 +293,7 @@
     tw_simulator_world *world = &of->world;
     tw_simulator_world_init(world);
     world->seed = of->seed;
-    world->heartbeat_s = REPORT_S;
+    world->heartbeat_s = HEARTBEAT_S;
     world->lease_s = LEASE_S;
     world->cancel_s = CANCEL_S;
     world->gang_wait_s = GANG_WAIT_S;
--- a/tests/soak/plan.c
+++ b/tests/soak/plan.c
@@ -9,8 +9,8 @@
 #define LONGEST_LEASES 1.6
 /* Plans in which a successor has old news of the machines; see add_successor. */
 #define SUCCESSOR_SHARE 0.4
-#define SESSIONS_LEAST 1.05 /* leases */
-#define SESSIONS_MOST 1.3
+#define INCARNATIONS_LEAST 1.05 /* leases */
+#define INCARNATIONS_MOST 1.3
 #define COPIES_LEAST_S 1.5
 #define COPIES_MOST_S 4.0
 
@@ -103,10 +103,10 @@
     if (plan->fault_count < TW_SOAK_MOST_FAULTS) plan->faults[plan->fault_count++] = *fault;
 }
 
-/* All sessions end while copies of reports are kept; then, just after launches, machines hang and
- * the leader ends: its successor has older news of the machines than the launches. */
+/* All incarnations end while copies of heartbeats are held; then, just after launches, machines
+ * hang and the leader ends: its successor has older news of the machines than the launches. */
 static void add_successor(gsl_rng *rng, tw_soak_plan *plan, double at_s, double lease_s) {
-    const double away_s = draw_number(rng, SESSIONS_LEAST, SESSIONS_MOST) * lease_s;
+    const double away_s = draw_number(rng, INCARNATIONS_LEAST, INCARNATIONS_MOST) * lease_s;
     const double copies_s = away_s + draw_number(rng, COPIES_LEAST_S, COPIES_MOST_S);
     const double end_s = at_s + copies_s + draw_number(rng, 0, COPIES_MOST_S);
     const tw_soak_fault chain[] = {
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,6 +1,8 @@
 /* The soak: controllers as real processes over loopback, against the stand-ins and the judge of
  * simulator/. Every message between controllers, state service, cloud and workers passes links.c,
- * where it can be lost, held or answered with 503. Internal. */
+ * where it can be lost, held or answered with 503. Internal to tests/soak.
+ *
+ * Invariant: one tw_soak holds all state of a run, in one thread with one event loop. */
 #ifndef TW_SOAK_H
 #define TW_SOAK_H
 #include "net/net.h"
@@ -27,24 +29,24 @@
 } tw_soak_moment;
 
 typedef enum {
-    TW_SOAK_FAULT_KILL,              /* a controller ends and is started again */
-    TW_SOAK_FAULT_KILL_ALL,          /* all of them */
-    TW_SOAK_FAULT_FREEZE,            /* SIGSTOP, then SIGCONT */
-    TW_SOAK_FAULT_LEADERS,           /* leaders end one after the other */
-    TW_SOAK_FAULT_CUT_PEERS,         /* between two controllers */
-    TW_SOAK_FAULT_CUT_STATE,         /* between a controller and the state service */
-    TW_SOAK_FAULT_CUT_WORKERS,       /* between a controller and all workers of a zone */
-    TW_SOAK_FAULT_ISOLATE_ZONE,      /* a zone is cut off from everything */
-    TW_SOAK_FAULT_REFUSE_STATE,      /* the state service gives 503 to one controller */
-    TW_SOAK_FAULT_OUTAGE,            /* and to all */
-    TW_SOAK_FAULT_LATE_HEARTBEATS,   /* copies of reports come again later */
-    TW_SOAK_FAULT_HELD_HEARTBEATS,   /* copies of reports come again when a new leader begins */
-    TW_SOAK_FAULT_LATE_COMMANDS,     /* direct commands are carried out late, unanswered */
+    TW_SOAK_FAULT_KILL,            /* a controller ends and is started again */
+    TW_SOAK_FAULT_KILL_ALL,        /* all of them */
+    TW_SOAK_FAULT_FREEZE,          /* SIGSTOP, then SIGCONT */
+    TW_SOAK_FAULT_LEADERS,         /* leaders end one after the other */
+    TW_SOAK_FAULT_CUT_PEERS,       /* between two controllers */
+    TW_SOAK_FAULT_CUT_STATE,       /* between a controller and the state service */
+    TW_SOAK_FAULT_CUT_WORKERS,     /* between a controller and all workers of a zone */
+    TW_SOAK_FAULT_ISOLATE_ZONE,    /* a zone is cut off from everything */
+    TW_SOAK_FAULT_REFUSE_STATE,    /* the state service gives 503 to one controller */
+    TW_SOAK_FAULT_OUTAGE,          /* and to all */
+    TW_SOAK_FAULT_LATE_HEARTBEATS, /* copies of heartbeats arrive again later */
+    TW_SOAK_FAULT_HELD_HEARTBEATS, /* copies of heartbeats arrive again when a new leader begins */
+    TW_SOAK_FAULT_LATE_COMMANDS,   /* direct commands are carried out late, unanswered */
     TW_SOAK_FAULT_REPEATED_COMMANDS, /* direct commands are carried out, and once more later */
     TW_SOAK_FAULT_LATE_WRITES,       /* transactions are carried out late, unanswered */
     TW_SOAK_FAULT_LOST_ANSWERS,      /* transactions are carried out, unanswered */
     TW_SOAK_FAULT_UNRESPONSIVE,      /* some machines get no answers and commands */
-    TW_SOAK_FAULT_MUTE,              /* reports of some machines get lost */
+    TW_SOAK_FAULT_MUTE,              /* heartbeats of some machines get lost */
     TW_SOAK_FAULT_HANG,              /* some machines hang */
     TW_SOAK_FAULT_INCARNATIONS,      /* all workers' leases end: no controller for over a lease */
     TW_SOAK_FAULT_FAST_BOOTS,
@@ -96,7 +98,7 @@
 
 /* ---- the run ---- */
 
-/* A copy of a report, kept for the next leader or a later one. */
+/* A copy of a heartbeat, held for the next leader or a later one. */
 typedef struct {
     int machine;
     int leaders_until_delivery; /* that begin until it arrives */
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -131,7 +131,7 @@
 }
 
 static void submit_job(tw_soak *run) {
-    static const char *const ranks[] = {"prod", "high", "normal", "idle"};
+    static const char *const priorities[] = {"prod", "high", "normal", "idle"};
     int kind = draw_kind(run);
     if (!strcmp(kinds[kind].shape, "service") && services_running(run) >= MOST_SERVICES) kind = 0;
     const double run_s = tw_soak_draw(run, kinds[kind].least_s, kinds[kind].most_s);
@@ -143,7 +143,8 @@
         "\"pieces\":%d,\"cores\":%d,\"gpus\":%d,\"memoryGb\":4,\"bundle\":\"img-%d\","
         "\"imageGb\":0.2,\"samePlace\":%s,\"apart\":false,\"loaner\":false,\"expectS\":%.1f,"
         "\"snapshotS\":%d,\"flushS\":0.3}",
-        id, tw_soak_draw_index(run, TEAMS), kinds[kind].shape, ranks[tw_soak_draw_index(run, 4)],
+        id, tw_soak_draw_index(run, TEAMS), kinds[kind].shape,
+        priorities[tw_soak_draw_index(run, 4)],
         kinds[kind].least + tw_soak_draw_index(run, kinds[kind].most - kinds[kind].least + 1),
         1 + tw_soak_draw_index(run, 4), tw_soak_draw_index(run, 3) ? 0 : 1,
         tw_soak_draw_index(run, 5), tw_soak_draw_index(run, 4) ? "false" : "true", run_s,
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -1,4 +1,4 @@
-/* The workers' reports on their way to controllers, and the answers; copies that come late. */
+/* The workers' heartbeats on their way to controllers, the answers, and copies that arrive late. */
 #include "soak.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -9,10 +9,10 @@
 #define LEAST_HELD_S 1.0
 #define HELD_LEASES 2.5
 #define HELD_SPREAD_S 0.3
-#define KEPT_MOST_LEADERS 3
+#define HELD_MOST_LEADERS 3
 #define FIRST_HOST_DIGIT 3
 
-/* A report on its way to a controller. */
+/* A heartbeat on its way to a controller. */
 typedef struct {
     int machine, node;
     uint64_t heartbeat, incarnation; /* flight 0: a copy, for whose answer nobody waits */
@@ -78,7 +78,7 @@
     free_heartbeat(heartbeat);
 }
 
-/* ---- the report ---- */
+/* ---- the heartbeat ---- */
 
 static void deliver_heartbeat(tw_soak *run, void *data) {
     sent_heartbeat *heartbeat = data;
@@ -118,17 +118,17 @@
         run->held_heartbeats =
             tw_simulator_grow(run->held_heartbeats, run->held_heartbeat_count,
                               &run->held_heartbeat_capacity, sizeof *run->held_heartbeats);
-        const int leaders = 1 + tw_soak_draw_index(run, KEPT_MOST_LEADERS);
+        const int leaders = 1 + tw_soak_draw_index(run, HELD_MOST_LEADERS);
         run->held_heartbeats[run->held_heartbeat_count++] =
             (tw_soak_held_heartbeat){machine, leaders, tw_simulator_copy_text(body)};
     }
 }
 
 void tw_soak_new_leader(tw_soak *run) {
-    int still_kept = 0;
+    int still_held = 0;
     for (int i = 0; i < run->held_heartbeat_count; i++) {
         if (--run->held_heartbeats[i].leaders_until_delivery > 0) {
-            run->held_heartbeats[still_kept++] = run->held_heartbeats[i];
+            run->held_heartbeats[still_held++] = run->held_heartbeats[i];
             continue;
         }
         for (int node = 0; node < run->plan.nodes; node++) {
@@ -138,7 +138,7 @@
         }
         free(run->held_heartbeats[i].body);
     }
-    run->held_heartbeat_count = still_kept;
+    run->held_heartbeat_count = still_held;
 }
 
 static void send_heartbeat(tw_soak *run, int machine) {
