--- a/bench/cases/change.c
+++ b/bench/cases/change.c
@@ -9,7 +9,7 @@
 #define PAUSE_S 0.2 /* longer than the shortest time between passes */
 
 /* The machine's next heartbeat says that a task is done. */
-static void report_done(tw_bench_fleet *fleet, int machine, tw_bench_meter *meter) {
+static void send_done(tw_bench_fleet *fleet, int machine, tw_bench_meter *meter) {
     tw_bench_fleet_end_task(fleet, machine);
     tw_bench_fleet_measure(fleet, meter);
     tw_bench_fleet_send_heartbeat(fleet, machine);
@@ -25,8 +25,8 @@
  * that none is due with the second's. */
 static void change(tw_bench_fleet *fleet, int number, int machines, tw_bench_meter *meter) {
     pause(fleet);
-    report_done(fleet, number % machines, NULL);
-    report_done(fleet, (number + machines / 2) % machines, meter);
+    send_done(fleet, number % machines, NULL);
+    send_done(fleet, (number + machines / 2) % machines, meter);
 }
 
 int tw_bench_case_change(const tw_bench_sizes *sizes, tw_bench_results *results) {
@@ -59,7 +59,7 @@
         tw_bench_meter meter = {.kinds = TW_BENCH_HEARTBEAT};
         for (int k = 0; k < HEARTBEATS; k++) {
             pause(fleet);
-            report_done(fleet, (i * HEARTBEATS + k) % load->machines, &meter);
+            send_done(fleet, (i * HEARTBEATS + k) % load->machines, &meter);
         }
         tw_bench_result_round(&result, &meter, HEARTBEATS);
     }
--- a/bench/records.c
+++ b/bench/records.c
@@ -51,9 +51,9 @@
 
 /* ---- records ---- */
 
-static tw_wire_job job_of(int job, int pieces, double cores) {
+static tw_wire_job job_of(int job, int task_count, double cores) {
     tw_wire_job spec = {.priority = TW_PRIORITY_NORMAL,
-                        .task_count = pieces,
+                        .task_count = task_count,
                         .cores = cores,
                         .memory_gb = 1,
                         .image_gb = IMAGE_GB,
@@ -78,20 +78,20 @@
 
 static char *running_record(const tw_bench_load *load, int job) {
     const int first = (job - load->completed) * tasks_per_job(load);
-    int pieces = running_tasks(load) - first;
-    if (pieces > tasks_per_job(load)) pieces = tasks_per_job(load);
-    tw_wire_assignment *live = tw_bench_alloc((size_t)pieces * sizeof *live);
-    for (int i = 0; i < pieces; i++) {
+    int task_count = running_tasks(load) - first;
+    if (task_count > tasks_per_job(load)) task_count = tasks_per_job(load);
+    tw_wire_assignment *live = tw_bench_alloc((size_t)task_count * sizeof *live);
+    for (int i = 0; i < task_count; i++) {
         live[i].index = i;
         live[i].attempt = 1;
         tw_bench_machine_name(live[i].worker, sizeof live[i].worker, (first + i) % load->machines);
     }
     tw_wire_record record = {.has_job = 1,
-                             .job = job_of(job, pieces, 1),
-                             .task_count = pieces,
+                             .job = job_of(job, task_count, 1),
+                             .task_count = task_count,
                              .submitted_at = SUBMITTED_AT,
                              .next_attempt = 2,
-                             .assignment_count = pieces,
+                             .assignment_count = task_count,
                              .assignments = live};
     char *text = tw_wire_record_text(&record);
     free(live);
--- a/simulator/cloud.c
+++ b/simulator/cloud.c
@@ -37,27 +37,27 @@
 }
 
 static cJSON *type_json(const tw_wire_machine_type *type) {
-    cJSON *o = cJSON_CreateObject();
-    cJSON_AddStringToObject(o, "label", type->name);
-    cJSON_AddNumberToObject(o, "cores", type->cores);
-    cJSON_AddNumberToObject(o, "gpus", type->gpus);
-    cJSON_AddNumberToObject(o, "memoryGb", type->memory_gb);
-    cJSON_AddNumberToObject(o, "cacheGb", type->cache_gb);
-    cJSON_AddNumberToObject(o, "fetchGbPerS", type->fetch_gb_s);
-    cJSON_AddNumberToObject(o, "hourly", type->on_demand_price);
-    cJSON_AddNumberToObject(o, "lowPrice", type->spot_price);
-    cJSON_AddNumberToObject(o, "startupS", type->startup_s);
-    cJSON *zones = cJSON_AddArrayToObject(o, "yards");
+    cJSON *object = cJSON_CreateObject();
+    cJSON_AddStringToObject(object, "label", type->name);
+    cJSON_AddNumberToObject(object, "cores", type->cores);
+    cJSON_AddNumberToObject(object, "gpus", type->gpus);
+    cJSON_AddNumberToObject(object, "memoryGb", type->memory_gb);
+    cJSON_AddNumberToObject(object, "cacheGb", type->cache_gb);
+    cJSON_AddNumberToObject(object, "fetchGbPerS", type->fetch_gb_s);
+    cJSON_AddNumberToObject(object, "hourly", type->on_demand_price);
+    cJSON_AddNumberToObject(object, "lowPrice", type->spot_price);
+    cJSON_AddNumberToObject(object, "startupS", type->startup_s);
+    cJSON *zones = cJSON_AddArrayToObject(object, "yards");
     for (int i = 0; i < type->zone_count; i++)
         cJSON_AddItemToArray(zones, cJSON_CreateString(type->zones[i]));
-    return o;
+    return object;
 }
 
 static int list_types(const tw_simulator_world *world, char **out) {
-    cJSON *o = cJSON_CreateObject(), *types = cJSON_AddArrayToObject(o, "racks");
+    cJSON *object = cJSON_CreateObject(), *types = cJSON_AddArrayToObject(object, "racks");
     for (int i = 0; i < world->type_count; i++)
         cJSON_AddItemToArray(types, type_json(&world->types[i]));
-    *out = tw_simulator_json_print(o);
+    *out = tw_simulator_json_print(object);
     return TW_SIMULATOR_OK;
 }
 
@@ -76,7 +76,7 @@
         have += !world->workers[i]->gone && world->workers[i]->type_index == type;
     if (type == world->type_count || world->refuses_rentals || have >= world->capacity[type])
         return NULL;
-    cJSON *o = cJSON_CreateObject(), *ids = cJSON_AddArrayToObject(o, "trays");
+    cJSON *object = cJSON_CreateObject(), *ids = cJSON_AddArrayToObject(object, "trays");
     int spot = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(request, "loaner"));
     for (int i = 0; i < count && have < world->capacity[type]; i++, have++) {
         double boot = world->never_up > 0 ? NEVER : draw_boot_s(world);
@@ -85,7 +85,7 @@
             world, type, tw_simulator_json_text(request, "yard"), spot, boot);
         cJSON_AddItemToArray(ids, cJSON_CreateString(worker->id));
     }
-    return tw_simulator_json_print(o);
+    return tw_simulator_json_print(object);
 }
 
 static int answer_rental(tw_simulator_world *world, const char *body, char **out) {
@@ -127,22 +127,22 @@
 }
 
 static int list_machines(const tw_simulator_world *world, char **out) {
-    cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "trays");
+    cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "trays");
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
         if (worker->gone) continue;
-        cJSON *t = cJSON_CreateObject();
-        cJSON_AddStringToObject(t, "id", worker->id);
-        cJSON_AddStringToObject(t, "endpoint", worker->endpoint);
-        cJSON_AddStringToObject(t, "rack", worker->type);
-        cJSON_AddStringToObject(t, "yard", worker->zone);
-        cJSON_AddBoolToObject(t, "loaner", worker->spot);
-        cJSON_AddStringToObject(t, "stage", worker->up ? "running" : "booting");
-        cJSON_AddNumberToObject(t, "heldS", world->now - worker->rented_at);
-        cJSON_AddItemToArray(list, t);
+        cJSON *item = cJSON_CreateObject();
+        cJSON_AddStringToObject(item, "id", worker->id);
+        cJSON_AddStringToObject(item, "endpoint", worker->endpoint);
+        cJSON_AddStringToObject(item, "rack", worker->type);
+        cJSON_AddStringToObject(item, "yard", worker->zone);
+        cJSON_AddBoolToObject(item, "loaner", worker->spot);
+        cJSON_AddStringToObject(item, "stage", worker->up ? "running" : "booting");
+        cJSON_AddNumberToObject(item, "heldS", world->now - worker->rented_at);
+        cJSON_AddItemToArray(list, item);
     }
-    cJSON_AddBoolToObject(o, "more", 0);
-    *out = tw_simulator_json_print(o);
+    cJSON_AddBoolToObject(object, "more", 0);
+    *out = tw_simulator_json_print(object);
     return TW_SIMULATOR_OK;
 }
 
--- a/simulator/event.c
+++ b/simulator/event.c
@@ -5,8 +5,8 @@
 
 #define FIRST_CAP 256
 
-static bool before(const tw_simulator_event *a, const tw_simulator_event *b) {
-    return a->at < b->at || (a->at == b->at && a->sequence < b->sequence);
+static bool before(const tw_simulator_event *left, const tw_simulator_event *right) {
+    return left->at < right->at || (left->at == right->at && left->sequence < right->sequence);
 }
 
 static void push(tw_simulator *sim, tw_simulator_event *event, double at) {
@@ -27,7 +27,7 @@
 
 tw_simulator_event *tw_simulator_schedule_at(tw_simulator *sim, double at,
                                              void (*act)(tw_simulator *sim,
-                                                         tw_simulator_event *e)) {
+                                                         tw_simulator_event *event)) {
     tw_simulator_event *event = tw_simulator_allocate(sizeof *event);
     event->act = act;
     push(sim, event, at);
@@ -36,7 +36,7 @@
 
 tw_simulator_event *tw_simulator_schedule_after(tw_simulator *sim, double seconds,
                                                 void (*act)(tw_simulator *sim,
-                                                            tw_simulator_event *e)) {
+                                                            tw_simulator_event *event)) {
     return tw_simulator_schedule_at(sim, sim->world.now + seconds, act);
 }
 
--- a/simulator/judge.c
+++ b/simulator/judge.c
@@ -11,12 +11,12 @@
 void tw_simulator_rule_broken(tw_simulator_world *world, const char *rule, const char *format,
                               ...) {
     if (*world->rule) return;
-    va_list args;
+    va_list arguments;
     snprintf(world->rule, sizeof world->rule, "%s", rule);
     int count = snprintf(world->detail, sizeof world->detail, "t=%.2f %s ", world->now, rule);
-    va_start(args, format);
-    vsnprintf(world->detail + count, sizeof world->detail - (size_t)count, format, args);
-    va_end(args);
+    va_start(arguments, format);
+    vsnprintf(world->detail + count, sizeof world->detail - (size_t)count, format, arguments);
+    va_end(arguments);
 }
 
 /* ---- starts ---- */
@@ -160,8 +160,8 @@
     }
     judge_forgotten(world, job, kind, sent, status);
     if (status != TW_SIMULATOR_OK && status != TW_SIMULATOR_CREATED) return;
-    cJSON *o = cJSON_Parse(body);
-    const char *said = tw_simulator_json_text(o, "stage");
+    cJSON *answer = cJSON_Parse(body);
+    const char *said = tw_simulator_json_text(answer, "stage");
     job->answered_at = world->now;
     if (!job->accepted) job->accepted_at = world->now;
     job->accepted = true;
@@ -173,6 +173,6 @@
     if (other_end || (!stage && job->told_over && is_older(world, sent, job->told_over_at)))
         tw_simulator_rule_broken(world, "went_back", "%s is called %s", id, said);
     if (stage) judge_final_state(world, job, stage);
-    if (stage == TW_JOB_DONE) judge_count(world, job, o);
-    cJSON_Delete(o);
+    if (stage == TW_JOB_DONE) judge_count(world, job, answer);
+    cJSON_Delete(answer);
 }
--- a/simulator/judge_live.c
+++ b/simulator/judge_live.c
@@ -132,9 +132,9 @@
             gpus += other->gpus;
         }
     }
-    const tw_simulator_team *team = &world->teams[i];
-    return (team->cpus_max <= 0 || cpus <= team->cpus_max + EPSILON) &&
-           (team->gpus_max <= 0 || gpus <= team->gpus_max + EPSILON);
+    const tw_simulator_team *limits = &world->teams[i];
+    return (limits->cpus_max <= 0 || cpus <= limits->cpus_max + EPSILON) &&
+           (limits->gpus_max <= 0 || gpus <= limits->gpus_max + EPSILON);
 }
 
 /* Tasks on machines that do something useful there, or will by themselves. */
@@ -221,9 +221,9 @@
 /* The first that counts of its class or team. */
 static bool is_first(const tw_simulator_world *world, const tw_simulator_job *job, bool by_team) {
     for (int i = 0; i < job->index; i++) {
-        const tw_wire_job *a = &world->jobs[i]->spec, *b = &job->spec;
-        if (counts(world, world->jobs[i]) &&
-            !strcmp(by_team ? a->team : a->job_class, by_team ? b->team : b->job_class))
+        const tw_wire_job *earlier = &world->jobs[i]->spec, *own = &job->spec;
+        if (counts(world, world->jobs[i]) && !strcmp(by_team ? earlier->team : earlier->job_class,
+                                                     by_team ? own->team : own->job_class))
             return false;
     }
     return true;
--- a/simulator/odd.c
+++ b/simulator/odd.c
@@ -95,11 +95,11 @@
                                          "pieces", "cores", "memoryGb", "bundle"};
     tw_wire_job spec = make_odd_job(sim);
     char *text = tw_simulator_job_text(&spec);
-    cJSON *o = cJSON_Parse(text);
+    cJSON *object = cJSON_Parse(text);
     cJSON_DeleteItemFromObjectCaseSensitive(
-        o, needed[draw_index(sim, sizeof needed / sizeof *needed)]);
+        object, needed[draw_index(sim, sizeof needed / sizeof *needed)]);
     free(text);
-    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_SUBMIT, tw_simulator_json_print(o),
+    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_SUBMIT, tw_simulator_json_print(object),
                           TW_SIMULATOR_MALFORMED);
 }
 
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -219,7 +219,7 @@
 static const struct {
     const char *name;
     int min_words;
-    int (*take)(tw_simulator *sim, const tw_simulator_words *w);
+    int (*take)(tw_simulator *sim, const tw_simulator_words *words);
 } settings[] = {{"node", 3, add_node},           {"old", 2, set_old},
                 {"team", 2, add_team},           {"machine_type", 2, add_type},
                 {"machine", 3, add_machine},     {"machines", 4, add_many_machines},
--- a/simulator/simulator.c
+++ b/simulator/simulator.c
@@ -43,8 +43,8 @@
 }
 
 static void add_to_digest(tw_simulator *sim, const void *bytes, size_t size) {
-    const unsigned char *p = bytes;
-    for (size_t i = 0; i < size; i++) sim->digest = (sim->digest ^ p[i]) * HASH_PRIME;
+    const unsigned char *byte = bytes;
+    for (size_t i = 0; i < size; i++) sim->digest = (sim->digest ^ byte[i]) * HASH_PRIME;
 }
 
 void tw_simulator_digest(tw_simulator *sim, int kind, int who, int status, const char *body) {
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -29,7 +29,7 @@
     double at;
     uint64_t sequence; /* events of one moment happen in the order of their coming */
     bool queued;
-    void (*act)(tw_simulator *sim, struct tw_simulator_event *e);
+    void (*act)(tw_simulator *sim, struct tw_simulator_event *event);
     int node, generation; /* of the node that called */
     int target;           /* node, machine or job */
     int kind, status;
@@ -176,9 +176,10 @@
 /* ---- event.c ---- */
 tw_simulator_event *tw_simulator_schedule_after(tw_simulator *sim, double seconds,
                                                 void (*act)(tw_simulator *sim,
-                                                            tw_simulator_event *e));
+                                                            tw_simulator_event *event));
 tw_simulator_event *tw_simulator_schedule_at(tw_simulator *sim, double at,
-                                             void (*act)(tw_simulator *sim, tw_simulator_event *e));
+                                             void (*act)(tw_simulator *sim,
+                                                         tw_simulator_event *event));
 /* The event that happens now is scheduled once more, instead of being freed. */
 void tw_simulator_reschedule_after(tw_simulator *sim, tw_simulator_event *event, double seconds);
 void tw_simulator_reschedule_at(tw_simulator *sim, tw_simulator_event *event, double at);
@@ -274,7 +275,7 @@
     const char *name;
     int min_words; /* with the name */
     int seconds;   /* the word that says how long a trouble lasts, 0: none does */
-    void (*run)(tw_simulator *sim, const tw_simulator_words *w);
+    void (*run)(tw_simulator *sim, const tw_simulator_words *words);
 } tw_simulator_command;
 enum { TW_SIMULATOR_NO_TROUBLE = -1 };
 /* Tables end with a NULL name. */
--- a/simulator/state.c
+++ b/simulator/state.c
@@ -121,12 +121,12 @@
 }
 
 static cJSON *entry_json(const tw_simulator_key *entry) {
-    cJSON *o = cJSON_CreateObject();
-    cJSON_AddStringToObject(o, "k", entry->key);
-    cJSON_AddRawToObject(o, "data", entry->value);
-    cJSON_AddNumberToObject(o, "stamp", (double)entry->version);
-    if (entry->lease) cJSON_AddNumberToObject(o, "hold", (double)entry->lease);
-    return o;
+    cJSON *object = cJSON_CreateObject();
+    cJSON_AddStringToObject(object, "k", entry->key);
+    cJSON_AddRawToObject(object, "data", entry->value);
+    cJSON_AddNumberToObject(object, "stamp", (double)entry->version);
+    if (entry->lease) cJSON_AddNumberToObject(object, "hold", (double)entry->lease);
+    return object;
 }
 
 static char *print_revision(const tw_simulator_state *state) {
@@ -310,10 +310,10 @@
 /* ---- leases ---- */
 
 static int lease_new(tw_simulator_state *state, double now, const char *body, char **out) {
-    cJSON *o = cJSON_Parse(body);
-    double ttl = tw_simulator_json_number(o, "lifeMs") / 1000;
+    cJSON *object = cJSON_Parse(body);
+    double ttl = tw_simulator_json_number(object, "lifeMs") / 1000;
     char text[64];
-    cJSON_Delete(o);
+    cJSON_Delete(object);
     state->leases = tw_simulator_grow(state->leases, state->lease_count, &state->lease_capacity,
                                       sizeof *state->leases);
     state->leases[state->lease_count++] = (tw_simulator_lease){++state->last_lease, ttl, now + ttl};
--- a/simulator/user.c
+++ b/simulator/user.c
@@ -159,9 +159,9 @@
 char *tw_simulator_job_text(const tw_wire_job *spec) {
     tw_wire_record record = {.has_job = 1, .job = *spec, .task_count = spec->task_count};
     char *text = tw_wire_record_text(&record);
-    cJSON *o = cJSON_Parse(text);
-    char *job = cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(o, "j"));
-    cJSON_Delete(o);
+    cJSON *object = cJSON_Parse(text);
+    char *job = cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(object, "j"));
+    cJSON_Delete(object);
     free(text);
     return job;
 }
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -28,35 +28,35 @@
 
 static cJSON *task_json(const tw_simulator_task *task) {
     char name[TW_WIRE_ID_SIZE + 16];
-    cJSON *o = cJSON_CreateObject();
+    cJSON *object = cJSON_CreateObject();
     snprintf(name, sizeof name, "%s/%d", task->job_id, task->index);
-    cJSON_AddStringToObject(o, "piece", name);
-    cJSON_AddNumberToObject(o, "try", (double)task->attempt);
-    cJSON_AddStringToObject(o, "stage", stages[task->stage]);
+    cJSON_AddStringToObject(object, "piece", name);
+    cJSON_AddNumberToObject(object, "try", (double)task->attempt);
+    cJSON_AddStringToObject(object, "stage", stages[task->stage]);
     if (task->stage == TW_TASK_EXITED)
-        cJSON_AddStringToObject(o, "cause", tw_simulator_causes[task->cause]);
-    if (task->saved) cJSON_AddBoolToObject(o, "saved", 1);
-    return o;
+        cJSON_AddStringToObject(object, "cause", tw_simulator_causes[task->cause]);
+    if (task->saved) cJSON_AddBoolToObject(object, "saved", 1);
+    return object;
 }
 
 char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker) {
-    cJSON *o = cJSON_CreateObject();
-    cJSON_AddStringToObject(o, "tray", worker->id);
-    cJSON_AddStringToObject(o, "endpoint", worker->endpoint);
-    cJSON_AddStringToObject(o, "rack", worker->type);
-    cJSON_AddStringToObject(o, "yard", worker->zone);
-    cJSON_AddBoolToObject(o, "loaner", worker->spot);
-    cJSON_AddNumberToObject(o, "shift", (double)worker->incarnation);
-    cJSON_AddNumberToObject(o, "tick", (double)++worker->sequence);
-    cJSON_AddNumberToObject(o, "baton", (double)worker->fencing_token);
+    cJSON *object = cJSON_CreateObject();
+    cJSON_AddStringToObject(object, "tray", worker->id);
+    cJSON_AddStringToObject(object, "endpoint", worker->endpoint);
+    cJSON_AddStringToObject(object, "rack", worker->type);
+    cJSON_AddStringToObject(object, "yard", worker->zone);
+    cJSON_AddBoolToObject(object, "loaner", worker->spot);
+    cJSON_AddNumberToObject(object, "shift", (double)worker->incarnation);
+    cJSON_AddNumberToObject(object, "tick", (double)++worker->sequence);
+    cJSON_AddNumberToObject(object, "baton", (double)worker->fencing_token);
     if (worker->preempted_at >= 0)
         cJSON_AddNumberToObject(
-            o, "warningS",
+            object, "warningS",
             worker->preempted_at > world->now ? worker->preempted_at - world->now : 0);
-    cJSON *tasks = cJSON_AddArrayToObject(o, "pieces");
+    cJSON *tasks = cJSON_AddArrayToObject(object, "pieces");
     for (int i = 0; i < worker->task_count; i++)
         cJSON_AddItemToArray(tasks, task_json(&worker->tasks[i]));
-    return tw_simulator_json_print(o);
+    return tw_simulator_json_print(object);
 }
 
 bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
@@ -157,19 +157,19 @@
 }
 
 static void execute_command(tw_simulator_world *world, tw_simulator_worker *worker,
-                            const cJSON *o) {
+                            const cJSON *object) {
     char job_id[TW_WIRE_ID_SIZE];
-    const char *name = tw_simulator_json_text(o, "piece"), *slash = strrchr(name, '/');
+    const char *name = tw_simulator_json_text(object, "piece"), *slash = strrchr(name, '/');
     if (!slash || (size_t)(slash - name) >= sizeof job_id) return;
     snprintf(job_id, sizeof job_id, "%.*s", (int)(slash - name), name);
     int index = tw_simulator_parse_int(slash + 1);
-    uint64_t attempt = (uint64_t)tw_simulator_json_number(o, "try");
-    const char *verb = tw_simulator_json_text(o, "verb");
+    uint64_t attempt = (uint64_t)tw_simulator_json_number(object, "try");
+    const char *verb = tw_simulator_json_text(object, "verb");
     tw_simulator_task *task = find_task(worker, job_id, index, attempt);
     if (!strcmp(verb, "launch")) {
         if (!task) launch_task(world, worker, job_id, index, attempt);
     } else if (!strcmp(verb, "kill") && task && task->stage != TW_TASK_EXITED) {
-        stop_task(world, worker, task, tw_simulator_json_number(o, "mercyS"));
+        stop_task(world, worker, task, tw_simulator_json_number(object, "mercyS"));
     } else if (!strcmp(verb, "forget") && task && task->stage == TW_TASK_EXITED) {
         *task = worker->tasks[--worker->task_count];
         worker->changed = true;
@@ -178,27 +178,27 @@
 
 static void execute_commands(tw_simulator_world *world, tw_simulator_worker *worker,
                              const cJSON *body) {
-    const cJSON *o;
+    const cJSON *object;
     uint64_t fencing_token = (uint64_t)tw_simulator_json_number(body, "baton");
     if (fencing_token > worker->fencing_token) {
         worker->fencing_token = fencing_token;
         worker->changed = true;
     }
-    cJSON_ArrayForEach(o, cJSON_GetObjectItemCaseSensitive(body, "orders")) {
-        execute_command(world, worker, o);
+    cJSON_ArrayForEach(object, cJSON_GetObjectItemCaseSensitive(body, "orders")) {
+        execute_command(world, worker, object);
     }
 }
 
 void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
                                 uint64_t incarnation, int status, const char *body) {
     if (worker->gone || incarnation != worker->incarnation) return;
-    cJSON *o = cJSON_Parse(body ? body : "");
-    const char *leader = tw_simulator_json_text(o, "foreman");
-    double fencing_token = tw_simulator_json_number(o, "baton");
+    cJSON *object = cJSON_Parse(body ? body : "");
+    const char *leader = tw_simulator_json_text(object, "foreman");
+    double fencing_token = tw_simulator_json_number(object, "baton");
     if (status == TW_SIMULATOR_OK) {
         if (fencing_token > 0 && (uint64_t)fencing_token >= worker->fencing_token) {
             if (sent > worker->lease_from) worker->lease_from = sent;
-            execute_commands(world, worker, o);
+            execute_commands(world, worker, object);
         }
     } else if (status == TW_SIMULATOR_REDIRECTED && *leader) {
         for (int i = 0; i < world->node_count; i++)
@@ -208,7 +208,7 @@
         worker->node = (worker->node + 1) % world->node_count;
         worker->next_heartbeat = world->now + NEXT_NODE_S;
     }
-    cJSON_Delete(o);
+    cJSON_Delete(object);
 }
 
 int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
@@ -216,13 +216,13 @@
                                 char **out) {
     int status = TW_SIMULATOR_OK;
     if (!strcmp(method, "POST") && !strcmp(path, "/orders")) {
-        cJSON *o = cJSON_Parse(body);
-        if ((uint64_t)tw_simulator_json_number(o, "baton") < worker->fencing_token ||
-            (uint64_t)tw_simulator_json_number(o, "shift") != worker->incarnation)
+        cJSON *object = cJSON_Parse(body);
+        if ((uint64_t)tw_simulator_json_number(object, "baton") < worker->fencing_token ||
+            (uint64_t)tw_simulator_json_number(object, "shift") != worker->incarnation)
             status = TW_SIMULATOR_CONFLICT;
         else
-            execute_commands(world, worker, o);
-        cJSON_Delete(o);
+            execute_commands(world, worker, object);
+        cJSON_Delete(object);
     }
     *out = tw_simulator_worker_heartbeat(world, worker);
     return status;
--- a/simulator/world.c
+++ b/simulator/world.c
@@ -19,9 +19,9 @@
 }
 
 void *tw_simulator_allocate(size_t size) {
-    void *p = calloc(1, size);
-    if (!p) abort();
-    return p;
+    void *memory = calloc(1, size);
+    if (!memory) abort();
+    return memory;
 }
 
 void *tw_simulator_grow(void *items, int count, int *capacity, size_t size) {
@@ -33,13 +33,13 @@
 }
 
 const char *tw_simulator_json_text(const cJSON *object, const char *field) {
-    const cJSON *v = cJSON_GetObjectItemCaseSensitive(object, field);
-    return cJSON_IsString(v) ? v->valuestring : "";
+    const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, field);
+    return cJSON_IsString(value) ? value->valuestring : "";
 }
 
 double tw_simulator_json_number(const cJSON *object, const char *field) {
-    const cJSON *v = cJSON_GetObjectItemCaseSensitive(object, field);
-    return cJSON_IsNumber(v) ? v->valuedouble : 0;
+    const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, field);
+    return cJSON_IsNumber(value) ? value->valuedouble : 0;
 }
 
 char *tw_simulator_json_print(cJSON *object) {
--- a/tests/unit/heartbeat_cache_test.c
+++ b/tests/unit/heartbeat_cache_test.c
@@ -66,13 +66,13 @@
 };
 static const size_t text_count = sizeof texts / sizeof *texts;
 
-static bool same_piece(const tw_wire_task *one, const tw_wire_task *other) {
+static bool is_same_task(const tw_wire_task *one, const tw_wire_task *other) {
     return !strcmp(one->job, other->job) && one->index == other->index &&
            one->state == other->state && one->cause == other->cause && one->saved == other->saved &&
            one->attempt == other->attempt;
 }
 
-static int same(const tw_wire_heartbeat *one, const tw_wire_heartbeat *other) {
+static int is_same_heartbeat(const tw_wire_heartbeat *one, const tw_wire_heartbeat *other) {
     if (strcmp(one->worker, other->worker) != 0 || strcmp(one->endpoint, other->endpoint) != 0 ||
         strcmp(one->machine_type, other->machine_type) != 0 ||
         strcmp(one->zone, other->zone) != 0 || one->spot != other->spot ||
@@ -82,31 +82,30 @@
         one->task_count != other->task_count)
         return 0;
     for (int i = 0; i < one->task_count; i++)
-        if (!same_piece(&one->tasks[i], &other->tasks[i])) return 0;
+        if (!is_same_task(&one->tasks[i], &other->tasks[i])) return 0;
     return 1;
 }
 
 /* Whether the set reads the text as the parser does. */
-static bool reads(tw_wire_heartbeat_cache *reports, const char *text) {
+static bool reads(tw_wire_heartbeat_cache *cache, const char *text) {
     tw_wire_heartbeat parsed;
     const int refused = tw_wire_heartbeat_parse(&parsed, text, strlen(text));
-    const tw_wire_heartbeat *read = tw_wire_heartbeat_cache_read(reports, text, strlen(text));
-    const bool alike = refused ? !read : read && same(read, &parsed);
+    const tw_wire_heartbeat *read = tw_wire_heartbeat_cache_read(cache, text, strlen(text));
+    const bool alike = refused ? !read : read && is_same_heartbeat(read, &parsed);
     if (!refused) tw_wire_heartbeat_free(&parsed);
     return alike;
 }
 
 enum { WORKERS = 500, ROUNDS = 20, CHANGE_ROUNDS = 5 };
 
-/* A report of the worker; a round's number is the report's, and the token changes at times. */
-static const tw_wire_heartbeat *read_round(tw_wire_heartbeat_cache *reports, int worker,
-                                           int round) {
+/* A heartbeat of the worker; its sequence is the number of the round, and its token changes at times. */
+static const tw_wire_heartbeat *read_round(tw_wire_heartbeat_cache *cache, int worker, int round) {
     char text[400];
     snprintf(text, sizeof text,
              "{\"tray\":\"n-%d\",\"endpoint\":\"h:1\",\"rack\":\"g8\",\"yard\":\"a\","
              "\"loaner\":true,\"shift\":1,\"tick\":%d,\"baton\":%d,\"pieces\":[]}",
              worker, round, round / CHANGE_ROUNDS);
-    return tw_wire_heartbeat_cache_read(reports, text, strlen(text));
+    return tw_wire_heartbeat_cache_read(cache, text, strlen(text));
 }
 
 /* Reports of many workers, one of which comes once: it is let go, the others are kept, and one with
@@ -114,23 +113,23 @@
 static int reads_many(void) {
     const tw_wire_heartbeat *last[WORKERS] = {NULL};
     int wrong = 0;
-    tw_wire_heartbeat_cache *reports = tw_wire_heartbeat_cache_new();
+    tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new();
     for (int round = 0; round < ROUNDS; round++) {
         for (int worker = round > 0; worker < WORKERS; worker++) {
-            const tw_wire_heartbeat *read = read_round(reports, worker, round);
+            const tw_wire_heartbeat *read = read_round(cache, worker, round);
             const bool kept = round % CHANGE_ROUNDS == 0 || read == last[worker];
             wrong += !read || !kept || read->sequence != (uint64_t)round;
             last[worker] = read;
         }
-        tw_wire_heartbeat_cache_sweep(reports);
+        tw_wire_heartbeat_cache_sweep(cache);
     }
     if (wrong) printf("FAIL reports: %d of those with nothing new are read anew\n", wrong);
-    const size_t count = tw_wire_heartbeat_cache_count(reports);
+    const size_t count = tw_wire_heartbeat_cache_count(cache);
     if (count != WORKERS - 1) {
         printf("FAIL reports: %zu are kept of %d workers\n", count, WORKERS - 1);
         wrong++;
     }
-    tw_wire_heartbeat_cache_free(reports);
+    tw_wire_heartbeat_cache_free(cache);
     return wrong;
 }
 
@@ -138,13 +137,13 @@
     int wrong = reads_many();
     for (size_t i = 0; i < text_count; i++) {
         for (size_t j = 0; j < text_count; j++) {
-            tw_wire_heartbeat_cache *reports = tw_wire_heartbeat_cache_new();
-            if (!reads(reports, texts[i]) || !reads(reports, texts[j]) ||
-                !reads(reports, texts[j]) || !reads(reports, texts[i])) {
+            tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new();
+            if (!reads(cache, texts[i]) || !reads(cache, texts[j]) || !reads(cache, texts[j]) ||
+                !reads(cache, texts[i])) {
                 printf("FAIL reports: %s after %s\n", texts[j], texts[i]);
                 wrong++;
             }
-            tw_wire_heartbeat_cache_free(reports);
+            tw_wire_heartbeat_cache_free(cache);
         }
     }
     if (!wrong) printf("ok reports: %zu pairs\n", text_count * text_count);
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -28,23 +28,23 @@
     "\"pieces\":" n ",\"cores\":2,\"gpus\":0,\"memoryGb\":4,\"bundle\":\"img-1\",\"imageGb\":1,"   \
     "\"samePlace\":false,\"apart\":false,\"loaner\":false,\"expectS\":40,\"snapshotS\":0,"         \
     "\"flushS\":0"
-#define REPORT(tick, baton, pieces)                                                                \
+#define HEARTBEAT(tick, baton, pieces)                                                             \
     "{\"tray\":\"n-000001\",\"endpoint\":\"10.1.0.1:9000\",\"rack\":\"cpu\",\"yard\":\"a\","       \
     "\"loaner\":false,\"shift\":1,\"tick\":" tick ",\"baton\":" baton ",\"pieces\":[" pieces "]}"
-#define PIECE(of, attempt, rest) "{\"piece\":\"" of "\",\"try\":" attempt "," rest "}"
+#define TASK(of, attempt, rest) "{\"piece\":\"" of "\",\"try\":" attempt "," rest "}"
 #define RUNS "\"stage\":\"running\""
 #define DONE "\"stage\":\"exited\",\"cause\":\"done\""
 
-static void submit(tw_test_conversation *conversation, const char *body) {
+static void submit_job(tw_test_conversation *conversation, const char *body) {
     tw_test_conversation_request(conversation, TW_PORT_API, "POST", "/v1/jobs", body);
 }
-static void report(tw_test_conversation *conversation, const char *body) {
+static void send_heartbeat(tw_test_conversation *conversation, const char *body) {
     tw_test_conversation_request(conversation, TW_PORT_API, "POST", "/hello", body);
 }
-static void poll(tw_test_conversation *conversation, const char *path) {
+static void poll_job(tw_test_conversation *conversation, const char *path) {
     tw_test_conversation_request(conversation, TW_PORT_API, "GET", path, "");
 }
-static void heartbeat(tw_test_conversation *conversation, const char *body) {
+static void send_peer_heartbeat(tw_test_conversation *conversation, const char *body) {
     tw_test_conversation_request(conversation, TW_PORT_PEER, "POST", "/peer/ping", body);
 }
 
@@ -53,24 +53,25 @@
     tw_test_conversation_init(conversation);
     tw_test_conversation_start_node(conversation, program);
     tw_test_conversation_advance_to(conversation, 3);
-    report(conversation, REPORT("1", "0", ""));
+    send_heartbeat(conversation, HEARTBEAT("1", "0", ""));
     tw_test_conversation_advance_to(conversation, 3.2);
-    report(conversation, REPORT("2", "101", ""));
-    submit(conversation, JOB("run-000001", "batch", TASKS("2")));
+    send_heartbeat(conversation, HEARTBEAT("2", "101", ""));
+    submit_job(conversation, JOB("run-000001", "batch", TASKS("2")));
     tw_test_conversation_advance_to(conversation, 3.5);
-    submit(conversation, JOB("run-000002", "service", TASKS("1")));
+    submit_job(conversation, JOB("run-000002", "service", TASKS("1")));
     tw_test_conversation_advance_to(conversation, 4);
-    heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
-                            "\"upS\":503,\"deputyS\":503}");
-    report(conversation,
-           REPORT("3", "101",
-                  PIECE("run-000001/0", "1", RUNS) "," PIECE("run-000001/1", "1", RUNS) "," PIECE(
-                      "run-000002/0", "1", RUNS)));
+    send_peer_heartbeat(conversation,
+                        "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
+                        "\"upS\":503,\"deputyS\":503}");
+    send_heartbeat(conversation,
+                   HEARTBEAT("3", "101",
+                             TASK("run-000001/0", "1", RUNS) "," TASK(
+                                 "run-000001/1", "1", RUNS) "," TASK("run-000002/0", "1", RUNS)));
     tw_test_conversation_advance_to(conversation, 5);
-    report(conversation,
-           REPORT("4", "101",
-                  PIECE("run-000001/0", "1", DONE) "," PIECE("run-000001/1", "1", RUNS) "," PIECE(
-                      "run-000002/0", "1", RUNS)));
+    send_heartbeat(conversation,
+                   HEARTBEAT("4", "101",
+                             TASK("run-000001/0", "1", DONE) "," TASK(
+                                 "run-000001/1", "1", RUNS) "," TASK("run-000002/0", "1", RUNS)));
     tw_test_conversation_advance_to(conversation, 6);
     tw_test_conversation_show_record(conversation, "job/run-000001");
     tw_test_conversation_show_record(conversation, "job/run-000002");
@@ -78,19 +79,20 @@
                                  "");
     tw_test_conversation_advance_to(conversation, 6.5);
     tw_test_conversation_show_record(conversation, "job/run-000002");
-    report(
+    send_heartbeat(
         conversation,
-        REPORT("5", "101", PIECE("run-000001/1", "2", DONE) "," PIECE("run-000002/0", "1", RUNS)));
+        HEARTBEAT("5", "101", TASK("run-000001/1", "2", DONE) "," TASK("run-000002/0", "1", RUNS)));
     tw_test_conversation_advance_to(conversation, 7.5);
-    heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":101,\"stateOk\":true,\"leading\":false,"
-                            "\"upS\":506,\"deputyS\":506}");
-    report(conversation,
-           REPORT("6", "101",
-                  PIECE("run-000002/0", "1",
-                        "\"stage\":\"exited\",\"cause\":\"stopped\",\"saved\":true")));
+    send_peer_heartbeat(conversation,
+                        "{\"name\":\"tray-1\",\"token\":101,\"stateOk\":true,\"leading\":false,"
+                        "\"upS\":506,\"deputyS\":506}");
+    send_heartbeat(conversation,
+                   HEARTBEAT("6", "101",
+                             TASK("run-000002/0", "1",
+                                  "\"stage\":\"exited\",\"cause\":\"stopped\",\"saved\":true")));
     tw_test_conversation_advance_to(conversation, 9);
-    poll(conversation, "/v1/jobs/run-000001");
-    poll(conversation, "/v1/jobs/run-000002");
+    poll_job(conversation, "/v1/jobs/run-000001");
+    poll_job(conversation, "/v1/jobs/run-000002");
     tw_test_conversation_advance_to(conversation, 9.5);
     tw_test_conversation_show_record(conversation, "job/run-000001");
     tw_test_conversation_show_record(conversation, "job/run-000002");
@@ -116,20 +118,21 @@
     tw_test_conversation_put(conversation, "new/run-000005", "1");
     tw_test_conversation_start_node(conversation, program);
     tw_test_conversation_advance_to(conversation, 4);
-    report(conversation,
-           REPORT("71", "90",
-                  PIECE("run-000001/0", "4", RUNS) "," PIECE("run-000001/2", "5", RUNS) "," PIECE(
-                      "run-000002/0", "1", RUNS)));
+    send_heartbeat(conversation,
+                   HEARTBEAT("71", "90",
+                             TASK("run-000001/0", "4", RUNS) "," TASK(
+                                 "run-000001/2", "5", RUNS) "," TASK("run-000002/0", "1", RUNS)));
     tw_test_conversation_advance_to(conversation, 5);
-    report(conversation,
-           REPORT("72", "106",
-                  PIECE("run-000001/0", "4", DONE) "," PIECE("run-000001/2", "5", RUNS) "," PIECE(
+    send_heartbeat(
+        conversation,
+        HEARTBEAT("72", "106",
+                  TASK("run-000001/0", "4", DONE) "," TASK("run-000001/2", "5", RUNS) "," TASK(
                       "run-000002/0", "1", "\"stage\":\"exited\",\"cause\":\"stopped\"")));
     tw_test_conversation_advance_to(conversation, 6);
     for (int i = 1; i <= 5; i++) {
         char path[TW_SIMULATOR_NAME];
         snprintf(path, sizeof path, "/v1/jobs/run-%06d", i);
-        poll(conversation, path);
+        poll_job(conversation, path);
     }
     tw_test_conversation_advance_to(conversation, 7);
     for (int i = 1; i <= 4; i++) {
@@ -141,7 +144,7 @@
     tw_test_conversation_show_record(conversation, "leader");
 }
 
-/* Another node leads: heartbeats, reports that are handed on, users' requests. */
+/* Another node leads: peer heartbeats, worker heartbeats that are forwarded, users' requests. */
 static void follows(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
     tw_test_conversation_put(conversation, "leader", "{\"node\":\"tray-1\"}");
@@ -151,20 +154,20 @@
                                                       "\"l\":\"0:1:n-000001\"}");
     tw_test_conversation_start_node(conversation, program);
     tw_test_conversation_advance_to(conversation, 2);
-    heartbeat(conversation,
-              "{\"name\":\"tray-1\",\"leader\":\"tray-1\",\"token\":101,\"stateOk\":true,"
-              "\"leading\":true,\"upS\":500,\"deputyS\":500,\"aborted\":[\"run-000009\"]}");
-    report(conversation, REPORT("71", "101", PIECE("run-000001/0", "1", RUNS)));
+    send_peer_heartbeat(
+        conversation, "{\"name\":\"tray-1\",\"leader\":\"tray-1\",\"token\":101,\"stateOk\":true,"
+                      "\"leading\":true,\"upS\":500,\"deputyS\":500,\"aborted\":[\"run-000009\"]}");
+    send_heartbeat(conversation, HEARTBEAT("71", "101", TASK("run-000001/0", "1", RUNS)));
     tw_test_conversation_advance_to(conversation, 3);
-    poll(conversation, "/v1/jobs/run-000001");
-    submit(conversation, JOB("run-000002", "batch", TASKS("1")));
+    poll_job(conversation, "/v1/jobs/run-000001");
+    submit_job(conversation, JOB("run-000002", "batch", TASKS("1")));
     tw_test_conversation_advance_to(conversation, 3.5);
     tw_test_conversation_request(conversation, TW_PORT_API, "POST", "/v1/jobs/run-000002/abort",
                                  "");
     tw_test_conversation_request(conversation, TW_PORT_PEER, "POST", "/peer/hello",
-                                 REPORT("72", "101", ""));
+                                 HEARTBEAT("72", "101", ""));
     tw_test_conversation_advance_to(conversation, 4);
-    heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":90}");
+    send_peer_heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":90}");
     tw_test_conversation_show_record(conversation, "job/run-000002");
     tw_test_conversation_show_record(conversation, "new/run-000002");
 }
@@ -183,13 +186,14 @@
     tw_test_conversation_put(conversation, "part/run-000002/90-1/0", "\"{}\"");
     tw_test_conversation_start_node(conversation, program);
     tw_test_conversation_advance_to(conversation, 4);
-    heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
-                            "\"upS\":503,\"deputyS\":503,\"recordFormat\":2}");
-    report(conversation, REPORT("71", "90", PIECE("run-000001/0", "1", DONE)));
+    send_peer_heartbeat(conversation,
+                        "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
+                        "\"upS\":503,\"deputyS\":503,\"recordFormat\":2}");
+    send_heartbeat(conversation, HEARTBEAT("71", "90", TASK("run-000001/0", "1", DONE)));
     tw_test_conversation_advance_to(conversation, 6);
-    poll(conversation, "/v1/jobs/run-000001");
-    poll(conversation, "/v1/jobs/run-000002");
-    poll(conversation, "/v1/jobs/run-000003");
+    poll_job(conversation, "/v1/jobs/run-000001");
+    poll_job(conversation, "/v1/jobs/run-000002");
+    poll_job(conversation, "/v1/jobs/run-000003");
     tw_test_conversation_advance_to(conversation, 7);
     tw_test_conversation_show_record(conversation, "job/run-000001");
     tw_test_conversation_show_record(conversation, "job/run-000002");
--- a/tests/unit/wire_dump.c
+++ b/tests/unit/wire_dump.c
@@ -30,7 +30,7 @@
     tw_wire_job_free(&job);
 }
 
-static void parse_report(FILE *out, const char *text, size_t length) {
+static void parse_heartbeat(FILE *out, const char *text, size_t length) {
     tw_wire_heartbeat report;
     if (tw_wire_heartbeat_parse(&report, text, length)) {
         fprintf(out, "refused");
@@ -42,49 +42,49 @@
     fprintf(out, " baton=%" PRIu64 " warning_s=%.17g npieces=%d", report.fencing_token,
             report.preemption_notice_s, report.task_count);
     for (int i = 0; i < report.task_count; i++) {
-        const tw_wire_task *piece = &report.tasks[i];
-        fprintf(out, " [job=%s index=%d stage=%d cause=%d saved=%d attempt=%" PRIu64 "]",
-                piece->job, piece->index, piece->state, piece->cause, piece->saved, piece->attempt);
+        const tw_wire_task *task = &report.tasks[i];
+        fprintf(out, " [job=%s index=%d stage=%d cause=%d saved=%d attempt=%" PRIu64 "]", task->job,
+                task->index, task->state, task->cause, task->saved, task->attempt);
     }
     tw_wire_heartbeat_free(&report);
 }
 
-static void parse_flavors(FILE *out, const char *text, size_t length) {
-    tw_wire_machine_type *flavors;
+static void parse_machine_types(FILE *out, const char *text, size_t length) {
+    tw_wire_machine_type *types;
     int count;
-    if (tw_wire_machine_types_parse(&flavors, &count, text, length)) {
+    if (tw_wire_machine_types_parse(&types, &count, text, length)) {
         fprintf(out, "refused");
         return;
     }
     fprintf(out, "count=%d", count);
     for (int i = 0; i < count; i++) {
-        const tw_wire_machine_type *flavor = &flavors[i];
-        fprintf(out, " [label=%s cores=%.17g gpus=%.17g memory_gb=%.17g cache_gb=%.17g",
-                flavor->name, flavor->cores, flavor->gpus, flavor->memory_gb, flavor->cache_gb);
+        const tw_wire_machine_type *type = &types[i];
+        fprintf(out, " [label=%s cores=%.17g gpus=%.17g memory_gb=%.17g cache_gb=%.17g", type->name,
+                type->cores, type->gpus, type->memory_gb, type->cache_gb);
         fprintf(out, " fetch_gb_s=%.17g hourly=%.17g low_price=%.17g startup_s=%.17g",
-                flavor->fetch_gb_s, flavor->on_demand_price, flavor->spot_price, flavor->startup_s);
-        for (int k = 0; k < flavor->zone_count; k++) fprintf(out, " yard=%s", flavor->zones[k]);
+                type->fetch_gb_s, type->on_demand_price, type->spot_price, type->startup_s);
+        for (int k = 0; k < type->zone_count; k++) fprintf(out, " yard=%s", type->zones[k]);
         fprintf(out, "]");
     }
-    free(flavors);
+    free(types);
 }
 
-static void parse_trays(FILE *out, const char *text, size_t length) {
-    tw_wire_rented_machine *trays;
+static void parse_rented_machines(FILE *out, const char *text, size_t length) {
+    tw_wire_rented_machine *machines;
     int count;
     int more;
-    if (tw_wire_rented_machines_parse(&trays, &count, &more, text, length)) {
+    if (tw_wire_rented_machines_parse(&machines, &count, &more, text, length)) {
         fprintf(out, "refused");
         return;
     }
     fprintf(out, "count=%d more=%d", count, more);
     for (int i = 0; i < count; i++) {
-        const tw_wire_rented_machine *tray = &trays[i];
+        const tw_wire_rented_machine *machine = &machines[i];
         fprintf(out, " [id=%s endpoint=%s rack=%s yard=%s loaner=%d stage=%d held_s=%.17g]",
-                tray->id, tray->endpoint, tray->machine_type, tray->zone, tray->spot, tray->state,
-                tray->rented_s);
+                machine->id, machine->endpoint, machine->machine_type, machine->zone, machine->spot,
+                machine->state, machine->rented_s);
     }
-    free(trays);
+    free(machines);
 }
 
 static void parse_names(FILE *out, const char *text, size_t length) {
@@ -105,7 +105,7 @@
     free(keys);
 }
 
-static void parse_aborted(FILE *out, const char *text, size_t length) {
+static void parse_cancelled(FILE *out, const char *text, size_t length) {
     char(*ids)[TW_WIRE_ID_SIZE];
     int count;
     int refused = tw_wire_cancelled_jobs_parse(&ids, &count, text, length);
@@ -206,16 +206,17 @@
     tw_wire_records_free(records, count);
 }
 
-static void parse_ping(FILE *out, const char *text, size_t length) {
-    tw_wire_peer_heartbeat ping;
-    if (tw_wire_peer_heartbeat_parse(&ping, text, length)) {
+static void parse_peer_heartbeat(FILE *out, const char *text, size_t length) {
+    tw_wire_peer_heartbeat heartbeat;
+    if (tw_wire_peer_heartbeat_parse(&heartbeat, text, length)) {
         fprintf(out, "refused");
         return;
     }
-    fprintf(out, "name=%s leader=%s token=%" PRIu64 " state_ok=%d leading=%d up_s=%.17g", ping.name,
-            ping.leader, ping.highest_token, ping.store_reachable, ping.is_leader, ping.uptime_s);
-    fprintf(out, " deputy_s=%.17g record_format=%d", ping.since_delegate_answer_s,
-            ping.record_format);
+    fprintf(out, "name=%s leader=%s token=%" PRIu64 " state_ok=%d leading=%d up_s=%.17g",
+            heartbeat.name, heartbeat.leader, heartbeat.highest_token, heartbeat.store_reachable,
+            heartbeat.is_leader, heartbeat.uptime_s);
+    fprintf(out, " deputy_s=%.17g record_format=%d", heartbeat.since_delegate_answer_s,
+            heartbeat.record_format);
 }
 
 #define JOB                                                                                        \
@@ -232,21 +233,21 @@
      "\"loaner\":true,\"shift\":1,\"tick\":88,\"baton\":41,\"warningS\":12.5,\"pieces\":["
      "{\"piece\":\"run-000412/3\",\"try\":2,\"stage\":\"exited\",\"cause\":\"stopped\","
      "\"saved\":true},{\"piece\":\"run-000398/0\",\"try\":1,\"stage\":\"pulling\"}]}",
-     parse_report, false},
+     parse_heartbeat, false},
     {"flavors",
      "{\"racks\":[{\"label\":\"g8\",\"cores\":96,\"gpus\":8,\"memoryGb\":768,\"cacheGb\":200,"
      "\"fetchGbPerS\":1.5,\"hourly\":12.0,\"lowPrice\":4.5,\"startupS\":45,\"yards\":[\"a\","
      "\"b\"]},{\"label\":\"c\",\"cores\":4,\"memoryGb\":8,\"hourly\":1,\"yards\":[]}]}",
-     parse_flavors, false},
+     parse_machine_types, false},
     {"trays",
      "{\"trays\":[{\"id\":\"n-000231\",\"endpoint\":\"10.1.0.232:9000\",\"rack\":\"g8\","
      "\"yard\":\"a\",\"loaner\":true,\"stage\":\"running\",\"heldS\":61.5},{\"id\":\"n-000232\","
      "\"rack\":\"g8\",\"yard\":\"a\",\"loaner\":false,\"stage\":\"failed\"}],\"more\":true}",
-     parse_trays, false},
+     parse_rented_machines, false},
     {"names", "{\"trays\":[\"n-000231\",\"n-000232\"]}", parse_names, false},
     {"failed", "{\"failed\":[\"a/b\",\"leader\"],\"ledger\":431}", parse_failed, false},
-    {"aborted", "{\"name\":\"tray-0\",\"aborted\":[\"run-000412\",\"run-000413\"]}", parse_aborted,
-     false},
+    {"aborted", "{\"name\":\"tray-0\",\"aborted\":[\"run-000412\",\"run-000413\"]}",
+     parse_cancelled, false},
     {"entry", "{\"k\":\"a/b\",\"data\":{\"x\":[1,2.5,\"y\"]},\"stamp\":412,\"hold\":7}",
      parse_entry, false},
     {"entries",
@@ -266,10 +267,10 @@
     {"ping",
      "{\"name\":\"tray-0\",\"leader\":\"tray-1\",\"token\":41,\"stateOk\":true,\"leading\":false,"
      "\"upS\":12.25,\"deputyS\":3.5}",
-     parse_ping, false},
+     parse_peer_heartbeat, false},
     {"ping_of_divided_records",
      "{\"name\":\"tray-0\",\"token\":41,\"stateOk\":true,\"leading\":false,\"recordFormat\":2}",
-     parse_ping, false},
+     parse_peer_heartbeat, false},
     {"record_divided", "{\"s\":0,\"p\":400,\"c\":3,\"parts\":{\"set\":\"41-7\",\"n\":5,\"l\":397}}",
      parse_record, false},
     {"records",
--- a/tests/unit/wire_print.c
+++ b/tests/unit/wire_print.c
@@ -18,8 +18,8 @@
     show(out, "stage aborted", tw_wire_job_status_text("run-000412", TW_JOB_CANCELLED, -1, 2));
 }
 
-static void print_orders(FILE *out) {
-    const tw_wire_command orders[] = {
+static void print_commands(FILE *out) {
+    const tw_wire_command commands[] = {
         {.kind = TW_COMMAND_LAUNCH, .job = "run-000412", .index = 4, .attempt = 2, .grace_s = 9},
         {.kind = TW_COMMAND_STOP,
          .job = "run-000377",
@@ -30,8 +30,8 @@
         {.kind = TW_COMMAND_FORGET, .job = "run-000398", .attempt = 1},
     };
     show(out, "orders none", tw_wire_commands_text(41, 0, NULL, 0));
-    show(out, "orders answer", tw_wire_commands_text(41, 0, orders, 4));
-    show(out, "orders direct", tw_wire_commands_text(LARGEST_EXACT, 3, orders, 2));
+    show(out, "orders answer", tw_wire_commands_text(41, 0, commands, 4));
+    show(out, "orders direct", tw_wire_commands_text(LARGEST_EXACT, 3, commands, 2));
     show(out, "foreman", tw_wire_redirect_text("tray-2"));
     show(out, "foreman empty", tw_wire_redirect_text(""));
     show(out, "foreman none", tw_wire_redirect_text(NULL));
@@ -113,46 +113,47 @@
     const tw_wire_record over = {
         .state = TW_JOB_DONE, .task_count = 16, .done_count = 16, .next_attempt = 2};
     show(out, "record over", tw_wire_record_text(&over));
-    const tw_wire_record aborted = {.state = TW_JOB_CANCELLED, .task_count = 1, .submitted_at = -1};
-    show(out, "record aborted", tw_wire_record_text(&aborted));
+    const tw_wire_record cancelled = {
+        .state = TW_JOB_CANCELLED, .task_count = 1, .submitted_at = -1};
+    show(out, "record aborted", tw_wire_record_text(&cancelled));
 }
 
 /* Shows the slices of a text, each of at most as many bytes of JSON, and that they make it up. */
-static void print_slices(FILE *out, const char *text, size_t most) {
+static void print_chunks(FILE *out, const char *text, size_t most) {
     char joined[128] = "";
     while (*text) {
         size_t taken;
-        char *slice = tw_wire_chunk_text(text, most, &taken);
-        char *held = tw_wire_chunk_parse(slice);
+        char *chunk = tw_wire_chunk_text(text, most, &taken);
+        char *held = tw_wire_chunk_parse(chunk);
         if (!held || !taken) {
             fprintf(out, "no slice of %zu bytes\n", most);
-            free(slice);
+            free(chunk);
             free(held);
             return;
         }
         strcat(joined, held);
         free(held);
-        show(out, "slice", slice);
+        show(out, "slice", chunk);
         text += taken;
     }
     fprintf(out, "joined: %s\n", joined);
 }
 
-static void print_divided(FILE *out) {
-    const tw_wire_record divided = {.task_count = 400,
+static void print_chunked_records(FILE *out) {
+    const tw_wire_record chunked = {.task_count = 400,
                                     .done_count = 3,
                                     .chunk_set = "41-7",
                                     .chunk_count = 5,
                                     .running_count = 397};
-    show(out, "record divided", tw_wire_chunked_record_text(&divided));
-    print_slices(out, "{\"l\":\"0:1:n-0001\",\"x\":\"\xc3\xa9\xe2\x82\xac\xf0\x9f\x98\x80\"}", 14);
-    print_slices(out, "\xe2\x82\xac", 10);
+    show(out, "record divided", tw_wire_chunked_record_text(&chunked));
+    print_chunks(out, "{\"l\":\"0:1:n-0001\",\"x\":\"\xc3\xa9\xe2\x82\xac\xf0\x9f\x98\x80\"}", 14);
+    print_chunks(out, "\xe2\x82\xac", 10);
     char *none = tw_wire_chunk_parse("{\"no\":1}");
     fprintf(out, "slice of an object: %s\n", none ? none : "(none)");
     free(none);
 }
 
-static void print_pings(FILE *out) {
+static void print_peer_heartbeats(FILE *out) {
     const char *const aborted[] = {"run-000412", "run-000413"};
     const tw_wire_peer_heartbeat leader = {.name = "tray-0",
                                            .leader = "tray-0",
@@ -164,17 +165,17 @@
     const tw_wire_peer_heartbeat follower = {.name = "tray-1"};
     show(out, "ping leader", tw_wire_peer_heartbeat_text(&leader, aborted, 2));
     show(out, "ping follower", tw_wire_peer_heartbeat_text(&follower, NULL, 0));
-    const tw_wire_peer_heartbeat divides = {.name = "tray-2",
-                                            .record_format = TW_RECORD_FORMAT_CHUNKED};
-    show(out, "ping divided", tw_wire_peer_heartbeat_text(&divides, NULL, 0));
+    const tw_wire_peer_heartbeat writes_chunks = {.name = "tray-2",
+                                                  .record_format = TW_RECORD_FORMAT_CHUNKED};
+    show(out, "ping divided", tw_wire_peer_heartbeat_text(&writes_chunks, NULL, 0));
 }
 
 void tw_test_print_messages(FILE *out) {
     print_stages(out);
-    print_orders(out);
+    print_commands(out);
     print_cloud(out);
     print_transactions(out);
     print_records(out);
-    print_pings(out);
-    print_divided(out);
+    print_peer_heartbeats(out);
+    print_chunked_records(out);
 }
--- a/tools/explore/explore.c
+++ b/tools/explore/explore.c
@@ -23,7 +23,7 @@
     double seconds;         /* 0: until all days are played */
     const char *directory, *rule, *play;
     uint32_t print;
-    int until_first, each, upgrade;
+    bool until_first, each, upgrade;
 } explore_options;
 
 typedef struct {
@@ -41,13 +41,21 @@
     uint32_t queue[QUEUE_MAX]; /* seeds to be shrunk */
     unsigned queued;
     double began, told;
-    int terminal;
+    bool terminal;
 } exploration;
 
 static volatile sig_atomic_t stopped;
 
 static void handle_signal(int signal_number) { stopped = signal_number; }
 
+/* SIGINT and SIGTERM end the search; what was found until then is still told. */
+static void catch_signals(void) {
+    const struct sigaction action = {.sa_handler = handle_signal};
+    sigaction(SIGINT, &action, NULL);
+    sigaction(SIGTERM, &action, NULL);
+    signal(SIGPIPE, SIG_IGN);
+}
+
 static double steady_s(void) {
     struct timespec now;
     clock_gettime(CLOCK_MONOTONIC, &now);
@@ -140,13 +148,13 @@
         chosen->play = text;
         break;
     case 'f':
-        chosen->until_first = 1;
+        chosen->until_first = true;
         break;
     case 'e':
-        chosen->each = 1;
+        chosen->each = true;
         break;
     case 'u':
-        chosen->upgrade = 1;
+        chosen->upgrade = true;
         break;
     case 'p':
         chosen->print = seed_of(state, text, &rest);
@@ -163,12 +171,12 @@
 
 /* ---- what is told ---- */
 
-/* A line of its own, also where the progress stands. */
+/* Clears the line in which the progress is shown on a terminal. */
 static void clear_progress(const exploration *run) {
     if (run->terminal) fputs("\r\033[K", stderr);
 }
 
-static void tell_progress(exploration *run, int whole) {
+static void tell_progress(exploration *run, bool whole) {
     const double now = steady_s(), took = now - run->began;
     if (!whole && now - run->told < (run->terminal ? PROGRESS_TERMINAL_S : PROGRESS_ELSE_S)) return;
     run->told = now;
@@ -238,7 +246,7 @@
     fflush(stdout);
 }
 
-/* Whether another day may begin. */
+/* Whether another day may be begun. */
 static bool may_begin(const exploration *run) {
     const explore_options *chosen = &run->options;
     if (run->next > chosen->last || (chosen->until_first && run->broken)) return false;
@@ -263,7 +271,7 @@
         give_work(run);
         if (!tw_fuzz_pool_busy(run->pool)) break;
         if (tw_fuzz_pool_wait(run->pool, WAIT_MS, &result)) take_result(run, &result);
-        tell_progress(run, 0);
+        tell_progress(run, false);
     }
     tell_sum(run);
 }
@@ -330,10 +338,7 @@
         fprintf(stderr, "%s: %s\n", run.options.directory, strerror(errno));
         return 2;
     }
-    const struct sigaction action = {.sa_handler = handle_signal};
-    sigaction(SIGINT, &action, NULL);
-    sigaction(SIGTERM, &action, NULL);
-    signal(SIGPIPE, SIG_IGN);
+    catch_signals();
     run.next = run.options.first;
     run.terminal = isatty(STDERR_FILENO);
     run.pool =
