--- a/tests/unit/heartbeat_cache_test.c
+++ b/tests/unit/heartbeat_cache_test.c
@@ -98,7 +98,8 @@
 
 enum { WORKERS = 500, ROUNDS = 20, CHANGE_ROUNDS = 5 };
 
-/* A heartbeat of the worker; its sequence is the number of the round, and its token changes at times. */
+/* A heartbeat of the worker; its sequence is the number of the round, and its token changes at
+ * times. */
 static const tw_wire_heartbeat *read_round(tw_wire_heartbeat_cache *cache, int worker, int round) {
     char text[400];
     snprintf(text, sizeof text,
