--- a/bench/cases/change.c
+++ b/bench/cases/change.c
@@ -1,18 +1,18 @@
-/* Reports that say that a task is done: alone, and with the scheduling pass that the room it frees
- * brings about, with jobs waiting that still find none. */
+/* Heartbeats that say that a task is done: alone, and with the scheduling pass that the room it
+ * frees brings about, with jobs waiting that still find none. */
 #include "cases/waiting.h"
 #include "fleet.h"
 
 #define ROUNDS 5
-#define REPORTS 20 /* in a round */
+#define HEARTBEATS 20 /* in a round */
 #define TASKS 8
 #define PAUSE_S 0.2 /* longer than the shortest time between passes */
 
-/* The machine's next report says that a task is done. */
-static void report_done(tw_bench_fleet *fleet, int machine, tw_bench_meter *meter) {
+/* The machine's next heartbeat says that a task is done. */
+static void send_done(tw_bench_fleet *fleet, int machine, tw_bench_meter *meter) {
     tw_bench_fleet_end_task(fleet, machine);
     tw_bench_fleet_measure(fleet, meter);
-    tw_bench_fleet_report(fleet, machine);
+    tw_bench_fleet_send_heartbeat(fleet, machine);
     tw_bench_fleet_measure(fleet, NULL);
 }
 
@@ -21,12 +21,12 @@
     tw_bench_fleet_settle(fleet);
 }
 
-/* Two machines with tasks of different jobs: the first one's report brings the pass about, so that
- * none is due with the second's. */
+/* Two machines with tasks of different jobs: the first one's heartbeat brings the pass about, so
+ * that none is due with the second's. */
 static void change(tw_bench_fleet *fleet, int number, int machines, tw_bench_meter *meter) {
     pause(fleet);
-    report_done(fleet, number % machines, NULL);
-    report_done(fleet, (number + machines / 2) % machines, meter);
+    send_done(fleet, number % machines, NULL);
+    send_done(fleet, (number + machines / 2) % machines, meter);
 }
 
 int tw_bench_case_change(const tw_bench_sizes *sizes, tw_bench_results *results) {
@@ -38,9 +38,10 @@
     result.machines = load.machines;
     result.tasks = load.tasks;
     for (int i = 0; i < ROUNDS; i++) {
-        tw_bench_meter meter = {.kinds = TW_BENCH_REPORT};
-        for (int k = 0; k < REPORTS; k++) change(fleet, i * REPORTS + k, load.machines, &meter);
-        tw_bench_result_round(&result, &meter, REPORTS);
+        tw_bench_meter meter = {.kinds = TW_BENCH_HEARTBEAT};
+        for (int k = 0; k < HEARTBEATS; k++)
+            change(fleet, i * HEARTBEATS + k, load.machines, &meter);
+        tw_bench_result_round(&result, &meter, HEARTBEATS);
     }
     tw_bench_results_add(results, &result);
     tw_bench_fleet_free(fleet);
@@ -55,12 +56,12 @@
     result.tasks = load->tasks;
     result.jobs = load->waiting;
     for (int i = 0; i < ROUNDS; i++) {
-        tw_bench_meter meter = {.kinds = TW_BENCH_REPORT};
-        for (int k = 0; k < REPORTS; k++) {
+        tw_bench_meter meter = {.kinds = TW_BENCH_HEARTBEAT};
+        for (int k = 0; k < HEARTBEATS; k++) {
             pause(fleet);
-            report_done(fleet, (i * REPORTS + k) % load->machines, &meter);
+            send_done(fleet, (i * HEARTBEATS + k) % load->machines, &meter);
         }
-        tw_bench_result_round(&result, &meter, REPORTS);
+        tw_bench_result_round(&result, &meter, HEARTBEATS);
     }
     tw_bench_results_add(results, &result);
     tw_bench_fleet_free(fleet);
--- a/bench/records.c
+++ b/bench/records.c
@@ -38,12 +38,12 @@
 }
 
 int tw_bench_jobs_kept(const tw_bench_load *load) {
-    return load->finished + running_jobs(load) + load->waiting;
+    return load->completed + running_jobs(load) + load->waiting;
 }
 
 void tw_bench_task_at(const tw_bench_load *load, int machine, int k, tw_bench_task *task) {
     int slot = k * load->machines + machine;
-    tw_bench_job_id(task->job, sizeof task->job, load->finished + slot / tasks_per_job(load));
+    tw_bench_job_id(task->job, sizeof task->job, load->completed + slot / tasks_per_job(load));
     task->index = slot % tasks_per_job(load);
     task->attempt = 1;
     task->done = false;
@@ -51,9 +51,9 @@
 
 /* ---- records ---- */
 
-static tw_wire_job job_of(int job, int pieces, double cores) {
+static tw_wire_job job_of(int job, int task_count, double cores) {
     tw_wire_job spec = {.priority = TW_PRIORITY_NORMAL,
-                        .task_count = pieces,
+                        .task_count = task_count,
                         .cores = cores,
                         .memory_gb = 1,
                         .image_gb = IMAGE_GB,
@@ -67,7 +67,7 @@
     return spec;
 }
 
-static char *finished_record(void) {
+static char *completed_record(void) {
     tw_wire_record record = {.state = TW_JOB_DONE,
                              .task_count = TW_BENCH_TASKS_PER_JOB,
                              .done_count = TW_BENCH_TASKS_PER_JOB,
@@ -77,21 +77,21 @@
 }
 
 static char *running_record(const tw_bench_load *load, int job) {
-    const int first = (job - load->finished) * tasks_per_job(load);
-    int pieces = running_tasks(load) - first;
-    if (pieces > tasks_per_job(load)) pieces = tasks_per_job(load);
-    tw_wire_assignment *live = tw_bench_alloc((size_t)pieces * sizeof *live);
-    for (int i = 0; i < pieces; i++) {
+    const int first = (job - load->completed) * tasks_per_job(load);
+    int task_count = running_tasks(load) - first;
+    if (task_count > tasks_per_job(load)) task_count = tasks_per_job(load);
+    tw_wire_assignment *live = tw_bench_alloc((size_t)task_count * sizeof *live);
+    for (int i = 0; i < task_count; i++) {
         live[i].index = i;
         live[i].attempt = 1;
         tw_bench_machine_name(live[i].worker, sizeof live[i].worker, (first + i) % load->machines);
     }
     tw_wire_record record = {.has_job = 1,
-                             .job = job_of(job, pieces, 1),
-                             .task_count = pieces,
+                             .job = job_of(job, task_count, 1),
+                             .task_count = task_count,
                              .submitted_at = SUBMITTED_AT,
                              .next_attempt = 2,
-                             .assignment_count = pieces,
+                             .assignment_count = task_count,
                              .assignments = live};
     char *text = tw_wire_record_text(&record);
     free(live);
@@ -109,8 +109,8 @@
 }
 
 static char *record_of(const tw_bench_load *load, int job) {
-    if (job < load->finished) return finished_record();
-    if (job < load->finished + running_jobs(load)) return running_record(load, job);
+    if (job < load->completed) return completed_record();
+    if (job < load->completed + running_jobs(load)) return running_record(load, job);
     return waiting_record(job);
 }
 
