--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -78,18 +78,19 @@
 
 /* Whether the attempt can't run any more, nor be started by a message on its way. */
 static bool evidence_holds(const tw_core *core, const tw_placement *placed,
-                           const tw_attempt_termination *end) {
+                           const tw_attempt_termination *termination) {
     const tw_machine *machine = placed->machine;
-    switch (end->evidence) {
+    switch (termination->evidence) {
     case TW_EVIDENCE_EXITED:
-        return end->reported && end->reported->state == TW_TASK_EXITED &&
-               end->reported->attempt == placed->attempt && end->reported->index == placed->index;
+        return termination->reported && termination->reported->state == TW_TASK_EXITED &&
+               termination->reported->attempt == placed->attempt &&
+               termination->reported->index == placed->index;
     case TW_EVIDENCE_ABSENT:
         return is_certainly_absent(placed);
     case TW_EVIDENCE_LAUNCH_LOST:
-        return tw_launch_was_lost(placed, end->heartbeat, end->answers_command);
+        return tw_launch_was_lost(placed, termination->heartbeat, termination->answers_command);
     case TW_EVIDENCE_NEW_INCARNATION:
-        return is_of_earlier_incarnation(placed, end->heartbeat);
+        return is_of_earlier_incarnation(placed, termination->heartbeat);
     case TW_EVIDENCE_LEASE_EXPIRED:
         return machine->lease_expired && core->context.now > tw_lease_expires_at(core, machine);
     case TW_EVIDENCE_MACHINE_RETURNED:
@@ -127,10 +128,10 @@
 }
 
 static void log_termination(const tw_core *core, const tw_placement *placed,
-                            const tw_attempt_termination *end) {
+                            const tw_attempt_termination *termination) {
     const tw_machine *machine = placed->machine;
-    const tw_wire_heartbeat *heartbeat = end->heartbeat;
-    const int level = is_logged_at_info(end->evidence) ? TW_LOG_INFO : TW_LOG_DEBUG;
+    const tw_wire_heartbeat *heartbeat = termination->heartbeat;
+    const int level = is_logged_at_info(termination->evidence) ? TW_LOG_INFO : TW_LOG_DEBUG;
     if (!placed->counted || !tw_log_on(level)) return;
     tw_log_write(level,
                  "event=attempt_terminated task=%s/%d attempt=%llu worker=%s evidence=%s cause=%d "
@@ -139,7 +140,8 @@
                  "incarnation=%llu sequence=%llu "
                  "heartbeat_token=%llu confirmed=%d age_s=%.2f",
                  placed->job->id, placed->index, (unsigned long long)placed->attempt, machine->name,
-                 evidence_names[end->evidence], end->reported ? end->reported->cause : 0,
+                 evidence_names[termination->evidence],
+                 termination->reported ? termination->reported->cause : 0,
                  (unsigned long long)tw_cluster_token(core->cluster), placed->inherited,
                  (unsigned long long)placed->launch_incarnation,
                  (unsigned long long)placed->launch_sequence, placed->direct_launches,
@@ -185,10 +187,11 @@
     return evidence == TW_EVIDENCE_EXITED || evidence == TW_EVIDENCE_GANG_DONE;
 }
 
-bool tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end) {
+bool tw_attempt_terminate(tw_core *core, tw_placement *placed,
+                          const tw_attempt_termination *termination) {
     tw_job *job = placed->job;
-    const tw_termination_evidence evidence = end->evidence;
-    if (!evidence_holds(core, placed, end)) {
+    const tw_termination_evidence evidence = termination->evidence;
+    if (!evidence_holds(core, placed, termination)) {
         core->counters.kept[evidence]++;
         if (!may_be_refuted(evidence))
             tw_invariant_broken(core, TW_INVARIANT_TERMINATION,
@@ -197,17 +200,18 @@
                                 placed->machine->name, evidence_names[evidence]);
         return false;
     }
-    const bool was_on_job = placed->counted;
-    const bool is_done = evidence == TW_EVIDENCE_GANG_DONE ||
-                         (evidence == TW_EVIDENCE_EXITED && end->reported->cause == TW_CAUSE_DONE);
-    core->counters.terminated[evidence] += (uint64_t)was_on_job;
-    log_termination(core, placed, end);
+    const bool was_counted = placed->counted;
+    const bool is_done =
+        evidence == TW_EVIDENCE_GANG_DONE ||
+        (evidence == TW_EVIDENCE_EXITED && termination->reported->cause == TW_CAUSE_DONE);
+    core->counters.terminated[evidence] += (uint64_t)was_counted;
+    log_termination(core, placed, termination);
     stop_counting(core, placed, is_done ? TW_ASSIGNMENT_DONE : TW_ASSIGNMENT_NONE);
     if (stays_on_machine(evidence)) return true;
     tw_attempt_forget(core, placed);
     /* A placement that is undone is not in the record yet, and after the term the record is not
      * this node's to write. */
-    if (was_on_job && evidence != TW_EVIDENCE_PLACEMENT_UNDONE &&
+    if (was_counted && evidence != TW_EVIDENCE_PLACEMENT_UNDONE &&
         evidence != TW_EVIDENCE_TERM_ENDED)
         tw_job_mark_changed(core, job, false);
     return true;
@@ -215,6 +219,6 @@
 
 bool tw_attempt_terminate_on(tw_core *core, tw_placement *placed,
                              tw_termination_evidence evidence) {
-    const tw_attempt_termination end = {.evidence = evidence};
-    return tw_attempt_terminate(core, placed, &end);
+    const tw_attempt_termination termination = {.evidence = evidence};
+    return tw_attempt_terminate(core, placed, &termination);
 }
--- a/src/core/attempt_termination.h
+++ b/src/core/attempt_termination.h
@@ -56,7 +56,8 @@
  * TW_EVIDENCE_GANG_DONE the placement stays in the machine's list, since the machine may still name
  * it, and the caller marks the job as changed once it knows what becomes of it. With all other
  * evidence the placement is freed and the job is marked here. */
-bool tw_attempt_terminate(tw_core *core, tw_placement *placed, const tw_attempt_termination *end);
+bool tw_attempt_terminate(tw_core *core, tw_placement *placed,
+                          const tw_attempt_termination *termination);
 
 /* The same with evidence that rests on no message. */
 bool tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence evidence);
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -3,9 +3,7 @@
  * Two errors of different jobs in a row put a machine into quarantine: it gets nothing new, and is
  * returned once it is empty. But the jobs may be at fault, a fault may pass, and services never
  * end: a machine that is not empty gets a probation, with one task at a time, after a quarantine
- * that doubles each time. Called by the reconciliation of tasks, and once a tick for cordoned
- * machines.
- */
+ * that doubles each time. Called by the reconciliation of tasks, and by the upkeep of machines. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -185,7 +185,7 @@
     return reported->index < job->task_count ? job : NULL;
 }
 
-/* Whether the task may go on where it is, in the place of a new attempt. */
+/* Whether the task may go on where it is, so that it needs no new attempt. */
 static bool may_go_on(const tw_core *core, const tw_job *job, const tw_machine *machine,
                       const tw_wire_task *reported) {
     return job->task_states[reported->index] == TW_ASSIGNMENT_NONE &&
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -324,9 +324,10 @@
 /* No response to direct commands or a probe came: pauses, and probes again for a few times. */
 static void note_failed_send(tw_core *core, tw_machine *machine) {
     machine->failed_sends++;
-    const double pause =
+    const double pause_heartbeats =
         machine->last_contact_at ? fmin(1 + machine->failed_sends, MAX_PAUSE_HEARTBEATS) : 1;
-    machine->no_commands_before = core->context.now + pause * core->context.config->report_s;
+    machine->no_commands_before =
+        core->context.now + pause_heartbeats * core->context.config->report_s;
     if (!machine->last_contact_at && ++machine->failed_probes < MAX_PROBES)
         tw_machine_want_probe(core, machine);
 }
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -40,8 +40,8 @@
     tw_placement *placed, *next;
     int lost_tasks = 0;
     DL_FOREACH_SAFE(machine->placements, placed, next) {
-        const bool was_on_job = placed->counted;
-        if (tw_attempt_terminate(core, placed, &termination)) lost_tasks += was_on_job;
+        const bool was_counted = placed->counted;
+        if (tw_attempt_terminate(core, placed, &termination)) lost_tasks += was_counted;
     }
     /* Its heartbeats were answered, and still its lease expired: the answers don't reach it. */
     if (machine->confirmed &&
@@ -168,6 +168,7 @@
     return true;
 }
 
+/* An answer without commands only renews the worker's lease. */
 static const tw_command_list no_commands = {NULL, 0};
 
 static void reply_commands(tw_core *core, uint64_t connection, const tw_command_list *commands) {
