--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -128,7 +128,7 @@
 /* The name of the offer's zone. It belongs to the machine type. */
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer);
 
-/* scale_out.c */
+/* autoscaler.c */
 /* Plans when it is due, and sends the requests to the cloud that are due. */
 void tw_autoscaler_tick(tw_core *core);
 /* Takes the cloud's response to a call of the autoscaler. status: of HTTP, or 0 if there was none.
--- a/src/core/autoscaler_int.h
+++ b/src/core/autoscaler_int.h
@@ -68,6 +68,25 @@
 void tw_autoscaler_keep_headroom(tw_core *core, tw_bins *bins, const tw_job_class *class,
                                  double fleet_price);
 
+/* rental_requests.c */
+/* Sends the rental requests that are due: first the unanswered ones again, then new ones for what
+ * is wanted of the offers. The cloud takes few calls: what is wanted gathers until a request may be
+ * sent. */
+void tw_rental_requests_send(tw_core *core);
+/* Takes the response to a rental request, which ends unless its answer is still unknown. */
+void tw_rental_requests_response(tw_core *core, const tw_call *call, int status, const char *body,
+                                 size_t length);
+
+/* machine_returns.c */
+/* Asks the cloud to take back machines that are wanted back. */
+void tw_machine_returns_send(tw_core *core);
+/* Takes the response: forgets the machines, or has their return asked for again. */
+void tw_machine_returns_response(tw_core *core, const tw_call *call, int status);
+
+/* fleet_log.c */
+/* Logs for the operators how many machines there are of each type, and how full they are. */
+void tw_fleet_log(const tw_core *core);
+
 /* machine_types.c */
 /* Takes the cloud's list of machine types: the first one makes types and offers, later ones change
  * prices only. */
--- /dev/null
+++ b/src/core/fleet_log.c
@@ -0,0 +1,51 @@
+/* The count of the fleet in the log, for the operators. */
+#include "core/autoscaler_int.h"
+#include <stdbool.h>
+
+/* The machines of a type, either spot or on-demand ones, and what is in use of them. */
+typedef struct {
+    int up, idle, coming;
+    double cores, gpus, batch_gpus;
+} fleet_count;
+
+/* Counts a machine. */
+static void count_machine(fleet_count *count, const tw_machine *machine) {
+    if (machine->state == TW_MACHINE_BOOTING) {
+        count->coming++;
+        return;
+    }
+    count->up++;
+    count->idle += !tw_machine_is_occupied(machine);
+    count->cores += machine->used_cores;
+    count->gpus += machine->used_gpus;
+    const tw_placement *placed;
+    DL_FOREACH(machine->placements, placed) {
+        if (placed->counted && !placed->job->spec.service)
+            count->batch_gpus += placed->job->spec.gpus;
+    }
+}
+
+void tw_fleet_log(const tw_core *core) {
+    if (!tw_log_on(TW_LOG_INFO)) return;
+    fleet_count(*counts)[2] = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
+    const tw_machine *machine;
+    const struct tw_machine *next;
+    HASH_ITER(hh, core->machines, machine, next) {
+        if (machine->type_index >= 0)
+            count_machine(&counts[machine->type_index][!!machine->spot], machine);
+    }
+    for (int i = 0; i < core->machine_type_count; i++)
+        for (int spot = 0; spot < 2; spot++) {
+            const tw_wire_machine_type *type = &core->machine_types[i].listed;
+            const fleet_count *count = &counts[i][spot];
+            if (!count->up && !count->coming) continue;
+            tw_log_info(
+                "event=fleet_counted machine_type=%s spot=%d up=%d idle=%d coming=%d cores=%.2f "
+                "gpus=%.2f batch_gpus=%.0f",
+                type->name, spot, count->up, count->idle, count->coming,
+                count->up ? count->cores / (count->up * type->cores) : 0,
+                count->up && type->gpus > 0 ? count->gpus / (count->up * type->gpus) : 0,
+                count->batch_gpus);
+        }
+    free(counts);
+}
