--- a/src/core/cancellation.c
+++ b/src/core/cancellation.c
@@ -1,4 +1,5 @@
-/* Cancellations that have to be known to all nodes that may answer a job's machines. */
+/* Cancellations, which have to be known to all nodes that may answer a job's machines: such a node
+ * renews their leases without the leader, and has to stop the job's tasks with that. */
 #include "core/jobs.h"
 
 tw_cancellation_safety tw_job_cancellation_safety(tw_core *core, const tw_job *job, bool tell) {
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,19 +1,23 @@
-/* Dispatch: a request, a response or a tick goes to the file that handles it; then what follows
- * from it is decided, written and sent. */
+/* Dispatch: a request, a response or a tick goes to the module that handles it; then what follows
+ * from it is decided, written and sent.
+ *
+ * Invariants:
+ *   - the time is set before anything else is done with an input;
+ *   - the response to a call of an earlier term is dropped where only that term could use it;
+ *   - tasks are placed, records written and commands sent after the input was handled, and only by
+ * a leader that has read all records. */
 #include "core/jobs.h"
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 #define PATH_SIZE 512
 #define JOB_PATH_LIMIT 256 /* longer paths are of no job */
-/* Ticks: so many in a report's interval, within limits. */
-#define TICKS_PER_REPORT 20
+/* Ticks between two heartbeats of a worker, within limits. */
+#define TICKS_PER_HEARTBEAT 20
 #define SHORTEST_TICK_S 0.05
 #define LONGEST_TICK_S 0.1
 
-/* ---- construction ---- */
-
-/* What the settings want of each class of jobs. */
+/* The objectives that the settings have for classes of jobs. */
 static void init_objectives(tw_core *core) {
     for (size_t i = 0; i < core->context.config->nobjectives; i++) {
         const tw_config_objective *objective = &core->context.config->objectives[i];
@@ -21,11 +25,11 @@
         tw_job_class *class = tw_job_class_get(core, objective->cls);
         if (strcmp(objective->kind, "wait") == 0) class->start_within_s = objective->within_s;
         if (strcmp(objective->kind, "finished") == 0) class->finish_within_s = objective->within_s;
-        if (strcmp(objective->kind, "deadline") == 0) class->has_deadline = 1;
+        if (strcmp(objective->kind, "deadline") == 0) class->has_deadline = true;
     }
 }
 
-/* ---- what the cluster tells ---- */
+/* ---- events of the cluster (cluster.h, tw_cluster_owner) ---- */
 
 static void on_term_began(void *owner) { tw_failover_begin(owner); }
 
@@ -47,7 +51,7 @@
     return tw_jobs_list_cancelled(owner, ids, most);
 }
 
-/* ---- life ---- */
+/* ---- construction and destruction ---- */
 
 tw_core *tw_core_new(const tw_config *config, uint64_t seed, double now, double wall) {
     tw_core *core = tw_alloc(sizeof *core);
@@ -70,7 +74,7 @@
     return core;
 }
 
-static void free_classes(tw_core *core) {
+static void free_job_classes(tw_core *core) {
     tw_job_class *class, *next;
     HASH_ITER(hh, core->job_classes, class, next) {
         HASH_DEL(core->job_classes, class);
@@ -84,7 +88,7 @@
     tw_held_heartbeats_free(core);
     tw_store_free(core->store);
     tw_cluster_free(core->cluster);
-    free_classes(core);
+    free_job_classes(core);
     free(core->machine_types);
     tw_wire_heartbeat_cache_free(core->heartbeat_cache);
     free(core->command_scratch);
@@ -117,42 +121,43 @@
 /* ---- requests ---- */
 
 typedef struct {
-    uint64_t conn;
+    uint64_t connection;
     bool from_peer;
     const char *method;
-    const char *path; /* without what follows a ? or # */
+    const char *path; /* without a query or a fragment */
     const char *body;
-    size_t len;
+    size_t length;
 } request;
 
 typedef void request_handler(tw_core *core, const request *request);
 
 static void on_peer_heartbeat(tw_core *core, const request *request) {
-    tw_cluster_receive_heartbeat(core->cluster, request->conn, request->body, request->len);
+    tw_cluster_receive_heartbeat(core->cluster, request->connection, request->body,
+                                 request->length);
 }
 
 static void on_worker_heartbeat(tw_core *core, const request *request) {
-    tw_worker_heartbeat_receive(core, request->conn, request->body, request->len,
+    tw_worker_heartbeat_receive(core, request->connection, request->body, request->length,
                                 request->from_peer);
 }
 
-/* Useful requests can be served while the state service or another node answers us. */
+/* A node is of use as long as the state service or another node answers it. */
 static void on_health(tw_core *core, const request *request) {
     if (tw_cluster_is_isolated(core->cluster) &&
         !tw_cluster_may(core->cluster, TW_PERMISSION_ANSWER))
-        tw_reply_error(&core->context, request->conn, TW_HTTP_UNAVAILABLE, 1, "isolated");
+        tw_reply_error(&core->context, request->connection, TW_HTTP_UNAVAILABLE, 1, "isolated");
     else
-        tw_reply(&core->context, request->conn, TW_HTTP_OK, 0, strdup("{\"up\":true}"));
+        tw_reply(&core->context, request->connection, TW_HTTP_OK, 0, strdup("{\"up\":true}"));
 }
 
 static void on_submission(tw_core *core, const request *request) {
-    tw_user_submit(core, request->conn, request->body, request->len, request->from_peer);
+    tw_user_submit(core, request->connection, request->body, request->length, request->from_peer);
 }
 
 enum { API_PORT = 1 << TW_PORT_API, PEER_PORT = 1 << TW_PORT_PEER };
 
 static const struct route {
-    int ports; /* that it is served at, as bits */
+    int ports; /* the ports that it is served at, as bits */
     const char *method, *path;
     request_handler *handle;
 } routes[] = {
@@ -188,28 +193,28 @@
     snprintf(id, sizeof id, "%s", request->path + sizeof job_prefix - 1);
     char *verb = strchr(id, '/');
     if (!verb && strcmp(request->method, "GET") == 0) {
-        tw_user_query(core, request->conn, id, request->from_peer);
+        tw_user_query(core, request->connection, id, request->from_peer);
     } else if (verb && strcmp(request->method, "POST") == 0 && strcmp(verb, "/abort") == 0) {
         *verb = 0;
-        tw_user_cancel(core, request->conn, id, request->from_peer);
+        tw_user_cancel(core, request->connection, id, request->from_peer);
     } else {
-        tw_reply_error(&core->context, request->conn,
+        tw_reply_error(&core->context, request->connection,
                        verb ? TW_HTTP_NOT_FOUND : TW_HTTP_METHOD_NOT_ALLOWED, 0,
                        "no such resource");
     }
 }
 
 void tw_core_request(tw_core *core, double now, double wall, tw_port port, uint64_t connection,
-                     const char *method, const char *path, const char *body, size_t len) {
+                     const char *method, const char *path, const char *body, size_t length) {
     tw_context_set_time(&core->context, now, wall);
     char path_only[PATH_SIZE];
     snprintf(path_only, sizeof path_only, "%.*s", (int)strcspn(path, "?#"), path);
-    const request request = {.conn = connection,
+    const request request = {.connection = connection,
                              .from_peer = port == TW_PORT_PEER,
                              .method = method,
                              .path = path_only,
                              .body = body,
-                             .len = len};
+                             .length = length};
     const struct route *route = route_of(&request);
     if (route)
         route->handle(core, &request);
@@ -223,28 +228,28 @@
 /* ---- responses ---- */
 
 typedef void response_handler(tw_core *core, tw_call *sent, int status, const char *body,
-                              size_t len);
+                              size_t length);
 
 static void on_cluster_response(tw_core *core, tw_call *sent, int status, const char *body,
-                                size_t len) {
-    tw_cluster_response(core->cluster, sent, status, body, len);
+                                size_t length) {
+    tw_cluster_response(core->cluster, sent, status, body, length);
 }
 
 static void on_store_response(tw_core *core, tw_call *sent, int status, const char *body,
-                              size_t len) {
-    tw_store_response(core->store, sent, status, body, len);
+                              size_t length) {
+    tw_store_response(core->store, sent, status, body, length);
 }
 
-static void on_records(tw_core *core, tw_call *sent, int status, const char *body, size_t len) {
+static void on_records(tw_core *core, tw_call *sent, int status, const char *body, size_t length) {
     (void)sent;
-    tw_failover_page(core, status, body, len);
+    tw_failover_page(core, status, body, length);
 }
 
-/* Every kind of call has a line. */
+/* What is done with the response to each kind of call; every kind has a line. */
 static const struct {
     response_handler *handle;
-    bool of_term;      /* nothing to this node once the term it was sent in is over */
-    const char *reads; /* what is read by it from the state service; NULL: nothing, for the log */
+    bool of_term;      /* of no use once the term that it was sent in has ended */
+    const char *reads; /* for the log: what it reads from the state service; NULL: nothing */
 } responses[TW_CALL_KINDS] = {
     [TW_CALL_READ_LEADER] = {on_cluster_response, false, "leader"},
     [TW_CALL_WATCH_LEADER] = {on_cluster_response, false},
@@ -275,36 +280,36 @@
     [TW_CALL_SEND_COMMANDS] = {tw_commands_response, true},
 };
 
-/* The revision that an answer of the state service tells; 0: none. */
-static uint64_t revision_of(int status, const char *body, size_t len) {
+/* The revision that a response of the state service tells; 0: none. */
+static uint64_t response_revision(int status, const char *body, size_t length) {
     tw_wire_entry entry;
     uint64_t revision = 0;
     if (status != TW_HTTP_OK) return 0;
-    if (!tw_wire_revision_parse(&revision, body, len)) return revision;
-    if (tw_wire_entry_parse(&entry, body, len)) return 0;
+    if (!tw_wire_revision_parse(&revision, body, length)) return revision;
+    if (tw_wire_entry_parse(&entry, body, length)) return 0;
     free(entry.value);
     return entry.mod_revision;
 }
 
 static void log_read(const tw_core *core, const tw_call *sent, int status, const char *body,
-                     size_t len) {
+                     size_t length) {
     const char *what = responses[sent->kind].reads;
     if (!what || !tw_log_on(TW_LOG_DEBUG)) return;
     tw_log_debug("event=state_read what=%s status=%d revision=%llu took_s=%.3f token=%llu stale=%d",
-                 what, status, (unsigned long long)revision_of(status, body, len),
+                 what, status, (unsigned long long)response_revision(status, body, length),
                  core->context.now - sent->sent_at,
                  (unsigned long long)tw_cluster_token(core->cluster),
                  responses[sent->kind].of_term && sent->term != core->context.term);
 }
 
 void tw_core_response(tw_core *core, double now, double wall, uint64_t id, int status,
-                      const char *body, size_t len) {
+                      const char *body, size_t length) {
     tw_context_set_time(&core->context, now, wall);
     tw_call *sent = tw_call_answered(&core->context, id, status);
     if (!sent) return;
-    log_read(core, sent, status, body, len);
+    log_read(core, sent, status, body, length);
     if (!responses[sent->kind].of_term || sent->term == core->context.term)
-        responses[sent->kind].handle(core, sent, status, body, len);
+        responses[sent->kind].handle(core, sent, status, body, length);
     tw_call_free(sent);
     run_follow_up(core);
 }
@@ -320,7 +325,7 @@
 uint64_t tw_core_pass_steps(const tw_core *core) { return core->pass_steps; }
 
 double tw_core_tick_s(const tw_core *core) {
-    const double interval_s = core->context.config->report_s / TICKS_PER_REPORT;
+    const double interval_s = core->context.config->report_s / TICKS_PER_HEARTBEAT;
     return fmin(LONGEST_TICK_S, fmax(SHORTEST_TICK_S, interval_s));
 }
 
--- a/src/core/core_int.h
+++ b/src/core/core_int.h
@@ -1,7 +1,6 @@
-/* All that the files of the core share, by one include: each of these headers says what it owns.
- * What only the modules of one part share stands in a header of theirs (cluster.h, workers.h,
- * jobs.h, autoscaler_int.h, record_chunks.h, heartbeat_forwarder.h, scheduler_int.h). Not for other
- * packages. */
+/* All that the modules of the core share, by one include: each of these headers says what it owns.
+ * What only the modules of one part share stands in a header of theirs (workers.h, jobs.h,
+ * scheduler_int.h, autoscaler_int.h, heartbeat_forwarder.h). Not for other packages. */
 #ifndef TW_CORE_INT_H
 #define TW_CORE_INT_H
 #include "core/attempt_termination.h"
@@ -25,7 +24,7 @@
 #include <string.h>
 #include <utlist.h>
 
-/* rate_limits.c: sets this node's parts of what the state service and the cloud take. */
+/* rate_limits.c: sets this node's parts of the rate limits of the state service and the cloud. */
 void tw_rate_limiters_init(tw_core *core);
 
 #endif
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -17,17 +17,17 @@
  * Invariants: all tasks that may run have the attempt of the gang, or it is stopped. A new attempt
  * begins only when no task of the last one may be on a machine; a task is replaced under the same
  * attempt only when it is certainly gone, and not on a machine where it was: a late command for the
- * first try could not be told from one for the second. (A new leader doesn't know these machines;
- * they refuse late commands by its token.) An orderly stop begins only if every
- * machine of the gang has reported lately; else tasks are stopped without a grace period. That a
- * task tells that it runs proves only that the gang had started, for it goes on telling so until it
- * notices that another is gone. */
+ * first launch could not be told from one for the second. (A new leader doesn't know these
+ * machines; they refuse late commands by its token.) A stop with a grace period begins only if
+ * every machine of the gang has sent a heartbeat lately; otherwise tasks are stopped without one. A
+ * task that tells that it runs proves only that the gang had started: it goes on telling so until
+ * it notices that another is gone. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Of the time that a task waits for the others, what the launches of tasks that are ready sooner
- * than the last one leave of it. */
-#define STAGGER 0.5
+/* How long before the last task is ready the others are launched at the earliest, as a share of the
+ * time that a task waits for the others. */
+#define LAUNCH_LEAD_RATIO 0.5
 
 const char *tw_gang_state_name(const tw_job *job) {
     static const char *const names[] = {"idle", "gathering", "running", "stopping"};
@@ -42,6 +42,7 @@
                  job->placed_count, job->task_count, why);
 }
 
+/* Whether the job is a gang with tasks that may run. */
 static bool is_under_way(const tw_job *job) {
     return job->has_spec && job->spec.gang && job->state == TW_JOB_PENDING && job->placed_count > 0;
 }
@@ -64,15 +65,17 @@
     return core->context.now + s_per_gb * placed->job->spec.image_gb;
 }
 
-/* Those that would be ready so much sooner than the last one that they would give up waiting for it
+/* Tasks that would be ready so much sooner than the last one that they would give up waiting for it
  * are launched later. */
 static void stagger_launches(const tw_core *core, tw_job *job) {
-    const double spare_s = STAGGER * core->context.config->gang_wait_s;
-    double last = 0;
+    const double lead_s = LAUNCH_LEAD_RATIO * core->context.config->gang_wait_s;
+    double last_ready_at = 0;
     tw_placement *task;
-    DL_FOREACH2(job->placements, task, job_next) { last = fmax(last, ready_at(core, task)); }
     DL_FOREACH2(job->placements, task, job_next) {
-        task->launch_after = last - spare_s - (ready_at(core, task) - core->context.now);
+        last_ready_at = fmax(last_ready_at, ready_at(core, task));
+    }
+    DL_FOREACH2(job->placements, task, job_next) {
+        task->launch_after = last_ready_at - lead_s - (ready_at(core, task) - core->context.now);
     }
 }
 
@@ -88,7 +91,7 @@
     job->gang = (tw_gang){.state = TW_GANG_IDLE};
     if (!job->placed_count) return;
     job->gang.attempt = job->placements->attempt;
-    job->gang.state = TW_GANG_GATHERING; /* a report may tell that it has started */
+    job->gang.state = TW_GANG_GATHERING; /* a heartbeat may tell that it has started */
 }
 
 bool tw_gang_is_pending(const tw_job *job) {
@@ -104,7 +107,7 @@
     return false;
 }
 
-/* ---- what reports tell ---- */
+/* ---- what heartbeats tell ---- */
 
 void tw_gang_task_reported(tw_core *core, tw_placement *placed) {
     tw_job *job = placed->job;
@@ -123,6 +126,7 @@
            (placed->cause == TW_CAUSE_ERROR || placed->cause == TW_CAUSE_GANG_BROKEN);
 }
 
+/* A task is gone before the gang has started: it is to be replaced on another machine. */
 static void note_vacated(tw_core *core, tw_job *job, const tw_placement *placed) {
     tw_gang *gang = &job->gang;
     const bool was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
@@ -201,7 +205,7 @@
 
 /* ---- time ---- */
 
-/* Whether all that may run belongs to the attempt, and none of it is to stop by itself. */
+/* Whether all tasks that may run are of the gang's attempt, and none of them is stopped alone. */
 static bool is_one_attempt(const tw_job *job) {
     const bool stops = job->gang.state == TW_GANG_STOPPING;
     const tw_placement *task;
@@ -223,7 +227,7 @@
            core->context.now > gang->waiting_since + core->context.config->gang_wait_s;
 }
 
-/* Launches that were put off are due. */
+/* Has the launches sent that were put off until now. */
 static void send_due_launches(tw_core *core, const tw_job *job) {
     const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) {
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,13 +1,16 @@
-/* Life cycle of jobs: how they are made from a submission or a record, what is told of them, how
- * they end. Nothing here writes records (job_persistence.c, src/store) or takes requests
- * (user_requests.c). */
+/* Life cycle of jobs: how they are made from a submission or a record, what users are told of them,
+ * how they end. Records are written by the store (job_persistence.c, src/store), and requests are
+ * taken in by user_requests.c.
+ *
+ * A job ends in three steps, none of which can be undone: tw_job_finish sets its state; the store
+ * makes it durable; tw_job_release then frees what only an active job needs, and evict_when_unused
+ * leaves nothing but an entry of completed_jobs.c. */
 #include "core/jobs.h"
-#include <stdbool.h>
 
-/* Time between two passes over the unfinished jobs. */
-#define TICK_S 0.25
-/* Most memory for finished jobs, as a share of all. */
-#define FINISHED_SHARE 0.25
+/* Time between two passes over the active jobs. */
+#define SWEEP_INTERVAL_S 0.25
+/* Most memory for completed jobs, as a share of all that the settings allow. */
+#define COMPLETED_JOBS_SHARE 0.25
 #define BYTES_PER_MIB (1024 * 1024)
 
 tw_job *tw_job_find(tw_core *core, const char *id) {
@@ -31,6 +34,7 @@
     return job;
 }
 
+/* Index of the team in the settings; -1: there is no team of that name. */
 static int team_index(const tw_core *core, const char *name) {
     for (size_t i = 0; i < core->context.config->nteams; i++)
         if (!strcmp(core->context.config->teams[i].name, name)) return (int)i;
@@ -63,15 +67,18 @@
     job->image_hash = tw_image_hash(job->spec.image);
 }
 
+static void remove_from_cancelled(tw_core *core, tw_job *job) {
+    if (!job->in_cancelled_list) return;
+    job->in_cancelled_list = false;
+    DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
+}
+
 void tw_job_free(tw_core *core, tw_job *job) {
     HASH_DEL(core->jobs, job);
     if (core->reserving_gang == job) core->reserving_gang = NULL;
-    if (job->in_cancelled_list)
-        DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
-    for (tw_waiting_client *client = job->waiting_clients, *next; client; client = next) {
-        next = client->next;
-        free(client);
-    }
+    remove_from_cancelled(core, job);
+    tw_waiting_client *client;
+    while ((client = tw_job_take_waiting_client(job))) free(client);
     tw_wire_job_free(&job->spec);
     free(job->spec_text);
     free(job->task_states);
@@ -83,19 +90,13 @@
     tw_store_mark_changed(core->store, job->record, urgent);
 }
 
-/* Kept apart: they are told with every ping. */
+/* Cancelled jobs have a list of their own since every heartbeat to a peer tells of them. */
 void tw_job_note_cancelled(tw_core *core, tw_job *job) {
     if (job->in_cancelled_list) return;
     job->in_cancelled_list = true;
     DL_APPEND2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
 }
 
-static void remove_from_cancelled(tw_core *core, tw_job *job) {
-    if (!job->in_cancelled_list) return;
-    job->in_cancelled_list = false;
-    DL_DELETE2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
-}
-
 /* ---- what users are told ---- */
 
 void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, bool cancels) {
@@ -107,6 +108,13 @@
     job->waiting_clients = client;
 }
 
+tw_waiting_client *tw_job_take_waiting_client(tw_job *job) {
+    tw_waiting_client *client = job->waiting_clients;
+    if (client) job->waiting_clients = client->next;
+    return client;
+}
+
+/* Tasks that a worker has told to run. */
 static int count_running(const tw_job *job) {
     int count = 0;
     tw_placement *task;
@@ -120,14 +128,14 @@
 char *tw_job_status_text(const tw_job *job) {
     if (job->durable_state == TW_JOB_CANCELLED || job->durable_state == TW_JOB_DONE)
         return tw_wire_job_status_text(job->id, job->durable_state, job->done_count, 0);
-    int count = count_running(job);
-    int state = count ? TW_JOB_RUNNING : TW_JOB_PENDING;
-    return tw_wire_job_status_text(job->id, state, job->done_count, count);
+    const int running_count = count_running(job);
+    const tw_wire_job_state state = running_count ? TW_JOB_RUNNING : TW_JOB_PENDING;
+    return tw_wire_job_status_text(job->id, state, job->done_count, running_count);
 }
 
-/* Whether the state service may hold that the job is over while we don't know it: the write is on
- * its way, or nothing is known of its fate. Another node may have read it and told a user, so that
- * only a read that begins after a question can answer it. */
+/* Whether the state service may hold that the job has ended while this node doesn't know it: the
+ * write is on its way, or its outcome is unknown. Another node may have read the record and told a
+ * user, so that only a read that begins after a query came can answer it. */
 static bool end_is_uncertain(const tw_job *job) {
     return tw_store_end_was_sent(job->record) && job->durable_state == TW_JOB_PENDING;
 }
@@ -139,8 +147,8 @@
 void tw_job_answer_waiting_clients(tw_core *core, tw_job *job, int status) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
         tw_waiting_client *client = *at;
-        bool over = job->durable_state != TW_JOB_PENDING;
-        if (client->cancels ? over : tw_store_exists(job->record)) {
+        const bool has_ended = job->durable_state != TW_JOB_PENDING;
+        if (client->cancels ? has_ended : tw_store_exists(job->record)) {
             tw_reply(&core->context, client->connection, client->cancels ? TW_HTTP_OK : status, 0,
                      tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
             *at = client->next;
@@ -153,13 +161,13 @@
 
 /* ---- end ---- */
 
-void tw_job_finish(tw_core *core, tw_job *job, int state) {
+void tw_job_finish(tw_core *core, tw_job *job, tw_wire_job_state state) {
     job->state = state;
     if (state == TW_JOB_CANCELLED) {
         tw_job_note_cancelled(core, job);
-        /* Not first when it is known to be durable: once the write is sent, another node may read
-         * the record and tell the user, and we may never learn of it. Whatever the tasks still do
-         * is of no use to anybody. */
+        /* The tasks are stopped before the cancellation is known to be durable: once the write is
+         * sent, another node may read the record and tell the user, and this node may never learn
+         * of it. Whatever the tasks still do is of no use to anybody. */
         tw_placement *task, *next;
         DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
             tw_placement_stop(core, task, 0, false);
@@ -169,15 +177,17 @@
     tw_job_mark_changed(core, job, true);
 }
 
-void tw_job_note_completed(tw_core *core, const char *id, int state, int done) {
+void tw_job_note_completed(tw_core *core, const char *id, tw_wire_job_state state, int done) {
     if (!core->completed_jobs)
         core->completed_jobs = tw_completed_jobs_new(
-            (size_t)(FINISHED_SHARE * core->context.config->mem_mb * BYTES_PER_MIB));
+            (size_t)(COMPLETED_JOBS_SHARE * core->context.config->mem_mb * BYTES_PER_MIB));
     const tw_completion ending = {state, done};
     tw_completed_jobs_add(core->completed_jobs, id, &ending);
 }
 
-/* A retired job, of which no machine has anything left to forget: only its end is kept. */
+/* Keeps only the end of a job that was released and of which no machine has anything left to
+ * forget.
+ */
 static void evict_when_unused(tw_core *core, tw_job *job) {
     if (job->task_states || job->placement_refs || !tw_store_is_idle(job->record)) return;
     tw_job_note_completed(core, job->id, job->durable_state, job->done_count);
@@ -206,6 +216,7 @@
 
 /* ---- time ---- */
 
+/* Ends a job that its user cancels as soon as that can be promised. */
 static void cancellation_tick(tw_core *core, tw_job *job) {
     if (job->cancelling && job->state == TW_JOB_PENDING &&
         tw_cluster_may(core->cluster, TW_PERMISSION_WRITE) && tw_cluster_is_active(core->cluster) &&
@@ -214,16 +225,16 @@
 }
 
 void tw_job_reject_waiting_clients(tw_core *core, tw_job *job) {
-    for (tw_waiting_client *client = job->waiting_clients, *next; client; client = next) {
-        next = client->next;
-        tw_admission_reject(core, client->connection, job->id,
-                            ceil(tw_store_retry_s(core->store, job->record)), "too large");
+    tw_waiting_client *client;
+    while ((client = tw_job_take_waiting_client(job))) {
+        const double retry_s = ceil(tw_store_retry_s(core->store, job->record));
+        tw_admission_reject(core, client->connection, job->id, retry_s, "too large");
         free(client);
     }
-    job->waiting_clients = NULL;
 }
 
-/* Users who waited for as long as they do, or whom we may tell nothing any more. */
+/* Rejects users who have waited for as long as they do, and all of them once this node may not
+ * answer any more. */
 static void waiting_clients_tick(tw_core *core, tw_job *job) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
         tw_waiting_client *client = *at;
@@ -240,7 +251,7 @@
 
 void tw_jobs_tick(tw_core *core) {
     if (!tw_cluster_is_leader(core->cluster) || core->context.now < core->next_job_sweep_at) return;
-    core->next_job_sweep_at = core->context.now + TICK_S;
+    core->next_job_sweep_at = core->context.now + SWEEP_INTERVAL_S;
     tw_store_tick(core->store);
     tw_job *job, *next;
     DL_FOREACH_SAFE(core->active_jobs, job, next) {
@@ -266,15 +277,16 @@
 }
 
 bool tw_job_is_impossible(tw_core *core, const tw_wire_job *spec) {
-    int index = team_index(core, spec->team);
+    const int index = team_index(core, spec->team);
     if (index < 0) return true;
     const tw_config_team *team = &core->context.config->teams[index];
-    double at_once = spec->service || spec->gang ? spec->task_count : 1; /* what must run at once */
+    /* How many tasks must run at once. */
+    const double at_once = spec->service || spec->gang ? spec->task_count : 1;
     if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_CAPACITY_ROUNDING)
         return true;
     if (team->gpus_max > 0 && spec->gpus * at_once > team->gpus_max + TW_CAPACITY_ROUNDING)
         return true;
-    uint32_t mask = tw_machine_type_mask(core, spec);
+    const uint32_t mask = tw_machine_type_mask(core, spec);
     for (int i = 0; i < core->machine_type_count; i++)
         if ((mask & (1u << i)) && type_suits(&core->machine_types[i].listed, spec)) return false;
     return true;
--- a/src/core/job_persistence.c
+++ b/src/core/job_persistence.c
@@ -1,10 +1,11 @@
-/* Jobs as the store sees them: the text of a job's record, and what follows for the job from what
- * becomes of the record. */
+/* Jobs as the store sees them: the text of a job's record, and what follows for the job once its
+ * record is written, read or refused. The functions below are called by the store only
+ * (tw_store_owner in store/store.h). */
 #include "core/jobs.h"
 #include "core/workers.h"
 
-/* The tasks that may run; the caller frees them. */
-static tw_wire_assignment *live_tasks(const tw_job *job, int *count) {
+/* The tasks that may run, *count of them; the caller frees the array. */
+static tw_wire_assignment *assignments_of(const tw_job *job, int *count) {
     const tw_placement *task;
     *count = 0;
     DL_FOREACH2(job->placements, task, job_next) { ++*count; }
@@ -19,17 +20,19 @@
     return tasks;
 }
 
-char *tw_job_record_text(tw_job *job) {
+/* The text of the job's record; the caller frees it. */
+static char *record_text(void *item) {
+    tw_job *job = item;
     tw_wire_record record = {.state = job->state,
                              .task_count = job->task_count,
                              .done_count = job->done_count,
                              .submitted_at = job->submitted_wall_s,
                              .next_attempt = job->next_attempt};
-    record.assignments = live_tasks(job, &record.assignment_count);
-    /* While something may run, a successor needs the job's amounts for the team's limit. */
+    record.assignments = assignments_of(job, &record.assignment_count);
+    /* While something may run, the next leader needs the job's amounts for the team's limits. */
     if (job->has_spec && (job->state == TW_JOB_PENDING || record.assignment_count)) {
         if (!job->spec_text) job->spec_text = tw_wire_job_text(&job->spec);
-        record.has_job = 1;
+        record.has_job = true;
         record.job_text = job->spec_text;
     }
     if (job->state == TW_JOB_PENDING)
@@ -48,8 +51,6 @@
     return job ? job->record : NULL;
 }
 
-static char *record_text(void *job) { return tw_job_record_text(job); }
-
 static tw_store_summary record_summary(const void *item) {
     const tw_job *job = item;
     return (tw_store_summary){.state = job->state,
@@ -81,6 +82,7 @@
     tw_job_answer_waiting_clients(owner, job, TW_HTTP_OK);
 }
 
+/* Ends the attempts that were placed under a record that was never written. */
 static void terminate_unrecorded(tw_core *core, tw_job *job) {
     tw_placement *task, *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
@@ -94,7 +96,7 @@
     return tw_wire_record_text(&record);
 }
 
-/* Takes the job's contents from the record, in place of those that it was submitted with here. */
+/* Gives the job the record's contents in place of those that it was submitted with at this node. */
 static void take_contents(tw_core *core, tw_job *job, tw_wire_record *record) {
     terminate_unrecorded(core, job);
     tw_wire_job_free(&job->spec);
@@ -110,8 +112,8 @@
 static bool on_first_record(void *owner, void *item, tw_wire_record *record) {
     tw_core *core = owner;
     tw_job *job = item;
-    /* A job that had ended and was evicted (completed_jobs.h) was submitted again. Nothing of it
-     * was durable here; the end holds as its record has it. */
+    /* The job had ended, was evicted (completed_jobs.h) and submitted again. Nothing of the new
+     * submission was durable; the end as the record has it holds. */
     if (record->state != TW_JOB_PENDING && !record->assignment_count) {
         terminate_unrecorded(core, job);
         job->done_count = record->done_count;
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -1,6 +1,9 @@
-/* What the modules of jobs share: life cycle (job.c), records (job_persistence.c), requests
- * of users (user_requests.c), submissions turned away (rejected_admissions.c), jobs that other
- * nodes accepted (peer_admissions.c). Not for other packages. */
+/* What the modules of jobs share. Not for other packages.
+ *
+ * One job each: life cycle (job.c), classes (job_class.c), records as the store sees them
+ * (job_persistence.c), requests of users (user_requests.c), cancellations (cancellation.c),
+ * submissions that were rejected (rejected_admissions.c), jobs that other nodes admitted
+ * (peer_admissions.c). */
 #ifndef TW_CORE_JOBS_H
 #define TW_CORE_JOBS_H
 #include "core/core_int.h"
@@ -12,58 +15,70 @@
     TW_OPERATION_QUERY,
     TW_OPERATION_SUBMIT,
     TW_OPERATION_CANCEL,
-    TW_OPERATION_REFUSE,
-    TW_OPERATION_CREATE
+    TW_OPERATION_REFUSE /* a submission that can never run, refused if it is new */
 } tw_user_operation;
 
-/* Users give a submission 5 s: what can't be durable by then is refused. */
+/* Users wait 5 s for the answer to a submission: what can't be durable after so many seconds is
+ * rejected. */
 #define TW_ADMISSION_WAIT_S 3.0
-/* Keys that tell the leader of jobs that another node accepted. */
+/* Prefix of the keys that tell the leader of jobs that another node admitted; and room for one. */
 #define TW_PEER_ADMISSION_KEY "new/"
 #define TW_PEER_ADMISSION_KEY_SIZE (TW_WIRE_ID_SIZE + sizeof TW_PEER_ADMISSION_KEY)
 
-/* job.c */
-/* The user at conn waits until the job is durable, or (cancels) known to be over. */
+/* ---- job.c ---- */
+
+/* The user at that connection waits until the job is durable, or (cancels) known to have ended. */
 void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, bool cancels);
-/* Turns away all who wait for the job: its record can't be written. */
+/* Takes a client that waits off the job's list; the caller frees it. NULL: none waits. */
+tw_waiting_client *tw_job_take_waiting_client(tw_job *job);
+/* Rejects all who wait for the job: its record can't be written. */
 void tw_job_reject_waiting_clients(tw_core *core, tw_job *job);
-/* Answers all who waited for what is durable now; status: of accepted submissions, 201 or 200. */
+/* Answers all who wait for what is durable now. status: for submissions, 201 or 200. */
 void tw_job_answer_waiting_clients(tw_core *core, tw_job *job, int status);
-/* Lets go what only an unfinished job needs, if it is over and nothing of it may run; and the job
- * itself once no machine has to forget a task of it. The caller doesn't use the job after it. */
+/* Frees what only an active job needs, if the job has durably ended and nothing of it may run; and
+ * the job itself once no machine has to forget a task of it. The caller doesn't use the job after
+ * that. */
 void tw_job_release(tw_core *core, tw_job *job);
-/* Notes a job that is over, by its record, and of which nothing may run. */
-void tw_job_note_completed(tw_core *core, const char *id, int state, int done);
-/* Whether the leader has the job in memory, finished or not. */
+/* Notes a job that has ended by its record, and of which nothing may run. done: how many of its
+ * tasks were done. */
+void tw_job_note_completed(tw_core *core, const char *id, tw_wire_job_state state, int done);
+/* Whether the leader has the job in memory, completed or not. */
 bool tw_job_is_known(tw_core *core, const char *id);
 /* Whether what the leader has in memory is as new as anything that any node has told of the job. */
 bool tw_job_is_answerable(const tw_job *job);
 
-/* cancellation.c */
+/* ---- cancellation.c ---- */
+
 /* Whether all nodes that may answer the job's machines without the leader, for longer than a
- * cancellation leaves time for, know that it is cancelled. tell: those that don't are told. */
+ * cancellation leaves time for, know that the job is cancelled. tell: those that don't are told. */
 tw_cancellation_safety tw_job_cancellation_safety(tw_core *core, const tw_job *job, bool tell);
 /* Fills in the ids of at most `most` cancelled jobs that may still run; returns how many there are.
  */
 int tw_jobs_list_cancelled(const tw_core *core, const char **ids, int most);
 
-/* job_class.c */
+/* ---- job_class.c ---- */
+
 /* Notes that a job of the class was submitted: its rate, size and shape are expected again. */
 void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job);
 
-/* job_persistence.c */
+/* ---- job_persistence.c ---- */
+
 /* What the store asks and tells of the core's jobs. */
 tw_store_owner tw_job_store_owner(tw_core *core);
 
-/* rejected_admissions.c */
-/* Refuses a submission that can't be taken now: at once, with the time to come back. */
+/* ---- rejected_admissions.c ---- */
+
+/* Rejects a submission that can't be admitted now. retry_s: the user is to come back after it. */
 void tw_admission_reject(tw_core *core, uint64_t connection, const char *id, double retry_s,
                          const char *why);
-/* Rents for a submission that was turned away for retry_s; takes the job's contents. */
+/* Notes a submission that was rejected for retry_s, so that machines are rented for it. spec: what
+ * it owns is moved out, unless the submission is known or there is no room for it. */
 void tw_rejected_admission_note(tw_core *core, tw_wire_job *spec, double retry_s);
 
-/* user_requests.c */
-/* Reads a job's record for the user at conn (0: for ourselves). */
+/* ---- user_requests.c ---- */
+
+/* Reads a job's record from the state service for the user at that connection; 0: for this node
+ * itself, and nobody is answered. */
 void tw_job_look_up(tw_core *core, uint64_t connection, const char *id,
                     tw_user_operation operation);
 
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -1,18 +1,20 @@
-/* Taking over: every job is read from the state service before anything is decided. What the
- * records say may run is taken to run until its machine, its release or its lease says otherwise.
- */
+/* Leader failover: a new leader reads every job from the state service before it decides anything.
+ * A task that may run by a record is taken to run until its machine, the machine's return or the
+ * end of its lease shows that it doesn't.
+ *
+ * The records are read page by page in the order of their keys, one request at a time. Chunks come
+ * first, so that the text of a chunked record is complete when the record is read. */
 #include "core/jobs.h"
-#include <stdbool.h>
 
-/* Records a request, and how long it may take. */
+/* Records per page, and how long a request for one may take. */
 #define PAGE_SIZE 100
 #define PAGE_TIMEOUT_S 2.0
 #define PATH_SIZE 400
 
-/* Least wait until a refused page is asked for again, in leases of the leader. */
-#define REFUSED_LEASES 0.05
+/* Shortest wait until a page that could not be read is asked for again, in leases of the leader. */
+#define RETRY_LEASES 0.05
 
-/* Machines rented by a predecessor are surely in the list after so many times its lag. */
+/* Machines that an earlier leader rented are surely in the list after so many times its lag. */
 #define LIST_LAGS 1.2
 
 void tw_failover_begin(tw_core *core) {
@@ -36,27 +38,29 @@
                  "GET", path, NULL, PAGE_TIMEOUT_S);
 }
 
-/* All records are read: decisions begin. */
+/* All records are read: the leader may decide from now on. */
 static void activate_leader(tw_core *core) {
-    const size_t finished = tw_completed_jobs_count(core->completed_jobs);
-    const bool any = core->jobs || finished;
+    const size_t completed_count = tw_completed_jobs_count(core->completed_jobs);
+    const bool has_jobs = core->jobs || completed_count;
     tw_cluster_activate(core->cluster);
     tw_store_finish_loading(core->store);
     core->scheduling_due = true;
     core->next_pass_at = core->context.now;
     core->next_machine_list_at = core->context.now;
-    core->began_without_jobs = !any;
+    core->began_without_jobs = !has_jobs;
     core->first_admission_at = 0;
-    /* Machines rented by a predecessor show in the list only after its lag. */
-    core->scale_out_from =
-        any ? core->context.now + LIST_LAGS * core->context.config->list_lag_s : core->context.now;
+    /* The cloud lists machines that an earlier leader rented only after the list's lag. */
+    core->scale_out_from = has_jobs
+                               ? core->context.now + LIST_LAGS * core->context.config->list_lag_s
+                               : core->context.now;
     tw_log_info("event=leader_activated jobs=%zu token=%llu load_s=%.3f",
-                HASH_COUNT(core->jobs) + finished,
+                HASH_COUNT(core->jobs) + completed_count,
                 (unsigned long long)tw_cluster_token(core->cluster),
                 core->context.now - tw_cluster_term_began_at(core->cluster));
 }
 
-/* A divided record; its text is in slices that were read before. */
+/* Restores a job with a chunked record, whose chunks were read before. head: the record itself,
+ * which names them. */
 static void restore_chunked(tw_core *core, const char *id, const tw_wire_record *head,
                             uint64_t revision) {
     tw_wire_record record;
@@ -87,38 +91,40 @@
         tw_job_restore(core, id, &listed->record, listed->mod_revision);
 }
 
-/* -1: it can't be read. */
-static int take_chunks(tw_core *core, const char *body, size_t len) {
+/* Takes in a page of chunks; false: the page can't be read. */
+static bool load_chunks(tw_core *core, const char *body, size_t length) {
     int more;
-    const int count = tw_store_load_chunks(core->store, body, len, &more, core->load_cursor,
+    const int count = tw_store_load_chunks(core->store, body, length, &more, core->load_cursor,
                                            sizeof core->load_cursor);
-    if (count < 0) return -1;
-    if (more && count) return 0;
+    if (count < 0) return false;
+    if (more && count) return true;
     core->loading_chunks = false;
     *core->load_cursor = 0;
-    return 0;
+    return true;
 }
 
-/* -1: it can't be read. */
-static int take_records(tw_core *core, const char *body, size_t len) {
+/* Takes in a page of records; false: the page can't be read. */
+static bool load_records(tw_core *core, const char *body, size_t length) {
     tw_wire_listed_record *listed;
     int count, more;
-    if (tw_wire_records_parse(&listed, &count, &more, TW_JOB_KEY, body, len)) return -1;
+    if (tw_wire_records_parse(&listed, &count, &more, TW_JOB_KEY, body, length)) return false;
     for (int i = 0; i < count; i++) restore_listed(core, &listed[i]);
     if (count) snprintf(core->load_cursor, sizeof core->load_cursor, "%s", listed[count - 1].key);
     tw_wire_records_free(listed, count);
     if (!more || !count) activate_leader(core);
-    return 0;
+    return true;
 }
 
-void tw_failover_page(tw_core *core, int status, const char *body, size_t len) {
+void tw_failover_page(tw_core *core, int status, const char *body, size_t length) {
     core->load_in_flight = false;
-    const bool slices = core->loading_chunks;
-    if (status != TW_HTTP_OK ||
-        (slices ? take_chunks(core, body, len) : take_records(core, body, len))) {
-        /* Retries at the limit would leave this term's own renewals no room. */
+    const bool is_read =
+        status == TW_HTTP_OK &&
+        (core->loading_chunks ? load_chunks(core, body, length) : load_records(core, body, length));
+    if (!is_read) {
+        /* Retries without a wait would use up the state service's limits, and leave nothing of them
+         * for the renewal of this leader's own lease. */
         core->next_load_at =
-            core->context.now + fmax(tw_cluster_lease_s(core->cluster) * REFUSED_LEASES,
+            core->context.now + fmax(tw_cluster_lease_s(core->cluster) * RETRY_LEASES,
                                      tw_cluster_rate_limited_wait_s(core->cluster, status));
         return;
     }
@@ -126,7 +132,7 @@
     if (tw_cluster_is_loading(core->cluster)) tw_failover_tick(core);
 }
 
-/* The tasks that are done, and those that may run, as the record has them. */
+/* Restores the tasks that are done, and those that may run. */
 static void restore_tasks(tw_core *core, tw_job *job, const tw_wire_record *record) {
     const bool cancelled = record->state == TW_JOB_CANCELLED;
     job->task_states = tw_alloc((size_t)job->task_count);
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -39,9 +39,6 @@
     struct tw_placement *prev, *next;         /* machine's list */
 } tw_placement;
 
-/* States of a job's task. */
-enum { TW_ASSIGNMENT_NONE, TW_ASSIGNMENT_PLACED, TW_ASSIGNMENT_DONE };
-
 /* placement.c */
 /* Places a task, whose amounts count from now on; the caller marks the job changed. NULL: an
  * attempt of the task has not ended (attempt_termination.h), which is a fault of the caller. */
--- a/src/core/rejected_admissions.c
+++ b/src/core/rejected_admissions.c
@@ -1,10 +1,11 @@
-/* Submissions that are turned away since their records could not be written in time. They are
- * expected again: machines are rented for them meanwhile. */
+/* Submissions that are rejected since their records could not be written in time. Their users come
+ * back with them, so that machines are rented for them meanwhile (autoscaler_plan.c). Their memory
+ * is bounded; a submission that finds no room is rejected all the same, and not noted. */
 #include "core/jobs.h"
 
-/* Most memory that they take, as a share of all. */
+/* Most memory for rejected submissions, as a share of all that the settings allow. */
 #define MEMORY_SHARE 0.05
-/* Of each, beside its struct: hash entry, allocations. */
+/* Memory of each beside its struct: hash entry and allocations. */
 #define OVERHEAD_BYTES 100
 #define BYTES_PER_MIB (1024 * 1024)
 
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -1,17 +1,17 @@
-/* The end of a term: everything that belongs to it is forgotten. */
+/* The end of a term: everything that belongs to it is forgotten. A term that begins finds nothing
+ * of an earlier one of this node. */
 #include "core/jobs.h"
-#include <stdbool.h>
 
-/* Turns away all users who wait for the job. */
+/* Rejects all users who wait for the job. */
 static void reject_waiting_clients(tw_core *core, tw_job *job) {
-    for (tw_waiting_client *user = job->waiting_clients, *next; user; user = next) {
-        next = user->next;
-        tw_reply_error(&core->context, user->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
-        free(user);
+    tw_waiting_client *client;
+    while ((client = tw_job_take_waiting_client(job))) {
+        tw_reply_error(&core->context, client->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
+        free(client);
     }
-    job->waiting_clients = NULL;
 }
 
+/* Machines go before the jobs that their placements point to. */
 static void forget_jobs_and_machines(tw_core *core) {
     tw_machine *machine, *next_machine;
     tw_job *job, *next_job;
@@ -32,14 +32,14 @@
 }
 
 static void forget_rentals(tw_core *core) {
-    tw_rejected_admission *rejected, *next_turned_away;
-    HASH_ITER(hh, core->rejected_admissions, rejected, next_turned_away) {
+    tw_rejected_admission *rejected, *next_rejected;
+    HASH_ITER(hh, core->rejected_admissions, rejected, next_rejected) {
         tw_rejected_admission_drop(core, rejected);
     }
-    tw_rental_request *rental_request, *next_rental_request;
-    DL_FOREACH_SAFE(core->rental_requests, rental_request, next_rental_request) {
-        DL_DELETE(core->rental_requests, rental_request);
-        free(rental_request);
+    tw_rental_request *request, *next_request;
+    DL_FOREACH_SAFE(core->rental_requests, request, next_request) {
+        DL_DELETE(core->rental_requests, request);
+        free(request);
     }
     core->next_rental_request = 0;
     core->machine_list_in_flight = false;
@@ -59,8 +59,7 @@
     core->admission_watch_revision = 0;
     core->next_admission_watch_at = 0;
     core->load_in_flight = false;
-    memset(core->team_cores_used, 0,
-           (core->context.config->nteams + 1) * sizeof *core->team_cores_used);
-    memset(core->team_gpus_used, 0,
-           (core->context.config->nteams + 1) * sizeof *core->team_gpus_used);
+    const size_t team_count = core->context.config->nteams + 1;
+    memset(core->team_cores_used, 0, team_count * sizeof *core->team_cores_used);
+    memset(core->team_gpus_used, 0, team_count * sizeof *core->team_gpus_used);
 }
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -72,7 +72,7 @@
         return;
     }
     if (job->state == TW_JOB_PENDING && !job->cancelling) {
-        job->cancelling = 1; /* nothing of it is started any more */
+        job->cancelling = true; /* nothing of it is started any more */
         tw_job_note_cancelled(core, job);
         job->cancellation_sequence = tw_cluster_next_cancellation(core->cluster);
     }
@@ -104,10 +104,10 @@
         return false;
     else if (operation == TW_OPERATION_CANCEL)
         tw_reply(&core->context, connection, TW_HTTP_OK, 0,
-                 tw_wire_job_status_text(id, ending.stage, -1, -1));
+                 tw_wire_job_status_text(id, ending.state, -1, -1));
     else
         tw_reply(&core->context, connection, TW_HTTP_OK, 0,
-                 tw_wire_job_status_text(id, ending.stage, ending.done, 0));
+                 tw_wire_job_status_text(id, ending.state, ending.done_count, 0));
     return true;
 }
 
