--- a/src/core/job.h
+++ b/src/core/job.h
@@ -159,15 +159,13 @@
                     bool from_peer);
 void tw_user_query(tw_core *core, uint64_t connection, const char *id, bool from_peer);
 void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, bool from_peer);
-/* The response to a call that was made for a user. status 0: none came. */
-void tw_user_response(tw_core *core, tw_call *call, int status, const char *body, size_t length);
 
 /* ---- peer_admissions.c ---- */
 
 /* Timed work of a leader that may command: takes over jobs that other nodes admitted, and watches
  * for more. */
 void tw_peer_admissions_tick(tw_core *core);
-/* The response to a call of that module. status 0: none came. */
+/* The response to a call of peer_admissions.c; status 0: none came. */
 void tw_peer_admissions_response(tw_core *core, tw_call *call, int status, const char *body,
                                  size_t length);
 
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -1,9 +1,10 @@
 /* What the modules of jobs share. Not for other packages.
  *
  * One job each: life cycle (job.c), classes (job_class.c), records as the store sees them
- * (job_persistence.c), requests of users (user_requests.c), cancellations (cancellation.c),
- * submissions that were rejected (rejected_admissions.c), jobs that other nodes admitted
- * (peer_admissions.c). */
+ * (job_persistence.c), requests of users (user_requests.c), queries answered by a record
+ * (job_lookup.c), requests forwarded to the leader (request_forwarding.c), cancellations
+ * (cancellation.c), submissions that were rejected (rejected_admissions.c), jobs admitted without
+ * the leader (peer_admissions.c). */
 #ifndef TW_CORE_JOBS_H
 #define TW_CORE_JOBS_H
 #include "core/core_int.h"
@@ -21,9 +22,9 @@
 /* Users wait 5 s for the answer to a submission: what can't be durable after so many seconds is
  * rejected. */
 #define TW_ADMISSION_WAIT_S 3.0
-/* Prefix of the keys that tell the leader of jobs that another node admitted; and room for one. */
-#define TW_PEER_ADMISSION_KEY "new/"
-#define TW_PEER_ADMISSION_KEY_SIZE (TW_WIRE_ID_SIZE + sizeof TW_PEER_ADMISSION_KEY)
+/* A submission that is too large to be written until all nodes read chunked records comes back
+ * after so many seconds. */
+#define TW_TOO_LARGE_RETRY_S 5
 
 /* ---- job.c ---- */
 
@@ -77,9 +78,39 @@
 
 /* ---- user_requests.c ---- */
 
+/* Whether this node leads, has read the records and has the authority to answer users from memory.
+ */
+bool tw_leader_may_answer(const tw_core *core);
+/* Answers a query or a cancellation by what the leader has in memory of the job, completed or not;
+ * the answer to a cancellation may come later. false: nothing is known, and the user was not
+ * answered. */
+bool tw_job_tell_from_memory(tw_core *core, uint64_t connection, const char *id,
+                             tw_user_operation operation);
+
+/* ---- job_lookup.c ---- */
+
 /* Reads a job's record from the state service for the user at that connection; 0: for this node
  * itself, and nobody is answered. */
 void tw_job_look_up(tw_core *core, uint64_t connection, const char *id,
                     tw_user_operation operation);
+/* The response to that read; status 0: none came. */
+void tw_job_look_up_response(tw_core *core, tw_call *call, int status, const char *body,
+                             size_t length);
+
+/* ---- request_forwarding.c ---- */
+
+/* Forwards a user's request about the job of that id to the leader. body: taken; NULL: the request
+ * has none. false: no leader is known that answers, and the user was not answered. */
+bool tw_request_forward(tw_core *core, uint64_t connection, tw_user_operation operation,
+                        const char *method, const char *path, const char *id, char *body,
+                        double timeout_s);
+/* The leader's answer to that request; status 0: none came. */
+void tw_request_forward_response(tw_core *core, tw_call *call, int status, const char *body,
+                                 size_t length);
+
+/* ---- peer_admissions.c ---- */
+
+/* Admits a job without the leader; the user is answered when its record is written. */
+void tw_peer_admission_create(tw_core *core, uint64_t connection, const tw_wire_job *spec);
 
 #endif
