--- a/src/config/config.c
+++ b/src/config/config.c
@@ -1,4 +1,5 @@
-/* The platform's settings. */
+/* The platform's settings: a TOML file whose tables are described by rows of settings (setting.h).
+ * The first thing that is wrong ends the reading, and is what the message names. */
 #include "config/config.h"
 #include "config/setting.h"
 #include "config/toml_shim.h"
@@ -7,21 +8,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LARGEST_FILE (1 << 20)
-#define LONGEST_PARSER_ERROR 200
-#define LEAST_REPORTS_A_LEASE 2
+#define MAX_FILE_BYTES (1 << 20)
+#define MAX_PARSER_ERROR 200
+#define MIN_HEARTBEATS_PER_LEASE 2
+/* In leases of workers: times of gangs that the file doesn't name. */
 #define GANG_WAIT_LEASES 1.5
 #define GANG_PEER_LEASES 0.25
 
-/* Rows: a needed name, address or number; one with a default. */
+/* Rows of settings: required are names, addresses and numbers by NEEDED; labels and numbers by
+ * OPTIONAL have a default. */
 #define NAME(key, struct_name, member, text)                                                       \
     {                                                                                              \
-        .name = (key), .type = TW_SETTING_NAME, .required = 1,                                     \
+        .name = (key), .type = TW_SETTING_NAME, .required = true,                                  \
         .offset = offsetof(struct_name, member), .meaning = (text)                                 \
     }
 #define ADDRESS(key, struct_name, member, text)                                                    \
     {                                                                                              \
-        .name = (key), .type = TW_SETTING_ADDRESS, .required = 1,                                  \
+        .name = (key), .type = TW_SETTING_ADDRESS, .required = true,                               \
         .offset = offsetof(struct_name, member), .meaning = (text)                                 \
     }
 #define LABEL(key, struct_name, member, text)                                                      \
@@ -31,7 +34,7 @@
     }
 #define NEEDED(kind, key, struct_name, member, least, most, text)                                  \
     {                                                                                              \
-        .name = (key), .type = (kind), .required = 1, .offset = offsetof(struct_name, member),     \
+        .name = (key), .type = (kind), .required = true, .offset = offsetof(struct_name, member),  \
         .min = (least), .max = (most), .meaning = (text)                                           \
     }
 #define OPTIONAL(key, struct_name, member, least, most, standard, text)                            \
@@ -143,7 +146,8 @@
 
 /* ---- lists ---- */
 
-/* Reads the list's next item, if there is one and nothing was wrong so far. */
+/* The item of the list after the previous one (NULL: the first); NULL: there is none, or something
+ * was wrong. */
 static const cJSON *next_item(const tw_complaint *complaint, const cJSON *list,
                               const cJSON *previous) {
     if (!list || complaint->failed) return NULL;
@@ -152,169 +156,172 @@
 
 static size_t list_length(const cJSON *list) { return list ? (size_t)cJSON_GetArraySize(list) : 0; }
 
-static void read_peers(tw_complaint *complaint, tw_config *conf, const cJSON *root) {
+static void read_peers(tw_complaint *complaint, tw_config *config, const cJSON *root) {
     const cJSON *list = tw_setting_list(complaint, root, "", "known");
     const cJSON *item = NULL;
-    conf->peers = tw_setting_alloc(list_length(list), sizeof *conf->peers);
+    config->peers = tw_setting_alloc(list_length(list), sizeof *config->peers);
     while ((item = next_item(complaint, list, item))) {
-        tw_config_peer *peer = &conf->peers[conf->npeers++];
+        tw_config_peer *peer = &config->peers[config->npeers++];
         tw_section_read(complaint, &peer_section, item, peer);
-        if (!strcmp(peer->name, conf->host_name))
+        if (!strcmp(peer->name, config->host_name))
             tw_complain(complaint, "setting known names this host itself");
     }
 }
 
-static void read_zones(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
+static void read_zones(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
     const cJSON *list = tw_setting_list(complaint, settings, "settings.", "zones");
     const cJSON *item = NULL;
-    conf->zones = tw_setting_alloc(list_length(list), sizeof *conf->zones);
+    config->zones = tw_setting_alloc(list_length(list), sizeof *config->zones);
     while ((item = next_item(complaint, list, item))) {
         if (tw_setting_is_name(item))
-            strcpy(conf->zones[conf->nzones++], item->valuestring);
+            strcpy(config->zones[config->nzones++], item->valuestring);
         else
             tw_complain(complaint, "setting settings.zones must hold names");
     }
 }
 
-static void check_team(tw_complaint *complaint, const tw_config *conf, const tw_config_team *team) {
+static void check_team(tw_complaint *complaint, const tw_config *config,
+                       const tw_config_team *team) {
     if ((team->cpus_max > 0 && team->cpus > team->cpus_max) ||
         (team->gpus_max > 0 && team->gpus > team->gpus_max))
         tw_complain(complaint, "setting settings.teams: %s is guaranteed more than its maximum",
                     team->name);
-    for (const tw_config_team *other = conf->teams; other < team; other++)
+    for (const tw_config_team *other = config->teams; other < team; other++)
         if (!strcmp(other->name, team->name))
             tw_complain(complaint, "setting settings.teams names %s twice", team->name);
 }
 
-static void read_teams(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
+static void read_teams(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
     const cJSON *list = tw_setting_list(complaint, settings, "settings.", "teams");
     const cJSON *item = NULL;
-    conf->teams = tw_setting_alloc(list_length(list), sizeof *conf->teams);
+    config->teams = tw_setting_alloc(list_length(list), sizeof *config->teams);
     while ((item = next_item(complaint, list, item))) {
-        tw_config_team *team = &conf->teams[conf->nteams++];
+        tw_config_team *team = &config->teams[config->nteams++];
         tw_section_read(complaint, &team_section, item, team);
         team->share = 1;
-        check_team(complaint, conf, team);
+        check_team(complaint, config, team);
     }
 }
 
-static void read_objectives(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
+static void read_objectives(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
     const cJSON *list = tw_setting_list(complaint, settings, "settings.", "objectives");
     const cJSON *item = NULL;
-    conf->objectives = tw_setting_alloc(list_length(list), sizeof *conf->objectives);
+    config->objectives = tw_setting_alloc(list_length(list), sizeof *config->objectives);
     while ((item = next_item(complaint, list, item)))
         tw_section_read(complaint, &objective_section, item,
-                        &conf->objectives[conf->nobjectives++]);
+                        &config->objectives[config->nobjectives++]);
 }
 
 /* ---- the file ---- */
 
-static void read_table(tw_complaint *complaint, const tw_section *section, tw_config *conf,
+static void read_table(tw_complaint *complaint, const tw_section *section, tw_config *config,
                        const cJSON *settings, const char *key) {
     const cJSON *table = tw_setting_table(complaint, settings, "settings.", key);
-    tw_section_read(complaint, section, table, conf);
+    tw_section_read(complaint, section, table, config);
 }
 
 static double smaller(double now, double next) { return next > 0 && next < now ? next : now; }
 
-/* The limits that hold, those that are announced (any of them may be missing), and of each pair the
- * smaller one. */
-static void read_state(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
+/* Reads the limits that hold and those that are announced, any of which may be missing, and takes
+ * the smaller one of each pair. */
+static void read_state(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
     const cJSON *table = tw_setting_table(complaint, settings, "settings.", "state");
     const cJSON *announced = cJSON_GetObjectItemCaseSensitive(table, "next");
-    tw_section_read(complaint, &state_section, table, &conf->state_now);
-    tw_section_defaults(&state_next_section, &conf->state_next);
+    tw_section_read(complaint, &state_section, table, &config->state_now);
+    tw_section_defaults(&state_next_section, &config->state_next);
     if (announced) {
         const cJSON *next = tw_setting_table(complaint, table, "settings.state.", "next");
-        tw_section_read(complaint, &state_next_section, next, &conf->state_next);
+        tw_section_read(complaint, &state_next_section, next, &config->state_next);
     }
-    const tw_config_state_limits *now = &conf->state_now;
-    const tw_config_state_limits *next = &conf->state_next;
-    conf->state_rps = smaller(now->rps, next->rps);
-    conf->state_write_rps = smaller(now->write_rps, next->write_rps);
-    conf->state_value_kb = smaller(now->value_kb, next->value_kb);
-    conf->state_txn_ops = (int)smaller(now->txn_ops, next->txn_ops);
+    const tw_config_state_limits *now = &config->state_now;
+    const tw_config_state_limits *next = &config->state_next;
+    config->state_rps = smaller(now->rps, next->rps);
+    config->state_write_rps = smaller(now->write_rps, next->write_rps);
+    config->state_value_kb = smaller(now->value_kb, next->value_kb);
+    config->state_txn_ops = (int)smaller(now->txn_ops, next->txn_ops);
 }
 
-/* Where the platform's file doesn't say how long the tasks of a gang wait for each other. */
-static void derive_gang_times(tw_config *conf) {
-    if (conf->gang_wait_s <= 0) conf->gang_wait_s = GANG_WAIT_LEASES * conf->lease_s;
-    if (conf->gang_peer_s <= 0) conf->gang_peer_s = GANG_PEER_LEASES * conf->lease_s;
+/* Sets the times of gangs that the file doesn't name. */
+static void derive_gang_times(tw_config *config) {
+    if (config->gang_wait_s <= 0) config->gang_wait_s = GANG_WAIT_LEASES * config->lease_s;
+    if (config->gang_peer_s <= 0) config->gang_peer_s = GANG_PEER_LEASES * config->lease_s;
 }
 
-static void read_settings(tw_complaint *complaint, tw_config *conf, const cJSON *settings) {
-    read_zones(complaint, conf, settings);
-    tw_section_read(complaint, &clock_section, settings, conf);
-    read_teams(complaint, conf, settings);
-    read_objectives(complaint, conf, settings);
-    read_table(complaint, &worker_section, conf, settings, "workers");
-    if (conf->lease_s < LEAST_REPORTS_A_LEASE * conf->report_s)
+static void read_settings(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
+    read_zones(complaint, config, settings);
+    tw_section_read(complaint, &clock_section, settings, config);
+    read_teams(complaint, config, settings);
+    read_objectives(complaint, config, settings);
+    read_table(complaint, &worker_section, config, settings, "workers");
+    if (config->lease_s < MIN_HEARTBEATS_PER_LEASE * config->report_s)
         tw_complain(complaint, "setting settings.workers.lease_s must be at least twice report_s");
-    derive_gang_times(conf);
-    read_state(complaint, conf, settings);
-    read_table(complaint, &cloud_section, conf, settings, "cloud");
-    read_table(complaint, &limit_section, conf, settings, "limits");
+    derive_gang_times(config);
+    read_state(complaint, config, settings);
+    read_table(complaint, &cloud_section, config, settings, "cloud");
+    read_table(complaint, &limit_section, config, settings, "limits");
 }
 
-static void read_root(tw_complaint *complaint, tw_config *conf, const cJSON *root) {
-    tw_section_read(complaint, &node_section, root, conf);
-    read_peers(complaint, conf, root);
+static void read_root(tw_complaint *complaint, tw_config *config, const cJSON *root) {
+    tw_section_read(complaint, &node_section, root, config);
+    read_peers(complaint, config, root);
     const cJSON *external = tw_setting_table(complaint, root, "", "external");
-    tw_section_read(complaint, &external_section, external, conf);
+    tw_section_read(complaint, &external_section, external, config);
     const cJSON *settings = tw_setting_table(complaint, root, "", "settings");
-    if (!complaint->failed) read_settings(complaint, conf, settings);
+    if (!complaint->failed) read_settings(complaint, config, settings);
 }
 
-/* The file's text as a tree, or NULL and a complaint. */
+/* The text as a tree, which the caller deletes; NULL: it is not TOML, which is a complaint. */
 static cJSON *parse_toml(tw_complaint *complaint, const char *text) {
-    char why[LONGEST_PARSER_ERROR] = "";
+    char why[MAX_PARSER_ERROR] = "";
     cJSON *root = tw_config_toml_parse(text, why, sizeof why);
     if (!root) tw_complain(complaint, "settings file is not valid TOML: %s", why);
     return root;
 }
 
-int tw_config_parse(tw_config *conf, const char *text, char *err, size_t errlen) {
-    tw_complaint complaint = {err, errlen, false};
-    memset(conf, 0, sizeof *conf);
-    tw_config_tuning_defaults(&conf->tune);
+tw_config_error tw_config_parse(tw_config *config, const char *text, char *message,
+                                size_t message_size) {
+    tw_complaint complaint = {message, message_size, false};
+    memset(config, 0, sizeof *config);
+    tw_config_tuning_defaults(&config->tune);
     cJSON *root = parse_toml(&complaint, text);
-    if (!root) return -1;
-    read_root(&complaint, conf, root);
+    if (!root) return TW_CONFIG_INVALID;
+    read_root(&complaint, config, root);
     cJSON_Delete(root);
-    if (complaint.failed) tw_config_free(conf);
-    return complaint.failed ? -1 : 0;
+    if (complaint.failed) tw_config_free(config);
+    return complaint.failed ? TW_CONFIG_INVALID : TW_CONFIG_OK;
 }
 
-/* The file's text, or NULL and a message. Free it. */
-static char *read_file(const char *path, char *err, size_t errlen) {
+/* The file's text, which the caller frees; NULL: it can't be read, and the message says why. */
+static char *read_file(const char *path, char *message, size_t message_size) {
     FILE *file = fopen(path, "rb");
     if (!file) {
-        snprintf(err, errlen, "can't read settings file %s: %s", path, strerror(errno));
+        snprintf(message, message_size, "can't read settings file %s: %s", path, strerror(errno));
         return NULL;
     }
-    char *text = tw_setting_alloc(LARGEST_FILE + 1, 1);
-    size_t length = fread(text, 1, LARGEST_FILE, file);
-    bool whole = !ferror(file) && feof(file);
+    char *text = tw_setting_alloc(MAX_FILE_BYTES + 1, 1);
+    const size_t length = fread(text, 1, MAX_FILE_BYTES, file);
+    const bool whole = !ferror(file) && feof(file);
     fclose(file);
     text[length] = 0;
     if (whole) return text;
-    snprintf(err, errlen, "can't read settings file %s (or it is over 1 MiB)", path);
+    snprintf(message, message_size, "can't read settings file %s (or it is over 1 MiB)", path);
     free(text);
     return NULL;
 }
 
-int tw_config_load(tw_config *conf, const char *path, char *err, size_t errlen) {
-    char *text = read_file(path, err, errlen);
-    if (!text) return -1;
-    int result = tw_config_parse(conf, text, err, errlen);
+tw_config_error tw_config_load(tw_config *config, const char *path, char *message,
+                               size_t message_size) {
+    char *text = read_file(path, message, message_size);
+    if (!text) return TW_CONFIG_UNREADABLE;
+    const tw_config_error result = tw_config_parse(config, text, message, message_size);
     free(text);
     return result;
 }
 
-void tw_config_free(tw_config *conf) {
-    free(conf->peers);
-    free(conf->zones);
-    free(conf->teams);
-    free(conf->objectives);
-    memset(conf, 0, sizeof *conf);
+void tw_config_free(tw_config *config) {
+    free(config->peers);
+    free(config->zones);
+    free(config->teams);
+    free(config->objectives);
+    memset(config, 0, sizeof *config);
 }
--- a/src/config/setting.c
+++ b/src/config/setting.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LARGEST_PORT 65535
+#define MAX_PORT 65535
 #define DECIMAL 10
 
 void tw_complain(tw_complaint *complaint, const char *format, ...) {
@@ -32,8 +32,8 @@
 static bool is_address(const char *text) {
     const char *colon = strrchr(text, ':');
     if (!colon || colon == text) return false;
-    long port = strtol(colon + 1, NULL, DECIMAL);
-    return port >= 1 && port <= LARGEST_PORT;
+    const long port = strtol(colon + 1, NULL, DECIMAL);
+    return port >= 1 && port <= MAX_PORT;
 }
 
 static void read_name(tw_complaint *complaint, const char *prefix, const tw_setting *setting,
@@ -177,7 +177,7 @@
 }
 
 void *tw_setting_alloc(size_t count, size_t size) {
-    void *room = calloc(count ? count : 1, size);
-    if (!room) abort();
-    return room;
+    void *memory = calloc(count ? count : 1, size);
+    if (!memory) abort();
+    return memory;
 }
--- a/src/config/setting.h
+++ b/src/config/setting.h
@@ -21,7 +21,7 @@
 typedef struct {
     const char *name;
     tw_setting_type type;
-    int required;
+    bool required;
     size_t offset; /* in the section's struct */
     size_t size;   /* LABEL */
     double min;
@@ -39,23 +39,23 @@
 #define TW_SECTION(prefix_text, table)                                                             \
     { .prefix = (prefix_text), .rows = (table), .count = sizeof(table) / sizeof *(table) }
 
-/* The first thing found wrong, as one line. */
+/* The first thing that was found wrong, as one line. */
 typedef struct {
     char *text;
     size_t size;
     bool failed;
 } tw_complaint;
 
-/* Takes the message, unless there is one already. */
+/* Notes a message, unless there is one already. */
 void tw_complain(tw_complaint *complaint, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
-/* Fills the struct from a table of the file; NULL: one without any setting. */
+/* Fills the struct from a table of the file. table: NULL stands for one without any setting. */
 void tw_section_read(tw_complaint *complaint, const tw_section *section, const cJSON *table,
                      void *to);
-/* The settings that are not required take their fallbacks. */
+/* Gives the settings that are not required their fallbacks. */
 void tw_section_defaults(const tw_section *section, void *to);
-/* The row of this name, or NULL. */
+/* The row of this name; NULL: there is none. */
 const tw_setting *tw_section_find(const tw_section *section, const char *name);
 /* Writes a row of a Markdown table for each setting: key, default, range, meaning. */
 void tw_section_describe(const tw_section *section, FILE *out);
@@ -63,16 +63,16 @@
 /* Whether the number is in the setting's range. */
 bool tw_setting_in_range(const tw_setting *setting, double number);
 
-/* The table under a key, or NULL; that it is missing or something else is a complaint. */
+/* The table under a key; NULL: it is missing, or something else, which is a complaint. */
 const cJSON *tw_setting_table(tw_complaint *complaint, const cJSON *object, const char *prefix,
                               const char *key);
-/* The list under a key, or NULL: missing, or something else, which is a complaint. */
+/* The list under a key; NULL: it is missing or, which is a complaint, something else. */
 const cJSON *tw_setting_list(tw_complaint *complaint, const cJSON *object, const char *prefix,
                              const char *key);
 /* Whether a value is a text that fits a name. */
 bool tw_setting_is_name(const cJSON *value);
 
-/* Zeroed room; ends the program where there is none. */
+/* Zeroed memory, which the caller frees; ends the program if there is none. */
 void *tw_setting_alloc(size_t count, size_t size);
 
 #endif
--- a/src/config/toml_shim.h
+++ b/src/config/toml_shim.h
@@ -6,8 +6,8 @@
 #ifdef __cplusplus
 extern "C" {
 #endif
-/* The document (delete it), or NULL with the parser's complaint in err. Numbers become doubles;
- * those that are not finite, dates and times become strings. */
+/* The document, which the caller deletes; NULL: the text is not TOML, and err has what the parser
+ * says. Numbers become doubles; those that are not finite, dates and times become strings. */
 cJSON *tw_config_toml_parse(const char *text, char *err, size_t errlen);
 #ifdef __cplusplus
 }
--- a/src/config/yaml.c
+++ b/src/config/yaml.c
@@ -1,4 +1,5 @@
-/* The operators' own settings. Two levels at most: `key: number` and `shares: {team: number}`. */
+/* The operators' own settings, a YAML file with two levels at most: `key: number` and `shares:
+ * {team: number}`. What it doesn't name keeps its default. */
 #include "config/config.h"
 #include "config/setting.h"
 #include <errno.h>
@@ -50,7 +51,7 @@
     tw_section_describe(&share_section, out);
 }
 
-/* Whether the text is a number in the setting's range, which is put into *number. */
+/* Whether the text is a number in the setting's range; if so, *number is that number. */
 static bool parse_number(const tw_setting *setting, const char *text, double *number) {
     char *end;
     if (!text || !*text) return false;
@@ -59,20 +60,20 @@
     return !*end && !errno && tw_setting_in_range(setting, *number);
 }
 
-/* The text of a scalar node, else NULL. */
+/* The text of a scalar node, owned by the document; NULL: the node is no scalar. */
 static const char *scalar(yaml_document_t *document, int id) {
     const yaml_node_t *node = yaml_document_get_node(document, id);
     if (!node || node->type != YAML_SCALAR_NODE) return NULL;
     return (const char *)node->data.scalar.value;
 }
 
-static tw_config_team *find_team(tw_config *conf, const char *name) {
-    for (size_t i = 0; i < conf->nteams; i++)
-        if (!strcmp(conf->teams[i].name, name)) return &conf->teams[i];
+static tw_config_team *find_team(tw_config *config, const char *name) {
+    for (size_t i = 0; i < config->nteams; i++)
+        if (!strcmp(config->teams[i].name, name)) return &config->teams[i];
     return NULL;
 }
 
-static void read_share(tw_complaint *complaint, tw_config *conf, const char *name,
+static void read_share(tw_complaint *complaint, tw_config *config, const char *name,
                        const char *text) {
     double share;
     if (!name || !parse_number(&share_setting, text, &share)) {
@@ -80,14 +81,14 @@
                     name ? name : "?", share_setting.min, share_setting.max);
         return;
     }
-    tw_config_team *team = find_team(conf, name);
+    tw_config_team *team = find_team(config, name);
     if (team)
         team->share = share;
     else
         tw_complain(complaint, "operators' setting shares names an unknown team: %s", name);
 }
 
-static void read_shares(tw_complaint *complaint, tw_config *conf, yaml_document_t *document,
+static void read_shares(tw_complaint *complaint, tw_config *config, yaml_document_t *document,
                         const yaml_node_t *node) {
     if (node->type != YAML_MAPPING_NODE) {
         tw_complain(complaint, "operators' setting shares must map teams to numbers");
@@ -95,10 +96,10 @@
     }
     const yaml_node_pair_t *pair = node->data.mapping.pairs.start;
     for (; pair < node->data.mapping.pairs.top && !complaint->failed; pair++)
-        read_share(complaint, conf, scalar(document, pair->key), scalar(document, pair->value));
+        read_share(complaint, config, scalar(document, pair->key), scalar(document, pair->value));
 }
 
-static void read_tuning(tw_complaint *complaint, tw_config *conf, const char *name,
+static void read_tuning(tw_complaint *complaint, tw_config *config, const char *name,
                         const char *text) {
     const tw_setting *setting = tw_section_find(&tuning_section, name);
     double number;
@@ -111,10 +112,10 @@
                     setting->min, setting->max);
         return;
     }
-    memcpy((char *)&conf->tune + setting->offset, &number, sizeof number);
+    memcpy((char *)&config->tune + setting->offset, &number, sizeof number);
 }
 
-static void read_document(tw_complaint *complaint, tw_config *conf, yaml_document_t *document,
+static void read_document(tw_complaint *complaint, tw_config *config, yaml_document_t *document,
                           const char *path) {
     const yaml_node_t *root = yaml_document_get_root_node(document);
     if (!root) return;
@@ -127,19 +128,19 @@
         const char *name = scalar(document, pair->key);
         const yaml_node_t *value = yaml_document_get_node(document, pair->value);
         if (name && value && !strcmp(name, shares_key))
-            read_shares(complaint, conf, document, value);
+            read_shares(complaint, config, document, value);
         else
-            read_tuning(complaint, conf, name ? name : "?", scalar(document, pair->value));
+            read_tuning(complaint, config, name ? name : "?", scalar(document, pair->value));
     }
 }
 
-static void read_yaml(tw_complaint *complaint, tw_config *conf, FILE *file, const char *path) {
+static void read_yaml(tw_complaint *complaint, tw_config *config, FILE *file, const char *path) {
     yaml_parser_t parser;
     yaml_document_t document;
     if (!yaml_parser_initialize(&parser)) abort();
     yaml_parser_set_input_file(&parser, file);
     if (yaml_parser_load(&parser, &document)) {
-        read_document(complaint, conf, &document, path);
+        read_document(complaint, config, &document, path);
         yaml_document_delete(&document);
     } else {
         tw_complain(complaint, "operators' settings %s, line %zu: %s", path,
@@ -149,14 +150,15 @@
     yaml_parser_delete(&parser);
 }
 
-int tw_config_load_yaml(tw_config *conf, const char *path, char *err, size_t errlen) {
-    tw_complaint complaint = {err, errlen, false};
+tw_config_error tw_config_load_yaml(tw_config *config, const char *path, char *message,
+                                    size_t message_size) {
+    tw_complaint complaint = {message, message_size, false};
     FILE *file = fopen(path, "rb");
     if (!file) {
         tw_complain(&complaint, "can't read operators' settings %s: %s", path, strerror(errno));
-        return -1;
+        return TW_CONFIG_UNREADABLE;
     }
-    read_yaml(&complaint, conf, file, path);
+    read_yaml(&complaint, config, file, path);
     fclose(file);
-    return complaint.failed ? -1 : 0;
+    return complaint.failed ? TW_CONFIG_INVALID : TW_CONFIG_OK;
 }
--- a/src/controller/main.c
+++ b/src/controller/main.c
@@ -1,5 +1,6 @@
-/* The program: turns what comes from sockets, clocks and signals into inputs of the core, and the
- * core's effects into messages. */
+/* The controller: turns what comes from sockets, clocks and signals into inputs of the core, and
+ * the core's effects into messages. It is a single thread around one event loop, and the only place
+ * where the core's clocks are read. */
 #include "config/config.h"
 #include "core/core.h"
 #include "log/log.h"
@@ -20,26 +21,26 @@
 
 enum { EXIT_SETTINGS = 2, EXIT_LISTEN = 3 };
 
-#define LONGEST_ERROR 400
+#define MAX_MESSAGE 400
 static const double first_tick_s = 0.001;
 #define STATISTICS_S 10.0
-/* Lateness of ticks is counted from that much too early to that much too late. */
+/* The histogram of the ticks' lateness: its bins and its range. */
 #define LAG_BINS 50
-#define LEAST_LAG_S (-0.1)
-#define MOST_LAG_S 1.0
-/* Shares of the sockets: connections that others open, and those that we open. */
+#define MIN_LAG_S (-0.1)
+#define MAX_LAG_S 1.0
+/* Shares of the sockets: connections that others open, and those that this process opens. */
 #define SERVER_SHARE 0.6
 #define CLIENT_SHARE 0.3
-/* In leases: a silent connection is closed after that, one of a worker or peer. */
+/* In leases: when a silent connection is closed, and when one of a worker or peer is. */
 #define IDLE_LEASES 12
 #define KEPT_IDLE_LEASES 3
-/* In reports: a connection idle for that long makes room for another. */
-#define YIELD_REPORTS 0.25
-#define LARGEST_RESPONSE ((size_t)2 << 20)
+/* In times between heartbeats: how long a connection is idle before it makes room for another. */
+#define YIELD_HEARTBEATS 0.25
+#define MAX_RESPONSE_BYTES ((size_t)2 << 20)
 #define TRIM_BYTES (1 << 20)
 #define HASH_FACTOR 131u
 
-/* Most connections to one address, by what is there. */
+/* Most connections to one address, by the kind of what is called there. */
 static const int connections_to[] = {
     [TW_TO_STATE] = 8, [TW_TO_CLOUD] = 2, [TW_TO_PEER] = 8, [TW_TO_WORKER] = 1};
 
@@ -48,7 +49,7 @@
 typedef struct {
     const char *config;
     const char *options;
-    int check;
+    bool check;
 } arguments;
 
 static error_t take_argument(int key, char *value, struct argp_state *state) {
@@ -61,7 +62,7 @@
         taken->options = value;
         return 0;
     case 'k':
-        taken->check = 1;
+        taken->check = true;
         return 0;
     case ARGP_KEY_END:
         if (!taken->config) argp_error(state, "--config FILE is needed");
@@ -86,31 +87,31 @@
     return taken;
 }
 
-/* 0, or -1 and a message on standard error. */
-static int load_settings(tw_config *conf, const arguments *given) {
-    char error[LONGEST_ERROR] = "";
-    int result = tw_config_load(conf, given->config, error, sizeof error);
-    if (!result && given->options)
-        result = tw_config_load_yaml(conf, given->options, error, sizeof error);
-    if (result) fprintf(stderr, "traywall: %s\n", error);
-    return result;
+/* Loads the settings; false: they are wrong, and standard error has a message. */
+static bool load_settings(tw_config *config, const arguments *given) {
+    char message[MAX_MESSAGE] = "";
+    tw_config_error error = tw_config_load(config, given->config, message, sizeof message);
+    if (!error && given->options)
+        error = tw_config_load_yaml(config, given->options, message, sizeof message);
+    if (error) fprintf(stderr, "traywall: %s\n", message);
+    return !error;
 }
 
 /* ---- the process ---- */
 
 typedef struct {
-    tw_config conf;
+    tw_config config;
     tw_core *core;
     tw_net *net;
     struct ev_loop *loop;
-    gsl_histogram *lag; /* how late ticks fire: shows a starved processor */
-    double last_tick;
-    double next_statistics;
-    bool draining;
+    gsl_histogram *lag; /* how late ticks come, which shows a processor that is overloaded */
+    double last_tick_at;
+    double next_statistics_at;
+    bool draining; /* effects are being carried out, see drain_effects */
     ev_timer tick;
     ev_signal terminate;
     ev_signal interrupt;
-} app;
+} controller;
 
 static double seconds_of(clockid_t clock) {
     struct timespec time;
@@ -118,11 +119,11 @@
     return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
-static double steady(void) { return seconds_of(CLOCK_MONOTONIC); }
+static double steady_time(void) { return seconds_of(CLOCK_MONOTONIC); }
 
-static double wall(void) { return seconds_of(CLOCK_REALTIME); }
+static double wall_time(void) { return seconds_of(CLOCK_REALTIME); }
 
-static void carry_out(app *process, const tw_effect *effect) {
+static void carry_out(controller *process, const tw_effect *effect) {
     if (effect->kind == TW_EFFECT_REPLY)
         tw_net_reply(process->net, effect->id, effect->status, effect->retry_after,
                      effect->body ? effect->body : "", effect->body ? strlen(effect->body) : 0);
@@ -131,9 +132,9 @@
                     effect->method, effect->path, effect->body, effect->timeout_s);
 }
 
-/* Carries out the core's effects. A call may fail at once, and its response bring us here again:
- * what that adds is carried out by the outer round. */
-static void drain(app *process) {
+/* Carries out the core's effects. A call may fail at once, so that its response leads here again:
+ * what that adds is carried out by the outer loop. */
+static void drain_effects(controller *process) {
     tw_effect *effect;
     if (process->draining) return;
     process->draining = true;
@@ -144,22 +145,23 @@
     process->draining = false;
 }
 
-static void on_request(void *context, int port, uint64_t conn, const char *method, const char *path,
-                       const char *body, size_t length) {
-    app *process = context;
-    tw_core_request(process->core, steady(), wall(), port, conn, method, path, body, length);
-    drain(process);
+static void on_request(void *context, int port, uint64_t connection, const char *method,
+                       const char *path, const char *body, size_t length) {
+    controller *process = context;
+    tw_core_request(process->core, steady_time(), wall_time(), port, connection, method, path, body,
+                    length);
+    drain_effects(process);
 }
 
 static void on_response(void *context, uint64_t call, int status, const char *body, size_t length) {
-    app *process = context;
-    tw_core_response(process->core, steady(), wall(), call, status, body, length);
-    drain(process);
+    controller *process = context;
+    tw_core_response(process->core, steady_time(), wall_time(), call, status, body, length);
+    drain_effects(process);
 }
 
-static void log_statistics(app *process, double now) {
-    if (now < process->next_statistics || !tw_log_on(TW_LOG_DEBUG)) return;
-    process->next_statistics = now + STATISTICS_S;
+static void log_statistics(controller *process, double now) {
+    if (now < process->next_statistics_at || !tw_log_on(TW_LOG_DEBUG)) return;
+    process->next_statistics_at = now + STATISTICS_S;
     tw_log_debug("event=statistics_sampled tick_lag_mean_s=%.4f tick_lag_sd_s=%.4f heap_kb=%zu",
                  gsl_histogram_mean(process->lag), gsl_histogram_sigma(process->lag),
                  mallinfo2().uordblks / 1024);
@@ -168,17 +170,17 @@
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *watcher, int events) {
-    app *process = watcher->data;
+    controller *process = watcher->data;
     (void)loop;
     (void)events;
-    const double now = steady();
-    if (process->last_tick > 0)
+    const double now = steady_time();
+    if (process->last_tick_at > 0)
         gsl_histogram_increment(process->lag,
-                                now - process->last_tick - tw_core_tick_s(process->core));
-    process->last_tick = now;
+                                now - process->last_tick_at - tw_core_tick_s(process->core));
+    process->last_tick_at = now;
     log_statistics(process, now);
-    tw_core_tick(process->core, now, wall());
-    drain(process);
+    tw_core_tick(process->core, now, wall_time());
+    drain_effects(process);
 }
 
 static void on_signal(struct ev_loop *loop, ev_signal *watcher, int events) {
@@ -187,45 +189,48 @@
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* Without an answer workers lose their leases, and peers the leader. */
-static bool keeps(int port, const char *path) {
+/* Whether a caller must be answered before all others: without an answer workers lose their leases,
+ * and peers the leader. */
+static bool must_answer(int port, const char *path) {
     return port == TW_PORT_PEER || !strcmp(path, "/hello");
 }
 
-/* The limits on memory are small: freed memory is given back early. */
-static void set_up_memory(void) {
+/* The process gets little memory: what is freed is given back to the system early. */
+static void limit_heap(void) {
     mallopt(M_ARENA_MAX, 1);
     mallopt(M_TRIM_THRESHOLD, TRIM_BYTES);
 }
 
-static void open_net(app *process) {
-    const tw_config *conf = &process->conf;
-    const tw_net_limits limits = {.max_server = (int)(conf->sockets * SERVER_SHARE),
-                                  .max_client = (int)(conf->sockets * CLIENT_SHARE),
-                                  .idle_s = IDLE_LEASES * conf->lease_s,
-                                  .keeps = keeps,
-                                  .yield_s = YIELD_REPORTS * conf->report_s,
-                                  .kept_idle_s = KEPT_IDLE_LEASES * conf->lease_s,
-                                  .max_response = LARGEST_RESPONSE};
+static void open_net(controller *process) {
+    const tw_config *config = &process->config;
+    const tw_net_limits limits = {.max_server = (int)(config->sockets * SERVER_SHARE),
+                                  .max_client = (int)(config->sockets * CLIENT_SHARE),
+                                  .idle_s = IDLE_LEASES * config->lease_s,
+                                  .keeps = must_answer,
+                                  .yield_s = YIELD_HEARTBEATS * config->report_s,
+                                  .kept_idle_s = KEPT_IDLE_LEASES * config->lease_s,
+                                  .max_response = MAX_RESPONSE_BYTES};
     const tw_net_handler handler = {on_request, on_response};
     process->net = tw_net_new(process->loop, &limits, &handler, process);
 }
 
-/* Differs between nodes, and from start to start. */
+/* A seed that differs between nodes, and from one start of a node to the next. */
 static uint64_t make_seed(const char *node) {
-    uint64_t seed = (uint64_t)(wall() * 1e6);
+    uint64_t seed = (uint64_t)(wall_time() * 1e6);
     for (const char *letter = node; *letter; letter++)
         seed = seed * HASH_FACTOR + (unsigned char)*letter;
     return seed;
 }
 
-static int listen_on(app *process, const char *name, const char *address, int port) {
-    if (!tw_net_listen(process->net, address, port)) return 0;
+/* name: of the setting with the address, for the message. false: the address can't be listened on.
+ */
+static bool listen_on(controller *process, const char *name, const char *address, int port) {
+    if (!tw_net_listen(process->net, address, port)) return true;
     fprintf(stderr, "traywall: can't listen on %s %s: %s\n", name, address, strerror(errno));
-    return -1;
+    return false;
 }
 
-static void start_watchers(app *process) {
+static void start_watchers(controller *process) {
     ev_timer_init(&process->tick, on_tick, first_tick_s, tw_core_tick_s(process->core));
     process->tick.data = process;
     ev_timer_start(process->loop, &process->tick);
@@ -235,39 +240,39 @@
     ev_signal_start(process->loop, &process->interrupt);
 }
 
-/* Serves until a signal ends it. The process's exit code. */
-static int run(app *process) {
-    const tw_config *conf = &process->conf;
+/* Serves until a signal comes. Returns the process's exit code. */
+static int run(controller *process) {
+    const tw_config *config = &process->config;
     process->lag = gsl_histogram_alloc(LAG_BINS);
-    gsl_histogram_set_ranges_uniform(process->lag, LEAST_LAG_S, MOST_LAG_S);
+    gsl_histogram_set_ranges_uniform(process->lag, MIN_LAG_S, MAX_LAG_S);
     open_net(process);
-    process->core = tw_core_new(conf, make_seed(conf->host_name), steady(), wall());
-    if (listen_on(process, "api_addr", conf->api_addr, TW_PORT_API) ||
-        listen_on(process, "peer_bind", conf->peer_bind, TW_PORT_PEER))
+    process->core = tw_core_new(config, make_seed(config->host_name), steady_time(), wall_time());
+    if (!listen_on(process, "api_addr", config->api_addr, TW_PORT_API) ||
+        !listen_on(process, "peer_bind", config->peer_bind, TW_PORT_PEER))
         return EXIT_LISTEN;
-    tw_log_info("event=process_started version=" TW_VERSION " zone=%s", conf->location);
+    tw_log_info("event=process_started version=" TW_VERSION " zone=%s", config->location);
     start_watchers(process);
     ev_run(process->loop, 0);
     tw_log_info("event=process_stopped");
     tw_net_free(process->net);
     tw_core_free(process->core);
-    tw_config_free(&process->conf);
+    tw_config_free(&process->config);
     gsl_histogram_free(process->lag);
     return EXIT_SUCCESS;
 }
 
 int main(int argc, char **argv) {
-    static app process;
+    static controller process;
     const arguments given = parse_arguments(argc, argv);
-    if (load_settings(&process.conf, &given)) return EXIT_SETTINGS;
+    if (!load_settings(&process.config, &given)) return EXIT_SETTINGS;
     if (given.check) {
-        printf("traywall: settings of %s are good\n", process.conf.host_name);
-        tw_config_free(&process.conf);
+        printf("traywall: settings of %s are good\n", process.config.host_name);
+        tw_config_free(&process.config);
         return EXIT_SUCCESS;
     }
     signal(SIGPIPE, SIG_IGN);
-    set_up_memory();
-    tw_log_init(getenv("LOG_LEVEL"), process.conf.host_name);
+    limit_heap();
+    tw_log_init(getenv("LOG_LEVEL"), process.config.host_name);
     process.loop = ev_default_loop(EVFLAG_AUTO);
     if (!process.loop) {
         fprintf(stderr, "traywall: no event loop\n");
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -1,15 +1,15 @@
+/* Log lines: each is written by one call, so that lines of several processes don't mix. */
 #include "log/log.h"
 #include <stdarg.h>
-#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
 
-#define LONGEST_LINE 1024
-#define LONGEST_NODE 64
+#define MAX_LINE 1024
+#define MAX_NODE_NAME 64
 
-static int level_in_use = TW_LOG_ERROR;
-static char node_name[LONGEST_NODE] = "-";
+static tw_log_level level_in_use = TW_LOG_ERROR;
+static char node_name[MAX_NODE_NAME] = "-";
 
 void tw_log_init(const char *level, const char *node) {
     level_in_use = TW_LOG_INFO;
@@ -18,20 +18,20 @@
     if (node) snprintf(node_name, sizeof node_name, "%s", node);
 }
 
-bool tw_log_on(int level) { return level <= level_in_use; }
+bool tw_log_on(tw_log_level level) { return level <= level_in_use; }
 
-void tw_log_write(int level, const char *fmt, ...) {
+void tw_log_write(tw_log_level level, const char *format, ...) {
     static const char *const names[] = {"error", "info", "debug"};
-    char line[LONGEST_LINE];
+    char line[MAX_LINE];
     if (level > level_in_use) return;
-    int prefix = snprintf(line, sizeof line, "level=%s node=%s ", names[level], node_name);
+    const int prefix = snprintf(line, sizeof line, "level=%s node=%s ", names[level], node_name);
     va_list arguments;
-    va_start(arguments, fmt);
-    int text = vsnprintf(line + prefix, sizeof line - (size_t)prefix - 1, fmt, arguments);
+    va_start(arguments, format);
+    const int text = vsnprintf(line + prefix, sizeof line - (size_t)prefix - 1, format, arguments);
     va_end(arguments);
     if (text < 0) return;
     size_t length = (size_t)prefix + (size_t)text;
-    if (length > sizeof line - 2) length = sizeof line - 2; /* it was cut */
+    if (length > sizeof line - 2) length = sizeof line - 2; /* the line was cut */
     line[length++] = '\n';
     /* A log that can't be written must not stop the service. */
     if (write(STDERR_FILENO, line, length) < 0) return;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,15 +1,23 @@
-/* Levelled log lines, key=value, on standard error. */
+/* Log lines of key=value pairs on standard error, with a level. The level and the node's name are
+ * the only global state of the program; tw_log_init sets them once, before anything else logs.
+ * Until then only errors are logged. */
 #ifndef TW_LOG_H
 #define TW_LOG_H
 #include <stdbool.h>
 
-enum { TW_LOG_ERROR = 0, TW_LOG_INFO = 1, TW_LOG_DEBUG = 2 };
+/* Levels; each includes those before it. */
+typedef enum { TW_LOG_ERROR, TW_LOG_INFO, TW_LOG_DEBUG } tw_log_level;
 
-/* Level by name (error, info, debug); unknown names mean info. */
+/* level: name of the highest level that is logged (error, info, debug); NULL or any other name:
+ * info. node: name in each line; NULL: "-". */
 void tw_log_init(const char *level, const char *node);
-bool tw_log_on(int level);
-void tw_log_write(int level, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+/* Whether lines of the level are logged. */
+bool tw_log_on(tw_log_level level);
+/* Writes a line if its level is logged. A line that is too long is cut. */
+void tw_log_write(tw_log_level level, const char *format, ...)
+    __attribute__((format(printf, 2, 3)));
 
+/* What stands in the arguments of the last two is evaluated only if the line is logged. */
 #define tw_log_error(...) tw_log_write(TW_LOG_ERROR, __VA_ARGS__)
 #define tw_log_info(...)                                                                           \
     do {                                                                                           \
--- a/src/net/address.c
+++ b/src/net/address.c
@@ -6,23 +6,23 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define LONGEST_IP 64
-#define LARGEST_PORT 65535
+#define MAX_IP_LENGTH 64
+#define MAX_PORT 65535
 #define DECIMAL 10
 
-int tw_address_parse(const char *text, struct sockaddr_in *address) {
-    char ip[LONGEST_IP];
+bool tw_address_parse(const char *text, struct sockaddr_in *address) {
+    char ip[MAX_IP_LENGTH];
     char *end;
     const char *colon = strrchr(text, ':');
-    if (!colon || (size_t)(colon - text) >= sizeof ip) return -1;
+    if (!colon || (size_t)(colon - text) >= sizeof ip) return false;
     memcpy(ip, text, (size_t)(colon - text));
     ip[colon - text] = 0;
-    long port = strtol(colon + 1, &end, DECIMAL);
-    if (end == colon + 1 || *end || port < 1 || port > LARGEST_PORT) return -1;
+    const long port = strtol(colon + 1, &end, DECIMAL);
+    if (end == colon + 1 || *end || port < 1 || port > MAX_PORT) return false;
     memset(address, 0, sizeof *address);
     address->sin_family = AF_INET;
     address->sin_port = htons((uint16_t)port);
-    return inet_pton(AF_INET, ip, &address->sin_addr) == 1 ? 0 : -1;
+    return inet_pton(AF_INET, ip, &address->sin_addr) == 1;
 }
 
 void tw_socket_no_delay(int socket) {
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -24,8 +24,8 @@
 
 typedef struct call {
     uint64_t id;
-    tw_buffer request; /* as sent */
-    double deadline;
+    tw_buffer request; /* as it is sent */
+    double deadline;   /* time of the loop */
     struct call *prev;
     struct call *next;
 } client_call;
@@ -33,16 +33,16 @@
 typedef struct connection {
     struct tw_client_host *host;
     int socket;
-    int connected; /* it has taken bytes */
+    bool connected; /* the socket has taken bytes */
     ev_io readable;
     ev_io writable;
     ev_timer timer; /* of the call */
     http_parser parser;
     tw_buffer body;    /* of the response */
     client_call *call; /* NULL: idle */
-    size_t sent;       /* of the call's request */
-    bool complete;     /* the response is */
-    int keep_alive;    /* after it */
+    size_t sent;       /* bytes of the call's request that the socket has taken */
+    bool complete;     /* the response in hand has come whole */
+    bool keep_alive;   /* it stays open after the response in hand */
     struct connection *prev;
     struct connection *next;
 } client_connection;
@@ -51,9 +51,9 @@
     tw_net *net;
     char name[LONGEST_ADDRESS];
     struct sockaddr_in address;
-    int limit; /* most connections */
-    int count; /* connections */
-    double used;
+    int limit;   /* most connections */
+    int count;   /* connections */
+    double used; /* when it was last called */
     client_connection *connections;
     client_call *queue;
     ev_timer timer; /* of the first call in the queue */
@@ -105,7 +105,7 @@
     connection->parser.data = connection;
 }
 
-/* Ends the connection's call, if it has one. The connection stays open where keep is set. */
+/* Ends the connection's call, if it has one. keep: the connection stays open. */
 static void finish(client_connection *connection, int status, bool keep) {
     client_host *host = connection->host;
     tw_net *net = host->net;
@@ -145,7 +145,7 @@
 static int on_message_complete(http_parser *parser) {
     client_connection *connection = parser->data;
     connection->complete = true;
-    connection->keep_alive = http_should_keep_alive(parser);
+    connection->keep_alive = http_should_keep_alive(parser) != 0;
     return 0;
 }
 
@@ -153,13 +153,14 @@
                                                      .on_body = on_body,
                                                      .on_message_complete = on_message_complete};
 
-/* Whether the connection can be used again after the response. Not where the response came before
- * all of the call was sent: the next call would be taken for its rest. */
+/* Whether the connection can be used again after the response. If the response came before all of
+ * the call was sent it can't: the next call would be taken for the rest of that one. */
 static bool can_be_kept(const client_connection *connection) {
     return connection->keep_alive && connection->sent == connection->call->request.length;
 }
 
-/* Parses bytes of the response; none: the connection was closed. Whether more are needed. */
+/* Parses bytes of the response; count 0: the other side closed the connection. Returns whether more
+ * bytes are needed. */
 static bool take_bytes(client_connection *connection, const char *bytes, size_t count) {
     size_t used = http_parser_execute(&connection->parser, &parser_settings, bytes, count);
     if (connection->complete) {
@@ -197,7 +198,7 @@
                              connection->call->request.length - connection->sent);
         if (sent >= 0) {
             connection->sent += (size_t)sent;
-            connection->connected = 1;
+            connection->connected = true;
         } else if (errno != EINTR) {
             ev_io_start(loop, &connection->writable);
             return errno == EAGAIN ? 0 : -1;
@@ -362,7 +363,8 @@
     }
 }
 
-/* Machines come and go, each under an address of its own: those not called for long are let go. */
+/* Machines come and go, each with an address of its own: hosts that were not called for long are
+ * forgotten. */
 static void forget_hosts(tw_net *net) {
     client_host *host;
     client_host *next;
@@ -375,14 +377,14 @@
     net->client.many_hosts = 2 * HASH_COUNT(net->client.hosts) + FEW_HOSTS;
 }
 
-/* The host of this address, new or known; NULL: it is not an address. */
+/* The host of this address, which is made if it isn't known; NULL: it is not an address. */
 static client_host *host_of(tw_net *net, const char *name) {
     client_host *host;
     struct sockaddr_in address;
     HASH_FIND_STR(net->client.hosts, name, host);
     if (host) return host;
     forget_hosts(net);
-    if (strlen(name) >= sizeof host->name || tw_address_parse(name, &address)) return NULL;
+    if (strlen(name) >= sizeof host->name || !tw_address_parse(name, &address)) return NULL;
     host = tw_net_alloc(sizeof *host);
     host->net = net;
     snprintf(host->name, sizeof host->name, "%s", name);
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -2,9 +2,9 @@
 #include <stdlib.h>
 
 void *tw_net_alloc(size_t size) {
-    void *room = calloc(1, size);
-    if (!room) abort();
-    return room;
+    void *memory = calloc(1, size);
+    if (!memory) abort();
+    return memory;
 }
 
 tw_net *tw_net_new(struct ev_loop *loop, const tw_net_limits *limits, const tw_net_handler *handler,
--- a/src/net/net_int.h
+++ b/src/net/net_int.h
@@ -21,11 +21,11 @@
     uint64_t last_id;
 } tw_net_server;
 
-/* Owned by client.c: connections that we opened, by address. */
+/* Owned by client.c: connections that this process opened, by address. */
 typedef struct {
     struct tw_client_host *hosts; /* by address */
     int count;                    /* connections to all of them */
-    unsigned many_hosts;          /* beyond it, those not in use any more are looked for */
+    unsigned many_hosts;          /* with more hosts, those that are not in use are looked for */
 } tw_net_client;
 
 struct tw_net {
@@ -40,9 +40,10 @@
     char *received;
 };
 
+/* Close all connections of the server, and of the client. */
 void tw_net_server_free(tw_net *net);
 void tw_net_client_free(tw_net *net);
-/* Zeroed room; ends the program where there is none. */
+/* Zeroed memory, which the caller frees; ends the program if there is none. */
 void *tw_net_alloc(size_t size);
 
 #endif
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -1,6 +1,6 @@
 /* HTTP server. A connection has one request in hand at a time: what comes after it is parsed once
- * it is answered. Where the limit on connections is reached, idle ones make room for new ones,
- * except those of callers that must be answered before all others. */
+ * the request is answered. When the limit on connections is reached, an idle one makes room for a
+ * new one, unless it is of a caller that must be answered before all others. */
 #define _GNU_SOURCE /* accept4 */
 #include "net/address.h"
 #include "net/buffer.h"
@@ -17,7 +17,7 @@
 
 #define MAX_HEAD 16384
 #define MAX_INPUT (TW_NET_MAX_BODY + MAX_HEAD)
-#define USUAL_HEAD 160 /* bytes of an answer before its body, seldom more */
+#define USUAL_HEAD 160 /* bytes of a response before its body; more only seldom */
 /* Connections that may wait to be accepted: all workers of a fleet of 4,000 machines come at once
  * when their node ends, and one that finds no place here is not tried again for a second. The
  * kernel may allow fewer. */
@@ -40,13 +40,13 @@
     tw_buffer body;
     tw_buffer input;  /* what came after the request in hand */
     tw_buffer output; /* what the socket has not taken yet */
-    bool waiting;     /* a request is in hand, not answered yet */
-    bool oversized;   /* it is longer than allowed */
-    int keep_alive;
-    int closing;       /* after what is to be sent */
+    bool waiting;     /* a request is in hand, and not answered yet */
+    bool oversized;   /* the request in hand is longer than allowed */
+    bool keep_alive;
+    bool closing;      /* to be closed once the output is sent */
     bool kept;         /* its caller must be answered before all others */
-    bool evictable;    /* in the server's list of these */
-    double idle_since; /* while it is */
+    bool evictable;    /* in the server's list of these connections */
+    double idle_since; /* while it is in that list */
     struct tw_server_connection *prev;
     struct tw_server_connection *next;
     UT_hash_handle hh;
@@ -161,7 +161,7 @@
 static void answer(server_connection *connection, int status, double retry_after, const char *body,
                    size_t length) {
     tw_buffer *output = &connection->output;
-    if (!connection->keep_alive) connection->closing = 1;
+    if (!connection->keep_alive) connection->closing = true;
     tw_buffer_reserve(output, USUAL_HEAD + length);
     tw_buffer_append_text(output, "HTTP/1.1 ");
     tw_buffer_append_number(output, (size_t)status);
@@ -182,18 +182,18 @@
 void tw_net_reply(tw_net *net, uint64_t conn, int status, double retry_after, const char *body,
                   size_t len) {
     server_connection *connection = find(net, conn);
-    if (!connection || !connection->waiting) return; /* the asker is gone */
+    if (!connection || !connection->waiting) return; /* the caller is gone */
     answer(connection, status, retry_after, body, len);
     send_output(connection);
     connection = find(net, conn);
-    /* what came meanwhile is parsed from the loop, not within the caller's call */
+    /* What came meanwhile is parsed from the loop, not within the caller's call. */
     if (connection && connection->input.length && !connection->waiting)
         ev_feed_event(net->loop, &connection->readable, EV_CUSTOM);
 }
 
 static void answer_malformed(server_connection *connection) {
     static const char message[] = "{\"error\":\"malformed request\"}";
-    connection->keep_alive = 0;
+    connection->keep_alive = false;
     connection->waiting = true;
     tw_buffer_free(&connection->input);
     answer(connection, STATUS_MALFORMED, 0, message, sizeof message - 1);
@@ -237,7 +237,7 @@
 
 static int on_message_complete(http_parser *parser) {
     server_connection *connection = parser->data;
-    connection->keep_alive = http_should_keep_alive(parser);
+    connection->keep_alive = http_should_keep_alive(parser) != 0;
     connection->waiting = true;
     http_parser_pause(parser, 1);
     return 0;
@@ -251,7 +251,8 @@
     .on_message_complete = on_message_complete,
 };
 
-/* Parses bytes up to the end of a request, or all of them. How many, or -1: it is not HTTP. */
+/* Parses bytes up to the end of a request, or all of them. Returns how many were parsed; -1: they
+ * are not HTTP. */
 static ssize_t parse(server_connection *connection, const char *bytes, size_t length) {
     size_t used = http_parser_execute(&connection->parser, &parser_settings, bytes, length);
     enum http_errno error = HTTP_PARSER_ERRNO(&connection->parser);
@@ -262,12 +263,12 @@
     return (ssize_t)used;
 }
 
-/* Hands the request in hand to the owner, who may answer it within this call. The connection, or
- * NULL: it was closed. */
-static server_connection *hand_over(server_connection *connection) {
+/* Tells the owner of the request in hand, which may be answered within this call. Returns the
+ * connection; NULL: it was closed. */
+static server_connection *deliver_request(server_connection *connection) {
     tw_net *net = connection->net;
     const uint64_t id = connection->id;
-    /* taken off the connection, which may be closed meanwhile */
+    /* They are taken off the connection, which may be closed meanwhile. */
     tw_buffer path = connection->path;
     tw_buffer body = connection->body;
     memset(&connection->path, 0, sizeof path);
@@ -305,7 +306,7 @@
             answer_malformed(connection);
             return;
         }
-        connection = hand_over(connection);
+        connection = deliver_request(connection);
         if (!connection) return;
     }
     if (used < length) keep_input(connection, bytes + used, length - used);
@@ -413,7 +414,7 @@
 static int open_listener(const char *address_text) {
     struct sockaddr_in address;
     int on = 1;
-    if (tw_address_parse(address_text, &address)) {
+    if (!tw_address_parse(address_text, &address)) {
         errno = EINVAL;
         return -1;
     }
