--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -194,7 +194,7 @@
 }
 
 static void peers_ping(tw_bench_fleet *fleet) {
-    for (size_t i = 0; i < fleet->conf.npeers; i++) {
+    for (size_t i = 0; i < fleet->conf.peer_count; i++) {
         char *text = tw_bench_peer_text(fleet, fleet->conf.peers[i].name);
         const input in = {.kind = TW_BENCH_PEER,
                           .port = TW_PORT_PEER,
--- a/bench/services.c
+++ b/bench/services.c
@@ -140,7 +140,7 @@
 }
 
 static const char *peer_at(const tw_bench_fleet *fleet, const char *address) {
-    for (size_t i = 0; i < fleet->conf.npeers; i++)
+    for (size_t i = 0; i < fleet->conf.peer_count; i++)
         if (!strcmp(fleet->conf.peers[i].addr, address)) return fleet->conf.peers[i].name;
     return "";
 }
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -7,9 +7,9 @@
 
 static void init_peers(tw_cluster *cluster) {
     const tw_config *config = cluster->context->config;
-    cluster->peer_count = config->npeers;
-    cluster->peers = tw_alloc(config->npeers * sizeof *cluster->peers);
-    for (size_t i = 0; i < config->npeers; i++) {
+    cluster->peer_count = config->peer_count;
+    cluster->peers = tw_alloc(config->peer_count * sizeof *cluster->peers);
+    for (size_t i = 0; i < config->peer_count; i++) {
         tw_peer *peer = &cluster->peers[i];
         peer->config = config->peers[i];
         peer->answered_at = peer->vouched_at = LONG_AGO;
--- a/src/config/config.c
+++ b/src/config/config.c
@@ -161,7 +161,7 @@
     const cJSON *item = NULL;
     config->peers = tw_setting_alloc(list_length(list), sizeof *config->peers);
     while ((item = next_item(complaint, list, item))) {
-        tw_config_peer *peer = &config->peers[config->npeers++];
+        tw_config_peer *peer = &config->peers[config->peer_count++];
         tw_section_read(complaint, &peer_section, item, peer);
         if (!strcmp(peer->name, config->host_name))
             tw_complain(complaint, "setting known names this host itself");
@@ -174,7 +174,7 @@
     config->zones = tw_setting_alloc(list_length(list), sizeof *config->zones);
     while ((item = next_item(complaint, list, item))) {
         if (tw_setting_is_name(item))
-            strcpy(config->zones[config->nzones++], item->valuestring);
+            strcpy(config->zones[config->zone_count++], item->valuestring);
         else
             tw_complain(complaint, "setting settings.zones must hold names");
     }
@@ -196,7 +196,7 @@
     const cJSON *item = NULL;
     config->teams = tw_setting_alloc(list_length(list), sizeof *config->teams);
     while ((item = next_item(complaint, list, item))) {
-        tw_config_team *team = &config->teams[config->nteams++];
+        tw_config_team *team = &config->teams[config->team_count++];
         tw_section_read(complaint, &team_section, item, team);
         team->share = 1;
         check_team(complaint, config, team);
@@ -209,7 +209,7 @@
     config->objectives = tw_setting_alloc(list_length(list), sizeof *config->objectives);
     while ((item = next_item(complaint, list, item)))
         tw_section_read(complaint, &objective_section, item,
-                        &config->objectives[config->nobjectives++]);
+                        &config->objectives[config->objective_count++]);
 }
 
 /* ---- the file ---- */
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -59,13 +59,13 @@
         peer_bind[TW_NAME_SIZE];
     char cloud[TW_NAME_SIZE], state[TW_NAME_SIZE];
     tw_config_peer *peers;
-    size_t npeers;
+    size_t peer_count;
     char (*zones)[TW_NAME_SIZE];
-    size_t nzones;
+    size_t zone_count;
     tw_config_team *teams;
-    size_t nteams;
+    size_t team_count;
     tw_config_objective *objectives;
-    size_t nobjectives;
+    size_t objective_count;
     double time_bound_ms;
     double report_s, lease_s, cancel_s;
     double gang_wait_s; /* how long a task of a gang waits for the others of its attempt */
--- a/src/config/yaml.c
+++ b/src/config/yaml.c
@@ -68,7 +68,7 @@
 }
 
 static tw_config_team *find_team(tw_config *config, const char *name) {
-    for (size_t i = 0; i < config->nteams; i++)
+    for (size_t i = 0; i < config->team_count; i++)
         if (!strcmp(config->teams[i].name, name)) return &config->teams[i];
     return NULL;
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -19,7 +19,7 @@
 
 /* The objectives that the settings have for classes of jobs. */
 static void init_objectives(tw_core *core) {
-    for (size_t i = 0; i < core->context.config->nobjectives; i++) {
+    for (size_t i = 0; i < core->context.config->objective_count; i++) {
         const tw_config_objective *objective = &core->context.config->objectives[i];
         if (!*objective->cls) continue;
         tw_job_class *class = tw_job_class_get(core, objective->cls);
@@ -67,8 +67,8 @@
     const tw_store_owner job_owner = tw_job_store_owner(core);
     core->store = tw_store_new(&core->context, core->cluster, &job_owner);
     tw_rate_limiters_init(core);
-    core->team_cores_used = tw_alloc((config->nteams + 1) * sizeof(double));
-    core->team_gpus_used = tw_alloc((config->nteams + 1) * sizeof(double));
+    core->team_cores_used = tw_alloc((config->team_count + 1) * sizeof(double));
+    core->team_gpus_used = tw_alloc((config->team_count + 1) * sizeof(double));
     core->heartbeat_cache = tw_wire_heartbeat_cache_new();
     init_objectives(core);
     return core;
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -36,7 +36,7 @@
 
 /* Index of the team in the settings; -1: there is no team of that name. */
 static int team_index(const tw_core *core, const char *name) {
-    for (size_t i = 0; i < core->context.config->nteams; i++)
+    for (size_t i = 0; i < core->context.config->team_count; i++)
         if (!strcmp(core->context.config->teams[i].name, name)) return (int)i;
     return -1;
 }
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -193,7 +193,7 @@
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) { capacity += tw_job_is_pending(core, job); }
     if (capacity) note_guaranteed(core);
-    turns->team_count = (int)core->context.config->nteams;
+    turns->team_count = (int)core->context.config->team_count;
     turns->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
     turns->groups = tw_alloc((size_t)(LEVELS * turns->team_count) * sizeof *turns->groups);
     group_jobs(core, turns, capacity);
--- a/src/core/rate_limits.c
+++ b/src/core/rate_limits.c
@@ -26,7 +26,8 @@
 /* The limits that a node keeps to while it doesn't lead. */
 static void init_follower_limits(tw_core *core) {
     const tw_config *config = core->context.config;
-    const double share = config->tune.write_share * FOLLOWERS_SHARE / (double)(config->npeers + 1);
+    const double share =
+        config->tune.write_share * FOLLOWERS_SHARE / (double)(config->peer_count + 1);
     const double reads = share * config->state_rps;
     core->follower_read_limiter =
         tw_rate_limiter_make(reads, fmax(FOLLOWER_MIN_READ_BURST, reads), core->context.now);
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -59,7 +59,7 @@
     core->admission_watch_revision = 0;
     core->next_admission_watch_at = 0;
     core->load_in_flight = false;
-    const size_t team_count = core->context.config->nteams + 1;
+    const size_t team_count = core->context.config->team_count + 1;
     memset(core->team_cores_used, 0, team_count * sizeof *core->team_cores_used);
     memset(core->team_gpus_used, 0, team_count * sizeof *core->team_gpus_used);
 }
--- a/tests/unit/config_test.c
+++ b/tests/unit/config_test.c
@@ -146,16 +146,16 @@
 static const size_t operators_value_count = sizeof operators_values / sizeof *operators_values;
 
 static void dump_lists(FILE *out, const tw_config *conf) {
-    for (size_t i = 0; i < conf->npeers; i++)
+    for (size_t i = 0; i < conf->peer_count; i++)
         fprintf(out, " peer=%s,%s,%s", conf->peers[i].name, conf->peers[i].zone,
                 conf->peers[i].addr);
-    for (size_t i = 0; i < conf->nzones; i++) fprintf(out, " zone=%s", conf->zones[i]);
-    for (size_t i = 0; i < conf->nteams; i++) {
+    for (size_t i = 0; i < conf->zone_count; i++) fprintf(out, " zone=%s", conf->zones[i]);
+    for (size_t i = 0; i < conf->team_count; i++) {
         const tw_config_team *team = &conf->teams[i];
         fprintf(out, " team=%s,%g,%g,%g,%g,%g", team->name, team->cpus, team->cpus_max, team->gpus,
                 team->gpus_max, team->share);
     }
-    for (size_t i = 0; i < conf->nobjectives; i++) {
+    for (size_t i = 0; i < conf->objective_count; i++) {
         const tw_config_objective *objective = &conf->objectives[i];
         fprintf(out, " objective=%s,%s,%g,%g,%g", objective->kind, objective->cls,
                 objective->within_s, objective->share, objective->times);
