--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -212,7 +212,7 @@
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) { capacity += tw_job_is_pending(core, job); }
     if (capacity) update_guaranteed_jobs(core);
-    queue->team_count = (int)core->context.config->nteams;
+    queue->team_count = (int)core->context.config->team_count;
     queue->jobs = tw_alloc((size_t)capacity * sizeof(struct tw_job *));
     queue->groups = tw_alloc((size_t)(LEVEL_COUNT * queue->team_count) * sizeof *queue->groups);
     group_jobs(core, queue, capacity);
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -63,9 +63,6 @@
     struct tw_placement *prev, *next;         /* the machine's list */
 } tw_placement;
 
-/* Whether a job's task needs a placement (tw_job.task_states). */
-typedef enum { TW_ASSIGNMENT_NONE, TW_ASSIGNMENT_PLACED, TW_ASSIGNMENT_DONE } tw_assignment;
-
 /* Places a task, whose amounts count from now on. The caller marks the job as changed. NULL: the
  * task has an attempt that is not terminated, or is done, which is a fault of the caller. */
 tw_placement *tw_placement_new(tw_core *core, tw_job *job, int index, tw_machine *machine,
