--- a/emulator/main.c
+++ b/emulator/main.c
@@ -82,7 +82,7 @@
     return note_order(at, tw_shards_guard_start(guard, term, boot_id, minimum_epoch), term, 0);
 }
 
-static int is_order(const char *path) {
+static bool is_order(const char *path) {
     static const char *const orders[] = {"/check", "/start", "/open", "/stop"};
     for (size_t i = 0; i < sizeof orders / sizeof *orders; i++)
         if (!strcmp(path, orders[i])) return 1;
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -1,4 +1,4 @@
-/* Reserves machines for a gang. Small jobs take each piece of room as it is given back, so that a
+/* Reserves machines for a gang. Small jobs take each bit of room as it is given back, so that a
  * gang, which needs room for all its tasks at once, might never find it. So of the gangs that have
  * waited for longer than RESERVE_AFTER_S the one that was submitted first gets the machines on
  * which room for all its tasks is expected soonest. Until it is placed, work of its priority or a
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -1,5 +1,5 @@
 /* Room that services leave for classes that need scarcer room. Where nothing more can be rented,
- * many small tasks that wait would take every piece of room that is given back, and a larger task,
+ * many small tasks that wait would take every bit of room that is given back, and a larger task,
  * or one with more GPUs, would never find room. So a service's task leaves enough holes for the
  * arrivals that are expected, until their start objective, of the classes that need more GPUs than
  * it does. A hole is room for one task of a class's sample on a machine.
--- a/src/shards/leader.c
+++ b/src/shards/leader.c
@@ -90,7 +90,7 @@
     shards->now = shards->budget_at = now;
     shards->token = token;
     shards->deciding = shards->quarantine_listed = false;
-    strncpy(shards->leader_key, leader_key, KEY_SIZE - 1);
+    strncpy(shards->leader_key, leader_key, TW_SHARDS_KEY_SIZE - 1);
     tw_shards_reload(shards);
 }
 
@@ -193,7 +193,7 @@
 void tw_shards_request_in(tw_shards *shards, double now, const tw_shards_request *request) {
     shards->now = now;
     const bool leads = shards->token && now < shards->authority_until;
-    if (!leads || shards->request_count >= MOST_WAITING) {
+    if (!leads || shards->request_count >= TW_SHARDS_MAX_WAITING) {
         tw_shards_answer(shards, request, leads ? TW_SHARDS_OVERLOADED : TW_SHARDS_NOT_LEADER);
         return;
     }
--- a/src/shards/load.c
+++ b/src/shards/load.c
@@ -38,41 +38,41 @@
 
 /* A page comes in the order of keys: cells, moves, names, table. What is read needs the opposite
  * order, so texts are kept as they come and taken in when the last page is there. */
-static int take_table(tw_shards *shards, const tw_wire_entry *entry) {
+static tw_shards_error take_table(tw_shards *shards, const tw_wire_entry *entry) {
     tw_shards_header read;
-    if (strcmp(entry->key, TW_SHARDS_PREFIX "table") != 0) return 0;
-    if (tw_shards_header_parse(&read, entry->value)) return -1;
+    if (strcmp(entry->key, TW_SHARDS_PREFIX "table") != 0) return TW_SHARDS_NO_ERROR;
+    if (tw_shards_header_parse(&read, entry->value)) return TW_SHARDS_BAD_RECORD;
     shards->header_mod_revision = entry->mod_revision;
     tw_shards_set_header(shards, &read);
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
-static int take_move(tw_shards *shards, const tw_wire_entry *entry) {
+static tw_shards_error take_move(tw_shards *shards, const tw_wire_entry *entry) {
     tw_shards_move_record record;
-    if (!rest_of(entry->key, TW_SHARDS_PREFIX "move/")) return 0;
-    if (tw_shards_move_parse(&record, entry->value)) return -1;
+    if (!rest_of(entry->key, TW_SHARDS_PREFIX "move/")) return TW_SHARDS_NO_ERROR;
+    if (tw_shards_move_parse(&record, entry->value)) return TW_SHARDS_BAD_RECORD;
     if (record.from >= shards->header.shard_count || record.to >= shards->header.shard_count) {
         free(record.only);
-        return -1;
+        return TW_SHARDS_BAD_RECORD;
     }
     tw_shards_add_move(shards, &record)->mod_revision = entry->mod_revision;
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
-static int take_names(tw_shards *shards, const tw_wire_entry *entry) {
+static tw_shards_error take_names(tw_shards *shards, const tw_wire_entry *entry) {
     const char *digits = rest_of(entry->key, TW_SHARDS_PREFIX "names/");
-    if (!digits) return 0;
+    if (!digits) return TW_SHARDS_NO_ERROR;
     const int block = block_of(digits);
-    tw_shards_slot(shards, block * BLOCK);
+    tw_shards_slot(shards, block * TW_SHARDS_BLOCK_SIZE);
     shards->name_mod_revisions[block] = entry->mod_revision;
     return tw_shards_names_parse(shards, block, entry->value);
 }
 
-static int take_cells(tw_shards *shards, const tw_wire_entry *entry) {
+static tw_shards_error take_cells(tw_shards *shards, const tw_wire_entry *entry) {
     const char *digits = rest_of(entry->key, TW_SHARDS_PREFIX "cells/");
-    if (!digits) return 0;
+    if (!digits) return TW_SHARDS_NO_ERROR;
     const int block = block_of(digits);
-    tw_shards_slot(shards, block * BLOCK);
+    tw_shards_slot(shards, block * TW_SHARDS_BLOCK_SIZE);
     shards->cell_mod_revisions[block] = entry->mod_revision;
     return tw_shards_cells_parse(shards, block, entry->value);
 }
@@ -84,15 +84,15 @@
     struct tw_shards_kept_page *next;
 };
 
-static int take_all(tw_shards *shards, struct tw_shards_kept_page *pages) {
-    static int (*const takes[])(tw_shards * shares, const tw_wire_entry *entry) = {
+static tw_shards_error take_all(tw_shards *shards, struct tw_shards_kept_page *pages) {
+    static tw_shards_error (*const takes[])(tw_shards * shards, const tw_wire_entry *entry) = {
         take_table, take_move, take_names, take_cells};
     const struct tw_shards_kept_page *page;
     for (size_t i = 0; i < sizeof takes / sizeof *takes; i++) LL_FOREACH(pages, page) {
             for (int j = 0; j < page->count; j++)
-                if (takes[i](shards, &page->entries[j])) return -1;
+                if (takes[i](shards, &page->entries[j])) return TW_SHARDS_BAD_RECORD;
         }
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
 static void free_pages(tw_shards *shards) {
--- a/src/shards/record.c
+++ b/src/shards/record.c
@@ -27,33 +27,35 @@
 
 /* ---- reading ---- */
 
-static int read_number(const cJSON *object, const char *name, double *to) {
+static tw_shards_error read_number(const cJSON *object, const char *name, double *to) {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
-    if (!cJSON_IsNumber(item)) return -1;
-    if (!(item->valuedouble >= 0 && item->valuedouble <= LARGEST_NUMBER)) return -1;
+    if (!cJSON_IsNumber(item)) return TW_SHARDS_BAD_RECORD;
+    if (!(item->valuedouble >= 0 && item->valuedouble <= LARGEST_NUMBER))
+        return TW_SHARDS_BAD_RECORD;
     *to = item->valuedouble;
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
-static int read_count(const cJSON *object, const char *name, uint64_t *to) {
+static tw_shards_error read_count(const cJSON *object, const char *name, uint64_t *to) {
     double number;
-    if (read_number(object, name, &number)) return -1;
+    if (read_number(object, name, &number)) return TW_SHARDS_BAD_RECORD;
     *to = (uint64_t)number;
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
-static int read_int(const cJSON *object, const char *name, int *to) {
+static tw_shards_error read_int(const cJSON *object, const char *name, int *to) {
     double number;
-    if (read_number(object, name, &number) || number > MOST_INDEX) return -1;
+    if (read_number(object, name, &number) || number > MOST_INDEX) return TW_SHARDS_BAD_RECORD;
     *to = (int)number;
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
-static int read_name(const cJSON *object, const char *name, char *to) {
+static tw_shards_error read_name(const cJSON *object, const char *name, char *to) {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
-    if (!cJSON_IsString(item) || strlen(item->valuestring) >= TW_SHARDS_NAME) return -1;
+    if (!cJSON_IsString(item) || strlen(item->valuestring) >= TW_SHARDS_NAME)
+        return TW_SHARDS_BAD_RECORD;
     tw_shards_copy_name(to, item->valuestring);
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
 static void add_number(cJSON *object, const char *name, double number) {
@@ -84,14 +86,14 @@
     return text;
 }
 
-static int read_index(const char **at, uint32_t *index) {
+static tw_shards_error read_index(const char **at, uint32_t *index) {
     char *end;
-    if (**at < '0' || **at > '9') return -1;
+    if (**at < '0' || **at > '9') return TW_SHARDS_BAD_RECORD;
     const unsigned long number = strtoul(*at, &end, DECIMAL);
-    if (number > MOST_INDEX) return -1;
+    if (number > MOST_INDEX) return TW_SHARDS_BAD_RECORD;
     *index = (uint32_t)number;
     *at = end;
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
 /* NULL: the text is none. */
@@ -137,15 +139,15 @@
     return finish(object);
 }
 
-static int read_shard(const cJSON *item, tw_shards_shard *to) {
+static tw_shards_error read_shard(const cJSON *item, tw_shards_shard *to) {
     return read_name(item, "name", to->name) || read_name(item, "owner", to->owner) ||
                    read_count(item, "epoch", &to->epoch) || read_int(item, "least", &to->least) ||
                    read_int(item, "spread", &to->spread)
-               ? -1
-               : 0;
+               ? TW_SHARDS_BAD_RECORD
+               : TW_SHARDS_NO_ERROR;
 }
 
-int tw_shards_header_parse(tw_shards_header *header, const char *text) {
+tw_shards_error tw_shards_header_parse(tw_shards_header *header, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "shares");
     const cJSON *item;
@@ -166,7 +168,7 @@
         header->shard_count = 0;
     }
     cJSON_Delete(object);
-    return failed ? -1 : 0;
+    return failed ? TW_SHARDS_BAD_RECORD : TW_SHARDS_NO_ERROR;
 }
 
 /* ---- cells ---- */
@@ -194,8 +196,10 @@
 }
 
 char *tw_shards_cells_text(const tw_shards *shards, int block) {
-    const int first = block * BLOCK;
-    const int end = first + BLOCK < shards->machine_count ? first + BLOCK : shards->machine_count;
+    const int first = block * TW_SHARDS_BLOCK_SIZE;
+    const int end = first + TW_SHARDS_BLOCK_SIZE < shards->machine_count
+                        ? first + TW_SHARDS_BLOCK_SIZE
+                        : shards->machine_count;
     cJSON *object = cJSON_CreateObject();
     cJSON *list = cJSON_AddArrayToObject(object, "cells");
     uint64_t listed = 0;
@@ -214,27 +218,29 @@
     return finish(object);
 }
 
-static int read_state(const cJSON *item, tw_shards_state *state) {
+static tw_shards_error read_state(const cJSON *item, tw_shards_state *state) {
     char name[TW_SHARDS_NAME];
-    if (read_name(item, "state", name)) return -1;
+    if (read_name(item, "state", name)) return TW_SHARDS_BAD_RECORD;
     for (int i = TW_SHARDS_TAKEN; i <= TW_SHARDS_RELEASED; i++) {
         *state = (tw_shards_state)i;
-        if (!strcmp(name, tw_shards_state_name(*state))) return 0;
+        if (!strcmp(name, tw_shards_state_name(*state))) return TW_SHARDS_NO_ERROR;
     }
-    return -1;
+    return TW_SHARDS_BAD_RECORD;
 }
 
-static int read_cell(const tw_shards *shards, const cJSON *item, tw_shards_cell *to) {
+static tw_shards_error read_cell(const tw_shards *shards, const cJSON *item, tw_shards_cell *to) {
     *to = (tw_shards_cell){0};
-    if (read_int(item, "share", &to->shard) || read_count(item, "epoch", &to->epoch)) return -1;
-    if (to->shard >= shards->header.shard_count || read_state(item, &to->state)) return -1;
+    if (read_int(item, "share", &to->shard) || read_count(item, "epoch", &to->epoch))
+        return TW_SHARDS_BAD_RECORD;
+    if (to->shard >= shards->header.shard_count || read_state(item, &to->state))
+        return TW_SHARDS_BAD_RECORD;
     if (cJSON_GetObjectItemCaseSensitive(item, "move") && read_count(item, "move", &to->move))
-        return -1;
-    return 0;
+        return TW_SHARDS_BAD_RECORD;
+    return TW_SHARDS_NO_ERROR;
 }
 
 /* Sets the cells of the block's machines, which must have been named. */
-int tw_shards_cells_parse(tw_shards *shards, int block, const char *text) {
+tw_shards_error tw_shards_cells_parse(tw_shards *shards, int block, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "cells");
     const cJSON *item;
@@ -250,7 +256,7 @@
             roaring_init_iterator(set, &each);
             for (; each.has_value && !failed; roaring_advance_uint32_iterator(&each)) {
                 const int index = (int)each.current_value;
-                failed = index / BLOCK != block || index >= shards->machine_count ||
+                failed = index / TW_SHARDS_BLOCK_SIZE != block || index >= shards->machine_count ||
                          !shards->machines[index]->name[0];
                 if (!failed) tw_shards_set_cell(shards, shards->machines[index], to);
             }
@@ -258,14 +264,16 @@
         if (set) roaring_bitmap_free(set);
     }
     cJSON_Delete(object);
-    return failed ? -1 : 0;
+    return failed ? TW_SHARDS_BAD_RECORD : TW_SHARDS_NO_ERROR;
 }
 
 /* ---- names ---- */
 
 char *tw_shards_names_text(const tw_shards *shards, int block) {
-    const int first = block * BLOCK;
-    const int end = first + BLOCK < shards->machine_count ? first + BLOCK : shards->machine_count;
+    const int first = block * TW_SHARDS_BLOCK_SIZE;
+    const int end = first + TW_SHARDS_BLOCK_SIZE < shards->machine_count
+                        ? first + TW_SHARDS_BLOCK_SIZE
+                        : shards->machine_count;
     cJSON *object = cJSON_CreateObject();
     for (int i = first; i < end; i++) {
         const tw_shards_machine *each = shards->machines[i];
@@ -278,28 +286,32 @@
     return finish(object);
 }
 
-static int read_named(tw_shards *shards, int block, const cJSON *item) {
+static tw_shards_error read_named(tw_shards *shards, int block, const cJSON *item) {
     const cJSON *name = cJSON_GetArrayItem(item, 0);
     const cJSON *zone = cJSON_GetArrayItem(item, 1);
     const char *at = item->string;
     uint32_t index;
-    if (read_index(&at, &index) || *at || (int)index / BLOCK != block) return -1;
-    if (!cJSON_IsString(name) || strlen(name->valuestring) >= TW_SHARDS_NAME) return -1;
-    if (!cJSON_IsString(zone) || strlen(zone->valuestring) >= TW_SHARDS_NAME) return -1;
-    if (!name->valuestring[0] || tw_shards_find(shards, name->valuestring)) return -1;
+    if (read_index(&at, &index) || *at || (int)index / TW_SHARDS_BLOCK_SIZE != block)
+        return TW_SHARDS_BAD_RECORD;
+    if (!cJSON_IsString(name) || strlen(name->valuestring) >= TW_SHARDS_NAME)
+        return TW_SHARDS_BAD_RECORD;
+    if (!cJSON_IsString(zone) || strlen(zone->valuestring) >= TW_SHARDS_NAME)
+        return TW_SHARDS_BAD_RECORD;
+    if (!name->valuestring[0] || tw_shards_find(shards, name->valuestring))
+        return TW_SHARDS_BAD_RECORD;
     tw_shards_machine *slot = tw_shards_slot(shards, (int)index);
     const int zone_index = tw_shards_zone_index(shards, zone->valuestring);
     tw_shards_name_machine(shards, slot, name->valuestring, zone_index);
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
-int tw_shards_names_parse(tw_shards *shards, int block, const char *text) {
+tw_shards_error tw_shards_names_parse(tw_shards *shards, int block, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *item;
     bool failed = !cJSON_IsObject(object);
     cJSON_ArrayForEach(item, object) { failed = failed || read_named(shards, block, item); }
     cJSON_Delete(object);
-    return failed ? -1 : 0;
+    return failed ? TW_SHARDS_BAD_RECORD : TW_SHARDS_NO_ERROR;
 }
 
 /* ---- moves ---- */
@@ -324,7 +336,7 @@
     return finish(object);
 }
 
-int tw_shards_move_parse(tw_shards_move_record *record, const char *text) {
+tw_shards_error tw_shards_move_parse(tw_shards_move_record *record, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *only = cJSON_GetObjectItemCaseSensitive(object, "only");
     *record = (tw_shards_move_record){0};
@@ -343,5 +355,5 @@
         if (!record->only) abort();
     }
     cJSON_Delete(object);
-    return failed ? -1 : 0;
+    return failed ? TW_SHARDS_BAD_RECORD : TW_SHARDS_NO_ERROR;
 }
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -104,7 +104,7 @@
 }
 
 static void commit_or_refuse(tw_shards *shards) {
-    if (!tw_shards_commit(shards)) {
+    if (tw_shards_commit(shards) == TW_SHARDS_NO_ERROR) {
         answer_later(shards);
         return;
     }
@@ -235,7 +235,7 @@
         tw_shards_answer_applied(shards); /* nothing had to be changed */
         return false;
     }
-    if (tw_shards_commit(shards)) {
+    if (tw_shards_commit(shards) != TW_SHARDS_NO_ERROR) {
         tw_shards_abandon(shards);
         tw_shards_requeue(shards);
         answer_first(shards, TW_SHARDS_TOO_LARGE);
@@ -329,7 +329,7 @@
         finished++;
         if (!oldest) oldest = each;
     }
-    return finished > FINISHED_KEPT ? oldest->now.number : 0;
+    return finished > TW_SHARDS_MAX_FINISHED_MOVES ? oldest->now.number : 0;
 }
 
 /* Begins the move in one transaction, with as many machines as it takes. */
--- a/src/shards/shards_int.h
+++ b/src/shards/shards_int.h
@@ -14,12 +14,12 @@
 #include <uthash.h>
 
 /* Machines whose cells stand in one record. */
-#define BLOCK 64
-#define KEY_SIZE 128
+#define TW_SHARDS_BLOCK_SIZE 64
+#define TW_SHARDS_KEY_SIZE 128
 /* Finished moves that are kept, so that their keys are known when they come again. */
-#define FINISHED_KEPT 64
+#define TW_SHARDS_MAX_FINISHED_MOVES 64
 /* Requests that may wait. */
-#define MOST_WAITING 8192
+#define TW_SHARDS_MAX_WAITING 8192
 
 /* The state of one machine in the table. */
 typedef struct {
@@ -113,7 +113,7 @@
 struct tw_shards {
     tw_shards_settings settings;
     double now, wall;
-    char leader_key[KEY_SIZE];
+    char leader_key[TW_SHARDS_KEY_SIZE];
     uint64_t token; /* 0: doesn't lead */
     double authority_until;
     bool loaded, reading;
@@ -188,15 +188,23 @@
 /* The progress of a move by what is recorded. */
 tw_shards_progress tw_shards_progress_of(const tw_shards *shards, const tw_shards_move *move);
 
-/* record.c: texts of records, which the caller frees, and their parsers */
+/* Why a record was not read, or a transaction not sent. */
+typedef enum {
+    TW_SHARDS_NO_ERROR = 0,
+    TW_SHARDS_BAD_RECORD,   /* it is not JSON, or a member is missing or out of range */
+    TW_SHARDS_TXN_TOO_LARGE /* it exceeds the limits of the state service */
+} tw_shards_error;
+
+/* record.c: texts of records, which the caller frees, and their parsers, which return
+ * TW_SHARDS_NO_ERROR or TW_SHARDS_BAD_RECORD */
 char *tw_shards_header_text(const tw_shards_header *header);
-int tw_shards_header_parse(tw_shards_header *header, const char *text);
+tw_shards_error tw_shards_header_parse(tw_shards_header *header, const char *text);
 char *tw_shards_cells_text(const tw_shards *shards, int block);
-int tw_shards_cells_parse(tw_shards *shards, int block, const char *text);
+tw_shards_error tw_shards_cells_parse(tw_shards *shards, int block, const char *text);
 char *tw_shards_names_text(const tw_shards *shards, int block);
-int tw_shards_names_parse(tw_shards *shards, int block, const char *text);
+tw_shards_error tw_shards_names_parse(tw_shards *shards, int block, const char *text);
 char *tw_shards_move_text(const tw_shards_move_record *record);
-int tw_shards_move_parse(tw_shards_move_record *record, const char *text);
+tw_shards_error tw_shards_move_parse(tw_shards_move_record *record, const char *text);
 /* A set of indexes as ranges, as in "0-3,7", and back; NULL: the text is none. */
 char *tw_shards_ranges(const roaring_bitmap_t *set);
 roaring_bitmap_t *tw_shards_ranges_parse(const char *text);
@@ -220,8 +228,9 @@
 /* The next header or move record of the transaction, to be changed by the caller. */
 tw_shards_header *tw_shards_change_header(tw_shards *shards);
 tw_shards_move_record *tw_shards_change_move(tw_shards *shards, tw_shards_move *move);
-/* Sends it; -1: a value is too large, and nothing is changed. */
-int tw_shards_commit(tw_shards *shards);
+/* Sends it. TW_SHARDS_TXN_TOO_LARGE: a value or the transaction is too large, and nothing is
+ * changed. */
+tw_shards_error tw_shards_commit(tw_shards *shards);
 /* Forgets what was put into the transaction. */
 void tw_shards_abandon(tw_shards *shards);
 /* Makes what was put into the transaction what is recorded, as of that store revision. */
--- a/src/shards/step.c
+++ b/src/shards/step.c
@@ -19,7 +19,7 @@
 }
 
 /* Machines that the shard can give without falling below its least size. */
-static int may_give(const tw_shards *shards, int index) {
+static int spare_machines(const tw_shards *shards, int index) {
     const tw_shards_shard_sets *sets = &shards->sets[index];
     return (int)(roaring_bitmap_get_cardinality(sets->open) +
                  roaring_bitmap_get_cardinality(sets->taken)) -
@@ -30,7 +30,7 @@
  * more can be had, the move is content with those it has. */
 static void mark_more(tw_shards *shards, tw_shards_move *of) {
     const int missing = of->next.wanted - of->next.marked;
-    const int spare = may_give(shards, of->now.from);
+    const int spare = spare_machines(shards, of->now.from);
     tw_shards_machine **chosen;
     if (missing <= 0 || of->next.cancelled) return;
     const int count =
@@ -106,7 +106,9 @@
     for (; each.has_value; roaring_advance_uint32_iterator(&each))
         step_machine(shards, of, shards->machines[each.current_value]);
     mark_more(shards, of);
-    if ((shards->txn.machine_count || differs(of)) && !tw_shards_commit(shards)) return true;
+    if ((shards->txn.machine_count || differs(of)) &&
+        tw_shards_commit(shards) == TW_SHARDS_NO_ERROR)
+        return true;
     tw_shards_abandon(shards);
     return false;
 }
@@ -126,7 +128,7 @@
         to.epoch = each->opened;
         tw_shards_change(shards, each, to);
     }
-    if (shards->txn.machine_count && !tw_shards_commit(shards)) return true;
+    if (shards->txn.machine_count && tw_shards_commit(shards) == TW_SHARDS_NO_ERROR) return true;
     tw_shards_abandon(shards);
     return false;
 }
--- a/src/shards/table.c
+++ b/src/shards/table.c
@@ -119,7 +119,8 @@
         made->index = shards->machine_count;
         shards->machines[shards->machine_count++] = made;
     }
-    if (index / BLOCK >= shards->block_count) add_blocks(shards, index / BLOCK + 1);
+    if (index / TW_SHARDS_BLOCK_SIZE >= shards->block_count)
+        add_blocks(shards, index / TW_SHARDS_BLOCK_SIZE + 1);
     return shards->machines[index];
 }
 
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -17,7 +17,7 @@
 typedef struct {
     tw_wire_compare *conditions;
     tw_wire_write *writes;
-    char (*keys)[KEY_SIZE];
+    char (*keys)[TW_SHARDS_KEY_SIZE];
     int count, room;
     size_t bytes;
     bool too_large;
@@ -44,7 +44,7 @@
 
 static void mark_block(tw_shards_transaction *txn, int block, int marks) {
     if (block >= txn->mark_room) {
-        const int room = block + BLOCK;
+        const int room = block + TW_SHARDS_BLOCK_SIZE;
         unsigned char *grown = realloc(txn->marks, (size_t)room);
         if (!grown) abort();
         memset(grown + txn->mark_room, 0, (size_t)(room - txn->mark_room));
@@ -59,7 +59,7 @@
 
 bool tw_shards_has_room(const tw_shards *shards, const tw_shards_machine *machine,
                         tw_shards_record_kinds records, int others) {
-    const int marks = marks_of(shards, machine->index / BLOCK);
+    const int marks = marks_of(shards, machine->index / TW_SHARDS_BLOCK_SIZE);
     const int more = (records & TW_SHARDS_RECORD_CELLS && !(marks & TW_SHARDS_RECORD_CELLS)) +
                      (records & TW_SHARDS_RECORD_NAMES && !(marks & TW_SHARDS_RECORD_NAMES));
     return shards->txn.block_ops + more + others <= shards->settings.txn_ops;
@@ -74,7 +74,7 @@
     const bool stays_named = to.state != TW_SHARDS_ABSENT;
     machine->next = to;
     machine->changing = true;
-    mark_block(txn, machine->index / BLOCK,
+    mark_block(txn, machine->index / TW_SHARDS_BLOCK_SIZE,
                TW_SHARDS_RECORD_CELLS | (named != stays_named ? TW_SHARDS_RECORD_NAMES : 0));
 }
 
@@ -102,17 +102,17 @@
 static void add_write(const tw_shards *shards, body *to, const char *key, uint64_t mod_revision,
                       char *data) {
     const int i = to->count++;
-    snprintf(to->keys[i], KEY_SIZE, "%s%s", TW_SHARDS_PREFIX, key);
+    snprintf(to->keys[i], TW_SHARDS_KEY_SIZE, "%s%s", TW_SHARDS_PREFIX, key);
     to->conditions[i + 1] = (tw_wire_compare){to->keys[i], mod_revision};
     to->writes[i] = (tw_wire_write){to->keys[i], data, 0};
     if (!data) return;
     const size_t length = strlen(data);
-    to->bytes += length + KEY_SIZE;
+    to->bytes += length + TW_SHARDS_KEY_SIZE;
     if (length > shards->settings.value_bytes || to->bytes > MOST_BODY) to->too_large = true;
 }
 
 static void add_blocks(const tw_shards *shards, body *to) {
-    char key[KEY_SIZE];
+    char key[TW_SHARDS_KEY_SIZE];
     for (int block = 0; block < shards->block_count; block++) {
         const int marks = marks_of(shards, block);
         if (marks & TW_SHARDS_RECORD_CELLS) {
@@ -140,7 +140,7 @@
 }
 
 static void add_moves(tw_shards *shards, body *to) {
-    char key[KEY_SIZE];
+    char key[TW_SHARDS_KEY_SIZE];
     tw_shards_move *each;
     DL_FOREACH2(shards->moves, each, link) {
         if (!each->changing && each->now.number != shards->txn.removed_move) continue;
@@ -162,7 +162,8 @@
 }
 
 static body body_of(tw_shards *shards) {
-    body to = {.room = shards->settings.txn_ops + FINISHED_KEPT + 2 * shards->block_count + 2};
+    body to = {.room = shards->settings.txn_ops + TW_SHARDS_MAX_FINISHED_MOVES +
+                       2 * shards->block_count + 2};
     tw_shards_move *each;
     DL_FOREACH2(shards->moves, each, link) { to.room += each->changing; }
     const size_t room = (size_t)to.room;
@@ -178,12 +179,12 @@
     return to;
 }
 
-int tw_shards_commit(tw_shards *shards) {
+tw_shards_error tw_shards_commit(tw_shards *shards) {
     tw_shards_transaction *txn = &shards->txn;
     body to = body_of(shards);
     if (to.too_large || to.count > shards->settings.txn_ops) {
         free_body(&to);
-        return -1;
+        return TW_SHARDS_TXN_TOO_LARGE;
     }
     tw_shards_effect *effect = tw_shards_emit(shards, TW_SHARDS_WRITE);
     effect->text =
@@ -193,7 +194,7 @@
     shards->in_flight = true;
     shards->budget -= to.count;
     free_body(&to);
-    return 0;
+    return TW_SHARDS_NO_ERROR;
 }
 
 /* ---- its end ---- */
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -12,7 +12,9 @@
 /* Numbers of our own requests to the table; clients' are below. */
 #define OWN_REQUEST ((uint64_t)1 << 62)
 
-static double retry_s(const tw_standby *standby) { return standby->settings.lease_s * RETRY_RATIO; }
+static double retry_s(const tw_standby *standby) {
+    return standby->settings.lease_s * TW_STANDBY_RETRY_RATIO;
+}
 
 static tw_standby_machine_check *find(const tw_standby *standby, const char *name) {
     tw_standby_machine_check *found;
@@ -240,7 +242,8 @@
     tw_standby_registration *each;
     tw_standby_registration *after;
     DL_FOREACH_SAFE(standby->registrations, each, after) {
-        const bool overdue = standby->now >= each->since + standby->settings.lease_s * CHECK_RATIO;
+        const bool overdue =
+            standby->now >= each->since + standby->settings.lease_s * TW_STANDBY_CHECK_RATIO;
         if (!each->passed && overdue) pass_to_table(standby, each, 0);
     }
 }
--- a/src/standby/lease.c
+++ b/src/standby/lease.c
@@ -18,7 +18,7 @@
     snprintf(lease->name, sizeof lease->name, "%s", name);
     snprintf(lease->control, sizeof lease->control, "%s", control);
     lease->ttl_s = ttl_s;
-    lease->poll_s = ttl_s * POLL_RATIO;
+    lease->poll_s = ttl_s * TW_STANDBY_POLL_RATIO;
 }
 
 bool tw_standby_lease_leads(const tw_standby_lease *lease, double now) {
@@ -107,7 +107,7 @@
     lease->state = TW_STANDBY_LEASE_LEADING;
     lease->lease_id = lease->written_lease_id;
     lease->token = lease->leader_token = token;
-    lease->authority_until = lease->granted_at + lease->ttl_s * (1 - MARGIN_RATIO);
+    lease->authority_until = lease->granted_at + lease->ttl_s * (1 - TW_STANDBY_MARGIN_RATIO);
     lease->next_at = now;
     snprintf(lease->leader_name, sizeof lease->leader_name, "%s", lease->name);
     snprintf(lease->leader_control, sizeof lease->leader_control, "%s", lease->control);
@@ -175,8 +175,8 @@
         return;
     }
     if (status == STATUS_OK)
-        lease->authority_until = lease->sent_at + lease->ttl_s * (1 - MARGIN_RATIO);
-    lease->next_at = lease->sent_at + lease->ttl_s / RENEWALS;
+        lease->authority_until = lease->sent_at + lease->ttl_s * (1 - TW_STANDBY_MARGIN_RATIO);
+    lease->next_at = lease->sent_at + lease->ttl_s / TW_STANDBY_RENEWALS;
 }
 
 void tw_standby_lease_answer(tw_standby_lease *lease, double now, int status, const char *body,
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -62,15 +62,15 @@
 /* ---- what a standby knows of the active one ---- */
 
 bool tw_standby_silent(const tw_standby *standby) {
-    return standby->now > standby->heard_at + standby->settings.lease_s * SUSPECT_RATIO;
+    return standby->now > standby->heard_at + standby->settings.lease_s * TW_STANDBY_SUSPECT_RATIO;
 }
 
 bool tw_standby_is_behind(const tw_standby *standby) {
-    const double patience_s = standby->settings.lease_s * SUSPECT_RATIO;
+    const double patience_s = standby->settings.lease_s * TW_STANDBY_SUSPECT_RATIO;
+    const double longest_silence_s = standby->settings.lease_s * (1 + TW_STANDBY_SUSPECT_RATIO);
     if (!standby->view.loaded || standby->view.term < standby->heard_term) return true;
     /* The lease went on after the feed had ended: there may be changes that were not heard of. */
-    if (standby->now > standby->heard_at + standby->settings.lease_s * (1 + SUSPECT_RATIO))
-        return true;
+    if (standby->now > standby->heard_at + longest_silence_s) return true;
     return standby->lag_since > 0 && standby->heard_at > standby->lag_since + patience_s;
 }
 
@@ -83,13 +83,13 @@
 
 /* The most current standby goes first, the others a little later; nobody waits for anybody. */
 static double yield_of(const tw_standby *standby) {
-    double ratio = JITTER_RATIO * jitter_of(standby->settings.name);
+    double ratio = TW_STANDBY_JITTER_RATIO * jitter_of(standby->settings.name);
     const bool named = standby->successor[0] && !strcmp(standby->successor, standby->settings.name);
     if (named) return 0;
     if (standby->successor[0] || tw_standby_is_behind(standby))
-        ratio += YIELD_RATIO;
+        ratio += TW_STANDBY_YIELD_RATIO;
     else if (standby->lag_since > 0)
-        ratio += LAG_RATIO;
+        ratio += TW_STANDBY_LAG_RATIO;
     return ratio * standby->settings.lease_s;
 }
 
@@ -151,7 +151,7 @@
 }
 
 static bool check_is_over(const tw_standby *standby) {
-    const double wait_s = standby->settings.lease_s * CHECK_RATIO;
+    const double wait_s = standby->settings.lease_s * TW_STANDBY_CHECK_RATIO;
     return !tw_standby_check_waiting(standby) || standby->now >= standby->checking_since + wait_s;
 }
 
@@ -185,7 +185,7 @@
 static void step_lease(tw_standby *standby) {
     tw_standby_lease *lease = &standby->lease;
     const bool silent = tw_standby_silent(standby) && !standby->leads;
-    lease->poll_s = lease->ttl_s * (silent ? POLL_FAST_RATIO : POLL_RATIO);
+    lease->poll_s = lease->ttl_s * (silent ? TW_STANDBY_POLL_FAST_RATIO : TW_STANDBY_POLL_RATIO);
     if (silent && lease->state == TW_STANDBY_LEASE_FOLLOWING &&
         lease->next_at > standby->now + lease->poll_s)
         lease->next_at = standby->now + lease->poll_s;
@@ -283,7 +283,7 @@
     if (!strcmp(node, standby->settings.name)) return TW_SHARDS_OK;
     HASH_FIND_STR(standby->followers, node, found);
     if (!found) return TW_SHARDS_UNKNOWN_NODE;
-    if (standby->now > found->seen_at + standby->settings.lease_s * SUSPECT_RATIO)
+    if (standby->now > found->seen_at + standby->settings.lease_s * TW_STANDBY_SUSPECT_RATIO)
         return TW_SHARDS_NOT_FOLLOWING;
     return found->number == standby->view.number ? TW_SHARDS_OK : TW_SHARDS_BEHIND;
 }
@@ -309,7 +309,7 @@
     const bool decides = tw_standby_decides(standby, now);
     const bool known = decides || (!standby->leads && !tw_standby_silent(standby));
     snprintf(control, TW_STANDBY_ADDRESS, "%s", known ? standby->lease.leader_control : "");
-    *retry_after_s = control[0] ? 0 : standby->settings.lease_s * POLL_FAST_RATIO;
+    *retry_after_s = control[0] ? 0 : standby->settings.lease_s * TW_STANDBY_POLL_FAST_RATIO;
 }
 
 const char *tw_standby_active(const tw_standby *standby) { return standby->lease.leader_control; }
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -11,16 +11,18 @@
 #include <uthash.h>
 
 /* Ratios to the lease. */
-#define SUSPECT_RATIO 0.25   /* silence after which the active controller is suspected */
-#define POLL_RATIO 0.5       /* between reads of the key */
-#define POLL_FAST_RATIO 0.08 /* the same, while the active one is suspected */
-#define CHECK_RATIO 0.15     /* a machine that hasn't answered by then is quarantined */
-#define YIELD_RATIO 0.25     /* a standby that is behind leaves others so long to go first */
-#define LAG_RATIO 0.1        /* one that lacks a few changes */
-#define JITTER_RATIO 0.03
-#define RETRY_RATIO 0.25 /* between repetitions of a call that was not answered */
-#define MARGIN_RATIO 0.1 /* authority ends so much earlier than the lease may */
-#define RENEWALS 3.0     /* in a lease */
+#define TW_STANDBY_SUSPECT_RATIO 0.25   /* silence after which the active controller is suspected */
+#define TW_STANDBY_POLL_RATIO 0.5       /* between reads of the key */
+#define TW_STANDBY_POLL_FAST_RATIO 0.08 /* the same, while the active one is suspected */
+#define TW_STANDBY_CHECK_RATIO 0.15     /* a machine that hasn't answered by then is quarantined */
+#define TW_STANDBY_YIELD_RATIO                                                                     \
+    0.25                         /* a standby that is behind leaves others so long to go first     \
+                                  */
+#define TW_STANDBY_LAG_RATIO 0.1 /* one that lacks a few changes */
+#define TW_STANDBY_JITTER_RATIO 0.03
+#define TW_STANDBY_RETRY_RATIO 0.25 /* between repetitions of a call that was not answered */
+#define TW_STANDBY_MARGIN_RATIO 0.1 /* authority ends so much earlier than the lease may */
+#define TW_STANDBY_RENEWALS 3.0     /* in a lease */
 
 enum { STATUS_OK = 200, STATUS_ABSENT = 404, STATUS_CONFLICT = 409, STATUS_BAD = 400 };
 enum { STATUS_TOO_MANY = 429, STATUS_FAILURE = 500 };
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -46,9 +46,9 @@
 #define SERVICE_REPLICAS 2
 #define SERVICE_SUBMISSIONS 3 /* times that it is sent: the same job once, told again */
 
-#define JOB(id, shape, pieces)                                                                     \
+#define JOB(id, shape, tasks)                                                                      \
     "{\"id\":\"" id "\",\"lane\":\"l\",\"crew\":\"crew\",\"shape\":\"" shape                       \
-    "\",\"rank\":\"prod\",\"pieces\":" pieces ",\"cores\":1,\"gpus\":0,\"memoryGb\":1,"            \
+    "\",\"rank\":\"prod\",\"pieces\":" tasks ",\"cores\":1,\"gpus\":0,\"memoryGb\":1,"             \
     "\"bundle\":\"img\",\"imageGb\":0.1,\"samePlace\":false,\"apart\":false,\"loaner\":false,"     \
     "\"expectS\":1,\"snapshotS\":0,\"flushS\":0}"
 
--- a/tests/runner/net_test.c
+++ b/tests/runner/net_test.c
@@ -1,6 +1,6 @@
 /* The net package over loopback. A full server: who must be answered first takes the place of those
  * idle for longest, and is never closed for others; where nobody can go, the next one is refused.
- * Requests in pieces, together, long and answered late; calls that are long, answered early or on a
+ * Requests in parts, together, long and answered late; calls that are long, answered early or on a
  * connection that was closed. Each step waits for the one before; no time is asserted. */
 #include "net/net.h"
 #include <arpa/inet.h>
@@ -237,13 +237,13 @@
     tw_net_free(net);
 }
 
-static void request_in_pieces(void) {
+static void request_byte_by_byte(void) {
     static const char request[] = "POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
     start(ROOM);
     int user = dial();
     for (const char *letter = request; *letter; letter++) {
-        char piece[2] = {*letter, 0};
-        check(send_text(user, piece), "a byte is sent");
+        char byte[2] = {*letter, 0};
+        check(send_text(user, byte), "a byte is sent");
         ev_run(loop, EVRUN_NOWAIT);
     }
     check(hear(user) == 1, "a request that comes byte by byte is answered");
@@ -479,7 +479,7 @@
     signal(SIGPIPE, SIG_IGN);
     loop = ev_default_loop(EVFLAG_AUTO);
     full_server();
-    request_in_pieces();
+    request_byte_by_byte();
     requests_together();
     long_messages();
     calls_on_open_connection();
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -421,7 +421,7 @@
     }
 }
 
-static int is_for_node(const tw_world_event *event) {
+static bool is_for_node(const tw_world_event *event) {
     switch (event->kind) {
     case TW_WORLD_TICK:
     case TW_WORLD_ANSWER:
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -25,7 +25,7 @@
 
 /* Heartbeats are many and differ in their times: those that say the same in a row are shown once.
  */
-static int is_shown(tw_test_conversation *conversation, const tw_effect *effect) {
+static bool is_shown(tw_test_conversation *conversation, const tw_effect *effect) {
     if (strcmp(effect->path, "/peer/ping") != 0) return 1;
     const char *times = strstr(effect->body, "\"upS\"");
     const size_t length = times ? (size_t)(times - effect->body) : strlen(effect->body);
--- a/tests/unit/heartbeat_cache_test.c
+++ b/tests/unit/heartbeat_cache_test.c
@@ -72,7 +72,7 @@
            one->attempt == other->attempt;
 }
 
-static int is_same_heartbeat(const tw_wire_heartbeat *one, const tw_wire_heartbeat *other) {
+static bool is_same_heartbeat(const tw_wire_heartbeat *one, const tw_wire_heartbeat *other) {
     if (strcmp(one->worker, other->worker) != 0 || strcmp(one->endpoint, other->endpoint) != 0 ||
         strcmp(one->machine_type, other->machine_type) != 0 ||
         strcmp(one->zone, other->zone) != 0 || one->spot != other->spot ||
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -28,9 +28,10 @@
     "\"pieces\":" n ",\"cores\":2,\"gpus\":0,\"memoryGb\":4,\"bundle\":\"img-1\",\"imageGb\":1,"   \
     "\"samePlace\":false,\"apart\":false,\"loaner\":false,\"expectS\":40,\"snapshotS\":0,"         \
     "\"flushS\":0"
-#define HEARTBEAT(tick, baton, pieces)                                                             \
+#define HEARTBEAT(sequence, token, tasks)                                                          \
     "{\"tray\":\"n-000001\",\"endpoint\":\"10.1.0.1:9000\",\"rack\":\"cpu\",\"yard\":\"a\","       \
-    "\"loaner\":false,\"shift\":1,\"tick\":" tick ",\"baton\":" baton ",\"pieces\":[" pieces "]}"
+    "\"loaner\":false,\"shift\":1,\"tick\":" sequence ",\"baton\":" token ",\"pieces\":[" tasks    \
+    "]}"
 #define TASK(of, attempt, rest) "{\"piece\":\"" of "\",\"try\":" attempt "," rest "}"
 #define RUNS "\"stage\":\"running\""
 #define DONE "\"stage\":\"exited\",\"cause\":\"done\""
--- a/tests/unit/wire_print.c
+++ b/tests/unit/wire_print.c
@@ -58,7 +58,7 @@
 }
 
 static void print_records(FILE *out) {
-    char racks[2][TW_WIRE_NAME_SIZE] = {"g8", "c16"};
+    char machine_types[2][TW_WIRE_NAME_SIZE] = {"g8", "c16"};
     tw_wire_assignment live[] = {{3, 17, "n-000231"}, {4, LARGEST_EXACT, "n-000232"}};
     tw_wire_record record = {
         .has_job = 1,
@@ -75,7 +75,7 @@
                 .memory_gb = 1.0 / 3,
                 .image_gb = 123456789012.5,
                 .machine_type_count = 2,
-                .machine_types = racks,
+                .machine_types = machine_types,
                 .single_zone = 1,
                 .spot = 1,
                 .expected_run_s = 240.25,
