--- a/fuzz/draw_jobs.c
+++ b/fuzz/draw_jobs.c
@@ -189,6 +189,16 @@
         tw_fuzz_add_at(plan, moment + tw_fuzz_dice_range(dice, 0, 100), "submit %s", job->id);
 }
 
+/* Draws what is left of a job whose shape and submission are known, and submits it. */
+static void submit_job(tw_fuzz_plan *plan, drawn_job *job) {
+    draw_amounts(plan, job);
+    draw_place(plan, job);
+    draw_run(plan, job);
+    draw_terms(plan, job);
+    tw_fuzz_add_at(plan, job->submitted, "submit %s%s", job->id, job->options);
+    draw_users(plan, job);
+}
+
 static void draw_job(tw_fuzz_plan *plan) {
     tw_fuzz_dice *dice = &plan->dice;
     drawn_job job;
@@ -198,12 +208,7 @@
                         : tw_fuzz_dice_range(dice, FIRST_SUBMISSION, plan->anchors[0]);
     if (job.submitted < FIRST_SUBMISSION) job.submitted = FIRST_SUBMISSION;
     draw_shape(plan, &job);
-    draw_amounts(plan, &job);
-    draw_place(plan, &job);
-    draw_run(plan, &job);
-    draw_terms(plan, &job);
-    tw_fuzz_add_at(plan, job.submitted, "submit %s%s", job.id, job.options);
-    draw_users(plan, &job);
+    submit_job(plan, &job);
 }
 
 /* Its tasks are there, or come, when an anchor does. */
@@ -219,12 +224,7 @@
                                             : tw_fuzz_draw_moment_near(plan, anchor);
     if (job.submitted < FIRST_SUBMISSION) job.submitted = FIRST_SUBMISSION;
     add_option(&job, " shape=gang tasks=%d", job.task_count);
-    draw_amounts(plan, &job);
-    draw_place(plan, &job);
-    draw_run(plan, &job);
-    draw_terms(plan, &job);
-    tw_fuzz_add_at(plan, job.submitted, "submit %s%s", job.id, job.options);
-    draw_users(plan, &job);
+    submit_job(plan, &job);
 }
 
 /* Replicas for which gangs may have to make room. */
