--- a/emulator/main.c
+++ b/emulator/main.c
@@ -8,7 +8,7 @@
  *   POST /run {"epoch":N}     a request: 200, or 409 under another epoch than the one that is open
  *   POST /restart {}          it begins another life
  *   GET /seen                 its own record of what it took: first and last epoch of requests,
- *                             whether epochs or the terms of orders ever fell
+ *                             whether epochs or the terms of commands ever fell
  *
  * Listens on 127.0.0.1 only and ends by itself after SECONDS. */
 #include "net/net.h"
@@ -31,8 +31,8 @@
 typedef struct {
     tw_shards_guard guard;
     uint64_t first, last;            /* epochs of requests that were taken; 0: none */
-    uint64_t last_term, last_opened; /* of orders that were taken */
-    long orders, refused_orders;
+    uint64_t last_term, last_opened; /* of commands that were taken */
+    long commands, refused_commands;
     bool fell;
     long taken, refused;
 } replica;
@@ -55,13 +55,14 @@
     return number;
 }
 
-/* Keeps a record of the orders taken that does not rest on the guard. */
-static int note_order(replica *at, tw_shards_guard_verdict verdict, uint64_t term, uint64_t epoch) {
+/* Keeps a record of the commands taken that does not rest on the guard. */
+static int note_command(replica *at, tw_shards_guard_verdict verdict, uint64_t term,
+                        uint64_t epoch) {
     if (verdict != TW_SHARDS_GUARD_RAISED && verdict != TW_SHARDS_GUARD_REPEATED) {
-        at->refused_orders++;
+        at->refused_commands++;
         return CONFLICT;
     }
-    at->orders++;
+    at->commands++;
     at->fell |= term < at->last_term || (epoch && epoch < at->last_opened);
     at->last_term = term;
     if (epoch) at->last_opened = epoch;
@@ -72,21 +73,22 @@
     tw_shards_guard *guard = &at->guard;
     const uint64_t term = number_in(body, "term");
     const uint64_t epoch = number_in(body, "epoch");
-    if (!strcmp(path, "/check")) return note_order(at, tw_shards_guard_check(guard, term), term, 0);
+    if (!strcmp(path, "/check"))
+        return note_command(at, tw_shards_guard_check(guard, term), term, 0);
     if (!strcmp(path, "/open"))
-        return note_order(at, tw_shards_guard_open(guard, term, epoch), term, epoch);
+        return note_command(at, tw_shards_guard_open(guard, term, epoch), term, epoch);
     if (!strcmp(path, "/stop"))
-        return note_order(at, tw_shards_guard_stop(guard, term, epoch), term, 0);
+        return note_command(at, tw_shards_guard_stop(guard, term, epoch), term, 0);
     const uint64_t boot_id = number_in(body, "life");
     const uint64_t minimum_epoch = number_in(body, "floor");
-    return note_order(at, tw_shards_guard_start(guard, term, boot_id, minimum_epoch), term, 0);
+    return note_command(at, tw_shards_guard_start(guard, term, boot_id, minimum_epoch), term, 0);
 }
 
-static bool is_order(const char *path) {
-    static const char *const orders[] = {"/check", "/start", "/open", "/stop"};
-    for (size_t i = 0; i < sizeof orders / sizeof *orders; i++)
-        if (!strcmp(path, orders[i])) return 1;
-    return 0;
+static bool is_command(const char *path) {
+    static const char *const commands[] = {"/check", "/start", "/open", "/stop"};
+    for (size_t i = 0; i < sizeof commands / sizeof *commands; i++)
+        if (!strcmp(path, commands[i])) return true;
+    return false;
 }
 
 /* A life is another number each time; the stand-in's own lives are far apart from one another. */
@@ -110,7 +112,7 @@
 
 static int answer_replica(replica *at, const char *path, const char *body, char *answer) {
     const tw_shards_guard *guard = &at->guard;
-    if (is_order(path)) {
+    if (is_command(path)) {
         const int status = take_order(at, path, body);
         snprintf(answer, ANSWER_SIZE,
                  "{\"term\":%lu,\"life\":%lu,\"floor\":%lu,\"open\":%lu,\"started\":%s,"
@@ -132,7 +134,7 @@
              "\"term\":%lu,\"orders\":%ld,\"refused_orders\":%ld}",
              (unsigned long)guard->newest, (unsigned long)at->first, (unsigned long)at->last,
              at->fell ? "true" : "false", at->taken, at->refused, (unsigned long)guard->term,
-             at->orders, at->refused_orders);
+             at->commands, at->refused_commands);
     return OK;
 }
 
--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -50,8 +50,8 @@
     call_machine(node, TW_DAEMON_CALL_MACHINE, effect->machine, "/start", body, effect->term);
 }
 
-void tw_daemon_order_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *path,
-                             const tw_shards_owner_effect *effect) {
+void tw_daemon_send_command(tw_daemon_node *node, tw_daemon_call_kind kind, const char *path,
+                            const tw_shards_owner_effect *effect) {
     char body[BODY_SIZE];
     snprintf(body, sizeof body, "{\"term\":%lu,\"epoch\":%lu}", (unsigned long)effect->term,
              (unsigned long)effect->epoch);
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -78,8 +78,8 @@
 void tw_daemon_check_machine(tw_daemon_node *node, const tw_standby_effect *effect);
 void tw_daemon_start_machine(tw_daemon_node *node, const tw_standby_effect *effect);
 /* Sends an owner's command, /open or /stop, to a machine. */
-void tw_daemon_order_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *path,
-                             const tw_shards_owner_effect *effect);
+void tw_daemon_send_command(tw_daemon_node *node, tw_daemon_call_kind kind, const char *path,
+                            const tw_shards_owner_effect *effect);
 /* Takes the answer to a call; NULL and 0: none came. */
 void tw_daemon_on_response(void *context, uint64_t id, int status, const char *body, size_t length);
 
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -66,10 +66,10 @@
     while ((effect = tw_shards_owner_next(node->owner))) {
         switch (effect->kind) {
         case TW_SHARDS_OWNER_OPEN:
-            tw_daemon_order_machine(node, TW_DAEMON_CALL_OPEN, "/open", effect);
+            tw_daemon_send_command(node, TW_DAEMON_CALL_OPEN, "/open", effect);
             break;
         case TW_SHARDS_OWNER_STOP:
-            tw_daemon_order_machine(node, TW_DAEMON_CALL_OTHER, "/stop", effect);
+            tw_daemon_send_command(node, TW_DAEMON_CALL_OTHER, "/stop", effect);
             break;
         default:
             say(node, effect);
--- a/src/shards/guard.c
+++ b/src/shards/guard.c
@@ -13,8 +13,8 @@
     *guard = (tw_shards_guard){.boot_id = boot_id};
 }
 
-/* Whether the order's term is not overtaken; the machine then knows it. A leader that was deposed
- * may have orders on their way, or send them when its process goes on: they are to change nothing
+/* Whether the command's term is not overtaken; the machine then knows it. A leader that was deposed
+ * may have commands on their way, or send them when its process goes on: they are to change nothing
  * once the next leader has been heard. */
 static bool takes_term(tw_shards_guard *guard, uint64_t term) {
     if (term < guard->term) return false;
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -125,7 +125,7 @@
          * earlier life of it has running there. */
         machine->followed = notification->state == TW_SHARDS_TAKEN;
     }
-    /* An order that waits for its answer goes out again under the new leader's term: the machine
+    /* A command that waits for its answer goes out again under the new leader's term: the machine
      * may refuse the one that was sent. */
     const bool next_leader =
         machine->term != notification->term && notification->state == TW_SHARDS_TAKEN;
--- a/src/shards/step.c
+++ b/src/shards/step.c
@@ -81,7 +81,8 @@
 
 static void step_machine(tw_shards *shards, tw_shards_move *of, tw_shards_machine *machine) {
     tw_shards_cell to;
-    /* A machine that has not answered this leader may have taken later orders of an earlier one. */
+    /* A machine that has not answered this leader may have taken later commands of an earlier one.
+     */
     if (!tw_shards_is_confirmed(shards, machine)) return;
     if (machine->changing || !tw_shards_has_room(shards, machine, TW_SHARDS_RECORD_CELLS, 2))
         return;
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -36,9 +36,9 @@
     free(machine);
 }
 
-/* ---- orders ---- */
+/* ---- commands to machines ---- */
 
-static void send_order(tw_standby *standby, tw_standby_machine_check *machine) {
+static void send_command(tw_standby *standby, tw_standby_machine_check *machine) {
     const bool starts = machine->step == TW_STANDBY_CHECK_STARTING;
     tw_standby_effect *effect =
         tw_standby_emit(standby, starts ? TW_STANDBY_START : TW_STANDBY_CHECK);
@@ -51,7 +51,7 @@
 
 static void ask(tw_standby *standby, tw_standby_machine_check *machine) {
     machine->step = TW_STANDBY_CHECK_ASKED;
-    send_order(standby, machine);
+    send_command(standby, machine);
 }
 
 static void start_machine(tw_standby *standby, tw_standby_machine_check *machine, uint64_t boot_id,
@@ -59,7 +59,7 @@
     machine->step = TW_STANDBY_CHECK_STARTING;
     machine->boot_id = boot_id;
     machine->minimum_epoch = minimum_epoch;
-    send_order(standby, machine);
+    send_command(standby, machine);
 }
 
 void tw_standby_check_all(tw_standby *standby) {
@@ -259,7 +259,7 @@
         if (recorded.state == TW_SHARDS_ABSENT && !standby->registrations)
             forget(standby, each); /* it was removed meanwhile */
         else
-            send_order(standby, each);
+            send_command(standby, each);
     }
 }
 
--- a/tests/runner/fuzz_test.c
+++ b/tests/runner/fuzz_test.c
@@ -152,6 +152,6 @@
     test_plays();
     test_shrinks();
     test_pool();
-    if (!failures) printf("ok search\n");
+    if (!failures) printf("ok fuzz\n");
     return failures != 0;
 }
--- a/tests/runner/simulator_gang_test.c
+++ b/tests/runner/simulator_gang_test.c
@@ -498,6 +498,6 @@
     test_broken_stop();
     test_stop_without_checkpoints();
     test_judge();
-    if (!failures) printf("ok sim gang\n");
+    if (!failures) printf("ok simulator_gang\n");
     return failures != 0;
 }
--- a/tests/runner/simulator_test.c
+++ b/tests/runner/simulator_test.c
@@ -427,6 +427,6 @@
     test_unserved();
     test_took_bad();
     test_told();
-    if (!failures) printf("ok sim\n");
+    if (!failures) printf("ok simulator\n");
     return failures != 0;
 }
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -231,8 +231,8 @@
 
 static bool is_defined(const tw_shards *reader, const char *shard) {
     for (int i = 0; i < tw_shards_shard_count(reader); i++)
-        if (!strcmp(tw_shards_view_of(reader, i).name, shard)) return 1;
-    return 0;
+        if (!strcmp(tw_shards_view_of(reader, i).name, shard)) return true;
+    return false;
 }
 
 static void judge_client(tw_world *world, tw_shards *reader, const tw_world_client *asked) {
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -434,9 +434,9 @@
     case TW_WORLD_REPORTED:
     case TW_WORLD_ASKED:
     case TW_WORLD_PROMOTE:
-        return 1;
+        return true;
     default:
-        return 0;
+        return false;
     }
 }
 
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -26,15 +26,15 @@
 /* Heartbeats are many and differ in their times: those that say the same in a row are shown once.
  */
 static bool is_shown(tw_test_conversation *conversation, const tw_effect *effect) {
-    if (strcmp(effect->path, "/peer/ping") != 0) return 1;
+    if (strcmp(effect->path, "/peer/ping") != 0) return true;
     const char *times = strstr(effect->body, "\"upS\"");
     const size_t length = times ? (size_t)(times - effect->body) : strlen(effect->body);
     if (strlen(conversation->heartbeat) == length &&
         !strncmp(conversation->heartbeat, effect->body, length))
-        return 0;
+        return false;
     snprintf(conversation->heartbeat, sizeof conversation->heartbeat, "%.*s", (int)length,
              effect->body);
-    return 1;
+    return true;
 }
 
 static void show_call(tw_test_conversation *conversation, const tw_effect *effect) {
--- a/tests/unit/heartbeat_cache_test.c
+++ b/tests/unit/heartbeat_cache_test.c
@@ -80,10 +80,10 @@
         one->fencing_token != other->fencing_token ||
         one->preemption_notice_s != other->preemption_notice_s ||
         one->task_count != other->task_count)
-        return 0;
+        return false;
     for (int i = 0; i < one->task_count; i++)
-        if (!is_same_task(&one->tasks[i], &other->tasks[i])) return 0;
-    return 1;
+        if (!is_same_task(&one->tasks[i], &other->tasks[i])) return false;
+    return true;
 }
 
 /* Whether the set reads the text as the parser does. */
@@ -147,6 +147,6 @@
             tw_wire_heartbeat_cache_free(cache);
         }
     }
-    if (!wrong) printf("ok reports: %zu pairs\n", text_count * text_count);
+    if (!wrong) printf("ok heartbeat_cache: %zu pairs\n", text_count * text_count);
     return wrong != 0;
 }
