--- a/src/core/cancellation.c
+++ b/src/core/cancellation.c
@@ -1,15 +1,16 @@
-/* Cancellations, which have to be known to all nodes that may answer a job's machines: such a node
- * renews their leases without the leader, and has to stop the job's tasks with that. It can't stop
- * what a launch on its way starts later, so that none may be on its way.
+/* Cancellations. Before a cancellation is confirmed, it must be known to all nodes that may answer
+ * the job's machines: such a node renews their leases without the leader, and must stop the job's
+ * tasks in its answers. It can't stop a task that a launch in flight starts later, so no launch may
+ * be in flight.
  *
  * Invariants:
- *   - from the first request on, nothing of the job is launched any more, so that what keeps a
- *     cancellation from being confirmed doesn't grow;
- *   - a user waits only while the cancellation may be confirmed by what is under way. */
+ *   - after the first request no task of the job is launched, so that the number of obstacles to
+ * the confirmation doesn't grow;
+ *   - a user only waits while calls in flight may lead to the confirmation. */
 #include "core/jobs.h"
 #include "core/workers.h"
 
-/* What keeps a cancellation from being confirmed. */
+/* Reason for which a cancellation can't be confirmed yet. */
 typedef enum {
     OBSTACLE_NONE,
     OBSTACLE_PREDECESSOR, /* an earlier leader may still renew a machine's lease */
@@ -20,7 +21,7 @@
 typedef struct {
     tw_cancellation_safety safety;
     obstacle_kind obstacle;
-    const tw_machine *machine; /* of the obstacle; NULL: there is none */
+    const tw_machine *machine; /* machine that the obstacle concerns; NULL: there is no obstacle */
 } cancellation_check;
 
 static const char *const obstacle_names[] = {
@@ -30,36 +31,38 @@
     [OBSTACLE_PEER] = "peer",
 };
 
-/* ---- whether a cancellation can be confirmed ---- */
+/* ---- confirmation check ---- */
 
-/* Whether a direct launch may still start the task. It may do so whenever it arrives: the machine's
- * incarnation, which it names, lasts for as long as another node renews the lease. */
+/* Returns whether a direct launch may still start the task. A launch takes effect whenever it
+ * arrives: the machine's incarnation, which the launch names, lasts as long as another node renews
+ * the lease. */
 static tw_cancellation_safety launch_safety(const tw_core *core, const tw_placement *task) {
     if (!task->direct_launches) return TW_CANCELLATION_SAFE;
-    /* Once the response is overdue, nothing is known of the launch until the machine is heard: what
-     * is in flight then is a later command or a probe. */
+    /* Once the response is overdue, the fate of the launch is unknown until the machine sends a
+     * heartbeat: a command in flight is then a later one, or a probe. */
     const bool may_be_answered = task->machine->command_in_flight &&
                                  core->context.now < task->direct_launch_at + TW_DIRECT_TIMEOUT_S;
     return may_be_answered ? TW_CANCELLATION_PENDING : TW_CANCELLATION_UNREACHABLE;
 }
 
-/* Whether an earlier leader may renew the machine's lease for longer than a cancellation leaves
- * time for. */
+/* Returns whether an earlier leader may renew the machine's lease for longer than the time limit of
+ * a cancellation allows, see tw_cluster_renewal_if_superseded_s. */
 static bool predecessor_may_renew(const tw_core *core, const tw_machine *machine) {
     const double limit = core->context.now + tw_cluster_renewal_if_superseded_s(core->cluster);
     return !machine->confirmed && tw_cluster_predecessor_renewals_end(core->cluster) > limit;
 }
 
-/* The check with one more of the job's machines: the least safe one counts. */
+/* Merges the result for one more machine of the job into the check; the least safe
+ * result counts. */
 static cancellation_check least_safe(cancellation_check check, tw_cancellation_safety safety,
                                      obstacle_kind obstacle, const tw_machine *machine) {
     if (safety >= check.safety) return check;
     return (cancellation_check){safety, obstacle, machine};
 }
 
-/* Whether the job's tasks can't start any more, and all nodes that may answer its machines without
- * the leader, for longer than a cancellation leaves time for, know that the job is cancelled. Those
- * that don't are told. */
+/* Checks that no task of the job can start any more, and that all nodes that may answer its
+ * machines without the leader, for longer than the time limit of a cancellation allows, know of the
+ * cancellation. Nodes that don't know of it are notified. */
 static cancellation_check check_cancellation(tw_core *core, const tw_job *job) {
     cancellation_check check = {TW_CANCELLATION_SAFE, OBSTACLE_NONE, NULL};
     const tw_placement *task;
@@ -79,7 +82,8 @@
 
 /* ---- requests ---- */
 
-/* The cancellation goes on as soon as it can be confirmed; the user isn't kept waiting. */
+/* Rejects the request of a user whose cancellation can't be confirmed now. The cancellation itself
+ * continues as soon as it can be confirmed. */
 static void defer_cancellation(tw_core *core, uint64_t connection, const tw_job *job,
                                const cancellation_check *check) {
     tw_log_debug("event=cancellation_deferred id=%s obstacle=%s worker=%s", job->id,
@@ -113,8 +117,8 @@
     if (check.safety == TW_CANCELLATION_SAFE) tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
-/* Stops the tasks whose direct launches are of unknown fate: their machines are told to launch and
- * stop them, and then refuse the late launch. */
+/* Stops the tasks whose direct launches have an unknown fate: their machines are sent a launch and
+ * a stop command, after which they refuse the late launch. */
 static void settle_launches(tw_core *core, tw_job *job) {
     tw_placement *task, *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
--- a/src/core/completed_jobs.c
+++ b/src/core/completed_jobs.c
@@ -1,5 +1,6 @@
-/* Completed jobs. A generation is a hash table with open addressing and linear probing: an array of
- * keys and one of endings. It doubles as it fills, up to its share of the memory. */
+/* Table of completed jobs. A generation is a hash table with open addressing and linear probing
+ * that consists of an array of keys and one of outcomes. Its size doubles as it fills, up to its
+ * share of the memory. */
 #include "core/completed_jobs.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -7,16 +8,16 @@
 
 #define GENERATIONS 8
 #define FIRST_SLOTS 16
-/* A generation grows, or is full, at this load. */
+/* Load at which a generation grows or, at its maximum size, is full. */
 #define LOAD_NUMERATOR 3
 #define LOAD_DENOMINATOR 4
-/* An id is "run-" and up to 16 digits. Its key is the number that the digits make, with the count
- * of digits above it, since "run-7" and "run-07" are two jobs. The count is never 0, and so is no
- * key: 0 marks an empty slot. */
+/* An id consists of "run-" and up to 16 digits. Its key is the number that the digits form, with
+ * the count of digits in the bits above it, since "run-7" and "run-07" are different jobs. The
+ * count and therefore the key are never 0; 0 marks an empty slot. */
 #define PREFIX_LENGTH (sizeof "run-" - 1)
 #define DIGITS_SHIFT 54
 #define DECIMAL 10
-/* An ending as it is stored: the number of tasks that were done, and this bit if the job was
+/* A stored outcome consists of the number of done tasks and this bit, which is set if the job was
  * cancelled. */
 #define CANCELLED_BIT (1u << 31)
 /* Multiplier of Fibonacci hashing: 2^64 over the golden ratio. */
@@ -31,14 +32,14 @@
 } generation;
 
 struct tw_completed_jobs {
-    uint32_t most_slots; /* of a generation */
+    uint32_t most_slots; /* maximum size of a generation */
     int newest;
     size_t count;
     uint64_t evictions;
     generation generations[GENERATIONS];
 };
 
-/* The key of a job's id; 0: it is not of the protocol's form, and no job can have it. */
+/* Returns the key of a job's id, or 0 if the id is malformed, so that no job can have it. */
 static uint64_t key_of(const char *id) {
     if (!tw_wire_id_ok(id, strlen(id))) return 0;
     const char *digits = id + PREFIX_LENGTH;
@@ -48,8 +49,8 @@
     return length << DIGITS_SHIFT | number;
 }
 
-/* The slot that holds the key, or the empty one where it belongs. Some slot is always empty, see
- * generation_has_room, so that the search ends. */
+/* Returns the slot that holds the key, or the empty slot to insert it into. The search ends because
+ * some slot is always empty, see generation_has_room. */
 static uint32_t slot_of(const generation *generation, uint64_t key) {
     const uint64_t hash = (key * HASH_MULTIPLIER) >> HASH_SHIFT;
     uint32_t slot = (uint32_t)((hash * generation->slots) >> HASH_SHIFT);
@@ -77,7 +78,7 @@
     generation->count++;
 }
 
-/* Whether one more entry may be put into the slots. */
+/* Returns whether the generation can take one more entry at its present size. */
 static bool generation_has_room(const generation *generation) {
     return (uint64_t)(generation->count + 1) * LOAD_DENOMINATOR <=
            (uint64_t)generation->slots * LOAD_NUMERATOR;
@@ -107,7 +108,7 @@
     free(table);
 }
 
-/* The generation that takes the next entry; the oldest is evicted for it if all are full. */
+/* Returns the generation for the next entry. If all are full, evicts the oldest one for it. */
 static generation *generation_with_room(tw_completed_jobs *table) {
     generation *newest = &table->generations[table->newest];
     if (generation_has_room(newest)) return newest;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -1,32 +1,32 @@
-/* Gangs: jobs whose tasks run at the same time or not at all. The tasks of one start find each
+/* Gangs: jobs whose tasks run at the same time or not at all. The tasks of one start recognize each
  * other by their common attempt; they start when the last one has its image, and complete together.
  *
- * States of an attempt, and what leads from one to the next:
+ * States of an attempt, and the transitions between them:
  *
- *   idle       no task may run. Placed whole under a new attempt -> gathering.
- *   gathering  tasks are launched, fetch their image, wait for each other. One tells that it runs
- *              -> running. One that is gone is replaced elsewhere under the same attempt, if room
- *              is found in time; else -> stopping. One whose end shows that the gang had begun (an
- *              error, or `peers`) -> stopping.
- *   running    one task is done -> all are, the job is over. One is gone without being done: what
- *              was not saved is lost, the others end by themselves -> stopping, without a grace
- *              period, since that is sooner.
- *   stopping   every task is told to stop, at once and directly, so that all hear it within the
- *              time in which they notice a missing one. The last one gone -> idle.
+ *   idle       no task may run. All tasks placed under a new attempt -> gathering.
+ *   gathering  tasks are launched, fetch their image, wait for each other. A task reports that it
+ *              runs -> running. A task that terminates is replaced on another machine under the
+ * same attempt, if capacity is found in time; otherwise -> stopping. A task whose exit shows that
+ * the gang had started (an error, or `peers`) -> stopping. running    one task is done -> all are
+ * done, and the job has ended. One task terminates without being done -> stopping without a grace
+ * period: progress that was not saved is lost, and the other tasks would exit by themselves, but
+ * later. stopping   all tasks are sent stop commands, directly and without delay, so that all
+ * receive them within the time in which they notice that a task is missing. The last task
+ *              terminated -> idle.
  *
- * Invariants: all tasks that may run have the attempt of the gang, or it is stopped. A new attempt
- * begins only when no task of the last one may be on a machine; a task is replaced under the same
- * attempt only when it is certainly gone, and not on a machine where it was: a late command for the
- * first launch could not be told from one for the second. (A new leader doesn't know these
- * machines; they refuse late commands by its token.) A stop with a grace period begins only if
- * every machine of the gang has sent a heartbeat lately; otherwise tasks are stopped without one. A
- * task that tells that it runs proves only that the gang had started: it goes on telling so until
- * it notices that another is gone. */
+ * Invariants: all tasks that may run have the gang's attempt, or the gang is being stopped. A new
+ * attempt begins only when no task of the previous one may be on a machine. A task is replaced
+ * under the same attempt only when it is certain that it has terminated, and not on a machine where
+ * it was: a late command for the first launch would be indistinguishable from one for the second.
+ * (A new leader doesn't know these machines; they refuse late commands by its fencing token.) A
+ * stop with a grace period begins only if every machine of the gang has sent a recent heartbeat;
+ * otherwise tasks are stopped without one. A task that reports that it runs proves only that the
+ * gang had started: it reports so until it notices that another task is gone. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* How long before the last task is ready the others are launched at the earliest, as a share of the
- * time that a task waits for the others. */
+/* The other tasks are launched so that they are ready at most this share of gang_wait_s, the time
+ * that a task waits for the others, before the last one. */
 #define LAUNCH_LEAD_RATIO 0.5
 
 const char *tw_gang_state_name(const tw_job *job) {
@@ -42,19 +42,19 @@
                  job->placed_count, job->task_count, why);
 }
 
-/* Whether the job is a gang with tasks that may run. */
+/* Returns whether the job is a pending gang with tasks that may run. */
 static bool is_under_way(const tw_job *job) {
     return job->has_spec && job->spec.gang && job->state == TW_JOB_PENDING && job->placed_count > 0;
 }
 
-/* Tasks that are neither placed nor done. */
+/* Returns the number of tasks that are neither placed nor done. */
 static int missing_tasks(const tw_job *job) {
     return job->task_count - job->done_count - job->placed_count;
 }
 
 /* ---- start ---- */
 
-/* When a task that was just placed should have its image. */
+/* Returns when a task that was just placed is expected to have its image. */
 static double ready_at(const tw_core *core, const tw_placement *placed) {
     const tw_machine *machine = placed->machine;
     const tw_image *image = tw_image_find(machine, placed->job);
@@ -65,8 +65,8 @@
     return core->context.now + s_per_gb * placed->job->spec.image_gb;
 }
 
-/* Tasks that would be ready so much sooner than the last one that they would give up waiting for it
- * are launched later. */
+/* Delays the launches of tasks that would otherwise be ready so long before the last task that they
+ * would give up waiting for it. */
 static void stagger_launches(const tw_core *core, tw_job *job) {
     const double lead_s = LAUNCH_LEAD_RATIO * core->context.config->gang_wait_s;
     double last_ready_at = 0;
@@ -91,7 +91,7 @@
     job->gang = (tw_gang){.state = TW_GANG_IDLE};
     if (!job->placed_count) return;
     job->gang.attempt = job->placements->attempt;
-    job->gang.state = TW_GANG_GATHERING; /* a heartbeat may tell that it has started */
+    job->gang.state = TW_GANG_GATHERING; /* a heartbeat may show that it has started */
 }
 
 bool tw_gang_is_pending(const tw_job *job) {
@@ -107,7 +107,7 @@
     return false;
 }
 
-/* ---- what heartbeats tell ---- */
+/* ---- task reports from heartbeats, and terminated attempts ---- */
 
 void tw_gang_task_reported(tw_core *core, tw_placement *placed) {
     tw_job *job = placed->job;
@@ -120,13 +120,14 @@
         enter_state(core, job, TW_GANG_RUNNING, "started");
 }
 
-/* Whether the way in which a task ended shows that its gang had started. */
+/* Returns whether the way in which a task ended shows that its gang had started. */
 static bool ended_after_start(const tw_placement *placed) {
     return placed->state == TW_TASK_EXITED &&
            (placed->cause == TW_CAUSE_ERROR || placed->cause == TW_CAUSE_GANG_BROKEN);
 }
 
-/* A task is gone before the gang has started: it is to be replaced on another machine. */
+/* Records that a task terminated before the gang has started and is to be replaced on another
+ * machine. */
 static void note_vacated(tw_core *core, tw_job *job, const tw_placement *placed) {
     tw_gang *gang = &job->gang;
     const bool was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
@@ -145,7 +146,8 @@
         enter_state(core, job, TW_GANG_IDLE, "gone");
         gang->vacated_count = 0;
     } else if (gang->state == TW_GANG_STOPPING) {
-        if (!gang->saved) gang->grace_s = 0; /* what the others still save is lost */
+        if (!gang->saved)
+            gang->grace_s = 0; /* progress that the other tasks would still save is lost */
         core->next_job_sweep_at = core->context.now;
     } else if (had_started) {
         tw_gang_stop(core, job, 0);
@@ -198,9 +200,10 @@
     }
 }
 
-/* ---- time ---- */
+/* ---- periodic work ---- */
 
-/* Whether all tasks that may run are of the gang's attempt, and none of them is stopped alone. */
+/* Returns whether all tasks that may run belong to the gang's attempt, and none of them is being
+ * stopped while the gang is not. */
 static bool is_one_attempt(const tw_job *job) {
     const bool stops = job->gang.state == TW_GANG_STOPPING;
     const tw_placement *task;
@@ -210,19 +213,19 @@
     return true;
 }
 
-/* Whether a task that is gone can't be replaced before the others give up waiting. */
+/* Returns whether a missing task can't be replaced before the others give up waiting for it. */
 static bool is_hopeless(const tw_core *core, const tw_job *job) {
     const tw_gang *gang = &job->gang;
     if (gang->missing_since <= 0 || !missing_tasks(job)) return false;
     if (gang->vacated_count >= TW_GANG_MAX_REPLACED) return true;
     if (gang->waiting_since <= 0)
         return core->context.now > gang->missing_since + core->context.config->gang_wait_s;
-    /* Meanwhile the others hold their room for nothing. */
+    /* While a task is missing, the waiting tasks occupy their machines without doing work. */
     return core->context.now > gang->missing_since + core->context.config->gang_peer_s ||
            core->context.now > gang->waiting_since + core->context.config->gang_wait_s;
 }
 
-/* Has the launches sent that were put off until now. */
+/* Requests the sending of launches that were delayed and are due now. */
 static void send_due_launches(tw_core *core, const tw_job *job) {
     const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) {
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -1,29 +1,29 @@
-/* Reserves machines for a gang. Small jobs take each bit of room as it is given back, so that a
- * gang, which needs room for all its tasks at once, might never find it. So of the gangs that have
- * waited for longer than RESERVE_AFTER_S the one that was submitted first gets the machines on
- * which room for all its tasks is expected soonest. Until it is placed, work of its priority or a
- * lower one gets nothing new on those machines, replicas apart, and in its team only what leaves
- * the gang its part of the team's limit.
+/* Reserves machines for a gang. Small jobs take capacity piece by piece as soon as it is freed, so
+ * that a gang, which needs capacity for all its tasks at the same time, might never find it.
+ * Therefore, of the gangs that have waited for longer than RESERVE_AFTER_S, the one that was
+ * submitted first gets the machines on which capacity for all its tasks is expected soonest. Until
+ * it is placed, jobs of its priority or a lower one get no new tasks on those machines, except for
+ * replicas, and jobs of its team only use what leaves the gang its part of the team's limit.
  *
- * A reservation lasts for MAX_RESERVATION_S at most, followed by a pause as long, so that others
- * don't wait without end either. Nothing is reserved if the running tasks are not expected to end
- * in that time. The reservation is decided anew as each pass begins; machine->reserved_for_gang and
- * core->reserving_gang are valid for that pass only. */
+ * A reservation lasts for at most MAX_RESERVATION_S and is followed by a pause of the same length,
+ * so that other jobs don't wait forever either. No machine is reserved if the running tasks are not
+ * expected to end within that time. The reservation is decided anew at the start of each pass;
+ * machine->reserved_for_gang and core->reserving_gang are valid for that pass only. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 #define RESERVE_AFTER_S (TW_MAX_START_DELAY_S / 8)
 #define MAX_RESERVATION_S (TW_MAX_START_DELAY_S / 4)
 
-/* Room for tasks of the gang that a machine is expected to have. */
+/* Capacity for tasks of the gang that a machine is expected to have. */
 typedef struct {
     tw_machine *machine;
-    int task_count;      /* tasks that it will have room for */
-    double available_at; /* when the last of the running tasks that make this room has ended */
+    int task_count;      /* number of tasks that the capacity suffices for */
+    double available_at; /* time at which the last running task that occupies the capacity ends */
 } expected_room;
 
-/* Whether the job is a gang that has waited for long enough, and is not in the pause after a
- * reservation that was in vain. */
+/* Returns whether the job is a gang that has waited for long enough, and is not in the pause after
+ * an unsuccessful reservation. */
 static bool may_reserve(const tw_core *core, const tw_job *job) {
     if (!job->has_spec || !job->spec.gang || !tw_job_is_pending(core, job) || job->placed_count)
         return false;
@@ -32,7 +32,8 @@
     return eligible_s >= 0 && fmod(eligible_s, 2 * MAX_RESERVATION_S) < MAX_RESERVATION_S;
 }
 
-/* The gang that may reserve machines and was submitted first. NULL: there is none. */
+/* Returns the gang that was submitted first of those that may reserve machines, or NULL if there is
+ * none. */
 static tw_job *find_longest_waiting_gang(tw_core *core) {
     tw_job *best = NULL;
     tw_job *job;
@@ -42,7 +43,8 @@
     return best;
 }
 
-/* When a task is expected to end. INFINITY: a replica, which doesn't end by itself. */
+/* Returns when a task is expected to end. INFINITY: the task is a replica, which doesn't end by
+ * itself, or its job's specification is unknown. */
 static double expected_task_end(const tw_core *core, const tw_placement *placed) {
     if (placed->stopping) return core->context.now;
     if (placed->job->spec.service || !placed->job->has_spec) return INFINITY;
@@ -52,8 +54,8 @@
     return fmax(core->context.now, starts_at + run_s);
 }
 
-/* How many tasks of the gang the machine is expected to have room for within MAX_RESERVATION_S, and
- * when. */
+/* Returns the capacity for tasks of the gang that the machine is expected to have within
+ * MAX_RESERVATION_S. */
 static expected_room expected_room_on(const tw_core *core, const tw_job *job, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const double horizon = core->context.now + MAX_RESERVATION_S;
@@ -75,7 +77,8 @@
     return result;
 }
 
-/* For qsort: the room that is available first, then by the machine's name. */
+/* Comparison function for qsort: orders by the time at which the capacity is available, then by the
+ * machine's name. */
 static int compare_by_time(const void *left, const void *right) {
     const expected_room *a = left;
     const expected_room *b = right;
@@ -83,8 +86,9 @@
     return strcmp(a->machine->name, b->machine->name);
 }
 
-/* Lists the machines in the zone (-1: in all zones) that are expected to have room for tasks of the
- * gang, the earliest first. rooms: has a place for each candidate. Returns their number. */
+/* Stores the capacity for tasks of the gang that machines in the zone (-1: in all zones) are
+ * expected to have in rooms, the earliest first. rooms has one element for each candidate. Returns
+ * the number of entries. */
 static int list_expected_rooms(tw_core *core, tw_job *job, int zone, expected_room *rooms) {
     const tw_demand demand = tw_demand_of(core, job);
     int count = 0;
@@ -102,8 +106,8 @@
     return count;
 }
 
-/* When all tasks of the gang are expected to have room in the zone (-1: in all zones together).
- * INFINITY: they won't within MAX_RESERVATION_S. */
+/* Returns when capacity for all tasks of the gang is expected in the zone (-1: in all zones
+ * together). INFINITY: not within MAX_RESERVATION_S. */
 static double expected_gang_start(tw_core *core, tw_job *job, int zone) {
     expected_room *rooms = tw_alloc((size_t)core->candidate_count * sizeof *rooms);
     const int count = list_expected_rooms(core, job, zone, rooms);
@@ -117,9 +121,8 @@
     return start_at;
 }
 
-/* Reserves the machines in the zone (-1: in all zones) that have room for all tasks of the gang
- * first.
- */
+/* Reserves the machines in the zone (-1: in all zones) that are expected to have capacity for all
+ * tasks of the gang first. */
 static void reserve_machines(tw_core *core, tw_job *job, int zone) {
     expected_room *rooms = tw_alloc((size_t)core->candidate_count * sizeof *rooms);
     const int count = list_expected_rooms(core, job, zone, rooms);
@@ -131,8 +134,8 @@
     free(rooms);
 }
 
-/* When the gang is expected to start if machines are reserved for it, and *zone: where (-1: in all
- * zones together). INFINITY: it isn't within MAX_RESERVATION_S. */
+/* Returns when the gang is expected to start if machines are reserved for it, and sets *zone to the
+ * zone for it (-1: all zones together). INFINITY: not within MAX_RESERVATION_S. */
 static double choose_zone(tw_core *core, tw_job *job, int *zone) {
     *zone = -1;
     if (!job->spec.single_zone) return expected_gang_start(core, job, -1);
@@ -167,15 +170,16 @@
     return job->spec.priority > gang->spec.priority;
 }
 
-/* Whether a team's limit leaves the reserved amount beside what is used and wanted. A limit of 0 or
- * less: there is none. */
+/* Returns whether a team's limit leaves the reserved amount beside the used and the wanted one. A
+ * limit of 0 or less means no limit. */
 static bool limit_leaves_room(double limit, double used, double wanted, double reserved) {
     return limit <= 0 || used + wanted + reserved <= limit + TW_CAPACITY_ROUNDING;
 }
 
 bool tw_gang_reservation_allows_team(const tw_core *core, const tw_job *job) {
     const struct tw_job *gang = core->reserving_gang;
-    /* Only work that the reservation holds back, and that shares the gang's limit, is limited. */
+    /* Only jobs that the reservation holds back, and that share the gang's limit,
+     * are restricted. */
     if (!gang || gang == job || job->spec.service || job->team != gang->team ||
         job->spec.priority > gang->spec.priority || job->team < 0)
         return true;
--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -1,25 +1,26 @@
-/* In which zones a gang has room for all its tasks. The free room is summed up over the machines of
- * each zone first, so that a gang that doesn't fit is not placed task by task and undone again in
- * each pass. The sums may promise more than placing finds. Called by placement_pass.c. */
+/* Computes in which zones a gang has capacity for all its tasks. The free capacity is first summed
+ * up over the machines of each zone, so that a gang that doesn't fit is not placed task by task and
+ * undone again in each pass. The sums are upper bounds: placement may find less. Called by
+ * placement_pass.c. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-/* How many tasks a zone has room for. */
+/* Number of tasks that fit into a zone. */
 typedef struct {
-    int free_count;       /* in free room */
-    int preempting_count; /* if tasks of lower priority are stopped */
+    int free_count;       /* in free capacity */
+    int preempting_count; /* if tasks of lower priority are stopped, too */
 } zone_task_counts;
 
-/* By zone index; the last one is for machines whose zone has no index. */
+/* Counts by zone index; the last entry is for machines whose zone has no index. */
 typedef zone_task_counts zone_table[TW_MAX_ZONES + 1];
 
-/* How many of the job's tasks fit into the room, from 0 to limit. */
+/* Returns how many of the job's tasks fit into the capacity, from 0 to limit. */
 static int count_tasks_in_room(const tw_capacity *room, const tw_wire_job *spec, int limit) {
     const double count = fmin(limit, tw_capacity_task_count(room, spec));
     return count > 0 ? (int)count : 0;
 }
 
-/* How many tasks of the gang fit into the machine's free room, at most limit. */
+/* Returns how many tasks of the gang fit into the machine's free capacity, at most limit. */
 static int count_free_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                             int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
@@ -29,16 +30,18 @@
     return count;
 }
 
-/* Whether stopping other tasks may make room for the job on the machine. On a machine with GPUs it
- * makes none for tasks without: the GPUs that are given back need their cores again. */
+/* Returns whether stopping other tasks may free capacity for the job on the machine. On a machine
+ * with GPUs it frees none for tasks without GPUs, because the cores that it frees are kept for the
+ * freed GPUs. */
 static bool preemption_makes_room(const tw_core *core, const tw_machine *machine,
                                   const tw_job *job) {
     return job->spec.gpus > 0 || job->any_machine ||
            core->machine_types[machine->type_index].listed.gpus <= 0;
 }
 
-/* How many tasks of the gang fit onto the machine if all tasks that may be stopped for it are, at
- * most limit. The room of tasks that were told to stop before is promised to others already. */
+/* Returns how many tasks of the gang fit onto the machine if all tasks that the gang may preempt
+ * are stopped, at most limit. The capacity of tasks that are being stopped already is assigned to
+ * other jobs. */
 static int count_preempting_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                                   int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
@@ -51,7 +54,7 @@
     return count_tasks_in_room(&room, &job->spec, limit);
 }
 
-/* Adds the tasks that the machine has room for to its zone's counts. */
+/* Adds the number of tasks that fit onto the machine to its zone's counts. */
 static void add_machine_to_zone(tw_core *core, const tw_demand *demand, const tw_machine *machine,
                                 int tasks, zone_task_counts *zone) {
     const tw_job *job = demand->job;
@@ -66,13 +69,13 @@
                                   : free_count;
 }
 
-/* How many tasks of the job may be in one zone: half of them, rounded up, if it spreads over zones.
- */
+/* Returns how many tasks of the job may be in one zone: half of them, rounded up, if the job
+ * spreads over zones. */
 static int max_tasks_in_zone(const tw_job *job) {
     return job->spec.spread ? (job->task_count + 1) / 2 : job->task_count;
 }
 
-/* The zones, as bits, that have room for so many tasks. */
+/* Returns the zones with capacity for that many tasks as a mask. */
 static uint32_t zones_with_room(const tw_core *core, const zone_table counts, int tasks,
                                 bool with_preemption) {
     uint32_t zones = 0;
@@ -82,8 +85,8 @@
     return zones;
 }
 
-/* How many tasks all zones together have room for, where no zone takes more than it may. The
- * machines without a zone index count as one more zone. */
+/* Returns how many tasks all zones together have capacity for if no zone takes more than
+ * max_tasks_in_zone. The machines without a zone index count as one more zone. */
 static int count_tasks_in_all_zones(const tw_core *core, const tw_job *job, const zone_table counts,
                                     bool with_preemption) {
     const int limit = max_tasks_in_zone(job);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,15 +1,15 @@
-/* Life cycle of jobs: how they are made from a submission or a record, what users are told of them,
- * how they end. Records are written by the store (job_persistence.c, src/store), and requests are
- * taken in by user_requests.c.
+/* Life cycle of jobs: their creation from a submission or a record, the answers to waiting users,
+ * and their end. The store writes the records (job_persistence.c, src/store); user_requests.c
+ * handles the requests.
  *
- * A job ends in three steps, none of which can be undone: tw_job_finish sets its state; the store
- * makes it durable; tw_job_release then frees what only an active job needs, and evict_when_unused
- * leaves nothing but an entry of completed_jobs.c. */
+ * A job ends in three irreversible steps: tw_job_finish sets its state; the store makes the state
+ * durable; tw_job_release then frees what only an active job needs, and evict_when_unused replaces
+ * the job by an entry in the table of completed jobs (completed_jobs.c). */
 #include "core/jobs.h"
 
-/* Time between two passes over the active jobs. */
+/* Interval between two passes over the active jobs. */
 #define SWEEP_INTERVAL_S 0.25
-/* Most memory for completed jobs, as a share of all that the settings allow. */
+/* Maximum share of the configured memory that completed jobs may use. */
 #define COMPLETED_JOBS_SHARE 0.25
 #define BYTES_PER_MIB (1024 * 1024)
 
@@ -34,7 +34,7 @@
     return job;
 }
 
-/* Index of the team in the settings; -1: there is no team of that name. */
+/* Returns the index of the team with that name in the settings, or -1 if there is none. */
 static int team_index(const tw_core *core, const char *name) {
     for (size_t i = 0; i < core->context.config->team_count; i++)
         if (!strcmp(core->context.config->teams[i].name, name)) return (int)i;
@@ -90,14 +90,14 @@
     tw_store_mark_changed(core->store, job->record, urgent);
 }
 
-/* Cancelled jobs have a list of their own since every heartbeat to a peer tells of them. */
+/* Cancelled jobs have a list of their own because every heartbeat to a peer carries them. */
 void tw_job_note_cancelled(tw_core *core, tw_job *job) {
     if (job->in_cancelled_list) return;
     job->in_cancelled_list = true;
     DL_APPEND2(core->cancelled_jobs, job, cancelled_prev, cancelled_next);
 }
 
-/* ---- what users are told ---- */
+/* ---- waiting clients and status answers ---- */
 
 void tw_job_add_waiting_client(tw_core *core, tw_job *job, uint64_t connection, bool cancels) {
     tw_waiting_client *client = tw_alloc(sizeof *client);
@@ -124,7 +124,7 @@
     return NULL;
 }
 
-/* Tasks that a worker has told to run. */
+/* Returns the number of tasks that workers have reported as running. */
 static int count_running(const tw_job *job) {
     int count = 0;
     tw_placement *task;
@@ -143,9 +143,10 @@
     return tw_wire_job_status_text(job->id, state, job->done_count, running_count);
 }
 
-/* Whether the state service may hold that the job has ended while this node doesn't know it: the
- * write is on its way, or its outcome is unknown. Another node may have read the record and told a
- * user, so that only a read that begins after a query came can answer it. */
+/* Returns whether the state service may hold the end of the job while this node doesn't know it,
+ * because the write is in flight or its outcome is unknown. Another node may have read that record
+ * and told a user of the end. A query can therefore only be answered by a read that begins after
+ * it. */
 static bool end_is_uncertain(const tw_job *job) {
     return tw_store_end_was_sent(job->record) && job->durable_state == TW_JOB_PENDING;
 }
@@ -177,8 +178,8 @@
     if (state == TW_JOB_CANCELLED) tw_job_note_cancelled(core, job);
     /* The tasks are stopped before the end is known to be durable: once the write of a cancellation
      * is sent, another node may read the record and tell the user, and this node may never learn of
-     * it. Whatever the tasks still do is of no use to anybody. Of a gang that is done some may not
-     * have ended, and go on counting until they have. */
+     * it. What the tasks do from now on is of no use. In a gang that is done, some tasks may not
+     * have ended; they count as placed until they have. */
     DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
         tw_placement_stop(core, task, 0, false);
     }
@@ -194,9 +195,8 @@
     tw_completed_jobs_add(core->completed_jobs, id, &ending);
 }
 
-/* Keeps only the end of a job that was released and of which no machine has anything left to
- * forget.
- */
+/* Replaces a released job by an entry of the completed jobs, once no machine has to forget a task
+ * of it. */
 static void evict_when_unused(tw_core *core, tw_job *job) {
     if (job->task_states || job->placement_refs || !tw_store_is_idle(job->record)) return;
     tw_job_note_completed(core, job->id, job->durable_state, job->done_count);
@@ -223,7 +223,7 @@
     evict_when_unused(core, job);
 }
 
-/* ---- time ---- */
+/* ---- periodic work ---- */
 
 static void reject_client(tw_core *core, const tw_job *job, const tw_waiting_client *client,
                           double retry_s, const char *why) {
@@ -242,8 +242,8 @@
     }
 }
 
-/* Rejects users who have waited for as long as they do, and all of them once this node may not
- * answer any more. */
+/* Rejects clients whose waiting time has expired, and all clients once this node may not answer any
+ * more. */
 static void waiting_clients_tick(tw_core *core, tw_job *job) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
         tw_waiting_client *client = *at;
@@ -273,7 +273,8 @@
 
 /* ---- jobs that can never run ---- */
 
-/* Whether a machine of the type would hold a task where the job may run. */
+/* Returns whether a machine of the type has enough capacity for a task of the job and can be in the
+ * zone that the job requires. */
 static bool type_suits(const tw_wire_machine_type *type, const tw_wire_job *spec) {
     if (type->cores + TW_CAPACITY_ROUNDING < spec->cores ||
         type->gpus + TW_CAPACITY_ROUNDING < spec->gpus ||
@@ -289,7 +290,7 @@
     const int index = team_index(core, spec->team);
     if (index < 0) return true;
     const tw_config_team *team = &core->context.config->teams[index];
-    /* How many tasks must run at once. */
+    /* Number of tasks that must run at the same time. */
     const double at_once = spec->service || spec->gang ? spec->task_count : 1;
     if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_CAPACITY_ROUNDING)
         return true;
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -1,19 +1,20 @@
-/* Classes of jobs: what was learned of each, for estimates (run_estimate.c) and for the room to
- * keep free (reserve.c). A class lives as long as the core, over all of this node's terms. */
+/* Job classes: statistics of the jobs of each class, used for run time estimates (run_estimate.c)
+ * and for the capacity to keep free (reserve.c). A class lives as long as the core, across all of
+ * this node's terms. */
 #include "core/jobs.h"
 
-/* Deviation of a run time's ratio to its estimate, until something was learned. */
+/* Initial value of the average deviation of the run time ratio. */
 #define PRIOR_DEVIATION 0.3
-/* Time between a class's first job and the one before it, which is not known. */
+/* Assumed time between a class's first job and the one before it, which is not known. */
 #define FIRST_GAP_S 30
-/* Time constant of the average rate of arrivals: the longer ago the job before, the more weight a
- * job has. */
+/* Time constant of the average arrival rate. A job's weight grows with the time since the job
+ * before it. */
 #define RATE_TIME_S 60
-/* Time between two jobs of a class is taken for no less, which bounds the rate. */
+/* Minimum time assumed between two jobs of a class; it bounds the rate. */
 #define SHORTEST_GAP_S 0.05
-/* Weight of a job's number of tasks in the mean. */
+/* Weight of a new job in the average number of tasks per job. */
 #define SIZE_WEIGHT 0.2
-/* Jobs that were waiting for the service to come up arrive within so many leases. */
+/* After the start of the service, jobs that were waiting for it arrive for that many leases. */
 #define OPENING_LEASES 4
 
 tw_job_class *tw_job_class_get(tw_core *core, const char *name) {
@@ -29,7 +30,8 @@
 }
 
 void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job) {
-    /* Jobs that were waiting for the service to come up say nothing about the rate of arrivals. */
+    /* The arrivals of jobs that were waiting for the start of the service don't reflect the arrival
+     * rate. */
     const bool opening =
         core->began_without_jobs && core->context.now - core->first_admission_at <
                                         OPENING_LEASES * core->context.config->lease_s;
--- a/src/core/job_lookup.c
+++ b/src/core/job_lookup.c
@@ -1,12 +1,12 @@
-/* Queries that are answered by a job's record: a node that can't answer from memory reads the
- * record from the state service, after the query came, and answers by what it reads. A leader also
- * takes in what it reads.
+/* Queries that are answered from a job's record: a node that can't answer from memory reads the
+ * record from the state service after the query arrived, and answers from the result. A leader also
+ * updates its memory from the record.
  *
- * Invariant: a record that was read is taken in as a job that wasn't known only if no job can have
- * left the memory since the read began. */
+ * Invariant: a record of an unknown job is only restored as a job if no job can have left the
+ * memory since the read began. */
 #include "core/jobs.h"
 
-/* Less than the 2 s that users wait for the answer to a query. */
+/* Time-out of the read. Users wait 2 s for the answer to a query. */
 #define LOOKUP_TIMEOUT_S 0.9
 
 void tw_job_look_up(tw_core *core, uint64_t connection, const char *id,
@@ -29,21 +29,22 @@
     snprintf(call->name, sizeof call->name, "%s", id);
 }
 
-/* Takes in a job that wasn't known. */
+/* Restores a job that was unknown to this node from its record. */
 static void restore_record(tw_core *core, const char *id, const tw_wire_entry *entry) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, id, entry->value, strlen(entry->value))) {
         tw_log_error("event=record_unreadable id=%.32s", id);
         return;
     }
-    /* The chunks of a chunked record are not at hand. Its job had ended and was evicted. */
+    /* The chunks of a chunked record were not read with it, so the job can't be restored here. Such
+     * a job had ended and was evicted. */
     if (!*record.chunk_set) tw_job_restore(core, id, &record, entry->mod_revision);
     tw_wire_record_free(&record);
 }
 
-/* Takes in a record that was read by the leader. If the job isn't known, the record may be old: it
- * was if it was read before this term began, or before completed jobs were evicted, since the job
- * may have been among them. */
+/* Updates or restores a job from a record that the leader read. The record of an unknown job may be
+ * stale if it was read before this term began, or before completed jobs were evicted, since the job
+ * may have been among them; such a record is ignored. */
 static void note_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
     tw_job *job = tw_job_find(core, call->name);
     if (job)
@@ -53,7 +54,7 @@
         restore_record(core, call->name, entry);
 }
 
-/* Answers by a record that was read after the query came. */
+/* Answers a query or a cancellation from a record that was read after the request arrived. */
 static void answer_by_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, call->name, entry->value, strlen(entry->value))) {
@@ -77,9 +78,9 @@
     tw_wire_record_free(&record);
 }
 
-/* Answers a cancellation of a job that has no record. Only the leader can tell that there is
- * nothing to cancel, since it knows of the submissions that are being written; the user of one of
- * these, and of any other node, is to ask again. */
+/* Answers a cancellation of a job that has no record. Only the leader can state that there is no
+ * such job, since it knows the submissions that are being written. Users who cancel such a
+ * submission, or ask any other node, have to retry. */
 static void answer_nothing_to_cancel(tw_core *core, const tw_call *call) {
     if (!tw_leader_may_answer(core))
         tw_reply_error(&core->context, call->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
@@ -90,7 +91,7 @@
         tw_reply_error(&core->context, call->connection, TW_HTTP_NOT_FOUND, 0, "no such job");
 }
 
-/* Answers if there is no record of the job. */
+/* Answers a request about a job that has no record. */
 static void answer_no_record(tw_core *core, const tw_call *call) {
     if (call->operation == TW_OPERATION_REFUSE)
         tw_reply_error(&core->context, call->connection, TW_HTTP_IMPOSSIBLE, 0, "can never run");
--- a/src/core/job_persistence.c
+++ b/src/core/job_persistence.c
@@ -1,10 +1,11 @@
-/* Jobs as the store sees them: the text of a job's record, and what follows for the job once its
- * record is written, read or refused. The functions below are called by the store only
+/* Callbacks of the store for jobs: they generate the text of a job's record, and update the job
+ * after its record was written, read or refused. Only the store calls the functions below
  * (tw_store_owner in store/store.h). */
 #include "core/jobs.h"
 #include "core/workers.h"
 
-/* The tasks that may run, *count of them; the caller frees the array. */
+/* Returns an array of the tasks that may run, which the caller frees, and sets *count to their
+ * number. */
 static tw_wire_assignment *assignments_of(const tw_job *job, int *count) {
     const tw_placement *task;
     *count = 0;
@@ -20,7 +21,7 @@
     return tasks;
 }
 
-/* The text of the job's record; the caller frees it. */
+/* Returns the text of the job's record; the caller frees it. */
 static char *record_text(void *item) {
     tw_job *job = item;
     tw_wire_record record = {.state = job->state,
@@ -29,14 +30,15 @@
                              .submitted_at = job->submitted_wall_s,
                              .next_attempt = job->next_attempt};
     record.assignments = assignments_of(job, &record.assignment_count);
-    /* While something may run, the next leader needs the job's amounts for the team's limits. */
+    /* While a task may run, the next leader needs the job's resource amounts for the
+     * team's limits. */
     if (job->has_spec && (job->state == TW_JOB_PENDING || record.assignment_count)) {
         if (!job->spec_text) job->spec_text = tw_wire_job_text(&job->spec);
         record.has_job = true;
         record.job_text = job->spec_text;
     }
-    /* The version in production takes the number of done tasks from their list, also where the job
-     * is done and tasks of it may still run. */
+    /* The version in production derives the number of done tasks from their list, even if the job
+     * is done and some of its tasks may still run. */
     if (job->state == TW_JOB_PENDING || (job->state == TW_JOB_DONE && record.assignment_count))
         record.done_ranges =
             tw_task_ranges_text(job->task_states, job->task_count, TW_ASSIGNMENT_DONE);
@@ -46,7 +48,7 @@
     return text;
 }
 
-/* ---- what the store asks and tells ---- */
+/* ---- callbacks of the store ---- */
 
 static tw_store_record *find_record(void *owner, const char *id) {
     const tw_job *job = tw_job_find(owner, id);
@@ -66,8 +68,8 @@
     job->state = job->durable_state = state;
 }
 
-/* Users who waited for the record are answered, and tasks whose placement is durable are launched.
- */
+/* Answers the clients that waited for the record, and has the tasks launched whose placement is
+ * durable. */
 static void on_written(void *owner, void *item) {
     tw_core *core = owner;
     tw_job *job = item;
@@ -84,7 +86,7 @@
     tw_job_answer_waiting_clients(owner, job, TW_HTTP_OK);
 }
 
-/* Ends the attempts that were placed under a record that was never written. */
+/* Terminates attempts whose placements were in a record that was never written. */
 static void terminate_unrecorded(tw_core *core, tw_job *job) {
     tw_placement *task, *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
@@ -92,13 +94,13 @@
     }
 }
 
-/* The text of a first record with these contents; the caller frees it. */
+/* Returns the text of a first record with this specification; the caller frees it. */
 static char *spec_text(const tw_wire_job *spec) {
     const tw_wire_record record = {.has_job = true, .job = *spec, .task_count = spec->task_count};
     return tw_wire_record_text(&record);
 }
 
-/* Gives the job the record's contents in place of those that it was submitted with at this node. */
+/* Replaces the specification that was submitted at this node by that of the record. */
 static void take_contents(tw_core *core, tw_job *job, tw_wire_record *record) {
     terminate_unrecorded(core, job);
     tw_wire_job_free(&job->spec);
@@ -114,8 +116,8 @@
 static bool on_first_record(void *owner, void *item, tw_wire_record *record) {
     tw_core *core = owner;
     tw_job *job = item;
-    /* The job had ended, was evicted (completed_jobs.h) and submitted again. Nothing of the new
-     * submission was durable; the end as the record has it holds. */
+    /* The job had ended, was evicted (completed_jobs.h) and was submitted again. Nothing of the new
+     * submission was durable, so the outcome in the record applies. */
     if (record->state != TW_JOB_PENDING && !record->assignment_count) {
         terminate_unrecorded(core, job);
         job->done_count = record->done_count;
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -1,27 +1,28 @@
-/* Jobs that a node admits while it can't ask the leader. With the record it writes a second key, in
- * one transaction. The leader watches these keys and reads the jobs' records; a leader of a later
- * term finds the records themselves when it reads all of them.
+/* Peer admissions: jobs that a node admits while it can't reach the leader. The node writes the
+ * job's record and a second key, the admission key, in one transaction. The leader watches these
+ * keys and reads the records of the jobs; a leader of a later term finds the records when it reads
+ * all records.
  *
  * Invariants:
  *   - a job is admitted only if it has no record;
- *   - the second key is removed only after the leader knows the job. */
+ *   - the admission key is removed only after the leader knows the job. */
 #include "core/jobs.h"
 
-/* Prefix of the second key, and room for such a key. */
+/* Prefix of the admission key, and buffer size for such a key. */
 #define PEER_ADMISSION_KEY "new/"
 #define PEER_ADMISSION_KEY_SIZE (TW_WIRE_ID_SIZE + sizeof PEER_ADMISSION_KEY)
-/* How long the transaction that admits a job may take. */
+/* Time-out of the transaction that admits a job. */
 #define CREATE_TIMEOUT_S 1.5
-/* Time until a read of such a job that told nothing is repeated. */
+/* Time until the read of a peer admission's record is repeated if the job is still unknown. */
 #define LOOKUP_RETRY_S 1.0
-/* A watch is held for this many leases; its response may take this much longer. */
+/* Duration of a watch in leases, and the additional time allowed for its response. */
 #define WATCH_LEASES 2
 #define WATCH_SLACK_S 2
-/* Time until a list or watch that failed is repeated, as a share of the leader's lease. */
+/* Time until a failed list or watch request is repeated, as a share of the leader's lease. */
 #define RETRY_RATIO 0.25
 #define PATH_SIZE 128
 
-/* ---- at a node that can't ask the leader ---- */
+/* ---- at a node that can't reach the leader ---- */
 
 void tw_peer_admission_create(tw_core *core, uint64_t connection, const tw_wire_job *spec) {
     if (tw_cluster_store_silent_s(core->cluster) > 2 * tw_cluster_lease_s(core->cluster) ||
@@ -55,7 +56,8 @@
     free(text);
 }
 
-/* The job was admitted, or its record exists, or the outcome is unknown. */
+/* Handles the response to the transaction that admits a job: the job was admitted, its record
+ * existed before, or the outcome is unknown. */
 static void creation_response(tw_core *core, const tw_call *call, int status) {
     if (status == TW_HTTP_OK) {
         tw_cluster_note_store_answer(core->cluster);
@@ -70,8 +72,9 @@
 
 /* ---- at the leader ---- */
 
-/* Reads a job that another node admitted or, once the job is known, asks for its key to be removed.
- * The response to the read may be lost, so the job stays among the untaken until then. */
+/* Reads the record of a job that another node admitted or, once the job is known, requests the
+ * removal of its admission key. The response to the read may be lost, so the job stays in
+ * untaken_admissions until it is known. */
 static void take_admission(tw_core *core, tw_expiring_name *untaken) {
     char key[TW_NAME_SIZE + sizeof PEER_ADMISSION_KEY];
     if (!tw_job_is_known(core, untaken->name)) {
@@ -90,7 +93,7 @@
     tw_expiring_names_remove(&core->untaken_admissions, untaken);
 }
 
-/* Notes a key that was listed or watched. */
+/* Adds the job of an admission key that was listed or watched to untaken_admissions. */
 static void note_admission(tw_core *core, const char *key) {
     const char *id = key + sizeof PEER_ADMISSION_KEY - 1;
     if (strncmp(key, PEER_ADMISSION_KEY, sizeof PEER_ADMISSION_KEY - 1) != 0 ||
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -1,20 +1,21 @@
-/* How long the text of a job's record can become, so that no more tasks are placed at once than one
- * value of the state service has room for.
+/* Upper bound of the length of a job's record, so that no more tasks are placed at the same time
+ * than fit into one value of the state service.
  *
- * Beside the job as submitted, the text names each task that may run (index, attempt, machine) and
- * the ranges of tasks that are done. Tasks are placed in the order of their indices. Below the
- * highest task that was ever placed, therefore, no more tasks are not done than may run at once:
- * with n running tasks there are at most n + 1 ranges. */
+ * Beside the job as submitted, the text lists each task that may run (index, attempt, machine) and
+ * the ranges of done tasks. Tasks are placed in the order of their indices. Therefore, below the
+ * highest index that was ever placed, the number of tasks that are not done is at most the number
+ * of tasks that may run: with n running tasks there are at most n + 1 ranges. */
 #include "core/core_int.h"
 
-/* Everything but the job, the done ranges and the running tasks, with all numbers at their longest:
+/* Length of the record without the job, the done ranges and the running tasks, with all numbers at
+ * their maximum length:
  * {"s":0,"j":,"c":100000,"t":1764665749.1234567,"n":18446744073709551615,"f":"","l":""} */
 #define FRAME_BYTES 96
-/* Separators in the text of a running task, "index:attempt:machine,", and of a range of done ones,
- * "first-last,". */
+/* Number of separators in the text of a running task, "index:attempt:machine,", and of a range of
+ * done tasks, "first-last,". */
 #define TASK_SEPARATORS 3
 #define RANGE_SEPARATORS 2
-/* A job may always run so many tasks. */
+/* Minimum number of tasks that a job may run at the same time, whatever its record's length. */
 #define MIN_RUNNING 2
 #define DECIMAL 10
 
@@ -27,27 +28,29 @@
     return count;
 }
 
-/* Length of the job's contents as they stand in its record. */
+/* Returns the length of the job's specification as it is in its record. */
 static size_t spec_bytes(tw_job *job) {
     if (job->spec_bytes || !job->has_spec) return job->spec_bytes;
     if (!job->spec_text)
-        job->spec_text = tw_wire_job_text(&job->spec); /* the record's text needs it, too */
+        job->spec_text =
+            tw_wire_job_text(&job->spec); /* kept, because the record's text needs it, too */
     job->spec_bytes = strlen(job->spec_text);
     return job->spec_bytes;
 }
 
 int tw_record_max_running(const tw_core *core, tw_job *job) {
-    /* A gang runs as a whole: its record is chunked where it is too long for one value. */
+    /* All tasks of a gang run at the same time: its record is chunked if it is too long for one
+     * value. */
     if (job->spec.gang && tw_cluster_all_read_chunks(core->cluster)) return job->task_count;
     const int index = count_digits((uint64_t)job->task_count);
     const int attempt = count_digits(job->next_attempt + (uint64_t)job->task_count);
     const double task = index + attempt + (double)core->longest_machine_name + TASK_SEPARATORS;
     const double range = 2 * index + RANGE_SEPARATORS;
-    const double single = index + 1; /* a range of one task */
+    const double single = index + 1; /* length of a done range with one task */
     const double room =
         (double)tw_store_value_size(core->store) - FRAME_BYTES - (double)spec_bytes(job);
-    /* n running tasks take n * task bytes. The others, if all are done, take n + 1 ranges or, where
-     * that is less, a range of one task each. Both sums grow with n. */
+    /* n running tasks need n * task bytes. If all other tasks are done, they need n + 1 ranges or,
+     * if that is shorter, one range for each task. Both sums grow with n. */
     const double by_ranges = (room - range) / (task + range);
     const double by_tasks = (room - job->task_count * single) / (task - single);
     const double most = floor(fmax(by_ranges, by_tasks));
--- a/src/core/rejected_admissions.c
+++ b/src/core/rejected_admissions.c
@@ -1,11 +1,11 @@
-/* Submissions that are rejected since their records could not be written in time. Their users come
- * back with them, so that machines are rented for them meanwhile (autoscaler_plan.c). Their memory
- * is bounded; a submission that finds no room is rejected all the same, and not noted. */
+/* Rejected admissions: submissions whose records could not be written in time. Since their users
+ * retry them, machines are rented for them in the meantime (autoscaler_plan.c). Their memory is
+ * bounded; at the limit, further submissions are rejected without being stored. */
 #include "core/jobs.h"
 
-/* Most memory for rejected submissions, as a share of all that the settings allow. */
+/* Maximum share of the configured memory that rejected admissions may use. */
 #define MEMORY_SHARE 0.05
-/* Memory of each beside its struct: hash entry and allocations. */
+/* Memory of a rejected admission beside its struct: hash entry and allocations. */
 #define OVERHEAD_BYTES 100
 #define BYTES_PER_MIB (1024 * 1024)
 
--- a/src/core/task_ranges.c
+++ b/src/core/task_ranges.c
@@ -1,8 +1,8 @@
-/* Sets of a job's tasks as text, "0-5,7", for the job's record: ranges in ascending order,
+/* Sets of a job's tasks as text for the job's record, such as "0-5,7": ranges in ascending order,
  * separated by commas. */
 #include "core/core_int.h"
 
-/* First capacity for a text, and room for one more range in it. */
+/* Initial capacity of a text, and maximum length of one range in it. */
 #define FIRST_CAPACITY 64
 #define MAX_RANGE_LENGTH 32
 #define DECIMAL 10
@@ -11,7 +11,7 @@
     size_t capacity = FIRST_CAPACITY;
     size_t length = 0;
     char *text = tw_alloc(capacity);
-    /* Of a large job most tasks are in another state: memchr passes over them. */
+    /* Most tasks of a large job have another assignment; memchr skips them quickly. */
     const uint8_t *at = count ? memchr(states, wanted, (size_t)count) : NULL;
     while (at) {
         const int first = (int)(at - states);
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -1,21 +1,22 @@
 /* Requests of users: submissions, queries and cancellations. The leader answers them from memory; a
- * node that does not lead forwards them to the leader (request_forwarding.c). What neither can
- * answer is read from the state service (job_lookup.c), or admitted without the leader
- * (peer_admissions.c). docs/design.md, "What users are told", has the argument.
+ * node that does not lead forwards them to the leader (request_forwarding.c). If neither is
+ * possible, the job's record is read from the state service (job_lookup.c), or the job is admitted
+ * without the leader (peer_admissions.c). docs/design.md, "What users are told", has the argument.
  *
  * Invariants:
- *   - a user is told only what is durable;
- *   - what is told from memory is as new as anything that any node has told of the job;
+ *   - a user is only told durable states;
+ *   - an answer from memory is at least as recent as any answer that a node has given about the
+ * job;
  *   - a request that another node forwarded isn't forwarded again. */
 #include "core/jobs.h"
 
-/* How long the leader has for the answer to a forwarded request. What is left of the time that
- * users wait, 2 s for the answer to a query, is for an answer without the leader. */
+/* Time-outs of requests that are forwarded to the leader. The rest of the time that users wait, 2 s
+ * for the answer to a query, remains for an answer without the leader. */
 #define FORWARD_QUERY_S 0.8
 #define FORWARD_SUBMISSION_S 0.7
 #define FORWARD_CANCELLATION_S 2
-/* A submission that would wait for longer than this share of what users wait is rejected, and its
- * user told to come back within this time. */
+/* A submission is rejected if its record would wait for longer than this share of
+ * TW_ADMISSION_WAIT_S; its user is told to retry after at most MAX_RETRY_S. */
 #define MAX_WAIT_RATIO 0.8
 #define MAX_RETRY_S 30
 #define PATH_SIZE 64
@@ -54,8 +55,8 @@
     return true;
 }
 
-/* Answers from memory if what stands there is as new as anything that any node has told of the job.
- * false: the user was not answered. */
+/* Answers from memory if the state there is at least as recent as any answer that a node has given
+ * about the job. Returns false if it has not answered the user. */
 static bool answer_from_memory(tw_core *core, uint64_t connection, const char *id,
                                tw_user_operation operation) {
     const tw_job *job = tw_job_find(core, id);
@@ -63,7 +64,7 @@
     return tw_job_tell_from_memory(core, connection, id, operation);
 }
 
-/* Admits a new job. Its user is told so once its first record is written. */
+/* Admits a new job. Its user is answered when its first record is written. */
 static void admit_job(tw_core *core, uint64_t connection, tw_wire_job *spec) {
     tw_rejected_admission *rejected;
     HASH_FIND_STR(core->rejected_admissions, spec->id, rejected);
@@ -82,12 +83,13 @@
     tw_log_debug("event=job_submitted id=%s class=%s team=%d tasks=%d cores=%g gpus=%g mem=%g",
                  job->id, job->spec.job_class, job->team, job->task_count, job->spec.cores,
                  job->spec.gpus, job->spec.memory_gb);
-    /* One write can hold the admission and the first placements. */
+    /* The job is placed immediately so that one write can hold the admission and the first
+     * placements. */
     if (!tw_scheduler_place_now(core, job)) core->scheduling_due = true;
 }
 
-/* Answers a submission at the leader. spec: what it owns is moved out if the submission is admitted
- * or noted as a rejected one. */
+/* Answers a submission at the leader. Moves the contents out of spec if the job is admitted or
+ * stored as a rejected admission. */
 static void submit_at_leader(tw_core *core, uint64_t connection, tw_wire_job *spec) {
     if (answer_from_memory(core, connection, spec->id, TW_OPERATION_QUERY)) return;
     tw_job *job = tw_job_find(core, spec->id);
@@ -128,8 +130,8 @@
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1,
                        "machine types not known yet");
     } else if (tw_job_is_impossible(core, &spec)) {
-        /* A job that was admitted once must not be refused later: 422 needs proof that it is new.
-         */
+        /* A job that was admitted must not be refused later: answering 422 requires proof that the
+         * job is new. */
         if (!tw_leader_may_answer(core) ||
             !answer_from_memory(core, connection, spec.id, TW_OPERATION_QUERY))
             tw_job_look_up(core, connection, spec.id, TW_OPERATION_REFUSE);
@@ -147,7 +149,7 @@
 }
 
 void tw_user_query(tw_core *core, uint64_t connection, const char *id, bool from_peer) {
-    if (!tw_wire_id_ok(id, strlen(id))) { /* no job of such an id can have been admitted */
+    if (!tw_wire_id_ok(id, strlen(id))) { /* no job with such an id can have been admitted */
         tw_reply_error(&core->context, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
@@ -178,6 +180,7 @@
     if (!from_peer && tw_request_forward(core, connection, TW_OPERATION_CANCEL, "POST", path, id,
                                          strdup("{}"), FORWARD_CANCELLATION_S))
         return;
-    /* Without the leader nothing can be cancelled, but that a job has ended can be told. */
+    /* Without the leader no job can be cancelled, but a job that has ended can be reported
+     * as such. */
     tw_job_look_up(core, connection, id, TW_OPERATION_CANCEL);
 }
