--- a/src/core/cancellation.c
+++ b/src/core/cancellation.c
@@ -5,7 +5,7 @@
  *
  * Invariants:
  *   - after the first request no task of the job is launched, so that the number of obstacles to
- * the confirmation doesn't grow;
+ *     the confirmation doesn't grow;
  *   - a user only waits while calls in flight may lead to the confirmation. */
 #include "core/jobs.h"
 #include "core/workers.h"
@@ -52,8 +52,8 @@
     return !machine->confirmed && tw_cluster_predecessor_renewals_end(core->cluster) > limit;
 }
 
-/* Merges the result for one more machine of the job into the check; the least safe
- * result counts. */
+/* Merges the result for one more machine of the job into the check. The least safe result counts.
+ */
 static cancellation_check least_safe(cancellation_check check, tw_cancellation_safety safety,
                                      obstacle_kind obstacle, const tw_machine *machine) {
     if (safety >= check.safety) return check;
--- a/src/core/completed_jobs.h
+++ b/src/core/completed_jobs.h
@@ -5,8 +5,8 @@
  * Invariants:
  *   - an entry never changes, since a job that has ended keeps its state;
  *   - memory is bounded: the table consists of generations. When the newest one is full and their
- * maximum number is reached, the oldest one is evicted as a whole. An evicted job is read from the
- * state service when it is queried again. */
+ *     maximum number is reached, the oldest one is evicted as a whole. An evicted job is read from
+ *     the state service when it is queried again. */
 #ifndef TW_CORE_COMPLETED_JOBS_H
 #define TW_CORE_COMPLETED_JOBS_H
 #include "wire/wire.h"
@@ -30,8 +30,8 @@
 /* Adds a job, whose id must have the protocol's format. Doesn't change the entry of a job that is
  * in the table already. The table must not be NULL. */
 void tw_completed_jobs_add(tw_completed_jobs *table, const char *id, const tw_completion *ending);
-/* Returns whether the job is in the table; if so, sets *ending to its outcome. ending may
- * be NULL. */
+/* Returns whether the job is in the table and, if so, sets *completion to its outcome. completion
+ * may be NULL. */
 bool tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending);
 /* Returns the number of jobs in the table. */
 size_t tw_completed_jobs_count(const tw_completed_jobs *table);
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -3,30 +3,34 @@
  *
  * States of an attempt, and the transitions between them:
  *
- *   idle       no task may run. All tasks placed under a new attempt -> gathering.
- *   gathering  tasks are launched, fetch their image, wait for each other. A task reports that it
- *              runs -> running. A task that terminates is replaced on another machine under the
- * same attempt, if capacity is found in time; otherwise -> stopping. A task whose exit shows that
- * the gang had started (an error, or `peers`) -> stopping. running    one task is done -> all are
- * done, and the job has ended. One task terminates without being done -> stopping without a grace
- * period: progress that was not saved is lost, and the other tasks would exit by themselves, but
- * later. stopping   all tasks are sent stop commands, directly and without delay, so that all
- * receive them within the time in which they notice that a task is missing. The last task
- *              terminated -> idle.
+ *   - idle: no task may run. All tasks are placed under a new attempt -> gathering.
+ *   - gathering: tasks are launched, fetch their image, and wait for each other. A task reports
+ *     that it runs -> running. A task that terminates is replaced on another machine under the
+ *     same attempt if capacity is found in time, otherwise -> stopping. A task whose exit shows
+ *     that the gang had started (an error, or `peers`) -> stopping.
+ *   - running: one task is done -> all are done, and the job has ended. One task terminates
+ *     without being done -> stopping without a grace period: progress that was not saved is lost,
+ *     and the other tasks would exit by themselves, but later.
+ *   - stopping: all tasks are sent stop commands, directly and without delay, so that all receive
+ *     them within the time in which they notice that a task is missing. The last task terminates
+ *     -> idle.
  *
- * Invariants: all tasks that may run have the gang's attempt, or the gang is being stopped. A new
- * attempt begins only when no task of the previous one may be on a machine. A task is replaced
- * under the same attempt only when it is certain that it has terminated, and not on a machine where
- * it was: a late command for the first launch would be indistinguishable from one for the second.
- * (A new leader doesn't know these machines; they refuse late commands by its fencing token.) A
- * stop with a grace period begins only if every machine of the gang has sent a recent heartbeat;
- * otherwise tasks are stopped without one. A task that reports that it runs proves only that the
- * gang had started: it reports so until it notices that another task is gone. */
+ * Invariants:
+ *   - all tasks that may run have the gang's attempt, or the gang is being stopped;
+ *   - a new attempt begins only when no task of the previous one may be on a machine;
+ *   - a task is replaced under the same attempt only when it has certainly terminated, and not on
+ *     a machine where it was: a late command for the first launch would be indistinguishable from
+ *     one for the second. (A new leader doesn't know these machines; they refuse late commands by
+ *     its fencing token.)
+ *   - a stop with a grace period begins only if every machine of the gang has sent a recent
+ *     heartbeat; otherwise tasks are stopped without one;
+ *   - a task that reports that it runs proves only that the gang had started: it reports so until
+ *     it notices that another task is gone. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* The other tasks are launched so that they are ready at most this share of gang_wait_s, the time
- * that a task waits for the others, before the last one. */
+/* Share of gang_wait_s, the time that a task waits for the others, by which a task may be ready
+ * before the last one. Launches are delayed accordingly. */
 #define LAUNCH_LEAD_RATIO 0.5
 
 const char *tw_gang_state_name(const tw_job *job) {
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -5,7 +5,7 @@
  * Invariants:
  *   - all tasks that may run belong to the gang's attempt, or the gang is being stopped;
  *   - a task that terminates before the gang has started is replaced under the same attempt, but
- * never on a machine that had a task of that attempt;
+ *     never on a machine that had a task of that attempt;
  *   - after the start, the loss of a task stops all others. */
 #ifndef TW_CORE_GANG_H
 #define TW_CORE_GANG_H
@@ -30,11 +30,10 @@
 typedef struct tw_gang {
     tw_gang_state state;
     uint64_t attempt;
-    double grace_s; /* grace period of its tasks while the gang is being stopped */
-    bool
-        saved; /* while the gang is being stopped: a task has reported that its progress is saved */
-    double waiting_since; /* time of the first heartbeat in which a task waited for the others; 0:
-                             none did */
+    double grace_s;       /* while stopping: grace period of its tasks */
+    bool saved;           /* while stopping: a task has reported that its progress is saved */
+    double waiting_since; /* time at which a task was first reported to wait for the others; 0: none
+                             was */
     double missing_since; /* time since which a task waits for its replacement; 0: none does */
     /* Machines from which a task of this attempt is gone; not owned. */
     struct tw_machine *vacated[TW_GANG_MAX_REPLACED];
@@ -58,8 +57,8 @@
 /* Stops the whole gang. grace_s: grace period in which its tasks save their progress; 0: they are
  * stopped without one. */
 void tw_gang_stop(tw_core *core, tw_job *job, double grace_s);
-/* Returns whether a stop with a grace period would reach every task in time and save
- * its progress. */
+/* Returns whether a stop with a grace period would reach every task in time and save the gang's
+ * progress. */
 bool tw_gang_can_save(const tw_core *core, const tw_job *job);
 /* Returns whether the gang waits for its placement, or for the replacement of a task. */
 bool tw_gang_is_pending(const tw_job *job);
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -178,8 +178,8 @@
 
 bool tw_gang_reservation_allows_team(const tw_core *core, const tw_job *job) {
     const struct tw_job *gang = core->reserving_gang;
-    /* Only jobs that the reservation holds back, and that share the gang's limit,
-     * are restricted. */
+    /* The limit only applies to jobs that the reservation holds back and that share the gang's
+     * limit. */
     if (!gang || gang == job || job->spec.service || job->team != gang->team ||
         job->spec.priority > gang->spec.priority || job->team < 0)
         return true;
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -1,5 +1,5 @@
-/* Upper bound of the length of a job's record, so that no more tasks are placed at the same time
- * than fit into one value of the state service.
+/* Bounds the length of a job's record: limits the number of tasks that run at the same time so that
+ * the record fits into one value of the state service.
  *
  * Beside the job as submitted, the text lists each task that may run (index, attempt, machine) and
  * the ranges of done tasks. Tasks are placed in the order of their indices. Therefore, below the
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -6,7 +6,7 @@
  * Invariants:
  *   - a user is only told durable states;
  *   - an answer from memory is at least as recent as any answer that a node has given about the
- * job;
+ *     job;
  *   - a request that another node forwarded isn't forwarded again. */
 #include "core/jobs.h"
 
