--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -178,7 +178,7 @@
     job->task_states[placed->index] = TW_ASSIGNMENT_NONE;
     if (placed->index < job->first_unplaced) job->first_unplaced = placed->index;
     job->pending_since = core->context.now;
-    if (job->spec.gang) tw_gang_task_gone(core, placed);
+    if (job->spec.gang) tw_gang_note_task_terminated(core, placed);
 }
 
 void tw_attempt_forget(tw_core *core, tw_placement *placed) {
@@ -190,7 +190,7 @@
     }
     DL_DELETE(placed->machine->placements, placed);
     free(placed);
-    tw_job_placement_gone(core, job);
+    tw_job_remove_placement_ref(core, job);
 }
 
 bool tw_attempt_terminate(tw_core *core, tw_placement *placed,
--- a/src/core/autoscaler_gang.c
+++ b/src/core/autoscaler_gang.c
@@ -35,7 +35,7 @@
         if (strcmp(bin.zone, zone) != 0 || !tw_bin_is_allowed(&bin, &job->spec, job->type_mask))
             continue;
         while (count < max_count && tw_bin_fits(&bin, &job->spec) &&
-               tw_bin_leaves_gpus(core, &bin, &job->spec, job->any_machine)) {
+               tw_bin_leaves_gpus(core, &bin, &job->spec, job->may_use_gpu_machines)) {
             tw_bin_take(&bin, &job->spec);
             count++;
         }
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -4,8 +4,8 @@
  * (capacity_offers.c). What differs for gangs stands in autoscaler_gang.c.
  *
  * A plan decides nothing about single tasks: its bins are scratch, and only offers' wanted counts,
- * a job's any_machine and capacity_bound, and machines' needed_by_plan outlive it. Room is taken
- * bin by bin, so that a round costs jobs times bins, not tasks times bins. */
+ * a job's may_use_gpu_machines and no_capacity_offered, and machines' needed_by_plan outlive it.
+ * Room is taken bin by bin, so that a round costs jobs times bins, not tasks times bins. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
@@ -77,7 +77,7 @@
         strcmp(spread->zone_names[0], bin->zone) != 0)
         return 0;
     while (taken < wanted && tw_bin_fits(bin, &job->spec) &&
-           tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine)) {
+           tw_bin_leaves_gpus(core, bin, &job->spec, job->may_use_gpu_machines)) {
         const int slot = find_or_add_zone(spread, bin->zone);
         if (slot < 0 || spread->task_counts[slot] >= spread->max_per_zone) break;
         tw_bin_take(bin, &job->spec);
@@ -122,11 +122,11 @@
 }
 
 bool tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
-    if (job->spec.gpus > 0 || job->any_machine) return false;
+    if (job->spec.gpus > 0 || job->may_use_gpu_machines) return false;
     if (best && core->machine_types[best->type_index].listed.gpus <= 0 &&
         !has_waited_in_vain(core, job, best))
         return false;
-    job->any_machine = 1;
+    job->may_use_gpu_machines = 1;
     core->scheduling_due = true;
     return true;
 }
@@ -168,7 +168,7 @@
                 filter.excluded_zone = spread->zone_names[i];
         tw_capacity_offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
         /* An offer that was refused lately may be granted again: until then the job is bound. */
-        job->capacity_bound = !offer || offer->refusal_count > 0;
+        job->no_capacity_offered = !offer || offer->refusal_count > 0;
         /* GPU machines that are there come before renting one for a job without GPUs. */
         if (tw_autoscaler_open_gpu_machines(core, job, offer)) return needed;
         if (!offer) return needed;
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -17,13 +17,13 @@
 }
 
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
-                        bool any_machine) {
+                        bool may_use_gpu_machines) {
     const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
     /* While a gang waits for the rest of its room, its tasks use no GPUs, so the cores are kept. */
     const tw_capacity room = {bin->room.cores + bin->unplaced.cores,
                               bin->room.gpus + bin->unplaced.gpus,
                               bin->room.memory_gb + bin->unplaced.memory_gb};
-    return any_machine || tw_constraints_room_leaves_gpus(core, type, &room, spec, 1);
+    return may_use_gpu_machines || tw_constraints_room_leaves_gpus(core, type, &room, spec, 1);
 }
 
 void tw_bins_note_incomplete_gang(tw_bins *bins, const tw_wire_job *spec) {
--- a/src/core/cancellation.c
+++ b/src/core/cancellation.c
@@ -54,8 +54,8 @@
 
 /* Merges the result for one more machine of the job into the check. The least safe result counts.
  */
-static cancellation_check least_safe(cancellation_check check, tw_cancellation_safety safety,
-                                     obstacle_kind obstacle, const tw_machine *machine) {
+static cancellation_check keep_least_safe(cancellation_check check, tw_cancellation_safety safety,
+                                          obstacle_kind obstacle, const tw_machine *machine) {
     if (safety >= check.safety) return check;
     return (cancellation_check){safety, obstacle, machine};
 }
@@ -71,11 +71,11 @@
         if (!tw_attempt_was_launched(task)) continue;
         if (predecessor_may_renew(core, machine))
             return (cancellation_check){TW_CANCELLATION_UNREACHABLE, OBSTACLE_PREDECESSOR, machine};
-        check = least_safe(check, launch_safety(core, task), OBSTACLE_LAUNCH, machine);
-        check = least_safe(check,
-                           tw_cluster_cancellation_safety(core->cluster, machine->zone,
-                                                          job->cancellation_sequence, true),
-                           OBSTACLE_PEER, machine);
+        check = keep_least_safe(check, launch_safety(core, task), OBSTACLE_LAUNCH, machine);
+        check = keep_least_safe(check,
+                                tw_cluster_cancellation_safety(core->cluster, machine->zone,
+                                                               job->cancellation_sequence, true),
+                                OBSTACLE_PEER, machine);
     }
     return check;
 }
@@ -143,13 +143,13 @@
     }
 }
 
-int tw_jobs_list_cancelled(const tw_core *core, const char **ids, int most) {
+int tw_jobs_list_cancelled(const tw_core *core, const char **ids, int max_ids) {
     const tw_job *job;
     int count = 0;
     DL_FOREACH2(core->cancelled_jobs, job, cancelled_next) {
         const bool is_cancelled = job->state == TW_JOB_CANCELLED || job->cancelling;
         if (!is_cancelled || !job->placements) continue;
-        if (count < most) ids[count] = job->id;
+        if (count < max_ids) ids[count] = job->id;
         count++;
     }
     return count;
--- a/src/core/completed_jobs.c
+++ b/src/core/completed_jobs.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define GENERATIONS 8
-#define FIRST_SLOTS 16
+#define INITIAL_SLOTS 16
 /* Load at which a generation grows or, at its maximum size, is full. */
 #define LOAD_NUMERATOR 3
 #define LOAD_DENOMINATOR 4
@@ -26,13 +26,13 @@
 
 typedef struct {
     uint64_t *keys;
-    uint32_t *endings;
+    uint32_t *completions;
     uint32_t slots;
     uint32_t count;
 } generation;
 
 struct tw_completed_jobs {
-    uint32_t most_slots; /* maximum size of a generation */
+    uint32_t max_slots; /* maximum size of a generation */
     int newest;
     size_t count;
     uint64_t evictions;
@@ -40,7 +40,7 @@
 };
 
 /* Returns the key of a job's id, or 0 if the id is malformed, so that no job can have it. */
-static uint64_t key_of(const char *id) {
+static uint64_t key_from_id(const char *id) {
     if (!tw_wire_id_ok(id, strlen(id))) return 0;
     const char *digits = id + PREFIX_LENGTH;
     uint64_t number = 0;
@@ -50,8 +50,8 @@
 }
 
 /* Returns the slot that holds the key, or the empty slot to insert it into. The search ends because
- * some slot is always empty, see generation_has_room. */
-static uint32_t slot_of(const generation *generation, uint64_t key) {
+ * some slot is always empty, see generation_can_insert. */
+static uint32_t find_slot(const generation *generation, uint64_t key) {
     const uint64_t hash = (key * HASH_MULTIPLIER) >> HASH_SHIFT;
     uint32_t slot = (uint32_t)((hash * generation->slots) >> HASH_SHIFT);
     while (generation->keys[slot] && generation->keys[slot] != key)
@@ -60,26 +60,26 @@
 }
 
 static void *alloc_array(size_t count, size_t size) {
-    void *room = calloc(count, size);
-    if (!room) abort();
-    return room;
+    void *array = calloc(count, size);
+    if (!array) abort();
+    return array;
 }
 
 static void generation_free(generation *generation) {
     free(generation->keys);
-    free(generation->endings);
+    free(generation->completions);
     memset(generation, 0, sizeof *generation);
 }
 
-static void generation_put(generation *generation, uint64_t key, uint32_t ending) {
-    uint32_t slot = slot_of(generation, key);
+static void generation_insert(generation *generation, uint64_t key, uint32_t completion) {
+    uint32_t slot = find_slot(generation, key);
     generation->keys[slot] = key;
-    generation->endings[slot] = ending;
+    generation->completions[slot] = completion;
     generation->count++;
 }
 
 /* Returns whether the generation can take one more entry at its present size. */
-static bool generation_has_room(const generation *generation) {
+static bool generation_can_insert(const generation *generation) {
     return (uint64_t)(generation->count + 1) * LOAD_DENOMINATOR <=
            (uint64_t)generation->slots * LOAD_NUMERATOR;
 }
@@ -87,18 +87,18 @@
 static void generation_grow(generation *old, uint32_t slots) {
     generation grown = {.slots = slots};
     grown.keys = alloc_array(slots, sizeof *grown.keys);
-    grown.endings = alloc_array(slots, sizeof *grown.endings);
+    grown.completions = alloc_array(slots, sizeof *grown.completions);
     for (uint32_t i = 0; i < old->slots; i++)
-        if (old->keys[i]) generation_put(&grown, old->keys[i], old->endings[i]);
+        if (old->keys[i]) generation_insert(&grown, old->keys[i], old->completions[i]);
     generation_free(old);
     *old = grown;
 }
 
-tw_completed_jobs *tw_completed_jobs_new(size_t most_bytes) {
+tw_completed_jobs *tw_completed_jobs_new(size_t max_bytes) {
     tw_completed_jobs *table = alloc_array(1, sizeof *table);
-    size_t slots = most_bytes / GENERATIONS / (sizeof(uint64_t) + sizeof(uint32_t));
-    if (slots < FIRST_SLOTS) slots = FIRST_SLOTS;
-    table->most_slots = slots > UINT32_MAX / 2 ? UINT32_MAX / 2 : (uint32_t)slots;
+    size_t slots = max_bytes / GENERATIONS / (sizeof(uint64_t) + sizeof(uint32_t));
+    if (slots < INITIAL_SLOTS) slots = INITIAL_SLOTS;
+    table->max_slots = slots > UINT32_MAX / 2 ? UINT32_MAX / 2 : (uint32_t)slots;
     return table;
 }
 
@@ -109,12 +109,12 @@
 }
 
 /* Returns the generation for the next entry. If all are full, evicts the oldest one for it. */
-static generation *generation_with_room(tw_completed_jobs *table) {
+static generation *generation_for_insert(tw_completed_jobs *table) {
     generation *newest = &table->generations[table->newest];
-    if (generation_has_room(newest)) return newest;
-    if (newest->slots < table->most_slots) {
-        uint32_t slots = newest->slots ? newest->slots * 2 : FIRST_SLOTS;
-        generation_grow(newest, slots < table->most_slots ? slots : table->most_slots);
+    if (generation_can_insert(newest)) return newest;
+    if (newest->slots < table->max_slots) {
+        uint32_t slots = newest->slots ? newest->slots * 2 : INITIAL_SLOTS;
+        generation_grow(newest, slots < table->max_slots ? slots : table->max_slots);
         return newest;
     }
     table->newest = (table->newest + 1) % GENERATIONS;
@@ -122,31 +122,33 @@
     if (oldest->count) table->evictions++;
     table->count -= oldest->count;
     generation_free(oldest);
-    generation_grow(oldest, FIRST_SLOTS);
+    generation_grow(oldest, INITIAL_SLOTS);
     return oldest;
 }
 
-void tw_completed_jobs_add(tw_completed_jobs *table, const char *id, const tw_completion *ending) {
+void tw_completed_jobs_add(tw_completed_jobs *table, const char *id,
+                           const tw_completion *completion) {
     if (tw_completed_jobs_find(table, id, NULL)) return;
-    uint32_t packed = (uint32_t)ending->done_count;
-    if (ending->state == TW_JOB_CANCELLED) packed |= CANCELLED_BIT;
-    generation_put(generation_with_room(table), key_of(id), packed);
+    uint32_t stored = (uint32_t)completion->done_count;
+    if (completion->state == TW_JOB_CANCELLED) stored |= CANCELLED_BIT;
+    generation_insert(generation_for_insert(table), key_from_id(id), stored);
     table->count++;
 }
 
-bool tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending) {
+bool tw_completed_jobs_find(const tw_completed_jobs *table, const char *id,
+                            tw_completion *completion) {
     if (!table || !table->count) return false;
-    const uint64_t key = key_of(id);
+    const uint64_t key = key_from_id(id);
     if (!key) return false;
     for (int i = 0; i < GENERATIONS; i++) {
         const generation *generation = &table->generations[i];
         if (!generation->count) continue;
-        uint32_t slot = slot_of(generation, key);
+        uint32_t slot = find_slot(generation, key);
         if (!generation->keys[slot]) continue;
-        uint32_t packed = generation->endings[slot];
-        if (ending) {
-            ending->state = packed & CANCELLED_BIT ? TW_JOB_CANCELLED : TW_JOB_DONE;
-            ending->done_count = (int)(packed & ~CANCELLED_BIT);
+        uint32_t stored = generation->completions[slot];
+        if (completion) {
+            completion->state = stored & CANCELLED_BIT ? TW_JOB_CANCELLED : TW_JOB_DONE;
+            completion->done_count = (int)(stored & ~CANCELLED_BIT);
         }
         return true;
     }
--- a/src/core/completed_jobs.h
+++ b/src/core/completed_jobs.h
@@ -24,15 +24,17 @@
 
 /* Creates an empty table that uses at most that much memory, but has at least a minimal capacity.
  * The caller frees it with tw_completed_jobs_free. */
-tw_completed_jobs *tw_completed_jobs_new(size_t most_bytes);
+tw_completed_jobs *tw_completed_jobs_new(size_t max_bytes);
 /* Frees the table. Here and in the functions below, NULL stands for an empty table. */
 void tw_completed_jobs_free(tw_completed_jobs *table);
 /* Adds a job, whose id must have the protocol's format. Doesn't change the entry of a job that is
  * in the table already. The table must not be NULL. */
-void tw_completed_jobs_add(tw_completed_jobs *table, const char *id, const tw_completion *ending);
+void tw_completed_jobs_add(tw_completed_jobs *table, const char *id,
+                           const tw_completion *completion);
 /* Returns whether the job is in the table and, if so, sets *completion to its outcome. completion
  * may be NULL. */
-bool tw_completed_jobs_find(const tw_completed_jobs *table, const char *id, tw_completion *ending);
+bool tw_completed_jobs_find(const tw_completed_jobs *table, const char *id,
+                            tw_completion *completion);
 /* Returns the number of jobs in the table. */
 size_t tw_completed_jobs_count(const tw_completed_jobs *table);
 /* Returns how many times a non-empty generation was evicted. */
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -56,7 +56,7 @@
                                int tasks) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const tw_capacity room = tw_machine_free_capacity(machine, type);
-    return job->any_machine ||
+    return job->may_use_gpu_machines ||
            tw_constraints_room_leaves_gpus(core, type, &room, &job->spec, tasks);
 }
 
@@ -89,12 +89,13 @@
                                   const tw_machine *machine) {
     if (!(job->type_mask & (1U << machine->type_index)) || (machine->spot && !job->spec.spot))
         return false;
-    if (!tw_quarantine_allows(machine) || tw_gang_was_on(job, machine)) return false;
+    if (!tw_quarantine_allows(machine) || tw_gang_has_vacated(job, machine)) return false;
     /* A launch must not meet the command to forget the same attempt on its way. */
     if (job->spec.gang && core->context.now < machine->gang_forgets_until) return false;
     if (!tw_gang_reservation_allows(core, job, machine)) return false;
     for (int i = 0; i < job->failed_machine_count; i++)
-        if (job->failed_machines[i] == machine && core->context.now < job->failed_machines_until)
+        if (job->failed_machines[i] == machine &&
+            core->context.now < job->failed_machines_avoided_until)
             return false;
     return true;
 }
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -68,7 +68,8 @@
         if (!tw_bin_is_allowed(&release->bin, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&release->bin, &job->spec)) continue;
         /* Cores that are given back beside free GPUs are kept for those GPUs. */
-        if (!tw_bin_leaves_gpus(core, &release->bin, &job->spec, job->any_machine)) continue;
+        if (!tw_bin_leaves_gpus(core, &release->bin, &job->spec, job->may_use_gpu_machines))
+            continue;
         tw_bin_take(&release->bin, &job->spec);
         return fmax(core->context.now, release->available_at);
     }
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -47,26 +47,26 @@
 }
 
 /* Returns whether the job is a pending gang with tasks that may run. */
-static bool is_under_way(const tw_job *job) {
+static bool is_active_gang(const tw_job *job) {
     return job->has_spec && job->spec.gang && job->state == TW_JOB_PENDING && job->placed_count > 0;
 }
 
 /* Returns the number of tasks that are neither placed nor done. */
-static int missing_tasks(const tw_job *job) {
+static int count_missing_tasks(const tw_job *job) {
     return job->task_count - job->done_count - job->placed_count;
 }
 
 /* ---- start ---- */
 
 /* Returns when a task that was just placed is expected to have its image. */
-static double ready_at(const tw_core *core, const tw_placement *placed) {
+static double expected_ready_at(const tw_core *core, const tw_placement *placed) {
     const tw_machine *machine = placed->machine;
     const tw_image *image = tw_image_find(machine, placed->job);
     if (image) return fmax(core->context.now, image->ready_at);
-    const double s_per_gb = machine->fetch_s_per_gb < 0
-                                ? core->machine_types[machine->type_index].fetch_s_per_gb
-                                : machine->fetch_s_per_gb;
-    return core->context.now + s_per_gb * placed->job->spec.image_gb;
+    const double fetch_s_per_gb = machine->fetch_s_per_gb < 0
+                                      ? core->machine_types[machine->type_index].fetch_s_per_gb
+                                      : machine->fetch_s_per_gb;
+    return core->context.now + fetch_s_per_gb * placed->job->spec.image_gb;
 }
 
 /* Delays the launches of tasks that would otherwise be ready so long before the last task that they
@@ -76,14 +76,15 @@
     double last_ready_at = 0;
     tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) {
-        last_ready_at = fmax(last_ready_at, ready_at(core, task));
+        last_ready_at = fmax(last_ready_at, expected_ready_at(core, task));
     }
     DL_FOREACH2(job->placements, task, job_next) {
-        task->launch_after = last_ready_at - lead_s - (ready_at(core, task) - core->context.now);
+        task->launch_after =
+            last_ready_at - lead_s - (expected_ready_at(core, task) - core->context.now);
     }
 }
 
-void tw_gang_placed(tw_core *core, tw_job *job) {
+void tw_gang_note_placed(tw_core *core, tw_job *job) {
     job->gang.missing_since = 0;
     if (job->gang.state != TW_GANG_IDLE) return; /* a task was replaced */
     job->gang = (tw_gang){.attempt = job->placements->attempt};
@@ -91,7 +92,7 @@
     enter_state(core, job, TW_GANG_GATHERING, "placed");
 }
 
-void tw_gang_restored(tw_job *job) {
+void tw_gang_restore(tw_job *job) {
     job->gang = (tw_gang){.state = TW_GANG_IDLE};
     if (!job->placed_count) return;
     job->gang.attempt = job->placements->attempt;
@@ -101,22 +102,23 @@
 bool tw_gang_is_pending(const tw_job *job) {
     const tw_gang *gang = &job->gang;
     if (gang->state == TW_GANG_IDLE) return job->placed_count == 0;
-    return gang->state == TW_GANG_GATHERING && missing_tasks(job) > 0 &&
-           gang->vacated_count < TW_GANG_MAX_REPLACED;
+    return gang->state == TW_GANG_GATHERING && count_missing_tasks(job) > 0 &&
+           gang->vacated_machine_count < TW_GANG_MAX_REPLACEMENTS;
 }
 
-bool tw_gang_was_on(const tw_job *job, const tw_machine *machine) {
-    for (int i = 0; i < job->gang.vacated_count; i++)
-        if (job->gang.vacated[i] == machine) return true;
+bool tw_gang_has_vacated(const tw_job *job, const tw_machine *machine) {
+    for (int i = 0; i < job->gang.vacated_machine_count; i++)
+        if (job->gang.vacated_machines[i] == machine) return true;
     return false;
 }
 
 /* ---- task reports from heartbeats, and terminated attempts ---- */
 
-void tw_gang_task_reported(tw_core *core, tw_placement *placed) {
+void tw_gang_note_task_report(tw_core *core, tw_placement *placed) {
     tw_job *job = placed->job;
     tw_gang *gang = &job->gang;
-    if (!is_under_way(job) || placed->attempt != gang->attempt || gang->state != TW_GANG_GATHERING)
+    if (!is_active_gang(job) || placed->attempt != gang->attempt ||
+        gang->state != TW_GANG_GATHERING)
         return;
     if (placed->state == TW_TASK_WAITING && gang->waiting_since <= 0)
         gang->waiting_since = core->context.now;
@@ -134,13 +136,14 @@
  * machine. */
 static void note_vacated(tw_core *core, tw_job *job, const tw_placement *placed) {
     tw_gang *gang = &job->gang;
-    const bool was_there = placed->launch_sent || placed->direct_launches || placed->inherited;
+    const bool may_have_been_launched =
+        placed->launch_sent || placed->direct_launches || placed->inherited;
     if (gang->missing_since <= 0) gang->missing_since = core->context.now;
-    if (was_there && gang->vacated_count < TW_GANG_MAX_REPLACED)
-        gang->vacated[gang->vacated_count++] = placed->machine;
+    if (may_have_been_launched && gang->vacated_machine_count < TW_GANG_MAX_REPLACEMENTS)
+        gang->vacated_machines[gang->vacated_machine_count++] = placed->machine;
 }
 
-void tw_gang_task_gone(tw_core *core, tw_placement *placed) {
+void tw_gang_note_task_terminated(tw_core *core, tw_placement *placed) {
     tw_job *job = placed->job;
     tw_gang *gang = &job->gang;
     if (gang->state == TW_GANG_IDLE || job->state != TW_JOB_PENDING) return;
@@ -148,7 +151,7 @@
     if (had_started) job->has_checkpoint |= job->spec.checkpoint_s > 0;
     if (!job->placed_count) {
         enter_state(core, job, TW_GANG_IDLE, "gone");
-        gang->vacated_count = 0;
+        gang->vacated_machine_count = 0;
     } else if (gang->state == TW_GANG_STOPPING) {
         if (!gang->saved)
             gang->grace_s = 0; /* progress that the other tasks would still save is lost */
@@ -160,7 +163,7 @@
     }
 }
 
-void tw_gang_done(tw_core *core, tw_job *job) {
+void tw_gang_complete(tw_core *core, tw_job *job) {
     memset(job->task_states, TW_ASSIGNMENT_DONE, (size_t)job->task_count);
     job->done_count = job->task_count;
     enter_state(core, job, TW_GANG_IDLE, "done");
@@ -170,7 +173,7 @@
 
 bool tw_gang_can_save(const tw_core *core, const tw_job *job) {
     const tw_placement *task;
-    if (job->spec.checkpoint_s <= 0 || missing_tasks(job) > 0) return false;
+    if (job->spec.checkpoint_s <= 0 || count_missing_tasks(job) > 0) return false;
     if (job->gang.state != TW_GANG_RUNNING && job->gang.state != TW_GANG_STOPPING) return false;
     DL_FOREACH2(job->placements, task, job_next) {
         const tw_machine *machine = task->machine;
@@ -185,7 +188,7 @@
 
 void tw_gang_stop(tw_core *core, tw_job *job, double grace_s) {
     tw_gang *gang = &job->gang;
-    if (!is_under_way(job)) return;
+    if (!is_active_gang(job)) return;
     if (gang->state == TW_GANG_STOPPING) {
         gang->grace_s = fmin(gang->grace_s, grace_s);
         return;
@@ -208,7 +211,7 @@
 
 /* Returns whether all tasks that may run belong to the gang's attempt, and none of them is being
  * stopped while the gang is not. */
-static bool is_one_attempt(const tw_job *job) {
+static bool has_single_attempt(const tw_job *job) {
     const bool stops = job->gang.state == TW_GANG_STOPPING;
     const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) {
@@ -218,10 +221,10 @@
 }
 
 /* Returns whether a missing task can't be replaced before the others give up waiting for it. */
-static bool is_hopeless(const tw_core *core, const tw_job *job) {
+static bool cannot_replace_in_time(const tw_core *core, const tw_job *job) {
     const tw_gang *gang = &job->gang;
-    if (gang->missing_since <= 0 || !missing_tasks(job)) return false;
-    if (gang->vacated_count >= TW_GANG_MAX_REPLACED) return true;
+    if (gang->missing_since <= 0 || !count_missing_tasks(job)) return false;
+    if (gang->vacated_machine_count >= TW_GANG_MAX_REPLACEMENTS) return true;
     if (gang->waiting_since <= 0)
         return core->context.now > gang->missing_since + core->context.config->gang_wait_s;
     /* While a task is missing, the waiting tasks occupy their machines without doing work. */
@@ -242,12 +245,12 @@
 
 void tw_gang_tick(tw_core *core, tw_job *job) {
     tw_gang *gang = &job->gang;
-    if (!is_under_way(job) || job->cancelling) return;
+    if (!is_active_gang(job) || job->cancelling) return;
     if (gang->state == TW_GANG_GATHERING) {
         send_due_launches(core, job);
-        if (is_hopeless(core, job)) tw_gang_stop(core, job, 0);
+        if (cannot_replace_in_time(core, job)) tw_gang_stop(core, job, 0);
     }
-    if (!is_one_attempt(job)) tw_gang_stop(core, job, 0);
-    if (gang->state == TW_GANG_RUNNING && missing_tasks(job) > 0) tw_gang_stop(core, job, 0);
+    if (!has_single_attempt(job)) tw_gang_stop(core, job, 0);
+    if (gang->state == TW_GANG_RUNNING && count_missing_tasks(job) > 0) tw_gang_stop(core, job, 0);
     if (gang->state == TW_GANG_STOPPING) stop_tasks(core, job);
 }
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -25,7 +25,7 @@
 } tw_gang_state;
 
 /* Maximum number of tasks that are replaced on other machines in one attempt. */
-#define TW_GANG_MAX_REPLACED 4
+#define TW_GANG_MAX_REPLACEMENTS 4
 
 typedef struct tw_gang {
     tw_gang_state state;
@@ -36,24 +36,24 @@
                              was */
     double missing_since; /* time since which a task waits for its replacement; 0: none does */
     /* Machines from which a task of this attempt is gone; not owned. */
-    struct tw_machine *vacated[TW_GANG_MAX_REPLACED];
-    int vacated_count;
+    struct tw_machine *vacated_machines[TW_GANG_MAX_REPLACEMENTS];
+    int vacated_machine_count;
 } tw_gang;
 
 /* Updates the gang after all its tasks were placed under one attempt, or all missing tasks were
  * replaced. */
-void tw_gang_placed(tw_core *core, tw_job *job);
+void tw_gang_note_placed(tw_core *core, tw_job *job);
 /* Initializes the gang's state from placements that were read from the job's record. */
-void tw_gang_restored(tw_job *job);
+void tw_gang_restore(tw_job *job);
 /* Updates the gang with a new task state from a worker heartbeat. */
-void tw_gang_task_reported(tw_core *core, tw_placement *placed);
+void tw_gang_note_task_report(tw_core *core, tw_placement *placed);
 /* Updates the gang after an attempt of one of its tasks terminated on its machine without the task
  * being done. */
-void tw_gang_task_gone(tw_core *core, tw_placement *placed);
+void tw_gang_note_task_terminated(tw_core *core, tw_placement *placed);
 /* Marks all tasks of the gang as done when one of them is done, since the tasks of a gang complete
  * together: none needs a further attempt. Attempts that may still run count as placed until they
  * terminate. */
-void tw_gang_done(tw_core *core, tw_job *job);
+void tw_gang_complete(tw_core *core, tw_job *job);
 /* Stops the whole gang. grace_s: grace period in which its tasks save their progress; 0: they are
  * stopped without one. */
 void tw_gang_stop(tw_core *core, tw_job *job, double grace_s);
@@ -64,7 +64,7 @@
 bool tw_gang_is_pending(const tw_job *job);
 /* Returns whether a task of the current attempt is gone from that machine. No task of the attempt
  * is placed there again. */
-bool tw_gang_was_on(const tw_job *job, const tw_machine *machine);
+bool tw_gang_has_vacated(const tw_job *job, const tw_machine *machine);
 /* Does the periodic work on the job's attempt: sends launches that are due, and stops an attempt
  * that can't start. */
 void tw_gang_tick(tw_core *core, tw_job *job);
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -20,7 +20,7 @@
     tw_machine *machine;
     int task_count;      /* number of tasks that the capacity suffices for */
     double available_at; /* time at which the last running task that occupies the capacity ends */
-} expected_room;
+} expected_capacity;
 
 /* Returns whether the job is a gang that has waited for long enough, and is not in the pause after
  * an unsuccessful reservation. */
@@ -35,12 +35,13 @@
 /* Returns the gang that was submitted first of those that may reserve machines, or NULL if there is
  * none. */
 static tw_job *find_longest_waiting_gang(tw_core *core) {
-    tw_job *best = NULL;
+    tw_job *first = NULL;
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
-        if (may_reserve(core, job) && (!best || job->submitted_at < best->submitted_at)) best = job;
+        if (may_reserve(core, job) && (!first || job->submitted_at < first->submitted_at))
+            first = job;
     }
-    return best;
+    return first;
 }
 
 /* Returns when a task is expected to end. INFINITY: the task is a replica, which doesn't end by
@@ -56,12 +57,13 @@
 
 /* Returns the capacity for tasks of the gang that the machine is expected to have within
  * MAX_RESERVATION_S. */
-static expected_room expected_room_on(const tw_core *core, const tw_job *job, tw_machine *machine) {
+static expected_capacity expected_capacity_on(const tw_core *core, const tw_job *job,
+                                              tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const double horizon = core->context.now + MAX_RESERVATION_S;
     tw_bin bin = {.type_index = machine->type_index,
                   .room = tw_machine_free_capacity(machine, type)};
-    expected_room result = {.machine = machine, .available_at = core->context.now};
+    expected_capacity result = {.machine = machine, .available_at = core->context.now};
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const double end = placed->counted ? expected_task_end(core, placed) : INFINITY;
@@ -70,7 +72,7 @@
         result.available_at = fmax(result.available_at, end);
     }
     while (result.task_count < job->task_count && tw_bin_fits(&bin, &job->spec) &&
-           tw_bin_leaves_gpus(core, &bin, &job->spec, job->any_machine)) {
+           tw_bin_leaves_gpus(core, &bin, &job->spec, job->may_use_gpu_machines)) {
         tw_bin_take(&bin, &job->spec);
         result.task_count++;
     }
@@ -80,16 +82,17 @@
 /* Comparison function for qsort: orders by the time at which the capacity is available, then by the
  * machine's name. */
 static int compare_by_time(const void *left, const void *right) {
-    const expected_room *a = left;
-    const expected_room *b = right;
+    const expected_capacity *a = left;
+    const expected_capacity *b = right;
     if (a->available_at != b->available_at) return a->available_at < b->available_at ? -1 : 1;
     return strcmp(a->machine->name, b->machine->name);
 }
 
 /* Stores the capacity for tasks of the gang that machines in the zone (-1: in all zones) are
- * expected to have in rooms, the earliest first. rooms has one element for each candidate. Returns
- * the number of entries. */
-static int list_expected_rooms(tw_core *core, tw_job *job, int zone, expected_room *rooms) {
+ * expected to have in capacities, the earliest first. capacities has one element for each
+ * candidate. Returns the number of entries. */
+static int list_expected_capacities(tw_core *core, tw_job *job, int zone,
+                                    expected_capacity *capacities) {
     const tw_demand demand = tw_demand_of(core, job);
     int count = 0;
     for (int i = 0; i < core->candidate_count; i++) {
@@ -99,39 +102,39 @@
             !tw_constraints_allow_machine(core, job, machine) ||
             !tw_demand_allows_machine(&demand, machine))
             continue;
-        rooms[count] = expected_room_on(core, job, machine);
-        if (rooms[count].task_count) count++;
+        capacities[count] = expected_capacity_on(core, job, machine);
+        if (capacities[count].task_count) count++;
     }
-    qsort(rooms, (size_t)count, sizeof *rooms, compare_by_time);
+    qsort(capacities, (size_t)count, sizeof *capacities, compare_by_time);
     return count;
 }
 
 /* Returns when capacity for all tasks of the gang is expected in the zone (-1: in all zones
  * together). INFINITY: not within MAX_RESERVATION_S. */
 static double expected_gang_start(tw_core *core, tw_job *job, int zone) {
-    expected_room *rooms = tw_alloc((size_t)core->candidate_count * sizeof *rooms);
-    const int count = list_expected_rooms(core, job, zone, rooms);
+    expected_capacity *capacities = tw_alloc((size_t)core->candidate_count * sizeof *capacities);
+    const int count = list_expected_capacities(core, job, zone, capacities);
     int task_count = 0;
     double start_at = INFINITY;
     for (int i = 0; i < count && task_count < job->task_count; i++) {
-        task_count += rooms[i].task_count;
-        if (task_count >= job->task_count) start_at = rooms[i].available_at;
+        task_count += capacities[i].task_count;
+        if (task_count >= job->task_count) start_at = capacities[i].available_at;
     }
-    free(rooms);
+    free(capacities);
     return start_at;
 }
 
 /* Reserves the machines in the zone (-1: in all zones) that are expected to have capacity for all
  * tasks of the gang first. */
 static void reserve_machines(tw_core *core, tw_job *job, int zone) {
-    expected_room *rooms = tw_alloc((size_t)core->candidate_count * sizeof *rooms);
-    const int count = list_expected_rooms(core, job, zone, rooms);
+    expected_capacity *capacities = tw_alloc((size_t)core->candidate_count * sizeof *capacities);
+    const int count = list_expected_capacities(core, job, zone, capacities);
     int task_count = 0;
     for (int i = 0; i < count && task_count < job->task_count; i++) {
-        task_count += rooms[i].task_count;
-        rooms[i].machine->reserved_for_gang = true;
+        task_count += capacities[i].task_count;
+        capacities[i].machine->reserved_for_gang = true;
     }
-    free(rooms);
+    free(capacities);
 }
 
 /* Returns when the gang is expected to start if machines are reserved for it, and sets *zone to the
@@ -141,9 +144,9 @@
     if (!job->spec.single_zone) return expected_gang_start(core, job, -1);
     double soonest = INFINITY;
     for (int i = 0; i < core->zone_count; i++) {
-        const double at = expected_gang_start(core, job, i);
-        if (at >= soonest) continue;
-        soonest = at;
+        const double start_at = expected_gang_start(core, job, i);
+        if (start_at >= soonest) continue;
+        soonest = start_at;
         *zone = i;
     }
     return soonest;
@@ -172,7 +175,7 @@
 
 /* Returns whether a team's limit leaves the reserved amount beside the used and the wanted one. A
  * limit of 0 or less means no limit. */
-static bool limit_leaves_room(double limit, double used, double wanted, double reserved) {
+static bool limit_leaves_amount(double limit, double used, double wanted, double reserved) {
     return limit <= 0 || used + wanted + reserved <= limit + TW_CAPACITY_ROUNDING;
 }
 
@@ -184,8 +187,8 @@
         job->spec.priority > gang->spec.priority || job->team < 0)
         return true;
     const tw_config_team *team = &core->context.config->teams[job->team];
-    return limit_leaves_room(team->cpus_max, core->team_cores_used[job->team], job->spec.cores,
-                             gang->spec.cores * gang->task_count) &&
-           limit_leaves_room(team->gpus_max, core->team_gpus_used[job->team], job->spec.gpus,
-                             gang->spec.gpus * gang->task_count);
+    return limit_leaves_amount(team->cpus_max, core->team_cores_used[job->team], job->spec.cores,
+                               gang->spec.cores * gang->task_count) &&
+           limit_leaves_amount(team->gpus_max, core->team_gpus_used[job->team], job->spec.gpus,
+                               gang->spec.gpus * gang->task_count);
 }
--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -15,8 +15,9 @@
 typedef zone_task_counts zone_table[TW_MAX_ZONES + 1];
 
 /* Returns how many of the job's tasks fit into the capacity, from 0 to limit. */
-static int count_tasks_in_room(const tw_capacity *room, const tw_wire_job *spec, int limit) {
-    const double count = fmin(limit, tw_capacity_task_count(room, spec));
+static int count_tasks_in_capacity(const tw_capacity *capacity, const tw_wire_job *spec,
+                                   int limit) {
+    const double count = fmin(limit, tw_capacity_task_count(capacity, spec));
     return count > 0 ? (int)count : 0;
 }
 
@@ -24,8 +25,8 @@
 static int count_free_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                             int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    const tw_capacity room = tw_machine_free_capacity(machine, type);
-    int count = count_tasks_in_room(&room, &job->spec, limit);
+    const tw_capacity capacity = tw_machine_free_capacity(machine, type);
+    int count = count_tasks_in_capacity(&capacity, &job->spec, limit);
     while (count > 0 && !tw_constraints_leave_gpus(core, machine, job, count)) count--;
     return count;
 }
@@ -33,9 +34,9 @@
 /* Returns whether stopping other tasks may free capacity for the job on the machine. On a machine
  * with GPUs it frees none for tasks without GPUs, because the cores that it frees are kept for the
  * freed GPUs. */
-static bool preemption_makes_room(const tw_core *core, const tw_machine *machine,
-                                  const tw_job *job) {
-    return job->spec.gpus > 0 || job->any_machine ||
+static bool preemption_frees_capacity(const tw_core *core, const tw_machine *machine,
+                                      const tw_job *job) {
+    return job->spec.gpus > 0 || job->may_use_gpu_machines ||
            core->machine_types[machine->type_index].listed.gpus <= 0;
 }
 
@@ -45,13 +46,13 @@
 static int count_preempting_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                                   int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_capacity room = tw_machine_vacating_capacity(machine, type);
+    tw_capacity capacity = tw_machine_vacating_capacity(machine, type);
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (!tw_preemption_allowed(core, job, placed)) continue;
-        tw_capacity_give_task(&room, &placed->job->spec);
+        tw_capacity_give_task(&capacity, &placed->job->spec);
     }
-    return count_tasks_in_room(&room, &job->spec, limit);
+    return count_tasks_in_capacity(&capacity, &job->spec, limit);
 }
 
 /* Adds the number of tasks that fit onto the machine to its zone's counts. */
@@ -64,7 +65,7 @@
         return;
     const int free_count = count_free_tasks(core, machine, job, tasks);
     zone->free_count += free_count;
-    zone->preempting_count += preemption_makes_room(core, machine, job)
+    zone->preempting_count += preemption_frees_capacity(core, machine, job)
                                   ? count_preempting_tasks(core, machine, job, tasks)
                                   : free_count;
 }
@@ -76,8 +77,8 @@
 }
 
 /* Returns the zones with capacity for that many tasks as a mask. */
-static uint32_t zones_with_room(const tw_core *core, const zone_table counts, int tasks,
-                                bool with_preemption) {
+static uint32_t zones_with_capacity(const tw_core *core, const zone_table counts, int tasks,
+                                    bool with_preemption) {
     uint32_t zones = 0;
     for (int zone = 0; zone < core->zone_count; zone++)
         if ((with_preemption ? counts[zone].preempting_count : counts[zone].free_count) >= tasks)
@@ -110,7 +111,7 @@
     const bool may_preempt = job->spec.priority > TW_PRIORITY_IDLE;
     for (int step = 0; step <= may_preempt; step++) {
         const bool with_preemption = step > 0;
-        const uint32_t zones = zones_with_room(core, counts, tasks, with_preemption);
+        const uint32_t zones = zones_with_capacity(core, counts, tasks, with_preemption);
         if (job->spec.single_zone && zones) return zones;
         if (!job->spec.single_zone &&
             count_tasks_in_all_zones(core, job, counts, with_preemption) >= tasks)
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -10,7 +10,7 @@
 /* Interval between two passes over the active jobs. */
 #define SWEEP_INTERVAL_S 0.25
 /* Maximum share of the configured memory that completed jobs may use. */
-#define COMPLETED_JOBS_SHARE 0.25
+#define COMPLETED_JOBS_MEMORY_SHARE 0.25
 #define BYTES_PER_MIB (1024 * 1024)
 
 tw_job *tw_job_find(tw_core *core, const char *id) {
@@ -103,7 +103,7 @@
     tw_waiting_client *client = tw_alloc(sizeof *client);
     client->connection = connection;
     client->cancels = cancels;
-    client->until = core->context.now + TW_ADMISSION_WAIT_S;
+    client->reject_at = core->context.now + TW_ADMISSION_WAIT_S;
     client->next = job->waiting_clients;
     job->waiting_clients = client;
 }
@@ -190,9 +190,9 @@
 void tw_job_note_completed(tw_core *core, const char *id, tw_wire_job_state state, int done) {
     if (!core->completed_jobs)
         core->completed_jobs = tw_completed_jobs_new(
-            (size_t)(COMPLETED_JOBS_SHARE * core->context.config->mem_mb * BYTES_PER_MIB));
-    const tw_completion ending = {state, done};
-    tw_completed_jobs_add(core->completed_jobs, id, &ending);
+            (size_t)(COMPLETED_JOBS_MEMORY_SHARE * core->context.config->mem_mb * BYTES_PER_MIB));
+    const tw_completion completion = {state, done};
+    tw_completed_jobs_add(core->completed_jobs, id, &completion);
 }
 
 /* Replaces a released job by an entry of the completed jobs, once no machine has to forget a task
@@ -203,7 +203,7 @@
     tw_job_free(core, job);
 }
 
-void tw_job_placement_gone(tw_core *core, tw_job *job) {
+void tw_job_remove_placement_ref(tw_core *core, tw_job *job) {
     job->placement_refs--;
     if (job->durable_state != TW_JOB_PENDING) evict_when_unused(core, job);
 }
@@ -247,7 +247,7 @@
 static void waiting_clients_tick(tw_core *core, tw_job *job) {
     for (tw_waiting_client **at = &job->waiting_clients; *at;) {
         tw_waiting_client *client = *at;
-        if (core->context.now < client->until &&
+        if (core->context.now < client->reject_at &&
             tw_cluster_may(core->cluster, TW_PERMISSION_ANSWER)) {
             at = &client->next;
             continue;
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -29,8 +29,8 @@
 /* A user's request that is answered when the job is durable or, for a cancellation, has ended. */
 typedef struct tw_waiting_client {
     uint64_t connection;
-    bool cancels; /* true for a cancellation, false for a submission */
-    double until; /* time at which an unanswered request is rejected */
+    bool cancels;     /* true for a cancellation, false for a submission */
+    double reject_at; /* time at which an unanswered request is rejected */
     struct tw_waiting_client *next;
 } tw_waiting_client;
 
@@ -100,15 +100,16 @@
     struct tw_machine *failed_machines[TW_JOB_MAX_FAILED_MACHINES]; /* machines on which tasks of
                                                                        the job failed; not owned */
     int failed_machine_count;
-    double failed_machines_until; /* no task of the job is placed on them before that time */
+    double
+        failed_machines_avoided_until; /* no task of the job is placed on them before that time */
 
     double pending_since; /* time since which a task of it waits for placement */
     bool has_run;         /* a task of it has run for longer than a lease */
     bool guaranteed;      /* scratch field of job_queue.c: the job is within its team's guarantee */
-    bool capacity_bound;  /* no machine that suits it can be rented */
-    bool any_machine;     /* it requests no GPU, but may also run on machines with GPUs */
-    bool has_checkpoint;  /* a task of it has saved progress, so that the run time of its attempt is
-                             not that of a whole run */
+    bool no_capacity_offered;  /* no machine that suits it can be rented */
+    bool may_use_gpu_machines; /* it requests no GPU, but may also run on machines with GPUs */
+    bool has_checkpoint; /* a task of it has saved progress, so that the run time of its attempt is
+                            not that of a whole run */
 
     struct tw_job *prev, *next; /* neighbors in the core's active_jobs */
     bool in_cancelled_list;
@@ -133,7 +134,7 @@
 /* Frees the job, which must have no placements. Waiting users get no answer. */
 void tw_job_free(tw_core *core, tw_job *job);
 /* Removes the reference of a placement that was freed. May free the job, too. */
-void tw_job_placement_gone(tw_core *core, tw_job *job);
+void tw_job_remove_placement_ref(tw_core *core, tw_job *job);
 /* Ends the job in that state, marks its record as changed, and stops those of its tasks that may
  * still run. */
 void tw_job_finish(tw_core *core, tw_job *job, tw_wire_job_state state);
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -4,18 +4,18 @@
 #include "core/jobs.h"
 
 /* Initial value of the average deviation of the run time ratio. */
-#define PRIOR_DEVIATION 0.3
+#define INITIAL_DEVIATION 0.3
 /* Assumed time between a class's first job and the one before it, which is not known. */
-#define FIRST_GAP_S 30
+#define INITIAL_INTERARRIVAL_S 30
 /* Time constant of the average arrival rate. A job's weight grows with the time since the job
  * before it. */
-#define RATE_TIME_S 60
+#define RATE_TIME_CONSTANT_S 60
 /* Minimum time assumed between two jobs of a class; it bounds the rate. */
-#define SHORTEST_GAP_S 0.05
+#define MIN_INTERARRIVAL_S 0.05
 /* Weight of a new job in the average number of tasks per job. */
 #define SIZE_WEIGHT 0.2
 /* After the start of the service, jobs that were waiting for it arrive for that many leases. */
-#define OPENING_LEASES 4
+#define STARTUP_BURST_LEASES 4
 
 tw_job_class *tw_job_class_get(tw_core *core, const char *name) {
     tw_job_class *class;
@@ -24,7 +24,7 @@
     class = tw_alloc(sizeof *class);
     snprintf(class->name, sizeof class->name, "%s", name);
     class->run_time_ratio = 1;
-    class->run_time_deviation = PRIOR_DEVIATION;
+    class->run_time_deviation = INITIAL_DEVIATION;
     HASH_ADD_STR(core->job_classes, name, class);
     return class;
 }
@@ -32,15 +32,15 @@
 void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job) {
     /* The arrivals of jobs that were waiting for the start of the service don't reflect the arrival
      * rate. */
-    const bool opening =
+    const bool in_startup_burst =
         core->began_without_jobs && core->context.now - core->first_admission_at <
-                                        OPENING_LEASES * core->context.config->lease_s;
-    double gap_s =
-        class->last_arrival_at > 0 ? core->context.now - class->last_arrival_at : FIRST_GAP_S;
-    const double weight = opening ? 0 : 1 - exp(-gap_s / RATE_TIME_S);
+                                        STARTUP_BURST_LEASES * core->context.config->lease_s;
+    double interarrival_s = class->last_arrival_at > 0 ? core->context.now - class->last_arrival_at
+                                                       : INITIAL_INTERARRIVAL_S;
+    const double weight = in_startup_burst ? 0 : 1 - exp(-interarrival_s / RATE_TIME_CONSTANT_S);
     const double tasks = job->task_count;
-    if (gap_s < SHORTEST_GAP_S) gap_s = SHORTEST_GAP_S;
-    class->task_rate += weight * (tasks / gap_s - class->task_rate);
+    if (interarrival_s < MIN_INTERARRIVAL_S) interarrival_s = MIN_INTERARRIVAL_S;
+    class->task_rate += weight * (tasks / interarrival_s - class->task_rate);
     class->batch_tasks += SIZE_WEIGHT * (tasks - class->batch_tasks);
     if (job->spec.gang) class->largest_gang = fmax(class->largest_gang, tasks);
     class->last_arrival_at = core->context.now;
--- a/src/core/job_lookup.c
+++ b/src/core/job_lookup.c
@@ -45,7 +45,7 @@
 /* Updates or restores a job from a record that the leader read. The record of an unknown job may be
  * stale if it was read before this term began, or before completed jobs were evicted, since the job
  * may have been among them; such a record is ignored. */
-static void note_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
+static void apply_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
     tw_job *job = tw_job_find(core, call->name);
     if (job)
         tw_store_record_read(core->store, job->record, entry);
@@ -55,7 +55,7 @@
 }
 
 /* Answers a query or a cancellation from a record that was read after the request arrived. */
-static void answer_by_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
+static void answer_from_record(tw_core *core, const tw_call *call, const tw_wire_entry *entry) {
     tw_wire_record record;
     if (tw_wire_record_parse(&record, call->name, entry->value, strlen(entry->value))) {
         tw_reply_error(&core->context, call->connection, TW_HTTP_UNAVAILABLE, 1,
@@ -117,9 +117,9 @@
     }
     bool answered = false;
     if (tw_leader_may_answer(core)) {
-        note_record(core, call, &entry);
-        answered = tw_job_tell_from_memory(core, call->connection, call->name, call->operation);
+        apply_record(core, call, &entry);
+        answered = tw_job_answer_from_memory(core, call->connection, call->name, call->operation);
     }
-    if (!answered) answer_by_record(core, call, &entry);
+    if (!answered) answer_from_record(core, call, &entry);
     free(entry.value);
 }
--- a/src/core/job_persistence.c
+++ b/src/core/job_persistence.c
@@ -6,7 +6,7 @@
 
 /* Returns an array of the tasks that may run, which the caller frees, and sets *count to their
  * number. */
-static tw_wire_assignment *assignments_of(const tw_job *job, int *count) {
+static tw_wire_assignment *list_assignments(const tw_job *job, int *count) {
     const tw_placement *task;
     *count = 0;
     DL_FOREACH2(job->placements, task, job_next) { ++*count; }
@@ -29,7 +29,7 @@
                              .done_count = job->done_count,
                              .submitted_at = job->submitted_wall_s,
                              .next_attempt = job->next_attempt};
-    record.assignments = assignments_of(job, &record.assignment_count);
+    record.assignments = list_assignments(job, &record.assignment_count);
     /* While a task may run, the next leader needs the job's resource amounts for the
      * team's limits. */
     if (job->has_spec && (job->state == TW_JOB_PENDING || record.assignment_count)) {
@@ -101,7 +101,7 @@
 }
 
 /* Replaces the specification that was submitted at this node by that of the record. */
-static void take_contents(tw_core *core, tw_job *job, tw_wire_record *record) {
+static void replace_spec(tw_core *core, tw_job *job, tw_wire_record *record) {
     terminate_unrecorded(core, job);
     tw_wire_job_free(&job->spec);
     tw_job_set_spec(core, job, &record->job);
@@ -123,11 +123,12 @@
         job->done_count = record->done_count;
         return true;
     }
-    char *ours = spec_text(&job->spec);
-    char *theirs = spec_text(&record->job);
-    if (record->has_job && strcmp(ours, theirs) != 0) take_contents(core, job, record);
-    free(ours);
-    free(theirs);
+    char *submitted_text = spec_text(&job->spec);
+    char *recorded_text = spec_text(&record->job);
+    if (record->has_job && strcmp(submitted_text, recorded_text) != 0)
+        replace_spec(core, job, record);
+    free(submitted_text);
+    free(recorded_text);
     return false;
 }
 
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -66,9 +66,9 @@
  * confirms the cancellation as soon as that is safe. Rejects the users who wait for it if it can't
  * be confirmed for now. */
 void tw_job_cancellation_tick(tw_core *core, tw_job *job);
-/* Stores the ids of cancelled jobs that may still run in ids, at most `most` of them. Returns the
+/* Stores the ids of cancelled jobs that may still run in ids, at most max_ids of them. Returns the
  * number of all such jobs. */
-int tw_jobs_list_cancelled(const tw_core *core, const char **ids, int most);
+int tw_jobs_list_cancelled(const tw_core *core, const char **ids, int max_ids);
 
 /* ---- job_class.c ---- */
 
@@ -98,8 +98,8 @@
 /* Answers a query or a cancellation from the leader's memory, whether the job is completed or not;
  * a cancellation may be answered later. Returns false, without an answer, if the job is not in
  * memory. */
-bool tw_job_tell_from_memory(tw_core *core, uint64_t connection, const char *id,
-                             tw_user_operation operation);
+bool tw_job_answer_from_memory(tw_core *core, uint64_t connection, const char *id,
+                               tw_user_operation operation);
 
 /* ---- job_lookup.c ---- */
 
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -159,7 +159,7 @@
     if (job->state == TW_JOB_DONE)
         memset(job->task_states, TW_ASSIGNMENT_DONE, (size_t)job->task_count);
     if (job->state == TW_JOB_CANCELLED) tw_job_note_cancelled(core, job);
-    if (job->spec.gang) tw_gang_restored(job);
+    if (job->spec.gang) tw_gang_restore(job);
 }
 
 void tw_job_restore(tw_core *core, const char *id, tw_wire_record *record, uint64_t revision) {
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -56,8 +56,8 @@
     DL_FOREACH(core->active_jobs, job) {
         for (int i = 0; i < job->failed_machine_count; i++)
             if (job->failed_machines[i] == machine) job->failed_machines[i] = NULL;
-        for (int i = 0; i < job->gang.vacated_count; i++)
-            if (job->gang.vacated[i] == machine) job->gang.vacated[i] = NULL;
+        for (int i = 0; i < job->gang.vacated_machine_count; i++)
+            if (job->gang.vacated_machines[i] == machine) job->gang.vacated_machines[i] = NULL;
     }
 }
 
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -17,7 +17,7 @@
 #define LOOKUP_RETRY_S 1.0
 /* Duration of a watch in leases, and the additional time allowed for its response. */
 #define WATCH_LEASES 2
-#define WATCH_SLACK_S 2
+#define WATCH_RESPONSE_MARGIN_S 2
 /* Time until a failed list or watch request is repeated, as a share of the leader's lease. */
 #define RETRY_RATIO 0.25
 #define PATH_SIZE 128
@@ -44,10 +44,10 @@
         free(text);
         return;
     }
-    char news[PEER_ADMISSION_KEY_SIZE];
-    snprintf(news, sizeof news, PEER_ADMISSION_KEY "%s", spec->id);
+    char admission_key[PEER_ADMISSION_KEY_SIZE];
+    snprintf(admission_key, sizeof admission_key, PEER_ADMISSION_KEY "%s", spec->id);
     tw_wire_compare compare = {key, 0};
-    tw_wire_write writes[2] = {{key, text, 0}, {news, "1", 0}};
+    tw_wire_write writes[2] = {{key, text, 0}, {admission_key, "1", 0}};
     tw_call *call = tw_call_send(&core->context, TW_CALL_CREATE_RECORD, TW_TO_STATE,
                                  core->context.config->state, "POST", "/txn",
                                  tw_wire_txn_text(&compare, 1, writes, 2), CREATE_TIMEOUT_S);
@@ -58,7 +58,7 @@
 
 /* Handles the response to the transaction that admits a job: the job was admitted, its record
  * existed before, or the outcome is unknown. */
-static void creation_response(tw_core *core, const tw_call *call, int status) {
+static void handle_creation_response(tw_core *core, const tw_call *call, int status) {
     if (status == TW_HTTP_OK) {
         tw_cluster_note_store_answer(core->cluster);
         tw_reply(&core->context, call->connection, TW_HTTP_CREATED, 0,
@@ -75,33 +75,33 @@
 /* Reads the record of a job that another node admitted or, once the job is known, requests the
  * removal of its admission key. The response to the read may be lost, so the job stays in
  * untaken_admissions until it is known. */
-static void take_admission(tw_core *core, tw_expiring_name *untaken) {
+static void process_admission(tw_core *core, tw_expiring_name *admission) {
     char key[TW_NAME_SIZE + sizeof PEER_ADMISSION_KEY];
-    if (!tw_job_is_known(core, untaken->name)) {
-        if (core->context.now < untaken->at) return;
-        untaken->at = core->context.now + LOOKUP_RETRY_S;
-        tw_job_look_up(core, 0, untaken->name, TW_OPERATION_QUERY);
+    if (!tw_job_is_known(core, admission->name)) {
+        if (core->context.now < admission->at) return;
+        admission->at = core->context.now + LOOKUP_RETRY_S;
+        tw_job_look_up(core, 0, admission->name, TW_OPERATION_QUERY);
         return;
     }
     if (!tw_store_try_acquire_write(core->store)) return;
-    snprintf(key, sizeof key, PEER_ADMISSION_KEY "%s", untaken->name);
+    snprintf(key, sizeof key, PEER_ADMISSION_KEY "%s", admission->name);
     tw_wire_compare compare = tw_cluster_leader_compare(core->cluster);
     tw_wire_write removal = {key, NULL, 0};
     tw_call_send(&core->context, TW_CALL_REMOVE_PEER_ADMISSION, TW_TO_STATE,
                  core->context.config->state, "POST", "/txn",
                  tw_wire_txn_text(&compare, 1, &removal, 1), 1);
-    tw_expiring_names_remove(&core->untaken_admissions, untaken);
+    tw_expiring_names_remove(&core->untaken_admissions, admission);
 }
 
 /* Adds the job of an admission key that was listed or watched to untaken_admissions. */
-static void note_admission(tw_core *core, const char *key) {
+static void add_admission(tw_core *core, const char *key) {
     const char *id = key + sizeof PEER_ADMISSION_KEY - 1;
     if (strncmp(key, PEER_ADMISSION_KEY, sizeof PEER_ADMISSION_KEY - 1) != 0 ||
         !tw_wire_id_ok(id, strlen(id)))
         return;
-    tw_expiring_name *untaken = tw_expiring_names_find(core->untaken_admissions, id);
-    if (!untaken) untaken = tw_expiring_names_add(&core->untaken_admissions, id, 0);
-    take_admission(core, untaken);
+    tw_expiring_name *admission = tw_expiring_names_find(core->untaken_admissions, id);
+    if (!admission) admission = tw_expiring_names_add(&core->untaken_admissions, id, 0);
+    process_admission(core, admission);
 }
 
 void tw_peer_admissions_response(tw_core *core, tw_call *call, int status, const char *body,
@@ -112,7 +112,7 @@
     uint64_t revision;
     if (call->kind == TW_CALL_REMOVE_PEER_ADMISSION) return;
     if (call->kind == TW_CALL_CREATE_RECORD) {
-        creation_response(core, call, status);
+        handle_creation_response(core, call, status);
         return;
     }
     core->admission_watch_in_flight = false;
@@ -126,14 +126,14 @@
         return;
     }
     core->admission_watch_revision = revision;
-    for (int i = 0; i < count; i++) note_admission(core, entries[i].key);
+    for (int i = 0; i < count; i++) add_admission(core, entries[i].key);
     tw_wire_entries_free(entries, count);
 }
 
 void tw_peer_admissions_tick(tw_core *core) {
-    tw_expiring_name *untaken;
+    tw_expiring_name *admission;
     tw_expiring_name *next;
-    HASH_ITER(hh, core->untaken_admissions, untaken, next) { take_admission(core, untaken); }
+    HASH_ITER(hh, core->untaken_admissions, admission, next) { process_admission(core, admission); }
     if (core->admission_watch_in_flight || core->context.now < core->next_admission_watch_at ||
         !tw_store_try_acquire_request(core->store))
         return;
@@ -149,5 +149,5 @@
     snprintf(path, sizeof path, "/follow?starts=" PEER_ADMISSION_KEY "&since=%llu&holdMs=%d",
              (unsigned long long)core->admission_watch_revision, (int)(hold_s * 1000));
     tw_call_send(&core->context, TW_CALL_WATCH_PEER_ADMISSIONS, TW_TO_STATE,
-                 core->context.config->state, "GET", path, NULL, hold_s + WATCH_SLACK_S);
+                 core->context.config->state, "GET", path, NULL, hold_s + WATCH_RESPONSE_MARGIN_S);
 }
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -126,7 +126,7 @@
     uint32_t zones = tw_gang_candidate_zones(core, job, count);
     while (zones) {
         if (place_tasks(core, job, count, attempt, zones) == count) {
-            tw_gang_placed(core, job);
+            tw_gang_note_placed(core, job);
             return count;
         }
         /* There is less room than the sums of free amounts said: another zone may have enough. */
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -3,8 +3,8 @@
  *
  * Beside the job as submitted, the text lists each task that may run (index, attempt, machine) and
  * the ranges of done tasks. Tasks are placed in the order of their indices. Therefore, below the
- * highest index that was ever placed, the number of tasks that are not done is at most the number
- * of tasks that may run: with n running tasks there are at most n + 1 ranges. */
+ * highest index that was ever placed, the number of tasks that are not done is at most the
+ * number of tasks that may run: with n running tasks there are at most n + 1 ranges. */
 #include "core/core_int.h"
 
 /* Length of the record without the job, the done ranges and the running tasks, with all numbers at
@@ -42,18 +42,20 @@
     /* All tasks of a gang run at the same time: its record is chunked if it is too long for one
      * value. */
     if (job->spec.gang && tw_cluster_all_read_chunks(core->cluster)) return job->task_count;
-    const int index = count_digits((uint64_t)job->task_count);
-    const int attempt = count_digits(job->next_attempt + (uint64_t)job->task_count);
-    const double task = index + attempt + (double)core->longest_machine_name + TASK_SEPARATORS;
-    const double range = 2 * index + RANGE_SEPARATORS;
-    const double single = index + 1; /* length of a done range with one task */
-    const double room =
+    const int index_digits = count_digits((uint64_t)job->task_count);
+    const int attempt_digits = count_digits(job->next_attempt + (uint64_t)job->task_count);
+    const double task_bytes =
+        index_digits + attempt_digits + (double)core->longest_machine_name + TASK_SEPARATORS;
+    const double range_bytes = 2 * index_digits + RANGE_SEPARATORS;
+    const double single_range_bytes = index_digits + 1; /* length of a done range with one task */
+    const double available_bytes =
         (double)tw_store_value_size(core->store) - FRAME_BYTES - (double)spec_bytes(job);
     /* n running tasks need n * task bytes. If all other tasks are done, they need n + 1 ranges or,
      * if that is shorter, one range for each task. Both sums grow with n. */
-    const double by_ranges = (room - range) / (task + range);
-    const double by_tasks = (room - job->task_count * single) / (task - single);
-    const double most = floor(fmax(by_ranges, by_tasks));
-    if (most < MIN_RUNNING) return MIN_RUNNING;
-    return (int)fmin(most, job->task_count);
+    const double by_ranges = (available_bytes - range_bytes) / (task_bytes + range_bytes);
+    const double by_tasks = (available_bytes - job->task_count * single_range_bytes) /
+                            (task_bytes - single_range_bytes);
+    const double max_running = floor(fmax(by_ranges, by_tasks));
+    if (max_running < MIN_RUNNING) return MIN_RUNNING;
+    return (int)fmin(max_running, job->task_count);
 }
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -90,7 +90,7 @@
 }
 
 bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job) {
-    if (!job->capacity_bound || !job->spec.service) return true;
+    if (!job->no_capacity_offered || !job->spec.service) return true;
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         if (class == job->job_class || class->sample.gpus <= job->spec.gpus ||
             !machine_counts_for_class(class, machine))
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -88,7 +88,7 @@
     if (!tw_machine_restriction_allows(tw_mixed_version_restriction(core, job), job, bin->machine))
         return false;
     return image_is_near(core, placed, bin->machine) &&
-           tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
+           tw_bin_leaves_gpus(core, bin, &job->spec, job->may_use_gpu_machines);
 }
 
 /* The bin of another machine in which the task would start at once. NULL: there is none. */
@@ -150,7 +150,7 @@
 static bool may_use_machine(const tw_job *job, const tw_machine *machine, const tw_bin *whole) {
     return tw_bin_is_allowed(whole, &job->spec, job->type_mask) && tw_bin_fits(whole, &job->spec) &&
            tw_constraints_allow_zone(job, machine->zone) &&
-           (job->spec.gpus > 0 || whole->room.gpus <= 0 || job->any_machine);
+           (job->spec.gpus > 0 || whole->room.gpus <= 0 || job->may_use_gpu_machines);
 }
 
 /* Whether some job waits that may use the machine once it has room. Then it is not emptied: where
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -20,8 +20,9 @@
  * the machines that its job allows. Tasks of the same shape find the same machines. */
 typedef struct tw_task_shape {
     double cores, gpus, memory_gb;
-    uint32_t type_mask;     /* machine types that the job may use, as bits */
-    bool spot, any_machine; /* the job may use spot machines; and cores that are kept for GPUs */
+    uint32_t type_mask; /* machine types that the job may use, as bits */
+    bool spot,
+        may_use_gpu_machines; /* the job may use spot machines; and cores that are kept for GPUs */
 } tw_task_shape;
 
 /* The shape of each of a job's tasks. */
@@ -31,14 +32,14 @@
                            .memory_gb = job->spec.memory_gb,
                            .type_mask = job->type_mask,
                            .spot = job->spec.spot,
-                           .any_machine = job->any_machine};
+                           .may_use_gpu_machines = job->may_use_gpu_machines};
 }
 
 /* Whether both shapes are the same. */
 static inline bool tw_task_shapes_are_equal(const tw_task_shape *one, const tw_task_shape *other) {
     return one->cores == other->cores && one->gpus == other->gpus &&
            one->memory_gb == other->memory_gb && one->type_mask == other->type_mask &&
-           one->spot == other->spot && one->any_machine == other->any_machine;
+           one->spot == other->spot && one->may_use_gpu_machines == other->may_use_gpu_machines;
 }
 
 /* A kind of task for which this pass has found no room: another one of this kind would find none
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -32,7 +32,8 @@
 /* The job itself if it can't share scores with others alike: it passes over machines on which it
  * has failed or was vacated, or machines are reserved for it. Else NULL. */
 static const tw_job *job_with_own_scores(const tw_core *core, const tw_job *job) {
-    return job->failed_machine_count || job->gang.vacated_count || job == core->reserving_gang
+    return job->failed_machine_count || job->gang.vacated_machine_count ||
+                   job == core->reserving_gang
                ? job
                : NULL;
 }
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -45,7 +45,7 @@
                                ? RETRY_ELSEWHERE_S
                                : fmin(max_pause_s, RETRY_FIRST_S * (double)(1 << doublings));
     /* The machine is avoided for a time only: no other one may fit, and a fault may pass. */
-    job->failed_machines_until = core->context.now + max_pause_s;
+    job->failed_machines_avoided_until = core->context.now + max_pause_s;
     job->retry_at = core->context.now + pause_s;
     if (cause == TW_CAUSE_ERROR && failed_elsewhere < JOB_FAULT_MACHINES)
         tw_quarantine_note_failure(core, placed, failed_elsewhere);
@@ -95,7 +95,8 @@
     /* The first task of a gang that is done has told what the others' ends would tell. */
     if (job->state != TW_JOB_DONE) note_exit(core, placed, reported);
     tw_attempt_terminate(core, placed, &termination);
-    if (reported->cause == TW_CAUSE_DONE && job->spec.gang && !job_is_over) tw_gang_done(core, job);
+    if (reported->cause == TW_CAUSE_DONE && job->spec.gang && !job_is_over)
+        tw_gang_complete(core, job);
     if (!job_is_over && job->done_count == job->task_count)
         tw_job_finish(core, job, TW_JOB_DONE);
     else
@@ -122,7 +123,7 @@
         tw_statistics_note_start(core, placed);
         tw_image_note_use(core, placed->machine, job, true);
     }
-    if (job->spec.gang) tw_gang_task_reported(core, placed);
+    if (job->spec.gang) tw_gang_note_task_report(core, placed);
     if (placed->state == TW_TASK_RUNNING && placed->running_since <= 0)
         note_task_started(core, placed);
     else if (placed->state == TW_TASK_FETCHING && !tw_image_find(placed->machine, job))
@@ -181,7 +182,7 @@
     if (job && is_done && job->task_states[reported->index] == TW_ASSIGNMENT_NONE) {
         job->task_states[reported->index] = TW_ASSIGNMENT_DONE;
         job->done_count++;
-        if (job->spec.gang) tw_gang_done(core, job);
+        if (job->spec.gang) tw_gang_complete(core, job);
         if (job->done_count == job->task_count)
             tw_job_finish(core, job, TW_JOB_DONE);
         else
@@ -215,7 +216,7 @@
     if (!placed) return;
     placed->inherited = true;
     placed->mark = core->heartbeat_mark;
-    if (job->spec.gang && job->placed_count == 1) tw_gang_restored(job);
+    if (job->spec.gang && job->placed_count == 1) tw_gang_restore(job);
     tw_reconcile_task(core, placed, heartbeat, reported);
     tw_job_mark_changed(core, job, false);
     tw_log_info("event=unknown_task_adopted task=%s/%d worker=%s", reported->job, reported->index,
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -12,9 +12,9 @@
 
 /* Time-outs of requests that are forwarded to the leader. The rest of the time that users wait, 2 s
  * for the answer to a query, remains for an answer without the leader. */
-#define FORWARD_QUERY_S 0.8
-#define FORWARD_SUBMISSION_S 0.7
-#define FORWARD_CANCELLATION_S 2
+#define FORWARD_QUERY_TIMEOUT_S 0.8
+#define FORWARD_SUBMISSION_TIMEOUT_S 0.7
+#define FORWARD_CANCELLATION_TIMEOUT_S 2
 /* A submission is rejected if its record would wait for longer than this share of
  * TW_ADMISSION_WAIT_S; its user is told to retry after at most MAX_RETRY_S. */
 #define MAX_WAIT_RATIO 0.8
@@ -36,32 +36,32 @@
                  tw_wire_job_status_text(job->id, job->durable_state, -1, -1));
 }
 
-bool tw_job_tell_from_memory(tw_core *core, uint64_t connection, const char *id,
-                             tw_user_operation operation) {
-    tw_completion ending;
+bool tw_job_answer_from_memory(tw_core *core, uint64_t connection, const char *id,
+                               tw_user_operation operation) {
+    tw_completion completion;
     tw_job *job = tw_job_find(core, id);
     if (job && operation == TW_OPERATION_CANCEL)
         cancel_job(core, connection, job);
     else if (job)
         tw_reply(&core->context, connection, TW_HTTP_OK, 0, tw_job_status_text(job));
-    else if (!tw_completed_jobs_find(core->completed_jobs, id, &ending))
+    else if (!tw_completed_jobs_find(core->completed_jobs, id, &completion))
         return false;
     else if (operation == TW_OPERATION_CANCEL)
         tw_reply(&core->context, connection, TW_HTTP_OK, 0,
-                 tw_wire_job_status_text(id, ending.state, -1, -1));
+                 tw_wire_job_status_text(id, completion.state, -1, -1));
     else
         tw_reply(&core->context, connection, TW_HTTP_OK, 0,
-                 tw_wire_job_status_text(id, ending.state, ending.done_count, 0));
+                 tw_wire_job_status_text(id, completion.state, completion.done_count, 0));
     return true;
 }
 
 /* Answers from memory if the state there is at least as recent as any answer that a node has given
  * about the job. Returns false if it has not answered the user. */
-static bool answer_from_memory(tw_core *core, uint64_t connection, const char *id,
-                               tw_user_operation operation) {
+static bool answer_if_current(tw_core *core, uint64_t connection, const char *id,
+                              tw_user_operation operation) {
     const tw_job *job = tw_job_find(core, id);
     if (job && !tw_job_is_answerable(job)) return false;
-    return tw_job_tell_from_memory(core, connection, id, operation);
+    return tw_job_answer_from_memory(core, connection, id, operation);
 }
 
 /* Admits a new job. Its user is answered when its first record is written. */
@@ -91,7 +91,7 @@
 /* Answers a submission at the leader. Moves the contents out of spec if the job is admitted or
  * stored as a rejected admission. */
 static void submit_at_leader(tw_core *core, uint64_t connection, tw_wire_job *spec) {
-    if (answer_from_memory(core, connection, spec->id, TW_OPERATION_QUERY)) return;
+    if (answer_if_current(core, connection, spec->id, TW_OPERATION_QUERY)) return;
     tw_job *job = tw_job_find(core, spec->id);
     if (job && tw_store_exists(job->record)) {
         tw_job_look_up(core, connection, spec->id, TW_OPERATION_QUERY);
@@ -133,7 +133,7 @@
         /* A job that was admitted must not be refused later: answering 422 requires proof that the
          * job is new. */
         if (!tw_leader_may_answer(core) ||
-            !answer_from_memory(core, connection, spec.id, TW_OPERATION_QUERY))
+            !answer_if_current(core, connection, spec.id, TW_OPERATION_QUERY))
             tw_job_look_up(core, connection, spec.id, TW_OPERATION_REFUSE);
     } else if (tw_leader_may_answer(core)) {
         submit_at_leader(core, connection, &spec);
@@ -142,7 +142,7 @@
     } else {
         char *copy = strndup(body, length);
         if (!tw_request_forward(core, connection, TW_OPERATION_SUBMIT, "POST", "/v1/jobs", spec.id,
-                                copy, FORWARD_SUBMISSION_S))
+                                copy, FORWARD_SUBMISSION_TIMEOUT_S))
             tw_peer_admission_create(core, connection, &spec);
     }
     tw_wire_job_free(&spec);
@@ -154,14 +154,14 @@
         return;
     }
     if (tw_leader_may_answer(core)) {
-        if (!answer_from_memory(core, connection, id, TW_OPERATION_QUERY))
+        if (!answer_if_current(core, connection, id, TW_OPERATION_QUERY))
             tw_job_look_up(core, connection, id, TW_OPERATION_QUERY);
         return;
     }
     char path[PATH_SIZE];
     snprintf(path, sizeof path, "/v1/jobs/%s", id);
     if (from_peer || !tw_request_forward(core, connection, TW_OPERATION_QUERY, "GET", path, id,
-                                         NULL, FORWARD_QUERY_S))
+                                         NULL, FORWARD_QUERY_TIMEOUT_S))
         tw_job_look_up(core, connection, id, TW_OPERATION_QUERY);
 }
 
@@ -171,14 +171,14 @@
         return;
     }
     if (tw_leader_may_answer(core)) {
-        if (!answer_from_memory(core, connection, id, TW_OPERATION_CANCEL))
+        if (!answer_if_current(core, connection, id, TW_OPERATION_CANCEL))
             tw_job_look_up(core, connection, id, TW_OPERATION_CANCEL);
         return;
     }
     char path[PATH_SIZE];
     snprintf(path, sizeof path, "/v1/jobs/%s/abort", id);
     if (!from_peer && tw_request_forward(core, connection, TW_OPERATION_CANCEL, "POST", path, id,
-                                         strdup("{}"), FORWARD_CANCELLATION_S))
+                                         strdup("{}"), FORWARD_CANCELLATION_TIMEOUT_S))
         return;
     /* Without the leader no job can be cancelled, but a job that has ended can be reported
      * as such. */
