--- a/src/core/cancellation.c
+++ b/src/core/cancellation.c
@@ -52,8 +52,8 @@
     return !machine->confirmed && tw_cluster_predecessor_renewals_end(core->cluster) > limit;
 }
 
-/* Merges the result for one more machine of the job into the check. The least safe result counts.
- */
+/* Merges the result for one more machine of the job into the check. The least safe
+ * result counts. */
 static cancellation_check keep_least_safe(cancellation_check check, tw_cancellation_safety safety,
                                           obstacle_kind obstacle, const tw_machine *machine) {
     if (safety >= check.safety) return check;
@@ -82,8 +82,8 @@
 
 /* ---- requests ---- */
 
-/* Rejects the request of a user whose cancellation can't be confirmed now. The cancellation itself
- * continues as soon as it can be confirmed. */
+/* Rejects the request of a user whose cancellation can't be confirmed now. The cancellation is
+ * still pending and is confirmed as soon as that is safe. */
 static void defer_cancellation(tw_core *core, uint64_t connection, const tw_job *job,
                                const cancellation_check *check) {
     tw_log_debug("event=cancellation_deferred id=%s obstacle=%s worker=%s", job->id,
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -25,7 +25,7 @@
  *   - a stop with a grace period begins only if every machine of the gang has sent a recent
  *     heartbeat; otherwise tasks are stopped without one;
  *   - a task that reports that it runs proves only that the gang had started: it reports so until
- *     it notices that another task is gone. */
+ *     it notices that another task has terminated. */
 #include "core/workers.h"
 #include <stdbool.h>
 
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -35,7 +35,7 @@
     double waiting_since; /* time at which a task was first reported to wait for the others; 0: none
                              was */
     double missing_since; /* time since which a task waits for its replacement; 0: none does */
-    /* Machines from which a task of this attempt is gone; not owned. */
+    /* Machines on which a task of this attempt terminated; not owned. */
     struct tw_machine *vacated_machines[TW_GANG_MAX_REPLACEMENTS];
     int vacated_machine_count;
 } tw_gang;
@@ -62,7 +62,7 @@
 bool tw_gang_can_save(const tw_core *core, const tw_job *job);
 /* Returns whether the gang waits for its placement, or for the replacement of a task. */
 bool tw_gang_is_pending(const tw_job *job);
-/* Returns whether a task of the current attempt is gone from that machine. No task of the attempt
+/* Returns whether a task of the current attempt terminated on that machine. No task of the attempt
  * is placed there again. */
 bool tw_gang_has_vacated(const tw_job *job, const tw_machine *machine);
 /* Does the periodic work on the job's attempt: sends launches that are due, and stops an attempt
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -143,10 +143,10 @@
     return tw_wire_job_status_text(job->id, state, job->done_count, running_count);
 }
 
-/* Returns whether the state service may hold the end of the job while this node doesn't know it,
- * because the write is in flight or its outcome is unknown. Another node may have read that record
- * and told a user of the end. A query can therefore only be answered by a read that begins after
- * it. */
+/* Returns whether the record in the state service may show that the job has ended while this node
+ * doesn't know it, because the write is in flight or its outcome is unknown. Another node may have
+ * read that record and reported the end to a user. A query can therefore only be answered by a read
+ * that begins after the query arrived. */
 static bool end_is_uncertain(const tw_job *job) {
     return tw_store_end_was_sent(job->record) && job->durable_state == TW_JOB_PENDING;
 }
@@ -177,9 +177,9 @@
     job->state = state;
     if (state == TW_JOB_CANCELLED) tw_job_note_cancelled(core, job);
     /* The tasks are stopped before the end is known to be durable: once the write of a cancellation
-     * is sent, another node may read the record and tell the user, and this node may never learn of
-     * it. What the tasks do from now on is of no use. In a gang that is done, some tasks may not
-     * have ended; they count as placed until they have. */
+     * is sent, another node may read the record and report it to the user, and this node may never
+     * learn of it. What the tasks do from now on is of no use. In a gang that is done, some tasks
+     * may not have ended; they count as placed until they have. */
     DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
         tw_placement_stop(core, task, 0, false);
     }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -7,7 +7,7 @@
  * otherwise.
  *
  * Invariants:
- *   - a user is only told durable states: durable_state, never state;
+ *   - answers to users only contain durable states: durable_state, never state;
  *   - a job that has durably ended never changes its state again;
  *   - each change that must appear in the job's record goes through tw_job_mark_changed;
  *   - a job is in the core's active_jobs as long as it has task_states. */
@@ -100,8 +100,7 @@
     struct tw_machine *failed_machines[TW_JOB_MAX_FAILED_MACHINES]; /* machines on which tasks of
                                                                        the job failed; not owned */
     int failed_machine_count;
-    double
-        failed_machines_avoided_until; /* no task of the job is placed on them before that time */
+    double failed_machines_avoided_until; /* no task is placed on them before that time */
 
     double pending_since; /* time since which a task of it waits for placement */
     bool has_run;         /* a task of it has run for longer than a lease */
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -4,7 +4,7 @@
  * without the leader (peer_admissions.c). docs/design.md, "What users are told", has the argument.
  *
  * Invariants:
- *   - a user is only told durable states;
+ *   - answers to users only contain durable states;
  *   - an answer from memory is at least as recent as any answer that a node has given about the
  *     job;
  *   - a request that another node forwarded isn't forwarded again. */
@@ -16,7 +16,7 @@
 #define FORWARD_SUBMISSION_TIMEOUT_S 0.7
 #define FORWARD_CANCELLATION_TIMEOUT_S 2
 /* A submission is rejected if its record would wait for longer than this share of
- * TW_ADMISSION_WAIT_S; its user is told to retry after at most MAX_RETRY_S. */
+ * TW_ADMISSION_WAIT_S; the answer contains a retry time of at most MAX_RETRY_S. */
 #define MAX_WAIT_RATIO 0.8
 #define MAX_RETRY_S 30
 #define PATH_SIZE 64
