--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -88,9 +88,9 @@
     return strcmp(a->machine->name, b->machine->name);
 }
 
-/* Stores the capacity for tasks of the gang that machines in the zone (-1: in all zones) are
- * expected to have in capacities, the earliest first. capacities has one element for each
- * candidate. Returns the number of entries. */
+/* Fills capacities with the expected capacity for tasks of the gang of each machine in the zone
+ * (-1: in all zones) that has any, the earliest available first. capacities must have one element
+ * for each candidate. Returns the number of entries. */
 static int list_expected_capacities(tw_core *core, tw_job *job, int zone,
                                     expected_capacity *capacities) {
     const tw_demand demand = tw_demand_of(core, job);
