--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -99,8 +99,8 @@
 /* Whether a job may use the bin's machine: its type is one of types (bits), it is no spot machine
  * if the job takes none, and it is in the job's zone if it names one. */
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types);
-/* Whether a task leaves the bin's free GPUs their cores and memory, as tw_constraints_leave_gpus.
- * any_machine: the job may use what is kept for GPUs. */
+/* Whether a task leaves the bin's free GPUs their cores and memory, as
+ * tw_constraints_leave_gpus_usable. any_machine: the job may use what is kept for GPUs. */
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
                         bool any_machine);
 /* Takes a task's amounts from what is free in the bin. */
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -23,13 +23,13 @@
     const tw_capacity room = {bin->room.cores + bin->unplaced.cores,
                               bin->room.gpus + bin->unplaced.gpus,
                               bin->room.memory_gb + bin->unplaced.memory_gb};
-    return any_machine || tw_constraints_room_leaves_gpus(core, type, &room, spec, 1);
+    return any_machine || tw_constraints_capacity_leaves_gpus_usable(core, type, &room, spec, 1);
 }
 
 void tw_bins_note_incomplete_gang(tw_bins *bins, const tw_wire_job *spec) {
     for (int i = 0; i < bins->count; i++)
         for (int task = 0; task < bins->items[i].packed_count; task++)
-            tw_capacity_give_task(&bins->items[i].unplaced, spec);
+            tw_capacity_add_task(&bins->items[i].unplaced, spec);
 }
 
 /* Whether the bin's machine takes one task at a time. */
@@ -38,12 +38,12 @@
 }
 
 void tw_bin_take(tw_bin *bin, const tw_wire_job *spec) {
-    tw_capacity_take_task(&bin->room, spec);
+    tw_capacity_subtract_task(&bin->room, spec);
     if (is_on_probation(bin)) bin->is_full = true;
 }
 
 void tw_bin_give(tw_bin *bin, const tw_wire_job *spec) {
-    tw_capacity_give_task(&bin->room, spec);
+    tw_capacity_add_task(&bin->room, spec);
     bin->is_full = bin->machine && !tw_quarantine_allows(bin->machine);
 }
 
--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -19,7 +19,7 @@
     core->candidates[core->candidate_count++] = (tw_candidate){.machine = machine};
 }
 
-void tw_candidates_begin(tw_core *core) {
+void tw_candidates_update(tw_core *core) {
     zone_usage usage[TW_MAX_ZONES + 1] = {0};
     tw_machine *machine;
     struct tw_machine *next;
@@ -42,7 +42,7 @@
     }
 }
 
-double tw_candidates_zone_free(const tw_core *core, const tw_machine *machine, bool gpus) {
+double tw_candidates_zone_free_share(const tw_core *core, const tw_machine *machine, bool gpus) {
     const int zone = machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index;
     return gpus ? core->zones[zone].free_gpus : core->zones[zone].free_cores;
 }
--- a/src/core/capacity.h
+++ b/src/core/capacity.h
@@ -14,28 +14,28 @@
 
 /* Whether one of the job's tasks fits into the room, of which each amount may be off by less than
  * tolerance: TW_CAPACITY_ROUNDING, or more for sums over many tasks. */
-static inline bool tw_capacity_fits(const tw_capacity *room, const tw_wire_job *spec,
+static inline bool tw_capacity_fits(const tw_capacity *capacity, const tw_wire_job *spec,
                                     double tolerance) {
-    return room->cores + tolerance >= spec->cores && room->gpus + tolerance >= spec->gpus &&
-           room->memory_gb + tolerance >= spec->memory_gb;
+    return capacity->cores + tolerance >= spec->cores && capacity->gpus + tolerance >= spec->gpus &&
+           capacity->memory_gb + tolerance >= spec->memory_gb;
 }
 
 /* Takes the amounts of one of the job's tasks from the room. */
-static inline void tw_capacity_take_task(tw_capacity *room, const tw_wire_job *spec) {
-    room->cores -= spec->cores;
-    room->gpus -= spec->gpus;
-    room->memory_gb -= spec->memory_gb;
+static inline void tw_capacity_subtract_task(tw_capacity *capacity, const tw_wire_job *spec) {
+    capacity->cores -= spec->cores;
+    capacity->gpus -= spec->gpus;
+    capacity->memory_gb -= spec->memory_gb;
 }
 
 /* Gives the amounts of one of the job's tasks back to the room. */
-static inline void tw_capacity_give_task(tw_capacity *room, const tw_wire_job *spec) {
-    room->cores += spec->cores;
-    room->gpus += spec->gpus;
-    room->memory_gb += spec->memory_gb;
+static inline void tw_capacity_add_task(tw_capacity *capacity, const tw_wire_job *spec) {
+    capacity->cores += spec->cores;
+    capacity->gpus += spec->gpus;
+    capacity->memory_gb += spec->memory_gb;
 }
 
 /* How many of the job's tasks fit into the room: a whole number, below 0 where an amount of the
  * room is below 0. */
-double tw_capacity_task_count(const tw_capacity *room, const tw_wire_job *spec);
+double tw_capacity_task_count(const tw_capacity *capacity, const tw_wire_job *spec);
 
 #endif
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -125,7 +125,7 @@
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
         if (offer->wanted_count > 0) reopen_machines(core, offer);
-        if (core->context.now < core->scale_out_from) offer->wanted_count = 0;
+        if (core->context.now < core->no_scale_out_until) offer->wanted_count = 0;
         if (offer->wanted_count <= 0)
             offer->wanted_since = 0;
         else if (offer->wanted_since <= 0)
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -38,8 +38,10 @@
     }
 }
 
-bool tw_constraints_room_leaves_gpus(const tw_core *core, const tw_wire_machine_type *type,
-                                     const tw_capacity *room, const tw_wire_job *spec, int tasks) {
+bool tw_constraints_capacity_leaves_gpus_usable(const tw_core *core,
+                                                const tw_wire_machine_type *type,
+                                                const tw_capacity *capacity,
+                                                const tw_wire_job *spec, int tasks) {
     if (spec->gpus > 0 || type->gpus <= 0) return true;
     double cores_per_gpu = core->cores_per_gpu;
     double memory_gb_per_gpu = core->memory_gb_per_gpu;
@@ -47,17 +49,18 @@
         cores_per_gpu = type->cores / type->gpus;
         memory_gb_per_gpu = type->memory_gb / type->gpus;
     }
-    return room->cores - tasks * spec->cores + TW_CAPACITY_ROUNDING >= room->gpus * cores_per_gpu &&
-           room->memory_gb - tasks * spec->memory_gb + TW_CAPACITY_ROUNDING >=
-               room->gpus * memory_gb_per_gpu;
+    return capacity->cores - tasks * spec->cores + TW_CAPACITY_ROUNDING >=
+               capacity->gpus * cores_per_gpu &&
+           capacity->memory_gb - tasks * spec->memory_gb + TW_CAPACITY_ROUNDING >=
+               capacity->gpus * memory_gb_per_gpu;
 }
 
-bool tw_constraints_leave_gpus(const tw_core *core, const tw_machine *machine, const tw_job *job,
-                               int tasks) {
+bool tw_constraints_leave_gpus_usable(const tw_core *core, const tw_machine *machine,
+                                      const tw_job *job, int tasks) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    const tw_capacity room = tw_machine_free_capacity(machine, type);
+    const tw_capacity capacity = tw_machine_free_capacity(machine, type);
     return job->any_machine ||
-           tw_constraints_room_leaves_gpus(core, type, &room, &job->spec, tasks);
+           tw_constraints_capacity_leaves_gpus_usable(core, type, &capacity, &job->spec, tasks);
 }
 
 /* The zones, as bits, that the job's next task may go to. */
@@ -74,13 +77,13 @@
                        .start_deadline_at = tw_job_start_deadline(job),
                        .estimate_s = tw_job_run_estimate_s(job),
                        .zone_mask = allowed_zones(core, job),
-                       .machines = tw_mixed_version_restriction(core, job),
+                       .restriction = tw_mixed_version_restriction(core, job),
                        .prefers_first_incarnation =
                            tw_cluster_only_earlier_may_succeed(core->cluster)};
 }
 
 bool tw_demand_allows_machine(const tw_demand *demand, const tw_machine *machine) {
-    if (!tw_machine_restriction_allows(demand->machines, demand->job, machine)) return false;
+    if (!tw_machine_restriction_allows(demand->restriction, demand->job, machine)) return false;
     if (machine->zone_index >= 0) return !!(demand->zone_mask & (1U << machine->zone_index));
     return tw_constraints_allow_zone(demand->job, machine->zone);
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -10,7 +10,9 @@
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define LONG_HEARTBEATS_SHARE 0.1 /* of the memory, for cached heartbeats with long lists */
+#define HEARTBEAT_CACHE_MEMORY_SHARE                                                               \
+    0.1 /* of the memory, for cached heartbeats with long lists                                    \
+         */
 #define BYTES_PER_MIB (1024 * 1024)
 #define PATH_SIZE 512
 #define JOB_PATH_LIMIT 256 /* longer paths are of no job */
@@ -72,7 +74,7 @@
     core->team_cores_used = tw_alloc((config->team_count + 1) * sizeof(double));
     core->team_gpus_used = tw_alloc((config->team_count + 1) * sizeof(double));
     core->heartbeat_cache = tw_wire_heartbeat_cache_new(
-        (size_t)(LONG_HEARTBEATS_SHARE * config->mem_mb * BYTES_PER_MIB));
+        (size_t)(HEARTBEAT_CACHE_MEMORY_SHARE * config->mem_mb * BYTES_PER_MIB));
     init_objectives(core);
     return core;
 }
@@ -108,15 +110,16 @@
 /* ---- inputs ---- */
 
 /* Whether this node leads, has read the records of its term and may command. */
-static bool is_in_command(const tw_core *core) {
+static bool is_authorized_leader(const tw_core *core) {
     return tw_cluster_is_active(core->cluster) &&
            tw_cluster_may(core->cluster, TW_PERMISSION_WRITE);
 }
 
 /* What follows from any input: placing, writing, sending. */
-static void run_follow_up(tw_core *core) {
-    if (!is_in_command(core)) return;
-    if (core->scheduling_due && core->context.now >= core->next_pass_at) tw_scheduler_run(core);
+static void run_pending_work(tw_core *core) {
+    if (!is_authorized_leader(core)) return;
+    if (core->scheduling_due && core->context.now >= core->next_pass_at)
+        tw_scheduler_run_pass(core);
     tw_store_flush(core->store);
     tw_commands_send_direct(core);
 }
@@ -225,7 +228,7 @@
         on_job_request(core, &request);
     else
         tw_reply_error(&core->context, connection, TW_HTTP_NOT_FOUND, 0, "no such resource");
-    run_follow_up(core);
+    run_pending_work(core);
 }
 
 /* ---- responses ---- */
@@ -245,14 +248,14 @@
 
 static void on_records(tw_core *core, tw_call *sent, int status, const char *body, size_t length) {
     (void)sent;
-    tw_failover_page(core, status, body, length);
+    tw_failover_handle_page(core, status, body, length);
 }
 
 /* What is done with the response to each kind of call; every kind has a line. */
 static const struct {
     response_handler *handle;
-    bool of_term;      /* of no use once the term that it was sent in has ended */
-    const char *reads; /* for the log: what it reads from the state service; NULL: nothing */
+    bool term_scoped;        /* of no use once the term that it was sent in has ended */
+    const char *read_target; /* for the log: what it reads from the state service; NULL: nothing */
 } responses[TW_CALL_KINDS] = {
     [TW_CALL_READ_LEADER] = {on_cluster_response, false, "leader"},
     [TW_CALL_WATCH_LEADER] = {on_cluster_response, false},
@@ -296,13 +299,13 @@
 
 static void log_read(const tw_core *core, const tw_call *sent, int status, const char *body,
                      size_t length) {
-    const char *what = responses[sent->kind].reads;
+    const char *what = responses[sent->kind].read_target;
     if (!what || !tw_log_on(TW_LOG_DEBUG)) return;
     tw_log_debug("event=state_read what=%s status=%d revision=%llu took_s=%.3f token=%llu stale=%d",
                  what, status, (unsigned long long)response_revision(status, body, length),
                  core->context.now - sent->sent_at,
                  (unsigned long long)tw_cluster_token(core->cluster),
-                 responses[sent->kind].of_term && sent->term != core->context.term);
+                 responses[sent->kind].term_scoped && sent->term != core->context.term);
 }
 
 void tw_core_response(tw_core *core, double now, double wall, uint64_t id, int status,
@@ -311,10 +314,10 @@
     tw_call *sent = tw_call_answered(&core->context, id, status);
     if (!sent) return;
     log_read(core, sent, status, body, length);
-    if (!responses[sent->kind].of_term || sent->term == core->context.term)
+    if (!responses[sent->kind].term_scoped || sent->term == core->context.term)
         responses[sent->kind].handle(core, sent, status, body, length);
     tw_call_free(sent);
-    run_follow_up(core);
+    run_pending_work(core);
 }
 
 /* ---- effects ---- */
@@ -333,14 +336,14 @@
 }
 
 /* The timed work of a leader that may command. */
-static void tick_in_command(tw_core *core) {
+static void tick_authorized_leader(tw_core *core) {
     tw_cluster_registry_tick(core->cluster);
     tw_peer_admissions_tick(core);
     tw_machines_tick(core);
     if (core->context.now < core->next_recheck_at) return;
     core->next_recheck_at = core->context.now + core->context.config->tune.recheck_ratio *
                                                     core->context.config->report_s;
-    tw_scheduler_recheck(core);
+    tw_scheduler_recheck_deadlines(core);
 }
 
 void tw_core_tick(tw_core *core, double now, double wall) {
@@ -351,7 +354,7 @@
     tw_held_heartbeats_tick(core);
     tw_cluster_delegate_tick(core->cluster);
     if (tw_cluster_is_loading(core->cluster)) tw_failover_tick(core);
-    if (is_in_command(core)) tick_in_command(core);
+    if (is_authorized_leader(core)) tick_authorized_leader(core);
     tw_autoscaler_tick(core);
-    run_follow_up(core);
+    run_pending_work(core);
 }
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -39,18 +39,18 @@
 }
 
 /* Whether the job's tasks end by themselves. */
-static bool returns_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
+static bool will_release_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
 
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *releases) {
     tw_job *job;
     int capacity = 0;
     DL_FOREACH(core->active_jobs, job) {
-        if (returns_capacity(job)) capacity += job->placed_count;
+        if (will_release_capacity(job)) capacity += job->placed_count;
     }
     releases->items = tw_alloc((size_t)capacity * sizeof *releases->items);
     releases->count = 0;
     DL_FOREACH(core->active_jobs, job) {
-        if (!returns_capacity(job)) continue;
+        if (!will_release_capacity(job)) continue;
         const tw_placement *placed;
         DL_FOREACH2(job->placements, placed, job_next) {
             if (!tw_machine_is_usable(core, placed->machine)) continue;
--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -25,7 +25,7 @@
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const tw_capacity room = tw_machine_free_capacity(machine, type);
     int count = count_tasks_in_room(&room, &job->spec, limit);
-    while (count > 0 && !tw_constraints_leave_gpus(core, machine, job, count)) count--;
+    while (count > 0 && !tw_constraints_leave_gpus_usable(core, machine, job, count)) count--;
     return count;
 }
 
@@ -46,7 +46,7 @@
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (!tw_preemption_allowed(core, job, placed)) continue;
-        tw_capacity_give_task(&room, &placed->job->spec);
+        tw_capacity_add_task(&room, &placed->job->spec);
     }
     return count_tasks_in_room(&room, &job->spec, limit);
 }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -190,7 +190,7 @@
 /* Asks for the next page of records when it is due, unless that is under way. */
 void tw_failover_tick(tw_core *core);
 /* The state service answered with a page of records, or failed to (any status but 200). */
-void tw_failover_page(tw_core *core, int status, const char *body, size_t length);
+void tw_failover_handle_page(tw_core *core, int status, const char *body, size_t length);
 /* Takes a job in as its record has it: among the jobs, or among the completed ones if it has ended
  * and nothing of it may run. What the job was submitted with is moved out of the record. revision:
  * the record's modification revision. */
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -31,8 +31,8 @@
 void tw_job_class_note_arrival(tw_core *core, tw_job_class *class, const tw_job *job) {
     /* Jobs that were waiting for the service to come up say nothing about the rate of arrivals. */
     const bool opening =
-        core->began_without_jobs && core->context.now - core->first_admission_at <
-                                        OPENING_LEASES * core->context.config->lease_s;
+        core->term_began_without_jobs && core->context.now - core->first_admission_at <
+                                             OPENING_LEASES * core->context.config->lease_s;
     double gap_s =
         class->last_arrival_at > 0 ? core->context.now - class->last_arrival_at : FIRST_GAP_S;
     const double weight = opening ? 0 : 1 - exp(-gap_s / RATE_TIME_S);
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -48,13 +48,13 @@
 /* The priority of the level's jobs. */
 static tw_wire_priority priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
-bool tw_job_lacks_tasks(const tw_job *job) {
+bool tw_job_has_unplaced_tasks(const tw_job *job) {
     return job->has_spec && job->task_states && job->state == TW_JOB_PENDING && !job->cancelling &&
            job->team >= 0 && job->done_count + job->placed_count < job->task_count;
 }
 
 bool tw_job_is_pending(const tw_core *core, const tw_job *job) {
-    return tw_job_lacks_tasks(job) && core->context.now >= job->retry_at &&
+    return tw_job_has_unplaced_tasks(job) && core->context.now >= job->retry_at &&
            (!job->spec.gang || tw_gang_is_pending(job));
 }
 
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -12,10 +12,10 @@
 #define PATH_SIZE 400
 
 /* Shortest wait until a page that could not be read is asked for again, in leases of the leader. */
-#define RETRY_LEASES 0.05
+#define PAGE_RETRY_LEASE_SHARE 0.05
 
 /* Machines that an earlier leader rented are surely in the list after so many times its lag. */
-#define LIST_LAGS 1.2
+#define LIST_LAG_FACTOR 1.2
 
 void tw_failover_begin(tw_core *core) {
     *core->load_cursor = 0;
@@ -47,12 +47,12 @@
     core->scheduling_due = true;
     core->next_pass_at = core->context.now;
     core->next_machine_list_at = core->context.now;
-    core->began_without_jobs = !has_jobs;
+    core->term_began_without_jobs = !has_jobs;
     core->first_admission_at = 0;
     /* The cloud lists machines that an earlier leader rented only after the list's lag. */
-    core->scale_out_from = has_jobs
-                               ? core->context.now + LIST_LAGS * core->context.config->list_lag_s
-                               : core->context.now;
+    core->no_scale_out_until =
+        has_jobs ? core->context.now + LIST_LAG_FACTOR * core->context.config->list_lag_s
+                 : core->context.now;
     tw_log_info("event=leader_activated jobs=%zu token=%llu load_s=%.3f",
                 HASH_COUNT(core->jobs) + completed_count,
                 (unsigned long long)tw_cluster_token(core->cluster),
@@ -61,8 +61,8 @@
 
 /* Restores a job with a chunked record, whose chunks were read before. head: the record itself,
  * which names them. */
-static void restore_chunked(tw_core *core, const char *id, const tw_wire_record *head,
-                            uint64_t revision) {
+static void restore_chunked_job(tw_core *core, const char *id, const tw_wire_record *head,
+                                uint64_t revision) {
     tw_wire_record record;
     char *text = tw_store_loaded_text(core->store, id, head);
     if (!text || tw_wire_record_parse(&record, id, text, strlen(text))) {
@@ -79,14 +79,14 @@
         tw_store_record_set_chunks(core->store, job->record, head->chunk_set, head->chunk_count);
 }
 
-static void restore_listed(tw_core *core, tw_wire_listed_record *listed) {
+static void restore_listed_record(tw_core *core, tw_wire_listed_record *listed) {
     const char *id = listed->key + sizeof TW_JOB_KEY - 1;
     if (!listed->readable)
         tw_log_error("event=record_unreadable key=%.32s", listed->key);
     else if (tw_job_is_known(core, id))
         return;
     else if (*listed->record.chunk_set)
-        restore_chunked(core, id, &listed->record, listed->mod_revision);
+        restore_chunked_job(core, id, &listed->record, listed->mod_revision);
     else
         tw_job_restore(core, id, &listed->record, listed->mod_revision);
 }
@@ -108,14 +108,14 @@
     tw_wire_listed_record *listed;
     int count, more;
     if (tw_wire_records_parse(&listed, &count, &more, TW_JOB_KEY, body, length)) return false;
-    for (int i = 0; i < count; i++) restore_listed(core, &listed[i]);
+    for (int i = 0; i < count; i++) restore_listed_record(core, &listed[i]);
     if (count) snprintf(core->load_cursor, sizeof core->load_cursor, "%s", listed[count - 1].key);
     tw_wire_records_free(listed, count);
     if (!more || !count) activate_leader(core);
     return true;
 }
 
-void tw_failover_page(tw_core *core, int status, const char *body, size_t length) {
+void tw_failover_handle_page(tw_core *core, int status, const char *body, size_t length) {
     core->load_in_flight = false;
     const bool is_read =
         status == TW_HTTP_OK &&
@@ -124,7 +124,7 @@
         /* Retries without a wait would use up the state service's limits, and leave nothing of them
          * for the renewal of this leader's own lease. */
         core->next_load_at =
-            core->context.now + fmax(tw_cluster_lease_s(core->cluster) * RETRY_LEASES,
+            core->context.now + fmax(tw_cluster_lease_s(core->cluster) * PAGE_RETRY_LEASE_SHARE,
                                      tw_cluster_rate_limited_wait_s(core->cluster, status));
         return;
     }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -23,7 +23,7 @@
         -1; /* the type's prior */
     machine->zone_index = -1;
     const size_t length = strlen(machine->name);
-    if (length > core->longest_machine_name) core->longest_machine_name = length;
+    if (length > core->longest_machine_name_length) core->longest_machine_name_length = length;
     HASH_ADD_STR(core->machines, name, machine);
     return machine;
 }
--- a/src/core/machine_choice.c
+++ b/src/core/machine_choice.c
@@ -17,25 +17,25 @@
     tw_machine *machine = core->candidates[score->candidate].machine;
     if (!tw_demand_allows_machine(demand, machine)) return;
     const bool meets_deadline = score->end_at <= demand->deadline_at;
-    const tw_choice offered = {.machine = machine,
-                               .candidate = score->candidate,
-                               .is_preferred = !demand->prefers_first_incarnation ||
-                                               tw_machine_is_in_first_incarnation(machine),
-                               .meets_deadline = meets_deadline,
-                               .points = meets_deadline ? score->points : -score->total_s,
-                               .room_is_reserved = choice->room_is_reserved};
-    if (!is_better(&offered, choice)) return;
+    const tw_choice considered = {.machine = machine,
+                                  .candidate = score->candidate,
+                                  .is_preferred = !demand->prefers_first_incarnation ||
+                                                  tw_machine_is_in_first_incarnation(machine),
+                                  .meets_deadline = meets_deadline,
+                                  .points = meets_deadline ? score->points : -score->total_s,
+                                  .capacity_is_reserved = choice->capacity_is_reserved};
+    if (!is_better(&considered, choice)) return;
     if (!tw_reserve_allows(core, machine, demand->job)) {
-        choice->room_is_reserved = true;
+        choice->capacity_is_reserved = true;
         return;
     }
-    *choice = offered;
+    *choice = considered;
 }
 
 /* Scores all candidates for a kind of task that this pass has not scored yet, and chooses among
  * them. */
-static void choose_among_unscored(tw_core *core, const tw_demand *demand, tw_choice *choice) {
-    tw_score_table *table = tw_scores_begin(core, demand);
+static void score_and_choose(tw_core *core, const tw_demand *demand, tw_choice *choice) {
+    tw_score_table *table = tw_scores_add_table(core, demand);
     for (int i = 0; i < core->candidate_count; i++) {
         const tw_score *score = tw_scores_add(core, table, demand, i);
         core->pass_steps++;
@@ -43,11 +43,11 @@
     }
 }
 
-tw_choice tw_scheduler_choose(tw_core *core, const tw_demand *demand) {
+tw_choice tw_scheduler_choose_machine(tw_core *core, const tw_demand *demand) {
     tw_choice choice = {.points = -INFINITY, .is_preferred = !demand->prefers_first_incarnation};
     tw_score_table *table = tw_scores_find(core, demand);
     if (!table) {
-        choose_among_unscored(core, demand, &choice);
+        score_and_choose(core, demand, &choice);
         return choice;
     }
     for (int i = 0; i < tw_scores_count(table); i++) {
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -87,7 +87,7 @@
     tw_call_send(&core->context, TW_CALL_REMOVE_PEER_ADMISSION, TW_TO_STATE,
                  core->context.config->state, "POST", "/txn",
                  tw_wire_txn_text(&compare, 1, &removal, 1), 1);
-    tw_expiring_names_remove(&core->untaken_admissions, untaken);
+    tw_expiring_names_remove(&core->unprocessed_admissions, untaken);
 }
 
 /* Notes a key that was listed or watched. */
@@ -96,8 +96,8 @@
     if (strncmp(key, PEER_ADMISSION_KEY, sizeof PEER_ADMISSION_KEY - 1) != 0 ||
         !tw_wire_id_ok(id, strlen(id)))
         return;
-    tw_expiring_name *untaken = tw_expiring_names_find(core->untaken_admissions, id);
-    if (!untaken) untaken = tw_expiring_names_add(&core->untaken_admissions, id, 0);
+    tw_expiring_name *untaken = tw_expiring_names_find(core->unprocessed_admissions, id);
+    if (!untaken) untaken = tw_expiring_names_add(&core->unprocessed_admissions, id, 0);
     take_admission(core, untaken);
 }
 
@@ -130,7 +130,7 @@
 void tw_peer_admissions_tick(tw_core *core) {
     tw_expiring_name *untaken;
     tw_expiring_name *next;
-    HASH_ITER(hh, core->untaken_admissions, untaken, next) { take_admission(core, untaken); }
+    HASH_ITER(hh, core->unprocessed_admissions, untaken, next) { take_admission(core, untaken); }
     if (core->admission_watch_in_flight || core->context.now < core->next_admission_watch_at ||
         !tw_store_try_acquire_request(core->store))
         return;
--- a/src/core/placement_failures.c
+++ b/src/core/placement_failures.c
@@ -36,7 +36,7 @@
     core->placement_failures[core->placement_failure_count++] = *kind;
 }
 
-void tw_placement_failures_forget_cpu(tw_core *core) {
+void tw_placement_failures_clear_cpu_only(tw_core *core) {
     int kept = 0;
     for (int i = 0; i < core->placement_failure_count; i++)
         if (core->placement_failures[i].shape.gpus > 0)
@@ -44,4 +44,4 @@
     core->placement_failure_count = kept;
 }
 
-void tw_placement_failures_forget(tw_core *core) { core->placement_failure_count = 0; }
+void tw_placement_failures_clear(tw_core *core) { core->placement_failure_count = 0; }
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -25,7 +25,7 @@
     const tw_job *job = demand->job;
     const tw_machine *machine = placed->machine;
     if (!tw_log_on(TW_LOG_DEBUG)) return;
-    const tw_prediction prediction = tw_predict(core, demand, machine);
+    const tw_prediction prediction = tw_predict_duration(core, demand, machine);
     tw_log_debug("event=task_placed task=%s/%d attempt=%llu worker=%s class=%s machine_type=%s "
                  "waited_s=%.2f "
                  "start_s=%.2f left_s=%.2f image=%s",
@@ -39,15 +39,16 @@
  * where it goes, with no machine if there is no room for it. */
 static void find_machine(tw_core *core, const tw_demand *demand, tw_choice *choice) {
     const tw_job *job = demand->job;
-    *choice = tw_scheduler_choose(core, demand);
+    *choice = tw_scheduler_choose_machine(core, demand);
     if (choice->machine)
-        core->candidates[choice->candidate].changes++; /* harmless if no task is placed there */
+        core->candidates[choice->candidate]
+            .placement_count++; /* harmless if no task is placed there */
     else
-        choice->machine = tw_scheduler_preempt(core, demand, false, &choice->room_is_reserved);
+        choice->machine = tw_scheduler_preempt(core, demand, false, &choice->capacity_is_reserved);
     if (!choice->machine || choice->meets_deadline) return;
     if (!job->spec.service || job->spec.priority != TW_PRIORITY_PROD) return;
     /* The service would miss its start objective there: it is better to stop a batch task. */
-    tw_machine *other = tw_scheduler_preempt(core, demand, true, &choice->room_is_reserved);
+    tw_machine *other = tw_scheduler_preempt(core, demand, true, &choice->capacity_is_reserved);
     if (other) choice->machine = other;
 }
 
@@ -65,12 +66,12 @@
     if (!choice.machine) {
         /* The failure says nothing about other tasks of this kind if it comes from machines that
          * only this job passes over, or from reserved room, which comes and goes. */
-        if (!choice.room_is_reserved && !job->failed_machine_count &&
-            demand.machines == TW_MACHINES_ANY)
+        if (!choice.capacity_is_reserved && !job->failed_machine_count &&
+            demand.restriction == TW_MACHINES_ANY)
             tw_placement_failures_add(core, &kind);
         return false;
     }
-    if (job->spec.gpus > 0) tw_placement_failures_forget_cpu(core);
+    if (job->spec.gpus > 0) tw_placement_failures_clear_cpu_only(core);
     tw_reserve_take(core, choice.machine, job);
     const tw_placement *placed = tw_placement_new(core, job, index, choice.machine, attempt);
     if (!placed) return false;
@@ -103,8 +104,8 @@
             tw_attempt_terminate_on(core, placed, TW_EVIDENCE_PLACEMENT_UNDONE);
     }
     job->next_attempt = next_attempt;
-    tw_placement_failures_forget(core);
-    tw_scores_forget(core);
+    tw_placement_failures_clear(core);
+    tw_scores_clear(core);
 }
 
 /* The zone to which the first of the newest placements of the gang went. -1: there is no such
@@ -155,11 +156,11 @@
 
 /* Forgets the pass before and works out what holds for all of this one. */
 static void begin_pass(tw_core *core) {
-    tw_candidates_begin(core);
+    tw_candidates_update(core);
     tw_gang_reservation_update(core);
     tw_reserve_update(core);
-    tw_placement_failures_forget(core);
-    tw_scores_forget(core);
+    tw_placement_failures_clear(core);
+    tw_scores_clear(core);
 }
 
 bool tw_scheduler_place_now(tw_core *core, tw_job *job) {
@@ -173,7 +174,7 @@
     return job->placed_count + job->done_count == job->task_count;
 }
 
-void tw_scheduler_run(tw_core *core) {
+void tw_scheduler_run_pass(tw_core *core) {
     core->scheduling_due = false;
     core->next_pass_at = core->context.now + PASS_INTERVAL_S;
     tw_job_queue *queue = tw_job_queue_new(core, true);
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -17,7 +17,7 @@
 
 /* Whether stopping the task loses the work of a running gang: where not all its tasks can be told
  * to save it, the gang is left alone until they can. */
-static bool would_lose_gang(const tw_core *core, const tw_placement *placed) {
+static bool would_lose_gang_progress(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            placed->running_since > 0 &&
@@ -28,7 +28,8 @@
 bool tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
                            const tw_placement *placed) {
     return placed->counted && !placed->stopping && placed->job->has_spec &&
-           placed->job->spec.priority < job->spec.priority && !would_lose_gang(core, placed);
+           placed->job->spec.priority < job->spec.priority &&
+           !would_lose_gang_progress(core, placed);
 }
 
 /* The run time, in seconds, that a task loses when it is stopped. */
@@ -55,10 +56,11 @@
 
 /* Whether stopping all tasks of lower priority could make enough room, judged by the machine's sums
  * alone: this rules out most machines cheaply. */
-static bool could_make_room(const tw_core *core, const tw_machine *machine, const tw_job *job) {
+static bool could_free_capacity(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    const tw_capacity room = tw_machine_preemptible_capacity(machine, type, job->spec.priority);
-    return tw_capacity_fits(&room, &job->spec, SUM_TOLERANCE);
+    const tw_capacity available =
+        tw_machine_preemptible_capacity(machine, type, job->spec.priority);
+    return tw_capacity_fits(&available, &job->spec, SUM_TOLERANCE);
 }
 
 /* Whether another task of the same gang is a victim on the machine already: this one stops with it
@@ -76,7 +78,7 @@
  * are missing, tasks without GPUs are not considered for a task with GPUs. *least_cost_s is its
  * cost. */
 static tw_placement *find_cheapest_victim(const tw_core *core, const tw_machine *machine,
-                                          const tw_job *job, const tw_capacity *room,
+                                          const tw_job *job, const tw_capacity *available,
                                           double *least_cost_s) {
     tw_placement *best = NULL;
     tw_placement *placed;
@@ -84,7 +86,7 @@
     DL_FOREACH(machine->placements, placed) {
         if (!tw_preemption_allowed(core, job, placed) || placed->mark == VICTIM_MARK) continue;
         if (job->spec.gpus > 0 && placed->job->spec.gpus <= 0 &&
-            room->gpus + TW_CAPACITY_ROUNDING < job->spec.gpus)
+            available->gpus + TW_CAPACITY_ROUNDING < job->spec.gpus)
             continue;
         const double cost_s = gang_is_victim(machine, placed) ? 0 : preemption_cost_s(core, placed);
         if (cost_s < *least_cost_s) {
@@ -120,16 +122,16 @@
 static bool select_victims(tw_core *core, const tw_job *job, tw_machine *machine,
                            const preemption_limit *limit, double *cost_s) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_capacity room = tw_machine_vacating_capacity(machine, type);
+    tw_capacity available = tw_machine_vacating_capacity(machine, type);
     *cost_s = 0;
-    while (!tw_capacity_fits(&room, &job->spec, TW_CAPACITY_ROUNDING)) {
+    while (!tw_capacity_fits(&available, &job->spec, TW_CAPACITY_ROUNDING)) {
         double least_cost_s;
-        tw_placement *victim = find_cheapest_victim(core, machine, job, &room, &least_cost_s);
+        tw_placement *victim = find_cheapest_victim(core, machine, job, &available, &least_cost_s);
         if (!victim) return false;
         victim->mark = VICTIM_MARK;
         *cost_s += least_cost_s;
         if (limit && *cost_s + limit->penalty_s >= limit->least_cost_s) return false;
-        tw_capacity_give_task(&room, &victim->job->spec);
+        tw_capacity_add_task(&available, &victim->job->spec);
         if (!limit) stop_victim(core, victim, job);
     }
     return true;
@@ -148,11 +150,11 @@
                                const tw_machine *machine) {
     return tw_constraints_allow_machine(core, demand->job, machine) &&
            tw_demand_allows_machine(demand, machine) &&
-           tw_constraints_leave_gpus(core, machine, demand->job, 1);
+           tw_constraints_leave_gpus_usable(core, machine, demand->job, 1);
 }
 
 struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, bool in_time,
-                                        bool *room_is_reserved) {
+                                        bool *capacity_is_reserved) {
     const tw_job *job = demand->job;
     double least_cost_s = INFINITY;
     double cost_s;
@@ -161,13 +163,13 @@
     for (int i = 0; i < core->candidate_count; i++) {
         tw_machine *machine = core->candidates[i].machine;
         core->pass_steps++;
-        if (!could_make_room(core, machine, job)) continue;
+        if (!could_free_capacity(core, machine, job)) continue;
         if (!machine_is_allowed(core, demand, machine)) continue;
         if (!tw_reserve_allows(core, machine, job)) {
-            *room_is_reserved = true;
+            *capacity_is_reserved = true;
             continue;
         }
-        const tw_prediction prediction = tw_predict(core, demand, machine);
+        const tw_prediction prediction = tw_predict_duration(core, demand, machine);
         const bool late = !(tw_predict_end(core, demand, &prediction) <= demand->deadline_at);
         if (late && in_time) continue;
         const preemption_limit limit = {late ? COST_OF_MISSED_DEADLINE_S : 0, least_cost_s};
@@ -181,7 +183,7 @@
     select_victims(core, job, best, NULL, &cost_s);
     clear_victim_marks(best);
     /* More room may have been made than the task needs, which is of use to others. */
-    tw_placement_failures_forget(core);
-    tw_scores_forget(core);
+    tw_placement_failures_clear(core);
+    tw_scores_clear(core);
     return best;
 }
--- a/src/core/preference.c
+++ b/src/core/preference.c
@@ -12,10 +12,10 @@
     1500 /* batch task: lost for each step that a fetch adds to the run                            \
           */
 #define POINTS_SPOT 100
-#define POINTS_IMAGE 20        /* image cached; for a batch task also on its way */
-#define POINTS_IMAGE_COMING 10 /* service: image on its way */
-#define POINTS_FREE_ZONE 30    /* service: if all of the zone were free */
-#define POINTS_LONG_FETCH 30   /* service: lost for a fetch as long as its start objective */
+#define POINTS_IMAGE 20          /* image cached; for a batch task also on its way */
+#define POINTS_IMAGE_FETCHING 10 /* service: image on its way */
+#define POINTS_FREE_ZONE 30      /* service: if all of the zone were free */
+#define POINTS_LONG_FETCH 30     /* service: lost for a fetch as long as its start objective */
 #define POINTS_FULLNESS 10
 
 /* The machine's slowness in steps, rounded: the logarithm to the base SLOWNESS_STEP. It is costly,
@@ -42,8 +42,8 @@
                                  const tw_prediction *prediction) {
     double points = 0;
     if (prediction->image)
-        points += prediction->image->ready_at <= 0 ? POINTS_IMAGE : POINTS_IMAGE_COMING;
-    points += POINTS_FREE_ZONE * tw_candidates_zone_free(core, machine, job->spec.gpus > 0);
+        points += prediction->image->ready_at <= 0 ? POINTS_IMAGE : POINTS_IMAGE_FETCHING;
+    points += POINTS_FREE_ZONE * tw_candidates_zone_free_share(core, machine, job->spec.gpus > 0);
     /* Even if it starts in time, a replica is down while its image is fetched: a free zone is not
      * worth a long fetch. */
     if (job->job_class && job->job_class->start_within_s > 0)
@@ -64,8 +64,8 @@
     return points + POINTS_FULLNESS * machine_fullness(core, demand->job, machine);
 }
 
-double tw_preference(const tw_core *core, const tw_demand *demand, tw_machine *machine,
-                     const tw_prediction *prediction) {
+double tw_preference_points(const tw_core *core, const tw_demand *demand, tw_machine *machine,
+                            const tw_prediction *prediction) {
     if (demand->job->spec.service)
         return service_preference(core, demand->job, machine, prediction);
     return batch_preference(core, demand, machine, prediction);
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -57,7 +57,7 @@
             !tw_constraints_allow_machine(core, job, machine) ||
             !tw_demand_allows_machine(&demand, machine))
             continue;
-        const double total_s = tw_predict(core, &demand, machine).total_s;
+        const double total_s = tw_predict_duration(core, &demand, machine).total_s;
         if (core->context.now + total_s <= demand.deadline_at)
             add_target(&targets, machine, total_s);
     }
@@ -107,15 +107,15 @@
     return stopped;
 }
 
-void tw_scheduler_recheck(tw_core *core) {
-    int left = MAX_RERUNS;
+void tw_scheduler_recheck_deadlines(tw_core *core) {
+    int remaining_reruns = MAX_RERUNS;
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (job->state != TW_JOB_PENDING || !job->has_spec || job->spec.service || job->spec.gang ||
             job->spec.deadline_s < 0)
             continue;
-        left -= recheck_job(core, job, left);
-        if (left <= 0) break;
+        remaining_reruns -= recheck_job(core, job, remaining_reruns);
+        if (remaining_reruns <= 0) break;
     }
     core->scheduling_due = true; /* some job's retry_at may have come, too */
 }
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -41,7 +41,8 @@
     if (job->spec.gang && tw_cluster_all_read_chunks(core->cluster)) return job->task_count;
     const int index = count_digits((uint64_t)job->task_count);
     const int attempt = count_digits(job->next_attempt + (uint64_t)job->task_count);
-    const double task = index + attempt + (double)core->longest_machine_name + TASK_SEPARATORS;
+    const double task =
+        index + attempt + (double)core->longest_machine_name_length + TASK_SEPARATORS;
     const double range = 2 * index + RANGE_SEPARATORS;
     const double single = index + 1; /* a range of one task */
     const double room =
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -84,7 +84,7 @@
                             const tw_job_class *class) {
     const tw_capacity before = room_for_service(core, machine);
     tw_capacity after = before;
-    tw_capacity_take_task(&after, &job->spec);
+    tw_capacity_subtract_task(&after, &job->spec);
     return count_fitting_tasks(&before, &class->sample) -
            count_fitting_tasks(&after, &class->sample);
 }
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -62,7 +62,8 @@
            core->machine_types[machine->type_index].listed.fetch_gb_s;
 }
 
-tw_prediction tw_predict(const tw_core *core, const tw_demand *demand, const tw_machine *machine) {
+tw_prediction tw_predict_duration(const tw_core *core, const tw_demand *demand,
+                                  const tw_machine *machine) {
     const tw_job *job = demand->job;
     const tw_machine_type *type = &core->machine_types[machine->type_index];
     const double queue_delay_s =
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -171,7 +171,7 @@
     const tw_bin whole = bin_of_whole_machine(core, machine);
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
-        if (!tw_job_lacks_tasks(job) || !job->spec.gang) continue;
+        if (!tw_job_has_unplaced_tasks(job) || !job->spec.gang) continue;
         if (!job->placed_count && !tw_quota_allows_tasks(core, job, 1)) continue;
         if (may_use_machine(job, machine, &whole)) return true;
     }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -53,8 +53,10 @@
 /* constraints.c */
 /* Whether so many tasks leave the free GPUs of the room, which is on a machine of this type, the
  * cores and memory that tasks with GPUs need. Always true for tasks with GPUs. */
-bool tw_constraints_room_leaves_gpus(const tw_core *core, const tw_wire_machine_type *type,
-                                     const tw_capacity *room, const tw_wire_job *spec, int tasks);
+bool tw_constraints_capacity_leaves_gpus_usable(const tw_core *core,
+                                                const tw_wire_machine_type *type,
+                                                const tw_capacity *capacity,
+                                                const tw_wire_job *spec, int tasks);
 
 /* What no task uses on the machine, which is of this type. */
 static inline tw_capacity tw_machine_free_capacity(const tw_machine *machine,
@@ -67,28 +69,29 @@
  * they stop, whose amounts count as used already. */
 static inline tw_capacity tw_machine_vacating_capacity(const tw_machine *machine,
                                                        const tw_wire_machine_type *type) {
-    const tw_capacity room = tw_machine_free_capacity(machine, type);
-    return (tw_capacity){room.cores + machine->vacating_cores, room.gpus + machine->vacating_gpus,
-                         room.memory_gb + machine->vacating_memory_gb};
+    const tw_capacity capacity = tw_machine_free_capacity(machine, type);
+    return (tw_capacity){capacity.cores + machine->vacating_cores,
+                         capacity.gpus + machine->vacating_gpus,
+                         capacity.memory_gb + machine->vacating_memory_gb};
 }
 
 /* The same with the room of all tasks of a lower priority, of which some may not be stopped. */
 static inline tw_capacity tw_machine_preemptible_capacity(const tw_machine *machine,
                                                           const tw_wire_machine_type *type,
                                                           tw_wire_priority priority) {
-    tw_capacity room = tw_machine_vacating_capacity(machine, type);
+    tw_capacity capacity = tw_machine_vacating_capacity(machine, type);
     for (tw_wire_priority lower = TW_PRIORITY_IDLE; lower < priority; lower++) {
-        room.cores += machine->used_by_priority[lower].cores;
-        room.gpus += machine->used_by_priority[lower].gpus;
-        room.memory_gb += machine->used_by_priority[lower].memory_gb;
+        capacity.cores += machine->used_by_priority[lower].cores;
+        capacity.gpus += machine->used_by_priority[lower].gpus;
+        capacity.memory_gb += machine->used_by_priority[lower].memory_gb;
     }
-    return room;
+    return capacity;
 }
 
 /* placement_pass.c */
 /* Runs a pass over the queue: places pending tasks, at most a few hundred, and sets
  * core->scheduling_due if some are left for the next pass. */
-void tw_scheduler_run(tw_core *core);
+void tw_scheduler_run_pass(tw_core *core);
 /* Places a job of the highest priority at once instead of waiting for the next pass. Returns
  * whether all its tasks are placed now. A job of a lower priority, or one that isn't pending, is
  * left to the next pass, which is brought forward. */
@@ -97,7 +100,7 @@
 /* recheck.c */
 /* Stops batch tasks that are expected to miss their deadline, where a full rerun on another machine
  * is expected to make it. */
-void tw_scheduler_recheck(tw_core *core);
+void tw_scheduler_recheck_deadlines(tw_core *core);
 
 /* run_estimate.c */
 /* When the job is late: a batch job has its owner's deadline, a service its class's start
@@ -162,6 +165,6 @@
 bool tw_job_is_pending(const tw_core *core, const tw_job *job);
 /* Whether tasks of the job are neither placed nor done, also while it pauses after an error, or is
  * a gang whose attempt is being stopped. */
-bool tw_job_lacks_tasks(const tw_job *job);
+bool tw_job_has_unplaced_tasks(const tw_job *job);
 
 #endif
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -3,7 +3,7 @@
  * score is worked out again only if a task was placed on its machine since.
  *
  * Invariants: a table is right as long as room only gets less; whoever gives room back within a
- * pass calls tw_scores_forget. The tables' memory is used again by later passes, and tw_scores_free
+ * pass calls tw_scores_clear. The tables' memory is used again by later passes, and tw_scores_free
  * frees it. A candidate on which the task doesn't fit is not in its table. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
@@ -73,16 +73,16 @@
     const tw_candidate *candidate = &core->candidates[score->candidate];
     tw_machine *machine = candidate->machine;
     const tw_job *job = demand->job;
-    score->changes = candidate->changes;
+    score->placement_count = candidate->placement_count;
     score->fits =
         tw_machine_has_room(machine, &core->machine_types[machine->type_index], &job->spec) &&
         tw_constraints_allow_machine(core, job, machine);
-    score->possible = score->fits && tw_constraints_leave_gpus(core, machine, job, 1);
-    if (!score->possible) return;
-    const tw_prediction prediction = tw_predict(core, demand, machine);
+    score->feasible = score->fits && tw_constraints_leave_gpus_usable(core, machine, job, 1);
+    if (!score->feasible) return;
+    const tw_prediction prediction = tw_predict_duration(core, demand, machine);
     score->end_at = tw_predict_end(core, demand, &prediction);
     score->total_s = prediction.total_s;
-    score->points = tw_preference(core, demand, machine, &prediction);
+    score->points = tw_preference_points(core, demand, machine, &prediction);
 }
 
 tw_score *tw_scores_add(tw_core *core, tw_score_table *table, const tw_demand *demand,
@@ -97,7 +97,7 @@
      * stays. */
     if (!score->fits) return NULL;
     table->count++;
-    return score->possible ? score : NULL;
+    return score->feasible ? score : NULL;
 }
 
 /* A table to fill: an unused one, else the one that was begun longest ago. */
@@ -115,7 +115,7 @@
     return NULL;
 }
 
-tw_score_table *tw_scores_begin(tw_core *core, const tw_demand *demand) {
+tw_score_table *tw_scores_add_table(tw_core *core, const tw_demand *demand) {
     tw_score_table *table = acquire_table(core);
     table->kind = kind_of_demand(core, demand);
     table->count = 0;
@@ -126,12 +126,12 @@
 
 tw_score *tw_scores_get(tw_core *core, tw_score_table *table, const tw_demand *demand, int index) {
     tw_score *score = &table->items[index];
-    if (score->changes != core->candidates[score->candidate].changes)
+    if (score->placement_count != core->candidates[score->candidate].placement_count)
         update_score(core, demand, score);
-    return score->possible ? score : NULL;
+    return score->feasible ? score : NULL;
 }
 
-void tw_scores_forget(tw_core *core) {
+void tw_scores_clear(tw_core *core) {
     core->score_table_count = 0;
     core->next_score_table = 0;
 }
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -57,8 +57,8 @@
     tw_rejected_admission *rejected_admissions; /* by id */
     tw_job_class *job_classes;                  /* by name; kept over terms */
     double next_job_sweep_at;
-    bool began_without_jobs;   /* the state service had no job when this term began */
-    double first_admission_at; /* when the first job of such a term was admitted; 0: none was */
+    bool term_began_without_jobs; /* the state service had no job when this term began */
+    double first_admission_at;    /* when the first job of such a term was admitted; 0: none was */
 
     /* ---- reading the records (leader_failover.c) ----
      * Chunks are read before records; the next page is asked for when the last one came. */
@@ -70,15 +70,15 @@
 
     /* ---- jobs that other nodes admitted (peer_admissions.c) ----
      * A job stays among the untaken until it is known here and its key was asked to be removed. */
-    tw_expiring_name *untaken_admissions; /* ids, and when each is read again */
-    uint64_t admission_watch_revision;    /* revision to watch from; 0: list the keys first */
+    tw_expiring_name *unprocessed_admissions; /* ids, and when each is read again */
+    uint64_t admission_watch_revision;        /* revision to watch from; 0: list the keys first */
     double next_admission_watch_at;
     bool admission_watch_in_flight;
 
     /* ---- machines (machine.c, worker_heartbeat.c, direct_commands.c, lease_expiry.c) ----
      * Every placement of a job is on one of them. */
-    tw_machine *machines;        /* by name */
-    size_t longest_machine_name; /* of all machines that were known in this process */
+    tw_machine *machines;               /* by name */
+    size_t longest_machine_name_length; /* of all machines that were known in this process */
     char zone_names[TW_MAX_ZONES][TW_NAME_SIZE];
     int zone_count;
     tw_machine *command_queue;                /* machines that may be due for direct commands */
@@ -146,7 +146,7 @@
     tw_rental_request *rental_requests; /* requests whose machines are not all listed yet */
     uint64_t next_rental_request;
     double next_plan_at;
-    double scale_out_from; /* nothing is rented before */
+    double no_scale_out_until; /* nothing is rented before */
     double next_consolidation_at;
     double next_fleet_log_at;
 };
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -12,7 +12,7 @@
 }
 
 /* Machines go before the jobs that their placements point to. */
-static void forget_jobs_and_machines(tw_core *core) {
+static void clear_jobs_and_machines(tw_core *core) {
     tw_machine *machine, *next_machine;
     tw_job *job, *next_job;
     HASH_ITER(hh, core->jobs, job, next_job) { reject_waiting_clients(core, job); }
@@ -31,7 +31,7 @@
     core->zone_count = 0;
 }
 
-static void forget_rentals(tw_core *core) {
+static void clear_rentals(tw_core *core) {
     tw_rejected_admission *rejected, *next_rejected;
     HASH_ITER(hh, core->rejected_admissions, rejected, next_rejected) {
         tw_rejected_admission_drop(core, rejected);
@@ -49,10 +49,10 @@
 }
 
 void tw_term_clear(tw_core *core) {
-    forget_jobs_and_machines(core);
+    clear_jobs_and_machines(core);
     tw_expiring_names_clear(&core->returned_machines);
-    forget_rentals(core);
-    tw_expiring_names_clear(&core->untaken_admissions);
+    clear_rentals(core);
+    tw_expiring_names_clear(&core->unprocessed_admissions);
     tw_store_reset(core->store);
     core->silent_zone_count = 0;
     core->admission_watch_in_flight = false;
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -74,7 +74,7 @@
     job->submitted_at = job->pending_since = core->context.now;
     job->submitted_wall_s = core->context.wall;
     DL_APPEND(core->active_jobs, job);
-    if (core->began_without_jobs && core->first_admission_at <= 0)
+    if (core->term_began_without_jobs && core->first_admission_at <= 0)
         core->first_admission_at = core->context.now;
     tw_job_class_note_arrival(core, job->job_class, job);
     tw_job_add_waiting_client(core, job, connection, false);
