--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,27 +1,26 @@
-/* Dispatch: a request, a response or a tick goes to the module that handles it; then what follows
- * from it is decided, written and sent.
+/* Dispatch of requests, responses and ticks to the modules that handle them. After each input,
+ * pending work is done: tasks are placed, records written and commands sent.
  *
  * Invariants:
- *   - the time is set before anything else is done with an input;
- *   - the response to a call of an earlier term is dropped where only that term could use it;
- *   - tasks are placed, records written and commands sent after the input was handled, and only by
- * a leader that has read all records. */
+ *   - The time is set before an input is handled.
+ *   - The response to a call of an earlier term is dropped if only that term could use it.
+ *   - Tasks are placed, records written and commands sent only after the input was handled,
+ *     and only by a leader that has read all records. */
 #include "core/jobs.h"
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define HEARTBEAT_CACHE_MEMORY_SHARE                                                               \
-    0.1 /* of the memory, for cached heartbeats with long lists                                    \
-         */
+/* Share of the memory limit that cached heartbeats with long lists may use. */
+#define HEARTBEAT_CACHE_MEMORY_SHARE 0.1
 #define BYTES_PER_MIB (1024 * 1024)
 #define PATH_SIZE 512
-#define JOB_PATH_LIMIT 256 /* longer paths are of no job */
-/* Ticks between two heartbeats of a worker, within limits. */
+#define JOB_PATH_LIMIT 256 /* longer paths do not name a job */
+/* Number of ticks per heartbeat interval of the workers, subject to the limits below. */
 #define TICKS_PER_HEARTBEAT 20
 #define SHORTEST_TICK_S 0.05
 #define LONGEST_TICK_S 0.1
 
-/* The objectives that the settings have for classes of jobs. */
+/* Sets the objectives of the job classes from the settings. */
 static void init_objectives(tw_core *core) {
     for (size_t i = 0; i < core->context.config->objective_count; i++) {
         const tw_config_objective *objective = &core->context.config->objectives[i];
@@ -33,7 +32,7 @@
     }
 }
 
-/* ---- events of the cluster (cluster.h, tw_cluster_owner) ---- */
+/* ---- cluster callbacks (cluster.h, tw_cluster_owner) ---- */
 
 static void on_term_began(void *owner) { tw_failover_begin(owner); }
 
@@ -109,13 +108,15 @@
 
 /* ---- inputs ---- */
 
-/* Whether this node leads, has read the records of its term and may command. */
+/* Returns whether this node leads, has read the records of its term and has the permission to
+ * write. */
 static bool is_authorized_leader(const tw_core *core) {
     return tw_cluster_is_active(core->cluster) &&
            tw_cluster_may(core->cluster, TW_PERMISSION_WRITE);
 }
 
-/* What follows from any input: placing, writing, sending. */
+/* Does the work that any input may make due: places tasks, flushes records and sends direct
+ * commands. */
 static void run_pending_work(tw_core *core) {
     if (!is_authorized_leader(core)) return;
     if (core->scheduling_due && core->context.now >= core->next_pass_at)
@@ -130,7 +131,7 @@
     uint64_t connection;
     bool from_peer;
     const char *method;
-    const char *path; /* without a query or a fragment */
+    const char *path; /* without query and fragment */
     const char *body;
     size_t length;
 } request;
@@ -147,7 +148,7 @@
                                 request->from_peer);
 }
 
-/* A node is of use as long as the state service or another node answers it. */
+/* A node is healthy while the state service or another node responds to it. */
 static void on_health(tw_core *core, const request *request) {
     if (tw_cluster_is_isolated(core->cluster) &&
         !tw_cluster_may(core->cluster, TW_PERMISSION_ANSWER))
@@ -163,7 +164,7 @@
 enum { API_PORT = 1 << TW_PORT_API, PEER_PORT = 1 << TW_PORT_PEER };
 
 static const struct route {
-    int ports; /* the ports that it is served at, as bits */
+    int ports; /* ports that serve the route, as a bit mask */
     const char *method, *path;
     request_handler *handle;
 } routes[] = {
@@ -174,7 +175,7 @@
     {API_PORT | PEER_PORT, "POST", "/v1/jobs", on_submission},
 };
 
-/* The route of a request; NULL: none has its path and method. */
+/* Returns the route for the request's port, method and path. NULL: there is none. */
 static const struct route *route_of(const request *request) {
     const int port = request->from_peer ? PEER_PORT : API_PORT;
     for (size_t i = 0; i < sizeof routes / sizeof *routes; i++) {
@@ -186,7 +187,8 @@
     return NULL;
 }
 
-/* A request about one job: its path is this, the job's name and, for a cancellation, a verb. */
+/* Path prefix of requests about a single job. The job's id follows and, for a cancellation,
+ * "/abort". */
 static const char job_prefix[] = "/v1/jobs/";
 
 static bool is_about_job(const request *request) {
@@ -251,11 +253,13 @@
     tw_failover_handle_page(core, status, body, length);
 }
 
-/* What is done with the response to each kind of call; every kind has a line. */
+/* The handling of the response to each kind of call. Every kind has an entry. */
 static const struct {
     response_handler *handle;
-    bool term_scoped;        /* of no use once the term that it was sent in has ended */
-    const char *read_target; /* for the log: what it reads from the state service; NULL: nothing */
+    /* The response is useless once the term in which the call was sent has ended. */
+    bool term_scoped;
+    /* What the call reads from the state service, for the log; NULL: nothing. */
+    const char *read_target;
 } responses[TW_CALL_KINDS] = {
     [TW_CALL_READ_LEADER] = {on_cluster_response, false, "leader"},
     [TW_CALL_WATCH_LEADER] = {on_cluster_response, false},
@@ -286,7 +290,7 @@
     [TW_CALL_SEND_COMMANDS] = {tw_commands_response, true},
 };
 
-/* The revision that a response of the state service tells; 0: none. */
+/* Returns the store revision in a response of the state service, or 0 if it contains none. */
 static uint64_t response_revision(int status, const char *body, size_t length) {
     tw_wire_entry entry;
     uint64_t revision = 0;
@@ -335,7 +339,7 @@
     return fmin(LONGEST_TICK_S, fmax(SHORTEST_TICK_S, interval_s));
 }
 
-/* The timed work of a leader that may command. */
+/* Does the timed work of a leader that may write. */
 static void tick_authorized_leader(tw_core *core) {
     tw_cluster_registry_tick(core->cluster);
     tw_peer_admissions_tick(core);
--- a/src/core/core_int.h
+++ b/src/core/core_int.h
@@ -1,6 +1,6 @@
-/* All that the modules of the core share, by one include: each of these headers says what it owns.
- * What only the modules of one part share stands in a header of theirs (workers.h, jobs.h,
- * scheduler_int.h, autoscaler_int.h, heartbeat_forwarder.h). Not for other packages. */
+/* Includes the headers that the modules of the core share. Headers that only the modules of
+ * one part share are not included here: workers.h, jobs.h, scheduler_int.h, autoscaler_int.h,
+ * heartbeat_forwarder.h. Not for other packages. */
 #ifndef TW_CORE_INT_H
 #define TW_CORE_INT_H
 #include "core/attempt_termination.h"
@@ -24,7 +24,8 @@
 #include <string.h>
 #include <utlist.h>
 
-/* rate_limits.c: sets this node's parts of the rate limits of the state service and the cloud. */
+/* rate_limits.c: initializes this node's shares of the rate limits of the state service and
+ * the cloud. */
 void tw_rate_limiters_init(tw_core *core);
 
 #endif
--- a/src/core/counters.c
+++ b/src/core/counters.c
@@ -2,7 +2,8 @@
 #include "core/core_int.h"
 #include <stdarg.h>
 
-/* Bytes of a log line's details, and of the line of all counters; what is longer is cut. */
+/* Maximum size in bytes of the details of a log line and of the line with all counters. Longer
+ * text is truncated. */
 #define MAX_DETAIL 400
 #define MAX_LINE 700
 
@@ -38,7 +39,7 @@
     return all;
 }
 
-/* Adds ` PREFIX_NAME=COUNT` to the line for each counter that isn't 0. */
+/* Appends ` PREFIX_NAME=COUNT` to the line for each counter that is not 0. */
 static void append_counters(char *line, const char *prefix, const char *const *names,
                             const uint64_t *counts, int count) {
     for (int i = 0; i < count; i++) {
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -1,20 +1,21 @@
-/* Leader failover: a new leader reads every job from the state service before it decides anything.
- * A task that may run by a record is taken to run until its machine, the machine's return or the
- * end of its lease shows that it doesn't.
+/* Leader failover: a new leader reads every job from the state service before it makes
+ * decisions. A task that may be running according to its record is assumed to run until its
+ * machine's heartbeat, the return of the machine or the expiry of its lease proves otherwise.
  *
- * The records are read page by page in the order of their keys, one request at a time. Chunks come
+ * The records are read page by page in key order, one request at a time. Chunks are read
  * first, so that the text of a chunked record is complete when the record is read. */
 #include "core/jobs.h"
 
-/* Records per page, and how long a request for one may take. */
+/* Number of records per page, and timeout of a request for a page. */
 #define PAGE_SIZE 100
 #define PAGE_TIMEOUT_S 2.0
 #define PATH_SIZE 400
 
-/* Shortest wait until a page that could not be read is asked for again, in leases of the leader. */
+/* Minimum delay before a failed page request is retried, as a share of the leader's lease. */
 #define PAGE_RETRY_LEASE_SHARE 0.05
 
-/* Machines that an earlier leader rented are surely in the list after so many times its lag. */
+/* Machines rented by an earlier leader are certain to be in the cloud's list after this
+ * multiple of its lag. */
 #define LIST_LAG_FACTOR 1.2
 
 void tw_failover_begin(tw_core *core) {
@@ -38,7 +39,7 @@
                  "GET", path, NULL, PAGE_TIMEOUT_S);
 }
 
-/* All records are read: the leader may decide from now on. */
+/* Starts the leader's decisions after all records have been read. */
 static void activate_leader(tw_core *core) {
     const size_t completed_count = tw_completed_jobs_count(core->completed_jobs);
     const bool has_jobs = core->jobs || completed_count;
@@ -49,7 +50,7 @@
     core->next_machine_list_at = core->context.now;
     core->term_began_without_jobs = !has_jobs;
     core->first_admission_at = 0;
-    /* The cloud lists machines that an earlier leader rented only after the list's lag. */
+    /* Machines that an earlier leader rented appear in the cloud's list only after its lag. */
     core->no_scale_out_until =
         has_jobs ? core->context.now + LIST_LAG_FACTOR * core->context.config->list_lag_s
                  : core->context.now;
@@ -59,8 +60,8 @@
                 core->context.now - tw_cluster_term_began_at(core->cluster));
 }
 
-/* Restores a job with a chunked record, whose chunks were read before. head: the record itself,
- * which names them. */
+/* Restores a job with a chunked record, whose chunks have already been read. head: the job's
+ * entry in the page, which names its chunk set. */
 static void restore_chunked_job(tw_core *core, const char *id, const tw_wire_record *head,
                                 uint64_t revision) {
     tw_wire_record record;
@@ -91,7 +92,7 @@
         tw_job_restore(core, id, &listed->record, listed->mod_revision);
 }
 
-/* Takes in a page of chunks; false: the page can't be read. */
+/* Loads a page of chunks. Returns false if the page cannot be parsed. */
 static bool load_chunks(tw_core *core, const char *body, size_t length) {
     int more;
     const int count = tw_store_load_chunks(core->store, body, length, &more, core->load_cursor,
@@ -103,7 +104,7 @@
     return true;
 }
 
-/* Takes in a page of records; false: the page can't be read. */
+/* Loads a page of records. Returns false if the page cannot be parsed. */
 static bool load_records(tw_core *core, const char *body, size_t length) {
     tw_wire_listed_record *listed;
     int count, more;
@@ -121,8 +122,8 @@
         status == TW_HTTP_OK &&
         (core->loading_chunks ? load_chunks(core, body, length) : load_records(core, body, length));
     if (!is_read) {
-        /* Retries without a wait would use up the state service's limits, and leave nothing of them
-         * for the renewal of this leader's own lease. */
+        /* Immediate retries would use up the state service's rate limits and leave no calls for the
+         * renewal of this leader's own lease. */
         core->next_load_at =
             core->context.now + fmax(tw_cluster_lease_s(core->cluster) * PAGE_RETRY_LEASE_SHARE,
                                      tw_cluster_rate_limited_wait_s(core->cluster, status));
@@ -132,7 +133,7 @@
     if (tw_cluster_is_loading(core->cluster)) tw_failover_tick(core);
 }
 
-/* Restores an attempt that may run by the record. */
+/* Restores an attempt that may be running according to the record. */
 static void restore_attempt(tw_core *core, tw_job *job, const tw_wire_assignment *recorded) {
     tw_machine *machine = tw_machine_find(core, recorded->worker);
     if (!machine) machine = tw_machine_new(core, recorded->worker);
@@ -145,8 +146,8 @@
     if (job->state != TW_JOB_PENDING) placed->stopping = true;
 }
 
-/* Restores the tasks that are done, and the attempts that may run: of a job that is pending these
- * are of other tasks, of a gang that is done they are of done ones. */
+/* Restores the completed tasks and the attempts that may be running. In a pending job the
+ * attempts belong to tasks that are not done; in a completed gang they belong to done tasks. */
 static void restore_tasks(tw_core *core, tw_job *job, const tw_wire_record *record) {
     const bool is_over = job->state != TW_JOB_PENDING;
     job->task_states = tw_alloc((size_t)job->task_count);
--- a/src/core/rate_limits.c
+++ b/src/core/rate_limits.c
@@ -1,20 +1,21 @@
-/* This node's parts of the rate limits of the state service and the cloud, by the settings. Both
- * hold for all nodes together. The leader gets most of the state service's limits, by the store's
- * own rate limiters; without a leader to ask, all nodes at once read jobs for users and write
- * admissions, and leave the greater part to the leader's renewals and writes. */
+/* Initializes this node's shares of the rate limits of the state service and the cloud from
+ * the settings. The limits apply to all nodes together. The leader gets most of the state
+ * service's limits, through the store's own rate limiters. Without a reachable leader, all
+ * nodes read jobs for users and write admissions simultaneously; their shares leave the
+ * greater part of the limits to the leader's renewals and writes. */
 #include "core/core_int.h"
 
-/* The followers' part of the state service's limits, for all of them. */
+/* Share of the state service's limits for all followers together. */
 #define FOLLOWERS_SHARE 0.25
-/* Writes of how many seconds a follower may make at once. */
+/* Write burst of a follower, in seconds' worth of its write rate. */
 #define FOLLOWER_WRITE_BURST_S 8
-/* Requests that a follower may make at once in any case. */
+/* Minimum bursts of a follower, in requests. */
 #define FOLLOWER_MIN_READ_BURST 2
 #define FOLLOWER_MIN_WRITE_BURST 4
-/* Requests of how many seconds the leader may send to the cloud at once. */
+/* Burst of the leader's calls to the cloud, in seconds' worth of its rate. */
 #define CLOUD_BURST_S 2
 
-/* The limit that a leader keeps to. */
+/* Initializes the limit that applies while the node leads. */
 static void init_leader_limits(tw_core *core) {
     const tw_config *config = core->context.config;
     const double share = config->tune.write_share;
@@ -23,7 +24,7 @@
         tw_rate_limiter_make(cloud, fmax(1, cloud * CLOUD_BURST_S), core->context.now);
 }
 
-/* The limits that a node keeps to while it doesn't lead. */
+/* Initializes the limits that apply while the node does not lead. */
 static void init_follower_limits(tw_core *core) {
     const tw_config *config = core->context.config;
     const double share =
--- a/src/core/request_forwarding.c
+++ b/src/core/request_forwarding.c
@@ -1,11 +1,10 @@
-/* Requests of users that a node which does not lead forwards to the leader, and the leader's
- * answers to them. What the leader doesn't answer in time is answered without it, where that can be
- * done. */
+/* Forwarding of user requests from a node that does not lead to the leader, and handling of
+ * the leader's responses. If the leader does not respond in time, the node answers the request
+ * itself where possible. */
 #include "core/jobs.h"
 
-/* A leader that has answered no heartbeat of this node for this long, and half its lease, isn't
- * asked.
- */
+/* Requests are not forwarded to a leader that has answered no heartbeat of this node for this long
+ * plus half its lease. */
 #define LEADER_SILENT_S 0.6
 
 bool tw_request_forward(tw_core *core, uint64_t connection, tw_user_operation operation,
@@ -37,8 +36,8 @@
         tw_job_look_up(core, call->connection, call->name, call->operation);
         return;
     }
-    /* A submission may go straight to the state service, even if the leader still writes it: only
-     * the first write of its key goes through. */
+    /* A submission may be written directly to the state service even if the leader is still
+     * writing it, because only the first write of its key succeeds. */
     tw_wire_job spec;
     const char *why;
     if (call->operation == TW_OPERATION_SUBMIT && status == TW_HTTP_NO_RESPONSE && call->text &&
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -1,8 +1,8 @@
-/* The end of a term: everything that belongs to it is forgotten. A term that begins finds nothing
- * of an earlier one of this node. */
+/* End of a term: clears all state that belongs to the term, so that the node's next term
+ * starts without any of it. */
 #include "core/jobs.h"
 
-/* Rejects all users who wait for the job. */
+/* Replies to all clients that wait for the job that there is no leader. */
 static void reject_waiting_clients(tw_core *core, tw_job *job) {
     tw_waiting_client *client;
     while ((client = tw_job_take_waiting_client(job))) {
@@ -11,7 +11,7 @@
     }
 }
 
-/* Machines go before the jobs that their placements point to. */
+/* The machines are freed first, because their placements point to jobs. */
 static void clear_jobs_and_machines(tw_core *core) {
     tw_machine *machine, *next_machine;
     tw_job *job, *next_job;
