--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -1,18 +1,17 @@
-/* The machines that a pass may use, and how full the zones are. Both are worked out once, as the
- * pass begins: whether a machine is usable doesn't change within a pass, and the zones' shares need
- * not follow each placement. core->candidates belongs to the core and is used again by each pass.
- */
+/* The machines that a pass may use, and the free share of each zone. Both are computed once,
+ * when the pass starts: whether a machine is usable does not change during a pass, and the
+ * free shares need not follow each placement. The core owns core->candidates, and each pass
+ * reuses its memory. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 #define INITIAL_CAPACITY 64
 
-/* What the on-demand machines of a zone have, and what is in use of it. */
+/* Amounts of a zone's on-demand machines, in total and in use. */
 typedef struct {
     double cores, used_cores, gpus, used_gpus;
 } zone_usage;
 
-/* Adds a machine to the candidates. */
 static void add_candidate(tw_core *core, tw_machine *machine) {
     core->candidates = tw_grow(core->candidates, core->candidate_count, &core->candidate_capacity,
                                INITIAL_CAPACITY, sizeof *core->candidates);
--- a/src/core/capacity.c
+++ b/src/core/capacity.c
@@ -1,10 +1,11 @@
-/* How many tasks fit into given amounts. */
+/* The number of tasks that fit into a given capacity. */
 #include "core/capacity.h"
 #include <math.h>
 
-#define UNLIMITED_COUNT 1e6 /* tasks that ask for no amounts */
+/* result for tasks that request no resources */
+#define UNLIMITED_COUNT 1e6
 
-/* How many whole times the amount is contained in what is available. */
+/* Returns how many times the amount is completely contained in the available amount. */
 static double count_whole(double available, double amount) {
     return floor(available / amount + TW_CAPACITY_ROUNDING);
 }
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -1,6 +1,7 @@
-/* Which machines and zones a task may use: the machine types, spot machines and zones that its job
- * allows, machines that its job passes over, its team's limit, and the cores and memory that tasks
- * without GPUs leave for a machine's GPUs. Free room is not looked at here, but for the latter. */
+/* Constraints on the machines and zones for a task: the machine types, spot machines and zones
+ * that its job allows, machines that its job avoids, its team's limit, and the cores and
+ * memory that tasks without GPUs must leave for a machine's free GPUs. Only the last of these
+ * depends on the machine's free capacity. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
@@ -11,7 +12,7 @@
     int count = 0;
     const tw_placement *placed;
     DL_FOREACH2(job->placements, placed, job_next) {
-        const bool unknown = !*placed->machine->zone; /* it may be in any zone */
+        const bool unknown = !*placed->machine->zone; /* the machine may be in any zone */
         const bool in_zone = unknown || !strcmp(placed->machine->zone, zone);
         if (job->spec.single_zone && (unknown || !in_zone)) return false;
         count += in_zone;
@@ -45,7 +46,8 @@
     if (spec->gpus > 0 || type->gpus <= 0) return true;
     double cores_per_gpu = core->cores_per_gpu;
     double memory_gb_per_gpu = core->memory_gb_per_gpu;
-    if (cores_per_gpu <= 0) { /* unknown: each GPU keeps its share of the machine */
+    /* No samples of GPU tasks: each GPU keeps its proportional share of the machine. */
+    if (cores_per_gpu <= 0) {
         cores_per_gpu = type->cores / type->gpus;
         memory_gb_per_gpu = type->memory_gb / type->gpus;
     }
@@ -63,7 +65,7 @@
            tw_constraints_capacity_leaves_gpus_usable(core, type, &capacity, &job->spec, tasks);
 }
 
-/* The zones, as bits, that the job's next task may go to. */
+/* Returns the zones, as a bit mask, in which the job's next task may run. */
 static uint32_t allowed_zones(const tw_core *core, const tw_job *job) {
     uint32_t zones = 0;
     for (int zone = 0; zone < core->zone_count; zone++)
@@ -93,7 +95,7 @@
     if (!(job->type_mask & (1U << machine->type_index)) || (machine->spot && !job->spec.spot))
         return false;
     if (!tw_quarantine_allows(machine) || tw_gang_was_on(job, machine)) return false;
-    /* A launch must not meet the command to forget the same attempt on its way. */
+    /* A launch must not cross a command to forget the same attempt on its way to the worker. */
     if (job->spec.gang && core->context.now < machine->gang_forgets_until) return false;
     if (!tw_gang_reservation_allows(core, job, machine)) return false;
     for (int i = 0; i < job->failed_machine_count; i++)
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -1,19 +1,23 @@
-/* Room that running batch tasks are expected to give back: the plan compares waiting for it with
- * renting a machine. Room counts for a job only if the job may use the machine and the room on that
- * one machine is enough for a task: room on different machines is never added up. */
+/* Capacity that running batch tasks are expected to release. The autoscaler's plan compares
+ * waiting for it with renting a machine. Capacity counts for a job only if the job may use the
+ * machine and the capacity of that one machine is sufficient for a task: capacity of different
+ * machines is never added up. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define MIN_REMAINING_SHARE 0.1 /* of its run time: left for a task that is past its estimate */
-#define START_DELAY_S 1         /* until a placed task that does not run yet runs */
+/* Remaining run time assumed for a task past its estimate, as a share of its estimated
+ * run time. */
+#define MIN_REMAINING_SHARE 0.1
+/* Assumed delay until a placed task that is not running yet starts. */
+#define START_DELAY_S 1
 
-/* For qsort: the earliest first. */
+/* For qsort: the earliest release first. */
 static int compare_by_time(const void *left, const void *right) {
     const tw_expected_release *a = left, *b = right;
     return a->available_at < b->available_at ? -1 : a->available_at > b->available_at;
 }
 
-/* When a batch task is expected to end. */
+/* Returns the time at which a batch task is expected to end. */
 static double expected_task_end(const tw_core *core, const tw_placement *placed) {
     const double slowness = placed->machine->slowness > 0 ? placed->machine->slowness : 1;
     const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
@@ -22,8 +26,8 @@
     return fmax(runs_from + run_s, core->context.now + MIN_REMAINING_SHARE * run_s);
 }
 
-/* What is expected to be free on a task's machine when the task ends: its own amounts, and what is
- * free already. */
+/* Returns the capacity expected to be free on a task's machine when the task ends: the task's
+ * own amounts and what is free already. */
 static tw_expected_release release_of_task(const tw_core *core, const tw_placement *placed) {
     const tw_machine *machine = placed->machine;
     const tw_wire_job *spec = &placed->job->spec;
@@ -38,7 +42,7 @@
                          spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}}};
 }
 
-/* Whether the job's tasks end by themselves. */
+/* Returns whether the job's tasks end without being stopped. */
 static bool will_release_capacity(const tw_job *job) { return job->has_spec && !job->spec.service; }
 
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *releases) {
@@ -67,7 +71,7 @@
         core->pass_steps++;
         if (!tw_bin_is_allowed(&release->bin, &job->spec, job->type_mask)) continue;
         if (!tw_bin_fits(&release->bin, &job->spec)) continue;
-        /* Cores that are given back beside free GPUs are kept for those GPUs. */
+        /* Cores released on a machine with free GPUs are kept for those GPUs. */
         if (!tw_bin_leaves_gpus(core, &release->bin, &job->spec, job->any_machine)) continue;
         tw_bin_take(&release->bin, &job->spec);
         return fmax(core->context.now, release->available_at);
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -1,28 +1,31 @@
-/* The order in which pending jobs are served: by priority; then work within its team's guarantee;
- * then the teams in turn, the one with the least in use for its share first; within a team the
- * earliest deadline first.
+/* The order in which pending jobs are served: by priority; then jobs within their team's
+ * guarantee first; then the teams in turn, starting with the team that uses least relative to
+ * its share; within a team the earliest deadline first.
  *
- * Where more work waits than there is room for, that order alone may keep a job waiting without
- * end: behind deadlines that are earlier each time, behind teams whose services take less, behind
- * the many tasks of arrays that have begun. So within each priority at most every second placement
- * goes to an overdue job: the one that has waited longest for its first task, whichever team's turn
- * it is (core->overdue_credit).
+ * When demand exceeds capacity, this order alone could delay a job indefinitely: behind jobs
+ * with ever earlier deadlines, behind teams whose services use less, or behind the many tasks
+ * of jobs that have already started. Therefore, within each priority, at most every second
+ * placement goes to an overdue job: the one that has waited longest for its first task,
+ * regardless of whose turn it is (core->overdue_credit).
  *
- * A group is the jobs of one level and one team. Levels: first the highest priority's jobs within
- * their team's guarantee, then the highest priority's other jobs, then the next priority's.
+ * A group is the jobs of one level and one team. The levels are, in order: the jobs of the
+ * highest priority within their team's guarantee, the other jobs of the highest priority, the
+ * same two for the next priority, and so on.
  *
  * Used by the scheduler for each pass and by the autoscaler for each plan. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
 #define PRIORITY_COUNT (TW_PRIORITY_PROD + 1)
-#define LEVEL_COUNT (2 * PRIORITY_COUNT) /* within the guarantee or not, of each priority */
-/* A job that waits longer than this for its first task is overdue. */
+/* Each priority has a level for jobs within their team's guarantee and one for the others. */
+#define LEVEL_COUNT (2 * PRIORITY_COUNT)
+/* A job that has waited longer than this for its first task is overdue. */
 #define OVERDUE_AFTER_S (0.5 * TW_MAX_START_DELAY_S)
-#define GPU_WEIGHT_IN_CORES 16  /* cores that a GPU counts for in a team's use */
-#define OVERDUE_JOB_SERVED (-1) /* as last_group: an overdue job was served last */
+#define GPU_WEIGHT_IN_CORES 16 /* number of cores equivalent to a GPU in a team's use */
+/* value of last_group: an overdue job was served last */
+#define OVERDUE_JOB_SERVED (-1)
 
-/* The jobs of a group or a priority that are still to be served, as a range of an array. */
+/* The jobs of a group or a priority that have not been served yet, as a range of an array. */
 typedef struct {
     int start, end;
 } job_range;
@@ -31,21 +34,23 @@
     tw_job **jobs; /* by group, then by deadline */
     int count;
     int team_count;
-    job_range *groups; /* in jobs; the index is level * team_count + team */
+    job_range *groups; /* ranges of jobs; the index is level * team_count + team */
     int last_group;    /* group served last, or OVERDUE_JOB_SERVED */
     tw_job **overdue;  /* by priority, then the longest weighted wait first */
-    job_range overdue_by_priority[PRIORITY_COUNT]; /* in overdue, by priority */
+    /* ranges of overdue, by priority */
+    job_range overdue_by_priority[PRIORITY_COUNT];
 };
 
-/* Whether all jobs of the range have been served. */
+/* Returns whether all jobs of the range have been served. */
 static bool range_is_empty(job_range jobs) { return jobs.start >= jobs.end; }
 
-/* The level of jobs of this priority that are within their team's guarantee or not. */
+/* Returns the level of jobs of the given priority. guaranteed: they are within their team's
+ * guarantee. */
 static int level_of(tw_wire_priority priority, bool guaranteed) {
     return (TW_PRIORITY_PROD - (int)priority) * 2 + !guaranteed;
 }
 
-/* The priority of the level's jobs. */
+/* Returns the priority of the level's jobs. */
 static tw_wire_priority priority_of(int level) { return TW_PRIORITY_PROD - level / 2; }
 
 bool tw_job_has_unplaced_tasks(const tw_job *job) {
@@ -58,9 +63,9 @@
            (!job->spec.gang || tw_gang_is_pending(job));
 }
 
-/* ---- which jobs are within their team's guarantee ---- */
+/* ---- team guarantees ---- */
 
-/* For qsort: by team, then by the time of submission. */
+/* For qsort: by team, then by time of submission. */
 static int compare_by_submission(const void *left, const void *right) {
     const tw_job *a = *(tw_job *const *)left, *b = *(tw_job *const *)right;
     if (a->team != b->team) return a->team < b->team ? -1 : 1;
@@ -68,13 +73,13 @@
     return 0;
 }
 
-/* Whether both jobs are of one team and were submitted at the same moment. */
+/* Returns whether both jobs belong to the same team and have the same time of submission. */
 static bool submitted_together(const tw_job *a, const tw_job *b) {
     return a->team == b->team && a->submitted_at == b->submitted_at;
 }
 
-/* Lists the unfinished jobs of teams that have a guarantee, and clears the mark of all jobs.
- * Returns their number. */
+/* Lists the unfinished jobs of teams that have a guarantee, and clears job->guaranteed of all
+ * active jobs. Returns the number of jobs listed. */
 static int list_jobs_of_guaranteed_teams(const tw_core *core, tw_job **jobs) {
     int count = 0;
     tw_job *job;
@@ -87,10 +92,11 @@
     return count;
 }
 
-/* Marks the jobs that fit into their team's guarantee together with the team's earlier ones, in the
- * order of their submission. Jobs of the same moment are marked together or not at all. */
+/* Sets job->guaranteed for jobs that fit into their team's guarantee together with all of the
+ * team's earlier jobs, in order of submission. Jobs submitted at the same time are treated as
+ * one. */
 static void mark_guaranteed(const tw_core *core, tw_job **jobs, int count) {
-    double cpus = 0, gpus = 0; /* of the team's jobs so far */
+    double cpus = 0, gpus = 0; /* sums over the team's jobs so far */
     for (int first = 0, end; first < count; first = end) {
         const tw_config_team *team = &core->context.config->teams[jobs[first]->team];
         if (!first || jobs[first]->team != jobs[first - 1]->team) cpus = gpus = 0;
@@ -107,7 +113,7 @@
     }
 }
 
-/* Works out job->guaranteed for all active jobs. */
+/* Updates job->guaranteed for all active jobs. */
 static void update_guaranteed_jobs(tw_core *core) {
     int capacity = 0;
     const tw_job *job;
@@ -121,14 +127,14 @@
 
 /* ---- groups ---- */
 
-/* A pending job, with what orders it. */
+/* A pending job with its sort keys. */
 typedef struct {
     tw_job *job;
     int group;
     double deadline_at;
 } grouped_job;
 
-/* For qsort: by group, then the earliest deadline, then by id. */
+/* For qsort: by group, then the earliest deadline first, then by id. */
 static int compare_by_group(const void *left, const void *right) {
     const grouped_job *a = left, *b = right;
     if (a->group != b->group) return a->group < b->group ? -1 : 1;
@@ -136,8 +142,7 @@
     return strcmp(a->job->id, b->job->id);
 }
 
-/* Fills queue->jobs with the pending jobs, at most capacity, and sets each group's range of them.
- */
+/* Fills queue->jobs with the pending jobs, at most capacity, and sets the range of each group. */
 static void group_jobs(const tw_core *core, tw_job_queue *queue, int capacity) {
     grouped_job *sorted = tw_alloc((size_t)capacity * sizeof *sorted);
     tw_job *job;
@@ -159,13 +164,13 @@
 
 /* ---- overdue jobs ---- */
 
-/* An overdue job, with what orders it. */
+/* An overdue job with its sort key. */
 typedef struct {
     tw_job *job;
     double weighted_wait;
 } waiting_job;
 
-/* For qsort: by priority, then the longest weighted wait, then by id. */
+/* For qsort: by priority, then the longest weighted wait first, then by id. */
 static int compare_by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
     if (a->job->spec.priority != b->job->spec.priority)
@@ -174,21 +179,21 @@
     return strcmp(a->job->id, b->job->id);
 }
 
-/* How long the job has waited, times the square root of its work: more is lost while a larger job
- * waits. */
+/* Returns the job's waiting time multiplied by the square root of its work, because the delay
+ * of a larger job costs more. */
 static double weighted_wait(const tw_core *core, const tw_job *job) {
     const double work =
         job->task_count * fmax(job->spec.expected_run_s, core->context.config->lease_s);
     return (core->context.now - job->submitted_at) * sqrt(work);
 }
 
-/* Whether the job has waited too long for its first task. */
+/* Returns whether the job has waited too long for its first task. */
 static bool is_overdue(const tw_core *core, const tw_job *job) {
     if (job->has_run || job->placed_count || job->done_count) return false;
     return core->context.now - job->submitted_at > OVERDUE_AFTER_S;
 }
 
-/* Fills queue->overdue and each priority's range of it. */
+/* Fills queue->overdue and sets the range of each priority. */
 static void list_overdue_jobs(const tw_core *core, tw_job_queue *queue) {
     int count = 0;
     waiting_job *sorted = tw_alloc((size_t)queue->count * sizeof *sorted);
@@ -208,7 +213,7 @@
     free(sorted);
 }
 
-/* ---- turns ---- */
+/* ---- serving jobs ---- */
 
 tw_job_queue *tw_job_queue_new(tw_core *core, bool with_overdue) {
     tw_job_queue *queue = tw_alloc(sizeof *queue);
@@ -224,8 +229,8 @@
     return queue;
 }
 
-/* Removes and returns the next overdue job of a priority. NULL: there is none, or the next
- * placement belongs to the teams' turns. */
+/* Removes and returns the next overdue job of the priority. NULL: there is none, or the next
+ * placement belongs to the teams in turn. */
 static tw_job *take_overdue_job(const tw_core *core, tw_job_queue *queue,
                                 tw_wire_priority priority) {
     job_range *left = &queue->overdue_by_priority[priority];
@@ -234,8 +239,8 @@
     return queue->overdue[left->start++];
 }
 
-/* The group of a level whose team has the least in use for its share. -1: no job of the level
- * waits. */
+/* Returns the non-empty group of the level whose team uses least relative to its share. -1: no
+ * job of the level is pending. */
 static int find_group_to_serve(const tw_core *core, const tw_job_queue *queue, int level) {
     int best = -1;
     double least = INFINITY;
@@ -255,7 +260,7 @@
 
 tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *queue) {
     for (int level = 0; level < LEVEL_COUNT; level++) {
-        /* Overdue jobs come before both levels of their priority. */
+        /* Overdue jobs are served before both levels of their priority. */
         tw_job *overdue = level % 2 ? NULL : take_overdue_job(core, queue, priority_of(level));
         if (overdue) return overdue;
         const int group = find_group_to_serve(core, queue, level);
--- a/src/core/machine_choice.c
+++ b/src/core/machine_choice.c
@@ -1,6 +1,7 @@
-/* Which machine with free room a task takes: of those on which it is expected to meet its deadline
- * the one with most points (preference.c); if there is none, the one with the smallest T, where it
- * is least late (GoodServe, section 3.4). Called by placement_pass.c for each task. */
+/* Chooses among the machines with free capacity for a task: of those on which the task is
+ * expected to meet its deadline, the one with most points (preference.c); if there is none,
+ * the one with the smallest T, where the task is least late (GoodServe, section 3.4). Called
+ * by placement_pass.c for each task. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
@@ -10,8 +11,8 @@
     return one->points > other->points;
 }
 
-/* Replaces the machine chosen so far by the score's, if that one is better and its room is not kept
- * for others. */
+/* Replaces the current choice by the scored machine if that machine is better and its capacity
+ * is not reserved for other jobs. */
 static void update_choice(const tw_core *core, const tw_demand *demand, const tw_score *score,
                           tw_choice *choice) {
     tw_machine *machine = core->candidates[score->candidate].machine;
@@ -32,8 +33,8 @@
     *choice = considered;
 }
 
-/* Scores all candidates for a kind of task that this pass has not scored yet, and chooses among
- * them. */
+/* Scores all candidates for a kind of task that has no score table in this pass, and chooses
+ * among them. */
 static void score_and_choose(tw_core *core, const tw_demand *demand, tw_choice *choice) {
     tw_score_table *table = tw_scores_add_table(core, demand);
     for (int i = 0; i < core->candidate_count; i++) {
--- a/src/core/mixed_version_placement.c
+++ b/src/core/mixed_version_placement.c
@@ -1,21 +1,23 @@
 /* Placement while only nodes of an earlier version could succeed this leader.
  *
- * Such a successor may take a machine's later incarnation for a new one, and all that the record
- * names there for ended. What the machine's heartbeat lists it adopts in the same moment, if the
- * job's zones allow it. A machine that it has not heard from counts against that: for a job that
- * spreads it may be in the same zone, for one with a single zone in another one. A task that is not
- * adopted is started again while it runs.
+ * Such a successor may mistake a later incarnation of a machine for a new machine, and then
+ * considers all tasks that the record lists there ended. When it receives the machine's
+ * heartbeat, it adopts the listed tasks if the zones allowed for the job permit that. Machines
+ * from which it has not received a heartbeat count against the job: for a job with spread such
+ * a machine may be in the same zone, for a single-zone job in another one. A task that is not
+ * adopted is started again while it is still running.
  *
- * Invariant: the tasks of such a job that this leader places are few enough to be adopted whatever
- * the successor has heard, or all of them are on machines in their first incarnation, where none is
- * taken for ended. A job without tasks on machines is never kept from a machine by this. */
+ * Invariant: either so few tasks of the job are placed that the successor adopts them
+ * whichever heartbeats it has received, or all of them are on machines in their first
+ * incarnation, whose tasks it never considers ended. A job without placed tasks is never
+ * restricted. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
 #define FIRST_INCARNATION 1
 
-/* How many tasks of the job are adopted whatever else is known; of a job with a single zone more
- * than one only if they are on the same machine. */
+/* Returns how many of the job's tasks a successor of an earlier version always adopts. It
+ * adopts more than one task of a single-zone job only if all are on the same machine. */
 static int max_always_adopted(const tw_job *job) {
     return job->spec.single_zone ? 1 : (job->task_count + 1) / 2;
 }
@@ -24,7 +26,7 @@
     return machine->confirmed && machine->incarnation == FIRST_INCARNATION;
 }
 
-/* Where the job's tasks are. */
+/* Summary of the machines that the job's tasks are placed on. */
 typedef struct {
     int count;
     bool all_in_first_incarnation;
--- a/src/core/placement_failures.c
+++ b/src/core/placement_failures.c
@@ -1,7 +1,8 @@
-/* Kinds of tasks for which the pass has found no room. Within a pass room only gets less, apart
- * from the cases in which these notes are forgotten. So a kind of task that found none, neither
- * free nor by stopping other tasks, is not tried on the whole fleet again for the next of many jobs
- * alike. While hundreds of jobs wait, this saves most of a pass. */
+/* Kinds of tasks that the pass could not place. During a pass free capacity only decreases,
+ * except in the cases in which the failures are cleared. So if neither free capacity nor
+ * preemption made a placement possible, the next of many similar jobs does not search the
+ * whole fleet again. While hundreds of jobs are pending, this saves most of the cost of a
+ * pass. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
@@ -16,7 +17,7 @@
                                   .gang = job->spec.gang};
 }
 
-/* Whether both are the same kind of task. */
+/* Returns whether both failures are for the same kind of task. */
 static bool kinds_are_equal(const tw_placement_failure *one, const tw_placement_failure *other) {
     return tw_task_shapes_are_equal(&one->shape, &other->shape) &&
            one->zone_mask == other->zone_mask && one->priority == other->priority &&
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -1,17 +1,20 @@
-/* Passes over the queue: each task that waits is placed on the machine that suits it best, or, if
- * no machine has free room, on one where tasks of lower priority are stopped for it. A pass is run
- * when something has changed (core->scheduling_due), and at once for a job of the highest priority.
+/* Passes over the queue. A pass places each pending task on the machine that suits it best or,
+ * if no machine has free capacity, on one where tasks of lower priority are preempted for it.
+ * A pass runs when something has changed (core->scheduling_due), and immediately for a job of
+ * the highest priority.
  *
- * Invariants: a task is placed only within its team's limit; a gang is placed whole or not at all;
- * what a pass knows (candidates, scores, placement failures) is forgotten when room is given back
- * within it, since it holds only while room gets less. */
+ * Invariants:
+ *   - A task is placed only within its team's limit.
+ *   - A gang is placed completely or not at all.
+ *   - The candidates, scores and placement failures of a pass are valid only while free
+ *     capacity decreases, and are cleared when capacity is released within the pass. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define MAX_TASKS_PER_PASS 300 /* the rest is left to the next pass */
-#define PASS_INTERVAL_S 0.1    /* between the starts of two passes, at least */
+#define MAX_TASKS_PER_PASS 300 /* the next pass places the others */
+#define PASS_INTERVAL_S 0.1    /* minimum time between the starts of two passes */
 
-/* The index of the job's next task that is not placed. -1: there is none. */
+/* Returns the index of the job's next unplaced task, or -1 if there is none. */
 static int find_next_unplaced(tw_job *job) {
     while (job->first_unplaced < job->task_count &&
            job->task_states[job->first_unplaced] != TW_ASSIGNMENT_NONE)
@@ -19,7 +22,7 @@
     return job->first_unplaced < job->task_count ? job->first_unplaced : -1;
 }
 
-/* Logs where a task was placed, and what was expected of it. */
+/* Logs the machine on which a task was placed, and its predicted times. */
 static void log_placement(const tw_core *core, const tw_demand *demand,
                           const tw_placement *placed) {
     const tw_job *job = demand->job;
@@ -35,25 +38,27 @@
                  job->spec.image);
 }
 
-/* Chooses a machine for the demand's task, or stops other tasks to make room on one. *choice is
- * where it goes, with no machine if there is no room for it. */
+/* Chooses a machine for the demand's task, preempting tasks on it if necessary. Sets *choice
+ * to the result; its machine is NULL if no machine has capacity for the task. */
 static void find_machine(tw_core *core, const tw_demand *demand, tw_choice *choice) {
     const tw_job *job = demand->job;
     *choice = tw_scheduler_choose_machine(core, demand);
+    /* The count also increases if no task is placed in the end; this only causes a score to be
+     * recomputed. */
     if (choice->machine)
-        core->candidates[choice->candidate]
-            .placement_count++; /* harmless if no task is placed there */
+        core->candidates[choice->candidate].placement_count++;
     else
         choice->machine = tw_scheduler_preempt(core, demand, false, &choice->capacity_is_reserved);
     if (!choice->machine || choice->meets_deadline) return;
     if (!job->spec.service || job->spec.priority != TW_PRIORITY_PROD) return;
-    /* The service would miss its start objective there: it is better to stop a batch task. */
+    /* The service would miss its start objective on this machine. Preempting a batch task on
+     * another machine is preferable. */
     tw_machine *other = tw_scheduler_preempt(core, demand, true, &choice->capacity_is_reserved);
     if (other) choice->machine = other;
 }
 
-/* Places one task in one of the zones, given as bits. Returns whether it was placed: there may be
- * no room, or its team may be at its limit. */
+/* Places one task in one of the zones (a bit mask). Returns false if there is no capacity or
+ * the team is at its limit. */
 static bool place_task(tw_core *core, tw_job *job, int index, uint64_t attempt, uint32_t zones) {
     if (!tw_quota_allows_tasks(core, job, 1) || !tw_gang_reservation_allows_team(core, job))
         return false;
@@ -64,8 +69,8 @@
     tw_choice choice;
     find_machine(core, &demand, &choice);
     if (!choice.machine) {
-        /* The failure says nothing about other tasks of this kind if it comes from machines that
-         * only this job passes over, or from reserved room, which comes and goes. */
+        /* A failure does not apply to other tasks of this kind if it is due to machines that only
+         * this job avoids, or to reserved capacity, which changes during the pass. */
         if (!choice.capacity_is_reserved && !job->failed_machine_count &&
             demand.restriction == TW_MACHINES_ANY)
             tw_placement_failures_add(core, &kind);
@@ -79,8 +84,9 @@
     return true;
 }
 
-/* Places up to limit tasks of the job in the zones, given as bits. Each task gets an attempt of its
- * own, or all get common_attempt if it isn't 0. Returns how many were placed. */
+/* Places up to limit tasks of the job in the zones (a bit mask). All tasks get common_attempt
+ * as their attempt, or each gets an attempt of its own if common_attempt is 0. Returns the
+ * number of tasks placed. */
 static int place_tasks(tw_core *core, tw_job *job, int limit, uint64_t common_attempt,
                        uint32_t zones) {
     const int max_running = tw_record_max_running(core, job);
@@ -95,7 +101,8 @@
     return placed;
 }
 
-/* Undoes the placements that are newer than the gang's record, and the attempts that they used. */
+/* Removes the placements that are newer than the gang's record, and restores next_attempt so
+ * that the attempts they used are free again. */
 static void undo_placements(tw_core *core, tw_job *job, uint64_t next_attempt) {
     tw_placement *placed;
     tw_placement *next;
@@ -108,17 +115,17 @@
     tw_scores_clear(core);
 }
 
-/* The zone to which the first of the newest placements of the gang went. -1: there is no such
- * placement, or its machine's zone has no number. */
+/* Returns the index of the zone of the first placement that is newer than the gang's record,
+ * or -1 if there is no such placement or its machine's zone has no index. */
 static int zone_of_first_placement(const tw_job *job) {
     const tw_placement *first = job->placements;
     while (first && first->version <= tw_store_version(job->record)) first = first->job_next;
     return first ? first->machine->zone_index : -1;
 }
 
-/* Places a whole gang, or all that is missing of a gang that has not started, or nothing. A gang
- * that must stand in a single zone goes where its first task fits best, among the zones that have
- * room for all of it. Returns the number of tasks placed. */
+/* Places a complete gang, or all missing tasks of a gang that has not started, or nothing. A
+ * single-zone gang is placed in the zone where its first task fits best, among the zones with
+ * capacity for all of its tasks. Returns the number of tasks placed. */
 static int place_gang(tw_core *core, tw_job *job) {
     const int count = job->task_count - job->done_count - job->placed_count;
     const uint64_t next_attempt = job->next_attempt;
@@ -130,7 +137,8 @@
             tw_gang_placed(core, job);
             return count;
         }
-        /* There is less room than the sums of free amounts said: another zone may have enough. */
+        /* The zone has less usable capacity than the sums of free amounts indicated. Another zone
+         * may have enough. */
         const int zone = zone_of_first_placement(job);
         undo_placements(core, job, next_attempt);
         if (!job->spec.single_zone || zone < 0) return 0;
@@ -139,8 +147,7 @@
     return 0;
 }
 
-/* Places what it can of a job, up to limit tasks or a whole gang. Returns the number of tasks
- * placed. */
+/* Places up to limit tasks of the job, or a complete gang. Returns the number of tasks placed. */
 static int place_job(tw_core *core, tw_job *job, int limit) {
     const int count =
         job->spec.gang ? place_gang(core, job) : place_tasks(core, job, limit, 0, UINT32_MAX);
@@ -154,7 +161,8 @@
     return count;
 }
 
-/* Forgets the pass before and works out what holds for all of this one. */
+/* Clears the state of the previous pass and computes what is common to all placements of this
+ * one. */
 static void begin_pass(tw_core *core) {
     tw_candidates_update(core);
     tw_gang_reservation_update(core);
@@ -182,10 +190,10 @@
     bool pass_begun = false;
     tw_job *job;
     while (remaining > 0 && (job = tw_job_queue_next(core, queue))) {
-        /* Mostly no job waits, and then the fleet need not be looked at. */
+        /* Usually no job is pending, and examining the fleet would be wasted work. */
         if (!pass_begun) begin_pass(core);
         pass_begun = true;
-        /* While others compete, a job gets one task in its turn. */
+        /* While other jobs compete, a job gets one task per turn. */
         const int limit = tw_job_queue_is_contended(queue) ? 1 : remaining;
         const int count = place_job(core, job, limit);
         remaining -= count;
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -1,22 +1,24 @@
-/* Makes room for a task by stopping tasks of lower priority on one machine, where that loses least.
+/* Preempts tasks of lower priority for a task, on the machine where that costs least.
  *
- * The cost of stopping a task is what it has run and not saved, in task seconds; for a task of a
- * gang that of all its tasks, which stop with it. To it come fixed costs for its priority, for a
- * deadline that it would then miss, and for a machine on which the new task is late all the same.
+ * The cost of stopping a task is its unsaved run time in task seconds; for a task of a gang,
+ * the sum over all its tasks, which stop with it. Fixed costs are added for the victim's
+ * priority, for a deadline that the victim would then miss, and for a machine on which the new
+ * task would still miss its deadline.
  *
- * Invariant: tasks are marked (VICTIM_MARK) only while one machine is looked at, so no mark is left
- * when tw_scheduler_preempt returns. */
+ * Invariant: tasks are marked as victims (VICTIM_MARK) only while one machine is examined, so
+ * no mark remains when tw_scheduler_preempt returns. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define SUM_TOLERANCE 1e-3           /* sums over many tasks may be off by less */
-#define COST_PER_PRIORITY_S 10       /* for each step of the stopped task's priority */
-#define COST_OF_MISSED_DEADLINE_S 60 /* where the new task misses its deadline anyway */
-#define RESTART_RUN_FACTOR 1.3       /* of its estimate, that a stopped task needs to start over */
-#define VICTIM_MARK UINT64_MAX       /* a task that would be stopped */
+#define SUM_TOLERANCE 1e-3           /* upper bound of the rounding error in sums over many tasks */
+#define COST_PER_PRIORITY_S 10       /* per step of the victim's priority */
+#define COST_OF_MISSED_DEADLINE_S 60 /* if the new task misses its deadline anyway */
+/* Run time that a restarted victim needs, as a multiple of its estimate. */
+#define RESTART_RUN_FACTOR 1.3
+#define VICTIM_MARK UINT64_MAX /* marks a task selected to be stopped */
 
-/* Whether stopping the task loses the work of a running gang: where not all its tasks can be told
- * to save it, the gang is left alone until they can. */
+/* Returns whether stopping the task would lose unsaved work of a running gang. If not all
+ * tasks of the gang can be commanded to save, the gang is not preempted until they can. */
 static bool would_lose_gang_progress(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
@@ -32,21 +34,22 @@
            !would_lose_gang_progress(core, placed);
 }
 
-/* The run time, in seconds, that a task loses when it is stopped. */
+/* Returns the run time, in seconds, that a task loses if it is stopped. */
 static double unsaved_run_s(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     const double ran_s = placed->running_since > 0 ? core->context.now - placed->running_since : 0;
     if (job->spec.checkpoint_s <= 0) return ran_s;
-    /* A gang that can't be told to save as a whole falls back to its last checkpoint. */
+    /* A gang whose tasks cannot all be commanded to save restarts from its last checkpoint. */
     if (job->spec.gang && !tw_gang_can_save(core, job)) return fmin(ran_s, job->spec.checkpoint_s);
     return fmin(ran_s, job->spec.save_s);
 }
 
-/* What stopping the task costs, in task seconds. A gang's other tasks stop with it. */
+/* Returns the cost of stopping the task, in task seconds. The other tasks of a gang stop with
+ * it. */
 static double preemption_cost_s(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     double lost_s = unsaved_run_s(core, placed) * (job->spec.gang ? job->placed_count : 1);
-    /* It is better to stop a task that can start over and still meet its deadline. */
+    /* A victim that can restart and still meet its deadline is preferable. */
     const double estimate_s = tw_job_run_estimate_s(job);
     const double deadline_at = tw_job_deadline(job);
     if (isfinite(deadline_at) && core->context.now + RESTART_RUN_FACTOR * estimate_s > deadline_at)
@@ -54,8 +57,8 @@
     return lost_s + 1 + job->spec.priority * COST_PER_PRIORITY_S;
 }
 
-/* Whether stopping all tasks of lower priority could make enough room, judged by the machine's sums
- * alone: this rules out most machines cheaply. */
+/* Returns whether preempting all tasks of lower priority could free enough capacity, judged by
+ * the machine's sums. This excludes most machines at low cost. */
 static bool could_free_capacity(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const tw_capacity available =
@@ -63,8 +66,8 @@
     return tw_capacity_fits(&available, &job->spec, SUM_TOLERANCE);
 }
 
-/* Whether another task of the same gang is a victim on the machine already: this one stops with it
- * and costs nothing more. */
+/* Returns whether another task of the same gang on the machine is already a victim. In that
+ * case stopping this one costs nothing more. */
 static bool gang_is_victim(const tw_machine *machine, const tw_placement *placed) {
     const tw_placement *other;
     if (!placed->job->spec.gang) return false;
@@ -74,9 +77,9 @@
     return false;
 }
 
-/* The task on the machine that costs least to stop, victims apart. NULL: none is left. While GPUs
- * are missing, tasks without GPUs are not considered for a task with GPUs. *least_cost_s is its
- * cost. */
+/* Returns the task on the machine that costs least to stop, other than those already marked as
+ * victims, and sets *least_cost_s to its cost. NULL: there is none. A task that still lacks
+ * GPUs considers only victims that use GPUs. */
 static tw_placement *find_cheapest_victim(const tw_core *core, const tw_machine *machine,
                                           const tw_job *job, const tw_capacity *available,
                                           double *least_cost_s) {
@@ -97,28 +100,29 @@
     return best;
 }
 
-/* Tells the victim to stop for the job. */
+/* Stops the victim for the job. */
 static void stop_victim(tw_core *core, tw_placement *victim, const tw_job *job) {
     const tw_wire_job *spec = &victim->job->spec;
     tw_log_debug("event=task_preempted task=%s/%d for=%s worker=%s", spec->id, victim->index,
                  job->id, victim->machine->name);
-    /* Saving takes save_s: the victim saves only if the job can wait for it and meet its deadline.
-     */
+    /* Saving takes save_s. The victim saves only if the job can wait that long and still meet its
+     * deadline. */
     const bool saves =
         spec->checkpoint_s > 0 && core->context.now + spec->save_s < tw_job_deadline(job);
     tw_placement_stop(core, victim, saves ? spec->save_s : 0, true);
 }
 
-/* Stopping tasks on a machine is worth it if their cost and the machine's penalty come to less than
- * the least cost so far. */
+/* Limit on the cost of preemption on a machine: preemption there is worthwhile only if its
+ * cost plus the machine's penalty is less than the lowest cost found so far. */
 typedef struct {
-    double penalty_s;    /* of the machine: the new task would be late there */
-    double least_cost_s; /* of the machines looked at so far, with their penalties */
+    double penalty_s; /* of the machine, because the new task would be late there */
+    /* lowest cost, including the penalty, of the machines examined so far */
+    double least_cost_s;
 } preemption_limit;
 
-/* Marks the cheapest tasks as victims until there is room for the job's task; *cost_s is their
- * cost. limit: gives up where they cost too much; NULL: no limit, and the victims are told to stop.
- * Returns whether there is room. The caller clears the marks. */
+/* Marks the cheapest tasks as victims until the job's task fits, and sets *cost_s to their
+ * cost. limit: stop when the cost reaches the limit; NULL: there is no limit, and the victims
+ * are stopped. Returns whether the task fits. The caller clears the marks. */
 static bool select_victims(tw_core *core, const tw_job *job, tw_machine *machine,
                            const preemption_limit *limit, double *cost_s) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
@@ -137,7 +141,6 @@
     return true;
 }
 
-/* Clears the marks of all victims on the machine. */
 static void clear_victim_marks(tw_machine *machine) {
     tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
@@ -145,7 +148,7 @@
     }
 }
 
-/* Whether the machine may take the demand's task once there is room for it. */
+/* Returns whether the demand's task may run on the machine once enough capacity is free. */
 static bool machine_is_allowed(const tw_core *core, const tw_demand *demand,
                                const tw_machine *machine) {
     return tw_constraints_allow_machine(core, demand->job, machine) &&
@@ -182,7 +185,7 @@
     if (!best) return NULL;
     select_victims(core, job, best, NULL, &cost_s);
     clear_victim_marks(best);
-    /* More room may have been made than the task needs, which is of use to others. */
+    /* Preemption may free more capacity than the task needs, which other tasks can use. */
     tw_placement_failures_clear(core);
     tw_scores_clear(core);
     return best;
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -1,17 +1,21 @@
-/* The periodic recheck of GoodServe: a running batch task that is expected to miss its deadline is
- * stopped if a full rerun on another machine is expected to make it. The next pass then places it
- * there. Gangs and services are left alone, and at most MAX_RERUNS tasks are stopped in a recheck.
- */
+/* The periodic recheck of GoodServe: stops a running batch task that is expected to miss its
+ * deadline if a full rerun on another machine is expected to meet it. The next pass then
+ * places the task there. Gangs and services are not rechecked. A recheck stops at most
+ * MAX_RERUNS tasks. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define MAX_RERUNS 4            /* tasks stopped in a recheck */
-#define MIN_REMAINING_SHARE 0.1 /* of its run time: left for a task that is past its estimate */
-#define MIN_SPEEDUP 1.3         /* by which the other machine must be faster for a rerun */
+#define MAX_RERUNS 4 /* tasks stopped per recheck */
+/* Remaining run time assumed for a task past its estimate, as a share of its estimated
+ * run time. */
+#define MIN_REMAINING_SHARE 0.1
+/* A rerun requires a machine that is faster by at least this factor. */
+#define MIN_SPEEDUP 1.3
 #define INITIAL_CAPACITY 16
 
-/* When a running task is expected to end, if that is after its deadline. 0: it meets its deadline,
- * or has none. *slowness is the larger of the machine's slowness and what the run so far shows. */
+/* Returns the time at which a running task is expected to end if that is after its deadline.
+ * 0: it meets its deadline or has none. Sets *slowness to the larger of the machine's slowness
+ * and the slowness that the run so far shows. */
 static double expected_late_end(const tw_core *core, const tw_placement *placed, double *slowness) {
     const tw_job *job = placed->job;
     const double estimate_s = tw_job_run_estimate_s(job);
@@ -24,7 +28,8 @@
     return end_at <= deadline_at ? 0 : end_at;
 }
 
-/* A machine on which a full rerun of one of a job's tasks meets the deadline, and T there. */
+/* A machine on which a full rerun of one of a job's tasks meets the deadline, with the
+ * predicted T. */
 typedef struct {
     tw_machine *machine;
     double total_s;
@@ -35,15 +40,14 @@
     int count, capacity;
 } rerun_targets;
 
-/* Adds a machine to the targets. */
 static void add_target(rerun_targets *targets, tw_machine *machine, double total_s) {
     targets->items = tw_grow(targets->items, targets->count, &targets->capacity, INITIAL_CAPACITY,
                              sizeof *targets->items);
     targets->items[targets->count++] = (rerun_target){machine, total_s};
 }
 
-/* All machines on which a full rerun of one of the job's tasks meets the deadline. The caller frees
- * the items. */
+/* Returns all machines on which a full rerun of one of the job's tasks meets the deadline. The
+ * caller frees the items. */
 static rerun_targets find_rerun_targets(tw_core *core, tw_job *job) {
     const tw_demand demand = tw_demand_of(core, job);
     rerun_targets targets = {0};
@@ -64,8 +68,8 @@
     return targets;
 }
 
-/* Stops a late task if a rerun on one of the targets ends earlier, on a machine that is clearly
- * faster. Returns whether it was stopped. */
+/* Stops a late task if a rerun on one of the targets would end earlier, on a machine that is
+ * at least MIN_SPEEDUP times as fast. Returns whether the task was stopped. */
 static bool stop_for_rerun(tw_core *core, tw_placement *placed, double end_at, double slowness,
                            const rerun_targets *targets) {
     const tw_job *job = placed->job;
@@ -83,10 +87,11 @@
     return false;
 }
 
-/* Stops late tasks of the job, at most limit. Returns how many were stopped. */
+/* Stops late tasks of the job, at most limit. Returns the number of tasks stopped. */
 static int recheck_job(tw_core *core, tw_job *job, int limit) {
     rerun_targets targets = {0};
-    bool targets_known = false; /* found once for a job, when its first late task is met */
+    /* The targets are computed once per job, when its first late task is found. */
+    bool targets_known = false;
     int stopped = 0;
     tw_placement *placed;
     tw_placement *next;
@@ -117,5 +122,5 @@
         remaining_reruns -= recheck_job(core, job, remaining_reruns);
         if (remaining_reruns <= 0) break;
     }
-    core->scheduling_due = true; /* some job's retry_at may have come, too */
+    core->scheduling_due = true; /* the retry_at of some job may have passed */
 }
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -1,21 +1,23 @@
-/* Estimates of run times, and of T = q + p * missing GB + slowness * estimate, after GoodServe
- * (docs/design.md): the time from placing a task on a machine to its end there. q is the machine's
- * queue delay, p its fetch time for a GB of an image, slowness its run times against their
- * estimates; all three are moving averages. Until a machine has its own, those of its type stand
- * for them. */
+/* Estimates of run times and of T = q + p * missing GB + slowness * estimate, after GoodServe
+ * (docs/design.md): the time from the placement of a task on a machine to its end. q is the
+ * machine's queue delay, p its image fetch time per GB, and slowness the ratio of its run
+ * times to the estimates. All three are moving averages; while a machine has none of its own,
+ * those of its type are used. */
 #include "core/scheduler_int.h"
 
-#define MARGIN_DEVIATIONS 2 /* of a fetch, to spare before a service's deadline */
+/* A service's margin before its deadline, in deviations of the image fetch time. */
+#define MARGIN_DEVIATIONS 2
 
-/* When the start objective of the job's class is missed, counted anew after the job lost its tasks.
- * INFINITY: its class has none. */
+/* Returns the time after which the job misses the start objective of its class. The objective
+ * starts anew when the job has lost its tasks. INFINITY: the class has no start objective. */
 static double start_objective_at(const tw_job *job) {
     if (!job->job_class || job->job_class->start_within_s <= 0) return INFINITY;
     return fmax(job->submitted_at, job->pending_since) + job->job_class->start_within_s;
 }
 
-/* The earlier of two: the owner's deadline or, without one, the class's objective for the end; and
- * the start objective with the run that follows. INFINITY: none applies. */
+/* Returns the earlier of two deadlines: the owner's deadline or, if there is none, the class's
+ * finish objective; and the start objective plus the estimated run time. INFINITY: none
+ * applies. */
 static double gang_deadline(const tw_job *job) {
     double deadline_at = start_objective_at(job) + tw_job_run_estimate_s(job);
     if (job->spec.deadline_s >= 0)
@@ -29,7 +31,7 @@
     if (job->spec.gang) return gang_deadline(job);
     if (!job->spec.service && job->spec.deadline_s >= 0)
         return job->submitted_at + job->spec.deadline_s;
-    /* A service's deadline is its class's start objective. */
+    /* The deadline of a service is the start objective of its class. */
     return start_objective_at(job);
 }
 
@@ -52,8 +54,8 @@
                                        : machine->fetch_s_per_gb;
 }
 
-/* What the machine has still to fetch of the job's image, in GB. image: as the machine has it;
- * NULL: absent. */
+/* Returns the part of the job's image, in GB, that the machine has yet to fetch. image: the
+ * job's image on the machine; NULL: absent. */
 static double missing_gb(const tw_core *core, const tw_job *job, const tw_machine *machine,
                          const tw_image *image) {
     if (!image) return job->spec.image_gb;
@@ -82,13 +84,14 @@
     return result;
 }
 
-/* The margin is a service's: it has no run time in which to make up for a slow fetch, and a fetch
- * that is expected to end just before its start objective is late half of the time. */
+/* Only services have a margin: a service has no run time in which to compensate for a slow
+ * fetch, and half of the fetches that are expected to end just before the start objective end
+ * after it. */
 double tw_predict_end(const tw_core *core, const tw_demand *demand,
                       const tw_prediction *prediction) {
     const double end = core->context.now + prediction->total_s + prediction->margin_s;
     if (!demand->job->spec.gang || !isfinite(demand->start_deadline_at)) return end;
-    /* A gang that starts late for its start objective is as late at its end. */
+    /* A gang is considered as late at its end as it is for its start objective. */
     const double start = core->context.now + prediction->total_s - prediction->run_s;
     return fmax(end, start + demand->deadline_at - demand->start_deadline_at);
 }
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -1,43 +1,50 @@
-/* What each candidate is worth to a kind of task. In a pass many tasks are alike, and each
- * placement changes one machine only. So the candidates are scored once for a kind of task, and a
- * score is worked out again only if a task was placed on its machine since.
+/* Scores of the candidates for a kind of task. Many tasks of a pass are alike, and each
+ * placement changes only one machine. So the candidates are scored once per kind of task, and
+ * a score is recomputed only if a task was placed on its machine since.
  *
- * Invariants: a table is right as long as room only gets less; whoever gives room back within a
- * pass calls tw_scores_clear. The tables' memory is used again by later passes, and tw_scores_free
- * frees it. A candidate on which the task doesn't fit is not in its table. */
+ * Invariants:
+ *   - A table is correct only while free capacity decreases. Code that releases capacity
+ *     during a pass calls tw_scores_clear.
+ *   - A candidate on which the task does not fit is not in the table.
+ *
+ * Later passes reuse the memory of the tables; tw_scores_free frees it. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 #define INITIAL_CAPACITY 64
-#define TABLES_MAX 8 /* kinds of tasks at once, since the teams are served in turn */
+#define TABLES_MAX                                                                                 \
+    8 /* kinds of tasks with scores at the same time, because the teams take turns                 \
+       */
 
-/* All that a score depends on, apart from the machine. */
+/* Everything that a score depends on besides the machine. */
 typedef struct {
     tw_task_shape shape;
     double image_gb, estimate_s;
-    uint32_t image_hash; /* compared before the names are */
+    uint32_t image_hash; /* compared before the names */
     char image[TW_WIRE_NAME_SIZE];
     tw_wire_priority priority;
     bool service;
     const tw_job_class *job_class;
-    const tw_job *exclusive_job; /* a job that shares its scores with no other; NULL: any job */
+    /* a job that shares its scores with no other job; NULL: the scores are valid for all jobs */
+    const tw_job *exclusive_job;
 } task_kind;
 
 struct tw_score_table {
-    task_kind kind; /* that the scores are for */
+    task_kind kind; /* the kind of task that the scores are for */
     tw_score *items;
     int count, capacity;
 };
 
-/* The job itself if it can't share scores with others alike: it passes over machines on which it
- * has failed or was vacated, or machines are reserved for it. Else NULL. */
+/* Returns the job if it cannot share scores with similar jobs, otherwise NULL. It cannot if it
+ * avoids machines on which it failed or from which its gang was removed, or if machines are
+ * reserved for it. */
 static const tw_job *job_with_own_scores(const tw_core *core, const tw_job *job) {
     return job->failed_machine_count || job->gang.vacated_count || job == core->reserving_gang
                ? job
                : NULL;
 }
 
-/* Whether the demand's task is of this kind. */
+/* Returns whether the demand's task is of the known kind. */
 static bool kind_matches(const tw_core *core, const task_kind *known, const tw_demand *demand) {
     const tw_job *job = demand->job;
     const tw_wire_job *spec = &job->spec;
@@ -52,7 +59,7 @@
     return known->image_hash == job->image_hash && !strcmp(known->image, spec->image);
 }
 
-/* The kind of the demand's task. */
+/* Returns the kind of the demand's task. */
 static task_kind kind_of_demand(const tw_core *core, const tw_demand *demand) {
     const tw_job *job = demand->job;
     task_kind result = {.shape = tw_task_shape_of(job),
@@ -67,8 +74,8 @@
     return result;
 }
 
-/* Works out a score for the candidate as it is now. end_at, total_s and points are set only where
- * the task can go there. */
+/* Computes a score for the candidate's current state. Sets end_at, total_s and points only if
+ * the task can be placed on the candidate. */
 static void update_score(tw_core *core, const tw_demand *demand, tw_score *score) {
     const tw_candidate *candidate = &core->candidates[score->candidate];
     tw_machine *machine = candidate->machine;
@@ -92,15 +99,15 @@
     tw_score *score = &table->items[table->count];
     *score = (tw_score){.candidate = candidate};
     update_score(core, demand, score);
-    /* A machine on which the task doesn't fit won't have room for it later in this pass. But a
-     * machine that keeps cores for its GPUs may take a task without GPUs once they are in use: it
-     * stays. */
+    /* A machine on which the task does not fit will not have capacity for it later in this pass.
+     * However, a machine that keeps cores for its free GPUs may accept a task without GPUs once
+     * these GPUs are in use, so it stays in the table. */
     if (!score->fits) return NULL;
     table->count++;
     return score->feasible ? score : NULL;
 }
 
-/* A table to fill: an unused one, else the one that was begun longest ago. */
+/* Returns a table to fill: an unused one, or the least recently created one if all are in use. */
 static tw_score_table *acquire_table(tw_core *core) {
     if (!core->score_tables) core->score_tables = tw_alloc(TABLES_MAX * sizeof *core->score_tables);
     if (core->score_table_count < TABLES_MAX) return &core->score_tables[core->score_table_count++];
