--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -95,7 +95,7 @@
     if (!(job->type_mask & (1U << machine->type_index)) || (machine->spot && !job->spec.spot))
         return false;
     if (!tw_quarantine_allows(machine) || tw_gang_was_on(job, machine)) return false;
-    /* A launch must not cross a command to forget the same attempt on its way to the worker. */
+    /* A launch must not be sent while a command to forget the same attempt may be in flight. */
     if (job->spec.gang && core->context.now < machine->gang_forgets_until) return false;
     if (!tw_gang_reservation_allows(core, job, machine)) return false;
     for (int i = 0; i < job->failed_machine_count; i++)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -51,8 +51,8 @@
 
 /* ---- statistics for tests and logs ---- */
 
-/* Returns the number of machines and bins examined so far in passes over the fleet, which the
- * cost of the passes is proportional to. */
+/* Returns the number of machines and bins examined so far in passes over the fleet, a
+ * measure of their cost. */
 uint64_t tw_core_pass_steps(const tw_core *core);
 /* Returns the number of broken invariants so far. Each is a bug in this program and is logged
  * as an error. */
--- a/src/core/machine_choice.c
+++ b/src/core/machine_choice.c
@@ -15,11 +15,11 @@
  * is not reserved for other jobs. */
 static void update_choice(const tw_core *core, const tw_demand *demand, const tw_score *score,
                           tw_choice *choice) {
-    tw_machine *machine = core->candidates[score->candidate].machine;
+    tw_machine *machine = core->candidates[score->candidate_index].machine;
     if (!tw_demand_allows_machine(demand, machine)) return;
     const bool meets_deadline = score->end_at <= demand->deadline_at;
     const tw_choice considered = {.machine = machine,
-                                  .candidate = score->candidate,
+                                  .candidate_index = score->candidate_index,
                                   .is_preferred = !demand->prefers_first_incarnation ||
                                                   tw_machine_is_in_first_incarnation(machine),
                                   .meets_deadline = meets_deadline,
@@ -38,7 +38,7 @@
 static void score_and_choose(tw_core *core, const tw_demand *demand, tw_choice *choice) {
     tw_score_table *table = tw_scores_add_table(core, demand);
     for (int i = 0; i < core->candidate_count; i++) {
-        const tw_score *score = tw_scores_add(core, table, demand, i);
+        const tw_score *score = tw_scores_add_candidate(core, table, demand, i);
         core->pass_steps++;
         if (score) update_choice(core, demand, score, choice);
     }
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -46,7 +46,7 @@
     /* The count also increases if no task is placed in the end; this only causes a score to be
      * recomputed. */
     if (choice->machine)
-        core->candidates[choice->candidate].placement_count++;
+        core->candidates[choice->candidate_index].placement_count++;
     else
         choice->machine = tw_scheduler_preempt(core, demand, false, &choice->capacity_is_reserved);
     if (!choice->machine || choice->meets_deadline) return;
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -107,7 +107,7 @@
 /* ---- scores.c ---- */
 /* The evaluation of a candidate for a kind of task. */
 typedef struct tw_score {
-    int candidate; /* index in core->candidates */
+    int candidate_index; /* index in core->candidates */
     /* the candidate's placement_count when this score was computed */
     int placement_count;
     /* the machine has capacity for the task and the job may use it, zones disregarded */
@@ -128,8 +128,8 @@
 tw_score_table *tw_scores_add_table(tw_core *core, const tw_demand *demand);
 /* Scores a candidate and adds it to the table. The returned score is valid until the next
  * call. NULL: the task cannot be placed on the candidate now. */
-tw_score *tw_scores_add(tw_core *core, tw_score_table *table, const tw_demand *demand,
-                        int candidate);
+tw_score *tw_scores_add_candidate(tw_core *core, tw_score_table *table, const tw_demand *demand,
+                                  int candidate);
 /* Returns the number of scores in the table. */
 int tw_scores_count(const tw_score_table *table);
 /* Returns a score of the table, recomputed if a task was placed on the machine since. NULL:
@@ -146,7 +146,7 @@
     struct tw_machine *machine; /* NULL: none */
     /* result of tw_preference_points, or -T if no machine meets the deadline */
     double points;
-    int candidate; /* the machine's index in core->candidates */
+    int candidate_index; /* the machine's index in core->candidates */
     /* the machine is in its first incarnation, or the demand does not prefer such machines */
     bool is_preferred;
     /* the task is expected to meet its deadline on the machine */
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -77,7 +77,7 @@
 /* Computes a score for the candidate's current state. Sets end_at, total_s and points only if
  * the task can be placed on the candidate. */
 static void update_score(tw_core *core, const tw_demand *demand, tw_score *score) {
-    const tw_candidate *candidate = &core->candidates[score->candidate];
+    const tw_candidate *candidate = &core->candidates[score->candidate_index];
     tw_machine *machine = candidate->machine;
     const tw_job *job = demand->job;
     score->placement_count = candidate->placement_count;
@@ -92,12 +92,12 @@
     score->points = tw_preference_points(core, demand, machine, &prediction);
 }
 
-tw_score *tw_scores_add(tw_core *core, tw_score_table *table, const tw_demand *demand,
-                        int candidate) {
+tw_score *tw_scores_add_candidate(tw_core *core, tw_score_table *table, const tw_demand *demand,
+                                  int candidate) {
     table->items = tw_grow(table->items, table->count, &table->capacity, INITIAL_CAPACITY,
                            sizeof *table->items);
     tw_score *score = &table->items[table->count];
-    *score = (tw_score){.candidate = candidate};
+    *score = (tw_score){.candidate_index = candidate};
     update_score(core, demand, score);
     /* A machine on which the task does not fit will not have capacity for it later in this pass.
      * However, a machine that keeps cores for its free GPUs may accept a task without GPUs once
@@ -133,7 +133,7 @@
 
 tw_score *tw_scores_get(tw_core *core, tw_score_table *table, const tw_demand *demand, int index) {
     tw_score *score = &table->items[index];
-    if (score->placement_count != core->candidates[score->candidate].placement_count)
+    if (score->placement_count != core->candidates[score->candidate_index].placement_count)
         update_score(core, demand, score);
     return score->feasible ? score : NULL;
 }
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -105,7 +105,7 @@
     uint64_t heartbeat_mark;
     double next_machine_scan_at;
     /* start of the period over which unresponsive machines are counted */
-    double unresponsive_since;
+    double unresponsive_counted_since;
     int unresponsive_count;
     struct {
         char zone[TW_NAME_SIZE];
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -31,8 +31,8 @@
 /* Whether a machine that seems not to take this node's answers is believed to be at fault. Where
  * many seem so, the fault is this node's or the network's. */
 static bool is_unresponsiveness_credible(tw_core *core) {
-    if (core->context.now - core->unresponsive_since > core->context.config->lease_s) {
-        core->unresponsive_since = core->context.now;
+    if (core->context.now - core->unresponsive_counted_since > core->context.config->lease_s) {
+        core->unresponsive_counted_since = core->context.now;
         core->unresponsive_count = 0;
     }
     return ++core->unresponsive_count <=
