--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -42,7 +42,7 @@
 static int count_preempting_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                                   int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_capacity room = tw_machine_vacating_capacity(machine, type);
+    tw_capacity room = tw_machine_capacity_after_vacating(machine, type);
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (!tw_preemption_allowed(core, job, placed)) continue;
--- a/src/core/leader_failover.c
+++ b/src/core/leader_failover.c
@@ -39,7 +39,7 @@
                  "GET", path, NULL, PAGE_TIMEOUT_S);
 }
 
-/* Starts the leader's decisions after all records have been read. */
+/* Activates the leader after all records have been read. From now on it makes decisions. */
 static void activate_leader(tw_core *core) {
     const size_t completed_count = tw_completed_jobs_count(core->completed_jobs);
     const bool has_jobs = core->jobs || completed_count;
--- a/src/core/mixed_version_placement.c
+++ b/src/core/mixed_version_placement.c
@@ -7,16 +7,17 @@
  * a machine may be in the same zone, for a single-zone job in another one. A task that is not
  * adopted is started again while it is still running.
  *
- * Invariant: either so few tasks of the job are placed that the successor adopts them
- * whichever heartbeats it has received, or all of them are on machines in their first
- * incarnation, whose tasks it never considers ended. A job without placed tasks is never
- * restricted. */
+ * Invariant: of a job with spread or a single zone, either so few tasks are placed that the
+ * successor adopts them whichever heartbeats it has received, or all tasks are on machines in
+ * their first incarnation, whose tasks it never considers ended. A job without placed tasks is
+ * never restricted. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
 #define FIRST_INCARNATION 1
 
-/* Returns how many of the job's tasks a successor of an earlier version always adopts. It
+/* Returns how many of the job's tasks a successor of an earlier version adopts whichever
+ * heartbeats it has received. It
  * adopts more than one task of a single-zone job only if all are on the same machine. */
 static int max_always_adopted(const tw_job *job) {
     return job->spec.single_zone ? 1 : (job->task_count + 1) / 2;
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -62,7 +62,7 @@
 static bool could_free_capacity(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const tw_capacity available =
-        tw_machine_preemptible_capacity(machine, type, job->spec.priority);
+        tw_machine_capacity_after_preemption(machine, type, job->spec.priority);
     return tw_capacity_fits(&available, &job->spec, SUM_TOLERANCE);
 }
 
@@ -126,7 +126,7 @@
 static bool select_victims(tw_core *core, const tw_job *job, tw_machine *machine,
                            const preemption_limit *limit, double *cost_s) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_capacity available = tw_machine_vacating_capacity(machine, type);
+    tw_capacity available = tw_machine_capacity_after_vacating(machine, type);
     *cost_s = 0;
     while (!tw_capacity_fits(&available, &job->spec, TW_CAPACITY_ROUNDING)) {
         double least_cost_s;
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -23,7 +23,7 @@
  * and what tasks of lower priority use. */
 static tw_capacity room_for_service(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    return tw_machine_preemptible_capacity(machine, type, TW_PRIORITY_PROD);
+    return tw_machine_capacity_after_preemption(machine, type, TW_PRIORITY_PROD);
 }
 
 /* Whether holes are kept for the class and may be on the machine. */
--- a/src/core/run_estimate.c
+++ b/src/core/run_estimate.c
@@ -5,7 +5,8 @@
  * those of its type are used. */
 #include "core/scheduler_int.h"
 
-/* A service's margin before its deadline, in deviations of the image fetch time. */
+/* A service's margin before its deadline, as a multiple of the average deviation of the
+ * image fetch time. */
 #define MARGIN_DEVIATIONS 2
 
 /* Returns the time after which the job misses the start objective of its class. The objective
@@ -31,7 +32,7 @@
     if (job->spec.gang) return gang_deadline(job);
     if (!job->spec.service && job->spec.deadline_s >= 0)
         return job->submitted_at + job->spec.deadline_s;
-    /* The deadline of a service is the start objective of its class. */
+    /* Services and batch jobs without an owner's deadline use the start objective. */
     return start_objective_at(job);
 }
 
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -75,8 +75,8 @@
 /* Returns the machine's free capacity plus the capacity held by tasks that are being
  * preempted. That capacity is promised to the preempting tasks, whose amounts already count as
  * used. */
-static inline tw_capacity tw_machine_vacating_capacity(const tw_machine *machine,
-                                                       const tw_wire_machine_type *type) {
+static inline tw_capacity tw_machine_capacity_after_vacating(const tw_machine *machine,
+                                                             const tw_wire_machine_type *type) {
     const tw_capacity capacity = tw_machine_free_capacity(machine, type);
     return (tw_capacity){capacity.cores + machine->vacating_cores,
                          capacity.gpus + machine->vacating_gpus,
@@ -85,10 +85,10 @@
 
 /* Returns the machine's free capacity if all tasks of lower priority were preempted. Some of
  * these tasks may not be preemptible. */
-static inline tw_capacity tw_machine_preemptible_capacity(const tw_machine *machine,
-                                                          const tw_wire_machine_type *type,
-                                                          tw_wire_priority priority) {
-    tw_capacity capacity = tw_machine_vacating_capacity(machine, type);
+static inline tw_capacity tw_machine_capacity_after_preemption(const tw_machine *machine,
+                                                               const tw_wire_machine_type *type,
+                                                               tw_wire_priority priority) {
+    tw_capacity capacity = tw_machine_capacity_after_vacating(machine, type);
     for (tw_wire_priority lower = TW_PRIORITY_IDLE; lower < priority; lower++) {
         capacity.cores += machine->used_by_priority[lower].cores;
         capacity.gpus += machine->used_by_priority[lower].gpus;
@@ -112,9 +112,9 @@
 void tw_scheduler_recheck_deadlines(tw_core *core);
 
 /* ---- run_estimate.c ---- */
-/* Returns the job's deadline: for a batch job the owner's deadline, for a service the start
- * objective of its class, for a gang the earliest of those that apply. INFINITY: the job has
- * none. */
+/* Returns the job's deadline: for a batch job the owner's deadline or, if there is none, the
+ * start objective of its class; for a service the start objective; for a gang the earliest
+ * deadline that applies. INFINITY: the job has none. */
 double tw_job_deadline(const tw_job *job);
 /* Returns the time after which a gang misses the start objective of its class. INFINITY: the
  * class has none, or the job is not a gang. */
@@ -159,8 +159,8 @@
 /* The pending jobs in the order in which they are served. */
 typedef struct tw_job_queue tw_job_queue;
 /* Creates a queue of the jobs that are pending now, which must outlive the queue.
- * with_overdue: serve jobs that have waited too long for their first task between the others.
- * The caller frees the queue with tw_job_queue_free. */
+ * with_overdue: jobs that have waited too long for their first task are served in alternation with
+ * the others. The caller frees the queue with tw_job_queue_free. */
 tw_job_queue *tw_job_queue_new(tw_core *core, bool with_overdue);
 /* Removes and returns the next job to serve. NULL: the queue is empty. */
 tw_job *tw_job_queue_next(tw_core *core, tw_job_queue *queue);
@@ -168,8 +168,8 @@
  * whether an overdue job is served next. */
 void tw_job_queue_note_placed(tw_core *core, const tw_job_queue *queue, const tw_job *job,
                               int count);
-/* Returns the job served last to the head of its team's jobs, so that it may place more tasks
- * at its team's next turn. Overdue jobs are not requeued. */
+/* Reinserts the job served last at the head of its team's jobs, so that more of its tasks may be
+ * placed at its team's next turn. Overdue jobs are not requeued. */
 void tw_job_queue_requeue(tw_job_queue *queue);
 /* Returns whether other jobs compete with the job served last: jobs of another team at the
  * same level, or an overdue job of the same priority. Always true for an overdue job. */
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -151,9 +151,8 @@
     bool is_preferred;
     /* the task is expected to meet its deadline on the machine */
     bool meets_deadline;
-    bool
-        /* A better machine was rejected because its capacity is reserved for other jobs. */
-        capacity_is_reserved;
+    /* A better machine was rejected because its capacity is reserved for other jobs. */
+    bool capacity_is_reserved;
 } tw_choice;
 /* Chooses among the machines that have free capacity for the demand's task. */
 tw_choice tw_scheduler_choose_machine(tw_core *core, const tw_demand *demand);
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -12,9 +12,9 @@
 #include <stdbool.h>
 
 #define INITIAL_CAPACITY 64
-#define TABLES_MAX                                                                                 \
-    8 /* kinds of tasks with scores at the same time, because the teams take turns                 \
-       */
+/* Maximum number of kinds of tasks with scores at the same time. There are several because the
+ * teams are served in turn. */
+#define TABLES_MAX 8
 
 /* Everything that a score depends on besides the machine. */
 typedef struct {
