--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -230,7 +230,7 @@
 }
 
 /* Removes and returns the next overdue job of the priority. NULL: there is none, or the next
- * placement belongs to the teams in turn. */
+ * placement goes to a team in turn. */
 static tw_job *take_overdue_job(const tw_core *core, tw_job_queue *queue,
                                 tw_wire_priority priority) {
     job_range *left = &queue->overdue_by_priority[priority];
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -2,7 +2,7 @@
  * starts without any of it. */
 #include "core/jobs.h"
 
-/* Replies to all clients that wait for the job that there is no leader. */
+/* Answers all clients that wait for the job with the error "no leader". */
 static void reject_waiting_clients(tw_core *core, tw_job *job) {
     tw_waiting_client *client;
     while ((client = tw_job_take_waiting_client(job))) {
