--- a/src/core/candidates.c
+++ b/src/core/candidates.c
@@ -1,25 +1,24 @@
-/* The machines that a pass may use, and how full the zones are. Both are worked out once, as the
- * pass begins: whether a machine is usable doesn't change within a pass, and the zones' shares need
- * not follow each placement. core->candidates belongs to the core and is used again by each pass.
- */
+/* The machines that a pass may use, and the free share of each zone. Both are computed once,
+ * when the pass starts: whether a machine is usable does not change during a pass, and the
+ * free shares need not follow each placement. The core owns core->candidates, and each pass
+ * reuses its memory. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
 #define INITIAL_CAPACITY 64
 
-/* What the on-demand machines of a zone have, and what is in use of it. */
+/* Amounts of a zone's on-demand machines, in total and in use. */
 typedef struct {
     double cores, used_cores, gpus, used_gpus;
 } zone_usage;
 
-/* Adds a machine to the candidates. */
 static void add_candidate(tw_core *core, tw_machine *machine) {
     core->candidates = tw_grow(core->candidates, core->candidate_count, &core->candidate_capacity,
                                INITIAL_CAPACITY, sizeof *core->candidates);
     core->candidates[core->candidate_count++] = (tw_candidate){.machine = machine};
 }
 
-void tw_candidates_begin(tw_core *core) {
+void tw_candidates_update(tw_core *core) {
     zone_usage usage[TW_MAX_ZONES + 1] = {0};
     tw_machine *machine;
     struct tw_machine *next;
@@ -42,7 +41,7 @@
     }
 }
 
-double tw_candidates_zone_free(const tw_core *core, const tw_machine *machine, bool gpus) {
+double tw_candidates_zone_free_share(const tw_core *core, const tw_machine *machine, bool gpus) {
     const int zone = machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index;
     return gpus ? core->zones[zone].free_gpus : core->zones[zone].free_cores;
 }
--- a/src/core/capacity.c
+++ b/src/core/capacity.c
@@ -1,18 +1,20 @@
-/* How many tasks fit into given amounts. */
+/* The number of tasks that fit into a given capacity. */
 #include "core/capacity.h"
 #include <math.h>
 
-#define UNLIMITED_COUNT 1e6 /* tasks that ask for no amounts */
+/* result for tasks that request no resources */
+#define UNLIMITED_COUNT 1e6
 
-/* How many whole times the amount is contained in what is available. */
-static double count_whole(double available, double amount) {
+/* Returns how many times the amount is completely contained in the available amount. */
+static double count_whole_multiples(double available, double amount) {
     return floor(available / amount + TW_CAPACITY_ROUNDING);
 }
 
-double tw_capacity_task_count(const tw_capacity *room, const tw_wire_job *spec) {
+double tw_capacity_task_count(const tw_capacity *capacity, const tw_wire_job *spec) {
     double count = UNLIMITED_COUNT;
-    if (spec->cores > 0) count = fmin(count, count_whole(room->cores, spec->cores));
-    if (spec->gpus > 0) count = fmin(count, count_whole(room->gpus, spec->gpus));
-    if (spec->memory_gb > 0) count = fmin(count, count_whole(room->memory_gb, spec->memory_gb));
+    if (spec->cores > 0) count = fmin(count, count_whole_multiples(capacity->cores, spec->cores));
+    if (spec->gpus > 0) count = fmin(count, count_whole_multiples(capacity->gpus, spec->gpus));
+    if (spec->memory_gb > 0)
+        count = fmin(count, count_whole_multiples(capacity->memory_gb, spec->memory_gb));
     return count;
 }
--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -27,7 +27,7 @@
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const tw_capacity capacity = tw_machine_free_capacity(machine, type);
     int count = count_tasks_in_capacity(&capacity, &job->spec, limit);
-    while (count > 0 && !tw_constraints_leave_gpus(core, machine, job, count)) count--;
+    while (count > 0 && !tw_constraints_leave_gpus_usable(core, machine, job, count)) count--;
     return count;
 }
 
@@ -46,11 +46,11 @@
 static int count_preempting_tasks(const tw_core *core, const tw_machine *machine, const tw_job *job,
                                   int limit) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_capacity capacity = tw_machine_vacating_capacity(machine, type);
+    tw_capacity capacity = tw_machine_capacity_after_vacating(machine, type);
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (!tw_preemption_allowed(core, job, placed)) continue;
-        tw_capacity_give_task(&capacity, &placed->job->spec);
+        tw_capacity_add_task(&capacity, &placed->job->spec);
     }
     return count_tasks_in_capacity(&capacity, &job->spec, limit);
 }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -201,7 +201,7 @@
 void tw_failover_tick(tw_core *core);
 /* Handles the response to a request for a page of records. Any status but 200 means that
  * it failed. */
-void tw_failover_page(tw_core *core, int status, const char *body, size_t length);
+void tw_failover_handle_page(tw_core *core, int status, const char *body, size_t length);
 /* Restores a job from its record: adds it to the jobs, or to the completed ones if it has ended and
  * none of its tasks may run. Moves the specification out of the record. revision: the record's mod
  * revision. */
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -33,8 +33,8 @@
     /* The arrivals of jobs that were waiting for the start of the service don't reflect the arrival
      * rate. */
     const bool in_startup_burst =
-        core->began_without_jobs && core->context.now - core->first_admission_at <
-                                        STARTUP_BURST_LEASES * core->context.config->lease_s;
+        core->term_began_without_jobs && core->context.now - core->first_admission_at <
+                                             STARTUP_BURST_LEASES * core->context.config->lease_s;
     double interarrival_s = class->last_arrival_at > 0 ? core->context.now - class->last_arrival_at
                                                        : INITIAL_INTERARRIVAL_S;
     const double weight = in_startup_burst ? 0 : 1 - exp(-interarrival_s / RATE_TIME_CONSTANT_S);
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -74,7 +74,7 @@
 
 /* Reads the record of a job that another node admitted or, once the job is known, requests the
  * removal of its admission key. The response to the read may be lost, so the job stays in
- * untaken_admissions until it is known. */
+ * unprocessed_admissions until it is known. */
 static void process_admission(tw_core *core, tw_expiring_name *admission) {
     char key[TW_NAME_SIZE + sizeof PEER_ADMISSION_KEY];
     if (!tw_job_is_known(core, admission->name)) {
@@ -90,17 +90,17 @@
     tw_call_send(&core->context, TW_CALL_REMOVE_PEER_ADMISSION, TW_TO_STATE,
                  core->context.config->state, "POST", "/txn",
                  tw_wire_txn_text(&compare, 1, &removal, 1), 1);
-    tw_expiring_names_remove(&core->untaken_admissions, admission);
+    tw_expiring_names_remove(&core->unprocessed_admissions, admission);
 }
 
-/* Adds the job of an admission key that was listed or watched to untaken_admissions. */
+/* Adds the job of an admission key that was listed or watched to unprocessed_admissions. */
 static void add_admission(tw_core *core, const char *key) {
     const char *id = key + sizeof PEER_ADMISSION_KEY - 1;
     if (strncmp(key, PEER_ADMISSION_KEY, sizeof PEER_ADMISSION_KEY - 1) != 0 ||
         !tw_wire_id_ok(id, strlen(id)))
         return;
-    tw_expiring_name *admission = tw_expiring_names_find(core->untaken_admissions, id);
-    if (!admission) admission = tw_expiring_names_add(&core->untaken_admissions, id, 0);
+    tw_expiring_name *admission = tw_expiring_names_find(core->unprocessed_admissions, id);
+    if (!admission) admission = tw_expiring_names_add(&core->unprocessed_admissions, id, 0);
     process_admission(core, admission);
 }
 
@@ -133,7 +133,9 @@
 void tw_peer_admissions_tick(tw_core *core) {
     tw_expiring_name *admission;
     tw_expiring_name *next;
-    HASH_ITER(hh, core->untaken_admissions, admission, next) { process_admission(core, admission); }
+    HASH_ITER(hh, core->unprocessed_admissions, admission, next) {
+        process_admission(core, admission);
+    }
     if (core->admission_watch_in_flight || core->context.now < core->next_admission_watch_at ||
         !tw_store_try_acquire_request(core->store))
         return;
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -1,23 +1,25 @@
-/* Makes room for a task by stopping tasks of lower priority on one machine, where that loses least.
+/* Preempts tasks of lower priority for a task, on the machine where that costs least.
  *
- * The cost of stopping a task is what it has run and not saved, in task seconds; for a task of a
- * gang that of all its tasks, which stop with it. To it come fixed costs for its priority, for a
- * deadline that it would then miss, and for a machine on which the new task is late all the same.
+ * The cost of stopping a task is its unsaved run time in task seconds; for a task of a gang,
+ * the sum over all its tasks, which stop with it. Fixed costs are added for the victim's
+ * priority, for a deadline that the victim would then miss, and for a machine on which the new
+ * task would still miss its deadline.
  *
- * Invariant: tasks are marked (VICTIM_MARK) only while one machine is looked at, so no mark is left
- * when tw_scheduler_preempt returns. */
+ * Invariant: tasks are marked as victims (VICTIM_MARK) only while one machine is examined, so
+ * no mark remains when tw_scheduler_preempt returns. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
-#define SUM_TOLERANCE 1e-3           /* sums over many tasks may be off by less */
-#define COST_PER_PRIORITY_S 10       /* for each step of the stopped task's priority */
-#define COST_OF_MISSED_DEADLINE_S 60 /* where the new task misses its deadline anyway */
-#define RESTART_RUN_FACTOR 1.3       /* of its estimate, that a stopped task needs to start over */
-#define VICTIM_MARK UINT64_MAX       /* a task that would be stopped */
+#define SUM_TOLERANCE 1e-3           /* upper bound of the rounding error in sums over many tasks */
+#define COST_PER_PRIORITY_S 10       /* per step of the victim's priority */
+#define COST_OF_MISSED_DEADLINE_S 60 /* if the new task misses its deadline anyway */
+/* Run time that a restarted victim needs, as a multiple of its estimate. */
+#define RESTART_RUN_FACTOR 1.3
+#define VICTIM_MARK UINT64_MAX /* marks a task selected to be stopped */
 
-/* Whether stopping the task loses the work of a running gang: where not all its tasks can be told
- * to save it, the gang is left alone until they can. */
-static bool would_lose_gang(const tw_core *core, const tw_placement *placed) {
+/* Returns whether stopping the task would lose unsaved work of a running gang. If not all
+ * tasks of the gang can be commanded to save, the gang is not preempted until they can. */
+static bool would_lose_gang_progress(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            placed->running_since > 0 &&
@@ -28,24 +30,26 @@
 bool tw_preemption_allowed(const tw_core *core, const struct tw_job *job,
                            const tw_placement *placed) {
     return placed->counted && !placed->stopping && placed->job->has_spec &&
-           placed->job->spec.priority < job->spec.priority && !would_lose_gang(core, placed);
+           placed->job->spec.priority < job->spec.priority &&
+           !would_lose_gang_progress(core, placed);
 }
 
-/* The run time, in seconds, that a task loses when it is stopped. */
+/* Returns the run time, in seconds, that a task loses if it is stopped. */
 static double unsaved_run_s(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     const double ran_s = placed->running_since > 0 ? core->context.now - placed->running_since : 0;
     if (job->spec.checkpoint_s <= 0) return ran_s;
-    /* A gang that can't be told to save as a whole falls back to its last checkpoint. */
+    /* A gang whose tasks cannot all be commanded to save restarts from its last checkpoint. */
     if (job->spec.gang && !tw_gang_can_save(core, job)) return fmin(ran_s, job->spec.checkpoint_s);
     return fmin(ran_s, job->spec.save_s);
 }
 
-/* What stopping the task costs, in task seconds. A gang's other tasks stop with it. */
+/* Returns the cost of stopping the task, in task seconds. The other tasks of a gang stop with
+ * it. */
 static double preemption_cost_s(const tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     double lost_s = unsaved_run_s(core, placed) * (job->spec.gang ? job->placed_count : 1);
-    /* It is better to stop a task that can start over and still meet its deadline. */
+    /* A victim that can restart and still meet its deadline is preferable. */
     const double estimate_s = tw_job_run_estimate_s(job);
     const double deadline_at = tw_job_deadline(job);
     if (isfinite(deadline_at) && core->context.now + RESTART_RUN_FACTOR * estimate_s > deadline_at)
@@ -53,16 +57,17 @@
     return lost_s + 1 + job->spec.priority * COST_PER_PRIORITY_S;
 }
 
-/* Whether stopping all tasks of lower priority could make enough room, judged by the machine's sums
- * alone: this rules out most machines cheaply. */
-static bool could_make_room(const tw_core *core, const tw_machine *machine, const tw_job *job) {
+/* Returns whether preempting all tasks of lower priority could free enough capacity, judged by
+ * the machine's sums. This excludes most machines at low cost. */
+static bool could_free_capacity(const tw_core *core, const tw_machine *machine, const tw_job *job) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    const tw_capacity room = tw_machine_preemptible_capacity(machine, type, job->spec.priority);
-    return tw_capacity_fits(&room, &job->spec, SUM_TOLERANCE);
+    const tw_capacity available =
+        tw_machine_capacity_after_preemption(machine, type, job->spec.priority);
+    return tw_capacity_fits(&available, &job->spec, SUM_TOLERANCE);
 }
 
-/* Whether another task of the same gang is a victim on the machine already: this one stops with it
- * and costs nothing more. */
+/* Returns whether another task of the same gang on the machine is already a victim. In that
+ * case stopping this one costs nothing more. */
 static bool gang_is_victim(const tw_machine *machine, const tw_placement *placed) {
     const tw_placement *other;
     if (!placed->job->spec.gang) return false;
@@ -72,11 +77,11 @@
     return false;
 }
 
-/* The task on the machine that costs least to stop, victims apart. NULL: none is left. While GPUs
- * are missing, tasks without GPUs are not considered for a task with GPUs. *least_cost_s is its
- * cost. */
+/* Returns the task on the machine that costs least to stop, other than those already marked as
+ * victims, and sets *least_cost_s to its cost. NULL: there is none. A task that still lacks
+ * GPUs considers only victims that use GPUs. */
 static tw_placement *find_cheapest_victim(const tw_core *core, const tw_machine *machine,
-                                          const tw_job *job, const tw_capacity *room,
+                                          const tw_job *job, const tw_capacity *available,
                                           double *least_cost_s) {
     tw_placement *best = NULL;
     tw_placement *placed;
@@ -84,7 +89,7 @@
     DL_FOREACH(machine->placements, placed) {
         if (!tw_preemption_allowed(core, job, placed) || placed->mark == VICTIM_MARK) continue;
         if (job->spec.gpus > 0 && placed->job->spec.gpus <= 0 &&
-            room->gpus + TW_CAPACITY_ROUNDING < job->spec.gpus)
+            available->gpus + TW_CAPACITY_ROUNDING < job->spec.gpus)
             continue;
         const double cost_s = gang_is_victim(machine, placed) ? 0 : preemption_cost_s(core, placed);
         if (cost_s < *least_cost_s) {
@@ -95,47 +100,47 @@
     return best;
 }
 
-/* Tells the victim to stop for the job. */
+/* Stops the victim for the job. */
 static void stop_victim(tw_core *core, tw_placement *victim, const tw_job *job) {
     const tw_wire_job *spec = &victim->job->spec;
     tw_log_debug("event=task_preempted task=%s/%d for=%s worker=%s", spec->id, victim->index,
                  job->id, victim->machine->name);
-    /* Saving takes save_s: the victim saves only if the job can wait for it and meet its deadline.
-     */
+    /* Saving takes save_s. The victim saves only if the job can wait that long and still meet its
+     * deadline. */
     const bool saves =
         spec->checkpoint_s > 0 && core->context.now + spec->save_s < tw_job_deadline(job);
     tw_placement_stop(core, victim, saves ? spec->save_s : 0, true);
 }
 
-/* Stopping tasks on a machine is worth it if their cost and the machine's penalty come to less than
- * the least cost so far. */
+/* Limit on the cost of preemption on a machine: preemption there is worthwhile only if its
+ * cost plus the machine's penalty is less than the lowest cost found so far. */
 typedef struct {
-    double penalty_s;    /* of the machine: the new task would be late there */
-    double least_cost_s; /* of the machines looked at so far, with their penalties */
+    double penalty_s; /* of the machine, because the new task would be late there */
+    /* lowest cost, including the penalty, of the machines examined so far */
+    double least_cost_s;
 } preemption_limit;
 
-/* Marks the cheapest tasks as victims until there is room for the job's task; *cost_s is their
- * cost. limit: gives up where they cost too much; NULL: no limit, and the victims are told to stop.
- * Returns whether there is room. The caller clears the marks. */
+/* Marks the cheapest tasks as victims until the job's task fits, and sets *cost_s to their
+ * cost. limit: stop when the cost reaches the limit; NULL: there is no limit, and the victims
+ * are stopped. Returns whether the task fits. The caller clears the marks. */
 static bool select_victims(tw_core *core, const tw_job *job, tw_machine *machine,
                            const preemption_limit *limit, double *cost_s) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    tw_capacity room = tw_machine_vacating_capacity(machine, type);
+    tw_capacity available = tw_machine_capacity_after_vacating(machine, type);
     *cost_s = 0;
-    while (!tw_capacity_fits(&room, &job->spec, TW_CAPACITY_ROUNDING)) {
+    while (!tw_capacity_fits(&available, &job->spec, TW_CAPACITY_ROUNDING)) {
         double least_cost_s;
-        tw_placement *victim = find_cheapest_victim(core, machine, job, &room, &least_cost_s);
+        tw_placement *victim = find_cheapest_victim(core, machine, job, &available, &least_cost_s);
         if (!victim) return false;
         victim->mark = VICTIM_MARK;
         *cost_s += least_cost_s;
         if (limit && *cost_s + limit->penalty_s >= limit->least_cost_s) return false;
-        tw_capacity_give_task(&room, &victim->job->spec);
+        tw_capacity_add_task(&available, &victim->job->spec);
         if (!limit) stop_victim(core, victim, job);
     }
     return true;
 }
 
-/* Clears the marks of all victims on the machine. */
 static void clear_victim_marks(tw_machine *machine) {
     tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
@@ -143,16 +148,16 @@
     }
 }
 
-/* Whether the machine may take the demand's task once there is room for it. */
+/* Returns whether the demand's task may run on the machine once enough capacity is free. */
 static bool machine_is_allowed(const tw_core *core, const tw_demand *demand,
                                const tw_machine *machine) {
     return tw_constraints_allow_machine(core, demand->job, machine) &&
            tw_demand_allows_machine(demand, machine) &&
-           tw_constraints_leave_gpus(core, machine, demand->job, 1);
+           tw_constraints_leave_gpus_usable(core, machine, demand->job, 1);
 }
 
 struct tw_machine *tw_scheduler_preempt(tw_core *core, const tw_demand *demand, bool in_time,
-                                        bool *room_is_reserved) {
+                                        bool *capacity_is_reserved) {
     const tw_job *job = demand->job;
     double least_cost_s = INFINITY;
     double cost_s;
@@ -161,13 +166,13 @@
     for (int i = 0; i < core->candidate_count; i++) {
         tw_machine *machine = core->candidates[i].machine;
         core->pass_steps++;
-        if (!could_make_room(core, machine, job)) continue;
+        if (!could_free_capacity(core, machine, job)) continue;
         if (!machine_is_allowed(core, demand, machine)) continue;
         if (!tw_reserve_allows(core, machine, job)) {
-            *room_is_reserved = true;
+            *capacity_is_reserved = true;
             continue;
         }
-        const tw_prediction prediction = tw_predict(core, demand, machine);
+        const tw_prediction prediction = tw_predict_duration(core, demand, machine);
         const bool late = !(tw_predict_end(core, demand, &prediction) <= demand->deadline_at);
         if (late && in_time) continue;
         const preemption_limit limit = {late ? COST_OF_MISSED_DEADLINE_S : 0, least_cost_s};
@@ -180,8 +185,8 @@
     if (!best) return NULL;
     select_victims(core, job, best, NULL, &cost_s);
     clear_victim_marks(best);
-    /* More room may have been made than the task needs, which is of use to others. */
-    tw_placement_failures_forget(core);
-    tw_scores_forget(core);
+    /* Preemption may free more capacity than the task needs, which other tasks can use. */
+    tw_placement_failures_clear(core);
+    tw_scores_clear(core);
     return best;
 }
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -45,7 +45,7 @@
     const int index_digits = count_digits((uint64_t)job->task_count);
     const int attempt_digits = count_digits(job->next_attempt + (uint64_t)job->task_count);
     const double task_bytes =
-        index_digits + attempt_digits + (double)core->longest_machine_name + TASK_SEPARATORS;
+        index_digits + attempt_digits + (double)core->longest_machine_name_length + TASK_SEPARATORS;
     const double range_bytes = 2 * index_digits + RANGE_SEPARATORS;
     const double single_range_bytes = index_digits + 1; /* length of a done range with one task */
     const double available_bytes =
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -23,7 +23,7 @@
  * and what tasks of lower priority use. */
 static tw_capacity room_for_service(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    return tw_machine_preemptible_capacity(machine, type, TW_PRIORITY_PROD);
+    return tw_machine_capacity_after_preemption(machine, type, TW_PRIORITY_PROD);
 }
 
 /* Whether holes are kept for the class and may be on the machine. */
@@ -84,7 +84,7 @@
                             const tw_job_class *class) {
     const tw_capacity before = room_for_service(core, machine);
     tw_capacity after = before;
-    tw_capacity_take_task(&after, &job->spec);
+    tw_capacity_subtract_task(&after, &job->spec);
     return count_fitting_tasks(&before, &class->sample) -
            count_fitting_tasks(&after, &class->sample);
 }
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -1,8 +1,8 @@
-/* The end of a term: everything that belongs to it is forgotten. A term that begins finds nothing
- * of an earlier one of this node. */
+/* End of a term: clears all state that belongs to the term, so that the node's next term
+ * starts without any of it. */
 #include "core/jobs.h"
 
-/* Rejects all users who wait for the job. */
+/* Answers all clients that wait for the job with the error "no leader". */
 static void reject_waiting_clients(tw_core *core, tw_job *job) {
     tw_waiting_client *client;
     while ((client = tw_job_take_waiting_client(job))) {
@@ -11,8 +11,8 @@
     }
 }
 
-/* Machines go before the jobs that their placements point to. */
-static void forget_jobs_and_machines(tw_core *core) {
+/* The machines are freed first, because their placements point to jobs. */
+static void clear_jobs_and_machines(tw_core *core) {
     tw_machine *machine, *next_machine;
     tw_job *job, *next_job;
     HASH_ITER(hh, core->jobs, job, next_job) { reject_waiting_clients(core, job); }
@@ -31,7 +31,7 @@
     core->zone_count = 0;
 }
 
-static void forget_rentals(tw_core *core) {
+static void clear_rentals(tw_core *core) {
     tw_rejected_admission *rejected, *next_rejected;
     HASH_ITER(hh, core->rejected_admissions, rejected, next_rejected) {
         tw_rejected_admission_drop(core, rejected);
@@ -49,10 +49,10 @@
 }
 
 void tw_term_clear(tw_core *core) {
-    forget_jobs_and_machines(core);
+    clear_jobs_and_machines(core);
     tw_expiring_names_clear(&core->returned_machines);
-    forget_rentals(core);
-    tw_expiring_names_clear(&core->untaken_admissions);
+    clear_rentals(core);
+    tw_expiring_names_clear(&core->unprocessed_admissions);
     tw_store_reset(core->store);
     core->silent_zone_count = 0;
     core->admission_watch_in_flight = false;
