--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -3,7 +3,7 @@
  * the autoscaler's own modules share stands in autoscaler_int.h. Not for other packages.
  *
  * Invariants: the name of a rental request is never used twice; while a plan packs, a bin's free
- * amounts only get less, apart from tw_bin_give; an offer, once made, stays at its index.
+ * amounts only get less, apart from tw_bin_remove_task; an offer, once made, stays at its index.
  *
  * All times are seconds of the steady clock (core->context.now); names that end in _at are points
  * in time, names that end in _s are durations in seconds. */
@@ -35,13 +35,14 @@
     tw_capacity_offer *offer; /* from which this plan rents it; NULL: it is there or asked for */
     int type_index;           /* in core->machine_types */
     bool spot;
-    bool occupied;        /* a task runs on the machine, or may */
-    bool tried;           /* placement passes have had the chance to use it */
-    const char *zone;     /* belongs to the machine or to its type */
-    tw_capacity room;     /* what is free */
-    tw_capacity unplaced; /* taken from room for gangs that don't have room for all tasks */
-    bool is_full;         /* on probation: its machine takes no other task now */
-    int packed_count;     /* tasks of the job that was packed last */
+    bool occupied;                         /* a task runs on the machine, or may */
+    bool considered_by_passes;             /* placement passes have had the chance to use it */
+    const char *zone;                      /* belongs to the machine or to its type */
+    tw_capacity free_capacity;             /* what is free */
+    tw_capacity held_for_incomplete_gangs; /* taken from room for gangs that don't have room for all
+                                              tasks */
+    bool is_full;                          /* on probation: its machine takes no other task now */
+    int packed_count;                      /* tasks of the job that was packed last */
 } tw_bin;
 
 /* The bins of a plan, which own no machines or offers. Freed with tw_bins_free. */
@@ -77,7 +78,7 @@
 typedef struct tw_rejected_admission {
     char id[TW_WIRE_ID_SIZE];
     tw_job job; /* not one of the core's jobs: nothing of it is accepted */
-    double until;
+    double expires_at;
     UT_hash_handle hh;
 } tw_rejected_admission;
 
@@ -91,7 +92,7 @@
 /* Whether a task of the job on the machine leaves the room that is kept for other classes. */
 bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job);
 /* Notes the room that a task of the job takes; called before it is placed on the machine. */
-void tw_reserve_take(tw_core *core, const tw_machine *machine, const tw_job *job);
+void tw_reserve_record_placement(tw_core *core, const tw_machine *machine, const tw_job *job);
 
 /* bin_packing.c */
 /* Whether a task fits into what is free in the bin, and its machine takes another one. */
@@ -104,9 +105,9 @@
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
                         bool any_machine);
 /* Takes a task's amounts from what is free in the bin. */
-void tw_bin_take(tw_bin *bin, const tw_wire_job *spec);
+void tw_bin_add_task(tw_bin *bin, const tw_wire_job *spec);
 /* Gives a task's amounts back to the bin. */
-void tw_bin_give(tw_bin *bin, const tw_wire_job *spec);
+void tw_bin_remove_task(tw_bin *bin, const tw_wire_job *spec);
 
 /* expected_releases.c */
 /* Lists the room that running batch tasks are expected to give back, the earliest first. The caller
@@ -121,9 +122,9 @@
 
 /* scale_in.c */
 /* Notes which machines are idle, and wants those returned that have been idle for too long. */
-void tw_scale_in_idle(tw_core *core);
+void tw_scale_in_return_idle_machines(tw_core *core);
 /* Puts machines that are being emptied back into use if a job waits that may use them. */
-void tw_scale_in_reopen(tw_core *core);
+void tw_scale_in_cancel_decommissions(tw_core *core);
 /* Puts a machine that was emptied back into use if a gang needs it for its next attempt. Returns
  * whether it did. */
 bool tw_scale_in_keep_for_gang(tw_core *core, tw_machine *machine);
--- a/src/core/autoscaler_gang.c
+++ b/src/core/autoscaler_gang.c
@@ -3,25 +3,25 @@
  * single zone is planned. Called by autoscaler_plan.c. */
 #include "core/autoscaler_int.h"
 
-#define WAIT_RESERVE_SHARE 0.5 /* of the start objective, left when a waiting gang starts */
+#define LATE_START_MARGIN_SHARE 0.5 /* of the start objective, left when a waiting gang starts */
 
-double tw_autoscaler_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
-                                tw_expected_releases *releases, int count) {
-    int *first_release = tw_bins_first_release(bins, job);
+double tw_autoscaler_estimate_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
+                                         tw_expected_releases *releases, int count) {
+    int *first_release = tw_bins_release_cursor(bins, job);
     double start_at = core->context.now;
     for (int i = 0; i < count && isfinite(start_at); i++)
         start_at = fmax(start_at, tw_expected_releases_take(core, releases, job, first_release));
     return start_at;
 }
 
-void tw_autoscaler_gang_avoid_late_start(tw_core *core, tw_job *job, double start_at) {
+void tw_autoscaler_allow_gpu_machines_for_late_gang(tw_core *core, tw_job *job, double start_at) {
     const tw_offer_filter filter = {0};
     const double deadline_at = tw_job_start_deadline(job);
     const double reserve_s =
-        WAIT_RESERVE_SHARE * (job->job_class ? job->job_class->start_within_s : 0);
+        LATE_START_MARGIN_SHARE * (job->job_class ? job->job_class->start_within_s : 0);
     if (start_at <= deadline_at - reserve_s && core->context.now <= deadline_at - reserve_s) return;
-    tw_autoscaler_open_gpu_machines(core, job,
-                                    tw_offer_best(core, &job->spec, job->type_mask, &filter));
+    tw_autoscaler_allow_gpu_machines(
+        core, job, tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter));
 }
 
 /* How many tasks of the job the zone's bins have room for, at most max_count. The bins stay as they
@@ -36,15 +36,15 @@
             continue;
         while (count < max_count && tw_bin_fits(&bin, &job->spec) &&
                tw_bin_leaves_gpus(core, &bin, &job->spec, job->any_machine)) {
-            tw_bin_take(&bin, &job->spec);
+            tw_bin_add_task(&bin, &job->spec);
             count++;
         }
     }
     return count;
 }
 
-const char *tw_autoscaler_gang_zone(tw_core *core, tw_bins *bins, const tw_job *job,
-                                    int task_count) {
+const char *tw_autoscaler_choose_gang_zone(tw_core *core, tw_bins *bins, const tw_job *job,
+                                           int task_count) {
     const char *best = NULL;
     int max_count = -1;
     double least_factor = INFINITY;
@@ -53,9 +53,10 @@
         const tw_offer_filter filter = {.required_zone = name};
         if (!tw_constraints_allow_zone(job, name)) continue;
         const int count = count_tasks_in_zone(core, bins, job, name, task_count);
-        const tw_capacity_offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
+        const tw_capacity_offer *offer =
+            tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter);
         if (count < task_count && !offer) continue;
-        const double factor = count < task_count ? tw_offer_boot_factor(core, offer) : 1;
+        const double factor = count < task_count ? tw_offer_boot_cost_factor(core, offer) : 1;
         if (factor > least_factor || (factor == least_factor && count <= max_count)) continue;
         least_factor = factor;
         max_count = count;
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -33,11 +33,12 @@
     if (!class->has_sample || class->start_within_s <= 0 || !(sample->service || sample->gang))
         return 0;
     const double lead_s =
-        fmax(0, tw_autoscaler_rental_start_s(core, class->sample_type_mask, sample->image_gb) -
+        fmax(0, tw_autoscaler_rental_to_start_s(core, class->sample_type_mask, sample->image_gb) -
                     class->start_within_s);
-    const double quiet_s = core->context.now - class->last_arrival_at;
+    const double since_arrival_s = core->context.now - class->last_arrival_at;
     double rate = class->task_rate;
-    if (quiet_s > RATE_DECAY_S) rate *= exp(-(quiet_s - RATE_DECAY_S) / RATE_DECAY_S);
+    if (since_arrival_s > RATE_DECAY_S)
+        rate *= exp(-(since_arrival_s - RATE_DECAY_S) / RATE_DECAY_S);
     const double expected = rate * lead_s;
     const double batch_tasks = fmax(1, class->batch_tasks);
     double tasks = core->context.config->tune.headroom *
@@ -51,18 +52,18 @@
 }
 
 /* What a bin is, in the order in which room is looked for. */
-typedef enum { BIN_IN_USE, BIN_IDLE, BIN_COMING, BIN_STATES } bin_state;
+typedef enum { BIN_IN_USE, BIN_IDLE, BIN_PENDING, BIN_STATES } bin_state;
 
 /* The state of the bin's machine. */
 static bin_state bin_state_of(const tw_bin *bin) {
-    if (!bin->machine || bin->machine->state == TW_MACHINE_BOOTING) return BIN_COMING;
+    if (!bin->machine || bin->machine->state == TW_MACHINE_BOOTING) return BIN_PENDING;
     return bin->occupied ? BIN_IN_USE : BIN_IDLE;
 }
 
 /* Takes room in the bin for up to wanted tasks of the class, and marks its machine as headroom.
  * Returns for how many. zone: NULL: any. */
-static int reserve_in_bin(const tw_core *core, tw_bin *bin, const tw_job_class *class, int wanted,
-                          const char *zone) {
+static int reserve_in_bin(const tw_core *core, tw_bin *bin, const tw_job_class *class,
+                          int max_tasks, const char *zone) {
     const tw_wire_job *sample = &class->sample;
     int reserved = 0;
     if (!tw_bin_is_allowed(bin, sample, class->sample_type_mask)) return 0;
@@ -70,9 +71,9 @@
     /* Room that a placement pass would not give to the class is no headroom. */
     if (sample->gpus <= 0 && core->machine_types[bin->type_index].listed.gpus > 0 && !bin->occupied)
         return 0;
-    while (reserved < wanted && tw_bin_fits(bin, sample) &&
+    while (reserved < max_tasks && tw_bin_fits(bin, sample) &&
            tw_bin_leaves_gpus(core, bin, sample, false)) {
-        tw_bin_take(bin, sample);
+        tw_bin_add_task(bin, sample);
         if (bin->machine) bin->machine->needed_by_plan = true;
         reserved++;
     }
@@ -82,16 +83,16 @@
 /* The zone in which to keep room for gangs that must stand in a single one: the one with most of
  * it. NULL: any zone. */
 static const char *choose_headroom_zone(tw_core *core, const tw_bins *bins,
-                                        const tw_job_class *class, int wanted) {
+                                        const tw_job_class *class, int max_tasks) {
     const char *best = NULL;
     int most = 0;
     if (!class->sample.gang || !class->sample.single_zone) return NULL;
     for (int zone = 0; zone < core->zone_count; zone++) {
         int count = 0;
-        for (int i = 0; i < bins->count && count < wanted; i++) {
+        for (int i = 0; i < bins->count && count < max_tasks; i++) {
             tw_bin bin = bins->items[i];
             bin.machine = NULL; /* the machine is not marked as headroom by this trial */
-            count += reserve_in_bin(core, &bin, class, wanted - count, core->zone_names[zone]);
+            count += reserve_in_bin(core, &bin, class, max_tasks - count, core->zone_names[zone]);
         }
         if (count <= most) continue;
         most = count;
@@ -100,22 +101,22 @@
     return best;
 }
 
-void tw_autoscaler_keep_headroom(tw_core *core, tw_bins *bins, const tw_job_class *class,
-                                 double fleet_price) {
-    int wanted = count_headroom_tasks(core, class, fleet_price);
-    const char *zone = choose_headroom_zone(core, bins, class, wanted);
-    for (bin_state state = BIN_IN_USE; state < BIN_STATES && wanted > 0; state++)
-        for (int i = 0; i < bins->count && wanted > 0; i++)
+void tw_autoscaler_reserve_headroom(tw_core *core, tw_bins *bins, const tw_job_class *class,
+                                    double fleet_price) {
+    int missing = count_headroom_tasks(core, class, fleet_price);
+    const char *zone = choose_headroom_zone(core, bins, class, missing);
+    for (bin_state state = BIN_IN_USE; state < BIN_STATES && missing > 0; state++)
+        for (int i = 0; i < bins->count && missing > 0; i++)
             if (bin_state_of(&bins->items[i]) == state)
-                wanted -= reserve_in_bin(core, &bins->items[i], class, wanted, zone);
+                missing -= reserve_in_bin(core, &bins->items[i], class, missing, zone);
     const tw_offer_filter filter = {.for_headroom = true, .required_zone = zone};
-    while (wanted > 0) {
+    while (missing > 0) {
         tw_capacity_offer *offer =
-            tw_offer_best(core, &class->sample, class->sample_type_mask, &filter);
+            tw_offer_find_cheapest(core, &class->sample, class->sample_type_mask, &filter);
         if (!offer) return;
         tw_bin *bin = tw_offer_add_bin(core, bins, offer);
         offer->wanted_count++;
-        for (; wanted > 0 && tw_bin_fits(bin, &class->sample); wanted--)
-            tw_bin_take(bin, &class->sample);
+        for (; missing > 0 && tw_bin_fits(bin, &class->sample); missing--)
+            tw_bin_add_task(bin, &class->sample);
     }
 }
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -14,7 +14,7 @@
 
 /* ---- packing ---- */
 
-double tw_autoscaler_rental_start_s(const tw_core *core, uint32_t types, double image_gb) {
+double tw_autoscaler_rental_to_start_s(const tw_core *core, uint32_t types, double image_gb) {
     double soonest = INFINITY;
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_machine_type *type = &core->machine_types[i];
@@ -29,8 +29,8 @@
  * room will be given back. */
 static bool is_worth_renting(const tw_core *core, const tw_job *job, double start_at) {
     if (!isfinite(start_at)) return true;
-    if (start_at <=
-        core->context.now + tw_autoscaler_rental_start_s(core, job->type_mask, job->spec.image_gb))
+    if (start_at <= core->context.now +
+                        tw_autoscaler_rental_to_start_s(core, job->type_mask, job->spec.image_gb))
         return false;
     return !(start_at + tw_job_run_estimate_s(job) * RUN_TIME_FACTOR <= tw_job_deadline(job));
 }
@@ -69,25 +69,25 @@
 
 /* Takes room in the bin for up to wanted tasks of the job. Returns for how many. */
 static int pack_into_bin(const tw_core *core, tw_bin *bin, const tw_job *job, zone_spread *spread,
-                         int wanted) {
-    int taken = 0;
+                         int max_tasks) {
+    int packed = 0;
     bin->packed_count = 0;
     if (!tw_bin_is_allowed(bin, &job->spec, job->type_mask)) return 0;
     if (job->spec.single_zone && spread->zone_count &&
         strcmp(spread->zone_names[0], bin->zone) != 0)
         return 0;
-    while (taken < wanted && tw_bin_fits(bin, &job->spec) &&
+    while (packed < max_tasks && tw_bin_fits(bin, &job->spec) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine)) {
         const int slot = find_or_add_zone(spread, bin->zone);
         if (slot < 0 || spread->task_counts[slot] >= spread->max_per_zone) break;
-        tw_bin_take(bin, &job->spec);
+        tw_bin_add_task(bin, &job->spec);
         spread->task_counts[slot]++;
-        taken++;
+        packed++;
     }
-    bin->packed_count = taken;
+    bin->packed_count = packed;
     /* The gang starts when it has the rest, and needs this machine then. */
-    if (taken && job->spec.gang && bin->machine) bin->machine->needed_by_plan = true;
-    return taken;
+    if (packed && job->spec.gang && bin->machine) bin->machine->needed_by_plan = true;
+    return packed;
 }
 
 /* Whether a machine that is rented for the job could take a task of it: a new one is in its first
@@ -115,16 +115,16 @@
 
 /* Whether a machine like the offered one was rented while the job waited, and its boot is overdue:
  * the next one may not come up either. */
-static bool has_waited_in_vain(const tw_core *core, const tw_job *job,
-                               const tw_capacity_offer *offer) {
+static bool is_similar_rental_overdue(const tw_core *core, const tw_job *job,
+                                      const tw_capacity_offer *offer) {
     const double rented_at = core->machine_types[offer->type_index].overdue_rental_at;
     return rented_at > 0 && rented_at >= job->pending_since;
 }
 
-bool tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
+bool tw_autoscaler_allow_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
     if (job->spec.gpus > 0 || job->any_machine) return false;
     if (best && core->machine_types[best->type_index].listed.gpus <= 0 &&
-        !has_waited_in_vain(core, job, best))
+        !is_similar_rental_overdue(core, job, best))
         return false;
     job->any_machine = 1;
     core->scheduling_due = true;
@@ -144,11 +144,11 @@
     if (job->spec.gang) {
         if (count < job->task_count - job->done_count - job->placed_count)
             return 0; /* its team's limit */
-        const double start_at = tw_autoscaler_gang_start(core, bins, job, releases, count);
-        tw_autoscaler_gang_avoid_late_start(core, job, start_at);
+        const double start_at = tw_autoscaler_estimate_gang_start(core, bins, job, releases, count);
+        tw_autoscaler_allow_gpu_machines_for_late_gang(core, job, start_at);
         return is_worth_renting(core, job, start_at) ? count : 0;
     }
-    int *first_release = tw_bins_first_release(bins, job);
+    int *first_release = tw_bins_release_cursor(bins, job);
     for (int i = 0; i < count; i++)
         needed += is_worth_renting(core, job,
                                    tw_expected_releases_take(core, releases, job, first_release));
@@ -166,17 +166,18 @@
         for (int i = 0; i < spread->zone_count; i++)
             if (spread->task_counts[i] >= spread->max_per_zone)
                 filter.excluded_zone = spread->zone_names[i];
-        tw_capacity_offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
+        tw_capacity_offer *offer =
+            tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter);
         /* An offer that was refused lately may be granted again: until then the job is bound. */
         job->capacity_bound = !offer || offer->refusal_count > 0;
         /* GPU machines that are there come before renting one for a job without GPUs. */
-        if (tw_autoscaler_open_gpu_machines(core, job, offer)) return needed;
+        if (tw_autoscaler_allow_gpu_machines(core, job, offer)) return needed;
         if (!offer) return needed;
-        const int taken =
+        const int packed =
             pack_into_bin(core, tw_offer_add_bin(core, bins, offer), job, spread, needed);
-        if (!taken) return needed;
+        if (!packed) return needed;
         offer->wanted_count++;
-        needed -= taken;
+        needed -= packed;
     }
     return needed;
 }
@@ -187,7 +188,7 @@
     if (needed <= 0) return;
     zone_spread spread = spread_of_job(job);
     if (job->spec.gang && job->spec.single_zone && !spread.zone_count) {
-        const char *zone = tw_autoscaler_gang_zone(core, bins, job, needed);
+        const char *zone = tw_autoscaler_choose_gang_zone(core, bins, job, needed);
         if (zone) find_or_add_zone(&spread, zone);
     }
     /* A bin that placement passes have tried is of no use to a single task, but may hold a part of
@@ -195,11 +196,11 @@
     const int first = job->spec.gang ? 0 : tw_bins_first_useful(bins, job);
     for (int i = first; i < bins->count && needed > 0; i++) {
         core->pass_steps++;
-        if (!bins->items[i].tried || job->spec.gang)
+        if (!bins->items[i].considered_by_passes || job->spec.gang)
             needed -= pack_into_bin(core, &bins->items[i], job, &spread, needed);
     }
     needed = rent_for_tasks(core, bins, job, &spread, needed);
-    if (job->spec.gang && needed > 0) tw_bins_note_incomplete_gang(bins, &job->spec);
+    if (job->spec.gang && needed > 0) tw_bins_mark_incomplete_gang(bins, &job->spec);
 }
 
 /* ---- the round ---- */
@@ -217,10 +218,10 @@
         return false;
     }
     /* Some of the machines that boot will be late: of each type that share is not counted on. */
-    double *late = &core->machine_types[machine->type_index].late_sum;
-    *late += core->machine_types[machine->type_index].overdue_share;
-    if (*late >= 1) {
-        *late -= 1;
+    double *sum = &core->machine_types[machine->type_index].late_sum;
+    *sum += core->machine_types[machine->type_index].overdue_share;
+    if (*sum >= 1) {
+        *sum -= 1;
         return false;
     }
     return true;
@@ -229,17 +230,18 @@
 /* Adds a bin for a machine that is there or boots. */
 static void add_machine_bin(tw_core *core, tw_bins *bins, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    *tw_bins_add(bins) = (tw_bin){.machine = machine,
-                                  .type_index = machine->type_index,
-                                  .spot = machine->spot,
-                                  .zone = machine->zone,
-                                  .occupied = tw_machine_is_occupied(machine),
-                                  /* by now a pass has had the chance to use it */
-                                  .tried = machine->state == TW_MACHINE_UP &&
-                                           core->context.now - machine->first_answered_at >
-                                               core->context.config->report_s,
-                                  .is_full = !tw_quarantine_allows(machine),
-                                  .room = tw_machine_free_capacity(machine, type)};
+    *tw_bins_add(bins) =
+        (tw_bin){.machine = machine,
+                 .type_index = machine->type_index,
+                 .spot = machine->spot,
+                 .zone = machine->zone,
+                 .occupied = tw_machine_is_occupied(machine),
+                 /* by now a pass has had the chance to use it */
+                 .considered_by_passes = machine->state == TW_MACHINE_UP &&
+                                         core->context.now - machine->first_answered_at >
+                                             core->context.config->report_s,
+                 .is_full = !tw_quarantine_allows(machine),
+                 .free_capacity = tw_machine_free_capacity(machine, type)};
 }
 
 /* Adds bins for the machines of a request that isn't answered yet: they count as coming. */
@@ -268,7 +270,7 @@
 }
 
 /* Resets what the last plan noted on types and offers. */
-static void reset_scratch(tw_core *core) {
+static void reset_plan_results(tw_core *core) {
     for (int i = 0; i < core->machine_type_count; i++) {
         core->machine_types[i].late_sum = core->machine_types[i].overdue_rental_at = 0;
         core->machine_types[i].boots.coming_count = 0;
@@ -280,7 +282,7 @@
 }
 
 /* Counts a machine that boots, and is not overdue, at its type and its offer. */
-static void count_coming_machine(tw_core *core, const tw_machine *machine) {
+static void count_booting_machine(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->overdue || machine->failed) return;
     core->machine_types[machine->type_index].boots.coming_count++;
     tw_capacity_offer *offer = tw_offer_of_machine(core, machine);
@@ -291,12 +293,12 @@
  * machines, types and offers. */
 static void collect_bins(tw_core *core, tw_bins *bins) {
     zone_counts *counts = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
-    reset_scratch(core);
+    reset_plan_results(core);
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         machine->needed_by_plan = false;
-        if (machine->state == TW_MACHINE_BOOTING) count_coming_machine(core, machine);
+        if (machine->state == TW_MACHINE_BOOTING) count_booting_machine(core, machine);
         if (!counts_as_capacity(core, machine)) continue;
         add_machine_bin(core, bins, machine);
         counts[machine->type_index][machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index]++;
@@ -325,7 +327,7 @@
     tw_rejected_admission *admission;
     tw_rejected_admission *next;
     HASH_ITER(hh, core->rejected_admissions, admission, next) {
-        if (core->context.now < admission->until)
+        if (core->context.now < admission->expires_at)
             plan_job(core, bins, &admission->job, releases);
         else
             tw_rejected_admission_drop(core, admission);
@@ -344,11 +346,11 @@
     plan_rejected_admissions(core, &bins, &releases);
     const double price = price_of_bins(core, &bins);
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next)
-        tw_autoscaler_keep_headroom(core, &bins, class, price);
+        tw_autoscaler_reserve_headroom(core, &bins, class, price);
     const bool needs_more = bins.count > existing_count;
     tw_offers_update_wanted(core);
-    tw_scale_in_idle(core);
-    tw_scale_in_reopen(core);
+    tw_scale_in_return_idle_machines(core);
+    tw_scale_in_cancel_decommissions(core);
     if (!needs_more) tw_scale_in_consolidate(core, &bins);
     tw_expected_releases_free(&releases);
     tw_bins_free(&bins);
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -8,7 +8,7 @@
 #define INITIAL_START_CAPACITY 16
 
 bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec) {
-    return !bin->is_full && tw_capacity_fits(&bin->room, spec, TW_CAPACITY_ROUNDING);
+    return !bin->is_full && tw_capacity_fits(&bin->free_capacity, spec, TW_CAPACITY_ROUNDING);
 }
 
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types) {
@@ -20,16 +20,17 @@
                         bool any_machine) {
     const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
     /* While a gang waits for the rest of its room, its tasks use no GPUs, so the cores are kept. */
-    const tw_capacity room = {bin->room.cores + bin->unplaced.cores,
-                              bin->room.gpus + bin->unplaced.gpus,
-                              bin->room.memory_gb + bin->unplaced.memory_gb};
-    return any_machine || tw_constraints_room_leaves_gpus(core, type, &room, spec, 1);
+    const tw_capacity available = {bin->free_capacity.cores + bin->held_for_incomplete_gangs.cores,
+                                   bin->free_capacity.gpus + bin->held_for_incomplete_gangs.gpus,
+                                   bin->free_capacity.memory_gb +
+                                       bin->held_for_incomplete_gangs.memory_gb};
+    return any_machine || tw_constraints_room_leaves_gpus(core, type, &available, spec, 1);
 }
 
-void tw_bins_note_incomplete_gang(tw_bins *bins, const tw_wire_job *spec) {
+void tw_bins_mark_incomplete_gang(tw_bins *bins, const tw_wire_job *spec) {
     for (int i = 0; i < bins->count; i++)
         for (int task = 0; task < bins->items[i].packed_count; task++)
-            tw_capacity_give_task(&bins->items[i].unplaced, spec);
+            tw_capacity_give_task(&bins->items[i].held_for_incomplete_gangs, spec);
 }
 
 /* Whether the bin's machine takes one task at a time. */
@@ -37,13 +38,13 @@
     return bin->machine && bin->machine->on_probation;
 }
 
-void tw_bin_take(tw_bin *bin, const tw_wire_job *spec) {
-    tw_capacity_take_task(&bin->room, spec);
+void tw_bin_add_task(tw_bin *bin, const tw_wire_job *spec) {
+    tw_capacity_take_task(&bin->free_capacity, spec);
     if (is_on_probation(bin)) bin->is_full = true;
 }
 
-void tw_bin_give(tw_bin *bin, const tw_wire_job *spec) {
-    tw_capacity_give_task(&bin->room, spec);
+void tw_bin_remove_task(tw_bin *bin, const tw_wire_job *spec) {
+    tw_capacity_give_task(&bin->free_capacity, spec);
     bin->is_full = bin->machine && !tw_quarantine_allows(bin->machine);
 }
 
@@ -81,7 +82,7 @@
 
 /* Whether a task of the job may go into the bin. */
 static bool bin_is_useful(const tw_bin *bin, const tw_job *job) {
-    return !bin->tried && tw_bin_is_allowed(bin, &job->spec, job->type_mask) &&
+    return !bin->considered_by_passes && tw_bin_is_allowed(bin, &job->spec, job->type_mask) &&
            tw_bin_fits(bin, &job->spec);
 }
 
@@ -92,7 +93,7 @@
     return start->first_bin;
 }
 
-int *tw_bins_first_release(tw_bins *bins, const tw_job *job) {
+int *tw_bins_release_cursor(tw_bins *bins, const tw_job *job) {
     return &find_or_add_start(bins, job)->first_release;
 }
 
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -3,7 +3,8 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define CROWDING_COST_SHARE 0.001 /* of the price, for each machine of the type in the zone */
+#define ZONE_CONCENTRATION_COST_SHARE                                                              \
+    0.001 /* of the price, for each machine of the type in the zone */
 
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer) {
     return core->machine_types[offer->type_index].listed.zones[offer->zone_index];
@@ -29,7 +30,7 @@
     return NULL;
 }
 
-double tw_offer_boot_factor(const tw_core *core, const tw_capacity_offer *offer) {
+double tw_offer_boot_cost_factor(const tw_core *core, const tw_capacity_offer *offer) {
     const tw_machine_type *type = &core->machine_types[offer->type_index];
     const double startup_s = type->listed.startup_s;
     return tw_boot_record_cost_factor(&type->boots, core->context.now, startup_s) *
@@ -37,13 +38,13 @@
 }
 
 /* What a task costs on a machine of the offer, of which one holds so many tasks. At almost equal
- * cost the zone with the fewest machines of the type wins, by CROWDING_COST_SHARE. Machines that
- * may not come up cost more. */
+ * cost the zone with the fewest machines of the type wins, by ZONE_CONCENTRATION_COST_SHARE.
+ * Machines that may not come up cost more. */
 static double offer_cost(const tw_core *core, const tw_capacity_offer *offer, double task_count) {
     const tw_wire_machine_type *type = &core->machine_types[offer->type_index].listed;
     const double price = offer->spot ? type->spot_price : type->on_demand_price;
-    return price / task_count * (1 + CROWDING_COST_SHARE * offer->machine_count) *
-           tw_offer_boot_factor(core, offer);
+    return price / task_count * (1 + ZONE_CONCENTRATION_COST_SHARE * offer->machine_count) *
+           tw_offer_boot_cost_factor(core, offer);
 }
 
 /* How many machines of an offer a plan may want: the next plan sees what was granted of them. */
@@ -52,8 +53,8 @@
 }
 
 double tw_offer_task_count(const tw_wire_machine_type *type, const tw_wire_job *spec) {
-    const tw_capacity room = {type->cores, type->gpus, type->memory_gb};
-    return tw_capacity_task_count(&room, spec);
+    const tw_capacity capacity = {type->cores, type->gpus, type->memory_gb};
+    return tw_capacity_task_count(&capacity, spec);
 }
 
 /* Whether the task may be rented for from the offer, types apart. */
@@ -71,8 +72,8 @@
            (!filter->required_zone || !strcmp(filter->required_zone, zone));
 }
 
-tw_capacity_offer *tw_offer_best(tw_core *core, const tw_wire_job *spec, uint32_t types,
-                                 const tw_offer_filter *filter) {
+tw_capacity_offer *tw_offer_find_cheapest(tw_core *core, const tw_wire_job *spec, uint32_t types,
+                                          const tw_offer_filter *filter) {
     tw_capacity_offer *best = NULL;
     double least_cost = INFINITY;
     for (int i = 0; i < core->capacity_offer_count; i++) {
@@ -98,7 +99,7 @@
                            .type_index = offer->type_index,
                            .spot = offer->spot,
                            .zone = tw_offer_zone(core, offer),
-                           .room = {type->cores, type->gpus, type->memory_gb}};
+                           .free_capacity = {type->cores, type->gpus, type->memory_gb}};
     offer->machine_count++;
     offer->boots.coming_count++;
     core->machine_types[offer->type_index].boots.coming_count++;
@@ -107,7 +108,7 @@
 
 /* Puts machines of the offer's type that are being emptied back into use instead of asking for new
  * ones. */
-static void reopen_machines(tw_core *core, tw_capacity_offer *offer) {
+static void reuse_decommissioning_machines(tw_core *core, tw_capacity_offer *offer) {
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
@@ -124,7 +125,7 @@
 void tw_offers_update_wanted(tw_core *core) {
     for (int i = 0; i < core->capacity_offer_count; i++) {
         tw_capacity_offer *offer = &core->capacity_offers[i];
-        if (offer->wanted_count > 0) reopen_machines(core, offer);
+        if (offer->wanted_count > 0) reuse_decommissioning_machines(core, offer);
         if (core->context.now < core->scale_out_from) offer->wanted_count = 0;
         if (offer->wanted_count <= 0)
             offer->wanted_since = 0;
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -33,9 +33,10 @@
         .bin = {.type_index = machine->type_index,
                 .spot = machine->spot,
                 .zone = machine->zone,
-                .room = {spec->cores + fmax(0, type->cores - machine->used_cores),
-                         spec->gpus + fmax(0, type->gpus - machine->used_gpus),
-                         spec->memory_gb + fmax(0, type->memory_gb - machine->used_memory_gb)}}};
+                .free_capacity = {spec->cores + fmax(0, type->cores - machine->used_cores),
+                                  spec->gpus + fmax(0, type->gpus - machine->used_gpus),
+                                  spec->memory_gb +
+                                      fmax(0, type->memory_gb - machine->used_memory_gb)}}};
 }
 
 /* Whether the job's tasks end by themselves. */
@@ -69,7 +70,7 @@
         if (!tw_bin_fits(&release->bin, &job->spec)) continue;
         /* Cores that are given back beside free GPUs are kept for those GPUs. */
         if (!tw_bin_leaves_gpus(core, &release->bin, &job->spec, job->any_machine)) continue;
-        tw_bin_take(&release->bin, &job->spec);
+        tw_bin_add_task(&release->bin, &job->spec);
         return fmax(core->context.now, release->available_at);
     }
     return INFINITY;
--- a/src/core/fleet_log.c
+++ b/src/core/fleet_log.c
@@ -4,14 +4,14 @@
 
 /* The machines of a type, either spot or on-demand ones, and what is in use of them. */
 typedef struct {
-    int up, idle, coming;
+    int up, idle, booting;
     double cores, gpus, batch_gpus;
 } fleet_count;
 
 /* Counts a machine. */
 static void count_machine(fleet_count *count, const tw_machine *machine) {
     if (machine->state == TW_MACHINE_BOOTING) {
-        count->coming++;
+        count->booting++;
         return;
     }
     count->up++;
@@ -38,11 +38,11 @@
         for (int spot = 0; spot < 2; spot++) {
             const tw_wire_machine_type *type = &core->machine_types[i].listed;
             const fleet_count *count = &counts[i][spot];
-            if (!count->up && !count->coming) continue;
+            if (!count->up && !count->booting) continue;
             tw_log_info(
                 "event=fleet_counted machine_type=%s spot=%d up=%d idle=%d coming=%d cores=%.2f "
                 "gpus=%.2f batch_gpus=%.0f",
-                type->name, spot, count->up, count->idle, count->coming,
+                type->name, spot, count->up, count->idle, count->booting,
                 count->up ? count->cores / (count->up * type->cores) : 0,
                 count->up && type->gpus > 0 ? count->gpus / (count->up * type->gpus) : 0,
                 count->batch_gpus);
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -58,18 +58,18 @@
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     const double horizon = core->context.now + MAX_RESERVATION_S;
     tw_bin bin = {.type_index = machine->type_index,
-                  .room = tw_machine_free_capacity(machine, type)};
+                  .free_capacity = tw_machine_free_capacity(machine, type)};
     expected_room result = {.machine = machine, .available_at = core->context.now};
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const double end = placed->counted ? expected_task_end(core, placed) : INFINITY;
         if (end > horizon) continue;
-        tw_bin_give(&bin, &placed->job->spec);
+        tw_bin_remove_task(&bin, &placed->job->spec);
         result.available_at = fmax(result.available_at, end);
     }
     while (result.task_count < job->task_count && tw_bin_fits(&bin, &job->spec) &&
            tw_bin_leaves_gpus(core, &bin, &job->spec, job->any_machine)) {
-        tw_bin_take(&bin, &job->spec);
+        tw_bin_add_task(&bin, &job->spec);
         result.task_count++;
     }
     return result;
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -71,7 +71,7 @@
         return false;
     }
     if (job->spec.gpus > 0) tw_placement_failures_forget_cpu(core);
-    tw_reserve_take(core, choice.machine, job);
+    tw_reserve_record_placement(core, choice.machine, job);
     const tw_placement *placed = tw_placement_new(core, job, index, choice.machine, attempt);
     if (!placed) return false;
     log_placement(core, &demand, placed);
--- a/src/core/rejected_admissions.c
+++ b/src/core/rejected_admissions.c
@@ -43,5 +43,5 @@
         tw_job_set_spec(core, &rejected->job, spec);
         HASH_ADD_STR(core->rejected_admissions, id, rejected);
     }
-    rejected->until = core->context.now + retry_s + core->context.config->lease_s;
+    rejected->expires_at = core->context.now + retry_s + core->context.config->lease_s;
 }
--- a/src/core/rental_requests.c
+++ b/src/core/rental_requests.c
@@ -13,7 +13,8 @@
 #define PAUSE_AFTER_PARTIAL_GRANT_LAGS 2
 #define MAX_PAUSE_AFTER_REFUSAL_LAGS 6
 #define PAUSE_AFTER_MALFORMED_S 60
-#define NEW_NEED_S 0.5 /* that an offer counts as wanted for already when it is first wanted */
+#define INITIAL_WANTED_S                                                                           \
+    0.5 /* that an offer counts as wanted for already when it is first wanted */
 
 /* Sends a request, for the first time or again. */
 static void send_rental_request(tw_core *core, tw_rental_request *request) {
@@ -38,7 +39,7 @@
         tw_capacity_offer *offer = &core->capacity_offers[i];
         if (offer->wanted_count <= 0 || core->context.now < offer->refused_until) continue;
         const double need =
-            offer->wanted_count * (core->context.now - offer->wanted_since + NEW_NEED_S);
+            offer->wanted_count * (core->context.now - offer->wanted_since + INITIAL_WANTED_S);
         if (need <= largest_need) continue;
         largest_need = need;
         best = offer;
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -14,14 +14,14 @@
 #define ROUND_DOWN_SHARE 0.3 /* of a task: a fraction up to this is not rounded up */
 
 /* How many tasks of a class's sample fit into this room. */
-static int count_fitting_tasks(const tw_capacity *room, const tw_wire_job *spec) {
-    const double count = tw_capacity_task_count(room, spec);
+static int count_fitting_tasks(const tw_capacity *capacity, const tw_wire_job *spec) {
+    const double count = tw_capacity_task_count(capacity, spec);
     return count > 0 ? (int)count : 0;
 }
 
 /* What a service of the highest priority may have on the machine: what is free and not promised,
  * and what tasks of lower priority use. */
-static tw_capacity room_for_service(const tw_core *core, const tw_machine *machine) {
+static tw_capacity capacity_for_service(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return tw_machine_preemptible_capacity(machine, type, TW_PRIORITY_PROD);
 }
@@ -48,7 +48,7 @@
 
 /* How many holes to keep for a class: those that its arrivals need until their start objective, and
  * the square root of that, by batches, for the chance that more arrive. */
-static int holes_to_keep(const tw_core *core, const tw_job_class *class) {
+static int count_slots_to_reserve(const tw_core *core, const tw_job_class *class) {
     if (!class->has_sample || !class->sample.service || class->sample.gpus <= 0 ||
         class->start_within_s <= 0)
         return 0;
@@ -64,7 +64,7 @@
     bool any_reserve = false;
     for (tw_job_class *class = core->job_classes; class; class = class->hh.next) {
         class->reserve_available = 0;
-        class->reserve = holes_to_keep(core, class);
+        class->reserve = count_slots_to_reserve(core, class);
         any_reserve |= class->reserve > 0;
     }
     if (!any_reserve) return;
@@ -72,21 +72,21 @@
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         if (!tw_machine_is_usable(core, machine)) continue;
-        const tw_capacity room = room_for_service(core, machine);
+        const tw_capacity capacity = capacity_for_service(core, machine);
         for (tw_job_class *class = core->job_classes; class; class = class->hh.next)
             if (machine_counts_for_class(class, machine))
-                class->reserve_available += count_fitting_tasks(&room, &class->sample);
+                class->reserve_available += count_fitting_tasks(&capacity, &class->sample);
     }
 }
 
 /* How many holes of the class are lost when a task of the job takes room on the machine. */
-static int count_lost_holes(const tw_core *core, const tw_machine *machine, const tw_job *job,
+static int count_lost_slots(const tw_core *core, const tw_machine *machine, const tw_job *job,
                             const tw_job_class *class) {
-    const tw_capacity before = room_for_service(core, machine);
-    tw_capacity after = before;
-    tw_capacity_take_task(&after, &job->spec);
-    return count_fitting_tasks(&before, &class->sample) -
-           count_fitting_tasks(&after, &class->sample);
+    const tw_capacity free_before = capacity_for_service(core, machine);
+    tw_capacity free_after = free_before;
+    tw_capacity_take_task(&free_after, &job->spec);
+    return count_fitting_tasks(&free_before, &class->sample) -
+           count_fitting_tasks(&free_after, &class->sample);
 }
 
 bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job) {
@@ -95,15 +95,15 @@
         if (class == job->job_class || class->sample.gpus <= job->spec.gpus ||
             !machine_counts_for_class(class, machine))
             continue;
-        const int holes = count_lost_holes(core, machine, job, class);
-        if (holes > 0 && class->reserve_available - holes < class->reserve) return false;
+        const int lost_slots = count_lost_slots(core, machine, job, class);
+        if (lost_slots > 0 && class->reserve_available - lost_slots < class->reserve) return false;
     }
     return true;
 }
 
-void tw_reserve_take(tw_core *core, const tw_machine *machine, const tw_job *job) {
+void tw_reserve_record_placement(tw_core *core, const tw_machine *machine, const tw_job *job) {
     if (!job->spec.service) return;
     for (tw_job_class *class = core->job_classes; class; class = class->hh.next)
         if (machine_counts_for_class(class, machine))
-            class->reserve_available -= count_lost_holes(core, machine, job, class);
+            class->reserve_available -= count_lost_slots(core, machine, job, class);
 }
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -8,7 +8,7 @@
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define MAX_TRIES_PER_PASS 4         /* machines that a pass tries to find one to empty */
+#define MAX_CANDIDATES_PER_PASS 4    /* machines that a pass tries to find one to empty */
 #define RETRY_HEARTBEATS 3           /* heartbeats until a machine is tried again */
 #define PASS_INTERVAL_HEARTBEATS 0.3 /* heartbeats between passes that move tasks */
 #define MIN_MOVES_PER_PASS 2         /* tasks that a pass may move in any case */
@@ -44,7 +44,7 @@
            core->context.config->tune.idle_ratio * startup_s;
 }
 
-void tw_scale_in_idle(tw_core *core) {
+void tw_scale_in_return_idle_machines(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
@@ -62,8 +62,8 @@
 
 /* Whether the task's image is cached on the machine, or is fetched so fast that the task would
  * still meet its start objective. */
-static bool image_is_near(const tw_core *core, const tw_placement *placed,
-                          const tw_machine *machine) {
+static bool image_is_available_in_time(const tw_core *core, const tw_placement *placed,
+                                       const tw_machine *machine) {
     const tw_job *job = placed->job;
     const tw_image *image = tw_image_find(machine, job);
     if (image) return image->ready_at <= 0;
@@ -87,7 +87,7 @@
     if (is_bound_to_zone(&job->spec) && strcmp(bin->zone, placed->machine->zone) != 0) return false;
     if (!tw_machine_restriction_allows(tw_mixed_version_restriction(core, job), job, bin->machine))
         return false;
-    return image_is_near(core, placed, bin->machine) &&
+    return image_is_available_in_time(core, placed, bin->machine) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
 }
 
@@ -102,13 +102,14 @@
 typedef struct {
     tw_bin *bin;
     const tw_wire_job *spec;
-} moved_task;
+} planned_move;
 
 /* Takes room elsewhere for all replicas of the machine, and lists them with their bins. Returns
  * false if one of them has no room or can't move now; what was listed so far is to be given back
  * then, too. */
-static bool take_room_for_replicas(const tw_core *core, tw_bins *bins, const tw_machine *machine,
-                                   moved_task *taken, int *count) {
+static bool reserve_capacity_for_replicas(const tw_core *core, tw_bins *bins,
+                                          const tw_machine *machine, planned_move *moves,
+                                          int *count) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const tw_wire_job *spec = &placed->job->spec;
@@ -116,8 +117,8 @@
         if (placed->state != TW_TASK_RUNNING || placed->stopping) return false;
         tw_bin *destination = find_destination(core, bins, placed);
         if (!destination) return false;
-        tw_bin_take(destination, spec);
-        taken[(*count)++] = (moved_task){destination, spec};
+        tw_bin_add_task(destination, spec);
+        moves[(*count)++] = (planned_move){destination, spec};
     }
     return true;
 }
@@ -128,39 +129,39 @@
     int capacity = 0;
     int count = 0;
     DL_FOREACH(machine->placements, placed) { capacity++; }
-    moved_task *taken = tw_alloc((size_t)capacity * sizeof *taken);
-    const bool possible = take_room_for_replicas(core, bins, machine, taken, &count);
-    for (int i = 0; i < count; i++) tw_bin_give(taken[i].bin, taken[i].spec);
-    free(taken);
+    planned_move *moves = tw_alloc((size_t)capacity * sizeof *moves);
+    const bool possible = reserve_capacity_for_replicas(core, bins, machine, moves, &count);
+    for (int i = 0; i < count; i++) tw_bin_remove_task(moves[i].bin, moves[i].spec);
+    free(moves);
     return possible;
 }
 
 /* ---- machines that are being emptied ---- */
 
 /* A bin of the machine as if nothing ran on it. */
-static tw_bin bin_of_whole_machine(const tw_core *core, const tw_machine *machine) {
+static tw_bin bin_of_empty_machine(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_bin){.type_index = machine->type_index,
                     .spot = machine->spot,
                     .zone = machine->zone,
-                    .room = {type->cores, type->gpus, type->memory_gb}};
+                    .free_capacity = {type->cores, type->gpus, type->memory_gb}};
 }
 
 /* Whether a task of the job may run on the machine, a bin of which is given, once it has room. */
-static bool may_use_machine(const tw_job *job, const tw_machine *machine, const tw_bin *whole) {
-    return tw_bin_is_allowed(whole, &job->spec, job->type_mask) && tw_bin_fits(whole, &job->spec) &&
-           tw_constraints_allow_zone(job, machine->zone) &&
-           (job->spec.gpus > 0 || whole->room.gpus <= 0 || job->any_machine);
+static bool may_use_machine(const tw_job *job, const tw_machine *machine, const tw_bin *empty_bin) {
+    return tw_bin_is_allowed(empty_bin, &job->spec, job->type_mask) &&
+           tw_bin_fits(empty_bin, &job->spec) && tw_constraints_allow_zone(job, machine->zone) &&
+           (job->spec.gpus > 0 || empty_bin->free_capacity.gpus <= 0 || job->any_machine);
 }
 
 /* Whether some job waits that may use the machine once it has room. Then it is not emptied: where
  * no more can be rented, nothing would replace it. */
 static bool job_waits_for_machine(const tw_core *core, const tw_machine *machine) {
-    const tw_bin whole = bin_of_whole_machine(core, machine);
+    const tw_bin empty_bin = bin_of_empty_machine(core, machine);
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (!tw_job_is_pending(core, job) || !tw_quota_allows_tasks(core, job, 1)) continue;
-        if (may_use_machine(job, machine, &whole)) return true;
+        if (may_use_machine(job, machine, &empty_bin)) return true;
     }
     return false;
 }
@@ -168,12 +169,12 @@
 /* Whether a gang needs the machine for its next attempt, also while what is left of the last one is
  * stopped, and in the pause after an error. */
 static bool gang_needs_machine(const tw_core *core, const tw_machine *machine) {
-    const tw_bin whole = bin_of_whole_machine(core, machine);
+    const tw_bin empty_bin = bin_of_empty_machine(core, machine);
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (!tw_job_lacks_tasks(job) || !job->spec.gang) continue;
         if (!job->placed_count && !tw_quota_allows_tasks(core, job, 1)) continue;
-        if (may_use_machine(job, machine, &whole)) return true;
+        if (may_use_machine(job, machine, &empty_bin)) return true;
     }
     return false;
 }
@@ -192,7 +193,7 @@
     return true;
 }
 
-void tw_scale_in_reopen(tw_core *core) {
+void tw_scale_in_cancel_decommissions(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
@@ -211,7 +212,7 @@
     if (spec->gang) return; /* it would stop on all its machines */
     tw_bin *destination = find_destination(core, bins, placed);
     if (!destination) return;
-    tw_bin_take(destination, spec);
+    tw_bin_add_task(destination, spec);
     tw_placement_stop(core, placed, spec->save_s, false);
     (*moves_left)--;
 }
@@ -233,7 +234,7 @@
             machine->decommissioning = false; /* the room for it has gone since */
             break;
         }
-        tw_bin_take(destination, &placed->job->spec);
+        tw_bin_add_task(destination, &placed->job->spec);
         tw_log_debug("event=task_evicted task=%s/%d from=%s", placed->job->id, placed->index,
                      machine->name);
         tw_placement_stop(core, placed, 0, false);
@@ -285,7 +286,7 @@
 
 /* The next machine to empty. NULL: none of the few that a pass tries. */
 static tw_machine *choose_machine_to_decommission(const tw_core *core, tw_bins *bins) {
-    for (int i = 0; i < MAX_TRIES_PER_PASS; i++) {
+    for (int i = 0; i < MAX_CANDIDATES_PER_PASS; i++) {
         tw_machine *best = find_largest_gain(core);
         if (!best) return NULL;
         if (!job_waits_for_machine(core, best) && can_evict_all(core, bins, best)) return best;
@@ -305,7 +306,7 @@
 }
 
 /* Whether a machine was asked for that is not there yet: more room is needed then, not less. */
-static bool is_machine_coming(const tw_bins *bins) {
+static bool has_pending_machine(const tw_bins *bins) {
     for (int i = 0; i < bins->count; i++)
         if (!bins->items[i].machine) return true;
     return false;
@@ -329,7 +330,7 @@
     const double interval_s = PASS_INTERVAL_HEARTBEATS * core->context.config->report_s;
     if (core->context.now < core->next_consolidation_at) return;
     core->next_consolidation_at = core->context.now + interval_s;
-    if (is_machine_coming(bins) || is_service_pending(core)) return;
+    if (has_pending_machine(bins) || is_service_pending(core)) return;
     tw_machine *machine;
     struct tw_machine *next;
     int moves_left = max_moves_per_pass(core, interval_s);
