--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -1,17 +1,17 @@
-/* The autoscaler's clock and its calls to the cloud: when to plan, to ask for machines and types,
- * to return machines and to read the list of machines, and which module takes a response. Only the
- * leader plans and asks; the cloud takes few calls a second, so each one is counted by
- * core->cloud_limiter. */
+/* Schedules the autoscaler's work and its calls to the cloud: the plan, rental requests, returns,
+ * and the lists of machine types and of rented machines. Dispatches each response to the module
+ * that handles it. Only the leader plans and sends requests, apart from the request for the machine
+ * types. The cloud accepts few calls per second, so core->cloud_limiter counts every call. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
 #define TYPES_TIMEOUT_S 3
 #define TYPES_INTERVAL_S 60
-#define TYPES_RETRY_S 0.5 /* between two attempts until the types are known */
+#define TYPES_RETRY_S 0.5 /* between attempts until the first list has been received */
 #define PLAN_INTERVAL_S 0.5
-#define FLEET_LOG_INTERVAL_LEASES 2 /* between two counts of the fleet in the log */
+#define FLEET_LOG_INTERVAL_LEASES 2 /* leases between two fleet counts in the log */
 
-/* Asks for the list of machine types when it is due. */
+/* Requests the list of machine types when it is due. */
 static void request_machine_types(tw_core *core) {
     if (core->machine_types_in_flight || core->context.now < core->next_machine_types_at ||
         !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1))
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -1,12 +1,13 @@
-/* What the whole core may ask of the autoscaler, which rents machines, empties them and returns
- * them: the cloud's offers, the requests for machines, and the bins that a plan packs. What only
- * the autoscaler's own modules share stands in autoscaler_int.h. Not for other packages.
+/* Interface of the autoscaler for the other modules of the core. The autoscaler rents machines,
+ * decommissions and returns them. This header declares the capacity offers of the cloud, the rental
+ * requests, and the bins into which a plan packs tasks; autoscaler_int.h declares what only the
+ * autoscaler's own modules use. Not for other packages.
  *
- * Invariants: the name of a rental request is never used twice; while a plan packs, a bin's free
- * amounts only get less, apart from tw_bin_remove_task; an offer, once made, stays at its index.
+ * Invariants: the name of a rental request is never reused; while a plan packs tasks, a bin's free
+ * capacity only decreases, except in tw_bin_remove_task; an offer keeps its index.
  *
- * All times are seconds of the steady clock (core->context.now); names that end in _at are points
- * in time, names that end in _s are durations in seconds. */
+ * All times are seconds of the monotonic clock (core->context.now); names that end in _at are
+ * points in time, names that end in _s are durations in seconds. */
 #ifndef TW_CORE_AUTOSCALER_H
 #define TW_CORE_AUTOSCALER_H
 #include "core/capacity.h"
@@ -14,58 +15,60 @@
 #include "core/machine.h"
 #include <stdbool.h>
 
-#define TW_MAX_RENTAL 50 /* machines in one request to the cloud, by the protocol */
+#define TW_MAX_RENTAL 50 /* the protocol's limit of machines per rental request */
 
-/* An offer of the cloud: a machine type in a zone, as spot or on-demand machines. */
+/* A capacity offer of the cloud: a machine type in one zone, either as spot or as on-demand
+ * machines. */
 typedef struct tw_capacity_offer {
-    int type_index; /* in core->machine_types */
-    int zone_index; /* in the type's own list of zones, not in core->zone_names */
+    int type_index; /* index in core->machine_types */
+    int zone_index; /* index in the machine type's list of zones, not in core->zone_names */
     bool spot;
-    double refused_until; /* nothing is asked of the offer before this */
-    int refusal_count;    /* requests in a row that were refused or granted in part */
-    int machine_count;    /* scratch of a plan: machines of the type in the zone, there or coming */
-    int wanted_count;     /* machines that the last plan wants and that aren't asked for yet */
-    double wanted_since;  /* 0: none is wanted */
+    double refused_until; /* no machine is requested from the offer before this time */
+    int refusal_count;    /* consecutive requests that were refused or only partly granted */
+    int machine_count;    /* scratch of a plan: existing, requested and planned machines */
+    int wanted_count;     /* machines of the latest plan that are not requested yet */
+    double wanted_since;  /* when wanted_count became positive; 0: it is 0 */
     tw_boot_record boots;
 } tw_capacity_offer;
 
-/* A bin of the plan: the free room of a machine, or of one that is to come. */
+/* A bin of the plan: the free capacity of an existing, a requested or a planned machine. */
 typedef struct tw_bin {
-    tw_machine *machine;      /* NULL: it is to come */
-    tw_capacity_offer *offer; /* from which this plan rents it; NULL: it is there or asked for */
-    int type_index;           /* in core->machine_types */
+    tw_machine *machine;      /* NULL: the machine does not exist yet */
+    tw_capacity_offer *offer; /* rented from by this plan; NULL: existing or requested */
+    int type_index;           /* index in core->machine_types */
     bool spot;
-    bool occupied;                         /* a task runs on the machine, or may */
-    bool considered_by_passes;             /* placement passes have had the chance to use it */
-    const char *zone;                      /* belongs to the machine or to its type */
-    tw_capacity free_capacity;             /* what is free */
-    tw_capacity held_for_incomplete_gangs; /* taken from room for gangs that don't have room for all
-                                              tasks */
-    bool is_full;                          /* on probation: its machine takes no other task now */
-    int packed_count;                      /* tasks of the job that was packed last */
+    bool occupied;                         /* a task runs on the machine or may run on it */
+    bool considered_by_passes;             /* placement passes had the chance to use the machine */
+    const char *zone;                      /* owned by the machine or by its type */
+    tw_capacity free_capacity;             /* not used by any task */
+    tw_capacity held_for_incomplete_gangs; /* reserved for gangs whose tasks do not all fit */
+    bool blocked_by_probation; /* the machine is on probation and accepts no further task */
+    int packed_count;          /* tasks in this bin of the job that was packed last */
 } tw_bin;
 
-/* The bins of a plan, which own no machines or offers. Freed with tw_bins_free. */
+/* The bins of a plan. They do not own machines or offers. The caller frees them with tw_bins_free.
+ */
 typedef struct tw_bins {
     tw_bin *items;
     int count, capacity;
-    struct tw_bin_start *starts; /* where packing begins for a shape of task, see bin_packing.c */
-    int start_count, start_capacity;
+    struct tw_search_position
+        *positions; /* where searches begin, by task shape; see bin_packing.c */
+    int position_count, position_capacity;
 } tw_bins;
 
-/* Room that a running batch task is expected to give back when it ends. */
+/* Capacity that a running batch task is expected to release when it ends. */
 typedef struct tw_expected_release {
     double available_at;
-    tw_bin bin; /* with what is free on the machine already */
+    tw_bin bin; /* the released capacity plus what is already free on the machine */
 } tw_expected_release;
 
 typedef struct tw_expected_releases {
-    tw_expected_release *items; /* the earliest first; NULL: not listed yet */
+    tw_expected_release *items; /* ordered by available_at; NULL: not computed yet */
     int count;
 } tw_expected_releases;
 
-/* A rental request that the cloud has not answered conclusively. It is sent again under the same
- * name until it has, since the cloud gives the same answer to the same name. */
+/* A rental request whose result is not known yet. It is repeated under the same name until the
+ * cloud answers it, because the cloud gives the same answer to a repeated name. */
 typedef struct tw_rental_request {
     char name[TW_NAME_SIZE];
     int type_index, zone_index, machine_count;
@@ -74,75 +77,84 @@
     struct tw_rental_request *prev, *next;
 } tw_rental_request;
 
-/* A rejected submission that is expected to come again: machines are rented for it meanwhile. */
+/* A rejected submission that the client is expected to repeat. The plan rents machines for it in
+ * the meantime. */
 typedef struct tw_rejected_admission {
     char id[TW_WIRE_ID_SIZE];
-    tw_job job; /* not one of the core's jobs: nothing of it is accepted */
+    tw_job job; /* not one of the core's jobs: the submission has not been accepted */
     double expires_at;
     UT_hash_handle hh;
 } tw_rejected_admission;
 
 /* autoscaler_plan.c */
-/* Works out which machines to rent, to empty and to return. */
+/* Computes which machines to rent, to decommission and to return. */
 void tw_autoscaler_plan(tw_core *core);
 
 /* reserve.c */
-/* Works out, as a pass begins, how much room to keep for each class and how much there is. */
+/* Computes, at the start of a placement pass, how many task slots to reserve for each job class and
+ * how many are free. */
 void tw_reserve_update(tw_core *core);
-/* Whether a task of the job on the machine leaves the room that is kept for other classes. */
+/* Returns whether a task of the job can be placed on the machine without using the capacity that is
+ * reserved for other classes. */
 bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job);
-/* Notes the room that a task of the job takes; called before it is placed on the machine. */
+/* Subtracts the slots that a task of the job uses up from those that are free for each class. The
+ * caller calls this before it places the task on the machine. */
 void tw_reserve_record_placement(tw_core *core, const tw_machine *machine, const tw_job *job);
 
 /* bin_packing.c */
-/* Whether a task fits into what is free in the bin, and its machine takes another one. */
+/* Returns whether a task fits into the bin's free capacity and the bin's machine accepts another
+ * task. */
 bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec);
-/* Whether a job may use the bin's machine: its type is one of types (bits), it is no spot machine
- * if the job takes none, and it is in the job's zone if it names one. */
+/* Returns whether the job may use the bin's machine: types (a bit mask of machine types) contains
+ * its type, the job accepts spot machines if it is one, and the zone that the job requires, if any,
+ * is the machine's. */
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types);
-/* Whether a task leaves the bin's free GPUs their cores and memory, as tw_constraints_leave_gpus.
- * any_machine: the job may use what is kept for GPUs. */
+/* Returns whether the bin's free GPUs keep enough cores and memory after a task is added; see
+ * tw_constraints_leave_gpus. any_machine: the job may use cores and memory that are kept for GPUs.
+ */
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
                         bool any_machine);
-/* Takes a task's amounts from what is free in the bin. */
+/* Subtracts a task's resources from the bin's free capacity. */
 void tw_bin_add_task(tw_bin *bin, const tw_wire_job *spec);
-/* Gives a task's amounts back to the bin. */
+/* Adds a task's resources back to the bin's free capacity. */
 void tw_bin_remove_task(tw_bin *bin, const tw_wire_job *spec);
 
 /* expected_releases.c */
-/* Lists the room that running batch tasks are expected to give back, the earliest first. The caller
+/* Lists the capacity that running batch tasks are expected to release, ordered by time. The caller
  * frees the list with tw_expected_releases_free. */
 void tw_expected_releases_init(tw_core *core, tw_expected_releases *releases);
-/* Takes the earliest room that a task of the job can use, and returns when the task would start in
- * it. INFINITY: there is none. *first: the index to begin at, advanced past room that no task of
- * this shape can use; jobs of the same shape share it, as room only gets less. */
+/* Reserves the earliest expected release that a task of the job can use, and returns when the task
+ * would start there, or INFINITY if no release suffices. *first is the index at which the search
+ * begins. The function advances it past releases that no task of this shape can use; jobs of the
+ * same shape share it, since the capacity of the releases only decreases. */
 double tw_expected_releases_take(tw_core *core, tw_expected_releases *releases, const tw_job *job,
                                  int *first);
 void tw_expected_releases_free(tw_expected_releases *releases);
 
 /* scale_in.c */
-/* Notes which machines are idle, and wants those returned that have been idle for too long. */
+/* Records since when each machine has been idle, and marks the machines for return that have been
+ * idle for too long. */
 void tw_scale_in_return_idle_machines(tw_core *core);
-/* Puts machines that are being emptied back into use if a job waits that may use them. */
+/* Cancels the decommissioning of machines that a pending job may use. */
 void tw_scale_in_cancel_decommissions(tw_core *core);
-/* Puts a machine that was emptied back into use if a gang needs it for its next attempt. Returns
- * whether it did. */
+/* Cancels the decommissioning of the machine if a gang needs it for its next attempt. Returns
+ * whether it was cancelled. */
 bool tw_scale_in_keep_for_gang(tw_core *core, tw_machine *machine);
-/* Empties machines whose replicas fit on others, one after the other, so that they are returned.
- * bins: of all the machines there are; room in them is taken for the tasks that move. */
+/* Decommissions machines, one at a time (a few in a large fleet), whose replicas fit on other
+ * machines. bins: the bins of all machines; the capacity for the moved tasks is taken from them. */
 void tw_scale_in_consolidate(tw_core *core, tw_bins *bins);
 
 /* capacity_offers.c */
-/* The offer that the machine was, or would have been, rented from. NULL: there is none. */
+/* Returns the offer with the machine's type, zone and pricing, or NULL if there is none. */
 tw_capacity_offer *tw_offer_of_machine(const tw_core *core, const tw_machine *machine);
-/* The name of the offer's zone. It belongs to the machine type. */
+/* Returns the name of the offer's zone. The machine type owns the string. */
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer);
 
 /* autoscaler.c */
-/* Plans when it is due, and sends the requests to the cloud that are due. */
+/* Runs the plan when it is due, and sends the requests to the cloud that are due. */
 void tw_autoscaler_tick(tw_core *core);
-/* Takes the cloud's response to a call of the autoscaler. status: of HTTP, or 0 if there was none.
- */
+/* Handles the cloud's response to a call of the autoscaler. status: the HTTP status, or 0 if there
+ * was no response. */
 void tw_autoscaler_response(tw_core *core, tw_call *sent, int status, const char *body,
                             size_t length);
 
--- a/src/core/autoscaler_gang.c
+++ b/src/core/autoscaler_gang.c
@@ -1,9 +1,10 @@
-/* What the plan does differently for gangs, whose tasks are rented for all together or not at all:
- * when a gang would start on room that is given back, and in which zone one that must stand in a
- * single zone is planned. Called by autoscaler_plan.c. */
+/* The parts of the plan that are specific to gangs, for which machines are rented either for all
+ * tasks or for none: the estimated start on released capacity, and the choice of a zone for gangs
+ * that require a single one. Called by autoscaler_plan.c. */
 #include "core/autoscaler_int.h"
 
-#define LATE_START_MARGIN_SHARE 0.5 /* of the start objective, left when a waiting gang starts */
+#define LATE_START_MARGIN_SHARE                                                                    \
+    0.5 /* share of the start objective that must be left when a pending gang starts */
 
 double tw_autoscaler_estimate_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
                                          tw_expected_releases *releases, int count) {
@@ -24,8 +25,8 @@
         core, job, tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter));
 }
 
-/* How many tasks of the job the zone's bins have room for, at most max_count. The bins stay as they
- * were. */
+/* Returns how many tasks of the job fit into the zone's bins, at most max_count. The bins are not
+ * modified. */
 static int count_tasks_in_zone(tw_core *core, tw_bins *bins, const tw_job *job, const char *zone,
                                int max_count) {
     int count = 0;
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -1,20 +1,21 @@
-/* Headroom: spare room that the plan keeps for classes of jobs whose tasks must start sooner than a
- * machine boots, for the arrivals that are expected while one would boot. Called by the plan for
- * each class after all waiting jobs are packed; the rate of arrivals is class->task_rate
- * (job_class.c).
+/* Headroom: free capacity that the plan keeps for job classes whose start objective is shorter than
+ * the boot of a machine, to serve the arrivals that are expected during the boot. The plan calls
+ * this module for each class after it has packed all pending jobs. The arrival rate is
+ * class->task_rate (job_class.c).
  *
- * Tasks to keep room for = tune.headroom * (EXPECTED_SHARE * e + sqrt(e * b)), where e is the
- * number of arrivals expected in that time and b the size of a batch of arrivals: the root stands
- * for their deviation. */
+ * Tasks to keep capacity for = tune.headroom * (EXPECTED_SHARE * e + sqrt(e * b)), where e is the
+ * number of arrivals expected during the boot and b the number of tasks that arrive together; the
+ * square root is the standard deviation of the arrivals. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define NEGLIGIBLE_PRICE_SHARE 0.02 /* of the fleet's price */
-#define RATE_DECAY_S 60      /* without arrivals until their rate is taken to fall, and how fast */
-#define EXPECTED_SHARE 0.5   /* of the expected arrivals, to which their deviation is added */
-#define ROUND_DOWN_SHARE 0.3 /* of a task: a fraction up to this is not rounded up */
+#define NEGLIGIBLE_PRICE_SHARE 0.02 /* share of the fleet's price */
+#define RATE_DECAY_S 60      /* arrival-free time until the rate decays; also the time constant */
+#define EXPECTED_SHARE 0.5   /* share of the expected arrivals, to which the deviation is added */
+#define ROUND_DOWN_SHARE 0.3 /* a fraction of a task up to this value is rounded down */
 
-/* What a task of the class costs on the type of machine where it costs least, on-demand. */
+/* Returns the lowest on-demand price per task of the class over the machine types that it may use.
+ */
 static double lowest_task_price(const tw_core *core, const tw_job_class *class) {
     double price = INFINITY;
     for (int i = 0; i < core->machine_type_count; i++) {
@@ -25,8 +26,8 @@
     return price;
 }
 
-/* How many tasks of the class to keep room for. 0: the class is not known well enough, has no start
- * objective, or is made of batch jobs that aren't gangs. */
+/* Returns for how many tasks of the class to keep capacity. 0: no sample of the class is known, it
+ * has no start objective, or it consists of batch jobs that are not gangs. */
 static int count_headroom_tasks(const tw_core *core, const tw_job_class *class,
                                 double fleet_price) {
     const tw_wire_job *sample = &class->sample;
@@ -43,32 +44,33 @@
     const double batch_tasks = fmax(1, class->batch_tasks);
     double tasks = core->context.config->tune.headroom *
                    (EXPECTED_SHARE * expected + sqrt(expected * batch_tasks));
-    /* A late start costs the same whatever the task: where twice the room is nearly free beside
-     * what the fleet costs, twice the room is kept. */
+    /* A late start counts the same for all tasks, so twice the capacity is kept where its price is
+     * negligible compared with the fleet's. */
     if (2 * tasks * lowest_task_price(core, class) < NEGLIGIBLE_PRICE_SHARE * fleet_price)
         tasks *= 2;
     if (sample->gang) tasks = fmax(tasks, class->largest_gang);
     return (int)ceil(tasks - ROUND_DOWN_SHARE);
 }
 
-/* What a bin is, in the order in which room is looked for. */
+/* State of a bin's machine, in the order in which bins are searched for headroom. */
 typedef enum { BIN_IN_USE, BIN_IDLE, BIN_PENDING, BIN_STATES } bin_state;
 
-/* The state of the bin's machine. */
+/* Returns the state of the bin's machine. */
 static bin_state bin_state_of(const tw_bin *bin) {
     if (!bin->machine || bin->machine->state == TW_MACHINE_BOOTING) return BIN_PENDING;
     return bin->occupied ? BIN_IN_USE : BIN_IDLE;
 }
 
-/* Takes room in the bin for up to wanted tasks of the class, and marks its machine as headroom.
- * Returns for how many. zone: NULL: any. */
+/* Packs up to max_tasks of the class's tasks into the bin, and marks its machine as needed by the
+ * plan. Returns how many were packed. zone: the required zone; NULL: any zone. */
 static int reserve_in_bin(const tw_core *core, tw_bin *bin, const tw_job_class *class,
                           int max_tasks, const char *zone) {
     const tw_wire_job *sample = &class->sample;
     int reserved = 0;
     if (!tw_bin_is_allowed(bin, sample, class->sample_type_mask)) return 0;
     if (zone && strcmp(zone, bin->zone) != 0) return 0;
-    /* Room that a placement pass would not give to the class is no headroom. */
+    /* Placement passes do not use idle GPU machines for tasks without GPUs, so they are no
+     * headroom. */
     if (sample->gpus <= 0 && core->machine_types[bin->type_index].listed.gpus > 0 && !bin->occupied)
         return 0;
     while (reserved < max_tasks && tw_bin_fits(bin, sample) &&
@@ -80,8 +82,8 @@
     return reserved;
 }
 
-/* The zone in which to keep room for gangs that must stand in a single one: the one with most of
- * it. NULL: any zone. */
+/* Returns the zone in which to keep headroom for gangs that require a single zone: the one with the
+ * most free capacity for the class. NULL: any zone. */
 static const char *choose_headroom_zone(tw_core *core, const tw_bins *bins,
                                         const tw_job_class *class, int max_tasks) {
     const char *best = NULL;
@@ -91,7 +93,7 @@
         int count = 0;
         for (int i = 0; i < bins->count && count < max_tasks; i++) {
             tw_bin bin = bins->items[i];
-            bin.machine = NULL; /* the machine is not marked as headroom by this trial */
+            bin.machine = NULL; /* keeps the real machine from being marked as needed */
             count += reserve_in_bin(core, &bin, class, max_tasks - count, core->zone_names[zone]);
         }
         if (count <= most) continue;
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -1,18 +1,21 @@
-/* The plan: how many machines to rent. Each round packs the tasks that wait, and the headroom for
- * the arrivals that are expected while a machine boots (autoscaler_headroom.c), into the room of
- * machines that are there or coming. What does not fit is to be rented where a task costs least
- * (capacity_offers.c). What differs for gangs stands in autoscaler_gang.c.
+/* Plans how many machines to rent. Each plan packs the pending tasks, and the headroom for arrivals
+ * expected during the boot of a machine (autoscaler_headroom.c), into the free capacity of existing
+ * and requested machines. For tasks that do not fit, it rents machines of the offer with the lowest
+ * cost per task (capacity_offers.c). autoscaler_gang.c contains what is specific to gangs.
  *
- * A plan decides nothing about single tasks: its bins are scratch, and only offers' wanted counts,
- * a job's any_machine and capacity_bound, and machines' needed_by_plan outlive it. Room is taken
- * bin by bin, so that a round costs jobs times bins, not tasks times bins. */
+ * A plan does not place tasks: its bins are scratch data, and only the offers' wanted counts, a
+ * job's any_machine and capacity_bound, and the machines' needed_by_plan outlive it. Tasks are
+ * packed bin by bin, so the cost of a plan is proportional to jobs times bins, not to tasks times
+ * bins. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define BOOT_TIME_FACTOR 1.2 /* of a type's boot time: by then most machines are up */
-#define RUN_TIME_FACTOR 1.1  /* of an estimated run time: by then most tasks have ended */
+#define BOOT_TIME_FACTOR                                                                           \
+    1.2 /* multiple of a type's boot time within which most machines have booted */
+#define RUN_TIME_FACTOR                                                                            \
+    1.1 /* multiple of an estimated run time within which most tasks have ended */
 
-/* ---- packing ---- */
+/* ---- packing tasks and renting for the others ---- */
 
 double tw_autoscaler_rental_to_start_s(const tw_core *core, uint32_t types, double image_gb) {
     double soonest = INFINITY;
@@ -25,8 +28,8 @@
     return soonest;
 }
 
-/* Whether to rent for a batch task rather than let it wait for room until start_at. INFINITY: no
- * room will be given back. */
+/* Returns whether to rent a machine for a batch task that could otherwise start at start_at on
+ * released capacity. INFINITY: no capacity will be released. */
 static bool is_worth_renting(const tw_core *core, const tw_job *job, double start_at) {
     if (!isfinite(start_at)) return true;
     if (start_at <= core->context.now +
@@ -35,15 +38,16 @@
     return !(start_at + tw_job_run_estimate_s(job) * RUN_TIME_FACTOR <= tw_job_deadline(job));
 }
 
-/* A job's tasks by zone, both placed and planned ones. */
+/* Number of a job's tasks in each zone, both placed and planned ones. */
 typedef struct {
     const char *zone_names[TW_MAX_ZONES];
     int task_counts[TW_MAX_ZONES];
     int zone_count;
-    int max_per_zone; /* tasks that the job may have in a zone */
+    int max_per_zone; /* limit of the job's tasks in one zone */
 } zone_spread;
 
-/* The index of the zone in the spread, to which it is added if need be. -1: the spread is full. */
+/* Returns the zone's index in the spread, and adds the zone if it is missing. -1: the spread is
+ * full. */
 static int find_or_add_zone(zone_spread *spread, const char *zone) {
     int slot = 0;
     while (slot < spread->zone_count && strcmp(spread->zone_names[slot], zone) != 0) slot++;
@@ -56,7 +60,7 @@
     return slot;
 }
 
-/* The spread of the job's placed tasks. */
+/* Returns the number of placed tasks of the job in each zone. */
 static zone_spread spread_of_job(const tw_job *job) {
     zone_spread spread = {.max_per_zone = job->spec.spread ? (job->task_count + 1) / 2 : INT32_MAX};
     const tw_placement *placed;
@@ -67,7 +71,7 @@
     return spread;
 }
 
-/* Takes room in the bin for up to wanted tasks of the job. Returns for how many. */
+/* Packs up to max_tasks of the job's tasks into the bin. Returns how many were packed. */
 static int pack_into_bin(const tw_core *core, tw_bin *bin, const tw_job *job, zone_spread *spread,
                          int max_tasks) {
     int packed = 0;
@@ -85,19 +89,19 @@
         packed++;
     }
     bin->packed_count = packed;
-    /* The gang starts when it has the rest, and needs this machine then. */
+    /* Keeps the machine until the rest of the gang fits. */
     if (packed && job->spec.gang && bin->machine) bin->machine->needed_by_plan = true;
     return packed;
 }
 
-/* Whether a machine that is rented for the job could take a task of it: a new one is in its first
- * incarnation. */
+/* Returns whether a newly rented machine, which is in its first incarnation, may run a task of the
+ * job. */
 static bool may_use_new_machine(const tw_core *core, const tw_job *job) {
     const tw_machine_restriction restriction = tw_mixed_version_restriction(core, job);
     return restriction == TW_MACHINES_ANY || restriction == TW_MACHINES_IN_FIRST_INCARNATION;
 }
 
-/* How many tasks of the job its team's limit and its record would allow to be placed now. */
+/* Returns how many more tasks of the job its team's limit and its record allow to be placed now. */
 static int count_placeable_tasks(const tw_core *core, tw_job *job) {
     const tw_config_team *team = &core->context.config->teams[job->team];
     int count = job->task_count - job->done_count - job->placed_count;
@@ -113,8 +117,8 @@
     return count > max_count ? max_count : count;
 }
 
-/* Whether a machine like the offered one was rented while the job waited, and its boot is overdue:
- * the next one may not come up either. */
+/* Returns whether the boot of a machine of the offer's type, rented while the job was waiting, is
+ * overdue. The next such machine may fail to boot, too. */
 static bool is_similar_rental_overdue(const tw_core *core, const tw_job *job,
                                       const tw_capacity_offer *offer) {
     const double rented_at = core->machine_types[offer->type_index].overdue_rental_at;
@@ -131,8 +135,9 @@
     return true;
 }
 
-/* How many tasks of the job to find or rent room for: of a service all, of a batch job those for
- * which renting is better than waiting for room that is given back, of a gang all or none. */
+/* Returns for how many tasks of the job the plan must provide capacity: for a service all of them,
+ * for a batch job those for which renting is better than waiting for released capacity, for a gang
+ * all or none. */
 static int count_tasks_to_provide(tw_core *core, tw_bins *bins, tw_job *job,
                                   tw_expected_releases *releases) {
     if (!may_use_new_machine(core, job)) return 0;
@@ -140,10 +145,11 @@
     int needed = 0;
     if (job->spec.service) return count;
     if (count > 0 && !releases->items)
-        tw_expected_releases_init(core, releases); /* only now: mostly no batch job waits */
+        tw_expected_releases_init(
+            core, releases); /* computed on demand, since usually no batch job is pending */
     if (job->spec.gang) {
         if (count < job->task_count - job->done_count - job->placed_count)
-            return 0; /* its team's limit */
+            return 0; /* the team's limit does not allow the whole gang */
         const double start_at = tw_autoscaler_estimate_gang_start(core, bins, job, releases, count);
         tw_autoscaler_allow_gpu_machines_for_late_gang(core, job, start_at);
         return is_worth_renting(core, job, start_at) ? count : 0;
@@ -155,8 +161,8 @@
     return needed;
 }
 
-/* Wants machines for so many tasks of the job, as far as there are offers. Returns for how many
- * there are none. */
+/* Adds machines to the plan for needed tasks of the job, as far as offers allow. Returns the number
+ * of tasks for which no machine can be rented. */
 static int rent_for_tasks(tw_core *core, tw_bins *bins, tw_job *job, zone_spread *spread,
                           int needed) {
     while (needed > 0) {
@@ -168,9 +174,10 @@
                 filter.excluded_zone = spread->zone_names[i];
         tw_capacity_offer *offer =
             tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter);
-        /* An offer that was refused lately may be granted again: until then the job is bound. */
+        /* Until an offer that was refused recently grants a request, the job counts as
+         * capacity-bound. */
         job->capacity_bound = !offer || offer->refusal_count > 0;
-        /* GPU machines that are there come before renting one for a job without GPUs. */
+        /* A job without GPUs uses existing GPU machines before a GPU machine is rented for it. */
         if (tw_autoscaler_allow_gpu_machines(core, job, offer)) return needed;
         if (!offer) return needed;
         const int packed =
@@ -182,7 +189,7 @@
     return needed;
 }
 
-/* Finds room in the bins for the tasks of a job that waits, and wants machines for the others. */
+/* Packs the tasks of a pending job into the bins, and plans machines for those that do not fit. */
 static void plan_job(tw_core *core, tw_bins *bins, tw_job *job, tw_expected_releases *releases) {
     int needed = count_tasks_to_provide(core, bins, job, releases);
     if (needed <= 0) return;
@@ -191,8 +198,8 @@
         const char *zone = tw_autoscaler_choose_gang_zone(core, bins, job, needed);
         if (zone) find_or_add_zone(&spread, zone);
     }
-    /* A bin that placement passes have tried is of no use to a single task, but may hold a part of
-     * a gang. */
+    /* Placement passes have found no place for a single task in the bins that they considered, but
+     * such a bin may hold a part of a gang. */
     const int first = job->spec.gang ? 0 : tw_bins_first_useful(bins, job);
     for (int i = first; i < bins->count && needed > 0; i++) {
         core->pass_steps++;
@@ -203,21 +210,21 @@
     if (job->spec.gang && needed > 0) tw_bins_mark_incomplete_gang(bins, &job->spec);
 }
 
-/* ---- the round ---- */
+/* ---- collecting the bins and running the plan ---- */
 
-/* Whether the plan counts on the machine's room. */
+/* Returns whether the plan uses the machine's capacity. */
 static bool counts_as_capacity(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->return_wanted || machine->cordoned || machine->failed ||
         machine->decommissioning)
         return false;
     if (machine->state == TW_MACHINE_UP)
         return machine->preempted_at <= 0 && !machine->lease_expired;
-    if (machine->overdue) { /* it may never come */
+    if (machine->overdue) { /* the machine may never finish booting */
         double *rental_at = &core->machine_types[machine->type_index].overdue_rental_at;
         *rental_at = fmax(*rental_at, machine->known_since);
         return false;
     }
-    /* Some of the machines that boot will be late: of each type that share is not counted on. */
+    /* Of the booting machines of each type, the share that is usually overdue is not counted. */
     double *sum = &core->machine_types[machine->type_index].late_sum;
     *sum += core->machine_types[machine->type_index].overdue_share;
     if (*sum >= 1) {
@@ -227,7 +234,7 @@
     return true;
 }
 
-/* Adds a bin for a machine that is there or boots. */
+/* Adds a bin for an existing machine, which is up or boots. */
 static void add_machine_bin(tw_core *core, tw_bins *bins, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     *tw_bins_add(bins) =
@@ -236,31 +243,34 @@
                  .spot = machine->spot,
                  .zone = machine->zone,
                  .occupied = tw_machine_is_occupied(machine),
-                 /* by now a pass has had the chance to use it */
+                 /* placement passes had the chance to use it */
                  .considered_by_passes = machine->state == TW_MACHINE_UP &&
                                          core->context.now - machine->first_answered_at >
                                              core->context.config->report_s,
-                 .is_full = !tw_quarantine_allows(machine),
+                 .blocked_by_probation = !tw_quarantine_allows(machine),
                  .free_capacity = tw_machine_free_capacity(machine, type)};
 }
 
-/* Adds bins for the machines of a request that isn't answered yet: they count as coming. */
+/* Adds bins for the machines of an unanswered rental request, which the plan expects to be granted.
+ */
 static void add_requested_bins(tw_core *core, tw_bins *bins, const tw_rental_request *request) {
     tw_capacity_offer *offer = tw_offer_of_request(core, request);
     for (int i = 0; offer && i < request->machine_count; i++)
         tw_offer_add_bin(core, bins, offer)->offer = NULL;
 }
 
-/* Machines of a type by zone index; the last count is for machines whose zone has no index. */
+/* Number of machines of a type by zone index; the last entry counts those whose zone has no index.
+ */
 typedef int zone_counts[TW_MAX_ZONES + 1];
 
-/* How many machines of the offer's type are in its zone. */
+/* Returns the number of bins whose machines have the offer's type and zone. */
 static int count_machines_of_offer(const tw_core *core, const tw_capacity_offer *offer,
                                    const tw_bins *bins, const zone_counts *counts) {
     const char *name = tw_offer_zone(core, offer);
     for (int zone = 0; zone < core->zone_count; zone++)
         if (!strcmp(core->zone_names[zone], name)) return counts[offer->type_index][zone];
-    /* The zone has no index, since there are too many: its machines are counted by name. */
+    /* The zone has no index because there are more than TW_MAX_ZONES: count its machines by name.
+     */
     int count = 0;
     if (!counts[offer->type_index][TW_MAX_ZONES]) return 0;
     for (int i = 0; i < bins->count; i++)
@@ -269,7 +279,7 @@
     return count;
 }
 
-/* Resets what the last plan noted on types and offers. */
+/* Resets the counters that the previous plan left in types and offers. */
 static void reset_plan_results(tw_core *core) {
     for (int i = 0; i < core->machine_type_count; i++) {
         core->machine_types[i].late_sum = core->machine_types[i].overdue_rental_at = 0;
@@ -281,7 +291,7 @@
     }
 }
 
-/* Counts a machine that boots, and is not overdue, at its type and its offer. */
+/* Adds a booting machine that is not overdue to the counters of its type and its offer. */
 static void count_booting_machine(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->overdue || machine->failed) return;
     core->machine_types[machine->type_index].boots.coming_count++;
@@ -289,8 +299,8 @@
     if (offer) offer->boots.coming_count++;
 }
 
-/* Fills the bins with the machines that the plan counts on, and resets what the last plan noted on
- * machines, types and offers. */
+/* Adds bins for all machines whose capacity the plan uses, and resets the counters and marks that
+ * the previous plan left in machines, types and offers. */
 static void collect_bins(tw_core *core, tw_bins *bins) {
     zone_counts *counts = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
     reset_plan_results(core);
@@ -312,7 +322,7 @@
     DL_FOREACH(core->rental_requests, request) { add_requested_bins(core, bins, request); }
 }
 
-/* What all machines of the bins cost together, as the cloud lists prices. */
+/* Returns the total price of the bins' machines, in the unit of the cloud's price list. */
 static double price_of_bins(const tw_core *core, const tw_bins *bins) {
     double price = 0;
     for (int i = 0; i < bins->count; i++) {
@@ -322,7 +332,7 @@
     return price;
 }
 
-/* Plans for rejected submissions, and drops those that have not come again for long. */
+/* Plans for rejected submissions, and drops those that the client has not repeated in time. */
 static void plan_rejected_admissions(tw_core *core, tw_bins *bins, tw_expected_releases *releases) {
     tw_rejected_admission *admission;
     tw_rejected_admission *next;
@@ -336,7 +346,7 @@
 
 void tw_autoscaler_plan(tw_core *core) {
     tw_bins bins = {0};
-    tw_expected_releases releases = {0}; /* listed when the first batch job waits */
+    tw_expected_releases releases = {0}; /* computed when the first batch job is planned */
     collect_bins(core, &bins);
     const int existing_count = bins.count;
     tw_job_queue *queue = tw_job_queue_new(core, false);
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -1,14 +1,15 @@
-/* The bins of a plan: one for each machine that is there or coming, with its free amounts, from
- * which tasks are taken. Used by all modules of the autoscaler, and by gang_reservation.c for the
- * room that it expects. */
+/* The bins of a plan: one for each existing, requested or planned machine, with its free capacity,
+ * into which tasks are packed. Used by all modules of the autoscaler, and by gang_reservation.c for
+ * the capacity that it expects. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
 #define INITIAL_BIN_CAPACITY 64
-#define INITIAL_START_CAPACITY 16
+#define INITIAL_POSITION_CAPACITY 16
 
 bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec) {
-    return !bin->is_full && tw_capacity_fits(&bin->free_capacity, spec, TW_CAPACITY_ROUNDING);
+    return !bin->blocked_by_probation &&
+           tw_capacity_fits(&bin->free_capacity, spec, TW_CAPACITY_ROUNDING);
 }
 
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types) {
@@ -19,7 +20,8 @@
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
                         bool any_machine) {
     const tw_wire_machine_type *type = &core->machine_types[bin->type_index].listed;
-    /* While a gang waits for the rest of its room, its tasks use no GPUs, so the cores are kept. */
+    /* Tasks of an incomplete gang do not run yet and use no GPUs, so the cores and the memory for
+     * those GPUs must be kept. */
     const tw_capacity available = {bin->free_capacity.cores + bin->held_for_incomplete_gangs.cores,
                                    bin->free_capacity.gpus + bin->held_for_incomplete_gangs.gpus,
                                    bin->free_capacity.memory_gb +
@@ -33,19 +35,19 @@
             tw_capacity_give_task(&bins->items[i].held_for_incomplete_gangs, spec);
 }
 
-/* Whether the bin's machine takes one task at a time. */
+/* Returns whether the bin's machine accepts only one task at a time. */
 static bool is_on_probation(const tw_bin *bin) {
     return bin->machine && bin->machine->on_probation;
 }
 
 void tw_bin_add_task(tw_bin *bin, const tw_wire_job *spec) {
     tw_capacity_take_task(&bin->free_capacity, spec);
-    if (is_on_probation(bin)) bin->is_full = true;
+    if (is_on_probation(bin)) bin->blocked_by_probation = true;
 }
 
 void tw_bin_remove_task(tw_bin *bin, const tw_wire_job *spec) {
     tw_capacity_give_task(&bin->free_capacity, spec);
-    bin->is_full = bin->machine && !tw_quarantine_allows(bin->machine);
+    bin->blocked_by_probation = bin->machine && !tw_quarantine_allows(bin->machine);
 }
 
 tw_bin *tw_bins_add(tw_bins *bins) {
@@ -54,50 +56,54 @@
     return &bins->items[bins->count++];
 }
 
-/* Where packing begins for tasks of a shape and zone. Room in bins only gets less while jobs are
- * packed, so all later jobs alike pass over the bins that are too full or not allowed. */
-struct tw_bin_start {
+/* Position at which the search for tasks of a shape and zone begins. The free capacity of the bins
+ * only decreases while jobs are packed, so later jobs of the same shape and zone skip the bins that
+ * are too full or not allowed. */
+struct tw_search_position {
     tw_task_shape shape;
     const char *zone;
-    int first_bin;     /* in the bins */
-    int first_release; /* in the expected releases */
+    int first_bin;     /* index in the bins */
+    int first_release; /* index in the expected releases */
 };
 
-/* Whether the start is for tasks like the job's. */
-static bool start_matches(const struct tw_bin_start *start, const tw_job *job) {
+/* Returns whether the position applies to the job's task shape and zone. */
+static bool position_matches(const struct tw_search_position *position, const tw_job *job) {
     const tw_task_shape shape = tw_task_shape_of(job);
-    return tw_task_shapes_are_equal(&start->shape, &shape) && !strcmp(start->zone, job->spec.zone);
+    return tw_task_shapes_are_equal(&position->shape, &shape) &&
+           !strcmp(position->zone, job->spec.zone);
 }
 
-/* The start for the job's tasks, added at 0 if there is none. Valid until the next call. */
-static struct tw_bin_start *find_or_add_start(tw_bins *bins, const tw_job *job) {
-    for (int i = 0; i < bins->start_count; i++)
-        if (start_matches(&bins->starts[i], job)) return &bins->starts[i];
-    bins->starts = tw_grow(bins->starts, bins->start_count, &bins->start_capacity,
-                           INITIAL_START_CAPACITY, sizeof *bins->starts);
-    struct tw_bin_start *start = &bins->starts[bins->start_count++];
-    *start = (struct tw_bin_start){.shape = tw_task_shape_of(job), .zone = job->spec.zone};
-    return start;
+/* Returns the position for the job's task shape and zone. If there is none, adds one with both
+ * indices at 0. The pointer is valid until the next call. */
+static struct tw_search_position *find_or_add_position(tw_bins *bins, const tw_job *job) {
+    for (int i = 0; i < bins->position_count; i++)
+        if (position_matches(&bins->positions[i], job)) return &bins->positions[i];
+    bins->positions = tw_grow(bins->positions, bins->position_count, &bins->position_capacity,
+                              INITIAL_POSITION_CAPACITY, sizeof *bins->positions);
+    struct tw_search_position *position = &bins->positions[bins->position_count++];
+    *position = (struct tw_search_position){.shape = tw_task_shape_of(job), .zone = job->spec.zone};
+    return position;
 }
 
-/* Whether a task of the job may go into the bin. */
+/* Returns whether a task of the job may be packed into the bin. */
 static bool bin_is_useful(const tw_bin *bin, const tw_job *job) {
     return !bin->considered_by_passes && tw_bin_is_allowed(bin, &job->spec, job->type_mask) &&
            tw_bin_fits(bin, &job->spec);
 }
 
 int tw_bins_first_useful(tw_bins *bins, const tw_job *job) {
-    struct tw_bin_start *start = find_or_add_start(bins, job);
-    while (start->first_bin < bins->count && !bin_is_useful(&bins->items[start->first_bin], job))
-        start->first_bin++;
-    return start->first_bin;
+    struct tw_search_position *position = find_or_add_position(bins, job);
+    while (position->first_bin < bins->count &&
+           !bin_is_useful(&bins->items[position->first_bin], job))
+        position->first_bin++;
+    return position->first_bin;
 }
 
 int *tw_bins_release_cursor(tw_bins *bins, const tw_job *job) {
-    return &find_or_add_start(bins, job)->first_release;
+    return &find_or_add_position(bins, job)->first_release;
 }
 
 void tw_bins_free(tw_bins *bins) {
-    free(bins->starts);
+    free(bins->positions);
     free(bins->items);
 }
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -1,10 +1,10 @@
-/* Offers: a machine type in a zone, as spot or on-demand machines. Decides from which of them a
- * task is rented for, and how much of what a plan wants is asked of the cloud. */
+/* Capacity offers: a machine type in one zone, either as spot or as on-demand machines. Chooses the
+ * offer from which machines are rented for a task, and determines how many of the machines that a
+ * plan wants are requested from the cloud. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define ZONE_CONCENTRATION_COST_SHARE                                                              \
-    0.001 /* of the price, for each machine of the type in the zone */
+#define ZONE_CONCENTRATION_COST_SHARE 0.001 /* for each machine of the type in the zone */
 
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer) {
     return core->machine_types[offer->type_index].listed.zones[offer->zone_index];
@@ -37,9 +37,9 @@
            tw_boot_record_cost_factor(&offer->boots, core->context.now, startup_s);
 }
 
-/* What a task costs on a machine of the offer, of which one holds so many tasks. At almost equal
- * cost the zone with the fewest machines of the type wins, by ZONE_CONCENTRATION_COST_SHARE.
- * Machines that may not come up cost more. */
+/* Returns the cost of a task on a machine of the offer that holds task_count such tasks. If the
+ * costs are almost equal, ZONE_CONCENTRATION_COST_SHARE favors the zone with the fewest machines of
+ * the type. The boot factor makes machines whose boots fail more expensive. */
 static double offer_cost(const tw_core *core, const tw_capacity_offer *offer, double task_count) {
     const tw_wire_machine_type *type = &core->machine_types[offer->type_index].listed;
     const double price = offer->spot ? type->spot_price : type->on_demand_price;
@@ -47,7 +47,8 @@
            tw_offer_boot_cost_factor(core, offer);
 }
 
-/* How many machines of an offer a plan may want: the next plan sees what was granted of them. */
+/* Returns how many machines of one offer a plan may want. The limit exists because the next plan
+ * already knows how many of them were granted. */
 static int max_wanted_per_offer(const tw_core *core) {
     return (int)(TW_MAX_RENTAL * fmax(1, core->context.config->cloud_rps));
 }
@@ -57,7 +58,7 @@
     return tw_capacity_task_count(&capacity, spec);
 }
 
-/* Whether the task may be rented for from the offer, types apart. */
+/* Returns whether the offer may be used for the task, apart from its machine type. */
 static bool offer_is_allowed(const tw_core *core, const tw_capacity_offer *offer,
                              const tw_wire_job *spec, const tw_offer_filter *filter) {
     if ((offer->spot && !spec->spot) || core->context.now < offer->refused_until ||
@@ -106,7 +107,7 @@
     return bin;
 }
 
-/* Puts machines of the offer's type that are being emptied back into use instead of asking for new
+/* Cancels the decommissioning of machines of the offer's type and pricing instead of renting new
  * ones. */
 static void reuse_decommissioning_machines(tw_core *core, tw_capacity_offer *offer) {
     tw_machine *machine;
--- a/src/core/fleet_log.c
+++ b/src/core/fleet_log.c
@@ -1,14 +1,13 @@
-/* The count of the fleet in the log, for the operators. */
+/* Logs the size and the utilization of the fleet for operators. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-/* The machines of a type, either spot or on-demand ones, and what is in use of them. */
+/* The machines of a type with the same pricing, and their resources in use. */
 typedef struct {
     int up, idle, booting;
     double cores, gpus, batch_gpus;
 } fleet_count;
 
-/* Counts a machine. */
 static void count_machine(fleet_count *count, const tw_machine *machine) {
     if (machine->state == TW_MACHINE_BOOTING) {
         count->booting++;
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -1,16 +1,17 @@
-/* The cloud's list of the machines that we hold, read page by page. It lags behind by list_lag_s.
- * It tells of machines that we rented before a failover, of failed ones, and by leaving them out of
- * those that are gone (machine->lists_without counts the listings in a row without a machine). */
+/* Reads the cloud's list of our rented machines page by page. The list lags behind by list_lag_s.
+ * It contains machines that an earlier leader rented, and marks failed ones. Machines that were
+ * lost are missing from it: machine->lists_without counts the consecutive lists without a machine.
+ */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define PAGE_SIZE 500 /* machines */
+#define PAGE_SIZE 500 /* machines per page */
 #define PATH_SIZE 200
 #define TIMEOUT_S 5
 #define RETRY_S 1
-#define INTERVAL_LAG_SHARE 0.5 /* between two readings, of the time by which the list lags */
+#define INTERVAL_LAG_SHARE 0.5 /* interval between two lists, as a share of the list's lag */
 
-/* Takes what the list says of a machine, which may be new to us. */
+/* Updates a machine from its entry in the list, and adds it if it is unknown. */
 static void update_listed_machine(tw_core *core, const tw_wire_rented_machine *listed) {
     if (tw_expiring_names_find(core->returned_machines, listed->id)) return;
     tw_machine *machine = tw_machine_find(core, listed->id);
@@ -29,14 +30,16 @@
     if (!*machine->endpoint && *listed->endpoint)
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
     if (listed->state == TW_RENTED_FAILED) machine->failed = true;
-    /* After a failover we ask the worker for its state and need not wait until it has found us. */
+    /* After a failover, the worker is probed for its state instead of waiting until it finds the
+     * new leader. */
     if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at && !machine->probed) {
         machine->probed = 1;
         tw_machine_want_probe(core, machine);
     }
 }
 
-/* Counts a listing for all machines; those that it names are set back to 0. */
+/* Increments lists_without of all machines; update_listed_machine resets it for those in the list.
+ */
 static void begin_listing(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
--- a/src/core/machine_returns.c
+++ b/src/core/machine_returns.c
@@ -1,7 +1,7 @@
-/* Returns of machines: the cloud is asked to take back the machines that are wanted back
- * (machine->return_wanted), many in one call. A machine is forgotten here only after the cloud has
- * confirmed its return; core->returned_machines then keeps its name, since the cloud's list of
- * machines may still name it. */
+/* Returns machines to the cloud: one call returns many of the machines that are marked with
+ * return_wanted. A machine is removed only after the cloud has confirmed its return;
+ * core->returned_machines then keeps its name, since the cloud's list may still contain the
+ * machine. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
@@ -21,7 +21,7 @@
             continue;
         snprintf(names[count++], TW_NAME_SIZE, "%s", machine->name);
     }
-    core->returns_due = count > 0; /* until none is left */
+    core->returns_due = count > 0; /* until no machine is left to return */
     if (!count || !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1)) return;
     for (int i = 0; i < count; i++) tw_machine_find(core, names[i])->return_in_flight = true;
     tw_call *call = tw_call_send(&core->context, TW_CALL_RETURN_MACHINES, TW_TO_CLOUD,
@@ -39,7 +39,8 @@
         tw_machine *machine = tw_machine_find(core, call->names[i]);
         if (!machine) continue;
         if (status != TW_HTTP_OK) {
-            machine->return_in_flight = false; /* asked for again: returning twice is harmless */
+            machine->return_in_flight =
+                false; /* sent again, since a repeated return has no effect */
             core->returns_due = true;
             core->next_return_at = core->context.now + RETRY_S;
             continue;
--- a/src/core/machine_types.c
+++ b/src/core/machine_types.c
@@ -1,18 +1,18 @@
-/* Machine types and their prices, as the cloud lists them. The first list makes core->machine_types
- * and the offers; a type keeps its index from then on, and later lists change prices only. Called
- * by scale_out.c. */
+/* Machine types and their prices, as listed by the cloud. The first list creates
+ * core->machine_types and the capacity offers. A type keeps its index from then on; later lists
+ * only update prices. Called by autoscaler.c. */
 #include "core/autoscaler_int.h"
 
-#define MAX_MACHINE_TYPES 31 /* a job's types are the bits of an uint32_t */
-/* What is assumed of a type until it has been measured; q and p are those of run_estimate.c. */
-#define INITIAL_QUEUE_DELAY_HEARTBEATS 0.05 /* q, in intervals of heartbeats */
-#define INITIAL_FETCH_SLOWDOWN 1.1          /* p, times what the type's listed rate says */
+#define MAX_MACHINE_TYPES 31 /* a job's machine types are a bit mask of type uint32_t */
+/* Initial values of a type's moving averages; run_estimate.c defines q and p. */
+#define INITIAL_QUEUE_DELAY_HEARTBEATS 0.05 /* q, in heartbeat intervals */
+#define INITIAL_FETCH_SLOWDOWN 1.1          /* p, relative to the type's listed fetch rate */
 #define INITIAL_FETCH_DEVIATION 0.1
 #define INITIAL_OVERDUE_SHARE 0.06
 #define INITIAL_FETCH_INTERFERENCE 0.5
-#define PRICING_KINDS 2 /* on-demand, spot */
+#define PRICING_KINDS 2 /* on-demand and spot */
 
-/* A type as it is listed, with what is assumed of it. */
+/* Returns a type with its listed properties and the initial averages. */
 static tw_machine_type new_machine_type(const tw_core *core, const tw_wire_machine_type *listed) {
     return (tw_machine_type){.listed = *listed,
                              .slowness = 1,
@@ -24,7 +24,7 @@
                              .fetch_interference = INITIAL_FETCH_INTERFERENCE};
 }
 
-/* Makes an offer for each type, zone and kind of pricing. */
+/* Creates an offer for each type, zone and kind of pricing. */
 static void create_offers(tw_core *core) {
     int count = 0;
     for (int i = 0; i < core->machine_type_count; i++)
@@ -38,13 +38,13 @@
                     (tw_capacity_offer){.type_index = i, .zone_index = zone, .spot = spot};
 }
 
-/* Takes the first list. */
+/* Creates the types and offers from the first list. */
 static void set_machine_types(tw_core *core, const tw_wire_machine_type *listed, int count) {
     core->machine_types = tw_alloc((size_t)count * sizeof *core->machine_types);
     core->machine_type_count = count;
     for (int i = 0; i < count; i++) core->machine_types[i] = new_machine_type(core, &listed[i]);
     create_offers(core);
-    /* Jobs that were read before the types were known don't know theirs yet. */
+    /* Jobs that were loaded before the types were known have no type mask yet. */
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         if (job->has_spec) job->type_mask = tw_machine_type_mask(core, &job->spec);
@@ -52,7 +52,7 @@
     tw_log_info("event=machine_types_listed n=%d", count);
 }
 
-/* Takes the prices of a later list. Types that we don't know are ignored. */
+/* Updates the prices from a later list. Unknown types are ignored. */
 static void update_prices(tw_core *core, const tw_wire_machine_type *listed, int count) {
     for (int i = 0; i < count; i++) {
         const int type = tw_machine_type_index(core, listed[i].name);
--- a/src/core/rental_requests.c
+++ b/src/core/rental_requests.c
@@ -1,22 +1,21 @@
-/* Rental requests: which machines the cloud is asked for, and what becomes of its answers.
+/* Rental requests: sends them to the cloud and handles the responses.
  *
- * Invariants: a request stays in core->rental_requests until the cloud's answer is known, and until
- * then it is sent again under the same name, to which the cloud gives the same answer; the name of
- * a request is never used twice, by no leader. */
+ * Invariants: a request stays in core->rental_requests until its result is known, and is repeated
+ * under the same name until then; the cloud gives the same answer to a repeated name. No leader
+ * reuses the name of a request. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
 #define TIMEOUT_S 5
 #define RETRY_S 1
-/* How long nothing is asked of an offer; in lags of the cloud's list of machines where it says so.
- */
+/* Pauses before the next request to an offer. Those in LAGS are multiples of list_lag_s, the lag of
+ * the cloud's list of machines. */
 #define PAUSE_AFTER_PARTIAL_GRANT_LAGS 2
 #define MAX_PAUSE_AFTER_REFUSAL_LAGS 6
 #define PAUSE_AFTER_MALFORMED_S 60
-#define INITIAL_WANTED_S                                                                           \
-    0.5 /* that an offer counts as wanted for already when it is first wanted */
+#define INITIAL_WANTED_S 0.5 /* makes the need of newly wanted machines positive */
 
-/* Sends a request, for the first time or again. */
+/* Sends a new request, or repeats one under the same name. */
 static void send_rental_request(tw_core *core, tw_rental_request *request) {
     const tw_capacity_offer *offer = tw_offer_of_request(core, request);
     request->in_flight = true;
@@ -30,8 +29,8 @@
     snprintf(call->name, sizeof call->name, "%s", request->name);
 }
 
-/* The offer with the largest need: machines wanted times the time for which they have been. NULL:
- * nothing is wanted. */
+/* Returns the offer with the largest need: the number of wanted machines times the time for which
+ * they have been wanted. NULL: no machine is wanted. */
 static tw_capacity_offer *find_most_wanted_offer(const tw_core *core) {
     tw_capacity_offer *best = NULL;
     double largest_need = 0;
@@ -47,10 +46,10 @@
     return best;
 }
 
-/* Asks the cloud for the machines that are wanted of the offer, as many as a request may name. */
+/* Requests the wanted machines of the offer, up to the limit per request. */
 static void request_from_offer(tw_core *core, tw_capacity_offer *offer) {
     tw_rental_request *request = tw_alloc(sizeof *request);
-    /* The fencing token makes the name different from those of all other leaders. */
+    /* The fencing token distinguishes the name from those of all other leaders. */
     snprintf(request->name, sizeof request->name, "r-%llu-%llu",
              (unsigned long long)tw_cluster_token(core->cluster),
              (unsigned long long)++core->next_rental_request);
@@ -65,7 +64,7 @@
     send_rental_request(core, request);
 }
 
-/* Notes a machine that the cloud has rented to us. sent_at: when it was asked for. */
+/* Adds a machine that the cloud has granted. sent_at: when the request was sent. */
 static void add_rented_machine(tw_core *core, const tw_rental_request *request, const char *name,
                                double sent_at) {
     if (tw_expiring_names_find(core->returned_machines, name)) return;
@@ -79,7 +78,7 @@
              core->machine_types[request->type_index].listed.name);
 }
 
-/* The cloud granted the request, in full or in part. */
+/* Handles a request that the cloud has granted in full or in part. */
 static void handle_grant(tw_core *core, const tw_rental_request *request,
                          char (*names)[TW_WIRE_NAME_SIZE], int count, double sent_at) {
     tw_capacity_offer *offer = tw_offer_of_request(core, request);
@@ -94,8 +93,8 @@
             core->context.now + core->context.config->list_lag_s * PAUSE_AFTER_PARTIAL_GRANT_LAGS;
 }
 
-/* The cloud has no such machines: the offer is left alone, for longer after each refusal in a row.
- */
+/* Handles a refusal for lack of capacity: pauses requests to the offer, for longer after each
+ * consecutive refusal. */
 static void handle_refusal(tw_core *core, const tw_rental_request *request) {
     tw_capacity_offer *offer = tw_offer_of_request(core, request);
     offer->refusal_count++;
@@ -126,7 +125,8 @@
         tw_log_error("event=rental_answer_malformed request=%s", request->name);
         tw_offer_of_request(core, request)->refused_until =
             core->context.now + PAUSE_AFTER_MALFORMED_S;
-    } else { /* unknown: asked again, the same name gets the same answer */
+    } else { /* the result is unknown: repeat the request, since the same name gets the same answer
+              */
         request->next_attempt_at = core->context.now + RETRY_S;
         return;
     }
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -1,39 +1,40 @@
-/* Room that services leave for classes that need scarcer room. Where nothing more can be rented,
- * many small tasks that wait would take every bit of room that is given back, and a larger task,
- * or one with more GPUs, would never find room. So a service's task leaves enough holes for the
- * arrivals that are expected, until their start objective, of the classes that need more GPUs than
- * it does. A hole is room for one task of a class's sample on a machine.
+/* Reserves capacity for job classes that need more GPUs per task. Where no machine can be rented,
+ * many small pending tasks would occupy all capacity that is released, and a larger task, or one
+ * with more GPUs, would never fit. A task of a service is therefore placed only if it leaves enough
+ * slots for the arrivals that are expected, within their start objective, of the classes that need
+ * more GPUs than it does. A slot is the capacity for one task of the class's sample on one machine.
  *
- * class->reserve is how many holes are to be kept, class->reserve_available how many there are:
- * both are worked out as a pass begins, and the latter follows each placement of a service. */
+ * class->reserve is the number of slots to keep, class->reserve_available the number of free slots.
+ * Both are computed at the start of a pass, and reserve_available is updated with each placement of
+ * a service. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define CACHED_IMAGE_FACTOR                                                                        \
-    3 /* times as many holes, where a task starts in time only beside its image */
-#define ROUND_DOWN_SHARE 0.3 /* of a task: a fraction up to this is not rounded up */
+#define CACHED_IMAGE_FACTOR 3 /* for classes whose tasks start in time only with a cached image */
+#define ROUND_DOWN_SHARE 0.3  /* a fraction of a task up to this value is rounded down */
 
-/* How many tasks of a class's sample fit into this room. */
+/* Returns how many tasks of the class's sample fit into the capacity. */
 static int count_fitting_tasks(const tw_capacity *capacity, const tw_wire_job *spec) {
     const double count = tw_capacity_task_count(capacity, spec);
     return count > 0 ? (int)count : 0;
 }
 
-/* What a service of the highest priority may have on the machine: what is free and not promised,
- * and what tasks of lower priority use. */
+/* Returns the capacity that a service of the highest priority can use on the machine: free
+ * capacity, except what is reserved for tasks that are preempting others, and the capacity of tasks
+ * of lower priority. */
 static tw_capacity capacity_for_service(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return tw_machine_preemptible_capacity(machine, type, TW_PRIORITY_PROD);
 }
 
-/* Whether holes are kept for the class and may be on the machine. */
+/* Returns whether slots are reserved for the class and the machine may hold them. */
 static bool machine_counts_for_class(const tw_job_class *class, const tw_machine *machine) {
     return class->reserve > 0 && (class->sample_type_mask & (1U << machine->type_index)) &&
            (!machine->spot || class->sample.spot);
 }
 
-/* Whether a task of the class starts in time only where its image is cached: no type of machine
- * that it may use is expected to fetch the image in time. */
+/* Returns whether a task of the class starts in time only where its image is cached, because it may
+ * use no machine type that is expected to fetch the image in time. */
 static bool needs_cached_image(const tw_core *core, const tw_job_class *class) {
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_machine_type *type = &core->machine_types[i];
@@ -46,8 +47,8 @@
     return true;
 }
 
-/* How many holes to keep for a class: those that its arrivals need until their start objective, and
- * the square root of that, by batches, for the chance that more arrive. */
+/* Returns how many slots to reserve for a class: the arrivals expected within its start objective,
+ * plus the square root of that number times the batch size, because more may arrive. */
 static int count_slots_to_reserve(const tw_core *core, const tw_job_class *class) {
     if (!class->has_sample || !class->sample.service || class->sample.gpus <= 0 ||
         class->start_within_s <= 0)
@@ -55,7 +56,7 @@
     double tasks = class->task_rate * class->start_within_s;
     const double batch_tasks = fmax(1, class->batch_tasks);
     tasks += sqrt(tasks * batch_tasks);
-    /* A hole is of use only to the tasks whose image is cached beside it. */
+    /* A slot is usable only by tasks whose image is cached on its machine. */
     if (needs_cached_image(core, class)) tasks *= CACHED_IMAGE_FACTOR;
     return (int)ceil(tasks - ROUND_DOWN_SHARE);
 }
@@ -79,7 +80,7 @@
     }
 }
 
-/* How many holes of the class are lost when a task of the job takes room on the machine. */
+/* Returns how many slots of the class a task of the job would use up on the machine. */
 static int count_lost_slots(const tw_core *core, const tw_machine *machine, const tw_job *job,
                             const tw_job_class *class) {
     const tw_capacity free_before = capacity_for_service(core, machine);
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -1,28 +1,29 @@
-/* Which machines to give back: idle ones, and those whose replicas fit on others.
+/* Selects the machines to return: idle ones, and those whose replicas fit on other machines.
  *
- * A machine that has been idle for too long is cordoned and wanted back (return_wanted), unless the
- * plan keeps it as headroom. To consolidate, one machine at a time, or a few of a large fleet, is
- * emptied (decommissioning): its replicas are stopped one by one as there is room elsewhere, where
- * they start again at once. A machine that is emptied is returned when it is idle, and used again
- * before that if a job waits that may use it. Called at the end of each plan. */
+ * A machine that has been idle for too long is cordoned and marked for return (return_wanted),
+ * unless the plan needs it as headroom or for a gang. To consolidate the fleet, one machine at a
+ * time, or a few in a large fleet, is decommissioned: its replicas are stopped one by one, each as
+ * soon as another machine has capacity for it, and start there without waiting. A decommissioned
+ * machine is returned once it is idle. The decommissioning is cancelled if a pending job may use
+ * the machine. Called at the end of each plan. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define MAX_CANDIDATES_PER_PASS 4    /* machines that a pass tries to find one to empty */
-#define RETRY_HEARTBEATS 3           /* heartbeats until a machine is tried again */
-#define PASS_INTERVAL_HEARTBEATS 0.3 /* heartbeats between passes that move tasks */
-#define MIN_MOVES_PER_PASS 2         /* tasks that a pass may move in any case */
-#define MOVE_WRITE_SHARE 0.25        /* of the state service's writes, for moves */
-#define MACHINES_PER_DECOMMISSION 20 /* one is emptied at a time, and one more for so many */
-#define MIN_UP_LEASES 2              /* for which a machine is up before it is emptied */
-#define MAX_FETCH_SHARE 0.5          /* of its start objective, for a moved replica's fetch */
-#define BATCH_MOVE_WEIGHT 2          /* what moving a batch task costs, where a replica costs 1 */
+#define MAX_CANDIDATES_PER_PASS 4 /* machines that a pass examines at most */
+#define RETRY_HEARTBEATS 3        /* heartbeat intervals until a rejected machine is reexamined */
+#define PASS_INTERVAL_HEARTBEATS 0.3 /* heartbeat intervals between passes that move tasks */
+#define MIN_MOVES_PER_PASS 2         /* tasks that a pass may always move */
+#define MOVE_WRITE_SHARE 0.25        /* share of the state service's write rate for moves */
+#define MACHINES_PER_DECOMMISSION 20 /* machines per further concurrent decommission */
+#define MIN_UP_LEASES 2     /* leases for which a machine is up before its decommissioning */
+#define MAX_FETCH_SHARE 0.5 /* share of the start objective for a moved replica's fetch */
+#define BATCH_MOVE_WEIGHT 2 /* cost of moving a batch task, relative to a replica */
 
 /* ---- idle machines ---- */
 
-/* Whether some task keeps the machine from being idle. A task that ended stays in the machine's
- * list until the machine has forgotten it. If its launch may still arrive, or arrive once more, it
- * is not forgotten for long: such a task doesn't keep the machine. */
+/* Returns whether a task keeps the machine from being idle. A task that ended stays in the
+ * machine's list until the machine has forgotten it. If its launch may still arrive, or arrive a
+ * second time, that takes long, so such a task does not keep the machine in use. */
 static bool holds_work(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
@@ -32,7 +33,8 @@
     return false;
 }
 
-/* Notes since when the machine is idle. Returns whether that is for too long. */
+/* Updates the time since which the machine has been idle. Returns whether it has been idle for too
+ * long. */
 static bool update_idle_since(const tw_core *core, tw_machine *machine) {
     if (holds_work(core, machine) || machine->needed_by_plan) {
         machine->idle_since = 0;
@@ -58,10 +60,10 @@
     }
 }
 
-/* ---- room elsewhere ---- */
+/* ---- finding capacity on other machines ---- */
 
-/* Whether the task's image is cached on the machine, or is fetched so fast that the task would
- * still meet its start objective. */
+/* Returns whether the task's image is cached on the machine, or is fetched fast enough for the task
+ * to meet its start objective. */
 static bool image_is_available_in_time(const tw_core *core, const tw_placement *placed,
                                        const tw_machine *machine) {
     const tw_job *job = placed->job;
@@ -72,12 +74,12 @@
            fetch_s_per_gb * job->spec.image_gb <= MAX_FETCH_SHARE * job->job_class->start_within_s;
 }
 
-/* Whether a task may only move within its zone. */
+/* Returns whether the job's tasks may only move within their zone. */
 static bool is_bound_to_zone(const tw_wire_job *spec) {
     return (spec->spread || spec->single_zone) && spec->task_count > 1;
 }
 
-/* Whether a task that runs on another machine would start at once in the bin. */
+/* Returns whether a task that runs on another machine could start in the bin without waiting. */
 static bool can_move_into_bin(const tw_core *core, const tw_bin *bin, const tw_placement *placed) {
     const tw_job *job = placed->job;
     if (!bin->machine || bin->machine == placed->machine || !bin->occupied) return false;
@@ -91,29 +93,30 @@
            tw_bin_leaves_gpus(core, bin, &job->spec, job->any_machine);
 }
 
-/* The bin of another machine in which the task would start at once. NULL: there is none. */
+/* Returns a bin of another machine in which the task could start without waiting, or NULL. */
 static tw_bin *find_destination(const tw_core *core, tw_bins *bins, const tw_placement *placed) {
     for (int i = 0; i < bins->count; i++)
         if (can_move_into_bin(core, &bins->items[i], placed)) return &bins->items[i];
     return NULL;
 }
 
-/* A task for which room was taken in a bin. */
+/* A task for which capacity is reserved in a bin. */
 typedef struct {
     tw_bin *bin;
     const tw_wire_job *spec;
 } planned_move;
 
-/* Takes room elsewhere for all replicas of the machine, and lists them with their bins. Returns
- * false if one of them has no room or can't move now; what was listed so far is to be given back
- * then, too. */
+/* Reserves capacity on other machines for all replicas of the machine, and appends them with their
+ * bins to moves. Returns false if a replica fits nowhere or cannot move now. In that case, too, the
+ * caller must release what was appended. */
 static bool reserve_capacity_for_replicas(const tw_core *core, tw_bins *bins,
                                           const tw_machine *machine, planned_move *moves,
                                           int *count) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const tw_wire_job *spec = &placed->job->spec;
-        if (!placed->counted || !spec->service) continue; /* it ends by itself */
+        if (!placed->counted || !spec->service)
+            continue; /* batch tasks end without being stopped */
         if (placed->state != TW_TASK_RUNNING || placed->stopping) return false;
         tw_bin *destination = find_destination(core, bins, placed);
         if (!destination) return false;
@@ -123,7 +126,7 @@
     return true;
 }
 
-/* Whether all replicas of the machine could move. The bins stay as they were. */
+/* Returns whether all replicas of the machine could move. The bins are not modified. */
 static bool can_evict_all(const tw_core *core, tw_bins *bins, const tw_machine *machine) {
     const tw_placement *placed;
     int capacity = 0;
@@ -136,9 +139,9 @@
     return possible;
 }
 
-/* ---- machines that are being emptied ---- */
+/* ---- decommissioned machines ---- */
 
-/* A bin of the machine as if nothing ran on it. */
+/* Returns a bin with the capacity that the machine has when no task runs on it. */
 static tw_bin bin_of_empty_machine(const tw_core *core, const tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     return (tw_bin){.type_index = machine->type_index,
@@ -147,15 +150,16 @@
                     .free_capacity = {type->cores, type->gpus, type->memory_gb}};
 }
 
-/* Whether a task of the job may run on the machine, a bin of which is given, once it has room. */
+/* Returns whether a task of the job may run on the machine when it is empty. empty_bin: see
+ * bin_of_empty_machine. */
 static bool may_use_machine(const tw_job *job, const tw_machine *machine, const tw_bin *empty_bin) {
     return tw_bin_is_allowed(empty_bin, &job->spec, job->type_mask) &&
            tw_bin_fits(empty_bin, &job->spec) && tw_constraints_allow_zone(job, machine->zone) &&
            (job->spec.gpus > 0 || empty_bin->free_capacity.gpus <= 0 || job->any_machine);
 }
 
-/* Whether some job waits that may use the machine once it has room. Then it is not emptied: where
- * no more can be rented, nothing would replace it. */
+/* Returns whether a pending job may use the machine when it is empty. Such a machine is not
+ * decommissioned, because no other could replace it while the cloud refuses rentals. */
 static bool job_waits_for_machine(const tw_core *core, const tw_machine *machine) {
     const tw_bin empty_bin = bin_of_empty_machine(core, machine);
     const tw_job *job;
@@ -166,8 +170,8 @@
     return false;
 }
 
-/* Whether a gang needs the machine for its next attempt, also while what is left of the last one is
- * stopped, and in the pause after an error. */
+/* Returns whether a gang needs the machine for its next attempt, including while tasks of the
+ * previous attempt are being stopped and during the pause after an error. */
 static bool gang_needs_machine(const tw_core *core, const tw_machine *machine) {
     const tw_bin empty_bin = bin_of_empty_machine(core, machine);
     const tw_job *job;
@@ -179,7 +183,7 @@
     return false;
 }
 
-/* Puts a machine that is being emptied back into use. */
+/* Puts a machine that is being decommissioned back into use. */
 static void cancel_decommission(tw_core *core, tw_machine *machine) {
     machine->decommissioning = false;
     core->scheduling_due = true;
@@ -203,13 +207,13 @@
     }
 }
 
-/* Moves a batch task that saves its progress if it starts again at once elsewhere. Without such
- * room it is left to end where it is: if it were stopped it would wait, and a machine be rented for
- * it. */
+/* Moves a batch task that saves its progress, if another machine can start it without waiting.
+ * Otherwise the task continues to its end: if it were stopped, it would wait, and a machine would
+ * be rented for it. */
 static void evict_batch_task(tw_core *core, tw_bins *bins, tw_placement *placed, int *moves_left) {
     const tw_wire_job *spec = &placed->job->spec;
     if (spec->checkpoint_s <= 0 || placed->state != TW_TASK_RUNNING) return;
-    if (spec->gang) return; /* it would stop on all its machines */
+    if (spec->gang) return; /* stopping one task would stop the gang on all its machines */
     tw_bin *destination = find_destination(core, bins, placed);
     if (!destination) return;
     tw_bin_add_task(destination, spec);
@@ -217,8 +221,8 @@
     (*moves_left)--;
 }
 
-/* Moves the tasks of a machine that is being emptied, as far as moves are left in this pass, so
- * that no start elsewhere is held up. Returns false if no more may be moved in this pass. */
+/* Moves tasks of a machine that is being decommissioned, at most *moves_left of them, so that other
+ * starts are not delayed. Returns false if the pass may move no more tasks. */
 static bool evict_tasks(tw_core *core, tw_bins *bins, tw_machine *machine, int *moves_left) {
     tw_placement *placed;
     tw_placement *next;
@@ -231,7 +235,8 @@
         }
         tw_bin *destination = find_destination(core, bins, placed);
         if (!destination) {
-            machine->decommissioning = false; /* the room for it has gone since */
+            machine->decommissioning =
+                false; /* other tasks have used the capacity in the meantime */
             break;
         }
         tw_bin_add_task(destination, &placed->job->spec);
@@ -243,20 +248,21 @@
     return true;
 }
 
-/* ---- which machine to empty next ---- */
+/* ---- choosing the next machine to decommission ---- */
 
-/* Whether the machine may be emptied: it has been up for long enough, and was not tried in vain
- * just now. */
+/* Returns whether the machine may be decommissioned: it is an on-demand machine in use, has been up
+ * for long enough, and was not rejected recently. */
 static bool may_decommission(const tw_core *core, const tw_machine *machine) {
     if (!tw_machine_is_usable(core, machine) || machine->spot) return false;
-    if (!tw_machine_is_occupied(machine)) return false; /* it is returned as an idle one */
+    if (!tw_machine_is_occupied(machine))
+        return false; /* tw_scale_in_return_idle_machines returns it */
     if (core->context.now < machine->no_decommission_until) return false;
     const double startup_s = core->machine_types[machine->type_index].listed.startup_s;
     const double min_up_s = fmax(startup_s, MIN_UP_LEASES * core->context.config->lease_s);
     return core->context.now - machine->first_answered_at >= min_up_s;
 }
 
-/* What returning the machine saves, divided by what it costs to empty it. */
+/* Returns the savings from returning the machine, divided by the cost of moving its tasks. */
 static double decommission_gain(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     int replica_count = 0, batch_count = 0;
@@ -268,7 +274,8 @@
            (1 + replica_count + BATCH_MOVE_WEIGHT * batch_count);
 }
 
-/* The machine with the largest gain of those that may be emptied. NULL: there is none. */
+/* Returns the machine with the largest gain of those that may be decommissioned, or NULL if there
+ * is none. */
 static tw_machine *find_largest_gain(const tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
@@ -284,7 +291,7 @@
     return best;
 }
 
-/* The next machine to empty. NULL: none of the few that a pass tries. */
+/* Returns the next machine to decommission, or NULL if none of the examined ones is suitable. */
 static tw_machine *choose_machine_to_decommission(const tw_core *core, tw_bins *bins) {
     for (int i = 0; i < MAX_CANDIDATES_PER_PASS; i++) {
         tw_machine *best = find_largest_gain(core);
@@ -296,23 +303,24 @@
     return NULL;
 }
 
-/* ---- passes ---- */
+/* ---- consolidation passes ---- */
 
-/* How many tasks a pass may move. Each move ends in a write or two, so they get a share of what may
- * be written between passes. */
+/* Returns how many tasks a pass may move. Each move causes one or two writes, so moves get a share
+ * of the writes that the state service accepts between two passes. */
 static int max_moves_per_pass(const tw_core *core, double interval_s) {
     return (int)fmax(MIN_MOVES_PER_PASS,
                      ceil(MOVE_WRITE_SHARE * core->context.config->state_write_rps * interval_s));
 }
 
-/* Whether a machine was asked for that is not there yet: more room is needed then, not less. */
+/* Returns whether a requested or planned machine does not exist yet, which means that the fleet
+ * needs more capacity, not less. */
 static bool has_pending_machine(const tw_bins *bins) {
     for (int i = 0; i < bins->count; i++)
         if (!bins->items[i].machine) return true;
     return false;
 }
 
-/* Whether a service's task waits, which needs room now. */
+/* Returns whether a task of a service is pending. */
 static bool is_service_pending(const tw_core *core) {
     const tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
@@ -321,7 +329,7 @@
     return false;
 }
 
-/* Whether the machine is being emptied and not wanted back yet. */
+/* Returns whether the machine is being decommissioned and is not yet marked for return. */
 static bool is_being_emptied(const tw_machine *machine) {
     return machine->decommissioning && !machine->return_wanted;
 }
