--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -46,8 +46,7 @@
     int packed_count;          /* tasks in this bin of the job that was packed last */
 } tw_bin;
 
-/* The bins of a plan. They do not own machines or offers. The caller frees them with tw_bins_free.
- */
+/* The bins of a plan. They own no machines or offers. The caller frees them with tw_bins_free. */
 typedef struct tw_bins {
     tw_bin *items;
     int count, capacity;
@@ -95,7 +94,7 @@
  * how many are free. */
 void tw_reserve_update(tw_core *core);
 /* Returns whether a task of the job can be placed on the machine without using the capacity that is
- * reserved for other classes. */
+ * reserved for other classes. True for batch jobs and for jobs that are not capacity-bound. */
 bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job);
 /* Subtracts the slots that a task of the job uses up from those that are free for each class. The
  * caller calls this before it places the task on the machine. */
@@ -105,13 +104,13 @@
 /* Returns whether a task fits into the bin's free capacity and the bin's machine accepts another
  * task. */
 bool tw_bin_fits(const tw_bin *bin, const tw_wire_job *spec);
-/* Returns whether the job may use the bin's machine: types (a bit mask of machine types) contains
- * its type, the job accepts spot machines if it is one, and the zone that the job requires, if any,
- * is the machine's. */
+/* Returns whether the job may use the bin's machine: the machine's type is in types (a bit mask),
+ * the job accepts spot machines if the machine is one, and the machine is in the zone that the job
+ * requires, if any. */
 bool tw_bin_is_allowed(const tw_bin *bin, const tw_wire_job *spec, uint32_t types);
 /* Returns whether the bin's free GPUs keep enough cores and memory after a task is added; see
- * tw_constraints_leave_gpus. any_machine: the job may use cores and memory that are kept for GPUs.
- */
+ * tw_constraints_leave_gpus. any_machine: the job may use the cores and memory that are kept for
+ * GPUs, so the result is true. */
 bool tw_bin_leaves_gpus(const tw_core *core, const tw_bin *bin, const tw_wire_job *spec,
                         bool any_machine);
 /* Subtracts a task's resources from the bin's free capacity. */
--- a/src/core/autoscaler_gang.c
+++ b/src/core/autoscaler_gang.c
@@ -3,8 +3,8 @@
  * that require a single one. Called by autoscaler_plan.c. */
 #include "core/autoscaler_int.h"
 
-#define LATE_START_MARGIN_SHARE                                                                    \
-    0.5 /* share of the start objective that must be left when a pending gang starts */
+/* Share of the start objective that must be left when a pending gang starts. */
+#define LATE_START_MARGIN_SHARE 0.5
 
 double tw_autoscaler_estimate_gang_start(tw_core *core, tw_bins *bins, const tw_job *job,
                                          tw_expected_releases *releases, int count) {
@@ -18,9 +18,9 @@
 void tw_autoscaler_allow_gpu_machines_for_late_gang(tw_core *core, tw_job *job, double start_at) {
     const tw_offer_filter filter = {0};
     const double deadline_at = tw_job_start_deadline(job);
-    const double reserve_s =
+    const double margin_s =
         LATE_START_MARGIN_SHARE * (job->job_class ? job->job_class->start_within_s : 0);
-    if (start_at <= deadline_at - reserve_s && core->context.now <= deadline_at - reserve_s) return;
+    if (start_at <= deadline_at - margin_s && core->context.now <= deadline_at - margin_s) return;
     tw_autoscaler_allow_gpu_machines(
         core, job, tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter));
 }
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -14,8 +14,7 @@
 #define EXPECTED_SHARE 0.5   /* share of the expected arrivals, to which the deviation is added */
 #define ROUND_DOWN_SHARE 0.3 /* a fraction of a task up to this value is rounded down */
 
-/* Returns the lowest on-demand price per task of the class over the machine types that it may use.
- */
+/* Returns the lowest on-demand price per task of the class over its allowed machine types. */
 static double lowest_task_price(const tw_core *core, const tw_job_class *class) {
     double price = INFINITY;
     for (int i = 0; i < core->machine_type_count; i++) {
@@ -44,8 +43,8 @@
     const double batch_tasks = fmax(1, class->batch_tasks);
     double tasks = core->context.config->tune.headroom *
                    (EXPECTED_SHARE * expected + sqrt(expected * batch_tasks));
-    /* A late start counts the same for all tasks, so twice the capacity is kept where its price is
-     * negligible compared with the fleet's. */
+    /* A missed start objective counts the same for every task, so twice the capacity is kept where
+     * its price is negligible compared with the fleet's. */
     if (2 * tasks * lowest_task_price(core, class) < NEGLIGIBLE_PRICE_SHARE * fleet_price)
         tasks *= 2;
     if (sample->gang) tasks = fmax(tasks, class->largest_gang);
--- a/src/core/autoscaler_int.h
+++ b/src/core/autoscaler_int.h
@@ -26,11 +26,10 @@
 typedef struct tw_offer_filter {
     const char *excluded_zone; /* NULL: no zone is excluded */
     const char *required_zone; /* NULL: any zone is allowed */
-    bool for_headroom; /* no task exists yet, so GPU machines are rented only if the class needs
-                          GPUs */
+    bool for_headroom;         /* GPU machines are rented only for classes that need GPUs */
 } tw_offer_filter;
-/* Returns the offer from which the request asks for machines. It is NULL only if no offer matches,
- * which does not occur, since offers are never removed. */
+/* Returns the offer from which the request asks for machines. NULL does not occur for requests in
+ * core->rental_requests, since offers are never removed. */
 tw_capacity_offer *tw_offer_of_request(const tw_core *core, const tw_rental_request *request);
 /* Returns how many of the job's tasks fit on an empty machine of the type, as a whole number. */
 double tw_offer_task_count(const tw_wire_machine_type *type, const tw_wire_job *spec);
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -10,12 +10,10 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define BOOT_TIME_FACTOR                                                                           \
-    1.2 /* multiple of a type's boot time within which most machines have booted */
-#define RUN_TIME_FACTOR                                                                            \
-    1.1 /* multiple of an estimated run time within which most tasks have ended */
+#define BOOT_TIME_FACTOR 1.2 /* most machines boot within this multiple of the type's boot time */
+#define RUN_TIME_FACTOR 1.1  /* most tasks end within this multiple of their estimated run time */
 
-/* ---- packing tasks and renting for the others ---- */
+/* ---- packing tasks and renting machines ---- */
 
 double tw_autoscaler_rental_to_start_s(const tw_core *core, uint32_t types, double image_gb) {
     double soonest = INFINITY;
@@ -29,7 +27,7 @@
 }
 
 /* Returns whether to rent a machine for a batch task that could otherwise start at start_at on
- * released capacity. INFINITY: no capacity will be released. */
+ * released capacity. start_at is INFINITY if no capacity will be released. */
 static bool is_worth_renting(const tw_core *core, const tw_job *job, double start_at) {
     if (!isfinite(start_at)) return true;
     if (start_at <= core->context.now +
@@ -71,7 +69,8 @@
     return spread;
 }
 
-/* Packs up to max_tasks of the job's tasks into the bin. Returns how many were packed. */
+/* Packs up to max_tasks of the job's tasks into the bin, and adds them to the spread. Returns how
+ * many were packed. */
 static int pack_into_bin(const tw_core *core, tw_bin *bin, const tw_job *job, zone_spread *spread,
                          int max_tasks) {
     int packed = 0;
@@ -145,8 +144,7 @@
     int needed = 0;
     if (job->spec.service) return count;
     if (count > 0 && !releases->items)
-        tw_expected_releases_init(
-            core, releases); /* computed on demand, since usually no batch job is pending */
+        tw_expected_releases_init(core, releases); /* usually no batch job is pending */
     if (job->spec.gang) {
         if (count < job->task_count - job->done_count - job->placed_count)
             return 0; /* the team's limit does not allow the whole gang */
@@ -234,7 +232,7 @@
     return true;
 }
 
-/* Adds a bin for an existing machine, which is up or boots. */
+/* Adds a bin for an existing machine, which is up or booting. */
 static void add_machine_bin(tw_core *core, tw_bins *bins, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
     *tw_bins_add(bins) =
@@ -251,16 +249,14 @@
                  .free_capacity = tw_machine_free_capacity(machine, type)};
 }
 
-/* Adds bins for the machines of an unanswered rental request, which the plan expects to be granted.
- */
+/* Adds bins for the machines of an unanswered rental request, which is expected to be granted. */
 static void add_requested_bins(tw_core *core, tw_bins *bins, const tw_rental_request *request) {
     tw_capacity_offer *offer = tw_offer_of_request(core, request);
     for (int i = 0; offer && i < request->machine_count; i++)
         tw_offer_add_bin(core, bins, offer)->offer = NULL;
 }
 
-/* Number of machines of a type by zone index; the last entry counts those whose zone has no index.
- */
+/* Number of machines of a type by zone index; the last entry counts machines without an index. */
 typedef int zone_counts[TW_MAX_ZONES + 1];
 
 /* Returns the number of bins whose machines have the offer's type and zone. */
@@ -269,8 +265,7 @@
     const char *name = tw_offer_zone(core, offer);
     for (int zone = 0; zone < core->zone_count; zone++)
         if (!strcmp(core->zone_names[zone], name)) return counts[offer->type_index][zone];
-    /* The zone has no index because there are more than TW_MAX_ZONES: count its machines by name.
-     */
+    /* There are more than TW_MAX_ZONES zones and this one has no index: count by zone name. */
     int count = 0;
     if (!counts[offer->type_index][TW_MAX_ZONES]) return 0;
     for (int i = 0; i < bins->count; i++)
--- a/src/core/bin_packing.c
+++ b/src/core/bin_packing.c
@@ -1,6 +1,6 @@
 /* The bins of a plan: one for each existing, requested or planned machine, with its free capacity,
  * into which tasks are packed. Used by all modules of the autoscaler, and by gang_reservation.c for
- * the capacity that it expects. */
+ * the capacity that it expects to become free. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -4,7 +4,8 @@
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define ZONE_CONCENTRATION_COST_SHARE 0.001 /* for each machine of the type in the zone */
+/* Share of the price that each machine of the type in the zone adds to the cost. */
+#define ZONE_CONCENTRATION_COST_SHARE 0.001
 
 const char *tw_offer_zone(const tw_core *core, const tw_capacity_offer *offer) {
     return core->machine_types[offer->type_index].listed.zones[offer->zone_index];
@@ -47,8 +48,8 @@
            tw_offer_boot_cost_factor(core, offer);
 }
 
-/* Returns how many machines of one offer a plan may want. The limit exists because the next plan
- * already knows how many of them were granted. */
+/* Returns how many machines of one offer a plan may want. Further machines wait for the next plan,
+ * which knows how many of them were granted. */
 static int max_wanted_per_offer(const tw_core *core) {
     return (int)(TW_MAX_RENTAL * fmax(1, core->context.config->cloud_rps));
 }
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -1,7 +1,6 @@
-/* Reads the cloud's list of our rented machines page by page. The list lags behind by list_lag_s.
- * It contains machines that an earlier leader rented, and marks failed ones. Machines that were
- * lost are missing from it: machine->lists_without counts the consecutive lists without a machine.
- */
+/* Reads the cloud's list of rented machines page by page. The list lags behind by list_lag_s. It
+ * contains machines that an earlier leader rented, and marks failed ones. Lost machines are missing
+ * from it: machine->lists_without counts the consecutive lists without a machine. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
@@ -38,8 +37,7 @@
     }
 }
 
-/* Increments lists_without of all machines; update_listed_machine resets it for those in the list.
- */
+/* Increments lists_without of all machines; update_listed_machine resets it for listed ones. */
 static void begin_listing(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
--- a/src/core/machine_returns.c
+++ b/src/core/machine_returns.c
@@ -39,8 +39,7 @@
         tw_machine *machine = tw_machine_find(core, call->names[i]);
         if (!machine) continue;
         if (status != TW_HTTP_OK) {
-            machine->return_in_flight =
-                false; /* sent again, since a repeated return has no effect */
+            machine->return_in_flight = false; /* repeating a return is harmless */
             core->returns_due = true;
             core->next_return_at = core->context.now + RETRY_S;
             continue;
--- a/src/core/rental_requests.c
+++ b/src/core/rental_requests.c
@@ -125,8 +125,7 @@
         tw_log_error("event=rental_answer_malformed request=%s", request->name);
         tw_offer_of_request(core, request)->refused_until =
             core->context.now + PAUSE_AFTER_MALFORMED_S;
-    } else { /* the result is unknown: repeat the request, since the same name gets the same answer
-              */
+    } else { /* unknown result: the same name gets the same answer again */
         request->next_attempt_at = core->context.now + RETRY_S;
         return;
     }
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -10,8 +10,9 @@
 #include "core/core_int.h"
 #include <stdbool.h>
 
-#define CACHED_IMAGE_FACTOR 3 /* for classes whose tasks start in time only with a cached image */
-#define ROUND_DOWN_SHARE 0.3  /* a fraction of a task up to this value is rounded down */
+/* Multiplies the slots of a class whose tasks start in time only with a cached image. */
+#define CACHED_IMAGE_FACTOR 3
+#define ROUND_DOWN_SHARE 0.3 /* a fraction of a task up to this value is rounded down */
 
 /* Returns how many tasks of the class's sample fit into the capacity. */
 static int count_fitting_tasks(const tw_capacity *capacity, const tw_wire_job *spec) {
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -13,17 +13,18 @@
 #define RETRY_HEARTBEATS 3        /* heartbeat intervals until a rejected machine is reexamined */
 #define PASS_INTERVAL_HEARTBEATS 0.3 /* heartbeat intervals between passes that move tasks */
 #define MIN_MOVES_PER_PASS 2         /* tasks that a pass may always move */
-#define MOVE_WRITE_SHARE 0.25        /* share of the state service's write rate for moves */
-#define MACHINES_PER_DECOMMISSION 20 /* machines per further concurrent decommission */
-#define MIN_UP_LEASES 2     /* leases for which a machine is up before its decommissioning */
-#define MAX_FETCH_SHARE 0.5 /* share of the start objective for a moved replica's fetch */
+#define MOVE_WRITE_SHARE 0.25 /* share of the state service's write rate that moves may use */
+#define MACHINES_PER_DECOMMISSION 20 /* fleet machines for each decommission beyond the first */
+#define MIN_UP_LEASES 2 /* leases for which a machine is up before its decommissioning */
+/* Longest image fetch of a moved replica, as a share of its start objective. */
+#define MAX_FETCH_SHARE 0.5
 #define BATCH_MOVE_WEIGHT 2 /* cost of moving a batch task, relative to a replica */
 
 /* ---- idle machines ---- */
 
-/* Returns whether a task keeps the machine from being idle. A task that ended stays in the
- * machine's list until the machine has forgotten it. If its launch may still arrive, or arrive a
- * second time, that takes long, so such a task does not keep the machine in use. */
+/* Returns whether a task keeps the machine from being idle: one that runs or may run, or one that
+ * ended and that the machine will soon forget. A task whose launch may still arrive, or arrive a
+ * second time, is forgotten only much later, so it does not keep the machine. */
 static bool holds_work(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
@@ -115,8 +116,7 @@
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         const tw_wire_job *spec = &placed->job->spec;
-        if (!placed->counted || !spec->service)
-            continue; /* batch tasks end without being stopped */
+        if (!placed->counted || !spec->service) continue; /* batch tasks end by themselves */
         if (placed->state != TW_TASK_RUNNING || placed->stopping) return false;
         tw_bin *destination = find_destination(core, bins, placed);
         if (!destination) return false;
@@ -235,8 +235,7 @@
         }
         tw_bin *destination = find_destination(core, bins, placed);
         if (!destination) {
-            machine->decommissioning =
-                false; /* other tasks have used the capacity in the meantime */
+            machine->decommissioning = false; /* other tasks use the capacity now */
             break;
         }
         tw_bin_add_task(destination, &placed->job->spec);
@@ -276,7 +275,7 @@
 
 /* Returns the machine with the largest gain of those that may be decommissioned, or NULL if there
  * is none. */
-static tw_machine *find_largest_gain(const tw_core *core) {
+static tw_machine *find_machine_with_largest_gain(const tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
     struct tw_machine *best = NULL;
@@ -294,7 +293,7 @@
 /* Returns the next machine to decommission, or NULL if none of the examined ones is suitable. */
 static tw_machine *choose_machine_to_decommission(const tw_core *core, tw_bins *bins) {
     for (int i = 0; i < MAX_CANDIDATES_PER_PASS; i++) {
-        tw_machine *best = find_largest_gain(core);
+        tw_machine *best = find_machine_with_largest_gain(core);
         if (!best) return NULL;
         if (!job_waits_for_machine(core, best) && can_evict_all(core, bins, best)) return best;
         best->no_decommission_until =
@@ -330,7 +329,7 @@
 }
 
 /* Returns whether the machine is being decommissioned and is not yet marked for return. */
-static bool is_being_emptied(const tw_machine *machine) {
+static bool is_being_decommissioned(const tw_machine *machine) {
     return machine->decommissioning && !machine->return_wanted;
 }
 
@@ -342,12 +341,16 @@
     tw_machine *machine;
     struct tw_machine *next;
     int moves_left = max_moves_per_pass(core, interval_s);
-    int emptied_count = 0;
-    HASH_ITER(hh, core->machines, machine, next) { emptied_count += is_being_emptied(machine); }
+    int decommission_count = 0;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (is_being_emptied(machine) && !evict_tasks(core, bins, machine, &moves_left)) return;
+        decommission_count += is_being_decommissioned(machine);
     }
-    if (emptied_count >= 1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_DECOMMISSION) return;
+    HASH_ITER(hh, core->machines, machine, next) {
+        if (is_being_decommissioned(machine) && !evict_tasks(core, bins, machine, &moves_left))
+            return;
+    }
+    if (decommission_count >= 1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_DECOMMISSION)
+        return;
     struct tw_machine *best = choose_machine_to_decommission(core, bins);
     if (!best) return;
     best->decommissioning = true;
