--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -1,20 +1,21 @@
-/* The plan: how many machines to rent. Each round packs the tasks that wait, and the headroom for
- * the arrivals that are expected while a machine boots (autoscaler_headroom.c), into the room of
- * machines that are there or coming. What does not fit is to be rented where a task costs least
- * (capacity_offers.c). What differs for gangs stands in autoscaler_gang.c.
+/* Plans how many machines to rent. Each plan packs the pending tasks, and the headroom for arrivals
+ * expected during the boot of a machine (autoscaler_headroom.c), into the free capacity of existing
+ * and requested machines. For tasks that do not fit, it rents machines of the offer with the lowest
+ * cost per task (capacity_offers.c). autoscaler_gang.c contains what is specific to gangs.
  *
- * A plan decides nothing about single tasks: its bins are scratch, and only offers' wanted counts,
- * a job's may_use_gpu_machines and no_capacity_offered, and machines' needed_by_plan outlive it.
- * Room is taken bin by bin, so that a round costs jobs times bins, not tasks times bins. */
+ * A plan does not place tasks: its bins are scratch data, and only the offers' wanted counts, a
+ * job's may_use_gpu_machines and no_capacity_offered, and the machines' needed_by_plan outlive it.
+ * Tasks are packed bin by bin, so the cost of a plan is proportional to jobs times bins, not to
+ * tasks times bins. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
-#define BOOT_TIME_FACTOR 1.2 /* of a type's boot time: by then most machines are up */
-#define RUN_TIME_FACTOR 1.1  /* of an estimated run time: by then most tasks have ended */
+#define BOOT_TIME_FACTOR 1.2 /* most machines boot within this multiple of the type's boot time */
+#define RUN_TIME_FACTOR 1.1  /* most tasks end within this multiple of their estimated run time */
 
-/* ---- packing ---- */
+/* ---- packing tasks and renting machines ---- */
 
-double tw_autoscaler_rental_start_s(const tw_core *core, uint32_t types, double image_gb) {
+double tw_autoscaler_rental_to_start_s(const tw_core *core, uint32_t types, double image_gb) {
     double soonest = INFINITY;
     for (int i = 0; i < core->machine_type_count; i++) {
         const tw_machine_type *type = &core->machine_types[i];
@@ -25,25 +26,26 @@
     return soonest;
 }
 
-/* Whether to rent for a batch task rather than let it wait for room until start_at. INFINITY: no
- * room will be given back. */
+/* Returns whether to rent a machine for a batch task that could otherwise start at start_at on
+ * released capacity. start_at is INFINITY if no capacity will be released. */
 static bool is_worth_renting(const tw_core *core, const tw_job *job, double start_at) {
     if (!isfinite(start_at)) return true;
-    if (start_at <=
-        core->context.now + tw_autoscaler_rental_start_s(core, job->type_mask, job->spec.image_gb))
+    if (start_at <= core->context.now +
+                        tw_autoscaler_rental_to_start_s(core, job->type_mask, job->spec.image_gb))
         return false;
     return !(start_at + tw_job_run_estimate_s(job) * RUN_TIME_FACTOR <= tw_job_deadline(job));
 }
 
-/* A job's tasks by zone, both placed and planned ones. */
+/* Number of a job's tasks in each zone, both placed and planned ones. */
 typedef struct {
     const char *zone_names[TW_MAX_ZONES];
     int task_counts[TW_MAX_ZONES];
     int zone_count;
-    int max_per_zone; /* tasks that the job may have in a zone */
+    int max_per_zone; /* limit of the job's tasks in one zone */
 } zone_spread;
 
-/* The index of the zone in the spread, to which it is added if need be. -1: the spread is full. */
+/* Returns the zone's index in the spread, and adds the zone if it is missing. -1: the spread is
+ * full. */
 static int find_or_add_zone(zone_spread *spread, const char *zone) {
     int slot = 0;
     while (slot < spread->zone_count && strcmp(spread->zone_names[slot], zone) != 0) slot++;
@@ -56,7 +58,7 @@
     return slot;
 }
 
-/* The spread of the job's placed tasks. */
+/* Returns the number of placed tasks of the job in each zone. */
 static zone_spread spread_of_job(const tw_job *job) {
     zone_spread spread = {.max_per_zone = job->spec.spread ? (job->task_count + 1) / 2 : INT32_MAX};
     const tw_placement *placed;
@@ -67,37 +69,38 @@
     return spread;
 }
 
-/* Takes room in the bin for up to wanted tasks of the job. Returns for how many. */
+/* Packs up to max_tasks of the job's tasks into the bin, and adds them to the spread. Returns how
+ * many were packed. */
 static int pack_into_bin(const tw_core *core, tw_bin *bin, const tw_job *job, zone_spread *spread,
-                         int wanted) {
-    int taken = 0;
+                         int max_tasks) {
+    int packed = 0;
     bin->packed_count = 0;
     if (!tw_bin_is_allowed(bin, &job->spec, job->type_mask)) return 0;
     if (job->spec.single_zone && spread->zone_count &&
         strcmp(spread->zone_names[0], bin->zone) != 0)
         return 0;
-    while (taken < wanted && tw_bin_fits(bin, &job->spec) &&
+    while (packed < max_tasks && tw_bin_fits(bin, &job->spec) &&
            tw_bin_leaves_gpus(core, bin, &job->spec, job->may_use_gpu_machines)) {
         const int slot = find_or_add_zone(spread, bin->zone);
         if (slot < 0 || spread->task_counts[slot] >= spread->max_per_zone) break;
-        tw_bin_take(bin, &job->spec);
+        tw_bin_add_task(bin, &job->spec);
         spread->task_counts[slot]++;
-        taken++;
+        packed++;
     }
-    bin->packed_count = taken;
-    /* The gang starts when it has the rest, and needs this machine then. */
-    if (taken && job->spec.gang && bin->machine) bin->machine->needed_by_plan = true;
-    return taken;
+    bin->packed_count = packed;
+    /* Keeps the machine until the rest of the gang fits. */
+    if (packed && job->spec.gang && bin->machine) bin->machine->needed_by_plan = true;
+    return packed;
 }
 
-/* Whether a machine that is rented for the job could take a task of it: a new one is in its first
- * incarnation. */
+/* Returns whether a newly rented machine, which is in its first incarnation, may run a task of the
+ * job. */
 static bool may_use_new_machine(const tw_core *core, const tw_job *job) {
     const tw_machine_restriction restriction = tw_mixed_version_restriction(core, job);
     return restriction == TW_MACHINES_ANY || restriction == TW_MACHINES_IN_FIRST_INCARNATION;
 }
 
-/* How many tasks of the job its team's limit and its record would allow to be placed now. */
+/* Returns how many more tasks of the job its team's limit and its record allow to be placed now. */
 static int count_placeable_tasks(const tw_core *core, tw_job *job) {
     const tw_config_team *team = &core->context.config->teams[job->team];
     int count = job->task_count - job->done_count - job->placed_count;
@@ -113,26 +116,27 @@
     return count > max_count ? max_count : count;
 }
 
-/* Whether a machine like the offered one was rented while the job waited, and its boot is overdue:
- * the next one may not come up either. */
-static bool has_waited_in_vain(const tw_core *core, const tw_job *job,
-                               const tw_capacity_offer *offer) {
+/* Returns whether the boot of a machine of the offer's type, rented while the job was waiting, is
+ * overdue. The next such machine may fail to boot, too. */
+static bool is_similar_rental_overdue(const tw_core *core, const tw_job *job,
+                                      const tw_capacity_offer *offer) {
     const double rented_at = core->machine_types[offer->type_index].overdue_rental_at;
     return rented_at > 0 && rented_at >= job->pending_since;
 }
 
-bool tw_autoscaler_open_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
+bool tw_autoscaler_allow_gpu_machines(tw_core *core, tw_job *job, const tw_capacity_offer *best) {
     if (job->spec.gpus > 0 || job->may_use_gpu_machines) return false;
     if (best && core->machine_types[best->type_index].listed.gpus <= 0 &&
-        !has_waited_in_vain(core, job, best))
+        !is_similar_rental_overdue(core, job, best))
         return false;
     job->may_use_gpu_machines = 1;
     core->scheduling_due = true;
     return true;
 }
 
-/* How many tasks of the job to find or rent room for: of a service all, of a batch job those for
- * which renting is better than waiting for room that is given back, of a gang all or none. */
+/* Returns for how many tasks of the job the plan must provide capacity: for a service all of them,
+ * for a batch job those for which renting is better than waiting for released capacity, for a gang
+ * all or none. */
 static int count_tasks_to_provide(tw_core *core, tw_bins *bins, tw_job *job,
                                   tw_expected_releases *releases) {
     if (!may_use_new_machine(core, job)) return 0;
@@ -140,23 +144,23 @@
     int needed = 0;
     if (job->spec.service) return count;
     if (count > 0 && !releases->items)
-        tw_expected_releases_init(core, releases); /* only now: mostly no batch job waits */
+        tw_expected_releases_init(core, releases); /* usually no batch job is pending */
     if (job->spec.gang) {
         if (count < job->task_count - job->done_count - job->placed_count)
-            return 0; /* its team's limit */
-        const double start_at = tw_autoscaler_gang_start(core, bins, job, releases, count);
-        tw_autoscaler_gang_avoid_late_start(core, job, start_at);
+            return 0; /* the team's limit does not allow the whole gang */
+        const double start_at = tw_autoscaler_estimate_gang_start(core, bins, job, releases, count);
+        tw_autoscaler_allow_gpu_machines_for_late_gang(core, job, start_at);
         return is_worth_renting(core, job, start_at) ? count : 0;
     }
-    int *first_release = tw_bins_first_release(bins, job);
+    int *first_release = tw_bins_release_cursor(bins, job);
     for (int i = 0; i < count; i++)
         needed += is_worth_renting(core, job,
                                    tw_expected_releases_take(core, releases, job, first_release));
     return needed;
 }
 
-/* Wants machines for so many tasks of the job, as far as there are offers. Returns for how many
- * there are none. */
+/* Adds machines to the plan for needed tasks of the job, as far as offers allow. Returns the number
+ * of tasks for which no machine can be rented. */
 static int rent_for_tasks(tw_core *core, tw_bins *bins, tw_job *job, zone_spread *spread,
                           int needed) {
     while (needed > 0) {
@@ -166,99 +170,102 @@
         for (int i = 0; i < spread->zone_count; i++)
             if (spread->task_counts[i] >= spread->max_per_zone)
                 filter.excluded_zone = spread->zone_names[i];
-        tw_capacity_offer *offer = tw_offer_best(core, &job->spec, job->type_mask, &filter);
-        /* An offer that was refused lately may be granted again: until then the job is bound. */
+        tw_capacity_offer *offer =
+            tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter);
+        /* Until an offer that was refused recently grants a request, the job counts as
+         * capacity-bound. */
         job->no_capacity_offered = !offer || offer->refusal_count > 0;
-        /* GPU machines that are there come before renting one for a job without GPUs. */
-        if (tw_autoscaler_open_gpu_machines(core, job, offer)) return needed;
+        /* A job without GPUs uses existing GPU machines before a GPU machine is rented for it. */
+        if (tw_autoscaler_allow_gpu_machines(core, job, offer)) return needed;
         if (!offer) return needed;
-        const int taken =
+        const int packed =
             pack_into_bin(core, tw_offer_add_bin(core, bins, offer), job, spread, needed);
-        if (!taken) return needed;
+        if (!packed) return needed;
         offer->wanted_count++;
-        needed -= taken;
+        needed -= packed;
     }
     return needed;
 }
 
-/* Finds room in the bins for the tasks of a job that waits, and wants machines for the others. */
+/* Packs the tasks of a pending job into the bins, and plans machines for those that do not fit. */
 static void plan_job(tw_core *core, tw_bins *bins, tw_job *job, tw_expected_releases *releases) {
     int needed = count_tasks_to_provide(core, bins, job, releases);
     if (needed <= 0) return;
     zone_spread spread = spread_of_job(job);
     if (job->spec.gang && job->spec.single_zone && !spread.zone_count) {
-        const char *zone = tw_autoscaler_gang_zone(core, bins, job, needed);
+        const char *zone = tw_autoscaler_choose_gang_zone(core, bins, job, needed);
         if (zone) find_or_add_zone(&spread, zone);
     }
-    /* A bin that placement passes have tried is of no use to a single task, but may hold a part of
-     * a gang. */
+    /* Placement passes have found no place for a single task in the bins that they considered, but
+     * such a bin may hold a part of a gang. */
     const int first = job->spec.gang ? 0 : tw_bins_first_useful(bins, job);
     for (int i = first; i < bins->count && needed > 0; i++) {
         core->pass_steps++;
-        if (!bins->items[i].tried || job->spec.gang)
+        if (!bins->items[i].considered_by_passes || job->spec.gang)
             needed -= pack_into_bin(core, &bins->items[i], job, &spread, needed);
     }
     needed = rent_for_tasks(core, bins, job, &spread, needed);
-    if (job->spec.gang && needed > 0) tw_bins_note_incomplete_gang(bins, &job->spec);
+    if (job->spec.gang && needed > 0) tw_bins_mark_incomplete_gang(bins, &job->spec);
 }
 
-/* ---- the round ---- */
+/* ---- collecting the bins and running the plan ---- */
 
-/* Whether the plan counts on the machine's room. */
+/* Returns whether the plan uses the machine's capacity. */
 static bool counts_as_capacity(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->return_wanted || machine->cordoned || machine->failed ||
         machine->decommissioning)
         return false;
     if (machine->state == TW_MACHINE_UP)
         return machine->preempted_at <= 0 && !machine->lease_expired;
-    if (machine->overdue) { /* it may never come */
+    if (machine->overdue) { /* the machine may never finish booting */
         double *rental_at = &core->machine_types[machine->type_index].overdue_rental_at;
         *rental_at = fmax(*rental_at, machine->known_since);
         return false;
     }
-    /* Some of the machines that boot will be late: of each type that share is not counted on. */
-    double *late = &core->machine_types[machine->type_index].late_sum;
-    *late += core->machine_types[machine->type_index].overdue_share;
-    if (*late >= 1) {
-        *late -= 1;
+    /* Of the booting machines of each type, the share that is usually overdue is not counted. */
+    double *sum = &core->machine_types[machine->type_index].late_sum;
+    *sum += core->machine_types[machine->type_index].overdue_share;
+    if (*sum >= 1) {
+        *sum -= 1;
         return false;
     }
     return true;
 }
 
-/* Adds a bin for a machine that is there or boots. */
+/* Adds a bin for an existing machine, which is up or booting. */
 static void add_machine_bin(tw_core *core, tw_bins *bins, tw_machine *machine) {
     const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
-    *tw_bins_add(bins) = (tw_bin){.machine = machine,
-                                  .type_index = machine->type_index,
-                                  .spot = machine->spot,
-                                  .zone = machine->zone,
-                                  .occupied = tw_machine_is_occupied(machine),
-                                  /* by now a pass has had the chance to use it */
-                                  .tried = machine->state == TW_MACHINE_UP &&
-                                           core->context.now - machine->first_answered_at >
-                                               core->context.config->report_s,
-                                  .is_full = !tw_quarantine_allows(machine),
-                                  .room = tw_machine_free_capacity(machine, type)};
+    *tw_bins_add(bins) =
+        (tw_bin){.machine = machine,
+                 .type_index = machine->type_index,
+                 .spot = machine->spot,
+                 .zone = machine->zone,
+                 .occupied = tw_machine_is_occupied(machine),
+                 /* placement passes had the chance to use it */
+                 .considered_by_passes = machine->state == TW_MACHINE_UP &&
+                                         core->context.now - machine->first_answered_at >
+                                             core->context.config->report_s,
+                 .blocked_by_probation = !tw_quarantine_allows(machine),
+                 .free_capacity = tw_machine_free_capacity(machine, type)};
 }
 
-/* Adds bins for the machines of a request that isn't answered yet: they count as coming. */
+/* Adds bins for the machines of an unanswered rental request, which is expected to be granted. */
 static void add_requested_bins(tw_core *core, tw_bins *bins, const tw_rental_request *request) {
     tw_capacity_offer *offer = tw_offer_of_request(core, request);
     for (int i = 0; offer && i < request->machine_count; i++)
         tw_offer_add_bin(core, bins, offer)->offer = NULL;
 }
 
-/* Machines of a type by zone index; the last count is for machines whose zone has no index. */
+/* Number of machines of a type by zone index; the last entry counts machines without an index. */
 typedef int zone_counts[TW_MAX_ZONES + 1];
 
-/* How many machines of the offer's type are in its zone. */
+/* Returns the number of bins whose machines have the offer's type and zone. */
 static int count_machines_of_offer(const tw_core *core, const tw_capacity_offer *offer,
                                    const tw_bins *bins, const zone_counts *counts) {
     const char *name = tw_offer_zone(core, offer);
     for (int zone = 0; zone < core->zone_count; zone++)
         if (!strcmp(core->zone_names[zone], name)) return counts[offer->type_index][zone];
-    /* The zone has no index, since there are too many: its machines are counted by name. */
+    /* There are more than TW_MAX_ZONES zones and this one has no index: count by zone name. */
     int count = 0;
     if (!counts[offer->type_index][TW_MAX_ZONES]) return 0;
     for (int i = 0; i < bins->count; i++)
@@ -267,8 +274,8 @@
     return count;
 }
 
-/* Resets what the last plan noted on types and offers. */
-static void reset_scratch(tw_core *core) {
+/* Resets the counters that the previous plan left in types and offers. */
+static void reset_plan_results(tw_core *core) {
     for (int i = 0; i < core->machine_type_count; i++) {
         core->machine_types[i].late_sum = core->machine_types[i].overdue_rental_at = 0;
         core->machine_types[i].boots.coming_count = 0;
@@ -279,24 +286,24 @@
     }
 }
 
-/* Counts a machine that boots, and is not overdue, at its type and its offer. */
-static void count_coming_machine(tw_core *core, const tw_machine *machine) {
+/* Adds a booting machine that is not overdue to the counters of its type and its offer. */
+static void count_booting_machine(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->overdue || machine->failed) return;
     core->machine_types[machine->type_index].boots.coming_count++;
     tw_capacity_offer *offer = tw_offer_of_machine(core, machine);
     if (offer) offer->boots.coming_count++;
 }
 
-/* Fills the bins with the machines that the plan counts on, and resets what the last plan noted on
- * machines, types and offers. */
+/* Adds bins for all machines whose capacity the plan uses, and resets the counters and marks that
+ * the previous plan left in machines, types and offers. */
 static void collect_bins(tw_core *core, tw_bins *bins) {
     zone_counts *counts = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
-    reset_scratch(core);
+    reset_plan_results(core);
     tw_machine *machine;
     struct tw_machine *next;
     HASH_ITER(hh, core->machines, machine, next) {
         machine->needed_by_plan = false;
-        if (machine->state == TW_MACHINE_BOOTING) count_coming_machine(core, machine);
+        if (machine->state == TW_MACHINE_BOOTING) count_booting_machine(core, machine);
         if (!counts_as_capacity(core, machine)) continue;
         add_machine_bin(core, bins, machine);
         counts[machine->type_index][machine->zone_index < 0 ? TW_MAX_ZONES : machine->zone_index]++;
@@ -310,7 +317,7 @@
     DL_FOREACH(core->rental_requests, request) { add_requested_bins(core, bins, request); }
 }
 
-/* What all machines of the bins cost together, as the cloud lists prices. */
+/* Returns the total price of the bins' machines, in the unit of the cloud's price list. */
 static double price_of_bins(const tw_core *core, const tw_bins *bins) {
     double price = 0;
     for (int i = 0; i < bins->count; i++) {
@@ -320,12 +327,12 @@
     return price;
 }
 
-/* Plans for rejected submissions, and drops those that have not come again for long. */
+/* Plans for rejected submissions, and drops those that the client has not repeated in time. */
 static void plan_rejected_admissions(tw_core *core, tw_bins *bins, tw_expected_releases *releases) {
     tw_rejected_admission *admission;
     tw_rejected_admission *next;
     HASH_ITER(hh, core->rejected_admissions, admission, next) {
-        if (core->context.now < admission->until)
+        if (core->context.now < admission->expires_at)
             plan_job(core, bins, &admission->job, releases);
         else
             tw_rejected_admission_drop(core, admission);
@@ -334,7 +341,7 @@
 
 void tw_autoscaler_plan(tw_core *core) {
     tw_bins bins = {0};
-    tw_expected_releases releases = {0}; /* listed when the first batch job waits */
+    tw_expected_releases releases = {0}; /* computed when the first batch job is planned */
     collect_bins(core, &bins);
     const int existing_count = bins.count;
     tw_job_queue *queue = tw_job_queue_new(core, false);
@@ -344,11 +351,11 @@
     plan_rejected_admissions(core, &bins, &releases);
     const double price = price_of_bins(core, &bins);
     for (const tw_job_class *class = core->job_classes; class; class = class->hh.next)
-        tw_autoscaler_keep_headroom(core, &bins, class, price);
+        tw_autoscaler_reserve_headroom(core, &bins, class, price);
     const bool needs_more = bins.count > existing_count;
     tw_offers_update_wanted(core);
-    tw_scale_in_idle(core);
-    tw_scale_in_reopen(core);
+    tw_scale_in_return_idle_machines(core);
+    tw_scale_in_cancel_decommissions(core);
     if (!needs_more) tw_scale_in_consolidate(core, &bins);
     tw_expected_releases_free(&releases);
     tw_bins_free(&bins);
