--- a/src/cluster/authority.c
+++ b/src/cluster/authority.c
@@ -1,10 +1,10 @@
-/* What this node may do now, and until when another one may answer workers. Authority to command
- * ends before the leader's lease in the state service can. Renewing workers' leases without
- * authority goes on for a bounded time, which a successor waits out. docs/design.md has the
- * argument. */
+/* Permissions of this node, and bounds on how long other nodes may answer workers. The authority to
+ * command ends before the leader's lease in the state service can expire. Renewal without authority
+ * continues for a bounded time, for which the next leader waits. docs/design.md has the argument.
+ */
 #include "cluster/cluster_int.h"
 
-/* Share of `margin_ratio` that is kept back where a cancellation must be over by `cancel_s`. */
+/* Share of the setting margin_ratio that the bound for cancellations (cancel_s) includes. */
 #define CANCEL_MARGIN 0.4
 
 bool tw_cluster_has_authority(const tw_cluster *cluster) {
@@ -20,9 +20,9 @@
     return cluster->context->config->tune.hold_ratio * cluster->context->config->lease_s;
 }
 
-/* The tasks of a job that is cancelled at another node must be gone cancel_s later, even where no
- * node can tell their machines: then by the expiry of the machines' leases. A node that can't
- * exclude that another one leads therefore answers workers for this long at most. */
+/* The tasks of a job that is cancelled at another node must have ended cancel_s later. If no node
+ * can send their machines a stop command, the expiry of the machines' leases ends them. A node that
+ * can't exclude that another node leads therefore stops answering workers after this time. */
 double tw_cluster_renewal_if_superseded_s(const tw_cluster *cluster) {
     const tw_config *settings = cluster->context->config;
     const double lease_by_any_clock =
@@ -32,16 +32,16 @@
                         tw_cluster_renewal_without_authority_s(cluster)));
 }
 
-/* This is longer than tw_cluster_renewal_if_superseded_s. A cancellation is therefore confirmed
- * only once all nodes that may answer its machines for longer know of it
- * (tw_cluster_cancellation_safety). */
+/* This time is longer than tw_cluster_renewal_if_superseded_s. A cancellation is therefore
+ * confirmed only after all nodes that may answer its machines for longer than that know of the
+ * cancellation (tw_cluster_cancellation_safety). */
 double tw_cluster_renewal_without_contact_s(const tw_cluster *cluster) {
     return fmin(tw_cluster_renewal_without_authority_s(cluster),
                 tw_cluster_renewal_if_superseded_s(cluster) + cluster->context->config->lease_s);
 }
 
-/* Until when certainly no other node had led: when all peers last said that they know of no higher
- * token than this node's (note_vouching in peer_heartbeat.c). */
+/* Returns until when certainly no other node had led, according to the answers of all peers
+ * (note_vouching in peer_heartbeat.c). */
 static double sole_leader_until(const tw_cluster *cluster) {
     double until = INFINITY;
     for (size_t i = 0; i < cluster->peer_count; i++)
@@ -49,9 +49,10 @@
     return until;
 }
 
-/* Without the state service a leader can't tell an outage from being cut off alone. It goes on
- * renewing workers' leases under its token for a bounded time; a successor waits that time out
- * before it takes a silent machine's tasks for ended (tw_cluster_predecessor_renewals_end). */
+/* A leader that can't reach the state service can't distinguish an outage of the service from its
+ * own isolation. It continues to renew workers' leases under its token for a bounded time. The next
+ * leader waits for that time before it considers the tasks of an unresponsive machine ended
+ * (tw_cluster_predecessor_renewals_end). */
 bool tw_cluster_renews_without_authority(const tw_cluster *cluster) {
     if (cluster->role != TW_ROLE_LEADER || cluster->phase != TW_PHASE_ACTIVE ||
         cluster->context->now < cluster->authority_until)
@@ -64,9 +65,8 @@
 
 double tw_cluster_predecessor_renewals_end(const tw_cluster *cluster) {
     if (cluster->peers_confirmed_at > 0) return cluster->peers_confirmed_at;
-    /* Since this node acquired the key, an earlier leader can't hear from all nodes that none
-     * leads.
-     */
+    /* After this node acquired the key, an earlier leader can no longer get answers from all nodes
+     * which show that none of them leads. */
     return cluster->term_began_at + tw_cluster_renewal_without_contact_s(cluster) *
                                         (1 + 2 * cluster->context->config->tune.drift);
 }
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -1,7 +1,7 @@
-/* The cluster's life, its inputs, and questions about its state. */
+/* Creation and freeing of the cluster, dispatch of its inputs, and queries about its state. */
 #include "cluster/cluster_int.h"
 
-/* A moment that is longer ago than any that counts. */
+/* A time before any that matters: initial value of times at which something last happened. */
 #define LONG_AGO (-1e9)
 #define SHORTEST_LEASE_S 0.2
 
@@ -74,7 +74,7 @@
     cluster->store_answered_at = cluster->context->now;
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
 bool tw_cluster_is_leader(const tw_cluster *cluster) { return cluster->role == TW_ROLE_LEADER; }
 
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,19 +1,22 @@
-/* The cluster: which node leads, what this node may do now, and what the other nodes may do without
- * it. A state machine over the context: inputs are requests of peers, responses and ticks; effects
- * are calls and replies.
+/* The cluster determines which node leads, what this node is permitted to do, and what other nodes
+ * may do without contact to this node. It is a state machine over the context: inputs are requests
+ * of peers, responses and ticks; effects are calls and replies.
  *
- * It owns the leader's lease and key in the state service, the fencing token of the term, the peers
- * and what each of them is known to know, the delegates that renew workers' leases for a leader
- * they can't reach, and which node a worker is told to send heartbeats to. Nothing outside the
- * package reads its members. Called by the core, the store and the modules of workers and jobs.
+ * It manages the leader's lease and key in the state service, the fencing token of the term, the
+ * peers and the cancellations that each of them has acknowledged, the lease delegates, which renew
+ * workers' leases on behalf of a leader that they can't reach, and the redirection of workers to
+ * the node that should get their heartbeats. Only this package reads the members of its types. The
+ * core, the store and the modules for workers and jobs call it.
  *
  * Invariants:
- *   - fencing tokens grow strictly: a token is the revision of the transaction that wrote the key;
- *   - authority to command ends before the leader's lease can, and at once when the leader learns
- * of a higher token;
- *   - what a peer is entitled to is noted as ending no earlier than the peer itself takes it to
- * end;
- *   - a leader acts on an expired worker's lease only if it knows the delegates' keys as they are.
+ *   - fencing tokens increase strictly: a token is the store revision of the transaction that wrote
+ *     the leader's key;
+ *   - the authority to command ends before the leader's lease can expire, and immediately when the
+ *     leader learns of a higher token;
+ *   - a permission of a peer to renew leases is recorded as ending no earlier than the peer itself
+ *     considers it to end;
+ *   - a leader acts on the expiry of a worker's lease only if the delegates' keys that it knows are
+ *     up to date.
  * docs/design.md, "Authority", has the argument. */
 #ifndef TW_CLUSTER_H
 #define TW_CLUSTER_H
@@ -23,200 +26,212 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Key of the leader in the state service. */
+/* Key in the state service that names the leader. */
 #define TW_LEADER_KEY "leader"
-/* Key of a delegate: this and the node's name; and room for one. */
+/* Prefix of the key of a delegate, which the node's name follows; and size of a buffer for it. */
 #define TW_DELEGATE_KEY "dep/"
 #define TW_DELEGATE_KEY_SIZE (TW_NAME_SIZE + sizeof TW_DELEGATE_KEY)
-/* Prefix of the keys of jobs' records, which a delegate lists. */
+/* Prefix of the keys of job records. A delegate lists these to find cancelled jobs. */
 #define TW_JOB_KEY "job/"
 
 typedef struct tw_cluster tw_cluster;
 
-/* What the cluster tells its owner. The functions are called from within the package's own, at the
- * moment of the change. */
+/* Callbacks of the cluster. They are invoked from within functions of this package, when the change
+ * happens. */
 typedef struct {
-    void *owner; /* first argument of each */
-    /* This node leads: it decides nothing before tw_cluster_activate. */
+    void *owner; /* first argument of each callback */
+    /* Called when this node starts to lead. It makes no decisions before tw_cluster_activate. */
     void (*term_began)(void *owner);
-    /* This node leads no more: everything that belongs to the term is to be forgotten. */
+    /* Called when this node stops leading. The owner discards all state of the term. */
     void (*term_ended)(void *owner);
-    /* The leader's lease was renewed: what waited for authority may go on. */
+    /* Called when the leader's lease was renewed. Work that waited for authority may proceed. */
     void (*lease_renewed)(void *owner);
-    /* A peer knows of more cancellations: those that waited for it may be confirmed. */
+    /* Called when a peer has acknowledged further cancellations. Cancellations that waited for the
+     * peer may be confirmed to their users. */
     void (*cancellations_known)(void *owner);
-    /* This node may answer workers as a delegate: held heartbeats may be tried again. */
+    /* Called when this node may answer workers as a delegate. Held heartbeats may be retried. */
     void (*delegate_ready)(void *owner);
-    /* Fills in the ids of at most `most` cancelled jobs that may still run; returns how many there
-     * are. */
+    /* Fills in the ids of at most `most` cancelled jobs that may still run. Returns the number of
+     * such jobs, which may be greater than `most`. */
     int (*list_cancelled)(void *owner, const char **ids, int most);
 } tw_cluster_owner;
 
-/* What a node may do now. Every path asks tw_cluster_may. */
+/* Permissions of a node, checked by tw_cluster_may before each such action. */
 typedef enum {
     TW_PERMISSION_COMMAND, /* launch, stop and forget tasks */
-    TW_PERMISSION_WRITE,   /* decide, and write records */
+    TW_PERMISSION_WRITE,   /* make scheduling decisions and write records */
     TW_PERMISSION_ANSWER,  /* answer users from memory */
-    TW_PERMISSION_RENEW    /* answer workers, which renews their leases, and stop tasks with that */
+    TW_PERMISSION_RENEW /* answer heartbeats, which renews leases; the answer may also stop tasks */
 } tw_permission;
 
-/* context: not owned; its settings and time must be set. */
+/* Creates a cluster. context: not owned; its settings and time must be set. *owner is copied. */
 tw_cluster *tw_cluster_new(tw_context *context, const tw_cluster_owner *owner);
 void tw_cluster_free(tw_cluster *cluster);
-/* The process ends: this node leads no more, and nobody is told. */
+/* Makes this node a follower when the process ends, without calling term_ended. */
 void tw_cluster_stop(tw_cluster *cluster);
 
 /* ---- inputs ---- */
 
-/* Timed work: the election, the leader's lease, heartbeats to peers. */
+/* Does the periodic work: elections, renewal of the leader's lease, heartbeats to peers. */
 void tw_cluster_tick(tw_cluster *cluster);
-/* Timed work of a delegate: keeps the list of cancelled jobs fresh. */
+/* Does the periodic work of a delegate: refreshes the list of cancelled jobs. */
 void tw_cluster_delegate_tick(tw_cluster *cluster);
-/* Timed work of a leader that may command: keeps what it knows of the delegates' keys fresh. */
+/* Does the periodic work of a leader that may command: refreshes the delegates' keys. */
 void tw_cluster_registry_tick(tw_cluster *cluster);
-/* The response to a call of this package. */
+/* Processes the response to a call of this package. */
 void tw_cluster_response(tw_cluster *cluster, tw_call *sent, int status, const char *body,
                          size_t len);
-/* A heartbeat of a peer, to be answered at that connection. */
+/* Processes a peer heartbeat and replies to it on the connection. */
 void tw_cluster_receive_heartbeat(tw_cluster *cluster, uint64_t connection, const char *body,
                                   size_t len);
-/* Any sign of a leader: from the state service, a peer or a worker. leader: its name; NULL: not
- * known. A leader that learns of a higher token steps down. */
+/* Records that a leader with this token exists, from the state service, a peer or a worker. leader:
+ * its name; NULL: unknown. If this node leads with a lower token, it steps down. */
 void tw_cluster_observe_token(tw_cluster *cluster, uint64_t token, const char *leader);
-/* The term of a leader ends. why: for the log. */
+/* Ends the term if this node leads. why: reason for the log. */
 void tw_cluster_step_down(tw_cluster *cluster, const char *why);
-/* The records are read: the leader may decide. */
+/* Marks the records as read, which lets the leader make decisions. */
 void tw_cluster_activate(tw_cluster *cluster);
-/* The state service answered a call of another package. */
+/* Records that the state service answered a call of another package. */
 void tw_cluster_note_store_answer(tw_cluster *cluster);
 
-/* ---- who leads, and what this node may do ---- */
+/* ---- leadership and permissions ---- */
 
 bool tw_cluster_may(const tw_cluster *cluster, tw_permission permission);
 bool tw_cluster_is_leader(const tw_cluster *cluster);
-/* Whether this node leads and still reads the records; and whether it leads and has read them. */
+/* Return whether this node leads and is still reading the records; and whether it leads and has
+ * read them. */
 bool tw_cluster_is_loading(const tw_cluster *cluster);
 bool tw_cluster_is_active(const tw_cluster *cluster);
-/* Whether authority lasts for so many seconds more, if it isn't renewed. */
+/* Returns whether authority lasts for this many more seconds without a renewal. */
 bool tw_cluster_authority_lasts(const tw_cluster *cluster, double seconds);
-/* Fencing token of this node's last term, the highest one seen, and that of the last leader whose
- * name is known; 0: none. */
+/* Return the fencing token of this node's last term, the highest token seen, and the token of the
+ * last leader whose name is known; 0: none. */
 uint64_t tw_cluster_token(const tw_cluster *cluster);
 uint64_t tw_cluster_highest_token(const tw_cluster *cluster);
 uint64_t tw_cluster_leader_token(const tw_cluster *cluster);
-/* When this node's last term began; steady seconds. */
+/* Returns the time at which this node's last term began, in steady seconds. */
 double tw_cluster_term_began_at(const tw_cluster *cluster);
-/* Length of the leader's lease in seconds. */
+/* Returns the length of the leader's lease in seconds. */
 double tw_cluster_lease_s(const tw_cluster *cluster);
-/* Address of the node that leads; NULL: none is known, or it is this node. */
+/* Returns the address of the leader; NULL if no leader is known or this node is the leader. */
 const char *tw_cluster_leader_addr(const tw_cluster *cluster);
-/* Whether that node answered a heartbeat sent within so many seconds and half a lease. */
+/* Returns whether another node leads and has answered a heartbeat that was sent at most within_s
+ * seconds plus half of the leader's lease ago. */
 bool tw_cluster_leader_answers(const tw_cluster *cluster, double within_s);
-/* Whether neither the state service nor any peer answers. */
+/* Returns whether neither the state service nor any peer answers. */
 bool tw_cluster_is_isolated(const tw_cluster *cluster);
-/* Seconds since the state service last answered. */
+/* Returns the number of seconds since the state service last answered. */
 double tw_cluster_store_silent_s(const tw_cluster *cluster);
-/* How long a leader leaves the state service's limit to others after an answer with this status;
- * 0: no longer. */
+/* Returns for how many seconds a leader sends no further request after a response with this status,
+ * so that other nodes get their share of the state service's rate limit; 0: not rate-limited. */
 double tw_cluster_rate_limited_wait_s(tw_cluster *cluster, int status);
 
-/* ---- the fence: compares under which a leader writes ---- */
+/* ---- the fence: the compares that a leader's writes include ---- */
 
-/* The compare of the leader's key with this node's token. */
+/* Returns the compare of the leader's key with this node's token. */
 tw_wire_compare tw_cluster_leader_compare(const tw_cluster *cluster);
-/* How many compares tw_cluster_fence fills in at most. */
+/* Returns the maximum number of compares that tw_cluster_fence fills in. */
 size_t tw_cluster_fence_size(const tw_cluster *cluster);
-/* The compares of every write that may follow from an expired lease: the leader's key, and each
- * delegate's key as it is known. keys: room for the keys' names. Returns how many there are. */
+/* Fills in the compares of each write that may depend on an expired lease: one of the leader's key,
+ * and one of each delegate's key at its known revision. keys: buffer for the names of the
+ * delegates' keys, which must live as long as compares. Returns the number of compares. */
 size_t tw_cluster_fence(const tw_cluster *cluster, tw_wire_compare *compares,
                         char (*keys)[TW_DELEGATE_KEY_SIZE]);
 
-/* ---- delegates, as the leader knows them (delegate_registry.c) ---- */
+/* ---- delegates, as known to the leader (delegate_registry.c) ---- */
 
-/* Whether the delegates' keys were read in this term, and when that was last asked for. */
+/* Return whether the delegates' keys were read in this term; and when the last request was sent
+ * that showed the keys to be as known. */
 bool tw_cluster_delegates_known(const tw_cluster *cluster);
 double tw_cluster_delegates_checked_at(const tw_cluster *cluster);
-/* A write under tw_cluster_fence went through that was sent then: the keys are as they are known.
- */
+/* Records that a write with tw_cluster_fence, sent at sent_at, succeeded, which confirms the known
+ * revisions of the delegates' keys. */
 void tw_cluster_delegates_confirmed(tw_cluster *cluster, double sent_at);
-/* Reads the delegates' keys, unless that is under way. */
+/* Reads the delegates' keys, unless a read is in flight. */
 void tw_cluster_read_delegates(tw_cluster *cluster);
-/* A worker's lease is taken for expired now. If a delegate turns out to have had its key unknown to
- * this node, the term ends. */
+/* Records that this node considers a worker's lease expired now. The term ends if a read of the
+ * delegates' keys shows later that a delegate was unknown at that time. */
 void tw_cluster_note_expiry(tw_cluster *cluster);
-/* Until when some delegate of the zone ("": of any) may have answered workers. */
-double tw_cluster_delegates_until(const tw_cluster *cluster, const char *zone);
-/* When a worker's lease has surely expired that was last renewed at `renewed_at` as far as this
- * node can know: peers of the zone ("": of any) may have renewed it since. lease_s: length by any
- * clock.
+/* Returns until when a delegate of the zone ("": of any zone) may have answered workers, by its
+ * key.
  */
+double tw_cluster_delegates_until(const tw_cluster *cluster, const char *zone);
+/* Returns when a worker's lease, last renewed by this node at renewed_at, has certainly expired,
+ * given that peers of the zone ("": of any zone) may have renewed it since by delegation. lease_s:
+ * length of the lease by the slowest permitted clock. */
 double tw_cluster_lease_expires_at(const tw_cluster *cluster, const char *zone, double renewed_at,
                                    double lease_s);
 
-/* ---- bounds on renewing workers' leases without authority (authority.c) ---- */
+/* ---- bounds on renewal without authority (authority.c) ---- */
 
-/* Until when an earlier leader may have answered a worker that has not seen this node's token. */
+/* Returns until when an earlier leader may have answered a worker that has not seen this node's
+ * token. */
 double tw_cluster_predecessor_renewals_end(const tw_cluster *cluster);
-/* How long a node may answer workers if it can't exclude that another one leads. */
+/* Returns for how many seconds a node may answer workers while it can't exclude that another node
+ * leads. */
 double tw_cluster_renewal_if_superseded_s(const tw_cluster *cluster);
 
-/* ---- cancellations, which delegates must know of (peer_heartbeat.c) ---- */
+/* ---- acknowledgement of cancellations by delegates (peer_heartbeat.c) ---- */
 
 /* Whether all nodes that may answer a machine without the leader know that a job is cancelled. */
 typedef enum {
-    TW_CANCELLATION_UNREACHABLE = -1, /* some can't be asked now */
-    TW_CANCELLATION_PENDING,          /* some don't know it yet */
+    TW_CANCELLATION_UNREACHABLE = -1, /* a node that doesn't know it yet can't be reached */
+    TW_CANCELLATION_PENDING,          /* a node doesn't know it yet */
     TW_CANCELLATION_SAFE
 } tw_cancellation_safety;
-/* A number for a new cancellation: peers confirm all cancellations up to a number. */
+/* Returns the number of a new cancellation. Peers acknowledge all cancellations up to a number. */
 uint64_t tw_cluster_next_cancellation(tw_cluster *cluster);
-/* For one machine of the zone ("": not known) and the cancellation of that number. tell: peers that
- * don't know it get a heartbeat at once. */
+/* Returns the safety of the cancellation with this number for a machine of the zone ("": unknown
+ * zone). tell: sends a heartbeat immediately to peers that don't know of the cancellation. */
 tw_cancellation_safety tw_cluster_cancellation_safety(tw_cluster *cluster, const char *zone,
                                                       uint64_t number, bool tell);
 
 /* ---- this node as a delegate (lease_delegate.c) ---- */
 
-/* Whether this node may answer the worker in the leader's place. */
+/* Returns whether this node may answer the worker on behalf of the leader. */
 bool tw_cluster_delegate_may_answer(const tw_cluster *cluster, const char *worker,
                                     const char *zone);
-/* Asks to be a delegate: writes this node's key, unless that is under way or was tried just now. */
+/* Writes this node's delegate key to become a delegate, unless a write is in flight or the last
+ * attempt was too recent. */
 void tw_cluster_request_delegation(tw_cluster *cluster);
-/* This node answers a worker as a delegate; asks for a longer entitlement when it is half over. */
+/* Records that this node answers a worker as a delegate. Renews this node's delegate key when half
+ * of its validity has passed. */
 void tw_cluster_note_delegate_answer(tw_cluster *cluster);
-/* Whether a delegate has to stop the job's tasks: it is cancelled. */
+/* Returns whether a delegate must stop the tasks of the job because it is cancelled. */
 bool tw_cluster_delegate_stops(const tw_cluster *cluster, const char *job);
-/* The leader answered the worker through this node, to a heartbeat sent to it at that time. */
+/* Records that the leader answered a heartbeat of the worker that this node forwarded at sent_at.
+ */
 void tw_cluster_note_forwarded(tw_cluster *cluster, const char *worker, double sent_at);
 
 /* ---- peers ---- */
 
-/* Whether every peer has said that it reads chunked records; and whether one says that it doesn't.
- */
+/* Return whether every peer has reported that it reads chunked records; and whether any peer has
+ * reported that it doesn't. */
 bool tw_cluster_all_read_chunks(const tw_cluster *cluster);
 bool tw_cluster_any_lacks_chunks(const tw_cluster *cluster);
-/* Whether a peer is known to be of an earlier version, and no other one answers: should this node
- * end now, a node of an earlier version leads next. */
+/* Returns whether a peer is known to be of an earlier version and no peer of this version answers.
+ * If this node ended now, a node of the earlier version would lead next. */
 bool tw_cluster_only_earlier_may_succeed(const tw_cluster *cluster);
-/* Whether some node of that zone answers this one. */
+/* Returns whether any peer in the zone answers this node's heartbeats. */
 bool tw_cluster_zone_has_live_peer(const tw_cluster *cluster, const char *zone);
-/* Whether a zone that has nodes is another one than this node's, and none of its nodes answers, or
- * one does so for less than back_s. */
+/* Returns whether the zone, which is not this node's, is partitioned from this node: it has nodes,
+ * but none of them answers, or one of them has answered again for less than back_s seconds. */
 bool tw_cluster_zone_is_cut(const tw_cluster *cluster, const char *zone, double back_s);
 
-/* ---- which node a worker sends heartbeats to (worker_routing.c) ---- */
+/* ---- redirection of workers (worker_routing.c) ---- */
 
-/* Whether some node of that zone can be named to its workers. */
+/* Returns whether workers of the zone can be redirected to a node of their zone. */
 bool tw_cluster_zone_has_home(const tw_cluster *cluster, const char *zone);
-/* Redirects a worker of another zone to a node of its own. false: it was not, since there is none,
- * or the worker came back from there. */
+/* Redirects a worker of another zone to a node of its own zone. Returns false, without a reply, if
+ * there is no such node or the worker has come back from it. */
 bool tw_cluster_redirect_home(tw_cluster *cluster, uint64_t connection, const char *worker,
                               const char *zone);
-/* Redirects a worker of this node's zone whose lease would not survive this node's end in a cut of
- * the zone, to another node of the zone where it would. false: it was not. */
+/* Redirects a worker of this node's zone to another node of the zone, if the worker's lease would
+ * expire should this node fail while the zone is partitioned, and would not at the other node.
+ * Returns false, without a reply, if the worker was not redirected. */
 bool tw_cluster_redirect_safer(tw_cluster *cluster, uint64_t connection, const char *worker,
                                const char *zone);
-/* Redirects a worker to the node that leads. false: it was not. */
+/* Redirects a worker to the leader. Returns false, without a reply, if it was not redirected. */
 bool tw_cluster_redirect_to_leader(tw_cluster *cluster, uint64_t connection, const char *worker);
 
 #endif
--- a/src/cluster/cluster_int.h
+++ b/src/cluster/cluster_int.h
@@ -1,15 +1,15 @@
-/* What the modules of the cluster share. Not for other packages.
+/* Internal interface of the cluster, shared by its modules. Not for other packages.
  *
  * election.c               the leader's key, elections, terms
  * leader_lease.c           the leader's lease, and the authority that follows from it
- * authority.c              what this node may do, and until when others may answer workers
- * peer_heartbeat.c         heartbeats between nodes, and what the peers know
+ * authority.c              permissions of this node, and bounds on those of other nodes
+ * peer_heartbeat.c         heartbeats between nodes, acknowledgement of cancellations
  * peer_versions.c          peers of an earlier version, during a rolling upgrade
  * lease_delegate.c         this node as a delegate of a leader that can't be reached
- * delegate_registry.c      the delegates, as the leader knows them
- * worker_routing.c         which node a worker is told to send heartbeats to
- * worker_failover_paths.c  where a worker goes when its node ends
- * cluster.c                the cluster's life, and questions about its state */
+ * delegate_registry.c      the delegates, as known to the leader
+ * worker_routing.c         redirection of workers to the node that should get their heartbeats
+ * worker_failover_paths.c  whether workers of a node reach another one in time when it fails
+ * cluster.c                creation and freeing of the cluster, inputs, queries about its state */
 #ifndef TW_CLUSTER_INT_H
 #define TW_CLUSTER_INT_H
 #include "cluster/cluster.h"
@@ -20,51 +20,51 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Room for the path of a request to the state service that holds a few numbers. */
+/* Size of a buffer for the path of a request to the state service that holds a few numbers. */
 #define TW_PATH_SIZE 160
 
 typedef enum { TW_ROLE_FOLLOWER, TW_ROLE_LEADER } tw_role;
-/* A leader reads the records before it decides anything. */
+/* Phase of a term. The leader makes no decisions while it reads the records (loading). */
 typedef enum { TW_PHASE_LOADING, TW_PHASE_ACTIVE } tw_leader_phase;
 
 /* Another node. Times are steady seconds of this node's clock. */
 typedef struct tw_peer {
     tw_config_peer config;
-    /* A worker that sends it heartbeats finds another node of its zone within its lease when this
-     * one ends, also where no other zone can be reached; see worker_failover_paths.c. */
+    /* A worker that sends heartbeats to the peer reaches another node of its zone before its lease
+     * expires if the peer fails, even if other zones are unreachable (worker_failover_paths.c). */
     bool failover_in_time;
 
     double next_heartbeat_at;
     int heartbeats_in_flight;
-    double answered_at; /* when the last heartbeat was sent that it answered */
-    double back_at;     /* when it answered again after a silence */
-    double
-        vouched_at; /* when the last heartbeat was sent whose answer shows that it did not lead */
-    uint64_t highest_token; /* that it said it had seen */
-    bool store_reachable;   /* its calls to the state service succeed */
-    int record_format;      /* TW_RECORD_FORMAT_* that it can read; 0: none was heard */
-
-    uint64_t cancellations_known; /* it knows of the cancellations up to this number, */
-    uint64_t cancellations_told;  /* and was told of those up to this one */
-
-    uint64_t delegate_revision; /* of its key as a delegate; 0: none */
-    double delegate_until;      /* it may answer workers until then, by its key, */
-    double delegation_until;    /* and by this node's answer to its heartbeat */
-    /* When it last answered a worker as a delegate, as it said in its answer to a heartbeat that
-     * was sent at the second of these times. */
+    double answered_at;     /* send time of the last heartbeat that the peer answered */
+    double back_at;         /* when the peer answered again after it had not answered */
+    double vouched_at;      /* the peer had certainly not led until then */
+    uint64_t highest_token; /* highest token that the peer has reported */
+    bool store_reachable;   /* the peer reports that the state service answers it */
+    int record_format;      /* TW_RECORD_FORMAT_* that the peer can read; 0: not reported yet */
+
+    uint64_t cancellations_known; /* the peer acknowledged the cancellations up to this number */
+    uint64_t cancellations_told; /* cancellations up to this number were sent to the peer at once */
+
+    uint64_t delegate_revision; /* mod revision of the peer's delegate key; 0: none */
+    double delegate_until;      /* the peer may answer workers until then by its delegate key */
+    double delegation_until;    /* the same by delegation in this node's answer to its heartbeat */
+    /* When the peer last answered a worker as a delegate, by its own report; and the send time of
+     * the heartbeat whose answer contained this report. */
     double delegate_answered_at, delegate_answered_as_of;
 
-    /* Workers that came back from it since the first time; none is sent there until the second. */
+    /* Count of workers that came back from the peer, and when the counting began; an avoided peer
+     * is not the target of redirects until avoided_until. */
     double avoid_counted_from, avoided_until;
     int returned_workers;
 } tw_peer;
 
-/* A worker, and the node that it was last told to send heartbeats to. */
+/* The last redirect of a worker. */
 typedef struct tw_worker_redirect {
-    char name[TW_NAME_SIZE];
+    char name[TW_NAME_SIZE]; /* name of the worker */
     const tw_peer *target;
     double at;
-    bool came_back; /* it sent a heartbeat here again */
+    bool came_back; /* the worker sent a heartbeat to this node again */
     UT_hash_handle hh;
 } tw_worker_redirect;
 
@@ -75,54 +75,56 @@
     /* The term (election.c, authority.c). */
     tw_role role;
     tw_leader_phase phase;
-    uint64_t lease_id; /* of the leader's lease in the state service; 0: none */
-    uint64_t token;    /* of this node's last term */
+    uint64_t lease_id; /* id of the leader's lease in the state service; 0: none */
+    uint64_t token;    /* fencing token of this node's last term */
     uint64_t highest_token;
     double lease_s; /* length of the leader's lease */
     double authority_until, term_began_at;
-    double peers_confirmed_at; /* when all peers had said that they know the token; 0: not yet */
-    bool could_command, could_renew; /* permissions when last looked at, for the log */
+    double peers_confirmed_at;       /* when all peers had reported the token; 0: not yet */
+    bool could_command, could_renew; /* permissions at the last tw_cluster_log_permissions */
     double next_renewal_at, renewal_sent_at;
     int renewals_in_flight;
 
     /* Following the leader's key, and elections (election.c). */
-    char leader_name[TW_NAME_SIZE]; /* "": not known */
+    char leader_name[TW_NAME_SIZE]; /* "": unknown */
     uint64_t leader_token;
     double next_leader_read_at;
     bool leader_read_in_flight, election_in_flight;
-    uint64_t watch_from_revision; /* to watch the leader's key from; 0: read it first */
+    uint64_t watch_from_revision; /* revision for the next watch; 0: the key must be read first */
     double lease_requested_at;
-    uint64_t replaced_revision; /* of this node's own key, which an election replaces; 0: none */
-    uint64_t replaced_lease_id; /* which that key hung on: it must end before the term begins */
-    tw_rate_limiter election_limiter; /* this node's part of the requests that elections may take */
-    int election_refusals;            /* of those, in a row */
+    uint64_t replaced_revision; /* mod revision of this node's old key to replace; 0: none */
+    uint64_t replaced_lease_id; /* lease of that old key, revoked before the new term; 0: none */
+    tw_rate_limiter election_limiter; /* limits this node's requests for watches and elections */
+    int election_refusals; /* consecutive rate-limited responses to these, at most REFUSED_MOST */
 
     /* Peers (peer_heartbeat.c). */
     tw_peer *peers;
     size_t peer_count;
     double started_at, store_answered_at;
-    bool failover_in_time;          /* of this node, as of a peer */
-    uint64_t cancellation_sequence; /* numbers the cancellations */
-    double mixed_versions_since;    /* when this node first heard of a peer of an earlier version */
+    bool failover_in_time;          /* like tw_peer.failover_in_time, for this node */
+    uint64_t cancellation_sequence; /* number of the last cancellation */
+    double mixed_versions_since;    /* when the first peer of an earlier version was noticed */
 
     /* This node as a delegate (lease_delegate.c). */
-    uint64_t delegate_token, delegate_sequence; /* of the key that this node wrote */
-    double delegate_until;                      /* by that key */
+    uint64_t delegate_token, delegate_sequence; /* token and number in this node's delegate key */
+    double delegate_until;                      /* end of the permission by that key */
     bool delegate_write_in_flight;
     double next_delegate_attempt_at;
-    uint64_t delegation_token; /* of the leader that delegated in answer to a heartbeat, */
-    double delegation_until;   /* and until when */
-    double delegate_answered_at;
-    tw_expiring_name *forwarded_workers; /* and when the leader last answered them through us */
+    uint64_t delegation_token;   /* token of the leader that delegated in a heartbeat answer */
+    double delegation_until;     /* end of the permission by that delegation */
+    double delegate_answered_at; /* when this node last answered a worker as a delegate */
+    /* Workers whose heartbeats this node forwarded, with the send time of the last heartbeat that
+     * the leader answered. */
+    tw_expiring_name *forwarded_workers;
     double next_forwarded_sweep_at;
-    tw_expiring_name *listed_cancelled_jobs;    /* read from the state service */
-    tw_expiring_name *announced_cancelled_jobs; /* said by the leader */
-    double cancelled_read_at;                   /* when the last whole reading began */
+    tw_expiring_name *listed_cancelled_jobs;    /* jobs found cancelled in the state service */
+    tw_expiring_name *announced_cancelled_jobs; /* cancelled jobs that the leader named */
+    double cancelled_read_at; /* when the last complete read of the cancelled jobs began */
     bool cancelled_list_in_flight;
     double cancelled_list_began_at, next_cancelled_list_at;
-    char cancelled_list_cursor[TW_WIRE_KEY_SIZE]; /* "": from the beginning */
+    char cancelled_list_cursor[TW_WIRE_KEY_SIZE]; /* last key read; "": the read starts over */
 
-    /* The delegates, at the leader (delegate_registry.c). */
+    /* The delegates as known to the leader (delegate_registry.c). */
     bool delegates_read_in_flight, delegates_known;
     double delegates_checked_at, next_delegates_read_at, expiry_decided_at;
 
@@ -132,80 +134,90 @@
 };
 
 /* ---- election.c ---- */
-/* Sets the rate at which this node may send requests for elections. */
+/* Initializes the limiter of this node's requests for watches and elections. */
 void tw_cluster_init_election(tw_cluster *cluster);
-/* The state service answered a call about the leader's key or lease. */
+/* Processes the response of the state service to a call about the leader's key or lease. */
 void tw_cluster_election_response(tw_cluster *cluster, const tw_call *sent, int status,
                                   const char *body, size_t len);
-/* Renews the leader's lease, or follows the leader's key. */
+/* Renews the leader's lease, or watches or reads the leader's key, when that is due. */
 void tw_cluster_election_tick(tw_cluster *cluster);
 
 /* ---- leader_lease.c ---- */
-/* Until when a lease that was granted or renewed by a request sent then gives authority. */
+/* Returns when the authority ends that follows from a grant or renewal of the lease requested at
+ * sent_at. */
 double tw_cluster_authority_end(const tw_cluster *cluster, double sent_at);
-/* The state service answered a renewal. */
+/* Processes the response of the state service to a renewal. */
 void tw_cluster_renewal_response(tw_cluster *cluster, const tw_call *sent, int status);
-/* Renews the lease when that is due; ends a term without authority. */
+/* Renews the lease when that is due. Ends the term if it has lost its authority for too long. */
 void tw_cluster_leader_lease_tick(tw_cluster *cluster);
 
 /* ---- authority.c ---- */
-bool tw_cluster_has_authority(const tw_cluster *cluster); /* may command, write and answer */
-/* Whether this node may renew workers' leases although its authority has ended. */
+/* Returns whether this node leads and has authority, which includes all permissions. */
+bool tw_cluster_has_authority(const tw_cluster *cluster);
+/* Returns whether this node may renew workers' leases although its authority has ended. */
 bool tw_cluster_renews_without_authority(const tw_cluster *cluster);
-/* For how long at most a leader renews workers' leases after the end of its authority. */
+/* Returns the maximum time in seconds for which a leader renews workers' leases after the end of
+ * its authority. */
 double tw_cluster_renewal_without_authority_s(const tw_cluster *cluster);
-/* For how long a node may answer workers by its last authority or delegation, without hearing more.
- */
+/* Returns for how many seconds a node may answer workers after its last proof of authority or
+ * delegation, without further contact to the other nodes. */
 double tw_cluster_renewal_without_contact_s(const tw_cluster *cluster);
-/* Logs when authority, and the permission to renew leases, begin and end. */
+/* Logs the end of the authority to command and of the permission to renew leases. */
 void tw_cluster_log_permissions(tw_cluster *cluster);
 
 /* ---- peer_heartbeat.c ---- */
-/* The peer of that name; NULL: none. */
+/* Returns the peer with this name; NULL if there is none. */
 tw_peer *tw_cluster_find_peer(const tw_cluster *cluster, const char *name);
+/* Processes the response of a peer to a heartbeat. */
 void tw_cluster_heartbeat_response(tw_cluster *cluster, const tw_call *sent, int status,
                                    const char *body, size_t len);
-/* Whether the peer answered a heartbeat lately. */
+/* Returns whether the peer has answered a recent heartbeat. */
 bool tw_cluster_peer_answers(const tw_cluster *cluster, const tw_peer *peer);
 /* Sends the heartbeats that are due. */
 void tw_cluster_heartbeat_tick(tw_cluster *cluster);
 
 /* ---- peer_versions.c ---- */
-/* The peer says which records it reads, which shows whether it is of an earlier version. */
+/* Records which record format the peer reports to read, which shows whether it is of an earlier
+ * version. */
 void tw_cluster_note_peer_format(tw_cluster *cluster, tw_peer *from, int record_format);
-/* Whether this node is one of the two followers of this version, by name, that campaign before any
- * peer of an earlier version does. A peer that was never heard counts as such a one. */
+/* Returns whether a peer may be of an earlier version and this node is one of the two followers of
+ * this version, first by name, that campaign before such a peer does. A peer that has not reported
+ * its record format counts as one of an earlier version. */
 bool tw_cluster_campaigns_first(const tw_cluster *cluster);
 
 /* ---- lease_delegate.c ---- */
-/* How long a delegate's entitlement lasts from the sending of its write. */
+/* Returns for how many seconds a delegate key permits its node to answer workers, counted from the
+ * sending of the write. */
 double tw_cluster_delegate_lease_s(const tw_cluster *cluster);
-/* Writes the key of that node as a delegate; room for TW_DELEGATE_KEY_SIZE. */
+/* Formats the delegate key of the node. key: buffer of TW_DELEGATE_KEY_SIZE bytes. */
 void tw_cluster_delegate_key(char *key, const char *node);
-/* Cancelled jobs, as the leader of that token says in a heartbeat. */
+/* Records the cancelled jobs that the leader with this token names in a heartbeat or an answer. */
 void tw_cluster_note_cancelled(tw_cluster *cluster, uint64_t token, const char *body, size_t len);
-/* The leader's answer to a heartbeat that was sent then: this node may answer its zone's workers
- * for a while. The cancelled jobs that may still run come with it. */
+/* Records a delegation: the leader answered a heartbeat sent at sent_at, so this node may answer
+ * the workers of its zone for a limited time. body: the answer, which names the cancelled jobs that
+ * may still run. */
 void tw_cluster_delegation_granted(tw_cluster *cluster, double sent_at, uint64_t token,
                                    const char *body, size_t len);
-/* The state service answered the write of this node's key. */
+/* Processes the response of the state service to the write of this node's delegate key. */
 void tw_cluster_delegate_key_response(tw_cluster *cluster, const tw_call *sent, int status);
-/* The state service answered with a page of jobs. */
+/* Processes a response of the state service with a page of job records. */
 void tw_cluster_cancelled_page(tw_cluster *cluster, int status, const char *body, size_t len);
+/* Frees this node's state as a delegate. */
 void tw_cluster_free_delegate(tw_cluster *cluster);
 
 /* ---- delegate_registry.c ---- */
-/* A term begins: nothing is known of the delegates' keys; they are read. */
+/* Discards what is known of the delegates' keys when a term begins, and reads them. */
 void tw_cluster_reset_registry(tw_cluster *cluster);
-/* The state service answered with the keys. */
+/* Processes a response of the state service with the delegates' keys. */
 void tw_cluster_registry_page(tw_cluster *cluster, const tw_call *sent, int status,
                               const char *body, size_t len);
 
 /* ---- worker_routing.c ---- */
+/* Frees the table of redirects. */
 void tw_cluster_free_redirects(tw_cluster *cluster);
 
 /* ---- worker_failover_paths.c ---- */
-/* Works out failover_in_time of this node and its peers, from their names and zones alone. */
+/* Computes failover_in_time of this node and of its peers from their names and zones. */
 void tw_cluster_init_failover_paths(tw_cluster *cluster);
 
 #endif
--- a/src/cluster/delegate_registry.c
+++ b/src/cluster/delegate_registry.c
@@ -1,10 +1,10 @@
-/* The lease delegates, as the leader knows them by their keys in the state service.
+/* The lease delegates as known to the leader, from their keys in the state service.
  *
- * Every write of the leader is under the compare that these keys are as it knows them. It therefore
- * can't act on an expired lease that a delegate has renewed without its knowledge. */
+ * Each write of the leader compares the revisions of these keys with the known ones. It can
+ * therefore not act on the expiry of a lease that an unknown delegate has renewed. */
 #include "cluster/cluster_int.h"
 
-/* Between two readings of the keys while some node may be a delegate, in leases of workers. */
+/* Pause between two reads of the keys while some node may be a delegate, in leases of workers. */
 #define READ_LEASES 0.1
 #define CALL_TIMEOUT_S 1.0
 
@@ -28,7 +28,7 @@
     return count;
 }
 
-/* ---- what is known of the keys ---- */
+/* ---- known keys, and expiry of leases ---- */
 
 bool tw_cluster_delegates_known(const tw_cluster *cluster) { return cluster->delegates_known; }
 
@@ -57,9 +57,10 @@
 double tw_cluster_lease_expires_at(const tw_cluster *cluster, const char *zone, double renewed_at,
                                    double lease_s) {
     double expires_at = renewed_at + lease_s;
-    /* A peer of the zone may have renewed the lease while it could not reach this node: until it
-     * said, later than that lease can last, that it had not answered any worker; else until its
-     * delegation was over. */
+    /* A peer of the zone may have renewed the lease by delegation while it could not reach this
+     * node. If it reported when it last answered a worker, and did so after a lease renewed at that
+     * time had expired, the lease lasted until then at most. Otherwise the peer may have renewed it
+     * until the end of its delegation. */
     for (size_t i = 0; i < cluster->peer_count; i++) {
         const tw_peer *peer = &cluster->peers[i];
         if (peer->delegation_until <= 0) continue;
@@ -92,14 +93,15 @@
     tw_cluster_read_delegates(cluster);
 }
 
-/* Takes in a delegate's key. Returns whether it is newer than what was known. */
+/* Records the delegate key of a peer. Returns whether its revision is newer than the known one. */
 static bool note_key(tw_cluster *cluster, const tw_wire_entry *entry) {
     const size_t prefix = sizeof TW_DELEGATE_KEY - 1;
     if (strlen(entry->key) <= prefix) return false;
     tw_peer *peer = tw_cluster_find_peer(cluster, entry->key + prefix);
     if (!peer || peer->delegate_revision >= entry->mod_revision) return false;
     peer->delegate_revision = entry->mod_revision;
-    /* A key of an earlier term is covered by tw_cluster_predecessor_renewals_end. */
+    /* The time is counted from the read, since the key was written before. Delegations of earlier
+     * terms are bounded by tw_cluster_predecessor_renewals_end. */
     peer->delegate_until =
         cluster->context->now +
         tw_cluster_delegate_lease_s(cluster) * (1 + 2 * cluster->context->config->tune.drift);
@@ -117,8 +119,9 @@
     tw_wire_entries_free(entries, count);
     if (any_newer && cluster->delegates_known &&
         cluster->expiry_decided_at > cluster->delegates_checked_at) {
-        /* A lease was taken for expired while a delegate that was not known may have renewed it.
-         * What was decided since can't be told apart, so the next term starts from the records. */
+        /* A lease was considered expired although an unknown delegate may have renewed it.
+         * Decisions that depend on this can't be identified, so the term ends, and the next one
+         * starts from the records. */
         tw_cluster_step_down(cluster, "an unseen delegate");
         return;
     }
@@ -126,7 +129,7 @@
     cluster->delegates_known = true;
 }
 
-/* Whether the peer may be answering workers without this node. */
+/* Returns whether the peer may be answering workers without contact to this node. */
 static bool may_be_delegate(const tw_cluster *cluster, const tw_peer *peer) {
     const double now = cluster->context->now;
     return peer->answered_at < now - 1 - 0.5 * cluster->lease_s || peer->delegate_until > now;
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -1,48 +1,53 @@
-/* Elections. The leader holds a key under a lease of the state service; its fencing token is the
- * revision of the transaction that wrote the key, so tokens grow strictly. Followers watch the key
- * and campaign when it is gone. */
+/* Elections. The leader holds a key in the state service that is attached to a lease. The fencing
+ * token is the store revision of the transaction that wrote the key, so tokens increase strictly.
+ * Followers watch the key and campaign when it is removed. */
 #include "cluster/cluster_int.h"
 #include <cjson/cJSON.h>
 
 /* Times as shares of the leader's lease. */
 #define ELECTION_TIMEOUT 0.5
-#define ACQUIRED_LATEST 0.9   /* a later acquisition is given up: authority would end at once */
-#define READ_PAUSE_LEAST 0.15 /* between two readings of the key */
+#define ACQUIRED_LATEST 0.9   /* a later acquisition is abandoned: authority would end at once */
+#define READ_PAUSE_LEAST 0.15 /* pause between two reads of the key */
 #define READ_PAUSE_MOST 0.25
 #define WATCH_RETRY_LEAST 0.1
 #define WATCH_RETRY_MOST 0.2
-#define CHANGED_SPREAD 0.08 /* over which followers read a key that has changed */
+#define CHANGED_SPREAD 0.08 /* time over which followers spread their reads of a changed key */
 #define LOST_LEAST 0.05     /* pause after a lost election */
 #define LOST_MOST 0.2
 #define RESIGNED_LEAST 0.05 /* pause after the end of a term */
 #define RESIGNED_MOST 0.25
 
-#define OWN_KEY_GONE_S 0.05 /* from the end of this node's own old lease to the next reading */
-#define WATCH_ANSWER_S 0.5  /* in which a watch's answer arrives, beside half a lease */
-#define WATCH_MOST_S 60.0   /* by the protocol */
+#define OWN_KEY_GONE_S                                                                             \
+    0.05 /* pause from revoking the lease of this node's old key to the next read */
+#define WATCH_ANSWER_S                                                                             \
+    0.5                   /* part of the timeout of a watch beyond its hold time and half a lease */
+#define WATCH_MOST_S 60.0 /* maximum hold time of a watch in the protocol */
 #define REVOKE_TIMEOUT_S 1.0
 #define MS_PER_S 1000
 
 /* ---- the state service's limit of requests ---- */
 
-/* Share of the limit with which all nodes together follow the leader's key and elect. What is left
- * is the leader's: renewals, reading the records, writes. */
+/* Share of the request limit that all nodes together use to watch the leader's key and to elect a
+ * leader. The rest is for the leader: lease renewals, reads of the records, writes. */
 #define FOLLOW_SHARE 0.4
-/* Requests of a whole election: read, lease, acquisition, its end, read, watch. */
+/* Number of requests of a complete election: read, lease, acquisition, its revocation, read, watch.
+ */
 #define ELECTION_REQUESTS 6.0
-/* Watches take at most so much of it, so that an election finds some left. */
+/* Share of a node's election rate that watches may use. The rest is left for an election. */
 #define WATCH_SHARE 0.8
-/* Followers that saw the key disappear read it spread over at least so many rounds of one request a
- * node: the first one has often acquired it before the next one reads. */
+/* Time over which followers spread their reads after the key has changed, at least, in rounds of
+ * one request per node. The first follower has then often acquired the key before the next one
+ * reads. */
 #define SPREAD_ROUNDS 0.8
-/* Refused requests of a follower in a row after which its waits grow no further. */
+/* Number of consecutive rate-limited requests after which a follower's waits grow no further. */
 #define REFUSED_MOST 3
-/* After a refusal the leader leaves the limit to others for so many requests. */
+/* Wait of a rate-limited leader, which leaves this many requests of the limit to other nodes; and
+ * the range of the random factor of waits. */
 #define LEADER_WAIT_REQUESTS 4.0
 #define WAIT_LEAST 0.5
 #define WAIT_MOST 1.5
 
-/* Time in which the limit allows one request to each node. */
+/* Returns the seconds in which the limit allows one request per node. */
 static double request_round_s(const tw_cluster *cluster) {
     return (double)(cluster->peer_count + 1) / cluster->context->config->state_rps;
 }
@@ -60,8 +65,8 @@
            tw_context_random(cluster->context, WAIT_LEAST, WAIT_MOST);
 }
 
-/* A node whose requests are refused asks ever less often. If all nodes went on at their full rate
- * and exceeded the limit together, none of them would get through. */
+/* Backs off exponentially after rate-limited requests. If all nodes continued at their full rate
+ * and exceeded the limit together, none of their elections would complete. */
 static void note_rate_limit(tw_cluster *cluster, int status) {
     if (status != TW_HTTP_TOO_MANY) {
         if (status) cluster->election_refusals = 0;
@@ -73,8 +78,8 @@
     cluster->next_leader_read_at = fmax(cluster->next_leader_read_at, cluster->context->now + wait);
 }
 
-/* A request of an election that has begun. It is made whatever the rate limiter holds; the debt is
- * paid back before the next reading of the key. */
+/* Sends a request of an election in progress, regardless of the rate limiter. A negative balance of
+ * the limiter delays the next read of the key. */
 static tw_call *election_call(tw_cluster *cluster, tw_call_kind kind, const char *method,
                               const char *path, char *body /* owned */, double timeout_s) {
     tw_rate_limiter_refund(&cluster->election_limiter, -1);
@@ -125,7 +130,7 @@
     for (size_t i = 0; i < cluster->peer_count; i++) {
         cluster->peers[i].next_heartbeat_at = cluster->context->now;
         cluster->peers[i].cancellations_known = cluster->peers[i].cancellations_told = 0;
-        /* What this node delegated in an earlier term was under an older token. */
+        /* Delegations of this node's earlier terms are bound to an older token. */
         cluster->peers[i].delegation_until = 0;
     }
     tw_cluster_observe_token(cluster, token, cluster->context->config->host_name);
@@ -146,10 +151,10 @@
                  fmax(1, cluster->lease_s * ELECTION_TIMEOUT));
 }
 
-/* A watch takes the place of many readings: the state service's limit is for all nodes together,
- * and a watch tells the end of the leader's key at once. It is held for one lease, since its answer
- * also shows that the state service answers; longer only where the limit allows no watch a lease.
- */
+/* Watches the leader's key. A watch replaces many reads, which matters since all nodes share the
+ * request limit, and reports the removal of the key immediately. It is held for one lease of the
+ * leader, since its response also shows that the state service is reachable; and for longer only if
+ * the limit doesn't allow one watch per lease. */
 static void watch_leader_key(tw_cluster *cluster) {
     const double most_often = WATCH_SHARE * cluster->election_limiter.rate;
     const double hold = fmin(fmax(cluster->lease_s, 1 / most_often), WATCH_MOST_S);
@@ -162,7 +167,8 @@
                  hold + cluster->lease_s * 0.5 + WATCH_ANSWER_S);
 }
 
-/* replaced: this node's own key, which the acquisition is to replace; NULL: the key is absent. */
+/* Starts an election by requesting a lease. replaced: this node's own old key, which the
+ * acquisition replaces; NULL: the key is absent. */
 static void start_election(tw_cluster *cluster, const tw_wire_entry *replaced) {
     char body[64];
     cluster->election_in_flight = true;
@@ -174,7 +180,7 @@
                   cluster->lease_s * ELECTION_TIMEOUT);
 }
 
-/* Whether the answer to the watch ends with the removal of the key. */
+/* Returns whether the last change in the watch's response is the removal of the key. */
 static bool shows_key_gone(const char *body, size_t len) {
     tw_wire_entry *changes;
     int count;
@@ -184,9 +190,9 @@
     return is_gone;
 }
 
-/* Not all followers read the changed key at the same moment, but for those that are to win against
- * an earlier version's: they don't even read it where the news is that it is gone, since the
- * acquisition compares that anyway. */
+/* Handles a change of the leader's key. Followers read the key after random pauses, so that their
+ * reads don't coincide. The followers that should win against nodes of an earlier version don't
+ * pause; they don't read a removed key either, since the acquisition compares that it is absent. */
 static void on_key_changed(tw_cluster *cluster, const char *body, size_t len) {
     const bool is_first = tw_cluster_campaigns_first(cluster);
     const double spread =
@@ -218,7 +224,9 @@
 
 /* ---- elections ---- */
 
-/* token: of the term that begins once the lease has ended; 0: none does. */
+/* Revokes a lease. token: token of the term that begins when the lease has ended; 0: no term
+ * begins.
+ */
 static void revoke_lease(tw_cluster *cluster, uint64_t lease_id, uint64_t token) {
     char path[TW_PATH_SIZE];
     if (!lease_id) return;
@@ -228,10 +236,10 @@
     sent->sequence = token;
 }
 
-/* The key has this node's own name while it does not lead: it was written by an earlier process of
- * this node, or by an acquisition whose answer was lost. Nobody acts on it, so its lease is revoked
- * at once. While a peer of an earlier version may take over, the key is not left absent until the
- * next reading, but replaced. */
+/* Handles a key that names this node although it does not lead. An earlier process of this node
+ * wrote the key, or an acquisition whose response was lost. No process leads by this key, so its
+ * lease is revoked immediately. While a peer of an earlier version could take over, the key is
+ * replaced instead, so that it is not absent until the next read. */
 static void on_own_key(tw_cluster *cluster, const tw_wire_entry *entry) {
     *cluster->leader_name = 0;
     cluster->watch_from_revision = 0;
@@ -244,7 +252,7 @@
         revoke_lease(cluster, entry->lease_id, 0);
 }
 
-/* The key names a leader, at its revision. */
+/* Processes the leader's key as read from the state service. */
 static void note_leader_key(tw_cluster *cluster, const tw_wire_entry *entry, const char *leader) {
     tw_cluster_observe_token(cluster, entry->mod_revision, leader);
     if (cluster->role == TW_ROLE_FOLLOWER && !cluster->election_in_flight &&
@@ -287,14 +295,15 @@
                   tw_wire_txn_text(&unchanged, 1, &key, 1), cluster->lease_s * ELECTION_TIMEOUT);
 }
 
-/* Whether a term that begins now would have authority for a while. */
+/* Returns whether enough of the lease remains for a term that begins now. */
 static bool is_in_time(const tw_cluster *cluster) {
     return cluster->context->now < cluster->lease_requested_at + cluster->lease_s * ACQUIRED_LATEST;
 }
 
-/* The election is lost, or its outcome is unknown. To revoke the lease undoes an acquisition that
- * went through. try_again: this node may hold the key and lead by it; while a peer of an earlier
- * version may take over, the next reading shows that, and the key is replaced. */
+/* Ends an election that was lost or whose outcome is unknown. Revoking the lease undoes an
+ * acquisition that succeeded. try_again: this node may hold the key. While a peer of an earlier
+ * version could take over, the lease is then not revoked; the next read finds the key and replaces
+ * it. */
 static void give_up_election(tw_cluster *cluster, bool try_again) {
     cluster->election_in_flight = false;
     if (!try_again || !tw_cluster_any_lacks_chunks(cluster))
@@ -312,7 +321,8 @@
         !is_in_time(cluster)) {
         give_up_election(cluster, status == TW_HTTP_NO_RESPONSE);
     } else if (cluster->replaced_lease_id) {
-        /* The key no longer hangs on that lease, which an earlier process may still renew. */
+        /* The key is no longer attached to the old lease, which an earlier process of this node may
+         * still renew. */
         revoke_lease(cluster, cluster->replaced_lease_id, revision);
     } else {
         cluster->election_in_flight = false;
@@ -320,7 +330,8 @@
     }
 }
 
-/* The lease of the key that was replaced has ended, or that is not known. */
+/* Handles the response to the revocation of a lease. If it was the lease of a replaced key and has
+ * ended, the term begins. */
 static void on_revoke(tw_cluster *cluster, const tw_call *sent, int status) {
     const uint64_t token = sent->sequence;
     const bool has_ended = status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND;
@@ -368,7 +379,8 @@
     note_rate_limit(cluster, status);
 }
 
-/* Followers watch the key; a leader without authority reads it, to see whether it was replaced. */
+/* Watches or reads the leader's key when that is due. A follower watches the key; a leader without
+ * authority reads the key to learn whether it was replaced. */
 static void follower_tick(tw_cluster *cluster) {
     if (cluster->leader_read_in_flight || cluster->election_in_flight ||
         cluster->context->now < cluster->next_leader_read_at)
--- a/src/cluster/leader_lease.c
+++ b/src/cluster/leader_lease.c
@@ -1,12 +1,13 @@
 /* The leader's lease in the state service: its renewal, and the end of the term when it can't be
- * renewed. Authority to command ends before the lease can: it is counted from the sending of the
- * last successful renewal, less clock drift and a margin. */
+ * renewed. The authority to command ends before the lease can expire: it is counted from the
+ * sending of the last successful renewal and shortened by the clock drift and a margin. */
 #include "cluster/cluster_int.h"
 
 /* Times as shares of the leader's lease. */
-#define AUTHORITY_MARGIN 0.05 /* authority ends that much earlier */
+#define AUTHORITY_MARGIN 0.05 /* time by which authority ends before the lease */
 #define RENEW_EVERY 0.25
-#define RENEW_SLOW 0.2 /* a renewal that takes longer is sent a second time */
+#define RENEW_SLOW 0.2 /* time after which a second renewal is sent if the first has no response   \
+                        */
 #define RENEW_RETRY 0.1
 #define RENEW_TIMEOUT 0.4
 
@@ -49,7 +50,7 @@
 void tw_cluster_leader_lease_tick(tw_cluster *cluster) {
     const bool due =
         !cluster->renewals_in_flight && cluster->context->now >= cluster->next_renewal_at;
-    /* A second renewal goes out while the first is slow: the state service sometimes takes long. */
+    /* The state service sometimes takes long to respond, so a second renewal is sent then. */
     const bool slow =
         cluster->renewals_in_flight == 1 &&
         cluster->context->now >= cluster->renewal_sent_at + cluster->lease_s * RENEW_SLOW;
--- a/src/cluster/lease_delegate.c
+++ b/src/cluster/lease_delegate.c
@@ -1,24 +1,25 @@
-/* A node that renews its zone's leases for a leader that it can't reach: a lease delegate.
+/* This node as a lease delegate: a node that renews the leases of workers in its zone on behalf of
+ * a leader that it can't reach.
  *
- * A delegate answers workers under the leader's token and launches nothing. It is entitled to that
- * by the leader's answer to a heartbeat, or by a key in the state service that is written under the
- * compare that the leader's key still has this token; both hold for a bounded time from the sending
- * of the request.
+ * A delegate answers workers under the leader's token and launches no tasks. It gets this
+ * permission from the leader's answer to a peer heartbeat, or from a delegate key in the state
+ * service, written by a transaction that compares the leader's key with this token. Both are valid
+ * for a bounded time from the sending of the request.
  *
- * The tasks of a job that is cancelled meanwhile must be gone cancel_s after its user was told, the
- * expiry of leases included. A delegate therefore reads as often as it can which jobs are
- * cancelled, and stops their tasks. By its key it answers a worker only for
- * tw_cluster_renewal_if_superseded_s after the leader last did through it, or after it began such a
- * reading. */
+ * The tasks of a job that is cancelled meanwhile must have ended cancel_s after the cancellation
+ * was confirmed to the user, the expiry of leases included. A delegate therefore reads the
+ * cancelled jobs from the state service as often as the rate limit allows, and stops their tasks.
+ * By its key it answers a worker only for tw_cluster_renewal_if_superseded_s after the leader last
+ * answered the worker through this node, or after such a read began. */
 #include "cluster/cluster_int.h"
 
-#define PAGE_SIZE 500 /* records a request; the service may send fewer */
+#define PAGE_SIZE 500 /* records per request; the state service may return fewer */
 #define PATH_SIZE 400
 #define DATA_SIZE 96
 #define CALL_TIMEOUT_S 1.0
 
-/* Times in leases of workers: between two attempts to become a delegate, between two readings of
- * the cancelled jobs, and until a refused request of such a reading is made again. */
+/* Pauses in leases of workers: between two attempts to become a delegate; between two reads of the
+ * cancelled jobs; and before a failed request of such a read is repeated. */
 #define ATTEMPT_LEASES 0.1
 #define READ_LEASES 0.4
 #define REFUSED_LEASES 0.05
@@ -34,7 +35,8 @@
 bool tw_cluster_delegate_may_answer(const tw_cluster *cluster, const char *worker,
                                     const char *zone) {
     const double now = cluster->context->now;
-    /* The leader relies on it that only nodes of a worker's own zone renew its lease without it. */
+    /* The leader assumes that only nodes in a worker's own zone renew its lease without the leader.
+     */
     if (cluster->role != TW_ROLE_FOLLOWER || strcmp(zone, cluster->context->config->location) != 0)
         return false;
     if (cluster->delegation_token && cluster->delegation_token == cluster->highest_token &&
@@ -48,14 +50,14 @@
            now < cluster->delegate_until;
 }
 
-/* ---- what the leader says ---- */
+/* ---- messages of the leader ---- */
 
 void tw_cluster_note_cancelled(tw_cluster *cluster, uint64_t token, const char *body, size_t len) {
     char(*ids)[TW_WIRE_ID_SIZE];
     int count;
     if (token != cluster->highest_token || cluster->role != TW_ROLE_FOLLOWER) return;
-    /* An id is kept for as long as a delegation and a worker's lease may last: an answer may be
-     * older than a heartbeat that arrived before it. */
+    /* Ids are kept for as long as a delegation and a worker's lease may last together, since an
+     * answer to a heartbeat may be older than a heartbeat of the leader that arrived earlier. */
     tw_expiring_names_sweep(&cluster->announced_cancelled_jobs, cluster->context->now,
                             tw_cluster_renewal_without_contact_s(cluster) +
                                 2 * cluster->context->config->lease_s);
@@ -83,9 +85,9 @@
                             tw_cluster_renewal_if_superseded_s(cluster));
 }
 
-/* ---- cancelled jobs, from the state service ---- */
+/* ---- reading the cancelled jobs from the state service ---- */
 
-/* Asks for the next page of the jobs' records. */
+/* Requests the next page of job records. */
 static void list_cancelled_jobs(tw_cluster *cluster) {
     char path[PATH_SIZE];
     const int length = snprintf(path, sizeof path, "/kv?starts=" TW_JOB_KEY "&most=%d", PAGE_SIZE);
@@ -99,7 +101,7 @@
                  cluster->context->config->state, "GET", path, NULL, CALL_TIMEOUT_S);
 }
 
-/* Notes the job of that record if it is cancelled. */
+/* Adds the job of the record to the cancelled jobs if it is cancelled. */
 static void note_listed(tw_cluster *cluster, const tw_wire_entry *entry) {
     const size_t prefix = sizeof TW_JOB_KEY - 1;
     if (strlen(entry->key) <= prefix) return;
@@ -113,7 +115,7 @@
     int count, more;
     cluster->cancelled_list_in_flight = false;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) {
-        /* The reading goes on where it stopped: under load some request is always refused. */
+        /* The read resumes from the last page: under load, some request of each read is refused. */
         cluster->next_cancelled_list_at =
             cluster->context->now + REFUSED_LEASES * cluster->context->config->lease_s;
         return;
@@ -143,12 +145,12 @@
     list_cancelled_jobs(cluster);
 }
 
-/* ---- the key, and answers to workers ---- */
+/* ---- the delegate key, and answers to workers ---- */
 
 void tw_cluster_request_delegation(tw_cluster *cluster) {
     const double now = cluster->context->now;
-    /* Every heartbeat that is held asks for it, and the state service's limit is shared with the
-     * leader. */
+    /* Every held heartbeat requests a delegation, and the leader shares the state service's rate
+     * limit, so the attempts are limited. */
     if (cluster->delegate_write_in_flight || now < cluster->next_delegate_attempt_at) return;
     if (!cluster->leader_token || cluster->leader_token != cluster->highest_token) return;
     if (cluster->role != TW_ROLE_FOLLOWER) return;
@@ -185,7 +187,8 @@
 
 void tw_cluster_note_delegate_answer(tw_cluster *cluster) {
     const double now = cluster->context->now;
-    /* A delegation by heartbeat ends; a key can be renewed where the state service is reached. */
+    /* A delegation by heartbeat can't be renewed without the leader; a delegate key can be renewed
+     * while the state service is reachable. */
     if (now > cluster->delegate_until - 0.5 * tw_cluster_delegate_lease_s(cluster))
         tw_cluster_request_delegation(cluster);
     if (now > cluster->delegate_answered_at + cluster->context->config->lease_s)
--- a/src/cluster/peer_heartbeat.c
+++ b/src/cluster/peer_heartbeat.c
@@ -1,21 +1,25 @@
-/* Heartbeats between nodes. Each tells what its sender knows. The answer of a leader delegates to
- * the sender the renewal of leases in its zone, should it lose the leader, and names the cancelled
- * jobs that may still run. An answer without a higher token vouches that its sender has not led. */
+/* Heartbeats between nodes. A heartbeat and its answer carry the state of their senders. The answer
+ * of a leader delegates the renewal of leases in a zone to the node that sent the heartbeat, for
+ * the case that it can no longer reach the leader, and names the cancelled jobs that may still run.
+ * An answer without a higher token shows that its sender has not led. */
 #include "cluster/cluster_int.h"
 
-/* Pause between two heartbeats to a peer, as shares of the leader's lease. */
+/* Range of the pause between two heartbeats to a peer, as shares of the leader's lease. */
 #define PAUSE_LEAST 0.2
 #define PAUSE_MOST 0.3
-/* A peer counts as answering while the last heartbeat that it answered is at most this old. */
+/* Maximum age of the last answered heartbeat of a peer that counts as answering: the sum of these
+ * seconds and leases of the leader. */
 #define ANSWERS_S 1.0
 #define ANSWERS_LEASES 0.5
 #define TIMEOUT_S 1.0
-/* A node that nobody has answered for so many of the leader's leases, and a second, is isolated. */
+/* A node is isolated after it has got no answer for one second plus this many leases of the leader.
+ */
 #define ISOLATED_LEASES 2.0
-/* Most bytes of a request's body, and those of them that everything but the ids takes. */
+/* Maximum size of the body of a request, and of its part without the ids of cancelled jobs. */
 #define BODY_MOST (64 * 1024)
 #define BODY_REST 1024
-/* Most ids in a heartbeat, whose body must hold them. With more of them nothing is delegated. */
+/* Maximum number of ids that fit into a heartbeat. A leader with more cancelled jobs does not
+ * delegate. */
 #define MAX_CANCELLED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID_SIZE + 3))
 
 tw_peer *tw_cluster_find_peer(const tw_cluster *cluster, const char *name) {
@@ -37,8 +41,9 @@
            cluster->context->now - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s;
 }
 
-/* What this node says of itself. cancelled: room for the ids that a leader sends along; *count: how
- * many there are, which may be more than fit. */
+/* Returns a heartbeat or an answer with the state of this node. If this node may command, fills in
+ * the ids of cancelled jobs in `cancelled`, an array of MAX_CANCELLED; *count is the number of such
+ * jobs, which may be greater than MAX_CANCELLED. */
 static tw_wire_peer_heartbeat describe_self(const tw_cluster *cluster, const char **cancelled,
                                             int *count) {
     tw_wire_peer_heartbeat message = {
@@ -74,8 +79,8 @@
 
 /* ---- cancellations ---- */
 
-/* Whether a peer that may answer workers of the zone without the leader, for longer than a
- * cancellation leaves time for, does not know of this cancellation yet. */
+/* Returns whether the peer has not acknowledged the cancellation, although it may answer workers of
+ * the zone without the leader until after `limit`, for longer than a cancellation permits. */
 static bool must_be_told(const tw_peer *peer, const char *zone, uint64_t number, double limit) {
     return peer->delegation_until > limit && peer->cancellations_known < number &&
            (!*zone || !strcmp(zone, peer->config.zone));
@@ -101,7 +106,7 @@
     return safety;
 }
 
-/* ---- hearing from a peer ---- */
+/* ---- messages of peers ---- */
 
 static void note_peer(tw_cluster *cluster, tw_peer *from, const tw_wire_peer_heartbeat *message) {
     if (message->highest_token > from->highest_token) from->highest_token = message->highest_token;
@@ -127,8 +132,8 @@
     if (from) note_peer(cluster, from, &message);
     if (from && message.is_leader)
         tw_cluster_note_cancelled(cluster, message.highest_token, body, len);
-    /* With this answer the peer may renew leases in its zone for a while, should it lose this node.
-     */
+    /* The answer of a leader permits the peer to renew leases in its zone for a limited time if it
+     * can't reach this node any more. */
     const char *ids[MAX_CANCELLED];
     int count;
     tw_wire_peer_heartbeat answer = describe_self(cluster, ids, &count);
@@ -145,10 +150,11 @@
              tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
-/* A peer that answers a heartbeat and knows of no higher token has not led until the heartbeat was
- * sent, unless its process started after it last vouched. Nobody else can lead while this node has
- * authority, so a peer that was up before authority ended counts as having vouched until then: a
- * leader that loses the state service early in its first term is vouched for, too. */
+/* Updates until when the peer has certainly not led, by its answer to a heartbeat. A peer that
+ * knows of no higher token than this node's had not led when the heartbeat was sent, unless its
+ * process started after the last such answer and has lost its state. No other node can lead while
+ * this node has authority, so a peer whose process ran before authority ended had not led until
+ * then either. This covers a leader that loses the state service early in its first term. */
 static void note_vouching(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
                           const tw_wire_peer_heartbeat *answer) {
     double known = from->vouched_at;
@@ -170,8 +176,8 @@
     if (from->answered_at < sent->sent_at - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s)
         from->back_at = cluster->context->now;
     from->answered_at = sent->sent_at;
-    /* The peer said this after the heartbeat was sent; a late copy of a request would not tell
-     * when. */
+    /* The report is certainly from after the heartbeat was sent. A peer's request gives no such
+     * bound, since it may be delayed. */
     from->delegate_answered_at = cluster->context->now - answer.since_delegate_answer_s;
     from->delegate_answered_as_of = sent->sent_at;
     note_peer(cluster, from, &answer);
--- a/src/cluster/peer_versions.c
+++ b/src/cluster/peer_versions.c
@@ -1,17 +1,19 @@
-/* Which version each peer is of, as far as it has said so, and what follows while two serve.
+/* Versions that the peers report, and rules while nodes of two versions run during an upgrade.
  *
- * An earlier version takes over by rules that may not be safe any more. So while one of its nodes
- * may campaign, two followers of this version do so without the usual pause once their watches tell
- * that the leader's key is gone, and mostly win; and a key that names this node itself is replaced
- * rather than removed (election.c). Without an open watch on a key that ends, nobody has an
- * advantage. Who leads, and for how long, follows from the leader's key alone. */
+ * The failover rules of an earlier version may no longer be safe. While a node of an earlier
+ * version could campaign, two followers of this version campaign without the usual pause when their
+ * watches report the removal of the leader's key, and so usually win; and a key that names this
+ * node itself is replaced instead of removed (election.c). If no watch is open when the key is
+ * removed, no version has an advantage. Leadership depends on the leader's key only, in all cases.
+ */
 #include "cluster/cluster_int.h"
 
-/* Followers that campaign without a pause: with two of them it doesn't matter that one has just
- * ended, and the others' requests don't use up the state service's limit. */
+/* Number of followers that campaign without a pause. With two, one of them may have just ended, and
+ * the requests of the other followers don't use up the state service's rate limit. */
 #define FIRST_CANDIDATES 2
 
-/* Nodes that don't say which records they read are of a version from before there was a choice. */
+/* Returns whether the peer is of an earlier version: heartbeats of versions that read whole records
+ * only don't report a record format. */
 static bool is_of_earlier_version(const tw_peer *peer) {
     return peer->record_format == TW_RECORD_FORMAT_WHOLE;
 }
@@ -50,8 +52,9 @@
                     cluster->context->now - cluster->mixed_versions_since);
 }
 
-/* Whether the peer is a follower of this version that comes before this node by name, lives and
- * reaches the state service. The leader that has just ended does not count. */
+/* Returns whether the peer is a follower of this version whose name sorts before this node's, that
+ * answers heartbeats and reaches the state service. The last known leader is not a follower, even
+ * if its term has just ended. */
 static bool precedes_this_node(const tw_cluster *cluster, const tw_peer *peer) {
     return peer->record_format >= TW_RECORD_FORMAT_CHUNKED &&
            strcmp(peer->config.name, cluster->context->config->host_name) < 0 &&
--- a/src/cluster/worker_failover_paths.c
+++ b/src/cluster/worker_failover_paths.c
@@ -1,25 +1,25 @@
-/* Where a worker goes when the node that it sends heartbeats to ends while its zone is cut off.
+/* Failover of workers when the node that gets their heartbeats fails while its zone is partitioned.
  *
- * A worker that gets no answer tries the nodes in their order. Those of its own zone answer it;
- * each node of another zone costs it a timeout while the zones can't reach each other. Where
- * several of these follow each other, the worker's lease expires before it is answered, and all its
- * tasks end with it. Workers are therefore sent to nodes after which another one of the zone comes
- * soon enough. */
+ * A worker that gets no answer tries the nodes in order. Nodes of its own zone answer; each node of
+ * another zone costs a timeout while the zones can't reach each other. If several nodes of other
+ * zones follow each other, the worker's lease expires before it gets an answer, and all its tasks
+ * end. Workers are therefore redirected to nodes that are followed soon enough by another node of
+ * the same zone. */
 #include "cluster/cluster_int.h"
 
-/* A worker's waits, by the protocol: for an answer, and until it tries the next node. */
+/* Waits of a worker in the protocol: for an answer, and before it tries the next node. */
 #define ANSWER_WAIT_S 4.0
 #define NEXT_NODE_S 1.0
-/* Longest time between two heartbeats of a worker, in heartbeat intervals. */
+/* Maximum time between two heartbeats of a worker, in heartbeat intervals. */
 #define LONGEST_INTERVAL 1.25
 
 typedef struct {
     const char *name;
     const char *zone;
-    bool *in_time; /* where the result is kept */
+    bool *in_time; /* receives the result */
 } node;
 
-/* Nodes are numbered, so that a longer name comes after a shorter one. */
+/* Compares the names of nodes, which are numbered: a shorter name sorts before a longer one. */
 static int by_number(const void *one, const void *other) {
     const char *first = ((const node *)one)->name;
     const char *second = ((const node *)other)->name;
@@ -29,8 +29,8 @@
     return strcmp(first, second);
 }
 
-/* Whether a worker that sends heartbeats to the node at this position is answered by another one of
- * its zone before its lease expires. */
+/* Returns whether a worker whose heartbeats go to the node at this position gets an answer from
+ * another node of its zone before its lease expires, if that node fails. */
 static bool is_in_time(const tw_cluster *cluster, const node *nodes, size_t position) {
     const size_t count = cluster->peer_count + 1;
     double unanswered_s = LONGEST_INTERVAL * cluster->context->config->report_s + NEXT_NODE_S;
--- a/src/cluster/worker_routing.c
+++ b/src/cluster/worker_routing.c
@@ -1,12 +1,13 @@
-/* Which node a worker is told to send its heartbeats to.
+/* Redirection of workers to the node that should get their heartbeats.
  *
- * Workers send heartbeats to a node of their own zone, so that a cut between zones costs no lease.
- * A worker of another zone is redirected, unless it comes back from the node that it was sent to: a
- * node that answers other nodes need not answer its workers. Where several workers come back from a
- * node within a lease, none is sent there for a while. */
+ * Workers send heartbeats to a node of their own zone (their home), so that a network partition
+ * between zones expires no lease. A worker of another zone is redirected there, unless it has come
+ * back from the node to which it was redirected: a node that answers other nodes may still not
+ * answer its workers. If several workers come back from a node within a lease, the node is avoided
+ * for one lease. */
 #include "cluster/cluster_int.h"
 
-/* Workers that came back from a node within a lease, from which on the node is avoided. */
+/* Number of workers that come back from a node within a lease after which the node is avoided. */
 #define AVOID_AFTER 3
 
 static bool is_live_in_zone(const tw_cluster *cluster, const tw_peer *peer, const char *zone) {
@@ -30,8 +31,8 @@
     return false;
 }
 
-/* A live node of that zone that workers may be sent to, rather one whose end they survive; NULL:
- * none is known. */
+/* Returns a live node of the zone that is not avoided, preferably one with failover in time; NULL
+ * if there is none. */
 static tw_peer *find_home(const tw_cluster *cluster, const char *zone) {
     tw_peer *any = NULL;
     for (size_t i = 0; i < cluster->peer_count; i++) {
@@ -50,7 +51,7 @@
 
 /* ---- redirects ---- */
 
-/* A worker that was sent to the peer came back. */
+/* Counts a worker that came back from the peer. The peer is avoided when AVOID_AFTER is reached. */
 static void note_came_back(const tw_cluster *cluster, tw_peer *peer) {
     const double now = cluster->context->now;
     const double lease_s = cluster->context->config->lease_s;
@@ -63,7 +64,7 @@
     peer->avoided_until = now + lease_s;
 }
 
-/* Forgets redirects that are older than a lease, once a lease. */
+/* Removes redirects that are older than a lease. Does so at most once per lease. */
 static void sweep_redirects(tw_cluster *cluster) {
     const double now = cluster->context->now;
     const double lease_s = cluster->context->config->lease_s;
@@ -77,7 +78,7 @@
     }
 }
 
-/* Notes that the worker is sent to the peer. */
+/* Records the redirect of the worker to the peer. */
 static void note_redirect(tw_cluster *cluster, const char *worker, const tw_peer *to) {
     tw_worker_redirect *known;
     sweep_redirects(cluster);
@@ -92,11 +93,12 @@
     known->came_back = false;
 }
 
-/* Names the peer to the worker, unless the worker comes back from there; returns whether it did. */
+/* Redirects the worker to the peer, unless the worker has come back from it. Returns whether the
+ * worker was redirected. */
 static bool redirect_to(tw_cluster *cluster, uint64_t connection, const char *worker, tw_peer *to) {
     tw_worker_redirect *last;
     HASH_FIND_STR(cluster->worker_redirects, worker, last);
-    /* A worker that two nodes send to each other loses its lease. */
+    /* A worker that two nodes keep redirecting to each other would lose its lease. */
     if (last && last->target == to &&
         cluster->context->now < last->at + cluster->context->config->lease_s) {
         if (!last->came_back) note_came_back(cluster, to);
@@ -116,7 +118,7 @@
     return home && redirect_to(cluster, connection, worker, home);
 }
 
-/* Whether all peers answer; if not, it is no time to move workers without need. */
+/* Returns whether all peers answer. Only then are workers moved that could stay where they are. */
 static bool all_peers_live(const tw_cluster *cluster) {
     for (size_t i = 0; i < cluster->peer_count; i++)
         if (!tw_cluster_peer_answers(cluster, &cluster->peers[i])) return false;
--- a/src/context/call.h
+++ b/src/context/call.h
@@ -1,12 +1,11 @@
-/* Calls to the state service, the cloud, peers and workers, from their sending to their response.
- */
+/* Outstanding calls to the state service, the cloud, peers and workers. */
 #ifndef TW_CONTEXT_CALL_H
 #define TW_CONTEXT_CALL_H
 #include "config/config.h"
 #include <stdint.h>
 #include <uthash.h>
 
-/* What a call is for: who gets its response follows from it. */
+/* Purpose of a call. It determines which module handles the response. */
 typedef enum {
     TW_CALL_READ_LEADER,
     TW_CALL_WATCH_LEADER,
@@ -16,10 +15,10 @@
     TW_CALL_REVOKE_LEASE,
     TW_CALL_WRITE_RECORDS,
     TW_CALL_WRITE_CHUNKS,
-    TW_CALL_REMOVE_CHUNKS, /* of sets that no record names any more */
-    TW_CALL_READ_RECORD,   /* to learn the revision of a job's record */
-    TW_CALL_LOOK_UP_JOB,   /* an unknown job, for a user */
-    TW_CALL_CREATE_RECORD, /* a job that a follower admits by itself */
+    TW_CALL_REMOVE_CHUNKS, /* removes chunk sets that no record refers to any more */
+    TW_CALL_READ_RECORD,   /* reads a job's record to learn its mod revision */
+    TW_CALL_LOOK_UP_JOB,   /* reads the record of a job that a user asked for and memory lacks */
+    TW_CALL_CREATE_RECORD, /* writes the record of a job that a follower admits (peer admission) */
     TW_CALL_LOAD_RECORDS,
     TW_CALL_PEER_HEARTBEAT,
     TW_CALL_FORWARD_REQUEST,
@@ -38,23 +37,23 @@
     TW_CALL_KINDS
 } tw_call_kind;
 
-/* A call that was made and not answered yet. The first group is filled in by tw_call_send; what the
- * second holds is up to the module that sent it, and is freed with the call. */
+/* An outstanding call. tw_call_send fills in the first group of members. The sending module uses
+ * the second group as it needs; tw_call_free frees it. */
 typedef struct tw_call {
     uint64_t id;
     tw_call_kind kind;
     double sent_at;
-    uint64_t term; /* in which it was sent */
+    uint64_t term; /* the context's term when the call was sent */
 
-    uint64_t connection; /* request of a user or worker that waits for it; 0: none */
-    double until;        /* how long that request may wait */
+    uint64_t connection; /* connection of the user's or worker's request that waits; 0: none */
+    double until;        /* time until which that request may wait, steady seconds */
     uint64_t sequence;
     int count, operation;
     char name[256];
-    char *text;                  /* a request that is kept to be sent another way */
-    char (*names)[TW_NAME_SIZE]; /* of machines or tasks */
-    uint64_t *tokens;            /* fencing tokens, or attempts that go with the names */
-    void *data;                  /* an array of what was sent */
+    char *text;                  /* body of a request that may have to be sent by another path */
+    char (*names)[TW_NAME_SIZE]; /* names of machines or tasks */
+    uint64_t *tokens;            /* fencing tokens, or the attempt of each task in names */
+    void *data;                  /* array that describes the items sent */
     UT_hash_handle hh;
 } tw_call;
 
--- a/src/context/context.c
+++ b/src/context/context.c
@@ -1,4 +1,4 @@
-/* The context's life, time and random numbers. */
+/* Creation and freeing of the context, its time and its random numbers. */
 #include "context/context.h"
 #include <stdlib.h>
 
--- a/src/context/context.h
+++ b/src/context/context.h
@@ -1,9 +1,11 @@
-/* What all state machines of a controller work with: the settings, the time of the input in hand, a
- * source of random numbers, the effects to be carried out, and the calls that wait for responses.
+/* The context that all state machines of a controller share: the settings, the time of the current
+ * input, a random number generator, the queue of effects, and the outstanding calls.
  *
- * Owned by the core, which sets the time before it hands an input on; read by every package above.
- * Invariants: a request gets one reply; a call has one outcome, and what is known of it is freed
- * with that; the outcome of a call of an earlier term is ignored where it belongs to that term. */
+ * The core owns the context and sets its time before it passes an input to a state machine; every
+ * package above reads it.
+ * Invariants: each request gets exactly one reply; each call has exactly one outcome, after which
+ * its tw_call is freed; a module ignores the outcome of a call of an earlier term if the call
+ * concerned that term only. */
 #ifndef TW_CONTEXT_H
 #define TW_CONTEXT_H
 #include "config/config.h"
@@ -18,49 +20,53 @@
 
 typedef struct tw_context {
     const tw_config *config; /* not owned */
-    double now;              /* steady seconds, of the input in hand */
+    double now;              /* monotonic time of the current input in seconds */
     double wall;             /* time of day in seconds */
     gsl_rng *random;
-    uint64_t term; /* changes when this node begins or ends to lead; calls remember theirs */
+    uint64_t term; /* incremented when this node starts or stops leading; copied into each call */
 
     /* Owned by effects.c. */
     tw_effect *first_effect, *last_effect;
-    tw_call *calls; /* that wait for their responses, by id */
+    tw_call *calls; /* outstanding calls by id */
     uint64_t last_call_id;
-    unsigned calls_made[TW_CALL_KINDS], calls_refused; /* to the state service, since the log */
+    /* Calls to the state service, and rate-limited answers, since the counts were last logged. */
+    unsigned calls_made[TW_CALL_KINDS], calls_refused;
     double next_calls_log_at;
 } tw_context;
 
-/* Fills a zeroed context. seed: of the random numbers. */
+/* Initializes a zeroed context. seed: seed of the random number generator. */
 void tw_context_init(tw_context *context, const tw_config *config, uint64_t seed, double now,
                      double wall);
-/* Frees what the context owns, calls and effects that nobody took among it. */
+/* Frees everything that the context owns, including outstanding calls and queued effects. */
 void tw_context_free(tw_context *context);
-/* Sets the time; a steady time that goes back is ignored. */
+/* Sets the monotonic time and the time of day. A `now` before the current one is ignored. */
 void tw_context_set_time(tw_context *context, double now, double wall);
-/* A number drawn evenly between the two. */
+/* Returns a uniformly distributed random number between least and most. */
 double tw_context_random(tw_context *context, double least, double most);
 
 /* ---- effects.c ---- */
 
-/* Replies to the request of that connection; 0: nobody waits for it. body: taken. retry_after:
- * seconds, 0: none. */
+/* Queues the reply to the request on the connection; connection 0: frees the body, since no request
+ * waits. Takes ownership of body. retry_after: value of the Retry-After header in seconds; 0: no
+ * such header. */
 void tw_reply(tw_context *context, uint64_t connection, int status, double retry_after, char *body);
-/* The same with the body {"error":"<what>"}. */
+/* Queues a reply as tw_reply does, with the body {"error":"<what>"}. */
 void tw_reply_error(tw_context *context, uint64_t connection, int status, double retry_after,
                     const char *what);
-/* Makes a call. body: taken. Returns what is known of the call until its response, to be filled in
- * by the caller. */
+/* Queues a call. Takes ownership of body. Returns the outstanding call, whose second group of
+ * members the caller may fill in; the context owns it until the response arrives. */
 tw_call *tw_call_send(tw_context *context, tw_call_kind kind, tw_call_target to, const char *addr,
                       const char *method, const char *path, char *body, double timeout_s);
-/* The call that a response with this status belongs to, to be freed by tw_call_free; NULL: none is
- * waited for. */
+/* Removes the outstanding call with this id, to which a response with this status arrived. Returns
+ * the call, which the caller frees by tw_call_free; NULL if no such call is outstanding. */
 tw_call *tw_call_answered(tw_context *context, uint64_t id, int status);
 void tw_call_free(tw_call *sent);
-/* The next effect, or NULL; free it with tw_effect_free. */
+/* Removes and returns the oldest queued effect; NULL if there is none. The caller frees it by
+ * tw_effect_free. */
 tw_effect *tw_context_next_effect(tw_context *context);
 void tw_effect_free(tw_effect *effect);
-/* Logs now and then how often the state service was called: its limit is for all nodes together. */
+/* Logs the number of calls to the state service by purpose, once per worker lease. All nodes share
+ * the state service's rate limit. */
 void tw_calls_log_counts(tw_context *context);
 
 #endif
--- a/src/context/effects.c
+++ b/src/context/effects.c
@@ -1,5 +1,4 @@
-/* What the state machines give out: replies to requests, and calls to others until their responses
- * come. */
+/* The queue of effects (replies and calls), and the table of outstanding calls. */
 #include "context/context.h"
 #include "log/log.h"
 #include <stdio.h>
--- a/src/context/expiring_name.c
+++ b/src/context/expiring_name.c
@@ -1,4 +1,4 @@
-/* Sets of names that expire. */
+/* Sets of names with the times at which they were added. */
 #include "context/expiring_name.h"
 #include "context/memory.h"
 #include <stdio.h>
--- a/src/context/expiring_name.h
+++ b/src/context/expiring_name.h
@@ -1,5 +1,5 @@
-/* Sets of names, each with the time at which it was added: a member expires after a delay that the
- * set's owner chooses. The hash table is the set itself; NULL is the empty one. */
+/* Sets of names that record when each name was added, so that the owner of a set can remove names
+ * of a certain age. A set is the head of a uthash table; NULL is the empty set. */
 #ifndef TW_CONTEXT_EXPIRING_NAME_H
 #define TW_CONTEXT_EXPIRING_NAME_H
 #include "config/config.h"
@@ -11,13 +11,13 @@
     UT_hash_handle hh;
 } tw_expiring_name;
 
-/* The member of that name; NULL: none. */
+/* Returns the member with this name; NULL if there is none. */
 tw_expiring_name *tw_expiring_names_find(tw_expiring_name *set, const char *name);
-/* Adds the name, unless it is a member, and sets its time. Returns the member. */
+/* Adds the name unless it is a member already, and sets the member's time. Returns the member. */
 tw_expiring_name *tw_expiring_names_add(tw_expiring_name **set, const char *name, double at);
-/* Removes a member and frees it. */
+/* Removes and frees a member. */
 void tw_expiring_names_remove(tw_expiring_name **set, tw_expiring_name *member);
-/* Removes the members that were added at least so many seconds ago. */
+/* Removes the members that were added age_s or more seconds before now. */
 void tw_expiring_names_sweep(tw_expiring_name **set, double now, double age_s);
 void tw_expiring_names_clear(tw_expiring_name **set);
 
--- a/src/context/rate_limiter.c
+++ b/src/context/rate_limiter.c
@@ -1,4 +1,4 @@
-/* Token buckets. */
+/* Token bucket rate limiters. */
 #include "context/rate_limiter.h"
 
 tw_rate_limiter tw_rate_limiter_make(double rate, double burst, double now) {
--- a/src/context/rate_limiter.h
+++ b/src/context/rate_limiter.h
@@ -1,23 +1,23 @@
-/* Rate limiters: token buckets that keep the calls to a limited service within its rate. */
+/* Rate limiters: token buckets that keep calls within the rate limit of a service. */
 #ifndef TW_CONTEXT_RATE_LIMITER_H
 #define TW_CONTEXT_RATE_LIMITER_H
 #include <stdbool.h>
 
 typedef struct {
-    double tokens; /* calls that may be made at once, as of updated_at; below 0: owed */
-    double rate;   /* tokens gained a second */
-    double burst;  /* most tokens that it holds */
+    double tokens; /* calls allowed at updated_at; negative after calls made beyond the limit */
+    double rate;   /* tokens added per second */
+    double burst;  /* maximum number of tokens */
     double updated_at;
 } tw_rate_limiter;
 
-/* A limiter with a full bucket. now: steady seconds, here and below. */
+/* Returns a limiter with a full bucket. now: monotonic time in seconds, here and below. */
 tw_rate_limiter tw_rate_limiter_make(double rate, double burst, double now);
-/* The calls that may be made now. */
+/* Refills the bucket up to now and returns its tokens: the number of calls that may be made. */
 double tw_rate_limiter_available(tw_rate_limiter *limiter, double now);
-/* Takes so many tokens, or none and returns false if there are fewer. */
+/* Takes one token for each call. Returns false, and takes none, if there are too few tokens. */
 bool tw_rate_limiter_try_acquire(tw_rate_limiter *limiter, double now, double calls);
-/* Gives tokens back that were taken for calls that were not made; below 0: for calls that were made
- * without asking. */
+/* Returns tokens that were taken for calls that were not made. A negative number charges calls that
+ * were made without acquiring tokens. */
 void tw_rate_limiter_refund(tw_rate_limiter *limiter, double calls);
 
 #endif
--- a/src/context/status.h
+++ b/src/context/status.h
@@ -1,9 +1,9 @@
-/* HTTP statuses of answers that the core gives and gets, by the protocol. */
+/* HTTP statuses of the protocol, in replies that the core sends and responses that it receives. */
 #ifndef TW_CONTEXT_STATUS_H
 #define TW_CONTEXT_STATUS_H
 
 enum {
-    TW_HTTP_NO_RESPONSE = 0, /* none came: whether the call was carried out is unknown */
+    TW_HTTP_NO_RESPONSE = 0, /* no response arrived: the call may or may not have been executed */
     TW_HTTP_OK = 200,
     TW_HTTP_CREATED = 201,
     TW_HTTP_BAD_REQUEST = 400,
@@ -11,8 +11,8 @@
     TW_HTTP_METHOD_NOT_ALLOWED = 405,
     TW_HTTP_CONFLICT = 409,
     TW_HTTP_GONE = 410,
-    TW_HTTP_MISDIRECTED = 421, /* a worker is to report to another node */
-    TW_HTTP_IMPOSSIBLE = 422,  /* a job that can never run */
+    TW_HTTP_MISDIRECTED = 421, /* the worker should send its heartbeats to another node */
+    TW_HTTP_IMPOSSIBLE = 422,  /* the job can never run */
     TW_HTTP_TOO_MANY = 429,
     TW_HTTP_UNAVAILABLE = 503
 };
--- a/src/store/chunk_loader.c
+++ b/src/store/chunk_loader.c
@@ -1,21 +1,22 @@
-/* Chunks, while a new leader reads all records. The chunks are read first, so that a record that
- * names a chunk set finds it; nobody else writes either of them by then. Sets that no record names
- * were left by a predecessor, and are removed. */
+/* Loading of chunks by a new leader. The leader reads all chunks before the records, so that the
+ * chunk set of each chunked record is available; no other node can write chunks or existing records
+ * at that time. Chunk sets that no record refers to are left over from an earlier leader and are
+ * removed. */
 #include "store/store_int.h"
 
 #define DECIMAL 10
 
-/* The chunks of a set. */
+/* The chunks of a set that have been read. */
 typedef struct tw_loaded_chunk_set {
-    char name[TW_CHUNK_KEY_SIZE]; /* the job's id, a slash, the set */
-    char **chunks;                /* by number; NULL: it was not read */
-    int capacity;                 /* one more than the highest number */
-    bool referenced;              /* a record names it */
+    char name[TW_CHUNK_KEY_SIZE]; /* id of the job, a slash, name of the set */
+    char **chunks;                /* texts by chunk number; NULL: not read */
+    int capacity;                 /* highest chunk number plus one */
+    bool referenced;              /* a record refers to the set */
     UT_hash_handle hh;
 } tw_loaded_chunk_set;
 
-/* Splits a key into the set, with room for `size` bytes, and the chunk's number, which it returns;
- * -1: the key is not that of a chunk. */
+/* Splits the key of a chunk. Writes the job's id, a slash and the set's name to `name`, a buffer of
+ * `size` bytes. Returns the number of the chunk; -1 if the key is not a valid chunk key. */
 static int split_key(const char *key, char *name, size_t size) {
     const size_t prefix = sizeof TW_CHUNK_KEY - 1;
     const char *slash = strrchr(key, '/');
@@ -28,7 +29,7 @@
     return length < (int)size && strchr(name, '/') ? (int)number : -1;
 }
 
-/* The set of that name, made if it is not known yet. */
+/* Returns the loaded set of this name, created if necessary. */
 static tw_loaded_chunk_set *get_set(tw_store *store, const char *name) {
     tw_loaded_chunk_set *set;
     HASH_FIND_STR(store->loaded_sets, name, set);
@@ -39,7 +40,7 @@
     return set;
 }
 
-/* Keeps the chunk's text, which is taken. */
+/* Adds a chunk to the set. Takes ownership of text. */
 static void keep_chunk(tw_loaded_chunk_set *set, int number, char *text) {
     if (number >= set->capacity) {
         const int room = number + 1;
--- a/src/store/chunk_writer.c
+++ b/src/store/chunk_writer.c
@@ -1,26 +1,26 @@
-/* Writing chunk sets, and removing those that no record names any more.
+/* Writing of chunk sets, and removal of those that no record refers to any more.
  *
- * A chunk set is written once, under a name that holds the leader's token and a number, and in as
- * many transactions as it takes, each under the compare of the leader's key. Once all its chunks
- * are known to be written, group_commit.c writes the record that names it like any other. Until the
- * outcome of that write is known the set stays, and is named again by each repetition. A set that a
- * record no longer names can't be named again: whatever still arrives late is under the compare of
- * an older revision. */
+ * The content of a chunk set never changes. Its name consists of the leader's fencing token and a
+ * number. Its chunks are written in as many transactions as necessary, each of which compares the
+ * leader's key. When all chunks are known to be written, group_commit.c writes the record that
+ * refers to the set as it writes any other record. Until the outcome of that write is known, the
+ * set is kept, and each retry of the write refers to it. A set that a record no longer refers to
+ * can't be referred to again, since a delayed write compares an older mod revision and fails. */
 #include "store/store_int.h"
 
-/* Chunks in a transaction, and the bytes that they may have together: the state service takes
- * 64 KiB; room for the frame and for what stands around a chunk. */
+/* Maximum number of chunks in a transaction, and maximum size of its text: the state service
+ * accepts 64 KiB. The frame size is counted once for the transaction and once for each chunk. */
 #define MAX_CHUNKS 60
 #define MAX_TRANSACTION_BYTES ((size_t)60 * 1024)
 #define CHUNK_FRAME_BYTES (TW_CHUNK_KEY_SIZE + 40)
-/* Until a removal that failed is tried again. */
+/* Pause before a failed removal is repeated. */
 #define REMOVAL_RETRY_S 1.0
 
 /* A chunk set to be removed. */
 typedef struct tw_stale_chunk_set {
     char id[TW_WIRE_ID_SIZE];
     char name[TW_WIRE_CHUNK_SET_SIZE];
-    int removed, count; /* chunks below `removed` are removed */
+    int removed, count; /* the chunks with numbers below `removed` are removed already */
     struct tw_stale_chunk_set *prev, *next;
 } tw_stale_chunk_set;
 
@@ -28,7 +28,7 @@
     snprintf(key, TW_CHUNK_KEY_SIZE, TW_CHUNK_KEY "%s/%s/%d", id, set, number);
 }
 
-/* ---- a set on its way ---- */
+/* ---- writing chunk sets ---- */
 
 void tw_store_begin_set(tw_store *store, tw_store_record *record, const char *text) {
     tw_chunk_set *set = tw_alloc(sizeof *set);
@@ -86,8 +86,8 @@
     tw_store_free_set(record);
 }
 
-/* A transaction of these changes, under the compare of the leader's key alone: what a set holds
- * never changes. */
+/* Sends a transaction with these changes to chunks. It compares only the leader's key, since the
+ * content of a chunk set never changes. */
 static tw_call *send_changes(tw_store *store, tw_call_kind kind, const tw_wire_write *changes,
                              int count) {
     tw_rate_limiter_try_acquire(&store->write_limiter, store->context->now, count);
@@ -130,7 +130,8 @@
         if (store->transactions_in_flight >= TW_MAX_TRANSACTIONS || writes < 1) return;
         if (tw_rate_limiter_available(&store->request_limiter, now) < 1) return;
         if (!record->next_set) continue;
-        /* The end of a job doesn't wait for what it was before. */
+        /* After the state of the job has changed, chunks of the previous state are not worth
+         * writing: they would only delay the write of the job's end. */
         const tw_wire_job_state state = store->owner.summary(record->job).state;
         if (!record->next_set->record_sent && record->next_set->summary.state != state)
             tw_store_drop_set(store, record);
@@ -140,7 +141,7 @@
     }
 }
 
-/* ---- removing ---- */
+/* ---- removing chunk sets ---- */
 
 void tw_store_add_stale(tw_store *store, const char *id, const char *set, int count) {
     tw_stale_chunk_set *stale = tw_alloc(sizeof *stale);
--- a/src/store/group_commit.c
+++ b/src/store/group_commit.c
@@ -1,40 +1,41 @@
-/* Group commit: pending records are written several in a transaction, and reads settle the revision
- * of a record whose last write has an unknown outcome.
+/* Group commit: each transaction writes several pending records. A record whose mod revision is
+ * unknown after a write of unknown outcome is read.
  *
- * Each write is under the compare of the record's own revision and under the cluster's fence. A
- * retry under the same revisions is therefore safe, whether the first try went through or not: of
- * the two one fails. */
+ * Each write compares the mod revision of its record and includes the cluster's fence. A retry
+ * under the same revisions is therefore safe whether or not the first attempt succeeded: only one
+ * of the two can succeed. */
 #include "store/store_int.h"
 
-/* Most records in a transaction, whatever the state service allows. */
+/* Maximum number of records in a transaction, also if the state service allows more. */
 #define MAX_RECORDS 60
-/* A transaction's text stays under the 64 KiB that the state service takes: room for its frame, and
- * for what stands around a record, its key (twice) and revision. */
+/* Maximum size of a transaction's text, below the 64 KiB that the state service accepts; size of
+ * the frame of the transaction; size of what is added for each record: its key (twice) and its mod
+ * revision. */
 #define MAX_TRANSACTION_BYTES ((size_t)60 * 1024)
 #define FRAME_BYTES 256
 #define RECORD_FRAME_BYTES 200
-/* Compares that the state service allows for each change. */
+/* Number of compares that the state service allows for each change in a transaction. */
 #define COMPARES_PER_CHANGE 4
-/* Until a write of unknown outcome, or a read that failed, is repeated. */
+/* Pause before a write of unknown outcome, or a failed read, is repeated. */
 #define WRITE_RETRY_S 0.15
 #define READ_RETRY_S 0.2
 #define READ_TIMEOUT_S 1.0
 
-/* A record as a transaction in flight holds it. */
+/* The write of a record in a transaction in flight. */
 typedef struct {
     char id[TW_WIRE_ID_SIZE];
-    uint64_t version;      /* of the record, when its text was made */
-    uint64_t mod_revision; /* that the write is under the compare of */
+    uint64_t version;      /* version of the record that is written */
+    uint64_t mod_revision; /* mod revision that the write compares */
     tw_wire_job_state state;
-    char chunk_set[TW_WIRE_CHUNK_SET_SIZE]; /* of a chunked one */
+    char chunk_set[TW_WIRE_CHUNK_SET_SIZE]; /* "": the record is written whole */
     int chunk_count;
-    size_t bytes; /* of its text */
+    size_t bytes; /* size of the record's text */
 } record_write;
 
-/* Records on their way into one transaction. */
+/* Records that are written in one transaction. */
 typedef struct {
     int count;
-    size_t bytes; /* of the transaction's text, at most */
+    size_t bytes; /* upper bound of the size of the transaction's text */
     tw_store_record *records[MAX_RECORDS];
     char keys[MAX_RECORDS][TW_JOB_KEY_SIZE];
     char *texts[MAX_RECORDS];
@@ -66,7 +67,8 @@
 
 /* ---- transactions ---- */
 
-/* The text to write under the record's key; NULL: not yet, its chunks are to be written first. */
+/* Returns the text to write under the record's key, which the caller frees; NULL if chunks of the
+ * record have to be written first. */
 static char *next_text(tw_store *store, tw_store_record *record) {
     if (record->next_set)
         return tw_store_set_is_written(record) ? tw_store_set_record_text(record) : NULL;
@@ -77,7 +79,8 @@
     return NULL;
 }
 
-/* Adds the record, taking the text; false: there is no room for it. */
+/* Adds the record to the batch. Takes ownership of text. Returns false if the transaction would
+ * become too large. */
 static bool batch_add(write_batch *batch, tw_store_record *record, char *text) {
     const size_t bytes = strlen(text) + RECORD_FRAME_BYTES;
     if (batch->bytes + bytes > MAX_TRANSACTION_BYTES && batch->count) {
@@ -91,7 +94,8 @@
     return true;
 }
 
-/* Takes pending records into the batch: those that somebody waits for, or the others. */
+/* Moves pending records to the batch, either the urgent ones or the others, until the batch holds
+ * `most` records. */
 static void batch_fill(tw_store *store, write_batch *batch, bool urgent, int most) {
     const double now = store->context->now;
     tw_store_record *record, *next;
@@ -107,7 +111,8 @@
     }
 }
 
-/* What a record says that names a chunk set: what the job was when the set was made. */
+/* Describes the write of a record that refers to a chunk set: it writes the version from which the
+ * set was made, which may be older than the current one. */
 static void note_chunked(record_write *write, tw_chunk_set *set) {
     write->version = set->version;
     write->state = set->summary.state;
@@ -116,7 +121,8 @@
     set->record_sent = true;
 }
 
-/* Notes with the call what each record said, for its response. */
+/* Stores a description of each record's write in the call, for the processing of the response, and
+ * marks the records as in flight. */
 static void note_writes(const tw_store *store, tw_call *call, const write_batch *batch) {
     call->count = batch->count;
     record_write *writes = tw_alloc((size_t)batch->count * sizeof *writes);
@@ -159,7 +165,8 @@
     store->transactions_in_flight++;
 }
 
-/* Most changes in a transaction: the compares of the fence count, too. */
+/* Returns the maximum number of records in a transaction. The compares of the fence count against
+ * the limit of compares. */
 static int max_changes(const tw_store *store) {
     const int operations = store->context->config->state_txn_ops;
     const int by_compares =
@@ -168,7 +175,7 @@
     return allowed < MAX_RECORDS ? allowed : MAX_RECORDS;
 }
 
-/* Whether a transaction can be sent now. */
+/* Returns whether the limits allow another transaction now. */
 static bool has_room(tw_store *store) {
     const double now = store->context->now;
     return store->transactions_in_flight < TW_MAX_TRANSACTIONS &&
@@ -191,16 +198,17 @@
     tw_store_remove_stale(store, most);
 }
 
-/* ---- what is known to be written ---- */
+/* ---- results of writes and reads ---- */
 
-/* The record under this revision, the latest one, has this state. */
+/* Updates the record after a write or read: its latest version has this mod revision and shows the
+ * job in this state. */
 static void note_latest(const tw_store *store, tw_store_record *record, tw_wire_job_state state,
                         uint64_t revision) {
     record->exists = true;
     record->needs_read = false;
     record->mod_revision = revision;
-    /* A job that has ended never becomes anything else. What counts is the record that was written,
-     * not whether the job has changed since: a task may have ended meanwhile. */
+    /* The end of a job is final. The state in the written record decides, even if the job in memory
+     * has changed since, for example because a task has ended. */
     if (state != TW_JOB_PENDING) store->owner.ended(record->job, state);
 }
 
@@ -208,7 +216,8 @@
                          uint64_t revision) {
     note_latest(store, record, write->state, revision);
     tw_store_record_set_chunks(store, record, write->chunk_set, write->chunk_count);
-    /* Nothing else of the record is written while a chunked version is on its way. */
+    /* The chunk set is the one that was written: no other version is written while chunks or a
+     * chunked record are in flight. */
     if (*write->chunk_set) tw_store_free_set(record);
     record->alone = false;
     record->size_refusals = 0;
@@ -218,13 +227,14 @@
     store->owner.settled(store->owner.owner, record->job);
 }
 
-/* The first record that is known of a job whose own first version was not known to be written. If
- * another node admitted the job before, with other fields, those hold; of this node's version
- * nothing was durable, so that nothing was launched. */
+/* Processes a record that was read of a job of which this node knew no record. If another node had
+ * admitted the job with other fields, those fields replace the ones of this node. That is safe,
+ * since no version of this node was durable and therefore no task was launched. */
 static void take_first_record(tw_store *store, tw_store_record *record, const char *value) {
     tw_wire_record first;
     if (tw_wire_record_parse(&first, record->id, value, strlen(value))) return;
-    if (*first.chunk_set) return; /* this node's own: only a leader writes chunked records */
+    /* Only a leader writes chunked records, so this is the record that this node wrote. */
+    if (*first.chunk_set) return;
     tw_store_drop_set(store, record);
     if (store->owner.take_first(store->owner.owner, record->job, &first)) {
         record->durable_version = record->version;
@@ -233,9 +243,9 @@
     tw_wire_record_free(&first);
 }
 
-/* Revisions grow, so a greater one than the known one is of a later record. It is the latest: only
- * the leader writes records that exist, and nothing of it is under the compare of that revision
- * yet. Writes that are still on their way are under the older revision, and fail. */
+/* Mod revisions increase, so a greater revision than the known one belongs to a newer record. That
+ * record is the latest: only the leader overwrites existing records, and it has not sent a write
+ * that compares this revision yet. Writes in flight compare an older revision and fail. */
 void tw_store_record_read(tw_store *store, tw_store_record *record, const tw_wire_entry *entry) {
     if (entry->mod_revision <= record->mod_revision) return;
     tw_wire_record found;
@@ -274,13 +284,13 @@
     }
 }
 
-/* Keys whose compares failed, of a transaction's response. */
+/* Keys whose compares failed, from the response to a transaction. */
 typedef struct {
     char (*keys)[TW_WIRE_KEY_SIZE];
     int count;
 } failed_compares;
 
-/* Whether the record is not of the revision that the write was under the compare of. */
+/* Returns whether the compare of the record's mod revision failed. */
 static bool compare_failed(const failed_compares *failed, const record_write *write) {
     const size_t prefix = sizeof TW_JOB_KEY - 1;
     for (int i = 0; i < failed->count; i++) {
@@ -291,24 +301,26 @@
     return false;
 }
 
-/* The write was not carried out, or its outcome is unknown. */
+/* Handles a write that failed or whose outcome is unknown. alone: it was the only write in its
+ * transaction. */
 static void note_not_written(tw_store *store, tw_store_record *record, const record_write *write,
                              int status, const failed_compares *failed, bool alone) {
     record->urgent = true;
     if (status == TW_HTTP_BAD_REQUEST && alone)
         tw_store_note_refused(store, record, *write->chunk_set ? 0 : write->bytes);
     else if (status == TW_HTTP_BAD_REQUEST)
-        record->alone = true; /* to find out which of them it is for */
+        record->alone = true; /* to find out which record of the transaction is refused */
     else if (status != TW_HTTP_CONFLICT)
         record->write_after = store->context->now + WRITE_RETRY_S;
-    /* A read for a user may have told the record's revision since. */
+    /* The revision may have been learned meanwhile by a read on behalf of a user. */
     if (write->mod_revision == record->mod_revision && compare_failed(failed, write))
         record->needs_read = true;
     tw_store_requeue(store, record);
     if (record->needs_read && !record->read_in_flight) read_record(store, record);
 }
 
-/* Whether the leader's key is still this node's, by the compares that failed. */
+/* Returns whether the compare of the leader's key did not fail. If the compare of a delegate's key
+ * failed, the delegates' keys are read. */
 static bool leader_key_is_kept(tw_store *store, const failed_compares *failed) {
     for (int i = 0; i < failed->count; i++) {
         if (!strncmp(failed->keys[i], TW_DELEGATE_KEY, sizeof TW_DELEGATE_KEY - 1))
@@ -318,8 +330,9 @@
     return true;
 }
 
-/* A transaction of records or chunks was answered; *failed: the compares that it was refused for.
- * false: the leader's key is among them, and the term is over. */
+/* Handles what the responses to transactions of records and of chunks have in common. Sets *failed
+ * to the failed compares; the caller frees its keys. Returns false, with *failed freed, if the
+ * compare of the leader's key failed, which ends the term. */
 static bool note_answer(tw_store *store, int status, const char *body, size_t len,
                         failed_compares *failed) {
     *failed = (failed_compares){NULL, 0};
@@ -344,7 +357,7 @@
     free(failed.keys);
     tw_store_record *record = store->owner.find(store->owner.owner, call->name);
     tw_chunk_set *set = record ? record->next_set : NULL;
-    if (!set || strcmp(set->name, call->text) != 0) return; /* given up meanwhile */
+    if (!set || strcmp(set->name, call->text) != 0) return; /* the set was discarded meanwhile */
     set->write_in_flight = false;
     if (status == TW_HTTP_OK)
         set->written += call->count;
@@ -375,7 +388,8 @@
     free(failed.keys);
 }
 
-/* A write that was thought lost went through, or another node admitted the job first. */
+/* Handles the response to a read of a record whose revision was unknown: a write without a response
+ * may have succeeded, or another node may have admitted the job first. */
 static void read_response(tw_store *store, const tw_call *call, int status, const char *body,
                           size_t len) {
     tw_store_record *record = store->owner.find(store->owner.owner, call->name);
@@ -389,7 +403,7 @@
     tw_wire_entry entry;
     if (status != TW_HTTP_OK || tw_wire_entry_parse(&entry, body, len)) {
         record->write_after = store->context->now + READ_RETRY_S;
-        return; /* tw_store_tick asks again */
+        return; /* tw_store_tick repeats the read */
     }
     tw_store_record_read(store, record, &entry);
     free(entry.value);
--- a/src/store/record_format.c
+++ b/src/store/record_format.c
@@ -1,19 +1,20 @@
-/* Whether a record is written whole or chunked: how large a value may be, what the peers read, and
- * records that the state service refuses for their size. They are chunked while all peers read
- * chunked records, and written whole again for a peer that does not. */
+/* Choice between whole and chunked records: maximum sizes of a value, formats that the peers can
+ * read, and refusals for size by the state service. Large records are chunked while all peers read
+ * chunked records, and written whole again when a peer appears that does not. */
 #include "store/store_int.h"
 
 #define KB 1024
-/* Part of a value that is kept free: white space, if the state service counts some of its own. */
+/* One part in this many of a value stays unused, in case the state service counts white space that
+ * it adds itself. */
 #define SPARE_PART 16
-/* The largest value that leaves room for its transaction's frame, of 64 KiB. */
+/* Maximum size of a value: its transaction, with frame, must fit into 64 KiB. */
 #define MAX_VALUE_BYTES (56.0 * KB)
-/* Of a job's first record: everything but its names, with all numbers at their longest; what stands
- * around a machine type's name; and a byte of a name, escaped. */
+/* Maximum sizes in bytes within a job's first record: everything except the names, with each number
+ * at its longest; the characters around the name of a machine type; one escaped byte of a name. */
 #define SPEC_FRAME_BYTES 700
 #define NAME_FRAME_BYTES 3
 #define LONGEST_ESCAPED 6
-/* Until a refused record is tried again: growing up to the longest. */
+/* Pause before a refused record is written again: it doubles up to the longest pause. */
 #define FIRST_PAUSE_S 0.15
 #define LONGEST_PAUSE_S 10.0
 #define DOUBLINGS 8
@@ -25,7 +26,7 @@
     return (size_t)fmin(MAX_VALUE_BYTES, bytes - bytes / SPARE_PART);
 }
 
-/* Bytes that a record may have where a peer may have to read it that reads whole records only. */
+/* Returns the maximum size in bytes of a record while some peer may read whole records only. */
 static size_t current_value_size(const tw_store *store) {
     return (size_t)(store->context->config->state_now.value_kb * KB);
 }
@@ -39,11 +40,12 @@
     const bool refused = record->refused_bytes && length >= record->refused_bytes;
     if (tw_cluster_all_read_chunks(store->cluster))
         return refused || length > tw_store_value_size(store);
-    /* A peer that reads whole records only can't read a record that is chunked as it is. */
+    /* Some peer may read whole records only. A record may then stay chunked if it is chunked
+     * already, since such a peer can't read it as it is, but a whole record isn't chunked. */
     return *record->current_set && (refused || length > current_value_size(store));
 }
 
-/* Bytes of a job's first record at most, whatever its names hold. */
+/* Returns an upper bound of the size in bytes of the job's first record. */
 static size_t max_first_record(const tw_wire_job *spec) {
     size_t characters =
         strlen(spec->job_class) + strlen(spec->team) + strlen(spec->image) + strlen(spec->zone);
@@ -90,7 +92,8 @@
     free(text);
 }
 
-/* All peers read chunked records by now: what was refused for its size is tried again at once. */
+/* Lifts the pauses of records that were refused for their size, after all peers have become able to
+ * read chunked records. */
 static void retry_refused(tw_store *store) {
     tw_store_record *record;
     DL_FOREACH(store->pending, record) {
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -1,7 +1,8 @@
-/* The store's life, its limits, and questions about a record. */
+/* Creation and freeing of the store, its rate limits, and queries about a record. */
 #include "store/store_int.h"
 
-/* The state service's limits hold for all nodes together: the leader gets most of them. */
+/* All nodes share the rate limits of the state service. The leader may use this share of the
+ * request limit, and bursts of this many seconds of the request limit and of its write limit. */
 #define LEADER_REQUESTS 0.6
 #define REQUESTS_BURST_S 0.5
 #define WRITES_BURST_S 0.9
