--- a/src/cluster/authority.c
+++ b/src/cluster/authority.c
@@ -41,11 +41,11 @@
 }
 
 /* Returns until when certainly no other node had led, according to the answers of all peers
- * (note_vouching in peer_heartbeat.c). */
+ * (note_not_leading in peer_heartbeat.c). */
 static double sole_leader_until(const tw_cluster *cluster) {
     double until = INFINITY;
     for (size_t i = 0; i < cluster->peer_count; i++)
-        until = fmin(until, cluster->peers[i].vouched_at);
+        until = fmin(until, cluster->peers[i].not_leading_until);
     return until;
 }
 
@@ -75,13 +75,13 @@
     const bool commands = tw_cluster_may(cluster, TW_PERMISSION_COMMAND);
     const bool renews = tw_cluster_may(cluster, TW_PERMISSION_RENEW);
     const unsigned long long token = cluster->token;
-    if (cluster->role == TW_ROLE_LEADER && cluster->could_command && !commands)
+    if (cluster->role == TW_ROLE_LEADER && cluster->logged_may_command && !commands)
         tw_log_info("event=authority_expired token=%llu led_s=%.2f over_since_s=%.3f renews=%d",
                     token, cluster->context->now - cluster->term_began_at,
                     cluster->context->now - cluster->authority_until, renews);
-    if (cluster->role == TW_ROLE_LEADER && cluster->could_renew && !renews)
+    if (cluster->role == TW_ROLE_LEADER && cluster->logged_may_renew && !renews)
         tw_log_info("event=lease_renewals_ended token=%llu without_authority_s=%.2f", token,
                     cluster->context->now - cluster->authority_until);
-    cluster->could_command = commands;
-    cluster->could_renew = renews;
+    cluster->logged_may_command = commands;
+    cluster->logged_may_renew = renews;
 }
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -3,7 +3,7 @@
 
 /* A time before any that matters: initial value of times at which something last happened. */
 #define LONG_AGO (-1e9)
-#define SHORTEST_LEASE_S 0.2
+#define MIN_LEASE_S 0.2
 
 static void init_peers(tw_cluster *cluster) {
     const tw_config *config = cluster->context->config;
@@ -12,7 +12,7 @@
     for (size_t i = 0; i < config->peer_count; i++) {
         tw_peer *peer = &cluster->peers[i];
         peer->config = config->peers[i];
-        peer->answered_at = peer->vouched_at = LONG_AGO;
+        peer->answered_at = peer->not_leading_until = LONG_AGO;
     }
     tw_cluster_init_failover_paths(cluster);
 }
@@ -24,7 +24,7 @@
     cluster->owner = *owner;
     cluster->started_at = context->now;
     cluster->store_answered_at = LONG_AGO;
-    cluster->lease_s = fmax(SHORTEST_LEASE_S, config->tune.election_ratio * config->lease_s);
+    cluster->lease_s = fmax(MIN_LEASE_S, config->tune.election_ratio * config->lease_s);
     init_peers(cluster);
     tw_cluster_init_election(cluster);
     return cluster;
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -48,12 +48,12 @@
     void (*lease_renewed)(void *owner);
     /* Called when a peer has acknowledged further cancellations. Cancellations that waited for the
      * peer may be confirmed to their users. */
-    void (*cancellations_known)(void *owner);
+    void (*cancellations_acknowledged)(void *owner);
     /* Called when this node may answer workers as a delegate. Held heartbeats may be retried. */
     void (*delegate_ready)(void *owner);
-    /* Fills in the ids of at most `most` cancelled jobs that may still run. Returns the number of
-     * such jobs, which may be greater than `most`. */
-    int (*list_cancelled)(void *owner, const char **ids, int most);
+    /* Fills in the ids of at most `max_ids` cancelled jobs that may still run. Returns the number
+     * of such jobs, which may be greater than `max_ids`. */
+    int (*list_cancelled)(void *owner, const char **ids, int max_ids);
 } tw_cluster_owner;
 
 /* Permissions of a node, checked by tw_cluster_may before each such action. */
@@ -151,11 +151,11 @@
 void tw_cluster_read_delegates(tw_cluster *cluster);
 /* Records that this node considers a worker's lease expired now. The term ends if a read of the
  * delegates' keys shows later that a delegate was unknown at that time. */
-void tw_cluster_note_expiry(tw_cluster *cluster);
+void tw_cluster_note_lease_expiry(tw_cluster *cluster);
 /* Returns until when a delegate of the zone ("": of any zone) may have answered workers, by its
  * key.
  */
-double tw_cluster_delegates_until(const tw_cluster *cluster, const char *zone);
+double tw_cluster_delegates_may_answer_until(const tw_cluster *cluster, const char *zone);
 /* Returns when a worker's lease, last renewed by this node at renewed_at, has certainly expired,
  * given that peers of the zone ("": of any zone) may have renewed it since by delegation. lease_s:
  * length of the lease by the slowest permitted clock. */
@@ -182,9 +182,9 @@
 /* Returns the number of a new cancellation. Peers acknowledge all cancellations up to a number. */
 uint64_t tw_cluster_next_cancellation(tw_cluster *cluster);
 /* Returns the safety of the cancellation with this number for a machine of the zone ("": unknown
- * zone). tell: sends a heartbeat immediately to peers that don't know of the cancellation. */
+ * zone). send_now: sends a heartbeat immediately to peers that don't know of the cancellation. */
 tw_cancellation_safety tw_cluster_cancellation_safety(tw_cluster *cluster, const char *zone,
-                                                      uint64_t number, bool tell);
+                                                      uint64_t number, bool send_now);
 
 /* ---- this node as a delegate (lease_delegate.c) ---- */
 
@@ -198,7 +198,7 @@
  * of its validity has passed. */
 void tw_cluster_note_delegate_answer(tw_cluster *cluster);
 /* Returns whether a delegate must stop the tasks of the job because it is cancelled. */
-bool tw_cluster_delegate_stops(const tw_cluster *cluster, const char *job);
+bool tw_cluster_delegate_must_stop_job(const tw_cluster *cluster, const char *job);
 /* Records that the leader answered a heartbeat of the worker that this node forwarded at sent_at.
  */
 void tw_cluster_note_forwarded(tw_cluster *cluster, const char *worker, double sent_at);
@@ -207,16 +207,18 @@
 
 /* Return whether every peer has reported that it reads chunked records; and whether any peer has
  * reported that it doesn't. */
-bool tw_cluster_all_read_chunks(const tw_cluster *cluster);
-bool tw_cluster_any_lacks_chunks(const tw_cluster *cluster);
+bool tw_cluster_all_peers_support_chunks(const tw_cluster *cluster);
+bool tw_cluster_any_peer_lacks_chunk_support(const tw_cluster *cluster);
 /* Returns whether a peer is known to be of an earlier version and no peer of this version answers.
  * If this node ended now, a node of the earlier version would lead next. */
-bool tw_cluster_only_earlier_may_succeed(const tw_cluster *cluster);
+bool tw_cluster_only_earlier_version_may_take_over(const tw_cluster *cluster);
 /* Returns whether any peer in the zone answers this node's heartbeats. */
 bool tw_cluster_zone_has_live_peer(const tw_cluster *cluster, const char *zone);
 /* Returns whether the zone, which is not this node's, is partitioned from this node: it has nodes,
- * but none of them answers, or one of them has answered again for less than back_s seconds. */
-bool tw_cluster_zone_is_cut(const tw_cluster *cluster, const char *zone, double back_s);
+ * but none of them answers, or one of them has answered again for less than min_reachable_s
+ * seconds. */
+bool tw_cluster_zone_is_partitioned(const tw_cluster *cluster, const char *zone,
+                                    double min_reachable_s);
 
 /* ---- redirection of workers (worker_routing.c) ---- */
 
@@ -229,8 +231,8 @@
 /* Redirects a worker of this node's zone to another node of the zone, if the worker's lease would
  * expire should this node fail while the zone is partitioned, and would not at the other node.
  * Returns false, without a reply, if the worker was not redirected. */
-bool tw_cluster_redirect_safer(tw_cluster *cluster, uint64_t connection, const char *worker,
-                               const char *zone);
+bool tw_cluster_redirect_for_failover(tw_cluster *cluster, uint64_t connection, const char *worker,
+                                      const char *zone);
 /* Redirects a worker to the leader. Returns false, without a reply, if it was not redirected. */
 bool tw_cluster_redirect_to_leader(tw_cluster *cluster, uint64_t connection, const char *worker);
 
--- a/src/cluster/cluster_int.h
+++ b/src/cluster/cluster_int.h
@@ -36,15 +36,16 @@
 
     double next_heartbeat_at;
     int heartbeats_in_flight;
-    double answered_at;     /* send time of the last heartbeat that the peer answered */
-    double back_at;         /* when the peer answered again after it had not answered */
-    double vouched_at;      /* the peer had certainly not led until then */
-    uint64_t highest_token; /* highest token that the peer has reported */
-    bool store_reachable;   /* the peer reports that the state service answers it */
-    int record_format;      /* TW_RECORD_FORMAT_* that the peer can read; 0: not reported yet */
+    double answered_at;       /* send time of the last heartbeat that the peer answered */
+    double reachable_since;   /* when the peer answered again after it had not answered */
+    double not_leading_until; /* the peer had certainly not led until then */
+    uint64_t highest_token;   /* highest token that the peer has reported */
+    bool store_reachable;     /* the peer reports that the state service answers it */
+    int record_format;        /* TW_RECORD_FORMAT_* that the peer can read; 0: not reported yet */
 
-    uint64_t cancellations_known; /* the peer acknowledged the cancellations up to this number */
-    uint64_t cancellations_told; /* cancellations up to this number were sent to the peer at once */
+    uint64_t
+        cancellations_acknowledged; /* the peer acknowledged the cancellations up to this number */
+    uint64_t cancellations_sent; /* cancellations up to this number were sent to the peer at once */
 
     uint64_t delegate_revision; /* mod revision of the peer's delegate key; 0: none */
     double delegate_until;      /* the peer may answer workers until then by its delegate key */
@@ -55,7 +56,7 @@
 
     /* Count of workers that came back from the peer, and when the counting began; an avoided peer
      * is not the target of redirects until avoided_until. */
-    double avoid_counted_from, avoided_until;
+    double returns_counted_from, avoided_until;
     int returned_workers;
 } tw_peer;
 
@@ -64,7 +65,7 @@
     char name[TW_NAME_SIZE]; /* name of the worker */
     const tw_peer *target;
     double at;
-    bool came_back; /* the worker sent a heartbeat to this node again */
+    bool has_come_back; /* the worker sent a heartbeat to this node again */
     UT_hash_handle hh;
 } tw_worker_redirect;
 
@@ -80,8 +81,9 @@
     uint64_t highest_token;
     double lease_s; /* length of the leader's lease */
     double authority_until, term_began_at;
-    double peers_confirmed_at;       /* when all peers had reported the token; 0: not yet */
-    bool could_command, could_renew; /* permissions at the last tw_cluster_log_permissions */
+    double peers_confirmed_at; /* when all peers had reported the token; 0: not yet */
+    bool logged_may_command,
+        logged_may_renew; /* permissions at the last tw_cluster_log_permissions */
     double next_renewal_at, renewal_sent_at;
     int renewals_in_flight;
 
@@ -95,7 +97,8 @@
     uint64_t replaced_revision; /* mod revision of this node's old key to replace; 0: none */
     uint64_t replaced_lease_id; /* lease of that old key, revoked before the new term; 0: none */
     tw_rate_limiter election_limiter; /* limits this node's requests for watches and elections */
-    int election_refusals; /* consecutive rate-limited responses to these, at most REFUSED_MOST */
+    int election_refusals;            /* consecutive rate-limited responses to these, at most
+                                         MAX_BACKOFF_DOUBLINGS */
 
     /* Peers (peer_heartbeat.c). */
     tw_peer *peers;
--- a/src/cluster/delegate_registry.c
+++ b/src/cluster/delegate_registry.c
@@ -40,11 +40,11 @@
     if (sent_at > cluster->delegates_checked_at) cluster->delegates_checked_at = sent_at;
 }
 
-void tw_cluster_note_expiry(tw_cluster *cluster) {
+void tw_cluster_note_lease_expiry(tw_cluster *cluster) {
     cluster->expiry_decided_at = cluster->context->now;
 }
 
-double tw_cluster_delegates_until(const tw_cluster *cluster, const char *zone) {
+double tw_cluster_delegates_may_answer_until(const tw_cluster *cluster, const char *zone) {
     double until = 0;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         const tw_peer *peer = &cluster->peers[i];
@@ -65,10 +65,10 @@
         const tw_peer *peer = &cluster->peers[i];
         if (peer->delegation_until <= 0) continue;
         if (*zone && strcmp(zone, peer->config.zone) != 0) continue;
-        const double as_said = fmax(renewed_at, peer->delegate_answered_at) + lease_s;
-        const double as_delegated = fmax(renewed_at, peer->delegation_until) + lease_s;
-        const bool said_in_time = as_said < peer->delegate_answered_as_of;
-        expires_at = fmax(expires_at, said_in_time ? as_said : as_delegated);
+        const double reported_expiry = fmax(renewed_at, peer->delegate_answered_at) + lease_s;
+        const double delegation_expiry = fmax(renewed_at, peer->delegation_until) + lease_s;
+        const bool is_report_late_enough = reported_expiry < peer->delegate_answered_as_of;
+        expires_at = fmax(expires_at, is_report_late_enough ? reported_expiry : delegation_expiry);
     }
     return expires_at;
 }
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -6,22 +6,24 @@
 
 /* Times as shares of the leader's lease. */
 #define ELECTION_TIMEOUT 0.5
-#define ACQUIRED_LATEST 0.9   /* a later acquisition is abandoned: authority would end at once */
-#define READ_PAUSE_LEAST 0.15 /* pause between two reads of the key */
-#define READ_PAUSE_MOST 0.25
-#define WATCH_RETRY_LEAST 0.1
-#define WATCH_RETRY_MOST 0.2
-#define CHANGED_SPREAD 0.08 /* time over which followers spread their reads of a changed key */
-#define LOST_LEAST 0.05     /* pause after a lost election */
-#define LOST_MOST 0.2
-#define RESIGNED_LEAST 0.05 /* pause after the end of a term */
-#define RESIGNED_MOST 0.25
-
-#define OWN_KEY_GONE_S                                                                             \
+#define ACQUISITION_DEADLINE 0.9 /* a later acquisition is abandoned: authority would end at once  \
+                                  */
+#define READ_PAUSE_MIN 0.15      /* pause between two reads of the key */
+#define READ_PAUSE_MAX 0.25
+#define WATCH_RETRY_MIN 0.1
+#define WATCH_RETRY_MAX 0.2
+#define CHANGED_KEY_READ_SPREAD                                                                    \
+    0.08                    /* time over which followers spread their reads of a changed key */
+#define LOST_PAUSE_MIN 0.05 /* pause after a lost election */
+#define LOST_PAUSE_MAX 0.2
+#define STEP_DOWN_PAUSE_MIN 0.05 /* pause after the end of a term */
+#define STEP_DOWN_PAUSE_MAX 0.25
+
+#define OWN_KEY_REREAD_PAUSE_S                                                                     \
     0.05 /* pause from revoking the lease of this node's old key to the next read */
-#define WATCH_ANSWER_S                                                                             \
-    0.5                   /* part of the timeout of a watch beyond its hold time and half a lease */
-#define WATCH_MOST_S 60.0 /* maximum hold time of a watch in the protocol */
+#define WATCH_TIMEOUT_MARGIN_S                                                                     \
+    0.5                  /* part of the timeout of a watch beyond its hold time and half a lease */
+#define MAX_WATCH_S 60.0 /* maximum hold time of a watch in the protocol */
 #define REVOKE_TIMEOUT_S 1.0
 #define MS_PER_S 1000
 
@@ -38,14 +40,14 @@
 /* Time over which followers spread their reads after the key has changed, at least, in rounds of
  * one request per node. The first follower has then often acquired the key before the next one
  * reads. */
-#define SPREAD_ROUNDS 0.8
+#define READ_SPREAD_ROUNDS 0.8
 /* Number of consecutive rate-limited requests after which a follower's waits grow no further. */
-#define REFUSED_MOST 3
+#define MAX_BACKOFF_DOUBLINGS 3
 /* Wait of a rate-limited leader, which leaves this many requests of the limit to other nodes; and
  * the range of the random factor of waits. */
 #define LEADER_WAIT_REQUESTS 4.0
-#define WAIT_LEAST 0.5
-#define WAIT_MOST 1.5
+#define WAIT_FACTOR_MIN 0.5
+#define WAIT_FACTOR_MAX 1.5
 
 /* Returns the seconds in which the limit allows one request per node. */
 static double request_round_s(const tw_cluster *cluster) {
@@ -62,7 +64,7 @@
 double tw_cluster_rate_limited_wait_s(tw_cluster *cluster, int status) {
     if (status != TW_HTTP_TOO_MANY) return 0;
     return LEADER_WAIT_REQUESTS / cluster->context->config->state_rps *
-           tw_context_random(cluster->context, WAIT_LEAST, WAIT_MOST);
+           tw_context_random(cluster->context, WAIT_FACTOR_MIN, WAIT_FACTOR_MAX);
 }
 
 /* Backs off exponentially after rate-limited requests. If all nodes continued at their full rate
@@ -72,10 +74,11 @@
         if (status) cluster->election_refusals = 0;
         return;
     }
-    const double wait = ldexp(request_round_s(cluster), cluster->election_refusals) *
-                        tw_context_random(cluster->context, WAIT_LEAST, WAIT_MOST);
-    if (cluster->election_refusals < REFUSED_MOST) cluster->election_refusals++;
-    cluster->next_leader_read_at = fmax(cluster->next_leader_read_at, cluster->context->now + wait);
+    const double wait_s = ldexp(request_round_s(cluster), cluster->election_refusals) *
+                          tw_context_random(cluster->context, WAIT_FACTOR_MIN, WAIT_FACTOR_MAX);
+    if (cluster->election_refusals < MAX_BACKOFF_DOUBLINGS) cluster->election_refusals++;
+    cluster->next_leader_read_at =
+        fmax(cluster->next_leader_read_at, cluster->context->now + wait_s);
 }
 
 /* Sends a request of an election in progress, regardless of the rate limiter. A negative balance of
@@ -104,8 +107,9 @@
     cluster->owner.term_ended(cluster->owner.owner);
     cluster->watch_from_revision = 0;
     cluster->next_leader_read_at =
-        cluster->context->now +
-        cluster->lease_s * tw_context_random(cluster->context, RESIGNED_LEAST, RESIGNED_MOST);
+        cluster->context->now + cluster->lease_s * tw_context_random(cluster->context,
+                                                                     STEP_DOWN_PAUSE_MIN,
+                                                                     STEP_DOWN_PAUSE_MAX);
 }
 
 void tw_cluster_observe_token(tw_cluster *cluster, uint64_t token, const char *leader) {
@@ -129,7 +133,7 @@
     cluster->peers_confirmed_at = cluster->peer_count ? 0 : cluster->context->now;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         cluster->peers[i].next_heartbeat_at = cluster->context->now;
-        cluster->peers[i].cancellations_known = cluster->peers[i].cancellations_told = 0;
+        cluster->peers[i].cancellations_acknowledged = cluster->peers[i].cancellations_sent = 0;
         /* Delegations of this node's earlier terms are bound to an older token. */
         cluster->peers[i].delegation_until = 0;
     }
@@ -156,15 +160,15 @@
  * leader, since its response also shows that the state service is reachable; and for longer only if
  * the limit doesn't allow one watch per lease. */
 static void watch_leader_key(tw_cluster *cluster) {
-    const double most_often = WATCH_SHARE * cluster->election_limiter.rate;
-    const double hold = fmin(fmax(cluster->lease_s, 1 / most_often), WATCH_MOST_S);
+    const double max_watch_rate = WATCH_SHARE * cluster->election_limiter.rate;
+    const double hold_s = fmin(fmax(cluster->lease_s, 1 / max_watch_rate), MAX_WATCH_S);
     char path[TW_PATH_SIZE];
     cluster->leader_read_in_flight = true;
     snprintf(path, sizeof path, "/follow?starts=" TW_LEADER_KEY "&since=%llu&holdMs=%d",
-             (unsigned long long)cluster->watch_from_revision, (int)(hold * MS_PER_S));
+             (unsigned long long)cluster->watch_from_revision, (int)(hold_s * MS_PER_S));
     tw_call_send(cluster->context, TW_CALL_WATCH_LEADER, TW_TO_STATE,
                  cluster->context->config->state, "GET", path, NULL,
-                 hold + cluster->lease_s * 0.5 + WATCH_ANSWER_S);
+                 hold_s + cluster->lease_s * 0.5 + WATCH_TIMEOUT_MARGIN_S);
 }
 
 /* Starts an election by requesting a lease. replaced: this node's own old key, which the
@@ -181,7 +185,7 @@
 }
 
 /* Returns whether the last change in the watch's response is the removal of the key. */
-static bool shows_key_gone(const char *body, size_t len) {
+static bool ends_with_key_removal(const char *body, size_t len) {
     tw_wire_entry *changes;
     int count;
     if (tw_wire_changes_parse("log", &changes, &count, body, len)) return false;
@@ -195,12 +199,12 @@
  * pause; they don't read a removed key either, since the acquisition compares that it is absent. */
 static void on_key_changed(tw_cluster *cluster, const char *body, size_t len) {
     const bool is_first = tw_cluster_campaigns_first(cluster);
-    const double spread =
-        fmax(cluster->lease_s * CHANGED_SPREAD, request_round_s(cluster) * SPREAD_ROUNDS);
-    const double pause_s = is_first ? 0 : tw_context_random(cluster->context, 0, spread);
+    const double spread_s = fmax(cluster->lease_s * CHANGED_KEY_READ_SPREAD,
+                                 request_round_s(cluster) * READ_SPREAD_ROUNDS);
+    const double pause_s = is_first ? 0 : tw_context_random(cluster->context, 0, spread_s);
     cluster->next_leader_read_at = cluster->context->now + pause_s;
     if (!is_first || cluster->role != TW_ROLE_FOLLOWER || cluster->election_in_flight ||
-        !shows_key_gone(body, len))
+        !ends_with_key_removal(body, len))
         return;
     start_election(cluster, NULL);
 }
@@ -212,8 +216,8 @@
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len)) {
         cluster->next_leader_read_at =
             cluster->context->now + cluster->lease_s * tw_context_random(cluster->context,
-                                                                         WATCH_RETRY_LEAST,
-                                                                         WATCH_RETRY_MOST);
+                                                                         WATCH_RETRY_MIN,
+                                                                         WATCH_RETRY_MAX);
     } else if (tw_wire_watch_has_changes(body, len)) {
         on_key_changed(cluster, body, len);
     } else {
@@ -243,10 +247,11 @@
 static void on_own_key(tw_cluster *cluster, const tw_wire_entry *entry) {
     *cluster->leader_name = 0;
     cluster->watch_from_revision = 0;
-    cluster->next_leader_read_at = cluster->context->now + OWN_KEY_GONE_S;
+    cluster->next_leader_read_at = cluster->context->now + OWN_KEY_REREAD_PAUSE_S;
     tw_log_info("event=own_leader_key_found token=%llu replaced=%d",
-                (unsigned long long)entry->mod_revision, tw_cluster_any_lacks_chunks(cluster));
-    if (tw_cluster_any_lacks_chunks(cluster))
+                (unsigned long long)entry->mod_revision,
+                tw_cluster_any_peer_lacks_chunk_support(cluster));
+    if (tw_cluster_any_peer_lacks_chunk_support(cluster))
         start_election(cluster, entry);
     else
         revoke_lease(cluster, entry->lease_id, 0);
@@ -296,8 +301,9 @@
 }
 
 /* Returns whether enough of the lease remains for a term that begins now. */
-static bool is_in_time(const tw_cluster *cluster) {
-    return cluster->context->now < cluster->lease_requested_at + cluster->lease_s * ACQUIRED_LATEST;
+static bool enough_lease_remains(const tw_cluster *cluster) {
+    return cluster->context->now <
+           cluster->lease_requested_at + cluster->lease_s * ACQUISITION_DEADLINE;
 }
 
 /* Ends an election that was lost or whose outcome is unknown. Revoking the lease undoes an
@@ -306,19 +312,19 @@
  * it. */
 static void give_up_election(tw_cluster *cluster, bool try_again) {
     cluster->election_in_flight = false;
-    if (!try_again || !tw_cluster_any_lacks_chunks(cluster))
+    if (!try_again || !tw_cluster_any_peer_lacks_chunk_support(cluster))
         revoke_lease(cluster, cluster->lease_id, 0);
     cluster->lease_id = 0;
     cluster->watch_from_revision = 0;
     cluster->next_leader_read_at =
         cluster->context->now +
-        cluster->lease_s * tw_context_random(cluster->context, LOST_LEAST, LOST_MOST);
+        cluster->lease_s * tw_context_random(cluster->context, LOST_PAUSE_MIN, LOST_PAUSE_MAX);
 }
 
 static void on_acquire(tw_cluster *cluster, int status, const char *body, size_t len) {
     uint64_t revision;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len) ||
-        !is_in_time(cluster)) {
+        !enough_lease_remains(cluster)) {
         give_up_election(cluster, status == TW_HTTP_NO_RESPONSE);
     } else if (cluster->replaced_lease_id) {
         /* The key is no longer attached to the old lease, which an earlier process of this node may
@@ -336,7 +342,7 @@
     const uint64_t token = sent->sequence;
     const bool has_ended = status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND;
     if (!token) return;
-    if (!has_ended || !is_in_time(cluster)) {
+    if (!has_ended || !enough_lease_remains(cluster)) {
         give_up_election(cluster, !has_ended);
         return;
     }
@@ -388,7 +394,7 @@
     if (!tw_rate_limiter_try_acquire(&cluster->election_limiter, cluster->context->now, 1)) return;
     cluster->next_leader_read_at =
         cluster->context->now +
-        cluster->lease_s * tw_context_random(cluster->context, READ_PAUSE_LEAST, READ_PAUSE_MOST);
+        cluster->lease_s * tw_context_random(cluster->context, READ_PAUSE_MIN, READ_PAUSE_MAX);
     if (cluster->watch_from_revision && cluster->role == TW_ROLE_FOLLOWER)
         watch_leader_key(cluster);
     else
--- a/src/cluster/lease_delegate.c
+++ b/src/cluster/lease_delegate.c
@@ -22,7 +22,7 @@
  * cancelled jobs; and before a failed request of such a read is repeated. */
 #define ATTEMPT_LEASES 0.1
 #define READ_LEASES 0.4
-#define REFUSED_LEASES 0.05
+#define READ_RETRY_LEASES 0.05
 
 double tw_cluster_delegate_lease_s(const tw_cluster *cluster) {
     return 0.5 * cluster->context->config->lease_s;
@@ -117,7 +117,7 @@
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) {
         /* The read resumes from the last page: under load, some request of each read is refused. */
         cluster->next_cancelled_list_at =
-            cluster->context->now + REFUSED_LEASES * cluster->context->config->lease_s;
+            cluster->context->now + READ_RETRY_LEASES * cluster->context->config->lease_s;
         return;
     }
     for (int i = 0; i < count; i++) note_listed(cluster, &entries[i]);
@@ -161,10 +161,10 @@
              (unsigned long long)cluster->leader_token,
              (unsigned long long)++cluster->delegate_sequence);
     const tw_wire_compare compare = {TW_LEADER_KEY, cluster->leader_token};
-    const tw_wire_write written = {key, data, 0};
+    const tw_wire_write key_write = {key, data, 0};
     tw_call *sent = tw_call_send(cluster->context, TW_CALL_WRITE_DELEGATE_KEY, TW_TO_STATE,
                                  cluster->context->config->state, "POST", "/txn",
-                                 tw_wire_txn_text(&compare, 1, &written, 1), CALL_TIMEOUT_S);
+                                 tw_wire_txn_text(&compare, 1, &key_write, 1), CALL_TIMEOUT_S);
     sent->tokens = tw_alloc(sizeof *sent->tokens);
     sent->tokens[0] = cluster->leader_token;
     cluster->delegate_write_in_flight = true;
@@ -197,7 +197,7 @@
     cluster->delegate_answered_at = now;
 }
 
-bool tw_cluster_delegate_stops(const tw_cluster *cluster, const char *job) {
+bool tw_cluster_delegate_must_stop_job(const tw_cluster *cluster, const char *job) {
     return tw_expiring_names_find(cluster->listed_cancelled_jobs, job) ||
            tw_expiring_names_find(cluster->announced_cancelled_jobs, job);
 }
--- a/src/cluster/peer_heartbeat.c
+++ b/src/cluster/peer_heartbeat.c
@@ -5,22 +5,22 @@
 #include "cluster/cluster_int.h"
 
 /* Range of the pause between two heartbeats to a peer, as shares of the leader's lease. */
-#define PAUSE_LEAST 0.2
-#define PAUSE_MOST 0.3
+#define HEARTBEAT_PAUSE_MIN 0.2
+#define HEARTBEAT_PAUSE_MAX 0.3
 /* Maximum age of the last answered heartbeat of a peer that counts as answering: the sum of these
  * seconds and leases of the leader. */
-#define ANSWERS_S 1.0
-#define ANSWERS_LEASES 0.5
+#define MAX_ANSWER_AGE_S 1.0
+#define MAX_ANSWER_AGE_LEASES 0.5
 #define TIMEOUT_S 1.0
 /* A node is isolated after it has got no answer for one second plus this many leases of the leader.
  */
 #define ISOLATED_LEASES 2.0
 /* Maximum size of the body of a request, and of its part without the ids of cancelled jobs. */
-#define BODY_MOST (64 * 1024)
-#define BODY_REST 1024
+#define MAX_HEARTBEAT_BODY_BYTES (64 * 1024)
+#define BODY_FRAME_BYTES 1024
 /* Maximum number of ids that fit into a heartbeat. A leader with more cancelled jobs does not
  * delegate. */
-#define MAX_CANCELLED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID_SIZE + 3))
+#define MAX_CANCELLED ((MAX_HEARTBEAT_BODY_BYTES - BODY_FRAME_BYTES) / (TW_WIRE_ID_SIZE + 3))
 
 tw_peer *tw_cluster_find_peer(const tw_cluster *cluster, const char *name) {
     for (size_t i = 0; i < cluster->peer_count; i++)
@@ -38,7 +38,7 @@
 
 bool tw_cluster_peer_answers(const tw_cluster *cluster, const tw_peer *peer) {
     return peer->answered_at >=
-           cluster->context->now - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s;
+           cluster->context->now - MAX_ANSWER_AGE_S - MAX_ANSWER_AGE_LEASES * cluster->lease_s;
 }
 
 /* Returns a heartbeat or an answer with the state of this node. If this node may command, fills in
@@ -81,8 +81,9 @@
 
 /* Returns whether the peer has not acknowledged the cancellation, although it may answer workers of
  * the zone without the leader until after `limit`, for longer than a cancellation permits. */
-static bool must_be_told(const tw_peer *peer, const char *zone, uint64_t number, double limit) {
-    return peer->delegation_until > limit && peer->cancellations_known < number &&
+static bool lacks_cancellation(const tw_peer *peer, const char *zone, uint64_t number,
+                               double limit) {
+    return peer->delegation_until > limit && peer->cancellations_acknowledged < number &&
            (!*zone || !strcmp(zone, peer->config.zone));
 }
 
@@ -91,16 +92,16 @@
 }
 
 tw_cancellation_safety tw_cluster_cancellation_safety(tw_cluster *cluster, const char *zone,
-                                                      uint64_t number, bool tell) {
+                                                      uint64_t number, bool send_now) {
     const double limit = cluster->context->now + tw_cluster_renewal_if_superseded_s(cluster);
     tw_cancellation_safety safety = TW_CANCELLATION_SAFE;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         tw_peer *peer = &cluster->peers[i];
-        if (!must_be_told(peer, zone, number, limit)) continue;
+        if (!lacks_cancellation(peer, zone, number, limit)) continue;
         safety = TW_CANCELLATION_PENDING;
         if (!tw_cluster_peer_answers(cluster, peer)) return TW_CANCELLATION_UNREACHABLE;
-        if (!tell || peer->cancellations_told >= number) continue;
-        peer->cancellations_told = number;
+        if (!send_now || peer->cancellations_sent >= number) continue;
+        peer->cancellations_sent = number;
         send_heartbeat(cluster, peer);
     }
     return safety;
@@ -155,14 +156,14 @@
  * process started after the last such answer and has lost its state. No other node can lead while
  * this node has authority, so a peer whose process ran before authority ended had not led until
  * then either. This covers a leader that loses the state service early in its first term. */
-static void note_vouching(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
-                          const tw_wire_peer_heartbeat *answer) {
-    double known = from->vouched_at;
-    if (cluster->role == TW_ROLE_LEADER) known = fmax(known, cluster->authority_until);
+static void note_not_leading(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
+                             const tw_wire_peer_heartbeat *answer) {
+    double known_until = from->not_leading_until;
+    if (cluster->role == TW_ROLE_LEADER) known_until = fmax(known_until, cluster->authority_until);
     const double started_by =
         cluster->context->now - answer->uptime_s * (1 - 2 * cluster->context->config->tune.drift);
-    if (tw_cluster_has_authority(cluster) || started_by <= known)
-        from->vouched_at = fmax(from->vouched_at, sent->sent_at);
+    if (tw_cluster_has_authority(cluster) || started_by <= known_until)
+        from->not_leading_until = fmax(from->not_leading_until, sent->sent_at);
 }
 
 void tw_cluster_heartbeat_response(tw_cluster *cluster, const tw_call *sent, int status,
@@ -172,9 +173,10 @@
     if (!from) return;
     if (from->heartbeats_in_flight) from->heartbeats_in_flight--;
     if (status != TW_HTTP_OK || tw_wire_peer_heartbeat_parse(&answer, body, len)) return;
-    note_vouching(cluster, from, sent, &answer);
-    if (from->answered_at < sent->sent_at - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s)
-        from->back_at = cluster->context->now;
+    note_not_leading(cluster, from, sent, &answer);
+    if (from->answered_at <
+        sent->sent_at - MAX_ANSWER_AGE_S - MAX_ANSWER_AGE_LEASES * cluster->lease_s)
+        from->reachable_since = cluster->context->now;
     from->answered_at = sent->sent_at;
     /* The report is certainly from after the heartbeat was sent. A peer's request gives no such
      * bound, since it may be delayed. */
@@ -182,9 +184,9 @@
     from->delegate_answered_as_of = sent->sent_at;
     note_peer(cluster, from, &answer);
     if (answer.highest_token == cluster->token && sent->term == cluster->context->term &&
-        sent->sequence > from->cancellations_known) {
-        from->cancellations_known = sent->sequence;
-        cluster->owner.cancellations_known(cluster->owner.owner);
+        sent->sequence > from->cancellations_acknowledged) {
+        from->cancellations_acknowledged = sent->sequence;
+        cluster->owner.cancellations_acknowledged(cluster->owner.owner);
     }
     if (answer.is_leader)
         tw_cluster_delegation_granted(cluster, sent->sent_at, answer.highest_token, body, len);
@@ -195,8 +197,9 @@
         tw_peer *to = &cluster->peers[i];
         if (to->heartbeats_in_flight || cluster->context->now < to->next_heartbeat_at) continue;
         to->next_heartbeat_at =
-            cluster->context->now +
-            cluster->lease_s * tw_context_random(cluster->context, PAUSE_LEAST, PAUSE_MOST);
+            cluster->context->now + cluster->lease_s * tw_context_random(cluster->context,
+                                                                         HEARTBEAT_PAUSE_MIN,
+                                                                         HEARTBEAT_PAUSE_MAX);
         send_heartbeat(cluster, to);
     }
 }
--- a/src/cluster/peer_versions.c
+++ b/src/cluster/peer_versions.c
@@ -25,13 +25,13 @@
     return count;
 }
 
-bool tw_cluster_all_read_chunks(const tw_cluster *cluster) {
+bool tw_cluster_all_peers_support_chunks(const tw_cluster *cluster) {
     for (size_t i = 0; i < cluster->peer_count; i++)
         if (cluster->peers[i].record_format < TW_RECORD_FORMAT_CHUNKED) return false;
     return true;
 }
 
-bool tw_cluster_any_lacks_chunks(const tw_cluster *cluster) {
+bool tw_cluster_any_peer_lacks_chunk_support(const tw_cluster *cluster) {
     return count_earlier_peers(cluster) > 0;
 }
 
@@ -62,7 +62,7 @@
            tw_cluster_peer_answers(cluster, peer);
 }
 
-bool tw_cluster_only_earlier_may_succeed(const tw_cluster *cluster) {
+bool tw_cluster_only_earlier_version_may_take_over(const tw_cluster *cluster) {
     if (!count_earlier_peers(cluster)) return false;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         const tw_peer *peer = &cluster->peers[i];
@@ -74,7 +74,7 @@
 }
 
 bool tw_cluster_campaigns_first(const tw_cluster *cluster) {
-    if (tw_cluster_all_read_chunks(cluster)) return false;
+    if (tw_cluster_all_peers_support_chunks(cluster)) return false;
     int preceding = 0;
     for (size_t i = 0; i < cluster->peer_count; i++)
         preceding += precedes_this_node(cluster, &cluster->peers[i]);
--- a/src/cluster/worker_failover_paths.c
+++ b/src/cluster/worker_failover_paths.c
@@ -11,7 +11,7 @@
 #define ANSWER_WAIT_S 4.0
 #define NEXT_NODE_S 1.0
 /* Maximum time between two heartbeats of a worker, in heartbeat intervals. */
-#define LONGEST_INTERVAL 1.25
+#define MAX_HEARTBEAT_INTERVALS 1.25
 
 typedef struct {
     const char *name;
@@ -20,7 +20,7 @@
 } node;
 
 /* Compares the names of nodes, which are numbered: a shorter name sorts before a longer one. */
-static int by_number(const void *one, const void *other) {
+static int compare_node_names(const void *one, const void *other) {
     const char *first = ((const node *)one)->name;
     const char *second = ((const node *)other)->name;
     const size_t first_length = strlen(first);
@@ -31,9 +31,11 @@
 
 /* Returns whether a worker whose heartbeats go to the node at this position gets an answer from
  * another node of its zone before its lease expires, if that node fails. */
-static bool is_in_time(const tw_cluster *cluster, const node *nodes, size_t position) {
+static bool reaches_next_node_in_time(const tw_cluster *cluster, const node *nodes,
+                                      size_t position) {
     const size_t count = cluster->peer_count + 1;
-    double unanswered_s = LONGEST_INTERVAL * cluster->context->config->report_s + NEXT_NODE_S;
+    double unanswered_s =
+        MAX_HEARTBEAT_INTERVALS * cluster->context->config->report_s + NEXT_NODE_S;
     for (size_t step = 1; step < count; step++) {
         const node *next = &nodes[(position + step) % count];
         if (!strcmp(next->zone, nodes[position].zone))
@@ -52,6 +54,7 @@
     nodes[cluster->peer_count] =
         (node){cluster->context->config->host_name, cluster->context->config->location,
                &cluster->failover_in_time};
-    qsort(nodes, count, sizeof *nodes, by_number);
-    for (size_t i = 0; i < count; i++) *nodes[i].in_time = is_in_time(cluster, nodes, i);
+    qsort(nodes, count, sizeof *nodes, compare_node_names);
+    for (size_t i = 0; i < count; i++)
+        *nodes[i].in_time = reaches_next_node_in_time(cluster, nodes, i);
 }
--- a/src/cluster/worker_routing.c
+++ b/src/cluster/worker_routing.c
@@ -8,7 +8,7 @@
 #include "cluster/cluster_int.h"
 
 /* Number of workers that come back from a node within a lease after which the node is avoided. */
-#define AVOID_AFTER 3
+#define AVOID_THRESHOLD 3
 
 static bool is_live_in_zone(const tw_cluster *cluster, const tw_peer *peer, const char *zone) {
     return !strcmp(peer->config.zone, zone) && tw_cluster_peer_answers(cluster, peer);
@@ -20,13 +20,14 @@
     return false;
 }
 
-bool tw_cluster_zone_is_cut(const tw_cluster *cluster, const char *zone, double back_s) {
+bool tw_cluster_zone_is_partitioned(const tw_cluster *cluster, const char *zone,
+                                    double min_reachable_s) {
     if (!strcmp(zone, cluster->context->config->location)) return false;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         const tw_peer *peer = &cluster->peers[i];
         if (strcmp(peer->config.zone, zone) != 0) continue;
         if (!tw_cluster_zone_has_live_peer(cluster, zone)) return true;
-        if (cluster->context->now < peer->back_at + back_s) return true;
+        if (cluster->context->now < peer->reachable_since + min_reachable_s) return true;
     }
     return false;
 }
@@ -51,15 +52,16 @@
 
 /* ---- redirects ---- */
 
-/* Counts a worker that came back from the peer. The peer is avoided when AVOID_AFTER is reached. */
-static void note_came_back(const tw_cluster *cluster, tw_peer *peer) {
+/* Counts a worker that came back from the peer. The peer is avoided when AVOID_THRESHOLD is
+ * reached. */
+static void note_returned_worker(const tw_cluster *cluster, tw_peer *peer) {
     const double now = cluster->context->now;
     const double lease_s = cluster->context->config->lease_s;
-    if (now > peer->avoid_counted_from + lease_s) {
-        peer->avoid_counted_from = now;
+    if (now > peer->returns_counted_from + lease_s) {
+        peer->returns_counted_from = now;
         peer->returned_workers = 0;
     }
-    if (++peer->returned_workers < AVOID_AFTER) return;
+    if (++peer->returned_workers < AVOID_THRESHOLD) return;
     if (now >= peer->avoided_until) tw_log_info("event=peer_avoided peer=%s", peer->config.name);
     peer->avoided_until = now + lease_s;
 }
@@ -68,29 +70,29 @@
 static void sweep_redirects(tw_cluster *cluster) {
     const double now = cluster->context->now;
     const double lease_s = cluster->context->config->lease_s;
-    tw_worker_redirect *known, *next;
+    tw_worker_redirect *redirect, *next;
     if (now < cluster->next_redirect_sweep_at) return;
     cluster->next_redirect_sweep_at = now + lease_s;
-    HASH_ITER(hh, cluster->worker_redirects, known, next) {
-        if (now < known->at + lease_s) continue;
-        HASH_DEL(cluster->worker_redirects, known);
-        free(known);
+    HASH_ITER(hh, cluster->worker_redirects, redirect, next) {
+        if (now < redirect->at + lease_s) continue;
+        HASH_DEL(cluster->worker_redirects, redirect);
+        free(redirect);
     }
 }
 
 /* Records the redirect of the worker to the peer. */
 static void note_redirect(tw_cluster *cluster, const char *worker, const tw_peer *to) {
-    tw_worker_redirect *known;
+    tw_worker_redirect *redirect;
     sweep_redirects(cluster);
-    HASH_FIND_STR(cluster->worker_redirects, worker, known);
-    if (!known) {
-        known = tw_alloc(sizeof *known);
-        snprintf(known->name, sizeof known->name, "%s", worker);
-        HASH_ADD_STR(cluster->worker_redirects, name, known);
+    HASH_FIND_STR(cluster->worker_redirects, worker, redirect);
+    if (!redirect) {
+        redirect = tw_alloc(sizeof *redirect);
+        snprintf(redirect->name, sizeof redirect->name, "%s", worker);
+        HASH_ADD_STR(cluster->worker_redirects, name, redirect);
     }
-    known->target = to;
-    known->at = cluster->context->now;
-    known->came_back = false;
+    redirect->target = to;
+    redirect->at = cluster->context->now;
+    redirect->has_come_back = false;
 }
 
 /* Redirects the worker to the peer, unless the worker has come back from it. Returns whether the
@@ -101,8 +103,8 @@
     /* A worker that two nodes keep redirecting to each other would lose its lease. */
     if (last && last->target == to &&
         cluster->context->now < last->at + cluster->context->config->lease_s) {
-        if (!last->came_back) note_came_back(cluster, to);
-        last->came_back = true;
+        if (!last->has_come_back) note_returned_worker(cluster, to);
+        last->has_come_back = true;
         return false;
     }
     note_redirect(cluster, worker, to);
@@ -125,8 +127,8 @@
     return true;
 }
 
-bool tw_cluster_redirect_safer(tw_cluster *cluster, uint64_t connection, const char *worker,
-                               const char *zone) {
+bool tw_cluster_redirect_for_failover(tw_cluster *cluster, uint64_t connection, const char *worker,
+                                      const char *zone) {
     if (cluster->failover_in_time || !all_peers_live(cluster)) return false;
     tw_peer *safer = find_home(cluster, zone);
     if (!safer || !safer->failover_in_time) return false;
@@ -140,9 +142,9 @@
 }
 
 void tw_cluster_free_redirects(tw_cluster *cluster) {
-    tw_worker_redirect *known, *next;
-    HASH_ITER(hh, cluster->worker_redirects, known, next) {
-        HASH_DEL(cluster->worker_redirects, known);
-        free(known);
+    tw_worker_redirect *redirect, *next;
+    HASH_ITER(hh, cluster->worker_redirects, redirect, next) {
+        HASH_DEL(cluster->worker_redirects, redirect);
+        free(redirect);
     }
 }
--- a/src/context/context.c
+++ b/src/context/context.c
@@ -27,6 +27,6 @@
     context->wall = wall;
 }
 
-double tw_context_random(tw_context *context, double least, double most) {
-    return least + (most - least) * gsl_rng_uniform(context->random);
+double tw_context_random(tw_context *context, double min, double max) {
+    return min + (max - min) * gsl_rng_uniform(context->random);
 }
--- a/src/context/context.h
+++ b/src/context/context.h
@@ -41,8 +41,8 @@
 void tw_context_free(tw_context *context);
 /* Sets the monotonic time and the time of day. A `now` before the current one is ignored. */
 void tw_context_set_time(tw_context *context, double now, double wall);
-/* Returns a uniformly distributed random number between least and most. */
-double tw_context_random(tw_context *context, double least, double most);
+/* Returns a uniformly distributed random number between min and max. */
+double tw_context_random(tw_context *context, double min, double max);
 
 /* ---- effects.c ---- */
 
@@ -59,7 +59,7 @@
                       const char *method, const char *path, char *body, double timeout_s);
 /* Removes the outstanding call with this id, to which a response with this status arrived. Returns
  * the call, which the caller frees by tw_call_free; NULL if no such call is outstanding. */
-tw_call *tw_call_answered(tw_context *context, uint64_t id, int status);
+tw_call *tw_call_match_response(tw_context *context, uint64_t id, int status);
 void tw_call_free(tw_call *sent);
 /* Removes and returns the oldest queued effect; NULL if there is none. The caller frees it by
  * tw_effect_free. */
--- a/src/context/effects.c
+++ b/src/context/effects.c
@@ -74,7 +74,7 @@
     return sent;
 }
 
-tw_call *tw_call_answered(tw_context *context, uint64_t id, int status) {
+tw_call *tw_call_match_response(tw_context *context, uint64_t id, int status) {
     tw_call *sent;
     HASH_FIND(hh, context->calls, &id, sizeof id, sent);
     if (!sent) return NULL;
--- a/src/core/constraints.c
+++ b/src/core/constraints.c
@@ -76,7 +76,7 @@
                        .zone_mask = allowed_zones(core, job),
                        .machines = tw_mixed_version_restriction(core, job),
                        .prefers_first_incarnation =
-                           tw_cluster_only_earlier_may_succeed(core->cluster)};
+                           tw_cluster_only_earlier_version_may_take_over(core->cluster)};
 }
 
 bool tw_demand_allows_machine(const tw_demand *demand, const tw_machine *machine) {
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -62,7 +62,7 @@
                                     .term_began = on_term_began,
                                     .term_ended = on_term_ended,
                                     .lease_renewed = on_lease_renewed,
-                                    .cancellations_known = on_cancellations_known,
+                                    .cancellations_acknowledged = on_cancellations_known,
                                     .delegate_ready = on_delegate_ready,
                                     .list_cancelled = on_list_cancelled};
     core->cluster = tw_cluster_new(&core->context, &owner);
@@ -308,7 +308,7 @@
 void tw_core_response(tw_core *core, double now, double wall, uint64_t id, int status,
                       const char *body, size_t length) {
     tw_context_set_time(&core->context, now, wall);
-    tw_call *sent = tw_call_answered(&core->context, id, status);
+    tw_call *sent = tw_call_match_response(&core->context, id, status);
     if (!sent) return;
     log_read(core, sent, status, body, length);
     if (!responses[sent->kind].of_term || sent->term == core->context.term)
--- a/src/core/delegate_reply.c
+++ b/src/core/delegate_reply.c
@@ -12,7 +12,7 @@
     for (int i = 0; i < heartbeat->task_count && commands.count < MAX_STOPS; i++) {
         const tw_wire_task *task = &heartbeat->tasks[i];
         if (task->state == TW_TASK_EXITED) continue;
-        if (!tw_cluster_delegate_stops(core->cluster, task->job)) continue;
+        if (!tw_cluster_delegate_must_stop_job(core->cluster, task->job)) continue;
         tw_command_list_add(&commands, TW_COMMAND_STOP, task);
     }
     char *text = tw_commands_delegate_text(core, heartbeat, &commands);
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -110,8 +110,8 @@
 void tw_heartbeat_forward(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat,
                           const char *body, size_t len) {
     if (!strcmp(heartbeat->zone, core->context.config->location)) {
-        if (tw_cluster_redirect_safer(core->cluster, connection, heartbeat->worker,
-                                      heartbeat->zone))
+        if (tw_cluster_redirect_for_failover(core->cluster, connection, heartbeat->worker,
+                                             heartbeat->zone))
             return;
     } else {
         if (tw_cluster_redirect_home(core->cluster, connection, heartbeat->worker, heartbeat->zone))
--- a/src/core/job_persistence.c
+++ b/src/core/job_persistence.c
@@ -146,9 +146,9 @@
                             .summary = record_summary,
                             .ended = on_ended,
                             .written = on_written,
-                            .was_read = on_read,
-                            .take_first = on_first_record,
+                            .newer_record_read = on_read,
+                            .adopt_first_record = on_first_record,
                             .refused = on_refused,
                             .settled = on_settled,
-                            .peer_lacks_chunks = on_peer_lacks_chunks};
+                            .peer_without_chunk_support_found = on_peer_lacks_chunks};
 }
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -33,7 +33,7 @@
         core->context.config->tune.silent_ratio * core->context.config->lease_s;
     /* Delegates are asked about only where this node itself has heard nothing, which costs less. */
     return core->context.now - heard_at > max_silence_s &&
-           core->context.now - tw_cluster_delegates_until(core->cluster, machine->zone) >
+           core->context.now - tw_cluster_delegates_may_answer_until(core->cluster, machine->zone) >
                max_silence_s;
 }
 
@@ -51,9 +51,9 @@
 }
 
 tw_lease_expiry tw_lease_expiry_of(const tw_core *core, const tw_machine *machine) {
-    tw_lease_expiry expiry = {.answered_at = fmax(machine->answered_at, machine->answered_older_at),
-                              .delegates_until =
-                                  tw_cluster_delegates_until(core->cluster, machine->zone)};
+    tw_lease_expiry expiry = {
+        .answered_at = fmax(machine->answered_at, machine->answered_older_at),
+        .delegates_until = tw_cluster_delegates_may_answer_until(core->cluster, machine->zone)};
     /* An incarnation has a full lease from its beginning, also if no heartbeat of it was answered:
      * the machine may be known from responses to direct commands only. */
     expiry.incarnation_at = machine->incarnation_learned_at;
@@ -81,7 +81,7 @@
  * reach the zone's nodes, or only just does so again. */
 bool tw_zone_is_unreachable(tw_core *core, const tw_machine *machine) {
     const double back_s = REACHABLE_AGAIN_HEARTBEATS * core->context.config->report_s;
-    if (tw_cluster_zone_is_cut(core->cluster, machine->zone, back_s)) return true;
+    if (tw_cluster_zone_is_partitioned(core->cluster, machine->zone, back_s)) return true;
     for (int zone = 0; zone < core->silent_zone_count; zone++)
         if (!strcmp(core->silent_zones[zone].zone, machine->zone))
             return core->context.now < core->silent_zones[zone].until;
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -102,7 +102,7 @@
         tw_cluster_read_delegates(core->cluster);
         return;
     }
-    tw_cluster_note_expiry(core->cluster);
+    tw_cluster_note_lease_expiry(core->cluster);
     log_lease_expiry(core, machine);
     machine->lease_expired = true;
     DL_FOREACH_SAFE(machine->placements, placed, next) {
@@ -114,7 +114,7 @@
 static const char *return_reason(tw_core *core, const tw_machine *machine, double expires_at) {
     if (machine->lost_launches >= TW_MAX_LOST_LAUNCHES) return "unresponsive";
     if (tw_machine_is_silent(core, machine) &&
-        core->context.now > tw_cluster_delegates_until(core->cluster, machine->zone) &&
+        core->context.now > tw_cluster_delegates_may_answer_until(core->cluster, machine->zone) &&
         !tw_zone_is_unreachable(core, machine))
         return "silent";
     if (core->context.now >
--- a/src/core/mixed_version_placement.c
+++ b/src/core/mixed_version_placement.c
@@ -45,7 +45,7 @@
 tw_machine_restriction tw_mixed_version_restriction(const tw_core *core, const tw_job *job) {
     const bool depends_on_other_tasks = job->spec.spread || job->spec.single_zone;
     if (!depends_on_other_tasks || job->spec.gang || job->task_count < 2 ||
-        !tw_cluster_only_earlier_may_succeed(core->cluster))
+        !tw_cluster_only_earlier_version_may_take_over(core->cluster))
         return TW_MACHINES_ANY;
     const placement_summary summary = summarize_placements(job);
     if (summary.count < max_always_adopted(job)) return TW_MACHINES_ANY;
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -38,7 +38,8 @@
 
 int tw_record_max_running(const tw_core *core, tw_job *job) {
     /* A gang runs as a whole: its record is chunked where it is too long for one value. */
-    if (job->spec.gang && tw_cluster_all_read_chunks(core->cluster)) return job->task_count;
+    if (job->spec.gang && tw_cluster_all_peers_support_chunks(core->cluster))
+        return job->task_count;
     const int index = count_digits((uint64_t)job->task_count);
     const int attempt = count_digits(job->next_attempt + (uint64_t)job->task_count);
     const double task = index + attempt + (double)core->longest_machine_name + TASK_SEPARATORS;
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -247,8 +247,8 @@
      * is cut off from this node's. */
     const bool is_of_own_zone = !strcmp(heartbeat->zone, core->context.config->location);
     if (!from_peer &&
-        (is_of_own_zone ? tw_cluster_redirect_safer(core->cluster, connection, heartbeat->worker,
-                                                    heartbeat->zone)
+        (is_of_own_zone ? tw_cluster_redirect_for_failover(core->cluster, connection,
+                                                           heartbeat->worker, heartbeat->zone)
                         : tw_cluster_redirect_home(core->cluster, connection, heartbeat->worker,
                                                    heartbeat->zone)))
         return;
--- a/src/store/chunk_loader.c
+++ b/src/store/chunk_loader.c
@@ -43,12 +43,12 @@
 /* Adds a chunk to the set. Takes ownership of text. */
 static void keep_chunk(tw_loaded_chunk_set *set, int number, char *text) {
     if (number >= set->capacity) {
-        const int room = number + 1;
-        char **chunks = realloc(set->chunks, (size_t)room * sizeof *chunks);
+        const int new_capacity = number + 1;
+        char **chunks = realloc(set->chunks, (size_t)new_capacity * sizeof *chunks);
         if (!chunks) abort();
-        memset(chunks + set->capacity, 0, (size_t)(room - set->capacity) * sizeof *chunks);
+        memset(chunks + set->capacity, 0, (size_t)(new_capacity - set->capacity) * sizeof *chunks);
         set->chunks = chunks;
-        set->capacity = room;
+        set->capacity = new_capacity;
     }
     free(set->chunks[number]);
     set->chunks[number] = text;
--- a/src/store/chunk_writer.c
+++ b/src/store/chunk_writer.c
@@ -33,18 +33,18 @@
 void tw_store_begin_set(tw_store *store, tw_store_record *record, const char *text) {
     tw_chunk_set *set = tw_alloc(sizeof *set);
     const size_t length = strlen(text);
-    const size_t room = tw_store_value_size(store);
-    size_t most = 1;
-    for (size_t at = 0; at < length; most++) {
-        size_t taken;
-        free(tw_wire_chunk_text(text + at, room, &taken));
-        at += taken;
+    const size_t max_bytes = tw_store_value_size(store);
+    size_t max_chunks = 1;
+    for (size_t offset = 0; offset < length; max_chunks++) {
+        size_t consumed;
+        free(tw_wire_chunk_text(text + offset, max_bytes, &consumed));
+        offset += consumed;
     }
-    set->texts = tw_alloc(most * sizeof *set->texts);
-    for (size_t at = 0; at < length;) {
-        size_t taken;
-        set->texts[set->count++] = tw_wire_chunk_text(text + at, room, &taken);
-        at += taken;
+    set->texts = tw_alloc(max_chunks * sizeof *set->texts);
+    for (size_t offset = 0; offset < length;) {
+        size_t consumed;
+        set->texts[set->count++] = tw_wire_chunk_text(text + offset, max_bytes, &consumed);
+        offset += consumed;
     }
     snprintf(set->name, sizeof set->name, "%llu-%llu",
              (unsigned long long)tw_cluster_token(store->cluster),
@@ -102,13 +102,13 @@
     return sent;
 }
 
-static void send_chunks(tw_store *store, tw_store_record *record, int most) {
+static void send_chunks(tw_store *store, tw_store_record *record, int max_count) {
     tw_chunk_set *set = record->next_set;
     char keys[MAX_CHUNKS][TW_CHUNK_KEY_SIZE];
     tw_wire_write writes[MAX_CHUNKS];
     size_t bytes = CHUNK_FRAME_BYTES;
     int count = 0;
-    while (count < most && count < MAX_CHUNKS && set->written + count < set->count) {
+    while (count < max_count && count < MAX_CHUNKS && set->written + count < set->count) {
         const int number = set->written + count;
         bytes += strlen(set->texts[number]) + CHUNK_FRAME_BYTES;
         if (bytes > MAX_TRANSACTION_BYTES && count) break;
@@ -122,11 +122,12 @@
     set->write_in_flight = true;
 }
 
-void tw_store_flush_chunks(tw_store *store, int most) {
+void tw_store_flush_chunks(tw_store *store, int max_count) {
     const double now = store->context->now;
     tw_store_record *record;
     DL_FOREACH(store->pending, record) {
-        const int writes = (int)fmin(most, tw_rate_limiter_available(&store->write_limiter, now));
+        const int writes =
+            (int)fmin(max_count, tw_rate_limiter_available(&store->write_limiter, now));
         if (store->transactions_in_flight >= TW_MAX_TRANSACTIONS || writes < 1) return;
         if (tw_rate_limiter_available(&store->request_limiter, now) < 1) return;
         if (!record->next_set) continue;
@@ -161,15 +162,15 @@
     store->next_removal_at = 0;
 }
 
-void tw_store_remove_stale(tw_store *store, int most) {
+void tw_store_remove_stale(tw_store *store, int max_count) {
     const double now = store->context->now;
     tw_stale_chunk_set *stale = store->stale_sets;
     if (!stale || store->removal_in_flight || now < store->next_removal_at) return;
     if (store->transactions_in_flight >= TW_MAX_TRANSACTIONS) return;
     if (tw_rate_limiter_available(&store->request_limiter, now) < 1) return;
     const double writes = tw_rate_limiter_available(&store->write_limiter, now);
-    most = (int)fmin(most, fmin(MAX_CHUNKS, writes));
-    const int count = (int)fmin(most, stale->count - stale->removed);
+    max_count = (int)fmin(max_count, fmin(MAX_CHUNKS, writes));
+    const int count = (int)fmin(max_count, stale->count - stale->removed);
     if (count < 1) return;
     char keys[MAX_CHUNKS][TW_CHUNK_KEY_SIZE];
     tw_wire_write removals[MAX_CHUNKS];
--- a/src/store/group_commit.c
+++ b/src/store/group_commit.c
@@ -95,15 +95,16 @@
 }
 
 /* Moves pending records to the batch, either the urgent ones or the others, until the batch holds
- * `most` records. */
-static void batch_fill(tw_store *store, write_batch *batch, bool urgent, int most) {
+ * `max_count` records. */
+static void batch_fill(tw_store *store, write_batch *batch, bool urgent, int max_count) {
     const double now = store->context->now;
     tw_store_record *record, *next;
     DL_FOREACH_SAFE(store->pending, record, next) {
-        if (batch->count >= most) return;
+        if (batch->count >= max_count) return;
         if (batch->count + 1 > tw_rate_limiter_available(&store->write_limiter, now)) return;
         if (now < record->write_after || record->needs_read || urgent != record->urgent) continue;
-        if (batch->count && (record->alone || batch->records[0]->alone)) continue;
+        if (batch->count && (record->in_own_transaction || batch->records[0]->in_own_transaction))
+            continue;
         char *text = next_text(store, record);
         if (!text) continue;
         if (!batch_add(batch, record, text)) return;
@@ -176,7 +177,7 @@
 }
 
 /* Returns whether the limits allow another transaction now. */
-static bool has_room(tw_store *store) {
+static bool can_send_transaction(tw_store *store) {
     const double now = store->context->now;
     return store->transactions_in_flight < TW_MAX_TRANSACTIONS &&
            tw_rate_limiter_available(&store->write_limiter, now) >= 1 &&
@@ -184,18 +185,18 @@
 }
 
 void tw_store_flush(tw_store *store) {
-    const int most = max_changes(store);
+    const int max_count = max_changes(store);
     if (!tw_cluster_delegates_known(store->cluster)) return;
-    tw_store_flush_chunks(store, most);
-    while (store->pending && has_room(store)) {
+    tw_store_flush_chunks(store, max_count);
+    while (store->pending && can_send_transaction(store)) {
         write_batch batch = {.bytes = FRAME_BYTES};
-        batch_fill(store, &batch, true, most);
-        batch_fill(store, &batch, false, most);
+        batch_fill(store, &batch, true, max_count);
+        batch_fill(store, &batch, false, max_count);
         if (batch.count) batch_send(store, &batch);
-        tw_store_flush_chunks(store, most);
+        tw_store_flush_chunks(store, max_count);
         if (!batch.count) break;
     }
-    tw_store_remove_stale(store, most);
+    tw_store_remove_stale(store, max_count);
 }
 
 /* ---- results of writes and reads ---- */
@@ -219,7 +220,7 @@
     /* The chunk set is the one that was written: no other version is written while chunks or a
      * chunked record are in flight. */
     if (*write->chunk_set) tw_store_free_set(record);
-    record->alone = false;
+    record->in_own_transaction = false;
     record->size_refusals = 0;
     if (write->version > record->durable_version) record->durable_version = write->version;
     store->owner.written(store->owner.owner, record->job);
@@ -230,13 +231,13 @@
 /* Processes a record that was read of a job of which this node knew no record. If another node had
  * admitted the job with other fields, those fields replace the ones of this node. That is safe,
  * since no version of this node was durable and therefore no task was launched. */
-static void take_first_record(tw_store *store, tw_store_record *record, const char *value) {
+static void apply_first_record(tw_store *store, tw_store_record *record, const char *value) {
     tw_wire_record first;
     if (tw_wire_record_parse(&first, record->id, value, strlen(value))) return;
     /* Only a leader writes chunked records, so this is the record that this node wrote. */
     if (*first.chunk_set) return;
     tw_store_drop_set(store, record);
-    if (store->owner.take_first(store->owner.owner, record->job, &first)) {
+    if (store->owner.adopt_first_record(store->owner.owner, record->job, &first)) {
         record->durable_version = record->version;
         if (record->queued) dequeue(store, record);
     }
@@ -255,10 +256,10 @@
         tw_store_record_set_chunks(store, record, found.chunk_set, found.chunk_count);
         tw_wire_record_free(&found);
     }
-    if (!record->exists) take_first_record(store, record, entry->value);
+    if (!record->exists) apply_first_record(store, record, entry->value);
     note_latest(store, record, state == TW_JOB_UNKNOWN ? TW_JOB_PENDING : state,
                 entry->mod_revision);
-    store->owner.was_read(store->owner.owner, record->job);
+    store->owner.newer_record_read(store->owner.owner, record->job);
     tw_store_requeue(store, record);
     store->owner.settled(store->owner.owner, record->job);
 }
@@ -301,15 +302,16 @@
     return false;
 }
 
-/* Handles a write that failed or whose outcome is unknown. alone: it was the only write in its
- * transaction. */
+/* Handles a write that failed or whose outcome is unknown. is_sole_write: it was the only write in
+ * its transaction. */
 static void note_not_written(tw_store *store, tw_store_record *record, const record_write *write,
-                             int status, const failed_compares *failed, bool alone) {
+                             int status, const failed_compares *failed, bool is_sole_write) {
     record->urgent = true;
-    if (status == TW_HTTP_BAD_REQUEST && alone)
+    if (status == TW_HTTP_BAD_REQUEST && is_sole_write)
         tw_store_note_refused(store, record, *write->chunk_set ? 0 : write->bytes);
     else if (status == TW_HTTP_BAD_REQUEST)
-        record->alone = true; /* to find out which record of the transaction is refused */
+        record->in_own_transaction =
+            true; /* to find out which record of the transaction is refused */
     else if (status != TW_HTTP_CONFLICT)
         record->write_after = store->context->now + WRITE_RETRY_S;
     /* The revision may have been learned meanwhile by a read on behalf of a user. */
--- a/src/store/record_format.c
+++ b/src/store/record_format.c
@@ -6,24 +6,24 @@
 #define KB 1024
 /* One part in this many of a value stays unused, in case the state service counts white space that
  * it adds itself. */
-#define SPARE_PART 16
+#define VALUE_RESERVE_DIVISOR 16
 /* Maximum size of a value: its transaction, with frame, must fit into 64 KiB. */
 #define MAX_VALUE_BYTES (56.0 * KB)
 /* Maximum sizes in bytes within a job's first record: everything except the names, with each number
  * at its longest; the characters around the name of a machine type; one escaped byte of a name. */
 #define SPEC_FRAME_BYTES 700
 #define NAME_FRAME_BYTES 3
-#define LONGEST_ESCAPED 6
+#define MAX_ESCAPED_BYTES 6
 /* Pause before a refused record is written again: it doubles up to the longest pause. */
-#define FIRST_PAUSE_S 0.15
-#define LONGEST_PAUSE_S 10.0
-#define DOUBLINGS 8
+#define INITIAL_PAUSE_S 0.15
+#define MAX_PAUSE_S 10.0
+#define MAX_PAUSE_DOUBLINGS 8
 
 /* ---- sizes ---- */
 
 size_t tw_store_value_size(const tw_store *store) {
     const double bytes = store->context->config->state_value_kb * KB;
-    return (size_t)fmin(MAX_VALUE_BYTES, bytes - bytes / SPARE_PART);
+    return (size_t)fmin(MAX_VALUE_BYTES, bytes - bytes / VALUE_RESERVE_DIVISOR);
 }
 
 /* Returns the maximum size in bytes of a record while some peer may read whole records only. */
@@ -32,13 +32,13 @@
 }
 
 size_t tw_store_whole_size(const tw_store *store) {
-    return tw_cluster_all_read_chunks(store->cluster) ? tw_store_value_size(store)
-                                                      : current_value_size(store);
+    return tw_cluster_all_peers_support_chunks(store->cluster) ? tw_store_value_size(store)
+                                                               : current_value_size(store);
 }
 
 bool tw_store_needs_chunks(const tw_store *store, const tw_store_record *record, size_t length) {
     const bool refused = record->refused_bytes && length >= record->refused_bytes;
-    if (tw_cluster_all_read_chunks(store->cluster))
+    if (tw_cluster_all_peers_support_chunks(store->cluster))
         return refused || length > tw_store_value_size(store);
     /* Some peer may read whole records only. A record may then stay chunked if it is chunked
      * already, since such a peer can't read it as it is, but a whole record isn't chunked. */
@@ -51,11 +51,11 @@
         strlen(spec->job_class) + strlen(spec->team) + strlen(spec->image) + strlen(spec->zone);
     for (int i = 0; i < spec->machine_type_count; i++)
         characters += strlen(spec->machine_types[i]) + NAME_FRAME_BYTES;
-    return SPEC_FRAME_BYTES + LONGEST_ESCAPED * characters;
+    return SPEC_FRAME_BYTES + MAX_ESCAPED_BYTES * characters;
 }
 
 bool tw_store_is_writable(const tw_store *store, const tw_wire_job *spec) {
-    if (tw_cluster_all_read_chunks(store->cluster)) return true;
+    if (tw_cluster_all_peers_support_chunks(store->cluster)) return true;
     if (max_first_record(spec) <= current_value_size(store)) return true;
     const tw_wire_record record = {.has_job = true,
                                    .job = *spec,
@@ -74,8 +74,9 @@
     if (bytes && (!record->refused_bytes || bytes < record->refused_bytes))
         record->refused_bytes = bytes;
     if (bytes && tw_store_needs_chunks(store, record, bytes)) return;
-    const int doublings = record->size_refusals < DOUBLINGS ? record->size_refusals : DOUBLINGS;
-    const double pause_s = fmin(LONGEST_PAUSE_S, FIRST_PAUSE_S * (double)(1 << doublings));
+    const int doublings =
+        record->size_refusals < MAX_PAUSE_DOUBLINGS ? record->size_refusals : MAX_PAUSE_DOUBLINGS;
+    const double pause_s = fmin(MAX_PAUSE_S, INITIAL_PAUSE_S * (double)(1 << doublings));
     record->size_refusals++;
     record->write_after = store->context->now + pause_s;
     tw_log_error("event=record_refused id=%s bytes=%zu pause_s=%.2f", record->id, bytes, pause_s);
@@ -103,13 +104,13 @@
 }
 
 void tw_store_update_format(tw_store *store) {
-    const bool read_chunks = tw_cluster_all_read_chunks(store->cluster);
-    const bool one_lacks_chunks = tw_cluster_any_lacks_chunks(store->cluster);
-    if (read_chunks != store->peers_read_chunks)
+    const bool read_chunks = tw_cluster_all_peers_support_chunks(store->cluster);
+    const bool any_lacks_chunk_support = tw_cluster_any_peer_lacks_chunk_support(store->cluster);
+    if (read_chunks != store->all_peers_support_chunks)
         tw_log_info("event=record_format_changed chunked=%d", read_chunks);
-    if (read_chunks && !store->peers_read_chunks) retry_refused(store);
-    if (one_lacks_chunks && !store->a_peer_lacks_chunks)
-        store->owner.peer_lacks_chunks(store->owner.owner);
-    store->peers_read_chunks = read_chunks;
-    store->a_peer_lacks_chunks = one_lacks_chunks;
+    if (read_chunks && !store->all_peers_support_chunks) retry_refused(store);
+    if (any_lacks_chunk_support && !store->any_peer_lacks_chunk_support)
+        store->owner.peer_without_chunk_support_found(store->owner.owner);
+    store->all_peers_support_chunks = read_chunks;
+    store->any_peer_lacks_chunk_support = any_lacks_chunk_support;
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -3,22 +3,23 @@
 
 /* All nodes share the rate limits of the state service. The leader may use this share of the
  * request limit, and bursts of this many seconds of the request limit and of its write limit. */
-#define LEADER_REQUESTS 0.6
-#define REQUESTS_BURST_S 0.5
-#define WRITES_BURST_S 0.9
+#define LEADER_REQUEST_SHARE 0.6
+#define REQUEST_BURST_S 0.5
+#define WRITE_BURST_S 0.9
 
 tw_store *tw_store_new(tw_context *context, tw_cluster *cluster, const tw_store_owner *owner) {
     const tw_config *config = context->config;
     const double share = config->tune.write_share;
-    const double writes = share * config->state_write_rps;
+    const double write_rate = share * config->state_write_rps;
     tw_store *store = tw_alloc(sizeof *store);
     store->context = context;
     store->cluster = cluster;
     store->owner = *owner;
-    store->write_limiter = tw_rate_limiter_make(writes, writes * WRITES_BURST_S, context->now);
+    store->write_limiter =
+        tw_rate_limiter_make(write_rate, write_rate * WRITE_BURST_S, context->now);
     store->request_limiter =
-        tw_rate_limiter_make(share * config->state_rps * LEADER_REQUESTS,
-                             share * config->state_rps * REQUESTS_BURST_S, context->now);
+        tw_rate_limiter_make(share * config->state_rps * LEADER_REQUEST_SHARE,
+                             share * config->state_rps * REQUEST_BURST_S, context->now);
     return store;
 }
 
@@ -32,7 +33,7 @@
     store->transactions_in_flight = 0;
     tw_store_forget_stale(store);
     tw_store_free_loaded(store);
-    store->peers_read_chunks = store->a_peer_lacks_chunks = false;
+    store->all_peers_support_chunks = store->any_peer_lacks_chunk_support = false;
 }
 
 /* ---- limits ---- */
@@ -54,7 +55,7 @@
 }
 
 double tw_store_transaction_timeout_s(const tw_store *store) {
-    return fmax(TW_LEAST_TRANSACTION_TIMEOUT_S,
+    return fmax(TW_MIN_TRANSACTION_TIMEOUT_S,
                 tw_cluster_lease_s(store->cluster) * TW_TRANSACTION_TIMEOUT_RATIO);
 }
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -64,11 +64,11 @@
     /* Called when a write succeeded; and when a record was read that is newer than the known one.
      */
     void (*written)(void *owner, void *job);
-    void (*was_read)(void *owner, void *job);
+    void (*newer_record_read)(void *owner, void *job);
     /* Called when a record is read of a job of which this node knew no record: another node may
      * have admitted the job first with other fields, or the job may have ended before. Returns true
      * if it has ended, so that its record is not written. */
-    bool (*take_first)(void *owner, void *job, tw_wire_record *record);
+    bool (*adopt_first_record)(void *owner, void *job, tw_wire_record *record);
     /* Called when the state service refused the record for its size. The owner rejects the requests
      * that wait for the record. */
     void (*refused)(void *owner, void *job);
@@ -77,7 +77,7 @@
     void (*settled)(void *owner, void *job);
     /* Called when a peer reports that it reads whole records only. The owner calls
      * tw_store_rewrite_whole for the records of all jobs that have not ended. */
-    void (*peer_lacks_chunks)(void *owner);
+    void (*peer_without_chunk_support_found)(void *owner);
 } tw_store_owner;
 
 /* Creates a store. context, cluster: not owned. *owner is copied. */
--- a/src/store/store_int.h
+++ b/src/store/store_int.h
@@ -19,7 +19,7 @@
 #define TW_MAX_TRANSACTIONS 3
 /* Timeout of a transaction as a share of the leader's lease, and its minimum. */
 #define TW_TRANSACTION_TIMEOUT_RATIO 0.4
-#define TW_LEAST_TRANSACTION_TIMEOUT_S 0.5
+#define TW_MIN_TRANSACTION_TIMEOUT_S 0.5
 
 /* A chunk set that is being written: the text of the record's next version. */
 typedef struct tw_chunk_set {
@@ -42,11 +42,11 @@
     bool urgent;     /* a request waits for the write */
     bool needs_read; /* the mod revision is unknown: the record is read before it is written */
     bool read_in_flight;
-    bool end_sent;        /* a version in which the job has ended was sent */
-    bool alone;           /* the record is written in a transaction of its own */
-    double write_after;   /* earliest time of the next write */
-    int size_refusals;    /* number of consecutive refusals for size */
-    size_t refused_bytes; /* smallest size that was refused; 0: none was */
+    bool end_sent;           /* a version in which the job has ended was sent */
+    bool in_own_transaction; /* the record is written in a transaction of its own */
+    double write_after;      /* earliest time of the next write */
+    int size_refusals;       /* number of consecutive refusals for size */
+    size_t refused_bytes;    /* smallest size that was refused; 0: none was */
     /* Chunk set that the record refers to in the state service, as last known; "": it is whole. */
     char current_set[TW_WIRE_CHUNK_SET_SIZE];
     int current_chunks;
@@ -70,7 +70,7 @@
     struct tw_loaded_chunk_set *loaded_sets; /* NULL except while a new leader reads the records */
 
     /* Formats that the peers can read, at the last tw_store_update_format. */
-    bool peers_read_chunks, a_peer_lacks_chunks;
+    bool all_peers_support_chunks, any_peer_lacks_chunk_support;
 };
 
 /* ---- store.c ---- */
@@ -106,11 +106,12 @@
 void tw_store_drop_set(tw_store *store, tw_store_record *record);
 /* Frees the chunk set of the next version in memory. */
 void tw_store_free_set(tw_store_record *record);
-/* Sends chunks of pending records, at most `most` per transaction, as far as the rate limits allow.
+/* Sends chunks of pending records, at most `max_count` per transaction, as far as the rate limits
+ * allow.
  */
-void tw_store_flush_chunks(tw_store *store, int most);
-/* Removes at most `most` chunks that no record refers to, as far as the rate limits allow. */
-void tw_store_remove_stale(tw_store *store, int most);
+void tw_store_flush_chunks(tw_store *store, int max_count);
+/* Removes at most `max_count` chunks that no record refers to, as far as the rate limits allow. */
+void tw_store_remove_stale(tw_store *store, int max_count);
 /* Queues a chunk set of `count` chunks that no record refers to for removal. */
 void tw_store_add_stale(tw_store *store, const char *id, const char *set, int count);
 /* Clears the queue of chunk sets to remove. The next leader finds them when it reads the chunks. */
