--- a/src/cluster/authority.c
+++ b/src/cluster/authority.c
@@ -1,7 +1,6 @@
 /* Permissions of this node, and bounds on how long other nodes may answer workers. The authority to
  * command ends before the leader's lease in the state service can expire. Renewal without authority
- * continues for a bounded time, for which the next leader waits. docs/design.md has the argument.
- */
+ * continues for a bounded time, for which the next leader waits. See docs/design.md. */
 #include "cluster/cluster_int.h"
 
 /* Share of the setting margin_ratio that the bound for cancellations (cancel_s) includes. */
@@ -40,7 +39,7 @@
                 tw_cluster_renewal_if_superseded_s(cluster) + cluster->context->config->lease_s);
 }
 
-/* Returns until when certainly no other node had led, according to the answers of all peers
+/* Returns the time until which no other node can have led, according to the answers of all peers
  * (note_not_leading in peer_heartbeat.c). */
 static double sole_leader_until(const tw_cluster *cluster) {
     double until = INFINITY;
@@ -65,8 +64,8 @@
 
 double tw_cluster_predecessor_renewals_end(const tw_cluster *cluster) {
     if (cluster->peers_confirmed_at > 0) return cluster->peers_confirmed_at;
-    /* After this node acquired the key, an earlier leader can no longer get answers from all nodes
-     * which show that none of them leads. */
+    /* After this node has acquired the key, an earlier leader can no longer get answers from all
+     * nodes which show that none of them has led. */
     return cluster->term_began_at + tw_cluster_renewal_without_contact_s(cluster) *
                                         (1 + 2 * cluster->context->config->tune.drift);
 }
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -1,7 +1,7 @@
 /* Creation and freeing of the cluster, dispatch of its inputs, and queries about its state. */
 #include "cluster/cluster_int.h"
 
-/* A time before any that matters: initial value of times at which something last happened. */
+/* Initial value of the times of past events: earlier than any time that matters. */
 #define LONG_AGO (-1e9)
 #define MIN_LEASE_S 0.2
 
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -84,8 +84,8 @@
 /* Processes a peer heartbeat and replies to it on the connection. */
 void tw_cluster_receive_heartbeat(tw_cluster *cluster, uint64_t connection, const char *body,
                                   size_t len);
-/* Records that a leader with this token exists, from the state service, a peer or a worker. leader:
- * its name; NULL: unknown. If this node leads with a lower token, it steps down. */
+/* Records a token from a message of the state service, a peer or a worker. leader: name of the
+ * leader with this token; NULL: unknown. If this node leads with a lower token, it steps down. */
 void tw_cluster_observe_token(tw_cluster *cluster, uint64_t token, const char *leader);
 /* Ends the term if this node leads. why: reason for the log. */
 void tw_cluster_step_down(tw_cluster *cluster, const char *why);
@@ -109,7 +109,7 @@
 uint64_t tw_cluster_token(const tw_cluster *cluster);
 uint64_t tw_cluster_highest_token(const tw_cluster *cluster);
 uint64_t tw_cluster_leader_token(const tw_cluster *cluster);
-/* Returns the time at which this node's last term began, in steady seconds. */
+/* Returns when this node's last term began, in monotonic seconds. */
 double tw_cluster_term_began_at(const tw_cluster *cluster);
 /* Returns the length of the leader's lease in seconds. */
 double tw_cluster_lease_s(const tw_cluster *cluster);
@@ -122,8 +122,9 @@
 bool tw_cluster_is_isolated(const tw_cluster *cluster);
 /* Returns the number of seconds since the state service last answered. */
 double tw_cluster_store_silent_s(const tw_cluster *cluster);
-/* Returns for how many seconds a leader sends no further request after a response with this status,
- * so that other nodes get their share of the state service's rate limit; 0: not rate-limited. */
+/* Returns the time in seconds for which a leader sends no further request after a response with
+ * this status, so that other nodes get their share of the state service's rate limit; 0: not
+ * rate-limited. */
 double tw_cluster_rate_limited_wait_s(tw_cluster *cluster, int status);
 
 /* ---- the fence: the compares that a leader's writes include ---- */
@@ -140,8 +141,8 @@
 
 /* ---- delegates, as known to the leader (delegate_registry.c) ---- */
 
-/* Return whether the delegates' keys were read in this term; and when the last request was sent
- * that showed the keys to be as known. */
+/* Return whether the delegates' keys were read in this term; and the send time of the last read, or
+ * write, whose response confirmed the known keys. */
 bool tw_cluster_delegates_known(const tw_cluster *cluster);
 double tw_cluster_delegates_checked_at(const tw_cluster *cluster);
 /* Records that a write with tw_cluster_fence, sent at sent_at, succeeded, which confirms the known
@@ -152,9 +153,8 @@
 /* Records that this node considers a worker's lease expired now. The term ends if a read of the
  * delegates' keys shows later that a delegate was unknown at that time. */
 void tw_cluster_note_lease_expiry(tw_cluster *cluster);
-/* Returns until when a delegate of the zone ("": of any zone) may have answered workers, by its
- * key.
- */
+/* Returns the time until which a delegate of the zone ("": of any zone) may answer workers by its
+ * key. */
 double tw_cluster_delegates_may_answer_until(const tw_cluster *cluster, const char *zone);
 /* Returns when a worker's lease, last renewed by this node at renewed_at, has certainly expired,
  * given that peers of the zone ("": of any zone) may have renewed it since by delegation. lease_s:
@@ -164,19 +164,20 @@
 
 /* ---- bounds on renewal without authority (authority.c) ---- */
 
-/* Returns until when an earlier leader may have answered a worker that has not seen this node's
- * token. */
+/* Returns the time until which an earlier leader may have answered a worker that has not seen this
+ * node's token. */
 double tw_cluster_predecessor_renewals_end(const tw_cluster *cluster);
-/* Returns for how many seconds a node may answer workers while it can't exclude that another node
- * leads. */
+/* Returns the time in seconds for which a node may answer workers while it can't exclude that
+ * another node leads. */
 double tw_cluster_renewal_if_superseded_s(const tw_cluster *cluster);
 
 /* ---- acknowledgement of cancellations by delegates (peer_heartbeat.c) ---- */
 
-/* Whether all nodes that may answer a machine without the leader know that a job is cancelled. */
+/* State of a cancellation. It is safe when all nodes that may answer a machine without the leader
+ * know of it. */
 typedef enum {
-    TW_CANCELLATION_UNREACHABLE = -1, /* a node that doesn't know it yet can't be reached */
-    TW_CANCELLATION_PENDING,          /* a node doesn't know it yet */
+    TW_CANCELLATION_UNREACHABLE = -1, /* a node that doesn't know of it can't be reached */
+    TW_CANCELLATION_PENDING,          /* a node doesn't know of it yet */
     TW_CANCELLATION_SAFE
 } tw_cancellation_safety;
 /* Returns the number of a new cancellation. Peers acknowledge all cancellations up to a number. */
@@ -199,8 +200,7 @@
 void tw_cluster_note_delegate_answer(tw_cluster *cluster);
 /* Returns whether a delegate must stop the tasks of the job because it is cancelled. */
 bool tw_cluster_delegate_must_stop_job(const tw_cluster *cluster, const char *job);
-/* Records that the leader answered a heartbeat of the worker that this node forwarded at sent_at.
- */
+/* Records that the leader answered the worker's heartbeat that this node forwarded at sent_at. */
 void tw_cluster_note_forwarded(tw_cluster *cluster, const char *worker, double sent_at);
 
 /* ---- peers ---- */
@@ -228,9 +228,9 @@
  * there is no such node or the worker has come back from it. */
 bool tw_cluster_redirect_home(tw_cluster *cluster, uint64_t connection, const char *worker,
                               const char *zone);
-/* Redirects a worker of this node's zone to another node of the zone, if the worker's lease would
- * expire should this node fail while the zone is partitioned, and would not at the other node.
- * Returns false, without a reply, if the worker was not redirected. */
+/* Redirects a worker of this node's zone to another node of the zone. Does so only if the failure
+ * of this node during a partition of the zone would expire the worker's lease, and the failure of
+ * the other node would not. Returns false, without a reply, if the worker was not redirected. */
 bool tw_cluster_redirect_for_failover(tw_cluster *cluster, uint64_t connection, const char *worker,
                                       const char *zone);
 /* Redirects a worker to the leader. Returns false, without a reply, if it was not redirected. */
--- a/src/cluster/cluster_int.h
+++ b/src/cluster/cluster_int.h
@@ -27,7 +27,7 @@
 /* Phase of a term. The leader makes no decisions while it reads the records (loading). */
 typedef enum { TW_PHASE_LOADING, TW_PHASE_ACTIVE } tw_leader_phase;
 
-/* Another node. Times are steady seconds of this node's clock. */
+/* Another node. Times are monotonic seconds of this node's clock. */
 typedef struct tw_peer {
     tw_config_peer config;
     /* A worker that sends heartbeats to the peer reaches another node of its zone before its lease
@@ -43,19 +43,19 @@
     bool store_reachable;     /* the peer reports that the state service answers it */
     int record_format;        /* TW_RECORD_FORMAT_* that the peer can read; 0: not reported yet */
 
-    uint64_t
-        cancellations_acknowledged; /* the peer acknowledged the cancellations up to this number */
-    uint64_t cancellations_sent; /* cancellations up to this number were sent to the peer at once */
+    /* The peer has acknowledged the cancellations up to the first number. Cancellations up to the
+     * second number were sent to it in an immediate heartbeat. */
+    uint64_t cancellations_acknowledged, cancellations_sent;
 
     uint64_t delegate_revision; /* mod revision of the peer's delegate key; 0: none */
     double delegate_until;      /* the peer may answer workers until then by its delegate key */
-    double delegation_until;    /* the same by delegation in this node's answer to its heartbeat */
+    double delegation_until; /* the peer may answer workers until then by this node's delegation */
     /* When the peer last answered a worker as a delegate, by its own report; and the send time of
      * the heartbeat whose answer contained this report. */
     double delegate_answered_at, delegate_answered_as_of;
 
-    /* Count of workers that came back from the peer, and when the counting began; an avoided peer
-     * is not the target of redirects until avoided_until. */
+    /* Number of workers that have come back from the peer since returns_counted_from. No worker is
+     * redirected to the peer before avoided_until. */
     double returns_counted_from, avoided_until;
     int returned_workers;
 } tw_peer;
@@ -64,7 +64,7 @@
 typedef struct tw_worker_redirect {
     char name[TW_NAME_SIZE]; /* name of the worker */
     const tw_peer *target;
-    double at;
+    double at;          /* time of the redirect */
     bool has_come_back; /* the worker sent a heartbeat to this node again */
     UT_hash_handle hh;
 } tw_worker_redirect;
@@ -82,12 +82,12 @@
     double lease_s; /* length of the leader's lease */
     double authority_until, term_began_at;
     double peers_confirmed_at; /* when all peers had reported the token; 0: not yet */
-    bool logged_may_command,
-        logged_may_renew; /* permissions at the last tw_cluster_log_permissions */
+    /* Permissions at the last tw_cluster_log_permissions. */
+    bool logged_may_command, logged_may_renew;
     double next_renewal_at, renewal_sent_at;
     int renewals_in_flight;
 
-    /* Following the leader's key, and elections (election.c). */
+    /* Reads and watches of the leader's key, and elections (election.c). */
     char leader_name[TW_NAME_SIZE]; /* "": unknown */
     uint64_t leader_token;
     double next_leader_read_at;
@@ -97,8 +97,7 @@
     uint64_t replaced_revision; /* mod revision of this node's old key to replace; 0: none */
     uint64_t replaced_lease_id; /* lease of that old key, revoked before the new term; 0: none */
     tw_rate_limiter election_limiter; /* limits this node's requests for watches and elections */
-    int election_refusals;            /* consecutive rate-limited responses to these, at most
-                                         MAX_BACKOFF_DOUBLINGS */
+    int election_refusals; /* consecutive rate-limited requests, up to MAX_BACKOFF_DOUBLINGS */
 
     /* Peers (peer_heartbeat.c). */
     tw_peer *peers;
@@ -146,8 +145,8 @@
 void tw_cluster_election_tick(tw_cluster *cluster);
 
 /* ---- leader_lease.c ---- */
-/* Returns when the authority ends that follows from a grant or renewal of the lease requested at
- * sent_at. */
+/* Returns the end of the authority that a grant or renewal of the lease gives; sent_at: time of the
+ * request. */
 double tw_cluster_authority_end(const tw_cluster *cluster, double sent_at);
 /* Processes the response of the state service to a renewal. */
 void tw_cluster_renewal_response(tw_cluster *cluster, const tw_call *sent, int status);
@@ -162,8 +161,8 @@
 /* Returns the maximum time in seconds for which a leader renews workers' leases after the end of
  * its authority. */
 double tw_cluster_renewal_without_authority_s(const tw_cluster *cluster);
-/* Returns for how many seconds a node may answer workers after its last proof of authority or
- * delegation, without further contact to the other nodes. */
+/* Returns the time in seconds for which a node may answer workers after its last proof of authority
+ * or delegation, without further contact to the other nodes. */
 double tw_cluster_renewal_without_contact_s(const tw_cluster *cluster);
 /* Logs the end of the authority to command and of the permission to renew leases. */
 void tw_cluster_log_permissions(tw_cluster *cluster);
@@ -189,8 +188,8 @@
 bool tw_cluster_campaigns_first(const tw_cluster *cluster);
 
 /* ---- lease_delegate.c ---- */
-/* Returns for how many seconds a delegate key permits its node to answer workers, counted from the
- * sending of the write. */
+/* Returns the time in seconds for which a delegate key permits its node to answer workers, counted
+ * from the sending of the write. */
 double tw_cluster_delegate_lease_s(const tw_cluster *cluster);
 /* Formats the delegate key of the node. key: buffer of TW_DELEGATE_KEY_SIZE bytes. */
 void tw_cluster_delegate_key(char *key, const char *node);
--- a/src/cluster/delegate_registry.c
+++ b/src/cluster/delegate_registry.c
@@ -58,9 +58,9 @@
                                    double lease_s) {
     double expires_at = renewed_at + lease_s;
     /* A peer of the zone may have renewed the lease by delegation while it could not reach this
-     * node. If it reported when it last answered a worker, and did so after a lease renewed at that
-     * time had expired, the lease lasted until then at most. Otherwise the peer may have renewed it
-     * until the end of its delegation. */
+     * node. The peer reports when it last answered a worker, which bounds the renewals if the
+     * report was made after a lease renewed at that time had expired. Otherwise the peer may have
+     * renewed the lease until the end of its delegation. */
     for (size_t i = 0; i < cluster->peer_count; i++) {
         const tw_peer *peer = &cluster->peers[i];
         if (peer->delegation_until <= 0) continue;
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -6,45 +6,42 @@
 
 /* Times as shares of the leader's lease. */
 #define ELECTION_TIMEOUT 0.5
-#define ACQUISITION_DEADLINE 0.9 /* a later acquisition is abandoned: authority would end at once  \
-                                  */
+#define ACQUISITION_DEADLINE 0.9 /* later, too little authority would remain for the term */
 #define READ_PAUSE_MIN 0.15      /* pause between two reads of the key */
 #define READ_PAUSE_MAX 0.25
 #define WATCH_RETRY_MIN 0.1
 #define WATCH_RETRY_MAX 0.2
-#define CHANGED_KEY_READ_SPREAD                                                                    \
-    0.08                    /* time over which followers spread their reads of a changed key */
-#define LOST_PAUSE_MIN 0.05 /* pause after a lost election */
+#define CHANGED_KEY_READ_SPREAD 0.08 /* followers spread their reads of a changed key over it */
+#define LOST_PAUSE_MIN 0.05          /* pause after a lost election */
 #define LOST_PAUSE_MAX 0.2
 #define STEP_DOWN_PAUSE_MIN 0.05 /* pause after the end of a term */
 #define STEP_DOWN_PAUSE_MAX 0.25
 
-#define OWN_KEY_REREAD_PAUSE_S                                                                     \
-    0.05 /* pause from revoking the lease of this node's old key to the next read */
-#define WATCH_TIMEOUT_MARGIN_S                                                                     \
-    0.5                  /* part of the timeout of a watch beyond its hold time and half a lease */
-#define MAX_WATCH_S 60.0 /* maximum hold time of a watch in the protocol */
+/* Pause from the revocation of the lease of this node's old key to the next read of the key. */
+#define OWN_KEY_REREAD_PAUSE_S 0.05
+/* The timeout of a watch is its hold time plus half a lease of the leader plus this. */
+#define WATCH_TIMEOUT_MARGIN_S 0.5
+/* Maximum hold time of a watch in the protocol. */
+#define MAX_WATCH_S 60.0
 #define REVOKE_TIMEOUT_S 1.0
 #define MS_PER_S 1000
 
-/* ---- the state service's limit of requests ---- */
+/* ---- the rate limit of the state service ---- */
 
 /* Share of the request limit that all nodes together use to watch the leader's key and to elect a
  * leader. The rest is for the leader: lease renewals, reads of the records, writes. */
 #define FOLLOW_SHARE 0.4
-/* Number of requests of a complete election: read, lease, acquisition, its revocation, read, watch.
- */
+/* Requests of a complete election: read, lease, acquisition, revocation, read, watch. */
 #define ELECTION_REQUESTS 6.0
 /* Share of a node's election rate that watches may use. The rest is left for an election. */
 #define WATCH_SHARE 0.8
-/* Time over which followers spread their reads after the key has changed, at least, in rounds of
- * one request per node. The first follower has then often acquired the key before the next one
- * reads. */
+/* Minimum time over which followers spread their reads of a changed key, in rounds of one request
+ * per node. The first follower has then often acquired the key before the next one reads it. */
 #define READ_SPREAD_ROUNDS 0.8
 /* Number of consecutive rate-limited requests after which a follower's waits grow no further. */
 #define MAX_BACKOFF_DOUBLINGS 3
-/* Wait of a rate-limited leader, which leaves this many requests of the limit to other nodes; and
- * the range of the random factor of waits. */
+/* Wait of a leader after a rate-limited request, as the number of requests that it leaves to other
+ * nodes; and range of the random factor of all waits. */
 #define LEADER_WAIT_REQUESTS 4.0
 #define WAIT_FACTOR_MIN 0.5
 #define WAIT_FACTOR_MAX 1.5
@@ -146,7 +143,7 @@
     cluster->owner.term_began(cluster->owner.owner);
 }
 
-/* ---- following the leader's key ---- */
+/* ---- reading and watching the leader's key ---- */
 
 static void read_leader_key(tw_cluster *cluster) {
     cluster->leader_read_in_flight = true;
@@ -189,9 +186,9 @@
     tw_wire_entry *changes;
     int count;
     if (tw_wire_changes_parse("log", &changes, &count, body, len)) return false;
-    const bool is_gone = count > 0 && !changes[count - 1].value;
+    const bool is_key_removed = count > 0 && !changes[count - 1].value;
     tw_wire_entries_free(changes, count);
-    return is_gone;
+    return is_key_removed;
 }
 
 /* Handles a change of the leader's key. Followers read the key after random pauses, so that their
@@ -228,9 +225,7 @@
 
 /* ---- elections ---- */
 
-/* Revokes a lease. token: token of the term that begins when the lease has ended; 0: no term
- * begins.
- */
+/* Revokes a lease. token: token of the term that begins after the revocation; 0: none begins. */
 static void revoke_lease(tw_cluster *cluster, uint64_t lease_id, uint64_t token) {
     char path[TW_PATH_SIZE];
     if (!lease_id) return;
@@ -307,12 +302,12 @@
 }
 
 /* Ends an election that was lost or whose outcome is unknown. Revoking the lease undoes an
- * acquisition that succeeded. try_again: this node may hold the key. While a peer of an earlier
+ * acquisition that succeeded. may_hold_key: this node may hold the key. While a peer of an earlier
  * version could take over, the lease is then not revoked; the next read finds the key and replaces
  * it. */
-static void give_up_election(tw_cluster *cluster, bool try_again) {
+static void give_up_election(tw_cluster *cluster, bool may_hold_key) {
     cluster->election_in_flight = false;
-    if (!try_again || !tw_cluster_any_peer_lacks_chunk_support(cluster))
+    if (!may_hold_key || !tw_cluster_any_peer_lacks_chunk_support(cluster))
         revoke_lease(cluster, cluster->lease_id, 0);
     cluster->lease_id = 0;
     cluster->watch_from_revision = 0;
@@ -336,8 +331,8 @@
     }
 }
 
-/* Handles the response to the revocation of a lease. If it was the lease of a replaced key and has
- * ended, the term begins. */
+/* Handles the response to the revocation of a lease. The term begins if the lease belonged to a
+ * replaced key and has ended. */
 static void on_revoke(tw_cluster *cluster, const tw_call *sent, int status) {
     const uint64_t token = sent->sequence;
     const bool has_ended = status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND;
--- a/src/cluster/leader_lease.c
+++ b/src/cluster/leader_lease.c
@@ -6,9 +6,7 @@
 /* Times as shares of the leader's lease. */
 #define AUTHORITY_MARGIN 0.05 /* time by which authority ends before the lease */
 #define RENEW_EVERY 0.25
-#define RENEW_SLOW                                                                                 \
-    0.2 /* time after which a second renewal is sent if the first has no response                  \
-         */
+#define RENEW_SLOW 0.2 /* a second renewal is sent if the first takes longer */
 #define RENEW_RETRY 0.1
 #define RENEW_TIMEOUT 0.4
 
--- a/src/cluster/lease_delegate.c
+++ b/src/cluster/lease_delegate.c
@@ -35,8 +35,7 @@
 bool tw_cluster_delegate_may_answer(const tw_cluster *cluster, const char *worker,
                                     const char *zone) {
     const double now = cluster->context->now;
-    /* The leader assumes that only nodes in a worker's own zone renew its lease without the leader.
-     */
+    /* The leader assumes that only nodes in a worker's zone renew its lease by delegation. */
     if (cluster->role != TW_ROLE_FOLLOWER || strcmp(zone, cluster->context->config->location) != 0)
         return false;
     if (cluster->delegation_token && cluster->delegation_token == cluster->highest_token &&
@@ -115,7 +114,7 @@
     int count, more;
     cluster->cancelled_list_in_flight = false;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) {
-        /* The read resumes from the last page: under load, some request of each read is refused. */
+        /* The read resumes at the failed page: under load, a request of each read is refused. */
         cluster->next_cancelled_list_at =
             cluster->context->now + READ_RETRY_LEASES * cluster->context->config->lease_s;
         return;
--- a/src/cluster/peer_heartbeat.c
+++ b/src/cluster/peer_heartbeat.c
@@ -12,8 +12,7 @@
 #define MAX_ANSWER_AGE_S 1.0
 #define MAX_ANSWER_AGE_LEASES 0.5
 #define TIMEOUT_S 1.0
-/* A node is isolated after it has got no answer for one second plus this many leases of the leader.
- */
+/* A node is isolated if it gets no answer for this many leases of the leader plus one second. */
 #define ISOLATED_LEASES 2.0
 /* Maximum size of the body of a request, and of its part without the ids of cancelled jobs. */
 #define MAX_HEARTBEAT_BODY_BYTES (64 * 1024)
@@ -151,11 +150,11 @@
              tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
-/* Updates until when the peer has certainly not led, by its answer to a heartbeat. A peer that
+/* Updates not_leading_until of the peer by its answer to a heartbeat. A peer that
  * knows of no higher token than this node's had not led when the heartbeat was sent, unless its
- * process started after the last such answer and has lost its state. No other node can lead while
- * this node has authority, so a peer whose process ran before authority ended had not led until
- * then either. This covers a leader that loses the state service early in its first term. */
+ * process started after the last such answer: an earlier process may have led. No other node can
+ * lead while this node has authority, so it suffices that the peer's process ran before authority
+ * ended. This covers a leader that loses the state service early in its first term. */
 static void note_not_leading(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
                              const tw_wire_peer_heartbeat *answer) {
     double known_until = from->not_leading_until;
@@ -178,8 +177,8 @@
         sent->sent_at - MAX_ANSWER_AGE_S - MAX_ANSWER_AGE_LEASES * cluster->lease_s)
         from->reachable_since = cluster->context->now;
     from->answered_at = sent->sent_at;
-    /* The report is certainly from after the heartbeat was sent. A peer's request gives no such
-     * bound, since it may be delayed. */
+    /* The peer made this report after the heartbeat was sent. A report in a heartbeat of the peer
+     * itself gives no such bound, since the heartbeat may be delayed. */
     from->delegate_answered_at = cluster->context->now - answer.since_delegate_answer_s;
     from->delegate_answered_as_of = sent->sent_at;
     note_peer(cluster, from, &answer);
--- a/src/cluster/peer_versions.c
+++ b/src/cluster/peer_versions.c
@@ -4,8 +4,7 @@
  * version could campaign, two followers of this version campaign without the usual pause when their
  * watches report the removal of the leader's key, and so usually win; and a key that names this
  * node itself is replaced instead of removed (election.c). If no watch is open when the key is
- * removed, no version has an advantage. Leadership depends on the leader's key only, in all cases.
- */
+ * removed, no version has an advantage. Only the leader's key determines which node leads. */
 #include "cluster/cluster_int.h"
 
 /* Number of followers that campaign without a pause. With two, one of them may have just ended, and
--- a/src/cluster/worker_routing.c
+++ b/src/cluster/worker_routing.c
@@ -32,8 +32,8 @@
     return false;
 }
 
-/* Returns a live node of the zone that is not avoided, preferably one with failover in time; NULL
- * if there is none. */
+/* Returns a live node of the zone that is not avoided, preferably one whose workers fail over in
+ * time; NULL if there is none. */
 static tw_peer *find_home(const tw_cluster *cluster, const char *zone) {
     tw_peer *any = NULL;
     for (size_t i = 0; i < cluster->peer_count; i++) {
--- a/src/context/call.h
+++ b/src/context/call.h
@@ -46,7 +46,7 @@
     uint64_t term; /* the context's term when the call was sent */
 
     uint64_t connection; /* connection of the user's or worker's request that waits; 0: none */
-    double until;        /* time until which that request may wait, steady seconds */
+    double until;        /* time until which that request may wait, monotonic seconds */
     uint64_t sequence;
     int count, operation;
     char name[256];
--- a/src/context/context.h
+++ b/src/context/context.h
@@ -29,7 +29,7 @@
     tw_effect *first_effect, *last_effect;
     tw_call *calls; /* outstanding calls by id */
     uint64_t last_call_id;
-    /* Calls to the state service, and rate-limited answers, since the counts were last logged. */
+    /* Calls to the state service, and rate-limited responses, since the counts were last logged. */
     unsigned calls_made[TW_CALL_KINDS], calls_refused;
     double next_calls_log_at;
 } tw_context;
@@ -46,8 +46,8 @@
 
 /* ---- effects.c ---- */
 
-/* Queues the reply to the request on the connection; connection 0: frees the body, since no request
- * waits. Takes ownership of body. retry_after: value of the Retry-After header in seconds; 0: no
+/* Queues the reply to the request on the connection, or frees body if connection is 0 (no request
+ * waits). Takes ownership of body. retry_after: value of the Retry-After header in seconds; 0: no
  * such header. */
 void tw_reply(tw_context *context, uint64_t connection, int status, double retry_after, char *body);
 /* Queues a reply as tw_reply does, with the body {"error":"<what>"}. */
--- a/src/context/expiring_name.h
+++ b/src/context/expiring_name.h
@@ -7,7 +7,7 @@
 
 typedef struct tw_expiring_name {
     char name[TW_NAME_SIZE];
-    double at;
+    double at; /* when the name was last added */
     UT_hash_handle hh;
 } tw_expiring_name;
 
--- a/src/store/chunk_loader.c
+++ b/src/store/chunk_loader.c
@@ -41,7 +41,7 @@
 }
 
 /* Adds a chunk to the set. Takes ownership of text. */
-static void keep_chunk(tw_loaded_chunk_set *set, int number, char *text) {
+static void add_chunk(tw_loaded_chunk_set *set, int number, char *text) {
     if (number >= set->capacity) {
         const int new_capacity = number + 1;
         char **chunks = realloc(set->chunks, (size_t)new_capacity * sizeof *chunks);
@@ -65,7 +65,7 @@
         if (number < 0)
             tw_log_error("event=chunk_unreadable key=%.64s", entries[i].key);
         else
-            keep_chunk(get_set(store, name), number, tw_wire_chunk_parse(entries[i].value));
+            add_chunk(get_set(store, name), number, tw_wire_chunk_parse(entries[i].value));
     }
     if (count) snprintf(last, size, "%s", entries[count - 1].key);
     tw_wire_entries_free(entries, count);
--- a/src/store/chunk_writer.c
+++ b/src/store/chunk_writer.c
@@ -131,8 +131,8 @@
         if (store->transactions_in_flight >= TW_MAX_TRANSACTIONS || writes < 1) return;
         if (tw_rate_limiter_available(&store->request_limiter, now) < 1) return;
         if (!record->next_set) continue;
-        /* After the state of the job has changed, chunks of the previous state are not worth
-         * writing: they would only delay the write of the job's end. */
+        /* A set that holds an outdated state of the job is discarded, so that its chunks don't
+         * delay the write of the job's end. */
         const tw_wire_job_state state = store->owner.summary(record->job).state;
         if (!record->next_set->record_sent && record->next_set->summary.state != state)
             tw_store_drop_set(store, record);
--- a/src/store/group_commit.c
+++ b/src/store/group_commit.c
@@ -1,5 +1,5 @@
-/* Group commit: each transaction writes several pending records. A record whose mod revision is
- * unknown after a write of unknown outcome is read.
+/* Group commit: each transaction writes several pending records. A record is read when its mod
+ * revision has become unknown, after a write of unknown outcome.
  *
  * Each write compares the mod revision of its record and includes the cluster's fence. A retry
  * under the same revisions is therefore safe whether or not the first attempt succeeded: only one
@@ -310,8 +310,7 @@
     if (status == TW_HTTP_BAD_REQUEST && is_sole_write)
         tw_store_note_refused(store, record, *write->chunk_set ? 0 : write->bytes);
     else if (status == TW_HTTP_BAD_REQUEST)
-        record->in_own_transaction =
-            true; /* to find out which record of the transaction is refused */
+        record->in_own_transaction = true; /* to find out which record is refused */
     else if (status != TW_HTTP_CONFLICT)
         record->write_after = store->context->now + WRITE_RETRY_S;
     /* The revision may have been learned meanwhile by a read on behalf of a user. */
--- a/src/store/record_format.c
+++ b/src/store/record_format.c
@@ -4,8 +4,7 @@
 #include "store/store_int.h"
 
 #define KB 1024
-/* One part in this many of a value stays unused, in case the state service counts white space that
- * it adds itself. */
+/* 1/16 of a value stays unused, in case the state service counts white space of its own. */
 #define VALUE_RESERVE_DIVISOR 16
 /* Maximum size of a value: its transaction, with frame, must fit into 64 KiB. */
 #define MAX_VALUE_BYTES (56.0 * KB)
@@ -40,8 +39,9 @@
     const bool refused = record->refused_bytes && length >= record->refused_bytes;
     if (tw_cluster_all_peers_support_chunks(store->cluster))
         return refused || length > tw_store_value_size(store);
-    /* Some peer may read whole records only. A record may then stay chunked if it is chunked
-     * already, since such a peer can't read it as it is, but a whole record isn't chunked. */
+    /* While a peer may read whole records only, no whole record becomes chunked, since that peer
+     * could not read it. A record that is chunked already, which the peer can't read either way,
+     * stays chunked if it is too large to be written whole. */
     return *record->current_set && (refused || length > current_value_size(store));
 }
 
@@ -68,7 +68,7 @@
     return fits;
 }
 
-/* ---- refusals ---- */
+/* ---- refusals for size ---- */
 
 void tw_store_note_refused(tw_store *store, tw_store_record *record, size_t bytes) {
     if (bytes && (!record->refused_bytes || bytes < record->refused_bytes))
@@ -83,7 +83,7 @@
     store->owner.refused(store->owner.owner, record->job);
 }
 
-/* ---- peers ---- */
+/* ---- changes of the peers' formats ---- */
 
 void tw_store_rewrite_whole(tw_store *store, tw_store_record *record) {
     if (!*record->current_set) return;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -16,9 +16,9 @@
  *     delayed copy of an older write can overwrite a newer one;
  *   - a write of unknown outcome is repeated under the same mod revision; if the compare fails, the
  *     record is read to learn its revision before it is written again;
- *   - a chunked record changes at the moment at which the record that refers to the new chunk set
- * is written; a set that a record no longer refers to can't be referred to again. docs/design.md,
- * "Why each rule holds" and "Two versions at once", has the argument. */
+ *   - a chunked record changes when the record that refers to the new chunk set is written; a set
+ *     that a record no longer refers to can't be referred to again.
+ * docs/design.md, "Why each rule holds" and "Two versions at once", has the argument. */
 #ifndef TW_STORE_H
 #define TW_STORE_H
 #include "cluster/cluster.h"
@@ -61,8 +61,7 @@
     /* Called when the latest record shows that the job has ended, in this state. The state of the
      * job never changes again. */
     void (*ended)(void *job, tw_wire_job_state state);
-    /* Called when a write succeeded; and when a record was read that is newer than the known one.
-     */
+    /* Called when a write succeeded; and when a newer record than the known one was read. */
     void (*written)(void *owner, void *job);
     void (*newer_record_read)(void *owner, void *job);
     /* Called when a record is read of a job of which this node knew no record: another node may
@@ -99,12 +98,11 @@
 
 /* ---- records ---- */
 
-/* Creates the record of a job, none of which is written yet. id is not copied: it must live as long
- * as the record. job is passed to the callbacks. */
+/* Creates the record of a job that has no written version yet. id is not copied: it must live as
+ * long as the record. job is passed to the callbacks. */
 tw_store_record *tw_store_record_new(const char *id, void *job);
 void tw_store_record_free(tw_store_record *record);
-/* Marks the record as loaded from the state service: it exists at this mod revision and is durable.
- */
+/* Marks the record as loaded from the state service at this mod revision, so that it is durable. */
 void tw_store_record_loaded(tw_store_record *record, uint64_t mod_revision);
 /* Sets the chunk set that the record in the state service refers to ("": the record is whole). A
  * different set that it referred to before is queued for removal. */
@@ -113,8 +111,8 @@
 /* Increments the version of the record after a change of the job, and queues it for writing.
  * urgent: a request waits for the write, so it goes before records that are not urgent. */
 void tw_store_mark_changed(tw_store *store, tw_store_record *record, bool urgent);
-/* Processes the job's record as read from the state service. Ignored if it is not newer than the
- * known one. */
+/* Processes the job's record as read from the state service. Does nothing if the record is not
+ * newer than the known one. */
 void tw_store_record_read(tw_store *store, tw_store_record *record, const tw_wire_entry *entry);
 /* Queues a chunked record to be written whole, if it fits into one value. */
 void tw_store_rewrite_whole(tw_store *store, tw_store_record *record);
--- a/src/store/store_int.h
+++ b/src/store/store_int.h
@@ -50,7 +50,7 @@
     /* Chunk set that the record refers to in the state service, as last known; "": it is whole. */
     char current_set[TW_WIRE_CHUNK_SET_SIZE];
     int current_chunks;
-    tw_chunk_set *next_set;              /* chunk set of the next version; NULL: none is written */
+    tw_chunk_set *next_set;              /* chunk set that is being written; NULL: none */
     struct tw_store_record *prev, *next; /* links of the list of pending records */
 };
 
@@ -98,17 +98,15 @@
 void tw_store_begin_set(tw_store *store, tw_store_record *record, const char *text);
 /* Returns whether all chunks of the next version are known to be written. */
 bool tw_store_set_is_written(const tw_store_record *record);
-/* Returns the text of the record that refers to the next version's chunk set; the caller frees it.
- */
+/* Returns the text of the record that refers to that chunk set; the caller frees it. */
 char *tw_store_set_record_text(const tw_store_record *record);
 /* Discards the chunk set of the next version, if there is one, and queues its chunks for removal.
  * Must not be called while a write of a record that refers to the set may still succeed. */
 void tw_store_drop_set(tw_store *store, tw_store_record *record);
 /* Frees the chunk set of the next version in memory. */
 void tw_store_free_set(tw_store_record *record);
-/* Sends chunks of pending records, at most `max_count` per transaction, as far as the rate limits
- * allow.
- */
+/* Sends chunks of pending records, at most `max_count` in each transaction, as far as the rate
+ * limits allow. */
 void tw_store_flush_chunks(tw_store *store, int max_count);
 /* Removes at most `max_count` chunks that no record refers to, as far as the rate limits allow. */
 void tw_store_remove_stale(tw_store *store, int max_count);
