--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -111,6 +111,6 @@
     return leader->answered_at >= cluster->context->now - 0.5 * cluster->lease_s - within_s;
 }
 
-double tw_cluster_store_silent_s(const tw_cluster *cluster) {
+double tw_cluster_since_store_answer_s(const tw_cluster *cluster) {
     return cluster->context->now - cluster->store_answered_at;
 }
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -121,7 +121,7 @@
 /* Returns whether neither the state service nor any peer answers. */
 bool tw_cluster_is_isolated(const tw_cluster *cluster);
 /* Returns the number of seconds since the state service last answered. */
-double tw_cluster_store_silent_s(const tw_cluster *cluster);
+double tw_cluster_since_store_answer_s(const tw_cluster *cluster);
 /* Returns the time in seconds for which a leader sends no further request after a response with
  * this status, so that other nodes get their share of the state service's rate limit; 0: not
  * rate-limited. */
--- a/src/cluster/cluster_int.h
+++ b/src/cluster/cluster_int.h
@@ -97,7 +97,7 @@
     uint64_t replaced_revision; /* mod revision of this node's old key to replace; 0: none */
     uint64_t replaced_lease_id; /* lease of that old key, revoked before the new term; 0: none */
     tw_rate_limiter election_limiter; /* limits this node's requests for watches and elections */
-    int election_refusals; /* consecutive rate-limited requests, up to MAX_BACKOFF_DOUBLINGS */
+    int rate_limited_elections; /* consecutive rate-limited requests, up to MAX_BACKOFF_DOUBLINGS */
 
     /* Peers (peer_heartbeat.c). */
     tw_peer *peers;
--- a/src/cluster/delegate_registry.c
+++ b/src/cluster/delegate_registry.c
@@ -5,7 +5,7 @@
 #include "cluster/cluster_int.h"
 
 /* Pause between two reads of the keys while some node may be a delegate, in leases of workers. */
-#define READ_LEASES 0.1
+#define READ_PAUSE_LEASES 0.1
 #define CALL_TIMEOUT_S 1.0
 
 /* ---- the fence ---- */
@@ -141,6 +141,6 @@
         due |= may_be_delegate(cluster, &cluster->peers[i]);
     if (!due || cluster->context->now < cluster->next_delegates_read_at) return;
     cluster->next_delegates_read_at =
-        cluster->context->now + READ_LEASES * cluster->context->config->lease_s;
+        cluster->context->now + READ_PAUSE_LEASES * cluster->context->config->lease_s;
     tw_cluster_read_delegates(cluster);
 }
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -30,7 +30,7 @@
 
 /* Share of the request limit that all nodes together use to watch the leader's key and to elect a
  * leader. The rest is for the leader: lease renewals, reads of the records, writes. */
-#define FOLLOW_SHARE 0.4
+#define ELECTION_RATE_SHARE 0.4
 /* Requests of a complete election: read, lease, acquisition, revocation, read, watch. */
 #define ELECTION_REQUESTS 6.0
 /* Share of a node's election rate that watches may use. The rest is left for an election. */
@@ -53,7 +53,7 @@
 
 void tw_cluster_init_election(tw_cluster *cluster) {
     const double rate =
-        cluster->context->config->tune.write_share * FOLLOW_SHARE / request_round_s(cluster);
+        cluster->context->config->tune.write_share * ELECTION_RATE_SHARE / request_round_s(cluster);
     const double burst = fmax(ELECTION_REQUESTS, rate);
     cluster->election_limiter = tw_rate_limiter_make(rate, burst, cluster->context->now);
 }
@@ -68,12 +68,12 @@
  * and exceeded the limit together, none of their elections would complete. */
 static void note_rate_limit(tw_cluster *cluster, int status) {
     if (status != TW_HTTP_TOO_MANY) {
-        if (status) cluster->election_refusals = 0;
+        if (status) cluster->rate_limited_elections = 0;
         return;
     }
-    const double wait_s = ldexp(request_round_s(cluster), cluster->election_refusals) *
+    const double wait_s = ldexp(request_round_s(cluster), cluster->rate_limited_elections) *
                           tw_context_random(cluster->context, WAIT_FACTOR_MIN, WAIT_FACTOR_MAX);
-    if (cluster->election_refusals < MAX_BACKOFF_DOUBLINGS) cluster->election_refusals++;
+    if (cluster->rate_limited_elections < MAX_BACKOFF_DOUBLINGS) cluster->rate_limited_elections++;
     cluster->next_leader_read_at =
         fmax(cluster->next_leader_read_at, cluster->context->now + wait_s);
 }
--- a/src/cluster/leader_lease.c
+++ b/src/cluster/leader_lease.c
@@ -5,10 +5,10 @@
 
 /* Times as shares of the leader's lease. */
 #define AUTHORITY_MARGIN 0.05 /* time by which authority ends before the lease */
-#define RENEW_EVERY 0.25
-#define RENEW_SLOW 0.2 /* a second renewal is sent if the first takes longer */
-#define RENEW_RETRY 0.1
-#define RENEW_TIMEOUT 0.4
+#define RENEWAL_INTERVAL 0.25
+#define SECOND_RENEWAL_DELAY 0.2 /* until a renewal without a response is sent again */
+#define RENEWAL_RETRY 0.1
+#define RENEWAL_TIMEOUT 0.4
 
 double tw_cluster_authority_end(const tw_cluster *cluster, double sent_at) {
     return sent_at + cluster->lease_s * (1 - 2 * cluster->context->config->tune.drift) -
@@ -22,7 +22,7 @@
     cluster->renewal_sent_at = cluster->context->now;
     tw_call_send(cluster->context, TW_CALL_RENEW_LEASE, TW_TO_STATE,
                  cluster->context->config->state, "POST", path, strdup("{}"),
-                 cluster->lease_s * RENEW_TIMEOUT);
+                 cluster->lease_s * RENEWAL_TIMEOUT);
 }
 
 void tw_cluster_renewal_response(tw_cluster *cluster, const tw_call *sent, int status) {
@@ -35,14 +35,14 @@
         tw_log_debug("event=leader_lease_renewed token=%llu authority_s=%.3f",
                      (unsigned long long)cluster->token, until - cluster->context->now);
         if (until > cluster->authority_until) cluster->authority_until = until;
-        cluster->next_renewal_at = sent->sent_at + cluster->lease_s * RENEW_EVERY;
+        cluster->next_renewal_at = sent->sent_at + cluster->lease_s * RENEWAL_INTERVAL;
         cluster->owner.lease_renewed(cluster->owner.owner);
     } else if (status == TW_HTTP_NOT_FOUND) {
         tw_cluster_step_down(cluster, "lease lost");
     } else {
         cluster->next_renewal_at =
             cluster->context->now +
-            fmax(cluster->lease_s * RENEW_RETRY, tw_cluster_rate_limited_wait_s(cluster, status));
+            fmax(cluster->lease_s * RENEWAL_RETRY, tw_cluster_rate_limited_wait_s(cluster, status));
     }
 }
 
@@ -52,7 +52,7 @@
     /* The state service sometimes takes long to respond, so a second renewal is sent then. */
     const bool slow =
         cluster->renewals_in_flight == 1 &&
-        cluster->context->now >= cluster->renewal_sent_at + cluster->lease_s * RENEW_SLOW;
+        cluster->context->now >= cluster->renewal_sent_at + cluster->lease_s * SECOND_RENEWAL_DELAY;
     if (due || slow) renew_lease(cluster);
     if (cluster->context->now >=
             cluster->authority_until + tw_cluster_renewal_without_authority_s(cluster) ||
--- a/src/cluster/lease_delegate.c
+++ b/src/cluster/lease_delegate.c
@@ -20,8 +20,8 @@
 
 /* Pauses in leases of workers: between two attempts to become a delegate; between two reads of the
  * cancelled jobs; and before a failed request of such a read is repeated. */
-#define ATTEMPT_LEASES 0.1
-#define READ_LEASES 0.4
+#define ATTEMPT_PAUSE_LEASES 0.1
+#define READ_PAUSE_LEASES 0.4
 #define READ_RETRY_LEASES 0.05
 
 double tw_cluster_delegate_lease_s(const tw_cluster *cluster) {
@@ -140,7 +140,7 @@
         return;
     }
     if (cluster->cancelled_list_in_flight || now < cluster->next_cancelled_list_at) return;
-    cluster->next_cancelled_list_at = now + READ_LEASES * cluster->context->config->lease_s;
+    cluster->next_cancelled_list_at = now + READ_PAUSE_LEASES * cluster->context->config->lease_s;
     list_cancelled_jobs(cluster);
 }
 
@@ -167,7 +167,8 @@
     sent->tokens = tw_alloc(sizeof *sent->tokens);
     sent->tokens[0] = cluster->leader_token;
     cluster->delegate_write_in_flight = true;
-    cluster->next_delegate_attempt_at = now + ATTEMPT_LEASES * cluster->context->config->lease_s;
+    cluster->next_delegate_attempt_at =
+        now + ATTEMPT_PAUSE_LEASES * cluster->context->config->lease_s;
 }
 
 void tw_cluster_delegate_key_response(tw_cluster *cluster, const tw_call *sent, int status) {
--- a/src/context/context.h
+++ b/src/context/context.h
@@ -30,7 +30,7 @@
     tw_call *calls; /* outstanding calls by id */
     uint64_t last_call_id;
     /* Calls to the state service, and rate-limited responses, since the counts were last logged. */
-    unsigned calls_made[TW_CALL_KINDS], calls_refused;
+    unsigned calls_made[TW_CALL_KINDS], calls_rate_limited;
     double next_calls_log_at;
 } tw_context;
 
--- a/src/context/effects.c
+++ b/src/context/effects.c
@@ -79,7 +79,7 @@
     HASH_FIND(hh, context->calls, &id, sizeof id, sent);
     if (!sent) return NULL;
     HASH_DEL(context->calls, sent);
-    if (status == TW_HTTP_TOO_MANY) context->calls_refused++;
+    if (status == TW_HTTP_TOO_MANY) context->calls_rate_limited++;
     return sent;
 }
 
@@ -108,7 +108,7 @@
         made[TW_CALL_LIST_CANCELLED_JOBS],
         made[TW_CALL_LIST_PEER_ADMISSIONS] + made[TW_CALL_WATCH_PEER_ADMISSIONS] +
             made[TW_CALL_REMOVE_PEER_ADMISSION],
-        context->calls_refused);
+        context->calls_rate_limited);
     memset(context->calls_made, 0, sizeof context->calls_made);
-    context->calls_refused = 0;
+    context->calls_rate_limited = 0;
 }
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -24,7 +24,7 @@
 /* ---- at a node that can't ask the leader ---- */
 
 void tw_peer_admission_create(tw_core *core, uint64_t connection, const tw_wire_job *spec) {
-    if (tw_cluster_store_silent_s(core->cluster) > 2 * tw_cluster_lease_s(core->cluster) ||
+    if (tw_cluster_since_store_answer_s(core->cluster) > 2 * tw_cluster_lease_s(core->cluster) ||
         !tw_rate_limiter_try_acquire(&core->follower_create_limiter, core->context.now, 2)) {
         tw_admission_reject(core, connection, spec->id, 1, "no leader");
         return;
--- a/src/store/chunk_writer.c
+++ b/src/store/chunk_writer.c
@@ -152,7 +152,7 @@
     DL_APPEND(store->stale_sets, stale);
 }
 
-void tw_store_forget_stale(tw_store *store) {
+void tw_store_clear_stale(tw_store *store) {
     tw_stale_chunk_set *stale, *next;
     DL_FOREACH_SAFE(store->stale_sets, stale, next) {
         DL_DELETE(store->stale_sets, stale);
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -31,7 +31,7 @@
 void tw_store_reset(tw_store *store) {
     store->pending = NULL;
     store->transactions_in_flight = 0;
-    tw_store_forget_stale(store);
+    tw_store_clear_stale(store);
     tw_store_free_loaded(store);
     store->all_peers_support_chunks = store->any_peer_lacks_chunk_support = false;
 }
--- a/src/store/store_int.h
+++ b/src/store/store_int.h
@@ -113,7 +113,7 @@
 /* Queues a chunk set of `count` chunks that no record refers to for removal. */
 void tw_store_add_stale(tw_store *store, const char *id, const char *set, int count);
 /* Clears the queue of chunk sets to remove. The next leader finds them when it reads the chunks. */
-void tw_store_forget_stale(tw_store *store);
+void tw_store_clear_stale(tw_store *store);
 /* Processes the response of the state service to a removal of chunks. */
 void tw_store_removal_response(tw_store *store, const tw_call *call, int status);
 
