--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -6,12 +6,13 @@
 
 /* Times as shares of the leader's lease. */
 #define ELECTION_TIMEOUT 0.5
-#define ACQUISITION_DEADLINE 0.9 /* later, too little authority would remain for the term */
-#define READ_PAUSE_MIN 0.15      /* pause between two reads of the key */
+/* An acquisition that completes later is abandoned: its authority would end almost immediately. */
+#define ACQUISITION_DEADLINE 0.9
+#define READ_PAUSE_MIN 0.15 /* pause between two reads of the key */
 #define READ_PAUSE_MAX 0.25
 #define WATCH_RETRY_MIN 0.1
 #define WATCH_RETRY_MAX 0.2
-#define CHANGED_KEY_READ_SPREAD 0.08 /* followers spread their reads of a changed key over it */
+#define CHANGED_KEY_READ_SPREAD 0.08 /* time over which reads of a changed key are spread */
 #define LOST_PAUSE_MIN 0.05          /* pause after a lost election */
 #define LOST_PAUSE_MAX 0.2
 #define STEP_DOWN_PAUSE_MIN 0.05 /* pause after the end of a term */
@@ -19,7 +20,7 @@
 
 /* Pause from the revocation of the lease of this node's old key to the next read of the key. */
 #define OWN_KEY_REREAD_PAUSE_S 0.05
-/* The timeout of a watch is its hold time plus half a lease of the leader plus this. */
+/* The timeout of a watch is its hold time plus half a lease of the leader plus this margin. */
 #define WATCH_TIMEOUT_MARGIN_S 0.5
 /* Maximum hold time of a watch in the protocol. */
 #define MAX_WATCH_S 60.0
