--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -1,9 +1,9 @@
-/* The cluster's life, its inputs, and questions about its state. */
+/* Creation and freeing of the cluster, dispatch of its inputs, and queries about its state. */
 #include "cluster/cluster_int.h"
 
-/* A moment that is longer ago than any that counts. */
+/* Initial value of the times of past events: earlier than any time that matters. */
 #define LONG_AGO (-1e9)
-#define SHORTEST_LEASE_S 0.2
+#define MIN_LEASE_S 0.2
 
 static void init_peers(tw_cluster *cluster) {
     const tw_config *config = cluster->context->config;
@@ -12,7 +12,7 @@
     for (size_t i = 0; i < config->peer_count; i++) {
         tw_peer *peer = &cluster->peers[i];
         peer->config = config->peers[i];
-        peer->answered_at = peer->vouched_at = LONG_AGO;
+        peer->answered_at = peer->not_leading_until = LONG_AGO;
     }
     tw_cluster_init_failover_paths(cluster);
 }
@@ -24,7 +24,7 @@
     cluster->owner = *owner;
     cluster->started_at = context->now;
     cluster->store_answered_at = LONG_AGO;
-    cluster->lease_s = fmax(SHORTEST_LEASE_S, config->tune.election_ratio * config->lease_s);
+    cluster->lease_s = fmax(MIN_LEASE_S, config->tune.election_ratio * config->lease_s);
     init_peers(cluster);
     tw_cluster_init_election(cluster);
     return cluster;
@@ -74,7 +74,7 @@
     cluster->store_answered_at = cluster->context->now;
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
 bool tw_cluster_is_leader(const tw_cluster *cluster) { return cluster->role == TW_ROLE_LEADER; }
 
@@ -111,6 +111,6 @@
     return leader->answered_at >= cluster->context->now - 0.5 * cluster->lease_s - within_s;
 }
 
-double tw_cluster_store_silent_s(const tw_cluster *cluster) {
+double tw_cluster_since_store_answer_s(const tw_cluster *cluster) {
     return cluster->context->now - cluster->store_answered_at;
 }
--- a/src/cluster/delegate_registry.c
+++ b/src/cluster/delegate_registry.c
@@ -1,11 +1,11 @@
-/* The lease delegates, as the leader knows them by their keys in the state service.
+/* The lease delegates as known to the leader, from their keys in the state service.
  *
- * Every write of the leader is under the compare that these keys are as it knows them. It therefore
- * can't act on an expired lease that a delegate has renewed without its knowledge. */
+ * Each write of the leader compares the revisions of these keys with the known ones. It can
+ * therefore not act on the expiry of a lease that an unknown delegate has renewed. */
 #include "cluster/cluster_int.h"
 
-/* Between two readings of the keys while some node may be a delegate, in leases of workers. */
-#define READ_LEASES 0.1
+/* Pause between two reads of the keys while some node may be a delegate, in leases of workers. */
+#define READ_PAUSE_LEASES 0.1
 #define CALL_TIMEOUT_S 1.0
 
 /* ---- the fence ---- */
@@ -28,7 +28,7 @@
     return count;
 }
 
-/* ---- what is known of the keys ---- */
+/* ---- known keys, and expiry of leases ---- */
 
 bool tw_cluster_delegates_known(const tw_cluster *cluster) { return cluster->delegates_known; }
 
@@ -40,11 +40,11 @@
     if (sent_at > cluster->delegates_checked_at) cluster->delegates_checked_at = sent_at;
 }
 
-void tw_cluster_note_expiry(tw_cluster *cluster) {
+void tw_cluster_note_lease_expiry(tw_cluster *cluster) {
     cluster->expiry_decided_at = cluster->context->now;
 }
 
-double tw_cluster_delegates_until(const tw_cluster *cluster, const char *zone) {
+double tw_cluster_delegates_may_answer_until(const tw_cluster *cluster, const char *zone) {
     double until = 0;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         const tw_peer *peer = &cluster->peers[i];
@@ -57,17 +57,18 @@
 double tw_cluster_lease_expires_at(const tw_cluster *cluster, const char *zone, double renewed_at,
                                    double lease_s) {
     double expires_at = renewed_at + lease_s;
-    /* A peer of the zone may have renewed the lease while it could not reach this node: until it
-     * said, later than that lease can last, that it had not answered any worker; else until its
-     * delegation was over. */
+    /* A peer of the zone may have renewed the lease by delegation while it could not reach this
+     * node. The peer reports when it last answered a worker, which bounds the renewals if the
+     * report was made after a lease renewed at that time had expired. Otherwise the peer may have
+     * renewed the lease until the end of its delegation. */
     for (size_t i = 0; i < cluster->peer_count; i++) {
         const tw_peer *peer = &cluster->peers[i];
         if (peer->delegation_until <= 0) continue;
         if (*zone && strcmp(zone, peer->config.zone) != 0) continue;
-        const double as_said = fmax(renewed_at, peer->delegate_answered_at) + lease_s;
-        const double as_delegated = fmax(renewed_at, peer->delegation_until) + lease_s;
-        const bool said_in_time = as_said < peer->delegate_answered_as_of;
-        expires_at = fmax(expires_at, said_in_time ? as_said : as_delegated);
+        const double reported_expiry = fmax(renewed_at, peer->delegate_answered_at) + lease_s;
+        const double delegation_expiry = fmax(renewed_at, peer->delegation_until) + lease_s;
+        const bool is_report_late_enough = reported_expiry < peer->delegate_answered_as_of;
+        expires_at = fmax(expires_at, is_report_late_enough ? reported_expiry : delegation_expiry);
     }
     return expires_at;
 }
@@ -92,14 +93,15 @@
     tw_cluster_read_delegates(cluster);
 }
 
-/* Takes in a delegate's key. Returns whether it is newer than what was known. */
+/* Records the delegate key of a peer. Returns whether its revision is newer than the known one. */
 static bool note_key(tw_cluster *cluster, const tw_wire_entry *entry) {
     const size_t prefix = sizeof TW_DELEGATE_KEY - 1;
     if (strlen(entry->key) <= prefix) return false;
     tw_peer *peer = tw_cluster_find_peer(cluster, entry->key + prefix);
     if (!peer || peer->delegate_revision >= entry->mod_revision) return false;
     peer->delegate_revision = entry->mod_revision;
-    /* A key of an earlier term is covered by tw_cluster_predecessor_renewals_end. */
+    /* The time is counted from the read, since the key was written before. Delegations of earlier
+     * terms are bounded by tw_cluster_predecessor_renewals_end. */
     peer->delegate_until =
         cluster->context->now +
         tw_cluster_delegate_lease_s(cluster) * (1 + 2 * cluster->context->config->tune.drift);
@@ -117,8 +119,9 @@
     tw_wire_entries_free(entries, count);
     if (any_newer && cluster->delegates_known &&
         cluster->expiry_decided_at > cluster->delegates_checked_at) {
-        /* A lease was taken for expired while a delegate that was not known may have renewed it.
-         * What was decided since can't be told apart, so the next term starts from the records. */
+        /* A lease was considered expired although an unknown delegate may have renewed it.
+         * Decisions that depend on this can't be identified, so the term ends, and the next one
+         * starts from the records. */
         tw_cluster_step_down(cluster, "an unseen delegate");
         return;
     }
@@ -126,7 +129,7 @@
     cluster->delegates_known = true;
 }
 
-/* Whether the peer may be answering workers without this node. */
+/* Returns whether the peer may be answering workers without contact to this node. */
 static bool may_be_delegate(const tw_cluster *cluster, const tw_peer *peer) {
     const double now = cluster->context->now;
     return peer->answered_at < now - 1 - 0.5 * cluster->lease_s || peer->delegate_until > now;
@@ -138,6 +141,6 @@
         due |= may_be_delegate(cluster, &cluster->peers[i]);
     if (!due || cluster->context->now < cluster->next_delegates_read_at) return;
     cluster->next_delegates_read_at =
-        cluster->context->now + READ_LEASES * cluster->context->config->lease_s;
+        cluster->context->now + READ_PAUSE_LEASES * cluster->context->config->lease_s;
     tw_cluster_read_delegates(cluster);
 }
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -1,55 +1,60 @@
-/* Elections. The leader holds a key under a lease of the state service; its fencing token is the
- * revision of the transaction that wrote the key, so tokens grow strictly. Followers watch the key
- * and campaign when it is gone. */
+/* Elections. The leader holds a key in the state service that is attached to a lease. The fencing
+ * token is the store revision of the transaction that wrote the key, so tokens increase strictly.
+ * Followers watch the key and campaign when it is removed. */
 #include "cluster/cluster_int.h"
 #include <cjson/cJSON.h>
 
 /* Times as shares of the leader's lease. */
 #define ELECTION_TIMEOUT 0.5
-#define ACQUIRED_LATEST 0.9   /* a later acquisition is given up: authority would end at once */
-#define READ_PAUSE_LEAST 0.15 /* between two readings of the key */
-#define READ_PAUSE_MOST 0.25
-#define WATCH_RETRY_LEAST 0.1
-#define WATCH_RETRY_MOST 0.2
-#define CHANGED_SPREAD 0.08 /* over which followers read a key that has changed */
-#define LOST_LEAST 0.05     /* pause after a lost election */
-#define LOST_MOST 0.2
-#define RESIGNED_LEAST 0.05 /* pause after the end of a term */
-#define RESIGNED_MOST 0.25
-
-#define OWN_KEY_GONE_S 0.05 /* from the end of this node's own old lease to the next reading */
-#define WATCH_ANSWER_S 0.5  /* in which a watch's answer arrives, beside half a lease */
-#define WATCH_MOST_S 60.0   /* by the protocol */
+/* An acquisition that completes later is abandoned: its authority would end almost immediately. */
+#define ACQUISITION_DEADLINE 0.9
+#define READ_PAUSE_MIN 0.15 /* pause between two reads of the key */
+#define READ_PAUSE_MAX 0.25
+#define WATCH_RETRY_MIN 0.1
+#define WATCH_RETRY_MAX 0.2
+#define CHANGED_KEY_READ_SPREAD 0.08 /* time over which reads of a changed key are spread */
+#define LOST_PAUSE_MIN 0.05          /* pause after a lost election */
+#define LOST_PAUSE_MAX 0.2
+#define STEP_DOWN_PAUSE_MIN 0.05 /* pause after the end of a term */
+#define STEP_DOWN_PAUSE_MAX 0.25
+
+/* Pause from the revocation of the lease of this node's old key to the next read of the key. */
+#define OWN_KEY_REREAD_PAUSE_S 0.05
+/* The timeout of a watch is its hold time plus half a lease of the leader plus this margin. */
+#define WATCH_TIMEOUT_MARGIN_S 0.5
+/* Maximum hold time of a watch in the protocol. */
+#define MAX_WATCH_S 60.0
 #define REVOKE_TIMEOUT_S 1.0
 #define MS_PER_S 1000
 
-/* ---- the state service's limit of requests ---- */
+/* ---- the rate limit of the state service ---- */
 
-/* Share of the limit with which all nodes together follow the leader's key and elect. What is left
- * is the leader's: renewals, reading the records, writes. */
-#define FOLLOW_SHARE 0.4
-/* Requests of a whole election: read, lease, acquisition, its end, read, watch. */
+/* Share of the request limit that all nodes together use to watch the leader's key and to elect a
+ * leader. The rest is for the leader: lease renewals, reads of the records, writes. */
+#define ELECTION_RATE_SHARE 0.4
+/* Requests of a complete election: read, lease, acquisition, revocation, read, watch. */
 #define ELECTION_REQUESTS 6.0
-/* Watches take at most so much of it, so that an election finds some left. */
+/* Share of a node's election rate that watches may use. The rest is left for an election. */
 #define WATCH_SHARE 0.8
-/* Followers that saw the key disappear read it spread over at least so many rounds of one request a
- * node: the first one has often acquired it before the next one reads. */
-#define SPREAD_ROUNDS 0.8
-/* Refused requests of a follower in a row after which its waits grow no further. */
-#define REFUSED_MOST 3
-/* After a refusal the leader leaves the limit to others for so many requests. */
+/* Minimum time over which followers spread their reads of a changed key, in rounds of one request
+ * per node. The first follower has then often acquired the key before the next one reads it. */
+#define READ_SPREAD_ROUNDS 0.8
+/* Number of consecutive rate-limited requests after which a follower's waits grow no further. */
+#define MAX_BACKOFF_DOUBLINGS 3
+/* Wait of a leader after a rate-limited request, as the number of requests that it leaves to other
+ * nodes; and range of the random factor of all waits. */
 #define LEADER_WAIT_REQUESTS 4.0
-#define WAIT_LEAST 0.5
-#define WAIT_MOST 1.5
+#define WAIT_FACTOR_MIN 0.5
+#define WAIT_FACTOR_MAX 1.5
 
-/* Time in which the limit allows one request to each node. */
+/* Returns the seconds in which the limit allows one request per node. */
 static double request_round_s(const tw_cluster *cluster) {
     return (double)(cluster->peer_count + 1) / cluster->context->config->state_rps;
 }
 
 void tw_cluster_init_election(tw_cluster *cluster) {
     const double rate =
-        cluster->context->config->tune.write_share * FOLLOW_SHARE / request_round_s(cluster);
+        cluster->context->config->tune.write_share * ELECTION_RATE_SHARE / request_round_s(cluster);
     const double burst = fmax(ELECTION_REQUESTS, rate);
     cluster->election_limiter = tw_rate_limiter_make(rate, burst, cluster->context->now);
 }
@@ -57,24 +62,25 @@
 double tw_cluster_rate_limited_wait_s(tw_cluster *cluster, int status) {
     if (status != TW_HTTP_TOO_MANY) return 0;
     return LEADER_WAIT_REQUESTS / cluster->context->config->state_rps *
-           tw_context_random(cluster->context, WAIT_LEAST, WAIT_MOST);
+           tw_context_random(cluster->context, WAIT_FACTOR_MIN, WAIT_FACTOR_MAX);
 }
 
-/* A node whose requests are refused asks ever less often. If all nodes went on at their full rate
- * and exceeded the limit together, none of them would get through. */
+/* Backs off exponentially after rate-limited requests. If all nodes continued at their full rate
+ * and exceeded the limit together, none of their elections would complete. */
 static void note_rate_limit(tw_cluster *cluster, int status) {
     if (status != TW_HTTP_TOO_MANY) {
-        if (status) cluster->election_refusals = 0;
+        if (status) cluster->rate_limited_elections = 0;
         return;
     }
-    const double wait = ldexp(request_round_s(cluster), cluster->election_refusals) *
-                        tw_context_random(cluster->context, WAIT_LEAST, WAIT_MOST);
-    if (cluster->election_refusals < REFUSED_MOST) cluster->election_refusals++;
-    cluster->next_leader_read_at = fmax(cluster->next_leader_read_at, cluster->context->now + wait);
+    const double wait_s = ldexp(request_round_s(cluster), cluster->rate_limited_elections) *
+                          tw_context_random(cluster->context, WAIT_FACTOR_MIN, WAIT_FACTOR_MAX);
+    if (cluster->rate_limited_elections < MAX_BACKOFF_DOUBLINGS) cluster->rate_limited_elections++;
+    cluster->next_leader_read_at =
+        fmax(cluster->next_leader_read_at, cluster->context->now + wait_s);
 }
 
-/* A request of an election that has begun. It is made whatever the rate limiter holds; the debt is
- * paid back before the next reading of the key. */
+/* Sends a request of an election in progress, regardless of the rate limiter. A negative balance of
+ * the limiter delays the next read of the key. */
 static tw_call *election_call(tw_cluster *cluster, tw_call_kind kind, const char *method,
                               const char *path, char *body /* owned */, double timeout_s) {
     tw_rate_limiter_refund(&cluster->election_limiter, -1);
@@ -99,8 +105,9 @@
     cluster->owner.term_ended(cluster->owner.owner);
     cluster->watch_from_revision = 0;
     cluster->next_leader_read_at =
-        cluster->context->now +
-        cluster->lease_s * tw_context_random(cluster->context, RESIGNED_LEAST, RESIGNED_MOST);
+        cluster->context->now + cluster->lease_s * tw_context_random(cluster->context,
+                                                                     STEP_DOWN_PAUSE_MIN,
+                                                                     STEP_DOWN_PAUSE_MAX);
 }
 
 void tw_cluster_observe_token(tw_cluster *cluster, uint64_t token, const char *leader) {
@@ -124,8 +131,8 @@
     cluster->peers_confirmed_at = cluster->peer_count ? 0 : cluster->context->now;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         cluster->peers[i].next_heartbeat_at = cluster->context->now;
-        cluster->peers[i].cancellations_known = cluster->peers[i].cancellations_told = 0;
-        /* What this node delegated in an earlier term was under an older token. */
+        cluster->peers[i].cancellations_acknowledged = cluster->peers[i].cancellations_sent = 0;
+        /* Delegations of this node's earlier terms are bound to an older token. */
         cluster->peers[i].delegation_until = 0;
     }
     tw_cluster_observe_token(cluster, token, cluster->context->config->host_name);
@@ -137,7 +144,7 @@
     cluster->owner.term_began(cluster->owner.owner);
 }
 
-/* ---- following the leader's key ---- */
+/* ---- reading and watching the leader's key ---- */
 
 static void read_leader_key(tw_cluster *cluster) {
     cluster->leader_read_in_flight = true;
@@ -146,23 +153,24 @@
                  fmax(1, cluster->lease_s * ELECTION_TIMEOUT));
 }
 
-/* A watch takes the place of many readings: the state service's limit is for all nodes together,
- * and a watch tells the end of the leader's key at once. It is held for one lease, since its answer
- * also shows that the state service answers; longer only where the limit allows no watch a lease.
- */
+/* Watches the leader's key. A watch replaces many reads, which matters since all nodes share the
+ * request limit, and reports the removal of the key immediately. It is held for one lease of the
+ * leader, since its response also shows that the state service is reachable; and for longer only if
+ * the limit doesn't allow one watch per lease. */
 static void watch_leader_key(tw_cluster *cluster) {
-    const double most_often = WATCH_SHARE * cluster->election_limiter.rate;
-    const double hold = fmin(fmax(cluster->lease_s, 1 / most_often), WATCH_MOST_S);
+    const double max_watch_rate = WATCH_SHARE * cluster->election_limiter.rate;
+    const double hold_s = fmin(fmax(cluster->lease_s, 1 / max_watch_rate), MAX_WATCH_S);
     char path[TW_PATH_SIZE];
     cluster->leader_read_in_flight = true;
     snprintf(path, sizeof path, "/follow?starts=" TW_LEADER_KEY "&since=%llu&holdMs=%d",
-             (unsigned long long)cluster->watch_from_revision, (int)(hold * MS_PER_S));
+             (unsigned long long)cluster->watch_from_revision, (int)(hold_s * MS_PER_S));
     tw_call_send(cluster->context, TW_CALL_WATCH_LEADER, TW_TO_STATE,
                  cluster->context->config->state, "GET", path, NULL,
-                 hold + cluster->lease_s * 0.5 + WATCH_ANSWER_S);
+                 hold_s + cluster->lease_s * 0.5 + WATCH_TIMEOUT_MARGIN_S);
 }
 
-/* replaced: this node's own key, which the acquisition is to replace; NULL: the key is absent. */
+/* Starts an election by requesting a lease. replaced: this node's own old key, which the
+ * acquisition replaces; NULL: the key is absent. */
 static void start_election(tw_cluster *cluster, const tw_wire_entry *replaced) {
     char body[64];
     cluster->election_in_flight = true;
@@ -174,27 +182,27 @@
                   cluster->lease_s * ELECTION_TIMEOUT);
 }
 
-/* Whether the answer to the watch ends with the removal of the key. */
-static bool shows_key_gone(const char *body, size_t len) {
+/* Returns whether the last change in the watch's response is the removal of the key. */
+static bool ends_with_key_removal(const char *body, size_t len) {
     tw_wire_entry *changes;
     int count;
     if (tw_wire_changes_parse("log", &changes, &count, body, len)) return false;
-    const bool is_gone = count > 0 && !changes[count - 1].value;
+    const bool is_key_removed = count > 0 && !changes[count - 1].value;
     tw_wire_entries_free(changes, count);
-    return is_gone;
+    return is_key_removed;
 }
 
-/* Not all followers read the changed key at the same moment, but for those that are to win against
- * an earlier version's: they don't even read it where the news is that it is gone, since the
- * acquisition compares that anyway. */
+/* Handles a change of the leader's key. Followers read the key after random pauses, so that their
+ * reads don't coincide. The followers that should win against nodes of an earlier version don't
+ * pause; they don't read a removed key either, since the acquisition compares that it is absent. */
 static void on_key_changed(tw_cluster *cluster, const char *body, size_t len) {
     const bool is_first = tw_cluster_campaigns_first(cluster);
-    const double spread =
-        fmax(cluster->lease_s * CHANGED_SPREAD, request_round_s(cluster) * SPREAD_ROUNDS);
-    const double pause_s = is_first ? 0 : tw_context_random(cluster->context, 0, spread);
+    const double spread_s = fmax(cluster->lease_s * CHANGED_KEY_READ_SPREAD,
+                                 request_round_s(cluster) * READ_SPREAD_ROUNDS);
+    const double pause_s = is_first ? 0 : tw_context_random(cluster->context, 0, spread_s);
     cluster->next_leader_read_at = cluster->context->now + pause_s;
     if (!is_first || cluster->role != TW_ROLE_FOLLOWER || cluster->election_in_flight ||
-        !shows_key_gone(body, len))
+        !ends_with_key_removal(body, len))
         return;
     start_election(cluster, NULL);
 }
@@ -206,8 +214,8 @@
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len)) {
         cluster->next_leader_read_at =
             cluster->context->now + cluster->lease_s * tw_context_random(cluster->context,
-                                                                         WATCH_RETRY_LEAST,
-                                                                         WATCH_RETRY_MOST);
+                                                                         WATCH_RETRY_MIN,
+                                                                         WATCH_RETRY_MAX);
     } else if (tw_wire_watch_has_changes(body, len)) {
         on_key_changed(cluster, body, len);
     } else {
@@ -218,7 +226,7 @@
 
 /* ---- elections ---- */
 
-/* token: of the term that begins once the lease has ended; 0: none does. */
+/* Revokes a lease. token: token of the term that begins after the revocation; 0: none begins. */
 static void revoke_lease(tw_cluster *cluster, uint64_t lease_id, uint64_t token) {
     char path[TW_PATH_SIZE];
     if (!lease_id) return;
@@ -228,23 +236,24 @@
     sent->sequence = token;
 }
 
-/* The key has this node's own name while it does not lead: it was written by an earlier process of
- * this node, or by an acquisition whose answer was lost. Nobody acts on it, so its lease is revoked
- * at once. While a peer of an earlier version may take over, the key is not left absent until the
- * next reading, but replaced. */
+/* Handles a key that names this node although it does not lead. An earlier process of this node
+ * wrote the key, or an acquisition whose response was lost. No process leads by this key, so its
+ * lease is revoked immediately. While a peer of an earlier version could take over, the key is
+ * replaced instead, so that it is not absent until the next read. */
 static void on_own_key(tw_cluster *cluster, const tw_wire_entry *entry) {
     *cluster->leader_name = 0;
     cluster->watch_from_revision = 0;
-    cluster->next_leader_read_at = cluster->context->now + OWN_KEY_GONE_S;
+    cluster->next_leader_read_at = cluster->context->now + OWN_KEY_REREAD_PAUSE_S;
     tw_log_info("event=own_leader_key_found token=%llu replaced=%d",
-                (unsigned long long)entry->mod_revision, tw_cluster_any_lacks_chunks(cluster));
-    if (tw_cluster_any_lacks_chunks(cluster))
+                (unsigned long long)entry->mod_revision,
+                tw_cluster_any_peer_lacks_chunk_support(cluster));
+    if (tw_cluster_any_peer_lacks_chunk_support(cluster))
         start_election(cluster, entry);
     else
         revoke_lease(cluster, entry->lease_id, 0);
 }
 
-/* The key names a leader, at its revision. */
+/* Processes the leader's key as read from the state service. */
 static void note_leader_key(tw_cluster *cluster, const tw_wire_entry *entry, const char *leader) {
     tw_cluster_observe_token(cluster, entry->mod_revision, leader);
     if (cluster->role == TW_ROLE_FOLLOWER && !cluster->election_in_flight &&
@@ -287,32 +296,35 @@
                   tw_wire_txn_text(&unchanged, 1, &key, 1), cluster->lease_s * ELECTION_TIMEOUT);
 }
 
-/* Whether a term that begins now would have authority for a while. */
-static bool is_in_time(const tw_cluster *cluster) {
-    return cluster->context->now < cluster->lease_requested_at + cluster->lease_s * ACQUIRED_LATEST;
+/* Returns whether enough of the lease remains for a term that begins now. */
+static bool enough_lease_remains(const tw_cluster *cluster) {
+    return cluster->context->now <
+           cluster->lease_requested_at + cluster->lease_s * ACQUISITION_DEADLINE;
 }
 
-/* The election is lost, or its outcome is unknown. To revoke the lease undoes an acquisition that
- * went through. try_again: this node may hold the key and lead by it; while a peer of an earlier
- * version may take over, the next reading shows that, and the key is replaced. */
-static void give_up_election(tw_cluster *cluster, bool try_again) {
+/* Ends an election that was lost or whose outcome is unknown. Revoking the lease undoes an
+ * acquisition that succeeded. may_hold_key: this node may hold the key. While a peer of an earlier
+ * version could take over, the lease is then not revoked; the next read finds the key and replaces
+ * it. */
+static void give_up_election(tw_cluster *cluster, bool may_hold_key) {
     cluster->election_in_flight = false;
-    if (!try_again || !tw_cluster_any_lacks_chunks(cluster))
+    if (!may_hold_key || !tw_cluster_any_peer_lacks_chunk_support(cluster))
         revoke_lease(cluster, cluster->lease_id, 0);
     cluster->lease_id = 0;
     cluster->watch_from_revision = 0;
     cluster->next_leader_read_at =
         cluster->context->now +
-        cluster->lease_s * tw_context_random(cluster->context, LOST_LEAST, LOST_MOST);
+        cluster->lease_s * tw_context_random(cluster->context, LOST_PAUSE_MIN, LOST_PAUSE_MAX);
 }
 
 static void on_acquire(tw_cluster *cluster, int status, const char *body, size_t len) {
     uint64_t revision;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len) ||
-        !is_in_time(cluster)) {
+        !enough_lease_remains(cluster)) {
         give_up_election(cluster, status == TW_HTTP_NO_RESPONSE);
     } else if (cluster->replaced_lease_id) {
-        /* The key no longer hangs on that lease, which an earlier process may still renew. */
+        /* The key is no longer attached to the old lease, which an earlier process of this node may
+         * still renew. */
         revoke_lease(cluster, cluster->replaced_lease_id, revision);
     } else {
         cluster->election_in_flight = false;
@@ -320,12 +332,13 @@
     }
 }
 
-/* The lease of the key that was replaced has ended, or that is not known. */
+/* Handles the response to the revocation of a lease. The term begins if the lease belonged to a
+ * replaced key and has ended. */
 static void on_revoke(tw_cluster *cluster, const tw_call *sent, int status) {
     const uint64_t token = sent->sequence;
     const bool has_ended = status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND;
     if (!token) return;
-    if (!has_ended || !is_in_time(cluster)) {
+    if (!has_ended || !enough_lease_remains(cluster)) {
         give_up_election(cluster, !has_ended);
         return;
     }
@@ -368,7 +381,8 @@
     note_rate_limit(cluster, status);
 }
 
-/* Followers watch the key; a leader without authority reads it, to see whether it was replaced. */
+/* Watches or reads the leader's key when that is due. A follower watches the key; a leader without
+ * authority reads the key to learn whether it was replaced. */
 static void follower_tick(tw_cluster *cluster) {
     if (cluster->leader_read_in_flight || cluster->election_in_flight ||
         cluster->context->now < cluster->next_leader_read_at)
@@ -376,7 +390,7 @@
     if (!tw_rate_limiter_try_acquire(&cluster->election_limiter, cluster->context->now, 1)) return;
     cluster->next_leader_read_at =
         cluster->context->now +
-        cluster->lease_s * tw_context_random(cluster->context, READ_PAUSE_LEAST, READ_PAUSE_MOST);
+        cluster->lease_s * tw_context_random(cluster->context, READ_PAUSE_MIN, READ_PAUSE_MAX);
     if (cluster->watch_from_revision && cluster->role == TW_ROLE_FOLLOWER)
         watch_leader_key(cluster);
     else
--- a/src/cluster/peer_heartbeat.c
+++ b/src/cluster/peer_heartbeat.c
@@ -1,22 +1,25 @@
-/* Heartbeats between nodes. Each tells what its sender knows. The answer of a leader delegates to
- * the sender the renewal of leases in its zone, should it lose the leader, and names the cancelled
- * jobs that may still run. An answer without a higher token vouches that its sender has not led. */
+/* Heartbeats between nodes. A heartbeat and its answer carry the state of their senders. The answer
+ * of a leader delegates the renewal of leases in a zone to the node that sent the heartbeat, for
+ * the case that it can no longer reach the leader, and names the cancelled jobs that may still run.
+ * An answer without a higher token shows that its sender has not led. */
 #include "cluster/cluster_int.h"
 
-/* Pause between two heartbeats to a peer, as shares of the leader's lease. */
-#define PAUSE_LEAST 0.2
-#define PAUSE_MOST 0.3
-/* A peer counts as answering while the last heartbeat that it answered is at most this old. */
-#define ANSWERS_S 1.0
-#define ANSWERS_LEASES 0.5
+/* Range of the pause between two heartbeats to a peer, as shares of the leader's lease. */
+#define HEARTBEAT_PAUSE_MIN 0.2
+#define HEARTBEAT_PAUSE_MAX 0.3
+/* Maximum age of the last answered heartbeat of a peer that counts as answering: the sum of these
+ * seconds and leases of the leader. */
+#define MAX_ANSWER_AGE_S 1.0
+#define MAX_ANSWER_AGE_LEASES 0.5
 #define TIMEOUT_S 1.0
-/* A node that nobody has answered for so many of the leader's leases, and a second, is isolated. */
+/* A node is isolated if it gets no answer for this many leases of the leader plus one second. */
 #define ISOLATED_LEASES 2.0
-/* Most bytes of a request's body, and those of them that everything but the ids takes. */
-#define BODY_MOST (64 * 1024)
-#define BODY_REST 1024
-/* Most ids in a heartbeat, whose body must hold them. With more of them nothing is delegated. */
-#define MAX_CANCELLED ((BODY_MOST - BODY_REST) / (TW_WIRE_ID_SIZE + 3))
+/* Maximum size of the body of a request, and of its part without the ids of cancelled jobs. */
+#define MAX_HEARTBEAT_BODY_BYTES (64 * 1024)
+#define BODY_FRAME_BYTES 1024
+/* Maximum number of ids that fit into a heartbeat. A leader with more cancelled jobs does not
+ * delegate. */
+#define MAX_CANCELLED ((MAX_HEARTBEAT_BODY_BYTES - BODY_FRAME_BYTES) / (TW_WIRE_ID_SIZE + 3))
 
 tw_peer *tw_cluster_find_peer(const tw_cluster *cluster, const char *name) {
     for (size_t i = 0; i < cluster->peer_count; i++)
@@ -34,11 +37,12 @@
 
 bool tw_cluster_peer_answers(const tw_cluster *cluster, const tw_peer *peer) {
     return peer->answered_at >=
-           cluster->context->now - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s;
+           cluster->context->now - MAX_ANSWER_AGE_S - MAX_ANSWER_AGE_LEASES * cluster->lease_s;
 }
 
-/* What this node says of itself. cancelled: room for the ids that a leader sends along; *count: how
- * many there are, which may be more than fit. */
+/* Returns a heartbeat or an answer with the state of this node. If this node may command, fills in
+ * the ids of cancelled jobs in `cancelled`, an array of MAX_CANCELLED; *count is the number of such
+ * jobs, which may be greater than MAX_CANCELLED. */
 static tw_wire_peer_heartbeat describe_self(const tw_cluster *cluster, const char **cancelled,
                                             int *count) {
     tw_wire_peer_heartbeat message = {
@@ -74,10 +78,11 @@
 
 /* ---- cancellations ---- */
 
-/* Whether a peer that may answer workers of the zone without the leader, for longer than a
- * cancellation leaves time for, does not know of this cancellation yet. */
-static bool must_be_told(const tw_peer *peer, const char *zone, uint64_t number, double limit) {
-    return peer->delegation_until > limit && peer->cancellations_known < number &&
+/* Returns whether the peer has not acknowledged the cancellation, although it may answer workers of
+ * the zone without the leader until after `limit`, for longer than a cancellation permits. */
+static bool lacks_cancellation(const tw_peer *peer, const char *zone, uint64_t number,
+                               double limit) {
+    return peer->delegation_until > limit && peer->cancellations_acknowledged < number &&
            (!*zone || !strcmp(zone, peer->config.zone));
 }
 
@@ -86,22 +91,22 @@
 }
 
 tw_cancellation_safety tw_cluster_cancellation_safety(tw_cluster *cluster, const char *zone,
-                                                      uint64_t number, bool tell) {
+                                                      uint64_t number, bool send_now) {
     const double limit = cluster->context->now + tw_cluster_renewal_if_superseded_s(cluster);
     tw_cancellation_safety safety = TW_CANCELLATION_SAFE;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         tw_peer *peer = &cluster->peers[i];
-        if (!must_be_told(peer, zone, number, limit)) continue;
+        if (!lacks_cancellation(peer, zone, number, limit)) continue;
         safety = TW_CANCELLATION_PENDING;
         if (!tw_cluster_peer_answers(cluster, peer)) return TW_CANCELLATION_UNREACHABLE;
-        if (!tell || peer->cancellations_told >= number) continue;
-        peer->cancellations_told = number;
+        if (!send_now || peer->cancellations_sent >= number) continue;
+        peer->cancellations_sent = number;
         send_heartbeat(cluster, peer);
     }
     return safety;
 }
 
-/* ---- hearing from a peer ---- */
+/* ---- messages of peers ---- */
 
 static void note_peer(tw_cluster *cluster, tw_peer *from, const tw_wire_peer_heartbeat *message) {
     if (message->highest_token > from->highest_token) from->highest_token = message->highest_token;
@@ -127,8 +132,8 @@
     if (from) note_peer(cluster, from, &message);
     if (from && message.is_leader)
         tw_cluster_note_cancelled(cluster, message.highest_token, body, len);
-    /* With this answer the peer may renew leases in its zone for a while, should it lose this node.
-     */
+    /* The answer of a leader permits the peer to renew leases in its zone for a limited time if it
+     * can't reach this node any more. */
     const char *ids[MAX_CANCELLED];
     int count;
     tw_wire_peer_heartbeat answer = describe_self(cluster, ids, &count);
@@ -145,18 +150,19 @@
              tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
-/* A peer that answers a heartbeat and knows of no higher token has not led until the heartbeat was
- * sent, unless its process started after it last vouched. Nobody else can lead while this node has
- * authority, so a peer that was up before authority ended counts as having vouched until then: a
- * leader that loses the state service early in its first term is vouched for, too. */
-static void note_vouching(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
-                          const tw_wire_peer_heartbeat *answer) {
-    double known = from->vouched_at;
-    if (cluster->role == TW_ROLE_LEADER) known = fmax(known, cluster->authority_until);
+/* Updates not_leading_until of the peer by its answer to a heartbeat. A peer that
+ * knows of no higher token than this node's had not led when the heartbeat was sent, unless its
+ * process started after the last such answer: an earlier process may have led. No other node can
+ * lead while this node has authority, so it suffices that the peer's process ran before authority
+ * ended. This covers a leader that loses the state service early in its first term. */
+static void note_not_leading(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
+                             const tw_wire_peer_heartbeat *answer) {
+    double known_until = from->not_leading_until;
+    if (cluster->role == TW_ROLE_LEADER) known_until = fmax(known_until, cluster->authority_until);
     const double started_by =
         cluster->context->now - answer->uptime_s * (1 - 2 * cluster->context->config->tune.drift);
-    if (tw_cluster_has_authority(cluster) || started_by <= known)
-        from->vouched_at = fmax(from->vouched_at, sent->sent_at);
+    if (tw_cluster_has_authority(cluster) || started_by <= known_until)
+        from->not_leading_until = fmax(from->not_leading_until, sent->sent_at);
 }
 
 void tw_cluster_heartbeat_response(tw_cluster *cluster, const tw_call *sent, int status,
@@ -166,19 +172,20 @@
     if (!from) return;
     if (from->heartbeats_in_flight) from->heartbeats_in_flight--;
     if (status != TW_HTTP_OK || tw_wire_peer_heartbeat_parse(&answer, body, len)) return;
-    note_vouching(cluster, from, sent, &answer);
-    if (from->answered_at < sent->sent_at - ANSWERS_S - ANSWERS_LEASES * cluster->lease_s)
-        from->back_at = cluster->context->now;
+    note_not_leading(cluster, from, sent, &answer);
+    if (from->answered_at <
+        sent->sent_at - MAX_ANSWER_AGE_S - MAX_ANSWER_AGE_LEASES * cluster->lease_s)
+        from->reachable_since = cluster->context->now;
     from->answered_at = sent->sent_at;
-    /* The peer said this after the heartbeat was sent; a late copy of a request would not tell
-     * when. */
+    /* The peer made this report after the heartbeat was sent. A report in a heartbeat of the peer
+     * itself gives no such bound, since the heartbeat may be delayed. */
     from->delegate_answered_at = cluster->context->now - answer.since_delegate_answer_s;
     from->delegate_answered_as_of = sent->sent_at;
     note_peer(cluster, from, &answer);
     if (answer.highest_token == cluster->token && sent->term == cluster->context->term &&
-        sent->sequence > from->cancellations_known) {
-        from->cancellations_known = sent->sequence;
-        cluster->owner.cancellations_known(cluster->owner.owner);
+        sent->sequence > from->cancellations_acknowledged) {
+        from->cancellations_acknowledged = sent->sequence;
+        cluster->owner.cancellations_acknowledged(cluster->owner.owner);
     }
     if (answer.is_leader)
         tw_cluster_delegation_granted(cluster, sent->sent_at, answer.highest_token, body, len);
@@ -189,8 +196,9 @@
         tw_peer *to = &cluster->peers[i];
         if (to->heartbeats_in_flight || cluster->context->now < to->next_heartbeat_at) continue;
         to->next_heartbeat_at =
-            cluster->context->now +
-            cluster->lease_s * tw_context_random(cluster->context, PAUSE_LEAST, PAUSE_MOST);
+            cluster->context->now + cluster->lease_s * tw_context_random(cluster->context,
+                                                                         HEARTBEAT_PAUSE_MIN,
+                                                                         HEARTBEAT_PAUSE_MAX);
         send_heartbeat(cluster, to);
     }
 }
--- a/src/cluster/peer_versions.c
+++ b/src/cluster/peer_versions.c
@@ -1,17 +1,18 @@
-/* Which version each peer is of, as far as it has said so, and what follows while two serve.
+/* Versions that the peers report, and rules while nodes of two versions run during an upgrade.
  *
- * An earlier version takes over by rules that may not be safe any more. So while one of its nodes
- * may campaign, two followers of this version do so without the usual pause once their watches tell
- * that the leader's key is gone, and mostly win; and a key that names this node itself is replaced
- * rather than removed (election.c). Without an open watch on a key that ends, nobody has an
- * advantage. Who leads, and for how long, follows from the leader's key alone. */
+ * The failover rules of an earlier version may no longer be safe. While a node of an earlier
+ * version could campaign, two followers of this version campaign without the usual pause when their
+ * watches report the removal of the leader's key, and so usually win; and a key that names this
+ * node itself is replaced instead of removed (election.c). If no watch is open when the key is
+ * removed, no version has an advantage. Only the leader's key determines which node leads. */
 #include "cluster/cluster_int.h"
 
-/* Followers that campaign without a pause: with two of them it doesn't matter that one has just
- * ended, and the others' requests don't use up the state service's limit. */
+/* Number of followers that campaign without a pause. With two, one of them may have just ended, and
+ * the requests of the other followers don't use up the state service's rate limit. */
 #define FIRST_CANDIDATES 2
 
-/* Nodes that don't say which records they read are of a version from before there was a choice. */
+/* Returns whether the peer is of an earlier version: heartbeats of versions that read whole records
+ * only don't report a record format. */
 static bool is_of_earlier_version(const tw_peer *peer) {
     return peer->record_format == TW_RECORD_FORMAT_WHOLE;
 }
@@ -23,13 +24,13 @@
     return count;
 }
 
-bool tw_cluster_all_read_chunks(const tw_cluster *cluster) {
+bool tw_cluster_all_peers_support_chunks(const tw_cluster *cluster) {
     for (size_t i = 0; i < cluster->peer_count; i++)
         if (cluster->peers[i].record_format < TW_RECORD_FORMAT_CHUNKED) return false;
     return true;
 }
 
-bool tw_cluster_any_lacks_chunks(const tw_cluster *cluster) {
+bool tw_cluster_any_peer_lacks_chunk_support(const tw_cluster *cluster) {
     return count_earlier_peers(cluster) > 0;
 }
 
@@ -50,8 +51,9 @@
                     cluster->context->now - cluster->mixed_versions_since);
 }
 
-/* Whether the peer is a follower of this version that comes before this node by name, lives and
- * reaches the state service. The leader that has just ended does not count. */
+/* Returns whether the peer is a follower of this version whose name sorts before this node's, that
+ * answers heartbeats and reaches the state service. The last known leader is not a follower, even
+ * if its term has just ended. */
 static bool precedes_this_node(const tw_cluster *cluster, const tw_peer *peer) {
     return peer->record_format >= TW_RECORD_FORMAT_CHUNKED &&
            strcmp(peer->config.name, cluster->context->config->host_name) < 0 &&
@@ -59,7 +61,7 @@
            tw_cluster_peer_answers(cluster, peer);
 }
 
-bool tw_cluster_only_earlier_may_succeed(const tw_cluster *cluster) {
+bool tw_cluster_only_earlier_version_may_take_over(const tw_cluster *cluster) {
     if (!count_earlier_peers(cluster)) return false;
     for (size_t i = 0; i < cluster->peer_count; i++) {
         const tw_peer *peer = &cluster->peers[i];
@@ -71,7 +73,7 @@
 }
 
 bool tw_cluster_campaigns_first(const tw_cluster *cluster) {
-    if (tw_cluster_all_read_chunks(cluster)) return false;
+    if (tw_cluster_all_peers_support_chunks(cluster)) return false;
     int preceding = 0;
     for (size_t i = 0; i < cluster->peer_count; i++)
         preceding += precedes_this_node(cluster, &cluster->peers[i]);
--- a/src/store/chunk_writer.c
+++ b/src/store/chunk_writer.c
@@ -1,26 +1,26 @@
-/* Writing chunk sets, and removing those that no record names any more.
+/* Writing of chunk sets, and removal of those that no record refers to any more.
  *
- * A chunk set is written once, under a name that holds the leader's token and a number, and in as
- * many transactions as it takes, each under the compare of the leader's key. Once all its chunks
- * are known to be written, group_commit.c writes the record that names it like any other. Until the
- * outcome of that write is known the set stays, and is named again by each repetition. A set that a
- * record no longer names can't be named again: whatever still arrives late is under the compare of
- * an older revision. */
+ * The content of a chunk set never changes. Its name consists of the leader's fencing token and a
+ * number. Its chunks are written in as many transactions as necessary, each of which compares the
+ * leader's key. When all chunks are known to be written, group_commit.c writes the record that
+ * refers to the set as it writes any other record. Until the outcome of that write is known, the
+ * set is kept, and each retry of the write refers to it. A set that a record no longer refers to
+ * can't be referred to again, since a delayed write compares an older mod revision and fails. */
 #include "store/store_int.h"
 
-/* Chunks in a transaction, and the bytes that they may have together: the state service takes
- * 64 KiB; room for the frame and for what stands around a chunk. */
+/* Maximum number of chunks in a transaction, and maximum size of its text: the state service
+ * accepts 64 KiB. The frame size is counted once for the transaction and once for each chunk. */
 #define MAX_CHUNKS 60
 #define MAX_TRANSACTION_BYTES ((size_t)60 * 1024)
 #define CHUNK_FRAME_BYTES (TW_CHUNK_KEY_SIZE + 40)
-/* Until a removal that failed is tried again. */
+/* Pause before a failed removal is repeated. */
 #define REMOVAL_RETRY_S 1.0
 
 /* A chunk set to be removed. */
 typedef struct tw_stale_chunk_set {
     char id[TW_WIRE_ID_SIZE];
     char name[TW_WIRE_CHUNK_SET_SIZE];
-    int removed, count; /* chunks below `removed` are removed */
+    int removed, count; /* the chunks with numbers below `removed` are removed already */
     struct tw_stale_chunk_set *prev, *next;
 } tw_stale_chunk_set;
 
@@ -28,23 +28,23 @@
     snprintf(key, TW_CHUNK_KEY_SIZE, TW_CHUNK_KEY "%s/%s/%d", id, set, number);
 }
 
-/* ---- a set on its way ---- */
+/* ---- writing chunk sets ---- */
 
 void tw_store_begin_set(tw_store *store, tw_store_record *record, const char *text) {
     tw_chunk_set *set = tw_alloc(sizeof *set);
     const size_t length = strlen(text);
-    const size_t room = tw_store_value_size(store);
-    size_t most = 1;
-    for (size_t at = 0; at < length; most++) {
-        size_t taken;
-        free(tw_wire_chunk_text(text + at, room, &taken));
-        at += taken;
+    const size_t max_bytes = tw_store_value_size(store);
+    size_t max_chunks = 1;
+    for (size_t offset = 0; offset < length; max_chunks++) {
+        size_t consumed;
+        free(tw_wire_chunk_text(text + offset, max_bytes, &consumed));
+        offset += consumed;
     }
-    set->texts = tw_alloc(most * sizeof *set->texts);
-    for (size_t at = 0; at < length;) {
-        size_t taken;
-        set->texts[set->count++] = tw_wire_chunk_text(text + at, room, &taken);
-        at += taken;
+    set->texts = tw_alloc(max_chunks * sizeof *set->texts);
+    for (size_t offset = 0; offset < length;) {
+        size_t consumed;
+        set->texts[set->count++] = tw_wire_chunk_text(text + offset, max_bytes, &consumed);
+        offset += consumed;
     }
     snprintf(set->name, sizeof set->name, "%llu-%llu",
              (unsigned long long)tw_cluster_token(store->cluster),
@@ -86,8 +86,8 @@
     tw_store_free_set(record);
 }
 
-/* A transaction of these changes, under the compare of the leader's key alone: what a set holds
- * never changes. */
+/* Sends a transaction with these changes to chunks. It compares only the leader's key, since the
+ * content of a chunk set never changes. */
 static tw_call *send_changes(tw_store *store, tw_call_kind kind, const tw_wire_write *changes,
                              int count) {
     tw_rate_limiter_try_acquire(&store->write_limiter, store->context->now, count);
@@ -102,13 +102,13 @@
     return sent;
 }
 
-static void send_chunks(tw_store *store, tw_store_record *record, int most) {
+static void send_chunks(tw_store *store, tw_store_record *record, int max_count) {
     tw_chunk_set *set = record->next_set;
     char keys[MAX_CHUNKS][TW_CHUNK_KEY_SIZE];
     tw_wire_write writes[MAX_CHUNKS];
     size_t bytes = CHUNK_FRAME_BYTES;
     int count = 0;
-    while (count < most && count < MAX_CHUNKS && set->written + count < set->count) {
+    while (count < max_count && count < MAX_CHUNKS && set->written + count < set->count) {
         const int number = set->written + count;
         bytes += strlen(set->texts[number]) + CHUNK_FRAME_BYTES;
         if (bytes > MAX_TRANSACTION_BYTES && count) break;
@@ -122,15 +122,17 @@
     set->write_in_flight = true;
 }
 
-void tw_store_flush_chunks(tw_store *store, int most) {
+void tw_store_flush_chunks(tw_store *store, int max_count) {
     const double now = store->context->now;
     tw_store_record *record;
     DL_FOREACH(store->pending, record) {
-        const int writes = (int)fmin(most, tw_rate_limiter_available(&store->write_limiter, now));
+        const int writes =
+            (int)fmin(max_count, tw_rate_limiter_available(&store->write_limiter, now));
         if (store->transactions_in_flight >= TW_MAX_TRANSACTIONS || writes < 1) return;
         if (tw_rate_limiter_available(&store->request_limiter, now) < 1) return;
         if (!record->next_set) continue;
-        /* The end of a job doesn't wait for what it was before. */
+        /* A set that holds an outdated state of the job is discarded, so that its chunks don't
+         * delay the write of the job's end. */
         const tw_wire_job_state state = store->owner.summary(record->job).state;
         if (!record->next_set->record_sent && record->next_set->summary.state != state)
             tw_store_drop_set(store, record);
@@ -140,7 +142,7 @@
     }
 }
 
-/* ---- removing ---- */
+/* ---- removing chunk sets ---- */
 
 void tw_store_add_stale(tw_store *store, const char *id, const char *set, int count) {
     tw_stale_chunk_set *stale = tw_alloc(sizeof *stale);
@@ -150,7 +152,7 @@
     DL_APPEND(store->stale_sets, stale);
 }
 
-void tw_store_forget_stale(tw_store *store) {
+void tw_store_clear_stale(tw_store *store) {
     tw_stale_chunk_set *stale, *next;
     DL_FOREACH_SAFE(store->stale_sets, stale, next) {
         DL_DELETE(store->stale_sets, stale);
@@ -160,15 +162,15 @@
     store->next_removal_at = 0;
 }
 
-void tw_store_remove_stale(tw_store *store, int most) {
+void tw_store_remove_stale(tw_store *store, int max_count) {
     const double now = store->context->now;
     tw_stale_chunk_set *stale = store->stale_sets;
     if (!stale || store->removal_in_flight || now < store->next_removal_at) return;
     if (store->transactions_in_flight >= TW_MAX_TRANSACTIONS) return;
     if (tw_rate_limiter_available(&store->request_limiter, now) < 1) return;
     const double writes = tw_rate_limiter_available(&store->write_limiter, now);
-    most = (int)fmin(most, fmin(MAX_CHUNKS, writes));
-    const int count = (int)fmin(most, stale->count - stale->removed);
+    max_count = (int)fmin(max_count, fmin(MAX_CHUNKS, writes));
+    const int count = (int)fmin(max_count, stale->count - stale->removed);
     if (count < 1) return;
     char keys[MAX_CHUNKS][TW_CHUNK_KEY_SIZE];
     tw_wire_write removals[MAX_CHUNKS];
