--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -31,7 +31,7 @@
 /* Whether an attempt that the heartbeat doesn't name is gone for good. One that was on the machine,
  * or may have been since an earlier leader recorded it, is gone if no message on its way can still
  * start it: the machine refuses older tokens, and no direct launch of this leader is under way. */
-static bool is_certainly_absent(const tw_placement *placed) {
+static bool is_provably_absent(const tw_placement *placed) {
     const bool known_on_machine = placed->inherited || placed->reported;
     return known_on_machine && placed->machine->confirmed && !placed->direct_launches;
 }
@@ -45,7 +45,7 @@
            placed->launch_sequence < heartbeat->sequence;
 }
 
-void tw_launch_answered(tw_placement *placed, bool refused) {
+void tw_launch_note_response(tw_placement *placed, bool refused) {
     if (placed->direct_launches) placed->direct_launches--;
     /* Neither this launch nor another one is under way. */
     if (refused && !placed->reported && !placed->launch_sequence && !placed->direct_launches)
@@ -92,7 +92,7 @@
     case TW_EVIDENCE_EXITED:
         return termination->reported && tw_attempt_exit_is_final(placed, termination->reported);
     case TW_EVIDENCE_ABSENT:
-        return is_certainly_absent(placed);
+        return is_provably_absent(placed);
     case TW_EVIDENCE_LAUNCH_LOST:
         return tw_launch_was_lost(placed, termination->heartbeat, termination->answers_command);
     case TW_EVIDENCE_NEW_INCARNATION:
@@ -156,7 +156,7 @@
 }
 
 /* The attempt no longer counts on its machine, against its team's limit and in its zone. */
-static void stop_counting(tw_core *core, tw_placement *placed) {
+static void release_attempt_amounts(tw_core *core, tw_placement *placed) {
     tw_job *job = placed->job;
     tw_placement_account(core, placed, -1);
     placed->counted = false;
@@ -211,7 +211,7 @@
     core->counters.terminated[evidence] += (uint64_t)was_counted;
     log_termination(core, placed, termination);
     if (was_counted) {
-        stop_counting(core, placed);
+        release_attempt_amounts(core, placed);
         update_task_state(core, placed,
                           has_exited && termination->reported->cause == TW_CAUSE_DONE);
     }
--- a/src/core/attempt_termination.h
+++ b/src/core/attempt_termination.h
@@ -73,7 +73,7 @@
                         bool answers_command);
 
 /* The machine answered a direct launch of the attempt. refused: it did not carry it out. */
-void tw_launch_answered(tw_placement *placed, bool refused);
+void tw_launch_note_response(tw_placement *placed, bool refused);
 
 /* Whether a direct launch of the attempt may still be carried out, for the first or for a second
  * time. Until that is excluded, the machine must not be told to forget the attempt, or it would
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -217,7 +217,7 @@
         return false;
     }
     /* Some of the machines that boot will be late: of each type that share is not counted on. */
-    double *late = &core->machine_types[machine->type_index].late_sum;
+    double *late = &core->machine_types[machine->type_index].overdue_share_sum;
     *late += core->machine_types[machine->type_index].overdue_share;
     if (*late >= 1) {
         *late -= 1;
@@ -270,21 +270,21 @@
 /* Resets what the last plan noted on types and offers. */
 static void reset_scratch(tw_core *core) {
     for (int i = 0; i < core->machine_type_count; i++) {
-        core->machine_types[i].late_sum = core->machine_types[i].overdue_rental_at = 0;
-        core->machine_types[i].boots.coming_count = 0;
+        core->machine_types[i].overdue_share_sum = core->machine_types[i].overdue_rental_at = 0;
+        core->machine_types[i].boots.expected_machine_count = 0;
     }
     for (int i = 0; i < core->capacity_offer_count; i++) {
         core->capacity_offers[i].wanted_count = 0;
-        core->capacity_offers[i].boots.coming_count = 0;
+        core->capacity_offers[i].boots.expected_machine_count = 0;
     }
 }
 
 /* Counts a machine that boots, and is not overdue, at its type and its offer. */
 static void count_coming_machine(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->overdue || machine->failed) return;
-    core->machine_types[machine->type_index].boots.coming_count++;
+    core->machine_types[machine->type_index].boots.expected_machine_count++;
     tw_capacity_offer *offer = tw_offer_of_machine(core, machine);
-    if (offer) offer->boots.coming_count++;
+    if (offer) offer->boots.expected_machine_count++;
 }
 
 /* Fills the bins with the machines that the plan counts on, and resets what the last plan noted on
--- a/src/core/boot_record.c
+++ b/src/core/boot_record.c
@@ -11,22 +11,22 @@
 #include "core/workers.h"
 #include <stdbool.h>
 
-#define USUAL_FAILED_ROUNDS 1 /* a single machine may be late */
+#define TOLERATED_FAILED_ROUNDS 1 /* a single machine may be late */
 #define MAX_FAILED_ROUNDS 16
-#define COST_FACTOR_PER_ROUND 4 /* for each round beyond these */
-#define MEMORY_STARTUP_TIMES 20 /* startup times until a failure counts 1/e */
+#define COST_FACTOR_PER_ROUND 4        /* for each round beyond these */
+#define FAILURE_DECAY_STARTUP_TIMES 20 /* startup times until a failure counts 1/e */
 
 /* How many rounds have failed in a row, less as the last one ages. */
 static double aged_rounds(const tw_boot_record *record, double now, double startup_s) {
     return record->failed_rounds *
-           exp(-(now - record->failed_at) / (MEMORY_STARTUP_TIMES * startup_s));
+           exp(-(now - record->failed_at) / (FAILURE_DECAY_STARTUP_TIMES * startup_s));
 }
 
 double tw_boot_record_cost_factor(const tw_boot_record *record, double now, double startup_s) {
-    if (record->failed_rounds <= USUAL_FAILED_ROUNDS) return 1;
-    const double rounds =
-        record->coming_count ? record->failed_rounds : aged_rounds(record, now, startup_s);
-    return pow(COST_FACTOR_PER_ROUND, fmax(0, rounds - USUAL_FAILED_ROUNDS));
+    if (record->failed_rounds <= TOLERATED_FAILED_ROUNDS) return 1;
+    const double rounds = record->expected_machine_count ? record->failed_rounds
+                                                         : aged_rounds(record, now, startup_s);
+    return pow(COST_FACTOR_PER_ROUND, fmax(0, rounds - TOLERATED_FAILED_ROUNDS));
 }
 
 /* Notes that a machine that was rented at rented_at did not come up in time. Returns whether that
@@ -44,7 +44,7 @@
     const double now = core->context.now;
     if (offer) note_failure(&offer->boots, machine->known_since, now);
     if (!note_failure(&type->boots, machine->known_since, now)) return;
-    if (type->boots.failed_rounds > USUAL_FAILED_ROUNDS)
+    if (type->boots.failed_rounds > TOLERATED_FAILED_ROUNDS)
         tw_log_info("event=boots_failed machine_type=%s zone=%s rounds=%d", machine->type_name,
                     machine->zone, type->boots.failed_rounds);
 }
--- a/src/core/capacity_offers.c
+++ b/src/core/capacity_offers.c
@@ -100,8 +100,8 @@
                            .zone = tw_offer_zone(core, offer),
                            .room = {type->cores, type->gpus, type->memory_gb}};
     offer->machine_count++;
-    offer->boots.coming_count++;
-    core->machine_types[offer->type_index].boots.coming_count++;
+    offer->boots.expected_machine_count++;
+    core->machine_types[offer->type_index].boots.expected_machine_count++;
     return bin;
 }
 
--- a/src/core/command_messages.c
+++ b/src/core/command_messages.c
@@ -8,7 +8,7 @@
 
 /* Whether a later command of the same message stops the task of that launch. Such a launch starts
  * nothing: it settles an earlier one whose fate is unknown. */
-static bool is_stopped_at_once(const tw_command_list *commands, int launch) {
+static bool is_stopped_by_later_command(const tw_command_list *commands, int launch) {
     const tw_wire_command *launched = &commands->list[launch];
     for (int i = launch + 1; i < commands->count; i++) {
         const tw_wire_command *command = &commands->list[i];
@@ -24,7 +24,7 @@
     for (int i = 0; i < commands->count; i++) {
         const tw_wire_command_kind kind = commands->list[i].kind;
         if (kind == TW_COMMAND_FORGET) return TW_PERMISSION_COMMAND;
-        if (kind == TW_COMMAND_LAUNCH && !is_stopped_at_once(commands, i))
+        if (kind == TW_COMMAND_LAUNCH && !is_stopped_by_later_command(commands, i))
             return TW_PERMISSION_COMMAND;
     }
     return TW_PERMISSION_RENEW;
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -12,7 +12,7 @@
 /* Share of the leader's lease that must be left, so that a direct launch arrives under it. */
 #define MIN_AUTHORITY_SHARE 0.1
 /* A machine without a heartbeat for so many intervals is probed. */
-#define SILENT_HEARTBEATS 1.5
+#define PROBE_AFTER_HEARTBEATS 1.5
 /* Longest pause between direct commands to a machine that doesn't respond, in intervals. */
 #define MAX_PAUSE_HEARTBEATS 8
 /* Probes of a machine that doesn't respond, or whose responses don't confirm it. */
@@ -24,13 +24,13 @@
     DL_APPEND2(core->command_queue, machine, queue_prev, queue_next);
 }
 
-void tw_machine_want_commands(tw_core *core, tw_machine *machine) {
-    machine->commands_wanted = true;
+void tw_machine_request_commands(tw_core *core, tw_machine *machine) {
+    machine->commands_requested = true;
     queue_machine(core, machine);
 }
 
-void tw_machine_want_probe(tw_core *core, tw_machine *machine) {
-    machine->probe_wanted = true;
+void tw_machine_request_probe(tw_core *core, tw_machine *machine) {
+    machine->probe_requested = true;
     queue_machine(core, machine);
 }
 
@@ -60,22 +60,24 @@
  * term's token, and its response lists its tasks. Commands are sent only to a machine that is in
  * touch; another one might carry them out late. */
 static void send_direct_commands(tw_core *core, tw_machine *machine) {
-    if (machine->command_in_flight || core->context.now < machine->no_commands_before ||
-        (!machine->commands_wanted && !machine->probe_wanted))
+    if (machine->command_in_flight || core->context.now < machine->commands_paused_until ||
+        (!machine->commands_requested && !machine->probe_requested))
         return;
-    const bool probe = machine->probe_wanted;
+    const bool probe = machine->probe_requested;
     const double silent_s = core->context.now - machine->last_contact_at;
-    const double in_touch_s = TW_IN_TOUCH_HEARTBEATS * core->context.config->report_s;
-    machine->commands_wanted = machine->probe_wanted = false;
+    const double recent_contact_s = TW_RECENT_CONTACT_HEARTBEATS * core->context.config->report_s;
+    machine->commands_requested = machine->probe_requested = false;
     if (machine->return_wanted || !*machine->endpoint) return;
-    if (!probe && (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > in_touch_s))
+    if (!probe &&
+        (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > recent_contact_s))
         return;
     if (!machine->incarnation) { /* commands must name it, and it is not known yet */
         send_to_machine(core, machine, "GET", "/inspect", NULL);
         return;
     }
     tw_command_list commands = tw_command_list_new(core);
-    if (machine->confirmed && silent_s < in_touch_s) tw_commands_due(core, machine, &commands, 0);
+    if (machine->confirmed && silent_s < recent_contact_s)
+        tw_commands_add_due(core, machine, &commands, 0);
     if (!commands.count && !probe) return;
     char *body = tw_commands_direct_text(core, machine, &commands);
     if (!body) return;
@@ -88,17 +90,18 @@
     int in_flight = core->commands_in_flight;
     tw_machine *machine, *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (machine->command_in_flight || core->context.now < machine->no_commands_before) continue;
+        if (machine->command_in_flight || core->context.now < machine->commands_paused_until)
+            continue;
         /* The heartbeats may reach only a node that can't reach this one, while this node reaches
          * the machine. */
         if (machine->state == TW_MACHINE_UP &&
             core->context.now - machine->last_contact_at >
-                SILENT_HEARTBEATS * core->context.config->report_s &&
+                PROBE_AFTER_HEARTBEATS * core->context.config->report_s &&
             in_flight < max_in_flight) {
-            machine->probe_wanted = true;
+            machine->probe_requested = true;
             in_flight++;
         }
-        if (machine->commands_wanted || machine->probe_wanted) queue_machine(core, machine);
+        if (machine->commands_requested || machine->probe_requested) queue_machine(core, machine);
     }
 }
 
@@ -127,7 +130,7 @@
     DL_FOREACH(machine->placements, placed) {
         snprintf(name, sizeof name, "%s/%d", placed->job->id, placed->index);
         if (placed->attempt != attempt || strcmp(name, task) != 0) continue;
-        tw_launch_answered(placed, refused);
+        tw_launch_note_response(placed, refused);
         return;
     }
 }
@@ -137,10 +140,10 @@
     machine->failed_sends++;
     const double pause_heartbeats =
         machine->last_contact_at ? fmin(1 + machine->failed_sends, MAX_PAUSE_HEARTBEATS) : 1;
-    machine->no_commands_before =
+    machine->commands_paused_until =
         core->context.now + pause_heartbeats * core->context.config->report_s;
     if (!machine->last_contact_at && ++machine->failed_probes < MAX_PROBES)
-        tw_machine_want_probe(core, machine);
+        tw_machine_request_probe(core, machine);
 }
 
 void tw_commands_response(tw_core *core, tw_call *sent, int status, const char *body,
@@ -149,7 +152,7 @@
     if (!machine) return;
     core->commands_in_flight -= machine->command_in_flight;
     machine->command_in_flight = false;
-    if (machine->commands_wanted || machine->probe_wanted) queue_machine(core, machine);
+    if (machine->commands_requested || machine->probe_requested) queue_machine(core, machine);
     if (status == TW_HTTP_NO_RESPONSE) {
         note_failed_send(core, machine);
         return; /* the commands may still arrive: the fate of their launches stays unknown */
@@ -164,8 +167,8 @@
         tw_cluster_observe_token(core->cluster, heartbeat.fencing_token, NULL);
     } else if (!strcmp(heartbeat.worker, machine->name)) {
         tw_worker_heartbeat_apply(core, machine, &heartbeat, NULL);
-        if (!machine->confirmed && machine->probed++ < MAX_PROBES)
-            tw_machine_want_probe(core, machine);
+        if (!machine->confirmed && machine->unconfirmed_probes++ < MAX_PROBES)
+            tw_machine_request_probe(core, machine);
     }
     tw_wire_heartbeat_free(&heartbeat);
 }
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -171,7 +171,7 @@
         if (!machine->confirmed || machine->lease_expired || machine->return_wanted ||
             machine->failed_sends ||
             core->context.now - machine->last_contact_at >
-                TW_IN_TOUCH_HEARTBEATS * core->context.config->report_s)
+                TW_RECENT_CONTACT_HEARTBEATS * core->context.config->report_s)
             return false;
     }
     return true;
@@ -229,7 +229,7 @@
         if (!task->launch_sent && !task->direct_launches &&
             core->context.now >= task->launch_after &&
             tw_store_is_durable(job->record, task->version))
-            tw_machine_want_commands(core, task->machine);
+            tw_machine_request_commands(core, task->machine);
     }
 }
 
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -11,19 +11,19 @@
 /* How long the leader's response is waited for, which leaves time to become a delegate. */
 #define FORWARD_TIMEOUT_S 1.0
 /* How long a heartbeat is held, in all. */
-#define HOLD_S 2.2
+#define MAX_HOLD_S 2.2
 /* Between two attempts to have the held heartbeats answered. */
-#define RETRY_S 0.2
+#define RETRY_INTERVAL_S 0.2
 
 /* Held heartbeats may take one in so many of the node's sockets. */
-#define HELD_SHARE 2
+#define SOCKETS_PER_HELD_HEARTBEAT 2
 
 /* Holds the heartbeat until that time; rejects it if the time is over, or too many are held. Takes
  * the body. */
 static void hold_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
                            double until) {
     if (core->context.now >= until ||
-        core->held_count >= core->context.config->sockets / HELD_SHARE) {
+        core->held_count >= core->context.config->sockets / SOCKETS_PER_HELD_HEARTBEAT) {
         tw_log_debug("event=heartbeat_rejected worker=%s", worker);
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no leader answers");
         free(body);
@@ -85,7 +85,7 @@
 
 void tw_held_heartbeats_tick(tw_core *core) {
     if (!core->held_heartbeats || core->context.now < core->next_held_retry_at) return;
-    core->next_held_retry_at = core->context.now + RETRY_S;
+    core->next_held_retry_at = core->context.now + RETRY_INTERVAL_S;
     tw_held_heartbeat *list = core->held_heartbeats, *held, *next;
     core->held_heartbeats = NULL;
     core->held_count = 0;
@@ -127,7 +127,7 @@
             return;
     }
     forward_or_hold(core, connection, heartbeat->worker, copy_text(body, len),
-                    core->context.now + HOLD_S);
+                    core->context.now + MAX_HOLD_S);
 }
 
 void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -25,20 +25,21 @@
     return NULL;
 }
 
-int tw_image_count_fetches(const tw_core *core, const tw_machine *machine, const tw_image *but) {
+int tw_image_count_fetches(const tw_core *core, const tw_machine *machine,
+                           const tw_image *excluded) {
     const tw_image *image;
     int count = 0;
     DL_FOREACH(machine->images, image) {
-        count += image->ready_at > core->context.now && image != but;
+        count += image->ready_at > core->context.now && image != excluded;
     }
     return count;
 }
 
 double tw_image_fetch_slowdown(const tw_core *core, const tw_machine *machine,
-                               const tw_image *but) {
+                               const tw_image *excluded) {
     const double share =
         machine->type_index < 0 ? 0 : core->machine_types[machine->type_index].fetch_interference;
-    return 1 + share * tw_image_count_fetches(core, machine, but);
+    return 1 + share * tw_image_count_fetches(core, machine, excluded);
 }
 
 /* Forgets images that no longer fit into the machine's cache beside the newest one, as the machine
--- a/src/core/job_persistence.c
+++ b/src/core/job_persistence.c
@@ -76,7 +76,7 @@
     DL_FOREACH2(job->placements, task, job_next) {
         if (tw_store_is_durable(job->record, task->version) && !task->launch_sent &&
             !task->stopping)
-            tw_machine_want_commands(core, task->machine);
+            tw_machine_request_commands(core, task->machine);
     }
 }
 
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -17,9 +17,9 @@
 #define MAX_LATE_HEARTBEATS 2.5
 /* Intervals that a zone counts as unreachable for after it was seen to be: its workers need a while
  * to find a node that answers. */
-#define REACHABLE_AGAIN_HEARTBEATS 3
+#define ZONE_RECOVERY_HEARTBEATS 3
 /* In a zone of so few machines it says nothing that most are silent. */
-#define FEW_MACHINES 2
+#define SMALL_ZONE_MACHINES 2
 
 bool tw_machine_is_silent(const tw_core *core, const tw_machine *machine) {
     const bool unanswered =
@@ -27,12 +27,12 @@
     const double grace_leases = unanswered ? -1 : FIND_LEADER_LEASES;
     const double found_leader_at =
         tw_cluster_term_began_at(core->cluster) + grace_leases * core->context.config->lease_s;
-    const double heard_at =
+    const double last_heartbeat_at =
         fmax(fmax(machine->answered_at, machine->last_contact_at), found_leader_at);
     const double max_silence_s =
         core->context.config->tune.silent_ratio * core->context.config->lease_s;
     /* Delegates are asked about only where this node itself has heard nothing, which costs less. */
-    return core->context.now - heard_at > max_silence_s &&
+    return core->context.now - last_heartbeat_at > max_silence_s &&
            core->context.now - tw_cluster_delegates_until(core->cluster, machine->zone) >
                max_silence_s;
 }
@@ -42,7 +42,7 @@
            !machine->cordoned && !machine->return_wanted && !machine->decommissioning &&
            !machine->lease_expired && !machine->failed && machine->preempted_at <= 0 &&
            core->context.now - machine->last_contact_at <
-               TW_IN_TOUCH_HEARTBEATS * core->context.config->report_s;
+               TW_RECENT_CONTACT_HEARTBEATS * core->context.config->report_s;
 }
 
 double tw_lease_max_s(const tw_core *core) {
@@ -50,7 +50,7 @@
     return config->lease_s * (1 + 2 * config->tune.drift + config->tune.margin_ratio);
 }
 
-tw_lease_expiry tw_lease_expiry_of(const tw_core *core, const tw_machine *machine) {
+tw_lease_expiry tw_lease_expiry_compute(const tw_core *core, const tw_machine *machine) {
     tw_lease_expiry expiry = {.answered_at = fmax(machine->answered_at, machine->answered_older_at),
                               .delegates_until =
                                   tw_cluster_delegates_until(core->cluster, machine->zone)};
@@ -74,14 +74,14 @@
 }
 
 double tw_lease_expires_at(const tw_core *core, const tw_machine *machine) {
-    return tw_lease_expiry_of(core, machine).expires_at;
+    return tw_lease_expiry_compute(core, machine).expires_at;
 }
 
 /* The network is likely at fault if most machines of the zone are silent, or if this node doesn't
  * reach the zone's nodes, or only just does so again. */
 bool tw_zone_is_unreachable(tw_core *core, const tw_machine *machine) {
-    const double back_s = REACHABLE_AGAIN_HEARTBEATS * core->context.config->report_s;
-    if (tw_cluster_zone_is_cut(core->cluster, machine->zone, back_s)) return true;
+    const double recovery_s = ZONE_RECOVERY_HEARTBEATS * core->context.config->report_s;
+    if (tw_cluster_zone_is_cut(core->cluster, machine->zone, recovery_s)) return true;
     for (int zone = 0; zone < core->silent_zone_count; zone++)
         if (!strcmp(core->silent_zones[zone].zone, machine->zone))
             return core->context.now < core->silent_zones[zone].until;
@@ -123,8 +123,8 @@
             core->context.now - fmax(machine->answered_at, found_leader_at) > late_s;
     }
     for (int zone = 0; zone < core->silent_zone_count; zone++)
-        if (core->silent_zones[zone].all > FEW_MACHINES &&
+        if (core->silent_zones[zone].all > SMALL_ZONE_MACHINES &&
             core->silent_zones[zone].silent * 2 > core->silent_zones[zone].all)
             core->silent_zones[zone].until =
-                core->context.now + REACHABLE_AGAIN_HEARTBEATS * core->context.config->report_s;
+                core->context.now + ZONE_RECOVERY_HEARTBEATS * core->context.config->report_s;
 }
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -63,20 +63,21 @@
     bool overdue;                   /* it has been booting for longer than is usual */
 
     /* Direct commands, and probes, which ask for the machine's state alone. */
-    bool command_in_flight, commands_wanted, probe_wanted;
-    int failed_probes; /* without a response, as long as no heartbeat has come */
-    int failed_sends;  /* without a response, in a row, since the last heartbeat */
-    int probed; /* probes on sight in the cloud's list, and after answers that didn't confirm it */
-    double no_commands_before; /* a pause after a failure: no direct commands until then */
-    bool in_command_queue;     /* it stands in core->command_queue */
-    double gang_forgets_until; /* a gang's exited task may be told to be forgotten until then */
+    bool command_in_flight, commands_requested, probe_requested;
+    int failed_probes;      /* without a response, as long as no heartbeat has come */
+    int failed_sends;       /* without a response, in a row, since the last heartbeat */
+    int unconfirmed_probes; /* probes on sight in the cloud's list, and after answers that didn't
+                               confirm it */
+    double commands_paused_until; /* a pause after a failure: no direct commands until then */
+    bool in_command_queue;        /* it stands in core->command_queue */
+    double gang_forgets_until;    /* a gang's exited task may be told to be forgotten until then */
     struct tw_machine *queue_prev, *queue_next;
 
     /* The cloud's list, and the machine's return. */
-    bool listed;        /* it was in the list once */
-    int lists_without;  /* lists in a row that it was missing from */
-    bool failed;        /* the list says that it failed */
-    bool return_wanted; /* it is to be returned */
+    bool listed;                   /* it was in the list once */
+    int consecutive_lists_missing; /* lists in a row that it was missing from */
+    bool failed;                   /* the list says that it failed */
+    bool return_wanted;            /* it is to be returned */
     bool return_in_flight;
     bool decommissioning; /* its replicas are evicted in order to return it */
     double no_decommission_until;
@@ -96,8 +97,8 @@
 
     /* Moving averages, see machine_statistics.c; below 0: the type's average stands for it. */
     double slowness, queue_delay_s, fetch_s_per_gb;
-    double slowness_step;    /* cached logarithm, see preference.c */
-    double slowness_step_of; /* the slowness that slowness_step belongs to */
+    double slowness_step;       /* cached logarithm, see preference.c */
+    double slowness_step_input; /* the slowness that slowness_step belongs to */
 
     /* Amounts that placements take. */
     double used_cores, used_gpus, used_memory_gb; /* by all that may run */
@@ -113,9 +114,10 @@
 
 /* How the latest boots of machines went, see boot_record.c. */
 typedef struct tw_boot_record {
-    int failed_rounds; /* rounds of rentals in a row of which no machine came up in time */
-    double failed_at;  /* when the last of these rounds was noted */
-    int coming_count;  /* scratch of a plan: machines that boot, are asked for or are wanted */
+    int failed_rounds;          /* rounds of rentals in a row of which no machine came up in time */
+    double failed_at;           /* when the last of these rounds was noted */
+    int expected_machine_count; /* scratch of a plan: machines that boot, are asked for or are
+                                   wanted */
 } tw_boot_record;
 
 /* A machine type as the cloud lists it, and what was learned of its machines. */
@@ -125,8 +127,8 @@
     /* Average of how far a fetch's seconds per GB are off the type's, as a share of them: the rate
      * differs from fetch to fetch. */
     double fetch_deviation;
-    double overdue_share; /* average share of machines that boot late or never */
-    double late_sum;      /* scratch of a plan */
+    double overdue_share;     /* average share of machines that boot late or never */
+    double overdue_share_sum; /* scratch of a plan */
     /* Scratch of a plan: when the last of those machines was rented whose boot is overdue; 0: there
      * is none. */
     double overdue_rental_at;
@@ -164,7 +166,8 @@
 tw_image *tw_image_find(const tw_machine *machine, const tw_job *job);
 /* How many times as long a fetch takes on the machine as it would alone, because of the fetches
  * under way there. but: a fetch that isn't counted; NULL: all are. */
-double tw_image_fetch_slowdown(const tw_core *core, const tw_machine *machine, const tw_image *but);
+double tw_image_fetch_slowdown(const tw_core *core, const tw_machine *machine,
+                               const tw_image *excluded);
 
 /* ---- worker_heartbeat.c, direct_commands.c, machine_upkeep.c ---- */
 
@@ -173,8 +176,8 @@
 void tw_worker_heartbeat_receive(tw_core *core, uint64_t connection, const char *body,
                                  size_t length, bool from_peer);
 /* Asks for direct commands, or a probe, to be sent by the next tw_commands_send_direct. */
-void tw_machine_want_commands(tw_core *core, tw_machine *machine);
-void tw_machine_want_probe(tw_core *core, tw_machine *machine);
+void tw_machine_request_commands(tw_core *core, tw_machine *machine);
+void tw_machine_request_probe(tw_core *core, tw_machine *machine);
 /* Sends the direct commands and probes that are due. Runs after every input. */
 void tw_commands_send_direct(tw_core *core);
 /* The response of a machine to direct commands or a probe. status: of HTTP; 0: none came. body: not
@@ -199,8 +202,8 @@
 bool tw_quarantine_allows(const tw_machine *machine);
 
 /* Whether a task fits into what is free on the machine, which is of this type. */
-static inline bool tw_machine_has_room(const tw_machine *machine, const tw_machine_type *type,
-                                       const tw_wire_job *spec) {
+static inline bool tw_machine_has_capacity(const tw_machine *machine, const tw_machine_type *type,
+                                           const tw_wire_job *spec) {
     return type->listed.cores - machine->used_cores + TW_CAPACITY_ROUNDING >= spec->cores &&
            type->listed.gpus - machine->used_gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
            type->listed.memory_gb - machine->used_memory_gb + TW_CAPACITY_ROUNDING >=
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -1,6 +1,7 @@
 /* The cloud's list of the machines that we hold, read page by page. It lags behind by list_lag_s.
  * It tells of machines that we rented before a failover, of failed ones, and by leaving them out of
- * those that are gone (machine->lists_without counts the listings in a row without a machine). */
+ * those that are gone (machine->consecutive_lists_missing counts the listings in a row without a
+ * machine). */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
@@ -19,7 +20,7 @@
         machine->known_since = core->context.now - listed->rented_s;
     }
     machine->listed = true;
-    machine->lists_without = 0;
+    machine->consecutive_lists_missing = 0;
     machine->spot = listed->spot;
     if (!*machine->zone) tw_machine_set_zone(core, machine, listed->zone);
     if (strcmp(machine->type_name, listed->machine_type) != 0)
@@ -30,9 +31,10 @@
         snprintf(machine->endpoint, sizeof machine->endpoint, "%s", listed->endpoint);
     if (listed->state == TW_RENTED_FAILED) machine->failed = true;
     /* After a failover we ask the worker for its state and need not wait until it has found us. */
-    if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at && !machine->probed) {
-        machine->probed = 1;
-        tw_machine_want_probe(core, machine);
+    if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at &&
+        !machine->unconfirmed_probes) {
+        machine->unconfirmed_probes = 1;
+        tw_machine_request_probe(core, machine);
     }
 }
 
@@ -40,7 +42,7 @@
 static void begin_listing(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
-    HASH_ITER(hh, core->machines, machine, next) { machine->lists_without++; }
+    HASH_ITER(hh, core->machines, machine, next) { machine->consecutive_lists_missing++; }
 }
 
 void tw_machine_list_page(tw_core *core, int status, const char *body, size_t length) {
--- a/src/core/machine_statistics.c
+++ b/src/core/machine_statistics.c
@@ -20,7 +20,7 @@
 /* Moves the average towards a sample. An average below 0 has no sample yet, and begins at the
  * prior.
  */
-static void move_average(double *average, double prior, double sample, double weight) {
+static void update_average(double *average, double prior, double sample, double weight) {
     if (*average < 0) *average = prior;
     *average += weight * (sample - *average);
 }
@@ -37,14 +37,14 @@
     if (s_per_gb * type->listed.fetch_gb_s < CACHED_RATIO) return;
     if (placed->concurrent_fetches) {
         const double share = (s_per_gb / type->fetch_s_per_gb - 1) / placed->concurrent_fetches;
-        move_average(&type->fetch_interference, type->fetch_interference, fmin(1, fmax(0, share)),
-                     weight * SHARE_WEIGHT);
+        update_average(&type->fetch_interference, type->fetch_interference, fmin(1, fmax(0, share)),
+                       weight * SHARE_WEIGHT);
         s_per_gb /= 1 + type->fetch_interference * placed->concurrent_fetches;
     }
-    move_average(&type->fetch_deviation, type->fetch_deviation,
-                 fmin(1, fabs(s_per_gb / type->fetch_s_per_gb - 1)), weight * TYPE_WEIGHT);
-    move_average(&machine->fetch_s_per_gb, type->fetch_s_per_gb, s_per_gb, weight);
-    move_average(&type->fetch_s_per_gb, type->fetch_s_per_gb, s_per_gb, weight * TYPE_WEIGHT);
+    update_average(&type->fetch_deviation, type->fetch_deviation,
+                   fmin(1, fabs(s_per_gb / type->fetch_s_per_gb - 1)), weight * TYPE_WEIGHT);
+    update_average(&machine->fetch_s_per_gb, type->fetch_s_per_gb, s_per_gb, weight);
+    update_average(&type->fetch_s_per_gb, type->fetch_s_per_gb, s_per_gb, weight * TYPE_WEIGHT);
 }
 
 void tw_statistics_note_start(tw_core *core, tw_placement *placed) {
@@ -58,8 +58,8 @@
         machine->queue_delay_s < 0 ? type->queue_delay_s : machine->queue_delay_s;
     const double min_fetch_gb = type->listed.fetch_gb_s * 2 * core->context.config->report_s;
     if (placed->image_state == TW_IMAGE_CACHED) {
-        move_average(&machine->queue_delay_s, type->queue_delay_s, delay_s, weight);
-        move_average(&type->queue_delay_s, type->queue_delay_s, delay_s, weight * TYPE_WEIGHT);
+        update_average(&machine->queue_delay_s, type->queue_delay_s, delay_s, weight);
+        update_average(&type->queue_delay_s, type->queue_delay_s, delay_s, weight * TYPE_WEIGHT);
     } else if (placed->image_state == TW_IMAGE_ABSENT &&
                placed->job->spec.image_gb > min_fetch_gb) {
         learn_fetch(core, placed, delay_s - queue_delay_s);
@@ -77,10 +77,10 @@
 
 /* Slowness of the slowest machine that has a task of the gang. done: a task that is no longer in
  * the job's list. */
-static double gang_slowness(const tw_core *core, const tw_placement *done) {
-    double slowest = tw_machine_slowness(core, done->machine);
+static double gang_slowness(const tw_core *core, const tw_placement *finished) {
+    double slowest = tw_machine_slowness(core, finished->machine);
     const tw_placement *task;
-    DL_FOREACH2(done->job->placements, task, job_next) {
+    DL_FOREACH2(finished->job->placements, task, job_next) {
         if (task->machine->type_index >= 0)
             slowest = fmax(slowest, tw_machine_slowness(core, task->machine));
     }
@@ -103,12 +103,12 @@
     }
     const double slowness = tw_machine_slowness(core, machine);
     /* Users' estimates are often wrong by half, so one run tells little of the machine. */
-    move_average(&machine->slowness, prior,
-                 fmin(MAX_RATIO, fmax(MIN_RATIO, ratio / class->run_time_ratio)), weight * 0.5);
+    update_average(&machine->slowness, prior,
+                   fmin(MAX_RATIO, fmax(MIN_RATIO, ratio / class->run_time_ratio)), weight * 0.5);
     learn_estimate(class, ratio / slowness, weight);
 }
 
 void tw_statistics_note_boot(tw_core *core, const tw_machine *machine) {
     double *share = &core->machine_types[machine->type_index].overdue_share;
-    move_average(share, *share, machine->overdue, BOOT_WEIGHT * core->context.config->tune.ema);
+    update_average(share, *share, machine->overdue, BOOT_WEIGHT * core->context.config->tune.ema);
 }
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -8,18 +8,18 @@
 
 #define TICKS_PER_HEARTBEAT 6
 /* A boot that takes so many times as long as its type's counts as overdue, and as failed. */
-#define BOOT_OVERDUE 1.6
-#define BOOT_FAILED 4
+#define BOOT_OVERDUE_FACTOR 1.6
+#define BOOT_FAILED_FACTOR 4
 /* Boot of a machine whose type is not known yet, in leases. */
-#define BOOT_UNKNOWN_LEASES 4
+#define UNKNOWN_TYPE_BOOT_LEASES 4
 /* Delegates' keys that were read so long ago are read again before a lease is taken for expired. */
 #define DELEGATES_MAX_AGE_LEASES 0.1
 /* A batch task that needs less than this share of a preemption notice is left to end by itself. */
-#define DONE_WITHIN_NOTICE 0.5
+#define COMPLETION_NOTICE_SHARE 0.5
 /* Returned machines are remembered for so many seconds and so many lags of the cloud's list, so
  * that their late heartbeats, and lists that still show them, are ignored. */
-#define RETURNED_S 600
-#define RETURNED_LIST_LAGS 20
+#define RETURNED_RETENTION_S 600
+#define RETURNED_RETENTION_LIST_LAGS 20
 
 /* Terminates the attempts on the machine that were not launched. */
 static void terminate_unlaunched(tw_core *core, tw_machine *machine) {
@@ -41,18 +41,18 @@
 
 /* Whether the stop of a gang waits until all of its machines can be told, or the gang would lose
  * its progress. It waits only as long as the notice leaves time for that. */
-static bool waits_to_save(const tw_core *core, const tw_placement *placed, double left_s) {
+static bool waits_to_save(const tw_core *core, const tw_placement *placed, double notice_left_s) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            !tw_gang_can_save(core, job) &&
-           left_s > job->spec.save_s + core->context.config->gang_peer_s;
+           notice_left_s > job->spec.save_s + core->context.config->gang_peer_s;
 }
 
 /* A spot machine will be taken away: tasks that won't be done by then are stopped, so that they
  * save a checkpoint and go on elsewhere. */
 static void handle_preemption_notice(tw_core *core, tw_machine *machine) {
     tw_placement *placed, *next;
-    const double left_s = machine->preempted_at - core->context.now;
+    const double notice_left_s = machine->preempted_at - core->context.now;
     DL_FOREACH_SAFE(machine->placements, placed, next) {
         if (!placed->counted || placed->stopping) continue;
         const tw_wire_job *spec = &placed->job->spec;
@@ -60,9 +60,10 @@
         const double run_s = tw_job_run_estimate_s(placed->job) * slowness;
         const double remaining_s =
             placed->running_since > 0 ? run_s - (core->context.now - placed->running_since) : run_s;
-        if (!spec->service && remaining_s > 0 && remaining_s < DONE_WITHIN_NOTICE * left_s)
+        if (!spec->service && remaining_s > 0 &&
+            remaining_s < COMPLETION_NOTICE_SHARE * notice_left_s)
             continue;
-        if (waits_to_save(core, placed, left_s)) continue;
+        if (waits_to_save(core, placed, notice_left_s)) continue;
         tw_placement_stop(core, placed, spec->checkpoint_s > 0 ? spec->save_s : 0, false);
     }
 }
@@ -80,7 +81,7 @@
 /* Logs the ages in seconds of what the lease's end rests on. One that never was is as old as the
  * clock. */
 static void log_lease_expiry(const tw_core *core, const tw_machine *machine) {
-    const tw_lease_expiry expiry = tw_lease_expiry_of(core, machine);
+    const tw_lease_expiry expiry = tw_lease_expiry_compute(core, machine);
     const double now = core->context.now;
     tw_log_info(
         "event=lease_expired worker=%s token=%llu incarnation=%llu confirmed=%d over_s=%.2f "
@@ -141,7 +142,7 @@
 
 /* Time in seconds that the machine is expected to boot in. */
 static double expected_boot_s(const tw_core *core, const tw_machine *machine) {
-    if (machine->type_index < 0) return core->context.config->lease_s * BOOT_UNKNOWN_LEASES;
+    if (machine->type_index < 0) return core->context.config->lease_s * UNKNOWN_TYPE_BOOT_LEASES;
     return core->machine_types[machine->type_index].listed.startup_s;
 }
 
@@ -150,7 +151,8 @@
 static void note_overdue_boot(tw_core *core, tw_machine *machine, double boot_s) {
     const double age_s = core->context.now - machine->known_since;
     if (machine->overdue || machine->type_index < 0) return;
-    if (!machine->failed && age_s <= BOOT_OVERDUE * boot_s + core->context.config->report_s) return;
+    if (!machine->failed && age_s <= BOOT_OVERDUE_FACTOR * boot_s + core->context.config->report_s)
+        return;
     machine->overdue = true;
     tw_statistics_note_boot(core, machine);
     tw_boot_records_note_failure(core, machine);
@@ -163,7 +165,7 @@
 static bool boot_has_failed(const tw_core *core, const tw_machine *machine, double boot_s) {
     const tw_config *config = core->context.config;
     const double age_s = core->context.now - machine->known_since;
-    return age_s > BOOT_FAILED * boot_s + config->list_lag_s &&
+    return age_s > BOOT_FAILED_FACTOR * boot_s + config->list_lag_s &&
            core->context.now - tw_cluster_term_began_at(core->cluster) > config->lease_s;
 }
 
@@ -197,8 +199,9 @@
 }
 
 static void forget_returned_machines(tw_core *core) {
-    const double kept_s = RETURNED_S + RETURNED_LIST_LAGS * core->context.config->list_lag_s;
-    tw_expiring_names_sweep(&core->returned_machines, core->context.now, kept_s);
+    const double retention_s =
+        RETURNED_RETENTION_S + RETURNED_RETENTION_LIST_LAGS * core->context.config->list_lag_s;
+    tw_expiring_names_sweep(&core->returned_machines, core->context.now, retention_s);
 }
 
 void tw_machines_tick(tw_core *core) {
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -72,5 +72,5 @@
         placed->preempted = true;
         tw_placement_account(core, placed, 1);
     }
-    tw_machine_want_commands(core, placed->machine);
+    tw_machine_request_commands(core, placed->machine);
 }
--- a/src/core/preference.c
+++ b/src/core/preference.c
@@ -22,8 +22,8 @@
  * so it is kept with the machine and worked out again only after the slowness has changed. */
 static double machine_slowness_step(const tw_core *core, tw_machine *machine) {
     const double slowness = fmax(tw_machine_slowness(core, machine), MIN_SLOWNESS);
-    if (machine->slowness_step_of != slowness) {
-        machine->slowness_step_of = slowness;
+    if (machine->slowness_step_input != slowness) {
+        machine->slowness_step_input = slowness;
         machine->slowness_step = floor(log(slowness) / log(SLOWNESS_STEP) + 0.5);
     }
     return machine->slowness_step;
--- a/src/core/recheck.c
+++ b/src/core/recheck.c
@@ -52,7 +52,8 @@
     HASH_ITER(hh, core->machines, machine, next) {
         core->pass_steps++;
         if (machine->type_index < 0 ||
-            !tw_machine_has_room(machine, &core->machine_types[machine->type_index], &job->spec) ||
+            !tw_machine_has_capacity(machine, &core->machine_types[machine->type_index],
+                                     &job->spec) ||
             !tw_machine_is_usable(core, machine) ||
             !tw_constraints_allow_machine(core, job, machine) ||
             !tw_demand_allows_machine(&demand, machine))
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -75,7 +75,7 @@
     const tw_job *job = demand->job;
     score->changes = candidate->changes;
     score->fits =
-        tw_machine_has_room(machine, &core->machine_types[machine->type_index], &job->spec) &&
+        tw_machine_has_capacity(machine, &core->machine_types[machine->type_index], &job->spec) &&
         tw_constraints_allow_machine(core, job, machine);
     score->possible = score->fits && tw_constraints_leave_gpus(core, machine, job, 1);
     if (!score->possible) return;
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -202,8 +202,8 @@
 }
 
 /* Whether the task may go on where it is, so that it needs no new attempt. */
-static bool may_go_on(const tw_core *core, const tw_job *job, const tw_machine *machine,
-                      const tw_wire_task *reported) {
+static bool may_continue_in_place(const tw_core *core, const tw_job *job, const tw_machine *machine,
+                                  const tw_wire_task *reported) {
     return job->task_states[reported->index] == TW_ASSIGNMENT_NONE &&
            tw_constraints_allow_zone(job, machine->zone) && tw_quota_allows_tasks(core, job, 1);
 }
@@ -230,7 +230,7 @@
         reconcile_unknown_exit(core, machine, reported, job, commands);
         return;
     }
-    if (job && may_go_on(core, job, machine, reported)) {
+    if (job && may_continue_in_place(core, job, machine, reported)) {
         restore_placement(core, job, machine, heartbeat, reported);
         return;
     }
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -111,7 +111,7 @@
 }
 
 /* Whether the task fits into the amounts. */
-static bool fits(const tw_capacity *available, const tw_wire_job *spec) {
+static bool task_fits(const tw_capacity *available, const tw_wire_job *spec) {
     return available->cores + TW_CAPACITY_ROUNDING >= spec->cores &&
            available->gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
            available->memory_gb + TW_CAPACITY_ROUNDING >= spec->memory_gb;
@@ -150,9 +150,9 @@
 /* How many more tasks may be launched on the machine by direct commands. */
 static int count_direct_launches_left(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
-    int left = MAX_REPEATABLE_LAUNCHES;
-    DL_FOREACH(machine->placements, placed) { left -= tw_launch_may_repeat(core, placed); }
-    return left;
+    int remaining = MAX_REPEATABLE_LAUNCHES;
+    DL_FOREACH(machine->placements, placed) { remaining -= tw_launch_may_repeat(core, placed); }
+    return remaining;
 }
 
 /* Adds launches. available: the machine's amounts, less what still saves a checkpoint. */
@@ -166,7 +166,7 @@
         if (!may_launch(placed) || must_wait_for_gang(core, placed)) continue;
         if (placed->launch_sent && !sequence) continue; /* its first launch is on its way */
         if (!placed->launch_sent) {
-            if (!fits(&available, &placed->job->spec)) continue;
+            if (!task_fits(&available, &placed->job->spec)) continue;
             subtract_capacity(&available, &placed->job->spec);
         }
         if (commands->count >= MAX_COMMANDS) break;
@@ -191,8 +191,8 @@
     }
 }
 
-void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
-                     uint64_t sequence) {
+void tw_commands_add_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
+                         uint64_t sequence) {
     tw_capacity available = {0, 0, 0};
     if (machine->type_index >= 0) {
         const tw_wire_machine_type *type = &core->machine_types[machine->type_index].listed;
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -9,7 +9,7 @@
 #define MACHINES_PER_UNRESPONSIVE 15
 /* A worker whose lease expired though a heartbeat was answered less than this ago, in leases, did
  * not get the answer. */
-#define ANSWERED_LATELY_LEASES 0.5
+#define RECENT_ANSWER_LEASES 0.5
 
 static bool is_placement_of(const tw_placement *placed, const tw_wire_task *reported) {
     return placed->attempt == reported->attempt && placed->index == reported->index &&
@@ -19,11 +19,11 @@
 /* The machine's placement of the reported task; NULL: it has none. from: where to begin to look,
  * since a heartbeat names tasks in nearly the same order as the machine's list; NULL: anywhere. */
 static tw_placement *find_placement(const tw_machine *machine, const tw_wire_task *reported,
-                                    tw_placement *from) {
+                                    tw_placement *start) {
     tw_placement *placed;
-    for (placed = from; placed; placed = placed->next)
+    for (placed = start; placed; placed = placed->next)
         if (is_placement_of(placed, reported)) return placed;
-    for (placed = machine->placements; placed != from; placed = placed->next)
+    for (placed = machine->placements; placed != start; placed = placed->next)
         if (is_placement_of(placed, reported)) return placed;
     return NULL;
 }
@@ -44,14 +44,14 @@
  * its incarnation has lasted under them: it may be known by a late copy alone. */
 static bool answers_are_lost(const tw_core *core, const tw_machine *machine) {
     const double now = core->context.now;
-    const double lately_s = ANSWERED_LATELY_LEASES * core->context.config->lease_s;
-    if (machine->lease_expired || now - machine->answered_at >= lately_s) return false;
-    return machine->confirmed || now - machine->incarnation_learned_at > lately_s;
+    const double recent_answer_s = RECENT_ANSWER_LEASES * core->context.config->lease_s;
+    if (machine->lease_expired || now - machine->answered_at >= recent_answer_s) return false;
+    return machine->confirmed || now - machine->incarnation_learned_at > recent_answer_s;
 }
 
 /* The worker's earlier incarnation is over: the worker has killed and forgotten all its tasks. */
-static void on_new_incarnation(tw_core *core, tw_machine *machine,
-                               const tw_wire_heartbeat *heartbeat) {
+static void handle_new_incarnation(tw_core *core, tw_machine *machine,
+                                   const tw_wire_heartbeat *heartbeat) {
     const tw_attempt_termination termination = {.evidence = TW_EVIDENCE_NEW_INCARNATION,
                                                 .heartbeat = heartbeat};
     tw_placement *placed, *next;
@@ -176,7 +176,7 @@
         return false;
     }
     if (machine->incarnation && heartbeat->incarnation > machine->incarnation)
-        on_new_incarnation(core, machine, heartbeat);
+        handle_new_incarnation(core, machine, heartbeat);
     update_machine(core, machine, heartbeat);
     reconcile_tasks(core, machine, heartbeat, commands);
     return true;
@@ -228,9 +228,9 @@
     }
     machine->answered_at = core->context.now;
     if (machine->first_answered_at <= 0) note_first_answer(core, machine, heartbeat);
-    tw_commands_due(core, machine, &commands, heartbeat->sequence);
-    machine->probe_wanted = machine->commands_wanted = false;
-    if (!machine->confirmed) tw_machine_want_probe(core, machine);
+    tw_commands_add_due(core, machine, &commands, heartbeat->sequence);
+    machine->probe_requested = machine->commands_requested = false;
+    if (!machine->confirmed) tw_machine_request_probe(core, machine);
     reply_commands(core, connection, &commands);
 }
 
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -22,7 +22,7 @@
 
 /* A machine whose last heartbeat is at most so many intervals old is in touch; another one might
  * carry out a command late. */
-#define TW_IN_TOUCH_HEARTBEATS 2.5
+#define TW_RECENT_CONTACT_HEARTBEATS 2.5
 /* A worker drops an answer that comes so long after it sent the heartbeat. */
 #define TW_ANSWER_LIFETIME_S 4.0
 /* How long the response to direct commands is waited for. */
@@ -39,7 +39,8 @@
 /* ---- image.c ---- */
 
 /* How many images the machine fetches now. but: one that isn't counted; NULL: all are. */
-int tw_image_count_fetches(const tw_core *core, const tw_machine *machine, const tw_image *but);
+int tw_image_count_fetches(const tw_core *core, const tw_machine *machine,
+                           const tw_image *excluded);
 /* A task of the job uses its image on the machine, or has it fetched. ready: it is cached by now.
  */
 void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, bool ready);
@@ -60,7 +61,7 @@
     double predecessor_until; /* by an earlier leader */
     double expires_at;        /* the end, with the lease's length and the zone's delegations */
 } tw_lease_expiry;
-tw_lease_expiry tw_lease_expiry_of(const tw_core *core, const tw_machine *machine);
+tw_lease_expiry tw_lease_expiry_compute(const tw_core *core, const tw_machine *machine);
 /* The expires_at of that alone. */
 double tw_lease_expires_at(const tw_core *core, const tw_machine *machine);
 /* Whether the network, rather than the machine, is likely to be the cause of its silence. */
@@ -133,7 +134,7 @@
                          const tw_wire_task *task);
 /* Adds the commands that are due for the machine. sequence: of the heartbeat that is answered; 0:
  * direct commands. */
-void tw_commands_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
-                     uint64_t sequence);
+void tw_commands_add_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
+                         uint64_t sequence);
 
 #endif
