--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -1,12 +1,13 @@
-/* The decision that an attempt can no longer run, and what follows from it for the task, its job
- * and its machine. See attempt_termination.h for the invariant; the rules of evidence_holds are
- * argued in docs/design.md, "Why each rule holds". */
+/* Decides whether an attempt can no longer run, and updates the task, its job and its machine when
+ * it is terminated. See attempt_termination.h for the invariant; docs/design.md, "Why each rule
+ * holds", proves the rules of evidence_holds. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* For how many leases after a direct launch was sent it may still be carried out once more; the
- * machine must list the attempt meanwhile, however it ended: also one that is done takes its
- * amounts and its place in the zone from the start to the exit that follows. */
+/* Time, in leases, after which a direct launch can no longer be executed a second time. Until then
+ * the machine must keep listing the attempt, however it ended: if the machine had forgotten even a
+ * completed attempt, a repeated launch would start it again, and it would use resources of the
+ * machine and the zone until its exit. */
 #define LAUNCH_REPEAT_LEASES 12
 
 static const char *const evidence_names[TW_EVIDENCE_KINDS] = {
@@ -26,18 +27,20 @@
     return evidence_names[evidence];
 }
 
-/* ---- the decision ---- */
+/* ---- evaluation of the evidence ---- */
 
-/* Whether an attempt that the heartbeat doesn't name is gone for good. One that was on the machine,
- * or may have been since an earlier leader recorded it, is gone if no message on its way can still
- * start it: the machine refuses older tokens, and no direct launch of this leader is under way. */
+/* Returns whether an attempt that the heartbeat doesn't list can never run again. This is certain
+ * only for an attempt that a heartbeat has reported, or that an earlier leader recorded, and only
+ * if no message in flight can still start it: the machine refuses older tokens, and no direct
+ * launch of this leader is in flight. */
 static bool is_provably_absent(const tw_placement *placed) {
     const bool known_on_machine = placed->inherited || placed->reported;
     return known_on_machine && placed->machine->confirmed && !placed->direct_launches;
 }
 
-/* An answer that was lost is not carried out late. Only the next ordinary heartbeat shows that it
- * was lost: a response to direct commands may have overtaken the answer with the launch. */
+/* A worker never executes an answer late, so a lost launch stays lost. Only the next ordinary
+ * heartbeat proves the loss: a response to direct commands may have overtaken the answer with the
+ * launch. */
 bool tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
                         bool answers_command) {
     const bool known_on_machine = placed->inherited || placed->reported;
@@ -47,7 +50,7 @@
 
 void tw_launch_note_response(tw_placement *placed, bool refused) {
     if (placed->direct_launches) placed->direct_launches--;
-    /* Neither this launch nor another one is under way. */
+    /* Neither this launch nor another one is in flight. */
     if (refused && !placed->reported && !placed->launch_sequence && !placed->direct_launches)
         placed->launch_sent = false;
 }
@@ -63,20 +66,22 @@
     return placed->launch_sent || placed->direct_launches || placed->inherited;
 }
 
-/* Whether the attempt could run only in an incarnation before the heartbeat's: with its incarnation
- * a worker kills and forgets all tasks. This leader knows the incarnation that it launched in. An
- * earlier leader may have launched in the new one, or by a message that is still on its way, unless
- * the machine refused that leader's token in the old one already. `confirmed` is as of before this
- * heartbeat; a heartbeat that confirms the machine ends the attempt as absent. */
+/* Returns whether the attempt could run only in an incarnation before the heartbeat's. When an
+ * incarnation ends, the worker kills and forgets all its tasks. For its own launches this leader
+ * knows the incarnation. An earlier leader may have launched the attempt in the new incarnation, or
+ * by a message that is still in flight, unless the machine already refused that leader's token in
+ * the old incarnation. `confirmed` has the value from before this heartbeat; if this heartbeat
+ * confirms the machine, the attempt is terminated as absent. */
 static bool is_of_earlier_incarnation(const tw_placement *placed,
                                       const tw_wire_heartbeat *heartbeat) {
     if (placed->inherited) return placed->machine->confirmed;
     return placed->launch_sent && placed->launch_incarnation < heartbeat->incarnation;
 }
 
-/* A task of a gang that is replaced gets the attempt of the others, so that a later leader may have
- * launched the same attempt there again, after this heartbeat. Of a machine that refuses all
- * earlier leaders' commands, and of a launch of this term, that is excluded. */
+/* When a task of a gang is placed again, it gets the same attempt number as the other tasks. An
+ * earlier leader may therefore have launched the same attempt on the machine again after the
+ * reported exit. This is excluded for a machine that refuses the commands of all earlier leaders,
+ * and for an attempt that was launched in this term. */
 bool tw_attempt_exit_is_final(const tw_placement *placed, const tw_wire_task *reported) {
     if (reported->state != TW_TASK_EXITED || reported->attempt != placed->attempt ||
         reported->index != placed->index)
@@ -84,7 +89,8 @@
     return !placed->inherited || !placed->job->spec.gang || placed->machine->confirmed;
 }
 
-/* Whether the attempt can't run any more, nor be started by a message on its way. */
+/* Returns whether the evidence proves that the attempt no longer runs and that no message in flight
+ * can start it. */
 static bool evidence_holds(const tw_core *core, const tw_placement *placed,
                            const tw_attempt_termination *termination) {
     const tw_machine *machine = placed->machine;
@@ -115,17 +121,17 @@
     return !tw_cluster_is_leader(core->cluster);
 }
 
-/* Whether a caller may offer the evidence without knowing that it holds. With all other evidence
- * the caller is at fault if it doesn't hold. */
+/* Returns whether a caller may pass the evidence without knowing that it holds. With all other
+ * evidence it is an error of the caller if the evidence doesn't hold. */
 static bool may_be_refuted(tw_termination_evidence evidence) {
     return evidence == TW_EVIDENCE_ABSENT || evidence == TW_EVIDENCE_LAUNCH_LOST ||
            evidence == TW_EVIDENCE_NEW_INCARNATION;
 }
 
-/* ---- what follows ---- */
+/* ---- termination ---- */
 
-/* Terminations of attempts that were never on a machine, or that were not decided, are logged at
- * `debug`. */
+/* Terminations of attempts that were never launched, and those at the end of the term, are logged
+ * at `debug`. */
 static bool is_logged_at_info(tw_termination_evidence evidence) {
     return evidence != TW_EVIDENCE_NOT_LAUNCHED && evidence != TW_EVIDENCE_NOT_RECORDED &&
            evidence != TW_EVIDENCE_PLACEMENT_UNDONE && evidence != TW_EVIDENCE_TERM_ENDED;
@@ -155,7 +161,7 @@
                  core->context.now - placed->placed_at);
 }
 
-/* The attempt no longer counts on its machine, against its team's limit and in its zone. */
+/* Stops counting the attempt on its machine, against its team's limit and in its zone. */
 static void release_attempt_amounts(tw_core *core, tw_placement *placed) {
     tw_job *job = placed->job;
     tw_placement_account(core, placed, -1);
@@ -165,8 +171,8 @@
     core->scheduling_due = true;
 }
 
-/* What becomes of the attempt's task. Of a gang one task is done before its attempt is terminated:
- * the whole gang is, while the attempt may still run. */
+/* Updates the state of the task whose attempt is terminated. A gang's task may be done already:
+ * when one task is done, the whole gang is, while the attempts of the others may still run. */
 static void update_task_state(tw_core *core, tw_placement *placed, bool is_done) {
     tw_job *job = placed->job;
     if (job->task_states[placed->index] == TW_ASSIGNMENT_DONE) return;
@@ -215,11 +221,11 @@
         update_task_state(core, placed,
                           has_exited && termination->reported->cause == TW_CAUSE_DONE);
     }
-    /* The machine may still name the attempt, and is to forget it. */
+    /* The machine may still list the attempt until it executes the command to forget it. */
     if (has_exited) return true;
     tw_attempt_forget(core, placed);
-    /* A placement that is undone is not in the record yet, and after the term the record is not
-     * this node's to write. */
+    /* An undone placement is not in the record yet, and after the end of its term this node must
+     * not write the record. */
     if (was_counted && evidence != TW_EVIDENCE_PLACEMENT_UNDONE &&
         evidence != TW_EVIDENCE_TERM_ENDED)
         tw_job_mark_changed(core, job, false);
--- a/src/core/attempt_termination.h
+++ b/src/core/attempt_termination.h
@@ -1,10 +1,10 @@
-/* The decision that an attempt to run a task can no longer run (attempt_termination.c): typed
- * evidence goes in, a verdict comes out.
+/* Termination of attempts (attempt_termination.c): decides from typed evidence whether an attempt
+ * to run a task can no longer run.
  *
- * Every path that ends an attempt goes through here, and no other module frees a placement or a
- * task for another attempt. Invariant: an attempt that may still run, or may still be started by a
- * message on its way, is never terminated. The proof is in docs/design.md, "Why each rule holds".
- * Not for other packages. */
+ * Every code path that ends an attempt uses this module, and no other module frees a placement or
+ * makes a task available for another attempt. Invariant: an attempt that may still run, or may
+ * still be started by a message in flight, is never terminated. The proof is in docs/design.md,
+ * "Why each rule holds". Private to this package. */
 #ifndef TW_CORE_ATTEMPT_TERMINATION_H
 #define TW_CORE_ATTEMPT_TERMINATION_H
 #include "core/core.h"
@@ -13,74 +13,77 @@
 
 typedef struct tw_placement tw_placement;
 
-/* Why an attempt can no longer run. */
+/* The evidence that an attempt can no longer run. */
 typedef enum {
-    /* The machine says that the attempt has exited. */
+    /* The machine reports that the attempt has exited. */
     TW_EVIDENCE_EXITED,
-    /* A heartbeat doesn't name it, and the machine refuses all messages that could start it. */
+    /* A heartbeat doesn't list the attempt, and no message in flight can still start it. */
     TW_EVIDENCE_ABSENT,
-    /* The next heartbeat shows that the answer with the launch was lost. */
+    /* The next ordinary heartbeat shows that the answer with the launch was lost. */
     TW_EVIDENCE_LAUNCH_LOST,
-    /* The worker is in a later incarnation than the one that the attempt could run in. */
+    /* The worker is in a later incarnation than the only one in which the attempt could run. */
     TW_EVIDENCE_NEW_INCARNATION,
-    /* The worker's lease has surely expired. */
+    /* The worker's lease has certainly expired. */
     TW_EVIDENCE_LEASE_EXPIRED,
-    /* The cloud says that the machine is gone. */
+    /* The cloud has confirmed the return of the machine. */
     TW_EVIDENCE_MACHINE_RETURNED,
-    /* No launch of it was sent. */
+    /* No launch of the attempt was sent. */
     TW_EVIDENCE_NOT_LAUNCHED,
-    /* The job's first record was refused, so nothing of the job was launched. */
+    /* The store refused the job's first record, so no task of the job was launched. */
     TW_EVIDENCE_NOT_RECORDED,
-    /* It was placed in this pass, and its gang found no room. */
+    /* The attempt was placed in this pass, and its gang could not be placed as a whole. */
     TW_EVIDENCE_PLACEMENT_UNDONE,
-    /* This node no longer leads, and decides nothing any more. */
+    /* This node is no longer the leader and decides nothing about the task. */
     TW_EVIDENCE_TERM_ENDED
 } tw_termination_evidence;
 enum { TW_EVIDENCE_KINDS = TW_EVIDENCE_TERM_ENDED + 1 };
 
-/* The evidence, and what it rests on. */
+/* Evidence for a termination, with the message that it is based on. */
 typedef struct {
     tw_termination_evidence evidence;
-    const tw_wire_heartbeat *heartbeat; /* of the machine; NULL: the evidence is no message */
+    const tw_wire_heartbeat *heartbeat; /* the machine's heartbeat; NULL: not based on a message */
     const tw_wire_task *reported;       /* the exited task in the heartbeat; NULL: none */
-    bool answers_command;               /* the heartbeat came in an answer to direct commands */
+    bool answers_command;               /* the heartbeat is the response to direct commands */
 } tw_attempt_termination;
 
-/* The evidence's name in log lines and counters; a constant. */
+/* Returns the name of the evidence in log lines and counters, as a constant string. */
 const char *tw_termination_evidence_name(tw_termination_evidence evidence);
 
-/* Terminates the attempt if the evidence holds for it: its amounts are free, and its task may be
- * placed again unless it is done. Returns whether the evidence held. After TW_EVIDENCE_EXITED the
- * placement stays in the machine's list, since the machine may still name it, and the caller marks
- * the job as changed once it knows what becomes of it. With all other evidence the placement is
- * freed and the job is marked here. */
+/* Terminates the attempt if the evidence holds for it: frees its resources, and allows its task to
+ * be placed again unless the task is done. Returns whether the evidence held.
+ *
+ * After TW_EVIDENCE_EXITED the placement stays in the machine's list, since the machine may still
+ * report the attempt, and the caller marks the job as changed after updating its state. With all
+ * other evidence this function frees the placement and, unless the placement was undone or the term
+ * has ended, marks the job as changed. */
 bool tw_attempt_terminate(tw_core *core, tw_placement *placed,
                           const tw_attempt_termination *termination);
 
-/* The same with evidence that rests on no message. */
+/* Calls tw_attempt_terminate with evidence that is not based on a message. */
 bool tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence evidence);
 
-/* Whether the exit of the task, which a heartbeat of the machine names, is the end of the attempt:
- * it may be older than another launch of the same attempt there. */
+/* Returns whether the exit that the machine's heartbeat reports ends the attempt. An exit does not
+ * if the same attempt may have been launched on the machine again since then. */
 bool tw_attempt_exit_is_final(const tw_placement *placed, const tw_wire_task *reported);
 
-/* Whether a launch of the attempt was sent, or an earlier leader may have sent one. */
+/* Returns whether a launch of the attempt was sent, or an earlier leader may have sent one. */
 bool tw_attempt_was_launched(const tw_placement *placed);
 
-/* Whether the heartbeat, which doesn't name the attempt, shows that the answer with its launch was
- * lost. answers_command: the heartbeat came in an answer to direct commands. */
+/* Returns whether the heartbeat, which doesn't list the attempt, shows that the answer with its
+ * launch was lost. answers_command: the heartbeat is the response to direct commands. */
 bool tw_launch_was_lost(const tw_placement *placed, const tw_wire_heartbeat *heartbeat,
                         bool answers_command);
 
-/* The machine answered a direct launch of the attempt. refused: it did not carry it out. */
+/* Records that the machine responded to a direct launch of the attempt. refused: the machine did
+ * not execute the launch. */
 void tw_launch_note_response(tw_placement *placed, bool refused);
 
-/* Whether a direct launch of the attempt may still be carried out, for the first or for a second
- * time. Until that is excluded, the machine must not be told to forget the attempt, or it would
- * start it again. */
+/* Returns whether the machine may still execute a direct launch of the attempt, for the first or a
+ * second time. While this is possible, the machine must not be sent a command to forget the
+ * attempt, because the late launch would start it again. */
 bool tw_launch_may_repeat(const tw_core *core, const tw_placement *placed);
 
-/* Frees the placement of an attempt that is terminated and that its machine has forgotten. */
+/* Frees the placement of a terminated attempt that its machine no longer lists. */
 void tw_attempt_forget(tw_core *core, tw_placement *placed);
 
 #endif
--- a/src/core/heartbeat_forwarder.h
+++ b/src/core/heartbeat_forwarder.h
@@ -1,6 +1,7 @@
-/* Workers' heartbeats at a node that does not lead: they are forwarded to the leader, answered by
- * this node as a lease delegate (delegate_reply.c), or held for a while (heartbeat_forwarder.c).
- * Invariant: a heartbeat is answered once, and a held one before its worker gives up. */
+/* Processing of workers' heartbeats by a node that is not the leader. The node forwards a heartbeat
+ * to the leader, answers it as a lease delegate (delegate_reply.c), or holds it for a short time
+ * (heartbeat_forwarder.c). Invariant: each heartbeat is answered once, and a held heartbeat is
+ * answered before its worker's request times out. */
 #ifndef TW_CORE_HEARTBEAT_FORWARDER_H
 #define TW_CORE_HEARTBEAT_FORWARDER_H
 #include "context/context.h"
@@ -8,36 +9,37 @@
 #include "wire/wire.h"
 #include <stdbool.h>
 
-/* A worker's heartbeat that waits for a leader. */
+/* A worker's heartbeat that is held until a leader or this node can answer it. */
 typedef struct tw_held_heartbeat {
     uint64_t connection;
     char worker[TW_NAME_SIZE];
-    char *body;   /* owned; ends with a 0 */
-    double until; /* steady seconds: it is rejected after that */
+    char *body;   /* owned; terminated by 0 */
+    double until; /* when the heartbeat is rejected, in steady seconds */
     struct tw_held_heartbeat *prev, *next;
 } tw_held_heartbeat;
 
 /* ---- heartbeat_forwarder.c ---- */
 
-/* Takes in a heartbeat at a node that does not lead. heartbeat: the body, read; neither is owned.
- */
+/* Redirects, forwards, answers or holds a heartbeat at a node that is not the leader. heartbeat is
+ * the parsed body; neither is owned. */
 void tw_heartbeat_forward(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat,
                           const char *body, size_t len);
-/* The leader's response to a forwarded heartbeat. status: of HTTP; 0: none came. body: not owned.
- * The text of `sent` is taken. */
+/* Processes the leader's response to a forwarded heartbeat. status is the HTTP status, or 0 if the
+ * leader did not respond. body is not owned. Takes ownership of the text of `sent`. */
 void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
                                    size_t len);
-/* Tries the held heartbeats again when that is due. */
+/* Retries the held heartbeats if the interval between two retries is over. */
 void tw_held_heartbeats_tick(tw_core *core);
-/* Tries them again at once, since somebody may be able to answer them now. */
+/* Retries the held heartbeats immediately, because the leader or this node may now be able to
+ * answer them. */
 void tw_held_heartbeats_retry(tw_core *core);
-/* Frees the held heartbeats without an answer. */
+/* Frees the held heartbeats without answering them. */
 void tw_held_heartbeats_free(tw_core *core);
 
 /* ---- delegate_reply.c ---- */
 
-/* Answers a heartbeat in the leader's place. false: this node may not; if the worker is of this
- * node's zone, the node asks to be a delegate. */
+/* Answers a heartbeat as a lease delegate. Returns false if this node has no delegation that allows
+ * it; if the worker is in this node's zone, the node then requests a delegation. */
 bool tw_delegate_answer_heartbeat(tw_core *core, uint64_t connection,
                                   const tw_wire_heartbeat *heartbeat);
 
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -1,4 +1,4 @@
-/* Machines by name: their zones and types, and what goes with a machine that is forgotten. */
+/* The index of machines by name, their zones and types, and the removal of a machine. */
 #include "core/workers.h"
 #include <stdbool.h>
 
@@ -20,7 +20,7 @@
     machine->type_index = -1;
     machine->known_since = core->context.now;
     machine->slowness = machine->queue_delay_s = machine->fetch_s_per_gb =
-        -1; /* the type's prior */
+        -1; /* no sample yet: the type's average is used */
     machine->zone_index = -1;
     const size_t length = strlen(machine->name);
     if (length > core->longest_machine_name) core->longest_machine_name = length;
@@ -28,7 +28,7 @@
     return machine;
 }
 
-/* Zones have an index, so that a pass over all machines compares no names. */
+/* Zones have an index so that passes over all machines need not compare names. */
 void tw_machine_set_zone(tw_core *core, tw_machine *machine, const char *zone) {
     if (machine->zone_index >= 0 && !strcmp(machine->zone, zone)) return;
     snprintf(machine->zone, sizeof machine->zone, "%s", zone);
@@ -50,7 +50,8 @@
     return false;
 }
 
-/* Removes the machine from what jobs remember of failures and vacated machines. */
+/* Removes the machine from the jobs' lists of failed machines and the gangs' lists of vacated
+ * machines. */
 static void forget_failures(tw_core *core, const tw_machine *machine) {
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -1,36 +1,39 @@
-/* What the modules that follow machines and their workers' heartbeats share among themselves. What
- * the rest of the core may call is in machine.h, placement.h and attempt_termination.h.
+/* Interface between the modules that track machines and process their workers' heartbeats. The
+ * interface for the rest of the core is in machine.h, placement.h and attempt_termination.h.
  *
- * machine.c              machines by name, type and zone
- * image.c                images on a machine
- * placement.c            tasks on machines, and the amounts that they take
- * attempt_termination.c  when an attempt can no longer run
- * worker_heartbeat.c     takes a heartbeat in and answers it
- * task_reconciliation.c  what a heartbeat says of one task
- * worker_commands.c      commands that are due
- * direct_commands.c      direct commands and probes
- * command_messages.c     messages with commands, and the permission for them
+ * machine.c              index of machines by name, type and zone
+ * image.c                images cached or being fetched on a machine
+ * placement.c            tasks on machines, and the resources that they use
+ * attempt_termination.c  decision that an attempt can no longer run
+ * worker_heartbeat.c     processing of a heartbeat and the answer to it
+ * task_reconciliation.c  reconciliation of one task with a heartbeat
+ * worker_commands.c      selection of the commands that are due
+ * direct_commands.c      sending of direct commands and probes
+ * command_messages.c     messages with commands, and the permission check for them
  * lease_expiry.c         silent machines, expired leases, unreachable zones
- * machine_upkeep.c       timed work over all machines
- * machine_statistics.c   moving averages, from starts, runs and boots
- * quarantine.c           machines that fail what they start
- * heartbeat_forwarder.c, delegate_reply.c  heartbeats at a node that does not lead */
+ * machine_upkeep.c       periodic work over all machines
+ * machine_statistics.c   moving averages of starts, runs and boots
+ * quarantine.c           quarantine of machines on which tasks fail
+ * boot_record.c          failed boots of a machine type or a capacity offer
+ * heartbeat_forwarder.c  forwarding of heartbeats by a node that is not the leader
+ * delegate_reply.c       answers of a lease delegate to heartbeats */
 #ifndef TW_CORE_WORKERS_H
 #define TW_CORE_WORKERS_H
 #include "core/core_int.h"
 #include <stdbool.h>
 
-/* A machine whose last heartbeat is at most so many intervals old is in touch; another one might
- * carry out a command late. */
+/* Maximum age of a machine's last heartbeat, in heartbeat intervals, at which the machine may still
+ * be sent commands: a machine with an older heartbeat might execute a command late. */
 #define TW_RECENT_CONTACT_HEARTBEATS 2.5
-/* A worker drops an answer that comes so long after it sent the heartbeat. */
+/* Age of a heartbeat, in seconds, from which its worker discards the answer to it. */
 #define TW_ANSWER_LIFETIME_S 4.0
-/* How long the response to direct commands is waited for. */
+/* Timeout of a request with direct commands, in seconds. */
 #define TW_DIRECT_TIMEOUT_S 1.5
-/* A machine on which so many launches in a row were lost is unresponsive. */
+/* Number of consecutive lost launches from which a machine counts as unresponsive. */
 #define TW_MAX_LOST_LAUNCHES 3
 
-/* Commands for one machine, in the core's scratch: one message is put together at a time. */
+/* Commands for one machine. The list is stored in a scratch buffer of the core, so only one message
+ * can be composed at a time. */
 typedef struct {
     tw_wire_command *list;
     int count;
@@ -38,102 +41,114 @@
 
 /* ---- image.c ---- */
 
-/* How many images the machine fetches now. but: one that isn't counted; NULL: all are. */
+/* Returns the number of images that the machine is fetching, without the excluded image. If
+ * excluded is NULL, all fetches are counted. */
 int tw_image_count_fetches(const tw_core *core, const tw_machine *machine,
                            const tw_image *excluded);
-/* A task of the job uses its image on the machine, or has it fetched. ready: it is cached by now.
- */
+/* Records that a task of the job uses its image on the machine, or that the machine fetches the
+ * image for the task. If ready is true, the image is recorded as cached. */
 void tw_image_note_use(tw_core *core, tw_machine *machine, const tw_job *job, bool ready);
 
 /* ---- lease_expiry.c ---- */
 
-/* The longest that a worker's lease lasts by this node's clock, in seconds from when a heartbeat
- * was answered. */
+/* Returns the maximum duration of a worker's lease by this node's clock, in seconds from the answer
+ * to a heartbeat. */
 double tw_lease_max_s(const tw_core *core);
-/* When a worker's lease has surely expired if no node renews it from now on, and what that rests
- * on: each of the other members is a time up to which the lease may have been renewed, in steady
- * seconds; 0: never. */
+/* The time at which a worker's lease has certainly expired if no node renews it any more
+ * (expires_at), and the times that it is computed from. Each of the other members is the latest
+ * time at which one source may have renewed the lease. All are steady seconds; 0 stands for
+ * "never". */
 typedef struct {
-    double answered_at;       /* by this node's answers to its heartbeats */
-    double delegates_until;   /* by a delegate of its zone */
-    double incarnation_at;    /* by the beginning of its incarnation, which has a lease */
-    double loading_at;        /* by this node while it read the records, for any machine */
-    double predecessor_until; /* by an earlier leader */
-    double expires_at;        /* the end, with the lease's length and the zone's delegations */
+    double answered_at;       /* last answer of this node to the machine's heartbeat */
+    double delegates_until;   /* last possible renewal by a lease delegate of the zone */
+    double incarnation_at;    /* start of the incarnation, which begins with a full lease */
+    double loading_at;        /* last renewal for any machine while this node loaded the records */
+    double predecessor_until; /* last possible renewal by an earlier leader */
+    double expires_at; /* lease expiry; includes lease duration and delegations of the zone */
 } tw_lease_expiry;
+/* Computes the lease expiry of the machine's worker. */
 tw_lease_expiry tw_lease_expiry_compute(const tw_core *core, const tw_machine *machine);
-/* The expires_at of that alone. */
+/* Returns only the expires_at of tw_lease_expiry_compute. */
 double tw_lease_expires_at(const tw_core *core, const tw_machine *machine);
-/* Whether the network, rather than the machine, is likely to be the cause of its silence. */
+/* Returns whether missing heartbeats of the machine are probably caused by the network and not by
+ * the machine. */
 bool tw_zone_is_unreachable(tw_core *core, const tw_machine *machine);
-/* Finds the zones of which most machines are silent. */
+/* Updates the list of zones in which most machines are silent. */
 void tw_zone_silence_update(tw_core *core);
 
 /* ---- placement.c ---- */
 
-/* Adds (sign 1) or subtracts (-1) the task's amounts at its machine and its team. */
+/* Adds the task's resources to those used on its machine and by its team (sign 1), or subtracts
+ * them (sign -1). */
 void tw_placement_account(tw_core *core, tw_placement *placed, double sign);
 
 /* ---- machine_statistics.c ---- */
 
-/* The task's start was seen just now: learns the machine's queue delay or its fetch rate. */
+/* Updates the average queue delay or fetch rate of the machine from a task that a heartbeat has
+ * just reported as started. */
 void tw_statistics_note_start(tw_core *core, tw_placement *placed);
-/* The task has run to its end: learns the machine's slowness and the class's run time. */
+/* Updates the average slowness of the machine and the run time of the job class from a task that
+ * has completed. */
 void tw_statistics_note_run(tw_core *core, const tw_placement *placed);
-/* The machine has booted in time, or is overdue: learns how often its type is late. */
+/* Updates the share of overdue boots of the machine's type from a machine that has booted in time
+ * or has become overdue. */
 void tw_statistics_note_boot(tw_core *core, const tw_machine *machine);
 
 /* ---- boot_record.c ---- */
 
-/* The machine, whose type is known, did not come up in time, or never will. */
+/* Records that the machine did not boot in time, or failed to boot. The machine's type must be
+ * known. */
 void tw_boot_records_note_failure(tw_core *core, const tw_machine *machine);
-/* The machine, whose type is known, came up, in time or late. */
+/* Records that the machine has booted, in time or late. The machine's type must be known. */
 void tw_boot_records_note_up(tw_core *core, const tw_machine *machine);
 
 /* ---- task_reconciliation.c ---- */
 
-/* Takes in what a heartbeat says of a task that has a placement. */
+/* Applies what a heartbeat reports about a task to the task's placement. */
 void tw_reconcile_task(tw_core *core, tw_placement *placed, const tw_wire_heartbeat *heartbeat,
                        const tw_wire_task *reported);
-/* Takes in what a heartbeat says of a task that has no placement. commands: where a command to stop
- * or forget it is added; NULL: the heartbeat came in an answer to direct commands. */
+/* Processes a task that a heartbeat reports and that has no placement. A command to stop or forget
+ * the task is added to commands, which is NULL if the heartbeat is the response to direct commands.
+ */
 void tw_reconcile_unknown_task(tw_core *core, tw_machine *machine,
                                const tw_wire_heartbeat *heartbeat, const tw_wire_task *reported,
                                tw_command_list *commands);
 
 /* ---- worker_heartbeat.c ---- */
 
-/* Takes in a heartbeat of the machine's worker. commands: where commands for tasks without a
- * placement are added; NULL: the heartbeat came in an answer to direct commands, which may have
- * overtaken the answer to an ordinary heartbeat. false: it is older than what is known, or its
- * lease has expired, and nothing was changed. */
+/* Applies a heartbeat of the machine's worker to the machine and its placements. Commands for tasks
+ * without a placement are added to commands. commands is NULL if the heartbeat is the response to
+ * direct commands, which may have overtaken the answer to an ordinary heartbeat. Returns false and
+ * changes nothing if the heartbeat is not newer than the last one, or if its lease has expired. */
 bool tw_worker_heartbeat_apply(tw_core *core, tw_machine *machine,
                                const tw_wire_heartbeat *heartbeat, tw_command_list *commands);
 
 /* ---- command_messages.c ---- */
 
-/* Messages with commands, under the fencing token; the caller frees them. NULL: this node has no
- * permission for the commands, which is a fault of the caller; nothing may be sent then. */
+/* Each of these functions returns the text of a message with commands and this node's fencing
+ * token; the caller frees it. They return NULL if this node has no permission for the commands.
+ * That is an error of the caller, and nothing may be sent. */
 
-/* The answer to a heartbeat; without commands it only renews the lease. */
+/* Composes the answer to a heartbeat. An answer without commands only renews the lease. */
 char *tw_commands_reply_text(tw_core *core, const tw_command_list *commands);
-/* Direct commands to the machine's own address. */
+/* Composes a message with direct commands, which is sent to the machine's own address. */
 char *tw_commands_direct_text(tw_core *core, const tw_machine *machine,
                               const tw_command_list *commands);
-/* A lease delegate's answer to a heartbeat: it may stop tasks, nothing else. */
+/* Composes a lease delegate's answer to a heartbeat, which may contain only stop commands. */
 char *tw_commands_delegate_text(tw_core *core, const tw_wire_heartbeat *heartbeat,
                                 const tw_command_list *commands);
 
 /* ---- worker_commands.c ---- */
 
-/* An empty list, in the core's scratch: the list made before is no longer valid. */
+/* Returns an empty list that uses the core's scratch buffer. The list that an earlier call returned
+ * becomes invalid. */
 tw_command_list tw_command_list_new(tw_core *core);
-/* Adds a stop or a forget for a task that a heartbeat names. If the list is full, the command is
- * left out: it is due again with the next heartbeat. */
+/* Adds a stop or forget command for a task that a heartbeat reports. If the list is full, the
+ * command is dropped: it is due again with the next heartbeat. */
 void tw_command_list_add(tw_command_list *commands, tw_wire_command_kind kind,
                          const tw_wire_task *task);
-/* Adds the commands that are due for the machine. sequence: of the heartbeat that is answered; 0:
- * direct commands. */
+/* Adds the commands that are due for the machine. sequence is that of the heartbeat that is
+ * answered, or 0 for direct commands. */
 void tw_commands_add_due(tw_core *core, tw_machine *machine, tw_command_list *commands,
                          uint64_t sequence);
 
