--- a/src/core/command_messages.c
+++ b/src/core/command_messages.c
@@ -1,13 +1,14 @@
-/* The text of messages with commands, and the check that this node has the permission for them.
+/* Composes messages with commands and checks that this node has the permission for them.
  *
- * Every message with commands is made here, so that no path can send one under another token, or
- * when the permission has ended. A delegate's messages hold only stops. */
+ * Every message with commands is composed here, so that no code path can send one with a wrong
+ * token or after the permission has ended. A delegate's messages contain only stop commands. */
 #include "core/workers.h"
 #include "core/heartbeat_forwarder.h"
 #include <stdbool.h>
 
-/* Whether a later command of the same message stops the task of that launch. Such a launch starts
- * nothing: it settles an earlier one whose fate is unknown. */
+/* Returns whether a later command of the same message stops the task that the command at index
+ * launch starts. Such a launch does not make the task run: it only settles an earlier launch whose
+ * outcome is unknown. */
 static bool is_stopped_by_later_command(const tw_command_list *commands, int launch) {
     const tw_wire_command *launched = &commands->list[launch];
     for (int i = launch + 1; i < commands->count; i++) {
@@ -19,7 +20,7 @@
     return false;
 }
 
-/* The permission that the commands need in an answer to a heartbeat. */
+/* Returns the permission that the commands require in an answer to a heartbeat. */
 static tw_permission needed_permission(const tw_command_list *commands) {
     for (int i = 0; i < commands->count; i++) {
         const tw_wire_command_kind kind = commands->list[i].kind;
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -1,21 +1,25 @@
-/* Direct commands, which are sent to a machine's own address, and probes, which ask it for its
- * state alone: when they are sent, and what their responses tell. Which commands they hold is
- * decided by worker_commands.c.
+/* Sends direct commands, which go to a machine's own address, and probes, which only request its
+ * state, and processes their responses. worker_commands.c selects the commands.
  *
- * Invariants: a machine has at most one of them in flight; without a response the fate of the
- * launches in it stays unknown, and the machine is given a pause. */
+ * Invariants: a machine has at most one such request in flight. If there is no response, the
+ * outcome of the launches in the request stays unknown, and requests to the machine pause for a
+ * time. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Silent machines that are probed at once, as a share of the node's sockets. */
+/* Maximum number of requests in flight up to which silent machines are probed, as a share of the
+ * node's sockets. */
 #define MAX_PROBES_PER_SOCKET 0.06
-/* Share of the leader's lease that must be left, so that a direct launch arrives under it. */
+/* Minimum share of the leader's lease that must remain, so that a direct launch arrives before the
+ * lease expires. */
 #define MIN_AUTHORITY_SHARE 0.1
-/* A machine without a heartbeat for so many intervals is probed. */
+/* Number of intervals without a heartbeat after which a machine is probed. */
 #define PROBE_AFTER_HEARTBEATS 1.5
-/* Longest pause between direct commands to a machine that doesn't respond, in intervals. */
+/* Maximum pause between direct commands to a machine that doesn't respond, in heartbeat intervals.
+ */
 #define MAX_PAUSE_HEARTBEATS 8
-/* Probes of a machine that doesn't respond, or whose responses don't confirm it. */
+/* Maximum number of probes of a machine that doesn't respond or whose responses don't confirm it.
+ */
 #define MAX_PROBES 4
 
 static void queue_machine(tw_core *core, tw_machine *machine) {
@@ -44,7 +48,8 @@
     return sent;
 }
 
-/* Notes with the call which tasks its commands launch: their fate is unknown until the response. */
+/* Records in the call which tasks its commands launch; the outcome of these launches is unknown
+ * until the response. */
 static void note_launches(tw_call *sent, const tw_command_list *commands) {
     sent->names = tw_alloc((size_t)commands->count * TW_NAME_SIZE);
     sent->tokens = tw_alloc((size_t)commands->count * sizeof *sent->tokens);
@@ -56,9 +61,9 @@
     }
 }
 
-/* Sends the machine's direct commands, or a probe: an empty list of commands shows the machine this
- * term's token, and its response lists its tasks. Commands are sent only to a machine that is in
- * touch; another one might carry them out late. */
+/* Sends the machine its direct commands or a probe. A probe is an empty list of commands: it
+ * presents this term's token to the machine, whose response lists its tasks. Commands are sent only
+ * to a machine with a recent heartbeat; another machine might execute them late. */
 static void send_direct_commands(tw_core *core, tw_machine *machine) {
     if (machine->command_in_flight || core->context.now < machine->commands_paused_until ||
         (!machine->commands_requested && !machine->probe_requested))
@@ -71,7 +76,7 @@
     if (!probe &&
         (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > recent_contact_s))
         return;
-    if (!machine->incarnation) { /* commands must name it, and it is not known yet */
+    if (!machine->incarnation) { /* commands require the incarnation, which is not known yet */
         send_to_machine(core, machine, "GET", "/inspect", NULL);
         return;
     }
@@ -84,7 +89,8 @@
     note_launches(send_to_machine(core, machine, "POST", "/orders", body), &commands);
 }
 
-/* Queues the machines for which direct commands or probes are wanted, silent ones among them. */
+/* Queues the machines for which direct commands or a probe are requested, and requests probes of
+ * silent machines. */
 static void queue_due_machines(tw_core *core) {
     const int max_in_flight = (int)(MAX_PROBES_PER_SOCKET * core->context.config->sockets);
     int in_flight = core->commands_in_flight;
@@ -92,8 +98,8 @@
     HASH_ITER(hh, core->machines, machine, next) {
         if (machine->command_in_flight || core->context.now < machine->commands_paused_until)
             continue;
-        /* The heartbeats may reach only a node that can't reach this one, while this node reaches
-         * the machine. */
+        /* This node may reach the machine even if the machine's heartbeats reach only a node that
+         * can't forward them to this one. */
         if (machine->state == TW_MACHINE_UP &&
             core->context.now - machine->last_contact_at >
                 PROBE_AFTER_HEARTBEATS * core->context.config->report_s &&
@@ -105,7 +111,8 @@
     }
 }
 
-/* Runs after every input, so it looks only at machines that were queued, and once a tick at all. */
+/* Runs after every input, so it handles only the queued machines, and scans all machines only once
+ * per tick. */
 void tw_commands_send_direct(tw_core *core) {
     tw_machine *machine;
     if (!tw_cluster_authority_lasts(core->cluster,
@@ -122,7 +129,8 @@
     }
 }
 
-/* A direct launch of the task is no longer under way. refused: the machine did not carry it out. */
+/* Records that a direct launch of the task has got its response. refused: the machine did not
+ * execute it. */
 static void settle_launch(const tw_machine *machine, const char *task, uint64_t attempt,
                           bool refused) {
     tw_placement *placed;
@@ -135,7 +143,8 @@
     }
 }
 
-/* No response to direct commands or a probe came: pauses, and probes again for a few times. */
+/* Handles a missing response to direct commands or a probe: pauses requests to the machine, and
+ * requests another probe up to MAX_PROBES times if the machine has never sent a heartbeat. */
 static void note_failed_send(tw_core *core, tw_machine *machine) {
     machine->failed_sends++;
     const double pause_heartbeats =
@@ -155,7 +164,7 @@
     if (machine->commands_requested || machine->probe_requested) queue_machine(core, machine);
     if (status == TW_HTTP_NO_RESPONSE) {
         note_failed_send(core, machine);
-        return; /* the commands may still arrive: the fate of their launches stays unknown */
+        return; /* the commands may still arrive: the outcome of their launches stays unknown */
     }
     for (int i = 0; i < sent->count; i++)
         settle_launch(machine, sent->names[i], sent->tokens[i], status != TW_HTTP_OK);
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -1,24 +1,26 @@
-/* Machines whose heartbeats don't come: when a machine is silent, when its lease has surely
- * expired, and whether the network rather than the machines is at fault.
+/* Detects silent machines, certainly expired leases, and zones in which missing heartbeats are
+ * probably caused by the network.
  *
- * Invariant: tw_lease_expires_at is no earlier than the lease's end by the worker's own clock,
- * whichever node renewed it. docs/design.md, "Why each rule holds", has the argument. */
+ * Invariant: tw_lease_expires_at is no earlier than the end of the lease by the worker's own clock,
+ * whichever node renewed the lease. The proof is in docs/design.md, "Why each rule holds". */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* After a failover workers need a while to find the new leader, in leases. */
+/* Time that workers need to find the new leader after a failover, in leases. */
 #define FIND_LEADER_LEASES 0.3
-/* A machine that never sent a heartbeat and left so many probes without a response is not waited
- * for like that. */
+/* Number of unanswered probes after which a machine that never sent a heartbeat is given no time to
+ * find the leader. */
 #define MAX_FAILED_PROBES 2
-/* Bounds, in intervals, of how old the last heartbeat is of a machine that counts as silent in its
- * zone: a worker that looks for another node is late by half an interval. */
+/* Bounds, in heartbeat intervals, of the age of the last heartbeat from which a machine counts as
+ * silent in the statistics of its zone. The heartbeat of a worker that searches for another node is
+ * late by half an interval. */
 #define MIN_LATE_HEARTBEATS 1.5
 #define MAX_LATE_HEARTBEATS 2.5
-/* Intervals that a zone counts as unreachable for after it was seen to be: its workers need a while
- * to find a node that answers. */
+/* Number of heartbeat intervals for which a zone still counts as unreachable after it was last
+ * found unreachable: its workers need time to find a node that answers. */
 #define ZONE_RECOVERY_HEARTBEATS 3
-/* In a zone of so few machines it says nothing that most are silent. */
+/* Number of machines up to which a zone is too small to conclude anything from most of them being
+ * silent. */
 #define SMALL_ZONE_MACHINES 2
 
 bool tw_machine_is_silent(const tw_core *core, const tw_machine *machine) {
@@ -31,7 +33,8 @@
         fmax(fmax(machine->answered_at, machine->last_contact_at), found_leader_at);
     const double max_silence_s =
         core->context.config->tune.silent_ratio * core->context.config->lease_s;
-    /* Delegates are asked about only where this node itself has heard nothing, which costs less. */
+    /* The delegates' renewals are looked up only if this node itself has received no heartbeat,
+     * which saves time. */
     return core->context.now - last_heartbeat_at > max_silence_s &&
            core->context.now - tw_cluster_delegates_until(core->cluster, machine->zone) >
                max_silence_s;
@@ -54,12 +57,12 @@
     tw_lease_expiry expiry = {.answered_at = fmax(machine->answered_at, machine->answered_older_at),
                               .delegates_until =
                                   tw_cluster_delegates_until(core->cluster, machine->zone)};
-    /* An incarnation has a full lease from its beginning, also if no heartbeat of it was answered:
-     * the machine may be known from responses to direct commands only. */
+    /* An incarnation begins with a full lease, even if none of its heartbeats was answered: the
+     * machine may be known only from responses to direct commands. */
     expiry.incarnation_at = machine->incarnation_learned_at;
-    /* While the records were read, it was not noted whose leases were renewed. */
+    /* While this node loaded the records, it did not record which workers' leases it renewed. */
     expiry.loading_at = core->answered_while_loading_at;
-    /* A worker that has seen this term's token refuses an earlier leader's answers; until then
+    /* A worker that has seen this term's token refuses the answers of earlier leaders. Before that,
      * they may have renewed its lease. */
     expiry.predecessor_until = machine->confirmed
                                    ? machine->confirmed_at
@@ -77,8 +80,8 @@
     return tw_lease_expiry_compute(core, machine).expires_at;
 }
 
-/* The network is likely at fault if most machines of the zone are silent, or if this node doesn't
- * reach the zone's nodes, or only just does so again. */
+/* The network is the probable cause if most machines of the zone are silent, or if this node can't
+ * reach the zone's nodes or has reconnected to them only recently. */
 bool tw_zone_is_unreachable(tw_core *core, const tw_machine *machine) {
     const double recovery_s = ZONE_RECOVERY_HEARTBEATS * core->context.config->report_s;
     if (tw_cluster_zone_is_cut(core->cluster, machine->zone, recovery_s)) return true;
@@ -88,7 +91,8 @@
     return false;
 }
 
-/* Index of the zone in core->silent_zones; TW_MAX_ZONES: there are too many zones. */
+/* Returns the index of the zone in core->silent_zones and adds the zone if it is missing. Returns
+ * TW_MAX_ZONES if there are too many zones. */
 static int silent_zone_index(tw_core *core, const char *name) {
     int zone = 0;
     while (zone < core->silent_zone_count && strcmp(core->silent_zones[zone].zone, name) != 0)
@@ -99,9 +103,10 @@
     return zone;
 }
 
-/* When the first machine of a cut zone is silent for long enough to be returned, the others' last
- * heartbeats may have come up to an interval later. Here a machine therefore counts as silent an
- * interval earlier, within the bounds above. */
+/* When the first machine of a partitioned zone has been silent for long enough to be returned, the
+ * last heartbeats of the others may be up to an interval newer. For the statistics of a zone, a
+ * machine therefore counts as silent an interval earlier, within MIN_LATE_HEARTBEATS and
+ * MAX_LATE_HEARTBEATS. */
 void tw_zone_silence_update(tw_core *core) {
     const double interval_s = core->context.config->report_s;
     const double silent_s = core->context.config->tune.silent_ratio * core->context.config->lease_s;
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -1,19 +1,20 @@
-/* Quarantine of machines that fail what they start.
+/* Quarantine of machines on which tasks fail.
  *
- * Two errors of different jobs in a row put a machine into quarantine: it gets nothing new, and is
- * returned once it is empty. But the jobs may be at fault, a fault may pass, and services never
- * end: a machine that is not empty gets a probation, with one task at a time, after a quarantine
- * that doubles each time. Called by the reconciliation of tasks, and by the upkeep of machines. */
+ * Two consecutive errors of different jobs put a machine into quarantine: it gets no new tasks and
+ * is returned once it is empty. However, the jobs may be the cause, a fault may be temporary, and
+ * services never end. A machine that is not empty at the end of the quarantine is therefore put on
+ * probation and gets one task at a time; the duration of the quarantine doubles each time. Called
+ * by the reconciliation of tasks and the upkeep of machines. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-/* Failure scores: of an error of a job that has not failed elsewhere, and of one that has, which
- * may be the job's fault. */
+/* Failure score of an error of a job that has not failed on other machines, and of a job that has
+ * failed on other machines, so that the job itself may be the cause. */
 #define FIRST_ERROR_SCORE 2
 #define REPEATED_ERROR_SCORE 1
-/* Score from which on a machine is quarantined. */
+/* Failure score from which a machine is quarantined. */
 #define QUARANTINE_SCORE 4
-/* Longest quarantine, in leases. */
+/* Maximum duration of a quarantine, in leases. */
 #define MAX_QUARANTINE_LEASES 8.0
 
 static void quarantine_machine(tw_core *core, tw_machine *machine) {
@@ -55,8 +56,9 @@
     }
 }
 
-/* Only a task that was started after the last error, and has run for longer than those that failed,
- * shows that the machine works. Its end is not waited for, since services never end. */
+/* Only a task that started after the last error and has run for longer than the tasks that failed
+ * shows that the machine works. The machine is cleared before the task ends, since services never
+ * end. */
 void tw_quarantine_note_running(tw_core *core, const tw_placement *placed) {
     tw_machine *machine = placed->machine;
     if (!machine->failure_score || machine->cordoned || placed->running_since <= machine->failed_at)
@@ -76,8 +78,8 @@
     tw_log_info("event=machine_probation_started worker=%s", machine->name);
 }
 
-/* On probation a machine gets one task, and no other until that one has run for a while, which
- * clears the machine. */
+/* A machine on probation gets one task, and no other until that task has run long enough to clear
+ * the machine. */
 bool tw_quarantine_allows(const tw_machine *machine) {
     const tw_placement *placed;
     if (!machine->on_probation) return true;
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -1,21 +1,23 @@
-/* Reconciliation of one task that a heartbeat names with its placement, or with its job if it has
- * no placement: the task is fetched, runs, has exited, or is not known. Called for each task of a
- * heartbeat that is taken in. */
+/* Reconciles one task that a heartbeat lists with its placement, or with its job if it has no
+ * placement. The task may be fetching its image, running, exited or unknown. Called for each task
+ * of a heartbeat that is applied. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* A job that failed on so many other machines is at fault itself, and no machine is. */
+/* Number of other machines with a failure of the job from which the job itself, and not a machine,
+ * is considered faulty. */
 #define JOB_FAULT_MACHINES 2
-/* Pause before a task of the job is placed again: short while another machine may be the remedy;
- * else it doubles with each error, up to a maximum. */
+/* Pause before a task of the job is placed again. It is short while another machine may succeed;
+ * otherwise it doubles with each error, up to a maximum. */
 #define RETRY_ELSEWHERE_S 0.2
 #define RETRY_FIRST_S 0.5
 #define RETRY_DOUBLINGS 8
 #define RETRY_MAX_LEASES 3
-/* Pause after a refusal for want of room, in heartbeats: the next one shows what takes the room. */
+/* Pause after a machine has refused a task for lack of resources, in heartbeat intervals: the next
+ * heartbeat shows which tasks use the resources. */
 #define RETRY_REFUSED_HEARTBEATS 0.3
 
-/* Number of other machines on which the job has failed lately. */
+/* Returns the number of other machines on which the job has failed recently. */
 static int count_failed_elsewhere(const tw_job *job, const tw_machine *machine) {
     int count = 0;
     for (int i = 0; i < job->failed_machine_count; i++)
@@ -23,8 +25,8 @@
     return count;
 }
 
-/* Notes that the job failed on the machine, in the place of an earlier one if there are too many.
- */
+/* Records that the job failed on the machine. If the list of failed machines is full, the entry
+ * replaces an earlier one. */
 static void note_failed_machine(tw_job *job, tw_machine *machine) {
     const int max_machines = (int)(sizeof job->failed_machines / sizeof job->failed_machines[0]);
     const int slot = job->failed_machine_count < max_machines
@@ -44,14 +46,15 @@
     const double pause_s = failed_elsewhere < JOB_FAULT_MACHINES
                                ? RETRY_ELSEWHERE_S
                                : fmin(max_pause_s, RETRY_FIRST_S * (double)(1 << doublings));
-    /* The machine is avoided for a time only: no other one may fit, and a fault may pass. */
+    /* The machine is avoided only for a limited time, because it may be the only one on which the
+     * job fits, and a fault may be temporary. */
     job->failed_machines_until = core->context.now + max_pause_s;
     job->retry_at = core->context.now + pause_s;
     if (cause == TW_CAUSE_ERROR && failed_elsewhere < JOB_FAULT_MACHINES)
         tw_quarantine_note_failure(core, placed, failed_elsewhere);
 }
 
-/* What the exit tells of the machine and of the job. */
+/* Updates the state of the machine and the job from the cause of a task's exit. */
 static void note_exit(tw_core *core, tw_placement *placed, const tw_wire_task *reported) {
     tw_job *job = placed->job;
     switch (reported->cause) {
@@ -87,12 +90,12 @@
     const bool job_is_over = job->state != TW_JOB_PENDING;
     if (placed->counted && !tw_attempt_exit_is_final(placed, reported)) {
         core->counters.kept[TW_EVIDENCE_EXITED]++;
-        return; /* the machine is asked for its state, and tells it under this term's token */
+        return; /* a probe requests the machine's state under this term's token */
     }
     placed->state = TW_TASK_EXITED;
     placed->cause = reported->cause;
     if (!placed->counted) return;
-    /* The first task of a gang that is done has told what the others' ends would tell. */
+    /* After the first completed task of a gang, the exits of the others give no new information. */
     if (job->state != TW_JOB_DONE) note_exit(core, placed, reported);
     tw_attempt_terminate(core, placed, &termination);
     if (reported->cause == TW_CAUSE_DONE && job->spec.gang && !job_is_over) tw_gang_done(core, job);
@@ -104,7 +107,8 @@
 
 static void note_task_started(tw_core *core, tw_placement *placed) {
     const tw_job *job = placed->job;
-    /* A gang's task may have waited for the others unseen, which is no delay of its machine. */
+    /* A gang's task may have waited for the other tasks between two heartbeats, which is not a
+     * delay of its machine. */
     if (!job->spec.gang) tw_statistics_note_start(core, placed);
     placed->running_since = core->context.now;
     tw_log_debug(
@@ -114,11 +118,12 @@
     tw_image_note_use(core, placed->machine, job, true);
 }
 
-/* The task was reported as fetching, waiting, running or saving: notes when its image arrived and
- * when it started. began_to_wait: it waits for its gang since this heartbeat. */
+/* Records when the image of a task has arrived and when the task has started. The task was reported
+ * as fetching, waiting, running or saving. began_to_wait: this heartbeat is the first one that
+ * reports the task as waiting for its gang. */
 static void note_progress(tw_core *core, tw_placement *placed, bool began_to_wait) {
     const tw_job *job = placed->job;
-    if (began_to_wait) { /* so it has its image */
+    if (began_to_wait) { /* the task's image has been fetched */
         tw_statistics_note_start(core, placed);
         tw_image_note_use(core, placed->machine, job, true);
     }
@@ -129,10 +134,11 @@
         tw_image_note_use(core, placed->machine, job, false);
 }
 
-/* What a task that was seen running shows of its job and of its machine. */
+/* Updates the state of the job and the machine of a task that was reported as running. */
 static void note_running(tw_core *core, const tw_placement *placed) {
     tw_job *job = placed->job;
-    /* A task of a broken gang is reported as running until it exits, which shows nothing. */
+    /* A task of a broken gang is reported as running until it exits, which doesn't show that the
+     * job or the machine works. */
     if (placed->running_since <= 0 || (job->spec.gang && job->gang.state != TW_GANG_RUNNING))
         return;
     const double ran_s = core->context.now - placed->running_since;
@@ -161,10 +167,10 @@
     note_running(core, placed);
 }
 
-/* Tells the machine to forget a task that exited before this node knew of its placement. A gang's
- * attempt that is under way may be launched there again: not while the answer with this command may
- * still be carried out. Else the launch may come first, without effect, and start the forgotten
- * task when it is repeated. */
+/* Adds a command to forget a task that exited before this node knew its placement. A later launch
+ * of the same attempt of a gang on this machine must wait until the answer with this command can no
+ * longer be executed. Otherwise the launch might arrive first, without effect, and its repetition
+ * would start the task after the machine has forgotten it. */
 static void forget_unknown_exit(tw_core *core, tw_machine *machine, const tw_wire_task *reported,
                                 const tw_job *job, tw_command_list *commands) {
     if (job && job->spec.gang)
@@ -173,8 +179,8 @@
     tw_command_list_add(commands, TW_COMMAND_FORGET, reported);
 }
 
-/* The task exited before this node knew of its placement. job: still needs its tasks; NULL: none
- * does. */
+/* Processes the exit of a task whose placement this node didn't know. job is the task's job, or
+ * NULL if there is no such job or it no longer needs its tasks. */
 static void reconcile_unknown_exit(tw_core *core, tw_machine *machine, const tw_wire_task *reported,
                                    tw_job *job, tw_command_list *commands) {
     const bool is_done = reported->cause == TW_CAUSE_DONE;
@@ -187,28 +193,30 @@
         else
             tw_job_mark_changed(core, job, false);
     }
-    /* A machine that has not seen this token may be made to start the task again by an earlier
-     * leader's launch; and without authority a later leader may know of the attempt. */
+    /* On a machine that has not seen this node's token, a launch of an earlier leader could start
+     * the forgotten task again. Without authority there may be a later leader that uses the
+     * attempt.
+     */
     if (commands && tw_cluster_may(core->cluster, TW_PERMISSION_COMMAND) && machine->confirmed &&
         (!job || !is_done || tw_store_is_settled(job->record)))
         forget_unknown_exit(core, machine, reported, job, commands);
 }
 
-/* The job of the task, if it still needs tasks; NULL: there is none, or it doesn't. */
+/* Returns the task's job, or NULL if there is no such job or it no longer needs its tasks. */
 static tw_job *find_pending_job(tw_core *core, const tw_wire_task *reported) {
     tw_job *job = tw_job_find(core, reported->job);
     if (!job || !job->task_states || job->state != TW_JOB_PENDING) return NULL;
     return reported->index < job->task_count ? job : NULL;
 }
 
-/* Whether the task may go on where it is, so that it needs no new attempt. */
+/* Returns whether the task may continue on its machine, so that it needs no new attempt. */
 static bool may_continue_in_place(const tw_core *core, const tw_job *job, const tw_machine *machine,
                                   const tw_wire_task *reported) {
     return job->task_states[reported->index] == TW_ASSIGNMENT_NONE &&
            tw_constraints_allow_zone(job, machine->zone) && tw_quota_allows_tasks(core, job, 1);
 }
 
-/* Makes a placement for a task that goes on where it is. */
+/* Creates a placement for a task that continues on its machine. */
 static void restore_placement(tw_core *core, tw_job *job, tw_machine *machine,
                               const tw_wire_heartbeat *heartbeat, const tw_wire_task *reported) {
     tw_placement *placed = tw_placement_new(core, job, reported->index, machine, reported->attempt);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -1,21 +1,22 @@
-/* Which commands are due for a machine, in the answer to its heartbeat or directly
- * (direct_commands.c).
+/* Selects the commands that are due for a machine, for the answer to its heartbeat or for a direct
+ * message (direct_commands.c).
  *
- * Commands in an answer to a heartbeat are never carried out late. Direct ones may be, as long as
- * fencing token and incarnation match:
- *   - a launch is of a durable placement, which counts as running until its fate is known;
+ * A worker never executes commands in an answer to a heartbeat late. It may execute direct commands
+ * late, as long as fencing token and incarnation match. These rules make late commands harmless:
+ *   - a launch belongs to a durable placement, which counts as running until the outcome of the
+ *     launch is known;
  *   - a stop names one attempt, which is never launched again;
- *   - a forget is not sent directly, nor for an attempt whose direct launch is under way, or was
- *     sent so lately that it may be carried out once more. */
+ *   - a forget is not sent directly, nor for an attempt whose direct launch is in flight or was
+ * sent so recently that the worker may execute it a second time. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Commands in one answer, which stays under the protocol's 64 KiB; the rest come in the next one.
- */
+/* Maximum number of commands in one answer, which keeps it under the protocol's limit of 64 KiB.
+ * The other commands are sent with the next answer. */
 #define MAX_COMMANDS 500
-/* Attempts on one machine whose direct launch may still be carried out. The machine has to list
- * them all, and its heartbeat is to stay far under the 64 KiB: beyond that its launches go with
- * answers to heartbeats only, which are never carried out late. */
+/* Maximum number of attempts on one machine whose direct launch may still be executed. The machine
+ * has to list all of them, and its heartbeat must stay far under 64 KiB. Further launches are sent
+ * only in answers to heartbeats, which are never executed late. */
 #define MAX_REPEATABLE_LAUNCHES 200
 
 static void subtract_capacity(tw_capacity *from, const tw_wire_job *spec) {
@@ -54,22 +55,25 @@
 }
 
 static bool may_launch(const tw_placement *placed) {
-    /* An attempt of an earlier leader is never launched again: first it is settled whether it may
-     * still start, and then the task gets a new attempt. */
+    /* An attempt of an earlier leader is never launched again: once it is certain that the attempt
+     * can no longer start, the task gets a new attempt. */
     return !placed->inherited && !placed->reported && !placed->stopping && placed->counted &&
            placed->job->state == TW_JOB_PENDING && !placed->job->cancelling &&
            tw_store_is_durable(placed->job->record, placed->version);
 }
 
-/* A gang's task whose image is there long before the others' is launched later. */
+/* Returns whether the launch of a gang's task is delayed because its image will be available long
+ * before those of the other tasks. */
 static bool must_wait_for_gang(const tw_core *core, const tw_placement *placed) {
     return core->context.now < placed->launch_after;
 }
 
-/* Whether the answer to the heartbeat of that sequence must launch the stopped task again, to be
- * stopped at once. A direct launch got no response, and may still arrive: the machine that launches
- * and stops the task now refuses it then. A stop alone would not settle whether the launch was
- * lost: of a task that the machine doesn't have it tells nothing. */
+/* Returns whether the answer to the heartbeat with that sequence must contain another launch of the
+ * task, followed by its stop. A direct launch of the task got no response and may still arrive; a
+ * machine that has launched and stopped the task refuses it. A stop alone would not show whether
+ * the direct launch was lost, because a machine doesn't report on a stop of a task that it doesn't
+ * have.
+ */
 static bool must_settle_launch(const tw_machine *machine, const tw_placement *placed,
                                uint64_t sequence) {
     if (!sequence || placed->reported || !placed->direct_launches) return false;
@@ -77,14 +81,15 @@
     return !machine->command_in_flight;
 }
 
-/* Whether the stopped task has the time to save a checkpoint. */
+/* Returns whether the task being stopped may save a checkpoint in its grace period. */
 static bool may_save(const tw_placement *placed) {
     return placed->grace_s > 0 && placed->job->spec.checkpoint_s > 0 &&
            placed->state != TW_TASK_FETCHING;
 }
 
-/* Adds stops. Subtracts from the amounts what preempted tasks hold that still save a checkpoint:
- * their room is promised to others, but it is not free yet. */
+/* Adds the stop commands that are due. Subtracts from the available amounts the resources of
+ * preempted tasks that may still save a checkpoint: they are promised to other tasks, but not free
+ * yet. */
 static void add_stops(const tw_machine *machine, tw_command_list *commands, uint64_t sequence,
                       tw_capacity *available) {
     const tw_placement *placed;
@@ -98,8 +103,8 @@
     }
 }
 
-/* Whether the attempt is the task's only one. Placing it required that; it is checked again where
- * it is launched, since a task that runs twice would start here. */
+/* Returns whether the attempt is the task's only one. The placement already requires this. It is
+ * checked again at the launch, because an error would make the task run twice from here on. */
 static bool is_only_attempt(tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     if (placed->counted && !placed->inherited &&
@@ -110,7 +115,7 @@
     return false;
 }
 
-/* Whether the task fits into the amounts. */
+/* Returns whether the available amounts suffice for the task. */
 static bool task_fits(const tw_capacity *available, const tw_wire_job *spec) {
     return available->cores + TW_CAPACITY_ROUNDING >= spec->cores &&
            available->gpus + TW_CAPACITY_ROUNDING >= spec->gpus &&
@@ -125,7 +130,8 @@
                  (unsigned long long)sequence, !sequence);
 }
 
-/* sequence: of the heartbeat that is answered with the launch; 0: it is direct. */
+/* Records that the task was launched. sequence is that of the heartbeat that is answered with the
+ * launch, or 0 for a direct launch. */
 static void note_launch(const tw_core *core, tw_placement *placed, uint64_t sequence) {
     placed->launch_sent = true;
     placed->launch_incarnation = placed->machine->incarnation;
@@ -137,7 +143,7 @@
     }
 }
 
-/* Subtracts what the machine's tasks hold that are, or may be, there already. */
+/* Subtracts the resources of the machine's tasks that run, or may run, on it already. */
 static void subtract_launched(const tw_machine *machine, tw_capacity *available) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
@@ -147,7 +153,7 @@
     }
 }
 
-/* How many more tasks may be launched on the machine by direct commands. */
+/* Returns how many more tasks may be launched on the machine by direct commands. */
 static int count_direct_launches_left(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     int remaining = MAX_REPEATABLE_LAUNCHES;
@@ -155,7 +161,8 @@
     return remaining;
 }
 
-/* Adds launches. available: the machine's amounts, less what still saves a checkpoint. */
+/* Adds the launch commands that are due. available holds the resources of the machine without those
+ * of preempted tasks that may still save a checkpoint. */
 static void add_launches(tw_core *core, tw_machine *machine, tw_command_list *commands,
                          uint64_t sequence, tw_capacity available) {
     tw_placement *placed;
@@ -164,7 +171,7 @@
     DL_FOREACH(machine->placements, placed) {
         if (launches_left <= 0) break;
         if (!may_launch(placed) || must_wait_for_gang(core, placed)) continue;
-        if (placed->launch_sent && !sequence) continue; /* its first launch is on its way */
+        if (placed->launch_sent && !sequence) continue; /* an earlier launch is in flight */
         if (!placed->launch_sent) {
             if (!task_fits(&available, &placed->job->spec)) continue;
             subtract_capacity(&available, &placed->job->spec);
@@ -182,11 +189,11 @@
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
         if (placed->state != TW_TASK_EXITED || !placed->reported) continue;
-        /* A launch that is carried out once more starts a task that the machine has forgotten. */
+        /* If the worker executes a launch a second time, it starts a task that it has forgotten. */
         if (tw_launch_may_repeat(core, placed)) continue;
         if (placed->cause == TW_CAUSE_DONE && !tw_store_is_settled(placed->job->record) &&
             placed->job->durable_state == TW_JOB_PENDING)
-            continue; /* the record doesn't say yet that the task is done */
+            continue; /* the stored record doesn't contain the completion of the task yet */
         add_command(commands, TW_COMMAND_FORGET, placed);
     }
 }
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -1,14 +1,16 @@
-/* Workers' heartbeats: taking one in, and answering it.
+/* Receives workers' heartbeats, applies them to the machines' state and answers them.
  *
- * Invariants: of a worker only heartbeats that are newer than all before are taken in, and none of
- * an incarnation whose lease has surely expired; only a node that may renew leases answers. */
+ * Invariants: a heartbeat is applied only if it is newer than all earlier ones of its worker and
+ * its incarnation's lease has not certainly expired; a heartbeat is answered only by a node that
+ * may renew leases. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Of so many machines one is believed to be unresponsive within a lease. */
+/* Number of machines in the fleet for each further one that may be declared unresponsive within the
+ * duration of a lease. */
 #define MACHINES_PER_UNRESPONSIVE 15
-/* A worker whose lease expired though a heartbeat was answered less than this ago, in leases, did
- * not get the answer. */
+/* Maximum age of the last answer, in leases, at which a new incarnation shows that answers don't
+ * reach the worker: its lease expired although a heartbeat was answered so recently. */
 #define RECENT_ANSWER_LEASES 0.5
 
 static bool is_placement_of(const tw_placement *placed, const tw_wire_task *reported) {
@@ -16,8 +18,9 @@
            !strcmp(placed->job->id, reported->job);
 }
 
-/* The machine's placement of the reported task; NULL: it has none. from: where to begin to look,
- * since a heartbeat names tasks in nearly the same order as the machine's list; NULL: anywhere. */
+/* Returns the machine's placement of the reported task, or NULL if there is none. The search begins
+ * at start, because a heartbeat lists tasks in nearly the same order as the machine's list. If
+ * start is NULL, it begins at the head of the list. */
 static tw_placement *find_placement(const tw_machine *machine, const tw_wire_task *reported,
                                     tw_placement *start) {
     tw_placement *placed;
@@ -28,8 +31,9 @@
     return NULL;
 }
 
-/* Whether a machine that seems not to take this node's answers is believed to be at fault. Where
- * many seem so, the fault is this node's or the network's. */
+/* Counts a machine that this node's answers don't seem to reach, and returns whether the machine is
+ * likely to be the cause. If there are many such machines, the cause is this node or the network.
+ */
 static bool is_unresponsiveness_credible(tw_core *core) {
     if (core->context.now - core->unresponsive_since > core->context.config->lease_s) {
         core->unresponsive_since = core->context.now;
@@ -39,9 +43,10 @@
            1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_UNRESPONSIVE;
 }
 
-/* Whether the machine's lease expired though its heartbeats were answered: the answers don't reach
- * it. One that has never shown this term's token, as none of its answers came, is believed only if
- * its incarnation has lasted under them: it may be known by a late copy alone. */
+/* Returns whether answers don't reach the machine: its lease expired although its heartbeats were
+ * answered recently. A machine that has never reported this term's token may be known only from a
+ * delayed copy of a heartbeat; for such a machine, the result is true only if its incarnation has
+ * been known for longer than that time. */
 static bool answers_are_lost(const tw_core *core, const tw_machine *machine) {
     const double now = core->context.now;
     const double recent_answer_s = RECENT_ANSWER_LEASES * core->context.config->lease_s;
@@ -49,7 +54,8 @@
     return machine->confirmed || now - machine->incarnation_learned_at > recent_answer_s;
 }
 
-/* The worker's earlier incarnation is over: the worker has killed and forgotten all its tasks. */
+/* Terminates the attempts of the worker's earlier incarnation, at whose end the worker has killed
+ * and forgotten all its tasks. */
 static void handle_new_incarnation(tw_core *core, tw_machine *machine,
                                    const tw_wire_heartbeat *heartbeat) {
     const tw_attempt_termination termination = {.evidence = TW_EVIDENCE_NEW_INCARNATION,
@@ -67,13 +73,13 @@
     }
 }
 
-/* A heartbeat nearly always repeats what is known, and to compare that costs a tenth of printing it
- * anew. */
+/* Copies the value if it differs from the known one. A heartbeat nearly always repeats the known
+ * value, and a comparison costs a tenth of formatting it again. */
 static void copy_if_changed(char *known, size_t size, const char *value) {
     if (strcmp(known, value) != 0) snprintf(known, size, "%s", value);
 }
 
-/* Takes in what the heartbeat says of the machine itself. */
+/* Applies the heartbeat's fields about the machine itself. */
 static void update_machine(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *heartbeat) {
     if (heartbeat->incarnation != machine->incarnation)
         machine->incarnation_learned_at = core->context.now;
@@ -101,8 +107,8 @@
     }
 }
 
-/* The answer with the launch was lost, and no copy of it is carried out late: the task is launched
- * again, unless it is to be stopped. */
+/* Handles a lost answer with a launch, which the worker can no longer execute: the task is launched
+ * again, or its attempt is terminated if the task is to be stopped. */
 static void handle_lost_launch(tw_core *core, tw_placement *placed,
                                const tw_wire_heartbeat *heartbeat) {
     tw_machine *machine = placed->machine;
@@ -121,7 +127,8 @@
     }
 }
 
-/* The heartbeat doesn't name the task. answers_command: it came in an answer to direct commands. */
+/* Reconciles a placement whose task the heartbeat doesn't list. answers_command: the heartbeat is
+ * the response to direct commands. */
 static void reconcile_missing_task(tw_core *core, tw_placement *placed,
                                    const tw_wire_heartbeat *heartbeat, bool answers_command) {
     const bool launch_lost = tw_launch_was_lost(placed, heartbeat, answers_command);
@@ -138,7 +145,7 @@
     }
 }
 
-/* Reconciles the tasks that the heartbeat names, then those that it doesn't. */
+/* Reconciles the tasks that the heartbeat lists, and then the machine's other placements. */
 static void reconcile_tasks(tw_core *core, tw_machine *machine, const tw_wire_heartbeat *heartbeat,
                             tw_command_list *commands) {
     tw_placement *placed, *next;
@@ -169,8 +176,9 @@
         core->counters.rejected[TW_REJECTED_OLDER_HEARTBEAT]++;
         return false;
     }
-    /* The lease of this incarnation has surely expired. Its heartbeats are late ones, which a cut
-     * delayed or which a machine sent that goes on after it hung: what they name runs no more. */
+    /* The lease of this incarnation has certainly expired, so the tasks in the heartbeat no longer
+     * run. The heartbeat was delayed by a network partition or sent by a machine that hung and has
+     * resumed. */
     if (machine->lease_expired && same_incarnation) {
         core->counters.rejected[TW_REJECTED_EXPIRED_HEARTBEAT]++;
         return false;
@@ -193,9 +201,10 @@
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no right to answer");
 }
 
-/* The heartbeat was overtaken by the answer to direct commands, or it is a late copy. In the first
- * case the worker must not be rejected, or it would look for another node; in the second one the
- * answer must not make a dead machine look alive. */
+/* Answers a heartbeat that is not newer than the last one: the response to direct commands has
+ * overtaken it, or it is a delayed copy. In the first case the heartbeat must not be rejected, or
+ * the worker would try another node. In the second case the answer must not make a dead machine
+ * appear alive. */
 static void answer_older_heartbeat(tw_core *core, uint64_t connection, tw_machine *machine,
                                    const tw_wire_heartbeat *heartbeat) {
     if (heartbeat->incarnation != machine->incarnation || machine->lease_expired) {
@@ -206,12 +215,12 @@
     reply_commands(core, connection, &no_commands);
 }
 
-/* The machine has booted, or it is new to this leader. */
+/* Records the first answer to the machine, which has booted or was unknown to this leader. */
 static void note_first_answer(tw_core *core, tw_machine *machine,
                               const tw_wire_heartbeat *heartbeat) {
     machine->first_answered_at = core->context.now;
     if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
-    /* Of a machine that is first heard of now nobody knows when it booted. */
+    /* The boot time of a machine that was unknown until this heartbeat is not known. */
     if (machine->type_index >= 0 && machine->known_since < core->context.now)
         tw_boot_records_note_up(core, machine);
     tw_log_info("event=machine_started worker=%s machine_type=%s zone=%s spot=%d after=%.1f",
@@ -234,17 +243,18 @@
     reply_commands(core, connection, &commands);
 }
 
-/* Whether the heartbeat is a late one of a machine that was returned. */
+/* Returns whether the machine has been returned, or is being returned, so that the heartbeat must
+ * be ignored. */
 static bool was_returned(tw_core *core, const tw_machine *machine, const char *name) {
     if (tw_expiring_names_find(core->returned_machines, name)) return true;
     return machine && machine->return_in_flight;
 }
 
-/* Takes in a heartbeat at a node that may renew leases. */
+/* Redirects or answers a heartbeat at a node that may renew leases. */
 static void receive_as_leader(tw_core *core, uint64_t connection,
                               const tw_wire_heartbeat *heartbeat, bool from_peer) {
-    /* A worker of another zone is redirected to its own, where it is answered also while that zone
-     * is cut off from this node's. */
+    /* A worker of another zone is redirected to a node in its own zone, which can answer it even
+     * while that zone is cut off from this node's zone. */
     const bool is_of_own_zone = !strcmp(heartbeat->zone, core->context.config->location);
     if (!from_peer &&
         (is_of_own_zone ? tw_cluster_redirect_safer(core->cluster, connection, heartbeat->worker,
@@ -253,7 +263,7 @@
                                                    heartbeat->zone)))
         return;
     if (tw_cluster_is_loading(core->cluster)) {
-        /* Its lease is renewed, nothing more: what should run there is not known yet. */
+        /* Only the lease is renewed: the tasks of the machine are not loaded yet. */
         core->answered_while_loading_at = core->context.now;
         reply_commands(core, connection, &no_commands);
         return;
