--- a/src/core/attempt_termination.h
+++ b/src/core/attempt_termination.h
@@ -21,7 +21,7 @@
     TW_EVIDENCE_ABSENT,
     /* The next ordinary heartbeat shows that the answer with the launch was lost. */
     TW_EVIDENCE_LAUNCH_LOST,
-    /* The worker is in a later incarnation than the only one in which the attempt could run. */
+    /* The worker is in a later incarnation than any in which the attempt could run. */
     TW_EVIDENCE_NEW_INCARNATION,
     /* The worker's lease has certainly expired. */
     TW_EVIDENCE_LEASE_EXPIRED,
@@ -62,8 +62,8 @@
 /* Calls tw_attempt_terminate with evidence that is not based on a message. */
 bool tw_attempt_terminate_on(tw_core *core, tw_placement *placed, tw_termination_evidence evidence);
 
-/* Returns whether the exit that the machine's heartbeat reports ends the attempt. An exit does not
- * if the same attempt may have been launched on the machine again since then. */
+/* Returns whether the exit that the machine's heartbeat reports ends the attempt. It doesn't if
+ * the same attempt may have been launched on the machine again after the exit. */
 bool tw_attempt_exit_is_final(const tw_placement *placed, const tw_wire_task *reported);
 
 /* Returns whether a launch of the attempt was sent, or an earlier leader may have sent one. */
--- a/src/core/boot_record.c
+++ b/src/core/boot_record.c
@@ -1,22 +1,25 @@
-/* How the latest boots of machines went, of each type and of each offer. A type that is granted,
- * paid for and never up must not be rented for ever because it is the cheapest: each round of
- * rentals of which no machine comes up makes the next ones cost more in the choice of an offer
- * (capacity_offers.c). As the last failure ages that cost falls again, so that the type is tried
- * again; while such a trial is under way others are chosen at the whole cost. The first machine
- * that comes up ends it.
+/* Records failed boots for each machine type and each capacity offer. A type whose machines are
+ * granted and paid for but never boot must not be rented indefinitely because it is the cheapest.
+ * Each round of rentals in which no machine boots therefore increases the type's cost in the choice
+ * of an offer (capacity_offers.c). The increase decays with the age of the last failure, so that
+ * the type is tried again; while machines of such a trial are expected, the full increase applies
+ * to further rentals. The first machine that boots resets the record.
  *
- * Rounds are counted, not machines: of many that are rented at once some are always late, and a
- * machine that was rented before a failure was noticed says nothing new. */
+ * The record counts rounds instead of machines: some of many machines that are rented at the same
+ * time are always late, and a failure of a machine that was rented before the last failure was
+ * recorded gives no new information. */
 #include "core/autoscaler_int.h"
 #include "core/workers.h"
 #include <stdbool.h>
 
-#define TOLERATED_FAILED_ROUNDS 1 /* a single machine may be late */
+#define TOLERATED_FAILED_ROUNDS 1 /* don't increase the cost: a single machine may be late */
 #define MAX_FAILED_ROUNDS 16
-#define COST_FACTOR_PER_ROUND 4        /* for each round beyond these */
-#define FAILURE_DECAY_STARTUP_TIMES 20 /* startup times until a failure counts 1/e */
+#define COST_FACTOR_PER_ROUND 4        /* for each further failed round */
+#define FAILURE_DECAY_STARTUP_TIMES 20 /* startup times in which a failure's weight falls to 1/e   \
+                                        */
 
-/* How many rounds have failed in a row, less as the last one ages. */
+/* Returns the number of consecutive failed rounds, reduced exponentially with the age of the last
+ * one. */
 static double aged_rounds(const tw_boot_record *record, double now, double startup_s) {
     return record->failed_rounds *
            exp(-(now - record->failed_at) / (FAILURE_DECAY_STARTUP_TIMES * startup_s));
@@ -29,8 +32,8 @@
     return pow(COST_FACTOR_PER_ROUND, fmax(0, rounds - TOLERATED_FAILED_ROUNDS));
 }
 
-/* Notes that a machine that was rented at rented_at did not come up in time. Returns whether that
- * is a new round. */
+/* Records that a machine that was rented at rented_at did not boot in time. Returns whether this
+ * failure counts as a new round. */
 static bool note_failure(tw_boot_record *record, double rented_at, double now) {
     if (record->failed_rounds && rented_at <= record->failed_at) return false;
     if (record->failed_rounds < MAX_FAILED_ROUNDS) record->failed_rounds++;
--- a/src/core/delegate_reply.c
+++ b/src/core/delegate_reply.c
@@ -1,10 +1,10 @@
-/* Answers to workers' heartbeats that this node gives as a lease delegate: they renew the worker's
- * lease, and stop its tasks of cancelled jobs. */
+/* Answers workers' heartbeats as a lease delegate: the answers renew the worker's lease and stop
+ * its tasks of cancelled jobs. */
 #include "core/heartbeat_forwarder.h"
 #include "core/workers.h"
 
-/* Commands in one answer, which stays under the protocol's 64 KiB; the rest come in the next one.
- */
+/* Maximum number of stop commands in one answer, which keeps it under the protocol's limit of
+ * 64 KiB. The other commands are sent with the next answer. */
 #define MAX_STOPS 500
 
 static void answer_worker(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat) {
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -1,25 +1,26 @@
-/* Workers' heartbeats at a node that does not lead: forwarded to the leader, whose answer goes back
- * to the worker.
+/* Forwards workers' heartbeats from a node that is not the leader to the leader, and the leader's
+ * answers to the workers.
  *
  * If the leader can't be reached, this node answers as a lease delegate (delegate_reply.c). While
- * no leader is known, or this node is not a delegate yet, the heartbeat is held for a while: a
- * rejected worker tries the other nodes, which with its zone cut off costs it 5 s each, and its
- * lease. A heartbeat is held well under the 4 s that its worker waits for the answer. */
+ * no leader is known, or this node is not a delegate yet, it holds the heartbeat for a short time.
+ * A worker whose heartbeat is rejected tries the other nodes; if its zone is cut off from them,
+ * each attempt takes 5 s, and its lease expires. A heartbeat is held for well under the 4 s for
+ * which its worker waits for the answer. */
 #include "core/core_int.h"
 #include <stdbool.h>
 
-/* How long the leader's response is waited for, which leaves time to become a delegate. */
+/* Timeout of a forwarded heartbeat, in seconds. It leaves this node time to become a delegate. */
 #define FORWARD_TIMEOUT_S 1.0
-/* How long a heartbeat is held, in all. */
+/* Maximum total time for which a heartbeat is held, in seconds. */
 #define MAX_HOLD_S 2.2
-/* Between two attempts to have the held heartbeats answered. */
+/* Interval between two retries of the held heartbeats, in seconds. */
 #define RETRY_INTERVAL_S 0.2
 
-/* Held heartbeats may take one in so many of the node's sockets. */
+/* Number of the node's sockets for each heartbeat that may be held. */
 #define SOCKETS_PER_HELD_HEARTBEAT 2
 
-/* Holds the heartbeat until that time; rejects it if the time is over, or too many are held. Takes
- * the body. */
+/* Holds the heartbeat until the given time. Rejects it if that time has passed or too many
+ * heartbeats are held. Takes ownership of body. */
 static void hold_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
                            double until) {
     if (core->context.now >= until ||
@@ -38,8 +39,8 @@
     core->held_count++;
 }
 
-/* Forwards the heartbeat to the leader; if that is not possible, answers it as a delegate or holds
- * it until that time. Takes the body. */
+/* Forwards the heartbeat to the leader. If that is not possible, answers it as a delegate or holds
+ * it until the given time. Takes ownership of body. */
 static void forward_or_hold(tw_core *core, uint64_t connection, const char *worker, char *body,
                             double until) {
     const char *leader = tw_cluster_leader_addr(core->cluster);
@@ -56,7 +57,8 @@
         snprintf(sent->name, sizeof sent->name, "%s", worker);
         return;
     }
-    /* It was read when it came, so the cache knows its text, unless it was held for long. */
+    /* The heartbeat was parsed when it was received, so it is still in the cache unless it was held
+     * for long. */
     const tw_wire_heartbeat *heartbeat =
         tw_wire_heartbeat_cache_read(core->heartbeat_cache, body, strlen(body));
     if (!heartbeat) {
@@ -69,12 +71,12 @@
     }
 }
 
-/* Tries again to have a held heartbeat answered, by this node if it leads by now. Takes the body.
- */
+/* Retries a heartbeat: answers it if this node may renew leases by now, and forwards or holds it
+ * otherwise. Takes ownership of body. */
 static void retry_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
                             double until) {
-    /* A leader that may not answer must not hold the heartbeat for a second time: its worker waits
-     * 4 s in all. */
+    /* Without that permission tw_worker_heartbeat_receive would hold the heartbeat with a new time
+     * limit, beyond the 4 s that the worker waits in total; forward_or_hold keeps the old limit. */
     if (!tw_cluster_may(core->cluster, TW_PERMISSION_RENEW)) {
         forward_or_hold(core, connection, worker, body, until);
         return;
@@ -100,7 +102,7 @@
     tw_held_heartbeats_tick(core);
 }
 
-/* A copy of the text that ends with a 0; the caller frees it. */
+/* Returns a copy of the text that is terminated by 0; the caller frees it. */
 static char *copy_text(const char *text, size_t len) {
     char *copy = tw_alloc(len + 1);
     memcpy(copy, text, len);
@@ -116,8 +118,8 @@
     } else {
         if (tw_cluster_redirect_home(core->cluster, connection, heartbeat->worker, heartbeat->zone))
             return;
-        /* If its zone has no node that answers the worker, the leader does: directly, or through
-         * this node if the worker came back from the leader. */
+        /* If the worker's zone has no node that answers it, the leader does: directly after a
+         * redirect, or through this node if the worker returned here after such a redirect. */
         if (!tw_cluster_leader_addr(core->cluster)) {
             tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
@@ -134,7 +136,7 @@
                                    size_t len) {
     char *text = sent->text;
     sent->text = NULL;
-    if (tw_cluster_is_leader(core->cluster)) { /* this node leads by now */
+    if (tw_cluster_is_leader(core->cluster)) { /* this node has become the leader meanwhile */
         retry_heartbeat(core, sent->connection, sent->name, text, sent->until);
     } else if (status == TW_HTTP_OK) {
         core->forwarding_paused_until = 0;
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -1,11 +1,13 @@
-/* Images on machines: which are cached or being fetched, and how much fetches slow each other.
+/* Tracks the images that are cached or being fetched on machines, and estimates how much fetches
+ * slow each other down.
  *
- * What is known is inferred from tasks that use an image, so it may differ from the machine's own
- * cache. Invariant: a machine's list holds an image once, the most recently used one first. */
+ * The list of a machine's images is inferred from the tasks that use them, so it may differ from
+ * the machine's actual cache. Invariant: a machine's list contains each image at most once, in the
+ * order from most to least recently used. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Images that are remembered of a machine. */
+/* Maximum number of images in a machine's list. */
 #define MAX_IMAGES 64
 
 uint32_t tw_image_hash(const char *name) {
@@ -42,8 +44,8 @@
     return 1 + share * tw_image_count_fetches(core, machine, excluded);
 }
 
-/* Forgets images that no longer fit into the machine's cache beside the newest one, as the machine
- * drops them: the least recently used first. */
+/* Removes the images that no longer fit into the machine's cache together with the newest one,
+ * least recently used first, as the machine itself does. */
 static void drop_least_recently_used(const tw_core *core, tw_machine *machine,
                                      const tw_image *newest) {
     const double cache_gb = machine->type_index < 0
--- a/src/core/machine_statistics.c
+++ b/src/core/machine_statistics.c
@@ -1,39 +1,41 @@
-/* Moving averages that are learned from starts, runs and boots: of each machine, beginning at the
- * average of its machine type (GoodServe, section 3.3). docs/design.md says what is learned from
- * which starts. Called by the reconciliation of tasks and the upkeep of machines. */
+/* Moving averages over the starts and runs of tasks and the boots of machines. The averages of a
+ * machine begin at those of its machine type (GoodServe, section 3.3). docs/design.md describes
+ * which starts are used as samples. Called by the reconciliation of tasks and the upkeep of
+ * machines. */
 #include "core/workers.h"
 #include "core/scheduler_int.h"
 
-/* Weights of a sample, as shares of the setting's: in the type's average, in that of how much
- * fetches slow each other, in those of a class's run time, and in that of overdue boots. */
+/* Weights of a sample, as shares of the weight in the settings (tune.ema): in the averages of a
+ * type, in the average interference of fetches, in the averages of a job class's run time, and in
+ * the average share of overdue boots. */
 #define TYPE_WEIGHT 0.2
 #define SHARE_WEIGHT 0.4
 #define RUN_WEIGHT 0.3
 #define BOOT_WEIGHT 0.1
-/* A fetch that took less than this share of the time at the type's rate was none: the machine had
- * the image. */
+/* Share of the fetch time at the type's rate below which a start is no sample of a fetch: the
+ * machine had the image already. */
 #define CACHED_RATIO 0.5
-/* Bounds of a sample of actual over estimated run time. */
+/* Bounds of a sample of the ratio of actual to estimated run time. */
 #define MIN_RATIO 0.1
 #define MAX_RATIO 10
 
-/* Moves the average towards a sample. An average below 0 has no sample yet, and begins at the
- * prior.
+/* Updates the average with a sample. An average below 0 has no sample yet and begins at the prior.
  */
 static void update_average(double *average, double prior, double sample, double weight) {
     if (*average < 0) *average = prior;
     *average += weight * (sample - *average);
 }
 
-/* Learns from a task's fetch of its image, which took so many seconds. How much fetches on one
- * machine slow each other is learned as well: to assume that they share the rate made machines that
- * fetch look slow, and those that had fetched so look fast. */
+/* Updates the fetch averages with a fetch of a task's image that took fetch_s seconds. The
+ * interference of concurrent fetches is estimated too: the assumption that they share the rate
+ * equally made machines that fetch look slow, and made those that had fetched concurrently look
+ * fast. */
 static void learn_fetch(tw_core *core, const tw_placement *placed, double fetch_s) {
     tw_machine *machine = placed->machine;
     tw_machine_type *type = &core->machine_types[machine->type_index];
     const double weight = core->context.config->tune.ema;
     double s_per_gb = fmax(0, fetch_s) / placed->job->spec.image_gb;
-    /* A new leader doesn't know which images the machine had. */
+    /* The machine had the image already, which a new leader may not know. */
     if (s_per_gb * type->listed.fetch_gb_s < CACHED_RATIO) return;
     if (placed->concurrent_fetches) {
         const double share = (s_per_gb / type->fetch_s_per_gb - 1) / placed->concurrent_fetches;
@@ -51,7 +53,7 @@
     tw_machine *machine = placed->machine;
     if (machine->type_index < 0 || placed->inherited || !placed->launch_sent) return;
     tw_machine_type *type = &core->machine_types[machine->type_index];
-    /* A gang's launch that was put off is no delay of the machine. */
+    /* The deliberate delay of a gang's launch is not a delay of the machine. */
     const double delay_s = core->context.now - fmax(placed->placed_at, placed->launch_after);
     const double weight = core->context.config->tune.ema;
     const double queue_delay_s =
@@ -66,7 +68,8 @@
     }
 }
 
-/* Actual over estimated run time of the class, with the machine's slowness taken out. */
+/* Updates the class's averages with a sample of the ratio of actual to estimated run time,
+ * corrected for the machine's slowness. */
 static void learn_estimate(tw_job_class *class, double ratio, double weight) {
     const double bounded_ratio = fmin(MAX_RATIO, fmax(MIN_RATIO, ratio));
     class->run_time_deviation +=
@@ -75,8 +78,8 @@
     class->run_time_ratio += weight * RUN_WEIGHT * (bounded_ratio - class->run_time_ratio);
 }
 
-/* Slowness of the slowest machine that has a task of the gang. done: a task that is no longer in
- * the job's list. */
+/* Returns the slowness of the slowest machine that has a task of the gang. finished is a task of
+ * the gang that may no longer be in the job's list. */
 static double gang_slowness(const tw_core *core, const tw_placement *finished) {
     double slowest = tw_machine_slowness(core, finished->machine);
     const tw_placement *task;
@@ -97,12 +100,13 @@
     const double prior = core->machine_types[machine->type_index].slowness;
     const double weight = core->context.config->tune.ema;
     const double ratio = (core->context.now - placed->running_since) / job->spec.expected_run_s;
-    if (job->spec.gang) { /* it ran at the speed of its slowest machine */
+    if (job->spec.gang) { /* a gang runs at the speed of its slowest machine */
         learn_estimate(class, ratio / gang_slowness(core, placed), weight);
         return;
     }
     const double slowness = tw_machine_slowness(core, machine);
-    /* Users' estimates are often wrong by half, so one run tells little of the machine. */
+    /* Users' estimates are often wrong by half, so a single run has little significance for the
+     * machine. */
     update_average(&machine->slowness, prior,
                    fmin(MAX_RATIO, fmax(MIN_RATIO, ratio / class->run_time_ratio)), weight * 0.5);
     learn_estimate(class, ratio / slowness, weight);
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -1,23 +1,26 @@
-/* Timed work over all machines: leases that expire, and machines to be returned because they
- * failed, are silent or unresponsive, or get nothing new and are empty.
+/* Periodic work over all machines: expires leases, and selects the machines to be returned because
+ * they failed, are silent or unresponsive, or are empty and get no new tasks.
  *
- * Called once in a fraction of the heartbeats' interval. It only marks machines as to be returned;
- * scale_out.c asks the cloud. */
+ * The work is done TICKS_PER_HEARTBEAT times per heartbeat interval. This module only marks
+ * machines as to be returned; machine_returns.c sends the requests to the cloud. */
 #include "core/workers.h"
 #include <stdbool.h>
 
 #define TICKS_PER_HEARTBEAT 6
-/* A boot that takes so many times as long as its type's counts as overdue, and as failed. */
+/* Multiples of the machine type's boot time from which a boot counts as overdue and as failed. */
 #define BOOT_OVERDUE_FACTOR 1.6
 #define BOOT_FAILED_FACTOR 4
-/* Boot of a machine whose type is not known yet, in leases. */
+/* Assumed boot time of a machine whose type is unknown, in leases. */
 #define UNKNOWN_TYPE_BOOT_LEASES 4
-/* Delegates' keys that were read so long ago are read again before a lease is taken for expired. */
+/* Maximum age of the last read of the delegates' keys, in leases, at which a lease may be declared
+ * expired; older keys are read again first. */
 #define DELEGATES_MAX_AGE_LEASES 0.1
-/* A batch task that needs less than this share of a preemption notice is left to end by itself. */
+/* Share of the time until a preemption within which a batch task must be expected to complete in
+ * order not to be stopped. */
 #define COMPLETION_NOTICE_SHARE 0.5
-/* Returned machines are remembered for so many seconds and so many lags of the cloud's list, so
- * that their late heartbeats, and lists that still show them, are ignored. */
+/* Time for which the names of returned machines are kept, as a number of seconds plus a multiple of
+ * the lag of the cloud's list. Meanwhile late heartbeats of these machines, and lists that still
+ * contain them, are ignored. */
 #define RETURNED_RETENTION_S 600
 #define RETURNED_RETENTION_LIST_LAGS 20
 
@@ -39,8 +42,9 @@
     terminate_unlaunched(core, machine);
 }
 
-/* Whether the stop of a gang waits until all of its machines can be told, or the gang would lose
- * its progress. It waits only as long as the notice leaves time for that. */
+/* Returns whether the stop of a gang is delayed until all its machines can be sent the command. An
+ * earlier stop would lose the gang's progress, since a gang saves a checkpoint only as a whole. The
+ * delay ends when the remaining notice is just long enough to stop the gang and save. */
 static bool waits_to_save(const tw_core *core, const tw_placement *placed, double notice_left_s) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
@@ -48,8 +52,8 @@
            notice_left_s > job->spec.save_s + core->context.config->gang_peer_s;
 }
 
-/* A spot machine will be taken away: tasks that won't be done by then are stopped, so that they
- * save a checkpoint and go on elsewhere. */
+/* Handles the preemption notice of a spot machine: stops the tasks that won't complete in time, so
+ * that they save a checkpoint and continue on other machines. */
 static void handle_preemption_notice(tw_core *core, tw_machine *machine) {
     tw_placement *placed, *next;
     const double notice_left_s = machine->preempted_at - core->context.now;
@@ -68,7 +72,7 @@
     }
 }
 
-/* Number of tasks on the machine that may have been launched. */
+/* Returns the number of tasks on the machine that may have been launched. */
 static int count_launched(const tw_machine *machine) {
     const tw_placement *placed;
     int count = 0;
@@ -78,8 +82,8 @@
     return count;
 }
 
-/* Logs the ages in seconds of what the lease's end rests on. One that never was is as old as the
- * clock. */
+/* Logs the expiry of the lease with the age, in seconds, of each time that it was computed from.
+ * For an event that never happened, the age is that of the clock. */
 static void log_lease_expiry(const tw_core *core, const tw_machine *machine) {
     const tw_lease_expiry expiry = tw_lease_expiry_compute(core, machine);
     const double now = core->context.now;
@@ -94,8 +98,9 @@
         now - tw_cluster_delegates_checked_at(core->cluster));
 }
 
-/* The machine's lease has surely expired, so that nothing runs there, unless a delegate renews it
- * whose key this node has not read. */
+/* Terminates the attempts on a machine whose lease has expired. If this node has not read the
+ * delegates' keys recently, it reads them first, because a delegate with a new key may have renewed
+ * the lease. */
 static void expire_lease(tw_core *core, tw_machine *machine) {
     tw_placement *placed, *next;
     if (tw_cluster_delegates_checked_at(core->cluster) <
@@ -111,7 +116,7 @@
     }
 }
 
-/* Why a machine that is up is to be returned; NULL: it is not. */
+/* Returns the reason to return a machine that is up, or NULL if there is none. */
 static const char *return_reason(tw_core *core, const tw_machine *machine, double expires_at) {
     if (machine->lost_launches >= TW_MAX_LOST_LAUNCHES) return "unresponsive";
     if (tw_machine_is_silent(core, machine) &&
@@ -124,7 +129,7 @@
     return NULL;
 }
 
-/* Requests the return of a machine that gets nothing new, once it is empty. */
+/* Requests the return of a machine that gets no new tasks, once it is empty. */
 static void return_when_empty(tw_core *core, tw_machine *machine) {
     if (machine->preempted_at > 0) {
         handle_preemption_notice(core, machine);
@@ -134,20 +139,20 @@
             tw_quarantine_tick(core, machine);
             return;
         }
-        /* A gang's attempt may have ended there just now, and the next one be waiting. */
+        /* A gang that is to be placed again may still need the machine. */
         if (!machine->cordoned && tw_scale_in_keep_for_gang(core, machine)) return;
         request_return(core, machine, machine->decommissioning ? "drained" : "quarantined");
     }
 }
 
-/* Time in seconds that the machine is expected to boot in. */
+/* Returns the expected boot time of the machine, in seconds. */
 static double expected_boot_s(const tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0) return core->context.config->lease_s * UNKNOWN_TYPE_BOOT_LEASES;
     return core->machine_types[machine->type_index].listed.startup_s;
 }
 
-/* Notes once that a machine has been booting for longer than is usual for its type, or has failed.
- */
+/* Records, once for each machine, that a boot has failed or takes longer than is usual for the
+ * machine's type. */
 static void note_overdue_boot(tw_core *core, tw_machine *machine, double boot_s) {
     const double age_s = core->context.now - machine->known_since;
     if (machine->overdue || machine->type_index < 0) return;
@@ -160,8 +165,8 @@
                 machine->type_name, machine->zone, age_s);
 }
 
-/* Whether a machine has been booting for so long that it will never be up. A new leader waits for a
- * lease first, in which workers find it. */
+/* Returns whether a machine has been booting for so long that its boot has failed. A new leader
+ * first waits for the duration of a lease, in which workers find it. */
 static bool boot_has_failed(const tw_core *core, const tw_machine *machine, double boot_s) {
     const tw_config *config = core->context.config;
     const double age_s = core->context.now - machine->known_since;
@@ -176,12 +181,14 @@
         terminate_unlaunched(core, machine);
     if (machine->type_index < 0 && *machine->type_name)
         machine->type_index = tw_machine_type_index(core, machine->type_name);
-    /* A lease doesn't expire within its length of an answer, so few machines need a closer look. */
+    /* A lease doesn't expire within its maximum duration after an answer, so its expiry needs to be
+     * computed for few machines only. */
     const bool is_renewed = core->context.now <= machine->answered_at + tw_lease_max_s(core);
     const double expires_at = is_renewed ? INFINITY : tw_lease_expires_at(core, machine);
     if (launched && core->context.now > expires_at && tw_cluster_delegates_known(core->cluster))
         expire_lease(core, machine);
-    /* A machine with an earlier leader's tasks is up, also if this node has heard nothing of it. */
+    /* A machine with tasks of an earlier leader is up, even if this node has received no heartbeat
+     * of it. */
     const bool is_booting = machine->state == TW_MACHINE_BOOTING && !launched;
     if (is_booting) note_overdue_boot(core, machine, boot_s);
     if (machine->return_wanted) return;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -1,5 +1,5 @@
-/* Placements: what may run on a machine, and the amounts that this takes of the machine and of its
- * team's limit. See placement.h for the invariants. */
+/* Creates and stops placements, and accounts for the resources that they use of their machines and
+ * of their teams' limits. See placement.h for the invariants. */
 #include "core/workers.h"
 #include <stdbool.h>
 
@@ -56,7 +56,7 @@
 void tw_placement_stop(tw_core *core, tw_placement *placed, double grace_s, bool preempted) {
     if (!placed->counted) return;
     if (placed->job->spec.gang) {
-        /* A gang saves a checkpoint only if all of its machines can be told now. */
+        /* A gang saves a checkpoint only if all its machines can be sent the stop now. */
         if (grace_s > 0 && !tw_gang_can_save(core, placed->job)) grace_s = 0;
         tw_gang_stop(core, placed->job, grace_s);
     }
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -43,10 +43,10 @@
            1 + (int)HASH_COUNT(core->machines) / MACHINES_PER_UNRESPONSIVE;
 }
 
-/* Returns whether answers don't reach the machine: its lease expired although its heartbeats were
- * answered recently. A machine that has never reported this term's token may be known only from a
- * delayed copy of a heartbeat; for such a machine, the result is true only if its incarnation has
- * been known for longer than that time. */
+/* Returns whether this node's answers don't reach the machine: it has begun a new incarnation, so
+ * its lease expired, although its heartbeats were answered recently. A machine that has never
+ * reported this term's token may be known only from a delayed copy of a heartbeat; for such a
+ * machine, the result is true only if its incarnation has been known for longer than that time. */
 static bool answers_are_lost(const tw_core *core, const tw_machine *machine) {
     const double now = core->context.now;
     const double recent_answer_s = RECENT_ANSWER_LEASES * core->context.config->lease_s;
