--- a/src/core/boot_record.c
+++ b/src/core/boot_record.c
@@ -14,21 +14,23 @@
 
 #define TOLERATED_FAILED_ROUNDS 1 /* don't increase the cost: a single machine may be late */
 #define MAX_FAILED_ROUNDS 16
-#define COST_FACTOR_PER_ROUND 4        /* for each further failed round */
-#define FAILURE_DECAY_STARTUP_TIMES 20 /* startup times in which a failure's weight falls to 1/e   \
-                                        */
+#define COST_FACTOR_PER_ROUND 4 /* for each further failed round */
+#define FAILURE_DECAY_STARTUP_TIMES                                                                \
+    20 /* startup times in which a failure's weight falls to 1/e                                   \
+        */
 
 /* Returns the number of consecutive failed rounds, reduced exponentially with the age of the last
  * one. */
-static double aged_rounds(const tw_boot_record *record, double now, double startup_s) {
+static double decayed_failed_rounds(const tw_boot_record *record, double now, double startup_s) {
     return record->failed_rounds *
            exp(-(now - record->failed_at) / (FAILURE_DECAY_STARTUP_TIMES * startup_s));
 }
 
 double tw_boot_record_cost_factor(const tw_boot_record *record, double now, double startup_s) {
     if (record->failed_rounds <= TOLERATED_FAILED_ROUNDS) return 1;
-    const double rounds = record->expected_machine_count ? record->failed_rounds
-                                                         : aged_rounds(record, now, startup_s);
+    const double rounds = record->expected_machine_count
+                              ? record->failed_rounds
+                              : decayed_failed_rounds(record, now, startup_s);
     return pow(COST_FACTOR_PER_ROUND, fmax(0, rounds - TOLERATED_FAILED_ROUNDS));
 }
 
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -264,7 +264,7 @@
     [TW_CALL_LOOK_UP_JOB] = {tw_job_look_up_response, false, "job"},
     [TW_CALL_CREATE_RECORD] = {tw_peer_admissions_response, false},
     [TW_CALL_FORWARD_REQUEST] = {tw_request_forward_response, false},
-    [TW_CALL_FORWARD_HEARTBEAT] = {tw_heartbeat_forward_response, false},
+    [TW_CALL_FORWARD_HEARTBEAT] = {tw_heartbeat_handle_forward_response, false},
     [TW_CALL_LIST_CANCELLED_JOBS] = {on_cluster_response, false, "cancelled"},
     [TW_CALL_WRITE_DELEGATE_KEY] = {on_cluster_response, false},
     [TW_CALL_LIST_MACHINE_TYPES] = {tw_autoscaler_response, false},
@@ -280,7 +280,7 @@
     [TW_CALL_WATCH_PEER_ADMISSIONS] = {tw_peer_admissions_response, true, "peer_admissions"},
     [TW_CALL_REMOVE_PEER_ADMISSION] = {tw_peer_admissions_response, true},
     [TW_CALL_LOAD_RECORDS] = {on_records, true, "records"},
-    [TW_CALL_SEND_COMMANDS] = {tw_commands_response, true},
+    [TW_CALL_SEND_COMMANDS] = {tw_commands_handle_response, true},
 };
 
 /* The revision that a response of the state service tells; 0: none. */
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -40,24 +40,24 @@
 
 static tw_call *send_to_machine(tw_core *core, tw_machine *machine, const char *method,
                                 const char *path, char *body) {
-    tw_call *sent = tw_call_send(&core->context, TW_CALL_SEND_COMMANDS, TW_TO_WORKER,
+    tw_call *call = tw_call_send(&core->context, TW_CALL_SEND_COMMANDS, TW_TO_WORKER,
                                  machine->endpoint, method, path, body, TW_DIRECT_TIMEOUT_S);
-    snprintf(sent->name, sizeof sent->name, "%s", machine->name);
+    snprintf(call->name, sizeof call->name, "%s", machine->name);
     machine->command_in_flight = true;
     core->commands_in_flight++;
-    return sent;
+    return call;
 }
 
 /* Records in the call which tasks its commands launch; the outcome of these launches is unknown
  * until the response. */
-static void note_launches(tw_call *sent, const tw_command_list *commands) {
-    sent->names = tw_alloc((size_t)commands->count * TW_NAME_SIZE);
-    sent->tokens = tw_alloc((size_t)commands->count * sizeof *sent->tokens);
+static void note_launches(tw_call *call, const tw_command_list *commands) {
+    call->names = tw_alloc((size_t)commands->count * TW_NAME_SIZE);
+    call->tokens = tw_alloc((size_t)commands->count * sizeof *call->tokens);
     for (int i = 0; i < commands->count; i++) {
         const tw_wire_command *command = &commands->list[i];
         if (command->kind != TW_COMMAND_LAUNCH) continue;
-        snprintf(sent->names[sent->count], TW_NAME_SIZE, "%s/%d", command->job, command->index);
-        sent->tokens[sent->count++] = command->attempt;
+        snprintf(call->names[call->count], TW_NAME_SIZE, "%s/%d", command->job, command->index);
+        call->tokens[call->count++] = command->attempt;
     }
 }
 
@@ -155,9 +155,9 @@
         tw_machine_request_probe(core, machine);
 }
 
-void tw_commands_response(tw_core *core, tw_call *sent, int status, const char *body,
-                          size_t length) {
-    tw_machine *machine = tw_machine_find(core, sent->name);
+void tw_commands_handle_response(tw_core *core, tw_call *call, int status, const char *body,
+                                 size_t length) {
+    tw_machine *machine = tw_machine_find(core, call->name);
     if (!machine) return;
     core->commands_in_flight -= machine->command_in_flight;
     machine->command_in_flight = false;
@@ -166,8 +166,8 @@
         note_failed_send(core, machine);
         return; /* the commands may still arrive: the outcome of their launches stays unknown */
     }
-    for (int i = 0; i < sent->count; i++)
-        settle_launch(machine, sent->names[i], sent->tokens[i], status != TW_HTTP_OK);
+    for (int i = 0; i < call->count; i++)
+        settle_launch(machine, call->names[i], call->tokens[i], status != TW_HTTP_OK);
     tw_wire_heartbeat heartbeat;
     if ((status != TW_HTTP_OK && status != TW_HTTP_CONFLICT) ||
         tw_wire_heartbeat_parse(&heartbeat, body, length))
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -22,8 +22,8 @@
 /* Holds the heartbeat until the given time. Rejects it if that time has passed or too many
  * heartbeats are held. Takes ownership of body. */
 static void hold_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
-                           double until) {
-    if (core->context.now >= until ||
+                           double hold_until) {
+    if (core->context.now >= hold_until ||
         core->held_count >= core->context.config->sockets / SOCKETS_PER_HELD_HEARTBEAT) {
         tw_log_debug("event=heartbeat_rejected worker=%s", worker);
         tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no leader answers");
@@ -34,7 +34,7 @@
     held->connection = connection;
     snprintf(held->worker, sizeof held->worker, "%s", worker);
     held->body = body;
-    held->until = until;
+    held->hold_until = hold_until;
     DL_APPEND(core->held_heartbeats, held);
     core->held_count++;
 }
@@ -42,19 +42,19 @@
 /* Forwards the heartbeat to the leader. If that is not possible, answers it as a delegate or holds
  * it until the given time. Takes ownership of body. */
 static void forward_or_hold(tw_core *core, uint64_t connection, const char *worker, char *body,
-                            double until) {
+                            double hold_until) {
     const char *leader = tw_cluster_leader_addr(core->cluster);
     if (!leader) {
-        hold_heartbeat(core, connection, worker, body, until);
+        hold_heartbeat(core, connection, worker, body, hold_until);
         return;
     }
     if (core->context.now >= core->forwarding_paused_until) {
-        tw_call *sent = tw_call_send(&core->context, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader,
+        tw_call *call = tw_call_send(&core->context, TW_CALL_FORWARD_HEARTBEAT, TW_TO_PEER, leader,
                                      "POST", "/peer/hello", strdup(body), FORWARD_TIMEOUT_S);
-        sent->connection = connection;
-        sent->text = body;
-        sent->until = until;
-        snprintf(sent->name, sizeof sent->name, "%s", worker);
+        call->connection = connection;
+        call->text = body;
+        call->until = hold_until;
+        snprintf(call->name, sizeof call->name, "%s", worker);
         return;
     }
     /* The heartbeat was parsed when it was received, so it is still in the cache unless it was held
@@ -67,18 +67,18 @@
     } else if (tw_delegate_answer_heartbeat(core, connection, heartbeat)) {
         free(body);
     } else {
-        hold_heartbeat(core, connection, worker, body, until);
+        hold_heartbeat(core, connection, worker, body, hold_until);
     }
 }
 
 /* Retries a heartbeat: answers it if this node may renew leases by now, and forwards or holds it
  * otherwise. Takes ownership of body. */
 static void retry_heartbeat(tw_core *core, uint64_t connection, const char *worker, char *body,
-                            double until) {
+                            double hold_until) {
     /* Without that permission tw_worker_heartbeat_receive would hold the heartbeat with a new time
      * limit, beyond the 4 s that the worker waits in total; forward_or_hold keeps the old limit. */
     if (!tw_cluster_may(core->cluster, TW_PERMISSION_RENEW)) {
-        forward_or_hold(core, connection, worker, body, until);
+        forward_or_hold(core, connection, worker, body, hold_until);
         return;
     }
     tw_worker_heartbeat_receive(core, connection, body, strlen(body), false);
@@ -92,7 +92,7 @@
     core->held_heartbeats = NULL;
     core->held_count = 0;
     DL_FOREACH_SAFE(list, held, next) {
-        retry_heartbeat(core, held->connection, held->worker, held->body, held->until);
+        retry_heartbeat(core, held->connection, held->worker, held->body, held->hold_until);
         free(held);
     }
 }
@@ -132,22 +132,22 @@
                     core->context.now + MAX_HOLD_S);
 }
 
-void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
-                                   size_t len) {
-    char *text = sent->text;
-    sent->text = NULL;
+void tw_heartbeat_handle_forward_response(tw_core *core, tw_call *call, int status,
+                                          const char *body, size_t len) {
+    char *text = call->text;
+    call->text = NULL;
     if (tw_cluster_is_leader(core->cluster)) { /* this node has become the leader meanwhile */
-        retry_heartbeat(core, sent->connection, sent->name, text, sent->until);
+        retry_heartbeat(core, call->connection, call->name, text, call->until);
     } else if (status == TW_HTTP_OK) {
         core->forwarding_paused_until = 0;
-        tw_cluster_note_forwarded(core->cluster, sent->name, sent->sent_at);
-        tw_reply(&core->context, sent->connection, TW_HTTP_OK, 0, copy_text(body, len));
+        tw_cluster_note_forwarded(core->cluster, call->name, call->sent_at);
+        tw_reply(&core->context, call->connection, TW_HTTP_OK, 0, copy_text(body, len));
         free(text);
     } else if (status == TW_HTTP_NO_RESPONSE) {
         core->forwarding_paused_until = core->context.now + FORWARD_TIMEOUT_S;
-        forward_or_hold(core, sent->connection, sent->name, text, sent->until);
+        forward_or_hold(core, call->connection, call->name, text, call->until);
     } else {
-        hold_heartbeat(core, sent->connection, sent->name, text, sent->until);
+        hold_heartbeat(core, call->connection, call->name, text, call->until);
     }
 }
 
--- a/src/core/heartbeat_forwarder.h
+++ b/src/core/heartbeat_forwarder.h
@@ -13,8 +13,8 @@
 typedef struct tw_held_heartbeat {
     uint64_t connection;
     char worker[TW_NAME_SIZE];
-    char *body;   /* owned; terminated by 0 */
-    double until; /* when the heartbeat is rejected, in steady seconds */
+    char *body;        /* owned; terminated by 0 */
+    double hold_until; /* when the heartbeat is rejected, in steady seconds */
     struct tw_held_heartbeat *prev, *next;
 } tw_held_heartbeat;
 
@@ -25,9 +25,9 @@
 void tw_heartbeat_forward(tw_core *core, uint64_t connection, const tw_wire_heartbeat *heartbeat,
                           const char *body, size_t len);
 /* Processes the leader's response to a forwarded heartbeat. status is the HTTP status, or 0 if the
- * leader did not respond. body is not owned. Takes ownership of the text of `sent`. */
-void tw_heartbeat_forward_response(tw_core *core, tw_call *sent, int status, const char *body,
-                                   size_t len);
+ * leader did not respond. body is not owned. Takes ownership of the text of `call`. */
+void tw_heartbeat_handle_forward_response(tw_core *core, tw_call *call, int status,
+                                          const char *body, size_t len);
 /* Retries the held heartbeats if the interval between two retries is over. */
 void tw_held_heartbeats_tick(tw_core *core);
 /* Retries the held heartbeats immediately, because the leader or this node may now be able to
--- a/src/core/image.c
+++ b/src/core/image.c
@@ -39,9 +39,9 @@
 
 double tw_image_fetch_slowdown(const tw_core *core, const tw_machine *machine,
                                const tw_image *excluded) {
-    const double share =
+    const double interference =
         machine->type_index < 0 ? 0 : core->machine_types[machine->type_index].fetch_interference;
-    return 1 + share * tw_image_count_fetches(core, machine, excluded);
+    return 1 + interference * tw_image_count_fetches(core, machine, excluded);
 }
 
 /* Removes the images that no longer fit into the machine's cache together with the newest one,
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -110,8 +110,9 @@
 void tw_zone_silence_update(tw_core *core) {
     const double interval_s = core->context.config->report_s;
     const double silent_s = core->context.config->tune.silent_ratio * core->context.config->lease_s;
-    const double late_s = fmin(MAX_LATE_HEARTBEATS * interval_s,
-                               fmax(MIN_LATE_HEARTBEATS * interval_s, silent_s - interval_s));
+    const double min_silence_s =
+        fmin(MAX_LATE_HEARTBEATS * interval_s,
+             fmax(MIN_LATE_HEARTBEATS * interval_s, silent_s - interval_s));
     const double found_leader_at = tw_cluster_term_began_at(core->cluster) +
                                    FIND_LEADER_LEASES * core->context.config->lease_s;
     tw_machine *machine, *next;
@@ -125,7 +126,7 @@
         if (zone == TW_MAX_ZONES) continue;
         core->silent_zones[zone].all++;
         core->silent_zones[zone].silent +=
-            core->context.now - fmax(machine->answered_at, found_leader_at) > late_s;
+            core->context.now - fmax(machine->answered_at, found_leader_at) > min_silence_s;
     }
     for (int zone = 0; zone < core->silent_zone_count; zone++)
         if (core->silent_zones[zone].all > SMALL_ZONE_MACHINES &&
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -52,7 +52,7 @@
 
 /* Removes the machine from the jobs' lists of failed machines and the gangs' lists of vacated
  * machines. */
-static void forget_failures(tw_core *core, const tw_machine *machine) {
+static void remove_machine_from_jobs(tw_core *core, const tw_machine *machine) {
     tw_job *job;
     DL_FOREACH(core->active_jobs, job) {
         for (int i = 0; i < job->failed_machine_count; i++)
@@ -77,7 +77,7 @@
         DL_DELETE(machine->images, image);
         free(image);
     }
-    forget_failures(core, machine);
+    remove_machine_from_jobs(core, machine);
     HASH_DEL(core->machines, machine);
     free(machine);
 }
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -100,8 +100,8 @@
 
     /* Moving averages, see machine_statistics.c. Below 0, the average of the type is used. */
     double slowness, queue_delay_s, fetch_s_per_gb;
-    double slowness_step;       /* cached logarithm, see preference.c */
-    double slowness_step_input; /* the slowness that slowness_step belongs to */
+    double slowness_step;       /* cached logarithm of the slowness, see preference.c */
+    double slowness_step_input; /* the slowness from which slowness_step was computed */
 
     /* Resources that counted placements use. */
     double used_cores, used_gpus, used_memory_gb; /* sum over all counted placements */
@@ -191,8 +191,8 @@
 void tw_commands_send_direct(tw_core *core);
 /* Processes a machine's response to direct commands or a probe. status is the HTTP status, or 0 if
  * the machine did not respond. body is not owned. */
-void tw_commands_response(tw_core *core, tw_call *sent, int status, const char *body,
-                          size_t length);
+void tw_commands_handle_response(tw_core *core, tw_call *call, int status, const char *body,
+                                 size_t length);
 /* Runs the periodic work over all machines, once per interval: expires leases and requests the
  * return of machines. */
 void tw_machines_tick(tw_core *core);
--- a/src/core/machine_statistics.c
+++ b/src/core/machine_statistics.c
@@ -9,15 +9,15 @@
  * type, in the average interference of fetches, in the averages of a job class's run time, and in
  * the average share of overdue boots. */
 #define TYPE_WEIGHT 0.2
-#define SHARE_WEIGHT 0.4
-#define RUN_WEIGHT 0.3
+#define INTERFERENCE_WEIGHT 0.4
+#define RUN_TIME_WEIGHT 0.3
 #define BOOT_WEIGHT 0.1
 /* Share of the fetch time at the type's rate below which a start is no sample of a fetch: the
  * machine had the image already. */
-#define CACHED_RATIO 0.5
+#define MIN_FETCH_TIME_SHARE 0.5
 /* Bounds of a sample of the ratio of actual to estimated run time. */
-#define MIN_RATIO 0.1
-#define MAX_RATIO 10
+#define MIN_RUN_TIME_RATIO 0.1
+#define MAX_RUN_TIME_RATIO 10
 
 /* Updates the average with a sample. An average below 0 has no sample yet and begins at the prior.
  */
@@ -30,17 +30,18 @@
  * interference of concurrent fetches is estimated too: the assumption that they share the rate
  * equally made machines that fetch look slow, and made those that had fetched concurrently look
  * fast. */
-static void learn_fetch(tw_core *core, const tw_placement *placed, double fetch_s) {
+static void update_fetch_averages(tw_core *core, const tw_placement *placed, double fetch_s) {
     tw_machine *machine = placed->machine;
     tw_machine_type *type = &core->machine_types[machine->type_index];
     const double weight = core->context.config->tune.ema;
     double s_per_gb = fmax(0, fetch_s) / placed->job->spec.image_gb;
     /* The machine had the image already, which a new leader may not know. */
-    if (s_per_gb * type->listed.fetch_gb_s < CACHED_RATIO) return;
+    if (s_per_gb * type->listed.fetch_gb_s < MIN_FETCH_TIME_SHARE) return;
     if (placed->concurrent_fetches) {
-        const double share = (s_per_gb / type->fetch_s_per_gb - 1) / placed->concurrent_fetches;
-        update_average(&type->fetch_interference, type->fetch_interference, fmin(1, fmax(0, share)),
-                       weight * SHARE_WEIGHT);
+        const double interference =
+            (s_per_gb / type->fetch_s_per_gb - 1) / placed->concurrent_fetches;
+        update_average(&type->fetch_interference, type->fetch_interference,
+                       fmin(1, fmax(0, interference)), weight * INTERFERENCE_WEIGHT);
         s_per_gb /= 1 + type->fetch_interference * placed->concurrent_fetches;
     }
     update_average(&type->fetch_deviation, type->fetch_deviation,
@@ -64,18 +65,18 @@
         update_average(&type->queue_delay_s, type->queue_delay_s, delay_s, weight * TYPE_WEIGHT);
     } else if (placed->image_state == TW_IMAGE_ABSENT &&
                placed->job->spec.image_gb > min_fetch_gb) {
-        learn_fetch(core, placed, delay_s - queue_delay_s);
+        update_fetch_averages(core, placed, delay_s - queue_delay_s);
     }
 }
 
 /* Updates the class's averages with a sample of the ratio of actual to estimated run time,
  * corrected for the machine's slowness. */
-static void learn_estimate(tw_job_class *class, double ratio, double weight) {
-    const double bounded_ratio = fmin(MAX_RATIO, fmax(MIN_RATIO, ratio));
+static void update_run_time_averages(tw_job_class *class, double ratio, double weight) {
+    const double bounded_ratio = fmin(MAX_RUN_TIME_RATIO, fmax(MIN_RUN_TIME_RATIO, ratio));
     class->run_time_deviation +=
-        weight * RUN_WEIGHT *
+        weight * RUN_TIME_WEIGHT *
         (fabs(bounded_ratio - class->run_time_ratio) - class->run_time_deviation);
-    class->run_time_ratio += weight * RUN_WEIGHT * (bounded_ratio - class->run_time_ratio);
+    class->run_time_ratio += weight * RUN_TIME_WEIGHT * (bounded_ratio - class->run_time_ratio);
 }
 
 /* Returns the slowness of the slowest machine that has a task of the gang. finished is a task of
@@ -101,18 +102,21 @@
     const double weight = core->context.config->tune.ema;
     const double ratio = (core->context.now - placed->running_since) / job->spec.expected_run_s;
     if (job->spec.gang) { /* a gang runs at the speed of its slowest machine */
-        learn_estimate(class, ratio / gang_slowness(core, placed), weight);
+        update_run_time_averages(class, ratio / gang_slowness(core, placed), weight);
         return;
     }
     const double slowness = tw_machine_slowness(core, machine);
     /* Users' estimates are often wrong by half, so a single run has little significance for the
      * machine. */
-    update_average(&machine->slowness, prior,
-                   fmin(MAX_RATIO, fmax(MIN_RATIO, ratio / class->run_time_ratio)), weight * 0.5);
-    learn_estimate(class, ratio / slowness, weight);
+    update_average(
+        &machine->slowness, prior,
+        fmin(MAX_RUN_TIME_RATIO, fmax(MIN_RUN_TIME_RATIO, ratio / class->run_time_ratio)),
+        weight * 0.5);
+    update_run_time_averages(class, ratio / slowness, weight);
 }
 
 void tw_statistics_note_boot(tw_core *core, const tw_machine *machine) {
-    double *share = &core->machine_types[machine->type_index].overdue_share;
-    update_average(share, *share, machine->overdue, BOOT_WEIGHT * core->context.config->tune.ema);
+    double *overdue_share = &core->machine_types[machine->type_index].overdue_share;
+    update_average(overdue_share, *overdue_share, machine->overdue,
+                   BOOT_WEIGHT * core->context.config->tune.ema);
 }
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -45,7 +45,8 @@
 /* Returns whether the stop of a gang is delayed until all its machines can be sent the command. An
  * earlier stop would lose the gang's progress, since a gang saves a checkpoint only as a whole. The
  * delay ends when the remaining notice is just long enough to stop the gang and save. */
-static bool waits_to_save(const tw_core *core, const tw_placement *placed, double notice_left_s) {
+static bool must_delay_gang_stop(const tw_core *core, const tw_placement *placed,
+                                 double notice_left_s) {
     const tw_job *job = placed->job;
     return job->spec.gang && job->spec.checkpoint_s > 0 && job->gang.state == TW_GANG_RUNNING &&
            !tw_gang_can_save(core, job) &&
@@ -67,7 +68,7 @@
         if (!spec->service && remaining_s > 0 &&
             remaining_s < COMPLETION_NOTICE_SHARE * notice_left_s)
             continue;
-        if (waits_to_save(core, placed, notice_left_s)) continue;
+        if (must_delay_gang_stop(core, placed, notice_left_s)) continue;
         tw_placement_stop(core, placed, spec->checkpoint_s > 0 ? spec->save_s : 0, false);
     }
 }
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -191,7 +191,7 @@
 }
 
 /* An answer without commands only renews the worker's lease. */
-static const tw_command_list no_commands = {NULL, 0};
+static const tw_command_list empty_command_list = {NULL, 0};
 
 static void reply_commands(tw_core *core, uint64_t connection, const tw_command_list *commands) {
     char *text = tw_commands_reply_text(core, commands);
@@ -212,7 +212,7 @@
         return;
     }
     machine->answered_older_at = core->context.now;
-    reply_commands(core, connection, &no_commands);
+    reply_commands(core, connection, &empty_command_list);
 }
 
 /* Records the first answer to the machine, which has booted or was unknown to this leader. */
@@ -265,7 +265,7 @@
     if (tw_cluster_is_loading(core->cluster)) {
         /* Only the lease is renewed: the tasks of the machine are not loaded yet. */
         core->answered_while_loading_at = core->context.now;
-        reply_commands(core, connection, &no_commands);
+        reply_commands(core, connection, &empty_command_list);
         return;
     }
     tw_machine *machine = tw_machine_find(core, heartbeat->worker);
