--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -136,7 +136,7 @@
                                           const char *body, size_t len) {
     char *text = call->text;
     call->text = NULL;
-    if (tw_cluster_is_leader(core->cluster)) { /* this node has become the leader meanwhile */
+    if (tw_cluster_is_leader(core->cluster)) { /* this node has become the leader */
         retry_heartbeat(core, call->connection, call->name, text, call->until);
     } else if (status == TW_HTTP_OK) {
         core->forwarding_paused_until = 0;
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -125,8 +125,8 @@
 
 /* ---- command_messages.c ---- */
 
-/* Each of these functions returns the text of a message with commands and this node's fencing
- * token; the caller frees it. They return NULL if this node has no permission for the commands.
+/* Each of these functions returns the text of a message with commands and the fencing token; the
+ * caller frees it. They return NULL if this node has no permission for the commands.
  * That is an error of the caller, and nothing may be sent. */
 
 /* Composes the answer to a heartbeat. An answer without commands only renews the lease. */
