--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -223,7 +223,7 @@
         return false;
     }
     /* Of the booting machines of each type, the share that is usually overdue is not counted. */
-    double *sum = &core->machine_types[machine->type_index].late_sum;
+    double *sum = &core->machine_types[machine->type_index].overdue_share_sum;
     *sum += core->machine_types[machine->type_index].overdue_share;
     if (*sum >= 1) {
         *sum -= 1;
@@ -277,21 +277,21 @@
 /* Resets the counters that the previous plan left in types and offers. */
 static void reset_plan_results(tw_core *core) {
     for (int i = 0; i < core->machine_type_count; i++) {
-        core->machine_types[i].late_sum = core->machine_types[i].overdue_rental_at = 0;
-        core->machine_types[i].boots.coming_count = 0;
+        core->machine_types[i].overdue_share_sum = core->machine_types[i].overdue_rental_at = 0;
+        core->machine_types[i].boots.expected_machine_count = 0;
     }
     for (int i = 0; i < core->capacity_offer_count; i++) {
         core->capacity_offers[i].wanted_count = 0;
-        core->capacity_offers[i].boots.coming_count = 0;
+        core->capacity_offers[i].boots.expected_machine_count = 0;
     }
 }
 
 /* Adds a booting machine that is not overdue to the counters of its type and its offer. */
 static void count_booting_machine(tw_core *core, const tw_machine *machine) {
     if (machine->type_index < 0 || machine->overdue || machine->failed) return;
-    core->machine_types[machine->type_index].boots.coming_count++;
+    core->machine_types[machine->type_index].boots.expected_machine_count++;
     tw_capacity_offer *offer = tw_offer_of_machine(core, machine);
-    if (offer) offer->boots.coming_count++;
+    if (offer) offer->boots.expected_machine_count++;
 }
 
 /* Adds bins for all machines whose capacity the plan uses, and resets the counters and marks that
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -1,21 +1,25 @@
-/* Direct commands, which are sent to a machine's own address, and probes, which ask it for its
- * state alone: when they are sent, and what their responses tell. Which commands they hold is
- * decided by worker_commands.c.
+/* Sends direct commands, which go to a machine's own address, and probes, which only request its
+ * state, and processes their responses. worker_commands.c selects the commands.
  *
- * Invariants: a machine has at most one of them in flight; without a response the fate of the
- * launches in it stays unknown, and the machine is given a pause. */
+ * Invariants: a machine has at most one such request in flight. If there is no response, the
+ * outcome of the launches in the request stays unknown, and requests to the machine pause for a
+ * time. */
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Silent machines that are probed at once, as a share of the node's sockets. */
+/* Maximum number of requests in flight up to which silent machines are probed, as a share of the
+ * node's sockets. */
 #define MAX_PROBES_PER_SOCKET 0.06
-/* Share of the leader's lease that must be left, so that a direct launch arrives under it. */
+/* Minimum share of the leader's lease that must remain, so that a direct launch arrives before the
+ * lease expires. */
 #define MIN_AUTHORITY_SHARE 0.1
-/* A machine without a heartbeat for so many intervals is probed. */
-#define SILENT_HEARTBEATS 1.5
-/* Longest pause between direct commands to a machine that doesn't respond, in intervals. */
+/* Number of intervals without a heartbeat after which a machine is probed. */
+#define PROBE_AFTER_HEARTBEATS 1.5
+/* Maximum pause between direct commands to a machine that doesn't respond, in heartbeat intervals.
+ */
 #define MAX_PAUSE_HEARTBEATS 8
-/* Probes of a machine that doesn't respond, or whose responses don't confirm it. */
+/* Maximum number of probes of a machine that doesn't respond or whose responses don't confirm it.
+ */
 #define MAX_PROBES 4
 
 static void queue_machine(tw_core *core, tw_machine *machine) {
@@ -24,85 +28,91 @@
     DL_APPEND2(core->command_queue, machine, queue_prev, queue_next);
 }
 
-void tw_machine_want_commands(tw_core *core, tw_machine *machine) {
-    machine->commands_wanted = true;
+void tw_machine_request_commands(tw_core *core, tw_machine *machine) {
+    machine->commands_requested = true;
     queue_machine(core, machine);
 }
 
-void tw_machine_want_probe(tw_core *core, tw_machine *machine) {
-    machine->probe_wanted = true;
+void tw_machine_request_probe(tw_core *core, tw_machine *machine) {
+    machine->probe_requested = true;
     queue_machine(core, machine);
 }
 
 static tw_call *send_to_machine(tw_core *core, tw_machine *machine, const char *method,
                                 const char *path, char *body) {
-    tw_call *sent = tw_call_send(&core->context, TW_CALL_SEND_COMMANDS, TW_TO_WORKER,
+    tw_call *call = tw_call_send(&core->context, TW_CALL_SEND_COMMANDS, TW_TO_WORKER,
                                  machine->endpoint, method, path, body, TW_DIRECT_TIMEOUT_S);
-    snprintf(sent->name, sizeof sent->name, "%s", machine->name);
+    snprintf(call->name, sizeof call->name, "%s", machine->name);
     machine->command_in_flight = true;
     core->commands_in_flight++;
-    return sent;
+    return call;
 }
 
-/* Notes with the call which tasks its commands launch: their fate is unknown until the response. */
-static void note_launches(tw_call *sent, const tw_command_list *commands) {
-    sent->names = tw_alloc((size_t)commands->count * TW_NAME_SIZE);
-    sent->tokens = tw_alloc((size_t)commands->count * sizeof *sent->tokens);
+/* Records in the call which tasks its commands launch; the outcome of these launches is unknown
+ * until the response. */
+static void note_launches(tw_call *call, const tw_command_list *commands) {
+    call->names = tw_alloc((size_t)commands->count * TW_NAME_SIZE);
+    call->tokens = tw_alloc((size_t)commands->count * sizeof *call->tokens);
     for (int i = 0; i < commands->count; i++) {
         const tw_wire_command *command = &commands->list[i];
         if (command->kind != TW_COMMAND_LAUNCH) continue;
-        snprintf(sent->names[sent->count], TW_NAME_SIZE, "%s/%d", command->job, command->index);
-        sent->tokens[sent->count++] = command->attempt;
+        snprintf(call->names[call->count], TW_NAME_SIZE, "%s/%d", command->job, command->index);
+        call->tokens[call->count++] = command->attempt;
     }
 }
 
-/* Sends the machine's direct commands, or a probe: an empty list of commands shows the machine this
- * term's token, and its response lists its tasks. Commands are sent only to a machine that is in
- * touch; another one might carry them out late. */
+/* Sends the machine its direct commands or a probe. A probe is an empty list of commands: it
+ * presents this term's token to the machine, whose response lists its tasks. Commands are sent only
+ * to a machine with a recent heartbeat; another machine might execute them late. */
 static void send_direct_commands(tw_core *core, tw_machine *machine) {
-    if (machine->command_in_flight || core->context.now < machine->no_commands_before ||
-        (!machine->commands_wanted && !machine->probe_wanted))
+    if (machine->command_in_flight || core->context.now < machine->commands_paused_until ||
+        (!machine->commands_requested && !machine->probe_requested))
         return;
-    const bool probe = machine->probe_wanted;
+    const bool probe = machine->probe_requested;
     const double silent_s = core->context.now - machine->last_contact_at;
-    const double in_touch_s = TW_IN_TOUCH_HEARTBEATS * core->context.config->report_s;
-    machine->commands_wanted = machine->probe_wanted = false;
+    const double recent_contact_s = TW_RECENT_CONTACT_HEARTBEATS * core->context.config->report_s;
+    machine->commands_requested = machine->probe_requested = false;
     if (machine->return_wanted || !*machine->endpoint) return;
-    if (!probe && (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > in_touch_s))
+    if (!probe &&
+        (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > recent_contact_s))
         return;
-    if (!machine->incarnation) { /* commands must name it, and it is not known yet */
+    if (!machine->incarnation) { /* commands require the incarnation, which is not known yet */
         send_to_machine(core, machine, "GET", "/inspect", NULL);
         return;
     }
     tw_command_list commands = tw_command_list_new(core);
-    if (machine->confirmed && silent_s < in_touch_s) tw_commands_due(core, machine, &commands, 0);
+    if (machine->confirmed && silent_s < recent_contact_s)
+        tw_commands_add_due(core, machine, &commands, 0);
     if (!commands.count && !probe) return;
     char *body = tw_commands_direct_text(core, machine, &commands);
     if (!body) return;
     note_launches(send_to_machine(core, machine, "POST", "/orders", body), &commands);
 }
 
-/* Queues the machines for which direct commands or probes are wanted, silent ones among them. */
+/* Queues the machines for which direct commands or a probe are requested, and requests probes of
+ * silent machines. */
 static void queue_due_machines(tw_core *core) {
     const int max_in_flight = (int)(MAX_PROBES_PER_SOCKET * core->context.config->sockets);
     int in_flight = core->commands_in_flight;
     tw_machine *machine, *next;
     HASH_ITER(hh, core->machines, machine, next) {
-        if (machine->command_in_flight || core->context.now < machine->no_commands_before) continue;
-        /* The heartbeats may reach only a node that can't reach this one, while this node reaches
-         * the machine. */
+        if (machine->command_in_flight || core->context.now < machine->commands_paused_until)
+            continue;
+        /* This node may reach the machine even if the machine's heartbeats reach only a node that
+         * can't forward them to this one. */
         if (machine->state == TW_MACHINE_UP &&
             core->context.now - machine->last_contact_at >
-                SILENT_HEARTBEATS * core->context.config->report_s &&
+                PROBE_AFTER_HEARTBEATS * core->context.config->report_s &&
             in_flight < max_in_flight) {
-            machine->probe_wanted = true;
+            machine->probe_requested = true;
             in_flight++;
         }
-        if (machine->commands_wanted || machine->probe_wanted) queue_machine(core, machine);
+        if (machine->commands_requested || machine->probe_requested) queue_machine(core, machine);
     }
 }
 
-/* Runs after every input, so it looks only at machines that were queued, and once a tick at all. */
+/* Runs after every input, so it handles only the queued machines, and scans all machines only once
+ * per tick. */
 void tw_commands_send_direct(tw_core *core) {
     tw_machine *machine;
     if (!tw_cluster_authority_lasts(core->cluster,
@@ -119,7 +129,8 @@
     }
 }
 
-/* A direct launch of the task is no longer under way. refused: the machine did not carry it out. */
+/* Records that a direct launch of the task has got its response. refused: the machine did not
+ * execute it. */
 static void settle_launch(const tw_machine *machine, const char *task, uint64_t attempt,
                           bool refused) {
     tw_placement *placed;
@@ -127,35 +138,36 @@
     DL_FOREACH(machine->placements, placed) {
         snprintf(name, sizeof name, "%s/%d", placed->job->id, placed->index);
         if (placed->attempt != attempt || strcmp(name, task) != 0) continue;
-        tw_launch_answered(placed, refused);
+        tw_launch_note_response(placed, refused);
         return;
     }
 }
 
-/* No response to direct commands or a probe came: pauses, and probes again for a few times. */
+/* Handles a missing response to direct commands or a probe: pauses requests to the machine, and
+ * requests another probe up to MAX_PROBES times if the machine has never sent a heartbeat. */
 static void note_failed_send(tw_core *core, tw_machine *machine) {
     machine->failed_sends++;
     const double pause_heartbeats =
         machine->last_contact_at ? fmin(1 + machine->failed_sends, MAX_PAUSE_HEARTBEATS) : 1;
-    machine->no_commands_before =
+    machine->commands_paused_until =
         core->context.now + pause_heartbeats * core->context.config->report_s;
     if (!machine->last_contact_at && ++machine->failed_probes < MAX_PROBES)
-        tw_machine_want_probe(core, machine);
+        tw_machine_request_probe(core, machine);
 }
 
-void tw_commands_response(tw_core *core, tw_call *sent, int status, const char *body,
-                          size_t length) {
-    tw_machine *machine = tw_machine_find(core, sent->name);
+void tw_commands_handle_response(tw_core *core, tw_call *call, int status, const char *body,
+                                 size_t length) {
+    tw_machine *machine = tw_machine_find(core, call->name);
     if (!machine) return;
     core->commands_in_flight -= machine->command_in_flight;
     machine->command_in_flight = false;
-    if (machine->commands_wanted || machine->probe_wanted) queue_machine(core, machine);
+    if (machine->commands_requested || machine->probe_requested) queue_machine(core, machine);
     if (status == TW_HTTP_NO_RESPONSE) {
         note_failed_send(core, machine);
-        return; /* the commands may still arrive: the fate of their launches stays unknown */
+        return; /* the commands may still arrive: the outcome of their launches stays unknown */
     }
-    for (int i = 0; i < sent->count; i++)
-        settle_launch(machine, sent->names[i], sent->tokens[i], status != TW_HTTP_OK);
+    for (int i = 0; i < call->count; i++)
+        settle_launch(machine, call->names[i], call->tokens[i], status != TW_HTTP_OK);
     tw_wire_heartbeat heartbeat;
     if ((status != TW_HTTP_OK && status != TW_HTTP_CONFLICT) ||
         tw_wire_heartbeat_parse(&heartbeat, body, length))
@@ -164,8 +176,8 @@
         tw_cluster_observe_token(core->cluster, heartbeat.fencing_token, NULL);
     } else if (!strcmp(heartbeat.worker, machine->name)) {
         tw_worker_heartbeat_apply(core, machine, &heartbeat, NULL);
-        if (!machine->confirmed && machine->probed++ < MAX_PROBES)
-            tw_machine_want_probe(core, machine);
+        if (!machine->confirmed && machine->unconfirmed_probes++ < MAX_PROBES)
+            tw_machine_request_probe(core, machine);
     }
     tw_wire_heartbeat_free(&heartbeat);
 }
--- a/src/core/machine_list.c
+++ b/src/core/machine_list.c
@@ -1,6 +1,6 @@
 /* Reads the cloud's list of rented machines page by page. The list lags behind by list_lag_s. It
  * contains machines that an earlier leader rented, and marks failed ones. Lost machines are missing
- * from it: machine->lists_without counts the consecutive lists without a machine. */
+ * from it: machine->consecutive_lists_missing counts the consecutive lists without a machine. */
 #include "core/autoscaler_int.h"
 #include <stdbool.h>
 
@@ -19,7 +19,7 @@
         machine->known_since = core->context.now - listed->rented_s;
     }
     machine->listed = true;
-    machine->lists_without = 0;
+    machine->consecutive_lists_missing = 0;
     machine->spot = listed->spot;
     if (!*machine->zone) tw_machine_set_zone(core, machine, listed->zone);
     if (strcmp(machine->type_name, listed->machine_type) != 0)
@@ -31,17 +31,19 @@
     if (listed->state == TW_RENTED_FAILED) machine->failed = true;
     /* After a failover, the worker is probed for its state instead of waiting until it finds the
      * new leader. */
-    if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at && !machine->probed) {
-        machine->probed = 1;
-        tw_machine_want_probe(core, machine);
+    if (listed->state == TW_RENTED_RUNNING && !machine->last_contact_at &&
+        !machine->unconfirmed_probes) {
+        machine->unconfirmed_probes = 1;
+        tw_machine_request_probe(core, machine);
     }
 }
 
-/* Increments lists_without of all machines; update_listed_machine resets it for listed ones. */
+/* Increments consecutive_lists_missing of all machines; update_listed_machine resets it for listed
+ * ones. */
 static void begin_listing(tw_core *core) {
     tw_machine *machine;
     struct tw_machine *next;
-    HASH_ITER(hh, core->machines, machine, next) { machine->lists_without++; }
+    HASH_ITER(hh, core->machines, machine, next) { machine->consecutive_lists_missing++; }
 }
 
 void tw_machine_list_page(tw_core *core, int status, const char *body, size_t length) {
