--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -1,4 +1,4 @@
-/* Reserves machines for a gang. Small jobs take capacity piece by piece as soon as it is freed, so
+/* Reserves machines for a gang. Small jobs take capacity as soon as any is freed, so
  * that a gang, which needs capacity for all its tasks at the same time, might never find it.
  * Therefore, of the gangs that have waited for longer than RESERVE_AFTER_S, the one that was
  * submitted first gets the machines on which capacity for all its tasks is expected soonest. Until
