--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -6,34 +6,35 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALLS_IN_LEASE 3.0 /* a call may last so much of the lease */
-#define PER_HOST 8
+#define CALLS_PER_LEASE 3.0 /* a call may last so much of the lease */
+#define MAX_CONNECTIONS_PER_HOST 8
 #define BODY_SIZE 160
 enum { OK = 200, CONFLICT = 409 };
 
 static tw_daemon_call *begin_call(tw_daemon_node *node, tw_daemon_call_kind kind,
                                   const char *address, const char *method, const char *path,
                                   const char *body) {
-    const double timeout_s = node->settings->lease_s / CALLS_IN_LEASE;
-    tw_daemon_call *begun = tw_daemon_alloc(sizeof *begun);
-    begun->id = ++node->last_call;
-    begun->kind = kind;
-    HASH_ADD(hh, node->calls, id, sizeof begun->id, begun);
-    tw_net_call(node->net, begun->id, address, PER_HOST, method, path, body, timeout_s);
-    return begun;
+    const double timeout_s = node->settings->lease_s / CALLS_PER_LEASE;
+    tw_daemon_call *call = tw_daemon_alloc(sizeof *call);
+    call->id = ++node->last_call;
+    call->kind = kind;
+    HASH_ADD(hh, node->calls, id, sizeof call->id, call);
+    tw_net_call(node->net, call->id, address, MAX_CONNECTIONS_PER_HOST, method, path, body,
+                timeout_s);
+    return call;
 }
 
 void tw_daemon_call_state(tw_daemon_node *node, const tw_standby_effect *effect) {
     begin_call(node, TW_DAEMON_CALL_STATE, node->settings->state, effect->method, effect->path,
                effect->body)
-        ->about = effect->id;
+        ->tag = effect->id;
 }
 
 static void call_machine(tw_daemon_node *node, tw_daemon_call_kind kind, const char *machine,
-                         const char *path, const char *body, uint64_t about) {
-    tw_daemon_call *begun = begin_call(node, kind, machine, "POST", path, body);
-    begun->about = about;
-    snprintf(begun->machine, sizeof begun->machine, "%s", machine);
+                         const char *path, const char *body, uint64_t tag) {
+    tw_daemon_call *call = begin_call(node, kind, machine, "POST", path, body);
+    call->tag = tag;
+    snprintf(call->machine, sizeof call->machine, "%s", machine);
 }
 
 void tw_daemon_check_machine(tw_daemon_node *node, const tw_standby_effect *effect) {
@@ -60,7 +61,7 @@
 
 /* ---- answers ---- */
 
-static int read_number(const cJSON *object, const char *name, uint64_t *to) {
+static int parse_number(const cJSON *object, const char *name, uint64_t *to) {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
     if (!cJSON_IsNumber(item) || item->valuedouble < 0) return -1;
     *to = (uint64_t)item->valuedouble;
@@ -68,38 +69,38 @@
 }
 
 /* What the machine has, by its answer to /check or /start; -1: it can't be read. */
-static int read_machine(tw_standby_machine_status *to, int status, const char *body,
-                        size_t length) {
+static int parse_machine_status(tw_standby_machine_status *to, int status, const char *body,
+                                size_t length) {
     uint64_t running = 0;
     cJSON *object = cJSON_ParseWithLength(body, length);
     *to = (tw_standby_machine_status){0};
     const bool failed =
-        (status != OK && status != CONFLICT) || read_number(object, "term", &to->term) ||
-        read_number(object, "life", &to->boot_id) ||
-        read_number(object, "floor", &to->minimum_epoch) ||
-        read_number(object, "open", &to->newest) || read_number(object, "running", &running);
+        (status != OK && status != CONFLICT) || parse_number(object, "term", &to->term) ||
+        parse_number(object, "life", &to->boot_id) ||
+        parse_number(object, "floor", &to->minimum_epoch) ||
+        parse_number(object, "open", &to->newest) || parse_number(object, "running", &running);
     to->started = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(object, "started"));
     to->running = (int)running;
     cJSON_Delete(object);
     return failed ? -1 : 0;
 }
 
-static void take_response(tw_daemon_node *node, const tw_daemon_call *ended, int status,
-                          const char *body, size_t length) {
+static void dispatch_response(tw_daemon_node *node, const tw_daemon_call *call, int status,
+                              const char *body, size_t length) {
     const double now = tw_daemon_steady_s();
     tw_standby_machine_status machine;
-    switch (ended->kind) {
+    switch (call->kind) {
     case TW_DAEMON_CALL_STATE:
-        tw_standby_answered(node->standby, now, ended->about, status, body, length);
+        tw_standby_handle_response(node->standby, now, call->tag, status, body, length);
         break;
     case TW_DAEMON_CALL_MACHINE: {
-        const int failed = read_machine(&machine, status, body, length);
-        tw_standby_machine_answered(node->standby, now, ended->machine, ended->about,
-                                    failed ? NULL : &machine);
+        const int failed = parse_machine_status(&machine, status, body, length);
+        tw_standby_handle_machine_status(node->standby, now, call->machine, call->tag,
+                                         failed ? NULL : &machine);
         break;
     }
     case TW_DAEMON_CALL_OPEN:
-        if (status == OK) tw_shards_owner_confirmed(node->owner, ended->machine, ended->about);
+        if (status == OK) tw_shards_owner_confirmed(node->owner, call->machine, call->tag);
         break;
     case TW_DAEMON_CALL_OTHER:
         break;
@@ -109,11 +110,11 @@
 void tw_daemon_on_response(void *context, uint64_t id, int status, const char *body,
                            size_t length) {
     tw_daemon_node *node = context;
-    tw_daemon_call *ended;
-    HASH_FIND(hh, node->calls, &id, sizeof id, ended);
-    if (!ended) return;
-    HASH_DEL(node->calls, ended);
-    take_response(node, ended, status, body ? body : "", length);
-    free(ended);
-    tw_daemon_settle(node);
+    tw_daemon_call *call;
+    HASH_FIND(hh, node->calls, &id, sizeof id, call);
+    if (!call) return;
+    HASH_DEL(node->calls, call);
+    dispatch_response(node, call, status, body ? body : "", length);
+    free(call);
+    tw_daemon_process_effects(node);
 }
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -8,12 +8,12 @@
 #include <string.h>
 #include <time.h>
 
-#define END_S 1.0 /* at most, for giving the lease back */
+#define MAX_RELEASE_S 1.0 /* at most, for giving the lease back */
 #define NS_PER_S 1e9
 #define IDLE_S 60
-#define MOST_CLIENT_SOCKETS 512
-#define MOST_SERVER_SOCKETS 4 /* the daemon serves no HTTP */
-#define LARGEST_RESPONSE ((size_t)2 << 20)
+#define MAX_CLIENT_SOCKETS 512
+#define MAX_SERVER_SOCKETS 4 /* the daemon serves no HTTP */
+#define MAX_RESPONSE_BYTES ((size_t)2 << 20)
 
 /* Ratios to the lease. */
 #define REPORT_RATIO 0.25    /* how long a report may last */
@@ -41,7 +41,7 @@
 
 /* ---- effects ---- */
 
-static void carry_out(tw_daemon_node *node, const tw_standby_effect *effect) {
+static void apply_effect(tw_daemon_node *node, const tw_standby_effect *effect) {
     switch (effect->kind) {
     case TW_STANDBY_CALL:
         tw_daemon_call_state(node, effect);
@@ -57,10 +57,10 @@
             tw_shards_owner_notified(node->owner, tw_daemon_steady_s(),
                                      &effect->table->notification);
         else
-            tw_daemon_keep_notification(node, &effect->table->notification);
+            tw_daemon_queue_notification(node, &effect->table->notification);
         break;
     case TW_STANDBY_ANSWER:
-        tw_daemon_answer(node, effect->table);
+        tw_daemon_answer_client(node, effect->table);
         break;
     case TW_STANDBY_LOG_LINE:
         tw_log_info("%s", effect->line);
@@ -68,38 +68,38 @@
     }
 }
 
-static bool take_effects(tw_daemon_node *node) {
+static bool apply_effects(tw_daemon_node *node) {
     tw_standby_effect *effect;
-    bool taken = false;
-    while ((effect = tw_standby_next(node->standby))) {
-        carry_out(node, effect);
+    bool applied = false;
+    while ((effect = tw_standby_next_effect(node->standby))) {
+        apply_effect(node, effect);
         tw_standby_effect_free(effect);
-        taken = true;
+        applied = true;
     }
-    tw_daemon_take_owner_effects(node);
-    return taken;
+    tw_daemon_process_owner_effects(node);
+    return applied;
 }
 
 /* What the owner says to its own table may bring about more. */
-void tw_daemon_settle(tw_daemon_node *node) {
-    while (take_effects(node)) continue;
+void tw_daemon_process_effects(tw_daemon_node *node) {
+    while (apply_effects(node)) continue;
     const bool decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
-    if (node->decided && !decides) tw_daemon_free_notifications(node);
-    node->decided = decides;
+    if (node->was_deciding && !decides) tw_daemon_free_notifications(node);
+    node->was_deciding = decides;
 }
 
 /* ---- events ---- */
 
-static void on_fed(struct ev_loop *loop, ev_async *watcher, int events) {
+static void on_feed(struct ev_loop *loop, ev_async *watcher, int events) {
     (void)loop;
     (void)events;
-    tw_daemon_take_feed(watcher->data);
+    tw_daemon_process_feed(watcher->data);
 }
 
-static void on_reported(struct ev_loop *loop, ev_async *watcher, int events) {
+static void on_report_answer(struct ev_loop *loop, ev_async *watcher, int events) {
     (void)loop;
     (void)events;
-    tw_daemon_take_report(watcher->data);
+    tw_daemon_handle_report_answer(watcher->data);
 }
 
 static void on_request(void *context, int port, uint64_t connection, const char *method,
@@ -122,9 +122,9 @@
     (void)events;
     tw_standby_tick(node->standby, now, wall_s());
     tw_shards_owner_tick(node->owner, now);
-    tw_daemon_settle(node);
-    tw_daemon_follow(node);
-    tw_daemon_report(node);
+    tw_daemon_process_effects(node);
+    tw_daemon_update_feed(node);
+    tw_daemon_send_report(node);
 }
 
 static void on_signal(struct ev_loop *loop, ev_signal *signal, int events) {
@@ -135,32 +135,32 @@
 
 /* ---- begin and end ---- */
 
-static void wake_called(void *context) {
+static void wake_for_calls(void *context) {
     tw_daemon_node *node = context;
-    ev_async_send(node->loop, &node->called);
+    ev_async_send(node->loop, &node->calls_wake);
 }
 
-static void wake_reported(void *context) {
+static void wake_for_report(void *context) {
     tw_daemon_node *node = context;
-    ev_async_send(node->loop, &node->reported);
+    ev_async_send(node->loop, &node->report_wake);
 }
 
-static void wake_fed(void *context) {
+static void wake_for_feed(void *context) {
     tw_daemon_node *node = context;
-    ev_async_send(node->loop, &node->fed);
+    ev_async_send(node->loop, &node->feed_wake);
 }
 
 static void start_watchers(tw_daemon_node *node) {
-    ev_async_init(&node->called, tw_daemon_on_called);
-    ev_async_init(&node->fed, on_fed);
-    ev_async_init(&node->reported, on_reported);
+    ev_async_init(&node->calls_wake, tw_daemon_on_calls);
+    ev_async_init(&node->feed_wake, on_feed);
+    ev_async_init(&node->report_wake, on_report_answer);
     ev_timer_init(&node->tick, on_tick, 0, tick_s);
     ev_signal_init(&node->terminated, on_signal, SIGTERM);
     ev_signal_init(&node->interrupted, on_signal, SIGINT);
-    node->called.data = node->reported.data = node->fed.data = node->tick.data = node;
-    ev_async_start(node->loop, &node->fed);
-    ev_async_start(node->loop, &node->called);
-    ev_async_start(node->loop, &node->reported);
+    node->calls_wake.data = node->report_wake.data = node->feed_wake.data = node->tick.data = node;
+    ev_async_start(node->loop, &node->feed_wake);
+    ev_async_start(node->loop, &node->calls_wake);
+    ev_async_start(node->loop, &node->report_wake);
     ev_timer_start(node->loop, &node->tick);
     ev_signal_start(node->loop, &node->terminated);
     ev_signal_start(node->loop, &node->interrupted);
@@ -168,18 +168,18 @@
 
 static void start_net(tw_daemon_node *node) {
     const tw_net_handler handler = {.request = on_request, .response = tw_daemon_on_response};
-    const tw_net_limits limits = {.max_server = MOST_SERVER_SOCKETS,
-                                  .max_client = MOST_CLIENT_SOCKETS,
+    const tw_net_limits limits = {.max_server = MAX_SERVER_SOCKETS,
+                                  .max_client = MAX_CLIENT_SOCKETS,
                                   .idle_s = IDLE_S,
-                                  .max_response = LARGEST_RESPONSE};
+                                  .max_response = MAX_RESPONSE_BYTES};
     node->net = tw_net_new(node->loop, &limits, &handler, node);
 }
 
 /* Gives the lease back, and waits for the answers to calls for a moment at most. */
 static void release_lease(tw_daemon_node *node) {
     tw_standby_resign(node->standby, tw_daemon_steady_s());
-    tw_daemon_settle(node);
-    const double until = tw_daemon_steady_s() + END_S;
+    tw_daemon_process_effects(node);
+    const double until = tw_daemon_steady_s() + MAX_RELEASE_S;
     ev_timer_stop(node->loop, &node->tick);
     while (HASH_COUNT(node->calls) && tw_daemon_steady_s() < until) ev_run(node->loop, EVRUN_ONCE);
 }
@@ -210,14 +210,14 @@
     node.shards = tw_shards_new(&settings->shards);
     node.standby = tw_standby_new(&standby, node.shards, tw_daemon_steady_s());
     node.owner = tw_shards_owner_new(settings->shards.retry_s);
-    node.messages = tw_daemon_alloc(sizeof *node.messages * TW_DAEMON_MOST_NOTIFICATIONS);
+    node.messages = tw_daemon_alloc(sizeof *node.messages * TW_DAEMON_MAX_NOTIFICATIONS);
     start_net(&node);
     start_watchers(&node);
     node.reporter =
-        tw_reporter_start(settings->name, settings->lease_s * REPORT_RATIO, wake_reported, &node);
-    node.subscriber =
-        tw_subscriber_start(settings->name, settings->lease_s * HEARTBEAT_RATIO, wake_fed, &node);
-    node.server = tw_rpc_server_start(settings->control, wake_called, &node);
+        tw_reporter_start(settings->name, settings->lease_s * REPORT_RATIO, wake_for_report, &node);
+    node.subscriber = tw_subscriber_start(settings->name, settings->lease_s * HEARTBEAT_RATIO,
+                                          wake_for_feed, &node);
+    node.server = tw_rpc_server_start(settings->control, wake_for_calls, &node);
     const bool started = node.server != NULL;
     if (started) {
         tw_log_info("event=process_started control=%s", settings->control);
--- a/src/daemon/following.c
+++ b/src/daemon/following.c
@@ -5,13 +5,13 @@
 #include <string.h>
 
 /* Ratios to the lease. */
-#define FIRST_BACKOFF_RATIO 0.02
-#define MOST_BACKOFF_RATIO 0.2
-#define JITTER 0.5 /* of the backoff */
+#define INITIAL_BACKOFF_RATIO 0.02
+#define MAX_BACKOFF_RATIO 0.2
+#define JITTER_RATIO 0.5 /* of the backoff */
 #define MS_PER_S 1000.0
 
 /* From 0 to 1, another one for each node and try: what is below a millisecond of the time. */
-static double draw(void) {
+static double jitter_fraction(void) {
     double whole;
     return modf(tw_daemon_steady_s() * MS_PER_S, &whole);
 }
@@ -19,40 +19,40 @@
 /* Of the controller that is followed now, from where this node is. */
 static void open_feed(tw_daemon_node *node) {
     const tw_standby_position position = tw_standby_position_of(node->standby);
-    tw_subscriber_open(node->subscriber, node->followed, &position);
+    tw_subscriber_open(node->subscriber, node->feed_address, &position);
 }
 
 /* Opens a feed that has ended again, each time a little later. */
-static void open_again(tw_daemon_node *node, double now) {
+static void reopen_feed(tw_daemon_node *node, double now) {
     const double lease_s = node->settings->lease_s;
-    if (now < node->follow_at) return;
-    node->backoff_s = fmin(2 * node->backoff_s, MOST_BACKOFF_RATIO * lease_s);
-    node->follow_at = now + node->backoff_s * (1 + JITTER * draw());
+    if (now < node->reopen_at) return;
+    node->backoff_s = fmin(2 * node->backoff_s, MAX_BACKOFF_RATIO * lease_s);
+    node->reopen_at = now + node->backoff_s * (1 + JITTER_RATIO * jitter_fraction());
     open_feed(node);
 }
 
-void tw_daemon_follow(tw_daemon_node *node) {
+void tw_daemon_update_feed(tw_daemon_node *node) {
     const double now = tw_daemon_steady_s();
-    const char *active = tw_standby_active(node->standby);
+    const char *active = tw_standby_active_address(node->standby);
     const char *address = strcmp(active, node->settings->control) != 0 ? active : "";
-    if (strcmp(address, node->followed) != 0) {
-        node->backoff_s = FIRST_BACKOFF_RATIO * node->settings->lease_s;
-        node->follow_at = now + node->backoff_s;
-        snprintf(node->followed, sizeof node->followed, "%s", address);
+    if (strcmp(address, node->feed_address) != 0) {
+        node->backoff_s = INITIAL_BACKOFF_RATIO * node->settings->lease_s;
+        node->reopen_at = now + node->backoff_s;
+        snprintf(node->feed_address, sizeof node->feed_address, "%s", address);
         open_feed(node);
     } else if (address[0] && !tw_subscriber_is_open(node->subscriber)) {
-        open_again(node, now);
+        reopen_feed(node, now);
     }
 }
 
-void tw_daemon_take_feed(tw_daemon_node *node) {
+void tw_daemon_process_feed(tw_daemon_node *node) {
     tw_standby_message message;
     while (tw_subscriber_next(node->subscriber, &message)) {
-        const int follows = tw_standby_take(node->standby, tw_daemon_steady_s(), &message);
+        const int follows = tw_standby_apply_message(node->standby, tw_daemon_steady_s(), &message);
         if (message.kind != TW_STANDBY_DENIED)
-            node->backoff_s = FIRST_BACKOFF_RATIO * node->settings->lease_s;
+            node->backoff_s = INITIAL_BACKOFF_RATIO * node->settings->lease_s;
         tw_standby_message_free(&message);
         if (!follows) open_feed(node);
     }
-    tw_daemon_settle(node);
+    tw_daemon_process_effects(node);
 }
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -9,15 +9,15 @@
 enum { OPT_DRAIN = 'd', OPT_GRACE = 'g', OPT_RATE = 'w', OPT_VALUE = 'v', OPT_OPS = 'o' };
 
 #define KB 1024
-#define LEAST_OPS 4
-#define LEAST_LEASE_S 0.5
-#define LEAST_GRACE_S 0.1
-#define LEASE_S 3
-#define DRAIN_S 30
-#define GRACE_S 4
-#define VALUE_KB 8
-#define TXN_OPS 12
-#define WRITE_RPS 10
+#define MIN_TXN_OPS 4
+#define MIN_LEASE_S 0.5
+#define MIN_GRACE_S 0.1
+#define DEFAULT_LEASE_S 3
+#define DEFAULT_DRAIN_S 30
+#define DEFAULT_GRACE_S 4
+#define DEFAULT_VALUE_KB 8
+#define DEFAULT_TXN_OPS 12
+#define DEFAULT_WRITE_RPS 10
 #define RETRIES_PER_GRACE 4.0 /* what was not answered is repeated so often in grace_s */
 
 const char *argp_program_version = "traywalld " TW_VERSION;
@@ -34,14 +34,14 @@
     {"txn-ops", OPT_OPS, "N", 0, "most changes in a transaction (default 12)", 0},
     {NULL, 0, NULL, 0, NULL, 0}};
 
-static double number_of(struct argp_state *state, const char *text, double least) {
+static double parse_number(struct argp_state *state, const char *text, double minimum) {
     char *rest;
     const double value = strtod(text, &rest);
-    if (rest == text || *rest || !(value >= least)) argp_error(state, "not a number: %s", text);
+    if (rest == text || *rest || !(value >= minimum)) argp_error(state, "not a number: %s", text);
     return value;
 }
 
-static error_t parse(int key, char *text, struct argp_state *state) {
+static error_t parse_option(int key, char *text, struct argp_state *state) {
     tw_daemon_settings *settings = state->input;
     switch (key) {
     case OPT_NAME:
@@ -54,22 +54,22 @@
         settings->control = text;
         break;
     case OPT_LEASE:
-        settings->lease_s = number_of(state, text, LEAST_LEASE_S);
+        settings->lease_s = parse_number(state, text, MIN_LEASE_S);
         break;
     case OPT_DRAIN:
-        settings->shards.drain_s = number_of(state, text, 0);
+        settings->shards.drain_s = parse_number(state, text, 0);
         break;
     case OPT_GRACE:
-        settings->shards.grace_s = number_of(state, text, LEAST_GRACE_S);
+        settings->shards.grace_s = parse_number(state, text, MIN_GRACE_S);
         break;
     case OPT_RATE:
-        settings->shards.write_rps = number_of(state, text, 1);
+        settings->shards.write_rps = parse_number(state, text, 1);
         break;
     case OPT_VALUE:
-        settings->shards.value_bytes = (size_t)number_of(state, text, 1) * KB;
+        settings->shards.value_bytes = (size_t)parse_number(state, text, 1) * KB;
         break;
     case OPT_OPS:
-        settings->shards.txn_ops = (int)number_of(state, text, LEAST_OPS);
+        settings->shards.txn_ops = (int)parse_number(state, text, MIN_TXN_OPS);
         break;
     case ARGP_KEY_END:
         if (!settings->name || !settings->state || !settings->control)
@@ -83,15 +83,15 @@
 
 int main(int count, char **arguments) {
     static const struct argp argp = {.options = options,
-                                     .parser = parse,
+                                     .parser = parse_option,
                                      .doc = "Keeps the shares of a fleet. LOG_LEVEL: error, info "
                                             "or debug."};
-    tw_daemon_settings settings = {.lease_s = LEASE_S,
-                                   .shards = {.drain_s = DRAIN_S,
-                                              .grace_s = GRACE_S,
-                                              .value_bytes = VALUE_KB * (size_t)KB,
-                                              .txn_ops = TXN_OPS,
-                                              .write_rps = WRITE_RPS}};
+    tw_daemon_settings settings = {.lease_s = DEFAULT_LEASE_S,
+                                   .shards = {.drain_s = DEFAULT_DRAIN_S,
+                                              .grace_s = DEFAULT_GRACE_S,
+                                              .value_bytes = DEFAULT_VALUE_KB * (size_t)KB,
+                                              .txn_ops = DEFAULT_TXN_OPS,
+                                              .write_rps = DEFAULT_WRITE_RPS}};
     argp_parse(&argp, count, arguments, 0, NULL, &settings);
     settings.shards.retry_s = settings.shards.grace_s / RETRIES_PER_GRACE;
     const char *level = getenv("LOG_LEVEL");
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -15,19 +15,21 @@
     found = tw_daemon_alloc(sizeof *found);
     snprintf(found->owner, sizeof found->owner, "%s", owner);
     found->notifications =
-        tw_daemon_alloc(sizeof *found->notifications * TW_DAEMON_MOST_NOTIFICATIONS);
+        tw_daemon_alloc(sizeof *found->notifications * TW_DAEMON_MAX_NOTIFICATIONS);
     HASH_ADD_STR(node->notifications, owner, found);
     return found;
 }
 
-void tw_daemon_keep_notification(tw_daemon_node *node, const tw_shards_notification *notification) {
-    tw_daemon_owner_notifications *of = tw_daemon_notifications_of(node, notification->owner);
-    for (int i = 0; i < of->count; i++) {
-        if (strcmp(of->notifications[i].machine, notification->machine) != 0) continue;
-        of->notifications[i] = *notification; /* the later one holds */
+void tw_daemon_queue_notification(tw_daemon_node *node,
+                                  const tw_shards_notification *notification) {
+    tw_daemon_owner_notifications *queued = tw_daemon_notifications_of(node, notification->owner);
+    for (int i = 0; i < queued->count; i++) {
+        if (strcmp(queued->notifications[i].machine, notification->machine) != 0) continue;
+        queued->notifications[i] = *notification; /* the later one holds */
         return;
     }
-    if (of->count < TW_DAEMON_MOST_NOTIFICATIONS) of->notifications[of->count++] = *notification;
+    if (queued->count < TW_DAEMON_MAX_NOTIFICATIONS)
+        queued->notifications[queued->count++] = *notification;
 }
 
 void tw_daemon_free_notifications(tw_daemon_node *node) {
@@ -43,7 +45,7 @@
 /* ---- effects of the owner ---- */
 
 /* Tells the leader, which may be this node. */
-static void say(tw_daemon_node *node, const tw_shards_owner_effect *effect) {
+static void send_to_leader(tw_daemon_node *node, const tw_shards_owner_effect *effect) {
     if (tw_standby_decides(node->standby, tw_daemon_steady_s())) {
         const char *owner = node->settings->name;
         if (effect->kind == TW_SHARDS_OWNER_SYNC)
@@ -54,14 +56,14 @@
             tw_shards_opened(node->shards, owner, effect->machine, effect->epoch);
         return;
     }
-    if (node->message_count == TW_DAEMON_MOST_NOTIFICATIONS) return; /* said again later */
+    if (node->message_count == TW_DAEMON_MAX_NOTIFICATIONS) return; /* said again later */
     tw_rpc_message *message = &node->messages[node->message_count++];
     message->kind = effect->kind;
     message->epoch = effect->epoch;
     snprintf(message->machine, sizeof message->machine, "%s", effect->machine);
 }
 
-void tw_daemon_take_owner_effects(tw_daemon_node *node) {
+void tw_daemon_process_owner_effects(tw_daemon_node *node) {
     tw_shards_owner_effect *effect;
     while ((effect = tw_shards_owner_next(node->owner))) {
         switch (effect->kind) {
@@ -72,17 +74,17 @@
             tw_daemon_send_command(node, TW_DAEMON_CALL_OTHER, "/stop", effect);
             break;
         default:
-            say(node, effect);
+            send_to_leader(node, effect);
         }
         free(effect);
     }
 }
 
 /* Sends what there is to say to another node that leads. */
-void tw_daemon_report(tw_daemon_node *node) {
-    const char *leader = tw_standby_active(node->standby);
-    const bool to_itself = !strcmp(leader, node->settings->control);
-    if (to_itself || !leader[0] || !tw_reporter_idle(node->reporter)) return;
+void tw_daemon_send_report(tw_daemon_node *node) {
+    const char *leader = tw_standby_active_address(node->standby);
+    const bool leads_itself = !strcmp(leader, node->settings->control);
+    if (leads_itself || !leader[0] || !tw_reporter_is_idle(node->reporter)) return;
     tw_rpc_message *messages =
         tw_daemon_alloc(sizeof *messages * ((size_t)node->message_count + 1));
     memcpy(messages, node->messages, sizeof *messages * (size_t)node->message_count);
@@ -91,11 +93,11 @@
     node->message_count = 0;
 }
 
-void tw_daemon_take_report(tw_daemon_node *node) {
+void tw_daemon_handle_report_answer(tw_daemon_node *node) {
     tw_rpc_answer answer;
-    if (!tw_reporter_answer(node->reporter, &answer)) return;
+    if (!tw_reporter_take_answer(node->reporter, &answer)) return;
     for (int i = 0; i < answer.notification_count; i++)
         tw_shards_owner_notified(node->owner, tw_daemon_steady_s(), &answer.notifications[i]);
     tw_rpc_answer_free(&answer);
-    tw_daemon_take_owner_effects(node);
+    tw_daemon_process_owner_effects(node);
 }
--- a/src/daemon/reporter.c
+++ b/src/daemon/reporter.c
@@ -12,18 +12,18 @@
     pthread_t thread;
     pthread_mutex_t mutex;
     pthread_cond_t changed;
-    void (*done)(void *context);
+    void (*on_done)(void *context);
     void *context;
     tw_reporter_state state;
     bool stopping, failed;
     double timeout_s;
-    char owner[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
+    char owner[TW_SHARDS_NAME], address[TW_RPC_ADDRESS_SIZE];
     tw_standby_position position;
     tw_rpc_message *messages;
     int message_count;
     tw_rpc_answer answer;
     tw_rpc_client *client;
-    char client_address[TW_RPC_ADDRESS];
+    char client_address[TW_RPC_ADDRESS_SIZE];
 };
 
 /* The connection is kept as long as the leader stays where it is. */
@@ -32,7 +32,7 @@
     if (strcmp(reporter->client_address, address) != 0) {
         if (reporter->client) tw_rpc_client_free(reporter->client);
         reporter->client = tw_rpc_client_new(address);
-        snprintf(reporter->client_address, TW_RPC_ADDRESS, "%s", address);
+        snprintf(reporter->client_address, TW_RPC_ADDRESS_SIZE, "%s", address);
     }
     return tw_rpc_client_call(reporter->client, call, reporter->timeout_s, answer);
 }
@@ -43,7 +43,7 @@
                         .messages = reporter->messages,
                         .message_count = reporter->message_count};
     tw_rpc_answer answer = {0};
-    char address[TW_RPC_ADDRESS];
+    char address[TW_RPC_ADDRESS_SIZE];
     snprintf(call.owner, sizeof call.owner, "%s", reporter->owner);
     snprintf(address, sizeof address, "%s", reporter->address);
     reporter->messages = NULL;
@@ -54,10 +54,10 @@
     reporter->failed = status != TW_RPC_OK;
     reporter->answer = answer;
     reporter->state = TW_REPORTER_ANSWERED;
-    reporter->done(reporter->context);
+    reporter->on_done(reporter->context);
 }
 
-static void *run(void *context) {
+static void *run_thread(void *context) {
     tw_reporter *reporter = context;
     pthread_mutex_lock(&reporter->mutex);
     while (!reporter->stopping) {
@@ -70,21 +70,21 @@
     return NULL;
 }
 
-tw_reporter *tw_reporter_start(const char *owner, double timeout_s, void (*done)(void *context),
+tw_reporter *tw_reporter_start(const char *owner, double timeout_s, void (*on_done)(void *context),
                                void *context) {
     tw_reporter *reporter = calloc(1, sizeof *reporter);
     if (!reporter) abort();
     snprintf(reporter->owner, sizeof reporter->owner, "%s", owner);
     reporter->timeout_s = timeout_s;
-    reporter->done = done;
+    reporter->on_done = on_done;
     reporter->context = context;
     pthread_mutex_init(&reporter->mutex, NULL);
     pthread_cond_init(&reporter->changed, NULL);
-    if (pthread_create(&reporter->thread, NULL, run, reporter)) abort();
+    if (pthread_create(&reporter->thread, NULL, run_thread, reporter)) abort();
     return reporter;
 }
 
-bool tw_reporter_idle(tw_reporter *reporter) {
+bool tw_reporter_is_idle(tw_reporter *reporter) {
     pthread_mutex_lock(&reporter->mutex);
     const bool idle = reporter->state == TW_REPORTER_IDLE;
     pthread_mutex_unlock(&reporter->mutex);
@@ -103,7 +103,7 @@
     pthread_mutex_unlock(&reporter->mutex);
 }
 
-bool tw_reporter_answer(tw_reporter *reporter, tw_rpc_answer *answer) {
+bool tw_reporter_take_answer(tw_reporter *reporter, tw_rpc_answer *answer) {
     pthread_mutex_lock(&reporter->mutex);
     const bool answered = reporter->state == TW_REPORTER_ANSWERED;
     if (answered) {
--- a/src/daemon/subscriber.c
+++ b/src/daemon/subscriber.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MOST_KEPT 32
+#define MAX_QUEUED 32
 
 struct tw_subscriber {
     pthread_t thread;
@@ -14,32 +14,34 @@
     pthread_cond_t changed;
     void (*wake)(void *context);
     void *context;
-    char node[TW_SHARDS_NAME], address[TW_RPC_ADDRESS];
+    char node[TW_SHARDS_NAME], address[TW_RPC_ADDRESS_SIZE];
     double pause_s;
     tw_standby_position position;
-    bool stopping, wanted; /* wanted: a feed is to be opened */
-    uint64_t generation;   /* counts tw_subscriber_open */
-    bool open;             /* the thread reads a feed of this generation */
-    tw_rpc_feed *feed;     /* at hand, to be cancelled from outside */
-    tw_standby_message kept[MOST_KEPT];
-    int kept_count;
+    bool stopping, open_requested; /* wanted: a feed is to be opened */
+    uint64_t generation;           /* counts tw_subscriber_open */
+    bool open;                     /* the thread reads a feed of this generation */
+    tw_rpc_feed *feed;             /* at hand, to be cancelled from outside */
+    tw_standby_message queue[MAX_QUEUED];
+    int queue_count;
 };
 
-static void drop_kept(tw_subscriber *subscriber) {
-    for (int i = 0; i < subscriber->kept_count; i++) tw_standby_message_free(&subscriber->kept[i]);
-    subscriber->kept_count = 0;
+static void clear_queue(tw_subscriber *subscriber) {
+    for (int i = 0; i < subscriber->queue_count; i++)
+        tw_standby_message_free(&subscriber->queue[i]);
+    subscriber->queue_count = 0;
 }
 
 /* Whether the message is of the feed that is wanted and was kept; waits for room. */
-static bool keep(tw_subscriber *subscriber, uint64_t generation, tw_standby_message *message) {
-    while (subscriber->kept_count == MOST_KEPT && subscriber->generation == generation &&
+static bool enqueue_message(tw_subscriber *subscriber, uint64_t generation,
+                            tw_standby_message *message) {
+    while (subscriber->queue_count == MAX_QUEUED && subscriber->generation == generation &&
            !subscriber->stopping)
         pthread_cond_wait(&subscriber->changed, &subscriber->mutex);
     if (subscriber->generation != generation || subscriber->stopping) {
         tw_standby_message_free(message);
         return false;
     }
-    subscriber->kept[subscriber->kept_count++] = *message;
+    subscriber->queue[subscriber->queue_count++] = *message;
     subscriber->wake(subscriber->context);
     return true;
 }
@@ -52,14 +54,14 @@
     tw_standby_message message;
     tw_rpc_client *client = tw_rpc_client_new(subscriber->address);
     tw_rpc_feed *feed = tw_rpc_feed_open(client, subscriber->node, &position, subscriber->pause_s);
-    subscriber->wanted = false;
+    subscriber->open_requested = false;
     subscriber->feed = feed;
-    bool goes_on = true;
-    while (goes_on) {
+    bool reading = true;
+    while (reading) {
         pthread_mutex_unlock(&subscriber->mutex);
-        const bool came = tw_rpc_feed_next(feed, &message);
+        const bool received = tw_rpc_feed_next(feed, &message);
         pthread_mutex_lock(&subscriber->mutex);
-        goes_on = came && keep(subscriber, generation, &message);
+        reading = received && enqueue_message(subscriber, generation, &message);
     }
     subscriber->feed = NULL;
     if (subscriber->generation == generation) subscriber->open = false;
@@ -70,11 +72,11 @@
     subscriber->wake(subscriber->context);
 }
 
-static void *run(void *context) {
+static void *run_thread(void *context) {
     tw_subscriber *subscriber = context;
     pthread_mutex_lock(&subscriber->mutex);
     while (!subscriber->stopping) {
-        if (subscriber->wanted)
+        if (subscriber->open_requested)
             read_feed(subscriber);
         else
             pthread_cond_wait(&subscriber->changed, &subscriber->mutex);
@@ -93,7 +95,7 @@
     subscriber->context = context;
     pthread_mutex_init(&subscriber->mutex, NULL);
     pthread_cond_init(&subscriber->changed, NULL);
-    if (pthread_create(&subscriber->thread, NULL, run, subscriber)) abort();
+    if (pthread_create(&subscriber->thread, NULL, run_thread, subscriber)) abort();
     return subscriber;
 }
 
@@ -103,30 +105,30 @@
     snprintf(subscriber->address, sizeof subscriber->address, "%s", address);
     subscriber->position = *position;
     subscriber->generation++;
-    subscriber->wanted = subscriber->open = address[0] != 0;
+    subscriber->open_requested = subscriber->open = address[0] != 0;
     if (subscriber->feed) tw_rpc_feed_cancel(subscriber->feed);
-    drop_kept(subscriber);
+    clear_queue(subscriber);
     pthread_cond_broadcast(&subscriber->changed);
     pthread_mutex_unlock(&subscriber->mutex);
 }
 
 bool tw_subscriber_next(tw_subscriber *subscriber, tw_standby_message *message) {
     pthread_mutex_lock(&subscriber->mutex);
-    const bool has = subscriber->kept_count > 0;
-    if (has) {
-        *message = subscriber->kept[0];
-        subscriber->kept_count--;
-        memmove(subscriber->kept, subscriber->kept + 1,
-                sizeof *subscriber->kept * (size_t)subscriber->kept_count);
+    const bool found = subscriber->queue_count > 0;
+    if (found) {
+        *message = subscriber->queue[0];
+        subscriber->queue_count--;
+        memmove(subscriber->queue, subscriber->queue + 1,
+                sizeof *subscriber->queue * (size_t)subscriber->queue_count);
         pthread_cond_broadcast(&subscriber->changed);
     }
     pthread_mutex_unlock(&subscriber->mutex);
-    return has;
+    return found;
 }
 
 bool tw_subscriber_is_open(tw_subscriber *subscriber) {
     pthread_mutex_lock(&subscriber->mutex);
-    const bool open = subscriber->open || subscriber->kept_count > 0;
+    const bool open = subscriber->open || subscriber->queue_count > 0;
     pthread_mutex_unlock(&subscriber->mutex);
     return open;
 }
@@ -140,7 +142,7 @@
     pthread_cond_broadcast(&subscriber->changed);
     pthread_mutex_unlock(&subscriber->mutex);
     pthread_join(subscriber->thread, NULL);
-    drop_kept(subscriber);
+    clear_queue(subscriber);
     pthread_cond_destroy(&subscriber->changed);
     pthread_mutex_destroy(&subscriber->mutex);
     free(subscriber);
--- a/src/rpc/client.cpp
+++ b/src/rpc/client.cpp
@@ -16,9 +16,9 @@
 constexpr double milliseconds_per_second = 1000;
 
 void set_deadline(grpc::ClientContext &context, double timeout_s) {
-    const auto span =
+    const auto timeout =
         std::chrono::milliseconds(static_cast<long>(timeout_s * milliseconds_per_second));
-    context.set_deadline(std::chrono::system_clock::now() + span);
+    context.set_deadline(std::chrono::system_clock::now() + timeout);
 }
 
 /// A server that has gone says UNAVAILABLE like one that can't answer; its text tells them apart.
@@ -28,8 +28,8 @@
     return answered ? TW_RPC_UNAVAILABLE : TW_RPC_UNREACHABLE;
 }
 
-tw_rpc_status show(tw_rpc_client *client, grpc::ClientContext &context, const tw_rpc_call &call,
-                   tw_rpc_answer &answer) {
+tw_rpc_status call_show(tw_rpc_client *client, grpc::ClientContext &context,
+                        const tw_rpc_call &call, tw_rpc_answer &answer) {
     tw_rpc::messages::ShowRequest request;
     tw_rpc::messages::ShowReply reply;
     request.set_machines(call.show_machines);
@@ -38,8 +38,8 @@
     return status_of(status);
 }
 
-tw_rpc_status change(tw_rpc_client *client, grpc::ClientContext &context, const tw_rpc_call &call,
-                     tw_rpc_answer &answer) {
+tw_rpc_status call_change(tw_rpc_client *client, grpc::ClientContext &context,
+                          const tw_rpc_call &call, tw_rpc_answer &answer) {
     tw_rpc::messages::ChangeRequest request;
     tw_rpc::messages::ChangeReply reply;
     tw_rpc::write_change(call.request, request);
@@ -48,8 +48,8 @@
     return status_of(status);
 }
 
-tw_rpc_status promote(tw_rpc_client *client, grpc::ClientContext &context, const tw_rpc_call &call,
-                      tw_rpc_answer &answer) {
+tw_rpc_status call_promote(tw_rpc_client *client, grpc::ClientContext &context,
+                           const tw_rpc_call &call, tw_rpc_answer &answer) {
     tw_rpc::messages::PromoteRequest request;
     tw_rpc::messages::ChangeReply reply;
     request.set_node(call.owner);
@@ -58,8 +58,8 @@
     return status_of(status);
 }
 
-tw_rpc_status ask_standby(tw_rpc_client *client, grpc::ClientContext &context,
-                          tw_rpc_answer &answer) {
+tw_rpc_status call_standby(tw_rpc_client *client, grpc::ClientContext &context,
+                           tw_rpc_answer &answer) {
     const tw_rpc::messages::StandbyRequest request;
     tw_rpc::messages::StandbyReply reply;
     const grpc::Status status = client->stub->Standby(&context, request, &reply);
@@ -67,8 +67,8 @@
     return status_of(status);
 }
 
-tw_rpc_status report(tw_rpc_client *client, grpc::ClientContext &context, const tw_rpc_call &call,
-                     tw_rpc_answer &answer) {
+tw_rpc_status call_report(tw_rpc_client *client, grpc::ClientContext &context,
+                          const tw_rpc_call &call, tw_rpc_answer &answer) {
     tw_rpc::messages::ReportRequest request;
     tw_rpc::messages::ReportReply reply;
     tw_rpc::write_report(call, request);
@@ -80,12 +80,12 @@
 } // namespace
 
 extern "C" tw_rpc_client *tw_rpc_client_new(const char *address) {
-    auto made = std::make_unique<tw_rpc_client>();
+    auto client = std::make_unique<tw_rpc_client>();
     grpc::ChannelArguments arguments;
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
-    made->stub = tw_rpc::messages::Control::NewStub(
+    client->stub = tw_rpc::messages::Control::NewStub(
         grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments));
-    return made.release();
+    return client.release();
 }
 
 extern "C" void tw_rpc_client_free(tw_rpc_client *client) { delete client; }
@@ -97,15 +97,15 @@
     set_deadline(context, timeout_s);
     switch (call->method) {
     case TW_RPC_SHOW:
-        return show(client, context, *call, *answer);
+        return call_show(client, context, *call, *answer);
     case TW_RPC_CHANGE:
-        return change(client, context, *call, *answer);
+        return call_change(client, context, *call, *answer);
     case TW_RPC_PROMOTE:
-        return promote(client, context, *call, *answer);
+        return call_promote(client, context, *call, *answer);
     case TW_RPC_STANDBY:
-        return ask_standby(client, context, *answer);
+        return call_standby(client, context, *answer);
     default:
-        return report(client, context, *call, *answer);
+        return call_report(client, context, *call, *answer);
     }
 }
 
@@ -131,10 +131,10 @@
 }
 
 extern "C" bool tw_rpc_feed_next(tw_rpc_feed *feed, tw_standby_message *message) {
-    tw_rpc::messages::FollowMessage came;
+    tw_rpc::messages::FollowMessage received;
     if (feed->reader == nullptr) feed->reader = feed->stub->Follow(&feed->context, feed->request);
-    if (!feed->reader->Read(&came)) return false;
-    if (tw_rpc::read_feed(came, *message)) return true;
+    if (!feed->reader->Read(&received)) return false;
+    if (tw_rpc::read_feed(received, *message)) return true;
     tw_standby_message_free(message);
     return false;
 }
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -3,15 +3,15 @@
  * both, tools/traywallctl the client. control.proto has the messages.
  *
  * The server's threads belong to gRPC. A call waits there until tw_rpc_answer_call is called with
- * its number, for at most TW_RPC_WAIT_S; then the client gets UNAVAILABLE and may ask again. */
+ * its number, for at most TW_RPC_MAX_WAIT_S; then the client gets UNAVAILABLE and may ask again. */
 #ifndef TW_RPC_H
 #define TW_RPC_H
 #include "shards/shards.h"
 #include "standby/standby.h"
 #include <stdbool.h>
 
-#define TW_RPC_ADDRESS 64
-#define TW_RPC_WAIT_S 8
+#define TW_RPC_ADDRESS_SIZE 64
+#define TW_RPC_MAX_WAIT_S 8
 
 typedef enum {
     TW_RPC_SHOW,    /* the shards, and the machines where asked for */
@@ -46,8 +46,8 @@
 /* What a call is answered with; the arrays belong to the answer. */
 typedef struct {
     tw_shards_verdict verdict;
-    char leader[TW_RPC_ADDRESS]; /* its control address; "": not known */
-    double retry_after_s;        /* above 0: ask again after it */
+    char leader[TW_RPC_ADDRESS_SIZE]; /* its control address; "": not known */
+    double retry_after_s;             /* above 0: ask again after it */
     uint64_t revision, minimum_epoch;
     tw_shards_progress progress; /* CHANGE */
     tw_shards_view *shards;      /* SHOW */
@@ -70,7 +70,7 @@
  * Returns NULL where the address can't be listened on. Free it with tw_rpc_server_stop. */
 tw_rpc_server *tw_rpc_server_start(const char *address, void (*wake)(void *context), void *context);
 /* Takes the next call that came in. Returns false where there is none. */
-bool tw_rpc_server_next(tw_rpc_server *server, tw_rpc_call *call);
+bool tw_rpc_server_next_call(tw_rpc_server *server, tw_rpc_call *call);
 /* Answers the call `id`. The answer is copied. A call that was given up meanwhile is ignored. */
 void tw_rpc_answer_call(tw_rpc_server *server, uint64_t id, const tw_rpc_answer *answer);
 /* Ends and frees the server; calls that wait get UNAVAILABLE. NULL is allowed. */
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr auto longest_wait = std::chrono::seconds(TW_RPC_WAIT_S);
+constexpr auto max_wait = std::chrono::seconds(TW_RPC_MAX_WAIT_S);
 constexpr auto watch_pause = std::chrono::milliseconds(200);
-constexpr auto shortest_pause = std::chrono::milliseconds(10);
-constexpr auto longest_pause = std::chrono::milliseconds(1000);
+constexpr auto min_pause = std::chrono::milliseconds(10);
+constexpr auto max_pause = std::chrono::milliseconds(1000);
 constexpr auto stop_wait = std::chrono::seconds(1);
 
 /// Owns an answer's arrays.
@@ -61,7 +61,7 @@
     call_queue(void (*wake_daemon)(void *), void *daemon) : wake(wake_daemon), context(daemon) {}
 
     /// Whether an answer came in time. Takes the call's memory over.
-    bool ask(tw_rpc_call call, owned_answer &answer) {
+    bool submit(tw_rpc_call call, owned_answer &answer) {
         std::unique_lock<std::mutex> lock(mutex);
         if (stopped) {
             tw_rpc_call_free(&call);
@@ -70,30 +70,30 @@
         const uint64_t id = ++last_id;
         call.id = id;
         call.request.id = id;
-        waiting.push_back(call);
-        awaited[id] = nullptr;
+        queued.push_back(call);
+        answers[id] = nullptr;
         wake(context);
         const bool in_time =
-            changed.wait_for(lock, longest_wait, [&] { return stopped || awaited[id] != nullptr; });
-        const std::unique_ptr<owned_answer> came = std::move(awaited[id]);
-        awaited.erase(id);
-        if (!in_time || came == nullptr) return false;
-        answer = *came;
+            changed.wait_for(lock, max_wait, [&] { return stopped || answers[id] != nullptr; });
+        const std::unique_ptr<owned_answer> received = std::move(answers[id]);
+        answers.erase(id);
+        if (!in_time || received == nullptr) return false;
+        answer = *received;
         return true;
     }
 
     bool next(tw_rpc_call &call) {
         const std::lock_guard<std::mutex> lock(mutex);
-        if (waiting.empty()) return false;
-        call = waiting.front();
-        waiting.pop_front();
+        if (queued.empty()) return false;
+        call = queued.front();
+        queued.pop_front();
         return true;
     }
 
     void answer(uint64_t id, const tw_rpc_answer &answer) {
         const std::lock_guard<std::mutex> lock(mutex);
-        const auto found = awaited.find(id);
-        if (found == awaited.end()) return; // its client has gone
+        const auto found = answers.find(id);
+        if (found == answers.end()) return; // its client has gone
         found->second = std::make_unique<owned_answer>(answer);
         changed.notify_all();
     }
@@ -101,8 +101,8 @@
     void stop() {
         const std::lock_guard<std::mutex> lock(mutex);
         stopped = true;
-        for (tw_rpc_call &call : waiting) tw_rpc_call_free(&call);
-        waiting.clear();
+        for (tw_rpc_call &call : queued) tw_rpc_call_free(&call);
+        queued.clear();
         changed.notify_all();
     }
 
@@ -114,8 +114,8 @@
   private:
     std::mutex mutex;
     std::condition_variable changed;
-    std::deque<tw_rpc_call> waiting;
-    std::map<uint64_t, std::unique_ptr<owned_answer>> awaited;
+    std::deque<tw_rpc_call> queued;
+    std::map<uint64_t, std::unique_ptr<owned_answer>> answers;
     void (*wake)(void *);
     void *context;
     uint64_t last_id = 0;
@@ -124,11 +124,13 @@
 
 namespace {
 
-grpc::Status unavailable() {
+grpc::Status unavailable_status() {
     return {grpc::StatusCode::UNAVAILABLE, "no answer in time, ask again"};
 }
 
-grpc::Status malformed() { return {grpc::StatusCode::INVALID_ARGUMENT, "a name is too long"}; }
+grpc::Status malformed_status() {
+    return {grpc::StatusCode::INVALID_ARGUMENT, "a name is too long"};
+}
 
 class control_service final : public messages::Control::Service {
   public:
@@ -140,7 +142,7 @@
         owned_answer answer;
         call.method = TW_RPC_SHOW;
         call.show_machines = request->machines();
-        if (!calls.ask(call, answer)) return unavailable();
+        if (!calls.submit(call, answer)) return unavailable_status();
         write_show(answer.view(), *reply);
         return grpc::Status::OK;
     }
@@ -149,9 +151,9 @@
                         messages::ChangeReply *reply) override {
         tw_rpc_call call = {};
         call.method = TW_RPC_CHANGE;
-        if (!read_change(*request, call.request)) return malformed();
+        if (!read_change(*request, call.request)) return malformed_status();
         owned_answer answer;
-        if (!calls.ask(call, answer)) return unavailable();
+        if (!calls.submit(call, answer)) return unavailable_status();
         write_reply(answer.view(), *reply);
         return grpc::Status::OK;
     }
@@ -164,8 +166,8 @@
             owned_answer answer;
             call.method = TW_RPC_CHANGE;
             call.request.kind = TW_SHARDS_WATCH;
-            if (!copy_text(call.request.key, request->key())) return malformed();
-            if (!calls.ask(call, answer)) return unavailable();
+            if (!copy_text(call.request.key, request->key())) return malformed_status();
+            if (!calls.submit(call, answer)) return unavailable_status();
             messages::ChangeReply reply;
             write_reply(answer.view(), reply);
             const std::string text = reply.SerializeAsString();
@@ -174,7 +176,7 @@
             if (reply.done() || answer.view().verdict != TW_SHARDS_OK) return grpc::Status::OK;
             std::this_thread::sleep_for(watch_pause);
         }
-        return unavailable();
+        return unavailable_status();
     }
 
     grpc::Status Report(grpc::ServerContext *, const messages::ReportRequest *request,
@@ -182,8 +184,8 @@
         tw_rpc_call call = {};
         owned_answer answer;
         call.method = TW_RPC_REPORT;
-        if (!read_report(*request, call)) return malformed();
-        if (!calls.ask(call, answer)) return unavailable();
+        if (!read_report(*request, call)) return malformed_status();
+        if (!calls.submit(call, answer)) return unavailable_status();
         write_notifications(answer.view(), *reply);
         return grpc::Status::OK;
     }
@@ -194,20 +196,20 @@
                         grpc::ServerWriter<messages::FollowMessage> *writer) override {
         tw_rpc_call call = {};
         call.method = TW_RPC_FOLLOW;
-        if (!read_follow(*request, call)) return malformed();
+        if (!read_follow(*request, call)) return malformed_status();
         const auto asked = std::chrono::milliseconds(static_cast<long>(request->pause_s() * 1000));
-        const auto pause = std::min(std::max(asked, shortest_pause), longest_pause);
+        const auto pause = std::min(std::max(asked, min_pause), max_pause);
         while (!context->IsCancelled() && !calls.is_stopped()) {
             owned_answer answer;
-            if (!calls.ask(call, answer)) return unavailable();
+            if (!calls.submit(call, answer)) return unavailable_status();
             const messages::FollowMessage &feed = answer.feed_message();
             if (!writer->Write(feed) || feed.kind() == messages::FollowMessage::DENIED)
                 return grpc::Status::OK;
-            if (!advance(call.position, feed)) return malformed();
+            if (!advance(call.position, feed)) return malformed_status();
             if (feed.kind() == messages::FollowMessage::HEARTBEAT)
                 std::this_thread::sleep_for(pause);
         }
-        return unavailable();
+        return unavailable_status();
     }
 
     grpc::Status Promote(grpc::ServerContext *, const messages::PromoteRequest *request,
@@ -215,8 +217,8 @@
         tw_rpc_call call = {};
         owned_answer answer;
         call.method = TW_RPC_PROMOTE;
-        if (!copy_text(call.owner, request->node())) return malformed();
-        if (!calls.ask(call, answer)) return unavailable();
+        if (!copy_text(call.owner, request->node())) return malformed_status();
+        if (!calls.submit(call, answer)) return unavailable_status();
         write_reply(answer.view(), *reply);
         return grpc::Status::OK;
     }
@@ -226,7 +228,7 @@
         tw_rpc_call call = {};
         owned_answer answer;
         call.method = TW_RPC_STANDBY;
-        if (!calls.ask(call, answer)) return unavailable();
+        if (!calls.submit(call, answer)) return unavailable_status();
         write_standby(answer.view(), *reply);
         return grpc::Status::OK;
     }
@@ -265,7 +267,7 @@
     return started->server == nullptr ? nullptr : started.release();
 }
 
-extern "C" bool tw_rpc_server_next(tw_rpc_server *server, tw_rpc_call *call) {
+extern "C" bool tw_rpc_server_next_call(tw_rpc_server *server, tw_rpc_call *call) {
     return server->calls.next(*call);
 }
 
--- a/src/standby/feed.c
+++ b/src/standby/feed.c
@@ -5,8 +5,8 @@
 #include <string.h>
 #include <utlist.h>
 
-#define PART_BYTES ((size_t)256 << 10) /* of a snapshot, about */
-#define MOST_FOLLOWERS 64
+#define SNAPSHOT_PART_BYTES ((size_t)256 << 10) /* of a snapshot, about */
+#define MAX_FOLLOWERS 64
 
 void tw_standby_message_free(tw_standby_message *message) {
     tw_wire_entries_free(message->entries, message->count);
@@ -32,34 +32,35 @@
 
 /* ---- active ---- */
 
-void tw_standby_heard(tw_standby *standby, double now, const char *name, uint64_t term,
-                      uint64_t number) {
-    tw_standby_follower *heard;
-    tw_standby_refresh(standby, now);
+void tw_standby_update_follower(tw_standby *standby, double now, const char *name, uint64_t term,
+                                uint64_t number) {
+    tw_standby_follower *follower;
+    tw_standby_update_authority(standby, now);
     if (!standby->leads) return;
-    HASH_FIND_STR(standby->followers, name, heard);
-    if (!heard) {
-        if (HASH_COUNT(standby->followers) >= MOST_FOLLOWERS) return;
-        heard = tw_standby_alloc(sizeof *heard);
-        strncpy(heard->name, name, sizeof heard->name - 1);
-        HASH_ADD_STR(standby->followers, name, heard);
+    HASH_FIND_STR(standby->followers, name, follower);
+    if (!follower) {
+        if (HASH_COUNT(standby->followers) >= MAX_FOLLOWERS) return;
+        follower = tw_standby_alloc(sizeof *follower);
+        strncpy(follower->name, name, sizeof follower->name - 1);
+        HASH_ADD_STR(standby->followers, name, follower);
     }
-    heard->seen_at = now;
-    heard->number = term == standby->view.term ? number : 0;
+    follower->seen_at = now;
+    follower->number = term == standby->view.term ? number : 0;
 }
 
 static void fill_snapshot(tw_standby *standby, tw_standby_message *message, const char *after) {
     size_t bytes = 0;
-    int room = 0;
+    int entry_count = 0;
     const tw_standby_record *from;
     message->kind = TW_STANDBY_SNAPSHOT;
     strcpy(message->after, after);
     tw_standby_view_sort(&standby->view);
     for (from = standby->view.records; from && strcmp(from->key, after) <= 0;) from = from->hh.next;
     const tw_standby_record *each = from;
-    for (; each && bytes < PART_BYTES; each = each->hh.next, room++) bytes += strlen(each->data);
+    for (; each && bytes < SNAPSHOT_PART_BYTES; each = each->hh.next, entry_count++)
+        bytes += strlen(each->data);
     message->more = each != NULL;
-    message->entries = tw_standby_alloc(sizeof *message->entries * (size_t)room);
+    message->entries = tw_standby_alloc(sizeof *message->entries * (size_t)entry_count);
     for (; from != each; from = from->hh.next) {
         tw_wire_entry entry = {.mod_revision = from->mod_revision, .value = from->data};
         strcpy(entry.key, from->key);
@@ -87,11 +88,11 @@
     message->count = sent->count;
 }
 
-tw_standby_message tw_standby_serve(tw_standby *standby, double now,
-                                    const tw_standby_position *position) {
-    tw_standby_refresh(standby, now);
+tw_standby_message tw_standby_build_message(tw_standby *standby, double now,
+                                            const tw_standby_position *position) {
+    tw_standby_update_authority(standby, now);
     const tw_standby_view *own = &standby->view;
-    tw_standby_message message = {.kind = TW_STANDBY_DENIED, .term = standby->heard_term};
+    tw_standby_message message = {.kind = TW_STANDBY_DENIED, .term = standby->latest_term};
     strcpy(message.successor, standby->successor);
     if (!standby->leads) return message;
     message.kind = TW_STANDBY_HEARTBEAT;
@@ -116,38 +117,39 @@
 /* ---- standby ---- */
 
 /* What came does not follow on what this node has: it begins with a snapshot. */
-static int begin_anew(tw_standby *standby) {
+static int restart_from_snapshot(tw_standby *standby) {
     standby->gaps++;
     standby->position = (tw_standby_position){0};
     tw_standby_view_clear(&standby->staged);
     return 0;
 }
 
-static bool same_digest(tw_standby *standby, const tw_standby_message *message) {
+static bool verify_digest(tw_standby *standby, const tw_standby_message *message) {
     if (standby->view.digest == message->digest) return true;
-    tw_standby_say(standby, "event=digest_mismatched number=%lu", (unsigned long)message->number);
+    tw_standby_log_event(standby, "event=digest_mismatched number=%lu",
+                         (unsigned long)message->number);
     standby->view.loaded = false; /* nothing of it may be decided by */
     return false;
 }
 
-static int take_change(tw_standby *standby, const tw_standby_message *message) {
+static int apply_change(tw_standby *standby, const tw_standby_message *message) {
     tw_standby_view *own = &standby->view;
     const tw_standby_position *at = &standby->position;
     if (message->term == at->term && message->number <= at->number) return 1; /* it came twice */
     if (message->term != at->term || message->number != at->number + 1 || at->after[0])
-        return begin_anew(standby);
+        return restart_from_snapshot(standby);
     tw_standby_view_apply(own, message->entries, message->count);
     own->number = message->number;
     own->store_revision = message->store_revision;
     tw_standby_advance(&standby->position, message);
-    return same_digest(standby, message) ? 1 : begin_anew(standby);
+    return verify_digest(standby, message) ? 1 : restart_from_snapshot(standby);
 }
 
-static int take_snapshot(tw_standby *standby, const tw_standby_message *message) {
+static int apply_snapshot_part(tw_standby *standby, const tw_standby_message *message) {
     tw_standby_position *at = &standby->position;
     const bool begins = !message->after[0];
     if (!begins && (at->term != message->term || strcmp(at->after, message->after) != 0))
-        return begin_anew(standby);
+        return restart_from_snapshot(standby);
     if (begins) {
         tw_standby_view_clear(&standby->staged);
         standby->staged.store_revision = message->store_revision;
@@ -165,20 +167,20 @@
     return 1;
 }
 
-static int take_heartbeat(tw_standby *standby, const tw_standby_message *message) {
+static int handle_heartbeat(tw_standby *standby, const tw_standby_message *message) {
     const tw_standby_position *at = &standby->position;
     if (!message->number || message->term != at->term || message->number != at->number) return 1;
-    return same_digest(standby, message) ? 1 : begin_anew(standby);
+    return verify_digest(standby, message) ? 1 : restart_from_snapshot(standby);
 }
 
-static void take_denial(tw_standby *standby, const tw_standby_message *message) {
-    if (message->term < standby->heard_term) return;
+static void handle_denial(tw_standby *standby, const tw_standby_message *message) {
+    if (message->term < standby->latest_term) return;
     strcpy(standby->successor, message->successor);
-    standby->heard_at = standby->now - standby->settings.lease_s;
+    standby->active_seen_at = standby->now - standby->settings.lease_s;
     if (!strcmp(standby->successor, standby->settings.name)) standby->lease.next_at = standby->now;
 }
 
-static void note_lag(tw_standby *standby) {
+static void update_lag(tw_standby *standby) {
     const bool lags = standby->view.number != standby->active_number;
     if (!lags) standby->lag_since = 0;
     if (lags && !standby->lag_since) standby->lag_since = standby->now;
@@ -186,26 +188,26 @@
 
 tw_standby_position tw_standby_position_of(const tw_standby *standby) { return standby->position; }
 
-int tw_standby_take(tw_standby *standby, double now, const tw_standby_message *message) {
+int tw_standby_apply_message(tw_standby *standby, double now, const tw_standby_message *message) {
     int follows = 1;
-    tw_standby_refresh(standby, now);
+    tw_standby_update_authority(standby, now);
     if (standby->leads) return 1;
     if (message->kind == TW_STANDBY_DENIED) {
-        take_denial(standby, message);
+        handle_denial(standby, message);
         tw_standby_step(standby);
         return 1;
     }
     /* A deposed one may go on feeding what held in its term. */
-    if (message->term < standby->heard_term) return 1;
-    standby->heard_term = message->term;
-    standby->heard_at = now;
+    if (message->term < standby->latest_term) return 1;
+    standby->latest_term = message->term;
+    standby->active_seen_at = now;
     standby->successor[0] = 0;
     if (message->number > standby->active_number || message->term != standby->position.term)
         standby->active_number = message->number;
-    if (message->kind == TW_STANDBY_CHANGE) follows = take_change(standby, message);
-    if (message->kind == TW_STANDBY_SNAPSHOT) follows = take_snapshot(standby, message);
-    if (message->kind == TW_STANDBY_HEARTBEAT) follows = take_heartbeat(standby, message);
-    note_lag(standby);
+    if (message->kind == TW_STANDBY_CHANGE) follows = apply_change(standby, message);
+    if (message->kind == TW_STANDBY_SNAPSHOT) follows = apply_snapshot_part(standby, message);
+    if (message->kind == TW_STANDBY_HEARTBEAT) follows = handle_heartbeat(standby, message);
+    update_lag(standby);
     tw_standby_step(standby);
     return follows;
 }
--- a/src/standby/lease.c
+++ b/src/standby/lease.c
@@ -25,7 +25,7 @@
     return lease->state == TW_STANDBY_LEASE_LEADING && now < lease->authority_until;
 }
 
-static void follow(tw_standby_lease *lease, double now, double pause_s) {
+static void become_follower(tw_standby_lease *lease, double now, double pause_s) {
     lease->state = TW_STANDBY_LEASE_FOLLOWING;
     lease->authority_until = 0;
     lease->token = lease->lease_id = 0;
@@ -35,31 +35,31 @@
 
 /* ---- calls ---- */
 
-static tw_standby_lease_call read_key(void) {
+static tw_standby_lease_call read_key_call(void) {
     tw_standby_lease_call call = {.method = "GET"};
-    snprintf(call.path, sizeof call.path, "/kv/%s", TW_STANDBY_KEY);
+    snprintf(call.path, sizeof call.path, "/kv/%s", TW_STANDBY_LEADER_KEY);
     return call;
 }
 
-static tw_standby_lease_call ask_grant(const tw_standby_lease *lease) {
+static tw_standby_lease_call grant_lease_call(const tw_standby_lease *lease) {
     tw_standby_lease_call call = {.method = "POST"};
     snprintf(call.path, sizeof call.path, "/grants");
     snprintf(call.body, sizeof call.body, "{\"lifeMs\":%.0f}", lease->ttl_s * MS_PER_S);
     return call;
 }
 
-static tw_standby_lease_call write_key(const tw_standby_lease *lease) {
+static tw_standby_lease_call write_key_call(const tw_standby_lease *lease) {
     tw_standby_lease_call call = {.method = "POST"};
     snprintf(call.path, sizeof call.path, "/txn");
     snprintf(call.body, sizeof call.body,
              "{\"if\":[{\"k\":\"%s\",\"stamp\":0}],\"apply\":[{\"write\":\"%s\",\"data\":{"
              "\"name\":\"%s\",\"control\":\"%s\"},\"hold\":%lu}]}",
-             TW_STANDBY_KEY, TW_STANDBY_KEY, lease->name, lease->control,
+             TW_STANDBY_LEADER_KEY, TW_STANDBY_LEADER_KEY, lease->name, lease->control,
              (unsigned long)lease->lease_id);
     return call;
 }
 
-static tw_standby_lease_call renew(const tw_standby_lease *lease) {
+static tw_standby_lease_call renew_lease_call(const tw_standby_lease *lease) {
     tw_standby_lease_call call = {.method = "POST", .body = "{}"};
     snprintf(call.path, sizeof call.path, "/grants/%lu/renew", (unsigned long)lease->lease_id);
     return call;
@@ -68,20 +68,20 @@
 tw_standby_lease_call tw_standby_lease_tick(tw_standby_lease *lease, double now) {
     const tw_standby_lease_call none = {.method = "GET"};
     if (lease->state == TW_STANDBY_LEASE_LEADING && now >= lease->authority_until)
-        follow(lease, now, 0);
-    if (lease->busy || now < lease->next_at) return none;
-    lease->busy = true;
-    lease->asked_in = lease->state;
+        become_follower(lease, now, 0);
+    if (lease->call_in_flight || now < lease->next_at) return none;
+    lease->call_in_flight = true;
+    lease->sent_in_state = lease->state;
     lease->sent_at = now;
     switch (lease->state) {
     case TW_STANDBY_LEASE_GRANTING:
-        return ask_grant(lease);
+        return grant_lease_call(lease);
     case TW_STANDBY_LEASE_WRITING:
-        return write_key(lease);
+        return write_key_call(lease);
     case TW_STANDBY_LEASE_LEADING:
-        return renew(lease);
+        return renew_lease_call(lease);
     default:
-        return read_key();
+        return read_key_call();
     }
 }
 
@@ -114,11 +114,11 @@
 }
 
 /* Nobody holds the key: asks for a lease, or looks again until others have had their time. */
-static void take_absent(tw_standby_lease *lease, double now) {
+static void handle_absent_key(tw_standby_lease *lease, double now) {
     lease->leader_name[0] = lease->leader_control[0] = 0;
     lease->leader_token = 0;
     if (lease->absent_since <= 0) lease->absent_since = now;
-    const double begin_at = lease->absent_since + lease->yield_s;
+    const double begin_at = lease->absent_since + lease->acquire_delay_s;
     if (now >= begin_at) {
         lease->state = TW_STANDBY_LEASE_GRANTING;
         lease->next_at = now;
@@ -127,10 +127,10 @@
     }
 }
 
-static void take_key(tw_standby_lease *lease, double now, int status, const char *body,
-                     size_t length) {
+static void handle_key_response(tw_standby_lease *lease, double now, int status, const char *body,
+                                size_t length) {
     if (status == STATUS_ABSENT) {
-        take_absent(lease, now);
+        handle_absent_key(lease, now);
         return;
     }
     lease->absent_since = 0;
@@ -150,54 +150,54 @@
     cJSON_Delete(entry);
 }
 
-static void take_grant(tw_standby_lease *lease, double now, int status, const char *body,
-                       size_t length) {
+static void handle_grant_response(tw_standby_lease *lease, double now, int status, const char *body,
+                                  size_t length) {
     if (status == STATUS_OK && !tw_wire_lease_id_parse(&lease->lease_id, body, length))
         lease->state = TW_STANDBY_LEASE_WRITING;
     else
-        follow(lease, now, lease->poll_s);
+        become_follower(lease, now, lease->poll_s);
     lease->written_lease_id = lease->lease_id;
 }
 
-static void take_write(tw_standby_lease *lease, double now, int status, const char *body,
-                       size_t length) {
+static void handle_write_response(tw_standby_lease *lease, double now, int status, const char *body,
+                                  size_t length) {
     uint64_t revision;
     if (status != STATUS_OK || tw_wire_revision_parse(&revision, body, length)) {
-        follow(lease, now, lease->poll_s);
+        become_follower(lease, now, lease->poll_s);
         return;
     }
     begin_leading(lease, now, revision);
 }
 
-static void take_renewal(tw_standby_lease *lease, double now, int status) {
+static void handle_renewal_response(tw_standby_lease *lease, double now, int status) {
     if (status == STATUS_ABSENT) {
-        follow(lease, now, 0);
+        become_follower(lease, now, 0);
         return;
     }
     if (status == STATUS_OK)
         lease->authority_until = lease->sent_at + lease->ttl_s * (1 - TW_STANDBY_MARGIN_RATIO);
-    lease->next_at = lease->sent_at + lease->ttl_s / TW_STANDBY_RENEWALS;
+    lease->next_at = lease->sent_at + lease->ttl_s / TW_STANDBY_RENEWALS_PER_LEASE;
 }
 
-void tw_standby_lease_answer(tw_standby_lease *lease, double now, int status, const char *body,
-                             size_t length) {
-    if (!lease->busy) return;
-    lease->busy = false;
+void tw_standby_lease_handle_response(tw_standby_lease *lease, double now, int status,
+                                      const char *body, size_t length) {
+    if (!lease->call_in_flight) return;
+    lease->call_in_flight = false;
     /* Authority may have ended meanwhile; then it is no answer to what this node is doing now. */
-    if (lease->asked_in != lease->state) return;
+    if (lease->sent_in_state != lease->state) return;
     switch (lease->state) {
     case TW_STANDBY_LEASE_FOLLOWING:
-        take_key(lease, now, status, body, length);
+        handle_key_response(lease, now, status, body, length);
         break;
     case TW_STANDBY_LEASE_GRANTING:
         lease->granted_at = lease->sent_at;
-        take_grant(lease, now, status, body, length);
+        handle_grant_response(lease, now, status, body, length);
         break;
     case TW_STANDBY_LEASE_WRITING:
-        take_write(lease, now, status, body, length);
+        handle_write_response(lease, now, status, body, length);
         break;
     case TW_STANDBY_LEASE_LEADING:
-        take_renewal(lease, now, status);
+        handle_renewal_response(lease, now, status);
         break;
     }
 }
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -20,11 +20,11 @@
 #include "wire/wire.h"
 #include <stdbool.h>
 
-#define TW_STANDBY_ADDRESS 64
-#define TW_STANDBY_PATH 160
-#define TW_STANDBY_LOG 200
+#define TW_STANDBY_ADDRESS_SIZE 64
+#define TW_STANDBY_PATH_SIZE 160
+#define TW_STANDBY_LOG_SIZE 200
 /* The leader's key in the state service. */
-#define TW_STANDBY_KEY "traywalld/leader"
+#define TW_STANDBY_LEADER_KEY "traywalld/leader"
 
 typedef enum {
     TW_STANDBY_BEHIND,     /* its view is missing or old; other standbys are preferred */
@@ -52,10 +52,10 @@
 /* ---- effects ---- */
 
 typedef enum {
-    TW_STANDBY_CALL,   /* to the state service; answer with tw_standby_answered */
+    TW_STANDBY_CALL,   /* to the state service; answer with tw_standby_handle_response */
     TW_STANDBY_CHECK,  /* to a machine: asks what it has open, and announces the term */
     TW_STANDBY_START,  /* to a machine: its minimum epoch; answer both with
-                          tw_standby_machine_answered */
+                          tw_standby_handle_machine_status */
     TW_STANDBY_NOTIFY, /* to an owner, of the table */
     TW_STANDBY_ANSWER, /* to a client, of the table */
     TW_STANDBY_LOG_LINE
@@ -65,16 +65,16 @@
     tw_standby_effect_kind kind;
     uint64_t id; /* CALL */
     const char *method;
-    char path[TW_STANDBY_PATH];
+    char path[TW_STANDBY_PATH_SIZE];
     char *body; /* CALL; NULL: none */
     char machine[TW_SHARDS_NAME];
     uint64_t term, boot_id, minimum_epoch; /* CHECK: term; START */
     tw_shards_effect *table;               /* TELL, ANSWER */
-    char line[TW_STANDBY_LOG];             /* LOG_LINE: key=value */
+    char line[TW_STANDBY_LOG_SIZE];        /* LOG_LINE: key=value */
     struct tw_standby_effect *next;
 } tw_standby_effect;
 /* The next effect, or NULL. The caller frees it with tw_standby_effect_free. */
-tw_standby_effect *tw_standby_next(tw_standby *standby);
+tw_standby_effect *tw_standby_next_effect(tw_standby *standby);
 /* Frees an effect and what it holds. NULL is allowed. */
 void tw_standby_effect_free(tw_standby_effect *effect);
 
@@ -83,10 +83,10 @@
 /* Lets time pass: makes the calls and commands that are due. */
 void tw_standby_tick(tw_standby *standby, double now, double wall);
 /* Takes the answer to the CALL `id`. status: of HTTP; 0: no answer came. */
-void tw_standby_answered(tw_standby *standby, double now, uint64_t id, int status, const char *body,
-                         size_t length);
+void tw_standby_handle_response(tw_standby *standby, double now, uint64_t id, int status,
+                                const char *body, size_t length);
 /* Passes a client's request to the table. It is refused at once where this node does not decide. */
-void tw_standby_request(tw_standby *standby, double now, const tw_shards_request *request);
+void tw_standby_handle_request(tw_standby *standby, double now, const tw_shards_request *request);
 /* Hands leadership over to the standby `node`. The request `id` is answered OK once the lease is
  * given back, and with the reason at once where that standby can't take over. */
 void tw_standby_promote(tw_standby *standby, double now, uint64_t id, const char *node);
@@ -95,7 +95,7 @@
 /* Whether this node may answer for the table, judged by the time given. */
 bool tw_standby_decides(tw_standby *standby, double now);
 /* Ends the term where authority is over. It is called with the time before anything is sent. */
-void tw_standby_refresh(tw_standby *standby, double now);
+void tw_standby_update_authority(tw_standby *standby, double now);
 
 /* ---- machines ---- */
 
@@ -106,8 +106,8 @@
     int running;  /* requests that run there */
 } tw_standby_machine_status;
 /* Takes a machine's answer to the CHECK or START of that term. NULL: no answer came. */
-void tw_standby_machine_answered(tw_standby *standby, double now, const char *machine,
-                                 uint64_t term, const tw_standby_machine_status *answer);
+void tw_standby_handle_machine_status(tw_standby *standby, double now, const char *machine,
+                                      uint64_t term, const tw_standby_machine_status *answer);
 
 /* ---- the feed: active to standbys ---- */
 
@@ -142,19 +142,19 @@
 
 /* At the active controller: the message for a follower at that position. The caller frees it with
  * tw_standby_message_free. */
-tw_standby_message tw_standby_serve(tw_standby *standby, double now,
-                                    const tw_standby_position *position);
+tw_standby_message tw_standby_build_message(tw_standby *standby, double now,
+                                            const tw_standby_position *position);
 /* A follower reports the last change that it has. That its feed is read is no sign of life: the
  * connection takes messages for a process that stands still. */
-void tw_standby_heard(tw_standby *standby, double now, const char *follower, uint64_t term,
-                      uint64_t number);
+void tw_standby_update_follower(tw_standby *standby, double now, const char *follower,
+                                uint64_t term, uint64_t number);
 /* The position after a message was taken. */
 void tw_standby_advance(tw_standby_position *position, const tw_standby_message *message);
 /* At a standby: its place in the feed. */
 tw_standby_position tw_standby_position_of(const tw_standby *standby);
 /* At a standby: takes a message of the feed. Returns 0 where the message does not follow on what
  * the standby has: the next one must then be asked for by tw_standby_position_of. */
-int tw_standby_take(tw_standby *standby, double now, const tw_standby_message *message);
+int tw_standby_apply_message(tw_standby *standby, double now, const tw_standby_message *message);
 
 /* ---- for operators and tests ---- */
 
@@ -181,10 +181,10 @@
 
 /* Copies the control address of the active controller; "": it is not known, or silent.
  * *retry_after_s: seconds after which to ask again; 0 where the address is known. */
-void tw_standby_leader(tw_standby *standby, double now, char control[TW_STANDBY_ADDRESS],
+void tw_standby_leader(tw_standby *standby, double now, char control[TW_STANDBY_ADDRESS_SIZE],
                        double *retry_after_s);
 /* The control address of the holder of the key, suspected or not, where this node follows and
  * reports; "": there is none. It belongs to the standby. */
-const char *tw_standby_active(const tw_standby *standby);
+const char *tw_standby_active_address(const tw_standby *standby);
 
 #endif
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -15,14 +15,14 @@
 #define TW_STANDBY_POLL_RATIO 0.5       /* between reads of the key */
 #define TW_STANDBY_POLL_FAST_RATIO 0.08 /* the same, while the active one is suspected */
 #define TW_STANDBY_CHECK_RATIO 0.15     /* a machine that hasn't answered by then is quarantined */
-#define TW_STANDBY_YIELD_RATIO                                                                     \
-    0.25                         /* a standby that is behind leaves others so long to go first     \
-                                  */
-#define TW_STANDBY_LAG_RATIO 0.1 /* one that lacks a few changes */
+#define TW_STANDBY_BEHIND_DELAY_RATIO                                                              \
+    0.25 /* a standby that is behind leaves others so long to go first                             \
+          */
+#define TW_STANDBY_LAGGING_DELAY_RATIO 0.1 /* one that lacks a few changes */
 #define TW_STANDBY_JITTER_RATIO 0.03
-#define TW_STANDBY_RETRY_RATIO 0.25 /* between repetitions of a call that was not answered */
-#define TW_STANDBY_MARGIN_RATIO 0.1 /* authority ends so much earlier than the lease may */
-#define TW_STANDBY_RENEWALS 3.0     /* in a lease */
+#define TW_STANDBY_RETRY_RATIO 0.25       /* between repetitions of a call that was not answered */
+#define TW_STANDBY_MARGIN_RATIO 0.1       /* authority ends so much earlier than the lease may */
+#define TW_STANDBY_RENEWALS_PER_LEASE 3.0 /* in a lease */
 
 enum { STATUS_OK = 200, STATUS_ABSENT = 404, STATUS_CONFLICT = 409, STATUS_BAD = 400 };
 enum { STATUS_TOO_MANY = 429, STATUS_FAILURE = 500 };
@@ -37,38 +37,38 @@
 } tw_standby_lease_state;
 
 typedef struct {
-    char name[TW_SHARDS_NAME], control[TW_STANDBY_ADDRESS]; /* of this node */
+    char name[TW_SHARDS_NAME], control[TW_STANDBY_ADDRESS_SIZE]; /* of this node */
     double ttl_s;
-    double poll_s;  /* between two reads of the key */
-    double yield_s; /* from seeing the key absent to asking for a lease */
+    double poll_s;          /* between two reads of the key */
+    double acquire_delay_s; /* from seeing the key absent to asking for a lease */
     double absent_since;
     tw_standby_lease_state state;
-    tw_standby_lease_state asked_in; /* state at the sending of the call in flight */
-    uint64_t lease_id;               /* the lease */
+    tw_standby_lease_state sent_in_state; /* state at the sending of the call in flight */
+    uint64_t lease_id;                    /* the lease */
     uint64_t written_lease_id; /* with which this node wrote, or tried to write, the key last */
     uint64_t token;            /* revision of the key that this node wrote */
     double authority_until;    /* 0: none */
     double sent_at;            /* of the call in flight */
     double granted_at;         /* when the lease was asked for */
-    bool busy;
+    bool call_in_flight;
     double next_at; /* no call before it */
     /* as read last; "" and 0: nobody */
-    char leader_name[TW_SHARDS_NAME], leader_control[TW_STANDBY_ADDRESS];
+    char leader_name[TW_SHARDS_NAME], leader_control[TW_STANDBY_ADDRESS_SIZE];
     uint64_t leader_token;
 } tw_standby_lease;
 
 /* A call to make; path "": none is due. */
 typedef struct {
     const char *method;
-    char path[TW_STANDBY_PATH], body[512];
+    char path[TW_STANDBY_PATH_SIZE], body[512];
 } tw_standby_lease_call;
 
 void tw_standby_lease_init(tw_standby_lease *lease, const char *name, const char *control,
                            double ttl_s);
-/* The call that is due now; answer it with tw_standby_lease_answer before the next one. */
+/* The call that is due now; answer it with tw_standby_lease_handle_response before the next one. */
 tw_standby_lease_call tw_standby_lease_tick(tw_standby_lease *lease, double now);
-void tw_standby_lease_answer(tw_standby_lease *lease, double now, int status, const char *body,
-                             size_t length);
+void tw_standby_lease_handle_response(tw_standby_lease *lease, double now, int status,
+                                      const char *body, size_t length);
 bool tw_standby_lease_leads(const tw_standby_lease *lease, double now);
 /* Gives the lease back, so that another node need not wait for its end; path "": it has none. */
 tw_standby_lease_call tw_standby_lease_release(tw_standby_lease *lease);
@@ -112,9 +112,9 @@
     size_t bytes;
 } tw_standby_change_log;
 
-void tw_standby_log_add(tw_standby_change_log *log, const tw_standby_view *view,
-                        tw_wire_entry *entries, int count);
-void tw_standby_log_clear(tw_standby_change_log *log);
+void tw_standby_change_log_add(tw_standby_change_log *log, const tw_standby_view *view,
+                               tw_wire_entry *entries, int count);
+void tw_standby_change_log_clear(tw_standby_change_log *log);
 tw_wire_entry *tw_standby_copy_entries(const tw_wire_entry *entries, int count);
 
 /* ---- the standby ---- */
@@ -158,8 +158,8 @@
     tw_standby_state state;
     bool leads;
     bool began_checking;
-    double heard_at; /* when the active one was heard last, or first known of */
-    uint64_t heard_term;
+    double active_seen_at; /* when the active one was heard last, or first known of */
+    uint64_t latest_term;
     uint64_t active_number; /* of its last change */
     double lag_since;       /* 0: there is none */
     char successor[TW_SHARDS_NAME];
@@ -182,28 +182,31 @@
 /* standby.c */
 /* Zeroed memory; the program ends where there is none. */
 void *tw_standby_alloc(size_t size);
-/* Adds an effect to those that tw_standby_next gives out. */
+/* Adds an effect to those that tw_standby_next_effect gives out. */
 tw_standby_effect *tw_standby_emit(tw_standby *standby, tw_standby_effect_kind kind);
 /* Adds a LOG_LINE. */
-void tw_standby_say(tw_standby *standby, const char *format, ...)
+void tw_standby_log_event(tw_standby *standby, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /* Makes the steps that are due now. */
 void tw_standby_step(tw_standby *standby);
 /* Whether the active controller is suspected. */
-bool tw_standby_silent(const tw_standby *standby);
+bool tw_standby_suspects_active(const tw_standby *standby);
 /* Whether the view is missing or old, so that other standbys are preferred. */
 bool tw_standby_is_behind(const tw_standby *standby);
 
 /* table.c: the table's calls to the state service, and the view that the active one keeps */
 /* Adds a CALL and returns its number. body NULL: it has none. */
-uint64_t tw_standby_call(tw_standby *standby, const char *method, const char *path,
-                         const char *body);
+uint64_t tw_standby_emit_call(tw_standby *standby, const char *method, const char *path,
+                              const char *body);
 /* Takes the table's effects, until nothing more follows from them. */
-void tw_standby_take_table(tw_standby *standby);
+void tw_standby_process_table_effects(tw_standby *standby);
 /* The answers to the call that reads records, compares the view or writes. */
-void tw_standby_read_answered(tw_standby *standby, int status, const char *body, size_t length);
-void tw_standby_confirm_answered(tw_standby *standby, int status, const char *body, size_t length);
-void tw_standby_write_answered(tw_standby *standby, int status, const char *body, size_t length);
+void tw_standby_handle_read_response(tw_standby *standby, int status, const char *body,
+                                     size_t length);
+void tw_standby_handle_confirm_response(tw_standby *standby, int status, const char *body,
+                                        size_t length);
+void tw_standby_handle_write_response(tw_standby *standby, int status, const char *body,
+                                      size_t length);
 
 /* check.c */
 /* Asks every machine of the table what it has open. */
@@ -211,15 +214,15 @@
 /* Repeats the commands that were not answered. */
 void tw_standby_check_tick(tw_standby *standby);
 /* Quarantines the machines that have not answered. */
-void tw_standby_check_silent(tw_standby *standby);
+void tw_standby_quarantine_unanswered(tw_standby *standby);
 /* Forgets all machines and registrations, as at the end of a term. */
 void tw_standby_check_clear(tw_standby *standby);
 /* Number of machines that have not answered under this term. */
-int tw_standby_check_waiting(const tw_standby *standby);
+int tw_standby_unanswered_count(const tw_standby *standby);
 /* Takes a request for a machine whose boot id has to be asked for first. False: it is none. */
-bool tw_standby_register(tw_standby *standby, const tw_shards_request *request);
+bool tw_standby_handle_registration(tw_standby *standby, const tw_shards_request *request);
 /* An answer of the table to a registration of ours, or of a client: START follows. Returns whether
  * it was our own, of which no client hears. */
-bool tw_standby_registered(tw_standby *standby, const tw_shards_effect *answer);
+bool tw_standby_handle_registration_result(tw_standby *standby, const tw_shards_effect *answer);
 
 #endif
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-uint64_t tw_standby_call(tw_standby *standby, const char *method, const char *path,
-                         const char *body) {
+uint64_t tw_standby_emit_call(tw_standby *standby, const char *method, const char *path,
+                              const char *body) {
     tw_standby_effect *effect = tw_standby_emit(standby, TW_STANDBY_CALL);
     effect->id = ++standby->last_call;
     effect->method = method;
@@ -21,20 +21,20 @@
 /* ---- reading ---- */
 
 static void read_records(tw_standby *standby, const char *after) {
-    char path[TW_STANDBY_PATH];
+    char path[TW_STANDBY_PATH_SIZE];
     snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARDS_PREFIX,
              after[0] ? "&since=" : "", after, TW_SHARDS_PAGE);
     if (!after[0]) tw_standby_view_clear(&standby->view);
-    standby->read_call = tw_standby_call(standby, "GET", path, NULL);
+    standby->read_call = tw_standby_emit_call(standby, "GET", path, NULL);
 }
 
 /* What has changed since the view: nothing else can have, since each record's revision stands in
  * the condition of each write to it. */
 static void confirm_view(tw_standby *standby) {
-    char path[TW_STANDBY_PATH];
+    char path[TW_STANDBY_PATH_SIZE];
     snprintf(path, sizeof path, "/follow?starts=%s&since=%lu&holdMs=0", TW_SHARDS_PREFIX,
              (unsigned long)standby->view.store_revision);
-    standby->confirm_call = tw_standby_call(standby, "GET", path, NULL);
+    standby->confirm_call = tw_standby_emit_call(standby, "GET", path, NULL);
 }
 
 /* The table wants its records. A term's first reading is of the view that was followed; all later
@@ -49,44 +49,46 @@
 }
 
 /* A view begins anew, under the next number: followers get a snapshot. */
-static void renumber(tw_standby *standby) {
+static void start_new_view(tw_standby *standby) {
     standby->view.loaded = true;
     standby->view.term = standby->lease.token;
     standby->view.number = standby->active_number = standby->active_number + 1;
-    tw_standby_log_clear(&standby->log);
+    tw_standby_change_log_clear(&standby->log);
 }
 
-void tw_standby_read_answered(tw_standby *standby, int status, const char *body, size_t length) {
+void tw_standby_handle_read_response(tw_standby *standby, int status, const char *body,
+                                     size_t length) {
     tw_wire_entry *entries = NULL;
     int count = 0;
     int more = 0;
     uint64_t store_revision = 0;
-    const bool good = status == STATUS_OK &&
-                      !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
-                      !tw_wire_revision_parse(&store_revision, body, length);
-    if (good) {
+    const bool valid = status == STATUS_OK &&
+                       !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
+                       !tw_wire_revision_parse(&store_revision, body, length);
+    if (valid) {
         /* Of several pages the first one's revision holds: changes since are in later ones only in
          * part. */
         if (!standby->view.store_revision) standby->view.store_revision = store_revision;
         tw_standby_view_apply(&standby->view, entries, count);
-        if (!more) renumber(standby);
+        if (!more) start_new_view(standby);
     }
     tw_wire_entries_free(entries, count);
-    tw_shards_page(standby->table, standby->now, standby->read_id, good ? body : NULL, length);
+    tw_shards_page(standby->table, standby->now, standby->read_id, valid ? body : NULL, length);
 }
 
 /* The view is the records' as of a revision not before the term: writes of earlier terms fail from
  * there on. */
-void tw_standby_confirm_answered(tw_standby *standby, int status, const char *body, size_t length) {
+void tw_standby_handle_confirm_response(tw_standby *standby, int status, const char *body,
+                                        size_t length) {
     tw_wire_entry *changes = NULL;
     int count = 0;
     uint64_t store_revision = 0;
-    const bool good = status == STATUS_OK &&
-                      !tw_wire_revision_parse(&store_revision, body, length) &&
-                      store_revision >= standby->lease.token &&
-                      !tw_wire_changes_parse("log", &changes, &count, body, length);
-    if (!good) {
-        tw_standby_say(standby, "event=view_refused status=%d", status);
+    const bool valid = status == STATUS_OK &&
+                       !tw_wire_revision_parse(&store_revision, body, length) &&
+                       store_revision >= standby->lease.token &&
+                       !tw_wire_changes_parse("log", &changes, &count, body, length);
+    if (!valid) {
+        tw_standby_log_event(standby, "event=view_refused status=%d", status);
         read_records(standby, "");
         return;
     }
@@ -94,14 +96,14 @@
     tw_wire_entries_free(changes, count);
     standby->differences += count;
     standby->view.store_revision = store_revision;
-    renumber(standby);
-    tw_standby_say(standby, "event=view_confirmed revision=%lu changes=%d",
-                   (unsigned long)store_revision, count);
+    start_new_view(standby);
+    tw_standby_log_event(standby, "event=view_confirmed revision=%lu changes=%d",
+                         (unsigned long)store_revision, count);
     char *list = tw_standby_view_list(&standby->view);
     tw_shards_page(standby->table, standby->now, standby->read_id, list, strlen(list));
     free(list);
     if (tw_shards_ready(standby->table)) return;
-    tw_standby_say(standby, "event=view_unreadable");
+    tw_standby_log_event(standby, "event=view_unreadable");
     tw_standby_view_clear(&standby->view);
 }
 
@@ -112,7 +114,7 @@
     free(standby->write_body);
     standby->write_body = strdup(effect->text);
     if (!standby->write_body) abort();
-    standby->write_call = tw_standby_call(standby, "POST", "/txn", effect->text);
+    standby->write_call = tw_standby_emit_call(standby, "POST", "/txn", effect->text);
 }
 
 static tw_shards_outcome outcome_of(int status) {
@@ -132,10 +134,11 @@
     tw_standby_view_apply(&standby->view, changes, count);
     standby->view.store_revision = revision;
     standby->view.number = ++standby->active_number;
-    tw_standby_log_add(&standby->log, &standby->view, changes, count);
+    tw_standby_change_log_add(&standby->log, &standby->view, changes, count);
 }
 
-void tw_standby_write_answered(tw_standby *standby, int status, const char *body, size_t length) {
+void tw_standby_handle_write_response(tw_standby *standby, int status, const char *body,
+                                      size_t length) {
     uint64_t revision = 0;
     tw_shards_outcome outcome = outcome_of(status);
     if (outcome == TW_SHARDS_APPLIED && tw_wire_revision_parse(&revision, body, length))
@@ -146,15 +149,16 @@
 
 /* ---- effects of the table ---- */
 
-static void pass_on(tw_standby *standby, tw_standby_effect_kind kind, tw_shards_effect *effect) {
+static void emit_table_effect(tw_standby *standby, tw_standby_effect_kind kind,
+                              tw_shards_effect *effect) {
     tw_standby_emit(standby, kind)->table = effect;
 }
 
 /* Until nothing more follows. */
-void tw_standby_take_table(tw_standby *standby) {
+void tw_standby_process_table_effects(tw_standby *standby) {
     tw_shards_effect *effect;
     while ((effect = tw_shards_next(standby->table))) {
-        bool kept = false;
+        bool passed_on = false;
         switch (effect->kind) {
         case TW_SHARDS_READ:
             begin_read(standby, effect);
@@ -163,14 +167,14 @@
             begin_write(standby, effect);
             break;
         case TW_SHARDS_NOTIFY:
-            pass_on(standby, TW_STANDBY_NOTIFY, effect);
-            kept = true;
+            emit_table_effect(standby, TW_STANDBY_NOTIFY, effect);
+            passed_on = true;
             break;
         case TW_SHARDS_ANSWER:
-            kept = !tw_standby_registered(standby, effect);
-            if (kept) pass_on(standby, TW_STANDBY_ANSWER, effect);
+            passed_on = !tw_standby_handle_registration_result(standby, effect);
+            if (passed_on) emit_table_effect(standby, TW_STANDBY_ANSWER, effect);
             break;
         }
-        if (!kept) tw_shards_effect_free(effect);
+        if (!passed_on) tw_shards_effect_free(effect);
     }
 }
--- a/src/standby/view.c
+++ b/src/standby/view.c
@@ -8,8 +8,8 @@
 #include <utlist.h>
 
 /* Changes kept for followers; one that needs older ones gets a snapshot. */
-#define MOST_CHANGES 512
-#define MOST_BYTES ((size_t)2 << 20)
+#define MAX_CHANGES 512
+#define MAX_BYTES ((size_t)2 << 20)
 
 /* FNV-1a of 64 bits */
 #define HASH_BASIS 0xcbf29ce484222325ULL
@@ -35,25 +35,25 @@
 
 /* ---- records ---- */
 
-static void drop(tw_standby_view *view, tw_standby_record *dropped) {
-    view->digest -= dropped->hash;
-    HASH_DEL(view->records, dropped);
-    free(dropped->data);
-    free(dropped);
+static void remove_record(tw_standby_view *view, tw_standby_record *removed) {
+    view->digest -= removed->hash;
+    HASH_DEL(view->records, removed);
+    free(removed->data);
+    free(removed);
 }
 
-void tw_standby_view_clear(tw_standby_view *cleared) {
+void tw_standby_view_clear(tw_standby_view *view) {
     tw_standby_record *each;
     tw_standby_record *after;
-    HASH_ITER(hh, cleared->records, each, after) { drop(cleared, each); }
-    *cleared = (tw_standby_view){0};
+    HASH_ITER(hh, view->records, each, after) { remove_record(view, each); }
+    *view = (tw_standby_view){0};
 }
 
-static void put(tw_standby_view *view, const tw_wire_entry *entry) {
+static void apply_entry(tw_standby_view *view, const tw_wire_entry *entry) {
     tw_standby_record *found;
     HASH_FIND_STR(view->records, entry->key, found);
     if (found && found->mod_revision >= entry->mod_revision) return;
-    if (found) drop(view, found);
+    if (found) remove_record(view, found);
     if (!entry->value) return;
     tw_standby_record *added = tw_standby_alloc(sizeof *added);
     strcpy(added->key, entry->key);
@@ -65,14 +65,14 @@
 }
 
 void tw_standby_view_apply(tw_standby_view *view, const tw_wire_entry *entries, int count) {
-    for (int i = 0; i < count; i++) put(view, &entries[i]);
+    for (int i = 0; i < count; i++) apply_entry(view, &entries[i]);
 }
 
-static int by_key(const tw_standby_record *first, const tw_standby_record *second) {
+static int compare_keys(const tw_standby_record *first, const tw_standby_record *second) {
     return strcmp(first->key, second->key);
 }
 
-void tw_standby_view_sort(tw_standby_view *view) { HASH_SORT(view->records, by_key); }
+void tw_standby_view_sort(tw_standby_view *view) { HASH_SORT(view->records, compare_keys); }
 
 char *tw_standby_view_list(tw_standby_view *view) {
     const tw_standby_record *each;
@@ -105,17 +105,17 @@
     return copies;
 }
 
-static void drop_change(tw_standby_change_log *log, tw_standby_change *dropped) {
-    DL_DELETE(log->changes, dropped);
+static void remove_change(tw_standby_change_log *log, tw_standby_change *removed) {
+    DL_DELETE(log->changes, removed);
     log->count--;
-    log->bytes -= dropped->bytes;
-    tw_wire_entries_free(dropped->entries, dropped->count);
-    free(dropped);
+    log->bytes -= removed->bytes;
+    tw_wire_entries_free(removed->entries, removed->count);
+    free(removed);
 }
 
 /* Takes the entries over. A follower that is slow gets a snapshot instead of room without bound. */
-void tw_standby_log_add(tw_standby_change_log *log, const tw_standby_view *view,
-                        tw_wire_entry *entries, int count) {
+void tw_standby_change_log_add(tw_standby_change_log *log, const tw_standby_view *view,
+                               tw_wire_entry *entries, int count) {
     tw_standby_change *added = tw_standby_alloc(sizeof *added);
     added->number = view->number;
     added->store_revision = view->store_revision;
@@ -128,10 +128,10 @@
     DL_APPEND(log->changes, added);
     log->count++;
     log->bytes += added->bytes;
-    while (log->count > MOST_CHANGES || (log->bytes > MOST_BYTES && log->count > 1))
-        drop_change(log, log->changes);
+    while (log->count > MAX_CHANGES || (log->bytes > MAX_BYTES && log->count > 1))
+        remove_change(log, log->changes);
 }
 
-void tw_standby_log_clear(tw_standby_change_log *log) {
-    while (log->changes) drop_change(log, log->changes);
+void tw_standby_change_log_clear(tw_standby_change_log *log) {
+    while (log->changes) remove_change(log, log->changes);
 }
--- a/tests/shards/expect.c
+++ b/tests/shards/expect.c
@@ -12,7 +12,7 @@
 /* expect leader NODE NAME|nobody: whom the node sends clients to */
 static void expect_leader(tw_world *world, const tw_script_words *read) {
     const int at = tw_script_node(world, read->words[2]);
-    char leader[TW_STANDBY_ADDRESS] = "";
+    char leader[TW_STANDBY_ADDRESS_SIZE] = "";
     double retry_after_s = 0;
     if (at >= 0 && world->nodes[at].incarnation)
         tw_standby_leader(world->nodes[at].standby, tw_elections_now(world, at), leader,
--- a/tests/shards/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -67,7 +67,7 @@
     tw_log_debug("t=%.3f node=%s status=%d txn=%.600s", world->now, world->nodes[call->node].name,
                  status, call->text);
     /* A leader's key that comes late is refused with its lease, which is over by then. */
-    const bool of_lease = strstr(call->text, "\"write\":\"" TW_STANDBY_KEY "\"") != NULL;
+    const bool of_lease = strstr(call->text, "\"write\":\"" TW_STANDBY_LEADER_KEY "\"") != NULL;
     if (status == BAD && !of_lease)
         tw_world_fail(world, "the state service refuses: %.150s", call->text);
     if (status == OK) {
@@ -84,13 +84,14 @@
 /* A planted fault: to a standby the leader's key seems gone, and its own one recorded. Returns the
  * status of the answer that it gets; 0: the call is none of these. */
 static int skip_fence(const tw_world *world, const tw_world_event *call, char **answer) {
-    const char *key = TW_STANDBY_KEY;
+    const char *key = TW_STANDBY_LEADER_KEY;
     char text[TEXT];
     const uint64_t recorded = tw_simulator_state_version(&world->state, key);
-    const bool reads = !strcmp(call->path, "/kv/" TW_STANDBY_KEY);
+    const bool reads = !strcmp(call->path, "/kv/" TW_STANDBY_LEADER_KEY);
     const bool writes = !strcmp(call->path, "/txn") && strstr(call->text, "\"write\":\"traywalld/");
     const tw_standby *asks = world->nodes[call->node].standby;
-    const bool active = asks && !strcmp(tw_standby_active(asks), world->nodes[call->node].name);
+    const bool active =
+        asks && !strcmp(tw_standby_active_address(asks), world->nodes[call->node].name);
     if (!world->plant_fence || active || !recorded || (!reads && !writes)) return 0;
     snprintf(text, sizeof text, "{\"ledger\":%lu}", (unsigned long)recorded + 1);
     *answer = tw_world_copy_text(text);
@@ -109,7 +110,7 @@
         answer_call(world, call, skipped, answer);
     } else if (!strcmp(call->path, "/txn")) {
         handle_transaction(world, call);
-        const uint64_t recorded = tw_simulator_state_version(&world->state, TW_STANDBY_KEY);
+        const uint64_t recorded = tw_simulator_state_version(&world->state, TW_STANDBY_LEADER_KEY);
         world->terms += recorded > world->newest_term;
         if (recorded > world->newest_term) world->term_at = world->now;
         if (recorded > world->newest_term) world->newest_term = recorded;
@@ -151,8 +152,8 @@
     const char *text = answer->text ? answer->text : "";
     uint64_t revision = 0;
     if (at->standby) {
-        tw_standby_answered(at->standby, tw_elections_now(world, answer->node), answer->id,
-                            answer->status, text, strlen(text));
+        tw_standby_handle_response(at->standby, tw_elections_now(world, answer->node), answer->id,
+                                   answer->status, text, strlen(text));
         return;
     }
     if (answer->flag) {
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -59,7 +59,7 @@
 }
 
 static int active_of(const tw_world *world, int at) {
-    return tw_world_node_index(world, tw_standby_active(world->nodes[at].standby));
+    return tw_world_node_index(world, tw_standby_active_address(world->nodes[at].standby));
 }
 
 static void ask_feed(tw_world *world, int at) {
@@ -90,10 +90,10 @@
     const int from = asked->number;
     const double now = tw_elections_now(world, asked->node);
     tw_standby *active = world->nodes[asked->node].standby;
-    tw_standby_heard(active, now, world->nodes[from].name, asked->position.term,
-                     asked->position.number);
+    tw_standby_update_follower(active, now, world->nodes[from].name, asked->position.term,
+                               asked->position.number);
     const double began = processor_s();
-    tw_standby_message message = tw_standby_serve(active, now, &asked->position);
+    tw_standby_message message = tw_standby_build_message(active, now, &asked->position);
     count_feed(world, &message, processor_s() - began);
     tw_world_event *sent = to_node(world, asked->node, from, TW_WORLD_FEED);
     if (!sent) {
@@ -115,8 +115,8 @@
 
 static void handle_feed(tw_world *world, const tw_world_event *came) {
     spoil(world, came->feed);
-    tw_standby_take(world->nodes[came->node].standby, tw_elections_now(world, came->node),
-                    came->feed);
+    tw_standby_apply_message(world->nodes[came->node].standby, tw_elections_now(world, came->node),
+                             came->feed);
     if (came->feed->kind == TW_STANDBY_CHANGE || came->feed->kind == TW_STANDBY_SNAPSHOT)
         ask_feed(world, came->node);
 }
@@ -213,7 +213,7 @@
         const tw_world_node *each = &world->nodes[i];
         if (!each->incarnation || each->hung_until > world->now) continue;
         if (!tw_standby_decides(each->standby, tw_elections_now(world, i))) continue;
-        tw_standby_request(each->standby, tw_elections_now(world, i), request);
+        tw_standby_handle_request(each->standby, tw_elections_now(world, i), request);
         tw_world_effects(world, i);
         return;
     }
@@ -241,13 +241,13 @@
 static void handle_asked(tw_world *world, const tw_world_event *asked) {
     tw_shards_request request = world->clients[asked->number].request;
     request.id = asked->id;
-    tw_standby_request(world->nodes[asked->node].standby, tw_elections_now(world, asked->node),
-                       &request);
+    tw_standby_handle_request(world->nodes[asked->node].standby,
+                              tw_elections_now(world, asked->node), &request);
 }
 
 /* It goes where it is sent, or to the next one. */
 void tw_elections_refused(tw_world *world, tw_world_client *asked) {
-    char leader[TW_STANDBY_ADDRESS];
+    char leader[TW_STANDBY_ADDRESS_SIZE];
     double retry_after_s;
     tw_standby_leader(world->nodes[asked->server].standby, tw_elections_now(world, asked->server),
                       leader, &retry_after_s);
@@ -290,7 +290,7 @@
 
 void tw_elections_effects(tw_world *world, int at) {
     tw_standby_effect *effect;
-    while ((effect = tw_standby_next(world->nodes[at].standby))) {
+    while ((effect = tw_standby_next_effect(world->nodes[at].standby))) {
         switch (effect->kind) {
         case TW_STANDBY_CALL:
             call_state(world, at, effect);
@@ -338,7 +338,7 @@
         handle_order(world, event);
         break;
     case TW_WORLD_ORDERED:
-        tw_standby_machine_answered(
+        tw_standby_handle_machine_status(
             world->nodes[event->node].standby, tw_elections_now(world, event->node),
             world->machines[event->machine].name, event->term, &event->said);
         break;
--- a/tools/traywallctl/ask.c
+++ b/tools/traywallctl/ask.c
@@ -16,8 +16,9 @@
 int tw_ctl_add_servers(tw_ctl_servers *servers, const char *text) {
     while (*text) {
         const size_t length = strcspn(text, ",");
-        if (!length || length >= TW_RPC_ADDRESS || servers->count == MOST_SERVERS) return -1;
-        snprintf(servers->addresses[servers->count++], TW_RPC_ADDRESS, "%.*s", (int)length, text);
+        if (!length || length >= TW_RPC_ADDRESS_SIZE || servers->count == MOST_SERVERS) return -1;
+        snprintf(servers->addresses[servers->count++], TW_RPC_ADDRESS_SIZE, "%.*s", (int)length,
+                 text);
         text += length + (text[length] != 0);
     }
     return 0;
@@ -77,22 +78,22 @@
     const double wait_s = status == TW_RPC_OK ? answer->retry_after_s : 0;
     if (named && !at->redirected) {
         at->redirected = true;
-        snprintf(asked, TW_RPC_ADDRESS, "%s", answer->leader);
+        snprintf(asked, TW_RPC_ADDRESS_SIZE, "%s", answer->leader);
         return 0;
     }
     at->redirected = false;
     at->next = (at->next + 1) % servers->count;
-    snprintf(asked, TW_RPC_ADDRESS, "%s", servers->addresses[at->next]);
+    snprintf(asked, TW_RPC_ADDRESS_SIZE, "%s", servers->addresses[at->next]);
     if (at->in_round < servers->count) return 0;
     at->in_round = at->unreachable = 0;
     return fmax(SHORTEST_PAUSE_S, wait_s);
 }
 
 tw_rpc_status tw_ctl_ask_leader(const tw_ctl_servers *servers, const tw_rpc_call *call,
-                                tw_rpc_answer *answer, char asked[TW_RPC_ADDRESS]) {
+                                tw_rpc_answer *answer, char asked[TW_RPC_ADDRESS_SIZE]) {
     const double until = now_s() + servers->timeout_s;
     search at = {0};
-    snprintf(asked, TW_RPC_ADDRESS, "%s", servers->addresses[0]);
+    snprintf(asked, TW_RPC_ADDRESS_SIZE, "%s", servers->addresses[0]);
     for (;;) {
         const double timeout_s = try_timeout_s(servers, until - now_s());
         const tw_rpc_status status = try_one(asked, call, timeout_s, answer);
--- a/tools/traywallctl/ask.h
+++ b/tools/traywallctl/ask.h
@@ -6,7 +6,7 @@
 #define MOST_SERVERS 16
 
 typedef struct {
-    char addresses[MOST_SERVERS][TW_RPC_ADDRESS];
+    char addresses[MOST_SERVERS][TW_RPC_ADDRESS_SIZE];
     int count;
     double timeout_s; /* of a whole command */
 } tw_ctl_servers;
@@ -18,6 +18,6 @@
                              const tw_rpc_call *call, tw_rpc_answer *answer);
 /* Asks until a daemon that leads has answered, or the time is over; *asked: who answered last. */
 tw_rpc_status tw_ctl_ask_leader(const tw_ctl_servers *servers, const tw_rpc_call *call,
-                                tw_rpc_answer *answer, char asked[TW_RPC_ADDRESS]);
+                                tw_rpc_answer *answer, char asked[TW_RPC_ADDRESS_SIZE]);
 
 #endif
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -106,7 +106,7 @@
 static int show(const tw_ctl_options *chosen, bool machines) {
     const tw_rpc_call call = {.method = TW_RPC_SHOW, .show_machines = machines};
     tw_rpc_answer answer = {0};
-    char asked[TW_RPC_ADDRESS];
+    char asked[TW_RPC_ADDRESS_SIZE];
     const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
     if (status == TW_RPC_OK && answer.verdict != TW_SHARDS_OK)
         tw_ctl_print_change(chosen->json, &answer);
@@ -139,7 +139,7 @@
 /* Goes on at the daemon that leads now, as long as one is found within the time limit. */
 static int follow_move(const tw_ctl_options *chosen, const char *server, const char *key) {
     tw_rpc_call call = {.method = TW_RPC_CHANGE, .request.kind = TW_SHARDS_WATCH};
-    char asked[TW_RPC_ADDRESS];
+    char asked[TW_RPC_ADDRESS_SIZE];
     snprintf(call.request.key, sizeof call.request.key, "%s", key);
     snprintf(asked, sizeof asked, "%s", server);
     for (;;) {
@@ -158,7 +158,7 @@
 static int change(const tw_ctl_options *chosen, const tw_shards_request *request) {
     const tw_rpc_call call = {.method = TW_RPC_CHANGE, .request = *request};
     tw_rpc_answer answer = {0};
-    char asked[TW_RPC_ADDRESS];
+    char asked[TW_RPC_ADDRESS_SIZE];
     const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
     const bool accepted = status == TW_RPC_OK && answer.verdict == TW_SHARDS_OK;
     const bool waits = request->kind == TW_SHARDS_WATCH || (chosen->wait && request->key[0]);
@@ -192,7 +192,7 @@
 static int do_promote(tw_ctl_options *chosen, const char *const *words) {
     tw_rpc_call call = {.method = TW_RPC_PROMOTE};
     tw_rpc_answer answer = {0};
-    char asked[TW_RPC_ADDRESS];
+    char asked[TW_RPC_ADDRESS_SIZE];
     snprintf(call.owner, sizeof call.owner, "%s", words[1]);
     const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
     if (status == TW_RPC_OK) tw_ctl_print_change(chosen->json, &answer);
