--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -1,15 +1,15 @@
-/* Machines are asked under the new term what they have open, before anything is decided about them.
- * In the same way a machine that registers is asked for its boot id before it gets an epoch, so
- * that its minimum epoch can't be taken for that of a later boot.
+/* Checks of machines. Each machine is asked for its open epoch in the new term before anything is
+ * decided about it. Likewise a machine that registers is asked for its boot id before it gets an
+ * epoch, so that a later boot can't accept the minimum epoch of this one.
  *
- * Invariant: a machine of the table leaves quarantine only by its own answer under this term. */
+ * Invariant: a machine of the table leaves quarantine only by its own answer in this term. */
 #include "standby/standby_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
 
-/* Numbers of our own requests to the table; clients' are below. */
+/* Base of the ids of this node's own requests to the table. Ids of clients' requests are lower. */
 #define OWN_REQUEST_BASE ((uint64_t)1 << 62)
 
 static double retry_s(const tw_standby *standby) {
@@ -102,7 +102,8 @@
     const bool is_registration = request->kind == TW_SHARDS_ADD || request->kind == TW_SHARDS_RENEW;
     if (!is_registration || !standby->leads || !request->machine[0]) return false;
     tw_standby_registration *registration = add_registration(standby, request);
-    /* A table that is being read takes the request up later; the machine is asked after that. */
+    /* A table that does not decide yet handles the request later; its answer leads to the check of
+     * the machine. */
     if (tw_shards_deciding(standby->table))
         ask_machine(standby, get_or_add_machine(standby, request->machine));
     else
@@ -110,8 +111,8 @@
     return true;
 }
 
-/* Passes on the registrations that wait for the machine's boot id; 0: the machine has not answered,
- * and is asked further. Returns whether there were any. */
+/* Passes the registrations that wait for the machine's boot id to the table. Returns whether there
+ * were any. */
 static bool pass_registrations(tw_standby *standby, const char *name, uint64_t boot_id) {
     tw_standby_registration *each;
     tw_standby_registration *after;
@@ -124,7 +125,7 @@
     return passed;
 }
 
-/* A machine that has restarted, or lost what it had open, needs the next epoch. */
+/* Requests the next epoch for a machine that has restarted or has lost its open epoch. */
 static void request_renewal(tw_standby *standby, tw_standby_machine_check *machine,
                             uint64_t boot_id) {
     tw_shards_request request = {.kind = TW_SHARDS_RENEW,
@@ -186,7 +187,7 @@
         (unsigned long)answer->newest, answer->started);
 }
 
-/* Compares what the machine has open with its record. */
+/* Compares the machine's open epoch with its record. */
 static void compare_with_record(tw_standby *standby, tw_standby_machine_check *machine,
                                 const tw_standby_machine_status *answer) {
     const tw_shards_notification recorded = tw_shards_machine_named(standby->table, machine->name);
@@ -204,15 +205,15 @@
     }
 }
 
-/* Ends the start of a machine that has the minimum epoch that was sent. An answer of an earlier
- * boot, which may come late, says nothing of this one. */
+/* Confirms a machine that has accepted the minimum epoch sent to it. A delayed answer of an earlier
+ * boot does not count. */
 static void handle_start_status(tw_standby *standby, tw_standby_machine_check *machine,
                                 const tw_standby_machine_status *answer) {
     const bool same_boot = answer->boot_id == machine->boot_id;
     if (same_boot && answer->started)
         confirm_machine(standby, machine);
     else if (!same_boot)
-        ask_machine(standby, machine); /* it has restarted since, or had before */
+        ask_machine(standby, machine); /* the answer is of a later or an earlier boot */
 }
 
 static void handle_machine_status(tw_standby *standby, tw_standby_machine_check *machine,
@@ -231,8 +232,8 @@
                                       uint64_t term, const tw_standby_machine_status *answer) {
     tw_standby_update_authority(standby, now);
     tw_standby_machine_check *machine = find_machine(standby, name);
-    /* While the table is read again there is nothing to compare with: the machine is asked again.
-     */
+    /* While the table is being reloaded there is no record to compare with: the answer is dropped,
+     * and tw_standby_check_tick repeats the question. */
     const bool readable = standby->leads && tw_shards_ready(standby->table);
     if (answer && machine && readable && term == standby->lease.token)
         handle_machine_status(standby, machine, answer);
@@ -241,8 +242,8 @@
 
 /* ---- time ---- */
 
-/* A client is not kept waiting for a machine that is silent: the machine is recorded, and started
- * once it answers. */
+/* Passes registrations to the table without a boot id when the machine has not answered in time, so
+ * that the client need not wait. The machine is recorded, and is started once it answers. */
 static void pass_overdue_registrations(tw_standby *standby) {
     tw_standby_registration *each;
     tw_standby_registration *after;
@@ -262,7 +263,7 @@
         if (each->step == TW_STANDBY_CHECK_RENEWING || standby->now < each->next_at) continue;
         const tw_shards_notification recorded = tw_shards_machine_named(standby->table, each->name);
         if (recorded.state == TW_SHARDS_ABSENT && !standby->registrations)
-            remove_machine(standby, each); /* it was removed meanwhile */
+            remove_machine(standby, each); /* the machine has been removed from the table */
         else
             send_command(standby, each);
     }
@@ -280,7 +281,7 @@
     tw_standby_registration *next_registration;
     HASH_ITER(hh, standby->machines, each, next_machine) { remove_machine(standby, each); }
     DL_FOREACH_SAFE(standby->registrations, registration, next_registration) {
-        /* those that the table has it refuses itself */
+        /* The table refuses those that were passed to it before. */
         if (!registration->passed)
             tw_shards_request_in(standby->table, standby->now, &registration->request);
         DL_DELETE(standby->registrations, registration);
--- a/src/standby/feed.c
+++ b/src/standby/feed.c
@@ -1,11 +1,11 @@
-/* The feed: the active controller's records and numbered changes, asked for by the standbys. */
+/* The feed: the active controller sends its records and numbered changes to the standbys. */
 #include "standby/standby_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
 
-#define SNAPSHOT_PART_BYTES ((size_t)256 << 10) /* of a snapshot, about */
+#define SNAPSHOT_PART_BYTES ((size_t)256 << 10) /* size above which a part of a snapshot ends */
 #define MAX_FOLLOWERS 64
 
 void tw_standby_message_free(tw_standby_message *message) {
@@ -30,7 +30,7 @@
     position->number = position->snapshot_number;
 }
 
-/* ---- active ---- */
+/* ---- at the active controller ---- */
 
 void tw_standby_update_follower(tw_standby *standby, double now, const char *name, uint64_t term,
                                 uint64_t number) {
@@ -70,7 +70,7 @@
     }
 }
 
-/* The change after that number; NULL: it is not kept any more. */
+/* Returns the change after that number, or NULL if it has been removed from the log. */
 static const tw_standby_change *change_after(const tw_standby *standby, uint64_t number) {
     const tw_standby_change *each;
     DL_FOREACH(standby->log.changes, each) {
@@ -114,9 +114,10 @@
     return message;
 }
 
-/* ---- standby ---- */
+/* ---- at a standby ---- */
 
-/* What came does not follow on what this node has: it begins with a snapshot. */
+/* Handles a message that does not continue from this node's position: counts a gap and resets the
+ * position, so that the feed restarts with a snapshot. */
 static int restart_from_snapshot(tw_standby *standby) {
     standby->gaps++;
     standby->position = (tw_standby_position){0};
@@ -128,14 +129,14 @@
     if (standby->view.digest == message->digest) return true;
     tw_standby_log_event(standby, "event=digest_mismatched number=%lu",
                          (unsigned long)message->number);
-    standby->view.loaded = false; /* nothing of it may be decided by */
+    standby->view.loaded = false; /* a view that differs must not be used for decisions */
     return false;
 }
 
 static int apply_change(tw_standby *standby, const tw_standby_message *message) {
     tw_standby_view *own = &standby->view;
     const tw_standby_position *at = &standby->position;
-    if (message->term == at->term && message->number <= at->number) return 1; /* it came twice */
+    if (message->term == at->term && message->number <= at->number) return 1; /* duplicate */
     if (message->term != at->term || message->number != at->number + 1 || at->after[0])
         return restart_from_snapshot(standby);
     tw_standby_view_apply(own, message->entries, message->count);
@@ -197,7 +198,7 @@
         tw_standby_step(standby);
         return 1;
     }
-    /* A deposed one may go on feeding what held in its term. */
+    /* An earlier leader may still send changes of its term. */
     if (message->term < standby->latest_term) return 1;
     standby->latest_term = message->term;
     standby->active_seen_at = now;
@@ -212,7 +213,7 @@
     return follows;
 }
 
-/* ---- for operators ---- */
+/* ---- status of the followers ---- */
 
 tw_standby_follower_status *tw_standby_followers(const tw_standby *standby, double now,
                                                  int *count) {
--- a/src/standby/lease.c
+++ b/src/standby/lease.c
@@ -1,8 +1,8 @@
-/* The leader's key: a key of the state service that is attached to a lease.
+/* The leader key: a key of the state service that is attached to a lease.
  *
- * Authority ends, counted from the sending of the last good renewal, before the state service can
- * let the lease end, so at most one node has it; a node whose lease has ended begins anew as a
- * follower. */
+ * Authority is counted from the time at which the last successful renewal was sent, and ends before
+ * the state service can let the lease expire; so at most one node has it. A node whose lease has
+ * expired becomes a follower again. */
 #include "standby/standby_int.h"
 #include <cjson/cJSON.h>
 #include <math.h>
@@ -102,7 +102,8 @@
     snprintf(to, size, "%s", cJSON_IsString(item) ? item->valuestring : "");
 }
 
-/* Counted from the sending of the grant: the lease is no older than that. */
+/* Starts leading. Authority is counted from the time at which the lease was requested, since the
+ * lease began no earlier. */
 static void begin_leading(tw_standby_lease *lease, double now, uint64_t token) {
     lease->state = TW_STANDBY_LEASE_LEADING;
     lease->lease_id = lease->written_lease_id;
@@ -113,7 +114,8 @@
     snprintf(lease->leader_control, sizeof lease->leader_control, "%s", lease->control);
 }
 
-/* Nobody holds the key: asks for a lease, or looks again until others have had their time. */
+/* Handles the absence of the key: asks for a lease once acquire_delay_s has passed, and reads the
+ * key again before. */
 static void handle_absent_key(tw_standby_lease *lease, double now) {
     lease->leader_name[0] = lease->leader_control[0] = 0;
     lease->leader_token = 0;
@@ -143,7 +145,7 @@
     read_text(data, "control", lease->leader_control, sizeof lease->leader_control);
     lease->leader_token = cJSON_IsNumber(mod_revision) ? (uint64_t)mod_revision->valuedouble : 0;
     const cJSON *lease_id = cJSON_GetObjectItemCaseSensitive(entry, "hold");
-    /* The write of this node's own key was carried out, and its answer lost. */
+    /* This node's own write of the key succeeded, but the response was lost. */
     if (cJSON_IsNumber(lease_id) && lease->written_lease_id &&
         (uint64_t)lease_id->valuedouble == lease->written_lease_id)
         begin_leading(lease, now, lease->leader_token);
@@ -183,7 +185,7 @@
                                       const char *body, size_t length) {
     if (!lease->call_in_flight) return;
     lease->call_in_flight = false;
-    /* Authority may have ended meanwhile; then it is no answer to what this node is doing now. */
+    /* Ignore the response if the state has changed since the call, as when authority has ended. */
     if (lease->sent_in_state != lease->state) return;
     switch (lease->state) {
     case TW_STANDBY_LEASE_FOLLOWING:
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -1,4 +1,4 @@
-/* States of a controller, and the inputs that change them. */
+/* States of a controller, and the inputs that drive the transitions between them. */
 #include "standby/standby_int.h"
 #include <stdarg.h>
 #include <stdbool.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define JITTER_STEPS 16
-#define NAME_FACTOR 31U /* of a polynomial hash of names */
+#define NAME_FACTOR 31U /* base of the polynomial hash of names */
 
 const char *tw_standby_state_name(tw_standby_state state) {
     static const char *const names[] = {"behind",  "following", "suspecting",
@@ -59,7 +59,7 @@
     va_end(arguments);
 }
 
-/* ---- what a standby knows of the active one ---- */
+/* ---- a standby's knowledge of the active controller ---- */
 
 bool tw_standby_suspects_active(const tw_standby *standby) {
     return standby->now >
@@ -70,19 +70,21 @@
     const double max_lag_s = standby->settings.lease_s * TW_STANDBY_SUSPECT_RATIO;
     const double longest_silence_s = standby->settings.lease_s * (1 + TW_STANDBY_SUSPECT_RATIO);
     if (!standby->view.loaded || standby->view.term < standby->latest_term) return true;
-    /* The lease went on after the feed had ended: there may be changes that were not heard of. */
+    /* The lease may have been renewed after the feed ended: changes may be missing. */
     if (standby->now > standby->active_seen_at + longest_silence_s) return true;
     return standby->lag_since > 0 && standby->active_seen_at > standby->lag_since + max_lag_s;
 }
 
-/* So that standbys that are equal don't ask at the same time. */
+/* Returns a fraction that depends on the node's name, so that equally current standbys don't ask
+ * for the lease at the same time. */
 static double jitter_of(const char *name) {
     unsigned sum = 0;
     for (; *name; name++) sum = sum * NAME_FACTOR + (unsigned char)*name;
     return (double)(sum % JITTER_STEPS) / JITTER_STEPS;
 }
 
-/* The most current standby goes first, the others a little later; nobody waits for anybody. */
+/* Returns the delay before this node asks for the lease. The successor and the most current
+ * standbys have the shortest one. The delay is fixed: no standby depends on another one. */
 static double acquire_delay_of(const tw_standby *standby) {
     double ratio = TW_STANDBY_JITTER_RATIO * jitter_of(standby->settings.name);
     const bool is_successor =
@@ -139,7 +141,7 @@
     }
 }
 
-/* Ends the term at hand: no command of the term goes out any more. */
+/* Ends the present term. No further command of the term is sent. */
 static void end_term(tw_standby *standby) {
     tw_standby_log_event(standby, "event=leader_stepped_down");
     standby->leads = false;
@@ -159,8 +161,8 @@
            standby->now >= standby->checking_since + wait_s;
 }
 
-/* Checking begins once the table is read, and ends when the machines have answered or their time is
- * over; only those that have not answered are quarantined. */
+/* Begins checking once the table has been read, and ends it when all machines have answered or the
+ * time limit has passed. Only machines that have not answered are quarantined. */
 static void step_checking(tw_standby *standby) {
     if (!standby->leads || !tw_shards_ready(standby->table)) return;
     if (!standby->began_checking) {
@@ -200,7 +202,8 @@
             tw_standby_emit_call(standby, due.method, due.path, due.body[0] ? due.body : NULL);
 }
 
-/* A key of a later term stands there: its holder is given the time to be heard. */
+/* Handles a key of a later term. Its holder counts as seen now, so that it is not suspected before
+ * its first message can arrive. */
 static void observe_leader_key(tw_standby *standby) {
     if (standby->leads || standby->lease.leader_token <= standby->latest_term) return;
     standby->latest_term = standby->lease.leader_token;
@@ -231,8 +234,8 @@
     tw_standby_emit(standby, TW_STANDBY_ANSWER)->table = answer;
 }
 
-/* Answers the client that asked for a promotion, whatever became of the release: this node has
- * stopped deciding. */
+/* Answers the client that requested a promotion, also when the release has failed, since this node
+ * has stopped deciding. */
 static void handle_release_response(tw_standby *standby, int status) {
     const bool released = status == STATUS_OK || status == STATUS_ABSENT;
     if (!standby->promotion) return;
@@ -338,7 +341,7 @@
                                .gaps = standby->gaps};
 }
 
-/* ---- begin and end ---- */
+/* ---- creation and destruction ---- */
 
 tw_standby *tw_standby_new(const tw_standby_settings *settings, tw_shards *table, double now) {
     tw_standby *standby = tw_standby_alloc(sizeof *standby);
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -1,5 +1,6 @@
-/* The table's calls to the state service: a new active controller compares its view with the
- * records by one call where it can, and keeps the view as it writes. */
+/* The table's calls to the state service. A new active controller confirms its view by a single
+ * call if the view is loaded, and reads all records otherwise; then it applies its writes to the
+ * view. */
 #include "standby/standby_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -28,8 +29,8 @@
     standby->read_call = tw_standby_emit_call(standby, "GET", path, NULL);
 }
 
-/* What has changed since the view: nothing else can have, since each record's revision stands in
- * the condition of each write to it. */
+/* Reads the changes since the view's revision. Nothing else can differ, since every write to a
+ * record is conditional on the record's revision. */
 static void confirm_view(tw_standby *standby) {
     char path[TW_STANDBY_PATH_SIZE];
     snprintf(path, sizeof path, "/follow?starts=%s&since=%lu&holdMs=0", TW_SHARDS_PREFIX,
@@ -37,8 +38,8 @@
     standby->confirm_call = tw_standby_emit_call(standby, "GET", path, NULL);
 }
 
-/* The table wants its records. A term's first reading is of the view that was followed; all later
- * ones follow from an unknown outcome and are of the state service. */
+/* Begins a read of the table's records. The first read of a term uses the view that this node has
+ * followed; later ones follow a write with unknown outcome and use the state service. */
 static void begin_read(tw_standby *standby, const tw_shards_effect *effect) {
     standby->read_id = effect->id;
     const bool first = !standby->term_reads++;
@@ -48,7 +49,8 @@
         read_records(standby, effect->text);
 }
 
-/* A view begins anew, under the next number: followers get a snapshot. */
+/* Completes a new view under the next number and clears the change log, so that followers get a
+ * snapshot. */
 static void start_new_view(tw_standby *standby) {
     standby->view.loaded = true;
     standby->view.term = standby->lease.token;
@@ -66,8 +68,8 @@
                        !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
                        !tw_wire_revision_parse(&store_revision, body, length);
     if (valid) {
-        /* Of several pages the first one's revision holds: changes since are in later ones only in
-         * part. */
+        /* The first page's revision holds for all pages: later pages may contain only some of the
+         * changes since. */
         if (!standby->view.store_revision) standby->view.store_revision = store_revision;
         tw_standby_view_apply(&standby->view, entries, count);
         if (!more) start_new_view(standby);
@@ -76,8 +78,8 @@
     tw_shards_page(standby->table, standby->now, standby->read_id, valid ? body : NULL, length);
 }
 
-/* The view is the records' as of a revision not before the term: writes of earlier terms fail from
- * there on. */
+/* Applies the changes since the view's revision. Their revision must not be before the term's
+ * token, since only from there on do writes of earlier terms fail. */
 void tw_standby_handle_confirm_response(tw_standby *standby, int status, const char *body,
                                         size_t length) {
     tw_wire_entry *changes = NULL;
@@ -124,7 +126,7 @@
                                                                  : TW_SHARDS_UNKNOWN;
 }
 
-/* The next numbered change: what the transaction wrote. */
+/* Adds the entries that the transaction wrote as the next numbered change. */
 static void add_change(tw_standby *standby, uint64_t revision) {
     tw_wire_entry *changes;
     int count;
@@ -154,7 +156,6 @@
     tw_standby_emit(standby, kind)->table = effect;
 }
 
-/* Until nothing more follows. */
 void tw_standby_process_table_effects(tw_standby *standby) {
     tw_shards_effect *effect;
     while ((effect = tw_shards_next(standby->table))) {
--- a/src/standby/view.c
+++ b/src/standby/view.c
@@ -1,4 +1,4 @@
-/* The records as one controller has them, and the latest changes by number.
+/* The view, which is one controller's copy of the records, and the log of the latest changes.
  *
  * Invariant: the digest is the sum of the hashes of the records in the view. */
 #include "standby/standby_int.h"
@@ -7,11 +7,11 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Changes kept for followers; one that needs older ones gets a snapshot. */
+/* Limits of the change log. A follower that needs an older change gets a snapshot. */
 #define MAX_CHANGES 512
 #define MAX_BYTES ((size_t)2 << 20)
 
-/* FNV-1a of 64 bits */
+/* Parameters of the 64-bit FNV-1a hash. */
 #define HASH_BASIS 0xcbf29ce484222325ULL
 #define HASH_PRIME 0x100000001b3ULL
 
@@ -113,7 +113,7 @@
     free(removed);
 }
 
-/* Takes the entries over. A follower that is slow gets a snapshot instead of room without bound. */
+/* The log is bounded: a slow follower gets a snapshot instead. */
 void tw_standby_change_log_add(tw_standby_change_log *log, const tw_standby_view *view,
                                tw_wire_entry *entries, int count) {
     tw_standby_change *added = tw_standby_alloc(sizeof *added);
