--- a/src/rpc/client.cpp
+++ b/src/rpc/client.cpp
@@ -21,7 +21,8 @@
     context.set_deadline(std::chrono::system_clock::now() + timeout);
 }
 
-/// A server that has gone says UNAVAILABLE like one that can't answer; its text tells them apart.
+/// gRPC reports UNAVAILABLE for an unreachable server, too; only the text of a server that could
+/// not answer in time has "ask again".
 tw_rpc_status status_of(const grpc::Status &status) {
     if (status.ok()) return TW_RPC_OK;
     const bool answered = status.error_message().find("ask again") != std::string::npos;
--- a/src/rpc/convert.hpp
+++ b/src/rpc/convert.hpp
@@ -15,13 +15,15 @@
 
 namespace messages = traywall::control;
 
-/// Whether the text fits a name; a longer one would be cut into another name.
+/// Copies the text. Returns false if it does not fit: a truncated name would be a different name.
 template <std::size_t size> bool copy_text(char (&to)[size], const std::string &from) {
     if (from.size() >= size) return false;
     std::memcpy(to, from.c_str(), from.size() + 1);
     return true;
 }
 
+// read_* converts a protobuf message to a struct; those that return bool return false if a text
+// does not fit or a kind is unknown. write_* converts a struct to a protobuf message.
 bool read_change(const messages::ChangeRequest &from, tw_shards_request &to);
 void write_change(const tw_shards_request &from, messages::ChangeRequest &to);
 void write_reply(const tw_rpc_answer &from, messages::ChangeReply &to);
@@ -34,12 +36,13 @@
 void read_notifications(const messages::ReportReply &from, tw_rpc_answer &to);
 bool read_follow(const messages::FollowRequest &from, tw_rpc_call &to);
 void write_feed(const tw_standby_message &from, messages::FollowMessage &to);
-/// Whether it could be read; the message's entries belong to the caller.
+/// The caller frees the entries with tw_standby_message_free, also if the result is false.
 bool read_feed(const messages::FollowMessage &from, tw_standby_message &to);
 void write_standby(const tw_rpc_answer &from, messages::StandbyReply &to);
 void read_standby(const messages::StandbyReply &from, tw_rpc_answer &to);
 
-/// Zeroed memory that C code frees.
+/// Returns a zeroed array that the caller frees with free. The program aborts if memory can't be
+/// allocated.
 template <typename item> item *new_items(int count) {
     void *memory = std::calloc(count > 0 ? static_cast<std::size_t>(count) : 1, sizeof(item));
     if (memory == nullptr) std::abort();
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -1,5 +1,4 @@
-// The server: gRPC's threads put calls into a queue and wait for the daemon's thread to answer
-// them.
+// The server: gRPC's threads enqueue calls and wait until the daemon's thread has answered them.
 #include <control.grpc.pb.h>
 #include "rpc/convert.hpp"
 
@@ -18,23 +17,23 @@
 
 namespace {
 
-constexpr auto max_wait = std::chrono::seconds(TW_RPC_MAX_WAIT_S);
-constexpr auto watch_pause = std::chrono::milliseconds(200);
-constexpr auto min_pause = std::chrono::milliseconds(10);
-constexpr auto max_pause = std::chrono::milliseconds(1000);
-constexpr auto stop_wait = std::chrono::seconds(1);
+constexpr auto max_answer_wait = std::chrono::seconds(TW_RPC_MAX_WAIT_S);
+constexpr auto watch_interval = std::chrono::milliseconds(200);
+constexpr auto min_heartbeat_interval = std::chrono::milliseconds(10);
+constexpr auto max_heartbeat_interval = std::chrono::milliseconds(1000);
+constexpr auto shutdown_timeout = std::chrono::seconds(1);
 
-/// Owns an answer's arrays.
-class owned_answer {
+/// A copy of an answer that owns its arrays.
+class answer_copy {
   public:
-    owned_answer() = default;
-    explicit owned_answer(const tw_rpc_answer &from) : answer(from) {
+    answer_copy() = default;
+    explicit answer_copy(const tw_rpc_answer &from) : answer(from) {
         shards.assign(from.shards, from.shards + from.shard_count);
         notifications.assign(from.notifications, from.notifications + from.notification_count);
         followers.assign(from.followers, from.followers + from.follower_count);
         write_feed(from.message, feed);
     }
-    /// Valid as long as this object is.
+    /// Returns the answer without its feed message. The arrays belong to this object.
     tw_rpc_answer view() {
         tw_rpc_answer copy = answer;
         copy.shards = shards.data();
@@ -55,13 +54,14 @@
 
 } // namespace
 
-/// Calls that wait: put in by gRPC's threads, taken out and answered by the daemon's.
+/// Queue of calls that gRPC's threads submit and the daemon's thread answers.
 class call_queue {
   public:
     call_queue(void (*wake_daemon)(void *), void *daemon) : wake(wake_daemon), context(daemon) {}
 
-    /// Whether an answer came in time. Takes the call's memory over.
-    bool submit(tw_rpc_call call, owned_answer &answer) {
+    /// Enqueues the call and waits for its answer. Returns false if there is none in time or the
+    /// queue is stopped. The queue takes ownership of what the call owns.
+    bool submit(tw_rpc_call call, answer_copy &answer) {
         std::unique_lock<std::mutex> lock(mutex);
         if (stopped) {
             tw_rpc_call_free(&call);
@@ -73,9 +73,9 @@
         queued.push_back(call);
         answers[id] = nullptr;
         wake(context);
-        const bool in_time =
-            changed.wait_for(lock, max_wait, [&] { return stopped || answers[id] != nullptr; });
-        const std::unique_ptr<owned_answer> received = std::move(answers[id]);
+        const bool in_time = changed.wait_for(lock, max_answer_wait,
+                                              [&] { return stopped || answers[id] != nullptr; });
+        const std::unique_ptr<answer_copy> received = std::move(answers[id]);
         answers.erase(id);
         if (!in_time || received == nullptr) return false;
         answer = *received;
@@ -93,8 +93,8 @@
     void answer(uint64_t id, const tw_rpc_answer &answer) {
         const std::lock_guard<std::mutex> lock(mutex);
         const auto found = answers.find(id);
-        if (found == answers.end()) return; // its client has gone
-        found->second = std::make_unique<owned_answer>(answer);
+        if (found == answers.end()) return; // the call has timed out
+        found->second = std::make_unique<answer_copy>(answer);
         changed.notify_all();
     }
 
@@ -115,7 +115,7 @@
     std::mutex mutex;
     std::condition_variable changed;
     std::deque<tw_rpc_call> queued;
-    std::map<uint64_t, std::unique_ptr<owned_answer>> answers;
+    std::map<uint64_t, std::unique_ptr<answer_copy>> answers;
     void (*wake)(void *);
     void *context;
     uint64_t last_id = 0;
@@ -139,7 +139,7 @@
     grpc::Status Show(grpc::ServerContext *, const messages::ShowRequest *request,
                       messages::ShowReply *reply) override {
         tw_rpc_call call = {};
-        owned_answer answer;
+        answer_copy answer;
         call.method = TW_RPC_SHOW;
         call.show_machines = request->machines();
         if (!calls.submit(call, answer)) return unavailable_status();
@@ -152,7 +152,7 @@
         tw_rpc_call call = {};
         call.method = TW_RPC_CHANGE;
         if (!read_change(*request, call.request)) return malformed_status();
-        owned_answer answer;
+        answer_copy answer;
         if (!calls.submit(call, answer)) return unavailable_status();
         write_reply(answer.view(), *reply);
         return grpc::Status::OK;
@@ -163,7 +163,7 @@
         std::string last;
         while (!context->IsCancelled() && !calls.is_stopped()) {
             tw_rpc_call call = {};
-            owned_answer answer;
+            answer_copy answer;
             call.method = TW_RPC_CHANGE;
             call.request.kind = TW_SHARDS_WATCH;
             if (!copy_text(call.request.key, request->key())) return malformed_status();
@@ -174,7 +174,7 @@
             if (text != last && !writer->Write(reply)) return grpc::Status::OK;
             last = text;
             if (reply.done() || answer.view().verdict != TW_SHARDS_OK) return grpc::Status::OK;
-            std::this_thread::sleep_for(watch_pause);
+            std::this_thread::sleep_for(watch_interval);
         }
         return unavailable_status();
     }
@@ -182,7 +182,7 @@
     grpc::Status Report(grpc::ServerContext *, const messages::ReportRequest *request,
                         messages::ReportReply *reply) override {
         tw_rpc_call call = {};
-        owned_answer answer;
+        answer_copy answer;
         call.method = TW_RPC_REPORT;
         if (!read_report(*request, call)) return malformed_status();
         if (!calls.submit(call, answer)) return unavailable_status();
@@ -190,17 +190,18 @@
         return grpc::Status::OK;
     }
 
-    /// A slow follower keeps this thread in Write, and falls back to a snapshot: nothing is queued
-    /// for it.
+    /// A slow follower blocks this thread in Write and later gets a snapshot; no messages are
+    /// queued for it.
     grpc::Status Follow(grpc::ServerContext *context, const messages::FollowRequest *request,
                         grpc::ServerWriter<messages::FollowMessage> *writer) override {
         tw_rpc_call call = {};
         call.method = TW_RPC_FOLLOW;
         if (!read_follow(*request, call)) return malformed_status();
         const auto asked = std::chrono::milliseconds(static_cast<long>(request->pause_s() * 1000));
-        const auto pause = std::min(std::max(asked, min_pause), max_pause);
+        const auto pause =
+            std::min(std::max(asked, min_heartbeat_interval), max_heartbeat_interval);
         while (!context->IsCancelled() && !calls.is_stopped()) {
-            owned_answer answer;
+            answer_copy answer;
             if (!calls.submit(call, answer)) return unavailable_status();
             const messages::FollowMessage &feed = answer.feed_message();
             if (!writer->Write(feed) || feed.kind() == messages::FollowMessage::DENIED)
@@ -215,7 +216,7 @@
     grpc::Status Promote(grpc::ServerContext *, const messages::PromoteRequest *request,
                          messages::ChangeReply *reply) override {
         tw_rpc_call call = {};
-        owned_answer answer;
+        answer_copy answer;
         call.method = TW_RPC_PROMOTE;
         if (!copy_text(call.owner, request->node())) return malformed_status();
         if (!calls.submit(call, answer)) return unavailable_status();
@@ -226,7 +227,7 @@
     grpc::Status Standby(grpc::ServerContext *, const messages::StandbyRequest *,
                          messages::StandbyReply *reply) override {
         tw_rpc_call call = {};
-        owned_answer answer;
+        answer_copy answer;
         call.method = TW_RPC_STANDBY;
         if (!calls.submit(call, answer)) return unavailable_status();
         write_standby(answer.view(), *reply);
@@ -279,6 +280,6 @@
 extern "C" void tw_rpc_server_stop(tw_rpc_server *server) {
     if (server == nullptr) return;
     server->calls.stop();
-    server->server->Shutdown(std::chrono::system_clock::now() + tw_rpc::stop_wait);
+    server->server->Shutdown(std::chrono::system_clock::now() + tw_rpc::shutdown_timeout);
     delete server;
 }
