--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -1,4 +1,4 @@
-/* Calls over HTTP, to the state service and to machines, and what their answers mean. */
+/* HTTP calls to the state service and to machines, and the handling of their responses. */
 #include "daemon/daemon_int.h"
 #include <cjson/cJSON.h>
 #include <stdbool.h>
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALLS_PER_LEASE 3.0 /* a call may last so much of the lease */
+#define CALLS_PER_LEASE 3.0 /* the time limit of a call is the lease divided by this */
 #define MAX_CONNECTIONS_PER_HOST 8
 #define BODY_SIZE 160
 enum { OK = 200, CONFLICT = 409 };
@@ -59,7 +59,7 @@
     call_machine(node, kind, effect->machine, path, body, effect->epoch);
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static int parse_number(const cJSON *object, const char *name, uint64_t *to) {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
@@ -68,7 +68,8 @@
     return 0;
 }
 
-/* What the machine has, by its answer to /check or /start; -1: it can't be read. */
+/* Parses a machine's response to /check or /start. Returns -1 if the response is malformed or its
+ * status is neither 200 nor 409. */
 static int parse_machine_status(tw_standby_machine_status *to, int status, const char *body,
                                 size_t length) {
     uint64_t running = 0;
--- a/src/daemon/clients.c
+++ b/src/daemon/clients.c
@@ -1,6 +1,6 @@
-/* Calls of clients and of other owners, and the effects that answer them. Authority is judged by
- * the time at which each answer is given: a process that stood still may be called before its next
- * tick, with a table that is no longer its own. */
+/* Calls of clients and of other owners, and the effects that answer them. Authority is checked at
+ * the time of each answer, since a process that was suspended may receive calls before its next
+ * tick, when it is no longer the leader and its table is outdated. */
 #include "daemon/daemon_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -58,14 +58,14 @@
             tw_shards_opened(node->shards, call->owner, message->machine, message->epoch);
     }
     tw_daemon_process_effects(node);
-    /* What is kept is of the term at hand: it is dropped when the term ends. */
+    /* All queued notifications are of the present term, since the queues are freed at its end. */
     tw_daemon_owner_notifications *queued =
         decides ? tw_daemon_notifications_of(node, call->owner) : NULL;
     answer.notifications = queued ? queued->notifications : NULL;
     answer.notification_count = queued ? queued->count : 0;
     tw_rpc_answer_call(node->server, call->id, &answer);
     if (queued)
-        queued->count = 0; /* if the answer is lost, the owner's next SYNC brings them again */
+        queued->count = 0; /* if the answer is lost, the owner gets them again by its next SYNC */
 }
 
 static void answer_follower(tw_daemon_node *node, const tw_rpc_call *call) {
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -1,5 +1,5 @@
-/* The daemon's loop: events of sockets, threads and timers go into the state machines, and their
- * effects out to the state service, the machines and whoever called. */
+/* The daemon's loop: passes events of sockets, threads and timers to the state machines, and their
+ * effects to the state service, the machines and the callers. */
 #include "daemon/daemon_int.h"
 #include "log/log.h"
 #include <signal.h>
@@ -8,16 +8,16 @@
 #include <string.h>
 #include <time.h>
 
-#define MAX_RELEASE_S 1.0 /* at most, for giving the lease back */
+#define MAX_RELEASE_S 1.0 /* time limit for releasing the lease at shutdown */
 #define NS_PER_S 1e9
 #define IDLE_S 60
 #define MAX_CLIENT_SOCKETS 512
 #define MAX_SERVER_SOCKETS 4 /* the daemon serves no HTTP */
 #define MAX_RESPONSE_BYTES ((size_t)2 << 20)
 
-/* Ratios to the lease. */
-#define REPORT_RATIO 0.25    /* how long a report may last */
-#define HEARTBEAT_RATIO 0.03 /* between two heartbeats of the active controller */
+/* Times as fractions of the lease. */
+#define REPORT_RATIO 0.25    /* time limit of a report */
+#define HEARTBEAT_RATIO 0.03 /* interval between heartbeats of the active controller */
 
 static const double tick_s = 0.05;
 
@@ -80,7 +80,7 @@
     return applied;
 }
 
-/* What the owner says to its own table may bring about more. */
+/* Repeats, since messages of this node's owner to its own table may cause further effects. */
 void tw_daemon_process_effects(tw_daemon_node *node) {
     while (apply_effects(node)) continue;
     const bool decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
@@ -104,7 +104,7 @@
 
 static void on_request(void *context, int port, uint64_t connection, const char *method,
                        const char *path, const char *body, size_t length) {
-    (void)context; /* it listens for none */
+    (void)context; /* the daemon listens for no HTTP requests */
     (void)port;
     (void)connection;
     (void)method;
@@ -113,8 +113,6 @@
     (void)length;
 }
 
-/* ---- time ---- */
-
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int events) {
     tw_daemon_node *node = timer->data;
     const double now = tw_daemon_steady_s();
@@ -133,7 +131,7 @@
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* ---- begin and end ---- */
+/* ---- startup and shutdown ---- */
 
 static void wake_for_calls(void *context) {
     tw_daemon_node *node = context;
@@ -175,7 +173,7 @@
     node->net = tw_net_new(node->loop, &limits, &handler, node);
 }
 
-/* Gives the lease back, and waits for the answers to calls for a moment at most. */
+/* Releases the lease, and waits at most MAX_RELEASE_S for the responses to calls. */
 static void release_lease(tw_daemon_node *node) {
     tw_standby_resign(node->standby, tw_daemon_steady_s());
     tw_daemon_process_effects(node);
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -1,4 +1,4 @@
-/* What the files of the daemon have in common. Not for other packages.
+/* Private declarations of the daemon; other packages include daemon.h only.
  *
  * All of it runs on the loop's thread; reporter.c and subscriber.c have a thread each, which wakes
  * the loop. Whatever changes a state machine calls tw_daemon_process_effects before it returns to
@@ -14,27 +14,28 @@
 #include <stdbool.h>
 #include <uthash.h>
 
-#define TW_DAEMON_MAX_NOTIFICATIONS                                                                \
-    4096 /* for an owner between two of its reports; it then asks                                  \
-                                             for all */
+/* Limit of an owner's queued notifications, and of the messages queued for a report. Further
+ * notifications are dropped; the owner gets them by its next SYNC. */
+#define TW_DAEMON_MAX_NOTIFICATIONS 4096
 
+/* Kinds of HTTP calls, which determine how the response is handled. */
 typedef enum {
-    TW_DAEMON_CALL_STATE,
-    TW_DAEMON_CALL_MACHINE,
-    TW_DAEMON_CALL_OPEN,
-    TW_DAEMON_CALL_OTHER
+    TW_DAEMON_CALL_STATE,   /* to the state service */
+    TW_DAEMON_CALL_MACHINE, /* /check or /start to a machine */
+    TW_DAEMON_CALL_OPEN,    /* /open to a machine */
+    TW_DAEMON_CALL_OTHER    /* the response is ignored */
 } tw_daemon_call_kind;
 
-/* A call over HTTP that is on its way. */
+/* An HTTP call in flight. */
 typedef struct tw_daemon_call {
     uint64_t id;
     tw_daemon_call_kind kind;
-    uint64_t tag; /* STATE: number of the standby's call; MACHINE: the term; OPEN: the epoch */
+    uint64_t tag; /* STATE: id of the standby's call; MACHINE: the term; OPEN, OTHER: the epoch */
     char machine[TW_SHARDS_NAME];
     UT_hash_handle hh;
 } tw_daemon_call;
 
-/* Notifications for an owner, which its next report takes with it. */
+/* Notifications for an owner, which are sent in the answer to its next report. */
 typedef struct tw_daemon_owner_notifications {
     char owner[TW_SHARDS_NAME];
     tw_shards_notification *notifications;
@@ -49,16 +50,16 @@
     tw_rpc_server *server;
     tw_reporter *reporter;
     tw_subscriber *subscriber;
-    char feed_address[TW_RPC_ADDRESS_SIZE]; /* whose feed is read; "": nobody's */
-    double reopen_at, backoff_s;            /* when a feed that ended is opened again */
+    char feed_address[TW_RPC_ADDRESS_SIZE]; /* daemon whose feed is read; "" if none is */
+    double reopen_at, backoff_s; /* when a feed that has ended is reopened, and the delay before */
     tw_standby *standby;
     tw_shards *shards;
     tw_shards_owner *owner;
-    bool was_deciding; /* when looked at last */
+    bool was_deciding; /* whether this node decided after the last processing of effects */
     uint64_t last_call;
     tw_daemon_call *calls;
     tw_daemon_owner_notifications *notifications;
-    tw_rpc_message *messages; /* for the leader, until they are sent */
+    tw_rpc_message *messages; /* owner's messages for the leader that are not sent yet */
     int message_count;
     ev_async calls_wake, report_wake, feed_wake;
     ev_timer tick;
@@ -67,13 +68,13 @@
 
 /* daemon.c */
 double tw_daemon_steady_s(void);
-/* Zeroed memory; the program ends where there is none. */
+/* Returns zeroed memory. The program aborts if none can be allocated. */
 void *tw_daemon_alloc(size_t size);
-/* Carries out all effects, until nothing more follows from them. */
+/* Processes the effects of the state machines until there are no more. */
 void tw_daemon_process_effects(tw_daemon_node *node);
 
 /* calls.c: calls over HTTP, to the state service and to machines */
-/* Calls the state service. */
+/* Sends the effect's call to the state service. */
 void tw_daemon_call_state(tw_daemon_node *node, const tw_standby_effect *effect);
 /* Sends /check or /start to a machine. */
 void tw_daemon_check_machine(tw_daemon_node *node, const tw_standby_effect *effect);
@@ -81,34 +82,35 @@
 /* Sends an owner's command, /open or /stop, to a machine. */
 void tw_daemon_send_command(tw_daemon_node *node, tw_daemon_call_kind kind, const char *path,
                             const tw_shards_owner_effect *effect);
-/* Takes the answer to a call; NULL and 0: none came. */
+/* Handles the response to a call. status is 0 and body NULL if the call got no response. */
 void tw_daemon_on_response(void *context, uint64_t id, int status, const char *body, size_t length);
 
 /* owners.c: this node as an owner, and the notifications of other owners */
-/* The notifications of that owner, made where there are none. */
+/* Returns the queue of notifications for that owner, and creates it if there is none. */
 tw_daemon_owner_notifications *tw_daemon_notifications_of(tw_daemon_node *node, const char *owner);
-/* Keeps a notification until the owner's next report, in place of an older one of the machine. */
+/* Queues a notification until the owner's next report. It replaces an earlier one about the same
+ * machine. */
 void tw_daemon_queue_notification(tw_daemon_node *node, const tw_shards_notification *notification);
-/* Forgets the notifications of all owners, as at the end of a term. */
+/* Frees the notifications of all owners, as at the end of a term. */
 void tw_daemon_free_notifications(tw_daemon_node *node);
-/* Carries out the effects of this node as an owner. */
+/* Processes the effects of this node as an owner. */
 void tw_daemon_process_owner_effects(tw_daemon_node *node);
-/* Sends the messages of this node as an owner to another node that leads, unless a report is on its
- * way. */
+/* Sends this node's messages as an owner to the leader, unless this node holds the leader key or a
+ * report is in flight. */
 void tw_daemon_send_report(tw_daemon_node *node);
-/* Takes the answer to the last report. */
+/* Handles the answer to the last report. */
 void tw_daemon_handle_report_answer(tw_daemon_node *node);
 
 /* following.c: this node as a standby */
-/* Opens the feed of the active controller, and opens it again where it has ended. */
+/* Opens the feed of the active controller, and reopens it after a delay if it has ended. */
 void tw_daemon_update_feed(tw_daemon_node *node);
-/* Takes the messages of the feed that have come. */
+/* Applies the messages of the feed that have arrived. */
 void tw_daemon_process_feed(tw_daemon_node *node);
 
 /* clients.c: calls over the control interface, and effects that answer them */
-/* Answers a client, as the effect says. */
+/* Sends a client the effect's answer. */
 void tw_daemon_answer_client(tw_daemon_node *node, const tw_shards_effect *effect);
-/* Takes the calls that came in; an event of the loop. */
+/* Loop event: handles the calls that have been received. */
 void tw_daemon_on_calls(struct ev_loop *loop, ev_async *watcher, int events);
 
 #endif
--- a/src/daemon/following.c
+++ b/src/daemon/following.c
@@ -1,28 +1,29 @@
-/* This node as a standby: whose feed it reads, and what comes from there. */
+/* This node as a standby: opens the feed of the active controller and applies its messages. */
 #include "daemon/daemon_int.h"
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
 
-/* Ratios to the lease. */
+/* Delays before a feed is reopened, as fractions of the lease. */
 #define INITIAL_BACKOFF_RATIO 0.02
 #define MAX_BACKOFF_RATIO 0.2
-#define JITTER_RATIO 0.5 /* of the backoff */
+#define JITTER_RATIO 0.5 /* maximum, as a fraction of the backoff */
 #define MS_PER_S 1000.0
 
-/* From 0 to 1, another one for each node and try: what is below a millisecond of the time. */
+/* Returns a number from 0 to 1 that differs between nodes and attempts: the part of the monotonic
+ * time below a millisecond. */
 static double jitter_fraction(void) {
     double whole;
     return modf(tw_daemon_steady_s() * MS_PER_S, &whole);
 }
 
-/* Of the controller that is followed now, from where this node is. */
+/* Opens the feed of the daemon at feed_address, from this node's position. */
 static void open_feed(tw_daemon_node *node) {
     const tw_standby_position position = tw_standby_position_of(node->standby);
     tw_subscriber_open(node->subscriber, node->feed_address, &position);
 }
 
-/* Opens a feed that has ended again, each time a little later. */
+/* Reopens a feed that has ended, with exponential backoff. */
 static void reopen_feed(tw_daemon_node *node, double now) {
     const double lease_s = node->settings->lease_s;
     if (now < node->reopen_at) return;
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/* traywalld: reads its settings and runs the daemon. */
+/* traywalld: parses the command line and runs the daemon. */
 #include "daemon/daemon.h"
 #include "log/log.h"
 #include <argp.h>
@@ -18,26 +18,29 @@
 #define DEFAULT_VALUE_KB 8
 #define DEFAULT_TXN_OPS 12
 #define DEFAULT_WRITE_RPS 10
-#define RETRIES_PER_GRACE 4.0 /* what was not answered is repeated so often in grace_s */
+#define RETRIES_PER_GRACE 4.0 /* repetitions of an unanswered command or message within grace_s */
 
 const char *argp_program_version = "traywalld " TW_VERSION;
 
 static const struct argp_option options[] = {
-    {"name", OPT_NAME, "NAME", 0, "name of this node, as shares name their owner", 0},
-    {"state", OPT_STATE, "IP:PORT", 0, "the state service", 0},
-    {"control", OPT_CONTROL, "IP:PORT", 0, "where the control interface listens", 0},
-    {"lease", OPT_LEASE, "SECONDS", 0, "the leader's lease (default 3)", 0},
-    {"drain", OPT_DRAIN, "SECONDS", 0, "how long a drain may last (default 30)", 0},
-    {"grace", OPT_GRACE, "SECONDS", 0, "how long a silent owner is waited for (default 4)", 0},
-    {"write-rps", OPT_RATE, "N", 0, "changes a second that may be written (default 10)", 0},
-    {"value-kb", OPT_VALUE, "N", 0, "largest value of the state service (default 8)", 0},
-    {"txn-ops", OPT_OPS, "N", 0, "most changes in a transaction (default 12)", 0},
+    {"name", OPT_NAME, "NAME", 0, "name of this node, by which shares refer to their owner", 0},
+    {"state", OPT_STATE, "IP:PORT", 0, "address of the state service", 0},
+    {"control", OPT_CONTROL, "IP:PORT", 0, "address on which the control interface listens", 0},
+    {"lease", OPT_LEASE, "SECONDS", 0, "time to live of the leader's lease (default 3)", 0},
+    {"drain", OPT_DRAIN, "SECONDS", 0, "time limit of a drain (default 30)", 0},
+    {"grace", OPT_GRACE, "SECONDS", 0,
+     "time after which a silent owner is no longer waited for (default 4)", 0},
+    {"write-rps", OPT_RATE, "N", 0, "maximum changes written per second (default 10)", 0},
+    {"value-kb", OPT_VALUE, "N", 0, "maximum value size of the state service, in KB (default 8)",
+     0},
+    {"txn-ops", OPT_OPS, "N", 0, "maximum changes per transaction (default 12)", 0},
     {NULL, 0, NULL, 0, NULL, 0}};
 
 static double parse_number(struct argp_state *state, const char *text, double minimum) {
     char *rest;
     const double value = strtod(text, &rest);
-    if (rest == text || *rest || !(value >= minimum)) argp_error(state, "not a number: %s", text);
+    if (rest == text || *rest || !(value >= minimum))
+        argp_error(state, "not a number, or below the minimum of the option: %s", text);
     return value;
 }
 
@@ -73,7 +76,7 @@
         break;
     case ARGP_KEY_END:
         if (!settings->name || !settings->state || !settings->control)
-            argp_error(state, "--name, --state and --control are needed");
+            argp_error(state, "--name, --state and --control are required");
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -84,7 +87,7 @@
 int main(int count, char **arguments) {
     static const struct argp argp = {.options = options,
                                      .parser = parse_option,
-                                     .doc = "Keeps the shares of a fleet. LOG_LEVEL: error, info "
+                                     .doc = "Manages the shares of a fleet. LOG_LEVEL: error, info "
                                             "or debug."};
     tw_daemon_settings settings = {.lease_s = DEFAULT_LEASE_S,
                                    .shards = {.drain_s = DEFAULT_DRAIN_S,
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -1,4 +1,4 @@
-/* This node as an owner of shards, and the notifications that it keeps for other owners while it
+/* This node as an owner of shards, and the notifications that it queues for other owners while it
  * leads. */
 #include "daemon/daemon_int.h"
 #include <stdbool.h>
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- notifications of other owners ---- */
+/* ---- notifications for other owners ---- */
 
 tw_daemon_owner_notifications *tw_daemon_notifications_of(tw_daemon_node *node, const char *owner) {
     tw_daemon_owner_notifications *found;
@@ -25,7 +25,7 @@
     tw_daemon_owner_notifications *queued = tw_daemon_notifications_of(node, notification->owner);
     for (int i = 0; i < queued->count; i++) {
         if (strcmp(queued->notifications[i].machine, notification->machine) != 0) continue;
-        queued->notifications[i] = *notification; /* the later one holds */
+        queued->notifications[i] = *notification; /* the later one replaces the earlier one */
         return;
     }
     if (queued->count < TW_DAEMON_MAX_NOTIFICATIONS)
@@ -44,7 +44,8 @@
 
 /* ---- effects of the owner ---- */
 
-/* Tells the leader, which may be this node. */
+/* Passes an owner's message to this node's own table if this node decides, and otherwise queues it
+ * for the next report to the leader. */
 static void send_to_leader(tw_daemon_node *node, const tw_shards_owner_effect *effect) {
     if (tw_standby_decides(node->standby, tw_daemon_steady_s())) {
         const char *owner = node->settings->name;
@@ -56,7 +57,8 @@
             tw_shards_opened(node->shards, owner, effect->machine, effect->epoch);
         return;
     }
-    if (node->message_count == TW_DAEMON_MAX_NOTIFICATIONS) return; /* said again later */
+    if (node->message_count == TW_DAEMON_MAX_NOTIFICATIONS)
+        return; /* the owner repeats the message */
     tw_rpc_message *message = &node->messages[node->message_count++];
     message->kind = effect->kind;
     message->epoch = effect->epoch;
@@ -80,7 +82,6 @@
     }
 }
 
-/* Sends what there is to say to another node that leads. */
 void tw_daemon_send_report(tw_daemon_node *node) {
     const char *leader = tw_standby_active_address(node->standby);
     const bool leads_itself = !strcmp(leader, node->settings->control);
--- a/src/daemon/reporter.c
+++ b/src/daemon/reporter.c
@@ -1,4 +1,4 @@
-/* The thread that reports to the leading daemon. */
+/* The thread that sends reports to the leading daemon. */
 #include "daemon/reporter.h"
 #include <pthread.h>
 #include <stdbool.h>
@@ -26,7 +26,8 @@
     char client_address[TW_RPC_ADDRESS_SIZE];
 };
 
-/* The connection is kept as long as the leader stays where it is. */
+/* Sends the report and waits for the answer. The client is replaced only when the leader's address
+ * has changed, so that its connection is reused. */
 static tw_rpc_status send_report(tw_reporter *reporter, const tw_rpc_call *call,
                                  const char *address, tw_rpc_answer *answer) {
     if (strcmp(reporter->client_address, address) != 0) {
--- a/src/daemon/subscriber.c
+++ b/src/daemon/subscriber.c
@@ -17,10 +17,10 @@
     char node[TW_SHARDS_NAME], address[TW_RPC_ADDRESS_SIZE];
     double pause_s;
     tw_standby_position position;
-    bool stopping, open_requested; /* wanted: a feed is to be opened */
-    uint64_t generation;           /* counts tw_subscriber_open */
-    bool open;                     /* the thread reads a feed of this generation */
-    tw_rpc_feed *feed;             /* at hand, to be cancelled from outside */
+    bool stopping, open_requested; /* open_requested: the thread is to open a feed */
+    uint64_t generation;           /* number of the feed, counted by tw_subscriber_open */
+    bool open;                     /* whether the feed of this generation is open or being opened */
+    tw_rpc_feed *feed;             /* the feed that the thread reads, for cancelling it */
     tw_standby_message queue[MAX_QUEUED];
     int queue_count;
 };
@@ -31,7 +31,8 @@
     subscriber->queue_count = 0;
 }
 
-/* Whether the message is of the feed that is wanted and was kept; waits for room. */
+/* Adds the message to the queue, waiting while the queue is full. Frees the message and returns
+ * false if another feed has been requested or the subscriber is stopping. */
 static bool enqueue_message(tw_subscriber *subscriber, uint64_t generation,
                             tw_standby_message *message) {
     while (subscriber->queue_count == MAX_QUEUED && subscriber->generation == generation &&
@@ -46,8 +47,9 @@
     return true;
 }
 
-/* Called and returns with the mutex held. It is free while the connection is made and the feed is
- * read: the daemon's loop, which renews the lease, must never wait for another daemon. */
+/* Reads a feed until it ends. The mutex must be held at the call and is held on return. It is
+ * released while the feed connects and is read, since the daemon's loop, which renews the lease,
+ * must never wait for another daemon. */
 static void read_feed(tw_subscriber *subscriber) {
     const uint64_t generation = subscriber->generation;
     const tw_standby_position position = subscriber->position;
