--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -184,7 +184,7 @@
 
 static void free_node(tw_daemon_node *node) {
     tw_daemon_call *each;
-    tw_daemon_call *after;
+    tw_daemon_call *next;
     tw_rpc_server_stop(node->server);
     tw_reporter_stop(node->reporter);
     tw_subscriber_stop(node->subscriber);
@@ -193,7 +193,7 @@
     tw_shards_free(node->shards);
     tw_shards_owner_free(node->owner);
     tw_daemon_free_notifications(node);
-    HASH_ITER(hh, node->calls, each, after) {
+    HASH_ITER(hh, node->calls, each, next) {
         HASH_DEL(node->calls, each);
         free(each);
     }
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -34,8 +34,8 @@
 
 void tw_daemon_free_notifications(tw_daemon_node *node) {
     tw_daemon_owner_notifications *each;
-    tw_daemon_owner_notifications *after;
-    HASH_ITER(hh, node->notifications, each, after) {
+    tw_daemon_owner_notifications *next;
+    HASH_ITER(hh, node->notifications, each, next) {
         HASH_DEL(node->notifications, each);
         free(each->notifications);
         free(each);
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -72,10 +72,10 @@
 }
 
 int tw_standby_unanswered_count(const tw_standby *standby) {
-    int waiting = 0;
+    int unanswered = 0;
     for (const tw_standby_machine_check *each = standby->machines; each; each = each->hh.next)
-        waiting += each->step == TW_STANDBY_CHECK_ASKED;
-    return waiting;
+        unanswered += each->step == TW_STANDBY_CHECK_ASKED;
+    return unanswered;
 }
 
 /* ---- registrations ---- */
@@ -115,9 +115,9 @@
  * were any. */
 static bool pass_registrations(tw_standby *standby, const char *name, uint64_t boot_id) {
     tw_standby_registration *each;
-    tw_standby_registration *after;
+    tw_standby_registration *next;
     bool passed = false;
-    DL_FOREACH_SAFE(standby->registrations, each, after) {
+    DL_FOREACH_SAFE(standby->registrations, each, next) {
         if (each->passed || strcmp(each->request.machine, name) != 0) continue;
         pass_to_table(standby, each, boot_id);
         passed = true;
@@ -164,7 +164,8 @@
 
 /* ---- answers ---- */
 
-static void quarantine(tw_standby *standby, tw_standby_machine_check *machine, const char *reason) {
+static void log_quarantine(tw_standby *standby, tw_standby_machine_check *machine,
+                           const char *reason) {
     if (!machine->quarantine_logged)
         tw_standby_log_event(standby, "event=machine_quarantined machine=%s reason=%s",
                              machine->name, reason);
@@ -196,7 +197,7 @@
         remove_machine(standby, machine);
     } else if (answer->newest > recorded.epoch) {
         record_difference(standby, &recorded, answer);
-        quarantine(standby, machine, "ahead_of_records");
+        log_quarantine(standby, machine, "ahead_of_records");
     } else if (!answer->started || (was_open && answer->newest < recorded.epoch)) {
         record_difference(standby, &recorded, answer);
         request_renewal(standby, machine, answer->boot_id);
@@ -219,7 +220,7 @@
 static void handle_machine_status(tw_standby *standby, tw_standby_machine_check *machine,
                                   const tw_standby_machine_status *answer) {
     if (answer->term > standby->lease.token) {
-        quarantine(standby, machine, "later_term");
+        log_quarantine(standby, machine, "later_term");
     } else if (machine->step == TW_STANDBY_CHECK_STARTING) {
         handle_start_status(standby, machine, answer);
     } else if (machine->step == TW_STANDBY_CHECK_ASKED &&
@@ -246,8 +247,8 @@
  * that the client need not wait. The machine is recorded, and is started once it answers. */
 static void pass_overdue_registrations(tw_standby *standby) {
     tw_standby_registration *each;
-    tw_standby_registration *after;
-    DL_FOREACH_SAFE(standby->registrations, each, after) {
+    tw_standby_registration *next;
+    DL_FOREACH_SAFE(standby->registrations, each, next) {
         const bool overdue =
             standby->now >= each->since + standby->settings.lease_s * TW_STANDBY_CHECK_RATIO;
         if (!each->passed && overdue) pass_to_table(standby, each, 0);
@@ -256,10 +257,10 @@
 
 void tw_standby_check_tick(tw_standby *standby) {
     tw_standby_machine_check *each;
-    tw_standby_machine_check *after;
+    tw_standby_machine_check *next;
     if (!standby->leads || !tw_shards_ready(standby->table)) return;
     pass_overdue_registrations(standby);
-    HASH_ITER(hh, standby->machines, each, after) {
+    HASH_ITER(hh, standby->machines, each, next) {
         if (each->step == TW_STANDBY_CHECK_RENEWING || standby->now < each->next_at) continue;
         const tw_shards_notification recorded = tw_shards_machine_named(standby->table, each->name);
         if (recorded.state == TW_SHARDS_ABSENT && !standby->registrations)
@@ -269,9 +270,9 @@
     }
 }
 
-void tw_standby_quarantine_unanswered(tw_standby *standby) {
+void tw_standby_log_unanswered(tw_standby *standby) {
     for (tw_standby_machine_check *each = standby->machines; each; each = each->hh.next)
-        if (each->step == TW_STANDBY_CHECK_ASKED) quarantine(standby, each, "silent");
+        if (each->step == TW_STANDBY_CHECK_ASKED) log_quarantine(standby, each, "silent");
 }
 
 void tw_standby_check_clear(tw_standby *standby) {
--- a/src/standby/feed.c
+++ b/src/standby/feed.c
@@ -217,8 +217,8 @@
 
 tw_standby_follower_status *tw_standby_followers(const tw_standby *standby, double now,
                                                  int *count) {
-    const unsigned most = HASH_COUNT(standby->followers);
-    tw_standby_follower_status *list = tw_standby_alloc(sizeof *list * most);
+    const unsigned max_count = HASH_COUNT(standby->followers);
+    tw_standby_follower_status *list = tw_standby_alloc(sizeof *list * max_count);
     const tw_standby_follower *each;
     *count = 0;
     for (each = standby->leads ? standby->followers : NULL; each; each = each->hh.next) {
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -134,8 +134,8 @@
 
 static void free_followers(tw_standby *standby) {
     tw_standby_follower *each;
-    tw_standby_follower *after;
-    HASH_ITER(hh, standby->followers, each, after) {
+    tw_standby_follower *next;
+    HASH_ITER(hh, standby->followers, each, next) {
         HASH_DEL(standby->followers, each);
         free(each);
     }
@@ -170,7 +170,7 @@
         tw_standby_check_all(standby);
     }
     if (tw_shards_deciding(standby->table) || !check_is_over(standby)) return;
-    tw_standby_quarantine_unanswered(standby);
+    tw_standby_log_unanswered(standby);
     tw_standby_log_event(standby, "event=decisions_started term=%lu quarantined=%d differences=%ld",
                          (unsigned long)standby->lease.token,
                          tw_shards_quarantined_count(standby->table), standby->differences);
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -231,7 +231,7 @@
 /* Repeats unanswered commands to machines, and passes overdue registrations to the table. */
 void tw_standby_check_tick(tw_standby *standby);
 /* Logs the quarantine of the machines that have not answered. */
-void tw_standby_quarantine_unanswered(tw_standby *standby);
+void tw_standby_log_unanswered(tw_standby *standby);
 /* Removes all machine checks and registrations, as at the end of a term. Registrations that were
  * not passed to the table yet are passed to it, which refuses them. */
 void tw_standby_check_clear(tw_standby *standby);
--- a/src/standby/view.c
+++ b/src/standby/view.c
@@ -44,8 +44,8 @@
 
 void tw_standby_view_clear(tw_standby_view *view) {
     tw_standby_record *each;
-    tw_standby_record *after;
-    HASH_ITER(hh, view->records, each, after) { remove_record(view, each); }
+    tw_standby_record *next;
+    HASH_ITER(hh, view->records, each, next) { remove_record(view, each); }
     *view = (tw_standby_view){0};
 }
 
