--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -80,7 +80,8 @@
     return applied;
 }
 
-/* Repeats, since messages of this node's owner to its own table may cause further effects. */
+/* Effects are processed repeatedly, since this node's messages as an owner to its own table may
+ * cause further effects. */
 void tw_daemon_process_effects(tw_daemon_node *node) {
     while (apply_effects(node)) continue;
     const bool decides = tw_standby_decides(node->standby, tw_daemon_steady_s());
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -1,9 +1,8 @@
 /* Private declarations of the daemon; other packages include daemon.h only.
  *
- * All of it runs on the loop's thread; reporter.c and subscriber.c have a thread each, which wakes
- * the loop. Whatever changes a state machine calls tw_daemon_process_effects before it returns to
- * the loop.
- */
+ * The daemon runs on the loop's thread, except that reporter.c and subscriber.c have a thread each,
+ * which wakes the loop. Code that changes a state machine calls tw_daemon_process_effects before it
+ * returns to the loop. */
 #ifndef TW_DAEMON_INT_H
 #define TW_DAEMON_INT_H
 #include "daemon/daemon.h"
@@ -59,7 +58,8 @@
     uint64_t last_call;
     tw_daemon_call *calls;
     tw_daemon_owner_notifications *notifications;
-    tw_rpc_message *messages; /* owner's messages for the leader that are not sent yet */
+    tw_rpc_message
+        *messages; /* this node's messages as an owner, until they are sent to the leader */
     int message_count;
     ev_async calls_wake, report_wake, feed_wake;
     ev_timer tick;
@@ -85,7 +85,7 @@
 /* Handles the response to a call. status is 0 and body NULL if the call got no response. */
 void tw_daemon_on_response(void *context, uint64_t id, int status, const char *body, size_t length);
 
-/* owners.c: this node as an owner, and the notifications of other owners */
+/* owners.c: this node as an owner, and the notifications for other owners */
 /* Returns the queue of notifications for that owner, and creates it if there is none. */
 tw_daemon_owner_notifications *tw_daemon_notifications_of(tw_daemon_node *node, const char *owner);
 /* Queues a notification until the owner's next report. It replaces an earlier one about the same
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -58,7 +58,7 @@
         return;
     }
     if (node->message_count == TW_DAEMON_MAX_NOTIFICATIONS)
-        return; /* the owner repeats the message */
+        return; /* the queue is full: the owner repeats the message later */
     tw_rpc_message *message = &node->messages[node->message_count++];
     message->kind = effect->kind;
     message->epoch = effect->epoch;
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -162,7 +162,7 @@
     return answer->id >= OWN_REQUEST_BASE;
 }
 
-/* ---- answers ---- */
+/* ---- answers of machines ---- */
 
 static void log_quarantine(tw_standby *standby, tw_standby_machine_check *machine,
                            const char *reason) {
@@ -241,7 +241,7 @@
     tw_standby_step(standby);
 }
 
-/* ---- time ---- */
+/* ---- repetition and time limits ---- */
 
 /* Passes registrations to the table without a boot id when the machine has not answered in time, so
  * that the client need not wait. The machine is recorded, and is started once it answers. */
--- a/src/standby/lease.c
+++ b/src/standby/lease.c
@@ -33,7 +33,7 @@
     lease->next_at = now + pause_s;
 }
 
-/* ---- calls ---- */
+/* ---- calls to the state service ---- */
 
 static tw_standby_lease_call read_key_call(void) {
     tw_standby_lease_call call = {.method = "GET"};
@@ -95,7 +95,7 @@
     return call;
 }
 
-/* ---- answers ---- */
+/* ---- responses of the state service ---- */
 
 static void read_text(const cJSON *object, const char *name, char *to, size_t size) {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
@@ -114,8 +114,8 @@
     snprintf(lease->leader_control, sizeof lease->leader_control, "%s", lease->control);
 }
 
-/* Handles the absence of the key: asks for a lease once acquire_delay_s has passed, and reads the
- * key again before. */
+/* Handles the absence of the key: asks for a lease once acquire_delay_s has passed, and polls the
+ * key until then. */
 static void handle_absent_key(tw_standby_lease *lease, double now) {
     lease->leader_name[0] = lease->leader_control[0] = 0;
     lease->leader_token = 0;
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -142,7 +142,7 @@
 typedef struct tw_standby_machine_check {
     char name[TW_SHARDS_NAME];
     tw_standby_check_step step;
-    uint64_t boot_id, minimum_epoch; /* STARTING */
+    uint64_t boot_id, minimum_epoch; /* contents of the START that was sent */
     bool quarantine_logged;
     double next_at; /* when the command is repeated */
     UT_hash_handle hh;
@@ -152,14 +152,14 @@
 typedef struct tw_standby_registration {
     tw_shards_request request;
     bool passed;      /* whether the request was passed to the table */
-    uint64_t boot_id; /* of the machine when it was asked; 0 if it did not answer */
+    uint64_t boot_id; /* boot id of the machine when it was asked; 0 if it did not answer */
     double since;
     struct tw_standby_registration *prev, *next;
 } tw_standby_registration;
 
 typedef struct tw_standby_follower {
     char name[TW_SHARDS_NAME];
-    uint64_t number; /* of the last change that the follower has */
+    uint64_t number; /* number of the last change that the follower has */
     double seen_at;  /* time of its last report */
     UT_hash_handle hh;
 } tw_standby_follower;
@@ -176,7 +176,7 @@
                                was first read */
     uint64_t latest_term;   /* newest term known */
     uint64_t active_number; /* number of the active controller's last change */
-    double lag_since;       /* 0 if this node lacks no change */
+    double lag_since;       /* since when this node lacks changes; 0 if it lacks none */
     char successor[TW_SHARDS_NAME];
     tw_standby_view view, staged; /* staged: a snapshot that is still incomplete */
     tw_standby_position position;
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -78,8 +78,8 @@
     tw_shards_page(standby->table, standby->now, standby->read_id, valid ? body : NULL, length);
 }
 
-/* Applies the changes since the view's revision. Their revision must not be before the term's
- * token, since only from there on do writes of earlier terms fail. */
+/* Applies the changes since the view's revision. The revision of the response must not be lower
+ * than the term's token, since writes of earlier terms fail only from there on. */
 void tw_standby_handle_confirm_response(tw_standby *standby, int status, const char *body,
                                         size_t length) {
     tw_wire_entry *changes = NULL;
