--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -1,13 +1,14 @@
-/* The table's calls to the state service: a new active controller compares its view with the
- * records by one call where it can, and keeps the view as it writes. */
+/* The table's calls to the state service. A new active controller confirms its view by a single
+ * call if the view is loaded, and reads all records otherwise; then it applies its writes to the
+ * view. */
 #include "standby/standby_int.h"
 #include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-uint64_t tw_standby_call(tw_standby *standby, const char *method, const char *path,
-                         const char *body) {
+uint64_t tw_standby_emit_call(tw_standby *standby, const char *method, const char *path,
+                              const char *body) {
     tw_standby_effect *effect = tw_standby_emit(standby, TW_STANDBY_CALL);
     effect->id = ++standby->last_call;
     effect->method = method;
@@ -21,24 +22,24 @@
 /* ---- reading ---- */
 
 static void read_records(tw_standby *standby, const char *after) {
-    char path[TW_STANDBY_PATH];
+    char path[TW_STANDBY_PATH_SIZE];
     snprintf(path, sizeof path, "/kv?starts=%s%s%s&most=%d", TW_SHARDS_PREFIX,
              after[0] ? "&since=" : "", after, TW_SHARDS_PAGE);
     if (!after[0]) tw_standby_view_clear(&standby->view);
-    standby->read_call = tw_standby_call(standby, "GET", path, NULL);
+    standby->read_call = tw_standby_emit_call(standby, "GET", path, NULL);
 }
 
-/* What has changed since the view: nothing else can have, since each record's revision stands in
- * the condition of each write to it. */
+/* Reads the changes since the view's revision. Nothing else can differ, since every write to a
+ * record is conditional on the record's revision. */
 static void confirm_view(tw_standby *standby) {
-    char path[TW_STANDBY_PATH];
+    char path[TW_STANDBY_PATH_SIZE];
     snprintf(path, sizeof path, "/follow?starts=%s&since=%lu&holdMs=0", TW_SHARDS_PREFIX,
              (unsigned long)standby->view.store_revision);
-    standby->confirm_call = tw_standby_call(standby, "GET", path, NULL);
+    standby->confirm_call = tw_standby_emit_call(standby, "GET", path, NULL);
 }
 
-/* The table wants its records. A term's first reading is of the view that was followed; all later
- * ones follow from an unknown outcome and are of the state service. */
+/* Begins a read of the table's records. The first read of a term uses the view that this node has
+ * followed; later ones follow a write with unknown outcome and use the state service. */
 static void begin_read(tw_standby *standby, const tw_shards_effect *effect) {
     standby->read_id = effect->id;
     const bool first = !standby->term_reads++;
@@ -48,45 +49,48 @@
         read_records(standby, effect->text);
 }
 
-/* A view begins anew, under the next number: followers get a snapshot. */
-static void renumber(tw_standby *standby) {
+/* Completes a new view under the next number and clears the change log, so that followers get a
+ * snapshot. */
+static void start_new_view(tw_standby *standby) {
     standby->view.loaded = true;
     standby->view.term = standby->lease.token;
     standby->view.number = standby->active_number = standby->active_number + 1;
-    tw_standby_log_clear(&standby->log);
+    tw_standby_change_log_clear(&standby->log);
 }
 
-void tw_standby_read_answered(tw_standby *standby, int status, const char *body, size_t length) {
+void tw_standby_handle_read_response(tw_standby *standby, int status, const char *body,
+                                     size_t length) {
     tw_wire_entry *entries = NULL;
     int count = 0;
     int more = 0;
     uint64_t store_revision = 0;
-    const bool good = status == STATUS_OK &&
-                      !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
-                      !tw_wire_revision_parse(&store_revision, body, length);
-    if (good) {
-        /* Of several pages the first one's revision holds: changes since are in later ones only in
-         * part. */
+    const bool valid = status == STATUS_OK &&
+                       !tw_wire_entries_parse(&entries, &count, &more, body, length) &&
+                       !tw_wire_revision_parse(&store_revision, body, length);
+    if (valid) {
+        /* The first page's revision holds for all pages: later pages may contain only some of the
+         * changes since. */
         if (!standby->view.store_revision) standby->view.store_revision = store_revision;
         tw_standby_view_apply(&standby->view, entries, count);
-        if (!more) renumber(standby);
+        if (!more) start_new_view(standby);
     }
     tw_wire_entries_free(entries, count);
-    tw_shards_page(standby->table, standby->now, standby->read_id, good ? body : NULL, length);
+    tw_shards_page(standby->table, standby->now, standby->read_id, valid ? body : NULL, length);
 }
 
-/* The view is the records' as of a revision not before the term: writes of earlier terms fail from
- * there on. */
-void tw_standby_confirm_answered(tw_standby *standby, int status, const char *body, size_t length) {
+/* Applies the changes since the view's revision. The revision of the response must not be lower
+ * than the term's token, since writes of earlier terms fail only from there on. */
+void tw_standby_handle_confirm_response(tw_standby *standby, int status, const char *body,
+                                        size_t length) {
     tw_wire_entry *changes = NULL;
     int count = 0;
     uint64_t store_revision = 0;
-    const bool good = status == STATUS_OK &&
-                      !tw_wire_revision_parse(&store_revision, body, length) &&
-                      store_revision >= standby->lease.token &&
-                      !tw_wire_changes_parse("log", &changes, &count, body, length);
-    if (!good) {
-        tw_standby_say(standby, "event=view_refused status=%d", status);
+    const bool valid = status == STATUS_OK &&
+                       !tw_wire_revision_parse(&store_revision, body, length) &&
+                       store_revision >= standby->lease.token &&
+                       !tw_wire_changes_parse("log", &changes, &count, body, length);
+    if (!valid) {
+        tw_standby_log_event(standby, "event=view_refused status=%d", status);
         read_records(standby, "");
         return;
     }
@@ -94,14 +98,14 @@
     tw_wire_entries_free(changes, count);
     standby->differences += count;
     standby->view.store_revision = store_revision;
-    renumber(standby);
-    tw_standby_say(standby, "event=view_confirmed revision=%lu changes=%d",
-                   (unsigned long)store_revision, count);
+    start_new_view(standby);
+    tw_standby_log_event(standby, "event=view_confirmed revision=%lu changes=%d",
+                         (unsigned long)store_revision, count);
     char *list = tw_standby_view_list(&standby->view);
     tw_shards_page(standby->table, standby->now, standby->read_id, list, strlen(list));
     free(list);
     if (tw_shards_ready(standby->table)) return;
-    tw_standby_say(standby, "event=view_unreadable");
+    tw_standby_log_event(standby, "event=view_unreadable");
     tw_standby_view_clear(&standby->view);
 }
 
@@ -112,7 +116,7 @@
     free(standby->write_body);
     standby->write_body = strdup(effect->text);
     if (!standby->write_body) abort();
-    standby->write_call = tw_standby_call(standby, "POST", "/txn", effect->text);
+    standby->write_call = tw_standby_emit_call(standby, "POST", "/txn", effect->text);
 }
 
 static tw_shards_outcome outcome_of(int status) {
@@ -122,7 +126,7 @@
                                                                  : TW_SHARDS_UNKNOWN;
 }
 
-/* The next numbered change: what the transaction wrote. */
+/* Adds the entries that the transaction wrote as the next numbered change. */
 static void add_change(tw_standby *standby, uint64_t revision) {
     tw_wire_entry *changes;
     int count;
@@ -132,10 +136,11 @@
     tw_standby_view_apply(&standby->view, changes, count);
     standby->view.store_revision = revision;
     standby->view.number = ++standby->active_number;
-    tw_standby_log_add(&standby->log, &standby->view, changes, count);
+    tw_standby_change_log_add(&standby->log, &standby->view, changes, count);
 }
 
-void tw_standby_write_answered(tw_standby *standby, int status, const char *body, size_t length) {
+void tw_standby_handle_write_response(tw_standby *standby, int status, const char *body,
+                                      size_t length) {
     uint64_t revision = 0;
     tw_shards_outcome outcome = outcome_of(status);
     if (outcome == TW_SHARDS_APPLIED && tw_wire_revision_parse(&revision, body, length))
@@ -146,15 +151,15 @@
 
 /* ---- effects of the table ---- */
 
-static void pass_on(tw_standby *standby, tw_standby_effect_kind kind, tw_shards_effect *effect) {
+static void emit_table_effect(tw_standby *standby, tw_standby_effect_kind kind,
+                              tw_shards_effect *effect) {
     tw_standby_emit(standby, kind)->table = effect;
 }
 
-/* Until nothing more follows. */
-void tw_standby_take_table(tw_standby *standby) {
+void tw_standby_process_table_effects(tw_standby *standby) {
     tw_shards_effect *effect;
     while ((effect = tw_shards_next(standby->table))) {
-        bool kept = false;
+        bool passed_on = false;
         switch (effect->kind) {
         case TW_SHARDS_READ:
             begin_read(standby, effect);
@@ -163,14 +168,14 @@
             begin_write(standby, effect);
             break;
         case TW_SHARDS_NOTIFY:
-            pass_on(standby, TW_STANDBY_NOTIFY, effect);
-            kept = true;
+            emit_table_effect(standby, TW_STANDBY_NOTIFY, effect);
+            passed_on = true;
             break;
         case TW_SHARDS_ANSWER:
-            kept = !tw_standby_registered(standby, effect);
-            if (kept) pass_on(standby, TW_STANDBY_ANSWER, effect);
+            passed_on = !tw_standby_handle_registration_result(standby, effect);
+            if (passed_on) emit_table_effect(standby, TW_STANDBY_ANSWER, effect);
             break;
         }
-        if (!kept) tw_shards_effect_free(effect);
+        if (!passed_on) tw_shards_effect_free(effect);
     }
 }
