--- a/emulator/main.c
+++ b/emulator/main.c
@@ -22,25 +22,25 @@
 #include <string.h>
 #include <time.h>
 
-#define MOST_REPLICAS 64
-#define ADDRESS_SIZE 32
-#define ANSWER_SIZE 320
+#define MAX_REPLICAS 64
+#define MAX_ADDRESS_SIZE 32
+#define MAX_RESPONSE_SIZE 320
 #define DECIMAL 10
 #define DEFAULT_HOST "127.0.0.1"
-enum { OK = 200, CONFLICT = 409, ABSENT = 404, EXIT_USAGE = 64, ARGUMENTS = 4 };
+enum { OK = 200, CONFLICT = 409, NOT_FOUND = 404, EXIT_USAGE = 64, ARGUMENT_COUNT = 4 };
 
 typedef struct {
     tw_shards_guard guard;
-    uint64_t first, last;            /* epochs of requests that were taken; 0: none */
-    uint64_t last_term, last_opened; /* of commands that were taken */
+    uint64_t first_epoch, last_epoch;      /* epochs of requests that were taken; 0: none */
+    uint64_t last_term, last_opened_epoch; /* of commands that were taken */
     long commands, refused_commands;
-    bool fell;
-    long taken, refused;
+    bool decreased;
+    long accepted_requests, refused_requests;
 } replica;
 
 static tw_net *net;
 static tw_simulator_state state;
-static replica replicas[MOST_REPLICAS];
+static replica replicas[MAX_REPLICAS];
 
 static double now_s(void) {
     struct timespec now;
@@ -48,7 +48,7 @@
     return (double)now.tv_sec + (double)now.tv_nsec / 1e9;
 }
 
-static uint64_t number_in(const char *body, const char *name) {
+static uint64_t read_number(const char *body, const char *name) {
     cJSON *object = cJSON_Parse(body);
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
     const uint64_t number = cJSON_IsNumber(item) ? (uint64_t)item->valuedouble : 0;
@@ -57,32 +57,33 @@
 }
 
 /* Keeps a record of the commands taken that does not rest on the guard. */
-static int note_command(replica *at, tw_shards_guard_verdict verdict, uint64_t term,
-                        uint64_t epoch) {
+static int record_command(replica *target, tw_shards_guard_verdict verdict, uint64_t term,
+                          uint64_t epoch) {
     if (verdict != TW_SHARDS_GUARD_RAISED && verdict != TW_SHARDS_GUARD_REPEATED) {
-        at->refused_commands++;
+        target->refused_commands++;
         return CONFLICT;
     }
-    at->commands++;
-    at->fell |= term < at->last_term || (epoch && epoch < at->last_opened);
-    at->last_term = term;
-    if (epoch) at->last_opened = epoch;
+    target->commands++;
+    target->decreased |= term < target->last_term || (epoch && epoch < target->last_opened_epoch);
+    target->last_term = term;
+    if (epoch) target->last_opened_epoch = epoch;
     return OK;
 }
 
-static int take_order(replica *at, const char *path, const char *body) {
-    tw_shards_guard *guard = &at->guard;
-    const uint64_t term = number_in(body, "term");
-    const uint64_t epoch = number_in(body, "epoch");
+static int execute_command(replica *target, const char *path, const char *body) {
+    tw_shards_guard *guard = &target->guard;
+    const uint64_t term = read_number(body, "term");
+    const uint64_t epoch = read_number(body, "epoch");
     if (!strcmp(path, "/check"))
-        return note_command(at, tw_shards_guard_check(guard, term), term, 0);
+        return record_command(target, tw_shards_guard_check(guard, term), term, 0);
     if (!strcmp(path, "/open"))
-        return note_command(at, tw_shards_guard_open(guard, term, epoch), term, epoch);
+        return record_command(target, tw_shards_guard_open(guard, term, epoch), term, epoch);
     if (!strcmp(path, "/stop"))
-        return note_command(at, tw_shards_guard_stop(guard, term, epoch), term, 0);
-    const uint64_t boot_id = number_in(body, "life");
-    const uint64_t minimum_epoch = number_in(body, "floor");
-    return note_command(at, tw_shards_guard_start(guard, term, boot_id, minimum_epoch), term, 0);
+        return record_command(target, tw_shards_guard_stop(guard, term, epoch), term, 0);
+    const uint64_t boot_id = read_number(body, "life");
+    const uint64_t minimum_epoch = read_number(body, "floor");
+    return record_command(target, tw_shards_guard_start(guard, term, boot_id, minimum_epoch), term,
+                          0);
 }
 
 static bool is_command(const char *path) {
@@ -93,29 +94,31 @@
 }
 
 /* A life is another number each time; the stand-in's own lives are far apart from one another. */
-static void restart(replica *at) {
-    const uint64_t boot_id = at->guard.boot_id + 1;
-    tw_shards_guard_boot(&at->guard, boot_id);
-    at->last_term = 0; /* what it has not heard of since this boot, it can't hold against anybody */
+static void restart(replica *target) {
+    const uint64_t boot_id = target->guard.boot_id + 1;
+    tw_shards_guard_boot(&target->guard, boot_id);
+    target->last_term =
+        0; /* what it has not heard of since this boot, it can't hold against anybody */
 }
 
-static int run_request(replica *at, uint64_t epoch) {
-    if (!tw_shards_guard_accepts(&at->guard, epoch)) {
-        at->refused++;
+static int run_request(replica *target, uint64_t epoch) {
+    if (!tw_shards_guard_accepts(&target->guard, epoch)) {
+        target->refused_requests++;
         return CONFLICT;
     }
-    if (!at->first) at->first = epoch;
-    at->fell |= epoch < at->last;
-    at->last = epoch;
-    at->taken++;
+    if (!target->first_epoch) target->first_epoch = epoch;
+    target->decreased |= epoch < target->last_epoch;
+    target->last_epoch = epoch;
+    target->accepted_requests++;
     return OK;
 }
 
-static int answer_replica(replica *at, const char *path, const char *body, char *answer) {
-    const tw_shards_guard *guard = &at->guard;
+static int handle_replica_request(replica *target, const char *path, const char *body,
+                                  char *response_body) {
+    const tw_shards_guard *guard = &target->guard;
     if (is_command(path)) {
-        const int status = take_order(at, path, body);
-        snprintf(answer, ANSWER_SIZE,
+        const int status = execute_command(target, path, body);
+        snprintf(response_body, MAX_RESPONSE_SIZE,
                  "{\"term\":%lu,\"life\":%lu,\"floor\":%lu,\"open\":%lu,\"started\":%s,"
                  "\"running\":0}",
                  (unsigned long)guard->term, (unsigned long)guard->boot_id,
@@ -123,19 +126,20 @@
                  guard->started ? "true" : "false");
         return status;
     }
-    snprintf(answer, ANSWER_SIZE, "{}");
-    if (!strcmp(path, "/run")) return run_request(at, number_in(body, "epoch"));
+    snprintf(response_body, MAX_RESPONSE_SIZE, "{}");
+    if (!strcmp(path, "/run")) return run_request(target, read_number(body, "epoch"));
     if (!strcmp(path, "/restart")) {
-        restart(at);
+        restart(target);
         return OK;
     }
-    if (strcmp(path, "/seen") != 0) return ABSENT;
-    snprintf(answer, ANSWER_SIZE,
+    if (strcmp(path, "/seen") != 0) return NOT_FOUND;
+    snprintf(response_body, MAX_RESPONSE_SIZE,
              "{\"open\":%lu,\"first\":%lu,\"last\":%lu,\"fell\":%s,\"taken\":%ld,\"refused\":%ld,"
              "\"term\":%lu,\"orders\":%ld,\"refused_orders\":%ld}",
-             (unsigned long)guard->newest, (unsigned long)at->first, (unsigned long)at->last,
-             at->fell ? "true" : "false", at->taken, at->refused, (unsigned long)guard->term,
-             at->commands, at->refused_commands);
+             (unsigned long)guard->newest, (unsigned long)target->first_epoch,
+             (unsigned long)target->last_epoch, target->decreased ? "true" : "false",
+             target->accepted_requests, target->refused_requests, (unsigned long)guard->term,
+             target->commands, target->refused_commands);
     return OK;
 }
 
@@ -145,16 +149,17 @@
     (void)context;
     (void)length;
     if (port) {
-        char answer[ANSWER_SIZE];
-        const int status = answer_replica(&replicas[port - 1], path, body ? body : "", answer);
-        tw_net_reply(net, connection, status, 0, answer, strlen(answer));
+        char response_body[MAX_RESPONSE_SIZE];
+        const int status =
+            handle_replica_request(&replicas[port - 1], path, body ? body : "", response_body);
+        tw_net_reply(net, connection, status, 0, response_body, strlen(response_body));
         return;
     }
-    char *answer = NULL;
+    char *response_body = NULL;
     const int status =
-        tw_simulator_state_request(&state, now_s(), method, path, body ? body : "", &answer);
-    tw_net_reply(net, connection, status, 0, answer, strlen(answer));
-    free(answer);
+        tw_simulator_state_request(&state, now_s(), method, path, body ? body : "", &response_body);
+    tw_net_reply(net, connection, status, 0, response_body, strlen(response_body));
+    free(response_body);
 }
 
 static void on_response(void *context, uint64_t call, int status, const char *body, size_t length) {
@@ -165,20 +170,20 @@
     (void)length;
 }
 
-static void on_end(struct ev_loop *loop, ev_timer *timer, int events) {
+static void on_time_limit(struct ev_loop *loop, ev_timer *timer, int events) {
     (void)timer;
     (void)events;
     ev_break(loop, EVBREAK_ALL);
 }
 
 /* first: PORT or IP:PORT of the state service. */
-static int listen_on(const char *first, int replicas_count) {
-    char address[ADDRESS_SIZE];
-    const char *colon = strchr(first, ':');
-    const char *host = colon ? first : DEFAULT_HOST;
-    const int host_length = colon ? (int)(colon - first) : (int)strlen(DEFAULT_HOST);
-    const int port = (int)strtol(colon ? colon + 1 : first, NULL, DECIMAL);
-    for (int i = 0; i <= replicas_count; i++) {
+static int listen_on(const char *first, int replica_count) {
+    char address[MAX_ADDRESS_SIZE];
+    const char *separator = strchr(first, ':');
+    const char *host = separator ? first : DEFAULT_HOST;
+    const int host_length = separator ? (int)(separator - first) : (int)strlen(DEFAULT_HOST);
+    const int port = (int)strtol(separator ? separator + 1 : first, NULL, DECIMAL);
+    for (int i = 0; i <= replica_count; i++) {
         snprintf(address, sizeof address, "%.*s:%d", host_length, host, port + i);
         if (tw_net_listen(net, address, i)) {
             fprintf(stderr, "tw_emulator: can't listen on %s\n", address);
@@ -192,21 +197,21 @@
     const tw_net_handler handler = {.request = on_request, .response = on_response};
     const tw_net_limits limits = {
         .max_server = 1024, .max_client = 1, .idle_s = 600, .max_response = 1024};
-    ev_timer end;
-    if (count != ARGUMENTS) {
+    ev_timer time_limit;
+    if (count != ARGUMENT_COUNT) {
         fprintf(stderr, "usage: tw_emulator [IP:]PORT REPLICAS SECONDS\n");
         return EXIT_USAGE;
     }
-    const int nreplicas = (int)strtol(arguments[2], NULL, DECIMAL);
-    if (nreplicas < 0 || nreplicas > MOST_REPLICAS) return EXIT_USAGE;
+    const int replica_count = (int)strtol(arguments[2], NULL, DECIMAL);
+    if (replica_count < 0 || replica_count > MAX_REPLICAS) return EXIT_USAGE;
     signal(SIGPIPE, SIG_IGN);
     struct ev_loop *loop = ev_default_loop(EVFLAG_AUTO);
     tw_simulator_state_init(&state);
-    for (int i = 0; i < nreplicas; i++) tw_shards_guard_boot(&replicas[i].guard, 1);
+    for (int i = 0; i < replica_count; i++) tw_shards_guard_boot(&replicas[i].guard, 1);
     net = tw_net_new(loop, &limits, &handler, NULL);
-    if (listen_on(arguments[1], nreplicas)) return 1;
-    ev_timer_init(&end, on_end, strtod(arguments[3], NULL), 0);
-    ev_timer_start(loop, &end);
+    if (listen_on(arguments[1], replica_count)) return 1;
+    ev_timer_init(&time_limit, on_time_limit, strtod(arguments[3], NULL), 0);
+    ev_timer_start(loop, &time_limit);
     ev_run(loop, 0);
     tw_net_free(net);
     tw_simulator_state_free(&state);
--- a/src/controller/main.c
+++ b/src/controller/main.c
@@ -33,15 +33,15 @@
 #define CLIENT_SHARE 0.3
 /* In leases: when a silent connection is closed, and when one of a worker or peer is. */
 #define IDLE_LEASES 12
-#define KEPT_IDLE_LEASES 3
+#define PRIORITY_IDLE_LEASES 3
 /* In times between heartbeats: how long a connection is idle before it makes room for another. */
-#define YIELD_HEARTBEATS 0.25
+#define EVICTABLE_HEARTBEATS 0.25
 #define MAX_RESPONSE_BYTES ((size_t)2 << 20)
 #define TRIM_BYTES (1 << 20)
 #define HASH_FACTOR 131u
 
 /* Most connections to one address, by the kind of what is called there. */
-static const int connections_to[] = {
+static const int max_connections_per_address[] = {
     [TW_TO_STATE] = 8, [TW_TO_CLOUD] = 2, [TW_TO_PEER] = 8, [TW_TO_WORKER] = 1};
 
 /* ---- command line ---- */
@@ -52,20 +52,20 @@
     bool check;
 } arguments;
 
-static error_t take_argument(int key, char *value, struct argp_state *state) {
-    arguments *taken = state->input;
+static error_t parse_argument(int key, char *value, struct argp_state *state) {
+    arguments *parsed = state->input;
     switch (key) {
     case 'c':
-        taken->config = value;
+        parsed->config = value;
         return 0;
     case 'o':
-        taken->options = value;
+        parsed->options = value;
         return 0;
     case 'k':
-        taken->check = true;
+        parsed->check = true;
         return 0;
     case ARGP_KEY_END:
-        if (!taken->config) argp_error(state, "--config FILE is needed");
+        if (!parsed->config) argp_error(state, "--config FILE is needed");
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -81,18 +81,18 @@
     static const char text[] = "A controller node of a fleet that serves language models.\v"
                                "Exit codes: 0 ended as asked, 2 settings, 3 an address can't be "
                                "listened on, 64 usage. LOG_LEVEL: error, info, debug.";
-    const struct argp parser = {.options = options, .parser = take_argument, .doc = text};
-    arguments taken = {0};
-    argp_parse(&parser, argc, argv, 0, NULL, &taken);
-    return taken;
+    const struct argp parser = {.options = options, .parser = parse_argument, .doc = text};
+    arguments parsed = {0};
+    argp_parse(&parser, argc, argv, 0, NULL, &parsed);
+    return parsed;
 }
 
 /* Loads the settings; false: they are wrong, and standard error has a message. */
-static bool load_settings(tw_config *config, const arguments *given) {
+static bool load_settings(tw_config *config, const arguments *parsed) {
     char message[MAX_MESSAGE] = "";
-    tw_config_error error = tw_config_load(config, given->config, message, sizeof message);
-    if (!error && given->options)
-        error = tw_config_load_yaml(config, given->options, message, sizeof message);
+    tw_config_error error = tw_config_load(config, parsed->config, message, sizeof message);
+    if (!error && parsed->options)
+        error = tw_config_load_yaml(config, parsed->options, message, sizeof message);
     if (error) fprintf(stderr, "traywall: %s\n", message);
     return !error;
 }
@@ -104,7 +104,7 @@
     tw_core *core;
     tw_net *net;
     struct ev_loop *loop;
-    gsl_histogram *lag; /* how late ticks come, which shows a processor that is overloaded */
+    gsl_histogram *tick_lag; /* how late ticks come, which shows a processor that is overloaded */
     double last_tick_at;
     double next_statistics_at;
     bool draining; /* effects are being carried out, see drain_effects */
@@ -113,22 +113,22 @@
     ev_signal interrupt;
 } controller;
 
-static double seconds_of(clockid_t clock) {
+static double read_clock_s(clockid_t clock) {
     struct timespec time;
     clock_gettime(clock, &time);
     return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
-static double steady_time(void) { return seconds_of(CLOCK_MONOTONIC); }
+static double steady_time_s(void) { return read_clock_s(CLOCK_MONOTONIC); }
 
-static double wall_time(void) { return seconds_of(CLOCK_REALTIME); }
+static double wall_time_s(void) { return read_clock_s(CLOCK_REALTIME); }
 
-static void carry_out(controller *process, const tw_effect *effect) {
+static void execute_effect(controller *process, const tw_effect *effect) {
     if (effect->kind == TW_EFFECT_REPLY)
         tw_net_reply(process->net, effect->id, effect->status, effect->retry_after,
                      effect->body ? effect->body : "", effect->body ? strlen(effect->body) : 0);
     else
-        tw_net_call(process->net, effect->id, effect->addr, connections_to[effect->to],
+        tw_net_call(process->net, effect->id, effect->addr, max_connections_per_address[effect->to],
                     effect->method, effect->path, effect->body, effect->timeout_s);
 }
 
@@ -139,7 +139,7 @@
     if (process->draining) return;
     process->draining = true;
     while ((effect = tw_core_next_effect(process->core))) {
-        carry_out(process, effect);
+        execute_effect(process, effect);
         tw_core_effect_free(effect);
     }
     process->draining = false;
@@ -148,14 +148,14 @@
 static void on_request(void *context, int port, uint64_t connection, const char *method,
                        const char *path, const char *body, size_t length) {
     controller *process = context;
-    tw_core_request(process->core, steady_time(), wall_time(), port, connection, method, path, body,
-                    length);
+    tw_core_request(process->core, steady_time_s(), wall_time_s(), port, connection, method, path,
+                    body, length);
     drain_effects(process);
 }
 
 static void on_response(void *context, uint64_t call, int status, const char *body, size_t length) {
     controller *process = context;
-    tw_core_response(process->core, steady_time(), wall_time(), call, status, body, length);
+    tw_core_response(process->core, steady_time_s(), wall_time_s(), call, status, body, length);
     drain_effects(process);
 }
 
@@ -163,9 +163,9 @@
     if (now < process->next_statistics_at || !tw_log_on(TW_LOG_DEBUG)) return;
     process->next_statistics_at = now + STATISTICS_S;
     tw_log_debug("event=statistics_sampled tick_lag_mean_s=%.4f tick_lag_sd_s=%.4f heap_kb=%zu",
-                 gsl_histogram_mean(process->lag), gsl_histogram_sigma(process->lag),
+                 gsl_histogram_mean(process->tick_lag), gsl_histogram_sigma(process->tick_lag),
                  mallinfo2().uordblks / 1024);
-    gsl_histogram_reset(process->lag);
+    gsl_histogram_reset(process->tick_lag);
     tw_core_log_counters(process->core);
 }
 
@@ -173,13 +173,13 @@
     controller *process = watcher->data;
     (void)loop;
     (void)events;
-    const double now = steady_time();
+    const double now = steady_time_s();
     if (process->last_tick_at > 0)
-        gsl_histogram_increment(process->lag,
+        gsl_histogram_increment(process->tick_lag,
                                 now - process->last_tick_at - tw_core_tick_s(process->core));
     process->last_tick_at = now;
     log_statistics(process, now);
-    tw_core_tick(process->core, now, wall_time());
+    tw_core_tick(process->core, now, wall_time_s());
     drain_effects(process);
 }
 
@@ -191,7 +191,7 @@
 
 /* Whether a caller must be answered before all others: without an answer workers lose their leases,
  * and peers the leader. */
-static bool must_answer(int port, const char *path) {
+static bool is_priority_request(int port, const char *path) {
     return port == TW_PORT_PEER || !strcmp(path, "/hello");
 }
 
@@ -206,9 +206,9 @@
     const tw_net_limits limits = {.max_server = (int)(config->sockets * SERVER_SHARE),
                                   .max_client = (int)(config->sockets * CLIENT_SHARE),
                                   .idle_s = IDLE_LEASES * config->lease_s,
-                                  .keeps = must_answer,
-                                  .yield_s = YIELD_HEARTBEATS * config->report_s,
-                                  .kept_idle_s = KEPT_IDLE_LEASES * config->lease_s,
+                                  .is_priority_caller = is_priority_request,
+                                  .evictable_after_s = EVICTABLE_HEARTBEATS * config->report_s,
+                                  .priority_idle_s = PRIORITY_IDLE_LEASES * config->lease_s,
                                   .max_response = MAX_RESPONSE_BYTES};
     const tw_net_handler handler = {on_request, on_response};
     process->net = tw_net_new(process->loop, &limits, &handler, process);
@@ -216,7 +216,7 @@
 
 /* A seed that differs between nodes, and from one start of a node to the next. */
 static uint64_t make_seed(const char *node) {
-    uint64_t seed = (uint64_t)(wall_time() * 1e6);
+    uint64_t seed = (uint64_t)(wall_time_s() * 1e6);
     for (const char *letter = node; *letter; letter++)
         seed = seed * HASH_FACTOR + (unsigned char)*letter;
     return seed;
@@ -243,10 +243,11 @@
 /* Serves until a signal comes. Returns the process's exit code. */
 static int run(controller *process) {
     const tw_config *config = &process->config;
-    process->lag = gsl_histogram_alloc(LAG_BINS);
-    gsl_histogram_set_ranges_uniform(process->lag, MIN_LAG_S, MAX_LAG_S);
+    process->tick_lag = gsl_histogram_alloc(LAG_BINS);
+    gsl_histogram_set_ranges_uniform(process->tick_lag, MIN_LAG_S, MAX_LAG_S);
     open_net(process);
-    process->core = tw_core_new(config, make_seed(config->host_name), steady_time(), wall_time());
+    process->core =
+        tw_core_new(config, make_seed(config->host_name), steady_time_s(), wall_time_s());
     if (!listen_on(process, "api_addr", config->api_addr, TW_PORT_API) ||
         !listen_on(process, "peer_bind", config->peer_bind, TW_PORT_PEER))
         return EXIT_LISTEN;
@@ -257,15 +258,15 @@
     tw_net_free(process->net);
     tw_core_free(process->core);
     tw_config_free(&process->config);
-    gsl_histogram_free(process->lag);
+    gsl_histogram_free(process->tick_lag);
     return EXIT_SUCCESS;
 }
 
 int main(int argc, char **argv) {
     static controller process;
-    const arguments given = parse_arguments(argc, argv);
-    if (!load_settings(&process.config, &given)) return EXIT_SETTINGS;
-    if (given.check) {
+    const arguments parsed = parse_arguments(argc, argv);
+    if (!load_settings(&process.config, &parsed)) return EXIT_SETTINGS;
+    if (parsed.check) {
         printf("traywall: settings of %s are good\n", process.config.host_name);
         tw_config_free(&process.config);
         return EXIT_SUCCESS;
--- a/src/net/address.c
+++ b/src/net/address.c
@@ -25,13 +25,13 @@
     return inet_pton(AF_INET, ip, &address->sin_addr) == 1;
 }
 
-void tw_socket_no_delay(int socket) {
+void tw_socket_set_no_delay(int socket) {
     int on = 1;
     setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
 int tw_socket_open(void) {
     int opened = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (opened >= 0) tw_socket_no_delay(opened);
+    if (opened >= 0) tw_socket_set_no_delay(opened);
     return opened;
 }
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -10,6 +10,6 @@
 /* A TCP socket that never blocks and sends at once; -1 with errno: none. The caller closes it. */
 int tw_socket_open(void);
 /* Has the socket send at once, without waiting for more to send. */
-void tw_socket_no_delay(int socket);
+void tw_socket_set_no_delay(int socket);
 
 #endif
--- a/src/net/buffer.c
+++ b/src/net/buffer.c
@@ -2,8 +2,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_CAPACITY 64
-#define MOST_DIGITS 20 /* of a size_t */
+#define INITIAL_CAPACITY 64
+#define MAX_DIGITS 20 /* of a size_t */
 
 static void set_capacity(tw_buffer *buffer, size_t capacity) {
     buffer->bytes = realloc(buffer->bytes, capacity);
@@ -17,16 +17,16 @@
 }
 
 /* Doubles the room as often as needed. */
-static void make_room(tw_buffer *buffer, size_t needed) {
+static void ensure_capacity(tw_buffer *buffer, size_t needed) {
     if (needed <= buffer->capacity) return;
-    size_t capacity = buffer->capacity ? buffer->capacity : FIRST_CAPACITY;
+    size_t capacity = buffer->capacity ? buffer->capacity : INITIAL_CAPACITY;
     while (capacity < needed) capacity *= 2;
     set_capacity(buffer, capacity);
 }
 
 void tw_buffer_append(tw_buffer *buffer, const void *bytes, size_t length) {
     if (!length) return;
-    make_room(buffer, buffer->length + length + 1);
+    ensure_capacity(buffer, buffer->length + length + 1);
     memcpy(buffer->bytes + buffer->length, bytes, length);
     buffer->length += length;
     buffer->bytes[buffer->length] = 0;
@@ -37,7 +37,7 @@
 }
 
 void tw_buffer_append_number(tw_buffer *buffer, size_t number) {
-    char digits[MOST_DIGITS];
+    char digits[MAX_DIGITS];
     size_t first = sizeof digits;
     do {
         digits[--first] = (char)('0' + number % 10);
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -8,7 +8,7 @@
     char *bytes; /* NULL while empty; else a 0 follows the last byte */
     size_t length;
     size_t capacity;
-    size_t taken; /* bytes at the front that the owner has used already */
+    size_t consumed; /* bytes at the front that the owner has used already */
 } tw_buffer;
 
 /* Appends a copy of the bytes, or of the text without its end. */
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -15,12 +15,12 @@
 #include <uthash.h>
 #include <utlist.h>
 
-#define LONGEST_ADDRESS 64
-#define USUAL_HEAD 160      /* bytes of a call beside its path, address and body, never more */
-#define LEAST_CALL_S 0.001  /* a call's timer runs at least so long */
-#define LEAST_QUEUE_S 0.01  /* a queue is looked at no more often */
-#define TIMER_ERROR_S 0.001 /* timers fire early by up to that */
-#define FEW_HOSTS 16
+#define MAX_ADDRESS_SIZE 64
+#define HEAD_RESERVE_BYTES 160 /* bytes of a call beside its path, address and body, never more */
+#define MIN_CALL_TIMER_S 0.001 /* a call's timer runs at least so long */
+#define MIN_QUEUE_TIMER_S 0.01 /* a queue is looked at no more often */
+#define TIMER_ERROR_S 0.001    /* timers fire early by up to that */
+#define HOST_SWEEP_SLACK 16
 
 typedef struct call {
     uint64_t id;
@@ -49,11 +49,11 @@
 
 typedef struct tw_client_host {
     tw_net *net;
-    char name[LONGEST_ADDRESS];
+    char name[MAX_ADDRESS_SIZE];
     struct sockaddr_in address;
-    int limit;   /* most connections */
-    int count;   /* connections */
-    double used; /* when it was last called */
+    int limit;             /* most connections */
+    int count;             /* connections */
+    double last_called_at; /* when it was last called */
     client_connection *connections;
     client_call *queue;
     ev_timer timer; /* of the first call in the queue */
@@ -67,7 +67,7 @@
 static void write_request(tw_buffer *request, const char *method, const char *path,
                           const char *address, const char *body) {
     const size_t length = body ? strlen(body) : 0;
-    tw_buffer_reserve(request, USUAL_HEAD + strlen(path) + strlen(address) + length);
+    tw_buffer_reserve(request, HEAD_RESERVE_BYTES + strlen(path) + strlen(address) + length);
     tw_buffer_append_text(request, method);
     tw_buffer_append_text(request, " ");
     tw_buffer_append_text(request, path);
@@ -99,29 +99,29 @@
     free(connection);
 }
 
-static void expect_response(client_connection *connection) {
+static void reset_response_parser(client_connection *connection) {
     connection->complete = false;
     http_parser_init(&connection->parser, HTTP_RESPONSE);
     connection->parser.data = connection;
 }
 
 /* Ends the connection's call, if it has one. keep: the connection stays open. */
-static void finish(client_connection *connection, int status, bool keep) {
+static void end_call(client_connection *connection, int status, bool keep) {
     client_host *host = connection->host;
     tw_net *net = host->net;
-    client_call *ended = connection->call;
+    client_call *call = connection->call;
     tw_buffer body = connection->body;
     connection->call = NULL;
     memset(&connection->body, 0, sizeof connection->body);
     ev_timer_stop(net->loop, &connection->timer);
     if (keep)
-        expect_response(connection);
+        reset_response_parser(connection);
     else
         close_connection(connection);
-    if (ended) {
-        net->handler.response(net->context, ended->id, status, tw_buffer_text(&body),
+    if (call) {
+        net->handler.response(net->context, call->id, status, tw_buffer_text(&body),
                               status ? body.length : 0);
-        free_call(ended);
+        free_call(call);
     }
     tw_buffer_free(&body);
     send_queued(host);
@@ -155,38 +155,38 @@
 
 /* Whether the connection can be used again after the response. If the response came before all of
  * the call was sent it can't: the next call would be taken for the rest of that one. */
-static bool can_be_kept(const client_connection *connection) {
+static bool is_reusable(const client_connection *connection) {
     return connection->keep_alive && connection->sent == connection->call->request.length;
 }
 
 /* Parses bytes of the response; count 0: the other side closed the connection. Returns whether more
  * bytes are needed. */
-static bool take_bytes(client_connection *connection, const char *bytes, size_t count) {
+static bool parse_response(client_connection *connection, const char *bytes, size_t count) {
     size_t used = http_parser_execute(&connection->parser, &parser_settings, bytes, count);
     if (connection->complete) {
-        bool keep = can_be_kept(connection) && used == count;
-        finish(connection, (int)connection->parser.status_code, keep);
+        bool keep = is_reusable(connection) && used == count;
+        end_call(connection, (int)connection->parser.status_code, keep);
         return false;
     }
     if (count && HTTP_PARSER_ERRNO(&connection->parser) == HPE_OK) return true;
-    finish(connection, 0, false);
+    end_call(connection, 0, false);
     return false;
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *watcher, int events) {
     client_connection *connection = watcher->data;
-    char *received = connection->host->net->received;
+    char *read_buffer = connection->host->net->read_buffer;
     ssize_t count;
     (void)loop;
     (void)events;
     do {
-        count = read(connection->socket, received, TW_NET_READ_SIZE);
+        count = read(connection->socket, read_buffer, TW_NET_READ_SIZE);
         if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
         if (count < 0 || !connection->call) { /* reset, or bytes that nobody asked for */
-            finish(connection, 0, false);
+            end_call(connection, 0, false);
             return;
         }
-    } while (take_bytes(connection, received, (size_t)count) && count == TW_NET_READ_SIZE);
+    } while (parse_response(connection, read_buffer, (size_t)count) && count == TW_NET_READ_SIZE);
 }
 
 /* Sends what the socket takes now of the call, and waits in the loop for the rest. Where it fails,
@@ -213,28 +213,28 @@
     (void)loop;
     (void)events;
     /* also where the connection could not be made: the first write says so */
-    if (connection->call && send_call(connection)) finish(connection, 0, false);
+    if (connection->call && send_call(connection)) end_call(connection, 0, false);
 }
 
 static void on_call_timeout(struct ev_loop *loop, ev_timer *watcher, int events) {
     (void)loop;
     (void)events;
-    finish(watcher->data, 0, false);
+    end_call(watcher->data, 0, false);
 }
 
 /* Starts a timer that fires at the deadline, though not before least seconds are over. */
-static void start_timer(tw_net *net, ev_timer *timer, double deadline, double least) {
-    double left = deadline - ev_now(net->loop);
+static void start_timer(tw_net *net, ev_timer *timer, double deadline, double min_delay_s) {
+    double delay_s = deadline - ev_now(net->loop);
     ev_timer_stop(net->loop, timer);
-    ev_timer_set(timer, left > least ? left : least, 0.);
+    ev_timer_set(timer, delay_s > min_delay_s ? delay_s : min_delay_s, 0.);
     ev_timer_start(net->loop, timer);
 }
 
-static void begin_call(client_connection *connection, client_call *begun) {
+static void start_call(client_connection *connection, client_call *call) {
     tw_net *net = connection->host->net;
-    connection->call = begun;
+    connection->call = call;
     connection->sent = 0;
-    start_timer(net, &connection->timer, begun->deadline, LEAST_CALL_S);
+    start_timer(net, &connection->timer, call->deadline, MIN_CALL_TIMER_S);
     /* An open connection takes most calls whole, and the loop need not be asked. A failure is told
      * from the loop, never to the caller within the call: there the write fails again. */
     if (connection->connected)
@@ -256,7 +256,7 @@
     client_connection *connection = tw_net_alloc(sizeof *connection);
     connection->host = host;
     connection->socket = socket;
-    expect_response(connection);
+    reset_response_parser(connection);
     ev_io_init(&connection->readable, on_readable, socket, EV_READ);
     ev_io_init(&connection->writable, on_writable, socket, EV_WRITE);
     ev_timer_init(&connection->timer, on_call_timeout, 0., 0.);
@@ -270,7 +270,7 @@
     return connection;
 }
 
-static client_connection *idle_connection(const client_host *host) {
+static client_connection *find_idle_connection(const client_host *host) {
     client_connection *connection;
     DL_FOREACH(host->connections, connection) {
         if (!connection->call) return connection;
@@ -279,14 +279,14 @@
 }
 
 /* Closes an idle connection, of the host not used for longest, so that another can be opened. */
-static void evict_idle(tw_net *net) {
+static void evict_idle_connection(tw_net *net) {
     client_host *host;
     client_host *next;
     client_host *oldest = NULL;
     client_connection *evicted = NULL;
     HASH_ITER(hh, net->client.hosts, host, next) {
-        if (oldest && host->used >= oldest->used) continue;
-        client_connection *idle = idle_connection(host);
+        if (oldest && host->last_called_at >= oldest->last_called_at) continue;
+        client_connection *idle = find_idle_connection(host);
         if (!idle) continue;
         oldest = host;
         evicted = idle;
@@ -297,12 +297,12 @@
 /* ---- queues ---- */
 
 /* An idle connection to the host, or a new one where the limits allow it, or NULL. */
-static client_connection *usable_connection(client_host *host) {
+static client_connection *acquire_connection(client_host *host) {
     tw_net *net = host->net;
-    client_connection *idle = idle_connection(host);
+    client_connection *idle = find_idle_connection(host);
     if (idle) return idle;
     if (host->count >= host->limit) return NULL;
-    if (net->client.count >= net->limits.max_client) evict_idle(net);
+    if (net->client.count >= net->limits.max_client) evict_idle_connection(net);
     if (net->client.count >= net->limits.max_client) return NULL;
     return open_connection(host);
 }
@@ -310,19 +310,19 @@
 /* Sends as many of the calls that wait as there are connections for. */
 static void send_queued(client_host *host) {
     while (host->queue) {
-        client_connection *usable = usable_connection(host);
+        client_connection *usable = acquire_connection(host);
         if (!usable) break;
         client_call *first = host->queue;
         DL_DELETE(host->queue, first);
-        begin_call(usable, first);
+        start_call(usable, first);
     }
     if (host->queue)
-        start_timer(host->net, &host->timer, host->queue->deadline, LEAST_QUEUE_S);
+        start_timer(host->net, &host->timer, host->queue->deadline, MIN_QUEUE_TIMER_S);
     else
         ev_timer_stop(host->net->loop, &host->timer);
 }
 
-static client_call *overdue_call(const client_host *host) {
+static client_call *find_overdue_call(const client_host *host) {
     const double now = ev_now(host->net->loop) + TIMER_ERROR_S;
     client_call *call;
     DL_FOREACH(host->queue, call) {
@@ -339,7 +339,7 @@
     client_call *overdue;
     (void)loop;
     (void)events;
-    while ((overdue = overdue_call(host))) {
+    while ((overdue = find_overdue_call(host))) {
         DL_DELETE(host->queue, overdue);
         net->handler.response(net->context, overdue->id, 0, "", 0);
         free_call(overdue);
@@ -365,25 +365,25 @@
 
 /* Machines come and go, each with an address of its own: hosts that were not called for long are
  * forgotten. */
-static void forget_hosts(tw_net *net) {
+static void remove_unused_hosts(tw_net *net) {
     client_host *host;
     client_host *next;
-    if (HASH_COUNT(net->client.hosts) <= net->client.many_hosts) return;
+    if (HASH_COUNT(net->client.hosts) <= net->client.host_sweep_threshold) return;
     HASH_ITER(hh, net->client.hosts, host, next) {
-        if (host->queue || ev_now(net->loop) - host->used < net->limits.idle_s) continue;
+        if (host->queue || ev_now(net->loop) - host->last_called_at < net->limits.idle_s) continue;
         close_idle_connections(host);
         if (!host->connections) free_host(host);
     }
-    net->client.many_hosts = 2 * HASH_COUNT(net->client.hosts) + FEW_HOSTS;
+    net->client.host_sweep_threshold = 2 * HASH_COUNT(net->client.hosts) + HOST_SWEEP_SLACK;
 }
 
 /* The host of this address, which is made if it isn't known; NULL: it is not an address. */
-static client_host *host_of(tw_net *net, const char *name) {
+static client_host *find_or_add_host(tw_net *net, const char *name) {
     client_host *host;
     struct sockaddr_in address;
     HASH_FIND_STR(net->client.hosts, name, host);
     if (host) return host;
-    forget_hosts(net);
+    remove_unused_hosts(net);
     if (strlen(name) >= sizeof host->name || !tw_address_parse(name, &address)) return NULL;
     host = tw_net_alloc(sizeof *host);
     host->net = net;
@@ -397,13 +397,13 @@
 
 void tw_net_call(tw_net *net, uint64_t id, const char *addr, int per_host, const char *method,
                  const char *path, const char *body, double timeout_s) {
-    client_host *host = host_of(net, addr);
+    client_host *host = find_or_add_host(net, addr);
     if (!host) {
         net->handler.response(net->context, id, 0, "", 0);
         return;
     }
     host->limit = per_host;
-    host->used = ev_now(net->loop);
+    host->last_called_at = ev_now(net->loop);
     client_call *queued = tw_net_alloc(sizeof *queued);
     queued->id = id;
     queued->deadline = ev_now(net->loop) + timeout_s;
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -14,14 +14,14 @@
     net->limits = *limits;
     net->handler = *handler;
     net->context = context;
-    net->received = malloc(TW_NET_READ_SIZE); /* not touched before it is used */
-    if (!net->received) abort();
+    net->read_buffer = malloc(TW_NET_READ_SIZE); /* not touched before it is used */
+    if (!net->read_buffer) abort();
     return net;
 }
 
 void tw_net_free(tw_net *net) {
     tw_net_server_free(net);
     tw_net_client_free(net);
-    free(net->received);
+    free(net->read_buffer);
     free(net);
 }
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -31,11 +31,11 @@
     double idle_s;  /* a connection of another is closed after so long a silence */
     /* Whether the caller of a path must be answered before all others ("": has not asked yet). When
      * max_server are open, a new connection takes the place of another caller's that has been idle
-     * for yield_s, the longest first; where there is none it is refused. NULL: nobody. */
-    bool (*keeps)(int port, const char *path);
-    double yield_s;
-    double kept_idle_s;  /* idle_s for the connections of callers that `keeps` names */
-    size_t max_response; /* largest body of a response, in bytes */
+     * for evictable_after_s, the longest first; where there is none it is refused. NULL: nobody. */
+    bool (*is_priority_caller)(int port, const char *path);
+    double evictable_after_s;
+    double priority_idle_s; /* idle_s for the connections of callers that `keeps` names */
+    size_t max_response;    /* largest body of a response, in bytes */
 } tw_net_limits;
 
 /* loop: not owned; it must outlive what is returned. owner: first argument of the handler's
--- a/src/net/net_int.h
+++ b/src/net/net_int.h
@@ -23,9 +23,9 @@
 
 /* Owned by client.c: connections that this process opened, by address. */
 typedef struct {
-    struct tw_client_host *hosts; /* by address */
-    int count;                    /* connections to all of them */
-    unsigned many_hosts;          /* with more hosts, those that are not in use are looked for */
+    struct tw_client_host *hosts;  /* by address */
+    int count;                     /* connections to all of them */
+    unsigned host_sweep_threshold; /* with more hosts, those that are not in use are looked for */
 } tw_net_client;
 
 struct tw_net {
@@ -37,7 +37,7 @@
     tw_net_client client;
     /* Room for TW_NET_READ_SIZE bytes, used by whichever connection is read from within one event
      * of the loop. What it can't use at once it copies. */
-    char *received;
+    char *read_buffer;
 };
 
 /* Close all connections of the server, and of the client. */
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -16,13 +16,13 @@
 #include <utlist.h>
 
 #define MAX_HEAD 16384
-#define MAX_INPUT (TW_NET_MAX_BODY + MAX_HEAD)
-#define USUAL_HEAD 160 /* bytes of a response before its body; more only seldom */
+#define MAX_BUFFERED_INPUT (TW_NET_MAX_BODY + MAX_HEAD)
+#define HEAD_RESERVE_BYTES 160 /* bytes of a response before its body; more only seldom */
 /* Connections that may wait to be accepted: all workers of a fleet of 4,000 machines come at once
  * when their node ends, and one that finds no place here is not tried again for a second. The
  * kernel may allow fewer. */
 #define BACKLOG 4096
-#define ACCEPTS_AT_ONCE 16
+#define MAX_ACCEPTS_PER_EVENT 16
 
 enum { STATUS_MALFORMED = 400 };
 
@@ -33,18 +33,18 @@
     int port; /* of the listener, as the owner numbers them */
     ev_io readable;
     ev_io writable;
-    ev_timer idle;
+    ev_timer idle_timer;
     http_parser parser;
     /* Each is empty, and takes no memory, while there is nothing to keep. */
     tw_buffer path;
     tw_buffer body;
-    tw_buffer input;  /* what came after the request in hand */
-    tw_buffer output; /* what the socket has not taken yet */
-    bool waiting;     /* a request is in hand, and not answered yet */
-    bool oversized;   /* the request in hand is longer than allowed */
+    tw_buffer input;      /* what came after the request in hand */
+    tw_buffer output;     /* what the socket has not taken yet */
+    bool request_pending; /* a request is in hand, and not answered yet */
+    bool oversized;       /* the request in hand is longer than allowed */
     bool keep_alive;
     bool closing;      /* to be closed once the output is sent */
-    bool kept;         /* its caller must be answered before all others */
+    bool has_priority; /* its caller must be answered before all others */
     bool evictable;    /* in the server's list of these connections */
     double idle_since; /* while it is in that list */
     struct tw_server_connection *prev;
@@ -60,7 +60,7 @@
     struct tw_server_listener *next;
 } server_listener;
 
-static server_connection *find(tw_net *net, uint64_t id) {
+static server_connection *find_connection(tw_net *net, uint64_t id) {
     server_connection *found;
     HASH_FIND(hh, net->server.connections, &id, sizeof id, found);
     return found;
@@ -69,17 +69,17 @@
 /* ---- idle connections ---- */
 
 /* Whether the caller of this path must be answered before all others. */
-static bool is_kept(const server_connection *connection, const char *path) {
+static bool has_priority_caller(const server_connection *connection, const char *path) {
     const tw_net_limits *limits = &connection->net->limits;
-    return limits->keeps && limits->keeps(connection->port, path);
+    return limits->is_priority_caller && limits->is_priority_caller(connection->port, path);
 }
 
 /* The connection waits for its next request. */
-static void becomes_idle(server_connection *connection) {
+static void mark_idle(server_connection *connection) {
     tw_net *net = connection->net;
-    if (connection->kept) {
-        connection->idle.repeat = net->limits.kept_idle_s;
-        ev_timer_again(net->loop, &connection->idle);
+    if (connection->has_priority) {
+        connection->idle_timer.repeat = net->limits.priority_idle_s;
+        ev_timer_again(net->loop, &connection->idle_timer);
         return;
     }
     if (connection->evictable) return;
@@ -88,7 +88,7 @@
     DL_APPEND(net->server.evictable, connection);
 }
 
-static void becomes_busy(server_connection *connection) {
+static void mark_busy(server_connection *connection) {
     if (!connection->evictable) return;
     connection->evictable = false;
     DL_DELETE(connection->net->server.evictable, connection);
@@ -96,10 +96,10 @@
 
 static void close_connection(server_connection *connection) {
     tw_net *net = connection->net;
-    becomes_busy(connection);
+    mark_busy(connection);
     ev_io_stop(net->loop, &connection->readable);
     ev_io_stop(net->loop, &connection->writable);
-    ev_timer_stop(net->loop, &connection->idle);
+    ev_timer_stop(net->loop, &connection->idle_timer);
     close(connection->socket);
     HASH_DEL(net->server.connections, connection);
     net->server.count--;
@@ -115,11 +115,11 @@
 /* Sends what the socket takes now. Closes the connection where it fails, or was to be closed. */
 static void send_output(server_connection *connection) {
     tw_buffer *output = &connection->output;
-    while (output->taken < output->length) {
-        ssize_t sent = write(connection->socket, output->bytes + output->taken,
-                             output->length - output->taken);
+    while (output->consumed < output->length) {
+        ssize_t sent = write(connection->socket, output->bytes + output->consumed,
+                             output->length - output->consumed);
         if (sent >= 0) {
-            output->taken += (size_t)sent;
+            output->consumed += (size_t)sent;
         } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
             ev_io_start(connection->net->loop, &connection->writable);
             return;
@@ -132,11 +132,11 @@
     tw_buffer_free(output);
     if (connection->closing)
         close_connection(connection);
-    else if (!connection->waiting)
-        becomes_idle(connection);
+    else if (!connection->request_pending)
+        mark_idle(connection);
 }
 
-static const char *reason_of(int status) {
+static const char *reason_phrase(int status) {
     static const struct {
         int status;
         const char *reason;
@@ -158,15 +158,15 @@
 }
 
 /* Puts the answer to the request in hand into the output. */
-static void answer(server_connection *connection, int status, double retry_after, const char *body,
-                   size_t length) {
+static void write_response(server_connection *connection, int status, double retry_after,
+                           const char *body, size_t length) {
     tw_buffer *output = &connection->output;
     if (!connection->keep_alive) connection->closing = true;
-    tw_buffer_reserve(output, USUAL_HEAD + length);
+    tw_buffer_reserve(output, HEAD_RESERVE_BYTES + length);
     tw_buffer_append_text(output, "HTTP/1.1 ");
     tw_buffer_append_number(output, (size_t)status);
     tw_buffer_append_text(output, " ");
-    tw_buffer_append_text(output, reason_of(status));
+    tw_buffer_append_text(output, reason_phrase(status));
     tw_buffer_append_text(output, "\r\nContent-Type: application/json\r\nContent-Length: ");
     tw_buffer_append_number(output, length);
     if (retry_after > 0) {
@@ -176,27 +176,27 @@
     if (connection->closing) tw_buffer_append_text(output, "\r\nConnection: close");
     tw_buffer_append_text(output, "\r\n\r\n");
     tw_buffer_append(output, body, length);
-    connection->waiting = false;
+    connection->request_pending = false;
 }
 
 void tw_net_reply(tw_net *net, uint64_t conn, int status, double retry_after, const char *body,
                   size_t len) {
-    server_connection *connection = find(net, conn);
-    if (!connection || !connection->waiting) return; /* the caller is gone */
-    answer(connection, status, retry_after, body, len);
+    server_connection *connection = find_connection(net, conn);
+    if (!connection || !connection->request_pending) return; /* the caller is gone */
+    write_response(connection, status, retry_after, body, len);
     send_output(connection);
-    connection = find(net, conn);
+    connection = find_connection(net, conn);
     /* What came meanwhile is parsed from the loop, not within the caller's call. */
-    if (connection && connection->input.length && !connection->waiting)
+    if (connection && connection->input.length && !connection->request_pending)
         ev_feed_event(net->loop, &connection->readable, EV_CUSTOM);
 }
 
-static void answer_malformed(server_connection *connection) {
+static void reject_malformed(server_connection *connection) {
     static const char message[] = "{\"error\":\"malformed request\"}";
     connection->keep_alive = false;
-    connection->waiting = true;
+    connection->request_pending = true;
     tw_buffer_free(&connection->input);
-    answer(connection, STATUS_MALFORMED, 0, message, sizeof message - 1);
+    write_response(connection, STATUS_MALFORMED, 0, message, sizeof message - 1);
     send_output(connection);
 }
 
@@ -238,7 +238,7 @@
 static int on_message_complete(http_parser *parser) {
     server_connection *connection = parser->data;
     connection->keep_alive = http_should_keep_alive(parser) != 0;
-    connection->waiting = true;
+    connection->request_pending = true;
     http_parser_pause(parser, 1);
     return 0;
 }
@@ -254,13 +254,13 @@
 /* Parses bytes up to the end of a request, or all of them. Returns how many were parsed; -1: they
  * are not HTTP. */
 static ssize_t parse(server_connection *connection, const char *bytes, size_t length) {
-    size_t used = http_parser_execute(&connection->parser, &parser_settings, bytes, length);
+    size_t consumed = http_parser_execute(&connection->parser, &parser_settings, bytes, length);
     enum http_errno error = HTTP_PARSER_ERRNO(&connection->parser);
     if (error == HPE_PAUSED)
         http_parser_pause(&connection->parser, 0);
     else if (error != HPE_OK || connection->parser.upgrade)
         return -1;
-    return (ssize_t)used;
+    return (ssize_t)consumed;
 }
 
 /* Tells the owner of the request in hand, which may be answered within this call. Returns the
@@ -273,49 +273,49 @@
     tw_buffer body = connection->body;
     memset(&connection->path, 0, sizeof path);
     memset(&connection->body, 0, sizeof body);
-    connection->kept = is_kept(connection, tw_buffer_text(&path));
+    connection->has_priority = has_priority_caller(connection, tw_buffer_text(&path));
     net->handler.request(net->context, connection->port, id,
                          http_method_str(connection->parser.method), tw_buffer_text(&path),
                          tw_buffer_text(&body), body.length);
     tw_buffer_free(&path);
     tw_buffer_free(&body);
-    return find(net, id);
+    return find_connection(net, id);
 }
 
 /* Keeps what can't be parsed before the request in hand is answered. */
-static void keep_input(server_connection *connection, const char *bytes, size_t length) {
-    if (connection->input.length + length > MAX_INPUT) /* more than a request may hold */
+static void buffer_input(server_connection *connection, const char *bytes, size_t length) {
+    if (connection->input.length + length > MAX_BUFFERED_INPUT) /* more than a request may hold */
         close_connection(connection);
     else
         tw_buffer_append(&connection->input, bytes, length);
 }
 
 /* Takes requests out of the bytes, one at a time: the next one only after its answer. */
-static void take_requests(server_connection *connection, const char *bytes, size_t length) {
-    size_t used = 0;
-    while (used < length && !connection->waiting && !connection->closing) {
-        ssize_t parsed = parse(connection, bytes + used, length - used);
+static void process_requests(server_connection *connection, const char *bytes, size_t length) {
+    size_t consumed = 0;
+    while (consumed < length && !connection->request_pending && !connection->closing) {
+        ssize_t parsed = parse(connection, bytes + consumed, length - consumed);
         if (parsed < 0) {
-            answer_malformed(connection);
+            reject_malformed(connection);
             return;
         }
-        used += (size_t)parsed;
-        if (!connection->waiting) continue;
-        becomes_busy(connection);
+        consumed += (size_t)parsed;
+        if (!connection->request_pending) continue;
+        mark_busy(connection);
         if (connection->oversized) {
-            answer_malformed(connection);
+            reject_malformed(connection);
             return;
         }
         connection = deliver_request(connection);
         if (!connection) return;
     }
-    if (used < length) keep_input(connection, bytes + used, length - used);
+    if (consumed < length) buffer_input(connection, bytes + consumed, length - consumed);
 }
 
-static void take_kept_input(server_connection *connection) {
+static void process_buffered_input(server_connection *connection) {
     tw_buffer input = connection->input;
     memset(&connection->input, 0, sizeof input);
-    take_requests(connection, tw_buffer_text(&input), input.length);
+    process_requests(connection, tw_buffer_text(&input), input.length);
     tw_buffer_free(&input);
 }
 
@@ -323,26 +323,26 @@
 
 static void read_input(server_connection *connection) {
     tw_net *net = connection->net;
-    ssize_t count = read(connection->socket, net->received, TW_NET_READ_SIZE);
+    ssize_t count = read(connection->socket, net->read_buffer, TW_NET_READ_SIZE);
     if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (count <= 0) {
         close_connection(connection);
         return;
     }
-    becomes_busy(connection);
-    ev_timer_again(net->loop, &connection->idle);
+    mark_busy(connection);
+    ev_timer_again(net->loop, &connection->idle_timer);
     if (connection->input.length)
-        keep_input(connection, net->received, (size_t)count);
+        buffer_input(connection, net->read_buffer, (size_t)count);
     else
-        take_requests(connection, net->received, (size_t)count);
+        process_requests(connection, net->read_buffer, (size_t)count);
 }
 
 /* Bytes have come, or those kept can be parsed now. */
 static void on_readable(struct ev_loop *loop, ev_io *watcher, int events) {
     server_connection *connection = watcher->data;
     (void)loop;
-    if (!connection->waiting && !connection->closing && connection->input.length)
-        take_kept_input(connection);
+    if (!connection->request_pending && !connection->closing && connection->input.length)
+        process_buffered_input(connection);
     else if (events & EV_READ)
         read_input(connection);
 }
@@ -363,11 +363,12 @@
 
 /* Whether there is room for one more, made by closing one that has been idle for long if need be.
  */
-static bool make_room(tw_net *net) {
-    server_connection *oldest = net->server.evictable;
+static bool ensure_connection_slot(tw_net *net) {
+    server_connection *longest_idle = net->server.evictable;
     if (net->server.count < net->limits.max_server) return true;
-    if (oldest && ev_now(net->loop) - oldest->idle_since >= net->limits.yield_s)
-        close_connection(oldest);
+    if (longest_idle &&
+        ev_now(net->loop) - longest_idle->idle_since >= net->limits.evictable_after_s)
+        close_connection(longest_idle);
     return net->server.count < net->limits.max_server;
 }
 
@@ -382,30 +383,30 @@
     connection->parser.data = connection;
     ev_io_init(&connection->readable, on_readable, socket, EV_READ);
     ev_io_init(&connection->writable, on_writable, socket, EV_WRITE);
-    ev_timer_init(&connection->idle, on_idle, 0., net->limits.idle_s);
+    ev_timer_init(&connection->idle_timer, on_idle, 0., net->limits.idle_s);
     connection->readable.data = connection;
     connection->writable.data = connection;
-    connection->idle.data = connection;
+    connection->idle_timer.data = connection;
     ev_io_start(net->loop, &connection->readable);
-    ev_timer_again(net->loop, &connection->idle);
+    ev_timer_again(net->loop, &connection->idle_timer);
     HASH_ADD(hh, net->server.connections, id, sizeof connection->id, connection);
     net->server.count++;
-    connection->kept = is_kept(connection, "");
-    becomes_idle(connection);
+    connection->has_priority = has_priority_caller(connection, "");
+    mark_idle(connection);
 }
 
 static void on_acceptable(struct ev_loop *loop, ev_io *watcher, int events) {
     server_listener *listener = watcher->data;
     (void)loop;
     (void)events;
-    for (int i = 0; i < ACCEPTS_AT_ONCE; i++) {
+    for (int i = 0; i < MAX_ACCEPTS_PER_EVENT; i++) {
         int socket = accept4(listener->socket, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (socket < 0) return;
-        if (!make_room(listener->net)) {
+        if (!ensure_connection_slot(listener->net)) {
             close(socket); /* at once: the other side tries another node */
             continue;
         }
-        tw_socket_no_delay(socket);
+        tw_socket_set_no_delay(socket);
         add_connection(listener, socket);
     }
 }
@@ -446,12 +447,12 @@
 void tw_net_server_free(tw_net *net) {
     server_connection *connection;
     server_connection *next;
-    server_listener *source;
-    server_listener *next_source;
+    server_listener *listener;
+    server_listener *next_listener;
     HASH_ITER(hh, net->server.connections, connection, next) { close_connection(connection); }
-    LL_FOREACH_SAFE(net->server.listeners, source, next_source) {
-        ev_io_stop(net->loop, &source->readable);
-        close(source->socket);
-        free(source);
+    LL_FOREACH_SAFE(net->server.listeners, listener, next_listener) {
+        ev_io_stop(net->loop, &listener->readable);
+        close(listener->socket);
+        free(listener);
     }
 }
--- a/tests/runner/net_test.c
+++ b/tests/runner/net_test.c
@@ -91,7 +91,7 @@
     ended.length = length;
 }
 
-static bool keeps(int own_port, const char *path) {
+static bool is_priority_caller(int own_port, const char *path) {
     (void)own_port;
     return !strcmp(path, "/hello");
 }
@@ -190,8 +190,8 @@
     const tw_net_limits limits = {.max_server = room,
                                   .max_client = MAX_CLIENTS,
                                   .idle_s = CALL_S,
-                                  .keeps = keeps,
-                                  .kept_idle_s = CALL_S,
+                                  .is_priority_caller = is_priority_caller,
+                                  .priority_idle_s = CALL_S,
                                   .max_response = LARGEST_RESPONSE};
     const tw_net_handler handler = {on_request, on_response};
     net = tw_net_new(loop, &limits, &handler, NULL);
--- a/tools/core_server/main.c
+++ b/tools/core_server/main.c
@@ -26,9 +26,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { MAX_HEAD = 512, MAX_ERROR = 500, MAX_METHOD = 16, NOT_UNDERSTOOD = 64, NO_SETTINGS = 2 };
+enum { MAX_LINE = 512, MAX_ERROR = 500, MAX_METHOD = 16, EXIT_PROTOCOL = 64, EXIT_SETTINGS = 2 };
 
-static _Noreturn void stop(const char *why, const char *detail, int code) {
+static _Noreturn void fail(const char *why, const char *detail, int code) {
     fprintf(stderr, "tw_core_server: %s: %s\n", why, detail);
     exit(code);
 }
@@ -36,23 +36,23 @@
 static char *read_text(size_t size) {
     char *text = calloc(1, size + 1);
     if (!text) abort();
-    if (fread(text, 1, size, stdin) != size) stop("input ends", "within a text", NOT_UNDERSTOOD);
+    if (fread(text, 1, size, stdin) != size) fail("input ends", "within a text", EXIT_PROTOCOL);
     return text;
 }
 
-static long size_of(const char *text) { return text ? (long)strlen(text) : -1; }
+static long text_size(const char *text) { return text ? (long)strlen(text) : -1; }
 
 static void write_text(const char *text) {
     if (text) fwrite(text, 1, strlen(text), stdout);
 }
 
-static void answer(tw_core *core) {
+static void write_effects(tw_core *core) {
     tw_effect *effect;
     while ((effect = tw_core_next_effect(core))) {
         printf("effect %d %" PRIu64 " %d %a %d %a %s %ld %ld %ld\n", effect->kind, effect->id,
                effect->status, effect->retry_after, effect->to, effect->timeout_s,
-               effect->method ? effect->method : "-", size_of(effect->addr), size_of(effect->path),
-               size_of(effect->body));
+               effect->method ? effect->method : "-", text_size(effect->addr),
+               text_size(effect->path), text_size(effect->body));
         write_text(effect->addr);
         write_text(effect->path);
         write_text(effect->body);
@@ -69,43 +69,44 @@
 }
 
 /* NULL: the line is not a `new` message. */
-static tw_core *take_new(const char *head, tw_config *conf) {
+static tw_core *handle_new(const char *line, tw_config *config) {
     double steady, wall;
     char error[MAX_ERROR];
-    tw_simulator_reader reader = tw_simulator_read_line(head, "new");
+    tw_simulator_reader reader = tw_simulator_read_line(line, "new");
     read_times(&reader, &steady, &wall);
     const uint64_t seed = tw_simulator_read_count(&reader);
     const double mem_mb = tw_simulator_read_number(&reader);
     const size_t size = tw_simulator_read_count(&reader);
     if (!tw_simulator_read_all(&reader)) return NULL;
     char *settings = read_text(size);
-    if (tw_config_parse(conf, settings, error, sizeof error)) stop("settings", error, NO_SETTINGS);
+    if (tw_config_parse(config, settings, error, sizeof error))
+        fail("settings", error, EXIT_SETTINGS);
     free(settings);
-    if (mem_mb > 0) conf->mem_mb = mem_mb;
-    return tw_core_new(conf, seed, steady, wall);
+    if (mem_mb > 0) config->mem_mb = mem_mb;
+    return tw_core_new(config, seed, steady, wall);
 }
 
-static int take_request(const char *head, tw_core *core) {
+static int handle_request(const char *line, tw_core *core) {
     double steady, wall;
     char method[MAX_METHOD];
-    tw_simulator_reader reader = tw_simulator_read_line(head, "request");
+    tw_simulator_reader reader = tw_simulator_read_line(line, "request");
     read_times(&reader, &steady, &wall);
     const int port = (int)tw_simulator_read_int(&reader);
-    const uint64_t conn = tw_simulator_read_count(&reader);
+    const uint64_t connection = tw_simulator_read_count(&reader);
     tw_simulator_read_word(&reader, method, sizeof method);
     const size_t path_size = tw_simulator_read_count(&reader),
                  body_size = tw_simulator_read_count(&reader);
     if (!tw_simulator_read_all(&reader)) return 0;
     char *path = read_text(path_size), *body = read_text(body_size);
-    tw_core_request(core, steady, wall, port, conn, method, path, body, body_size);
+    tw_core_request(core, steady, wall, port, connection, method, path, body, body_size);
     free(path);
     free(body);
     return 1;
 }
 
-static int take_response(const char *head, tw_core *core) {
+static int handle_response(const char *line, tw_core *core) {
     double steady, wall;
-    tw_simulator_reader reader = tw_simulator_read_line(head, "response");
+    tw_simulator_reader reader = tw_simulator_read_line(line, "response");
     read_times(&reader, &steady, &wall);
     const uint64_t call = tw_simulator_read_count(&reader);
     const int status = (int)tw_simulator_read_int(&reader);
@@ -117,9 +118,9 @@
     return 1;
 }
 
-static int take_tick(const char *head, tw_core *core) {
+static int handle_tick(const char *line, tw_core *core) {
     double steady, wall;
-    tw_simulator_reader reader = tw_simulator_read_line(head, "tick");
+    tw_simulator_reader reader = tw_simulator_read_line(line, "tick");
     read_times(&reader, &steady, &wall);
     if (!tw_simulator_read_all(&reader)) return 0;
     tw_core_tick(core, steady, wall);
@@ -127,20 +128,20 @@
 }
 
 int main(void) {
-    char head[MAX_HEAD];
+    char line[MAX_LINE];
     const char *level = getenv("LOG_LEVEL");
-    tw_config conf;
+    tw_config config;
     tw_log_init(level ? level : "error", "core_server");
-    if (!fgets(head, sizeof head, stdin)) return 0;
-    tw_core *core = take_new(head, &conf);
-    if (!core) stop("not understood", head, NOT_UNDERSTOOD);
-    answer(core);
-    while (fgets(head, sizeof head, stdin)) {
-        if (!take_request(head, core) && !take_response(head, core) && !take_tick(head, core))
-            stop("not understood", head, NOT_UNDERSTOOD);
-        answer(core);
+    if (!fgets(line, sizeof line, stdin)) return 0;
+    tw_core *core = handle_new(line, &config);
+    if (!core) fail("not understood", line, EXIT_PROTOCOL);
+    write_effects(core);
+    while (fgets(line, sizeof line, stdin)) {
+        if (!handle_request(line, core) && !handle_response(line, core) && !handle_tick(line, core))
+            fail("not understood", line, EXIT_PROTOCOL);
+        write_effects(core);
     }
     tw_core_free(core);
-    tw_config_free(&conf);
+    tw_config_free(&config);
     return 0;
 }
--- /dev/null
+++ b/tools/traywallctl/client.c
@@ -0,0 +1,108 @@
+/* Finds the daemon that leads. A daemon that doesn't lead names the one that does; one that
+ * suspects it names nobody, and says when to ask again. A daemon that stands still costs one try.
+ */
+#include "client.h"
+#include <math.h>
+#include <stdbool.h>
+#include <stdio.h>
+#include <string.h>
+#include <time.h>
+
+/* Where several daemons are known, one try takes so much of the whole time. */
+#define ATTEMPT_TIMEOUT_RATIO 0.2
+#define MIN_PAUSE_S 0.05
+#define NS_PER_S 1e9
+
+int tw_ctl_add_servers(tw_ctl_servers *servers, const char *text) {
+    while (*text) {
+        const size_t length = strcspn(text, ",");
+        if (!length || length >= TW_RPC_ADDRESS || servers->count == MAX_SERVERS) return -1;
+        snprintf(servers->addresses[servers->count++], TW_RPC_ADDRESS, "%.*s", (int)length, text);
+        text += length + (text[length] != 0);
+    }
+    return 0;
+}
+
+static double now_s(void) {
+    struct timespec now;
+    clock_gettime(CLOCK_MONOTONIC, &now);
+    return (double)now.tv_sec + (double)now.tv_nsec / NS_PER_S;
+}
+
+static void sleep_s(double seconds) {
+    const struct timespec span = {.tv_sec = (time_t)seconds,
+                                  .tv_nsec = (long)((seconds - floor(seconds)) * NS_PER_S)};
+    nanosleep(&span, NULL);
+}
+
+static tw_rpc_status call_server(const char *address, const tw_rpc_call *call, double timeout_s,
+                                 tw_rpc_answer *answer) {
+    tw_rpc_client *client = tw_rpc_client_new(address);
+    const tw_rpc_status status = tw_rpc_client_call(client, call, timeout_s, answer);
+    tw_rpc_client_free(client);
+    return status;
+}
+
+tw_rpc_status tw_ctl_call_server(const tw_ctl_servers *servers, const char *address,
+                                 const tw_rpc_call *call, tw_rpc_answer *answer) {
+    return call_server(address, call, servers->timeout_s, answer);
+}
+
+/* How the search for the leader stands. */
+typedef struct {
+    int next_server;          /* server to ask, where nobody was named */
+    int called_in_round;      /* servers asked since the last pause */
+    int unreachable_in_round; /* of those, how many are not there */
+    bool redirected;          /* the last answer named the leader */
+} leader_search;
+
+static double attempt_timeout_s(const tw_ctl_servers *servers, double left_s) {
+    const double max_s =
+        servers->count > 1 ? servers->timeout_s * ATTEMPT_TIMEOUT_RATIO : servers->timeout_s;
+    return fmin(left_s, max_s);
+}
+
+/* Whether the answer, or that there is none, is what the client gets. */
+static bool is_final(const tw_ctl_servers *servers, const leader_search *search,
+                     tw_rpc_status status, const tw_rpc_answer *answer, double left_s) {
+    if (status == TW_RPC_OK && answer->verdict != TW_SHARDS_NOT_LEADER) return true;
+    const bool all_unreachable = search->called_in_round >= servers->count &&
+                                 search->unreachable_in_round == search->called_in_round;
+    return left_s <= MIN_PAUSE_S || all_unreachable;
+}
+
+/* Chooses whom to ask next; returns how long to wait before it. */
+static double choose_next_server(const tw_ctl_servers *servers, leader_search *search,
+                                 tw_rpc_status status, const tw_rpc_answer *answer, char *server) {
+    const bool names_other =
+        status == TW_RPC_OK && answer->leader[0] && strcmp(answer->leader, server) != 0;
+    const double wait_s = status == TW_RPC_OK ? answer->retry_after_s : 0;
+    if (names_other && !search->redirected) {
+        search->redirected = true;
+        snprintf(server, TW_RPC_ADDRESS, "%s", answer->leader);
+        return 0;
+    }
+    search->redirected = false;
+    search->next_server = (search->next_server + 1) % servers->count;
+    snprintf(server, TW_RPC_ADDRESS, "%s", servers->addresses[search->next_server]);
+    if (search->called_in_round < servers->count) return 0;
+    search->called_in_round = search->unreachable_in_round = 0;
+    return fmax(MIN_PAUSE_S, wait_s);
+}
+
+tw_rpc_status tw_ctl_call_leader(const tw_ctl_servers *servers, const tw_rpc_call *call,
+                                 tw_rpc_answer *answer, char server[TW_RPC_ADDRESS]) {
+    const double deadline = now_s() + servers->timeout_s;
+    leader_search search = {0};
+    snprintf(server, TW_RPC_ADDRESS, "%s", servers->addresses[0]);
+    for (;;) {
+        const double timeout_s = attempt_timeout_s(servers, deadline - now_s());
+        const tw_rpc_status status = call_server(server, call, timeout_s, answer);
+        search.called_in_round++;
+        search.unreachable_in_round += status == TW_RPC_UNREACHABLE;
+        if (is_final(servers, &search, status, answer, deadline - now_s())) return status;
+        const double wait_s = choose_next_server(servers, &search, status, answer, server);
+        tw_rpc_answer_free(answer);
+        sleep_s(fmin(wait_s, fmax(0, deadline - now_s())));
+    }
+}
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -2,7 +2,7 @@
  *
  * Exit codes: 0 done, 1 refused (the verdict is printed), 2 nobody answers, 3 no daemon could
  * answer in time: ask again with the same key; 64 usage. */
-#include "ask.h"
+#include "client.h"
 #include "print.h"
 #include <argp.h>
 #include <stdbool.h>
@@ -10,8 +10,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MOST_ARGUMENTS 8
-#define TW_WORLD_MOST_MACHINES 1000
+#define MAX_ARGUMENTS 8
+#define MAX_MACHINES 1000
 #define TIMEOUT_S 10.0
 #define WATCH_TIMEOUT_S 3600.0
 #define DECIMAL 10
@@ -26,9 +26,9 @@
     int json, spread, wait;
     const char *image;
     uint64_t revision;
-    char machines[TW_WORLD_MOST_MACHINES][TW_SHARDS_NAME];
+    char machines[MAX_MACHINES][TW_SHARDS_NAME];
     int machine_count;
-    const char *arguments[MOST_ARGUMENTS];
+    const char *arguments[MAX_ARGUMENTS];
     int argument_count;
 } tw_ctl_options;
 
@@ -46,46 +46,47 @@
     {"wait", OPT_WAIT, NULL, 0, "move, cancel: until the move is over", 0},
     {NULL, 0, NULL, 0, NULL, 0}};
 
-static void add_machine(struct argp_state *state, tw_ctl_options *chosen, const char *name) {
-    if (chosen->machine_count == TW_WORLD_MOST_MACHINES) argp_error(state, "too many machines");
+static void add_machine(struct argp_state *state, tw_ctl_options *options, const char *name) {
+    if (options->machine_count == MAX_MACHINES) argp_error(state, "too many machines");
     if (strlen(name) >= TW_SHARDS_NAME) argp_error(state, "name too long: %s", name);
-    snprintf(chosen->machines[chosen->machine_count++], TW_SHARDS_NAME, "%s", name);
+    snprintf(options->machines[options->machine_count++], TW_SHARDS_NAME, "%s", name);
 }
 
-static error_t parse(int key, char *text, struct argp_state *state) {
-    tw_ctl_options *chosen = state->input;
+static error_t parse_option(int key, char *text, struct argp_state *state) {
+    tw_ctl_options *options = state->input;
     switch (key) {
     case OPT_SERVER:
-        if (tw_ctl_add_servers(&chosen->servers, text))
+        if (tw_ctl_add_servers(&options->servers, text))
             argp_error(state, "no such servers: %s", text);
         break;
     case OPT_TIMEOUT:
-        chosen->servers.timeout_s = strtod(text, NULL);
-        if (!(chosen->servers.timeout_s > 0)) argp_error(state, "not a time: %s", text);
+        options->servers.timeout_s = strtod(text, NULL);
+        if (!(options->servers.timeout_s > 0)) argp_error(state, "not a time: %s", text);
         break;
     case OPT_OUTPUT:
-        chosen->json = !strcmp(text, "json");
-        if (!chosen->json && strcmp(text, "text") != 0) argp_error(state, "no such form: %s", text);
+        options->json = !strcmp(text, "json");
+        if (!options->json && strcmp(text, "text") != 0)
+            argp_error(state, "no such form: %s", text);
         break;
     case OPT_MACHINE:
-        add_machine(state, chosen, text);
+        add_machine(state, options, text);
         break;
     case OPT_IMAGE:
-        chosen->image = text;
+        options->image = text;
         break;
     case OPT_REVISION:
-        chosen->revision = strtoull(text, NULL, DECIMAL);
+        options->revision = strtoull(text, NULL, DECIMAL);
         break;
     case OPT_SPREAD:
-        chosen->spread = 1;
+        options->spread = 1;
         break;
     case OPT_WAIT:
-        chosen->wait = 1;
+        options->wait = 1;
         break;
     case ARGP_KEY_ARG:
-        if (chosen->argument_count == MOST_ARGUMENTS) argp_error(state, "too many arguments");
+        if (options->argument_count == MAX_ARGUMENTS) argp_error(state, "too many arguments");
         if (strlen(text) >= TW_SHARDS_NAME) argp_error(state, "name too long: %s", text);
-        chosen->arguments[chosen->argument_count++] = text;
+        options->arguments[options->argument_count++] = text;
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -103,14 +104,14 @@
     return answer->verdict == TW_SHARDS_OK ? EXIT_SUCCESS : EXIT_REFUSED;
 }
 
-static int show(const tw_ctl_options *chosen, bool machines) {
+static int show_shards(const tw_ctl_options *options, bool machines) {
     const tw_rpc_call call = {.method = TW_RPC_SHOW, .show_machines = machines};
     tw_rpc_answer answer = {0};
-    char asked[TW_RPC_ADDRESS];
-    const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
+    char server[TW_RPC_ADDRESS];
+    const tw_rpc_status status = tw_ctl_call_leader(&options->servers, &call, &answer, server);
     if (status == TW_RPC_OK && answer.verdict != TW_SHARDS_OK)
-        tw_ctl_print_change(chosen->json, &answer);
-    else if (status == TW_RPC_OK && chosen->json)
+        tw_ctl_print_change(options->json, &answer);
+    else if (status == TW_RPC_OK && options->json)
         tw_ctl_print_shards_json(&answer);
     else if (status == TW_RPC_OK)
         tw_ctl_print_shards_text(&answer);
@@ -120,65 +121,66 @@
 }
 
 typedef struct {
-    const tw_ctl_options *chosen;
+    const tw_ctl_options *options;
     tw_rpc_answer last;
-} watching;
+} watch_context;
 
-static int watched(void *context, const tw_rpc_answer *answer) {
-    watching *watch = context;
+static int on_watch_answer(void *context, const tw_rpc_answer *answer) {
+    watch_context *watch = context;
     watch->last = *answer;
-    if (answer->verdict != TW_SHARDS_NOT_LEADER) tw_ctl_print_change(watch->chosen->json, answer);
+    if (answer->verdict != TW_SHARDS_NOT_LEADER) tw_ctl_print_change(watch->options->json, answer);
     return 0;
 }
 
 /* Whether the watch ended because its daemon did, or gave way, and not because the move is over. */
-static bool interrupted(tw_rpc_status status, const tw_rpc_answer *last) {
+static bool is_watch_interrupted(tw_rpc_status status, const tw_rpc_answer *last) {
     return status != TW_RPC_OK || last->verdict == TW_SHARDS_NOT_LEADER;
 }
 
 /* Goes on at the daemon that leads now, as long as one is found within the time limit. */
-static int follow_move(const tw_ctl_options *chosen, const char *server, const char *key) {
+static int watch_move(const tw_ctl_options *options, const char *first_server, const char *key) {
     tw_rpc_call call = {.method = TW_RPC_CHANGE, .request.kind = TW_SHARDS_WATCH};
-    char asked[TW_RPC_ADDRESS];
+    char server[TW_RPC_ADDRESS];
     snprintf(call.request.key, sizeof call.request.key, "%s", key);
-    snprintf(asked, sizeof asked, "%s", server);
+    snprintf(server, sizeof server, "%s", first_server);
     for (;;) {
-        watching watch = {.chosen = chosen};
-        tw_rpc_client *client = tw_rpc_client_new(asked);
-        tw_rpc_status status = tw_rpc_client_watch(client, key, WATCH_TIMEOUT_S, watched, &watch);
+        watch_context watch = {.options = options};
+        tw_rpc_client *client = tw_rpc_client_new(server);
+        tw_rpc_status status =
+            tw_rpc_client_watch(client, key, WATCH_TIMEOUT_S, on_watch_answer, &watch);
         tw_rpc_client_free(client);
-        if (!interrupted(status, &watch.last)) return exit_code(status, &watch.last);
-        status = tw_ctl_ask_leader(&chosen->servers, &call, &watch.last, asked);
+        if (!is_watch_interrupted(status, &watch.last)) return exit_code(status, &watch.last);
+        status = tw_ctl_call_leader(&options->servers, &call, &watch.last, server);
         if (status == TW_RPC_OK && watch.last.verdict == TW_SHARDS_OK) continue;
-        if (status == TW_RPC_OK) tw_ctl_print_change(chosen->json, &watch.last);
+        if (status == TW_RPC_OK) tw_ctl_print_change(options->json, &watch.last);
         return exit_code(status, &watch.last);
     }
 }
 
-static int change(const tw_ctl_options *chosen, const tw_shards_request *request) {
+static int send_change(const tw_ctl_options *options, const tw_shards_request *request) {
     const tw_rpc_call call = {.method = TW_RPC_CHANGE, .request = *request};
     tw_rpc_answer answer = {0};
-    char asked[TW_RPC_ADDRESS];
-    const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
+    char server[TW_RPC_ADDRESS];
+    const tw_rpc_status status = tw_ctl_call_leader(&options->servers, &call, &answer, server);
     const bool accepted = status == TW_RPC_OK && answer.verdict == TW_SHARDS_OK;
-    const bool waits = request->kind == TW_SHARDS_WATCH || (chosen->wait && request->key[0]);
-    if (accepted && waits) return follow_move(chosen, asked, request->key);
-    if (status == TW_RPC_OK) tw_ctl_print_change(chosen->json, &answer);
+    const bool waits = request->kind == TW_SHARDS_WATCH || (options->wait && request->key[0]);
+    if (accepted && waits) return watch_move(options, server, request->key);
+    if (status == TW_RPC_OK) tw_ctl_print_change(options->json, &answer);
     return exit_code(status, &answer);
 }
 
 /* ---- standbys ---- */
 
 /* Each server that was named, for itself. */
-static int do_standby(tw_ctl_options *chosen, const char *const *words) {
+static int do_standby(tw_ctl_options *options, const char *const *arguments) {
     const tw_rpc_call call = {.method = TW_RPC_STANDBY};
     int code = EXIT_SUCCESS;
-    (void)words;
-    for (int i = 0; i < chosen->servers.count; i++) {
-        const char *address = chosen->servers.addresses[i];
+    (void)arguments;
+    for (int i = 0; i < options->servers.count; i++) {
+        const char *address = options->servers.addresses[i];
         tw_rpc_answer answer = {0};
-        const tw_rpc_status status = tw_ctl_ask_one(&chosen->servers, address, &call, &answer);
-        if (status == TW_RPC_OK && chosen->json)
+        const tw_rpc_status status = tw_ctl_call_server(&options->servers, address, &call, &answer);
+        if (status == TW_RPC_OK && options->json)
             tw_ctl_print_standby_json(&answer, address);
         else if (status == TW_RPC_OK)
             tw_ctl_print_standby_text(&answer, address);
@@ -189,69 +191,69 @@
     return code;
 }
 
-static int do_promote(tw_ctl_options *chosen, const char *const *words) {
+static int do_promote(tw_ctl_options *options, const char *const *arguments) {
     tw_rpc_call call = {.method = TW_RPC_PROMOTE};
     tw_rpc_answer answer = {0};
-    char asked[TW_RPC_ADDRESS];
-    snprintf(call.owner, sizeof call.owner, "%s", words[1]);
-    const tw_rpc_status status = tw_ctl_ask_leader(&chosen->servers, &call, &answer, asked);
-    if (status == TW_RPC_OK) tw_ctl_print_change(chosen->json, &answer);
+    char server[TW_RPC_ADDRESS];
+    snprintf(call.owner, sizeof call.owner, "%s", arguments[1]);
+    const tw_rpc_status status = tw_ctl_call_leader(&options->servers, &call, &answer, server);
+    if (status == TW_RPC_OK) tw_ctl_print_change(options->json, &answer);
     return exit_code(status, &answer);
 }
 
 /* ---- commands ---- */
 
-static void copy(char *to, const char *from) { snprintf(to, TW_SHARDS_NAME, "%s", from); }
+static void copy_name(char *to, const char *from) { snprintf(to, TW_SHARDS_NAME, "%s", from); }
 
-static int do_move(tw_ctl_options *chosen, const char *const *words) {
-    tw_shards_request request = {.kind = TW_SHARDS_MOVE, .revision = chosen->revision};
-    copy(request.key, words[1]);
-    copy(request.shard, words[2]);
-    copy(request.to, words[3]);
-    if (chosen->image) copy(request.image, chosen->image);
-    request.count = (int)strtol(words[4], NULL, DECIMAL);
-    request.machines = chosen->machines;
-    request.machine_count = chosen->machine_count;
-    return change(chosen, &request);
+static int do_move(tw_ctl_options *options, const char *const *arguments) {
+    tw_shards_request request = {.kind = TW_SHARDS_MOVE, .revision = options->revision};
+    copy_name(request.key, arguments[1]);
+    copy_name(request.shard, arguments[2]);
+    copy_name(request.to, arguments[3]);
+    if (options->image) copy_name(request.image, options->image);
+    request.count = (int)strtol(arguments[4], NULL, DECIMAL);
+    request.machines = options->machines;
+    request.machine_count = options->machine_count;
+    return send_change(options, &request);
 }
 
-static int do_key(tw_ctl_options *chosen, const char *const *words) {
-    const bool cancels = !strcmp(words[0], "cancel");
+static int do_key(tw_ctl_options *options, const char *const *arguments) {
+    const bool cancels = !strcmp(arguments[0], "cancel");
     tw_shards_request request = {.kind = cancels ? TW_SHARDS_CANCEL : TW_SHARDS_WATCH};
-    copy(request.key, words[1]);
-    return change(chosen, &request);
+    copy_name(request.key, arguments[1]);
+    return send_change(options, &request);
 }
 
-static int do_define(tw_ctl_options *chosen, const char *const *words) {
-    tw_shards_request request = {.kind = TW_SHARDS_DEFINE, .spread = chosen->spread};
-    copy(request.shard, words[1]);
-    copy(request.owner, words[2]);
-    request.least = (int)strtol(words[3], NULL, DECIMAL);
-    return change(chosen, &request);
+static int do_define(tw_ctl_options *options, const char *const *arguments) {
+    tw_shards_request request = {.kind = TW_SHARDS_DEFINE, .spread = options->spread};
+    copy_name(request.shard, arguments[1]);
+    copy_name(request.owner, arguments[2]);
+    request.least = (int)strtol(arguments[3], NULL, DECIMAL);
+    return send_change(options, &request);
 }
 
-static int do_add(tw_ctl_options *chosen, const char *const *words) {
+static int do_add(tw_ctl_options *options, const char *const *arguments) {
     tw_shards_request request = {.kind = TW_SHARDS_ADD};
-    copy(request.machine, words[1]);
-    copy(request.shard, words[2]);
-    copy(request.zone, words[3]);
-    return change(chosen, &request);
+    copy_name(request.machine, arguments[1]);
+    copy_name(request.shard, arguments[2]);
+    copy_name(request.zone, arguments[3]);
+    return send_change(options, &request);
 }
 
-static int do_remove(tw_ctl_options *chosen, const char *const *words) {
+static int do_remove(tw_ctl_options *options, const char *const *arguments) {
     tw_shards_request request = {.kind = TW_SHARDS_REMOVE};
-    copy(request.machine, words[1]);
-    return change(chosen, &request);
+    copy_name(request.machine, arguments[1]);
+    return send_change(options, &request);
 }
 
-static int do_show(tw_ctl_options *chosen, const char *const *words) {
-    return show(chosen, !strcmp(words[0], "machines"));
+static int do_show(tw_ctl_options *options, const char *const *arguments) {
+    return show_shards(options, !strcmp(arguments[0], "machines"));
 }
 
 static const struct command {
     const char *name;
-    int words; /* with its own name */
-    int (*carry_out)(tw_ctl_options *chosen, const char *const *words);
+    int argument_count; /* with its own name */
+    int (*run)(tw_ctl_options *options, const char *const *arguments);
 } commands[] = {{"shares", 1, do_show},    {"machines", 1, do_show}, {"move", 5, do_move},
                 {"watch", 2, do_key},      {"cancel", 2, do_key},    {"define", 4, do_define},
                 {"add", 4, do_add},        {"remove", 2, do_remove}, {"standby", 1, do_standby},
@@ -273,15 +275,15 @@
 
 int main(int count, char **arguments) {
     static const struct argp argp = {
-        .options = argp_options, .parser = parse, .args_doc = "COMMAND ...", .doc = doc};
+        .options = argp_options, .parser = parse_option, .args_doc = "COMMAND ...", .doc = doc};
     static tw_ctl_options chosen = {.servers = {.timeout_s = TIMEOUT_S}};
     argp_parse(&argp, count, arguments, 0, NULL, &chosen);
     if (!chosen.servers.count) tw_ctl_add_servers(&chosen.servers, "127.0.0.1:7070");
     for (size_t i = 0; i < sizeof commands / sizeof *commands; i++) {
-        const struct command *each = &commands[i];
-        if (!chosen.argument_count || strcmp(chosen.arguments[0], each->name) != 0) continue;
-        if (chosen.argument_count != each->words) break;
-        return each->carry_out(&chosen, chosen.arguments);
+        const struct command *command = &commands[i];
+        if (!chosen.argument_count || strcmp(chosen.arguments[0], command->name) != 0) continue;
+        if (chosen.argument_count != command->argument_count) break;
+        return command->run(&chosen, chosen.arguments);
     }
     fprintf(stderr, "traywallctl: no such command, or other arguments than it takes: --help\n");
     return EXIT_USAGE;
--- a/tools/traywallctl/print.c
+++ b/tools/traywallctl/print.c
@@ -16,20 +16,20 @@
     printf("revision %lu\n", (unsigned long)answer->revision);
     printf("%-20s %-20s %6s %6s %6s %8s\n", "SHARE", "OWNER", "LEAST", "OPEN", "TAKEN", "DRAINING");
     for (int i = 0; i < answer->shard_count; i++) {
-        const tw_shards_view *each = &answer->shards[i];
-        printf("%-20s %-20s %6d %6d %6d %8d%s\n", each->name, each->owner, each->least, each->open,
-               each->taken, each->draining, each->spread ? " spread" : "");
+        const tw_shards_view *shard = &answer->shards[i];
+        printf("%-20s %-20s %6d %6d %6d %8d%s\n", shard->name, shard->owner, shard->least,
+               shard->open, shard->taken, shard->draining, shard->spread ? " spread" : "");
     }
     if (answer->notification_count)
         printf("%-24s %-20s %-20s %-9s %s\n", "MACHINE", "SHARE", "OWNER", "STATE", "EPOCH");
     for (int i = 0; i < answer->notification_count; i++) {
-        const tw_shards_notification *each = &answer->notifications[i];
-        printf("%-24s %-20s %-20s %-9s %lu\n", each->machine, each->shard, each->owner,
-               tw_shards_state_name(each->state), (unsigned long)each->epoch);
+        const tw_shards_notification *machine = &answer->notifications[i];
+        printf("%-24s %-20s %-20s %-9s %lu\n", machine->machine, machine->shard, machine->owner,
+               tw_shards_state_name(machine->state), (unsigned long)machine->epoch);
     }
 }
 
-static cJSON *shard_json(const tw_shards_view *shard) {
+static cJSON *make_shard_json(const tw_shards_view *shard) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "name", shard->name);
     cJSON_AddStringToObject(object, "owner", shard->owner);
@@ -41,7 +41,7 @@
     return object;
 }
 
-static cJSON *machine_json(const tw_shards_notification *machine) {
+static cJSON *make_machine_json(const tw_shards_notification *machine) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "name", machine->machine);
     cJSON_AddStringToObject(object, "share", machine->shard);
@@ -56,10 +56,10 @@
     cJSON_AddNumberToObject(object, "revision", (double)answer->revision);
     cJSON *shards = cJSON_AddArrayToObject(object, "shares");
     for (int i = 0; i < answer->shard_count; i++)
-        cJSON_AddItemToArray(shards, shard_json(&answer->shards[i]));
+        cJSON_AddItemToArray(shards, make_shard_json(&answer->shards[i]));
     cJSON *machines = cJSON_AddArrayToObject(object, "machines");
     for (int i = 0; i < answer->notification_count; i++)
-        cJSON_AddItemToArray(machines, machine_json(&answer->notifications[i]));
+        cJSON_AddItemToArray(machines, make_machine_json(&answer->notifications[i]));
     print_json(object);
 }
 
@@ -135,10 +135,10 @@
     cJSON_AddNumberToObject(object, "gaps", (double)status->gaps);
     cJSON *followers = cJSON_AddArrayToObject(object, "followers");
     for (int i = 0; i < answer->follower_count; i++) {
-        cJSON *each = cJSON_CreateObject();
-        cJSON_AddStringToObject(each, "name", answer->followers[i].name);
-        cJSON_AddNumberToObject(each, "lag", (double)answer->followers[i].lag);
-        cJSON_AddItemToArray(followers, each);
+        cJSON *follower = cJSON_CreateObject();
+        cJSON_AddStringToObject(follower, "name", answer->followers[i].name);
+        cJSON_AddNumberToObject(follower, "lag", (double)answer->followers[i].lag);
+        cJSON_AddItemToArray(followers, follower);
     }
     print_json(object);
 }
