--- a/emulator/main.c
+++ b/emulator/main.c
@@ -1,16 +1,17 @@
-/* tw_emulator: stand-ins over loopback for the daemon's tests. One process serves a state service
- * on [IP:]PORT, and COUNT replicas on the ports after it, each with the guard that a machine has:
+/* tw_emulator: emulates a state service and machines over loopback, for the tests of the daemon.
+ * One process serves the state service on [IP:]PORT and REPLICAS machine replicas on the following
+ * ports. Each replica uses the machine guard of the shards package:
  *
- *   POST /check {"term":N}    a leader asks what the machine has, and announces its term
- *   POST /start {"term":N,"life":N,"floor":N}  the last epoch before its own, for one life of it
- *   POST /open {"term":N,"epoch":N}    200 open under it, 409 an old one
- *   POST /stop {"term":N,"epoch":N}    what runs under it ends (it runs nothing by itself)
- *   POST /run {"epoch":N}     a request: 200, or 409 under another epoch than the one that is open
- *   POST /restart {}          it begins another life
- *   GET /seen                 its own record of what it took: first and last epoch of requests,
- *                             whether epochs or the terms of commands ever fell
+ *   POST /check {"term":N}    raises the term of the guard and reads its state
+ *   POST /start {"term":N,"life":N,"floor":N}  accepts only epochs above "floor" during boot "life"
+ *   POST /open {"term":N,"epoch":N}    opens the epoch: 200, or 409 for an older epoch
+ *   POST /stop {"term":N,"epoch":N}    stops the work of an epoch (a replica runs none)
+ *   POST /run {"epoch":N}     a user request: 200, or 409 if this epoch is not the open one
+ *   POST /restart {}          simulates a reboot: the replica gets a new boot id
+ *   GET /seen                 the replica's own record: first and last epoch of accepted requests,
+ *                             and whether an epoch or a command's term ever decreased
  *
- * Listens on IP (127.0.0.1) only and ends by itself after SECONDS. */
+ * Listens on IP only (default 127.0.0.1) and exits after SECONDS. */
 #include "net/net.h"
 #include "shards/shards.h"
 #include "world.h"
@@ -31,8 +32,8 @@
 
 typedef struct {
     tw_shards_guard guard;
-    uint64_t first_epoch, last_epoch;      /* epochs of requests that were taken; 0: none */
-    uint64_t last_term, last_opened_epoch; /* of commands that were taken */
+    uint64_t first_epoch, last_epoch;      /* of accepted requests; 0: no request */
+    uint64_t last_term, last_opened_epoch; /* of accepted commands */
     long commands, refused_commands;
     bool decreased;
     long accepted_requests, refused_requests;
@@ -56,7 +57,8 @@
     return number;
 }
 
-/* Keeps a record of the commands taken that does not rest on the guard. */
+/* Records an accepted or refused command independently of the guard's state, so that tests can
+ * check the guard. Returns the HTTP status. */
 static int record_command(replica *target, tw_shards_guard_verdict verdict, uint64_t term,
                           uint64_t epoch) {
     if (verdict != TW_SHARDS_GUARD_RAISED && verdict != TW_SHARDS_GUARD_REPEATED) {
@@ -93,12 +95,11 @@
     return false;
 }
 
-/* A life is another number each time; the stand-in's own lives are far apart from one another. */
+/* Simulates a reboot of the machine with a new boot id. */
 static void restart(replica *target) {
     const uint64_t boot_id = target->guard.boot_id + 1;
     tw_shards_guard_boot(&target->guard, boot_id);
-    target->last_term =
-        0; /* what it has not heard of since this boot, it can't hold against anybody */
+    target->last_term = 0; /* a machine does not remember terms across reboots */
 }
 
 static int run_request(replica *target, uint64_t epoch) {
@@ -143,7 +144,7 @@
     return OK;
 }
 
-/* port 0 is the state service, others the replica of that number less one. */
+/* Port 0 is the state service; port N is the replica with index N - 1. */
 static void on_request(void *context, int port, uint64_t connection, const char *method,
                        const char *path, const char *body, size_t length) {
     (void)context;
@@ -176,7 +177,8 @@
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* first: PORT or IP:PORT of the state service. */
+/* Listens for the state service on `first` ("PORT" or "IP:PORT") and for the replicas on the ports
+ * after it. Returns -1 after printing a message if a port cannot be listened on. */
 static int listen_on(const char *first, int replica_count) {
     char address[MAX_ADDRESS_SIZE];
     const char *separator = strchr(first, ':');
--- a/models/takeover.pml
+++ b/models/takeover.pml
@@ -1,17 +1,21 @@
-/* The takeover between controllers, for Spin (docs/standby.md, "Model", maps the steps to functions).
+/* Spin model of the takeover of leadership between controllers (docs/standby.md, "Model", maps the
+ * steps to functions).
  *
- * One active controller and two standbys, the leader's key with its lease, and one machine. Messages
- * take any time, are lost up to a bound, and of different controllers overtake each other. A
- * controller may stand still between any two steps: interleaving is the pause. Time is left out but
- * for one thing that the settings give: authority ends before the state service lets the lease end.
+ * The model has one active controller, two standbys, the leader's key with its lease, and one machine.
+ * Messages have unbounded delay, a bounded number of them is lost, and messages of different
+ * controllers may overtake each other. A pause of a controller between any two steps is modeled by the
+ * interleaving of processes. Time is not modeled, except for one property that the settings ensure: a
+ * leader's authority ends before the state service lets its lease expire.
  *
- * Judged: a term has one decider; once a controller has decided about the machine, the machine takes
- * no order of an earlier term; once troubles end, some controller decides for good.
- * -DNO_FENCE: a standby decides on suspicion. -DNO_CHECK: it decides without asking the machine.
- * Both must fail. */
+ * Checked properties: a term has at most one controller that makes decisions; once a controller has
+ * made a decision about the machine, the machine accepts no command of an earlier term; once faults
+ * stop, some controller eventually stays the one that makes decisions.
+ * -DNO_FENCE: a standby makes decisions when it only suspects the leader of having failed.
+ * -DNO_CHECK: a new leader makes decisions without first asking the machine for its state.
+ * Verification must fail with either of them. */
 #define CONTROLLERS 3
 #ifndef MOST_EXPIRIES
-#define MOST_EXPIRIES 1 /* leases that end although their holder lives */
+#define MOST_EXPIRIES 1 /* leases that expire although their holder is running */
 #endif
 #ifndef MOST_CRASHES
 #define MOST_CRASHES 1
@@ -20,26 +24,29 @@
 #define MOST_LOSSES 1
 #endif
 #ifndef MOST_RESTARTS
-#define MOST_RESTARTS 1 /* of the machine */
+#define MOST_RESTARTS 1 /* restarts of the machine */
 #endif
 #define MOST_TERMS 8
 
 mtype = { CHECK, ORDER };
 
-/* The state service: who holds the key (0: nobody), and its revision. */
+/* The state service: `holder` is the leader key's holder, the controller's index + 1 (0: no holder);
+ * `term` is the key's revision. */
 byte holder = 0;
 byte term = 0;
-/* By the holder's own clock. */
+/* Whether each controller has authority according to its own clock. */
 bool authority[CONTROLLERS];
 bool crashed[CONTROLLERS];
 byte expiries = 0, crashes = 0, losses = 0, restarts = 0;
 
-/* kind, term, life of the machine as the sender knows it */
+/* Requests to the machine: kind, term, and the machine's incarnation that the sender knows. */
 chan to_machine[CONTROLLERS] = [1] of { mtype, byte, byte };
-/* newest term heard, life */
+/* The machine's answers: the highest term that it has received since its start, and its
+ * incarnation. */
 chan to_controller[CONTROLLERS] = [1] of { byte, byte };
 
-/* Judge. */
+/* State of the checks: for each term, the controller that made decisions (its index + 1); the highest
+ * term with decisions; and whether each controller currently makes decisions. */
 byte decider[MOST_TERMS];
 byte newest_decided = 0;
 bool deciding[CONTROLLERS];
@@ -75,7 +82,7 @@
     deciding[me] = false;
 end_follow:
     if
-    /* fencing: the lease is over by the state service's word, and the term is recorded */
+    /* fencing: the state service has ended the lease of the previous leader and records the new term */
     :: atomic {
            holder == 0 ->
            holder = me + 1;
@@ -104,7 +111,8 @@
     :: !authority[me] -> goto follow
     :: atomic { crashes < MOST_CRASHES -> crashes++; crashed[me] = true } goto ended
     od;
-    /* an answer to an earlier question of this controller, or one that a later leader was first for */
+    /* A lower term: the answer belongs to an earlier request of this controller. A higher term: the
+     * machine has already received a request of a later leader. Both answers are ignored. */
     if
     :: heard == my_term
     :: heard < my_term -> goto check
@@ -121,7 +129,7 @@
            deciding[me] = true;
            sent_life = life
        }
-       /* it may stand still here, with the order decided and not sent */
+       /* The controller may pause here, after the decision and before the command is sent. */
        if
        :: atomic { nfull(to_machine[me]) -> to_machine[me] ! ORDER, my_term, sent_life }
        :: full(to_machine[me])
@@ -134,7 +142,8 @@
     skip
 }
 
-/* The guard. */
+/* The machine with its guard: it ignores messages of terms below the highest one that it has received
+ * (`seen`), and commands for another incarnation than its current one (`life`). */
 proctype Machine() {
     byte seen = 0, life = 1, its_term, its_life, from = 0;
     mtype kind;
@@ -150,7 +159,7 @@
            to_machine[2] ? kind, its_term, its_life -> from = 2
        } goto take
     :: atomic { restarts < MOST_RESTARTS -> restarts++; life++; seen = 0 }
-    /* answers of an earlier question that nobody waits for any more */
+    /* loss of an answer to controller 0 or of a request of controller 1 */
     :: atomic { losses < MOST_LOSSES && nempty(to_controller[0]) -> to_controller[0] ? _, _; losses++ }
     :: atomic { losses < MOST_LOSSES && nempty(to_machine[1]) -> to_machine[1] ? _, _, _; losses++ }
     od;
--- a/src/controller/main.c
+++ b/src/controller/main.c
@@ -1,6 +1,6 @@
-/* The controller: turns what comes from sockets, clocks and signals into inputs of the core, and
- * the core's effects into messages. It is a single thread around one event loop, and the only place
- * where the core's clocks are read. */
+/* The controller process: passes requests, responses, time and signals to the core as inputs, and
+ * sends the messages that the core returns as effects. It runs in a single thread with one event
+ * loop and is the only place that reads the clocks used by the core. */
 #include "config/config.h"
 #include "core/core.h"
 #include "log/log.h"
@@ -24,23 +24,25 @@
 #define MAX_MESSAGE 400
 static const double first_tick_s = 0.001;
 #define STATISTICS_S 10.0
-/* The histogram of the ticks' lateness: its bins and its range. */
+/* Number of bins and range of the histogram of tick lag. */
 #define LAG_BINS 50
 #define MIN_LAG_S (-0.1)
 #define MAX_LAG_S 1.0
-/* Shares of the sockets: connections that others open, and those that this process opens. */
+/* Fractions of the `sockets` setting used for accepted connections and for opened connections. */
 #define SERVER_SHARE 0.6
 #define CLIENT_SHARE 0.3
-/* In leases: when a silent connection is closed, and when one of a worker or peer is. */
+/* Idle timeouts as multiples of the lease duration: of connections without priority, and of those
+ * of workers and peers. */
 #define IDLE_LEASES 12
 #define PRIORITY_IDLE_LEASES 3
-/* In times between heartbeats: how long a connection is idle before it makes room for another. */
+/* Minimum idle time before a connection may be closed in favor of a new one, as a multiple of the
+ * heartbeat interval. */
 #define EVICTABLE_HEARTBEATS 0.25
 #define MAX_RESPONSE_BYTES ((size_t)2 << 20)
 #define TRIM_BYTES (1 << 20)
 #define HASH_FACTOR 131u
 
-/* Most connections to one address, by the kind of what is called there. */
+/* Most connections to one address, by the kind of server there. */
 static const int max_connections_per_address[] = {
     [TW_TO_STATE] = 8, [TW_TO_CLOUD] = 2, [TW_TO_PEER] = 8, [TW_TO_WORKER] = 1};
 
@@ -65,7 +67,7 @@
         parsed->check = true;
         return 0;
     case ARGP_KEY_END:
-        if (!parsed->config) argp_error(state, "--config FILE is needed");
+        if (!parsed->config) argp_error(state, "--config FILE is required");
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -76,7 +78,7 @@
     static const struct argp_option options[] = {
         {"config", 'c', "FILE", 0, "The platform's settings (TOML)", 0},
         {"options", 'o', "FILE", 0, "The operators' own settings (YAML)", 0},
-        {"check", 'k', 0, 0, "Check the settings and end", 0},
+        {"check", 'k', 0, 0, "Check the settings and exit", 0},
         {0}};
     static const char text[] = "A controller node of a fleet that serves language models.\v"
                                "Exit codes: 0 ended as asked, 2 settings, 3 an address can't be "
@@ -87,7 +89,7 @@
     return parsed;
 }
 
-/* Loads the settings; false: they are wrong, and standard error has a message. */
+/* Loads the settings. If they are invalid, prints a message to standard error and returns false. */
 static bool load_settings(tw_config *config, const arguments *parsed) {
     char message[MAX_MESSAGE] = "";
     tw_config_error error = tw_config_load(config, parsed->config, message, sizeof message);
@@ -104,10 +106,10 @@
     tw_core *core;
     tw_net *net;
     struct ev_loop *loop;
-    gsl_histogram *tick_lag; /* how late ticks come, which shows a processor that is overloaded */
+    gsl_histogram *tick_lag; /* lateness of ticks, which shows CPU overload */
     double last_tick_at;
     double next_statistics_at;
-    bool draining; /* effects are being carried out, see drain_effects */
+    bool draining; /* drain_effects is running */
     ev_timer tick;
     ev_signal terminate;
     ev_signal interrupt;
@@ -132,8 +134,9 @@
                     effect->method, effect->path, effect->body, effect->timeout_s);
 }
 
-/* Carries out the core's effects. A call may fail at once, so that its response leads here again:
- * what that adds is carried out by the outer loop. */
+/* Executes all pending effects of the core. A call that fails immediately reports its response
+ * before tw_net_call returns and so calls this function recursively; the outer loop then executes
+ * the effects that were added. */
 static void drain_effects(controller *process) {
     tw_effect *effect;
     if (process->draining) return;
@@ -189,13 +192,15 @@
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* Whether a caller must be answered before all others: without an answer workers lose their leases,
- * and peers the leader. */
+/* Returns true for requests of workers and peers. These have priority because, without responses,
+ * workers lose their leases and peers lose contact with the leader. */
 static bool is_priority_request(int port, const char *path) {
     return port == TW_PORT_PEER || !strcmp(path, "/hello");
 }
 
-/* The process gets little memory: what is freed is given back to the system early. */
+/* Makes malloc return freed memory to the system early, because the process has a small memory
+ * limit.
+ */
 static void limit_heap(void) {
     mallopt(M_ARENA_MAX, 1);
     mallopt(M_TRIM_THRESHOLD, TRIM_BYTES);
@@ -214,7 +219,7 @@
     process->net = tw_net_new(process->loop, &limits, &handler, process);
 }
 
-/* A seed that differs between nodes, and from one start of a node to the next. */
+/* Returns a random seed that differs between nodes and between restarts of a node. */
 static uint64_t make_seed(const char *node) {
     uint64_t seed = (uint64_t)(wall_time_s() * 1e6);
     for (const char *letter = node; *letter; letter++)
@@ -222,8 +227,8 @@
     return seed;
 }
 
-/* name: of the setting with the address, for the message. false: the address can't be listened on.
- */
+/* Listens on an address. On failure, prints a message to standard error and returns false. name:
+ * the setting that holds the address, for the message. */
 static bool listen_on(controller *process, const char *name, const char *address, int port) {
     if (!tw_net_listen(process->net, address, port)) return true;
     fprintf(stderr, "traywall: can't listen on %s %s: %s\n", name, address, strerror(errno));
@@ -240,7 +245,7 @@
     ev_signal_start(process->loop, &process->interrupt);
 }
 
-/* Serves until a signal comes. Returns the process's exit code. */
+/* Runs the controller until SIGTERM or SIGINT. Returns the exit code of the process. */
 static int run(controller *process) {
     const tw_config *config = &process->config;
     process->tick_lag = gsl_histogram_alloc(LAG_BINS);
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,15 +1,16 @@
-/* Addresses and sockets. Not for other packages. */
+/* IPv4 addresses and TCP sockets. Internal to the net package. */
 #ifndef TW_NET_ADDRESS_H
 #define TW_NET_ADDRESS_H
 #include <netinet/in.h>
 #include <stdbool.h>
 
-/* Parses "IP:port" with an IPv4 address. false: the text is not that, and *address may be changed.
- */
+/* Parses an IPv4 address of the form "IP:port". Returns false if the text has another form;
+ * *address is then unspecified. */
 bool tw_address_parse(const char *text, struct sockaddr_in *address);
-/* A TCP socket that never blocks and sends at once; -1 with errno: none. The caller closes it. */
+/* Creates a non-blocking TCP socket with TCP_NODELAY set. The caller closes it. Returns -1 and sets
+ * errno on failure. */
 int tw_socket_open(void);
-/* Has the socket send at once, without waiting for more to send. */
+/* Sets TCP_NODELAY, so that small writes are sent without delay. */
 void tw_socket_set_no_delay(int socket);
 
 #endif
--- a/src/net/buffer.c
+++ b/src/net/buffer.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #define INITIAL_CAPACITY 64
-#define MAX_DIGITS 20 /* of a size_t */
+#define MAX_DIGITS 20 /* decimal digits of the largest 64-bit size_t */
 
 static void set_capacity(tw_buffer *buffer, size_t capacity) {
     buffer->bytes = realloc(buffer->bytes, capacity);
@@ -16,7 +16,7 @@
     if (length && needed > buffer->capacity) set_capacity(buffer, needed);
 }
 
-/* Doubles the room as often as needed. */
+/* Doubles the capacity until it is at least `needed` bytes. */
 static void ensure_capacity(tw_buffer *buffer, size_t needed) {
     if (needed <= buffer->capacity) return;
     size_t capacity = buffer->capacity ? buffer->capacity : INITIAL_CAPACITY;
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -1,6 +1,6 @@
-/* HTTP client. Calls to an address queue there and go out over a pool of connections that stay
- * open. Each call ends once: with a response, or with status 0 when its time is over or its
- * connection broke, and then it may or may not have been carried out. */
+/* HTTP client. Calls to an address are queued and sent over a pool of persistent connections. Each
+ * call ends exactly once: with a response, or with status 0 if it timed out or its connection
+ * failed. With status 0 the server may or may not have processed the request. */
 #include "net/address.h"
 #include "net/buffer.h"
 #include "net/net_int.h"
@@ -16,16 +16,17 @@
 #include <utlist.h>
 
 #define MAX_ADDRESS_SIZE 64
-#define HEAD_RESERVE_BYTES 160 /* bytes of a call beside its path, address and body, never more */
-#define MIN_CALL_TIMER_S 0.001 /* a call's timer runs at least so long */
-#define MIN_QUEUE_TIMER_S 0.01 /* a queue is looked at no more often */
-#define TIMER_ERROR_S 0.001    /* timers fire early by up to that */
+/* Upper bound on the bytes of a request besides its path, address and body. */
+#define HEAD_RESERVE_BYTES 160
+#define MIN_CALL_TIMER_S 0.001 /* shortest timeout of a call that is being sent */
+#define MIN_QUEUE_TIMER_S 0.01 /* shortest time between two checks of a queue for overdue calls */
+#define TIMER_ERROR_S 0.001    /* libev timers may fire early by up to this */
 #define HOST_SWEEP_SLACK 16
 
 typedef struct call {
     uint64_t id;
-    tw_buffer request; /* as it is sent */
-    double deadline;   /* time of the loop */
+    tw_buffer request; /* complete HTTP request */
+    double deadline;   /* event loop time */
     struct call *prev;
     struct call *next;
 } client_call;
@@ -33,16 +34,16 @@
 typedef struct connection {
     struct tw_client_host *host;
     int socket;
-    bool connected; /* the socket has taken bytes */
+    bool connected; /* true once bytes have been written to the socket */
     ev_io readable;
     ev_io writable;
-    ev_timer timer; /* of the call */
+    ev_timer timer; /* timeout of the current call */
     http_parser parser;
-    tw_buffer body;    /* of the response */
-    client_call *call; /* NULL: idle */
-    size_t sent;       /* bytes of the call's request that the socket has taken */
-    bool complete;     /* the response in hand has come whole */
-    bool keep_alive;   /* it stays open after the response in hand */
+    tw_buffer body;    /* body of the current response */
+    client_call *call; /* current call; NULL while the connection is idle */
+    size_t sent;       /* bytes of the call's request written to the socket */
+    bool complete;     /* the current response has been received completely */
+    bool keep_alive;   /* the response allows the connection to be reused */
     struct connection *prev;
     struct connection *next;
 } client_connection;
@@ -51,12 +52,12 @@
     tw_net *net;
     char name[MAX_ADDRESS_SIZE];
     struct sockaddr_in address;
-    int limit;             /* most connections */
-    int count;             /* connections */
-    double last_called_at; /* when it was last called */
+    int limit;             /* most connections to this host */
+    int count;             /* open connections to this host */
+    double last_called_at; /* event loop time of the latest call to this host */
     client_connection *connections;
     client_call *queue;
-    ev_timer timer; /* of the first call in the queue */
+    ev_timer timer; /* fires at the deadline of the first queued call */
     UT_hash_handle hh;
 } client_host;
 
@@ -105,7 +106,8 @@
     connection->parser.data = connection;
 }
 
-/* Ends the connection's call, if it has one. keep: the connection stays open. */
+/* Ends the connection's current call, if any, with this status, and sends queued calls. Closes the
+ * connection unless `keep` is true. */
 static void end_call(client_connection *connection, int status, bool keep) {
     client_host *host = connection->host;
     tw_net *net = host->net;
@@ -127,7 +129,7 @@
     send_queued(host);
 }
 
-/* Makes room for the whole body at once where its length is told. */
+/* Reserves memory for the whole body if the headers give its length. */
 static int on_headers_complete(http_parser *parser) {
     client_connection *connection = parser->data;
     if (parser->content_length <= connection->host->net->limits.max_response)
@@ -153,14 +155,15 @@
                                                      .on_body = on_body,
                                                      .on_message_complete = on_message_complete};
 
-/* Whether the connection can be used again after the response. If the response came before all of
- * the call was sent it can't: the next call would be taken for the rest of that one. */
+/* Returns true if the connection can be used for another call after the current response. It cannot
+ * if the response arrived before the request was sent completely: the server would read the next
+ * request as the remainder of this one. */
 static bool is_reusable(const client_connection *connection) {
     return connection->keep_alive && connection->sent == connection->call->request.length;
 }
 
-/* Parses bytes of the response; count 0: the other side closed the connection. Returns whether more
- * bytes are needed. */
+/* Parses received bytes of the response. A count of 0 means that the server closed the connection.
+ * Returns true if the response is still incomplete; otherwise the call has ended. */
 static bool parse_response(client_connection *connection, const char *bytes, size_t count) {
     size_t used = http_parser_execute(&connection->parser, &parser_settings, bytes, count);
     if (connection->complete) {
@@ -182,15 +185,15 @@
     do {
         count = read(connection->socket, read_buffer, TW_NET_READ_SIZE);
         if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
-        if (count < 0 || !connection->call) { /* reset, or bytes that nobody asked for */
+        if (count < 0 || !connection->call) { /* read error, or data outside a call */
             end_call(connection, 0, false);
             return;
         }
     } while (parse_response(connection, read_buffer, (size_t)count) && count == TW_NET_READ_SIZE);
 }
 
-/* Sends what the socket takes now of the call, and waits in the loop for the rest. Where it fails,
- * errno says why, and the call has not ended. */
+/* Writes as much of the request as the socket accepts. The rest is sent when the socket becomes
+ * writable. Returns 0, or -1 with errno set if the write failed; the call has not ended then. */
 static int send_call(client_connection *connection) {
     struct ev_loop *loop = connection->host->net->loop;
     while (connection->sent < connection->call->request.length) {
@@ -212,7 +215,7 @@
     client_connection *connection = watcher->data;
     (void)loop;
     (void)events;
-    /* also where the connection could not be made: the first write says so */
+    /* A failed connect() is also reported by the first write. */
     if (connection->call && send_call(connection)) end_call(connection, 0, false);
 }
 
@@ -222,7 +225,7 @@
     end_call(watcher->data, 0, false);
 }
 
-/* Starts a timer that fires at the deadline, though not before least seconds are over. */
+/* Restarts a timer so that it fires at the deadline, but after min_delay_s at the earliest. */
 static void start_timer(tw_net *net, ev_timer *timer, double deadline, double min_delay_s) {
     double delay_s = deadline - ev_now(net->loop);
     ev_timer_stop(net->loop, timer);
@@ -235,15 +238,18 @@
     connection->call = call;
     connection->sent = 0;
     start_timer(net, &connection->timer, call->deadline, MIN_CALL_TIMER_S);
-    /* An open connection takes most calls whole, and the loop need not be asked. A failure is told
-     * from the loop, never to the caller within the call: there the write fails again. */
+    /* On an established connection most requests can be written completely here, without waiting
+     * for the event loop. A write error is ignored: the write is repeated from the event loop,
+     * fails again and ends the call there, so that the caller's response handler does not run
+     * within tw_net_call. */
     if (connection->connected)
         (void)send_call(connection);
     else
         ev_io_start(net->loop, &connection->writable);
 }
 
-/* A new connection to the host, or NULL: it can't be made. */
+/* Opens a new connection to the host. Returns NULL if no socket can be created or connect() fails
+ * immediately. */
 static client_connection *open_connection(client_host *host) {
     tw_net *net = host->net;
     int socket = tw_socket_open();
@@ -278,7 +284,7 @@
     return NULL;
 }
 
-/* Closes an idle connection, of the host not used for longest, so that another can be opened. */
+/* Closes an idle connection of the least recently called host that has one. */
 static void evict_idle_connection(tw_net *net) {
     client_host *host;
     client_host *next;
@@ -296,7 +302,8 @@
 
 /* ---- queues ---- */
 
-/* An idle connection to the host, or a new one where the limits allow it, or NULL. */
+/* Returns an idle connection to the host, or opens a new one. Returns NULL if the limits on
+ * connections are reached or a new connection cannot be opened. */
 static client_connection *acquire_connection(client_host *host) {
     tw_net *net = host->net;
     client_connection *idle = find_idle_connection(host);
@@ -307,7 +314,7 @@
     return open_connection(host);
 }
 
-/* Sends as many of the calls that wait as there are connections for. */
+/* Sends queued calls to the host while connections are available. */
 static void send_queued(client_host *host) {
     while (host->queue) {
         client_connection *usable = acquire_connection(host);
@@ -331,8 +338,8 @@
     return NULL;
 }
 
-/* Calls that waited past their time without being sent were surely not carried out; their outcome
- * is 0 like that of others. */
+/* Ends queued calls whose deadline has passed. Such a call was never sent, so the server has
+ * certainly not processed it, but it is reported with status 0 like every failed call. */
 static void on_queue_timeout(struct ev_loop *loop, ev_timer *watcher, int events) {
     client_host *host = watcher->data;
     tw_net *net = host->net;
@@ -363,8 +370,8 @@
     }
 }
 
-/* Machines come and go, each with an address of its own: hosts that were not called for long are
- * forgotten. */
+/* Removes hosts that have not been called for idle_s. Machines are added to and removed from the
+ * fleet all the time, each with its own address, so the table would grow without bound. */
 static void remove_unused_hosts(tw_net *net) {
     client_host *host;
     client_host *next;
@@ -377,7 +384,7 @@
     net->client.host_sweep_threshold = 2 * HASH_COUNT(net->client.hosts) + HOST_SWEEP_SLACK;
 }
 
-/* The host of this address, which is made if it isn't known; NULL: it is not an address. */
+/* Returns the host of this address, adding it if needed. Returns NULL if the address is invalid. */
 static client_host *find_or_add_host(tw_net *net, const char *name) {
     client_host *host;
     struct sockaddr_in address;
--- a/src/net/net.c
+++ b/src/net/net.c
@@ -14,7 +14,8 @@
     net->limits = *limits;
     net->handler = *handler;
     net->context = context;
-    net->read_buffer = malloc(TW_NET_READ_SIZE); /* not touched before it is used */
+    net->read_buffer =
+        malloc(TW_NET_READ_SIZE); /* malloc: pages stay unallocated until they are used */
     if (!net->read_buffer) abort();
     return net;
 }
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -1,9 +1,9 @@
-/* HTTP/1.1 over TCP on libev: a server, and a client with a pool of connections per address.
+/* HTTP/1.1 over TCP on libev: a server, and a client with a connection pool per address.
  *
  * Invariants:
- *   - every call ends with exactly one response, within its timeout;
- *   - the number of connections of either kind stays within its limit;
- *   - a handler may call any function below but tw_net_free. */
+ *   - every call ends with exactly one response callback, within its timeout;
+ *   - the numbers of server and of client connections stay within their limits;
+ *   - a handler may call any function of this header except tw_net_free. */
 #ifndef TW_NET_H
 #define TW_NET_H
 #include <ev.h>
@@ -11,49 +11,58 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define TW_NET_MAX_BODY 65536 /* the protocol's largest request body */
+#define TW_NET_MAX_BODY 65536 /* largest request body that the protocol allows, in bytes */
 
 typedef struct tw_net tw_net;
 
-/* What the package tells its owner. The strings last as long as the call of the handler. */
+/* Callbacks to the owner of a tw_net. String arguments are valid only during the callback. */
 typedef struct {
-    /* A request came in at that port (see tw_net_listen). The owner answers it with tw_net_reply to
-     * that connection, now or later. */
+    /* Called when a request was received on a port (see tw_net_listen). The owner answers with
+     * tw_net_reply on the given connection, during the callback or later. */
     void (*request)(void *owner, int port, uint64_t connection, const char *method,
                     const char *path, const char *body, size_t length);
-    /* A call ended. status 0: no response came, and the call may have been carried out or not. */
+    /* Called when a call ended. A status of 0 means that no response was received; the server may
+     * or may not have processed the request. */
     void (*response)(void *owner, uint64_t call, int status, const char *body, size_t length);
 } tw_net_handler;
 
 typedef struct {
-    int max_server; /* connections that others have open to this process */
-    int max_client; /* connections that this process has open, to all addresses */
-    double idle_s;  /* a connection of another is closed after so long a silence */
-    /* Whether the caller of a path must be answered before all others ("": has not asked yet). When
-     * max_server are open, a new connection takes the place of another caller's that has been idle
-     * for evictable_after_s, the longest first; where there is none it is refused. NULL: nobody. */
+    int max_server; /* most connections accepted by the server */
+    int max_client; /* most connections opened by the client, to all addresses together */
+    /* The server closes a connection that has sent nothing for this long. The client may close the
+     * connections of an address that has not been called for this long. */
+    double idle_s;
+    /* Returns true if the requests of this path have priority. path: "" for a connection that has
+     * not sent a request yet. When max_server connections are open, accepting a new one closes the
+     * longest idle connection without priority, provided that it has been idle for
+     * evictable_after_s; if there is none, the new connection is refused. NULL: no connection has
+     * priority. */
     bool (*is_priority_caller)(int port, const char *path);
     double evictable_after_s;
-    double priority_idle_s; /* idle_s for the connections of callers that `keeps` names */
+    double priority_idle_s; /* idle_s of connections with priority */
     size_t max_response;    /* largest body of a response, in bytes */
 } tw_net_limits;
 
-/* loop: not owned; it must outlive what is returned. owner: first argument of the handler's
- * functions. Freed with tw_net_free. */
+/* Creates a server and client without listeners. The caller frees it with tw_net_free. loop: not
+ * owned; it must outlive the returned object. owner: passed as the first argument to the handler's
+ * functions. */
 tw_net *tw_net_new(struct ev_loop *loop, const tw_net_limits *limits, const tw_net_handler *handler,
                    void *owner);
-/* Accepts connections at an address, "IP:port". port: a number of the owner's, for the handler.
- * Returns 0, or -1 with errno. */
+/* Listens on an address of the form "IP:port". port: a number chosen by the owner, which the
+ * request handler is called with. Returns 0, or -1 with errno set. */
 int tw_net_listen(tw_net *net, const char *address, int port);
-/* Answers the request that the connection waits with; nothing is done if the connection is closed.
- * retry_after: seconds, in a header of its own; 0: without it. */
+/* Sends the response to the pending request of a connection. Does nothing if the connection is
+ * closed or has no pending request. retry_after: value of the Retry-After header in seconds; 0: the
+ * header is left out. */
 void tw_net_reply(tw_net *net, uint64_t connection, int status, double retry_after,
                   const char *body, size_t length);
-/* Makes a call. call: id for the response, which may come within this call. per_host: most
- * connections to that address. body: NULL: none. */
+/* Sends an HTTP request. call: id that the response handler is called with; the handler may be
+ * called before tw_net_call returns. per_host: most connections to this address. body: NULL for an
+ * empty body. */
 void tw_net_call(tw_net *net, uint64_t call, const char *address, int per_host, const char *method,
                  const char *path, const char *body, double timeout_s);
-/* Closes all connections; no response comes to the calls under way. */
+/* Closes all connections and frees the object. The response handler is not called for calls that
+ * are still pending. */
 void tw_net_free(tw_net *net);
 
 #endif
--- a/src/net/net_int.h
+++ b/src/net/net_int.h
@@ -1,31 +1,33 @@
-/* What the server and the client of the net package share. Not for other packages. */
+/* Types and functions shared by the server and the client. Internal to the net package. */
 #ifndef TW_NET_INT_H
 #define TW_NET_INT_H
 #include "net/net.h"
 
-/* Longest path of a request. */
+/* Longest path of a request, in bytes. */
 #define TW_NET_MAX_PATH 1024
-/* Bytes read from a socket at once. */
+/* Most bytes requested by one read from a socket. */
 #define TW_NET_READ_SIZE 65536
 
 struct tw_server_connection;
 struct tw_server_listener;
 struct tw_client_host;
 
-/* Owned by server.c: connections that others opened. */
+/* State of the server: accepted connections and listeners. Private to server.c. */
 typedef struct {
-    struct tw_server_connection *connections; /* by id */
-    struct tw_server_connection *evictable;   /* idle ones, the longest idle first */
+    struct tw_server_connection *connections; /* hash table by id */
+    /* Idle connections without priority, longest idle first. */
+    struct tw_server_connection *evictable;
     struct tw_server_listener *listeners;
     int count;
     uint64_t last_id;
 } tw_net_server;
 
-/* Owned by client.c: connections that this process opened, by address. */
+/* State of the client: connection pools by address. Private to client.c. */
 typedef struct {
-    struct tw_client_host *hosts;  /* by address */
-    int count;                     /* connections to all of them */
-    unsigned host_sweep_threshold; /* with more hosts, those that are not in use are looked for */
+    struct tw_client_host *hosts; /* hash table by address */
+    int count;                    /* connections to all hosts */
+    unsigned
+        host_sweep_threshold; /* unused hosts are removed when there are more hosts than this */
 } tw_net_client;
 
 struct tw_net {
@@ -35,15 +37,16 @@
     void *context;
     tw_net_server server;
     tw_net_client client;
-    /* Room for TW_NET_READ_SIZE bytes, used by whichever connection is read from within one event
-     * of the loop. What it can't use at once it copies. */
+    /* TW_NET_READ_SIZE bytes, shared by all connections. The contents are valid only within one
+     * event of the loop; a connection copies the bytes that it cannot process in that event. */
     char *read_buffer;
 };
 
-/* Close all connections of the server, and of the client. */
+/* Closes the listeners and all connections of the server. */
 void tw_net_server_free(tw_net *net);
+/* Closes all connections of the client and discards pending calls. */
 void tw_net_client_free(tw_net *net);
-/* Zeroed memory, which the caller frees; ends the program if there is none. */
+/* Allocates zeroed memory, which the caller frees. Aborts the process if the allocation fails. */
 void *tw_net_alloc(size_t size);
 
 #endif
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -1,6 +1,6 @@
-/* HTTP server. A connection has one request in hand at a time: what comes after it is parsed once
- * the request is answered. When the limit on connections is reached, an idle one makes room for a
- * new one, unless it is of a caller that must be answered before all others. */
+/* HTTP server. A connection has at most one pending request: later input is buffered and parsed
+ * after that request has been answered. When the limit on connections is reached, an idle
+ * connection without priority is closed to accept a new one. */
 #define _GNU_SOURCE /* accept4 */
 #include "net/address.h"
 #include "net/buffer.h"
@@ -17,10 +17,10 @@
 
 #define MAX_HEAD 16384
 #define MAX_BUFFERED_INPUT (TW_NET_MAX_BODY + MAX_HEAD)
-#define HEAD_RESERVE_BYTES 160 /* bytes of a response before its body; more only seldom */
-/* Connections that may wait to be accepted: all workers of a fleet of 4,000 machines come at once
- * when their node ends, and one that finds no place here is not tried again for a second. The
- * kernel may allow fewer. */
+#define HEAD_RESERVE_BYTES 160 /* usual upper bound on the bytes of a response head */
+/* Length of the accept queue. When a controller node fails, all workers of a fleet of 4,000
+ * machines may reconnect to this node simultaneously, and TCP retries a connection that does not
+ * fit into the queue only after a second. The kernel may limit the queue to a shorter length. */
 #define BACKLOG 4096
 #define MAX_ACCEPTS_PER_EVENT 16
 
@@ -30,23 +30,23 @@
     tw_net *net;
     uint64_t id;
     int socket;
-    int port; /* of the listener, as the owner numbers them */
+    int port; /* the owner's number of the listener, see tw_net_listen */
     ev_io readable;
     ev_io writable;
     ev_timer idle_timer;
     http_parser parser;
-    /* Each is empty, and takes no memory, while there is nothing to keep. */
+    /* Each buffer is freed when it is not needed, so that idle connections use little memory. */
     tw_buffer path;
     tw_buffer body;
-    tw_buffer input;      /* what came after the request in hand */
-    tw_buffer output;     /* what the socket has not taken yet */
-    bool request_pending; /* a request is in hand, and not answered yet */
-    bool oversized;       /* the request in hand is longer than allowed */
+    tw_buffer input;      /* received bytes after the pending request, not parsed yet */
+    tw_buffer output;     /* response bytes; `consumed` of them are written to the socket */
+    bool request_pending; /* a complete request has been received and not answered */
+    bool oversized;       /* the path or body of the current request exceeds its limit */
     bool keep_alive;
-    bool closing;      /* to be closed once the output is sent */
-    bool has_priority; /* its caller must be answered before all others */
-    bool evictable;    /* in the server's list of these connections */
-    double idle_since; /* while it is in that list */
+    bool closing;      /* the connection is closed once the output has been sent */
+    bool has_priority; /* the latest request has priority, see tw_net_limits */
+    bool evictable;    /* the connection is in the server's `evictable` list */
+    double idle_since; /* event loop time; valid while `evictable` is true */
     struct tw_server_connection *prev;
     struct tw_server_connection *next;
     UT_hash_handle hh;
@@ -68,13 +68,13 @@
 
 /* ---- idle connections ---- */
 
-/* Whether the caller of this path must be answered before all others. */
 static bool has_priority_caller(const server_connection *connection, const char *path) {
     const tw_net_limits *limits = &connection->net->limits;
     return limits->is_priority_caller && limits->is_priority_caller(connection->port, path);
 }
 
-/* The connection waits for its next request. */
+/* Records that the connection has no pending request. A connection without priority becomes
+ * evictable; one with priority gets its own idle timeout. */
 static void mark_idle(server_connection *connection) {
     tw_net *net = connection->net;
     if (connection->has_priority) {
@@ -110,9 +110,10 @@
     free(connection);
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
-/* Sends what the socket takes now. Closes the connection where it fails, or was to be closed. */
+/* Writes as much output as the socket accepts. The rest is sent when the socket becomes writable.
+ * Closes the connection if the write fails, or if all is sent and `closing` is set. */
 static void send_output(server_connection *connection) {
     tw_buffer *output = &connection->output;
     while (output->consumed < output->length) {
@@ -157,7 +158,7 @@
     return "Status";
 }
 
-/* Puts the answer to the request in hand into the output. */
+/* Appends the response to the pending request to the output. */
 static void write_response(server_connection *connection, int status, double retry_after,
                            const char *body, size_t length) {
     tw_buffer *output = &connection->output;
@@ -182,11 +183,12 @@
 void tw_net_reply(tw_net *net, uint64_t conn, int status, double retry_after, const char *body,
                   size_t len) {
     server_connection *connection = find_connection(net, conn);
-    if (!connection || !connection->request_pending) return; /* the caller is gone */
+    if (!connection || !connection->request_pending) return; /* closed or answered */
     write_response(connection, status, retry_after, body, len);
     send_output(connection);
     connection = find_connection(net, conn);
-    /* What came meanwhile is parsed from the loop, not within the caller's call. */
+    /* Input buffered in the meantime is parsed from the event loop, so that the request handler is
+     * not called within tw_net_reply. */
     if (connection && connection->input.length && !connection->request_pending)
         ev_feed_event(net->loop, &connection->readable, EV_CUSTOM);
 }
@@ -217,7 +219,7 @@
     return 0;
 }
 
-/* Makes room for the whole body at once where its length is told. */
+/* Reserves memory for the whole body if the headers give its length. */
 static int on_headers_complete(http_parser *parser) {
     server_connection *connection = parser->data;
     if (parser->content_length <= TW_NET_MAX_BODY)
@@ -229,7 +231,7 @@
     server_connection *connection = parser->data;
     if (connection->body.length + length > TW_NET_MAX_BODY) {
         connection->oversized = true;
-        return 1; /* read no more of it */
+        return 1; /* stop parsing */
     }
     tw_buffer_append(&connection->body, bytes, length);
     return 0;
@@ -251,8 +253,8 @@
     .on_message_complete = on_message_complete,
 };
 
-/* Parses bytes up to the end of a request, or all of them. Returns how many were parsed; -1: they
- * are not HTTP. */
+/* Parses bytes up to the end of a request, or all bytes if the request is incomplete. Returns the
+ * number of parsed bytes, or -1 if the input is not a valid HTTP request. */
 static ssize_t parse(server_connection *connection, const char *bytes, size_t length) {
     size_t consumed = http_parser_execute(&connection->parser, &parser_settings, bytes, length);
     enum http_errno error = HTTP_PARSER_ERRNO(&connection->parser);
@@ -263,12 +265,12 @@
     return (ssize_t)consumed;
 }
 
-/* Tells the owner of the request in hand, which may be answered within this call. Returns the
- * connection; NULL: it was closed. */
+/* Passes the pending request to the owner's handler, which may answer it immediately. Returns the
+ * connection, or NULL if it was closed during the call. */
 static server_connection *deliver_request(server_connection *connection) {
     tw_net *net = connection->net;
     const uint64_t id = connection->id;
-    /* They are taken off the connection, which may be closed meanwhile. */
+    /* The buffers are moved out of the connection, which the handler may cause to be closed. */
     tw_buffer path = connection->path;
     tw_buffer body = connection->body;
     memset(&connection->path, 0, sizeof path);
@@ -282,15 +284,17 @@
     return find_connection(net, id);
 }
 
-/* Keeps what can't be parsed before the request in hand is answered. */
+/* Buffers input that can be parsed only after the pending request has been answered. Closes the
+ * connection if more is buffered than one request may hold. */
 static void buffer_input(server_connection *connection, const char *bytes, size_t length) {
-    if (connection->input.length + length > MAX_BUFFERED_INPUT) /* more than a request may hold */
+    if (connection->input.length + length > MAX_BUFFERED_INPUT)
         close_connection(connection);
     else
         tw_buffer_append(&connection->input, bytes, length);
 }
 
-/* Takes requests out of the bytes, one at a time: the next one only after its answer. */
+/* Parses and delivers the requests in the bytes, each after the previous one has been answered.
+ * Input after a request that is not answered immediately is buffered. */
 static void process_requests(server_connection *connection, const char *bytes, size_t length) {
     size_t consumed = 0;
     while (consumed < length && !connection->request_pending && !connection->closing) {
@@ -319,7 +323,7 @@
     tw_buffer_free(&input);
 }
 
-/* ---- the loop's events ---- */
+/* ---- event loop callbacks ---- */
 
 static void read_input(server_connection *connection) {
     tw_net *net = connection->net;
@@ -337,7 +341,7 @@
         process_requests(connection, net->read_buffer, (size_t)count);
 }
 
-/* Bytes have come, or those kept can be parsed now. */
+/* Called when the socket is readable, and by tw_net_reply when buffered input can be parsed. */
 static void on_readable(struct ev_loop *loop, ev_io *watcher, int events) {
     server_connection *connection = watcher->data;
     (void)loop;
@@ -361,8 +365,8 @@
 
 /* ---- new connections ---- */
 
-/* Whether there is room for one more, made by closing one that has been idle for long if need be.
- */
+/* Returns true if one more connection can be accepted. If the limit is reached, first closes the
+ * longest idle connection without priority, provided that it was idle for evictable_after_s. */
 static bool ensure_connection_slot(tw_net *net) {
     server_connection *longest_idle = net->server.evictable;
     if (net->server.count < net->limits.max_server) return true;
@@ -403,7 +407,7 @@
         int socket = accept4(listener->socket, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (socket < 0) return;
         if (!ensure_connection_slot(listener->net)) {
-            close(socket); /* at once: the other side tries another node */
+            close(socket); /* refused without delay, so that the caller tries another node */
             continue;
         }
         tw_socket_set_no_delay(socket);
@@ -411,7 +415,7 @@
     }
 }
 
-/* A socket that listens on the address, or -1 with errno. */
+/* Returns a socket that listens on the address, or -1 with errno set. */
 static int open_listener(const char *address_text) {
     struct sockaddr_in address;
     int on = 1;
--- a/tools/core_server/earlier_names.h
+++ b/tools/core_server/earlier_names.h
@@ -1,6 +1,6 @@
-/* Names of the core's interface in the version in production, for a tw_core_server that is built
- * with that version's sources (tests/earlier-version): each name that main.c uses today, as it was
- * called then. To be dropped once `production` in deploy/service.toml has today's names. */
+/* Maps the names of the core's interface used by main.c to those of the version in production, so
+ * that tw_core_server can be built with the sources of that version (tests/earlier-version). Remove
+ * this file once the version named by `production` in deploy/service.toml has the current names. */
 #ifndef TW_CORE_SERVER_EARLIER_NAMES_H
 #define TW_CORE_SERVER_EARLIER_NAMES_H
 
--- a/tools/core_server/main.c
+++ b/tools/core_server/main.c
@@ -1,19 +1,22 @@
-/* tw_core_server: a core in a process of its own, driven by messages on standard input, so that a
- * simulation (simulator/controller_remote.c) can play nodes of the version that it was built with.
- * It uses only what every version's core/core.h has. It ends with its input.
+/* tw_core_server: runs one core in a separate process, driven by messages on standard input, so
+ * that a simulation (simulator/controller_remote.c) can include nodes of the version that this
+ * program is built with. It uses only functions that core/core.h has in every version, and exits at
+ * the end of its input.
  *
- * A message is a line of words and, as its last words say, so many bytes of text after it; times
- * are hexadecimal floating-point numbers, so that they come over exactly:
+ * A message is a line of words, followed by texts whose sizes in bytes are the last words of the
+ * line. Times are hexadecimal floating-point numbers, so that they are transferred exactly:
  *
- *   new STEADY WALL SEED MEM_MB SIZE                       settings follow; MEM_MB 0: theirs
+ *   new STEADY WALL SEED MEM_MB SIZE                       settings follow; MEM_MB 0: the memory
+ *                                                          limit is taken from the settings
  *   request STEADY WALL PORT CONN METHOD SIZE SIZE         path and body follow
  *   response STEADY WALL CALL STATUS SIZE                  body follows
  *   tick STEADY WALL
  *
- * `new` comes first and once. Each is answered with the effects that it had, and a last line:
+ * The first message must be `new`, which may not be repeated. The answer to each message is a list
+ * of the resulting effects, ended by a `done` line:
  *
  *   effect KIND ID STATUS RETRY_AFTER TO TIMEOUT_S METHOD SIZE SIZE SIZE
- *                           address, path and body follow; size -1: there is none; METHOD -: none
+ *                           address, path and body follow; size -1 or METHOD -: field not present
  *   done STEPS TICK_S */
 #include "core/core.h"
 #ifdef TW_CORE_EARLIER
@@ -36,7 +39,8 @@
 static char *read_text(size_t size) {
     char *text = calloc(1, size + 1);
     if (!text) abort();
-    if (fread(text, 1, size, stdin) != size) fail("input ends", "within a text", EXIT_PROTOCOL);
+    if (fread(text, 1, size, stdin) != size)
+        fail("input truncated", "end of file within a text", EXIT_PROTOCOL);
     return text;
 }
 
@@ -62,13 +66,14 @@
     fflush(stdout);
 }
 
-/* Reads the times that a message begins with. */
+/* Reads the steady and wall clock times at the start of a message. */
 static void read_times(tw_simulator_reader *reader, double *steady, double *wall) {
     *steady = tw_simulator_read_number(reader);
     *wall = tw_simulator_read_number(reader);
 }
 
-/* NULL: the line is not a `new` message. */
+/* Creates the core from a `new` message. Returns NULL if the line is not a valid `new` message.
+ * Exits if the settings are invalid. */
 static tw_core *handle_new(const char *line, tw_config *config) {
     double steady, wall;
     char error[MAX_ERROR];
@@ -134,11 +139,11 @@
     tw_log_init(level ? level : "error", "core_server");
     if (!fgets(line, sizeof line, stdin)) return 0;
     tw_core *core = handle_new(line, &config);
-    if (!core) fail("not understood", line, EXIT_PROTOCOL);
+    if (!core) fail("malformed message", line, EXIT_PROTOCOL);
     write_effects(core);
     while (fgets(line, sizeof line, stdin)) {
         if (!handle_request(line, core) && !handle_response(line, core) && !handle_tick(line, core))
-            fail("not understood", line, EXIT_PROTOCOL);
+            fail("malformed message", line, EXIT_PROTOCOL);
         write_effects(core);
     }
     tw_core_free(core);
--- a/tools/traywallctl/client.c
+++ b/tools/traywallctl/client.c
@@ -1,6 +1,7 @@
-/* Finds the daemon that leads. A daemon that doesn't lead names the one that does; one that
- * suspects it names nobody, and says when to ask again. A daemon that stands still costs one try.
- */
+/* Finds the leader among the daemons. A daemon that is not the leader answers with the leader's
+ * address; if it suspects the leader of having failed, it answers with a retry delay and no
+ * address. A daemon that hangs costs one attempt, whose timeout is shorter than the whole time
+ * limit. */
 #include "client.h"
 #include <math.h>
 #include <stdbool.h>
@@ -8,7 +9,7 @@
 #include <string.h>
 #include <time.h>
 
-/* Where several daemons are known, one try takes so much of the whole time. */
+/* Timeout of one attempt as a fraction of the whole time limit, if there are several daemons. */
 #define ATTEMPT_TIMEOUT_RATIO 0.2
 #define MIN_PAUSE_S 0.05
 #define NS_PER_S 1e9
@@ -48,12 +49,12 @@
     return call_server(address, call, servers->timeout_s, answer);
 }
 
-/* How the search for the leader stands. */
+/* State of the search for the leader. */
 typedef struct {
-    int next_server;          /* server to ask, where nobody was named */
-    int called_in_round;      /* servers asked since the last pause */
-    int unreachable_in_round; /* of those, how many are not there */
-    bool redirected;          /* the last answer named the leader */
+    int next_server;          /* index of the server to call if no leader is known */
+    int called_in_round;      /* servers called since the last pause */
+    int unreachable_in_round; /* number of those that were unreachable */
+    bool redirected;          /* the current address was named as the leader's by the last answer */
 } leader_search;
 
 static double attempt_timeout_s(const tw_ctl_servers *servers, double left_s) {
@@ -62,7 +63,8 @@
     return fmin(left_s, max_s);
 }
 
-/* Whether the answer, or that there is none, is what the client gets. */
+/* Returns true if the search is over: the leader answered, all servers are unreachable, or the time
+ * limit has passed. */
 static bool is_final(const tw_ctl_servers *servers, const leader_search *search,
                      tw_rpc_status status, const tw_rpc_answer *answer, double left_s) {
     if (status == TW_RPC_OK && answer->verdict != TW_SHARDS_NOT_LEADER) return true;
@@ -71,7 +73,8 @@
     return left_s <= MIN_PAUSE_S || all_unreachable;
 }
 
-/* Chooses whom to ask next; returns how long to wait before it. */
+/* Sets `server` to the next address to call. Returns the number of seconds to wait before the call.
+ */
 static double choose_next_server(const tw_ctl_servers *servers, leader_search *search,
                                  tw_rpc_status status, const tw_rpc_answer *answer, char *server) {
     const bool names_other =
--- a/tools/traywallctl/client.h
+++ b/tools/traywallctl/client.h
@@ -1,4 +1,4 @@
-/* Finds the daemon that leads among those that were named, within one time limit. */
+/* Calls one daemon, or finds and calls the leader among several, within a time limit. */
 #ifndef TW_CTL_CLIENT_H
 #define TW_CTL_CLIENT_H
 #include "rpc/rpc.h"
@@ -8,15 +8,17 @@
 typedef struct {
     char addresses[MAX_SERVERS][TW_RPC_ADDRESS];
     int count;
-    double timeout_s; /* of a whole command */
+    double timeout_s; /* time limit of a whole command */
 } tw_ctl_servers;
 
-/* Adds addresses, several with commas between; -1: too many, or too long. */
+/* Adds addresses from a comma-separated list. Returns 0, or -1 if there are too many, or one is
+ * empty or too long. */
 int tw_ctl_add_servers(tw_ctl_servers *servers, const char *text);
-/* Asks this daemon only. */
+/* Calls the daemon at this address. */
 tw_rpc_status tw_ctl_call_server(const tw_ctl_servers *servers, const char *address,
                                  const tw_rpc_call *call, tw_rpc_answer *answer);
-/* Asks until a daemon that leads has answered, or the time is over; *asked: who answered last. */
+/* Calls daemons until the leader has answered, all are unreachable, or the time limit has passed.
+ * Returns the status of the last call and sets `server` to the address that was called last. */
 tw_rpc_status tw_ctl_call_leader(const tw_ctl_servers *servers, const tw_rpc_call *call,
                                  tw_rpc_answer *answer, char server[TW_RPC_ADDRESS]);
 
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -1,7 +1,7 @@
-/* traywallctl: asks a daemon for its shards, and changes them.
+/* traywallctl: a command-line client that shows and changes the shards of a fleet.
  *
- * Exit codes: 0 done, 1 refused (the verdict is printed), 2 nobody answers, 3 no daemon could
- * answer in time: ask again with the same key; 64 usage. */
+ * Exit codes: 0 done; 1 refused (the verdict is printed); 2 no daemon is reachable; 3 no daemon
+ * answered in time, and the command can be repeated with the same key; 64 usage. */
 #include "client.h"
 #include "print.h"
 #include <argp.h>
@@ -57,16 +57,16 @@
     switch (key) {
     case OPT_SERVER:
         if (tw_ctl_add_servers(&options->servers, text))
-            argp_error(state, "no such servers: %s", text);
+            argp_error(state, "invalid server addresses: %s", text);
         break;
     case OPT_TIMEOUT:
         options->servers.timeout_s = strtod(text, NULL);
-        if (!(options->servers.timeout_s > 0)) argp_error(state, "not a time: %s", text);
+        if (!(options->servers.timeout_s > 0)) argp_error(state, "invalid timeout: %s", text);
         break;
     case OPT_OUTPUT:
         options->json = !strcmp(text, "json");
         if (!options->json && strcmp(text, "text") != 0)
-            argp_error(state, "no such form: %s", text);
+            argp_error(state, "unknown output format: %s", text);
         break;
     case OPT_MACHINE:
         add_machine(state, options, text);
@@ -132,12 +132,14 @@
     return 0;
 }
 
-/* Whether the watch ended because its daemon did, or gave way, and not because the move is over. */
+/* Returns true if the watch ended because its daemon failed or is no longer the leader, and not
+ * because the move is complete. */
 static bool is_watch_interrupted(tw_rpc_status status, const tw_rpc_answer *last) {
     return status != TW_RPC_OK || last->verdict == TW_SHARDS_NOT_LEADER;
 }
 
-/* Goes on at the daemon that leads now, as long as one is found within the time limit. */
+/* Prints the progress of a move until it is complete. If the watch is interrupted, continues at the
+ * current leader. Returns an exit code. */
 static int watch_move(const tw_ctl_options *options, const char *first_server, const char *key) {
     tw_rpc_call call = {.method = TW_RPC_CHANGE, .request.kind = TW_SHARDS_WATCH};
     char server[TW_RPC_ADDRESS];
@@ -171,7 +173,7 @@
 
 /* ---- standbys ---- */
 
-/* Each server that was named, for itself. */
+/* Prints the status of each server given on the command line. */
 static int do_standby(tw_ctl_options *options, const char *const *arguments) {
     const tw_rpc_call call = {.method = TW_RPC_STANDBY};
     int code = EXIT_SUCCESS;
@@ -252,7 +254,7 @@
 
 static const struct command {
     const char *name;
-    int argument_count; /* with its own name */
+    int argument_count; /* number of words, including the name */
     int (*run)(tw_ctl_options *options, const char *const *arguments);
 } commands[] = {{"shares", 1, do_show},    {"machines", 1, do_show}, {"move", 5, do_move},
                 {"watch", 2, do_key},      {"cancel", 2, do_key},    {"define", 4, do_define},
--- a/tools/traywallctl/print.c
+++ b/tools/traywallctl/print.c
@@ -1,4 +1,3 @@
-/* How answers are shown, as text or as one JSON object a line. */
 #include "print.h"
 #include <cjson/cJSON.h>
 #include <stdbool.h>
--- a/tools/traywallctl/print.h
+++ b/tools/traywallctl/print.h
@@ -1,4 +1,4 @@
-/* How answers are shown, as text or as one JSON object a line. */
+/* Prints answers to standard output, as text or as one JSON object per line. */
 #ifndef TW_CTL_PRINT_H
 #define TW_CTL_PRINT_H
 #include "rpc/rpc.h"
@@ -6,9 +6,9 @@
 
 void tw_ctl_print_shards_text(const tw_rpc_answer *answer);
 void tw_ctl_print_shards_json(const tw_rpc_answer *answer);
-/* A verdict, and how far a move is. */
+/* Prints the verdict on a change and, for a move, its progress. */
 void tw_ctl_print_change(bool json, const tw_rpc_answer *answer);
-/* What the daemon at that address is. */
+/* Prints the standby status and followers of the daemon at this address. */
 void tw_ctl_print_standby_text(const tw_rpc_answer *answer, const char *address);
 void tw_ctl_print_standby_json(const tw_rpc_answer *answer, const char *address);
 
