--- a/src/controller/main.c
+++ b/src/controller/main.c
@@ -42,7 +42,7 @@
 #define TRIM_BYTES (1 << 20)
 #define HASH_FACTOR 131u
 
-/* Most connections to one address, by the kind of server there. */
+/* Maximum number of connections to one address, by the kind of server there. */
 static const int max_connections_per_address[] = {
     [TW_TO_STATE] = 8, [TW_TO_CLOUD] = 2, [TW_TO_PEER] = 8, [TW_TO_WORKER] = 1};
 
@@ -219,7 +219,8 @@
     process->net = tw_net_new(process->loop, &limits, &handler, process);
 }
 
-/* Returns a random seed that differs between nodes and between restarts of a node. */
+/* Returns a seed for the core's random numbers that differs between nodes and between restarts of a
+ * node. */
 static uint64_t make_seed(const char *node) {
     uint64_t seed = (uint64_t)(wall_time_s() * 1e6);
     for (const char *letter = node; *letter; letter++)
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -52,7 +52,7 @@
     tw_net *net;
     char name[MAX_ADDRESS_SIZE];
     struct sockaddr_in address;
-    int limit;             /* most connections to this host */
+    int limit;             /* maximum number of connections to this host */
     int count;             /* open connections to this host */
     double last_called_at; /* event loop time of the latest call to this host */
     client_connection *connections;
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -27,8 +27,9 @@
 } tw_net_handler;
 
 typedef struct {
-    int max_server; /* most connections accepted by the server */
-    int max_client; /* most connections opened by the client, to all addresses together */
+    int max_server; /* maximum number of connections accepted by the server */
+    int max_client; /* maximum number of connections opened by the client, to all addresses together
+                     */
     /* The server closes a connection that has sent nothing for this long. The client may close the
      * connections of an address that has not been called for this long. */
     double idle_s;
@@ -48,8 +49,8 @@
  * functions. */
 tw_net *tw_net_new(struct ev_loop *loop, const tw_net_limits *limits, const tw_net_handler *handler,
                    void *owner);
-/* Listens on an address of the form "IP:port". port: a number chosen by the owner, which the
- * request handler is called with. Returns 0, or -1 with errno set. */
+/* Listens on an address of the form "IP:port". port: a number that is passed to the request
+ * handler to identify the listener. Returns 0, or -1 with errno set. */
 int tw_net_listen(tw_net *net, const char *address, int port);
 /* Sends the response to the pending request of a connection. Does nothing if the connection is
  * closed or has no pending request. retry_after: value of the Retry-After header in seconds; 0: the
@@ -57,8 +58,8 @@
 void tw_net_reply(tw_net *net, uint64_t connection, int status, double retry_after,
                   const char *body, size_t length);
 /* Sends an HTTP request. call: id that the response handler is called with; the handler may be
- * called before tw_net_call returns. per_host: most connections to this address. body: NULL for an
- * empty body. */
+ * called before tw_net_call returns. per_host: maximum number of connections to this address. body:
+ * NULL for an empty body. */
 void tw_net_call(tw_net *net, uint64_t call, const char *address, int per_host, const char *method,
                  const char *path, const char *body, double timeout_s);
 /* Closes all connections and frees the object. The response handler is not called for calls that
