--- a/src/controller/main.c
+++ b/src/controller/main.c
@@ -81,8 +81,9 @@
         {"check", 'k', 0, 0, "Check the settings and exit", 0},
         {0}};
     static const char text[] = "A controller node of a fleet that serves language models.\v"
-                               "Exit codes: 0 ended as asked, 2 settings, 3 an address can't be "
-                               "listened on, 64 usage. LOG_LEVEL: error, info, debug.";
+                               "Exit codes: 0 stopped by a signal or settings checked, "
+                               "2 invalid settings, 3 an address can't be listened on, 64 usage "
+                               "error. Environment: LOG_LEVEL (error, info or debug).";
     const struct argp parser = {.options = options, .parser = parse_argument, .doc = text};
     arguments parsed = {0};
     argp_parse(&parser, argc, argv, 0, NULL, &parsed);
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -34,16 +34,17 @@
 
 static const struct argp_option argp_options[] = {
     {"server", OPT_SERVER, "IP:PORT", 0,
-     "control address of a daemon (default 127.0.0.1:7070); may be repeated, or several with "
+     "control address of a daemon (default 127.0.0.1:7070); may be repeated, or separated by "
      "commas",
      0},
-    {"timeout", OPT_TIMEOUT, "SECONDS", 0, "until an answer must be there (default 10)", 0},
-    {"output", OPT_OUTPUT, "text|json", 0, "form of the answer", 0},
-    {"machine", OPT_MACHINE, "NAME", 0, "move: this machine (may be repeated)", 0},
-    {"image", OPT_IMAGE, "NAME", 0, "move: machines that hold it first", 0},
-    {"revision", OPT_REVISION, "N", 0, "move: only if the shares are still as of this revision", 0},
+    {"timeout", OPT_TIMEOUT, "SECONDS", 0, "time limit of a command (default 10)", 0},
+    {"output", OPT_OUTPUT, "text|json", 0, "output format", 0},
+    {"machine", OPT_MACHINE, "NAME", 0, "move: move this machine (may be repeated)", 0},
+    {"image", OPT_IMAGE, "NAME", 0, "move: prefer machines that hold this image", 0},
+    {"revision", OPT_REVISION, "N", 0,
+     "move: refuse if the shares have changed since this revision", 0},
     {"spread", OPT_SPREAD, NULL, 0, "define: keep a machine in each zone", 0},
-    {"wait", OPT_WAIT, NULL, 0, "move, cancel: until the move is over", 0},
+    {"wait", OPT_WAIT, NULL, 0, "move, cancel: wait until the move is complete", 0},
     {NULL, 0, NULL, 0, NULL, 0}};
 
 static void add_machine(struct argp_state *state, tw_ctl_options *options, const char *name) {
@@ -262,18 +263,18 @@
                 {"promote", 2, do_promote}};
 
 static const char doc[] =
-    "Asks a daemon for its shares, and changes them.\v"
-    "  shares                          who owns which share, and its machines by state\n"
-    "  machines                        the same with every machine\n"
-    "  define SHARE OWNER LEAST        makes a share, or changes its owner or least size\n"
-    "  add MACHINE SHARE ZONE          a machine, IP:PORT, comes into a share\n"
-    "  remove MACHINE                  it is gone\n"
-    "  move KEY FROM TO COUNT          moves machines; KEY is yours and used for one move alone\n"
-    "  watch KEY                       how far a move is, until it is over\n"
-    "  cancel KEY                      machines that aren't taken yet go back\n"
-    "  standby                         what each --server is: active, standby, how far behind\n"
-    "  promote NODE                    hands over to a standby\n\n"
-    "Exit codes: 0 done, 1 refused, 2 nobody answers, 3 no answer in time, 64 usage.";
+    "Shows and changes the shares of a fleet.\v"
+    "  shares                          prints each share, its owner and its machines by state\n"
+    "  machines                        prints the shares and each machine\n"
+    "  define SHARE OWNER LEAST        creates a share, or changes its owner or minimum size\n"
+    "  add MACHINE SHARE ZONE          adds a machine (IP:PORT) to a share\n"
+    "  remove MACHINE                  removes a machine\n"
+    "  move KEY FROM TO COUNT          moves machines; KEY is any name not used for another move\n"
+    "  watch KEY                       prints the progress of a move until it is complete\n"
+    "  cancel KEY                      cancels a move: machines not yet taken are returned\n"
+    "  standby                         prints whether each --server is active, and its lag\n"
+    "  promote NODE                    hands leadership over to a standby\n\n"
+    "Exit codes: 0 done, 1 refused, 2 no daemon reachable, 3 no answer in time, 64 usage error.";
 
 int main(int count, char **arguments) {
     static const struct argp argp = {
