--- a/src/net/client.c
+++ b/src/net/client.c
@@ -1,6 +1,6 @@
-/* HTTP client. Calls to an address queue there and go out over a pool of connections that stay
- * open. Each call ends once: with a response, or with status 0 when its time is over or its
- * connection broke, and then it may or may not have been carried out. */
+/* HTTP client. Calls to an address are queued and sent over a pool of persistent connections. Each
+ * call ends exactly once: with a response, or with status 0 if it timed out or its connection
+ * failed. With status 0 the server may or may not have processed the request. */
 #include "net/address.h"
 #include "net/buffer.h"
 #include "net/net_int.h"
@@ -15,17 +15,18 @@
 #include <uthash.h>
 #include <utlist.h>
 
-#define LONGEST_ADDRESS 64
-#define USUAL_HEAD 160      /* bytes of a call beside its path, address and body, never more */
-#define LEAST_CALL_S 0.001  /* a call's timer runs at least so long */
-#define LEAST_QUEUE_S 0.01  /* a queue is looked at no more often */
-#define TIMER_ERROR_S 0.001 /* timers fire early by up to that */
-#define FEW_HOSTS 16
+#define MAX_ADDRESS_SIZE 64
+/* Upper bound on the bytes of a request besides its path, address and body. */
+#define HEAD_RESERVE_BYTES 160
+#define MIN_CALL_TIMER_S 0.001 /* shortest timeout of a call that is being sent */
+#define MIN_QUEUE_TIMER_S 0.01 /* shortest time between two checks of a queue for overdue calls */
+#define TIMER_ERROR_S 0.001    /* libev timers may fire early by up to this */
+#define HOST_SWEEP_SLACK 16
 
 typedef struct call {
     uint64_t id;
-    tw_buffer request; /* as it is sent */
-    double deadline;   /* time of the loop */
+    tw_buffer request; /* complete HTTP request */
+    double deadline;   /* event loop time */
     struct call *prev;
     struct call *next;
 } client_call;
@@ -33,30 +34,30 @@
 typedef struct connection {
     struct tw_client_host *host;
     int socket;
-    bool connected; /* the socket has taken bytes */
+    bool connected; /* true once bytes have been written to the socket */
     ev_io readable;
     ev_io writable;
-    ev_timer timer; /* of the call */
+    ev_timer timer; /* timeout of the current call */
     http_parser parser;
-    tw_buffer body;    /* of the response */
-    client_call *call; /* NULL: idle */
-    size_t sent;       /* bytes of the call's request that the socket has taken */
-    bool complete;     /* the response in hand has come whole */
-    bool keep_alive;   /* it stays open after the response in hand */
+    tw_buffer body;    /* body of the current response */
+    client_call *call; /* current call; NULL while the connection is idle */
+    size_t sent;       /* bytes of the call's request written to the socket */
+    bool complete;     /* the current response has been received completely */
+    bool keep_alive;   /* the response allows the connection to be reused */
     struct connection *prev;
     struct connection *next;
 } client_connection;
 
 typedef struct tw_client_host {
     tw_net *net;
-    char name[LONGEST_ADDRESS];
+    char name[MAX_ADDRESS_SIZE];
     struct sockaddr_in address;
-    int limit;   /* most connections */
-    int count;   /* connections */
-    double used; /* when it was last called */
+    int limit;             /* maximum number of connections to this host */
+    int count;             /* open connections to this host */
+    double last_called_at; /* event loop time of the latest call to this host */
     client_connection *connections;
     client_call *queue;
-    ev_timer timer; /* of the first call in the queue */
+    ev_timer timer; /* fires at the deadline of the first queued call */
     UT_hash_handle hh;
 } client_host;
 
@@ -67,7 +68,7 @@
 static void write_request(tw_buffer *request, const char *method, const char *path,
                           const char *address, const char *body) {
     const size_t length = body ? strlen(body) : 0;
-    tw_buffer_reserve(request, USUAL_HEAD + strlen(path) + strlen(address) + length);
+    tw_buffer_reserve(request, HEAD_RESERVE_BYTES + strlen(path) + strlen(address) + length);
     tw_buffer_append_text(request, method);
     tw_buffer_append_text(request, " ");
     tw_buffer_append_text(request, path);
@@ -99,35 +100,36 @@
     free(connection);
 }
 
-static void expect_response(client_connection *connection) {
+static void reset_response_parser(client_connection *connection) {
     connection->complete = false;
     http_parser_init(&connection->parser, HTTP_RESPONSE);
     connection->parser.data = connection;
 }
 
-/* Ends the connection's call, if it has one. keep: the connection stays open. */
-static void finish(client_connection *connection, int status, bool keep) {
+/* Ends the connection's current call, if any, with this status, and sends queued calls. Closes the
+ * connection unless `keep` is true. */
+static void end_call(client_connection *connection, int status, bool keep) {
     client_host *host = connection->host;
     tw_net *net = host->net;
-    client_call *ended = connection->call;
+    client_call *call = connection->call;
     tw_buffer body = connection->body;
     connection->call = NULL;
     memset(&connection->body, 0, sizeof connection->body);
     ev_timer_stop(net->loop, &connection->timer);
     if (keep)
-        expect_response(connection);
+        reset_response_parser(connection);
     else
         close_connection(connection);
-    if (ended) {
-        net->handler.response(net->context, ended->id, status, tw_buffer_text(&body),
+    if (call) {
+        net->handler.response(net->context, call->id, status, tw_buffer_text(&body),
                               status ? body.length : 0);
-        free_call(ended);
+        free_call(call);
     }
     tw_buffer_free(&body);
     send_queued(host);
 }
 
-/* Makes room for the whole body at once where its length is told. */
+/* Reserves memory for the whole body if the headers give its length. */
 static int on_headers_complete(http_parser *parser) {
     client_connection *connection = parser->data;
     if (parser->content_length <= connection->host->net->limits.max_response)
@@ -153,44 +155,45 @@
                                                      .on_body = on_body,
                                                      .on_message_complete = on_message_complete};
 
-/* Whether the connection can be used again after the response. If the response came before all of
- * the call was sent it can't: the next call would be taken for the rest of that one. */
-static bool can_be_kept(const client_connection *connection) {
+/* Returns true if the connection can be used for another call after the current response. It cannot
+ * if the response arrived before the request was sent completely: the server would read the next
+ * request as the remainder of this one. */
+static bool is_reusable(const client_connection *connection) {
     return connection->keep_alive && connection->sent == connection->call->request.length;
 }
 
-/* Parses bytes of the response; count 0: the other side closed the connection. Returns whether more
- * bytes are needed. */
-static bool take_bytes(client_connection *connection, const char *bytes, size_t count) {
+/* Parses received bytes of the response. A count of 0 means that the server closed the connection.
+ * Returns true if the response is still incomplete; otherwise the call has ended. */
+static bool parse_response(client_connection *connection, const char *bytes, size_t count) {
     size_t used = http_parser_execute(&connection->parser, &parser_settings, bytes, count);
     if (connection->complete) {
-        bool keep = can_be_kept(connection) && used == count;
-        finish(connection, (int)connection->parser.status_code, keep);
+        bool keep = is_reusable(connection) && used == count;
+        end_call(connection, (int)connection->parser.status_code, keep);
         return false;
     }
     if (count && HTTP_PARSER_ERRNO(&connection->parser) == HPE_OK) return true;
-    finish(connection, 0, false);
+    end_call(connection, 0, false);
     return false;
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *watcher, int events) {
     client_connection *connection = watcher->data;
-    char *received = connection->host->net->received;
+    char *read_buffer = connection->host->net->read_buffer;
     ssize_t count;
     (void)loop;
     (void)events;
     do {
-        count = read(connection->socket, received, TW_NET_READ_SIZE);
+        count = read(connection->socket, read_buffer, TW_NET_READ_SIZE);
         if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
-        if (count < 0 || !connection->call) { /* reset, or bytes that nobody asked for */
-            finish(connection, 0, false);
+        if (count < 0 || !connection->call) { /* read error, or data outside a call */
+            end_call(connection, 0, false);
             return;
         }
-    } while (take_bytes(connection, received, (size_t)count) && count == TW_NET_READ_SIZE);
+    } while (parse_response(connection, read_buffer, (size_t)count) && count == TW_NET_READ_SIZE);
 }
 
-/* Sends what the socket takes now of the call, and waits in the loop for the rest. Where it fails,
- * errno says why, and the call has not ended. */
+/* Writes as much of the request as the socket accepts. The rest is sent when the socket becomes
+ * writable. Returns 0, or -1 with errno set if the write failed; the call has not ended then. */
 static int send_call(client_connection *connection) {
     struct ev_loop *loop = connection->host->net->loop;
     while (connection->sent < connection->call->request.length) {
@@ -212,38 +215,41 @@
     client_connection *connection = watcher->data;
     (void)loop;
     (void)events;
-    /* also where the connection could not be made: the first write says so */
-    if (connection->call && send_call(connection)) finish(connection, 0, false);
+    /* A failed connect() is also reported by the first write. */
+    if (connection->call && send_call(connection)) end_call(connection, 0, false);
 }
 
 static void on_call_timeout(struct ev_loop *loop, ev_timer *watcher, int events) {
     (void)loop;
     (void)events;
-    finish(watcher->data, 0, false);
+    end_call(watcher->data, 0, false);
 }
 
-/* Starts a timer that fires at the deadline, though not before least seconds are over. */
-static void start_timer(tw_net *net, ev_timer *timer, double deadline, double least) {
-    double left = deadline - ev_now(net->loop);
+/* Restarts a timer so that it fires at the deadline, but after min_delay_s at the earliest. */
+static void start_timer(tw_net *net, ev_timer *timer, double deadline, double min_delay_s) {
+    double delay_s = deadline - ev_now(net->loop);
     ev_timer_stop(net->loop, timer);
-    ev_timer_set(timer, left > least ? left : least, 0.);
+    ev_timer_set(timer, delay_s > min_delay_s ? delay_s : min_delay_s, 0.);
     ev_timer_start(net->loop, timer);
 }
 
-static void begin_call(client_connection *connection, client_call *begun) {
+static void start_call(client_connection *connection, client_call *call) {
     tw_net *net = connection->host->net;
-    connection->call = begun;
+    connection->call = call;
     connection->sent = 0;
-    start_timer(net, &connection->timer, begun->deadline, LEAST_CALL_S);
-    /* An open connection takes most calls whole, and the loop need not be asked. A failure is told
-     * from the loop, never to the caller within the call: there the write fails again. */
+    start_timer(net, &connection->timer, call->deadline, MIN_CALL_TIMER_S);
+    /* On an established connection most requests can be written completely here, without waiting
+     * for the event loop. A write error is ignored: the write is repeated from the event loop,
+     * fails again and ends the call there, so that the caller's response handler does not run
+     * within tw_net_call. */
     if (connection->connected)
         (void)send_call(connection);
     else
         ev_io_start(net->loop, &connection->writable);
 }
 
-/* A new connection to the host, or NULL: it can't be made. */
+/* Opens a new connection to the host. Returns NULL if no socket can be created or connect() fails
+ * immediately. */
 static client_connection *open_connection(client_host *host) {
     tw_net *net = host->net;
     int socket = tw_socket_open();
@@ -256,7 +262,7 @@
     client_connection *connection = tw_net_alloc(sizeof *connection);
     connection->host = host;
     connection->socket = socket;
-    expect_response(connection);
+    reset_response_parser(connection);
     ev_io_init(&connection->readable, on_readable, socket, EV_READ);
     ev_io_init(&connection->writable, on_writable, socket, EV_WRITE);
     ev_timer_init(&connection->timer, on_call_timeout, 0., 0.);
@@ -270,7 +276,7 @@
     return connection;
 }
 
-static client_connection *idle_connection(const client_host *host) {
+static client_connection *find_idle_connection(const client_host *host) {
     client_connection *connection;
     DL_FOREACH(host->connections, connection) {
         if (!connection->call) return connection;
@@ -278,15 +284,15 @@
     return NULL;
 }
 
-/* Closes an idle connection, of the host not used for longest, so that another can be opened. */
-static void evict_idle(tw_net *net) {
+/* Closes an idle connection of the least recently called host that has one. */
+static void evict_idle_connection(tw_net *net) {
     client_host *host;
     client_host *next;
     client_host *oldest = NULL;
     client_connection *evicted = NULL;
     HASH_ITER(hh, net->client.hosts, host, next) {
-        if (oldest && host->used >= oldest->used) continue;
-        client_connection *idle = idle_connection(host);
+        if (oldest && host->last_called_at >= oldest->last_called_at) continue;
+        client_connection *idle = find_idle_connection(host);
         if (!idle) continue;
         oldest = host;
         evicted = idle;
@@ -296,33 +302,34 @@
 
 /* ---- queues ---- */
 
-/* An idle connection to the host, or a new one where the limits allow it, or NULL. */
-static client_connection *usable_connection(client_host *host) {
+/* Returns an idle connection to the host, or opens a new one. Returns NULL if the limits on
+ * connections are reached or a new connection cannot be opened. */
+static client_connection *acquire_connection(client_host *host) {
     tw_net *net = host->net;
-    client_connection *idle = idle_connection(host);
+    client_connection *idle = find_idle_connection(host);
     if (idle) return idle;
     if (host->count >= host->limit) return NULL;
-    if (net->client.count >= net->limits.max_client) evict_idle(net);
+    if (net->client.count >= net->limits.max_client) evict_idle_connection(net);
     if (net->client.count >= net->limits.max_client) return NULL;
     return open_connection(host);
 }
 
-/* Sends as many of the calls that wait as there are connections for. */
+/* Sends queued calls to the host while connections are available. */
 static void send_queued(client_host *host) {
     while (host->queue) {
-        client_connection *usable = usable_connection(host);
+        client_connection *usable = acquire_connection(host);
         if (!usable) break;
         client_call *first = host->queue;
         DL_DELETE(host->queue, first);
-        begin_call(usable, first);
+        start_call(usable, first);
     }
     if (host->queue)
-        start_timer(host->net, &host->timer, host->queue->deadline, LEAST_QUEUE_S);
+        start_timer(host->net, &host->timer, host->queue->deadline, MIN_QUEUE_TIMER_S);
     else
         ev_timer_stop(host->net->loop, &host->timer);
 }
 
-static client_call *overdue_call(const client_host *host) {
+static client_call *find_overdue_call(const client_host *host) {
     const double now = ev_now(host->net->loop) + TIMER_ERROR_S;
     client_call *call;
     DL_FOREACH(host->queue, call) {
@@ -331,15 +338,15 @@
     return NULL;
 }
 
-/* Calls that waited past their time without being sent were surely not carried out; their outcome
- * is 0 like that of others. */
+/* Ends queued calls whose deadline has passed. Such a call was never sent, so the server has
+ * certainly not processed it, but it is reported with status 0 like every failed call. */
 static void on_queue_timeout(struct ev_loop *loop, ev_timer *watcher, int events) {
     client_host *host = watcher->data;
     tw_net *net = host->net;
     client_call *overdue;
     (void)loop;
     (void)events;
-    while ((overdue = overdue_call(host))) {
+    while ((overdue = find_overdue_call(host))) {
         DL_DELETE(host->queue, overdue);
         net->handler.response(net->context, overdue->id, 0, "", 0);
         free_call(overdue);
@@ -363,27 +370,27 @@
     }
 }
 
-/* Machines come and go, each with an address of its own: hosts that were not called for long are
- * forgotten. */
-static void forget_hosts(tw_net *net) {
+/* Removes hosts that have not been called for idle_s. Machines are added to and removed from the
+ * fleet all the time, each with its own address, so the table would grow without bound. */
+static void remove_unused_hosts(tw_net *net) {
     client_host *host;
     client_host *next;
-    if (HASH_COUNT(net->client.hosts) <= net->client.many_hosts) return;
+    if (HASH_COUNT(net->client.hosts) <= net->client.host_sweep_threshold) return;
     HASH_ITER(hh, net->client.hosts, host, next) {
-        if (host->queue || ev_now(net->loop) - host->used < net->limits.idle_s) continue;
+        if (host->queue || ev_now(net->loop) - host->last_called_at < net->limits.idle_s) continue;
         close_idle_connections(host);
         if (!host->connections) free_host(host);
     }
-    net->client.many_hosts = 2 * HASH_COUNT(net->client.hosts) + FEW_HOSTS;
+    net->client.host_sweep_threshold = 2 * HASH_COUNT(net->client.hosts) + HOST_SWEEP_SLACK;
 }
 
-/* The host of this address, which is made if it isn't known; NULL: it is not an address. */
-static client_host *host_of(tw_net *net, const char *name) {
+/* Returns the host of this address, adding it if needed. Returns NULL if the address is invalid. */
+static client_host *find_or_add_host(tw_net *net, const char *name) {
     client_host *host;
     struct sockaddr_in address;
     HASH_FIND_STR(net->client.hosts, name, host);
     if (host) return host;
-    forget_hosts(net);
+    remove_unused_hosts(net);
     if (strlen(name) >= sizeof host->name || !tw_address_parse(name, &address)) return NULL;
     host = tw_net_alloc(sizeof *host);
     host->net = net;
@@ -397,13 +404,13 @@
 
 void tw_net_call(tw_net *net, uint64_t id, const char *addr, int per_host, const char *method,
                  const char *path, const char *body, double timeout_s) {
-    client_host *host = host_of(net, addr);
+    client_host *host = find_or_add_host(net, addr);
     if (!host) {
         net->handler.response(net->context, id, 0, "", 0);
         return;
     }
     host->limit = per_host;
-    host->used = ev_now(net->loop);
+    host->last_called_at = ev_now(net->loop);
     client_call *queued = tw_net_alloc(sizeof *queued);
     queued->id = id;
     queued->deadline = ev_now(net->loop) + timeout_s;
