--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -111,7 +111,7 @@
     }
     bool fits = cpus <= type->cores + EPSILON && gpus <= type->gpus + EPSILON &&
                 memory <= type->memory_gb + EPSILON;
-    return fits ? TW_CAUSE_NONE : TW_CAUSE_NO_ROOM;
+    return fits ? TW_CAUSE_NONE : TW_CAUSE_NO_CAPACITY;
 }
 
 static void launch_task(tw_simulator_world *world, tw_simulator_worker *worker, const char *job_id,
--- a/src/config/config.c
+++ b/src/config/config.c
@@ -9,13 +9,13 @@
 #include <string.h>
 
 #define MAX_FILE_BYTES (1 << 20)
-#define MAX_PARSER_ERROR 200
+#define PARSER_ERROR_SIZE 200
 #define MIN_HEARTBEATS_PER_LEASE 2
 /* In leases of workers: times of gangs that the file doesn't name. */
 #define GANG_WAIT_LEASES 1.5
 #define GANG_PEER_LEASES 0.25
 
-/* Rows of settings: required are names, addresses and numbers by NEEDED; labels and numbers by
+/* Rows of settings: required are names, addresses and numbers by REQUIRED; labels and numbers by
  * OPTIONAL have a default. */
 #define NAME(key, struct_name, member, text)                                                       \
     {                                                                                              \
@@ -32,15 +32,15 @@
         .name = (key), .type = TW_SETTING_LABEL, .offset = offsetof(struct_name, member),          \
         .size = sizeof(((struct_name *)NULL)->member), .meaning = (text)                           \
     }
-#define NEEDED(kind, key, struct_name, member, least, most, text)                                  \
+#define REQUIRED(kind, key, struct_name, member, min_value, max_value, text)                       \
     {                                                                                              \
         .name = (key), .type = (kind), .required = true, .offset = offsetof(struct_name, member),  \
-        .min = (least), .max = (most), .meaning = (text)                                           \
+        .min = (min_value), .max = (max_value), .meaning = (text)                                  \
     }
-#define OPTIONAL(key, struct_name, member, least, most, standard, text)                            \
+#define OPTIONAL(key, struct_name, member, min_value, max_value, default_value, text)              \
     {                                                                                              \
         .name = (key), .type = TW_SETTING_NUMBER, .offset = offsetof(struct_name, member),         \
-        .min = (least), .max = (most), .fallback = (standard), .meaning = (text)                   \
+        .min = (min_value), .max = (max_value), .fallback = (default_value), .meaning = (text)     \
     }
 
 static const tw_setting node_rows[] = {
@@ -78,24 +78,25 @@
     OPTIONAL("times", tw_config_objective, times, 0, 1e9, 1, "scales the deadline"),
 };
 static const tw_setting worker_rows[] = {
-    NEEDED(TW_SETTING_NUMBER, "report_s", tw_config, report_s, 0.01, 3600, "time between reports"),
-    NEEDED(TW_SETTING_NUMBER, "lease_s", tw_config, lease_s, 0.1, 86400,
-           "lease of a worker; at least twice `report_s`"),
-    NEEDED(TW_SETTING_NUMBER, "cancel_s", tw_config, cancel_s, 0.1, 86400,
-           "time in which a cancelled job's tasks must be gone"),
+    REQUIRED(TW_SETTING_NUMBER, "report_s", tw_config, report_s, 0.01, 3600,
+             "time between reports"),
+    REQUIRED(TW_SETTING_NUMBER, "lease_s", tw_config, lease_s, 0.1, 86400,
+             "lease of a worker; at least twice `report_s`"),
+    REQUIRED(TW_SETTING_NUMBER, "cancel_s", tw_config, cancel_s, 0.1, 86400,
+             "time in which a cancelled job's tasks must be gone"),
     OPTIONAL("gang_wait_s", tw_config, gang_wait_s, 0.01, 86400, 0,
              "a gang's task waits so long for the others; 0: 1.5 times `lease_s`"),
     OPTIONAL("gang_peer_s", tw_config, gang_peer_s, 0.01, 86400, 0,
              "a gang's tasks notice within this that one is gone; 0: a quarter of `lease_s`"),
 };
 static const tw_setting state_rows[] = {
-    NEEDED(TW_SETTING_NUMBER, "rps", tw_config_state_limits, rps, 1, 1e6, "requests per second"),
-    NEEDED(TW_SETTING_NUMBER, "write_rps", tw_config_state_limits, write_rps, 1, 1e6,
-           "puts and deletes per second"),
-    NEEDED(TW_SETTING_NUMBER, "value_kb", tw_config_state_limits, value_kb, 1, 1e6,
-           "largest value, in KiB"),
-    NEEDED(TW_SETTING_INTEGER, "txn_ops", tw_config_state_limits, txn_ops, 1, 10000,
-           "puts and deletes in a transaction"),
+    REQUIRED(TW_SETTING_NUMBER, "rps", tw_config_state_limits, rps, 1, 1e6, "requests per second"),
+    REQUIRED(TW_SETTING_NUMBER, "write_rps", tw_config_state_limits, write_rps, 1, 1e6,
+             "puts and deletes per second"),
+    REQUIRED(TW_SETTING_NUMBER, "value_kb", tw_config_state_limits, value_kb, 1, 1e6,
+             "largest value, in KiB"),
+    REQUIRED(TW_SETTING_INTEGER, "txn_ops", tw_config_state_limits, txn_ops, 1, 10000,
+             "puts and deletes in a transaction"),
 };
 static const tw_setting state_next_rows[] = {
     OPTIONAL("rps", tw_config_state_limits, rps, 1, 1e6, 0,
@@ -112,15 +113,15 @@
     },
 };
 static const tw_setting cloud_rows[] = {
-    NEEDED(TW_SETTING_NUMBER, "rps", tw_config, cloud_rps, 0.01, 1e6, "requests per second"),
-    NEEDED(TW_SETTING_NUMBER, "list_lag_s", tw_config, list_lag_s, 0, 86400,
-           "age of the list of machines"),
+    REQUIRED(TW_SETTING_NUMBER, "rps", tw_config, cloud_rps, 0.01, 1e6, "requests per second"),
+    REQUIRED(TW_SETTING_NUMBER, "list_lag_s", tw_config, list_lag_s, 0, 86400,
+             "age of the list of machines"),
 };
 static const tw_setting limit_rows[] = {
-    NEEDED(TW_SETTING_NUMBER, "cpu_share", tw_config, cpu_share, 0.001, 1024,
-           "share of a core that the process gets"),
-    NEEDED(TW_SETTING_NUMBER, "mem_mb", tw_config, mem_mb, 8, 1e7, "memory that it gets, in MiB"),
-    NEEDED(TW_SETTING_INTEGER, "sockets", tw_config, sockets, 32, 1e6, "sockets that it gets"),
+    REQUIRED(TW_SETTING_NUMBER, "cpu_share", tw_config, cpu_share, 0.001, 1024,
+             "share of a core that the process gets"),
+    REQUIRED(TW_SETTING_NUMBER, "mem_mb", tw_config, mem_mb, 8, 1e7, "memory that it gets, in MiB"),
+    REQUIRED(TW_SETTING_INTEGER, "sockets", tw_config, sockets, 32, 1e6, "sockets that it gets"),
 };
 
 static const tw_section node_section = TW_SECTION("", node_rows);
@@ -148,97 +149,97 @@
 
 /* The item of the list after the previous one (NULL: the first); NULL: there is none, or something
  * was wrong. */
-static const cJSON *next_item(const tw_complaint *complaint, const cJSON *list,
+static const cJSON *next_item(const tw_setting_error *error, const cJSON *list,
                               const cJSON *previous) {
-    if (!list || complaint->failed) return NULL;
+    if (!list || error->failed) return NULL;
     return previous ? previous->next : list->child;
 }
 
 static size_t list_length(const cJSON *list) { return list ? (size_t)cJSON_GetArraySize(list) : 0; }
 
-static void read_peers(tw_complaint *complaint, tw_config *config, const cJSON *root) {
-    const cJSON *list = tw_setting_list(complaint, root, "", "known");
+static void read_peers(tw_setting_error *error, tw_config *config, const cJSON *root) {
+    const cJSON *list = tw_setting_get_list(error, root, "", "known");
     const cJSON *item = NULL;
     config->peers = tw_setting_alloc(list_length(list), sizeof *config->peers);
-    while ((item = next_item(complaint, list, item))) {
+    while ((item = next_item(error, list, item))) {
         tw_config_peer *peer = &config->peers[config->peer_count++];
-        tw_section_read(complaint, &peer_section, item, peer);
+        tw_section_read(error, &peer_section, item, peer);
         if (!strcmp(peer->name, config->host_name))
-            tw_complain(complaint, "setting known names this host itself");
+            tw_setting_set_error(error, "setting known names this host itself");
     }
 }
 
-static void read_zones(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
-    const cJSON *list = tw_setting_list(complaint, settings, "settings.", "zones");
+static void read_zones(tw_setting_error *error, tw_config *config, const cJSON *settings) {
+    const cJSON *list = tw_setting_get_list(error, settings, "settings.", "zones");
     const cJSON *item = NULL;
     config->zones = tw_setting_alloc(list_length(list), sizeof *config->zones);
-    while ((item = next_item(complaint, list, item))) {
-        if (tw_setting_is_name(item))
+    while ((item = next_item(error, list, item))) {
+        if (tw_setting_is_valid_name(item))
             strcpy(config->zones[config->zone_count++], item->valuestring);
         else
-            tw_complain(complaint, "setting settings.zones must hold names");
+            tw_setting_set_error(error, "setting settings.zones must hold names");
     }
 }
 
-static void check_team(tw_complaint *complaint, const tw_config *config,
+static void check_team(tw_setting_error *error, const tw_config *config,
                        const tw_config_team *team) {
     if ((team->cpus_max > 0 && team->cpus > team->cpus_max) ||
         (team->gpus_max > 0 && team->gpus > team->gpus_max))
-        tw_complain(complaint, "setting settings.teams: %s is guaranteed more than its maximum",
-                    team->name);
+        tw_setting_set_error(
+            error, "setting settings.teams: %s is guaranteed more than its maximum", team->name);
     for (const tw_config_team *other = config->teams; other < team; other++)
         if (!strcmp(other->name, team->name))
-            tw_complain(complaint, "setting settings.teams names %s twice", team->name);
+            tw_setting_set_error(error, "setting settings.teams names %s twice", team->name);
 }
 
-static void read_teams(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
-    const cJSON *list = tw_setting_list(complaint, settings, "settings.", "teams");
+static void read_teams(tw_setting_error *error, tw_config *config, const cJSON *settings) {
+    const cJSON *list = tw_setting_get_list(error, settings, "settings.", "teams");
     const cJSON *item = NULL;
     config->teams = tw_setting_alloc(list_length(list), sizeof *config->teams);
-    while ((item = next_item(complaint, list, item))) {
+    while ((item = next_item(error, list, item))) {
         tw_config_team *team = &config->teams[config->team_count++];
-        tw_section_read(complaint, &team_section, item, team);
+        tw_section_read(error, &team_section, item, team);
         team->share = 1;
-        check_team(complaint, config, team);
+        check_team(error, config, team);
     }
 }
 
-static void read_objectives(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
-    const cJSON *list = tw_setting_list(complaint, settings, "settings.", "objectives");
+static void read_objectives(tw_setting_error *error, tw_config *config, const cJSON *settings) {
+    const cJSON *list = tw_setting_get_list(error, settings, "settings.", "objectives");
     const cJSON *item = NULL;
     config->objectives = tw_setting_alloc(list_length(list), sizeof *config->objectives);
-    while ((item = next_item(complaint, list, item)))
-        tw_section_read(complaint, &objective_section, item,
+    while ((item = next_item(error, list, item)))
+        tw_section_read(error, &objective_section, item,
                         &config->objectives[config->objective_count++]);
 }
 
 /* ---- the file ---- */
 
-static void read_table(tw_complaint *complaint, const tw_section *section, tw_config *config,
+static void read_table(tw_setting_error *error, const tw_section *section, tw_config *config,
                        const cJSON *settings, const char *key) {
-    const cJSON *table = tw_setting_table(complaint, settings, "settings.", key);
-    tw_section_read(complaint, section, table, config);
+    const cJSON *table = tw_setting_get_table(error, settings, "settings.", key);
+    tw_section_read(error, section, table, config);
 }
 
-static double smaller(double now, double next) { return next > 0 && next < now ? next : now; }
+static double smaller_limit(double now, double next) { return next > 0 && next < now ? next : now; }
 
 /* Reads the limits that hold and those that are announced, any of which may be missing, and takes
  * the smaller one of each pair. */
-static void read_state(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
-    const cJSON *table = tw_setting_table(complaint, settings, "settings.", "state");
+static void read_state(tw_setting_error *error, tw_config *config, const cJSON *settings) {
+    const cJSON *table = tw_setting_get_table(error, settings, "settings.", "state");
     const cJSON *announced = cJSON_GetObjectItemCaseSensitive(table, "next");
-    tw_section_read(complaint, &state_section, table, &config->state_now);
-    tw_section_defaults(&state_next_section, &config->state_next);
+    tw_section_read(error, &state_section, table, &config->state_now);
+    tw_section_set_defaults(&state_next_section, &config->state_next);
     if (announced) {
-        const cJSON *next = tw_setting_table(complaint, table, "settings.state.", "next");
-        tw_section_read(complaint, &state_next_section, next, &config->state_next);
+        const cJSON *next = tw_setting_get_table(error, table, "settings.state.", "next");
+        tw_section_read(error, &state_next_section, next, &config->state_next);
     }
     const tw_config_state_limits *now = &config->state_now;
     const tw_config_state_limits *next = &config->state_next;
-    config->state_rps = smaller(now->rps, next->rps);
-    config->state_write_rps = smaller(now->write_rps, next->write_rps);
-    config->state_value_kb = smaller(now->value_kb, next->value_kb);
-    config->state_txn_ops = (int)smaller(now->txn_ops, next->txn_ops);
+    config->state_rps = smaller_limit(now->rps, next->rps);
+    config->state_write_rps = smaller_limit(now->write_rps, next->write_rps);
+    config->state_value_kb = smaller_limit(now->value_kb, next->value_kb);
+    config->state_txn_ops = (int)smaller_limit(now->txn_ops, next->txn_ops);
 }
 
 /* Sets the times of gangs that the file doesn't name. */
@@ -247,51 +248,53 @@
     if (config->gang_peer_s <= 0) config->gang_peer_s = GANG_PEER_LEASES * config->lease_s;
 }
 
-static void read_settings(tw_complaint *complaint, tw_config *config, const cJSON *settings) {
-    read_zones(complaint, config, settings);
-    tw_section_read(complaint, &clock_section, settings, config);
-    read_teams(complaint, config, settings);
-    read_objectives(complaint, config, settings);
-    read_table(complaint, &worker_section, config, settings, "workers");
+static void read_settings(tw_setting_error *error, tw_config *config, const cJSON *settings) {
+    read_zones(error, config, settings);
+    tw_section_read(error, &clock_section, settings, config);
+    read_teams(error, config, settings);
+    read_objectives(error, config, settings);
+    read_table(error, &worker_section, config, settings, "workers");
     if (config->lease_s < MIN_HEARTBEATS_PER_LEASE * config->report_s)
-        tw_complain(complaint, "setting settings.workers.lease_s must be at least twice report_s");
+        tw_setting_set_error(error,
+                             "setting settings.workers.lease_s must be at least twice report_s");
     derive_gang_times(config);
-    read_state(complaint, config, settings);
-    read_table(complaint, &cloud_section, config, settings, "cloud");
-    read_table(complaint, &limit_section, config, settings, "limits");
+    read_state(error, config, settings);
+    read_table(error, &cloud_section, config, settings, "cloud");
+    read_table(error, &limit_section, config, settings, "limits");
 }
 
-static void read_root(tw_complaint *complaint, tw_config *config, const cJSON *root) {
-    tw_section_read(complaint, &node_section, root, config);
-    read_peers(complaint, config, root);
-    const cJSON *external = tw_setting_table(complaint, root, "", "external");
-    tw_section_read(complaint, &external_section, external, config);
-    const cJSON *settings = tw_setting_table(complaint, root, "", "settings");
-    if (!complaint->failed) read_settings(complaint, config, settings);
+static void read_config(tw_setting_error *error, tw_config *config, const cJSON *root) {
+    tw_section_read(error, &node_section, root, config);
+    read_peers(error, config, root);
+    const cJSON *external = tw_setting_get_table(error, root, "", "external");
+    tw_section_read(error, &external_section, external, config);
+    const cJSON *settings = tw_setting_get_table(error, root, "", "settings");
+    if (!error->failed) read_settings(error, config, settings);
 }
 
-/* The text as a tree, which the caller deletes; NULL: it is not TOML, which is a complaint. */
-static cJSON *parse_toml(tw_complaint *complaint, const char *text) {
-    char why[MAX_PARSER_ERROR] = "";
-    cJSON *root = tw_config_toml_parse(text, why, sizeof why);
-    if (!root) tw_complain(complaint, "settings file is not valid TOML: %s", why);
+/* The text as a tree, which the caller deletes; NULL: it is not TOML, which is a error. */
+static cJSON *parse_toml(tw_setting_error *error, const char *text) {
+    char parser_error[PARSER_ERROR_SIZE] = "";
+    cJSON *root = tw_config_toml_parse(text, parser_error, sizeof parser_error);
+    if (!root) tw_setting_set_error(error, "settings file is not valid TOML: %s", parser_error);
     return root;
 }
 
 tw_config_error tw_config_parse(tw_config *config, const char *text, char *message,
                                 size_t message_size) {
-    tw_complaint complaint = {message, message_size, false};
+    tw_setting_error error = {message, message_size, false};
     memset(config, 0, sizeof *config);
-    tw_config_tuning_defaults(&config->tune);
-    cJSON *root = parse_toml(&complaint, text);
+    tw_config_set_default_tuning(&config->tune);
+    cJSON *root = parse_toml(&error, text);
     if (!root) return TW_CONFIG_INVALID;
-    read_root(&complaint, config, root);
+    read_config(&error, config, root);
     cJSON_Delete(root);
-    if (complaint.failed) tw_config_free(config);
-    return complaint.failed ? TW_CONFIG_INVALID : TW_CONFIG_OK;
+    if (error.failed) tw_config_free(config);
+    return error.failed ? TW_CONFIG_INVALID : TW_CONFIG_OK;
 }
 
-/* The file's text, which the caller frees; NULL: it can't be read, and the message says why. */
+/* The file's text, which the caller frees; NULL: it can't be read, and the message says
+ * parser_error. */
 static char *read_file(const char *path, char *message, size_t message_size) {
     FILE *file = fopen(path, "rb");
     if (!file) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -108,7 +108,7 @@
 void tw_config_free(tw_config *config);
 
 /* The operators' settings as they are without a file. */
-void tw_config_tuning_defaults(tw_config_tuning *tuning);
+void tw_config_set_default_tuning(tw_config_tuning *tuning);
 
 /* ---- describing ---- */
 
--- a/src/config/setting.c
+++ b/src/config/setting.c
@@ -9,18 +9,18 @@
 #define MAX_PORT 65535
 #define DECIMAL 10
 
-void tw_complain(tw_complaint *complaint, const char *format, ...) {
-    if (complaint->failed) return;
-    complaint->failed = true;
+void tw_setting_set_error(tw_setting_error *error, const char *format, ...) {
+    if (error->failed) return;
+    error->failed = true;
     va_list arguments;
     va_start(arguments, format);
-    vsnprintf(complaint->text, complaint->size, format, arguments);
+    vsnprintf(error->text, error->size, format, arguments);
     va_end(arguments);
 }
 
 /* ---- reading ---- */
 
-bool tw_setting_is_name(const cJSON *value) {
+bool tw_setting_is_valid_name(const cJSON *value) {
     return cJSON_IsString(value) && *value->valuestring &&
            strlen(value->valuestring) < TW_NAME_SIZE;
 }
@@ -36,17 +36,17 @@
     return port >= 1 && port <= MAX_PORT;
 }
 
-static void read_name(tw_complaint *complaint, const char *prefix, const tw_setting *setting,
+static void read_name(tw_setting_error *error, const char *prefix, const tw_setting *setting,
                       const cJSON *value, char *to) {
-    if (!tw_setting_is_name(value)) {
-        tw_complain(complaint, "setting %s%s must be a string of 1 to %d characters", prefix,
-                    setting->name, TW_NAME_SIZE - 1);
+    if (!tw_setting_is_valid_name(value)) {
+        tw_setting_set_error(error, "setting %s%s must be a string of 1 to %d characters", prefix,
+                             setting->name, TW_NAME_SIZE - 1);
         return;
     }
     strcpy(to, value->valuestring);
     if (setting->type == TW_SETTING_ADDRESS && !is_address(to))
-        tw_complain(complaint, "setting %s%s must be an address like 10.0.0.1:8080", prefix,
-                    setting->name);
+        tw_setting_set_error(error, "setting %s%s must be an address like 10.0.0.1:8080", prefix,
+                             setting->name);
 }
 
 static void set_number(const tw_setting *setting, double number, void *to) {
@@ -56,60 +56,60 @@
         *(double *)to = number;
 }
 
-static void read_number(tw_complaint *complaint, const char *prefix, const tw_setting *setting,
+static void read_number(tw_setting_error *error, const char *prefix, const tw_setting *setting,
                         const cJSON *value, void *to) {
     if (!cJSON_IsNumber(value) || !tw_setting_in_range(setting, value->valuedouble)) {
-        tw_complain(complaint, "setting %s%s must be a number from %g to %g", prefix, setting->name,
-                    setting->min, setting->max);
+        tw_setting_set_error(error, "setting %s%s must be a number from %g to %g", prefix,
+                             setting->name, setting->min, setting->max);
         return;
     }
     set_number(setting, value->valuedouble, to);
 }
 
-static void take_default(const tw_setting *setting, void *to) {
+static void set_default(const tw_setting *setting, void *to) {
     if (setting->type == TW_SETTING_NUMBER || setting->type == TW_SETTING_INTEGER)
         set_number(setting, setting->fallback, to);
     else
         *(char *)to = 0;
 }
 
-static void read_setting(tw_complaint *complaint, const char *prefix, const tw_setting *setting,
+static void read_setting(tw_setting_error *error, const char *prefix, const tw_setting *setting,
                          const cJSON *table, char *to) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(table, setting->name);
     to += setting->offset;
     if (!value && setting->required) {
-        tw_complain(complaint, "setting %s%s is missing", prefix, setting->name);
+        tw_setting_set_error(error, "setting %s%s is missing", prefix, setting->name);
         return;
     }
     if (!value) {
-        take_default(setting, to);
+        set_default(setting, to);
         return;
     }
     switch (setting->type) {
     case TW_SETTING_NAME:
     case TW_SETTING_ADDRESS:
-        read_name(complaint, prefix, setting, value, to);
+        read_name(error, prefix, setting, value, to);
         break;
     case TW_SETTING_LABEL:
         snprintf(to, setting->size, "%s", cJSON_IsString(value) ? value->valuestring : "");
         break;
     case TW_SETTING_NUMBER:
     case TW_SETTING_INTEGER:
-        read_number(complaint, prefix, setting, value, to);
+        read_number(error, prefix, setting, value, to);
         break;
     }
 }
 
-void tw_section_read(tw_complaint *complaint, const tw_section *section, const cJSON *table,
+void tw_section_read(tw_setting_error *error, const tw_section *section, const cJSON *table,
                      void *to) {
     for (size_t i = 0; i < section->count; i++)
-        read_setting(complaint, section->prefix, &section->rows[i], table, to);
+        read_setting(error, section->prefix, &section->rows[i], table, to);
 }
 
-void tw_section_defaults(const tw_section *section, void *to) {
+void tw_section_set_defaults(const tw_section *section, void *to) {
     for (size_t i = 0; i < section->count; i++)
         if (!section->rows[i].required)
-            take_default(&section->rows[i], (char *)to + section->rows[i].offset);
+            set_default(&section->rows[i], (char *)to + section->rows[i].offset);
 }
 
 const tw_setting *tw_section_find(const tw_section *section, const char *name) {
@@ -118,21 +118,21 @@
     return NULL;
 }
 
-const cJSON *tw_setting_table(tw_complaint *complaint, const cJSON *object, const char *prefix,
-                              const char *key) {
+const cJSON *tw_setting_get_table(tw_setting_error *error, const cJSON *object, const char *prefix,
+                                  const char *key) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, key);
     if (!value)
-        tw_complain(complaint, "setting %s%s is missing", prefix, key);
+        tw_setting_set_error(error, "setting %s%s is missing", prefix, key);
     else if (!cJSON_IsObject(value))
-        tw_complain(complaint, "setting %s%s must be a table", prefix, key);
+        tw_setting_set_error(error, "setting %s%s must be a table", prefix, key);
     return cJSON_IsObject(value) ? value : NULL;
 }
 
-const cJSON *tw_setting_list(tw_complaint *complaint, const cJSON *object, const char *prefix,
-                             const char *key) {
+const cJSON *tw_setting_get_list(tw_setting_error *error, const cJSON *object, const char *prefix,
+                                 const char *key) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, key);
     if (value && !cJSON_IsArray(value))
-        tw_complain(complaint, "setting %s%s must be a list", prefix, key);
+        tw_setting_set_error(error, "setting %s%s must be a list", prefix, key);
     return cJSON_IsArray(value) ? value : NULL;
 }
 
--- a/src/config/setting.h
+++ b/src/config/setting.h
@@ -44,17 +44,17 @@
     char *text;
     size_t size;
     bool failed;
-} tw_complaint;
+} tw_setting_error;
 
 /* Notes a message, unless there is one already. */
-void tw_complain(tw_complaint *complaint, const char *format, ...)
+void tw_setting_set_error(tw_setting_error *error, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
 /* Fills the struct from a table of the file. table: NULL stands for one without any setting. */
-void tw_section_read(tw_complaint *complaint, const tw_section *section, const cJSON *table,
+void tw_section_read(tw_setting_error *error, const tw_section *section, const cJSON *table,
                      void *to);
 /* Gives the settings that are not required their fallbacks. */
-void tw_section_defaults(const tw_section *section, void *to);
+void tw_section_set_defaults(const tw_section *section, void *to);
 /* The row of this name; NULL: there is none. */
 const tw_setting *tw_section_find(const tw_section *section, const char *name);
 /* Writes a row of a Markdown table for each setting: key, default, range, meaning. */
@@ -63,14 +63,14 @@
 /* Whether the number is in the setting's range. */
 bool tw_setting_in_range(const tw_setting *setting, double number);
 
-/* The table under a key; NULL: it is missing, or something else, which is a complaint. */
-const cJSON *tw_setting_table(tw_complaint *complaint, const cJSON *object, const char *prefix,
-                              const char *key);
-/* The list under a key; NULL: it is missing or, which is a complaint, something else. */
-const cJSON *tw_setting_list(tw_complaint *complaint, const cJSON *object, const char *prefix,
-                             const char *key);
+/* The table under a key; NULL: it is missing, or something else, which is a error. */
+const cJSON *tw_setting_get_table(tw_setting_error *error, const cJSON *object, const char *prefix,
+                                  const char *key);
+/* The list under a key; NULL: it is missing or, which is a error, something else. */
+const cJSON *tw_setting_get_list(tw_setting_error *error, const cJSON *object, const char *prefix,
+                                 const char *key);
 /* Whether a value is a text that fits a name. */
-bool tw_setting_is_name(const cJSON *value);
+bool tw_setting_is_valid_name(const cJSON *value);
 
 /* Zeroed memory, which the caller frees; ends the program if there is none. */
 void *tw_setting_alloc(size_t count, size_t size);
--- a/src/config/toml_shim.cpp
+++ b/src/config/toml_shim.cpp
@@ -7,7 +7,7 @@
 #include <toml++/toml.h>
 
 /* A date or time as it would be written. */
-static cJSON *text_of(const toml::node &node) {
+static cJSON *to_json_string(const toml::node &node) {
     std::ostringstream text;
     node.visit([&text](const auto &value) { text << value; });
     return cJSON_CreateString(text.str().c_str());
@@ -15,23 +15,23 @@
 
 /* JSON has no word for numbers that are not finite: they become strings, which no setting of a
  * number takes. */
-static cJSON *number_of(double value) {
+static cJSON *to_json_number(double value) {
     if (std::isnan(value)) return cJSON_CreateString("NaN");
     if (std::isinf(value)) return cJSON_CreateString(value > 0 ? "Infinity" : "-Infinity");
     return cJSON_CreateNumber(value);
 }
 
-static cJSON *tree_of(const toml::node &node) {
+static cJSON *to_json(const toml::node &node) {
     switch (node.type()) {
     case toml::node_type::table: {
         cJSON *object = cJSON_CreateObject();
         for (auto &&[key, value] : *node.as_table())
-            cJSON_AddItemToObject(object, std::string(key.str()).c_str(), tree_of(value));
+            cJSON_AddItemToObject(object, std::string(key.str()).c_str(), to_json(value));
         return object;
     }
     case toml::node_type::array: {
         cJSON *array = cJSON_CreateArray();
-        for (auto &&value : *node.as_array()) cJSON_AddItemToArray(array, tree_of(value));
+        for (auto &&value : *node.as_array()) cJSON_AddItemToArray(array, to_json(value));
         return array;
     }
     case toml::node_type::string:
@@ -39,17 +39,17 @@
     case toml::node_type::integer:
         return cJSON_CreateNumber(static_cast<double>(node.as_integer()->get()));
     case toml::node_type::floating_point:
-        return number_of(node.as_floating_point()->get());
+        return to_json_number(node.as_floating_point()->get());
     case toml::node_type::boolean:
         return cJSON_CreateBool(node.as_boolean()->get());
     default:
-        return text_of(node);
+        return to_json_string(node);
     }
 }
 
 extern "C" cJSON *tw_config_toml_parse(const char *text, char *err, size_t errlen) {
     try {
-        return tree_of(toml::parse(std::string_view(text)));
+        return to_json(toml::parse(std::string_view(text)));
     } catch (const toml::parse_error &e) {
         std::snprintf(err, errlen, "line %u: %s", static_cast<unsigned>(e.source().begin.line),
                       std::string(e.description()).c_str());
--- a/src/config/yaml.c
+++ b/src/config/yaml.c
@@ -8,10 +8,10 @@
 #include <string.h>
 #include <yaml.h>
 
-#define TUNING(member, least, most, standard, text)                                                \
+#define TUNING(member, min_value, max_value, default_value, text)                                  \
     {                                                                                              \
         .name = #member, .type = TW_SETTING_NUMBER, .offset = offsetof(tw_config_tuning, member),  \
-        .min = (least), .max = (most), .fallback = (standard), .meaning = (text)                   \
+        .min = (min_value), .max = (max_value), .fallback = (default_value), .meaning = (text)     \
     }
 static const tw_setting tuning_rows[] = {
     TUNING(election_ratio, 0.05, 0.5, 0.12, "leader's lease, as a share of `lease_s`"),
@@ -42,8 +42,8 @@
 };
 static const tw_section share_section = {"shares: ", &share_setting, 1};
 
-void tw_config_tuning_defaults(tw_config_tuning *tuning) {
-    tw_section_defaults(&tuning_section, tuning);
+void tw_config_set_default_tuning(tw_config_tuning *tuning) {
+    tw_section_set_defaults(&tuning_section, tuning);
 }
 
 void tw_config_describe_tuning(FILE *out) {
@@ -73,92 +73,93 @@
     return NULL;
 }
 
-static void read_share(tw_complaint *complaint, tw_config *config, const char *name,
+static void read_share(tw_setting_error *error, tw_config *config, const char *name,
                        const char *text) {
     double share;
     if (!name || !parse_number(&share_setting, text, &share)) {
-        tw_complain(complaint, "operators' setting shares.%s must be a number from %g to %g",
-                    name ? name : "?", share_setting.min, share_setting.max);
+        tw_setting_set_error(error, "operators' setting shares.%s must be a number from %g to %g",
+                             name ? name : "?", share_setting.min, share_setting.max);
         return;
     }
     tw_config_team *team = find_team(config, name);
     if (team)
         team->share = share;
     else
-        tw_complain(complaint, "operators' setting shares names an unknown team: %s", name);
+        tw_setting_set_error(error, "operators' setting shares names an unknown team: %s", name);
 }
 
-static void read_shares(tw_complaint *complaint, tw_config *config, yaml_document_t *document,
+static void read_shares(tw_setting_error *error, tw_config *config, yaml_document_t *document,
                         const yaml_node_t *node) {
     if (node->type != YAML_MAPPING_NODE) {
-        tw_complain(complaint, "operators' setting shares must map teams to numbers");
+        tw_setting_set_error(error, "operators' setting shares must map teams to numbers");
         return;
     }
     const yaml_node_pair_t *pair = node->data.mapping.pairs.start;
-    for (; pair < node->data.mapping.pairs.top && !complaint->failed; pair++)
-        read_share(complaint, config, scalar(document, pair->key), scalar(document, pair->value));
+    for (; pair < node->data.mapping.pairs.top && !error->failed; pair++)
+        read_share(error, config, scalar(document, pair->key), scalar(document, pair->value));
 }
 
-static void read_tuning(tw_complaint *complaint, tw_config *config, const char *name,
+static void read_tuning(tw_setting_error *error, tw_config *config, const char *name,
                         const char *text) {
     const tw_setting *setting = tw_section_find(&tuning_section, name);
     double number;
     if (!setting) {
-        tw_complain(complaint, "operators' setting %s is unknown", name);
+        tw_setting_set_error(error, "operators' setting %s is unknown", name);
         return;
     }
     if (!parse_number(setting, text, &number)) {
-        tw_complain(complaint, "operators' setting %s must be a number from %g to %g", name,
-                    setting->min, setting->max);
+        tw_setting_set_error(error, "operators' setting %s must be a number from %g to %g", name,
+                             setting->min, setting->max);
         return;
     }
     memcpy((char *)&config->tune + setting->offset, &number, sizeof number);
 }
 
-static void read_document(tw_complaint *complaint, tw_config *config, yaml_document_t *document,
+static void read_document(tw_setting_error *error, tw_config *config, yaml_document_t *document,
                           const char *path) {
     const yaml_node_t *root = yaml_document_get_root_node(document);
     if (!root) return;
     if (root->type != YAML_MAPPING_NODE) {
-        tw_complain(complaint, "operators' settings %s must be a mapping", path);
+        tw_setting_set_error(error, "operators' settings %s must be a mapping", path);
         return;
     }
     const yaml_node_pair_t *pair = root->data.mapping.pairs.start;
-    for (; pair < root->data.mapping.pairs.top && !complaint->failed; pair++) {
+    for (; pair < root->data.mapping.pairs.top && !error->failed; pair++) {
         const char *name = scalar(document, pair->key);
         const yaml_node_t *value = yaml_document_get_node(document, pair->value);
         if (name && value && !strcmp(name, shares_key))
-            read_shares(complaint, config, document, value);
+            read_shares(error, config, document, value);
         else
-            read_tuning(complaint, config, name ? name : "?", scalar(document, pair->value));
+            read_tuning(error, config, name ? name : "?", scalar(document, pair->value));
     }
 }
 
-static void read_yaml(tw_complaint *complaint, tw_config *config, FILE *file, const char *path) {
+static void read_yaml(tw_setting_error *error, tw_config *config, FILE *file, const char *path) {
     yaml_parser_t parser;
     yaml_document_t document;
     if (!yaml_parser_initialize(&parser)) abort();
     yaml_parser_set_input_file(&parser, file);
     if (yaml_parser_load(&parser, &document)) {
-        read_document(complaint, config, &document, path);
+        read_document(error, config, &document, path);
         yaml_document_delete(&document);
     } else {
-        tw_complain(complaint, "operators' settings %s, line %zu: %s", path,
-                    parser.problem_mark.line + 1,
-                    parser.problem ? parser.problem : "not valid YAML");
+        tw_setting_set_error(error, "operators' settings %s, line %zu: %s", path,
+                             parser.problem_mark.line + 1,
+                             parser.problem ? parser.problem : "not valid YAML");
     }
     yaml_parser_delete(&parser);
 }
 
 tw_config_error tw_config_load_yaml(tw_config *config, const char *path, char *message,
                                     size_t message_size) {
-    tw_complaint complaint = {message, message_size, false};
+    tw_setting_error error = {message, message_size, false};
     FILE *file = fopen(path, "rb");
     if (!file) {
-        tw_complain(&complaint, "can't read operators' settings %s: %s", path, strerror(errno));
+        tw_setting_set_error(&error, "can't read operators' settings %s: %s", path,
+                             strerror(errno));
         return TW_CONFIG_UNREADABLE;
     }
-    read_yaml(&complaint, config, file, path);
+    read_yaml(&error, config, file, path);
     fclose(file);
-    return complaint.failed ? TW_CONFIG_INVALID : TW_CONFIG_OK;
+    return error.failed ? TW_CONFIG_INVALID : TW_CONFIG_OK;
 }
--- a/src/controller/main.c
+++ b/src/controller/main.c
@@ -160,7 +160,7 @@
 }
 
 static void log_statistics(controller *process, double now) {
-    if (now < process->next_statistics_at || !tw_log_on(TW_LOG_DEBUG)) return;
+    if (now < process->next_statistics_at || !tw_log_is_enabled(TW_LOG_DEBUG)) return;
     process->next_statistics_at = now + STATISTICS_S;
     tw_log_debug("event=statistics_sampled tick_lag_mean_s=%.4f tick_lag_sd_s=%.4f heap_kb=%zu",
                  gsl_histogram_mean(process->lag), gsl_histogram_sigma(process->lag),
--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -136,7 +136,7 @@
     const tw_machine *machine = placed->machine;
     const tw_wire_heartbeat *heartbeat = termination->heartbeat;
     const int level = is_logged_at_info(termination->evidence) ? TW_LOG_INFO : TW_LOG_DEBUG;
-    if (!placed->counted || !tw_log_on(level)) return;
+    if (!placed->counted || !tw_log_is_enabled(level)) return;
     tw_log_write(level,
                  "event=attempt_terminated task=%s/%d attempt=%llu worker=%s evidence=%s cause=%d "
                  "token=%llu "
--- a/src/core/completed_jobs.c
+++ b/src/core/completed_jobs.c
@@ -40,7 +40,7 @@
 
 /* The key of a job's id; 0: it is not of the protocol's form, and no job can have it. */
 static uint64_t key_of(const char *id) {
-    if (!tw_wire_id_ok(id, strlen(id))) return 0;
+    if (!tw_wire_is_valid_job_id(id, strlen(id))) return 0;
     const char *digits = id + PREFIX_LENGTH;
     uint64_t number = 0;
     uint64_t length = 0;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -297,7 +297,7 @@
 static void log_read(const tw_core *core, const tw_call *sent, int status, const char *body,
                      size_t length) {
     const char *what = responses[sent->kind].reads;
-    if (!what || !tw_log_on(TW_LOG_DEBUG)) return;
+    if (!what || !tw_log_is_enabled(TW_LOG_DEBUG)) return;
     tw_log_debug("event=state_read what=%s status=%d revision=%llu took_s=%.3f token=%llu stale=%d",
                  what, status, (unsigned long long)response_revision(status, body, length),
                  core->context.now - sent->sent_at,
--- a/src/core/fleet_log.c
+++ b/src/core/fleet_log.c
@@ -26,7 +26,7 @@
 }
 
 void tw_fleet_log(const tw_core *core) {
-    if (!tw_log_on(TW_LOG_INFO)) return;
+    if (!tw_log_is_enabled(TW_LOG_INFO)) return;
     fleet_count(*counts)[2] = tw_alloc((size_t)core->machine_type_count * sizeof *counts);
     const tw_machine *machine;
     const struct tw_machine *next;
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -94,7 +94,7 @@
 static void note_admission(tw_core *core, const char *key) {
     const char *id = key + sizeof PEER_ADMISSION_KEY - 1;
     if (strncmp(key, PEER_ADMISSION_KEY, sizeof PEER_ADMISSION_KEY - 1) != 0 ||
-        !tw_wire_id_ok(id, strlen(id)))
+        !tw_wire_is_valid_job_id(id, strlen(id)))
         return;
     tw_expiring_name *untaken = tw_expiring_names_find(core->untaken_admissions, id);
     if (!untaken) untaken = tw_expiring_names_add(&core->untaken_admissions, id, 0);
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -24,7 +24,7 @@
                           const tw_placement *placed) {
     const tw_job *job = demand->job;
     const tw_machine *machine = placed->machine;
-    if (!tw_log_on(TW_LOG_DEBUG)) return;
+    if (!tw_log_is_enabled(TW_LOG_DEBUG)) return;
     const tw_prediction prediction = tw_predict(core, demand, machine);
     tw_log_debug("event=task_placed task=%s/%d attempt=%llu worker=%s class=%s machine_type=%s "
                  "waited_s=%.2f "
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -147,7 +147,8 @@
 }
 
 void tw_user_query(tw_core *core, uint64_t connection, const char *id, bool from_peer) {
-    if (!tw_wire_id_ok(id, strlen(id))) { /* no job of such an id can have been admitted */
+    if (!tw_wire_is_valid_job_id(id,
+                                 strlen(id))) { /* no job of such an id can have been admitted */
         tw_reply_error(&core->context, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
@@ -164,7 +165,7 @@
 }
 
 void tw_user_cancel(tw_core *core, uint64_t connection, const char *id, bool from_peer) {
-    if (!tw_wire_id_ok(id, strlen(id))) {
+    if (!tw_wire_is_valid_job_id(id, strlen(id))) {
         tw_reply_error(&core->context, connection, TW_HTTP_NOT_FOUND, 0, "no such job");
         return;
     }
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -5,25 +5,25 @@
 #include <string.h>
 #include <unistd.h>
 
-#define MAX_LINE 1024
+#define MAX_LINE_BYTES 1024
 #define MAX_NODE_NAME 64
 
-static tw_log_level level_in_use = TW_LOG_ERROR;
+static tw_log_level max_level = TW_LOG_ERROR;
 static char node_name[MAX_NODE_NAME] = "-";
 
 void tw_log_init(const char *level, const char *node) {
-    level_in_use = TW_LOG_INFO;
-    if (level && !strcmp(level, "error")) level_in_use = TW_LOG_ERROR;
-    if (level && !strcmp(level, "debug")) level_in_use = TW_LOG_DEBUG;
+    max_level = TW_LOG_INFO;
+    if (level && !strcmp(level, "error")) max_level = TW_LOG_ERROR;
+    if (level && !strcmp(level, "debug")) max_level = TW_LOG_DEBUG;
     if (node) snprintf(node_name, sizeof node_name, "%s", node);
 }
 
-bool tw_log_on(tw_log_level level) { return level <= level_in_use; }
+bool tw_log_is_enabled(tw_log_level level) { return level <= max_level; }
 
 void tw_log_write(tw_log_level level, const char *format, ...) {
     static const char *const names[] = {"error", "info", "debug"};
-    char line[MAX_LINE];
-    if (level > level_in_use) return;
+    char line[MAX_LINE_BYTES];
+    if (level > max_level) return;
     const int prefix = snprintf(line, sizeof line, "level=%s node=%s ", names[level], node_name);
     va_list arguments;
     va_start(arguments, format);
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -12,7 +12,7 @@
  * info. node: name in each line; NULL: "-". */
 void tw_log_init(const char *level, const char *node);
 /* Whether lines of the level are logged. */
-bool tw_log_on(tw_log_level level);
+bool tw_log_is_enabled(tw_log_level level);
 /* Writes a line if its level is logged. A line that is too long is cut. */
 void tw_log_write(tw_log_level level, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
@@ -21,11 +21,11 @@
 #define tw_log_error(...) tw_log_write(TW_LOG_ERROR, __VA_ARGS__)
 #define tw_log_info(...)                                                                           \
     do {                                                                                           \
-        if (tw_log_on(TW_LOG_INFO)) tw_log_write(TW_LOG_INFO, __VA_ARGS__);                        \
+        if (tw_log_is_enabled(TW_LOG_INFO)) tw_log_write(TW_LOG_INFO, __VA_ARGS__);                \
     } while (0)
 #define tw_log_debug(...)                                                                          \
     do {                                                                                           \
-        if (tw_log_on(TW_LOG_DEBUG)) tw_log_write(TW_LOG_DEBUG, __VA_ARGS__);                      \
+        if (tw_log_is_enabled(TW_LOG_DEBUG)) tw_log_write(TW_LOG_DEBUG, __VA_ARGS__);              \
     } while (0)
 
 #endif
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -6,19 +6,19 @@
 
 /* ---- machine types ---- */
 
-#define SLOWEST_FETCH_GB_S 1e-6
-#define USUAL_STARTUP_S 60
+#define MIN_FETCH_GB_S 1e-6
+#define DEFAULT_STARTUP_S 60
 #define NO_SPOT_PRICE (-1)
 
 /* The zones where a type can be rented; those beyond what fits are left out. */
 static tw_wire_error read_zones(const cJSON *value, void *message) {
     tw_wire_machine_type *type = message;
-    const int most = (int)(sizeof type->zones / sizeof *type->zones);
+    const int max_zones = (int)(sizeof type->zones / sizeof *type->zones);
     const cJSON *item;
     if (!cJSON_IsArray(value)) return TW_WIRE_MALFORMED;
     cJSON_ArrayForEach(item, value) {
-        if (type->zone_count >= most) break;
-        if (tw_json_read_text_item(item, type->zones[type->zone_count], TW_WIRE_NAME_SIZE))
+        if (type->zone_count >= max_zones) break;
+        if (tw_json_read_string_item(item, type->zones[type->zone_count], TW_WIRE_NAME_SIZE))
             return TW_WIRE_MALFORMED;
         type->zone_count++;
     }
@@ -36,16 +36,17 @@
         {TW_JSON_NAME("cacheGb"), TW_JSON_NUMBER_AT(tw_wire_machine_type, cache_gb),
          .rules = TW_JSON_LENIENT},
         {TW_JSON_NAME("fetchGbPerS"), TW_JSON_NUMBER_AT(tw_wire_machine_type, fetch_gb_s),
-         .min = SLOWEST_FETCH_GB_S, .rules = TW_JSON_LENIENT, .fallback = 1},
+         .min = MIN_FETCH_GB_S, .rules = TW_JSON_LENIENT, .fallback = 1},
         {TW_JSON_NAME("lowPrice"), TW_JSON_NUMBER_AT(tw_wire_machine_type, spot_price),
          .rules = TW_JSON_LENIENT, .fallback = NO_SPOT_PRICE},
         {TW_JSON_NAME("startupS"), TW_JSON_NUMBER_AT(tw_wire_machine_type, startup_s),
-         .rules = TW_JSON_LENIENT, .fallback = USUAL_STARTUP_S},
+         .rules = TW_JSON_LENIENT, .fallback = DEFAULT_STARTUP_S},
         {TW_JSON_NAME("yards"), .type = TW_JSON_CUSTOM, .read = read_zones},
     };
     (void)size;
     tw_wire_machine_type *type = item;
-    if (tw_json_read(value, fields, TW_JSON_ROWS(fields), type, NULL)) return TW_WIRE_MALFORMED;
+    if (tw_json_read_fields(value, fields, TW_JSON_FIELD_COUNT(fields), type, NULL))
+        return TW_WIRE_MALFORMED;
     if (type->spot_price == NO_SPOT_PRICE) type->spot_price = type->on_demand_price;
     return TW_WIRE_OK;
 }
@@ -69,14 +70,14 @@
         {TW_JSON_NAME("rack"), TW_JSON_TEXT_AT(tw_wire_rented_machine, machine_type)},
         {TW_JSON_NAME("yard"), TW_JSON_TEXT_AT(tw_wire_rented_machine, zone)},
         {TW_JSON_NAME("loaner"), TW_JSON_FLAG_AT(tw_wire_rented_machine, spot)},
-        {TW_JSON_NAME("stage"), TW_JSON_WORD_AT(tw_wire_rented_machine, state, stage_words)},
+        {TW_JSON_NAME("stage"), TW_JSON_ENUM_AT(tw_wire_rented_machine, state, stage_words)},
         {TW_JSON_NAME("endpoint"), TW_JSON_TEXT_AT(tw_wire_rented_machine, endpoint),
          .rules = TW_JSON_LENIENT},
         {TW_JSON_NAME("heldS"), TW_JSON_NUMBER_AT(tw_wire_rented_machine, rented_s),
          .rules = TW_JSON_LENIENT},
     };
     (void)size;
-    return tw_json_read(value, fields, TW_JSON_ROWS(fields), item, NULL);
+    return tw_json_read_fields(value, fields, TW_JSON_FIELD_COUNT(fields), item, NULL);
 }
 
 tw_wire_error tw_wire_rented_machines_parse(tw_wire_rented_machine **machines, int *n, int *more,
@@ -99,13 +100,13 @@
     cJSON_AddStringToObject(object, "yard", zone);
     cJSON_AddBoolToObject(object, "loaner", spot);
     cJSON_AddNumberToObject(object, "number", n);
-    return tw_json_finish(object);
+    return tw_json_print_and_delete(object);
 }
 
 tw_wire_error tw_wire_machine_names_parse(char (**names)[TW_WIRE_NAME_SIZE], int *n,
                                           const char *text, size_t len) {
     void *texts;
-    tw_wire_error result = tw_json_parse_texts("trays", TW_WIRE_NAME_SIZE, text, len, &texts, n);
+    tw_wire_error result = tw_json_parse_strings("trays", TW_WIRE_NAME_SIZE, text, len, &texts, n);
     *names = texts;
     return result;
 }
@@ -114,5 +115,5 @@
     cJSON *object = cJSON_CreateObject();
     cJSON *array = cJSON_AddArrayToObject(object, "trays");
     for (int i = 0; i < n; i++) cJSON_AddItemToArray(array, cJSON_CreateString(names[i]));
-    return tw_json_finish(object);
+    return tw_json_print_and_delete(object);
 }
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -14,132 +14,133 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Longer texts are read anew each time. A machine that runs many short tasks lists hundreds. */
-#define LONGEST_KEPT_BYTES 131072
+/* Longer texts are read anew entry time. A machine that runs many short tasks lists hundreds. */
+#define MAX_CACHED_TEXT_BYTES 131072
 /* Texts up to this are kept of every machine. */
-#define SHORT_BYTES 8192
+#define MAX_SHORT_TEXT_BYTES 8192
 
 static const char sequence_name[] = "\"tick\":";
 
 /* A text as parts: [0, head) [head, tail) [tail, length); the middle is the number. */
 typedef struct {
     const char *text;
-    size_t head, tail, length;
-} parts;
+    size_t head_end, tail_start, length;
+} text_parts;
 
-typedef struct kept {
-    tw_wire_heartbeat report; /* its pieces are ours */
-    size_t head, rest;        /* lengths of the text's parts */
-    bool came;                /* since the last sweep */
-    size_t long_bytes;        /* what counts against the most_long_bytes */
-    UT_hash_handle hh;        /* by the first part */
-    char text[];              /* both parts */
-} kept;
+typedef struct cache_entry {
+    tw_wire_heartbeat heartbeat;     /* its pieces are ours */
+    size_t head_length, tail_length; /* lengths of the text's parts */
+    bool used_since_sweep;           /* since the last sweep */
+    size_t long_bytes;               /* what counts against the max_long_bytes */
+    UT_hash_handle hh;               /* by the first part */
+    char text[];                     /* both parts */
+} cache_entry;
 
 struct tw_wire_heartbeat_cache {
-    kept *kept;
-    size_t long_bytes, most_long_bytes; /* of all texts that are not short, and their reports */
-    tw_wire_heartbeat passing;          /* the last one, where it was not kept */
+    cache_entry *entries;
+    size_t long_bytes, max_long_bytes; /* of all texts that are not short, and their reports */
+    tw_wire_heartbeat uncached;        /* the last one, where it was not kept */
 };
 
-tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(size_t most_long_bytes) {
+tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(size_t max_long_bytes) {
     tw_wire_heartbeat_cache *cache = tw_json_alloc(sizeof *cache);
-    cache->most_long_bytes = most_long_bytes;
+    cache->max_long_bytes = max_long_bytes;
     return cache;
 }
 
-static void let_go(tw_wire_heartbeat_cache *cache, kept *old) {
-    HASH_DEL(cache->kept, old);
-    cache->long_bytes -= old->long_bytes;
-    tw_wire_heartbeat_free(&old->report);
-    free(old);
+static void evict_entry(tw_wire_heartbeat_cache *cache, cache_entry *entry) {
+    HASH_DEL(cache->entries, entry);
+    cache->long_bytes -= entry->long_bytes;
+    tw_wire_heartbeat_free(&entry->heartbeat);
+    free(entry);
 }
 
 void tw_wire_heartbeat_cache_free(tw_wire_heartbeat_cache *cache) {
-    kept *each, *next;
+    cache_entry *entry, *next;
     if (!cache) return;
-    HASH_ITER(hh, cache->kept, each, next) { let_go(cache, each); }
-    tw_wire_heartbeat_free(&cache->passing);
+    HASH_ITER(hh, cache->entries, entry, next) { evict_entry(cache, entry); }
+    tw_wire_heartbeat_free(&cache->uncached);
     free(cache);
 }
 
 size_t tw_wire_heartbeat_cache_count(const tw_wire_heartbeat_cache *cache) {
-    return HASH_COUNT(cache->kept);
+    return HASH_COUNT(cache->entries);
 }
 
 void tw_wire_heartbeat_cache_sweep(tw_wire_heartbeat_cache *cache) {
-    kept *each, *next;
-    HASH_ITER(hh, cache->kept, each, next) {
-        const bool came = each->came;
-        each->came = false;
-        if (!came) let_go(cache, each);
+    cache_entry *entry, *next;
+    HASH_ITER(hh, cache->entries, entry, next) {
+        const bool used = entry->used_since_sweep;
+        entry->used_since_sweep = false;
+        if (!used) evict_entry(cache, entry);
     }
 }
 
 /* Where the number stands, and its value; 0: the text has not the form that is recognised. */
-static bool split(parts *of, const char *text, size_t length, uint64_t *sequence) {
-    static const tw_json_field field = {.type = TW_JSON_COUNT, .max = TW_JSON_LARGEST};
-    const size_t name = sizeof sequence_name - 1;
-    const char *found = length ? memmem(text, length, sequence_name, name) : NULL;
-    if (!found || *text != '{' || length > LONGEST_KEPT_BYTES) return false;
-    const size_t head = (size_t)(found - text) + name;
-    if (memchr(text + 1, '{', head - 1) || memchr(text, '\\', head)) return false;
-    if (head == length || !isdigit((unsigned char)text[head])) return false;
+static bool split_text(text_parts *parts, const char *text, size_t length, uint64_t *sequence) {
+    static const tw_json_field field = {.type = TW_JSON_UINT64, .max = TW_JSON_MAX_NUMBER};
+    const size_t name_length = sizeof sequence_name - 1;
+    const char *found = length ? memmem(text, length, sequence_name, name_length) : NULL;
+    if (!found || *text != '{' || length > MAX_CACHED_TEXT_BYTES) return false;
+    const size_t head_end = (size_t)(found - text) + name_length;
+    if (memchr(text + 1, '{', head_end - 1) || memchr(text, '\\', head_end)) return false;
+    if (head_end == length || !isdigit((unsigned char)text[head_end])) return false;
     const char *end = NULL;
-    cJSON *number = cJSON_ParseWithLengthOpts(text + head, length - head, &end, 0);
+    cJSON *number = cJSON_ParseWithLengthOpts(text + head_end, length - head_end, &end, 0);
     const bool wrong = !number || tw_json_read_value(&field, number, sequence);
     cJSON_Delete(number);
-    *of = (parts){text, head, (size_t)(end - text), length};
+    *parts = (text_parts){text, head_end, (size_t)(end - text), length};
     return !wrong;
 }
 
-static bool is_same(const kept *old, const parts *of) {
-    const size_t rest = of->length - of->tail;
-    return old->rest == rest && !memcmp(old->text + old->head, of->text + of->tail, rest);
+static bool has_same_parts(const cache_entry *entry, const text_parts *parts) {
+    const size_t tail_length = parts->length - parts->tail_start;
+    return entry->tail_length == tail_length &&
+           !memcmp(entry->text + entry->head_length, parts->text + parts->tail_start, tail_length);
 }
 
-/* What the text and its report count against the most_long_bytes; 0 for a short text. */
-static size_t long_bytes_of(const parts *of, const tw_wire_heartbeat *heartbeat) {
-    if (of->length <= SHORT_BYTES) return 0;
-    return of->length + (size_t)heartbeat->task_count * sizeof *heartbeat->tasks;
+/* What the text and its report count against the max_long_bytes; 0 for a short text. */
+static size_t count_long_bytes(const text_parts *parts, const tw_wire_heartbeat *heartbeat) {
+    if (parts->length <= MAX_SHORT_TEXT_BYTES) return 0;
+    return parts->length + (size_t)heartbeat->task_count * sizeof *heartbeat->tasks;
 }
 
 /* Keeps the report, whose pieces pass to the set. */
-static const tw_wire_heartbeat *keep(tw_wire_heartbeat_cache *cache, const parts *of,
-                                     const tw_wire_heartbeat *heartbeat) {
-    const size_t rest = of->length - of->tail;
-    kept *added = tw_json_alloc(sizeof *added + of->head + rest);
-    added->report = *heartbeat;
-    added->head = of->head;
-    added->rest = rest;
-    added->came = true;
-    added->long_bytes = long_bytes_of(of, heartbeat);
-    cache->long_bytes += added->long_bytes;
-    memcpy(added->text, of->text, of->head);
-    memcpy(added->text + of->head, of->text + of->tail, rest);
-    HASH_ADD_KEYPTR(hh, cache->kept, added->text, added->head, added);
-    return &added->report;
+static const tw_wire_heartbeat *add_entry(tw_wire_heartbeat_cache *cache, const text_parts *parts,
+                                          const tw_wire_heartbeat *heartbeat) {
+    const size_t tail_length = parts->length - parts->tail_start;
+    cache_entry *entry = tw_json_alloc(sizeof *entry + parts->head_end + tail_length);
+    entry->heartbeat = *heartbeat;
+    entry->head_length = parts->head_end;
+    entry->tail_length = tail_length;
+    entry->used_since_sweep = true;
+    entry->long_bytes = count_long_bytes(parts, heartbeat);
+    cache->long_bytes += entry->long_bytes;
+    memcpy(entry->text, parts->text, parts->head_end);
+    memcpy(entry->text + parts->head_end, parts->text + parts->tail_start, tail_length);
+    HASH_ADD_KEYPTR(hh, cache->entries, entry->text, entry->head_length, entry);
+    return &entry->heartbeat;
 }
 
 const tw_wire_heartbeat *tw_wire_heartbeat_cache_read(tw_wire_heartbeat_cache *cache,
                                                       const char *text, size_t length) {
-    parts of;
+    text_parts parts;
     uint64_t sequence = 0;
-    kept *old = NULL;
+    cache_entry *entry = NULL;
     tw_wire_heartbeat heartbeat;
-    tw_wire_heartbeat_free(&cache->passing);
-    const bool recognisable = split(&of, text, length, &sequence);
-    if (recognisable) HASH_FIND(hh, cache->kept, text, of.head, old);
-    if (old && is_same(old, &of)) {
-        old->came = true;
-        old->report.sequence = sequence;
-        return &old->report;
+    tw_wire_heartbeat_free(&cache->uncached);
+    const bool cacheable = split_text(&parts, text, length, &sequence);
+    if (cacheable) HASH_FIND(hh, cache->entries, text, parts.head_end, entry);
+    if (entry && has_same_parts(entry, &parts)) {
+        entry->used_since_sweep = true;
+        entry->heartbeat.sequence = sequence;
+        return &entry->heartbeat;
     }
     if (tw_wire_heartbeat_parse(&heartbeat, text, length)) return NULL;
-    if (old) let_go(cache, old); /* the new report takes its place */
-    if (recognisable &&
-        cache->long_bytes + long_bytes_of(&of, &heartbeat) <= cache->most_long_bytes)
-        return keep(cache, &of, &heartbeat);
-    cache->passing = heartbeat;
-    return &cache->passing;
+    if (entry) evict_entry(cache, entry); /* the new report takes its place */
+    if (cacheable &&
+        cache->long_bytes + count_long_bytes(&parts, &heartbeat) <= cache->max_long_bytes)
+        return add_entry(cache, &parts, &heartbeat);
+    cache->uncached = heartbeat;
+    return &cache->uncached;
 }
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -7,9 +7,9 @@
 #include <string.h>
 
 /* A word on the wire is shorter than this. */
-#define WORD_SIZE 64
-#define LARGEST_SPAN_S 1e9
-#define LONGEST_SPAN 32
+#define MAX_WORD_SIZE 64
+#define MAX_DURATION_S 1e9
+#define DURATION_TEXT_SIZE 32
 
 static bool is_space(char character) {
     return character == ' ' || character == '\t' || character == '\n' || character == '\r';
@@ -30,7 +30,7 @@
     return value && cJSON_IsNull(value) ? NULL : value;
 }
 
-tw_wire_error tw_json_text(const cJSON *value, char *to, size_t size) {
+tw_wire_error tw_json_read_string(const cJSON *value, char *to, size_t size) {
     if (!cJSON_IsString(value) || !*value->valuestring) return TW_WIRE_MALFORMED;
     size_t length = strlen(value->valuestring);
     if (length >= size) return TW_WIRE_MALFORMED;
@@ -38,7 +38,7 @@
     return TW_WIRE_OK;
 }
 
-int tw_json_word(const char *const *words, const char *text, int unknown) {
+int tw_json_find_word(const char *const *words, const char *text, int unknown) {
     for (int i = 0; words[i]; i++)
         if (!strcmp(words[i], text)) return i;
     return unknown;
@@ -47,8 +47,8 @@
 /* ---- reading by a table ---- */
 
 static tw_wire_error read_text(const tw_json_field *field, const cJSON *value, char *to) {
-    if (tw_json_text(value, to, field->size)) return TW_WIRE_MALFORMED;
-    return field->accepts && !field->accepts(to, strlen(to)) ? TW_WIRE_MALFORMED : TW_WIRE_OK;
+    if (tw_json_read_string(value, to, field->size)) return TW_WIRE_MALFORMED;
+    return field->is_valid && !field->is_valid(to, strlen(to)) ? TW_WIRE_MALFORMED : TW_WIRE_OK;
 }
 
 static tw_wire_error read_number(const tw_json_field *field, const cJSON *value, double *to) {
@@ -59,14 +59,14 @@
     return TW_WIRE_OK;
 }
 
-static tw_wire_error read_whole(const tw_json_field *field, const cJSON *value, double *to) {
+static tw_wire_error read_integer(const tw_json_field *field, const cJSON *value, double *to) {
     return read_number(field, value, to) || *to != floor(*to) ? TW_WIRE_MALFORMED : TW_WIRE_OK;
 }
 
 static tw_wire_error read_word(const tw_json_field *field, const cJSON *value, int *to) {
     if (!cJSON_IsString(value) || !*value->valuestring) return TW_WIRE_MALFORMED;
-    if (strlen(value->valuestring) >= WORD_SIZE) return TW_WIRE_MALFORMED;
-    *to = tw_json_word(field->words, value->valuestring, field->unknown);
+    if (strlen(value->valuestring) >= MAX_WORD_SIZE) return TW_WIRE_MALFORMED;
+    *to = tw_json_find_word(field->words, value->valuestring, field->unknown);
     return *to == TW_JSON_REFUSED ? TW_WIRE_MALFORMED : TW_WIRE_OK;
 }
 
@@ -76,21 +76,21 @@
     case TW_JSON_TEXT:
         return read_text(field, value, to);
     case TW_JSON_NUMBER:
-    case TW_JSON_SPAN:
+    case TW_JSON_DURATION:
         return read_number(field, value, to);
     case TW_JSON_INTEGER:
-        if (read_whole(field, value, &number)) return TW_WIRE_MALFORMED;
+        if (read_integer(field, value, &number)) return TW_WIRE_MALFORMED;
         *(int *)to = (int)number;
         return TW_WIRE_OK;
-    case TW_JSON_COUNT:
-        if (read_whole(field, value, &number)) return TW_WIRE_MALFORMED;
+    case TW_JSON_UINT64:
+        if (read_integer(field, value, &number)) return TW_WIRE_MALFORMED;
         *(uint64_t *)to = (uint64_t)number;
         return TW_WIRE_OK;
     case TW_JSON_FLAG:
         if (!cJSON_IsBool(value)) return TW_WIRE_MALFORMED;
         *(bool *)to = cJSON_IsTrue(value);
         return TW_WIRE_OK;
-    case TW_JSON_WORD:
+    case TW_JSON_ENUM:
         return read_word(field, value, to);
     case TW_JSON_CUSTOM:
         break;
@@ -98,23 +98,23 @@
     return TW_WIRE_MALFORMED;
 }
 
-static void take_fallback(const tw_json_field *field, void *to) {
+static void set_fallback(const tw_json_field *field, void *to) {
     switch (field->type) {
     case TW_JSON_TEXT:
         *(char *)to = 0;
         break;
     case TW_JSON_NUMBER:
-    case TW_JSON_SPAN:
+    case TW_JSON_DURATION:
         *(double *)to = field->fallback;
         break;
-    case TW_JSON_COUNT:
+    case TW_JSON_UINT64:
         *(uint64_t *)to = (uint64_t)field->fallback;
         break;
     case TW_JSON_FLAG:
         *(bool *)to = field->fallback != 0;
         break;
     case TW_JSON_INTEGER:
-    case TW_JSON_WORD:
+    case TW_JSON_ENUM:
         *(int *)to = (int)field->fallback;
         break;
     case TW_JSON_CUSTOM:
@@ -130,15 +130,15 @@
     if (value && !tw_json_read_value(field, value, to)) return TW_WIRE_OK;
     if (!(field->rules & TW_JSON_LENIENT) && (value || !(field->rules & TW_JSON_OPTIONAL)))
         return TW_WIRE_MALFORMED;
-    take_fallback(field, to);
+    set_fallback(field, to);
     return TW_WIRE_OK;
 }
 
-tw_wire_error tw_json_read(const cJSON *object, const tw_json_field *fields, size_t count,
-                           void *message, const char **refusal) {
+tw_wire_error tw_json_read_fields(const cJSON *object, const tw_json_field *fields, size_t count,
+                                  void *message, const char **error_text) {
     for (size_t i = 0; i < count; i++) {
         if (!read_field(&fields[i], object, message)) continue;
-        if (refusal) *refusal = fields[i].refusal;
+        if (error_text) *error_text = fields[i].error_text;
         return TW_WIRE_MALFORMED;
     }
     return TW_WIRE_OK;
@@ -153,9 +153,9 @@
 
 /* Rounded down, so that a span is never told to be longer than it was. As whole milliseconds, since
  * to print all digits of a double, and to read them back, costs more than the rest of a message. */
-static void write_span(cJSON *object, const tw_json_field *field, double seconds) {
-    char text[LONGEST_SPAN];
-    const uint64_t milliseconds = (uint64_t)(fmin(fmax(seconds, 0), LARGEST_SPAN_S) * 1000);
+static void write_duration(cJSON *object, const tw_json_field *field, double seconds) {
+    char text[DURATION_TEXT_SIZE];
+    const uint64_t milliseconds = (uint64_t)(fmin(fmax(seconds, 0), MAX_DURATION_S) * 1000);
     snprintf(text, sizeof text, "%" PRIu64 ".%03u", milliseconds / 1000,
              (unsigned)(milliseconds % 1000));
     cJSON_AddItemToObjectCS(object, field->name, cJSON_CreateRaw(text));
@@ -175,19 +175,19 @@
     case TW_JSON_NUMBER:
         write_number(object, field, *(const double *)from);
         break;
-    case TW_JSON_SPAN:
-        write_span(object, field, *(const double *)from);
+    case TW_JSON_DURATION:
+        write_duration(object, field, *(const double *)from);
         break;
     case TW_JSON_INTEGER:
         write_number(object, field, *(const int *)from);
         break;
-    case TW_JSON_COUNT:
+    case TW_JSON_UINT64:
         write_number(object, field, (double)*(const uint64_t *)from);
         break;
     case TW_JSON_FLAG:
         cJSON_AddItemToObjectCS(object, field->name, cJSON_CreateBool(*(const bool *)from));
         break;
-    case TW_JSON_WORD:
+    case TW_JSON_ENUM:
         write_text(object, field, field->words[*(const int *)from]);
         break;
     case TW_JSON_CUSTOM:
@@ -196,7 +196,8 @@
     }
 }
 
-void tw_json_write(cJSON *object, const tw_json_field *fields, size_t count, const void *message) {
+void tw_json_write_fields(cJSON *object, const tw_json_field *fields, size_t count,
+                          const void *message) {
     for (size_t i = 0; i < count; i++) write_field(object, &fields[i], message);
 }
 
@@ -220,14 +221,14 @@
     *count = 0;
     *items = NULL;
     if (!cJSON_IsArray(array)) return TW_WIRE_MALFORMED;
-    char *room = tw_json_alloc((size_t)cJSON_GetArraySize(array) * list->item_size);
-    if (!read_items(list, array, room, count)) {
-        *items = room;
+    char *array_items = tw_json_alloc((size_t)cJSON_GetArraySize(array) * list->item_size);
+    if (!read_items(list, array, array_items, count)) {
+        *items = array_items;
         return TW_WIRE_OK;
     }
     if (list->release)
-        for (int i = 0; i < *count; i++) list->release(room + list->item_size * (size_t)i);
-    free(room);
+        for (int i = 0; i < *count; i++) list->release(array_items + list->item_size * (size_t)i);
+    free(array_items);
     *count = 0;
     return TW_WIRE_MALFORMED;
 }
@@ -241,7 +242,7 @@
     return result;
 }
 
-tw_wire_error tw_json_read_text_item(const cJSON *value, void *item, size_t size) {
+tw_wire_error tw_json_read_string_item(const cJSON *value, void *item, size_t size) {
     if (!cJSON_IsString(value)) return TW_WIRE_MALFORMED;
     size_t length = strlen(value->valuestring);
     if (length >= size) return TW_WIRE_MALFORMED;
@@ -249,15 +250,15 @@
     return TW_WIRE_OK;
 }
 
-tw_wire_error tw_json_parse_texts(const char *name, size_t size, const char *text, size_t length,
-                                  void **texts, int *count) {
-    const tw_json_list list = {name, size, tw_json_read_text_item, NULL};
+tw_wire_error tw_json_parse_strings(const char *name, size_t size, const char *text, size_t length,
+                                    void **texts, int *count) {
+    const tw_json_list list = {name, size, tw_json_read_string_item, NULL};
     return tw_json_parse_list(&list, text, length, texts, count, NULL);
 }
 
 /* ---- text and room ---- */
 
-char *tw_json_finish(cJSON *object) {
+char *tw_json_print_and_delete(cJSON *object) {
     char *text = cJSON_PrintUnformatted(object);
     cJSON_Delete(object);
     if (!text) abort();
@@ -265,7 +266,7 @@
 }
 
 void *tw_json_alloc(size_t size) {
-    void *room = calloc(1, size ? size : 1);
-    if (!room) abort();
-    return room;
+    void *memory = calloc(1, size ? size : 1);
+    if (!memory) abort();
+    return memory;
 }
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -12,17 +12,17 @@
 #include <stdint.h>
 
 /* Numbers above this are refused: integers up to it are exact in a JSON number. */
-#define TW_JSON_LARGEST 1e15
+#define TW_JSON_MAX_NUMBER 1e15
 
 typedef enum {
-    TW_JSON_TEXT,    /* char[]: 1 to size - 1 characters; an empty one counts as missing */
-    TW_JSON_NUMBER,  /* double, from min to max */
-    TW_JSON_SPAN,    /* the same, a time in seconds, written rounded down to milliseconds */
-    TW_JSON_INTEGER, /* int, from min to max */
-    TW_JSON_COUNT,   /* uint64_t, up to TW_JSON_LARGEST */
-    TW_JSON_FLAG,    /* bool */
-    TW_JSON_WORD,    /* int or an enum, the index of a text among words */
-    TW_JSON_CUSTOM   /* what read and write make of it */
+    TW_JSON_TEXT,     /* char[]: 1 to size - 1 characters; an empty one counts as missing */
+    TW_JSON_NUMBER,   /* double, from min to max */
+    TW_JSON_DURATION, /* the same, a time in seconds, written rounded down to milliseconds */
+    TW_JSON_INTEGER,  /* int, from min to max */
+    TW_JSON_UINT64,   /* uint64_t, up to TW_JSON_MAX_NUMBER */
+    TW_JSON_FLAG,     /* bool */
+    TW_JSON_ENUM,     /* int or an enum, the index of a text among words */
+    TW_JSON_CUSTOM    /* what read and write make of it */
 } tw_json_type;
 
 /* Rules of a field; none: it is required and always written. */
@@ -32,12 +32,12 @@
     TW_JSON_OMIT = 4      /* not written unless above its fallback (a text: not empty) */
 };
 
-/* TW_JSON_WORD: words that are not in the list are refused. */
+/* TW_JSON_ENUM: words that are not in the list are refused. */
 #define TW_JSON_REFUSED (-1)
 
 typedef struct {
     const char *name;
-    const char *refusal; /* "bad NAME" */
+    const char *error_text; /* "bad NAME" */
     tw_json_type type;
     unsigned rules;
     size_t offset; /* in the struct */
@@ -47,7 +47,7 @@
     double fallback;
     const char *const *words; /* WORD: ends with NULL */
     int unknown;              /* WORD: value of a word that is not in the list */
-    bool (*accepts)(const char *text, size_t length); /* TEXT: a further check, or NULL */
+    bool (*is_valid)(const char *text, size_t length); /* TEXT: a further check, or NULL */
     /* CUSTOM. value: NULL where missing or null; message: the struct. read: 0, or -1 refused.
      * Either may be NULL: nothing to read, nothing to write. */
     tw_wire_error (*read)(const cJSON *value, void *message);
@@ -55,39 +55,41 @@
 } tw_json_field;
 
 /* Beginnings of a table's row: {TW_JSON_NAME("dueS"), TW_JSON_NUMBER_AT(job, due_s)}. */
-#define TW_JSON_NAME(json_name) .name = (json_name), .refusal = "bad " json_name
+#define TW_JSON_NAME(json_name) .name = (json_name), .error_text = "bad " json_name
 #define TW_JSON_TEXT_AT(struct_name, member)                                                       \
     .type = TW_JSON_TEXT, .offset = offsetof(struct_name, member),                                 \
     .size = sizeof(((struct_name *)NULL)->member)
 #define TW_JSON_NUMBER_AT(struct_name, member)                                                     \
-    .type = TW_JSON_NUMBER, .offset = offsetof(struct_name, member), .max = TW_JSON_LARGEST
-#define TW_JSON_SPAN_AT(struct_name, member)                                                       \
-    .type = TW_JSON_SPAN, .offset = offsetof(struct_name, member), .max = TW_JSON_LARGEST
-#define TW_JSON_INTEGER_AT(struct_name, member, least, most)                                       \
-    .type = TW_JSON_INTEGER, .offset = offsetof(struct_name, member), .min = (least), .max = (most)
-#define TW_JSON_COUNT_AT(struct_name, member)                                                      \
-    .type = TW_JSON_COUNT, .offset = offsetof(struct_name, member), .max = TW_JSON_LARGEST
+    .type = TW_JSON_NUMBER, .offset = offsetof(struct_name, member), .max = TW_JSON_MAX_NUMBER
+#define TW_JSON_DURATION_AT(struct_name, member)                                                   \
+    .type = TW_JSON_DURATION, .offset = offsetof(struct_name, member), .max = TW_JSON_MAX_NUMBER
+#define TW_JSON_INTEGER_AT(struct_name, member, min_value, max_value)                              \
+    .type = TW_JSON_INTEGER, .offset = offsetof(struct_name, member), .min = (min_value),          \
+    .max = (max_value)
+#define TW_JSON_UINT64_AT(struct_name, member)                                                     \
+    .type = TW_JSON_UINT64, .offset = offsetof(struct_name, member), .max = TW_JSON_MAX_NUMBER
 #define TW_JSON_FLAG_AT(struct_name, member)                                                       \
     .type = TW_JSON_FLAG, .offset = offsetof(struct_name, member)
-#define TW_JSON_WORD_AT(struct_name, member, list)                                                 \
-    .type = TW_JSON_WORD, .offset = offsetof(struct_name, member), .words = (list)
-#define TW_JSON_ROWS(table) (sizeof(table) / sizeof *(table))
+#define TW_JSON_ENUM_AT(struct_name, member, list)                                                 \
+    .type = TW_JSON_ENUM, .offset = offsetof(struct_name, member), .words = (list)
+#define TW_JSON_FIELD_COUNT(table) (sizeof(table) / sizeof *(table))
 
 /* The object that the text holds, with nothing but white space after it; else NULL. */
 cJSON *tw_json_parse(const char *text, size_t length);
 /* A field's value; NULL where it is missing or null. object may be NULL. */
 const cJSON *tw_json_get(const cJSON *object, const char *name);
 /* A text of 1 to size - 1 characters. 0, or -1: something else, and `to` is left as it was. */
-tw_wire_error tw_json_text(const cJSON *value, char *to, size_t size);
+tw_wire_error tw_json_read_string(const cJSON *value, char *to, size_t size);
 /* The index of a text in a list that ends with NULL, or unknown. */
-int tw_json_word(const char *const *words, const char *text, int unknown);
+int tw_json_find_word(const char *const *words, const char *text, int unknown);
 
 /* One field's value, into `to`. 0, or -1: it is not what the field takes. */
 tw_wire_error tw_json_read_value(const tw_json_field *field, const cJSON *value, void *to);
-/* 0; or -1, and the refusal of the field in *refusal unless that is NULL. */
-tw_wire_error tw_json_read(const cJSON *object, const tw_json_field *fields, size_t count,
-                           void *message, const char **refusal);
-void tw_json_write(cJSON *object, const tw_json_field *fields, size_t count, const void *message);
+/* 0; or -1, and the error_text of the field in *error_text unless that is NULL. */
+tw_wire_error tw_json_read_fields(const cJSON *object, const tw_json_field *fields, size_t count,
+                                  void *message, const char **error_text);
+void tw_json_write_fields(cJSON *object, const tw_json_field *fields, size_t count,
+                          const void *message);
 
 /* An array of items of one kind. */
 typedef struct {
@@ -105,13 +107,13 @@
 tw_wire_error tw_json_parse_list(const tw_json_list *list, const char *text, size_t length,
                                  void **items, int *count, int *more);
 /* The texts of a message's array: each of up to size - 1 characters, in room of size bytes. */
-tw_wire_error tw_json_parse_texts(const char *name, size_t size, const char *text, size_t length,
-                                  void **texts, int *count);
+tw_wire_error tw_json_parse_strings(const char *name, size_t size, const char *text, size_t length,
+                                    void **texts, int *count);
 /* A list's item that is a text, also an empty one, of up to size - 1 characters. */
-tw_wire_error tw_json_read_text_item(const cJSON *value, void *item, size_t size);
+tw_wire_error tw_json_read_string_item(const cJSON *value, void *item, size_t size);
 
 /* The object as text; frees the object. Free the result. */
-char *tw_json_finish(cJSON *object);
+char *tw_json_print_and_delete(cJSON *object);
 /* Zeroed room; ends the program where there is none. */
 void *tw_json_alloc(size_t size);
 
--- a/src/wire/record.c
+++ b/src/wire/record.c
@@ -10,18 +10,18 @@
 #include <string.h>
 
 /* Longest text of one task that runs, beside its machine's name: "index:attempt:,". */
-#define LIVE_NUMBERS 32
+#define ASSIGNMENT_NUMBERS_SIZE 32
 /* Most slices of a divided record. */
-#define MOST_SLICES 10000
+#define MAX_RECORD_CHUNKS 10000
 /* Bytes of a character in a JSON text: escaped by a letter, by a number, and, of others than ASCII,
  * by numbers, for each byte of theirs. */
-#define ESCAPED 2
-#define NUMBERED 6
-#define NUMBERED_BYTE 3
-#define FIRST_NOT_ASCII 0x80
+#define LETTER_ESCAPE_BYTES 2
+#define UNICODE_ESCAPE_BYTES 6
+#define NON_ASCII_ESCAPE_BYTES 3
+#define FIRST_NON_ASCII 0x80
 /* Bytes of a character after its first one. */
-#define CONTINUED_MASK 0xc0
-#define CONTINUED 0x80
+#define CONTINUATION_MASK 0xc0
+#define CONTINUATION_BITS 0x80
 
 static const tw_json_field stage_field[] = {
     {TW_JSON_NAME("s"), TW_JSON_INTEGER_AT(tw_wire_record, state, 0, TW_JOB_CANCELLED)},
@@ -34,14 +34,14 @@
      .rules = TW_JSON_LENIENT | TW_JSON_OMIT},
     {TW_JSON_NAME("t"), TW_JSON_NUMBER_AT(tw_wire_record, submitted_at),
      .rules = TW_JSON_LENIENT | TW_JSON_OMIT},
-    {TW_JSON_NAME("n"), TW_JSON_COUNT_AT(tw_wire_record, next_attempt),
+    {TW_JSON_NAME("n"), TW_JSON_UINT64_AT(tw_wire_record, next_attempt),
      .rules = TW_JSON_LENIENT | TW_JSON_OMIT, .fallback = 1},
 };
 
 /* Of a divided record; "parts" itself is what says that it is one. */
 static const tw_json_field parts_fields[] = {
     {TW_JSON_NAME("set"), TW_JSON_TEXT_AT(tw_wire_record, chunk_set)},
-    {TW_JSON_NAME("n"), TW_JSON_INTEGER_AT(tw_wire_record, chunk_count, 1, MOST_SLICES)},
+    {TW_JSON_NAME("n"), TW_JSON_INTEGER_AT(tw_wire_record, chunk_count, 1, MAX_RECORD_CHUNKS)},
     {TW_JSON_NAME("l"), TW_JSON_INTEGER_AT(tw_wire_record, running_count, 0, TW_WIRE_MAX_TASKS),
      .rules = TW_JSON_LENIENT},
 };
@@ -50,31 +50,33 @@
 
 /* Reads "INDEX:ATTEMPT:MACHINE" up to a comma or the end. The end of it, or NULL: it is not that.
  */
-static const char *read_live(const char *text, int tasks, tw_wire_assignment *live) {
+static const char *read_assignment(const char *text, int task_count,
+                                   tw_wire_assignment *assignment) {
     char *end;
     errno = 0;
     long index = strtol(text, &end, 10);
-    if (end == text || *end != ':' || index < 0 || index >= tasks) return NULL;
+    if (end == text || *end != ':' || index < 0 || index >= task_count) return NULL;
     text = end + 1;
     unsigned long long attempt = strtoull(text, &end, 10);
     if (end == text || *end != ':' || errno) return NULL;
     text = end + 1;
     size_t length = strcspn(text, ",");
-    if (!length || length >= sizeof live->worker) return NULL;
-    memcpy(live->worker, text, length);
-    live->worker[length] = 0;
-    live->index = (int)index;
-    live->attempt = attempt;
+    if (!length || length >= sizeof assignment->worker) return NULL;
+    memcpy(assignment->worker, text, length);
+    assignment->worker[length] = 0;
+    assignment->index = (int)index;
+    assignment->attempt = attempt;
     return text + length;
 }
 
 /* The tasks that may run, as a list with commas. */
-static tw_wire_error read_lives(tw_wire_record *record, const char *text) {
-    size_t most = 1;
-    for (const char *at = text; *at; at++) most += *at == ',';
-    record->assignments = tw_json_alloc(most * sizeof *record->assignments);
+static tw_wire_error read_assignments(tw_wire_record *record, const char *text) {
+    size_t max_count = 1;
+    for (const char *c = text; *c; c++) max_count += *c == ',';
+    record->assignments = tw_json_alloc(max_count * sizeof *record->assignments);
     while (*text) {
-        text = read_live(text, record->task_count, &record->assignments[record->assignment_count]);
+        text = read_assignment(text, record->task_count,
+                               &record->assignments[record->assignment_count]);
         if (!text) return TW_WIRE_MALFORMED;
         record->assignment_count++;
         if (*text == ',') text++;
@@ -85,9 +87,9 @@
 /* The job, or of one that is over only the number of its tasks. */
 static tw_wire_error read_job(tw_wire_record *record, const char *id, const cJSON *object) {
     const cJSON *job = tw_json_get(object, "j");
-    const char *why;
-    if (!job) return tw_json_read(object, tasks_field, 1, record, NULL);
-    if (tw_wire_job_read(&record->job, job, &why)) return TW_WIRE_MALFORMED;
+    const char *reason;
+    if (!job) return tw_json_read_fields(object, tasks_field, 1, record, NULL);
+    if (tw_wire_job_read(&record->job, job, &reason)) return TW_WIRE_MALFORMED;
     if (strcmp(record->job.id, id) != 0) return TW_WIRE_MALFORMED;
     record->has_job = 1;
     record->task_count = record->job.task_count;
@@ -95,25 +97,29 @@
 }
 
 /* The head of a divided record: what it says without its slices. */
-static tw_wire_error read_divided(tw_wire_record *record, const cJSON *object, const cJSON *parts) {
-    if (tw_json_read(object, tasks_field, 1, record, NULL)) return TW_WIRE_MALFORMED;
-    if (tw_json_read(object, progress_fields, 1, record, NULL)) return TW_WIRE_MALFORMED;
-    return tw_json_read(parts, parts_fields, TW_JSON_ROWS(parts_fields), record, NULL);
+static tw_wire_error read_chunked_record(tw_wire_record *record, const cJSON *object,
+                                         const cJSON *parts) {
+    if (tw_json_read_fields(object, tasks_field, 1, record, NULL)) return TW_WIRE_MALFORMED;
+    if (tw_json_read_fields(object, progress_fields, 1, record, NULL)) return TW_WIRE_MALFORMED;
+    return tw_json_read_fields(parts, parts_fields, TW_JSON_FIELD_COUNT(parts_fields), record,
+                               NULL);
 }
 
 static tw_wire_error read_record(tw_wire_record *record, const char *id, const cJSON *object) {
-    if (tw_json_read(object, stage_field, 1, record, NULL)) return TW_WIRE_MALFORMED;
+    if (tw_json_read_fields(object, stage_field, 1, record, NULL)) return TW_WIRE_MALFORMED;
     const cJSON *parts = tw_json_get(object, "parts");
-    if (parts) return read_divided(record, object, parts);
+    if (parts) return read_chunked_record(record, object, parts);
     if (read_job(record, id, object)) return TW_WIRE_MALFORMED;
     if (record->state == TW_JOB_PENDING && !record->has_job) return TW_WIRE_MALFORMED;
-    if (tw_json_read(object, progress_fields, TW_JSON_ROWS(progress_fields), record, NULL))
+    if (tw_json_read_fields(object, progress_fields, TW_JSON_FIELD_COUNT(progress_fields), record,
+                            NULL))
         return TW_WIRE_MALFORMED;
     if (record->done_count > record->task_count) record->done_count = 0;
     const cJSON *done = tw_json_get(object, "f");
-    const cJSON *live = tw_json_get(object, "l");
+    const cJSON *assignments = tw_json_get(object, "l");
     if (cJSON_IsString(done)) record->done_ranges = strdup(done->valuestring);
-    return cJSON_IsString(live) ? read_lives(record, live->valuestring) : TW_WIRE_OK;
+    return cJSON_IsString(assignments) ? read_assignments(record, assignments->valuestring)
+                                       : TW_WIRE_OK;
 }
 
 tw_wire_error tw_wire_record_parse(tw_wire_record *record, const char *id, const char *text,
@@ -129,28 +135,31 @@
 
 /* ---- lists ---- */
 
-static tw_wire_error read_listed(const cJSON *value, void *item, size_t size) {
+static tw_wire_error read_listed_key(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("k"), TW_JSON_TEXT_AT(tw_wire_listed_record, key)},
-        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_listed_record, mod_revision)},
+        {TW_JSON_NAME("stamp"), TW_JSON_UINT64_AT(tw_wire_listed_record, mod_revision)},
     };
     (void)size;
-    return tw_json_read(value, fields, TW_JSON_ROWS(fields), item, NULL);
+    return tw_json_read_fields(value, fields, TW_JSON_FIELD_COUNT(fields), item, NULL);
 }
 
-static void read_data(tw_wire_listed_record *listed, const char *prefix, const cJSON *value) {
+static void read_listed_record(tw_wire_listed_record *listed, const char *prefix,
+                               const cJSON *value) {
     const size_t length = strlen(prefix);
     const char *id = listed->key + length;
     const cJSON *data = cJSON_GetObjectItemCaseSensitive(value, "data");
     listed->record.job.machine_type_count = -1;
-    listed->readable = !strncmp(listed->key, prefix, length) && tw_wire_id_ok(id, strlen(id)) &&
-                       cJSON_IsObject(data) && !read_record(&listed->record, id, data);
+    listed->readable = !strncmp(listed->key, prefix, length) &&
+                       tw_wire_is_valid_job_id(id, strlen(id)) && cJSON_IsObject(data) &&
+                       !read_record(&listed->record, id, data);
     if (!listed->readable) tw_wire_record_free(&listed->record);
 }
 
 tw_wire_error tw_wire_records_parse(tw_wire_listed_record **records, int *n, int *more,
                                     const char *prefix, const char *text, size_t len) {
-    static const tw_json_list list = {"entries", sizeof(tw_wire_listed_record), read_listed, NULL};
+    static const tw_json_list list = {"entries", sizeof(tw_wire_listed_record), read_listed_key,
+                                      NULL};
     void *items;
     cJSON *object = tw_json_parse(text, len);
     tw_wire_error result = tw_json_read_list(&list, object, &items, n);
@@ -159,7 +168,7 @@
     const cJSON *value;
     int i = 0;
     if (!result) cJSON_ArrayForEach(value, tw_json_get(object, list.name)) {
-            read_data(&(*records)[i++], prefix, value);
+            read_listed_record(&(*records)[i++], prefix, value);
         }
     cJSON_Delete(object);
     return result;
@@ -173,7 +182,7 @@
 tw_wire_job_state tw_wire_record_state(const char *text, size_t len) {
     tw_wire_record record;
     cJSON *object = tw_json_parse(text, len);
-    int result = tw_json_read(object, stage_field, 1, &record, NULL);
+    int result = tw_json_read_fields(object, stage_field, 1, &record, NULL);
     cJSON_Delete(object);
     return result ? TW_JOB_UNKNOWN : record.state;
 }
@@ -189,15 +198,17 @@
 
 /* ---- writing ---- */
 
-static void write_lives(cJSON *object, const tw_wire_record *record) {
+static void write_assignments(cJSON *object, const tw_wire_record *record) {
     if (!record->assignment_count) return;
-    size_t size = (size_t)record->assignment_count * (TW_WIRE_NAME_SIZE + LIVE_NUMBERS) + 1;
+    size_t size =
+        (size_t)record->assignment_count * (TW_WIRE_NAME_SIZE + ASSIGNMENT_NUMBERS_SIZE) + 1;
     size_t length = 0;
     char *text = tw_json_alloc(size);
     for (int i = 0; i < record->assignment_count; i++) {
-        const tw_wire_assignment *live = &record->assignments[i];
+        const tw_wire_assignment *assignment = &record->assignments[i];
         length += (size_t)snprintf(text + length, size - length, "%s%d:%llu:%s", i ? "," : "",
-                                   live->index, (unsigned long long)live->attempt, live->worker);
+                                   assignment->index, (unsigned long long)assignment->attempt,
+                                   assignment->worker);
     }
     cJSON_AddStringToObject(object, "l", text);
     free(text);
@@ -205,54 +216,56 @@
 
 char *tw_wire_record_text(const tw_wire_record *record) {
     cJSON *object = cJSON_CreateObject();
-    tw_json_write(object, stage_field, 1, record);
+    tw_json_write_fields(object, stage_field, 1, record);
     if (record->has_job && record->job_text)
         cJSON_AddRawToObject(object, "j", record->job_text);
     else if (record->has_job)
         cJSON_AddItemToObject(object, "j", tw_wire_job_write(&record->job));
     else
-        tw_json_write(object, tasks_field, 1, record);
-    tw_json_write(object, progress_fields, TW_JSON_ROWS(progress_fields), record);
+        tw_json_write_fields(object, tasks_field, 1, record);
+    tw_json_write_fields(object, progress_fields, TW_JSON_FIELD_COUNT(progress_fields), record);
     if (record->done_ranges && *record->done_ranges)
         cJSON_AddStringToObject(object, "f", record->done_ranges);
-    write_lives(object, record);
-    return tw_json_finish(object);
+    write_assignments(object, record);
+    return tw_json_print_and_delete(object);
 }
 
 char *tw_wire_chunked_record_text(const tw_wire_record *record) {
     cJSON *object = cJSON_CreateObject();
-    tw_json_write(object, stage_field, 1, record);
-    tw_json_write(object, tasks_field, 1, record);
-    tw_json_write(object, progress_fields, 1, record);
+    tw_json_write_fields(object, stage_field, 1, record);
+    tw_json_write_fields(object, tasks_field, 1, record);
+    tw_json_write_fields(object, progress_fields, 1, record);
     cJSON *parts = cJSON_AddObjectToObject(object, "parts");
-    tw_json_write(parts, parts_fields, TW_JSON_ROWS(parts_fields), record);
-    return tw_json_finish(object);
+    tw_json_write_fields(parts, parts_fields, TW_JSON_FIELD_COUNT(parts_fields), record);
+    return tw_json_print_and_delete(object);
 }
 
 /* ---- slices ---- */
 
 /* Bytes that the text's byte takes in a JSON text, at most. */
-static size_t json_bytes(unsigned char byte) {
-    if (byte == '"' || byte == '\\') return ESCAPED;
-    if (byte < ' ') return NUMBERED;
-    return byte < FIRST_NOT_ASCII ? 1 : NUMBERED_BYTE;
+static size_t max_json_bytes(unsigned char byte) {
+    if (byte == '"' || byte == '\\') return LETTER_ESCAPE_BYTES;
+    if (byte < ' ') return UNICODE_ESCAPE_BYTES;
+    return byte < FIRST_NON_ASCII ? 1 : NON_ASCII_ESCAPE_BYTES;
 }
 
-static bool within_character(unsigned char byte) { return (byte & CONTINUED_MASK) == CONTINUED; }
+static bool is_continuation_byte(unsigned char byte) {
+    return (byte & CONTINUATION_MASK) == CONTINUATION_BITS;
+}
 
-char *tw_wire_chunk_text(const char *text, size_t most, size_t *taken) {
+char *tw_wire_chunk_text(const char *text, size_t max_bytes, size_t *consumed) {
     size_t used = sizeof "\"\"" - 1;
     size_t end = 0;
-    *taken = 0;
-    while (text[end] && used + json_bytes((unsigned char)text[end]) <= most) {
-        used += json_bytes((unsigned char)text[end++]);
-        if (!within_character((unsigned char)text[end])) *taken = end;
+    *consumed = 0;
+    while (text[end] && used + max_json_bytes((unsigned char)text[end]) <= max_bytes) {
+        used += max_json_bytes((unsigned char)text[end++]);
+        if (!is_continuation_byte((unsigned char)text[end])) *consumed = end;
     }
-    char *slice = tw_json_alloc(*taken + 1);
-    memcpy(slice, text, *taken);
-    cJSON *value = cJSON_CreateString(slice);
-    free(slice);
-    return tw_json_finish(value);
+    char *chunk = tw_json_alloc(*consumed + 1);
+    memcpy(chunk, text, *consumed);
+    cJSON *value = cJSON_CreateString(chunk);
+    free(chunk);
+    return tw_json_print_and_delete(value);
 }
 
 char *tw_wire_chunk_parse(const char *json) {
--- a/src/wire/state.c
+++ b/src/wire/state.c
@@ -11,13 +11,14 @@
 static tw_wire_error read_entry(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("k"), TW_JSON_TEXT_AT(tw_wire_entry, key)},
-        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_entry, mod_revision)},
-        {TW_JSON_NAME("hold"), TW_JSON_COUNT_AT(tw_wire_entry, lease_id), .rules = TW_JSON_LENIENT},
+        {TW_JSON_NAME("stamp"), TW_JSON_UINT64_AT(tw_wire_entry, mod_revision)},
+        {TW_JSON_NAME("hold"), TW_JSON_UINT64_AT(tw_wire_entry, lease_id),
+         .rules = TW_JSON_LENIENT},
     };
     (void)size;
     tw_wire_entry *entry = item;
     const cJSON *data = cJSON_GetObjectItemCaseSensitive(value, "data");
-    if (!data || tw_json_read(value, fields, TW_JSON_ROWS(fields), entry, NULL))
+    if (!data || tw_json_read_fields(value, fields, TW_JSON_FIELD_COUNT(fields), entry, NULL))
         return TW_WIRE_MALFORMED;
     entry->value = cJSON_PrintUnformatted(data);
     if (!entry->value) abort();
@@ -65,7 +66,7 @@
                                        size_t len) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("write"), TW_JSON_TEXT_AT(tw_wire_entry, key)},
-        {TW_JSON_NAME("stamp"), TW_JSON_COUNT_AT(tw_wire_entry, mod_revision)},
+        {TW_JSON_NAME("stamp"), TW_JSON_UINT64_AT(tw_wire_entry, mod_revision)},
     };
     cJSON *object = tw_json_parse(text, len);
     const cJSON *log = tw_json_get(object, "log");
@@ -79,7 +80,9 @@
     *entries = tw_json_alloc((size_t)cJSON_GetArraySize(log) * sizeof **entries);
     /* removals, which have no "write", are passed over */
     cJSON_ArrayForEach(change, log) {
-        if (!tw_json_read(change, fields, TW_JSON_ROWS(fields), &(*entries)[*n], NULL)) ++*n;
+        if (!tw_json_read_fields(change, fields, TW_JSON_FIELD_COUNT(fields), &(*entries)[*n],
+                                 NULL))
+            ++*n;
     }
     cJSON_Delete(object);
     return TW_WIRE_OK;
@@ -106,13 +109,13 @@
                                     const char *text, size_t len) {
     cJSON *object = tw_json_parse(text, len);
     const cJSON *array = tw_json_get(object, list);
-    const cJSON *each;
+    const cJSON *item;
     bool failed = !cJSON_IsArray(array);
     *n = 0;
     *entries = failed ? NULL : tw_json_alloc((size_t)cJSON_GetArraySize(array) * sizeof **entries);
-    cJSON_ArrayForEach(each, array) {
+    cJSON_ArrayForEach(item, array) {
         if (failed) break;
-        failed = read_change(each, &(*entries)[*n]) != 0;
+        failed = read_change(item, &(*entries)[*n]) != 0;
         if (!failed) ++*n;
     }
     cJSON_Delete(object);
@@ -125,20 +128,21 @@
 
 /* ---- single numbers ---- */
 
-static tw_wire_error parse_count(const char *name, uint64_t *value, const char *text, size_t len) {
-    const tw_json_field field = {.name = name, .type = TW_JSON_COUNT, .max = TW_JSON_LARGEST};
+static tw_wire_error parse_uint64_field(const char *name, uint64_t *value, const char *text,
+                                        size_t len) {
+    const tw_json_field field = {.name = name, .type = TW_JSON_UINT64, .max = TW_JSON_MAX_NUMBER};
     cJSON *object = tw_json_parse(text, len);
-    tw_wire_error result = tw_json_read(object, &field, 1, value, NULL);
+    tw_wire_error result = tw_json_read_fields(object, &field, 1, value, NULL);
     cJSON_Delete(object);
     return result;
 }
 
 tw_wire_error tw_wire_revision_parse(uint64_t *revision, const char *text, size_t len) {
-    return parse_count("ledger", revision, text, len);
+    return parse_uint64_field("ledger", revision, text, len);
 }
 
 tw_wire_error tw_wire_lease_id_parse(uint64_t *lease_id, const char *text, size_t len) {
-    return parse_count("hold", lease_id, text, len);
+    return parse_uint64_field("hold", lease_id, text, len);
 }
 
 /* ---- transactions ---- */
@@ -146,15 +150,15 @@
 tw_wire_error tw_wire_failed_compares_parse(char (**keys)[TW_WIRE_KEY_SIZE], int *n,
                                             const char *text, size_t len) {
     void *texts;
-    tw_wire_error result = tw_json_parse_texts("failed", TW_WIRE_KEY_SIZE, text, len, &texts, n);
+    tw_wire_error result = tw_json_parse_strings("failed", TW_WIRE_KEY_SIZE, text, len, &texts, n);
     *keys = texts;
     return result;
 }
 
-static cJSON *write_compare(const tw_wire_compare *condition) {
+static cJSON *write_compare(const tw_wire_compare *compare) {
     cJSON *object = cJSON_CreateObject();
-    cJSON_AddItemToObjectCS(object, "k", cJSON_CreateString(condition->key));
-    cJSON_AddItemToObjectCS(object, "stamp", cJSON_CreateNumber((double)condition->mod_revision));
+    cJSON_AddItemToObjectCS(object, "k", cJSON_CreateString(compare->key));
+    cJSON_AddItemToObjectCS(object, "stamp", cJSON_CreateNumber((double)compare->mod_revision));
     return object;
 }
 
@@ -171,12 +175,13 @@
     return object;
 }
 
-char *tw_wire_txn_text(const tw_wire_compare *conditions, size_t nc, const tw_wire_write *writes,
-                       size_t nw) {
+char *tw_wire_txn_text(const tw_wire_compare *compares, size_t compare_count,
+                       const tw_wire_write *writes, size_t write_count) {
     cJSON *object = cJSON_CreateObject();
     cJSON *array = cJSON_AddArrayToObject(object, "if");
-    for (size_t i = 0; i < nc; i++) cJSON_AddItemToArray(array, write_compare(&conditions[i]));
-    if (nw) array = cJSON_AddArrayToObject(object, "apply");
-    for (size_t i = 0; i < nw; i++) cJSON_AddItemToArray(array, write_write(&writes[i]));
-    return tw_json_finish(object);
+    for (size_t i = 0; i < compare_count; i++)
+        cJSON_AddItemToArray(array, write_compare(&compares[i]));
+    if (write_count) array = cJSON_AddArrayToObject(object, "apply");
+    for (size_t i = 0; i < write_count; i++) cJSON_AddItemToArray(array, write_write(&writes[i]));
+    return tw_json_print_and_delete(object);
 }
--- a/src/wire/users.c
+++ b/src/wire/users.c
@@ -7,10 +7,10 @@
 
 #define ID_PREFIX "run-"
 #define ID_PREFIX_LENGTH (sizeof ID_PREFIX - 1)
-#define ID_LONGEST 20
+#define MAX_ID_LENGTH 20
 
-bool tw_wire_id_ok(const char *id, size_t len) {
-    if (len <= ID_PREFIX_LENGTH || len > ID_LONGEST) return 0;
+bool tw_wire_is_valid_job_id(const char *id, size_t len) {
+    if (len <= ID_PREFIX_LENGTH || len > MAX_ID_LENGTH) return 0;
     if (memcmp(id, ID_PREFIX, ID_PREFIX_LENGTH) != 0) return 0;
     for (size_t i = ID_PREFIX_LENGTH; i < len; i++)
         if (id[i] < '0' || id[i] > '9') return 0;
@@ -25,8 +25,8 @@
 static tw_wire_error read_shape(const cJSON *value, void *message) {
     tw_wire_job *job = message;
     char word[TW_WIRE_NAME_SIZE];
-    if (tw_json_text(value, word, sizeof word)) return TW_WIRE_MALFORMED;
-    int shape = tw_json_word(shape_words, word, TW_JSON_REFUSED);
+    if (tw_json_read_string(value, word, sizeof word)) return TW_WIRE_MALFORMED;
+    int shape = tw_json_find_word(shape_words, word, TW_JSON_REFUSED);
     job->service = shape == SHAPE_SERVICE;
     job->gang = shape == SHAPE_GROUP;
     return shape == TW_JSON_REFUSED ? TW_WIRE_MALFORMED : TW_WIRE_OK;
@@ -43,11 +43,11 @@
 /* `racks` is written between the two tables and read after both, so that of several fields that are
  * wrong the same one is named as ever. */
 static const tw_json_field fields_before_types[] = {
-    {TW_JSON_NAME("id"), TW_JSON_TEXT_AT(tw_wire_job, id), .accepts = tw_wire_id_ok},
+    {TW_JSON_NAME("id"), TW_JSON_TEXT_AT(tw_wire_job, id), .is_valid = tw_wire_is_valid_job_id},
     {TW_JSON_NAME("lane"), TW_JSON_TEXT_AT(tw_wire_job, job_class)},
     {TW_JSON_NAME("crew"), TW_JSON_TEXT_AT(tw_wire_job, team)},
     {TW_JSON_NAME("shape"), .type = TW_JSON_CUSTOM, .read = read_shape, .write = write_shape},
-    {TW_JSON_NAME("rank"), TW_JSON_WORD_AT(tw_wire_job, priority, priority_words),
+    {TW_JSON_NAME("rank"), TW_JSON_ENUM_AT(tw_wire_job, priority, priority_words),
      .unknown = TW_JSON_REFUSED},
     {TW_JSON_NAME("pieces"), TW_JSON_INTEGER_AT(tw_wire_job, task_count, 1, TW_WIRE_MAX_TASKS)},
     {TW_JSON_NAME("cores"), TW_JSON_NUMBER_AT(tw_wire_job, cores)},
@@ -71,7 +71,7 @@
 };
 
 static tw_wire_error read_machine_type_name(const cJSON *value, void *item, size_t size) {
-    return tw_json_text(value, item, size);
+    return tw_json_read_string(value, item, size);
 }
 
 /* Allowed machine types; missing or null: any. */
@@ -96,38 +96,44 @@
         cJSON_AddItemToArray(array, cJSON_CreateString(job->machine_types[i]));
 }
 
-tw_wire_error tw_wire_job_read(tw_wire_job *job, const cJSON *object, const char **why) {
-    if (tw_json_read(object, fields_before_types, TW_JSON_ROWS(fields_before_types), job, why))
+tw_wire_error tw_wire_job_read(tw_wire_job *job, const cJSON *object, const char **reason) {
+    if (tw_json_read_fields(object, fields_before_types, TW_JSON_FIELD_COUNT(fields_before_types),
+                            job, reason))
         return TW_WIRE_MALFORMED;
-    if (tw_json_read(object, fields_after_types, TW_JSON_ROWS(fields_after_types), job, why))
+    if (tw_json_read_fields(object, fields_after_types, TW_JSON_FIELD_COUNT(fields_after_types),
+                            job, reason))
         return TW_WIRE_MALFORMED;
     if (!read_allowed_types(job, object)) return TW_WIRE_OK;
-    *why = "bad racks";
+    *reason = "bad racks";
     return TW_WIRE_MALFORMED;
 }
 
 cJSON *tw_wire_job_write(const tw_wire_job *job) {
     cJSON *object = cJSON_CreateObject();
-    tw_json_write(object, fields_before_types, TW_JSON_ROWS(fields_before_types), job);
+    tw_json_write_fields(object, fields_before_types, TW_JSON_FIELD_COUNT(fields_before_types),
+                         job);
     write_allowed_types(object, job);
-    tw_json_write(object, fields_after_types, TW_JSON_ROWS(fields_after_types), job);
+    tw_json_write_fields(object, fields_after_types, TW_JSON_FIELD_COUNT(fields_after_types), job);
     return object;
 }
 
-tw_wire_error tw_wire_job_parse(tw_wire_job *job, const char *text, size_t len, const char **why) {
+tw_wire_error tw_wire_job_parse(tw_wire_job *job, const char *text, size_t len,
+                                const char **reason) {
     memset(job, 0, sizeof *job);
     cJSON *object = tw_json_parse(text, len);
     if (!object) {
-        *why = "not a JSON object";
+        *reason = "not a JSON object";
         return TW_WIRE_MALFORMED;
     }
-    tw_wire_error result = tw_wire_job_read(job, object, why);
+    tw_wire_error result = tw_wire_job_read(job, object, reason);
     cJSON_Delete(object);
     if (result) tw_wire_job_free(job);
     return result;
 }
 
-char *tw_wire_job_text(const tw_wire_job *job) { return tw_json_finish(tw_wire_job_write(job)); }
+char *tw_wire_job_text(const tw_wire_job *job) {
+    return tw_json_print_and_delete(tw_wire_job_write(job));
+}
 
 void tw_wire_job_free(tw_wire_job *job) {
     free(job->machine_types);
@@ -145,5 +151,5 @@
     if (done >= 0) cJSON_AddItemToObjectCS(object, "done", cJSON_CreateNumber((double)done));
     if (running >= 0)
         cJSON_AddItemToObjectCS(object, "running", cJSON_CreateNumber((double)running));
-    return tw_json_finish(object);
+    return tw_json_print_and_delete(object);
 }
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -65,10 +65,11 @@
 } tw_wire_job;
 
 /* Whether a job's id has the form that the protocol gives it. */
-bool tw_wire_id_ok(const char *id, size_t len);
+bool tw_wire_is_valid_job_id(const char *id, size_t len);
 /* Reads a submission. On an error *why says what is wrong in a few words, a constant. Free the job
  * with tw_wire_job_free. */
-tw_wire_error tw_wire_job_parse(tw_wire_job *job, const char *text, size_t len, const char **why);
+tw_wire_error tw_wire_job_parse(tw_wire_job *job, const char *text, size_t len,
+                                const char **reason);
 void tw_wire_job_free(tw_wire_job *job);
 /* The job as it stands in its record. */
 char *tw_wire_job_text(const tw_wire_job *job);
@@ -101,7 +102,7 @@
     TW_CAUSE_DONE,
     TW_CAUSE_STOPPED,
     TW_CAUSE_ERROR,
-    TW_CAUSE_NO_ROOM,
+    TW_CAUSE_NO_CAPACITY,
     TW_CAUSE_BUSY,
     TW_CAUSE_UNKNOWN_TASK,
     TW_CAUSE_GANG_BROKEN,     /* another task of its gang is gone */
@@ -138,9 +139,9 @@
 /* Heartbeats that came before, with their texts, so that one that says nothing new need not be
  * parsed. The cache owns the heartbeats in it. */
 typedef struct tw_wire_heartbeat_cache tw_wire_heartbeat_cache;
-/* most_long_bytes: what texts longer than 8 KiB and their heartbeats may take together; those
+/* max_long_bytes: what texts longer than 8 KiB and their heartbeats may take together; those
  * beyond it are parsed each time. */
-tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(size_t most_long_bytes);
+tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(size_t max_long_bytes);
 void tw_wire_heartbeat_cache_free(tw_wire_heartbeat_cache *cache);
 /* What tw_wire_heartbeat_parse would read, valid until the next call; NULL where that refuses. */
 const tw_wire_heartbeat *tw_wire_heartbeat_cache_read(tw_wire_heartbeat_cache *cache,
@@ -310,7 +311,7 @@
 char *tw_wire_chunked_record_text(const tw_wire_record *record);
 /* The beginning of a text as a chunk: a JSON value of at most `most` bytes that ends between two
  * characters. *taken: how many bytes of the text it holds. */
-char *tw_wire_chunk_text(const char *text, size_t most, size_t *taken);
+char *tw_wire_chunk_text(const char *text, size_t max_bytes, size_t *consumed);
 /* The text that a chunk holds, to be freed; NULL: the value is no chunk. */
 char *tw_wire_chunk_parse(const char *json);
 
--- a/src/wire/workers.c
+++ b/src/wire/workers.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LONGEST_NO_ORDERS 64
+#define NO_COMMANDS_TEXT_SIZE 64
 
 /* ---- reports ---- */
 
@@ -14,7 +14,7 @@
 static tw_wire_error read_task_name(const cJSON *value, void *message) {
     tw_wire_task *task = message;
     char name[TW_WIRE_NAME_SIZE];
-    if (tw_json_text(value, name, sizeof name)) return TW_WIRE_MALFORMED;
+    if (tw_json_read_string(value, name, sizeof name)) return TW_WIRE_MALFORMED;
     char *slash = strrchr(name, '/');
     if (!slash || slash == name || slash - name >= TW_WIRE_ID_SIZE || !slash[1])
         return TW_WIRE_MALFORMED;
@@ -38,8 +38,8 @@
     char word[TW_WIRE_NAME_SIZE];
     if (task->state != TW_TASK_EXITED) return TW_WIRE_OK;
     task->cause = TW_CAUSE_OTHER;
-    if (!tw_json_text(value, word, sizeof word))
-        task->cause = tw_json_word(words, word, TW_CAUSE_OTHER);
+    if (!tw_json_read_string(value, word, sizeof word))
+        task->cause = tw_json_find_word(words, word, TW_CAUSE_OTHER);
     return TW_WIRE_OK;
 }
 
@@ -48,14 +48,14 @@
                                               "exited",  "waiting", NULL};
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("piece"), .type = TW_JSON_CUSTOM, .read = read_task_name},
-        {TW_JSON_NAME("try"), TW_JSON_COUNT_AT(tw_wire_task, attempt)},
-        {TW_JSON_NAME("stage"), TW_JSON_WORD_AT(tw_wire_task, state, stage_words),
+        {TW_JSON_NAME("try"), TW_JSON_UINT64_AT(tw_wire_task, attempt)},
+        {TW_JSON_NAME("stage"), TW_JSON_ENUM_AT(tw_wire_task, state, stage_words),
          .unknown = TW_TASK_RUNNING},
         {TW_JSON_NAME("cause"), .type = TW_JSON_CUSTOM, .read = read_cause},
         {TW_JSON_NAME("saved"), TW_JSON_FLAG_AT(tw_wire_task, saved), .rules = TW_JSON_LENIENT},
     };
     (void)size;
-    return tw_json_read(value, fields, TW_JSON_ROWS(fields), item, NULL);
+    return tw_json_read_fields(value, fields, TW_JSON_FIELD_COUNT(fields), item, NULL);
 }
 
 /* A notice whose time can't be read is one all the same: without any time left. */
@@ -64,7 +64,8 @@
     heartbeat->preemption_notice_s = -1;
     if (!value) return TW_WIRE_OK;
     heartbeat->preemption_notice_s = 0;
-    if (cJSON_IsNumber(value) && value->valuedouble >= 0 && value->valuedouble <= TW_JSON_LARGEST)
+    if (cJSON_IsNumber(value) && value->valuedouble >= 0 &&
+        value->valuedouble <= TW_JSON_MAX_NUMBER)
         heartbeat->preemption_notice_s = value->valuedouble;
     return TW_WIRE_OK;
 }
@@ -75,15 +76,16 @@
     {TW_JSON_NAME("rack"), TW_JSON_TEXT_AT(tw_wire_heartbeat, machine_type)},
     {TW_JSON_NAME("yard"), TW_JSON_TEXT_AT(tw_wire_heartbeat, zone)},
     {TW_JSON_NAME("loaner"), TW_JSON_FLAG_AT(tw_wire_heartbeat, spot)},
-    {TW_JSON_NAME("shift"), TW_JSON_COUNT_AT(tw_wire_heartbeat, incarnation)},
-    {TW_JSON_NAME("tick"), TW_JSON_COUNT_AT(tw_wire_heartbeat, sequence)},
-    {TW_JSON_NAME("baton"), TW_JSON_COUNT_AT(tw_wire_heartbeat, fencing_token)},
+    {TW_JSON_NAME("shift"), TW_JSON_UINT64_AT(tw_wire_heartbeat, incarnation)},
+    {TW_JSON_NAME("tick"), TW_JSON_UINT64_AT(tw_wire_heartbeat, sequence)},
+    {TW_JSON_NAME("baton"), TW_JSON_UINT64_AT(tw_wire_heartbeat, fencing_token)},
     {TW_JSON_NAME("warningS"), .type = TW_JSON_CUSTOM, .read = read_preemption_notice},
 };
 
 static tw_wire_error read_heartbeat(tw_wire_heartbeat *heartbeat, const cJSON *object) {
     static const tw_json_list tasks = {"pieces", sizeof(tw_wire_task), read_task, NULL};
-    if (tw_json_read(object, heartbeat_fields, TW_JSON_ROWS(heartbeat_fields), heartbeat, NULL))
+    if (tw_json_read_fields(object, heartbeat_fields, TW_JSON_FIELD_COUNT(heartbeat_fields),
+                            heartbeat, NULL))
         return TW_WIRE_MALFORMED;
     if (!tw_json_get(object, tasks.name)) return TW_WIRE_OK;
     void *items;
@@ -124,15 +126,15 @@
 static const char *const verb_words[] = {"launch", "kill", "forget", NULL};
 
 static const tw_json_field command_fields[] = {
-    {TW_JSON_NAME("verb"), TW_JSON_WORD_AT(tw_wire_command, kind, verb_words)},
+    {TW_JSON_NAME("verb"), TW_JSON_ENUM_AT(tw_wire_command, kind, verb_words)},
     {TW_JSON_NAME("piece"), .type = TW_JSON_CUSTOM, .write = write_task_name},
-    {TW_JSON_NAME("try"), TW_JSON_COUNT_AT(tw_wire_command, attempt)},
+    {TW_JSON_NAME("try"), TW_JSON_UINT64_AT(tw_wire_command, attempt)},
     {TW_JSON_NAME("mercyS"), .type = TW_JSON_CUSTOM, .write = write_grace},
 };
 
 /* The commonest answer, without commands: printed at once, as the tree would be. */
 static char *no_commands_text(uint64_t fencing_token) {
-    char text[LONGEST_NO_ORDERS];
+    char text[NO_COMMANDS_TEXT_SIZE];
     snprintf(text, sizeof text, "{\"baton\":%" PRIu64 ",\"orders\":[]}", fencing_token);
     char *copy = strdup(text);
     if (!copy) abort();
@@ -149,14 +151,15 @@
     cJSON *array = cJSON_AddArrayToObject(object, "orders");
     for (size_t i = 0; i < n; i++) {
         cJSON *item = cJSON_CreateObject();
-        tw_json_write(item, command_fields, TW_JSON_ROWS(command_fields), &commands[i]);
+        tw_json_write_fields(item, command_fields, TW_JSON_FIELD_COUNT(command_fields),
+                             &commands[i]);
         cJSON_AddItemToArray(array, item);
     }
-    return tw_json_finish(object);
+    return tw_json_print_and_delete(object);
 }
 
 char *tw_wire_redirect_text(const char *name) {
     cJSON *object = cJSON_CreateObject();
     if (name && *name) cJSON_AddItemToObjectCS(object, "foreman", cJSON_CreateString(name));
-    return tw_json_finish(object);
+    return tw_json_print_and_delete(object);
 }
--- a/tests/unit/wire_test.c
+++ b/tests/unit/wire_test.c
@@ -192,7 +192,7 @@
         "run-000412", "run-1",      "run-",      "run-1234567890123456", "run-12345678901234567",
         "run",        "run-00041x", "job-000412"};
     for (size_t i = 0; i < sizeof ids / sizeof *ids; i++)
-        printf("id %s: %d\n", ids[i], tw_wire_id_ok(ids[i], strlen(ids[i])));
+        printf("id %s: %d\n", ids[i], tw_wire_is_valid_job_id(ids[i], strlen(ids[i])));
 }
 
 int main(void) {
