--- a/src/config/config.c
+++ b/src/config/config.c
@@ -1,5 +1,5 @@
 /* The platform's settings: a TOML file whose tables are described by rows of settings (setting.h).
- * The first thing that is wrong ends the reading, and is what the message names. */
+ * Only the first error is reported. */
 #include "config/config.h"
 #include "config/setting.h"
 #include "config/toml_shim.h"
@@ -11,7 +11,7 @@
 #define MAX_FILE_BYTES (1 << 20)
 #define PARSER_ERROR_SIZE 200
 #define MIN_HEARTBEATS_PER_LEASE 2
-/* In leases of workers: times of gangs that the file doesn't name. */
+/* Defaults of gang_wait_s and gang_peer_s, as multiples of the workers' lease_s. */
 #define GANG_WAIT_LEASES 1.5
 #define GANG_PEER_LEASES 0.25
 
@@ -147,8 +147,8 @@
 
 /* ---- lists ---- */
 
-/* The item of the list after the previous one (NULL: the first); NULL: there is none, or something
- * was wrong. */
+/* Returns the list item after the previous one, or the first item if previous is NULL. Returns NULL
+ * at the end of the list, and if an error was set. */
 static const cJSON *next_item(const tw_setting_error *error, const cJSON *list,
                               const cJSON *previous) {
     if (!list || error->failed) return NULL;
@@ -213,7 +213,7 @@
                         &config->objectives[config->objective_count++]);
 }
 
-/* ---- the file ---- */
+/* ---- the settings file ---- */
 
 static void read_table(tw_setting_error *error, const tw_section *section, tw_config *config,
                        const cJSON *settings, const char *key) {
@@ -223,8 +223,8 @@
 
 static double smaller_limit(double now, double next) { return next > 0 && next < now ? next : now; }
 
-/* Reads the limits that hold and those that are announced, any of which may be missing, and takes
- * the smaller one of each pair. */
+/* Reads the current limits of the state service and the announced ones, any of which may be
+ * missing, and sets the observed limits to the smaller one of each pair. */
 static void read_state(tw_setting_error *error, tw_config *config, const cJSON *settings) {
     const cJSON *table = tw_setting_get_table(error, settings, "settings.", "state");
     const cJSON *announced = cJSON_GetObjectItemCaseSensitive(table, "next");
@@ -242,7 +242,7 @@
     config->state_txn_ops = (int)smaller_limit(now->txn_ops, next->txn_ops);
 }
 
-/* Sets the times of gangs that the file doesn't name. */
+/* Sets gang_wait_s and gang_peer_s to their defaults if the settings file does not set them. */
 static void derive_gang_times(tw_config *config) {
     if (config->gang_wait_s <= 0) config->gang_wait_s = GANG_WAIT_LEASES * config->lease_s;
     if (config->gang_peer_s <= 0) config->gang_peer_s = GANG_PEER_LEASES * config->lease_s;
@@ -272,7 +272,8 @@
     if (!error->failed) read_settings(error, config, settings);
 }
 
-/* The text as a tree, which the caller deletes; NULL: it is not TOML, which is a error. */
+/* Parses the text into a tree, which the caller deletes. Returns NULL and sets the error if the
+ * text is not valid TOML. */
 static cJSON *parse_toml(tw_setting_error *error, const char *text) {
     char parser_error[PARSER_ERROR_SIZE] = "";
     cJSON *root = tw_config_toml_parse(text, parser_error, sizeof parser_error);
@@ -293,8 +294,8 @@
     return error.failed ? TW_CONFIG_INVALID : TW_CONFIG_OK;
 }
 
-/* The file's text, which the caller frees; NULL: it can't be read, and the message says
- * parser_error. */
+/* Returns the file's text, which the caller frees. Returns NULL and writes an error message if the
+ * file can't be read. */
 static char *read_file(const char *path, char *message, size_t message_size) {
     FILE *file = fopen(path, "rb");
     if (!file) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,59 +1,67 @@
-/* Settings: the platform's file (TOML) and the operators' own (YAML).
+/* Settings: the platform's settings file (TOML) and the operators' settings file (YAML).
  *
  * Invariants:
- *   - what was loaded without an error is complete and in range, and nobody else checks it again;
- *   - settings don't change after they were loaded.
- * A number whose name ends with _s is in seconds, one with _ms in milliseconds, one with _kb or _mb
- * in KiB or MiB. */
+ *   - settings that were loaded without an error are complete and in range; other packages do not
+ *     check them again;
+ *   - settings do not change after they were loaded.
+ * Units are part of the names: _s is seconds, _ms milliseconds, _kb KiB, _mb MiB. */
 #ifndef TW_CONFIG_H
 #define TW_CONFIG_H
 #include <stddef.h>
 #include <stdio.h>
 
-#define TW_NAME_SIZE 64 /* longest name taken from the settings, with its end */
+#define TW_NAME_SIZE                                                                               \
+    64 /* buffer size of a name in the settings, including the terminating null                    \
+        */
 
-/* Another node, its zone and the address where it can be reached. */
+/* Another node, its zone and the address at which other nodes reach it. */
 typedef struct {
     char name[TW_NAME_SIZE], zone[TW_NAME_SIZE], addr[TW_NAME_SIZE];
 } tw_config_peer;
 
-/* A team: the cores and GPUs that it is guaranteed, and the most that it may use at a time. */
+/* A team, its guarantees and its limits. */
 typedef struct {
     char name[TW_NAME_SIZE];
-    double cpus, cpus_max, gpus, gpus_max; /* a maximum of 0: no limit */
-    double share;                          /* weight in the teams' turns (operators' settings) */
+    double cpus;     /* guaranteed cores */
+    double cpus_max; /* maximum number of cores in use; 0: no limit */
+    double gpus;     /* guaranteed GPUs */
+    double gpus_max; /* maximum number of GPUs in use; 0: no limit */
+    double share;    /* weight in fair sharing between teams (operators' setting `shares`) */
 } tw_config_team;
 
-/* An objective for a class of jobs, or for all of them. kind: "wait" (to start within within_s),
- * "finished" (to end within within_s), "deadline" or "guarantee". */
+/* A service level objective for a job class, or for all jobs. */
 typedef struct {
-    char kind[16], cls[TW_NAME_SIZE]; /* cls: the class; "": all */
-    double within_s, share, times;
+    char kind[16];          /* wait, finished, deadline or guarantee */
+    char cls[TW_NAME_SIZE]; /* job class; "": all jobs */
+    double within_s;        /* wait: time to start; finished: time to end */
+    double share;           /* share of the jobs that should meet the objective */
+    double times;           /* factor by which the deadline is multiplied */
 } tw_config_objective;
 
-/* The operators' own settings; every one has a default and a checked range. */
+/* The operators' settings. Each has a default and a range that is checked. */
 typedef struct {
     double election_ratio; /* leader lease, as a share of the workers' lease_s */
-    double hold_ratio;     /* longest time that a leader renews workers' leases without the state
-                              service, in lease_s */
-    double margin_ratio;   /* safety margin on waits, as a share of lease_s */
-    double drift;          /* clock drift allowed for */
-    double ema;            /* weight of a new sample in the moving averages */
-    double recheck_ratio;  /* time between rechecks of running tasks, in report_s */
-    double headroom;       /* scales the spare room that is rented ahead */
-    double idle_ratio;     /* an idle machine is returned after this share of its boot time */
-    double silent_ratio;   /* a machine that is silent for this share of lease_s is given up */
-    double write_share;    /* share of the state service's and the cloud's limits that is used */
+    double hold_ratio;     /* maximum duration of renewal without authority, in lease_s */
+    double margin_ratio;   /* safety margin added to the expiry of leases, as a share of lease_s */
+    double drift;          /* maximum relative clock drift */
+    double ema;            /* weight of a new sample in exponential moving averages */
+    double recheck_ratio;  /* interval between rechecks of running tasks, in report_s */
+    double headroom;       /* factor that scales the headroom rented ahead of arrivals */
+    double idle_ratio;     /* idle time before a machine is returned, as a share of its boot time */
+    double silent_ratio; /* time without a heartbeat after which a machine is considered failed and
+                            is returned, as a share of lease_s */
+    double write_share;  /* used share of the limits of the state service and the cloud */
 } tw_config_tuning;
 
 /* Limits of the state service. */
 typedef struct {
-    double rps, write_rps; /* requests; puts and deletes, a second */
-    double value_kb;       /* largest value, in KiB */
-    int txn_ops;           /* puts and deletes in a transaction */
+    double rps;       /* requests per second */
+    double write_rps; /* puts and deletes per second */
+    double value_kb;  /* maximum size of a value, in KiB */
+    int txn_ops;      /* maximum number of puts and deletes in a transaction */
 } tw_config_state_limits;
 
-/* All settings. */
+/* All settings of a node: those of the platform's file and, in tune, the operators' settings. */
 typedef struct {
     char host_name[TW_NAME_SIZE], location[TW_NAME_SIZE], api_addr[TW_NAME_SIZE],
         peer_bind[TW_NAME_SIZE];
@@ -68,54 +76,54 @@
     size_t objective_count;
     double time_bound_ms;
     double report_s, lease_s, cancel_s;
-    double gang_wait_s; /* how long a task of a gang waits for the others of its attempt */
-    double gang_peer_s; /* time in which it notices that another one is gone */
-    /* The limits that this program keeps to: of each the smaller one of the limit that holds now
-     * and the one that is announced, since that begins to hold without notice. */
+    double gang_wait_s; /* time for which a gang's task waits for the other tasks of its attempt */
+    double gang_peer_s; /* time within which a gang's task notices that another one terminated */
+    /* The limits that the program observes: the smaller one of the current and the announced limit,
+     * since an announced limit takes effect without further notice. */
     double state_rps, state_write_rps, state_value_kb;
     int state_txn_ops;
-    tw_config_state_limits state_now;  /* as they are when the service is started */
-    tw_config_state_limits state_next; /* as they are announced; 0: not announced */
+    tw_config_state_limits state_now;  /* limits in effect when the state service starts */
+    tw_config_state_limits state_next; /* announced limits; 0: none announced */
     double cloud_rps, list_lag_s;
     double cpu_share, mem_mb;
     int sockets;
     tw_config_tuning tune;
 } tw_config;
 
-/* Why settings were not loaded. */
+/* Errors of loading settings. */
 typedef enum {
     TW_CONFIG_OK = 0,
     TW_CONFIG_UNREADABLE = -1, /* the file can't be read */
-    TW_CONFIG_INVALID = -2     /* it is no TOML or YAML, or a setting is missing or out of range */
+    TW_CONFIG_INVALID = -2     /* invalid TOML or YAML, or a setting is missing or invalid */
 } tw_config_error;
 
 /* ---- reading ----
- * Unless TW_CONFIG_OK is returned, message holds one line of at most message_size - 1 bytes, which
- * names the file or the setting. */
+ * On an error, message holds one line of at most message_size - 1 bytes, which names the file or
+ * the setting at fault. */
 
-/* The platform's file. config: overwritten, and freed by the caller with tw_config_free; in case of
- * an error there is nothing to free. */
+/* Loads the platform's settings file into *config, which is overwritten. The caller frees it with
+ * tw_config_free; after an error there is nothing to free. */
 tw_config_error tw_config_load(tw_config *config, const char *toml_path, char *message,
                                size_t message_size);
-/* The same from the text itself. */
+/* Parses the text of the platform's settings file; otherwise as tw_config_load. */
 tw_config_error tw_config_parse(tw_config *config, const char *toml_text, char *message,
                                 size_t message_size);
-/* The operators' file, into settings that were loaded. In case of an error some of its settings may
- * have been taken. */
+/* Loads the operators' settings file into *config, which must have been loaded before. After an
+ * error, *config may already have some of the file's settings. */
 tw_config_error tw_config_load_yaml(tw_config *config, const char *yaml_path, char *message,
                                     size_t message_size);
-/* Frees what the settings own, not *config itself. */
+/* Frees the memory that the settings own, but not *config itself. */
 void tw_config_free(tw_config *config);
 
-/* The operators' settings as they are without a file. */
+/* Sets the operators' settings to their defaults, which apply if there is no operators' file. */
 void tw_config_set_default_tuning(tw_config_tuning *tuning);
 
 /* ---- describing ---- */
 
-/* Writes a row of a Markdown table for each setting of the platform's file: key, default, range,
+/* Writes a Markdown table row for each setting of the platform's file: key, default, range,
  * meaning. */
 void tw_config_describe(FILE *out);
-/* The same for the operators' file. */
+/* Writes a Markdown table row for each operators' setting, with the same columns. */
 void tw_config_describe_tuning(FILE *out);
 
 #endif
--- a/src/config/toml_shim.cpp
+++ b/src/config/toml_shim.cpp
@@ -6,15 +6,15 @@
 #include <string_view>
 #include <toml++/toml.h>
 
-/* A date or time as it would be written. */
+/* Converts a date or time to a string in TOML notation. */
 static cJSON *to_json_string(const toml::node &node) {
     std::ostringstream text;
     node.visit([&text](const auto &value) { text << value; });
     return cJSON_CreateString(text.str().c_str());
 }
 
-/* JSON has no word for numbers that are not finite: they become strings, which no setting of a
- * number takes. */
+/* Converts a number. JSON has no notation for numbers that are not finite; these become strings,
+ * which are invalid for every numeric setting. */
 static cJSON *to_json_number(double value) {
     if (std::isnan(value)) return cJSON_CreateString("NaN");
     if (std::isinf(value)) return cJSON_CreateString(value > 0 ? "Infinity" : "-Infinity");
--- a/src/config/toml_shim.h
+++ b/src/config/toml_shim.h
@@ -1,4 +1,5 @@
-/* TOML as a cJSON tree. Debian has no C library for today's TOML: this wraps toml++ in one call. */
+/* Parses TOML into a cJSON tree. Debian has no C library for TOML 1.0, so that this file wraps the
+ * C++ library toml++. */
 #ifndef TW_CONFIG_TOML_SHIM_H
 #define TW_CONFIG_TOML_SHIM_H
 #include <cjson/cJSON.h>
@@ -6,8 +7,9 @@
 #ifdef __cplusplus
 extern "C" {
 #endif
-/* The document, which the caller deletes; NULL: the text is not TOML, and err has what the parser
- * says. Numbers become doubles; those that are not finite, dates and times become strings. */
+/* Returns the document as a cJSON object, which the caller deletes. If the text is not valid TOML,
+ * returns NULL and writes the parser's message to err. Finite numbers become doubles; other
+ * numbers, dates and times become strings. */
 cJSON *tw_config_toml_parse(const char *text, char *err, size_t errlen);
 #ifdef __cplusplus
 }
--- a/src/config/yaml.c
+++ b/src/config/yaml.c
@@ -1,5 +1,5 @@
-/* The operators' own settings, a YAML file with two levels at most: `key: number` and `shares:
- * {team: number}`. What it doesn't name keeps its default. */
+/* The operators' settings: a YAML file with entries `key: number` and one entry `shares: {team:
+ * number}`. Settings that the file does not contain keep their defaults. */
 #include "config/config.h"
 #include "config/setting.h"
 #include <errno.h>
@@ -51,7 +51,7 @@
     tw_section_describe(&share_section, out);
 }
 
-/* Whether the text is a number in the setting's range; if so, *number is that number. */
+/* Parses a number. Returns false if the text is not a number in the setting's range. */
 static bool parse_number(const tw_setting *setting, const char *text, double *number) {
     char *end;
     if (!text || !*text) return false;
@@ -60,7 +60,7 @@
     return !*end && !errno && tw_setting_in_range(setting, *number);
 }
 
-/* The text of a scalar node, owned by the document; NULL: the node is no scalar. */
+/* Returns the text of a scalar node, owned by the document, or NULL if the node is not a scalar. */
 static const char *scalar(yaml_document_t *document, int id) {
     const yaml_node_t *node = yaml_document_get_node(document, id);
     if (!node || node->type != YAML_SCALAR_NODE) return NULL;
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -1,4 +1,5 @@
-/* Log lines: each is written by one call, so that lines of several processes don't mix. */
+/* Each log line is written with a single call of write, so that lines of several processes are not
+ * interleaved. */
 #include "log/log.h"
 #include <stdarg.h>
 #include <stdio.h>
@@ -31,8 +32,8 @@
     va_end(arguments);
     if (text < 0) return;
     size_t length = (size_t)prefix + (size_t)text;
-    if (length > sizeof line - 2) length = sizeof line - 2; /* the line was cut */
+    if (length > sizeof line - 2) length = sizeof line - 2; /* truncated line */
     line[length++] = '\n';
-    /* A log that can't be written must not stop the service. */
+    /* A failure to write the log must not stop the service. */
     if (write(STDERR_FILENO, line, length) < 0) return;
 }
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -1,4 +1,4 @@
-/* Messages between nodes and the cloud: machine types, machines, rentals. */
+/* Messages between nodes and the cloud: machine types, rented machines, rental requests. */
 #include "wire/json.h"
 #include "wire/wire.h"
 #include <stdlib.h>
@@ -10,7 +10,8 @@
 #define DEFAULT_STARTUP_S 60
 #define NO_SPOT_PRICE (-1)
 
-/* The zones where a type can be rented; those beyond what fits are left out. */
+/* Reads the zones where a machine type can be rented; zones beyond the size of the array are
+ * ignored. */
 static tw_wire_error read_zones(const cJSON *value, void *message) {
     tw_wire_machine_type *type = message;
     const int max_zones = (int)(sizeof type->zones / sizeof *type->zones);
@@ -61,7 +62,7 @@
     return result;
 }
 
-/* ---- machines ---- */
+/* ---- rented machines ---- */
 
 static tw_wire_error read_rented_machine(const cJSON *value, void *item, size_t size) {
     static const char *const stage_words[] = {"booting", "running", "failed", NULL};
@@ -90,7 +91,7 @@
     return result;
 }
 
-/* ---- renting and returning ---- */
+/* ---- requests to rent and to return machines ---- */
 
 char *tw_wire_rental_request_text(const char *name, const char *type, const char *zone, bool spot,
                                   int n) {
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -1,10 +1,12 @@
-/* Workers' reports, recognised by their text where nothing but the sequence number is new.
+/* A cache of workers' heartbeats: avoids parsing a heartbeat that differs from the previous one
+ * only in its sequence.
  *
- * A report that was read is kept with its text, in two parts: up to and with `"tick":`, and what
- * follows the number. A later text with the same two parts is the same report with another number,
- * and only that number is read (by the JSON library). Why this can't go wrong: the first part opens
- * the message's object and no other one, and holds no escape; so its end is a name of that object,
- * and the first such name, which is the one that counts. */
+ * Each cached heartbeat is stored with its text in two parts: the head, up to and including
+ * `"tick":`, and the tail, which follows the sequence. A later text with the same head and tail is
+ * the same heartbeat with another sequence, so that only the sequence is parsed (by the JSON
+ * library). This is safe: the head opens the message's object and no other one, and contains no
+ * escape sequence; hence it ends with a field name of that object, and with the first field of that
+ * name, which is the one that a parser uses. */
 #define _GNU_SOURCE /* memmem */
 #include "wire/json.h"
 #include "wire/wire.h"
@@ -14,32 +16,33 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Longer texts are read anew entry time. A machine that runs many short tasks lists hundreds. */
+/* Longer texts are not cached. A heartbeat of a machine with many short tasks lists hundreds. */
 #define MAX_CACHED_TEXT_BYTES 131072
-/* Texts up to this are kept of every machine. */
+/* Texts up to this size are cached for every machine, without counting against max_long_bytes. */
 #define MAX_SHORT_TEXT_BYTES 8192
 
 static const char sequence_name[] = "\"tick\":";
 
-/* A text as parts: [0, head) [head, tail) [tail, length); the middle is the number. */
+/* A text in three parts: the head [0, head_end), the sequence [head_end, tail_start) and the tail
+ * [tail_start, length). */
 typedef struct {
     const char *text;
     size_t head_end, tail_start, length;
 } text_parts;
 
 typedef struct cache_entry {
-    tw_wire_heartbeat heartbeat;     /* its pieces are ours */
-    size_t head_length, tail_length; /* lengths of the text's parts */
-    bool used_since_sweep;           /* since the last sweep */
-    size_t long_bytes;               /* what counts against the max_long_bytes */
-    UT_hash_handle hh;               /* by the first part */
-    char text[];                     /* both parts */
+    tw_wire_heartbeat heartbeat; /* the entry owns its tasks */
+    size_t head_length, tail_length;
+    bool used_since_sweep;
+    size_t long_bytes; /* bytes that count against max_long_bytes */
+    UT_hash_handle hh; /* key: the head */
+    char text[];       /* the head, followed by the tail */
 } cache_entry;
 
 struct tw_wire_heartbeat_cache {
     cache_entry *entries;
-    size_t long_bytes, max_long_bytes; /* of all texts that are not short, and their reports */
-    tw_wire_heartbeat uncached;        /* the last one, where it was not kept */
+    size_t long_bytes, max_long_bytes; /* size of all long texts and their heartbeats, its limit */
+    tw_wire_heartbeat uncached;        /* the heartbeat returned last, if it is not in the cache */
 };
 
 tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(size_t max_long_bytes) {
@@ -76,7 +79,8 @@
     }
 }
 
-/* Where the number stands, and its value; 0: the text has not the form that is recognised. */
+/* Splits a text around its sequence and parses the sequence. Returns false if the text does not
+ * have the form that can be cached. */
 static bool split_text(text_parts *parts, const char *text, size_t length, uint64_t *sequence) {
     static const tw_json_field field = {.type = TW_JSON_UINT64, .max = TW_JSON_MAX_NUMBER};
     const size_t name_length = sizeof sequence_name - 1;
@@ -99,13 +103,14 @@
            !memcmp(entry->text + entry->head_length, parts->text + parts->tail_start, tail_length);
 }
 
-/* What the text and its report count against the max_long_bytes; 0 for a short text. */
+/* Returns the bytes of the text and its heartbeat that count against max_long_bytes; 0 if the text
+ * is short. */
 static size_t count_long_bytes(const text_parts *parts, const tw_wire_heartbeat *heartbeat) {
     if (parts->length <= MAX_SHORT_TEXT_BYTES) return 0;
     return parts->length + (size_t)heartbeat->task_count * sizeof *heartbeat->tasks;
 }
 
-/* Keeps the report, whose pieces pass to the set. */
+/* Adds a heartbeat to the cache, which takes ownership of its tasks. */
 static const tw_wire_heartbeat *add_entry(tw_wire_heartbeat_cache *cache, const text_parts *parts,
                                           const tw_wire_heartbeat *heartbeat) {
     const size_t tail_length = parts->length - parts->tail_start;
@@ -137,7 +142,7 @@
         return &entry->heartbeat;
     }
     if (tw_wire_heartbeat_parse(&heartbeat, text, length)) return NULL;
-    if (entry) evict_entry(cache, entry); /* the new report takes its place */
+    if (entry) evict_entry(cache, entry); /* the new heartbeat replaces it */
     if (cacheable &&
         cache->long_bytes + count_long_bytes(&parts, &heartbeat) <= cache->max_long_bytes)
         return add_entry(cache, &parts, &heartbeat);
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A word on the wire is shorter than this. */
+/* Size limit of a TW_JSON_ENUM text, including the terminating null. */
 #define MAX_WORD_SIZE 64
 #define MAX_DURATION_S 1e9
 #define DURATION_TEXT_SIZE 32
@@ -44,7 +44,7 @@
     return unknown;
 }
 
-/* ---- reading by a table ---- */
+/* ---- reading the fields of a table ---- */
 
 static tw_wire_error read_text(const tw_json_field *field, const cJSON *value, char *to) {
     if (tw_json_read_string(value, to, field->size)) return TW_WIRE_MALFORMED;
@@ -144,15 +144,16 @@
     return TW_WIRE_OK;
 }
 
-/* ---- writing by a table ---- */
+/* ---- writing the fields of a table ---- */
 
 static void write_number(cJSON *object, const tw_json_field *field, double value) {
     if ((field->rules & TW_JSON_OMIT) && value <= field->fallback) return;
     cJSON_AddItemToObjectCS(object, field->name, cJSON_CreateNumber(value));
 }
 
-/* Rounded down, so that a span is never told to be longer than it was. As whole milliseconds, since
- * to print all digits of a double, and to read them back, costs more than the rest of a message. */
+/* Writes a duration rounded down, so that the receiver never sees a longer time than has passed.
+ * The value has whole milliseconds, since printing all digits of a double, and parsing them again,
+ * costs more than the rest of a message. */
 static void write_duration(cJSON *object, const tw_json_field *field, double seconds) {
     char text[DURATION_TEXT_SIZE];
     const uint64_t milliseconds = (uint64_t)(fmin(fmax(seconds, 0), MAX_DURATION_S) * 1000);
@@ -201,9 +202,10 @@
     for (size_t i = 0; i < count; i++) write_field(object, &fields[i], message);
 }
 
-/* ---- lists ---- */
+/* ---- arrays ---- */
 
-/* Reads the items of the array into room for all of them; *count: those read. */
+/* Reads the array's items into a buffer that holds all of them. *count: number of items that were
+ * read before the first invalid one. */
 static tw_wire_error read_items(const tw_json_list *list, const cJSON *array, char *items,
                                 int *count) {
     const cJSON *value;
@@ -256,7 +258,7 @@
     return tw_json_parse_list(&list, text, length, texts, count, NULL);
 }
 
-/* ---- text and room ---- */
+/* ---- printing and memory allocation ---- */
 
 char *tw_json_print_and_delete(cJSON *object) {
     char *text = cJSON_PrintUnformatted(object);
--- a/src/wire/peers.c
+++ b/src/wire/peers.c
@@ -1,9 +1,9 @@
-/* Messages between nodes. */
+/* Messages between nodes: peer heartbeats. */
 #include "wire/json.h"
 #include "wire/wire.h"
 #include <string.h>
 
-/* Versions to come may read more formats. */
+/* Limit for the record format in a peer heartbeat: later versions may know more formats. */
 #define MAX_RECORD_FORMAT 1000
 
 static const tw_json_field peer_heartbeat_fields[] = {
--- a/src/wire/record.c
+++ b/src/wire/record.c
@@ -1,5 +1,5 @@
-/* A job's record in the state service: the job as submitted and what became of it. Its field names
- * are single letters, since a record's size is limited. */
+/* A job's record in the state service: the job as submitted, its state and its progress. The field
+ * names are single letters, since the size of a record is limited. */
 #include "wire/job.h"
 #include "wire/json.h"
 #include "wire/wire.h"
@@ -9,17 +9,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Longest text of one task that runs, beside its machine's name: "index:attempt:,". */
+/* Maximum size of an assignment's text "index:attempt:worker,", excluding the worker's name. */
 #define ASSIGNMENT_NUMBERS_SIZE 32
-/* Most slices of a divided record. */
+/* Maximum number of chunks of a chunked record. */
 #define MAX_RECORD_CHUNKS 10000
-/* Bytes of a character in a JSON text: escaped by a letter, by a number, and, of others than ASCII,
- * by numbers, for each byte of theirs. */
+/* Maximum number of bytes in a JSON text: of a character escaped by a letter (\n), of one escaped
+ * by its number (\u000a), and of each UTF-8 byte of a non-ASCII character (\u00e9 for two bytes).
+ */
 #define LETTER_ESCAPE_BYTES 2
 #define UNICODE_ESCAPE_BYTES 6
 #define NON_ASCII_ESCAPE_BYTES 3
 #define FIRST_NON_ASCII 0x80
-/* Bytes of a character after its first one. */
+/* Bits that identify the second and later bytes of a UTF-8 character. */
 #define CONTINUATION_MASK 0xc0
 #define CONTINUATION_BITS 0x80
 
@@ -38,7 +39,7 @@
      .rules = TW_JSON_LENIENT | TW_JSON_OMIT, .fallback = 1},
 };
 
-/* Of a divided record; "parts" itself is what says that it is one. */
+/* Fields of the object "parts", which only a chunked record has. */
 static const tw_json_field parts_fields[] = {
     {TW_JSON_NAME("set"), TW_JSON_TEXT_AT(tw_wire_record, chunk_set)},
     {TW_JSON_NAME("n"), TW_JSON_INTEGER_AT(tw_wire_record, chunk_count, 1, MAX_RECORD_CHUNKS)},
@@ -48,8 +49,8 @@
 
 /* ---- reading ---- */
 
-/* Reads "INDEX:ATTEMPT:MACHINE" up to a comma or the end. The end of it, or NULL: it is not that.
- */
+/* Parses "INDEX:ATTEMPT:WORKER" up to a comma or the end of the text. Returns the end of the
+ * assignment, or NULL if it is malformed. */
 static const char *read_assignment(const char *text, int task_count,
                                    tw_wire_assignment *assignment) {
     char *end;
@@ -69,7 +70,7 @@
     return text + length;
 }
 
-/* The tasks that may run, as a list with commas. */
+/* Parses the comma-separated list of the tasks that may be running. */
 static tw_wire_error read_assignments(tw_wire_record *record, const char *text) {
     size_t max_count = 1;
     for (const char *c = text; *c; c++) max_count += *c == ',';
@@ -84,7 +85,7 @@
     return TW_WIRE_OK;
 }
 
-/* The job, or of one that is over only the number of its tasks. */
+/* Reads the job specification. The record of an ended job may have only the number of tasks. */
 static tw_wire_error read_job(tw_wire_record *record, const char *id, const cJSON *object) {
     const cJSON *job = tw_json_get(object, "j");
     const char *reason;
@@ -96,7 +97,7 @@
     return TW_WIRE_OK;
 }
 
-/* The head of a divided record: what it says without its slices. */
+/* Reads a chunked record, without its chunks. */
 static tw_wire_error read_chunked_record(tw_wire_record *record, const cJSON *object,
                                          const cJSON *parts) {
     if (tw_json_read_fields(object, tasks_field, 1, record, NULL)) return TW_WIRE_MALFORMED;
@@ -133,7 +134,7 @@
     return result;
 }
 
-/* ---- lists ---- */
+/* ---- reading pages of records ---- */
 
 static tw_wire_error read_listed_key(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
@@ -240,9 +241,9 @@
     return tw_json_print_and_delete(object);
 }
 
-/* ---- slices ---- */
+/* ---- chunks ---- */
 
-/* Bytes that the text's byte takes in a JSON text, at most. */
+/* Returns the maximum number of bytes that a byte of a text takes in a JSON string. */
 static size_t max_json_bytes(unsigned char byte) {
     if (byte == '"' || byte == '\\') return LETTER_ESCAPE_BYTES;
     if (byte < ' ') return UNICODE_ESCAPE_BYTES;
--- a/src/wire/state.c
+++ b/src/wire/state.c
@@ -7,7 +7,7 @@
 
 /* ---- entries ---- */
 
-/* Any JSON value is data, also null. */
+/* Reads an entry. Its value may be any JSON value, including null. */
 static tw_wire_error read_entry(const cJSON *value, void *item, size_t size) {
     static const tw_json_field fields[] = {
         {TW_JSON_NAME("k"), TW_JSON_TEXT_AT(tw_wire_entry, key)},
@@ -78,7 +78,7 @@
         return TW_WIRE_MALFORMED;
     }
     *entries = tw_json_alloc((size_t)cJSON_GetArraySize(log) * sizeof **entries);
-    /* removals, which have no "write", are passed over */
+    /* Removals have no field "write" and are skipped. */
     cJSON_ArrayForEach(change, log) {
         if (!tw_json_read_fields(change, fields, TW_JSON_FIELD_COUNT(fields), &(*entries)[*n],
                                  NULL))
@@ -126,7 +126,7 @@
     return TW_WIRE_MALFORMED;
 }
 
-/* ---- single numbers ---- */
+/* ---- store revision and lease id ---- */
 
 static tw_wire_error parse_uint64_field(const char *name, uint64_t *value, const char *text,
                                         size_t len) {
--- a/src/wire/users.c
+++ b/src/wire/users.c
@@ -1,4 +1,4 @@
-/* Messages between users and nodes: jobs and their states. */
+/* Messages between users and nodes: job specifications and states of jobs. */
 #include "wire/job.h"
 #include "wire/json.h"
 #include "wire/wire.h"
@@ -40,8 +40,9 @@
 
 static const char *const priority_words[] = {"idle", "normal", "high", "prod", NULL};
 
-/* `racks` is written between the two tables and read after both, so that of several fields that are
- * wrong the same one is named as ever. */
+/* The field `racks` is written between the fields of the two tables, but read after both. This
+ * keeps the order in which fields are checked, and so the field that the error names if several
+ * fields are invalid. */
 static const tw_json_field fields_before_types[] = {
     {TW_JSON_NAME("id"), TW_JSON_TEXT_AT(tw_wire_job, id), .is_valid = tw_wire_is_valid_job_id},
     {TW_JSON_NAME("lane"), TW_JSON_TEXT_AT(tw_wire_job, job_class)},
@@ -74,7 +75,7 @@
     return tw_json_read_string(value, item, size);
 }
 
-/* Allowed machine types; missing or null: any. */
+/* Reads the allowed machine types; any type is allowed if the field is missing or null. */
 static tw_wire_error read_allowed_types(tw_wire_job *job, const cJSON *object) {
     static const tw_json_list list = {"racks", TW_WIRE_NAME_SIZE, read_machine_type_name, NULL};
     const cJSON *value = tw_json_get(object, list.name);
@@ -141,7 +142,7 @@
     job->machine_type_count = -1;
 }
 
-/* ---- states ---- */
+/* ---- states of jobs ---- */
 
 char *tw_wire_job_status_text(const char *id, tw_wire_job_state state, long done, long running) {
     static const char *const words[] = {"pending", "running", "done", "aborted"};
--- a/src/wire/workers.c
+++ b/src/wire/workers.c
@@ -1,4 +1,4 @@
-/* Messages between workers and nodes: reports, commands, redirects. */
+/* Messages between workers and nodes: heartbeats, commands, redirects. */
 #include "wire/json.h"
 #include "wire/wire.h"
 #include <inttypes.h>
@@ -8,9 +8,9 @@
 
 #define NO_COMMANDS_TEXT_SIZE 64
 
-/* ---- reports ---- */
+/* ---- heartbeats ---- */
 
-/* Of "JOB/INDEX": the job's id and the task's number. */
+/* Reads a task name "JOB/INDEX" into the job id and the task's index. */
 static tw_wire_error read_task_name(const cJSON *value, void *message) {
     tw_wire_task *task = message;
     char name[TW_WIRE_NAME_SIZE];
@@ -30,7 +30,8 @@
     return TW_WIRE_OK;
 }
 
-/* Why a task ended: read once it has, where a cause that is missing or unknown is still one. */
+/* Reads the exit cause of a task. It is ignored unless the task has exited; a missing or unknown
+ * cause is then read as TW_CAUSE_OTHER. */
 static tw_wire_error read_cause(const cJSON *value, void *message) {
     static const char *const words[] = {"",     "done",    "stopped", "error", "no_room",
                                         "busy", "no_such", "peers",   "alone", NULL};
@@ -58,7 +59,7 @@
     return tw_json_read_fields(value, fields, TW_JSON_FIELD_COUNT(fields), item, NULL);
 }
 
-/* A notice whose time can't be read is one all the same: without any time left. */
+/* Reads the preemption notice. A notice with an invalid time counts as one with no time left. */
 static tw_wire_error read_preemption_notice(const cJSON *value, void *message) {
     tw_wire_heartbeat *heartbeat = message;
     heartbeat->preemption_notice_s = -1;
@@ -132,7 +133,8 @@
     {TW_JSON_NAME("mercyS"), .type = TW_JSON_CUSTOM, .write = write_grace},
 };
 
-/* The commonest answer, without commands: printed at once, as the tree would be. */
+/* Returns a heartbeat response without commands, the most frequent one. For speed the text is
+ * printed directly; it equals the one that the JSON library would print. */
 static char *no_commands_text(uint64_t fencing_token) {
     char text[NO_COMMANDS_TEXT_SIZE];
     snprintf(text, sizeof text, "{\"baton\":%" PRIu64 ",\"orders\":[]}", fencing_token);
