--- a/src/config/config.c
+++ b/src/config/config.c
@@ -15,8 +15,8 @@
 #define GANG_WAIT_LEASES 1.5
 #define GANG_PEER_LEASES 0.25
 
-/* Rows of settings: required are names, addresses and numbers by REQUIRED; labels and numbers by
- * OPTIONAL have a default. */
+/* Initializers of rows of settings. NAME, ADDRESS and REQUIRED rows are required; LABEL and
+ * OPTIONAL rows have a default. */
 #define NAME(key, struct_name, member, text)                                                       \
     {                                                                                              \
         .name = (key), .type = TW_SETTING_NAME, .required = true,                                  \
@@ -304,10 +304,10 @@
     }
     char *text = tw_setting_alloc(MAX_FILE_BYTES + 1, 1);
     const size_t length = fread(text, 1, MAX_FILE_BYTES, file);
-    const bool whole = !ferror(file) && feof(file);
+    const bool complete = !ferror(file) && feof(file);
     fclose(file);
     text[length] = 0;
-    if (whole) return text;
+    if (complete) return text;
     snprintf(message, message_size, "can't read settings file %s (or it is over 1 MiB)", path);
     free(text);
     return NULL;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -10,9 +10,8 @@
 #include <stddef.h>
 #include <stdio.h>
 
-#define TW_NAME_SIZE                                                                               \
-    64 /* buffer size of a name in the settings, including the terminating null                    \
-        */
+/* Buffer size of a name in the settings, including the terminating null. */
+#define TW_NAME_SIZE 64
 
 /* Another node, its zone and the address at which other nodes reach it. */
 typedef struct {
@@ -97,7 +96,7 @@
     TW_CONFIG_INVALID = -2     /* invalid TOML or YAML, or a setting is missing or invalid */
 } tw_config_error;
 
-/* ---- reading ----
+/* ---- loading settings ----
  * On an error, message holds one line of at most message_size - 1 bytes, which names the file or
  * the setting at fault. */
 
@@ -118,7 +117,7 @@
 /* Sets the operators' settings to their defaults, which apply if there is no operators' file. */
 void tw_config_set_default_tuning(tw_config_tuning *tuning);
 
-/* ---- describing ---- */
+/* ---- describing settings ---- */
 
 /* Writes a Markdown table row for each setting of the platform's file: key, default, range,
  * meaning. */
--- a/src/config/setting.c
+++ b/src/config/setting.c
@@ -18,7 +18,7 @@
     va_end(arguments);
 }
 
-/* ---- reading ---- */
+/* ---- reading sections and values ---- */
 
 bool tw_setting_is_valid_name(const cJSON *value) {
     return cJSON_IsString(value) && *value->valuestring &&
@@ -136,7 +136,7 @@
     return cJSON_IsArray(value) ? value : NULL;
 }
 
-/* ---- describing ---- */
+/* ---- describing sections ---- */
 
 static void describe_default(const tw_setting *setting, FILE *out) {
     if (setting->required)
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -3,10 +3,10 @@
  *
  * Each cached heartbeat is stored with its text in two parts: the head, up to and including
  * `"tick":`, and the tail, which follows the sequence. A later text with the same head and tail is
- * the same heartbeat with another sequence, so that only the sequence is parsed (by the JSON
- * library). This is safe: the head opens the message's object and no other one, and contains no
- * escape sequence; hence it ends with a field name of that object, and with the first field of that
- * name, which is the one that a parser uses. */
+ * the same heartbeat with another sequence, and only that sequence is parsed (by the JSON library).
+ * This is safe: the head opens the message's object and no other one, and contains no backslash;
+ * hence it ends with a field name of that object, and with the first field of that name, which is
+ * the one that a parser uses. */
 #define _GNU_SOURCE /* memmem */
 #include "wire/json.h"
 #include "wire/wire.h"
@@ -16,7 +16,7 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Longer texts are not cached. A heartbeat of a machine with many short tasks lists hundreds. */
+/* Longer texts are not cached. The heartbeat of a machine with many short tasks lists hundreds. */
 #define MAX_CACHED_TEXT_BYTES 131072
 /* Texts up to this size are cached for every machine, without counting against max_long_bytes. */
 #define MAX_SHORT_TEXT_BYTES 8192
@@ -41,7 +41,7 @@
 
 struct tw_wire_heartbeat_cache {
     cache_entry *entries;
-    size_t long_bytes, max_long_bytes; /* size of all long texts and their heartbeats, its limit */
+    size_t long_bytes, max_long_bytes; /* bytes of long texts and their heartbeats; limit */
     tw_wire_heartbeat uncached;        /* the heartbeat returned last, if it is not in the cache */
 };
 
@@ -91,10 +91,10 @@
     if (head_end == length || !isdigit((unsigned char)text[head_end])) return false;
     const char *end = NULL;
     cJSON *number = cJSON_ParseWithLengthOpts(text + head_end, length - head_end, &end, 0);
-    const bool wrong = !number || tw_json_read_value(&field, number, sequence);
+    const bool invalid = !number || tw_json_read_value(&field, number, sequence);
     cJSON_Delete(number);
     *parts = (text_parts){text, head_end, (size_t)(end - text), length};
-    return !wrong;
+    return !invalid;
 }
 
 static bool has_same_parts(const cache_entry *entry, const text_parts *parts) {
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -19,8 +19,8 @@
     TW_JSON_TEXT,     /* char[]: a text of 1 to size - 1 bytes; an empty text is invalid */
     TW_JSON_NUMBER,   /* double, from min to max */
     TW_JSON_DURATION, /* double, seconds from min to max, written rounded down to milliseconds */
-    TW_JSON_INTEGER,  /* int, from min to max */
-    TW_JSON_UINT64,   /* uint64_t, up to TW_JSON_MAX_NUMBER */
+    TW_JSON_INTEGER,  /* int, an integer from min to max */
+    TW_JSON_UINT64,   /* uint64_t, an integer from 0 to TW_JSON_MAX_NUMBER */
     TW_JSON_FLAG,     /* bool */
     TW_JSON_ENUM,     /* int or an enum: index of the text in the list words */
     TW_JSON_CUSTOM    /* any: converted by the functions read and write of the field */
--- a/src/wire/record.c
+++ b/src/wire/record.c
@@ -14,7 +14,7 @@
 /* Maximum number of chunks of a chunked record. */
 #define MAX_RECORD_CHUNKS 10000
 /* Maximum number of bytes in a JSON text: of a character escaped by a letter (\n), of one escaped
- * by its number (\u000a), and of each UTF-8 byte of a non-ASCII character (\u00e9 for two bytes).
+ * by its number (\u000a), and of each UTF-8 byte of a non-ASCII character (\u00e9 has two).
  */
 #define LETTER_ESCAPE_BYTES 2
 #define UNICODE_ESCAPE_BYTES 6
@@ -47,7 +47,7 @@
      .rules = TW_JSON_LENIENT},
 };
 
-/* ---- reading ---- */
+/* ---- reading records ---- */
 
 /* Parses "INDEX:ATTEMPT:WORKER" up to a comma or the end of the text. Returns the end of the
  * assignment, or NULL if it is malformed. */
@@ -197,7 +197,7 @@
     record->assignment_count = 0;
 }
 
-/* ---- writing ---- */
+/* ---- writing records ---- */
 
 static void write_assignments(cJSON *object, const tw_wire_record *record) {
     if (!record->assignment_count) return;
--- a/src/wire/state.c
+++ b/src/wire/state.c
@@ -57,9 +57,9 @@
 bool tw_wire_watch_has_changes(const char *text, size_t len) {
     cJSON *object = tw_json_parse(text, len);
     const cJSON *log = tw_json_get(object, "log");
-    bool any = cJSON_IsArray(log) && log->child;
+    bool has_changes = cJSON_IsArray(log) && log->child;
     cJSON_Delete(object);
-    return any;
+    return has_changes;
 }
 
 tw_wire_error tw_wire_watch_keys_parse(tw_wire_entry **entries, int *n, const char *text,
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -178,7 +178,7 @@
 
 /* ---- cloud: machine types (GET /flavors), rentals (GET and POST /rentals) ---- */
 
-/* A machine type. */
+/* A machine type that the cloud offers. */
 typedef struct {
     char name[TW_WIRE_NAME_SIZE];
     double cores, gpus, memory_gb;
