--- a/src/core/completed_jobs.c
+++ b/src/core/completed_jobs.c
@@ -41,7 +41,7 @@
 
 /* Returns the key of a job's id, or 0 if the id is malformed, so that no job can have it. */
 static uint64_t key_from_id(const char *id) {
-    if (!tw_wire_id_ok(id, strlen(id))) return 0;
+    if (!tw_wire_is_valid_job_id(id, strlen(id))) return 0;
     const char *digits = id + PREFIX_LENGTH;
     uint64_t number = 0;
     uint64_t length = 0;
--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -1,10 +1,12 @@
-/* Workers' reports, recognised by their text where nothing but the sequence number is new.
+/* A cache of workers' heartbeats: avoids parsing a heartbeat that differs from the previous one
+ * only in its sequence.
  *
- * A report that was read is kept with its text, in two parts: up to and with `"tick":`, and what
- * follows the number. A later text with the same two parts is the same report with another number,
- * and only that number is read (by the JSON library). Why this can't go wrong: the first part opens
- * the message's object and no other one, and holds no escape; so its end is a name of that object,
- * and the first such name, which is the one that counts. */
+ * Each cached heartbeat is stored with its text in two parts: the head, up to and including
+ * `"tick":`, and the tail, which follows the sequence. A later text with the same head and tail is
+ * the same heartbeat with another sequence, and only that sequence is parsed (by the JSON library).
+ * This is safe: the head opens the message's object and no other one, and contains no backslash;
+ * hence it ends with a field name of that object, and with the first field of that name, which is
+ * the one that a parser uses. */
 #define _GNU_SOURCE /* memmem */
 #include "wire/json.h"
 #include "wire/wire.h"
@@ -14,132 +16,136 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Longer texts are read anew each time. A machine that runs many short tasks lists hundreds. */
-#define LONGEST_KEPT_BYTES 131072
-/* Texts up to this are kept of every machine. */
-#define SHORT_BYTES 8192
+/* Longer texts are not cached. The heartbeat of a machine with many short tasks lists hundreds. */
+#define MAX_CACHED_TEXT_BYTES 131072
+/* Texts up to this size are cached for every machine, without counting against max_long_bytes. */
+#define MAX_SHORT_TEXT_BYTES 8192
 
 static const char sequence_name[] = "\"tick\":";
 
-/* A text as parts: [0, head) [head, tail) [tail, length); the middle is the number. */
+/* A text in three parts: the head [0, head_end), the sequence [head_end, tail_start) and the tail
+ * [tail_start, length). */
 typedef struct {
     const char *text;
-    size_t head, tail, length;
-} parts;
+    size_t head_end, tail_start, length;
+} text_parts;
 
-typedef struct kept {
-    tw_wire_heartbeat report; /* its pieces are ours */
-    size_t head, rest;        /* lengths of the text's parts */
-    bool came;                /* since the last sweep */
-    size_t long_bytes;        /* what counts against the most_long_bytes */
-    UT_hash_handle hh;        /* by the first part */
-    char text[];              /* both parts */
-} kept;
+typedef struct cache_entry {
+    tw_wire_heartbeat heartbeat; /* the entry owns its tasks */
+    size_t head_length, tail_length;
+    bool used_since_sweep;
+    size_t long_bytes; /* bytes that count against max_long_bytes */
+    UT_hash_handle hh; /* key: the head */
+    char text[];       /* the head, followed by the tail */
+} cache_entry;
 
 struct tw_wire_heartbeat_cache {
-    kept *kept;
-    size_t long_bytes, most_long_bytes; /* of all texts that are not short, and their reports */
-    tw_wire_heartbeat passing;          /* the last one, where it was not kept */
+    cache_entry *entries;
+    size_t long_bytes, max_long_bytes; /* bytes of long texts and their heartbeats; limit */
+    tw_wire_heartbeat uncached;        /* the heartbeat returned last, if it is not in the cache */
 };
 
-tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(size_t most_long_bytes) {
+tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(size_t max_long_bytes) {
     tw_wire_heartbeat_cache *cache = tw_json_alloc(sizeof *cache);
-    cache->most_long_bytes = most_long_bytes;
+    cache->max_long_bytes = max_long_bytes;
     return cache;
 }
 
-static void let_go(tw_wire_heartbeat_cache *cache, kept *old) {
-    HASH_DEL(cache->kept, old);
-    cache->long_bytes -= old->long_bytes;
-    tw_wire_heartbeat_free(&old->report);
-    free(old);
+static void evict_entry(tw_wire_heartbeat_cache *cache, cache_entry *entry) {
+    HASH_DEL(cache->entries, entry);
+    cache->long_bytes -= entry->long_bytes;
+    tw_wire_heartbeat_free(&entry->heartbeat);
+    free(entry);
 }
 
 void tw_wire_heartbeat_cache_free(tw_wire_heartbeat_cache *cache) {
-    kept *each, *next;
+    cache_entry *entry, *next;
     if (!cache) return;
-    HASH_ITER(hh, cache->kept, each, next) { let_go(cache, each); }
-    tw_wire_heartbeat_free(&cache->passing);
+    HASH_ITER(hh, cache->entries, entry, next) { evict_entry(cache, entry); }
+    tw_wire_heartbeat_free(&cache->uncached);
     free(cache);
 }
 
 size_t tw_wire_heartbeat_cache_count(const tw_wire_heartbeat_cache *cache) {
-    return HASH_COUNT(cache->kept);
+    return HASH_COUNT(cache->entries);
 }
 
 void tw_wire_heartbeat_cache_sweep(tw_wire_heartbeat_cache *cache) {
-    kept *each, *next;
-    HASH_ITER(hh, cache->kept, each, next) {
-        const bool came = each->came;
-        each->came = false;
-        if (!came) let_go(cache, each);
+    cache_entry *entry, *next;
+    HASH_ITER(hh, cache->entries, entry, next) {
+        const bool used = entry->used_since_sweep;
+        entry->used_since_sweep = false;
+        if (!used) evict_entry(cache, entry);
     }
 }
 
-/* Where the number stands, and its value; 0: the text has not the form that is recognised. */
-static bool split(parts *of, const char *text, size_t length, uint64_t *sequence) {
-    static const tw_json_field field = {.type = TW_JSON_COUNT, .max = TW_JSON_LARGEST};
-    const size_t name = sizeof sequence_name - 1;
-    const char *found = length ? memmem(text, length, sequence_name, name) : NULL;
-    if (!found || *text != '{' || length > LONGEST_KEPT_BYTES) return false;
-    const size_t head = (size_t)(found - text) + name;
-    if (memchr(text + 1, '{', head - 1) || memchr(text, '\\', head)) return false;
-    if (head == length || !isdigit((unsigned char)text[head])) return false;
+/* Splits a text around its sequence and parses the sequence. Returns false if the text does not
+ * have the form that can be cached. */
+static bool split_text(text_parts *parts, const char *text, size_t length, uint64_t *sequence) {
+    static const tw_json_field field = {.type = TW_JSON_UINT64, .max = TW_JSON_MAX_NUMBER};
+    const size_t name_length = sizeof sequence_name - 1;
+    const char *found = length ? memmem(text, length, sequence_name, name_length) : NULL;
+    if (!found || *text != '{' || length > MAX_CACHED_TEXT_BYTES) return false;
+    const size_t head_end = (size_t)(found - text) + name_length;
+    if (memchr(text + 1, '{', head_end - 1) || memchr(text, '\\', head_end)) return false;
+    if (head_end == length || !isdigit((unsigned char)text[head_end])) return false;
     const char *end = NULL;
-    cJSON *number = cJSON_ParseWithLengthOpts(text + head, length - head, &end, 0);
-    const bool wrong = !number || tw_json_read_value(&field, number, sequence);
+    cJSON *number = cJSON_ParseWithLengthOpts(text + head_end, length - head_end, &end, 0);
+    const bool invalid = !number || tw_json_read_value(&field, number, sequence);
     cJSON_Delete(number);
-    *of = (parts){text, head, (size_t)(end - text), length};
-    return !wrong;
+    *parts = (text_parts){text, head_end, (size_t)(end - text), length};
+    return !invalid;
 }
 
-static bool is_same(const kept *old, const parts *of) {
-    const size_t rest = of->length - of->tail;
-    return old->rest == rest && !memcmp(old->text + old->head, of->text + of->tail, rest);
+static bool has_same_parts(const cache_entry *entry, const text_parts *parts) {
+    const size_t tail_length = parts->length - parts->tail_start;
+    return entry->tail_length == tail_length &&
+           !memcmp(entry->text + entry->head_length, parts->text + parts->tail_start, tail_length);
 }
 
-/* What the text and its report count against the most_long_bytes; 0 for a short text. */
-static size_t long_bytes_of(const parts *of, const tw_wire_heartbeat *heartbeat) {
-    if (of->length <= SHORT_BYTES) return 0;
-    return of->length + (size_t)heartbeat->task_count * sizeof *heartbeat->tasks;
+/* Returns the bytes of the text and its heartbeat that count against max_long_bytes; 0 if the text
+ * is short. */
+static size_t count_long_bytes(const text_parts *parts, const tw_wire_heartbeat *heartbeat) {
+    if (parts->length <= MAX_SHORT_TEXT_BYTES) return 0;
+    return parts->length + (size_t)heartbeat->task_count * sizeof *heartbeat->tasks;
 }
 
-/* Keeps the report, whose pieces pass to the set. */
-static const tw_wire_heartbeat *keep(tw_wire_heartbeat_cache *cache, const parts *of,
-                                     const tw_wire_heartbeat *heartbeat) {
-    const size_t rest = of->length - of->tail;
-    kept *added = tw_json_alloc(sizeof *added + of->head + rest);
-    added->report = *heartbeat;
-    added->head = of->head;
-    added->rest = rest;
-    added->came = true;
-    added->long_bytes = long_bytes_of(of, heartbeat);
-    cache->long_bytes += added->long_bytes;
-    memcpy(added->text, of->text, of->head);
-    memcpy(added->text + of->head, of->text + of->tail, rest);
-    HASH_ADD_KEYPTR(hh, cache->kept, added->text, added->head, added);
-    return &added->report;
+/* Adds a heartbeat to the cache, which takes ownership of its tasks. */
+static const tw_wire_heartbeat *add_entry(tw_wire_heartbeat_cache *cache, const text_parts *parts,
+                                          const tw_wire_heartbeat *heartbeat) {
+    const size_t tail_length = parts->length - parts->tail_start;
+    cache_entry *entry = tw_json_alloc(sizeof *entry + parts->head_end + tail_length);
+    entry->heartbeat = *heartbeat;
+    entry->head_length = parts->head_end;
+    entry->tail_length = tail_length;
+    entry->used_since_sweep = true;
+    entry->long_bytes = count_long_bytes(parts, heartbeat);
+    cache->long_bytes += entry->long_bytes;
+    memcpy(entry->text, parts->text, parts->head_end);
+    memcpy(entry->text + parts->head_end, parts->text + parts->tail_start, tail_length);
+    HASH_ADD_KEYPTR(hh, cache->entries, entry->text, entry->head_length, entry);
+    return &entry->heartbeat;
 }
 
 const tw_wire_heartbeat *tw_wire_heartbeat_cache_read(tw_wire_heartbeat_cache *cache,
                                                       const char *text, size_t length) {
-    parts of;
+    text_parts parts;
     uint64_t sequence = 0;
-    kept *old = NULL;
+    cache_entry *entry = NULL;
     tw_wire_heartbeat heartbeat;
-    tw_wire_heartbeat_free(&cache->passing);
-    const bool recognisable = split(&of, text, length, &sequence);
-    if (recognisable) HASH_FIND(hh, cache->kept, text, of.head, old);
-    if (old && is_same(old, &of)) {
-        old->came = true;
-        old->report.sequence = sequence;
-        return &old->report;
+    tw_wire_heartbeat_free(&cache->uncached);
+    const bool cacheable = split_text(&parts, text, length, &sequence);
+    if (cacheable) HASH_FIND(hh, cache->entries, text, parts.head_end, entry);
+    if (entry && has_same_parts(entry, &parts)) {
+        entry->used_since_sweep = true;
+        entry->heartbeat.sequence = sequence;
+        return &entry->heartbeat;
     }
     if (tw_wire_heartbeat_parse(&heartbeat, text, length)) return NULL;
-    if (old) let_go(cache, old); /* the new report takes its place */
-    if (recognisable &&
-        cache->long_bytes + long_bytes_of(&of, &heartbeat) <= cache->most_long_bytes)
-        return keep(cache, &of, &heartbeat);
-    cache->passing = heartbeat;
-    return &cache->passing;
+    if (entry) evict_entry(cache, entry); /* the new heartbeat replaces it */
+    if (cacheable &&
+        cache->long_bytes + count_long_bytes(&parts, &heartbeat) <= cache->max_long_bytes)
+        return add_entry(cache, &parts, &heartbeat);
+    cache->uncached = heartbeat;
+    return &cache->uncached;
 }
