--- a/emulator/main.c
+++ b/emulator/main.c
@@ -75,14 +75,15 @@
     const uint64_t term = number_in(body, "term");
     const uint64_t epoch = number_in(body, "epoch");
     if (!strcmp(path, "/check"))
-        return note_command(at, tw_shards_guard_check(guard, term), term, 0);
+        return note_command(at, tw_shards_guard_check_term(guard, term), term, 0);
     if (!strcmp(path, "/open"))
-        return note_command(at, tw_shards_guard_open(guard, term, epoch), term, epoch);
+        return note_command(at, tw_shards_guard_open_epoch(guard, term, epoch), term, epoch);
     if (!strcmp(path, "/stop"))
-        return note_command(at, tw_shards_guard_stop(guard, term, epoch), term, 0);
+        return note_command(at, tw_shards_guard_check_stop(guard, term, epoch), term, 0);
     const uint64_t boot_id = number_in(body, "life");
     const uint64_t minimum_epoch = number_in(body, "floor");
-    return note_command(at, tw_shards_guard_start(guard, term, boot_id, minimum_epoch), term, 0);
+    return note_command(at, tw_shards_guard_set_minimum_epoch(guard, term, boot_id, minimum_epoch),
+                        term, 0);
 }
 
 static bool is_command(const char *path) {
@@ -119,7 +120,7 @@
                  "{\"term\":%lu,\"life\":%lu,\"floor\":%lu,\"open\":%lu,\"started\":%s,"
                  "\"running\":0}",
                  (unsigned long)guard->term, (unsigned long)guard->boot_id,
-                 (unsigned long)guard->minimum_epoch, (unsigned long)guard->newest,
+                 (unsigned long)guard->minimum_epoch, (unsigned long)guard->newest_epoch,
                  guard->started ? "true" : "false");
         return status;
     }
@@ -133,7 +134,7 @@
     snprintf(answer, ANSWER_SIZE,
              "{\"open\":%lu,\"first\":%lu,\"last\":%lu,\"fell\":%s,\"taken\":%ld,\"refused\":%ld,"
              "\"term\":%lu,\"orders\":%ld,\"refused_orders\":%ld}",
-             (unsigned long)guard->newest, (unsigned long)at->first, (unsigned long)at->last,
+             (unsigned long)guard->newest_epoch, (unsigned long)at->first, (unsigned long)at->last,
              at->fell ? "true" : "false", at->taken, at->refused, (unsigned long)guard->term,
              at->commands, at->refused_commands);
     return OK;
--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -99,7 +99,7 @@
         break;
     }
     case TW_DAEMON_CALL_OPEN:
-        if (status == OK) tw_shards_owner_confirmed(node->owner, ended->machine, ended->about);
+        if (status == OK) tw_shards_owner_confirm_open(node->owner, ended->machine, ended->about);
         break;
     case TW_DAEMON_CALL_OTHER:
         break;
--- a/src/daemon/clients.c
+++ b/src/daemon/clients.c
@@ -33,7 +33,7 @@
     answer.shards = tw_daemon_alloc(sizeof *answer.shards * (size_t)shard_count);
     answer.notifications = tw_daemon_alloc(sizeof *answer.notifications * (size_t)machine_count);
     for (int i = 0; i < shard_count; i++)
-        answer.shards[answer.shard_count++] = tw_shards_view_of(node->shards, i);
+        answer.shards[answer.shard_count++] = tw_shards_shard_at(node->shards, i);
     for (int i = 0; i < machine_count; i++) {
         const tw_shards_notification machine = tw_shards_machine_at(node->shards, i);
         if (machine.state != TW_SHARDS_ABSENT)
@@ -51,11 +51,11 @@
     for (int i = 0; i < asked->message_count && decides; i++) {
         const tw_rpc_message *message = &asked->messages[i];
         if (message->kind == TW_SHARDS_OWNER_SYNC)
-            tw_shards_sync(node->shards, asked->owner);
+            tw_shards_send_owner_states(node->shards, asked->owner);
         else if (message->kind == TW_SHARDS_OWNER_DRAINED)
-            tw_shards_drained(node->shards, asked->owner, message->machine, message->epoch);
+            tw_shards_report_drained(node->shards, asked->owner, message->machine, message->epoch);
         else
-            tw_shards_opened(node->shards, asked->owner, message->machine, message->epoch);
+            tw_shards_report_opened(node->shards, asked->owner, message->machine, message->epoch);
     }
     tw_daemon_settle(node);
     /* What is kept is of the term at hand: it is dropped when the term ends. */
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -54,8 +54,8 @@
         break;
     case TW_STANDBY_NOTIFY:
         if (!strcmp(effect->table->notification.owner, node->settings->name))
-            tw_shards_owner_notified(node->owner, tw_daemon_steady_s(),
-                                     &effect->table->notification);
+            tw_shards_owner_handle_notification(node->owner, tw_daemon_steady_s(),
+                                                &effect->table->notification);
         else
             tw_daemon_keep_notification(node, &effect->table->notification);
         break;
--- a/src/daemon/owners.c
+++ b/src/daemon/owners.c
@@ -47,11 +47,11 @@
     if (tw_standby_decides(node->standby, tw_daemon_steady_s())) {
         const char *owner = node->settings->name;
         if (effect->kind == TW_SHARDS_OWNER_SYNC)
-            tw_shards_sync(node->shards, owner);
+            tw_shards_send_owner_states(node->shards, owner);
         else if (effect->kind == TW_SHARDS_OWNER_DRAINED)
-            tw_shards_drained(node->shards, owner, effect->machine, effect->epoch);
+            tw_shards_report_drained(node->shards, owner, effect->machine, effect->epoch);
         else
-            tw_shards_opened(node->shards, owner, effect->machine, effect->epoch);
+            tw_shards_report_opened(node->shards, owner, effect->machine, effect->epoch);
         return;
     }
     if (node->message_count == TW_DAEMON_MOST_NOTIFICATIONS) return; /* said again later */
@@ -63,7 +63,7 @@
 
 void tw_daemon_take_owner_effects(tw_daemon_node *node) {
     tw_shards_owner_effect *effect;
-    while ((effect = tw_shards_owner_next(node->owner))) {
+    while ((effect = tw_shards_owner_next_effect(node->owner))) {
         switch (effect->kind) {
         case TW_SHARDS_OWNER_OPEN:
             tw_daemon_send_command(node, TW_DAEMON_CALL_OPEN, "/open", effect);
@@ -95,7 +95,8 @@
     tw_rpc_answer answer;
     if (!tw_reporter_answer(node->reporter, &answer)) return;
     for (int i = 0; i < answer.notification_count; i++)
-        tw_shards_owner_notified(node->owner, tw_daemon_steady_s(), &answer.notifications[i]);
+        tw_shards_owner_handle_notification(node->owner, tw_daemon_steady_s(),
+                                            &answer.notifications[i]);
     tw_rpc_answer_free(&answer);
     tw_daemon_take_owner_effects(node);
 }
--- a/src/router/pick.c
+++ b/src/router/pick.c
@@ -5,8 +5,8 @@
 #include <stdbool.h>
 
 /* Whether the first is to be preferred; expected: when each would end. */
-static bool better(const tw_router_replica *first, const tw_router_replica *second, double deadline,
-                   double now) {
+static bool is_better(const tw_router_replica *first, const tw_router_replica *second,
+                      double deadline, double now) {
     const bool first_meets = now + first->service_s <= deadline;
     const bool second_meets = now + second->service_s <= deadline;
     if (first_meets != second_meets) return first_meets;
@@ -16,14 +16,14 @@
     return first->running < second->running;
 }
 
-tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *of,
+tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *request,
                                   double now) {
     tw_router_replica *best = NULL;
     tw_router_replica *each;
     tw_router_replica *after;
     HASH_ITER(hh, router->replicas, each, after) {
         if (!each->epoch || each->running >= each->slots) continue;
-        if (!best || better(each, best, of->deadline, now)) best = each;
+        if (!best || is_better(each, best, request->deadline, now)) best = each;
     }
     return best;
 }
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -30,7 +30,7 @@
     return effect;
 }
 
-tw_router_effect *tw_router_next(tw_router *router) {
+tw_router_effect *tw_router_next_effect(tw_router *router) {
     tw_router_effect *first = router->effects;
     if (!first) return NULL;
     router->effects = first->next;
@@ -43,32 +43,32 @@
 tw_router *tw_router_new(const tw_router_settings *settings) {
     tw_router *router = tw_router_alloc(sizeof *router);
     router->settings = *settings;
-    router->retries = settings->retry_burst;
+    router->retry_budget = settings->retry_burst;
     return router;
 }
 
 void tw_router_free(tw_router *router) {
     tw_router_request *each;
     tw_router_request *after;
-    tw_router_replica *one;
-    tw_router_replica *next;
-    tw_router_team *of;
-    tw_router_team *other;
+    tw_router_replica *replica;
+    tw_router_replica *next_replica;
+    tw_router_team *team;
+    tw_router_team *team_after;
     tw_router_effect *effect;
     if (!router) return;
     HASH_ITER(hh, router->requests, each, after) {
         HASH_DEL(router->requests, each);
         free(each);
     }
-    HASH_ITER(hh, router->replicas, one, next) {
-        HASH_DEL(router->replicas, one);
-        free(one);
+    HASH_ITER(hh, router->replicas, replica, next_replica) {
+        HASH_DEL(router->replicas, replica);
+        free(replica);
     }
-    HASH_ITER(hh, router->teams, of, other) {
-        HASH_DEL(router->teams, of);
-        free(of);
+    HASH_ITER(hh, router->teams, team, team_after) {
+        HASH_DEL(router->teams, team);
+        free(team);
     }
-    while ((effect = tw_router_next(router))) free(effect);
+    while ((effect = tw_router_next_effect(router))) free(effect);
     free(router);
 }
 
@@ -101,26 +101,26 @@
     return best;
 }
 
-static void enqueue(tw_router *router, tw_router_request *waits, bool at_front) {
-    tw_router_team *of = waits->team;
+static void enqueue(tw_router *router, tw_router_request *request, bool at_front) {
+    tw_router_team *team = request->team;
     const tw_router_team *least = next_team(router);
-    if (!of->waiting && least) of->served = fmax(of->served, least->served);
+    if (!team->waiting && least) team->served = fmax(team->served, least->served);
     if (at_front)
-        DL_PREPEND(of->waiting, waits);
+        DL_PREPEND(team->waiting, request);
     else
-        DL_APPEND(of->waiting, waits);
-    of->count++;
-    waits->state = TW_ROUTER_REQUEST_WAITING;
+        DL_APPEND(team->waiting, request);
+    team->count++;
+    request->state = TW_ROUTER_REQUEST_WAITING;
 }
 
-static void dequeue(tw_router_request *waits) {
-    DL_DELETE(waits->team->waiting, waits);
-    waits->team->count--;
+static void dequeue(tw_router_request *request) {
+    DL_DELETE(request->team->waiting, request);
+    request->team->count--;
 }
 
 /* ---- one final answer ---- */
 
-static double time_to_come_back(const tw_router *router) {
+static double estimate_retry_after_s(const tw_router *router) {
     const tw_router_replica *each;
     const tw_router_replica *after;
     double shortest = INFINITY;
@@ -130,20 +130,20 @@
     return isfinite(shortest) ? fmax(1, ceil(shortest)) : 1;
 }
 
-static void leave_replica(tw_router *router, const tw_router_request *left) {
-    tw_router_replica *at;
-    HASH_FIND_STR(router->replicas, left->replica, at);
-    if (at && at->running) at->running--;
+static void release_slot(tw_router *router, const tw_router_request *ended) {
+    tw_router_replica *replica;
+    HASH_FIND_STR(router->replicas, ended->replica, replica);
+    if (replica && replica->running) replica->running--;
 }
 
 /* Gives the final answer and forgets the request: what comes of it later is not known any more. */
-static void answer(tw_router *router, tw_router_request *over, tw_router_status status) {
-    tw_router_effect *effect = emit(router, TW_ROUTER_ANSWER, over);
+static void answer(tw_router *router, tw_router_request *request, tw_router_status status) {
+    tw_router_effect *effect = emit(router, TW_ROUTER_ANSWER, request);
     effect->status = status;
-    if (status != TW_ROUTER_OK) effect->retry_after_s = time_to_come_back(router);
-    if (over->state == TW_ROUTER_REQUEST_WAITING) dequeue(over);
-    HASH_DEL(router->requests, over);
-    free(over);
+    if (status != TW_ROUTER_OK) effect->retry_after_s = estimate_retry_after_s(router);
+    if (request->state == TW_ROUTER_REQUEST_WAITING) dequeue(request);
+    HASH_DEL(router->requests, request);
+    free(request);
 }
 
 static void cancel(tw_router *router, const tw_router_request *sent) {
@@ -195,24 +195,24 @@
 
 void tw_router_add_request(tw_router *router, double now, uint64_t number, const char *team_name,
                            double deadline) {
-    tw_router_request *came = tw_router_alloc(sizeof *came);
-    came->number = number;
-    came->team = team_named(router, team_name);
-    came->deadline = deadline;
-    came->state = TW_ROUTER_REQUEST_SENT; /* nowhere yet */
-    HASH_ADD(hh, router->requests, number, sizeof came->number, came);
-    router->retries =
-        fmin(router->settings.retry_burst, router->retries + router->settings.retry_ratio);
-    if (came->team->count >= router->settings.most_waiting) {
-        answer(router, came, TW_ROUTER_FULL);
+    tw_router_request *request = tw_router_alloc(sizeof *request);
+    request->number = number;
+    request->team = team_named(router, team_name);
+    request->deadline = deadline;
+    request->state = TW_ROUTER_REQUEST_SENT; /* nowhere yet */
+    HASH_ADD(hh, router->requests, number, sizeof request->number, request);
+    router->retry_budget =
+        fmin(router->settings.retry_burst, router->retry_budget + router->settings.retry_ratio);
+    if (request->team->count >= router->settings.most_waiting) {
+        answer(router, request, TW_ROUTER_FULL);
         return;
     }
-    enqueue(router, came, false);
+    enqueue(router, request, false);
     send_waiting(router, now);
 }
 
 /* The request, if this is its present attempt. What earlier ones say is dropped. */
-static tw_router_request *current(const tw_router *router, uint64_t number, int attempt) {
+static tw_router_request *current_attempt(const tw_router *router, uint64_t number, int attempt) {
     tw_router_request *found;
     HASH_FIND(hh, router->requests, &number, sizeof number, found);
     if (!found || found->state != TW_ROUTER_REQUEST_SENT || found->attempt != attempt) return NULL;
@@ -220,37 +220,38 @@
 }
 
 void tw_router_part_received(tw_router *router, double now, uint64_t number, int attempt) {
-    tw_router_request *found = current(router, number, attempt);
+    tw_router_request *found = current_attempt(router, number, attempt);
     (void)now;
     if (!found) return;
-    found->passed_on = true;
+    found->answer_started = true;
     emit(router, TW_ROUTER_PART, found);
 }
 
 /* Whether another attempt may be made; it is then paid for. */
-static bool may_retry(tw_router *router, const tw_router_request *failed, double now) {
-    if (failed->passed_on || failed->attempt >= router->settings.most_attempts) return false;
-    if (now >= failed->deadline || router->retries < 1) return false;
-    router->retries -= 1;
+static bool take_retry(tw_router *router, const tw_router_request *failed, double now) {
+    if (failed->answer_started || failed->attempt >= router->settings.most_attempts) return false;
+    if (now >= failed->deadline || router->retry_budget < 1) return false;
+    router->retry_budget -= 1;
     return true;
 }
 
-static void learn(const tw_router *router, const tw_router_request *done, double now) {
-    tw_router_replica *at;
+static void update_service_average(const tw_router *router, const tw_router_request *done,
+                                   double now) {
+    tw_router_replica *replica;
     const double weight = router->settings.average_ratio;
-    HASH_FIND_STR(router->replicas, done->replica, at);
-    if (at) at->service_s += weight * (now - done->sent_at - at->service_s);
+    HASH_FIND_STR(router->replicas, done->replica, replica);
+    if (replica) replica->service_s += weight * (now - done->sent_at - replica->service_s);
 }
 
 void tw_router_attempt_ended(tw_router *router, double now, uint64_t number, int attempt,
-                             tw_router_end end) {
-    tw_router_request *found = current(router, number, attempt);
+                             tw_router_result end) {
+    tw_router_request *found = current_attempt(router, number, attempt);
     if (!found) return;
-    leave_replica(router, found);
+    release_slot(router, found);
     if (end == TW_ROUTER_DONE) {
-        learn(router, found, now);
+        update_service_average(router, found, now);
         answer(router, found, TW_ROUTER_OK);
-    } else if (may_retry(router, found, now)) {
+    } else if (take_retry(router, found, now)) {
         if (end == TW_ROUTER_LOST) cancel(router, found);
         enqueue(router, found, true);
     } else {
@@ -266,7 +267,7 @@
     HASH_ITER(hh, router->requests, each, after) {
         if (now < each->deadline) continue;
         if (each->state == TW_ROUTER_REQUEST_SENT) {
-            leave_replica(router, each);
+            release_slot(router, each);
             cancel(router, each);
         }
         answer(router, each, TW_ROUTER_LATE);
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -59,7 +59,7 @@
     TW_ROUTER_REFUSED, /* it was not begun: the replica has no room, or the epoch is old */
     TW_ROUTER_BROKEN,  /* it was begun and will not answer */
     TW_ROUTER_LOST     /* not known; an answer may still come, and is dropped */
-} tw_router_end;
+} tw_router_result;
 
 typedef struct tw_router tw_router;
 /* Makes a router without replicas. The settings are copied. Free it with tw_router_free. */
@@ -81,11 +81,11 @@
 void tw_router_part_received(tw_router *router, double now, uint64_t request, int attempt);
 /* The attempt has ended. The end of an earlier attempt is ignored. */
 void tw_router_attempt_ended(tw_router *router, double now, uint64_t request, int attempt,
-                             tw_router_end end);
+                             tw_router_result end);
 /* Lets time pass: answers the requests whose deadline is over. */
 void tw_router_tick(tw_router *router, double now);
 /* The next effect, or NULL. The caller frees it with free. */
-tw_router_effect *tw_router_next(tw_router *router);
+tw_router_effect *tw_router_next_effect(tw_router *router);
 
 /* Number of requests that have no final answer yet. */
 int tw_router_open_count(const tw_router *router);
--- a/src/router/router_int.h
+++ b/src/router/router_int.h
@@ -18,7 +18,7 @@
     tw_router_team *team;
     double deadline, sent_at;
     int attempt;                           /* the present one, or the last */
-    bool passed_on;                        /* a part of its answer */
+    bool answer_started;                   /* a part of its answer */
     char replica[TW_ROUTER_NAME];          /* of the present attempt */
     struct tw_router_request *prev, *next; /* in its team's queue */
     UT_hash_handle hh;
@@ -42,7 +42,7 @@
 
 struct tw_router {
     tw_router_settings settings;
-    double retries; /* that may be made now */
+    double retry_budget; /* that may be made now */
     tw_router_request *requests;
     tw_router_replica *replicas;
     tw_router_team *teams;
--- a/src/rpc/convert.cpp
+++ b/src/rpc/convert.cpp
@@ -102,7 +102,7 @@
     to.set_revision(from.revision);
     to.set_retry_after_s(from.retry_after_s);
     for (int i = 0; i < from.shard_count; i++) {
-        const tw_shards_view &view = from.shards[i];
+        const tw_shards_shard_view &view = from.shards[i];
         messages::Share *shard = to.add_shares();
         shard->set_name(view.name);
         shard->set_owner(view.owner);
@@ -129,10 +129,10 @@
     copy_text(to.leader, from.leader());
     to.revision = from.revision();
     to.retry_after_s = from.retry_after_s();
-    to.shards = new_items<tw_shards_view>(from.shares_size());
+    to.shards = new_items<tw_shards_shard_view>(from.shares_size());
     to.notifications = new_items<tw_shards_notification>(from.machines_size());
     for (const messages::Share &shard : from.shares()) {
-        tw_shards_view &view = to.shards[to.shard_count++];
+        tw_shards_shard_view &view = to.shards[to.shard_count++];
         copy_text(view.name, shard.name());
         copy_text(view.owner, shard.owner());
         view.least = shard.least();
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -49,8 +49,8 @@
     char leader[TW_RPC_ADDRESS]; /* its control address; "": not known */
     double retry_after_s;        /* above 0: ask again after it */
     uint64_t revision, minimum_epoch;
-    tw_shards_progress progress; /* CHANGE */
-    tw_shards_view *shards;      /* SHOW */
+    tw_shards_progress progress;  /* CHANGE */
+    tw_shards_shard_view *shards; /* SHOW */
     int shard_count;
     tw_shards_notification *notifications; /* SHOW: machines; REPORT: what the owner is told */
     int notification_count;
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -47,7 +47,7 @@
 
   private:
     tw_rpc_answer answer = {};
-    std::vector<tw_shards_view> shards;
+    std::vector<tw_shards_shard_view> shards;
     std::vector<tw_shards_notification> notifications;
     std::vector<tw_standby_follower_status> followers;
     messages::FollowMessage feed;
--- a/src/shards/choose.c
+++ b/src/shards/choose.c
@@ -6,31 +6,32 @@
 
 typedef struct {
     tw_shards_machine *machine;
-    int holds;
+    int holds_image;
 } candidate;
 
-static int better(const void *first, const void *second) {
+static int compare_candidates(const void *first, const void *second) {
     const candidate *a = first;
     const candidate *b = second;
     if (a->machine->load != b->machine->load) return a->machine->load < b->machine->load ? -1 : 1;
-    if (a->holds != b->holds) return b->holds - a->holds;
+    if (a->holds_image != b->holds_image) return b->holds_image - a->holds_image;
     return a->machine->index - b->machine->index;
 }
 
 /* Machines that the shard has in each zone and keeps for now; the caller frees it. */
-static int *sizes_by_zone(const tw_shards *shards, int shard_index) {
+static int *count_kept_by_zone(const tw_shards *shards, int shard_index) {
     const tw_shards_shard_sets *sets = &shards->sets[shard_index];
-    int *sizes = tw_shards_alloc(sizeof *sizes * (size_t)shards->zone_count);
+    int *counts = tw_shards_alloc(sizeof *counts * (size_t)shards->zone_count);
     for (int zone = 0; zone < shards->zone_count; zone++) {
         const roaring_bitmap_t *machines = shards->zones[zone].machines;
-        sizes[zone] = (int)(roaring_bitmap_and_cardinality(sets->open, machines) +
-                            roaring_bitmap_and_cardinality(sets->taken, machines));
+        counts[zone] = (int)(roaring_bitmap_and_cardinality(sets->open, machines) +
+                             roaring_bitmap_and_cardinality(sets->taken, machines));
     }
-    return sizes;
+    return counts;
 }
 
 /* The machines that may go, as a set that the caller frees. */
-static roaring_bitmap_t *allowed(const tw_shards *shards, const tw_shards_move_record *record) {
+static roaring_bitmap_t *movable_machines(const tw_shards *shards,
+                                          const tw_shards_move_record *record) {
     const roaring_bitmap_t *open = shards->sets[record->from].open;
     roaring_bitmap_t *set =
         record->only ? tw_shards_ranges_parse(record->only) : roaring_bitmap_copy(open);
@@ -40,34 +41,34 @@
     return set;
 }
 
-int tw_shards_choose(const tw_shards *shards, const tw_shards_move_record *record, int most,
-                     tw_shards_machine ***chosen) {
-    roaring_bitmap_t *set = allowed(shards, record);
-    const size_t room = (size_t)roaring_bitmap_get_cardinality(set);
-    candidate *candidates = tw_shards_alloc(sizeof *candidates * room);
+int tw_shards_choose_machines(const tw_shards *shards, const tw_shards_move_record *record,
+                              int most, tw_shards_machine ***chosen) {
+    roaring_bitmap_t *set = movable_machines(shards, record);
+    const size_t capacity = (size_t)roaring_bitmap_get_cardinality(set);
+    candidate *candidates = tw_shards_alloc(sizeof *candidates * capacity);
     const tw_shards_named_set *image =
-        record->image[0] ? tw_shards_find_image(shards, record->image) : NULL;
+        record->image[0] ? tw_shards_find_image_set(shards, record->image) : NULL;
     int count = 0;
     roaring_uint32_iterator_t each;
     roaring_init_iterator(set, &each);
     for (; each.has_value; roaring_advance_uint32_iterator(&each)) {
         const uint32_t index = each.current_value;
-        const bool holds = image && roaring_bitmap_contains(image->machines, index);
-        candidates[count++] = (candidate){shards->machines[index], holds};
+        const bool holds_image = image && roaring_bitmap_contains(image->machines, index);
+        candidates[count++] = (candidate){shards->machines[index], holds_image};
     }
-    qsort(candidates, (size_t)count, sizeof *candidates, better);
-    int *left = sizes_by_zone(shards, record->from);
+    qsort(candidates, (size_t)count, sizeof *candidates, compare_candidates);
+    int *remaining = count_kept_by_zone(shards, record->from);
     const int spread = shards->header.shards[record->from].spread;
-    int taken = 0;
+    int chosen_count = 0;
     *chosen = tw_shards_alloc(sizeof(tw_shards_machine *) * (size_t)count);
-    for (int i = 0; i < count && taken < most; i++) {
+    for (int i = 0; i < count && chosen_count < most; i++) {
         tw_shards_machine *each_machine = candidates[i].machine;
-        if (spread && left[each_machine->zone] <= 1) continue;
-        left[each_machine->zone]--;
-        (*chosen)[taken++] = each_machine;
+        if (spread && remaining[each_machine->zone] <= 1) continue;
+        remaining[each_machine->zone]--;
+        (*chosen)[chosen_count++] = each_machine;
     }
-    free(left);
+    free(remaining);
     free(candidates);
     roaring_bitmap_free(set);
-    return taken;
+    return chosen_count;
 }
--- a/src/shards/guard.c
+++ b/src/shards/guard.c
@@ -16,19 +16,20 @@
 /* Whether the command's term is not overtaken; the machine then knows it. A leader that was deposed
  * may have commands on their way, or send them when its process goes on: they are to change nothing
  * once the next leader has been heard. */
-static bool takes_term(tw_shards_guard *guard, uint64_t term) {
+static bool accept_term(tw_shards_guard *guard, uint64_t term) {
     if (term < guard->term) return false;
     guard->term = term;
     return true;
 }
 
-tw_shards_guard_verdict tw_shards_guard_check(tw_shards_guard *guard, uint64_t term) {
-    return takes_term(guard, term) ? TW_SHARDS_GUARD_REPEATED : TW_SHARDS_GUARD_OLD_TERM;
+tw_shards_guard_verdict tw_shards_guard_check_term(tw_shards_guard *guard, uint64_t term) {
+    return accept_term(guard, term) ? TW_SHARDS_GUARD_REPEATED : TW_SHARDS_GUARD_OLD_TERM;
 }
 
-tw_shards_guard_verdict tw_shards_guard_start(tw_shards_guard *guard, uint64_t term,
-                                              uint64_t boot_id, uint64_t minimum_epoch) {
-    if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
+tw_shards_guard_verdict tw_shards_guard_set_minimum_epoch(tw_shards_guard *guard, uint64_t term,
+                                                          uint64_t boot_id,
+                                                          uint64_t minimum_epoch) {
+    if (!accept_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
     /* A minimum epoch that was drawn for an earlier boot of the machine is too low: epochs of that
      * boot could be opened again. */
     if (boot_id != guard->boot_id) return TW_SHARDS_GUARD_OTHER_BOOT;
@@ -38,22 +39,24 @@
     return TW_SHARDS_GUARD_RAISED;
 }
 
-tw_shards_guard_verdict tw_shards_guard_open(tw_shards_guard *guard, uint64_t term,
-                                             uint64_t epoch) {
-    if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
+tw_shards_guard_verdict tw_shards_guard_open_epoch(tw_shards_guard *guard, uint64_t term,
+                                                   uint64_t epoch) {
+    if (!accept_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
     if (!guard->started) return TW_SHARDS_GUARD_NOT_STARTED;
-    if (epoch <= guard->minimum_epoch || epoch < guard->newest) return TW_SHARDS_GUARD_OLD;
-    if (epoch == guard->newest) return TW_SHARDS_GUARD_REPEATED;
-    guard->newest = epoch;
+    if (epoch <= guard->minimum_epoch || epoch < guard->newest_epoch)
+        return TW_SHARDS_GUARD_OLD_EPOCH;
+    if (epoch == guard->newest_epoch) return TW_SHARDS_GUARD_REPEATED;
+    guard->newest_epoch = epoch;
     return TW_SHARDS_GUARD_RAISED;
 }
 
-tw_shards_guard_verdict tw_shards_guard_stop(tw_shards_guard *guard, uint64_t term,
-                                             uint64_t epoch) {
-    if (!takes_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
-    return epoch && epoch == guard->newest ? TW_SHARDS_GUARD_REPEATED : TW_SHARDS_GUARD_OLD;
+tw_shards_guard_verdict tw_shards_guard_check_stop(tw_shards_guard *guard, uint64_t term,
+                                                   uint64_t epoch) {
+    if (!accept_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
+    return epoch && epoch == guard->newest_epoch ? TW_SHARDS_GUARD_REPEATED
+                                                 : TW_SHARDS_GUARD_OLD_EPOCH;
 }
 
 bool tw_shards_guard_accepts(const tw_shards_guard *guard, uint64_t epoch) {
-    return epoch && epoch == guard->newest;
+    return epoch && epoch == guard->newest_epoch;
 }
--- a/src/shards/load.c
+++ b/src/shards/load.c
@@ -11,34 +11,34 @@
 #define DECIMAL 10
 
 /* Forgets the table and begins to read it. Requests that wait go on waiting. */
-void tw_shards_reload(tw_shards *shards) {
-    tw_shards_abandon(shards);
+void tw_shards_reload_table(tw_shards *shards) {
+    tw_shards_discard_transaction(shards);
     shards->in_flight = false;
     shards->loaded = false;
-    tw_shards_clear(shards);
-    shards->read_after = shards->now;
-    tw_shards_read_next(shards, "");
+    tw_shards_clear_table(shards);
+    shards->next_read_at = shards->now;
+    tw_shards_read_next_page(shards, "");
 }
 
-void tw_shards_read_next(tw_shards *shards, const char *after) {
-    tw_shards_effect *effect = tw_shards_emit(shards, TW_SHARDS_READ);
+void tw_shards_read_next_page(tw_shards *shards, const char *after) {
+    tw_shards_effect *effect = tw_shards_emit_effect(shards, TW_SHARDS_READ);
     effect->text = strdup(after);
     if (!effect->text) abort();
-    effect->id = shards->call = ++shards->next_call;
+    effect->id = shards->read_id = ++shards->last_effect_id;
     shards->reading = true;
 }
 
 /* The part of the key after the prefix; NULL: it has another one. */
-static const char *rest_of(const char *key, const char *prefix) {
+static const char *key_after_prefix(const char *key, const char *prefix) {
     const size_t length = strlen(prefix);
     return strncmp(key, prefix, length) ? NULL : key + length;
 }
 
-static int block_of(const char *digits) { return (int)strtol(digits, NULL, DECIMAL); }
+static int parse_block(const char *digits) { return (int)strtol(digits, NULL, DECIMAL); }
 
 /* A page comes in the order of keys: cells, moves, names, table. What is read needs the opposite
  * order, so texts are kept as they come and taken in when the last page is there. */
-static tw_shards_error take_table(tw_shards *shards, const tw_wire_entry *entry) {
+static tw_shards_error load_table(tw_shards *shards, const tw_wire_entry *entry) {
     tw_shards_header read;
     if (strcmp(entry->key, TW_SHARDS_PREFIX "table") != 0) return TW_SHARDS_NO_ERROR;
     if (tw_shards_header_parse(&read, entry->value)) return TW_SHARDS_BAD_RECORD;
@@ -47,9 +47,9 @@
     return TW_SHARDS_NO_ERROR;
 }
 
-static tw_shards_error take_move(tw_shards *shards, const tw_wire_entry *entry) {
+static tw_shards_error load_move(tw_shards *shards, const tw_wire_entry *entry) {
     tw_shards_move_record record;
-    if (!rest_of(entry->key, TW_SHARDS_PREFIX "move/")) return TW_SHARDS_NO_ERROR;
+    if (!key_after_prefix(entry->key, TW_SHARDS_PREFIX "move/")) return TW_SHARDS_NO_ERROR;
     if (tw_shards_move_parse(&record, entry->value)) return TW_SHARDS_BAD_RECORD;
     if (record.from >= shards->header.shard_count || record.to >= shards->header.shard_count) {
         free(record.only);
@@ -59,35 +59,35 @@
     return TW_SHARDS_NO_ERROR;
 }
 
-static tw_shards_error take_names(tw_shards *shards, const tw_wire_entry *entry) {
-    const char *digits = rest_of(entry->key, TW_SHARDS_PREFIX "names/");
+static tw_shards_error load_names(tw_shards *shards, const tw_wire_entry *entry) {
+    const char *digits = key_after_prefix(entry->key, TW_SHARDS_PREFIX "names/");
     if (!digits) return TW_SHARDS_NO_ERROR;
-    const int block = block_of(digits);
-    tw_shards_slot(shards, block * TW_SHARDS_BLOCK_SIZE);
+    const int block = parse_block(digits);
+    tw_shards_get_slot(shards, block * TW_SHARDS_BLOCK_SIZE);
     shards->name_mod_revisions[block] = entry->mod_revision;
     return tw_shards_names_parse(shards, block, entry->value);
 }
 
-static tw_shards_error take_cells(tw_shards *shards, const tw_wire_entry *entry) {
-    const char *digits = rest_of(entry->key, TW_SHARDS_PREFIX "cells/");
+static tw_shards_error load_cells(tw_shards *shards, const tw_wire_entry *entry) {
+    const char *digits = key_after_prefix(entry->key, TW_SHARDS_PREFIX "cells/");
     if (!digits) return TW_SHARDS_NO_ERROR;
-    const int block = block_of(digits);
-    tw_shards_slot(shards, block * TW_SHARDS_BLOCK_SIZE);
+    const int block = parse_block(digits);
+    tw_shards_get_slot(shards, block * TW_SHARDS_BLOCK_SIZE);
     shards->cell_mod_revisions[block] = entry->mod_revision;
     return tw_shards_cells_parse(shards, block, entry->value);
 }
 
 /* Texts of the pages so far. */
-struct tw_shards_kept_page {
+struct tw_shards_read_page {
     tw_wire_entry *entries;
     int count;
-    struct tw_shards_kept_page *next;
+    struct tw_shards_read_page *next;
 };
 
-static tw_shards_error take_all(tw_shards *shards, struct tw_shards_kept_page *pages) {
+static tw_shards_error load_records(tw_shards *shards, struct tw_shards_read_page *pages) {
     static tw_shards_error (*const takes[])(tw_shards * shards, const tw_wire_entry *entry) = {
-        take_table, take_move, take_names, take_cells};
-    const struct tw_shards_kept_page *page;
+        load_table, load_move, load_names, load_cells};
+    const struct tw_shards_read_page *page;
     for (size_t i = 0; i < sizeof takes / sizeof *takes; i++) LL_FOREACH(pages, page) {
             for (int j = 0; j < page->count; j++)
                 if (takes[i](shards, &page->entries[j])) return TW_SHARDS_BAD_RECORD;
@@ -96,8 +96,8 @@
 }
 
 static void free_pages(tw_shards *shards) {
-    struct tw_shards_kept_page *page;
-    struct tw_shards_kept_page *after;
+    struct tw_shards_read_page *page;
+    struct tw_shards_read_page *after;
     LL_FOREACH_SAFE(shards->pages, page, after) {
         tw_wire_entries_free(page->entries, page->count);
         free(page);
@@ -105,9 +105,9 @@
     shards->pages = NULL;
 }
 
-static void read_later(tw_shards *shards) {
+static void schedule_reread(tw_shards *shards) {
     free_pages(shards);
-    shards->read_after = shards->now + shards->settings.retry_s;
+    shards->next_read_at = shards->now + shards->settings.retry_s;
 }
 
 static void notify_all(tw_shards *shards) {
@@ -118,45 +118,46 @@
 
 /* Filled once in a term, since machines that come later are this leader's own; those that are gone
  * are left out each time. */
-static void list_quarantined(tw_shards *shards) {
+static void quarantine_machines(tw_shards *shards) {
     roaring_bitmap_t *present = roaring_bitmap_create();
     for (int i = 0; i < shards->machine_count; i++)
         if (shards->machines[i]->cell.state != TW_SHARDS_ABSENT)
             roaring_bitmap_add(present, (uint32_t)i);
-    if (shards->quarantine_listed)
+    if (shards->quarantine_filled)
         roaring_bitmap_and_inplace(shards->quarantined, present);
     else
         roaring_bitmap_overwrite(shards->quarantined, present);
-    shards->quarantine_listed = true;
+    shards->quarantine_filled = true;
     roaring_bitmap_free(present);
 }
 
-void tw_shards_page(tw_shards *shards, double now, uint64_t id, const char *text, size_t length) {
+void tw_shards_handle_page(tw_shards *shards, double now, uint64_t id, const char *text,
+                           size_t length) {
     shards->now = now;
-    if (!shards->token || !shards->reading || id != shards->call) return;
+    if (!shards->token || !shards->reading || id != shards->read_id) return;
     shards->reading = false;
-    struct tw_shards_kept_page *page = tw_shards_alloc(sizeof *page);
+    struct tw_shards_read_page *page = tw_shards_alloc(sizeof *page);
     int more = 0;
     if (!text || tw_wire_entries_parse(&page->entries, &page->count, &more, text, length)) {
         free(page);
-        read_later(shards);
+        schedule_reread(shards);
         return;
     }
     LL_APPEND(shards->pages, page);
     if (more && page->count) {
-        tw_shards_read_next(shards, page->entries[page->count - 1].key);
+        tw_shards_read_next_page(shards, page->entries[page->count - 1].key);
         return;
     }
-    const int failed = take_all(shards, shards->pages);
+    const int failed = load_records(shards, shards->pages);
     free_pages(shards);
     if (failed) {
-        tw_shards_clear(shards);
-        read_later(shards);
+        tw_shards_clear_table(shards);
+        schedule_reread(shards);
         return;
     }
     shards->loaded = true;
-    list_quarantined(shards);
+    quarantine_machines(shards);
     notify_all(shards);
 }
 
-void tw_shards_forget_pages(tw_shards *shards) { free_pages(shards); }
+void tw_shards_free_pages(tw_shards *shards) { free_pages(shards); }
--- a/src/shards/memory.c
+++ b/src/shards/memory.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_ROOM 16
+#define INITIAL_CAPACITY 16
 
 void *tw_shards_alloc(size_t size) {
     void *memory = calloc(1, size ? size : 1);
@@ -12,10 +12,10 @@
 }
 
 /* Room for one item more; new room is not zeroed. */
-void *tw_shards_grow(void *items, int count, int *room, size_t size) {
-    if (count < *room) return items;
-    *room = *room ? *room * 2 : FIRST_ROOM;
-    void *grown = realloc(items, (size_t)*room * size);
+void *tw_shards_grow(void *items, int count, int *capacity, size_t size) {
+    if (count < *capacity) return items;
+    *capacity = *capacity ? *capacity * 2 : INITIAL_CAPACITY;
+    void *grown = realloc(items, (size_t)*capacity * size);
     if (!grown) abort();
     return grown;
 }
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -9,19 +9,19 @@
 
 /* A machine that was given up is remembered for so many retry_s, so that a late message of the
  * leader doesn't bring it back under the old epoch. After that the machine's guard refuses it. */
-#define FORGET_RETRIES 100
+#define RELEASED_RETENTION_RETRIES 100
 
 typedef struct tw_shards_owned_machine {
     char name[TW_SHARDS_NAME];
     uint64_t epoch;
     uint64_t term; /* of the leader that was heard last about it */
     tw_shards_state state;
-    int running;    /* requests under this epoch that may still run */
-    bool followed;  /* since it was opened: `running` counts all of them */
-    bool confirmed; /* the machine is open under this epoch */
-    bool stopped;   /* it was asked to end what runs */
+    int running_requests;      /* requests under this epoch that may still run */
+    bool all_requests_counted; /* since it was opened: `running` counts all of them */
+    bool confirmed;            /* the machine is open under this epoch */
+    bool stop_sent;            /* it was asked to end what runs */
     double drain_until;
-    double said_at; /* when the last message about it went out */
+    double message_sent_at; /* when the last message about it went out */
     UT_hash_handle hh;
 } tw_shards_owned_machine;
 
@@ -44,7 +44,7 @@
     tw_shards_owned_machine *after;
     tw_shards_owner_effect *effect;
     if (!owner) return;
-    while ((effect = tw_shards_owner_next(owner))) free(effect);
+    while ((effect = tw_shards_owner_next_effect(owner))) free(effect);
     HASH_ITER(hh, owner->machines, each, after) {
         HASH_DEL(owner->machines, each);
         free(each);
@@ -53,13 +53,13 @@
 }
 
 static void emit(tw_shards_owner *owner, tw_shards_owner_effect_kind kind,
-                 const tw_shards_owned_machine *about) {
+                 const tw_shards_owned_machine *machine) {
     tw_shards_owner_effect *effect = tw_shards_alloc(sizeof *effect);
     effect->kind = kind;
-    if (about) {
-        tw_shards_copy_name(effect->machine, about->name);
-        effect->epoch = about->epoch;
-        effect->term = about->term;
+    if (machine) {
+        tw_shards_copy_name(effect->machine, machine->name);
+        effect->epoch = machine->epoch;
+        effect->term = machine->term;
     }
     if (owner->last_effect)
         owner->last_effect->next = effect;
@@ -68,7 +68,7 @@
     owner->last_effect = effect;
 }
 
-tw_shards_owner_effect *tw_shards_owner_next(tw_shards_owner *owner) {
+tw_shards_owner_effect *tw_shards_owner_next_effect(tw_shards_owner *owner) {
     tw_shards_owner_effect *first = owner->effects;
     if (!first) return NULL;
     owner->effects = first->next;
@@ -77,7 +77,7 @@
     return first;
 }
 
-static tw_shards_owned_machine *find(const tw_shards_owner *owner, const char *name) {
+static tw_shards_owned_machine *find_machine(const tw_shards_owner *owner, const char *name) {
     tw_shards_owned_machine *found;
     HASH_FIND_STR(owner->machines, name, found);
     return found;
@@ -85,29 +85,30 @@
 
 /* Sends the message that a machine's state calls for. It is repeated until a notification changes
  * the state. */
-static void say(tw_shards_owner *owner, double now, tw_shards_owned_machine *machine) {
-    machine->said_at = now;
+static void send_message(tw_shards_owner *owner, double now, tw_shards_owned_machine *machine) {
+    machine->message_sent_at = now;
     if (machine->state == TW_SHARDS_TAKEN)
         emit(owner, machine->confirmed ? TW_SHARDS_OWNER_OPENED : TW_SHARDS_OWNER_OPEN, machine);
-    if (machine->state == TW_SHARDS_DRAINING && machine->followed && !machine->running)
+    if (machine->state == TW_SHARDS_DRAINING && machine->all_requests_counted &&
+        !machine->running_requests)
         emit(owner, TW_SHARDS_OWNER_DRAINED, machine);
 }
 
-static void forget(tw_shards_owner *owner, tw_shards_owned_machine *machine) {
+static void remove_machine(tw_shards_owner *owner, tw_shards_owned_machine *machine) {
     HASH_DEL(owner->machines, machine);
     free(machine);
 }
 
-static tw_shards_owned_machine *make(tw_shards_owner *owner, const char *name) {
+static tw_shards_owned_machine *add_machine(tw_shards_owner *owner, const char *name) {
     tw_shards_owned_machine *made = tw_shards_alloc(sizeof *made);
     tw_shards_copy_name(made->name, name);
     HASH_ADD_STR(owner->machines, name, made);
     return made;
 }
 
-void tw_shards_owner_notified(tw_shards_owner *owner, double now,
-                              const tw_shards_notification *notification) {
-    tw_shards_owned_machine *machine = find(owner, notification->machine);
+void tw_shards_owner_handle_notification(tw_shards_owner *owner, double now,
+                                         const tw_shards_notification *notification) {
+    tw_shards_owned_machine *machine = find_machine(owner, notification->machine);
     /* A deposed leader may go on telling what held in its term. */
     if (notification->term < owner->term) return;
     owner->term = notification->term;
@@ -116,55 +117,56 @@
          (notification->epoch == machine->epoch && notification->state < machine->state)))
         return; /* late, or repeated by a leader that is behind */
     if (!machine && notification->state == TW_SHARDS_RELEASED) return;
-    if (!machine) machine = make(owner, notification->machine);
+    if (!machine) machine = add_machine(owner, notification->machine);
     if (notification->epoch != machine->epoch) {
-        machine->running = 0;
-        machine->confirmed = machine->stopped = false;
+        machine->running_requests = 0;
+        machine->confirmed = machine->stop_sent = false;
         machine->epoch = notification->epoch;
         /* An owner that first hears of a machine that was open before can't vouch for what an
          * earlier life of it has running there. */
-        machine->followed = notification->state == TW_SHARDS_TAKEN;
+        machine->all_requests_counted = notification->state == TW_SHARDS_TAKEN;
     }
     /* A command that waits for its answer goes out again under the new leader's term: the machine
      * may refuse the one that was sent. */
-    const bool next_leader =
+    const bool leader_changed =
         machine->term != notification->term && notification->state == TW_SHARDS_TAKEN;
     machine->term = notification->term;
-    const bool changed = notification->state != machine->state || next_leader;
+    const bool changed = notification->state != machine->state || leader_changed;
     machine->state = notification->state;
     if (notification->state == TW_SHARDS_DRAINING)
         machine->drain_until = now + notification->drain_s;
-    if (changed || machine->state == TW_SHARDS_DRAINING) say(owner, now, machine);
-    if (changed) machine->said_at = now;
+    if (changed || machine->state == TW_SHARDS_DRAINING) send_message(owner, now, machine);
+    if (changed) machine->message_sent_at = now;
 }
 
-void tw_shards_owner_confirmed(tw_shards_owner *owner, const char *name, uint64_t epoch) {
-    tw_shards_owned_machine *machine = find(owner, name);
+void tw_shards_owner_confirm_open(tw_shards_owner *owner, const char *name, uint64_t epoch) {
+    tw_shards_owned_machine *machine = find_machine(owner, name);
     if (!machine || machine->epoch != epoch) return;
     machine->confirmed = true;
     if (machine->state == TW_SHARDS_TAKEN) emit(owner, TW_SHARDS_OWNER_OPENED, machine);
 }
 
 uint64_t tw_shards_owner_epoch(const tw_shards_owner *owner, const char *name) {
-    const tw_shards_owned_machine *machine = find(owner, name);
+    const tw_shards_owned_machine *machine = find_machine(owner, name);
     return machine && machine->state == TW_SHARDS_OPEN ? machine->epoch : 0;
 }
 
-void tw_shards_owner_sent(tw_shards_owner *owner, const char *name, uint64_t epoch) {
-    tw_shards_owned_machine *machine = find(owner, name);
-    if (machine && machine->epoch == epoch) machine->running++;
+void tw_shards_owner_request_sent(tw_shards_owner *owner, const char *name, uint64_t epoch) {
+    tw_shards_owned_machine *machine = find_machine(owner, name);
+    if (machine && machine->epoch == epoch) machine->running_requests++;
 }
 
-void tw_shards_owner_refused(tw_shards_owner *owner, const char *name, uint64_t epoch) {
-    tw_shards_owned_machine *machine = find(owner, name);
+void tw_shards_owner_request_refused(tw_shards_owner *owner, const char *name, uint64_t epoch) {
+    tw_shards_owned_machine *machine = find_machine(owner, name);
     if (machine && machine->epoch == epoch) machine->state = TW_SHARDS_RELEASED;
 }
 
-void tw_shards_owner_ended(tw_shards_owner *owner, const char *name, uint64_t epoch) {
-    tw_shards_owned_machine *machine = find(owner, name);
-    if (!machine || machine->epoch != epoch || !machine->running) return;
-    machine->running--;
-    if (machine->state == TW_SHARDS_DRAINING && machine->followed && !machine->running)
+void tw_shards_owner_request_ended(tw_shards_owner *owner, const char *name, uint64_t epoch) {
+    tw_shards_owned_machine *machine = find_machine(owner, name);
+    if (!machine || machine->epoch != epoch || !machine->running_requests) return;
+    machine->running_requests--;
+    if (machine->state == TW_SHARDS_DRAINING && machine->all_requests_counted &&
+        !machine->running_requests)
         emit(owner, TW_SHARDS_OWNER_DRAINED, machine);
 }
 
@@ -177,15 +179,16 @@
         emit(owner, TW_SHARDS_OWNER_SYNC, NULL);
     }
     HASH_ITER(hh, owner->machines, machine, after) {
-        if (machine->state == TW_SHARDS_DRAINING && machine->running && !machine->stopped &&
-            now >= machine->drain_until) {
-            machine->stopped = true;
+        if (machine->state == TW_SHARDS_DRAINING && machine->running_requests &&
+            !machine->stop_sent && now >= machine->drain_until) {
+            machine->stop_sent = true;
             emit(owner, TW_SHARDS_OWNER_STOP, machine);
         }
         if (machine->state == TW_SHARDS_RELEASED) {
-            if (now >= machine->said_at + FORGET_RETRIES * owner->retry_s) forget(owner, machine);
-        } else if (now >= machine->said_at + owner->retry_s) {
-            say(owner, now, machine);
+            if (now >= machine->message_sent_at + RELEASED_RETENTION_RETRIES * owner->retry_s)
+                remove_machine(owner, machine);
+        } else if (now >= machine->message_sent_at + owner->retry_s) {
+            send_message(owner, now, machine);
         }
     }
 }
--- a/src/shards/record.c
+++ b/src/shards/record.c
@@ -13,12 +13,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LARGEST_NUMBER 1e15
+#define MAX_NUMBER 1e15
 #define RANGE_SIZE 24
 #define DECIMAL 10
-#define MOST_INDEX 10000000
+#define MAX_INDEX 10000000
 
-static char *finish(cJSON *object) {
+static char *print_and_delete(cJSON *object) {
     char *text = cJSON_PrintUnformatted(object);
     if (!text) abort();
     cJSON_Delete(object);
@@ -30,8 +30,7 @@
 static tw_shards_error read_number(const cJSON *object, const char *name, double *to) {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
     if (!cJSON_IsNumber(item)) return TW_SHARDS_BAD_RECORD;
-    if (!(item->valuedouble >= 0 && item->valuedouble <= LARGEST_NUMBER))
-        return TW_SHARDS_BAD_RECORD;
+    if (!(item->valuedouble >= 0 && item->valuedouble <= MAX_NUMBER)) return TW_SHARDS_BAD_RECORD;
     *to = item->valuedouble;
     return TW_SHARDS_NO_ERROR;
 }
@@ -45,7 +44,7 @@
 
 static tw_shards_error read_int(const cJSON *object, const char *name, int *to) {
     double number;
-    if (read_number(object, name, &number) || number > MOST_INDEX) return TW_SHARDS_BAD_RECORD;
+    if (read_number(object, name, &number) || number > MAX_INDEX) return TW_SHARDS_BAD_RECORD;
     *to = (int)number;
     return TW_SHARDS_NO_ERROR;
 }
@@ -64,7 +63,7 @@
 
 /* ---- ranges ---- */
 
-char *tw_shards_ranges(const roaring_bitmap_t *set) {
+char *tw_shards_ranges_text(const roaring_bitmap_t *set) {
     size_t size = 1;
     char *text = tw_shards_alloc(size);
     roaring_uint32_iterator_t each;
@@ -90,7 +89,7 @@
     char *end;
     if (**at < '0' || **at > '9') return TW_SHARDS_BAD_RECORD;
     const unsigned long number = strtoul(*at, &end, DECIMAL);
-    if (number > MOST_INDEX) return TW_SHARDS_BAD_RECORD;
+    if (number > MAX_INDEX) return TW_SHARDS_BAD_RECORD;
     *index = (uint32_t)number;
     *at = end;
     return TW_SHARDS_NO_ERROR;
@@ -136,7 +135,7 @@
         add_number(item, "spread", each->spread);
         cJSON_AddItemToArray(list, item);
     }
-    return finish(object);
+    return print_and_delete(object);
 }
 
 static tw_shards_error read_shard(const cJSON *item, tw_shards_shard *to) {
@@ -174,22 +173,22 @@
 /* ---- cells ---- */
 
 /* As it will be when the transaction in flight is applied. */
-static const tw_shards_cell *coming(const tw_shards_machine *machine) {
-    return machine->changing ? &machine->next : &machine->cell;
+static const tw_shards_cell *pending_cell(const tw_shards_machine *machine) {
+    return machine->change_pending ? &machine->next : &machine->cell;
 }
 
-static bool alike(const tw_shards_cell *first, const tw_shards_cell *second) {
+static bool cells_equal(const tw_shards_cell *first, const tw_shards_cell *second) {
     return first->shard == second->shard && first->state == second->state &&
            first->epoch == second->epoch && first->move == second->move;
 }
 
-static void add_cells(cJSON *list, const tw_shards_cell *has, const roaring_bitmap_t *machines) {
+static void add_cells(cJSON *list, const tw_shards_cell *cell, const roaring_bitmap_t *machines) {
     cJSON *item = cJSON_CreateObject();
-    char *ranges = tw_shards_ranges(machines);
-    add_number(item, "share", has->shard);
-    cJSON_AddStringToObject(item, "state", tw_shards_state_name(has->state));
-    add_number(item, "epoch", (double)has->epoch);
-    if (has->move) add_number(item, "move", (double)has->move);
+    char *ranges = tw_shards_ranges_text(machines);
+    add_number(item, "share", cell->shard);
+    cJSON_AddStringToObject(item, "state", tw_shards_state_name(cell->state));
+    add_number(item, "epoch", (double)cell->epoch);
+    if (cell->move) add_number(item, "move", (double)cell->move);
     cJSON_AddStringToObject(item, "machines", ranges);
     cJSON_AddItemToArray(list, item);
     free(ranges);
@@ -204,18 +203,18 @@
     cJSON *list = cJSON_AddArrayToObject(object, "cells");
     uint64_t listed = 0;
     for (int i = first; i < end; i++) {
-        const tw_shards_cell *has = coming(shards->machines[i]);
-        if (has->state == TW_SHARDS_ABSENT || (listed >> (i - first) & 1)) continue;
-        roaring_bitmap_t *same = roaring_bitmap_create();
+        const tw_shards_cell *cell = pending_cell(shards->machines[i]);
+        if (cell->state == TW_SHARDS_ABSENT || (listed >> (i - first) & 1)) continue;
+        roaring_bitmap_t *equal = roaring_bitmap_create();
         for (int j = i; j < end; j++) {
-            if (!alike(has, coming(shards->machines[j]))) continue;
+            if (!cells_equal(cell, pending_cell(shards->machines[j]))) continue;
             listed |= (uint64_t)1 << (j - first);
-            roaring_bitmap_add(same, (uint32_t)j);
+            roaring_bitmap_add(equal, (uint32_t)j);
         }
-        add_cells(list, has, same);
-        roaring_bitmap_free(same);
+        add_cells(list, cell, equal);
+        roaring_bitmap_free(equal);
     }
-    return finish(object);
+    return print_and_delete(object);
 }
 
 static tw_shards_error read_state(const cJSON *item, tw_shards_state *state) {
@@ -277,16 +276,16 @@
     cJSON *object = cJSON_CreateObject();
     for (int i = first; i < end; i++) {
         const tw_shards_machine *each = shards->machines[i];
-        if (coming(each)->state == TW_SHARDS_ABSENT) continue;
+        if (pending_cell(each)->state == TW_SHARDS_ABSENT) continue;
         char index[RANGE_SIZE];
         snprintf(index, sizeof index, "%d", i);
         const char *const pair[] = {each->name, shards->zones[each->zone].name};
         cJSON_AddItemToObject(object, index, cJSON_CreateStringArray(pair, 2));
     }
-    return finish(object);
+    return print_and_delete(object);
 }
 
-static tw_shards_error read_named(tw_shards *shards, int block, const cJSON *item) {
+static tw_shards_error read_machine_name(tw_shards *shards, int block, const cJSON *item) {
     const cJSON *name = cJSON_GetArrayItem(item, 0);
     const cJSON *zone = cJSON_GetArrayItem(item, 1);
     const char *at = item->string;
@@ -297,10 +296,10 @@
         return TW_SHARDS_BAD_RECORD;
     if (!cJSON_IsString(zone) || strlen(zone->valuestring) >= TW_SHARDS_NAME)
         return TW_SHARDS_BAD_RECORD;
-    if (!name->valuestring[0] || tw_shards_find(shards, name->valuestring))
+    if (!name->valuestring[0] || tw_shards_find_machine(shards, name->valuestring))
         return TW_SHARDS_BAD_RECORD;
-    tw_shards_machine *slot = tw_shards_slot(shards, (int)index);
-    const int zone_index = tw_shards_zone_index(shards, zone->valuestring);
+    tw_shards_machine *slot = tw_shards_get_slot(shards, (int)index);
+    const int zone_index = tw_shards_find_or_add_zone(shards, zone->valuestring);
     tw_shards_name_machine(shards, slot, name->valuestring, zone_index);
     return TW_SHARDS_NO_ERROR;
 }
@@ -309,7 +308,7 @@
     cJSON *object = cJSON_Parse(text);
     const cJSON *item;
     bool failed = !cJSON_IsObject(object);
-    cJSON_ArrayForEach(item, object) { failed = failed || read_named(shards, block, item); }
+    cJSON_ArrayForEach(item, object) { failed = failed || read_machine_name(shards, block, item); }
     cJSON_Delete(object);
     return failed ? TW_SHARDS_BAD_RECORD : TW_SHARDS_NO_ERROR;
 }
@@ -333,7 +332,7 @@
     add_number(object, "done", record->done);
     add_number(object, "digest", (double)record->digest);
     add_number(object, "deadline", record->deadline);
-    return finish(object);
+    return print_and_delete(object);
 }
 
 tw_shards_error tw_shards_move_parse(tw_shards_move_record *record, const char *text) {
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -23,7 +23,7 @@
 }
 
 /* Of what a move asks for; machines that are gone since don't change it. */
-static uint64_t digest_of(const tw_shards_request *request) {
+static uint64_t move_digest(const tw_shards_request *request) {
     uint64_t digest = digest_text(DIGEST_START, request->shard);
     digest = digest_text(digest, request->to);
     digest = digest_text(digest, request->image);
@@ -36,37 +36,38 @@
 
 /* ---- the queue ---- */
 
-static void drop_waiting(tw_shards *shards, tw_shards_waiting_request *dropped) {
-    DL_DELETE(shards->requests, dropped);
+static void remove_request(tw_shards *shards, tw_shards_waiting_request *removed) {
+    DL_DELETE(shards->requests, removed);
     shards->request_count--;
-    free(dropped->request.machines);
-    free(dropped);
+    free(removed->request.machines);
+    free(removed);
 }
 
 /* Copies of a move that its client repeated meanwhile get the same answer: a client that was
  * refused must not see its move begin after all. */
-static void answer_copies(tw_shards *shards, const tw_shards_request *answered,
-                          tw_shards_verdict verdict) {
+static void answer_repeated_moves(tw_shards *shards, const tw_shards_request *answered,
+                                  tw_shards_verdict verdict) {
     tw_shards_waiting_request *each;
     tw_shards_waiting_request *after;
     DL_FOREACH_SAFE(shards->requests, each, after) {
         if (each->request.kind != TW_SHARDS_MOVE || &each->request == answered) continue;
         if (strcmp(each->request.key, answered->key) != 0) continue;
-        if (digest_of(&each->request) != digest_of(answered)) continue;
-        tw_shards_answer(shards, &each->request, verdict);
-        drop_waiting(shards, each);
+        if (move_digest(&each->request) != move_digest(answered)) continue;
+        tw_shards_answer_request(shards, &each->request, verdict);
+        remove_request(shards, each);
     }
 }
 
 static void answer_first(tw_shards *shards, tw_shards_verdict verdict) {
     tw_shards_waiting_request *first = shards->requests;
-    tw_shards_answer(shards, &first->request, verdict);
-    if (first->request.kind == TW_SHARDS_MOVE) answer_copies(shards, &first->request, verdict);
-    drop_waiting(shards, first);
+    tw_shards_answer_request(shards, &first->request, verdict);
+    if (first->request.kind == TW_SHARDS_MOVE)
+        answer_repeated_moves(shards, &first->request, verdict);
+    remove_request(shards, first);
 }
 
 /* The first request is answered once the transaction is applied. */
-static void answer_later(tw_shards *shards) {
+static void defer_answer(tw_shards *shards) {
     tw_shards_waiting_request *first = shards->requests;
     DL_DELETE(shards->requests, first);
     shards->request_count--;
@@ -74,7 +75,7 @@
 }
 
 /* Those of a transaction that was not applied are tried again first. */
-void tw_shards_requeue(tw_shards *shards) {
+void tw_shards_requeue_requests(tw_shards *shards) {
     DL_CONCAT(shards->txn.answers, shards->requests);
     shards->requests = shards->txn.answers;
     shards->txn.answers = NULL;
@@ -88,7 +89,7 @@
     tw_shards_waiting_request *after;
     DL_FOREACH_SAFE(shards->txn.answers, each, after) {
         DL_DELETE(shards->txn.answers, each);
-        tw_shards_answer(shards, &each->request, TW_SHARDS_OK);
+        tw_shards_answer_request(shards, &each->request, TW_SHARDS_OK);
         free(each->request.machines);
         free(each);
     }
@@ -99,24 +100,24 @@
 }
 
 void tw_shards_refuse_all(tw_shards *shards, tw_shards_verdict verdict) {
-    tw_shards_requeue(shards);
+    tw_shards_requeue_requests(shards);
     tw_shards_refuse_waiting(shards, verdict);
 }
 
 static void commit_or_refuse(tw_shards *shards) {
-    if (tw_shards_commit(shards) == TW_SHARDS_NO_ERROR) {
-        answer_later(shards);
+    if (tw_shards_commit_transaction(shards) == TW_SHARDS_NO_ERROR) {
+        defer_answer(shards);
         return;
     }
-    tw_shards_abandon(shards);
+    tw_shards_discard_transaction(shards);
     answer_first(shards, TW_SHARDS_TOO_LARGE);
 }
 
 /* ---- shards ---- */
 
-static bool is_defined_so(const tw_shards_shard *of, const tw_shards_request *request) {
-    return !strcmp(of->owner, request->owner) && of->least == request->least &&
-           of->spread == request->spread;
+static bool matches_definition(const tw_shards_shard *shard, const tw_shards_request *request) {
+    return !strcmp(shard->owner, request->owner) && shard->least == request->least &&
+           shard->spread == request->spread;
 }
 
 static bool serve_define(tw_shards *shards, const tw_shards_request *request) {
@@ -125,11 +126,11 @@
         return false;
     }
     int index = tw_shards_shard_index(shards, request->shard);
-    if (index >= 0 && is_defined_so(&shards->header.shards[index], request)) {
+    if (index >= 0 && matches_definition(&shards->header.shards[index], request)) {
         answer_first(shards, TW_SHARDS_OK);
         return false;
     }
-    tw_shards_begin(shards);
+    tw_shards_begin_transaction(shards);
     tw_shards_header *next = tw_shards_change_header(shards);
     if (index < 0) {
         index = next->shard_count++;
@@ -152,9 +153,9 @@
 static tw_shards_machine *free_slot(tw_shards *shards) {
     for (int i = 0; i < shards->machine_count; i++) {
         tw_shards_machine *each = shards->machines[i];
-        if (each->cell.state == TW_SHARDS_ABSENT && !each->changing) return each;
+        if (each->cell.state == TW_SHARDS_ABSENT && !each->change_pending) return each;
     }
-    return tw_shards_slot(shards, shards->machine_count);
+    return tw_shards_get_slot(shards, shards->machine_count);
 }
 
 /* The verdict, or TW_SHARDS_OK and *full where the transaction has no room for it. */
@@ -164,23 +165,24 @@
     if (index < 0) return TW_SHARDS_UNKNOWN_SHARD;
     if (!request->machine[0] || !request->zone[0]) return TW_SHARDS_INVALID;
     tw_shards_machine *slot = free_slot(shards);
-    *full = !tw_shards_has_room(shards, slot, TW_SHARDS_RECORD_CELLS | TW_SHARDS_RECORD_NAMES, 1);
+    *full = !tw_shards_transaction_fits(shards, slot,
+                                        TW_SHARDS_RECORD_CELLS | TW_SHARDS_RECORD_NAMES, 1);
     if (*full) return TW_SHARDS_OK;
     tw_shards_header *next = tw_shards_change_header(shards);
     if (next->epoch == shards->header.epoch) next->epoch++;
     tw_shards_name_machine(shards, slot, request->machine,
-                           tw_shards_zone_index(shards, request->zone));
+                           tw_shards_find_or_add_zone(shards, request->zone));
     const tw_shards_cell to = {.shard = index, .state = TW_SHARDS_TAKEN, .epoch = next->epoch};
-    tw_shards_change(shards, slot, to);
+    tw_shards_change_machine(shards, slot, to);
     return TW_SHARDS_OK;
 }
 
-static tw_shards_verdict remove_machine(tw_shards *shards, tw_shards_machine *gone, bool *full) {
-    tw_shards_move *held_by = tw_shards_move_by_number(shards, gone->cell.move);
-    *full = !tw_shards_has_room(shards, gone, TW_SHARDS_RECORD_CELLS | TW_SHARDS_RECORD_NAMES,
-                                held_by != NULL);
+static tw_shards_verdict remove_machine(tw_shards *shards, tw_shards_machine *removed, bool *full) {
+    tw_shards_move *held_by = tw_shards_move_by_number(shards, removed->cell.move);
+    *full = !tw_shards_transaction_fits(
+        shards, removed, TW_SHARDS_RECORD_CELLS | TW_SHARDS_RECORD_NAMES, held_by != NULL);
     if (*full) return TW_SHARDS_OK;
-    tw_shards_change(shards, gone, (tw_shards_cell){.state = TW_SHARDS_ABSENT});
+    tw_shards_change_machine(shards, removed, (tw_shards_cell){.state = TW_SHARDS_ABSENT});
     if (held_by) tw_shards_change_move(shards, held_by)->lost++;
     return TW_SHARDS_OK;
 }
@@ -189,7 +191,7 @@
  * is to be opened again under the next epoch, which no late command of its earlier boot has. */
 static tw_shards_verdict renew_machine(tw_shards *shards, tw_shards_machine *renewed, bool *full) {
     tw_shards_cell to = renewed->cell;
-    *full = !tw_shards_has_room(shards, renewed, TW_SHARDS_RECORD_CELLS, 1);
+    *full = !tw_shards_transaction_fits(shards, renewed, TW_SHARDS_RECORD_CELLS, 1);
     if (*full || to.state == TW_SHARDS_RELEASED) return TW_SHARDS_OK;
     tw_shards_header *next = tw_shards_change_header(shards);
     if (next->epoch == shards->header.epoch) next->epoch++;
@@ -199,45 +201,45 @@
         to.state = TW_SHARDS_TAKEN;
         to.epoch = next->epoch;
     }
-    tw_shards_change(shards, renewed, to);
+    tw_shards_change_machine(shards, renewed, to);
     return TW_SHARDS_OK;
 }
 
 static tw_shards_verdict change_machine(tw_shards *shards, const tw_shards_request *request,
                                         bool *full) {
-    tw_shards_machine *found = tw_shards_find(shards, request->machine);
+    tw_shards_machine *found = tw_shards_find_machine(shards, request->machine);
     if (!found && request->kind == TW_SHARDS_ADD) return add_machine(shards, request, full);
     if (!found && request->kind == TW_SHARDS_REMOVE) return TW_SHARDS_OK; /* it is gone already */
     if (!found) return TW_SHARDS_UNKNOWN_MACHINE;
-    *full = found->changing; /* twice in one transaction */
+    *full = found->change_pending; /* twice in one transaction */
     if (*full) return TW_SHARDS_OK;
     if (request->kind == TW_SHARDS_REMOVE) return remove_machine(shards, found, full);
     return renew_machine(shards, found, full);
 }
 
-static bool is_of_machine(const tw_shards_waiting_request *each) {
+static bool is_machine_request(const tw_shards_waiting_request *each) {
     return each && (each->request.kind == TW_SHARDS_ADD || each->request.kind == TW_SHARDS_REMOVE ||
                     each->request.kind == TW_SHARDS_RENEW);
 }
 
-static bool serve_machines(tw_shards *shards) {
+static bool serve_machine_changes(tw_shards *shards) {
     bool full = false;
-    tw_shards_begin(shards);
-    while (is_of_machine(shards->requests) && !full) {
+    tw_shards_begin_transaction(shards);
+    while (is_machine_request(shards->requests) && !full) {
         const tw_shards_verdict verdict = change_machine(shards, &shards->requests->request, &full);
         if (verdict != TW_SHARDS_OK)
             answer_first(shards, verdict);
         else if (!full)
-            answer_later(shards);
+            defer_answer(shards);
     }
     if (!shards->txn.machine_count) {
-        tw_shards_abandon(shards);
+        tw_shards_discard_transaction(shards);
         tw_shards_answer_applied(shards); /* nothing had to be changed */
         return false;
     }
-    if (tw_shards_commit(shards) != TW_SHARDS_NO_ERROR) {
-        tw_shards_abandon(shards);
-        tw_shards_requeue(shards);
+    if (tw_shards_commit_transaction(shards) != TW_SHARDS_NO_ERROR) {
+        tw_shards_discard_transaction(shards);
+        tw_shards_requeue_requests(shards);
         answer_first(shards, TW_SHARDS_TOO_LARGE);
         return false;
     }
@@ -247,19 +249,20 @@
 /* ---- moves ---- */
 
 /* The machines that the request names, as ranges in record->only. */
-static tw_shards_verdict read_named(const tw_shards *shards, const tw_shards_request *request,
-                                    tw_shards_move_record *record) {
+static tw_shards_verdict read_named_machines(const tw_shards *shards,
+                                             const tw_shards_request *request,
+                                             tw_shards_move_record *record) {
     roaring_bitmap_t *named = roaring_bitmap_create();
     tw_shards_verdict verdict = TW_SHARDS_OK;
     for (int i = 0; i < request->machine_count && verdict == TW_SHARDS_OK; i++) {
-        const tw_shards_machine *found = tw_shards_find(shards, request->machines[i]);
+        const tw_shards_machine *found = tw_shards_find_machine(shards, request->machines[i]);
         if (!found)
             verdict = TW_SHARDS_UNKNOWN_MACHINE;
         else
             roaring_bitmap_add(named, (uint32_t)found->index);
     }
     record->wanted = (int)roaring_bitmap_get_cardinality(named);
-    record->only = tw_shards_ranges(named);
+    record->only = tw_shards_ranges_text(named);
     roaring_bitmap_free(named);
     return verdict;
 }
@@ -269,18 +272,19 @@
     *record = (tw_shards_move_record){.from = tw_shards_shard_index(shards, request->shard),
                                       .to = tw_shards_shard_index(shards, request->to),
                                       .wanted = request->count,
-                                      .digest = digest_of(request),
+                                      .digest = move_digest(request),
                                       .deadline = shards->wall + shards->settings.drain_s};
     tw_shards_copy_name(record->key, request->key);
     tw_shards_copy_name(record->image, request->image);
     if (!request->key[0] || strpbrk(request->key, " /%?#\"\\")) return TW_SHARDS_INVALID;
     if (record->from < 0 || record->to < 0) return TW_SHARDS_UNKNOWN_SHARD;
-    if (request->machine_count) return read_named(shards, request, record);
+    if (request->machine_count) return read_named_machines(shards, request, record);
     return request->count > 0 ? TW_SHARDS_OK : TW_SHARDS_INVALID;
 }
 
 /* Whether every machine named is open in the shard that is to give it. */
-static tw_shards_verdict judge_named(const tw_shards *shards, const tw_shards_move_record *record) {
+static tw_shards_verdict check_named_machines(const tw_shards *shards,
+                                              const tw_shards_move_record *record) {
     roaring_bitmap_t *named = tw_shards_ranges_parse(record->only);
     tw_shards_verdict verdict = TW_SHARDS_OK;
     roaring_uint32_iterator_t each;
@@ -289,7 +293,7 @@
         const tw_shards_machine *found = shards->machines[each.current_value];
         if (found->cell.shard != record->from)
             verdict = found->cell.move ? TW_SHARDS_BUSY : TW_SHARDS_UNKNOWN_MACHINE;
-        else if (tw_shards_state_of(shards, found) != TW_SHARDS_OPEN)
+        else if (tw_shards_effective_state(shards, found) != TW_SHARDS_OPEN)
             verdict = TW_SHARDS_BUSY;
         else if (!tw_shards_is_confirmed(shards, found))
             verdict = TW_SHARDS_QUARANTINED;
@@ -300,7 +304,7 @@
 }
 
 /* The verdict on a new move, and the machines that begin it. */
-static tw_shards_verdict judge_move(const tw_shards *shards, const tw_shards_move_record *record,
+static tw_shards_verdict check_move(const tw_shards *shards, const tw_shards_move_record *record,
                                     tw_shards_machine ***chosen) {
     const tw_shards_shard_sets *sets = &shards->sets[record->from];
     const int open = (int)roaring_bitmap_get_cardinality(sets->open);
@@ -308,12 +312,12 @@
     *chosen = NULL;
     if (record->from == record->to) return TW_SHARDS_INVALID;
     if (record->only) {
-        const tw_shards_verdict verdict = judge_named(shards, record);
+        const tw_shards_verdict verdict = check_named_machines(shards, record);
         if (verdict != TW_SHARDS_OK) return verdict;
     }
     if (open + taken - record->wanted < shards->header.shards[record->from].least)
         return TW_SHARDS_BELOW_LEAST;
-    const int count = tw_shards_choose(shards, record, record->wanted, chosen);
+    const int count = tw_shards_choose_machines(shards, record, record->wanted, chosen);
     if (count == record->wanted) return TW_SHARDS_OK;
     if (tw_shards_any_quarantined(shards, record->from)) return TW_SHARDS_QUARANTINED;
     return taken && open < record->wanted ? TW_SHARDS_BUSY : TW_SHARDS_NO_FIT;
@@ -325,25 +329,25 @@
     const tw_shards_move *oldest = NULL;
     int finished = 0;
     DL_FOREACH2(shards->moves, each, link) {
-        if (!each->now.done) continue;
+        if (!each->recorded.done) continue;
         finished++;
         if (!oldest) oldest = each;
     }
-    return finished > TW_SHARDS_MAX_FINISHED_MOVES ? oldest->now.number : 0;
+    return finished > TW_SHARDS_MAX_FINISHED_MOVES ? oldest->recorded.number : 0;
 }
 
 /* Begins the move in one transaction, with as many machines as it takes. */
 static void begin_move(tw_shards *shards, tw_shards_move_record *record,
                        tw_shards_machine **chosen) {
-    tw_shards_begin(shards);
+    tw_shards_begin_transaction(shards);
     shards->txn.removed_move = move_to_remove(shards);
     tw_shards_header *next = tw_shards_change_header(shards);
     next->revision++;
     record->number = ++next->move;
     tw_shards_move *added = tw_shards_add_move(shards, &(tw_shards_move_record){0});
     added->next = *record;
-    added->changing = true;
-    tw_shards_mark(shards, added, chosen, record->wanted);
+    added->change_pending = true;
+    tw_shards_mark_machines(shards, added, chosen, record->wanted);
     commit_or_refuse(shards);
 }
 
@@ -352,7 +356,7 @@
     tw_shards_machine **chosen = NULL;
     const tw_shards_move *known = tw_shards_move_by_key(shards, request->key);
     if (known) {
-        const bool repeated = known->now.digest == digest_of(request);
+        const bool repeated = known->recorded.digest == move_digest(request);
         answer_first(shards, repeated ? TW_SHARDS_OK : TW_SHARDS_KEY_REUSED);
         return false;
     }
@@ -360,7 +364,7 @@
     if (verdict == TW_SHARDS_OK && request->revision &&
         request->revision != shards->header.revision)
         verdict = TW_SHARDS_STALE_REVISION;
-    if (verdict == TW_SHARDS_OK) verdict = judge_move(shards, &record, &chosen);
+    if (verdict == TW_SHARDS_OK) verdict = check_move(shards, &record, &chosen);
     if (verdict == TW_SHARDS_OK) {
         begin_move(shards, &record, chosen);
     } else {
@@ -373,11 +377,11 @@
 
 static bool serve_cancel(tw_shards *shards, const tw_shards_request *request) {
     tw_shards_move *found = tw_shards_move_by_key(shards, request->key);
-    if (!found || found->now.done || found->now.cancelled) {
+    if (!found || found->recorded.done || found->recorded.cancelled) {
         answer_first(shards, found ? TW_SHARDS_OK : TW_SHARDS_UNKNOWN_MOVE);
         return false;
     }
-    tw_shards_begin(shards);
+    tw_shards_begin_transaction(shards);
     tw_shards_change_move(shards, found)->cancelled = 1;
     commit_or_refuse(shards);
     return shards->in_flight;
@@ -407,7 +411,7 @@
             begun = serve_watch(shards, request);
             break;
         default:
-            begun = serve_machines(shards);
+            begun = serve_machine_changes(shards);
         }
         if (begun) return true;
     }
--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -108,8 +108,9 @@
 } tw_shards_progress;
 
 typedef enum {
-    TW_SHARDS_READ,   /* list keys of TW_SHARDS_PREFIX after `text`; answer with tw_shards_page */
-    TW_SHARDS_WRITE,  /* send the transaction in `text`; answer with tw_shards_written */
+    TW_SHARDS_READ, /* list keys of TW_SHARDS_PREFIX after `text`; answer with tw_shards_handle_page
+                     */
+    TW_SHARDS_WRITE,  /* send the transaction in `text`; answer with tw_shards_handle_outcome */
     TW_SHARDS_NOTIFY, /* notify an owner of the state of a machine */
     TW_SHARDS_ANSWER  /* answer a request */
 } tw_shards_effect_kind;
@@ -144,9 +145,10 @@
 /* The outcome of a transaction. */
 typedef enum {
     TW_SHARDS_APPLIED,
-    TW_SHARDS_REFUSED, /* a compare failed, or the state service refuses it */
-    TW_SHARDS_PUT_OFF, /* not carried out: the service's rate is used up, or it is out of order */
-    TW_SHARDS_UNKNOWN  /* no answer came: it may have been carried out, or may be later */
+    TW_SHARDS_REFUSED,      /* a compare failed, or the state service refuses it */
+    TW_SHARDS_NOT_EXECUTED, /* not carried out: the service's rate is used up, or it is out of order
+                             */
+    TW_SHARDS_UNKNOWN       /* no answer came: it may have been carried out, or may be later */
 } tw_shards_outcome;
 
 typedef struct tw_shards tw_shards;
@@ -158,42 +160,45 @@
 
 /* Begins a term: this node leads since the leader's key has revision `token`. Every write compares
  * the key with it. The table is read anew. */
-void tw_shards_lead(tw_shards *shards, double now, const char *leader_key, uint64_t token);
+void tw_shards_begin_term(tw_shards *shards, double now, const char *leader_key, uint64_t token);
 /* Says until when no other node can lead. A refusal needs no write that could fail, so the leader
  * answers requests only until then: a deposed one would refuse by a table that has changed. */
-void tw_shards_authority(tw_shards *shards, double until);
+void tw_shards_set_authority(tw_shards *shards, double until);
 /* Allows decisions. A leader that has read the table decides nothing before this call. After it,
- * each machine that was in the table then stays quarantined until tw_shards_machine_confirmed is
+ * each machine that was in the table then stays quarantined until tw_shards_confirm_machine is
  * called for it: a machine that has not answered under this term may still take commands of an
  * earlier one. */
-void tw_shards_decide(tw_shards *shards, double now);
+void tw_shards_allow_decisions(tw_shards *shards, double now);
 /* Ends the quarantine of a machine, which has answered under this term. An unknown name is ignored.
  */
-void tw_shards_machine_confirmed(tw_shards *shards, double now, const char *machine);
+void tw_shards_confirm_machine(tw_shards *shards, double now, const char *machine);
 /* Whether the table is read and decisions are allowed. */
-bool tw_shards_deciding(const tw_shards *shards);
+bool tw_shards_is_deciding(const tw_shards *shards);
 /* Number of machines in quarantine. */
 int tw_shards_quarantined_count(const tw_shards *shards);
 /* Ends the term: all requests that wait are answered NOT_LEADER, and the table is forgotten. */
-void tw_shards_resign(tw_shards *shards);
+void tw_shards_end_term(tw_shards *shards);
 
 /* Takes a request, which is copied. Each request is answered by one ANSWER. */
-void tw_shards_request_in(tw_shards *shards, double now, const tw_shards_request *request);
+void tw_shards_add_request(tw_shards *shards, double now, const tw_shards_request *request);
 /* Takes the answer to the READ `id`: a list of the state service as JSON text, of `length` bytes.
  * NULL: no answer came; the READ is repeated after retry_s. */
-void tw_shards_page(tw_shards *shards, double now, uint64_t id, const char *text, size_t length);
+void tw_shards_handle_page(tw_shards *shards, double now, uint64_t id, const char *text,
+                           size_t length);
 /* Takes the outcome of the WRITE `id`. revision: of the state service after an APPLIED one. */
-void tw_shards_written(tw_shards *shards, double now, uint64_t id, tw_shards_outcome outcome,
-                       uint64_t revision);
+void tw_shards_handle_outcome(tw_shards *shards, double now, uint64_t id, tw_shards_outcome outcome,
+                              uint64_t revision);
 
 /* Messages of an owner. Where the machine is not the owner's under this epoch, the owner is
  * notified that it has lost it. */
 /* Nothing of the owner runs on the machine any more. */
-void tw_shards_drained(tw_shards *shards, const char *owner, const char *machine, uint64_t epoch);
+void tw_shards_report_drained(tw_shards *shards, const char *owner, const char *machine,
+                              uint64_t epoch);
 /* The machine has confirmed the epoch. */
-void tw_shards_opened(tw_shards *shards, const char *owner, const char *machine, uint64_t epoch);
+void tw_shards_report_opened(tw_shards *shards, const char *owner, const char *machine,
+                             uint64_t epoch);
 /* The owner asks for the states of all of its machines. */
-void tw_shards_sync(tw_shards *shards, const char *owner);
+void tw_shards_send_owner_states(tw_shards *shards, const char *owner);
 
 /* Hints for the choice of machines; both ignore unknown names. */
 /* The number of requests that run on the machine. */
@@ -204,14 +209,14 @@
 /* Lets time pass: repeats what was not answered and makes the steps that are due. */
 void tw_shards_tick(tw_shards *shards, double now, double wall);
 /* The next effect, or NULL. The caller frees it with tw_shards_effect_free. */
-tw_shards_effect *tw_shards_next(tw_shards *shards);
+tw_shards_effect *tw_shards_next_effect(tw_shards *shards);
 /* Frees an effect and its text. NULL is allowed. */
 void tw_shards_effect_free(tw_shards_effect *effect);
 
 /* The records as this node knows them. */
 
 /* Whether this node leads and has read the table. */
-bool tw_shards_ready(const tw_shards *shards);
+bool tw_shards_is_ready(const tw_shards *shards);
 /* The revision of the table, which grows with each change of a shard and each new move. */
 uint64_t tw_shards_revision(const tw_shards *shards);
 /* Number of shards; their indexes begin at 0. */
@@ -222,9 +227,9 @@
     char name[TW_SHARDS_NAME], owner[TW_SHARDS_NAME];
     int least, spread;
     int open, taken, draining; /* numbers of machines by state */
-} tw_shards_view;
+} tw_shards_shard_view;
 /* The shard of that index, from 0 to tw_shards_shard_count - 1. */
-tw_shards_view tw_shards_view_of(const tw_shards *shards, int shard);
+tw_shards_shard_view tw_shards_shard_at(const tw_shards *shards, int shard);
 
 /* Number of machine indexes, which begin at 0; some of them may be ABSENT. */
 int tw_shards_machine_count(const tw_shards *shards);
@@ -259,22 +264,22 @@
 void tw_shards_owner_free(tw_shards_owner *owner);
 /* Takes a notification of the leader. It is ignored where the owner knows a later state, or a
  * leader of a later term. */
-void tw_shards_owner_notified(tw_shards_owner *owner, double now,
-                              const tw_shards_notification *notification);
+void tw_shards_owner_handle_notification(tw_shards_owner *owner, double now,
+                                         const tw_shards_notification *notification);
 /* The machine has confirmed that it is open under this epoch. */
-void tw_shards_owner_confirmed(tw_shards_owner *owner, const char *machine, uint64_t epoch);
+void tw_shards_owner_confirm_open(tw_shards_owner *owner, const char *machine, uint64_t epoch);
 /* The epoch under which a new request may go to the machine; 0: no request may. */
 uint64_t tw_shards_owner_epoch(const tw_shards_owner *owner, const char *machine);
 /* A request was sent to the machine under that epoch. */
-void tw_shards_owner_sent(tw_shards_owner *owner, const char *machine, uint64_t epoch);
+void tw_shards_owner_request_sent(tw_shards_owner *owner, const char *machine, uint64_t epoch);
 /* A request that was sent under that epoch has ended for certain. */
-void tw_shards_owner_ended(tw_shards_owner *owner, const char *machine, uint64_t epoch);
+void tw_shards_owner_request_ended(tw_shards_owner *owner, const char *machine, uint64_t epoch);
 /* The machine refused a request under that epoch: it has been opened under a later one. */
-void tw_shards_owner_refused(tw_shards_owner *owner, const char *machine, uint64_t epoch);
+void tw_shards_owner_request_refused(tw_shards_owner *owner, const char *machine, uint64_t epoch);
 /* Lets time pass: repeats messages and ends drains that are overdue. */
 void tw_shards_owner_tick(tw_shards_owner *owner, double now);
 /* The next effect, or NULL. The caller frees it with free. */
-tw_shards_owner_effect *tw_shards_owner_next(tw_shards_owner *owner);
+tw_shards_owner_effect *tw_shards_owner_next_effect(tw_shards_owner *owner);
 
 /* ---- guard ---- */
 
@@ -284,13 +289,14 @@
     uint64_t term;          /* the newest that it has heard of since this boot */
     bool started;           /* whether it has its minimum epoch */
     uint64_t minimum_epoch; /* epochs up to this one are of an earlier boot of the machine */
-    uint64_t newest;        /* the epoch opened last; 0: none */
+    uint64_t newest_epoch;  /* the epoch opened last; 0: none */
 } tw_shards_guard;
 
 typedef enum {
-    TW_SHARDS_GUARD_RAISED,   /* taken: what ran under earlier epochs must end */
-    TW_SHARDS_GUARD_REPEATED, /* taken: nothing changes by it */
-    TW_SHARDS_GUARD_OLD, /* refused: a later epoch was opened, or it is not above the minimum */
+    TW_SHARDS_GUARD_RAISED,     /* taken: what ran under earlier epochs must end */
+    TW_SHARDS_GUARD_REPEATED,   /* taken: nothing changes by it */
+    TW_SHARDS_GUARD_OLD_EPOCH,  /* refused: a later epoch was opened, or it is not above the minimum
+                                 */
     TW_SHARDS_GUARD_OLD_TERM,   /* refused: a later term was heard */
     TW_SHARDS_GUARD_OTHER_BOOT, /* refused: it is for an earlier boot of the machine */
     TW_SHARDS_GUARD_NOT_STARTED /* refused: the machine waits for its minimum epoch */
@@ -301,14 +307,16 @@
 /* The machine has started. It takes no epoch until it has its minimum epoch. */
 void tw_shards_guard_boot(tw_shards_guard *guard, uint64_t boot_id);
 /* A leader asks what the machine has open, and announces its term. */
-tw_shards_guard_verdict tw_shards_guard_check(tw_shards_guard *guard, uint64_t term);
+tw_shards_guard_verdict tw_shards_guard_check_term(tw_shards_guard *guard, uint64_t term);
 /* Sets the minimum epoch of this boot, from the answer to ADD or RENEW. */
-tw_shards_guard_verdict tw_shards_guard_start(tw_shards_guard *guard, uint64_t term,
-                                              uint64_t boot_id, uint64_t minimum_epoch);
+tw_shards_guard_verdict tw_shards_guard_set_minimum_epoch(tw_shards_guard *guard, uint64_t term,
+                                                          uint64_t boot_id, uint64_t minimum_epoch);
 /* Opens the machine under the epoch. */
-tw_shards_guard_verdict tw_shards_guard_open(tw_shards_guard *guard, uint64_t term, uint64_t epoch);
+tw_shards_guard_verdict tw_shards_guard_open_epoch(tw_shards_guard *guard, uint64_t term,
+                                                   uint64_t epoch);
 /* Whether what runs under the epoch is to be ended: REPEATED. */
-tw_shards_guard_verdict tw_shards_guard_stop(tw_shards_guard *guard, uint64_t term, uint64_t epoch);
+tw_shards_guard_verdict tw_shards_guard_check_stop(tw_shards_guard *guard, uint64_t term,
+                                                   uint64_t epoch);
 /* Whether a request under this epoch may run. */
 bool tw_shards_guard_accepts(const tw_shards_guard *guard, uint64_t epoch);
 
--- a/src/shards/shards_int.h
+++ b/src/shards/shards_int.h
@@ -36,9 +36,9 @@
     int index;
     int zone; /* index in shards->zones */
     tw_shards_cell cell, next;
-    bool changing;            /* next is in the transaction in flight */
-    uint64_t drained, opened; /* epochs for which the owner reported it */
-    double notified_at;       /* when its owner was notified last */
+    bool change_pending;                  /* next is in the transaction in flight */
+    uint64_t drained_epoch, opened_epoch; /* epochs for which the owner reported it */
+    double notified_at;                   /* when its owner was notified last */
     int load;
     UT_hash_handle hh;
 } tw_shards_machine;
@@ -71,9 +71,9 @@
 
 /* A move, and the machines that it holds. */
 typedef struct tw_shards_move {
-    tw_shards_move_record now, next;
+    tw_shards_move_record recorded, next;
     uint64_t mod_revision;
-    bool changing;
+    bool change_pending;
     roaring_bitmap_t *machines;         /* that it holds, as recorded */
     struct tw_shards_move *prev, *link; /* in the order of their numbers */
 } tw_shards_move;
@@ -100,9 +100,9 @@
     uint64_t id;
     int ops;
     int *machines; /* indexes of those that change */
-    int machine_count, machine_room;
-    unsigned char *marks; /* by block: which of its records change */
-    int mark_room, block_ops;
+    int machine_count, machine_capacity;
+    unsigned char *record_kinds; /* by block: which of its records change */
+    int record_kinds_capacity, block_ops;
     uint64_t minimum_epoch; /* last epoch before it */
     bool header_changed;
     uint64_t removed_move;
@@ -117,18 +117,18 @@
     uint64_t token; /* 0: doesn't lead */
     double authority_until;
     bool loaded, reading;
-    bool deciding;                     /* see tw_shards_decide */
-    bool quarantine_listed;            /* `quarantined` was filled in this term */
+    bool deciding;                     /* see tw_shards_allow_decisions */
+    bool quarantine_filled;            /* `quarantined` was filled in this term */
     roaring_bitmap_t *quarantined;     /* machines that have not answered in this term, by index */
-    struct tw_shards_kept_page *pages; /* read so far, see load.c */
-    double read_after;                 /* no reading before it */
-    uint64_t next_call, call;
-    double budget, budget_at; /* changes that may be written now */
+    struct tw_shards_read_page *pages; /* read so far, see load.c */
+    double next_read_at;               /* no reading before it */
+    uint64_t last_effect_id, read_id;
+    double write_budget, budget_updated_at; /* changes that may be written now */
     tw_shards_header header, next_header;
     uint64_t header_mod_revision;
     tw_shards_machine **machines; /* by index */
-    int machine_count, machine_room;
-    tw_shards_machine *by_name;
+    int machine_count, machine_capacity;
+    tw_shards_machine *machines_by_name;
     uint64_t *cell_mod_revisions, *name_mod_revisions; /* by block */
     int block_count;
     tw_shards_shard_sets *sets; /* by shard */
@@ -147,17 +147,17 @@
 /* Zeroed memory; the program ends where there is none. */
 void *tw_shards_alloc(size_t size);
 /* Room for one item more than `count`; new room is not zeroed. Returns the items. */
-void *tw_shards_grow(void *items, int count, int *room, size_t size);
+void *tw_shards_grow(void *items, int count, int *capacity, size_t size);
 /* Copies a name; one that is too long is cut. */
 void tw_shards_copy_name(char *to, const char *from);
 
 /* table.c */
 /* Forgets everything that stands in records, and the hints. */
-void tw_shards_clear(tw_shards *shards);
+void tw_shards_clear_table(tw_shards *shards);
 /* The machine of that name, or NULL. */
-tw_shards_machine *tw_shards_find(const tw_shards *shards, const char *name);
+tw_shards_machine *tw_shards_find_machine(const tw_shards *shards, const char *name);
 /* The machine of that index, made with all before it where it doesn't exist. */
-tw_shards_machine *tw_shards_slot(tw_shards *shards, int index);
+tw_shards_machine *tw_shards_get_slot(tw_shards *shards, int index);
 /* Gives an ABSENT machine a name and a zone, or takes them away. */
 void tw_shards_name_machine(tw_shards *shards, tw_shards_machine *machine, const char *name,
                             int zone);
@@ -165,10 +165,10 @@
 /* The index of the shard of that name, or -1. */
 int tw_shards_shard_index(const tw_shards *shards, const char *name);
 /* The index of the zone of that name, made where it doesn't exist. */
-int tw_shards_zone_index(tw_shards *shards, const char *name);
+int tw_shards_find_or_add_zone(tw_shards *shards, const char *name);
 /* The machines that hold the image; NULL: none was ever said to hold it. */
-tw_shards_named_set *tw_shards_find_image(const tw_shards *shards, const char *name);
-tw_shards_named_set *tw_shards_make_image(tw_shards *shards, const char *name);
+tw_shards_named_set *tw_shards_find_image_set(const tw_shards *shards, const char *name);
+tw_shards_named_set *tw_shards_find_or_add_image_set(tw_shards *shards, const char *name);
 /* Changes a recorded cell, and the sets that the machine is in. */
 void tw_shards_set_cell(tw_shards *shards, tw_shards_machine *machine, tw_shards_cell to);
 /* Changes the recorded header. Its list of shards belongs to the table from now on. */
@@ -180,13 +180,14 @@
 void tw_shards_sort_moves(tw_shards *shards);
 /* Adds a recorded move. The record's text belongs to the table from now on. */
 tw_shards_move *tw_shards_add_move(tw_shards *shards, const tw_shards_move_record *record);
-void tw_shards_drop_move(tw_shards *shards, tw_shards_move *move);
+void tw_shards_remove_move(tw_shards *shards, tw_shards_move *move);
 /* The state and epoch that hold for a machine: a shard that has changed hands makes its open
  * machines TAKEN, under the shard's epoch. */
-tw_shards_state tw_shards_state_of(const tw_shards *shards, const tw_shards_machine *machine);
-uint64_t tw_shards_epoch_of(const tw_shards *shards, const tw_shards_machine *machine);
+tw_shards_state tw_shards_effective_state(const tw_shards *shards,
+                                          const tw_shards_machine *machine);
+uint64_t tw_shards_effective_epoch(const tw_shards *shards, const tw_shards_machine *machine);
 /* The progress of a move by what is recorded. */
-tw_shards_progress tw_shards_progress_of(const tw_shards *shards, const tw_shards_move *move);
+tw_shards_progress tw_shards_move_progress(const tw_shards *shards, const tw_shards_move *move);
 
 /* Why a record was not read, or a transaction not sent. */
 typedef enum {
@@ -206,52 +207,52 @@
 char *tw_shards_move_text(const tw_shards_move_record *record);
 tw_shards_error tw_shards_move_parse(tw_shards_move_record *record, const char *text);
 /* A set of indexes as ranges, as in "0-3,7", and back; NULL: the text is none. */
-char *tw_shards_ranges(const roaring_bitmap_t *set);
+char *tw_shards_ranges_text(const roaring_bitmap_t *set);
 roaring_bitmap_t *tw_shards_ranges_parse(const char *text);
 
 /* choose.c */
 /* Machines of the move's giving shard that may go, the best first, in *chosen, which the caller
  * frees; returns how many, at most `most`. */
-int tw_shards_choose(const tw_shards *shards, const tw_shards_move_record *record, int most,
-                     tw_shards_machine ***chosen);
+int tw_shards_choose_machines(const tw_shards *shards, const tw_shards_move_record *record,
+                              int most, tw_shards_machine ***chosen);
 
 /* transaction.c */
 /* Which records of a machine's block a change concerns. */
 typedef enum { TW_SHARDS_RECORD_CELLS = 1, TW_SHARDS_RECORD_NAMES = 2 } tw_shards_record_kinds;
 /* Begins a transaction that changes nothing yet. */
-void tw_shards_begin(tw_shards *shards);
+void tw_shards_begin_transaction(tw_shards *shards);
 /* Whether these records of the machine's block fit into the transaction beside `others` more. */
-bool tw_shards_has_room(const tw_shards *shards, const tw_shards_machine *machine,
-                        tw_shards_record_kinds records, int others);
+bool tw_shards_transaction_fits(const tw_shards *shards, const tw_shards_machine *machine,
+                                tw_shards_record_kinds records, int others);
 /* Puts a machine's next cell into the transaction. */
-void tw_shards_change(tw_shards *shards, tw_shards_machine *machine, tw_shards_cell to);
+void tw_shards_change_machine(tw_shards *shards, tw_shards_machine *machine, tw_shards_cell to);
 /* The next header or move record of the transaction, to be changed by the caller. */
 tw_shards_header *tw_shards_change_header(tw_shards *shards);
 tw_shards_move_record *tw_shards_change_move(tw_shards *shards, tw_shards_move *move);
 /* Sends it. TW_SHARDS_TXN_TOO_LARGE: a value or the transaction is too large, and nothing is
  * changed. */
-tw_shards_error tw_shards_commit(tw_shards *shards);
+tw_shards_error tw_shards_commit_transaction(tw_shards *shards);
 /* Forgets what was put into the transaction. */
-void tw_shards_abandon(tw_shards *shards);
+void tw_shards_discard_transaction(tw_shards *shards);
 /* Makes what was put into the transaction what is recorded, as of that store revision. */
-void tw_shards_apply(tw_shards *shards, uint64_t revision);
+void tw_shards_apply_transaction(tw_shards *shards, uint64_t revision);
 
 /* load.c */
 /* Forgets the table and begins to read it. Requests that wait go on waiting. */
-void tw_shards_reload(tw_shards *shards);
+void tw_shards_reload_table(tw_shards *shards);
 /* Asks for the page of keys after that one; "": the first page. */
-void tw_shards_read_next(tw_shards *shards, const char *after);
+void tw_shards_read_next_page(tw_shards *shards, const char *after);
 /* Frees the pages read so far. */
-void tw_shards_forget_pages(tw_shards *shards);
+void tw_shards_free_pages(tw_shards *shards);
 
 /* step.c */
 /* Adds machines to a move whose record is in the transaction, as many as there is room for. */
-void tw_shards_mark(tw_shards *shards, tw_shards_move *marked, tw_shards_machine **chosen,
-                    int count);
+void tw_shards_mark_machines(tw_shards *shards, tw_shards_move *move, tw_shards_machine **chosen,
+                             int count);
 
 /* request.c */
 /* Puts the requests of a transaction that was not applied back to the front of the queue. */
-void tw_shards_requeue(tw_shards *shards);
+void tw_shards_requeue_requests(tw_shards *shards);
 /* Answers the requests of the transaction OK. */
 void tw_shards_answer_applied(tw_shards *shards);
 /* Answers the requests that wait; refuse_all also those of the transaction. */
@@ -265,13 +266,13 @@
 /* Notifies the owner of a machine. */
 void tw_shards_emit_notification(tw_shards *shards, tw_shards_machine *machine);
 /* Answers a request. */
-void tw_shards_answer(tw_shards *shards, const tw_shards_request *request,
-                      tw_shards_verdict verdict);
+void tw_shards_answer_request(tw_shards *shards, const tw_shards_request *request,
+                              tw_shards_verdict verdict);
 /* Whether the machine has answered under this term, so that its state may be changed. */
 bool tw_shards_is_confirmed(const tw_shards *shards, const tw_shards_machine *machine);
 /* Whether an open machine of the shard is in quarantine. */
 bool tw_shards_any_quarantined(const tw_shards *shards, int shard_index);
-/* Adds an effect to those that tw_shards_next gives out. */
-tw_shards_effect *tw_shards_emit(tw_shards *shards, tw_shards_effect_kind kind);
+/* Adds an effect to those that tw_shards_next_effect gives out. */
+tw_shards_effect *tw_shards_emit_effect(tw_shards *shards, tw_shards_effect_kind kind);
 
 #endif
--- a/src/shards/table.c
+++ b/src/shards/table.c
@@ -35,23 +35,24 @@
 
 /* ---- what holds for a machine ---- */
 
-uint64_t tw_shards_epoch_of(const tw_shards *shards, const tw_shards_machine *machine) {
+uint64_t tw_shards_effective_epoch(const tw_shards *shards, const tw_shards_machine *machine) {
     const uint64_t of_shard = shards->header.shards[machine->cell.shard].epoch;
     return machine->cell.epoch > of_shard ? machine->cell.epoch : of_shard;
 }
 
 /* A shard that changes hands costs one record: its open machines count as taken until the new
  * owner has opened each of them. */
-tw_shards_state tw_shards_state_of(const tw_shards *shards, const tw_shards_machine *machine) {
-    const tw_shards_cell *has = &machine->cell;
-    if (has->state == TW_SHARDS_OPEN && has->epoch < shards->header.shards[has->shard].epoch)
+tw_shards_state tw_shards_effective_state(const tw_shards *shards,
+                                          const tw_shards_machine *machine) {
+    const tw_shards_cell *cell = &machine->cell;
+    if (cell->state == TW_SHARDS_OPEN && cell->epoch < shards->header.shards[cell->shard].epoch)
         return TW_SHARDS_TAKEN;
-    return has->state;
+    return cell->state;
 }
 
 /* The set that the machine is in by its state; NULL: none. */
-static roaring_bitmap_t *set_of(const tw_shards *shards, const tw_shards_machine *machine) {
-    const tw_shards_state state = tw_shards_state_of(shards, machine);
+static roaring_bitmap_t *state_set(const tw_shards *shards, const tw_shards_machine *machine) {
+    const tw_shards_state state = tw_shards_effective_state(shards, machine);
     const tw_shards_shard_sets *sets = &shards->sets[machine->cell.shard];
     switch (state) {
     case TW_SHARDS_OPEN:
@@ -65,15 +66,15 @@
     }
 }
 
-static void leave_sets(tw_shards *shards, const tw_shards_machine *machine) {
+static void remove_from_set(tw_shards *shards, const tw_shards_machine *machine) {
     if (machine->cell.state == TW_SHARDS_ABSENT) return;
-    roaring_bitmap_t *set = set_of(shards, machine);
+    roaring_bitmap_t *set = state_set(shards, machine);
     if (set) roaring_bitmap_remove(set, (uint32_t)machine->index);
 }
 
-static void enter_sets(tw_shards *shards, const tw_shards_machine *machine) {
+static void add_to_set(tw_shards *shards, const tw_shards_machine *machine) {
     if (machine->cell.state == TW_SHARDS_ABSENT) return;
-    roaring_bitmap_t *set = set_of(shards, machine);
+    roaring_bitmap_t *set = state_set(shards, machine);
     if (set) roaring_bitmap_add(set, (uint32_t)machine->index);
 }
 
@@ -85,16 +86,16 @@
         if (from_move) roaring_bitmap_remove(from_move->machines, index);
         if (to_move) roaring_bitmap_add(to_move->machines, index);
     }
-    leave_sets(shards, machine);
+    remove_from_set(shards, machine);
     machine->cell = to;
-    enter_sets(shards, machine);
+    add_to_set(shards, machine);
 }
 
 /* ---- machines ---- */
 
-tw_shards_machine *tw_shards_find(const tw_shards *shards, const char *name) {
+tw_shards_machine *tw_shards_find_machine(const tw_shards *shards, const char *name) {
     tw_shards_machine *found;
-    HASH_FIND_STR(shards->by_name, name, found);
+    HASH_FIND_STR(shards->machines_by_name, name, found);
     return found;
 }
 
@@ -111,10 +112,10 @@
 }
 
 /* The machine of that index, made with all before it where it doesn't exist. */
-tw_shards_machine *tw_shards_slot(tw_shards *shards, int index) {
+tw_shards_machine *tw_shards_get_slot(tw_shards *shards, int index) {
     while (shards->machine_count <= index) {
         shards->machines = tw_shards_grow(shards->machines, shards->machine_count,
-                                          &shards->machine_room, sizeof(tw_shards_machine *));
+                                          &shards->machine_capacity, sizeof(tw_shards_machine *));
         tw_shards_machine *made = tw_shards_alloc(sizeof *made);
         made->index = shards->machine_count;
         shards->machines[shards->machine_count++] = made;
@@ -128,20 +129,20 @@
                             int zone) {
     tw_shards_copy_name(machine->name, name);
     machine->zone = zone;
-    HASH_ADD_STR(shards->by_name, name, machine);
+    HASH_ADD_STR(shards->machines_by_name, name, machine);
     roaring_bitmap_add(shards->zones[zone].machines, (uint32_t)machine->index);
 }
 
 void tw_shards_unname_machine(tw_shards *shards, tw_shards_machine *machine) {
     const uint32_t index = (uint32_t)machine->index;
-    HASH_DEL(shards->by_name, machine);
+    HASH_DEL(shards->machines_by_name, machine);
     roaring_bitmap_remove(shards->zones[machine->zone].machines, index);
     for (int i = 0; i < shards->image_count; i++)
         roaring_bitmap_remove(shards->images[i].machines, index);
     roaring_bitmap_remove(shards->quarantined, index);
     machine->name[0] = 0;
     machine->load = 0;
-    machine->drained = machine->opened = 0;
+    machine->drained_epoch = machine->opened_epoch = 0;
 }
 
 /* ---- named sets ---- */
@@ -161,18 +162,18 @@
     return (*count)++;
 }
 
-int tw_shards_zone_index(tw_shards *shards, const char *name) {
+int tw_shards_find_or_add_zone(tw_shards *shards, const char *name) {
     const int found = find_set(shards->zones, shards->zone_count, name);
     return found >= 0 ? found : add_set(&shards->zones, &shards->zone_count, name);
 }
 
-tw_shards_named_set *tw_shards_find_image(const tw_shards *shards, const char *name) {
+tw_shards_named_set *tw_shards_find_image_set(const tw_shards *shards, const char *name) {
     const int found = find_set(shards->images, shards->image_count, name);
     return found < 0 ? NULL : &shards->images[found];
 }
 
-tw_shards_named_set *tw_shards_make_image(tw_shards *shards, const char *name) {
-    tw_shards_named_set *found = tw_shards_find_image(shards, name);
+tw_shards_named_set *tw_shards_find_or_add_image_set(tw_shards *shards, const char *name) {
+    tw_shards_named_set *found = tw_shards_find_image_set(shards, name);
     if (found) return found;
     const int added = add_set(&shards->images, &shards->image_count, name);
     return &shards->images[added];
@@ -188,20 +189,20 @@
 
 /* Takes over the other header's list of shards. */
 void tw_shards_set_header(tw_shards *shards, const tw_shards_header *to) {
-    const int before = shards->header.shard_count;
-    for (int i = 0; i < shards->machine_count; i++) leave_sets(shards, shards->machines[i]);
+    const int old_count = shards->header.shard_count;
+    for (int i = 0; i < shards->machine_count; i++) remove_from_set(shards, shards->machines[i]);
     if (shards->header.shards != to->shards) free(shards->header.shards);
     shards->header = *to;
-    if (to->shard_count > before) {
+    if (to->shard_count > old_count) {
         tw_shards_shard_sets *grown =
             realloc(shards->sets, sizeof *grown * (size_t)to->shard_count);
         if (!grown) abort();
         shards->sets = grown;
-        for (int i = before; i < to->shard_count; i++)
+        for (int i = old_count; i < to->shard_count; i++)
             grown[i] = (tw_shards_shard_sets){roaring_bitmap_create(), roaring_bitmap_create(),
                                               roaring_bitmap_create()};
     }
-    for (int i = 0; i < shards->machine_count; i++) enter_sets(shards, shards->machines[i]);
+    for (int i = 0; i < shards->machine_count; i++) add_to_set(shards, shards->machines[i]);
 }
 
 /* ---- moves ---- */
@@ -209,7 +210,7 @@
 tw_shards_move *tw_shards_move_by_key(const tw_shards *shards, const char *key) {
     tw_shards_move *found;
     DL_FOREACH2(shards->moves, found, link) {
-        if (!strcmp(found->now.key, key)) return found;
+        if (!strcmp(found->recorded.key, key)) return found;
     }
     return NULL;
 }
@@ -218,13 +219,14 @@
     tw_shards_move *found;
     if (!number) return NULL;
     DL_FOREACH2(shards->moves, found, link) {
-        if (found->now.number == number) return found;
+        if (found->recorded.number == number) return found;
     }
     return NULL;
 }
 
 static int by_number(const tw_shards_move *first, const tw_shards_move *second) {
-    return (first->now.number > second->now.number) - (first->now.number < second->now.number);
+    return (first->recorded.number > second->recorded.number) -
+           (first->recorded.number < second->recorded.number);
 }
 
 void tw_shards_sort_moves(tw_shards *shards) { DL_SORT2(shards->moves, by_number, prev, link); }
@@ -232,22 +234,22 @@
 /* Takes over the record's text. Machines that it holds are added as their cells are set. */
 tw_shards_move *tw_shards_add_move(tw_shards *shards, const tw_shards_move_record *record) {
     tw_shards_move *added = tw_shards_alloc(sizeof *added);
-    added->now = *record;
+    added->recorded = *record;
     added->machines = roaring_bitmap_create();
     DL_APPEND2(shards->moves, added, prev, link);
     tw_shards_sort_moves(shards);
     return added;
 }
 
-void tw_shards_drop_move(tw_shards *shards, tw_shards_move *dropped) {
+void tw_shards_remove_move(tw_shards *shards, tw_shards_move *dropped) {
     DL_DELETE2(shards->moves, dropped, prev, link);
     roaring_bitmap_free(dropped->machines);
-    free(dropped->now.only);
+    free(dropped->recorded.only);
     free(dropped);
 }
 
-tw_shards_progress tw_shards_progress_of(const tw_shards *shards, const tw_shards_move *move) {
-    const tw_shards_move_record *record = &move->now;
+tw_shards_progress tw_shards_move_progress(const tw_shards *shards, const tw_shards_move *move) {
+    const tw_shards_move_record *record = &move->recorded;
     tw_shards_progress progress = {.done = record->done,
                                    .wanted = record->wanted,
                                    .moved = record->moved,
@@ -274,14 +276,14 @@
 }
 
 /* Forgets all that stands in records; hints of images and loads go with it. */
-void tw_shards_clear(tw_shards *shards) {
+void tw_shards_clear_table(tw_shards *shards) {
     tw_shards_move *each;
     tw_shards_move *after;
-    HASH_CLEAR(hh, shards->by_name);
+    HASH_CLEAR(hh, shards->machines_by_name);
     for (int i = 0; i < shards->machine_count; i++) free(shards->machines[i]);
     free(shards->machines);
     shards->machines = NULL;
-    shards->machine_count = shards->machine_room = 0;
+    shards->machine_count = shards->machine_capacity = 0;
     for (int i = 0; i < shards->header.shard_count; i++) {
         roaring_bitmap_free(shards->sets[i].open);
         roaring_bitmap_free(shards->sets[i].taken);
@@ -298,5 +300,5 @@
     shards->block_count = 0;
     clear_named(&shards->zones, &shards->zone_count);
     clear_named(&shards->images, &shards->image_count);
-    DL_FOREACH_SAFE2(shards->moves, each, after, link) { tw_shards_drop_move(shards, each); }
+    DL_FOREACH_SAFE2(shards->moves, each, after, link) { tw_shards_remove_move(shards, each); }
 }
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -12,23 +12,23 @@
 #include <utlist.h>
 
 /* Longest body of a transaction that the state service takes, less its frame. */
-#define MOST_BODY ((size_t)60 * 1024)
+#define MAX_BODY_BYTES ((size_t)60 * 1024)
 
 typedef struct {
     tw_wire_compare *conditions;
     tw_wire_write *writes;
     char (*keys)[TW_SHARDS_KEY_SIZE];
-    int count, room;
+    int count, capacity;
     size_t bytes;
     bool too_large;
-} body;
+} transaction_body;
 
-void tw_shards_begin(tw_shards *shards) {
+void tw_shards_begin_transaction(tw_shards *shards) {
     tw_shards_transaction *txn = &shards->txn;
     txn->ops = 0;
     txn->machine_count = 0;
     txn->block_ops = 0;
-    if (txn->marks) memset(txn->marks, 0, (size_t)txn->mark_room);
+    if (txn->record_kinds) memset(txn->record_kinds, 0, (size_t)txn->record_kinds_capacity);
     txn->header_changed = false;
     txn->removed_move = 0;
     txn->minimum_epoch = shards->header.epoch;
@@ -38,44 +38,46 @@
 /* ---- what it changes ---- */
 
 /* Which records of a block it changes: CELLS, NAMES. */
-static int marks_of(const tw_shards *shards, int block) {
-    return block < shards->txn.mark_room ? shards->txn.marks[block] : 0;
+static int record_kinds_of(const tw_shards *shards, int block) {
+    return block < shards->txn.record_kinds_capacity ? shards->txn.record_kinds[block] : 0;
 }
 
-static void mark_block(tw_shards_transaction *txn, int block, int marks) {
-    if (block >= txn->mark_room) {
-        const int room = block + TW_SHARDS_BLOCK_SIZE;
-        unsigned char *grown = realloc(txn->marks, (size_t)room);
+static void add_record_kinds(tw_shards_transaction *txn, int block, int record_kinds) {
+    if (block >= txn->record_kinds_capacity) {
+        const int capacity = block + TW_SHARDS_BLOCK_SIZE;
+        unsigned char *grown = realloc(txn->record_kinds, (size_t)capacity);
         if (!grown) abort();
-        memset(grown + txn->mark_room, 0, (size_t)(room - txn->mark_room));
-        txn->marks = grown;
-        txn->mark_room = room;
+        memset(grown + txn->record_kinds_capacity, 0,
+               (size_t)(capacity - txn->record_kinds_capacity));
+        txn->record_kinds = grown;
+        txn->record_kinds_capacity = capacity;
     }
-    const int added = marks & ~txn->marks[block];
+    const int added = record_kinds & ~txn->record_kinds[block];
     txn->block_ops +=
         ((added & TW_SHARDS_RECORD_CELLS) != 0) + ((added & TW_SHARDS_RECORD_NAMES) != 0);
-    txn->marks[block] |= (unsigned char)marks;
+    txn->record_kinds[block] |= (unsigned char)record_kinds;
 }
 
-bool tw_shards_has_room(const tw_shards *shards, const tw_shards_machine *machine,
-                        tw_shards_record_kinds records, int others) {
-    const int marks = marks_of(shards, machine->index / TW_SHARDS_BLOCK_SIZE);
-    const int more = (records & TW_SHARDS_RECORD_CELLS && !(marks & TW_SHARDS_RECORD_CELLS)) +
-                     (records & TW_SHARDS_RECORD_NAMES && !(marks & TW_SHARDS_RECORD_NAMES));
+bool tw_shards_transaction_fits(const tw_shards *shards, const tw_shards_machine *machine,
+                                tw_shards_record_kinds records, int others) {
+    const int record_kinds = record_kinds_of(shards, machine->index / TW_SHARDS_BLOCK_SIZE);
+    const int more =
+        (records & TW_SHARDS_RECORD_CELLS && !(record_kinds & TW_SHARDS_RECORD_CELLS)) +
+        (records & TW_SHARDS_RECORD_NAMES && !(record_kinds & TW_SHARDS_RECORD_NAMES));
     return shards->txn.block_ops + more + others <= shards->settings.txn_ops;
 }
 
-void tw_shards_change(tw_shards *shards, tw_shards_machine *machine, tw_shards_cell to) {
+void tw_shards_change_machine(tw_shards *shards, tw_shards_machine *machine, tw_shards_cell to) {
     tw_shards_transaction *txn = &shards->txn;
-    txn->machines = tw_shards_grow(txn->machines, txn->machine_count, &txn->machine_room,
+    txn->machines = tw_shards_grow(txn->machines, txn->machine_count, &txn->machine_capacity,
                                    sizeof *txn->machines);
     txn->machines[txn->machine_count++] = machine->index;
     const bool named = machine->cell.state != TW_SHARDS_ABSENT;
     const bool stays_named = to.state != TW_SHARDS_ABSENT;
     machine->next = to;
-    machine->changing = true;
-    mark_block(txn, machine->index / TW_SHARDS_BLOCK_SIZE,
-               TW_SHARDS_RECORD_CELLS | (named != stays_named ? TW_SHARDS_RECORD_NAMES : 0));
+    machine->change_pending = true;
+    add_record_kinds(txn, machine->index / TW_SHARDS_BLOCK_SIZE,
+                     TW_SHARDS_RECORD_CELLS | (named != stays_named ? TW_SHARDS_RECORD_NAMES : 0));
 }
 
 tw_shards_header *tw_shards_change_header(tw_shards *shards) {
@@ -92,15 +94,15 @@
 
 tw_shards_move_record *tw_shards_change_move(tw_shards *shards, tw_shards_move *changed) {
     (void)shards;
-    if (!changed->changing) changed->next = changed->now;
-    changed->changing = true;
+    if (!changed->change_pending) changed->next = changed->recorded;
+    changed->change_pending = true;
     return &changed->next;
 }
 
 /* ---- its text ---- */
 
-static void add_write(const tw_shards *shards, body *to, const char *key, uint64_t mod_revision,
-                      char *data) {
+static void add_write(const tw_shards *shards, transaction_body *to, const char *key,
+                      uint64_t mod_revision, char *data) {
     const int i = to->count++;
     snprintf(to->keys[i], TW_SHARDS_KEY_SIZE, "%s%s", TW_SHARDS_PREFIX, key);
     to->conditions[i + 1] = (tw_wire_compare){to->keys[i], mod_revision};
@@ -108,19 +110,19 @@
     if (!data) return;
     const size_t length = strlen(data);
     to->bytes += length + TW_SHARDS_KEY_SIZE;
-    if (length > shards->settings.value_bytes || to->bytes > MOST_BODY) to->too_large = true;
+    if (length > shards->settings.value_bytes || to->bytes > MAX_BODY_BYTES) to->too_large = true;
 }
 
-static void add_blocks(const tw_shards *shards, body *to) {
+static void add_blocks(const tw_shards *shards, transaction_body *to) {
     char key[TW_SHARDS_KEY_SIZE];
     for (int block = 0; block < shards->block_count; block++) {
-        const int marks = marks_of(shards, block);
-        if (marks & TW_SHARDS_RECORD_CELLS) {
+        const int record_kinds = record_kinds_of(shards, block);
+        if (record_kinds & TW_SHARDS_RECORD_CELLS) {
             snprintf(key, sizeof key, "cells/%04d", block);
             add_write(shards, to, key, shards->cell_mod_revisions[block],
                       tw_shards_cells_text(shards, block));
         }
-        if (marks & TW_SHARDS_RECORD_NAMES) {
+        if (record_kinds & TW_SHARDS_RECORD_NAMES) {
             snprintf(key, sizeof key, "names/%04d", block);
             add_write(shards, to, key, shards->name_mod_revisions[block],
                       tw_shards_names_text(shards, block));
@@ -129,47 +131,48 @@
 }
 
 /* Whether the move is over once the transaction is applied. */
-static bool over(const tw_shards *shards, const tw_shards_move *of) {
+static bool is_finished(const tw_shards *shards, const tw_shards_move *move) {
     const tw_shards_transaction *txn = &shards->txn;
-    int held = (int)roaring_bitmap_get_cardinality(of->machines);
+    int held = (int)roaring_bitmap_get_cardinality(move->machines);
     for (int i = 0; i < txn->machine_count; i++) {
         const tw_shards_machine *each = shards->machines[txn->machines[i]];
-        held += (each->next.move == of->next.number) - (each->cell.move == of->next.number);
+        held += (each->next.move == move->next.number) - (each->cell.move == move->next.number);
     }
-    return !held && (of->next.cancelled || of->next.marked >= of->next.wanted);
+    return !held && (move->next.cancelled || move->next.marked >= move->next.wanted);
 }
 
-static void add_moves(tw_shards *shards, body *to) {
+static void add_moves(tw_shards *shards, transaction_body *to) {
     char key[TW_SHARDS_KEY_SIZE];
     tw_shards_move *each;
     DL_FOREACH2(shards->moves, each, link) {
-        if (!each->changing && each->now.number != shards->txn.removed_move) continue;
+        if (!each->change_pending && each->recorded.number != shards->txn.removed_move) continue;
         char *text = NULL;
-        if (each->changing) {
-            each->next.done = over(shards, each);
+        if (each->change_pending) {
+            each->next.done = is_finished(shards, each);
             text = tw_shards_move_text(&each->next);
         }
-        snprintf(key, sizeof key, "move/%s", each->changing ? each->next.key : each->now.key);
+        snprintf(key, sizeof key, "move/%s",
+                 each->change_pending ? each->next.key : each->recorded.key);
         add_write(shards, to, key, each->mod_revision, text);
     }
 }
 
-static void free_body(body *to) {
+static void free_body(transaction_body *to) {
     for (int i = 0; i < to->count; i++) free((char *)to->writes[i].value);
     free(to->conditions);
     free(to->writes);
     free(to->keys);
 }
 
-static body body_of(tw_shards *shards) {
-    body to = {.room = shards->settings.txn_ops + TW_SHARDS_MAX_FINISHED_MOVES +
-                       2 * shards->block_count + 2};
+static transaction_body build_body(tw_shards *shards) {
+    transaction_body to = {.capacity = shards->settings.txn_ops + TW_SHARDS_MAX_FINISHED_MOVES +
+                                       2 * shards->block_count + 2};
     tw_shards_move *each;
-    DL_FOREACH2(shards->moves, each, link) { to.room += each->changing; }
-    const size_t room = (size_t)to.room;
-    to.conditions = tw_shards_alloc(sizeof *to.conditions * (room + 1));
-    to.writes = tw_shards_alloc(sizeof *to.writes * room);
-    to.keys = tw_shards_alloc(sizeof *to.keys * room);
+    DL_FOREACH2(shards->moves, each, link) { to.capacity += each->change_pending; }
+    const size_t capacity = (size_t)to.capacity;
+    to.conditions = tw_shards_alloc(sizeof *to.conditions * (capacity + 1));
+    to.writes = tw_shards_alloc(sizeof *to.writes * capacity);
+    to.keys = tw_shards_alloc(sizeof *to.keys * capacity);
     to.conditions[0] = (tw_wire_compare){shards->leader_key, shards->token};
     if (shards->txn.header_changed)
         add_write(shards, &to, "table", shards->header_mod_revision,
@@ -179,36 +182,36 @@
     return to;
 }
 
-tw_shards_error tw_shards_commit(tw_shards *shards) {
+tw_shards_error tw_shards_commit_transaction(tw_shards *shards) {
     tw_shards_transaction *txn = &shards->txn;
-    body to = body_of(shards);
+    transaction_body to = build_body(shards);
     if (to.too_large || to.count > shards->settings.txn_ops) {
         free_body(&to);
         return TW_SHARDS_TXN_TOO_LARGE;
     }
-    tw_shards_effect *effect = tw_shards_emit(shards, TW_SHARDS_WRITE);
+    tw_shards_effect *effect = tw_shards_emit_effect(shards, TW_SHARDS_WRITE);
     effect->text =
         tw_wire_txn_text(to.conditions, (size_t)to.count + 1, to.writes, (size_t)to.count);
     effect->ops = txn->ops = to.count;
-    effect->id = txn->id = ++shards->next_call;
+    effect->id = txn->id = ++shards->last_effect_id;
     shards->in_flight = true;
-    shards->budget -= to.count;
+    shards->write_budget -= to.count;
     free_body(&to);
     return TW_SHARDS_NO_ERROR;
 }
 
 /* ---- its end ---- */
 
-static void settle_machines(tw_shards *shards, uint64_t revision) {
+static void apply_machines(tw_shards *shards, uint64_t revision) {
     const tw_shards_transaction *txn = &shards->txn;
     for (int block = 0; block < shards->block_count; block++) {
-        const int marks = marks_of(shards, block);
-        if (marks & TW_SHARDS_RECORD_CELLS) shards->cell_mod_revisions[block] = revision;
-        if (marks & TW_SHARDS_RECORD_NAMES) shards->name_mod_revisions[block] = revision;
+        const int record_kinds = record_kinds_of(shards, block);
+        if (record_kinds & TW_SHARDS_RECORD_CELLS) shards->cell_mod_revisions[block] = revision;
+        if (record_kinds & TW_SHARDS_RECORD_NAMES) shards->name_mod_revisions[block] = revision;
     }
     for (int i = 0; i < txn->machine_count; i++) {
         tw_shards_machine *each = shards->machines[txn->machines[i]];
-        each->changing = false;
+        each->change_pending = false;
         tw_shards_set_cell(shards, each, each->next);
         if (each->cell.state == TW_SHARDS_ABSENT)
             tw_shards_unname_machine(shards, each);
@@ -217,15 +220,15 @@
     }
 }
 
-static void settle_moves(tw_shards *shards, uint64_t revision) {
+static void apply_moves(tw_shards *shards, uint64_t revision) {
     tw_shards_move *each;
     tw_shards_move *after;
     DL_FOREACH_SAFE2(shards->moves, each, after, link) {
-        if (each->now.number && each->now.number == shards->txn.removed_move) {
-            tw_shards_drop_move(shards, each);
-        } else if (each->changing) {
-            each->now = each->next;
-            each->changing = false;
+        if (each->recorded.number && each->recorded.number == shards->txn.removed_move) {
+            tw_shards_remove_move(shards, each);
+        } else if (each->change_pending) {
+            each->recorded = each->next;
+            each->change_pending = false;
             each->mod_revision = revision;
         }
     }
@@ -233,44 +236,43 @@
 }
 
 /* Notifies the owners of shards that have just changed hands of all their machines. */
-static void notify_new_owners(tw_shards *shards, const tw_shards_header *before) {
+static void notify_new_owners(tw_shards *shards, const tw_shards_header *old) {
     for (int i = 0; i < shards->machine_count; i++) {
         tw_shards_machine *each = shards->machines[i];
-        const int of = each->cell.shard;
-        if (each->cell.state == TW_SHARDS_ABSENT || of >= before->shard_count) continue;
-        if (shards->header.shards[of].epoch != before->shards[of].epoch)
+        const int shard = each->cell.shard;
+        if (each->cell.state == TW_SHARDS_ABSENT || shard >= old->shard_count) continue;
+        if (shards->header.shards[shard].epoch != old->shards[shard].epoch)
             tw_shards_emit_notification(shards, each);
     }
 }
 
-void tw_shards_apply(tw_shards *shards, uint64_t revision) {
-    settle_moves(shards, revision);
+void tw_shards_apply_transaction(tw_shards *shards, uint64_t revision) {
+    apply_moves(shards, revision);
     if (shards->txn.header_changed) {
-        tw_shards_header before = shards->header;
-        before.shards = tw_shards_alloc(sizeof *before.shards * (size_t)before.shard_count);
-        if (before.shard_count)
-            memcpy(before.shards, shards->header.shards,
-                   sizeof *before.shards * (size_t)before.shard_count);
+        tw_shards_header old = shards->header;
+        old.shards = tw_shards_alloc(sizeof *old.shards * (size_t)old.shard_count);
+        if (old.shard_count)
+            memcpy(old.shards, shards->header.shards, sizeof *old.shards * (size_t)old.shard_count);
         tw_shards_set_header(shards, &shards->next_header);
         shards->next_header = (tw_shards_header){0};
         shards->header_mod_revision = revision;
-        notify_new_owners(shards, &before);
-        free(before.shards);
+        notify_new_owners(shards, &old);
+        free(old.shards);
     }
-    settle_machines(shards, revision);
+    apply_machines(shards, revision);
     shards->txn.machine_count = 0;
     shards->txn.header_changed = false;
     shards->in_flight = false;
 }
 
 /* Where nothing was sent: machines that were to be added lose their names again. */
-void tw_shards_abandon(tw_shards *shards) {
+void tw_shards_discard_transaction(tw_shards *shards) {
     tw_shards_transaction *txn = &shards->txn;
     tw_shards_move *each;
     tw_shards_move *after;
     for (int i = 0; i < txn->machine_count; i++) {
         tw_shards_machine *changed = shards->machines[txn->machines[i]];
-        changed->changing = false;
+        changed->change_pending = false;
         if (changed->cell.state == TW_SHARDS_ABSENT) tw_shards_unname_machine(shards, changed);
     }
     txn->machine_count = 0;
@@ -278,10 +280,10 @@
     shards->next_header = (tw_shards_header){0};
     txn->header_changed = false;
     DL_FOREACH_SAFE2(shards->moves, each, after, link) {
-        if (!each->changing) continue;
-        each->changing = false;
-        if (each->now.number) continue;
+        if (!each->change_pending) continue;
+        each->change_pending = false;
+        if (each->recorded.number) continue;
         free(each->next.only); /* of a move that was to begin */
-        tw_shards_drop_move(shards, each);
+        tw_shards_remove_move(shards, each);
     }
 }
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -92,7 +92,7 @@
 static void pass_to_table(tw_standby *standby, tw_standby_registration *kept, uint64_t boot_id) {
     kept->passed = true;
     kept->boot_id = boot_id;
-    tw_shards_request_in(standby->table, standby->now, &kept->request);
+    tw_shards_add_request(standby->table, standby->now, &kept->request);
 }
 
 bool tw_standby_register(tw_standby *standby, const tw_shards_request *request) {
@@ -100,7 +100,7 @@
     if (!comes || !standby->leads || !request->machine[0]) return false;
     tw_standby_registration *kept = keep(standby, request);
     /* A table that is being read takes the request up later; the machine is asked after that. */
-    if (tw_shards_deciding(standby->table))
+    if (tw_shards_is_deciding(standby->table))
         ask(standby, make(standby, request->machine));
     else
         pass_to_table(standby, kept, 0);
@@ -168,7 +168,7 @@
 static void accept(tw_standby *standby, tw_standby_machine_check *machine) {
     if (machine->quarantine_logged)
         tw_standby_say(standby, "event=machine_confirmed machine=%s", machine->name);
-    tw_shards_machine_confirmed(standby->table, standby->now, machine->name);
+    tw_shards_confirm_machine(standby->table, standby->now, machine->name);
     forget(standby, machine);
 }
 
@@ -228,7 +228,7 @@
     tw_standby_machine_check *machine = find(standby, name);
     /* While the table is read again there is nothing to compare with: the machine is asked again.
      */
-    const bool readable = standby->leads && tw_shards_ready(standby->table);
+    const bool readable = standby->leads && tw_shards_is_ready(standby->table);
     if (answer && machine && readable && term == standby->lease.token)
         take_answer(standby, machine, answer);
     tw_standby_step(standby);
@@ -251,7 +251,7 @@
 void tw_standby_check_tick(tw_standby *standby) {
     tw_standby_machine_check *each;
     tw_standby_machine_check *after;
-    if (!standby->leads || !tw_shards_ready(standby->table)) return;
+    if (!standby->leads || !tw_shards_is_ready(standby->table)) return;
     pass_overdue(standby);
     HASH_ITER(hh, standby->machines, each, after) {
         if (each->step == TW_STANDBY_CHECK_RENEWING || standby->now < each->next_at) continue;
@@ -276,7 +276,7 @@
     HASH_ITER(hh, standby->machines, each, next_machine) { forget(standby, each); }
     DL_FOREACH_SAFE(standby->registrations, kept, next_kept) {
         /* those that the table has it refuses itself */
-        if (!kept->passed) tw_shards_request_in(standby->table, standby->now, &kept->request);
+        if (!kept->passed) tw_shards_add_request(standby->table, standby->now, &kept->request);
         DL_DELETE(standby->registrations, kept);
         free(kept);
     }
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -97,7 +97,7 @@
 
 static tw_standby_state state_of(const tw_standby *standby) {
     if (standby->leads)
-        return tw_shards_deciding(standby->table) ? TW_STANDBY_DECIDING : TW_STANDBY_CHECKING;
+        return tw_shards_is_deciding(standby->table) ? TW_STANDBY_DECIDING : TW_STANDBY_CHECKING;
     if (standby->lease.state == TW_STANDBY_LEASE_GRANTING ||
         standby->lease.state == TW_STANDBY_LEASE_WRITING)
         return TW_STANDBY_FENCING;
@@ -124,7 +124,7 @@
     standby->differences = 0;
     standby->successor[0] = 0;
     standby->heard_term = standby->lease.token;
-    tw_shards_lead(standby->table, standby->now, TW_STANDBY_KEY, standby->lease.token);
+    tw_shards_begin_term(standby->table, standby->now, TW_STANDBY_KEY, standby->lease.token);
 }
 
 static void forget_followers(tw_standby *standby) {
@@ -140,7 +140,7 @@
 static void end_term(tw_standby *standby) {
     tw_standby_say(standby, "event=leader_stepped_down");
     standby->leads = false;
-    tw_shards_resign(standby->table);
+    tw_shards_end_term(standby->table);
     tw_standby_check_clear(standby);
     tw_standby_log_clear(&standby->log);
     forget_followers(standby);
@@ -158,17 +158,17 @@
 /* Checking begins once the table is read, and ends when the machines have answered or their time is
  * over; only those that have not answered are quarantined. */
 static void step_checking(tw_standby *standby) {
-    if (!standby->leads || !tw_shards_ready(standby->table)) return;
+    if (!standby->leads || !tw_shards_is_ready(standby->table)) return;
     if (!standby->began_checking) {
         standby->began_checking = true;
         tw_standby_check_all(standby);
     }
-    if (tw_shards_deciding(standby->table) || !check_is_over(standby)) return;
+    if (tw_shards_is_deciding(standby->table) || !check_is_over(standby)) return;
     tw_standby_check_silent(standby);
     tw_standby_say(standby, "event=decisions_started term=%lu quarantined=%d differences=%ld",
                    (unsigned long)standby->lease.token, tw_shards_quarantined_count(standby->table),
                    standby->differences);
-    tw_shards_decide(standby->table, standby->now);
+    tw_shards_allow_decisions(standby->table, standby->now);
 }
 
 void tw_standby_refresh(tw_standby *standby, double now) {
@@ -177,7 +177,7 @@
     const bool other_term = standby->leads && standby->heard_term != standby->lease.token;
     if (standby->leads && (!leads || other_term)) end_term(standby);
     if (leads && !standby->leads) begin_term(standby);
-    if (leads) tw_shards_authority(standby->table, standby->lease.authority_until);
+    if (leads) tw_shards_set_authority(standby->table, standby->lease.authority_until);
 }
 
 /* ---- lease ---- */
@@ -255,13 +255,13 @@
 
 void tw_standby_request(tw_standby *standby, double now, const tw_shards_request *request) {
     tw_standby_refresh(standby, now);
-    if (!tw_standby_register(standby, request)) tw_shards_request_in(standby->table, now, request);
+    if (!tw_standby_register(standby, request)) tw_shards_add_request(standby->table, now, request);
     tw_standby_step(standby);
 }
 
 bool tw_standby_decides(tw_standby *standby, double now) {
     tw_standby_refresh(standby, now);
-    return standby->leads && tw_shards_deciding(standby->table);
+    return standby->leads && tw_shards_is_deciding(standby->table);
 }
 
 /* ---- planned handover ---- */
@@ -278,7 +278,7 @@
 
 static tw_shards_verdict judge_promotion(const tw_standby *standby, const char *node) {
     const tw_standby_follower *found;
-    if (!standby->leads || !tw_shards_deciding(standby->table) || standby->promotion)
+    if (!standby->leads || !tw_shards_is_deciding(standby->table) || standby->promotion)
         return TW_SHARDS_NOT_LEADER;
     if (!strcmp(node, standby->settings.name)) return TW_SHARDS_OK;
     HASH_FIND_STR(standby->followers, node, found);
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -72,7 +72,8 @@
         if (!more) renumber(standby);
     }
     tw_wire_entries_free(entries, count);
-    tw_shards_page(standby->table, standby->now, standby->read_id, good ? body : NULL, length);
+    tw_shards_handle_page(standby->table, standby->now, standby->read_id, good ? body : NULL,
+                          length);
 }
 
 /* The view is the records' as of a revision not before the term: writes of earlier terms fail from
@@ -98,9 +99,9 @@
     tw_standby_say(standby, "event=view_confirmed revision=%lu changes=%d",
                    (unsigned long)store_revision, count);
     char *list = tw_standby_view_list(&standby->view);
-    tw_shards_page(standby->table, standby->now, standby->read_id, list, strlen(list));
+    tw_shards_handle_page(standby->table, standby->now, standby->read_id, list, strlen(list));
     free(list);
-    if (tw_shards_ready(standby->table)) return;
+    if (tw_shards_is_ready(standby->table)) return;
     tw_standby_say(standby, "event=view_unreadable");
     tw_standby_view_clear(&standby->view);
 }
@@ -118,7 +119,7 @@
 static tw_shards_outcome outcome_of(int status) {
     if (status == STATUS_OK) return TW_SHARDS_APPLIED;
     if (status == STATUS_CONFLICT || status == STATUS_BAD) return TW_SHARDS_REFUSED;
-    return status == STATUS_TOO_MANY || status >= STATUS_FAILURE ? TW_SHARDS_PUT_OFF
+    return status == STATUS_TOO_MANY || status >= STATUS_FAILURE ? TW_SHARDS_NOT_EXECUTED
                                                                  : TW_SHARDS_UNKNOWN;
 }
 
@@ -141,7 +142,7 @@
     if (outcome == TW_SHARDS_APPLIED && tw_wire_revision_parse(&revision, body, length))
         outcome = TW_SHARDS_UNKNOWN;
     if (outcome == TW_SHARDS_APPLIED) add_change(standby, revision);
-    tw_shards_written(standby->table, standby->now, standby->write_id, outcome, revision);
+    tw_shards_handle_outcome(standby->table, standby->now, standby->write_id, outcome, revision);
 }
 
 /* ---- effects of the table ---- */
@@ -153,7 +154,7 @@
 /* Until nothing more follows. */
 void tw_standby_take_table(tw_standby *standby) {
     tw_shards_effect *effect;
-    while ((effect = tw_shards_next(standby->table))) {
+    while ((effect = tw_shards_next_effect(standby->table))) {
         bool kept = false;
         switch (effect->kind) {
         case TW_SHARDS_READ:
--- a/tests/router/properties.cpp
+++ b/tests/router/properties.cpp
@@ -68,7 +68,7 @@
 }
 
 void take_effects(history &seen, tw_router *router) {
-    while (tw_router_effect *effect = tw_router_next(router)) {
+    while (tw_router_effect *effect = tw_router_next_effect(router)) {
         const tw_router_effect taken = *effect;
         std::free(effect);
         RC_ASSERT(taken.kind == TW_ROUTER_SEND || taken.request != seen.stale);
@@ -92,7 +92,7 @@
 }
 
 /// An attempt ends, or speaks once more though it has ended before (a late answer).
-void end_attempt(history &seen, tw_router *router, const step &drawn, tw_router_end end) {
+void end_attempt(history &seen, tw_router *router, const step &drawn, tw_router_result end) {
     if (seen.sent.empty()) return;
     const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
     if (about.number != seen.latest[about.request]) seen.stale = about.request;
@@ -119,8 +119,8 @@
 }
 
 void play(history &seen, tw_router *router, const step &drawn) {
-    static const tw_router_end ends[] = {TW_ROUTER_DONE, TW_ROUTER_REFUSED, TW_ROUTER_BROKEN,
-                                         TW_ROUTER_LOST};
+    static const tw_router_result ends[] = {TW_ROUTER_DONE, TW_ROUTER_REFUSED, TW_ROUTER_BROKEN,
+                                            TW_ROUTER_LOST};
     switch (drawn.kind) {
     case 0:
     case 1:
@@ -180,10 +180,10 @@
         tw_router_add_request(router, 0, number, number % 2 == 0 ? "front" : "letters", deadline_s);
     tw_router_set_replica(router, 0, "r0", 1, 1, 1);
     for (unsigned i = 0; i < rounds * (share + 1); i++) {
-        tw_router_effect *effect = tw_router_next(router);
+        tw_router_effect *effect = tw_router_next_effect(router);
         while (effect != nullptr && effect->kind != TW_ROUTER_SEND) {
             std::free(effect);
-            effect = tw_router_next(router);
+            effect = tw_router_next_effect(router);
         }
         RC_ASSERT(effect != nullptr);
         front += effect->request % 2 == 0;
@@ -200,15 +200,15 @@
     tw_router *router = new_router();
     for (uint64_t number = 1; number <= most_waiting + 1U; number++)
         tw_router_add_request(router, 0, number, "front", deadline_s);
-    tw_router_effect *refused = tw_router_next(router);
+    tw_router_effect *refused = tw_router_next_effect(router);
     RC_ASSERT(refused != nullptr && refused->kind == TW_ROUTER_ANSWER);
     RC_ASSERT(refused->request == most_waiting + 1U);
     RC_ASSERT(refused->status == TW_ROUTER_FULL && refused->retry_after_s >= 1);
     std::free(refused);
     tw_router_set_replica(router, 0, "r0", 1, 1, 1);
-    std::free(tw_router_next(router));
+    std::free(tw_router_next_effect(router));
     tw_router_attempt_ended(router, 0, 1, 1, TW_ROUTER_REFUSED);
-    tw_router_effect *again = tw_router_next(router);
+    tw_router_effect *again = tw_router_next_effect(router);
     RC_ASSERT(again != nullptr && again->kind == TW_ROUTER_SEND);
     RC_ASSERT(again->request == 1 && again->attempt == 2);
     std::free(again);
@@ -225,7 +225,7 @@
     tw_router_add_request(router, 0, 2, "front", 0.5);
     const char *const expected[] = {"slow", "fast"};
     for (const char *name : expected) {
-        tw_router_effect *effect = tw_router_next(router);
+        tw_router_effect *effect = tw_router_next_effect(router);
         RC_ASSERT(effect != nullptr);
         RC_ASSERT(std::string(effect->replica) == name);
         std::free(effect);
--- a/tests/shards/expect.c
+++ b/tests/shards/expect.c
@@ -50,7 +50,7 @@
     tw_shards *reader = tw_judge_read(world);
     int size = -1;
     for (int i = 0; i < tw_shards_shard_count(reader); i++) {
-        const tw_shards_view view = tw_shards_view_of(reader, i);
+        const tw_shards_shard_view view = tw_shards_shard_at(reader, i);
         if (!strcmp(view.name, read->words[2])) size = view.open + view.taken + view.draining;
     }
     tw_shards_free(reader);
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -19,7 +19,7 @@
 static void send_work(tw_world *world, int at, const tw_router_effect *effect) {
     const int to = tw_world_machine_index(world, effect->replica);
     tw_judge_use(world, at, to, effect->epoch);
-    tw_shards_owner_sent(world->nodes[at].owner, effect->replica, effect->epoch);
+    tw_shards_owner_request_sent(world->nodes[at].owner, effect->replica, effect->epoch);
     const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S) + world->slow_s;
     tw_world_event *sent = tw_world_add_event(world, after, TW_WORLD_WORK);
     sent->node = at;
@@ -45,14 +45,14 @@
 
 void tw_world_router_effects(tw_world *world, int at) {
     tw_router_effect *effect;
-    while ((effect = tw_router_next(world->nodes[at].router))) {
+    while ((effect = tw_router_next_effect(world->nodes[at].router))) {
         if (effect->kind == TW_ROUTER_SEND) send_work(world, at, effect);
         if (effect->kind == TW_ROUTER_ANSWER) reply_to_user(world, at, effect);
         free(effect);
     }
 }
 
-static tw_router_end end_of(int status) {
+static tw_router_result end_of(int status) {
     if (status == OK) return TW_ROUTER_DONE;
     if (status == BAD) return TW_ROUTER_REFUSED;
     return status ? TW_ROUTER_BROKEN : TW_ROUTER_LOST;
@@ -62,10 +62,10 @@
     const tw_world_node *at = &world->nodes[answer->node];
     const char *name = world->machines[answer->machine].name;
     if (answer->status == BAD) {
-        tw_shards_owner_refused(at->owner, name, answer->epoch);
+        tw_shards_owner_request_refused(at->owner, name, answer->epoch);
         tw_world_refresh_replica(world, answer->node, name);
     }
-    tw_shards_owner_ended(at->owner, name, answer->epoch);
+    tw_shards_owner_request_ended(at->owner, name, answer->epoch);
     tw_router_attempt_ended(at->router, world->now, (uint64_t)answer->number, answer->attempt,
                             end_of(answer->status));
 }
@@ -77,7 +77,7 @@
     tw_shards *reader = tw_judge_read(world);
     int owner = -1;
     for (int i = 0; i < tw_shards_shard_count(reader); i++) {
-        const tw_shards_view view = tw_shards_view_of(reader, i);
+        const tw_shards_shard_view view = tw_shards_shard_at(reader, i);
         for (int j = 0; j < world->node_count; j++)
             if (!strcmp(view.name, shard) && !strcmp(view.owner, world->nodes[j].name)) owner = j;
     }
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -95,9 +95,9 @@
     tw_shards *reader = tw_shards_new(&world->settings);
     char after[TEXT] = "";
     tw_shards_effect *effect;
-    tw_shards_lead(reader, world->now, "leader", 1);
-    tw_shards_authority(reader, world->end + 1);
-    while ((effect = tw_shards_next(reader))) {
+    tw_shards_begin_term(reader, world->now, "leader", 1);
+    tw_shards_set_authority(reader, world->end + 1);
+    while ((effect = tw_shards_next_effect(reader))) {
         if (effect->kind == TW_SHARDS_READ) {
             char path[PATH_SIZE];
             char *answer = NULL;
@@ -109,14 +109,14 @@
                 tw_simulator_state_request(&world->state, world->now, "GET", path, "", &answer);
             world->state.down_since = down;
             if (status != OK) tw_world_fail(world, "the judge can't read %s", after);
-            tw_shards_page(reader, world->now, effect->id, answer, strlen(answer));
+            tw_shards_handle_page(reader, world->now, effect->id, answer, strlen(answer));
             free(answer);
         }
         tw_shards_effect_free(effect);
     }
-    if (!tw_shards_ready(reader)) tw_world_fail(world, "the records can't be read");
+    if (!tw_shards_is_ready(reader)) tw_world_fail(world, "the records can't be read");
     tw_shards_tick(reader, world->now, world->now);
-    tw_shards_decide(reader, world->now);
+    tw_shards_allow_decisions(reader, world->now);
     return reader;
 }
 
@@ -197,9 +197,9 @@
         const tw_world_machine *of = machine_named(world, machine.machine);
         if (machine.state == TW_SHARDS_ABSENT || !of) continue;
         seen[of - world->machines]++;
-        if (world->lease_s > 0 && of->alive && of->guard.newest != machine.epoch)
+        if (world->lease_s > 0 && of->alive && of->guard.newest_epoch != machine.epoch)
             tw_world_fail(world, "stuck: %s has epoch %lu open, recorded is %lu", of->name,
-                          (unsigned long)of->guard.newest, (unsigned long)machine.epoch);
+                          (unsigned long)of->guard.newest_epoch, (unsigned long)machine.epoch);
         if (machine.state != TW_SHARDS_OPEN)
             tw_world_fail(world, "stuck: %s is %s of %s", of->name,
                           tw_shards_state_name(machine.state), machine.owner);
@@ -218,8 +218,8 @@
     tw_shards_effect *effect;
     *verdict = TW_SHARDS_NOT_LEADER;
     snprintf(request.key, sizeof request.key, "%s", key);
-    tw_shards_request_in(reader, world->now, &request);
-    while ((effect = tw_shards_next(reader))) {
+    tw_shards_add_request(reader, world->now, &request);
+    while ((effect = tw_shards_next_effect(reader))) {
         if (effect->kind == TW_SHARDS_ANSWER) {
             progress = effect->progress;
             *verdict = effect->verdict;
@@ -231,7 +231,7 @@
 
 static bool is_defined(const tw_shards *reader, const char *shard) {
     for (int i = 0; i < tw_shards_shard_count(reader); i++)
-        if (!strcmp(tw_shards_view_of(reader, i).name, shard)) return true;
+        if (!strcmp(tw_shards_shard_at(reader, i).name, shard)) return true;
     return false;
 }
 
--- a/tests/shards/machines.c
+++ b/tests/shards/machines.c
@@ -43,7 +43,7 @@
     if (!opened->alive || !opened->registered) return;
     forget_term(world, opened);
     const tw_shards_guard_verdict verdict =
-        tw_shards_guard_open(&opened->guard, order->term, order->epoch);
+        tw_shards_guard_open_epoch(&opened->guard, order->term, order->epoch);
     if (!tw_world_order(world, order->machine, order->term, verdict)) return;
     if (verdict == TW_SHARDS_GUARD_RAISED) tw_world_end_running(world, order->machine, CONFLICT);
     if (order->epoch < opened->judged_epoch)
@@ -101,7 +101,7 @@
     tw_world_machine *at = &world->machines[order->machine];
     forget_term(world, at);
     const tw_shards_guard_verdict verdict =
-        tw_shards_guard_stop(&at->guard, order->term, order->epoch);
+        tw_shards_guard_check_stop(&at->guard, order->term, order->epoch);
     if (!tw_world_order(world, order->machine, order->term, verdict)) return;
     if (at->running_count && at->running[0].epoch == order->epoch)
         tw_world_end_running(world, order->machine, CONFLICT);
--- a/tests/shards/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -143,7 +143,7 @@
 static tw_shards_outcome outcome_of(int status) {
     if (status == OK) return TW_SHARDS_APPLIED;
     if (status == CONFLICT || status == BAD) return TW_SHARDS_REFUSED;
-    return status ? TW_SHARDS_PUT_OFF : TW_SHARDS_UNKNOWN;
+    return status ? TW_SHARDS_NOT_EXECUTED : TW_SHARDS_UNKNOWN;
 }
 
 void tw_world_handle_answer(tw_world *world, const tw_world_event *answer) {
@@ -162,11 +162,11 @@
         if (outcome == TW_SHARDS_REFUSED &&
             tw_simulator_state_version(&world->state, "leader") != at->fencing_token) {
             at->fencing_token = 0;
-            tw_shards_resign(at->leader);
+            tw_shards_end_term(at->leader);
         }
-        tw_shards_written(at->leader, world->now, answer->id, outcome, revision);
+        tw_shards_handle_outcome(at->leader, world->now, answer->id, outcome, revision);
     } else {
         const bool has = answer->status == OK;
-        tw_shards_page(at->leader, world->now, answer->id, has ? text : NULL, strlen(text));
+        tw_shards_handle_page(at->leader, world->now, answer->id, has ? text : NULL, strlen(text));
     }
 }
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -112,8 +112,9 @@
     if (effect->verdict != TW_SHARDS_OK || registered->registered) return;
     if (id / TW_WORLD_MOST_MACHINES != registered->boot_id) return; /* to an earlier start of it */
     registered->registered = true;
-    tw_shards_guard_start(&registered->guard, world->nodes[world->leading].fencing_token,
-                          registered->guard.boot_id, effect->minimum_epoch);
+    tw_shards_guard_set_minimum_epoch(&registered->guard,
+                                      world->nodes[world->leading].fencing_token,
+                                      registered->guard.boot_id, effect->minimum_epoch);
 }
 
 void tw_world_notify_owner(tw_world *world, int from, const tw_shards_notification *notification) {
@@ -168,7 +169,7 @@
 
 static void owner_effects(tw_world *world, int at) {
     tw_shards_owner_effect *effect;
-    while ((effect = tw_shards_owner_next(world->nodes[at].owner))) {
+    while ((effect = tw_shards_owner_next_effect(world->nodes[at].owner))) {
         switch (effect->kind) {
         case TW_SHARDS_OWNER_OPEN:
             tw_judge_use(world, at, tw_world_machine_index(world, effect->machine), effect->epoch);
@@ -187,16 +188,16 @@
 /* Where leaders are named by the scenario, machines need not be asked by them. */
 static void decide_at_once(tw_world *world, int at) {
     tw_shards *table = world->nodes[at].leader;
-    if (!tw_shards_ready(table) || tw_shards_deciding(table)) return;
+    if (!tw_shards_is_ready(table) || tw_shards_is_deciding(table)) return;
     for (int i = 0; i < tw_shards_machine_count(table); i++)
-        tw_shards_machine_confirmed(table, world->now, tw_shards_machine_at(table, i).machine);
-    tw_shards_decide(table, world->now);
+        tw_shards_confirm_machine(table, world->now, tw_shards_machine_at(table, i).machine);
+    tw_shards_allow_decisions(table, world->now);
 }
 
 static void table_effects(tw_world *world, int at) {
     tw_shards_effect *effect;
     decide_at_once(world, at);
-    while ((effect = tw_shards_next(world->nodes[at].leader))) {
+    while ((effect = tw_shards_next_effect(world->nodes[at].leader))) {
         switch (effect->kind) {
         case TW_SHARDS_READ:
         case TW_SHARDS_WRITE:
@@ -298,11 +299,11 @@
         return;
     }
     world->leading = at;
-    if (leader->fencing_token) tw_shards_resign(leader->leader);
+    if (leader->fencing_token) tw_shards_end_term(leader->leader);
     leader->fencing_token = token;
     world->electing = 0;
-    tw_shards_lead(leader->leader, world->now, "leader", token);
-    tw_shards_authority(leader->leader, world->now + AUTHORITY_S);
+    tw_shards_begin_term(leader->leader, world->now, "leader", token);
+    tw_shards_set_authority(leader->leader, world->now + AUTHORITY_S);
     tw_world_effects(world, at);
 }
 
@@ -313,11 +314,11 @@
     const char *owner = world->nodes[said->machine].name;
     if (!leader->incarnation || leader->hung_until > world->now) return;
     if (said->number == TW_SHARDS_OWNER_SYNC)
-        tw_shards_sync(leader->leader, owner);
+        tw_shards_send_owner_states(leader->leader, owner);
     else if (said->number == TW_SHARDS_OWNER_DRAINED)
-        tw_shards_drained(leader->leader, owner, said->text, said->epoch);
+        tw_shards_report_drained(leader->leader, owner, said->text, said->epoch);
     else
-        tw_shards_opened(leader->leader, owner, said->text, said->epoch);
+        tw_shards_report_opened(leader->leader, owner, said->text, said->epoch);
     tw_world_effects(world, world->leading);
 }
 
@@ -334,7 +335,7 @@
     if (due_again && leader->incarnation && leader->hung_until <= world->now) {
         asks->tried_at = world->now;
         asks->request.id = ++asks->attempt * TW_WORLD_MOST_REQUESTS + (uint64_t)due->number;
-        tw_shards_request_in(leader->leader, world->now, &asks->request);
+        tw_shards_add_request(leader->leader, world->now, &asks->request);
         tw_world_effects(world, world->leading);
     }
     tw_world_add_event(world, FOLLOW_S, TW_WORLD_CLIENT)->number = due->number;
@@ -363,8 +364,8 @@
     if (world->lease_s > 0) {
         tw_elections_machine(world, &request);
     } else if (leader->incarnation && leader->hung_until <= world->now &&
-               tw_shards_ready(leader->leader)) {
-        tw_shards_request_in(leader->leader, world->now, &request);
+               tw_shards_is_ready(leader->leader)) {
+        tw_shards_add_request(leader->leader, world->now, &request);
         tw_world_effects(world, world->leading);
     }
     tw_world_event *again = tw_world_add_event(world, 2 * CLIENT_RETRY_S, TW_WORLD_MACHINE);
@@ -389,7 +390,7 @@
     /* The lease is renewed: the key still stands, and nobody is being elected. */
     if (at->fencing_token && !world->electing && world->state.down_since < 0 &&
         tw_simulator_state_version(&world->state, "leader") == at->fencing_token)
-        tw_shards_authority(at->leader, world->now + AUTHORITY_S);
+        tw_shards_set_authority(at->leader, world->now + AUTHORITY_S);
     if (at->standby)
         tw_elections_tick(world, due->node);
     else
@@ -473,7 +474,8 @@
         tw_world_handle_answer(world, event);
         break;
     case TW_WORLD_NOTIFY:
-        tw_shards_owner_notified(world->nodes[event->node].owner, world->now, &event->notification);
+        tw_shards_owner_handle_notification(world->nodes[event->node].owner, world->now,
+                                            &event->notification);
         tw_world_refresh_replica(world, event->node, event->notification.machine);
         break;
     case TW_WORLD_REPORT:
@@ -483,7 +485,7 @@
         tw_world_handle_open(world, event);
         break;
     case TW_WORLD_OPENED:
-        tw_shards_owner_confirmed(world->nodes[event->node].owner, event->text, event->epoch);
+        tw_shards_owner_confirm_open(world->nodes[event->node].owner, event->text, event->epoch);
         break;
     case TW_WORLD_WORK:
         tw_world_handle_work(world, event);
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -136,11 +136,11 @@
     const char *owner = world->nodes[said->number].name;
     if (!tw_standby_decides(to->standby, tw_elections_now(world, said->node))) return;
     if (said->machine == TW_SHARDS_OWNER_SYNC)
-        tw_shards_sync(to->leader, owner);
+        tw_shards_send_owner_states(to->leader, owner);
     else if (said->machine == TW_SHARDS_OWNER_DRAINED)
-        tw_shards_drained(to->leader, owner, said->text, said->epoch);
+        tw_shards_report_drained(to->leader, owner, said->text, said->epoch);
     else
-        tw_shards_opened(to->leader, owner, said->text, said->epoch);
+        tw_shards_report_opened(to->leader, owner, said->text, said->epoch);
 }
 
 /* ---- machines ---- */
@@ -149,7 +149,7 @@
     return (tw_standby_machine_status){.term = at->guard.term,
                                        .boot_id = at->guard.boot_id,
                                        .minimum_epoch = at->guard.minimum_epoch,
-                                       .newest = at->guard.newest,
+                                       .newest = at->guard.newest_epoch,
                                        .started = at->guard.started,
                                        .running = at->running_count};
 }
@@ -190,8 +190,9 @@
     if (!at->alive) return;
     if (world->plant_term) guard->term = 0;
     const tw_shards_guard_verdict verdict =
-        order->flag ? tw_shards_guard_start(guard, order->term, order->id, order->minimum_epoch)
-                    : tw_shards_guard_check(guard, order->term);
+        order->flag
+            ? tw_shards_guard_set_minimum_epoch(guard, order->term, order->id, order->minimum_epoch)
+            : tw_shards_guard_check_term(guard, order->term);
     const int taken = tw_world_order(world, order->machine, order->term, verdict);
     if (order->flag && taken && order->id != at->boot_id + 1)
         tw_world_fail(world, "other_life: %s takes a floor for life %lu in its life %lu", at->name,
--- a/tools/traywallctl/print.c
+++ b/tools/traywallctl/print.c
@@ -16,7 +16,7 @@
     printf("revision %lu\n", (unsigned long)answer->revision);
     printf("%-20s %-20s %6s %6s %6s %8s\n", "SHARE", "OWNER", "LEAST", "OPEN", "TAKEN", "DRAINING");
     for (int i = 0; i < answer->shard_count; i++) {
-        const tw_shards_view *each = &answer->shards[i];
+        const tw_shards_shard_view *each = &answer->shards[i];
         printf("%-20s %-20s %6d %6d %6d %8d%s\n", each->name, each->owner, each->least, each->open,
                each->taken, each->draining, each->spread ? " spread" : "");
     }
@@ -29,7 +29,7 @@
     }
 }
 
-static cJSON *shard_json(const tw_shards_view *shard) {
+static cJSON *shard_json(const tw_shards_shard_view *shard) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "name", shard->name);
     cJSON_AddStringToObject(object, "owner", shard->owner);
