--- a/src/router/pick.c
+++ b/src/router/pick.c
@@ -1,10 +1,11 @@
-/* Which replica gets a request (GoodServe, section 3.4): of those that are expected to meet the
- * deadline the slowest, which saves the fast ones for urgent requests; where none is, the one that
- * misses it by least. Only replicas with a free slot count, so nothing waits at a replica. */
+/* Picks the replica for a request (GoodServe, section 3.4): among the replicas expected to meet
+ * the deadline, the slowest, which keeps the fast ones for urgent requests; if none is, the one
+ * that misses the deadline by least. Only replicas with a free slot count, so no request waits at
+ * a replica. */
 #include "router/router_int.h"
 #include <stdbool.h>
 
-/* Whether the first is to be preferred; expected: when each would end. */
+/* Returns whether the first replica is preferred to the second. */
 static bool is_better(const tw_router_replica *first, const tw_router_replica *second,
                       double deadline, double now) {
     const bool first_meets = now + first->service_s <= deadline;
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -1,4 +1,4 @@
-/* The records of requests, from their arrival to their one final answer. */
+/* Tracks requests from their arrival to their final answer. */
 #include "router/router_int.h"
 #include <math.h>
 #include <stdbool.h>
@@ -38,7 +38,7 @@
     return first;
 }
 
-/* ---- begin and end ---- */
+/* ---- creation ---- */
 
 tw_router *tw_router_new(const tw_router_settings *settings) {
     tw_router *router = tw_router_alloc(sizeof *router);
@@ -89,8 +89,8 @@
     team_named(router, name)->weight = weight;
 }
 
-/* The team whose turn it is: that has been served least for its weight; NULL: nobody waits. A team
- * that had nothing waiting does not save up turns. */
+/* Returns the team to serve next, which is the one with the least service relative to its weight;
+ * NULL if no request waits. A team with no waiting requests does not accumulate turns. */
 static tw_router_team *next_team(tw_router *router) {
     tw_router_team *best = NULL;
     tw_router_team *each;
@@ -118,7 +118,7 @@
     request->team->count--;
 }
 
-/* ---- one final answer ---- */
+/* ---- final answers ---- */
 
 static double estimate_retry_after_s(const tw_router *router) {
     const tw_router_replica *each;
@@ -136,7 +136,7 @@
     if (replica && replica->running) replica->running--;
 }
 
-/* Gives the final answer and forgets the request: what comes of it later is not known any more. */
+/* Emits the final answer and frees the request. Later events of its attempts are ignored. */
 static void answer(tw_router *router, tw_router_request *request, tw_router_status status) {
     tw_router_effect *effect = emit(router, TW_ROUTER_ANSWER, request);
     effect->status = status;
@@ -166,7 +166,7 @@
     effect->epoch = to->epoch;
 }
 
-/* As long as the team whose turn it is finds a replica. */
+/* Sends waiting requests until the next team finds no replica. */
 static void send_waiting(tw_router *router, double now) {
     tw_router_team *turn;
     while ((turn = next_team(router))) {
@@ -199,7 +199,7 @@
     request->number = number;
     request->team = team_named(router, team_name);
     request->deadline = deadline;
-    request->state = TW_ROUTER_REQUEST_SENT; /* nowhere yet */
+    request->state = TW_ROUTER_REQUEST_SENT; /* not in a queue yet */
     HASH_ADD(hh, router->requests, number, sizeof request->number, request);
     router->retry_budget =
         fmin(router->settings.retry_burst, router->retry_budget + router->settings.retry_ratio);
@@ -211,7 +211,8 @@
     send_waiting(router, now);
 }
 
-/* The request, if this is its present attempt. What earlier ones say is dropped. */
+/* Returns the request if `attempt` is its current attempt and still runs, or NULL. Events of
+ * earlier attempts are ignored. */
 static tw_router_request *current_attempt(const tw_router *router, uint64_t number, int attempt) {
     tw_router_request *found;
     HASH_FIND(hh, router->requests, &number, sizeof number, found);
@@ -227,7 +228,7 @@
     emit(router, TW_ROUTER_PART, found);
 }
 
-/* Whether another attempt may be made; it is then paid for. */
+/* Returns whether another attempt may be made, and deducts it from the retry budget. */
 static bool take_retry(tw_router *router, const tw_router_request *failed, double now) {
     if (failed->answer_started || failed->attempt >= router->settings.most_attempts) return false;
     if (now >= failed->deadline || router->retry_budget < 1) return false;
--- a/src/router/router_int.h
+++ b/src/router/router_int.h
@@ -1,7 +1,7 @@
-/* The records that the files of the router have in common. Not for other packages.
+/* Data structures shared by the files of the router. Not for other packages.
  *
- * A request stands in the hash of the router, and in its team's queue while it waits. A replica
- * counts the attempts that run on it; it is never forgotten. */
+ * A request is in the hash table of the router, and in the queue of its team while it waits. A
+ * replica counts the attempts that run on it; replicas are never removed. */
 #ifndef TW_ROUTER_INT_H
 #define TW_ROUTER_INT_H
 #include "router/router.h"
@@ -17,16 +17,16 @@
     tw_router_request_state state;
     tw_router_team *team;
     double deadline, sent_at;
-    int attempt;                           /* the present one, or the last */
-    bool answer_started;                   /* a part of its answer */
-    char replica[TW_ROUTER_NAME];          /* of the present attempt */
-    struct tw_router_request *prev, *next; /* in its team's queue */
+    int attempt;                           /* number of the current or last attempt */
+    bool answer_started;                   /* a part of the answer was passed on */
+    char replica[TW_ROUTER_NAME];          /* replica of the current attempt */
+    struct tw_router_request *prev, *next; /* links of the team's queue */
     UT_hash_handle hh;
 } tw_router_request;
 
 struct tw_router_team {
     char name[TW_ROUTER_NAME];
-    double weight, served; /* requests sent, divided by the weight */
+    double weight, served; /* served: requests sent, divided by the weight */
     tw_router_request *waiting;
     int count;
     UT_hash_handle hh;
@@ -34,24 +34,25 @@
 
 typedef struct tw_router_replica {
     char name[TW_ROUTER_NAME];
-    uint64_t epoch; /* 0: nothing new */
+    uint64_t epoch; /* 0: gets no new requests */
     int slots, running;
-    double service_s; /* moving average */
+    double service_s; /* moving average of the time that a request takes */
     UT_hash_handle hh;
 } tw_router_replica;
 
 struct tw_router {
     tw_router_settings settings;
-    double retry_budget; /* that may be made now */
+    double retry_budget; /* number of retries that may be made */
     tw_router_request *requests;
     tw_router_replica *replicas;
     tw_router_team *teams;
     tw_router_effect *effects;
 };
 
-/* Zeroed memory; the program ends where there is none. */
+/* Allocates zeroed memory; aborts if there is none. */
 void *tw_router_alloc(size_t size);
-/* The replica for the request; NULL: none has room. (pick.c) */
-tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *of, double now);
+/* Returns the replica for the request, or NULL if no replica has a free slot. (pick.c) */
+tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *request,
+                                  double now);
 
 #endif
--- a/src/shards/choose.c
+++ b/src/shards/choose.c
@@ -1,5 +1,6 @@
-/* Which machines of a shard go first: those with the fewest requests, of these the ones that hold
- * the wanted image, and never the last machine of a zone where the shard is to stay spread. */
+/* Chooses the machines of a shard that a move takes: those with the fewest running requests first,
+ * and among equals those that hold the wanted image. If the shard is spread, the last machine of
+ * each zone stays. */
 #include "shards/shards_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -17,7 +18,8 @@
     return a->machine->index - b->machine->index;
 }
 
-/* Machines that the shard has in each zone and keeps for now; the caller frees it. */
+/* Returns the number of open and taken machines of the shard in each zone; the caller frees the
+ * array. */
 static int *count_kept_by_zone(const tw_shards *shards, int shard_index) {
     const tw_shards_shard_sets *sets = &shards->sets[shard_index];
     int *counts = tw_shards_alloc(sizeof *counts * (size_t)shards->zone_count);
@@ -29,7 +31,7 @@
     return counts;
 }
 
-/* The machines that may go, as a set that the caller frees. */
+/* Returns the set of open machines that the move may take; the caller frees it. */
 static roaring_bitmap_t *movable_machines(const tw_shards *shards,
                                           const tw_shards_move_record *record) {
     const roaring_bitmap_t *open = shards->sets[record->from].open;
--- a/src/shards/guard.c
+++ b/src/shards/guard.c
@@ -1,5 +1,5 @@
-/* The guard of a machine: it lets requests of the newest epoch run, and takes commands of the
- * newest term only. */
+/* The guard of a machine: accepts requests of the newest epoch and commands of the latest term
+ * only. */
 #include "shards/shards.h"
 #include <stdbool.h>
 
@@ -13,9 +13,9 @@
     *guard = (tw_shards_guard){.boot_id = boot_id};
 }
 
-/* Whether the command's term is not overtaken; the machine then knows it. A leader that was deposed
- * may have commands on their way, or send them when its process goes on: they are to change nothing
- * once the next leader has been heard. */
+/* Records the term of a command. Returns false if a later term is known: a deposed leader may have
+ * commands in flight, or send them when its suspended process resumes, and they must change
+ * nothing after a command of the next leader has arrived. */
 static bool accept_term(tw_shards_guard *guard, uint64_t term) {
     if (term < guard->term) return false;
     guard->term = term;
@@ -30,8 +30,8 @@
                                                           uint64_t boot_id,
                                                           uint64_t minimum_epoch) {
     if (!accept_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
-    /* A minimum epoch that was drawn for an earlier boot of the machine is too low: epochs of that
-     * boot could be opened again. */
+    /* A minimum epoch drawn for an earlier boot of the machine is too low: epochs of that boot
+     * could be opened again. */
     if (boot_id != guard->boot_id) return TW_SHARDS_GUARD_OTHER_BOOT;
     if (guard->started) return TW_SHARDS_GUARD_REPEATED;
     guard->started = true;
--- a/src/shards/leader.c
+++ b/src/shards/leader.c
@@ -1,4 +1,4 @@
-/* The leader's entry points: inputs in, effects out. */
+/* The input functions of the leader, and the effects that they return. */
 #include "shards/shards_int.h"
 #include <math.h>
 #include <stdbool.h>
@@ -66,7 +66,7 @@
     if (move && verdict == TW_SHARDS_OK) effect->progress = tw_shards_move_progress(shards, move);
 }
 
-/* ---- begin and end ---- */
+/* ---- creation, start and end of a term ---- */
 
 tw_shards *tw_shards_new(const tw_shards_settings *settings) {
     tw_shards *shards = tw_shards_alloc(sizeof *shards);
@@ -108,7 +108,7 @@
     shards->authority_until = 0;
 }
 
-/* ---- machines are asked before the first decision ---- */
+/* ---- quarantine of machines ---- */
 
 bool tw_shards_is_confirmed(const tw_shards *shards, const tw_shards_machine *machine) {
     return !roaring_bitmap_contains(shards->quarantined, (uint32_t)machine->index);
@@ -124,7 +124,7 @@
     return (int)roaring_bitmap_get_cardinality(shards->quarantined);
 }
 
-/* ---- one transaction after the other ---- */
+/* ---- transactions, one at a time ---- */
 
 static void refill_write_budget(tw_shards *shards) {
     const double limit = fmax(shards->settings.write_rps, shards->settings.txn_ops);
@@ -134,7 +134,8 @@
     shards->budget_updated_at = shards->now;
 }
 
-/* Requests and steps take turns, so that neither keeps the other waiting for long. */
+/* Begins the next transaction. Requests and steps of moves take turns, so that neither delays the
+ * other for long. */
 static void begin_next_transaction(tw_shards *shards) {
     if (!tw_shards_is_deciding(shards) || shards->in_flight || shards->write_budget <= 0) return;
     shards->steps_first = !shards->steps_first;
@@ -175,8 +176,9 @@
         shards->write_budget = -shards->settings.retry_s * shards->settings.write_rps;
         return;
     }
-    /* Whether it was carried out is seen by reading. If it is carried out after that, it fails, or
-     * the next transaction over the same records does, and all is read once more. */
+    /* Reading the table shows whether the transaction was executed. If it is executed after the
+     * read, either it fails, or the next transaction on the same records fails and the table is
+     * read again. */
     tw_shards_reload_table(shards);
 }
 
@@ -208,11 +210,10 @@
     begin_next_transaction(shards);
 }
 
-/* ---- owners ---- */
+/* ---- messages of owners ---- */
 
-/* The machine, if it is the owner's under this epoch; else the owner is notified that it has lost
- * it.
- */
+/* Returns the machine if the owner holds it under this epoch. Otherwise notifies the owner that
+ * the machine is RELEASED and returns NULL. */
 static tw_shards_machine *find_owned_machine(tw_shards *shards, const char *owner, const char *name,
                                              uint64_t epoch) {
     tw_shards_machine *found = shards->loaded ? tw_shards_find_machine(shards, name) : NULL;
@@ -271,7 +272,7 @@
         roaring_bitmap_remove(set->machines, (uint32_t)found->index);
 }
 
-/* ---- time ---- */
+/* ---- tick ---- */
 
 static void repeat_notifications(tw_shards *shards) {
     for (int i = 0; i < shards->machine_count; i++) {
@@ -299,7 +300,7 @@
     begin_next_transaction(shards);
 }
 
-/* ---- what is recorded ---- */
+/* ---- access to the recorded table ---- */
 
 bool tw_shards_is_ready(const tw_shards *shards) { return shards->token && shards->loaded; }
 uint64_t tw_shards_revision(const tw_shards *shards) { return shards->header.revision; }
--- a/src/shards/load.c
+++ b/src/shards/load.c
@@ -1,5 +1,5 @@
-/* Reading the table: all records at the start of a term, and again whenever the fate of a
- * transaction is not known or one of its conditions failed. */
+/* Reads the table: all records at the start of a term, and again whenever the outcome of a
+ * transaction is unknown or one of its compares failed. */
 #include "shards/shards_int.h"
 #include "wire/wire.h"
 #include <stdbool.h>
@@ -10,7 +10,6 @@
 
 #define DECIMAL 10
 
-/* Forgets the table and begins to read it. Requests that wait go on waiting. */
 void tw_shards_reload_table(tw_shards *shards) {
     tw_shards_discard_transaction(shards);
     shards->in_flight = false;
@@ -28,7 +27,7 @@
     shards->reading = true;
 }
 
-/* The part of the key after the prefix; NULL: it has another one. */
+/* Returns the part of the key after the prefix; NULL if the key has a different prefix. */
 static const char *key_after_prefix(const char *key, const char *prefix) {
     const size_t length = strlen(prefix);
     return strncmp(key, prefix, length) ? NULL : key + length;
@@ -36,8 +35,9 @@
 
 static int parse_block(const char *digits) { return (int)strtol(digits, NULL, DECIMAL); }
 
-/* A page comes in the order of keys: cells, moves, names, table. What is read needs the opposite
- * order, so texts are kept as they come and taken in when the last page is there. */
+/* Pages list the keys in the order cells, moves, names, table. The records depend on each other in
+ * the opposite order, so all pages are kept until the last one has arrived, and then loaded kind
+ * by kind. */
 static tw_shards_error load_table(tw_shards *shards, const tw_wire_entry *entry) {
     tw_shards_header read;
     if (strcmp(entry->key, TW_SHARDS_PREFIX "table") != 0) return TW_SHARDS_NO_ERROR;
@@ -77,7 +77,7 @@
     return tw_shards_cells_parse(shards, block, entry->value);
 }
 
-/* Texts of the pages so far. */
+/* A page that has been read, kept until all pages are there. */
 struct tw_shards_read_page {
     tw_wire_entry *entries;
     int count;
@@ -116,8 +116,8 @@
             tw_shards_emit_notification(shards, shards->machines[i]);
 }
 
-/* Filled once in a term, since machines that come later are this leader's own; those that are gone
- * are left out each time. */
+/* Puts all machines into quarantine on the first read of a term; later reads only drop the removed
+ * machines, because machines added since were registered by this leader. */
 static void quarantine_machines(tw_shards *shards) {
     roaring_bitmap_t *present = roaring_bitmap_create();
     for (int i = 0; i < shards->machine_count; i++)
--- a/src/shards/memory.c
+++ b/src/shards/memory.c
@@ -1,4 +1,4 @@
-/* Memory and names. Memory that can't be had ends the program. */
+/* Allocation and names. The process aborts if an allocation fails. */
 #include "shards/shards_int.h"
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +11,6 @@
     return memory;
 }
 
-/* Room for one item more; new room is not zeroed. */
 void *tw_shards_grow(void *items, int count, int *capacity, size_t size) {
     if (count < *capacity) return items;
     *capacity = *capacity ? *capacity * 2 : INITIAL_CAPACITY;
@@ -20,7 +19,7 @@
     return grown;
 }
 
-/* Cuts a name that is too long; requests are checked for that before. */
+/* Truncates a name that is too long; the lengths of names in requests are checked before. */
 void tw_shards_copy_name(char *to, const char *from) {
     size_t length = strnlen(from, TW_SHARDS_NAME - 1);
     memmove(to, from, length);
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -1,33 +1,33 @@
-/* An owner of shards: which of its machines may get requests, under which epoch, and its messages
- * to the leader and to machines. It keeps nothing that must outlive it; after a start it asks the
- * leader.
- */
+/* An owner of shards: tracks which of its machines may get requests and under which epoch, and
+ * sends messages to the leader and to machines. It stores nothing durably; after a restart it
+ * requests the states of its machines from the leader. */
 #include "shards/shards_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* A machine that was given up is remembered for so many retry_s, so that a late message of the
- * leader doesn't bring it back under the old epoch. After that the machine's guard refuses it. */
+/* A released machine is remembered for this many intervals of retry_s, so that a late notification
+ * does not restore it under its old epoch. After that, the machine's guard rejects the old epoch.
+ */
 #define RELEASED_RETENTION_RETRIES 100
 
 typedef struct tw_shards_owned_machine {
     char name[TW_SHARDS_NAME];
     uint64_t epoch;
-    uint64_t term; /* of the leader that was heard last about it */
+    uint64_t term; /* term of the last notification about the machine */
     tw_shards_state state;
     int running_requests;      /* requests under this epoch that may still run */
-    bool all_requests_counted; /* since it was opened: `running` counts all of them */
-    bool confirmed;            /* the machine is open under this epoch */
-    bool stop_sent;            /* it was asked to end what runs */
+    bool all_requests_counted; /* every request since the machine was opened is counted */
+    bool confirmed;            /* the machine has confirmed that it is open under this epoch */
+    bool stop_sent;            /* a STOP was emitted for this epoch */
     double drain_until;
-    double message_sent_at; /* when the last message about it went out */
+    double message_sent_at; /* time of the last message or change of state */
     UT_hash_handle hh;
 } tw_shards_owned_machine;
 
 struct tw_shards_owner {
     double retry_s, synced_at;
-    uint64_t term; /* the newest of all leaders that were heard */
+    uint64_t term; /* latest term of all notifications */
     bool synced;
     tw_shards_owned_machine *machines;
     tw_shards_owner_effect *effects, *last_effect;
@@ -83,8 +83,8 @@
     return found;
 }
 
-/* Sends the message that a machine's state calls for. It is repeated until a notification changes
- * the state. */
+/* Emits the message that the machine's state requires. The message is repeated until a
+ * notification changes the state. */
 static void send_message(tw_shards_owner *owner, double now, tw_shards_owned_machine *machine) {
     machine->message_sent_at = now;
     if (machine->state == TW_SHARDS_TAKEN)
@@ -109,25 +109,25 @@
 void tw_shards_owner_handle_notification(tw_shards_owner *owner, double now,
                                          const tw_shards_notification *notification) {
     tw_shards_owned_machine *machine = find_machine(owner, notification->machine);
-    /* A deposed leader may go on telling what held in its term. */
+    /* A deposed leader may still send states of its term. */
     if (notification->term < owner->term) return;
     owner->term = notification->term;
     if (machine &&
         (notification->epoch < machine->epoch ||
          (notification->epoch == machine->epoch && notification->state < machine->state)))
-        return; /* late, or repeated by a leader that is behind */
+        return; /* late, or sent by a leader whose table is outdated */
     if (!machine && notification->state == TW_SHARDS_RELEASED) return;
     if (!machine) machine = add_machine(owner, notification->machine);
     if (notification->epoch != machine->epoch) {
         machine->running_requests = 0;
         machine->confirmed = machine->stop_sent = false;
         machine->epoch = notification->epoch;
-        /* An owner that first hears of a machine that was open before can't vouch for what an
-         * earlier life of it has running there. */
+        /* The machine was open before the owner learned of it: a previous process of this owner
+         * may have requests running there, which are not counted. */
         machine->all_requests_counted = notification->state == TW_SHARDS_TAKEN;
     }
-    /* A command that waits for its answer goes out again under the new leader's term: the machine
-     * may refuse the one that was sent. */
+    /* An unanswered command is sent again under the new leader's term, because the machine may
+     * reject the earlier one. */
     const bool leader_changed =
         machine->term != notification->term && notification->state == TW_SHARDS_TAKEN;
     machine->term = notification->term;
--- a/src/shards/record.c
+++ b/src/shards/record.c
@@ -1,11 +1,11 @@
-/* Texts of the records in the state service.
+/* Formats and parses the records of the state service.
  *
- *   shares/table        revision, last epoch and move, all shards
- *   shares/cells/NNNN   who has the machines of a block: those alike stand together, as ranges
- *   shares/names/NNNN   the names and zones of a block's machines
+ *   shares/table        revision, last epoch and last move number, all shards
+ *   shares/cells/NNNN   states of the machines of a block; equal cells are combined as ranges
+ *   shares/names/NNNN   names and zones of the machines of a block
  *   shares/move/KEY     a move
  *
- * A parser returns 0, or -1 for a text that is none of these. */
+ * A parser returns TW_SHARDS_BAD_RECORD for a malformed text. */
 #include "shards/shards_int.h"
 #include <cjson/cJSON.h>
 #include <stdbool.h>
@@ -25,7 +25,7 @@
     return text;
 }
 
-/* ---- reading ---- */
+/* ---- members of records ---- */
 
 static tw_shards_error read_number(const cJSON *object, const char *name, double *to) {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
@@ -95,7 +95,6 @@
     return TW_SHARDS_NO_ERROR;
 }
 
-/* NULL: the text is none. */
 roaring_bitmap_t *tw_shards_ranges_parse(const char *text) {
     roaring_bitmap_t *set = roaring_bitmap_create();
     const char *at = text;
@@ -117,7 +116,7 @@
     return NULL;
 }
 
-/* ---- the table ---- */
+/* ---- header ---- */
 
 char *tw_shards_header_text(const tw_shards_header *header) {
     cJSON *object = cJSON_CreateObject();
@@ -172,7 +171,7 @@
 
 /* ---- cells ---- */
 
-/* As it will be when the transaction in flight is applied. */
+/* Returns the cell of the machine once the transaction in flight is applied. */
 static const tw_shards_cell *pending_cell(const tw_shards_machine *machine) {
     return machine->change_pending ? &machine->next : &machine->cell;
 }
@@ -238,7 +237,7 @@
     return TW_SHARDS_NO_ERROR;
 }
 
-/* Sets the cells of the block's machines, which must have been named. */
+/* Sets the cells of the block's machines, whose names must have been loaded before. */
 tw_shards_error tw_shards_cells_parse(tw_shards *shards, int block, const char *text) {
     cJSON *object = cJSON_Parse(text);
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(object, "cells");
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -1,13 +1,13 @@
-/* Requests to the leader, one after the other in the order in which they came. Each is judged by
- * the records while no transaction is in flight, so what it is told holds when it is carried out.
- */
+/* Serves requests to the leader in the order of their arrival. Each request is checked against the
+ * records while no transaction is in flight, so the verdict still holds when its transaction is
+ * executed. */
 #include "shards/shards_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
 
-/* FNV-1a, 64 bits, of which a JSON number holds 48. */
+/* 64-bit FNV-1a hash, of which 48 bits are kept because a JSON number represents them exactly. */
 #define DIGEST_START 14695981039346656037ULL
 #define DIGEST_FACTOR 1099511628211ULL
 #define DIGEST_BITS 48
@@ -22,7 +22,8 @@
     return digest_add(digest, text, strlen(text) + 1);
 }
 
-/* Of what a move asks for; machines that are gone since don't change it. */
+/* Returns the digest of a move request. It uses names only, so that machines removed since then
+ * don't change it. */
 static uint64_t move_digest(const tw_shards_request *request) {
     uint64_t digest = digest_text(DIGEST_START, request->shard);
     digest = digest_text(digest, request->to);
@@ -34,7 +35,7 @@
     return digest >> (64 - DIGEST_BITS);
 }
 
-/* ---- the queue ---- */
+/* ---- queue of requests ---- */
 
 static void remove_request(tw_shards *shards, tw_shards_waiting_request *removed) {
     DL_DELETE(shards->requests, removed);
@@ -43,8 +44,8 @@
     free(removed);
 }
 
-/* Copies of a move that its client repeated meanwhile get the same answer: a client that was
- * refused must not see its move begin after all. */
+/* Gives repeated requests for the same move the same answer: a client whose move was rejected must
+ * not see it begin because of a copy in the queue. */
 static void answer_repeated_moves(tw_shards *shards, const tw_shards_request *answered,
                                   tw_shards_verdict verdict) {
     tw_shards_waiting_request *each;
@@ -66,7 +67,7 @@
     remove_request(shards, first);
 }
 
-/* The first request is answered once the transaction is applied. */
+/* Moves the first request to those that are answered once the transaction is applied. */
 static void defer_answer(tw_shards *shards) {
     tw_shards_waiting_request *first = shards->requests;
     DL_DELETE(shards->requests, first);
@@ -74,7 +75,7 @@
     DL_APPEND(shards->txn.answers, first);
 }
 
-/* Those of a transaction that was not applied are tried again first. */
+/* Requests of a transaction that was not applied are retried first. */
 void tw_shards_requeue_requests(tw_shards *shards) {
     DL_CONCAT(shards->txn.answers, shards->requests);
     shards->requests = shards->txn.answers;
@@ -147,9 +148,9 @@
     return shards->in_flight;
 }
 
-/* ---- machines that come, go and restart: many in one transaction ---- */
+/* ---- machines added, removed and renewed: many in one transaction ---- */
 
-/* The first machine slot that nobody has and that isn't given in this transaction. */
+/* Returns the first slot that is ABSENT and not used by this transaction. */
 static tw_shards_machine *free_slot(tw_shards *shards) {
     for (int i = 0; i < shards->machine_count; i++) {
         tw_shards_machine *each = shards->machines[i];
@@ -158,7 +159,7 @@
     return tw_shards_get_slot(shards, shards->machine_count);
 }
 
-/* The verdict, or TW_SHARDS_OK and *full where the transaction has no room for it. */
+/* Adds a machine and returns the verdict. Sets *full if the transaction can't hold the change. */
 static tw_shards_verdict add_machine(tw_shards *shards, const tw_shards_request *request,
                                      bool *full) {
     const int index = tw_shards_shard_index(shards, request->shard);
@@ -187,8 +188,9 @@
     return TW_SHARDS_OK;
 }
 
-/* A machine that has restarted runs nothing: one that drained is released at once, any other one
- * is to be opened again under the next epoch, which no late command of its earlier boot has. */
+/* Handles the restart of a machine, which runs nothing afterwards: a draining machine is released
+ * without waiting for its owner; any other machine is opened again under the next epoch, which
+ * delayed commands for its earlier boot don't carry. */
 static tw_shards_verdict renew_machine(tw_shards *shards, tw_shards_machine *renewed, bool *full) {
     tw_shards_cell to = renewed->cell;
     *full = !tw_shards_transaction_fits(shards, renewed, TW_SHARDS_RECORD_CELLS, 1);
@@ -209,9 +211,9 @@
                                         bool *full) {
     tw_shards_machine *found = tw_shards_find_machine(shards, request->machine);
     if (!found && request->kind == TW_SHARDS_ADD) return add_machine(shards, request, full);
-    if (!found && request->kind == TW_SHARDS_REMOVE) return TW_SHARDS_OK; /* it is gone already */
+    if (!found && request->kind == TW_SHARDS_REMOVE) return TW_SHARDS_OK; /* already removed */
     if (!found) return TW_SHARDS_UNKNOWN_MACHINE;
-    *full = found->change_pending; /* twice in one transaction */
+    *full = found->change_pending; /* one transaction changes a machine at most once */
     if (*full) return TW_SHARDS_OK;
     if (request->kind == TW_SHARDS_REMOVE) return remove_machine(shards, found, full);
     return renew_machine(shards, found, full);
@@ -234,7 +236,7 @@
     }
     if (!shards->txn.machine_count) {
         tw_shards_discard_transaction(shards);
-        tw_shards_answer_applied(shards); /* nothing had to be changed */
+        tw_shards_answer_applied(shards); /* no change was needed */
         return false;
     }
     if (tw_shards_commit_transaction(shards) != TW_SHARDS_NO_ERROR) {
@@ -248,7 +250,7 @@
 
 /* ---- moves ---- */
 
-/* The machines that the request names, as ranges in record->only. */
+/* Stores the machines that the request names in record->only, as ranges. */
 static tw_shards_verdict read_named_machines(const tw_shards *shards,
                                              const tw_shards_request *request,
                                              tw_shards_move_record *record) {
@@ -282,7 +284,7 @@
     return request->count > 0 ? TW_SHARDS_OK : TW_SHARDS_INVALID;
 }
 
-/* Whether every machine named is open in the shard that is to give it. */
+/* Checks that every named machine is open in the giving shard. */
 static tw_shards_verdict check_named_machines(const tw_shards *shards,
                                               const tw_shards_move_record *record) {
     roaring_bitmap_t *named = tw_shards_ranges_parse(record->only);
@@ -303,7 +305,7 @@
     return verdict;
 }
 
-/* The verdict on a new move, and the machines that begin it. */
+/* Checks a new move and chooses the machines to begin it with. */
 static tw_shards_verdict check_move(const tw_shards *shards, const tw_shards_move_record *record,
                                     tw_shards_machine ***chosen) {
     const tw_shards_shard_sets *sets = &shards->sets[record->from];
@@ -323,7 +325,8 @@
     return taken && open < record->wanted ? TW_SHARDS_BUSY : TW_SHARDS_NO_FIT;
 }
 
-/* Finished moves beyond those that are kept go, the oldest first, one with each new move. */
+/* Returns the number of the oldest finished move if more than TW_SHARDS_MAX_FINISHED_MOVES are
+ * kept, or 0. Each new move removes at most one. */
 static uint64_t move_to_remove(const tw_shards *shards) {
     const tw_shards_move *each;
     const tw_shards_move *oldest = NULL;
@@ -336,7 +339,7 @@
     return finished > TW_SHARDS_MAX_FINISHED_MOVES ? oldest->recorded.number : 0;
 }
 
-/* Begins the move in one transaction, with as many machines as it takes. */
+/* Begins the move in one transaction, with as many machines as fit into it. */
 static void begin_move(tw_shards *shards, tw_shards_move_record *record,
                        tw_shards_machine **chosen) {
     tw_shards_begin_transaction(shards);
--- a/src/shards/step.c
+++ b/src/shards/step.c
@@ -1,11 +1,10 @@
-/* The steps of moves. What is due follows from the records and from what owners have said since,
- * so a new leader goes on with a half-made move like the one that began it. */
+/* The steps of moves. The next step follows from the records and from the messages of owners, so a
+ * new leader continues a move that an earlier leader began. */
 #include "shards/shards_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
 #include <utlist.h>
 
-/* Adds machines to a move whose record is in the transaction, as many as there is room for. */
 void tw_shards_mark_machines(tw_shards *shards, tw_shards_move *move, tw_shards_machine **chosen,
                              int count) {
     for (int i = 0; i < count; i++) {
@@ -18,7 +17,7 @@
     }
 }
 
-/* Machines that the shard can give without falling below its least size. */
+/* Returns the number of machines that the shard can give without falling below its minimum size. */
 static int spare_machines(const tw_shards *shards, int index) {
     const tw_shards_shard_sets *sets = &shards->sets[index];
     return (int)(roaring_bitmap_get_cardinality(sets->open) +
@@ -26,8 +25,8 @@
            shards->header.shards[index].least;
 }
 
-/* Machines that didn't fit into the transaction that began the move, or are gone since. Where no
- * more can be had, the move is content with those it has. */
+/* Adds the machines that did not fit into the transaction that began the move, or others if those
+ * have been removed since. If no more can be chosen, the move continues with fewer machines. */
 static void mark_missing_machines(tw_shards *shards, tw_shards_move *move) {
     const int missing = move->next.wanted - move->next.marked;
     const int spare = spare_machines(shards, move->recorded.from);
@@ -42,15 +41,15 @@
     free(chosen);
 }
 
-/* Whether the old owner is not to be waited for: it said that nothing runs there, or had its time.
- */
+/* Returns whether the machine may be released: its owner reported it drained, or the deadline and
+ * the grace period have passed. */
 static bool is_drained(const tw_shards *shards, const tw_shards_move *move,
                        const tw_shards_machine *machine) {
     return machine->drained_epoch == tw_shards_effective_epoch(shards, machine) ||
            shards->wall >= move->recorded.deadline + shards->settings.grace_s;
 }
 
-/* The cell after the machine's next step; returns 0 if none is due. */
+/* Stores the cell after the machine's next step in *to; returns false if no step is due. */
 static bool next_cell(tw_shards *shards, tw_shards_move *move, tw_shards_machine *machine,
                       tw_shards_cell *to) {
     const int cancelled = move->recorded.cancelled;
@@ -81,8 +80,8 @@
 
 static void step_machine(tw_shards *shards, tw_shards_move *move, tw_shards_machine *machine) {
     tw_shards_cell to;
-    /* A machine that has not answered this leader may have taken later commands of an earlier one.
-     */
+    /* A machine that has not answered this leader may have received later commands of an earlier
+     * leader. */
     if (!tw_shards_is_confirmed(shards, machine)) return;
     if (machine->change_pending ||
         !tw_shards_transaction_fits(shards, machine, TW_SHARDS_RECORD_CELLS, 2))
@@ -115,7 +114,8 @@
     return false;
 }
 
-/* Machines that were opened without a move: new, restarted, or of a shard that changed hands. */
+/* Sets machines OPEN that were opened outside a move: machines that are new, have restarted, or
+ * whose shard changed its owner. */
 static bool step_opened(tw_shards *shards) {
     tw_shards_begin_transaction(shards);
     for (int i = 0; i < shards->machine_count; i++) {
@@ -137,7 +137,6 @@
     return false;
 }
 
-/* Whether the move may have a step to make now. */
 static bool is_unfinished(const tw_shards_move *move) { return !move->recorded.done; }
 
 bool tw_shards_step_moves(tw_shards *shards) {
--- a/src/shards/table.c
+++ b/src/shards/table.c
@@ -1,5 +1,5 @@
-/* The table as it is recorded: machines by index and name, their sets by shard, zone and image,
- * and moves. Whatever changes a cell goes through tw_shards_set_cell, which keeps the sets. */
+/* The recorded table: machines by index and name, sets of machines by shard, zone and image, and
+ * moves. Every change of a cell goes through tw_shards_set_cell, which updates the sets. */
 #include "shards/shards_int.h"
 #include <stdlib.h>
 #include <string.h>
@@ -33,15 +33,15 @@
     return names[verdict];
 }
 
-/* ---- what holds for a machine ---- */
+/* ---- effective state of machines ---- */
 
 uint64_t tw_shards_effective_epoch(const tw_shards *shards, const tw_shards_machine *machine) {
     const uint64_t of_shard = shards->header.shards[machine->cell.shard].epoch;
     return machine->cell.epoch > of_shard ? machine->cell.epoch : of_shard;
 }
 
-/* A shard that changes hands costs one record: its open machines count as taken until the new
- * owner has opened each of them. */
+/* A change of a shard's owner writes only one record: the open machines of the shard count as
+ * taken until the new owner has opened each of them. */
 tw_shards_state tw_shards_effective_state(const tw_shards *shards,
                                           const tw_shards_machine *machine) {
     const tw_shards_cell *cell = &machine->cell;
@@ -50,7 +50,7 @@
     return cell->state;
 }
 
-/* The set that the machine is in by its state; NULL: none. */
+/* Returns the set for the machine's effective state; NULL if the state has none. */
 static roaring_bitmap_t *state_set(const tw_shards *shards, const tw_shards_machine *machine) {
     const tw_shards_state state = tw_shards_effective_state(shards, machine);
     const tw_shards_shard_sets *sets = &shards->sets[machine->cell.shard];
@@ -111,7 +111,6 @@
     shards->block_count = count;
 }
 
-/* The machine of that index, made with all before it where it doesn't exist. */
 tw_shards_machine *tw_shards_get_slot(tw_shards *shards, int index) {
     while (shards->machine_count <= index) {
         shards->machines = tw_shards_grow(shards->machines, shards->machine_count,
@@ -187,7 +186,6 @@
     return -1;
 }
 
-/* Takes over the other header's list of shards. */
 void tw_shards_set_header(tw_shards *shards, const tw_shards_header *to) {
     const int old_count = shards->header.shard_count;
     for (int i = 0; i < shards->machine_count; i++) remove_from_set(shards, shards->machines[i]);
@@ -231,7 +229,7 @@
 
 void tw_shards_sort_moves(tw_shards *shards) { DL_SORT2(shards->moves, by_number, prev, link); }
 
-/* Takes over the record's text. Machines that it holds are added as their cells are set. */
+/* The machines that the move holds are added when their cells are set. */
 tw_shards_move *tw_shards_add_move(tw_shards *shards, const tw_shards_move_record *record) {
     tw_shards_move *added = tw_shards_alloc(sizeof *added);
     added->recorded = *record;
@@ -275,7 +273,6 @@
     *count = 0;
 }
 
-/* Forgets all that stands in records; hints of images and loads go with it. */
 void tw_shards_clear_table(tw_shards *shards) {
     tw_shards_move *each;
     tw_shards_move *after;
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -1,8 +1,8 @@
-/* The one transaction in flight: what it changes, its text, and what holds once it is applied.
+/* The transaction in flight: its changes, its text, and the recorded state once it is applied.
  *
- * Every transaction is conditioned on the leader's key, so that a deposed leader's fails, and on
- * the revision of each record that it writes, so that one which is carried out late fails as soon
- * as anything newer was written. */
+ * Every transaction compares the mod revision of the leader's key, so that a transaction of a
+ * deposed leader fails, and the mod revision of each record that it writes, so that a transaction
+ * that is executed late fails if any of its records was written since. */
 #include "shards/shards_int.h"
 #include "wire/wire.h"
 #include <stdbool.h>
@@ -11,7 +11,7 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Longest body of a transaction that the state service takes, less its frame. */
+/* Largest transaction body that the state service accepts, less the frame of the request. */
 #define MAX_BODY_BYTES ((size_t)60 * 1024)
 
 typedef struct {
@@ -35,9 +35,9 @@
     txn->verdict = TW_SHARDS_OK;
 }
 
-/* ---- what it changes ---- */
+/* ---- changes of the transaction ---- */
 
-/* Which records of a block it changes: CELLS, NAMES. */
+/* Returns the records of a block that the transaction changes. */
 static int record_kinds_of(const tw_shards *shards, int block) {
     return block < shards->txn.record_kinds_capacity ? shards->txn.record_kinds[block] : 0;
 }
@@ -99,7 +99,7 @@
     return &changed->next;
 }
 
-/* ---- its text ---- */
+/* ---- text of the transaction ---- */
 
 static void add_write(const tw_shards *shards, transaction_body *to, const char *key,
                       uint64_t mod_revision, char *data) {
@@ -130,7 +130,7 @@
     }
 }
 
-/* Whether the move is over once the transaction is applied. */
+/* Returns whether the move has ended once the transaction is applied. */
 static bool is_finished(const tw_shards *shards, const tw_shards_move *move) {
     const tw_shards_transaction *txn = &shards->txn;
     int held = (int)roaring_bitmap_get_cardinality(move->machines);
@@ -200,7 +200,7 @@
     return TW_SHARDS_NO_ERROR;
 }
 
-/* ---- its end ---- */
+/* ---- outcome of the transaction ---- */
 
 static void apply_machines(tw_shards *shards, uint64_t revision) {
     const tw_shards_transaction *txn = &shards->txn;
@@ -235,7 +235,7 @@
     tw_shards_sort_moves(shards);
 }
 
-/* Notifies the owners of shards that have just changed hands of all their machines. */
+/* Notifies the owners of shards whose owner has just changed of all their machines. */
 static void notify_new_owners(tw_shards *shards, const tw_shards_header *old) {
     for (int i = 0; i < shards->machine_count; i++) {
         tw_shards_machine *each = shards->machines[i];
@@ -265,7 +265,7 @@
     shards->in_flight = false;
 }
 
-/* Where nothing was sent: machines that were to be added lose their names again. */
+/* Machines that the transaction would have added lose their names. */
 void tw_shards_discard_transaction(tw_shards *shards) {
     tw_shards_transaction *txn = &shards->txn;
     tw_shards_move *each;
@@ -283,7 +283,7 @@
         if (!each->change_pending) continue;
         each->change_pending = false;
         if (each->recorded.number) continue;
-        free(each->next.only); /* of a move that was to begin */
+        free(each->next.only); /* the move had not begun */
         tw_shards_remove_move(shards, each);
     }
 }
