--- a/src/router/router.c
+++ b/src/router/router.c
@@ -21,11 +21,11 @@
 /* ---- effects ---- */
 
 static tw_router_effect *emit(tw_router *router, tw_router_effect_kind kind,
-                              const tw_router_request *about) {
+                              const tw_router_request *request) {
     tw_router_effect *effect = tw_router_alloc(sizeof *effect);
     effect->kind = kind;
-    effect->request = about->number;
-    effect->attempt = about->attempt;
+    effect->request = request->number;
+    effect->attempt = request->attempt;
     LL_APPEND2(router->effects, effect, next);
     return effect;
 }
@@ -146,33 +146,34 @@
     free(request);
 }
 
-static void cancel(tw_router *router, const tw_router_request *sent) {
-    tw_router_effect *effect = emit(router, TW_ROUTER_CANCEL, sent);
-    copy_name(effect->replica, sent->replica);
+static void cancel(tw_router *router, const tw_router_request *request) {
+    tw_router_effect *effect = emit(router, TW_ROUTER_CANCEL, request);
+    copy_name(effect->replica, request->replica);
 }
 
 /* ---- sending ---- */
 
-static void send_to(tw_router *router, tw_router_request *sent, tw_router_replica *to, double now) {
-    dequeue(sent);
-    sent->state = TW_ROUTER_REQUEST_SENT;
-    sent->attempt++;
-    sent->sent_at = now;
-    copy_name(sent->replica, to->name);
-    to->running++;
-    sent->team->served += 1 / sent->team->weight;
-    tw_router_effect *effect = emit(router, TW_ROUTER_SEND, sent);
-    copy_name(effect->replica, to->name);
-    effect->epoch = to->epoch;
+static void send_to(tw_router *router, tw_router_request *request, tw_router_replica *replica,
+                    double now) {
+    dequeue(request);
+    request->state = TW_ROUTER_REQUEST_SENT;
+    request->attempt++;
+    request->sent_at = now;
+    copy_name(request->replica, replica->name);
+    replica->running++;
+    request->team->served += 1 / request->team->weight;
+    tw_router_effect *effect = emit(router, TW_ROUTER_SEND, request);
+    copy_name(effect->replica, replica->name);
+    effect->epoch = replica->epoch;
 }
 
 /* Sends waiting requests until the next team finds no replica. */
 static void send_waiting(tw_router *router, double now) {
-    tw_router_team *turn;
-    while ((turn = next_team(router))) {
-        tw_router_replica *to = tw_router_pick(router, turn->waiting, now);
-        if (!to) return;
-        send_to(router, turn->waiting, to, now);
+    tw_router_team *team;
+    while ((team = next_team(router))) {
+        tw_router_replica *replica = tw_router_pick(router, team->waiting, now);
+        if (!replica) return;
+        send_to(router, team->waiting, replica, now);
     }
 }
 
@@ -180,16 +181,16 @@
 
 void tw_router_set_replica(tw_router *router, double now, const char *name, uint64_t epoch,
                            int slots, double service_s) {
-    tw_router_replica *changed;
-    HASH_FIND_STR(router->replicas, name, changed);
-    if (!changed) {
-        changed = tw_router_alloc(sizeof *changed);
-        copy_name(changed->name, name);
-        changed->service_s = service_s;
-        HASH_ADD_STR(router->replicas, name, changed);
+    tw_router_replica *replica;
+    HASH_FIND_STR(router->replicas, name, replica);
+    if (!replica) {
+        replica = tw_router_alloc(sizeof *replica);
+        copy_name(replica->name, name);
+        replica->service_s = service_s;
+        HASH_ADD_STR(router->replicas, name, replica);
     }
-    changed->epoch = epoch;
-    changed->slots = slots;
+    replica->epoch = epoch;
+    replica->slots = slots;
     send_waiting(router, now);
 }
 
--- a/src/shards/step.c
+++ b/src/shards/step.c
@@ -116,7 +116,7 @@
 
 /* Sets machines OPEN that were opened outside a move: machines that are new, have restarted, or
  * whose shard changed its owner. */
-static bool step_opened(tw_shards *shards) {
+static bool record_opened_machines(tw_shards *shards) {
     tw_shards_begin_transaction(shards);
     for (int i = 0; i < shards->machine_count; i++) {
         tw_shards_machine *each = shards->machines[i];
@@ -144,5 +144,5 @@
     DL_FOREACH2(shards->moves, each, link) {
         if (is_unfinished(each) && step_move(shards, each)) return true;
     }
-    return step_opened(shards);
+    return record_opened_machines(shards);
 }
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -15,7 +15,7 @@
 #define MAX_BODY_BYTES ((size_t)60 * 1024)
 
 typedef struct {
-    tw_wire_compare *conditions;
+    tw_wire_compare *compares;
     tw_wire_write *writes;
     char (*keys)[TW_SHARDS_KEY_SIZE];
     int count, capacity;
@@ -101,30 +101,31 @@
 
 /* ---- text of the transaction ---- */
 
-static void add_write(const tw_shards *shards, transaction_body *to, const char *key,
+static void add_write(const tw_shards *shards, transaction_body *body, const char *key,
                       uint64_t mod_revision, char *data) {
-    const int i = to->count++;
-    snprintf(to->keys[i], TW_SHARDS_KEY_SIZE, "%s%s", TW_SHARDS_PREFIX, key);
-    to->conditions[i + 1] = (tw_wire_compare){to->keys[i], mod_revision};
-    to->writes[i] = (tw_wire_write){to->keys[i], data, 0};
+    const int i = body->count++;
+    snprintf(body->keys[i], TW_SHARDS_KEY_SIZE, "%s%s", TW_SHARDS_PREFIX, key);
+    body->compares[i + 1] = (tw_wire_compare){body->keys[i], mod_revision};
+    body->writes[i] = (tw_wire_write){body->keys[i], data, 0};
     if (!data) return;
     const size_t length = strlen(data);
-    to->bytes += length + TW_SHARDS_KEY_SIZE;
-    if (length > shards->settings.value_bytes || to->bytes > MAX_BODY_BYTES) to->too_large = true;
+    body->bytes += length + TW_SHARDS_KEY_SIZE;
+    if (length > shards->settings.value_bytes || body->bytes > MAX_BODY_BYTES)
+        body->too_large = true;
 }
 
-static void add_blocks(const tw_shards *shards, transaction_body *to) {
+static void add_blocks(const tw_shards *shards, transaction_body *body) {
     char key[TW_SHARDS_KEY_SIZE];
     for (int block = 0; block < shards->block_count; block++) {
         const int record_kinds = record_kinds_of(shards, block);
         if (record_kinds & TW_SHARDS_RECORD_CELLS) {
             snprintf(key, sizeof key, "cells/%04d", block);
-            add_write(shards, to, key, shards->cell_mod_revisions[block],
+            add_write(shards, body, key, shards->cell_mod_revisions[block],
                       tw_shards_cells_text(shards, block));
         }
         if (record_kinds & TW_SHARDS_RECORD_NAMES) {
             snprintf(key, sizeof key, "names/%04d", block);
-            add_write(shards, to, key, shards->name_mod_revisions[block],
+            add_write(shards, body, key, shards->name_mod_revisions[block],
                       tw_shards_names_text(shards, block));
         }
     }
@@ -141,7 +142,7 @@
     return !held && (move->next.cancelled || move->next.marked >= move->next.wanted);
 }
 
-static void add_moves(tw_shards *shards, transaction_body *to) {
+static void add_moves(tw_shards *shards, transaction_body *body) {
     char key[TW_SHARDS_KEY_SIZE];
     tw_shards_move *each;
     DL_FOREACH2(shards->moves, each, link) {
@@ -153,50 +154,50 @@
         }
         snprintf(key, sizeof key, "move/%s",
                  each->change_pending ? each->next.key : each->recorded.key);
-        add_write(shards, to, key, each->mod_revision, text);
+        add_write(shards, body, key, each->mod_revision, text);
     }
 }
 
-static void free_body(transaction_body *to) {
-    for (int i = 0; i < to->count; i++) free((char *)to->writes[i].value);
-    free(to->conditions);
-    free(to->writes);
-    free(to->keys);
+static void free_body(transaction_body *body) {
+    for (int i = 0; i < body->count; i++) free((char *)body->writes[i].value);
+    free(body->compares);
+    free(body->writes);
+    free(body->keys);
 }
 
 static transaction_body build_body(tw_shards *shards) {
-    transaction_body to = {.capacity = shards->settings.txn_ops + TW_SHARDS_MAX_FINISHED_MOVES +
-                                       2 * shards->block_count + 2};
+    transaction_body body = {.capacity = shards->settings.txn_ops + TW_SHARDS_MAX_FINISHED_MOVES +
+                                         2 * shards->block_count + 2};
     tw_shards_move *each;
-    DL_FOREACH2(shards->moves, each, link) { to.capacity += each->change_pending; }
-    const size_t capacity = (size_t)to.capacity;
-    to.conditions = tw_shards_alloc(sizeof *to.conditions * (capacity + 1));
-    to.writes = tw_shards_alloc(sizeof *to.writes * capacity);
-    to.keys = tw_shards_alloc(sizeof *to.keys * capacity);
-    to.conditions[0] = (tw_wire_compare){shards->leader_key, shards->token};
+    DL_FOREACH2(shards->moves, each, link) { body.capacity += each->change_pending; }
+    const size_t capacity = (size_t)body.capacity;
+    body.compares = tw_shards_alloc(sizeof *body.compares * (capacity + 1));
+    body.writes = tw_shards_alloc(sizeof *body.writes * capacity);
+    body.keys = tw_shards_alloc(sizeof *body.keys * capacity);
+    body.compares[0] = (tw_wire_compare){shards->leader_key, shards->token};
     if (shards->txn.header_changed)
-        add_write(shards, &to, "table", shards->header_mod_revision,
+        add_write(shards, &body, "table", shards->header_mod_revision,
                   tw_shards_header_text(&shards->next_header));
-    add_moves(shards, &to);
-    add_blocks(shards, &to);
-    return to;
+    add_moves(shards, &body);
+    add_blocks(shards, &body);
+    return body;
 }
 
 tw_shards_error tw_shards_commit_transaction(tw_shards *shards) {
     tw_shards_transaction *txn = &shards->txn;
-    transaction_body to = build_body(shards);
-    if (to.too_large || to.count > shards->settings.txn_ops) {
-        free_body(&to);
+    transaction_body body = build_body(shards);
+    if (body.too_large || body.count > shards->settings.txn_ops) {
+        free_body(&body);
         return TW_SHARDS_TXN_TOO_LARGE;
     }
     tw_shards_effect *effect = tw_shards_emit_effect(shards, TW_SHARDS_WRITE);
     effect->text =
-        tw_wire_txn_text(to.conditions, (size_t)to.count + 1, to.writes, (size_t)to.count);
-    effect->ops = txn->ops = to.count;
+        tw_wire_txn_text(body.compares, (size_t)body.count + 1, body.writes, (size_t)body.count);
+    effect->ops = txn->ops = body.count;
     effect->id = txn->id = ++shards->last_effect_id;
     shards->in_flight = true;
-    shards->write_budget -= to.count;
-    free_body(&to);
+    shards->write_budget -= body.count;
+    free_body(&body);
     return TW_SHARDS_NO_ERROR;
 }
 
