--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A released machine is remembered for this many intervals of retry_s, so that a late notification
- * does not restore it under its old epoch. After that, the machine's guard rejects the old epoch.
- */
+/* Number of retry_s intervals for which a released machine is remembered, so that a late
+ * notification does not restore it under its old epoch. Later notifications do no harm: the
+ * machine's guard rejects the old epoch. */
 #define RELEASED_RETENTION_RETRIES 100
 
 typedef struct tw_shards_owned_machine {
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -284,7 +284,7 @@
     return request->count > 0 ? TW_SHARDS_OK : TW_SHARDS_INVALID;
 }
 
-/* Checks that every named machine is open in the giving shard. */
+/* Checks that every named machine is open in the source shard. */
 static tw_shards_verdict check_named_machines(const tw_shards *shards,
                                               const tw_shards_move_record *record) {
     roaring_bitmap_t *named = tw_shards_ranges_parse(record->only);
--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -49,7 +49,7 @@
     TW_SHARDS_NOT_LEADER,
     TW_SHARDS_STALE_REVISION, /* the table has changed since the client read it */
     TW_SHARDS_UNKNOWN_SHARD,
-    TW_SHARDS_UNKNOWN_MACHINE, /* no such machine, or it is not in the shard that is to give it */
+    TW_SHARDS_UNKNOWN_MACHINE, /* no such machine, or it is not in the source shard */
     TW_SHARDS_BELOW_LEAST,     /* the shard would have fewer machines than its minimum */
     TW_SHARDS_BUSY,            /* another move holds these machines, or they are not open yet */
     TW_SHARDS_NO_FIT,          /* too few machines of the shard may be moved */
@@ -93,13 +93,13 @@
 typedef struct {
     tw_shards_request_kind kind;
     uint64_t id;                /* copied to the answer */
-    char shard[TW_SHARDS_NAME]; /* DEFINE, ADD: the shard; MOVE: the shard that gives machines */
+    char shard[TW_SHARDS_NAME]; /* DEFINE, ADD: the shard; MOVE: the source shard */
     char owner[TW_SHARDS_NAME]; /* DEFINE */
-    int least;                  /* DEFINE: minimum size, which moves never undercut */
+    int least;                  /* DEFINE: number of machines that moves leave in the shard */
     bool spread;                /* DEFINE: moves leave at least one machine in each of its zones */
     char machine[TW_SHARDS_NAME], zone[TW_SHARDS_NAME]; /* ADD: both; REMOVE, RENEW: the machine */
     char key[TW_SHARDS_NAME];                           /* MOVE, CANCEL, WATCH */
-    char to[TW_SHARDS_NAME];                            /* MOVE: the shard that receives machines */
+    char to[TW_SHARDS_NAME];                            /* MOVE: the target shard */
     char image[TW_SHARDS_NAME]; /* MOVE: prefer machines that hold this image; "": no preference */
     int count;                  /* MOVE: number of machines, if none are named */
     char (*machines)[TW_SHARDS_NAME]; /* MOVE: names of the machines to move; NULL: any */
@@ -110,8 +110,8 @@
 /* The progress of a move, in numbers of machines. */
 typedef struct {
     bool done;                             /* the move has ended */
-    int wanted, draining, released, taken; /* requested; of these by present state */
-    int moved, returned, lost; /* opened in the new shard, returned, removed during the move */
+    int wanted, draining, released, taken; /* machines requested; of these, by state */
+    int moved, returned, lost;             /* opened in the target, returned, removed meanwhile */
 } tw_shards_progress;
 
 typedef enum {
@@ -175,7 +175,7 @@
 void tw_shards_set_authority(tw_shards *shards, double until);
 /* Allows decisions; until this call the leader only reads the table. The machines of the table
  * start the term in quarantine, each until tw_shards_confirm_machine is called for it: a machine
- * that has not answered in this term may still receive commands of an earlier one. */
+ * that has not answered in this term may still accept commands of an earlier one. */
 void tw_shards_allow_decisions(tw_shards *shards, double now);
 /* Ends the quarantine of a machine after it has answered in this term. Unknown names are ignored.
  */
@@ -199,6 +199,7 @@
 
 /* Messages of an owner. If the owner does not hold the machine under this epoch, it is notified
  * that the machine is RELEASED. */
+
 /* The owner reports that none of its requests runs on the machine any more. */
 void tw_shards_report_drained(tw_shards *shards, const char *owner, const char *machine,
                               uint64_t epoch);
@@ -209,6 +210,7 @@
 void tw_shards_send_owner_states(tw_shards *shards, const char *owner);
 
 /* Hints for choosing machines. Unknown machines are ignored. */
+
 /* Sets the number of requests that run on the machine. */
 void tw_shards_set_machine_load(tw_shards *shards, const char *machine, int running);
 /* Sets whether the machine holds an image. */
@@ -282,7 +284,7 @@
 uint64_t tw_shards_owner_epoch(const tw_shards_owner *owner, const char *machine);
 /* Records that a request was sent to the machine under this epoch. */
 void tw_shards_owner_request_sent(tw_shards_owner *owner, const char *machine, uint64_t epoch);
-/* Records that a request sent under this epoch has certainly ended. */
+/* Records that a request sent under this epoch has ended. The caller must be certain of it. */
 void tw_shards_owner_request_ended(tw_shards_owner *owner, const char *machine, uint64_t epoch);
 /* Records that the machine refused a request under this epoch because it has been opened under a
  * later one. */
@@ -306,7 +308,7 @@
 typedef enum {
     TW_SHARDS_GUARD_RAISED,     /* accepted: requests of earlier epochs must end */
     TW_SHARDS_GUARD_REPEATED,   /* accepted: changes nothing */
-    TW_SHARDS_GUARD_OLD_EPOCH,  /* refused: up to the minimum epoch, or below the newest */
+    TW_SHARDS_GUARD_OLD_EPOCH,  /* refused: at most the minimum epoch, or below the newest */
     TW_SHARDS_GUARD_OLD_TERM,   /* refused: a command of a later term was received */
     TW_SHARDS_GUARD_OTHER_BOOT, /* refused: the command is for a different boot of the machine */
     TW_SHARDS_GUARD_NOT_STARTED /* refused: the minimum epoch of this boot is not set yet */
--- a/src/shards/shards_int.h
+++ b/src/shards/shards_int.h
@@ -24,7 +24,7 @@
 
 /* The state of one machine in the table. */
 typedef struct {
-    int shard; /* index; DRAINING: the giving shard; RELEASED: the last shard */
+    int shard; /* index; DRAINING: the source shard; RELEASED: the last shard */
     tw_shards_state state;
     uint64_t epoch; /* epoch under which the machine was taken */
     uint64_t move;  /* number of the move that holds it; 0: none */
@@ -61,7 +61,7 @@
 typedef struct {
     char key[TW_SHARDS_NAME], image[TW_SHARDS_NAME];
     uint64_t number;
-    int from, to;       /* indexes of the giving and the receiving shard */
+    int from, to;       /* indexes of the source and the target shard */
     int wanted, marked; /* machines requested, and chosen so far */
     int moved, returned, lost;
     int cancelled, done;
@@ -215,8 +215,8 @@
 roaring_bitmap_t *tw_shards_ranges_parse(const char *text);
 
 /* choose.c */
-/* Stores machines of the giving shard that may be moved in *chosen, best first; the caller frees
- * the array. Returns their number, at most `most`. */
+/* Stores the machines of the source shard that may be moved in *chosen, best first; the caller
+ * frees the array. Returns their number, at most `most`. */
 int tw_shards_choose_machines(const tw_shards *shards, const tw_shards_move_record *record,
                               int most, tw_shards_machine ***chosen);
 
@@ -240,7 +240,8 @@
 tw_shards_error tw_shards_commit_transaction(tw_shards *shards);
 /* Discards all changes of the transaction. */
 void tw_shards_discard_transaction(tw_shards *shards);
-/* Makes the changes of the transaction the recorded state, as of this store revision. */
+/* Applies the changes of the transaction to the recorded state. revision: store revision of the
+ * transaction. */
 void tw_shards_apply_transaction(tw_shards *shards, uint64_t revision);
 
 /* load.c */
@@ -252,13 +253,13 @@
 void tw_shards_free_pages(tw_shards *shards);
 
 /* step.c */
-/* Adds as many of the chosen machines as fit into the transaction, which contains the move's
- * record. */
+/* Marks as many of the chosen machines for the move as fit into the transaction, which contains
+ * the record of the move. */
 void tw_shards_mark_machines(tw_shards *shards, tw_shards_move *move, tw_shards_machine **chosen,
                              int count);
 
 /* request.c */
-/* Returns the requests of a transaction that was not applied to the front of the queue. */
+/* Puts the requests of a transaction that was not applied back at the front of the queue. */
 void tw_shards_requeue_requests(tw_shards *shards);
 /* Answers all requests of the transaction with OK. */
 void tw_shards_answer_applied(tw_shards *shards);
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -236,7 +236,7 @@
     tw_shards_sort_moves(shards);
 }
 
-/* Notifies the owners of shards whose owner has just changed of all their machines. */
+/* Notifies the new owners of shards whose owner has changed of all machines of these shards. */
 static void notify_new_owners(tw_shards *shards, const tw_shards_header *old) {
     for (int i = 0; i < shards->machine_count; i++) {
         tw_shards_machine *each = shards->machines[i];
