--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -139,8 +139,8 @@
     tw_shards_verdict verdict;           /* ANSWER */
     tw_shards_progress progress;         /* ANSWER to MOVE, CANCEL, WATCH */
     uint64_t revision;                   /* ANSWER: revision of the table */
-    /* ANSWER to ADD, RENEW: last epoch drawn before the request, which is the minimum epoch of the
-     * machine's guard */
+    /* ANSWER to ADD, RENEW: last epoch drawn before the transaction, which is the minimum epoch of
+     * the machine's guard */
     uint64_t minimum_epoch;
     struct tw_shards_effect *next;
 } tw_shards_effect;
