--- a/emulator/main.c
+++ b/emulator/main.c
@@ -77,15 +77,15 @@
     const uint64_t term = read_number(body, "term");
     const uint64_t epoch = read_number(body, "epoch");
     if (!strcmp(path, "/check"))
-        return record_command(target, tw_shards_guard_check(guard, term), term, 0);
+        return record_command(target, tw_shards_guard_check_term(guard, term), term, 0);
     if (!strcmp(path, "/open"))
-        return record_command(target, tw_shards_guard_open(guard, term, epoch), term, epoch);
+        return record_command(target, tw_shards_guard_open_epoch(guard, term, epoch), term, epoch);
     if (!strcmp(path, "/stop"))
-        return record_command(target, tw_shards_guard_stop(guard, term, epoch), term, 0);
+        return record_command(target, tw_shards_guard_check_stop(guard, term, epoch), term, 0);
     const uint64_t boot_id = read_number(body, "life");
     const uint64_t minimum_epoch = read_number(body, "floor");
-    return record_command(target, tw_shards_guard_start(guard, term, boot_id, minimum_epoch), term,
-                          0);
+    return record_command(
+        target, tw_shards_guard_set_minimum_epoch(guard, term, boot_id, minimum_epoch), term, 0);
 }
 
 static bool is_command(const char *path) {
@@ -123,7 +123,7 @@
                  "{\"term\":%lu,\"life\":%lu,\"floor\":%lu,\"open\":%lu,\"started\":%s,"
                  "\"running\":0}",
                  (unsigned long)guard->term, (unsigned long)guard->boot_id,
-                 (unsigned long)guard->minimum_epoch, (unsigned long)guard->newest,
+                 (unsigned long)guard->minimum_epoch, (unsigned long)guard->newest_epoch,
                  guard->started ? "true" : "false");
         return status;
     }
@@ -137,7 +137,7 @@
     snprintf(response_body, MAX_RESPONSE_SIZE,
              "{\"open\":%lu,\"first\":%lu,\"last\":%lu,\"fell\":%s,\"taken\":%ld,\"refused\":%ld,"
              "\"term\":%lu,\"orders\":%ld,\"refused_orders\":%ld}",
-             (unsigned long)guard->newest, (unsigned long)target->first_epoch,
+             (unsigned long)guard->newest_epoch, (unsigned long)target->first_epoch,
              (unsigned long)target->last_epoch, target->decreased ? "true" : "false",
              target->accepted_requests, target->refused_requests, (unsigned long)guard->term,
              target->commands, target->refused_commands);
--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -101,7 +101,7 @@
         break;
     }
     case TW_DAEMON_CALL_OPEN:
-        if (status == OK) tw_shards_owner_confirmed(node->owner, call->machine, call->tag);
+        if (status == OK) tw_shards_owner_confirm_open(node->owner, call->machine, call->tag);
         break;
     case TW_DAEMON_CALL_OTHER:
         break;
--- a/src/router/pick.c
+++ b/src/router/pick.c
@@ -1,12 +1,13 @@
-/* Which replica gets a request (GoodServe, section 3.4): of those that are expected to meet the
- * deadline the slowest, which saves the fast ones for urgent requests; where none is, the one that
- * misses it by least. Only replicas with a free slot count, so nothing waits at a replica. */
+/* Picks the replica for a request (GoodServe, section 3.4): among the replicas expected to meet
+ * the deadline, the slowest, which keeps the fast ones for urgent requests; if none is, the one
+ * that misses the deadline by least. Only replicas with a free slot count, so no request waits at
+ * a replica. */
 #include "router/router_int.h"
 #include <stdbool.h>
 
-/* Whether the first is to be preferred; expected: when each would end. */
-static bool better(const tw_router_replica *first, const tw_router_replica *second, double deadline,
-                   double now) {
+/* Returns whether the first replica is preferred to the second. */
+static bool is_better(const tw_router_replica *first, const tw_router_replica *second,
+                      double deadline, double now) {
     const bool first_meets = now + first->service_s <= deadline;
     const bool second_meets = now + second->service_s <= deadline;
     if (first_meets != second_meets) return first_meets;
@@ -16,14 +17,14 @@
     return first->running < second->running;
 }
 
-tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *of,
+tw_router_replica *tw_router_pick(const tw_router *router, const tw_router_request *request,
                                   double now) {
     tw_router_replica *best = NULL;
     tw_router_replica *each;
     tw_router_replica *after;
     HASH_ITER(hh, router->replicas, each, after) {
         if (!each->epoch || each->running >= each->slots) continue;
-        if (!best || better(each, best, of->deadline, now)) best = each;
+        if (!best || is_better(each, best, request->deadline, now)) best = each;
     }
     return best;
 }
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -1,4 +1,4 @@
-/* The records of requests, from their arrival to their one final answer. */
+/* Tracks requests from their arrival to their final answer. */
 #include "router/router_int.h"
 #include <math.h>
 #include <stdbool.h>
@@ -21,16 +21,16 @@
 /* ---- effects ---- */
 
 static tw_router_effect *emit(tw_router *router, tw_router_effect_kind kind,
-                              const tw_router_request *about) {
+                              const tw_router_request *request) {
     tw_router_effect *effect = tw_router_alloc(sizeof *effect);
     effect->kind = kind;
-    effect->request = about->number;
-    effect->attempt = about->attempt;
+    effect->request = request->number;
+    effect->attempt = request->attempt;
     LL_APPEND2(router->effects, effect, next);
     return effect;
 }
 
-tw_router_effect *tw_router_next(tw_router *router) {
+tw_router_effect *tw_router_next_effect(tw_router *router) {
     tw_router_effect *first = router->effects;
     if (!first) return NULL;
     router->effects = first->next;
@@ -38,37 +38,37 @@
     return first;
 }
 
-/* ---- begin and end ---- */
+/* ---- creation ---- */
 
 tw_router *tw_router_new(const tw_router_settings *settings) {
     tw_router *router = tw_router_alloc(sizeof *router);
     router->settings = *settings;
-    router->retries = settings->retry_burst;
+    router->retry_budget = settings->retry_burst;
     return router;
 }
 
 void tw_router_free(tw_router *router) {
     tw_router_request *each;
     tw_router_request *after;
-    tw_router_replica *one;
-    tw_router_replica *next;
-    tw_router_team *of;
-    tw_router_team *other;
+    tw_router_replica *replica;
+    tw_router_replica *next_replica;
+    tw_router_team *team;
+    tw_router_team *team_after;
     tw_router_effect *effect;
     if (!router) return;
     HASH_ITER(hh, router->requests, each, after) {
         HASH_DEL(router->requests, each);
         free(each);
     }
-    HASH_ITER(hh, router->replicas, one, next) {
-        HASH_DEL(router->replicas, one);
-        free(one);
+    HASH_ITER(hh, router->replicas, replica, next_replica) {
+        HASH_DEL(router->replicas, replica);
+        free(replica);
     }
-    HASH_ITER(hh, router->teams, of, other) {
-        HASH_DEL(router->teams, of);
-        free(of);
+    HASH_ITER(hh, router->teams, team, team_after) {
+        HASH_DEL(router->teams, team);
+        free(team);
     }
-    while ((effect = tw_router_next(router))) free(effect);
+    while ((effect = tw_router_next_effect(router))) free(effect);
     free(router);
 }
 
@@ -89,8 +89,8 @@
     team_named(router, name)->weight = weight;
 }
 
-/* The team whose turn it is: that has been served least for its weight; NULL: nobody waits. A team
- * that had nothing waiting does not save up turns. */
+/* Returns the team to serve next, which is the one with the least service relative to its weight;
+ * NULL if no request waits. A team with no waiting requests does not accumulate turns. */
 static tw_router_team *next_team(tw_router *router) {
     tw_router_team *best = NULL;
     tw_router_team *each;
@@ -101,26 +101,26 @@
     return best;
 }
 
-static void enqueue(tw_router *router, tw_router_request *waits, bool at_front) {
-    tw_router_team *of = waits->team;
+static void enqueue(tw_router *router, tw_router_request *request, bool at_front) {
+    tw_router_team *team = request->team;
     const tw_router_team *least = next_team(router);
-    if (!of->waiting && least) of->served = fmax(of->served, least->served);
+    if (!team->waiting && least) team->served = fmax(team->served, least->served);
     if (at_front)
-        DL_PREPEND(of->waiting, waits);
+        DL_PREPEND(team->waiting, request);
     else
-        DL_APPEND(of->waiting, waits);
-    of->count++;
-    waits->state = TW_ROUTER_REQUEST_WAITING;
+        DL_APPEND(team->waiting, request);
+    team->count++;
+    request->state = TW_ROUTER_REQUEST_WAITING;
 }
 
-static void dequeue(tw_router_request *waits) {
-    DL_DELETE(waits->team->waiting, waits);
-    waits->team->count--;
+static void dequeue(tw_router_request *request) {
+    DL_DELETE(request->team->waiting, request);
+    request->team->count--;
 }
 
-/* ---- one final answer ---- */
+/* ---- final answers ---- */
 
-static double time_to_come_back(const tw_router *router) {
+static double estimate_retry_after_s(const tw_router *router) {
     const tw_router_replica *each;
     const tw_router_replica *after;
     double shortest = INFINITY;
@@ -130,49 +130,50 @@
     return isfinite(shortest) ? fmax(1, ceil(shortest)) : 1;
 }
 
-static void leave_replica(tw_router *router, const tw_router_request *left) {
-    tw_router_replica *at;
-    HASH_FIND_STR(router->replicas, left->replica, at);
-    if (at && at->running) at->running--;
+static void release_slot(tw_router *router, const tw_router_request *ended) {
+    tw_router_replica *replica;
+    HASH_FIND_STR(router->replicas, ended->replica, replica);
+    if (replica && replica->running) replica->running--;
 }
 
-/* Gives the final answer and forgets the request: what comes of it later is not known any more. */
-static void answer(tw_router *router, tw_router_request *over, tw_router_status status) {
-    tw_router_effect *effect = emit(router, TW_ROUTER_ANSWER, over);
+/* Emits the final answer and frees the request. Later events of its attempts are ignored. */
+static void answer(tw_router *router, tw_router_request *request, tw_router_status status) {
+    tw_router_effect *effect = emit(router, TW_ROUTER_ANSWER, request);
     effect->status = status;
-    if (status != TW_ROUTER_OK) effect->retry_after_s = time_to_come_back(router);
-    if (over->state == TW_ROUTER_REQUEST_WAITING) dequeue(over);
-    HASH_DEL(router->requests, over);
-    free(over);
+    if (status != TW_ROUTER_OK) effect->retry_after_s = estimate_retry_after_s(router);
+    if (request->state == TW_ROUTER_REQUEST_WAITING) dequeue(request);
+    HASH_DEL(router->requests, request);
+    free(request);
 }
 
-static void cancel(tw_router *router, const tw_router_request *sent) {
-    tw_router_effect *effect = emit(router, TW_ROUTER_CANCEL, sent);
-    copy_name(effect->replica, sent->replica);
+static void cancel(tw_router *router, const tw_router_request *request) {
+    tw_router_effect *effect = emit(router, TW_ROUTER_CANCEL, request);
+    copy_name(effect->replica, request->replica);
 }
 
 /* ---- sending ---- */
 
-static void send_to(tw_router *router, tw_router_request *sent, tw_router_replica *to, double now) {
-    dequeue(sent);
-    sent->state = TW_ROUTER_REQUEST_SENT;
-    sent->attempt++;
-    sent->sent_at = now;
-    copy_name(sent->replica, to->name);
-    to->running++;
-    sent->team->served += 1 / sent->team->weight;
-    tw_router_effect *effect = emit(router, TW_ROUTER_SEND, sent);
-    copy_name(effect->replica, to->name);
-    effect->epoch = to->epoch;
+static void send_to(tw_router *router, tw_router_request *request, tw_router_replica *replica,
+                    double now) {
+    dequeue(request);
+    request->state = TW_ROUTER_REQUEST_SENT;
+    request->attempt++;
+    request->sent_at = now;
+    copy_name(request->replica, replica->name);
+    replica->running++;
+    request->team->served += 1 / request->team->weight;
+    tw_router_effect *effect = emit(router, TW_ROUTER_SEND, request);
+    copy_name(effect->replica, replica->name);
+    effect->epoch = replica->epoch;
 }
 
-/* As long as the team whose turn it is finds a replica. */
+/* Sends waiting requests until the next team finds no replica. */
 static void send_waiting(tw_router *router, double now) {
-    tw_router_team *turn;
-    while ((turn = next_team(router))) {
-        tw_router_replica *to = tw_router_pick(router, turn->waiting, now);
-        if (!to) return;
-        send_to(router, turn->waiting, to, now);
+    tw_router_team *team;
+    while ((team = next_team(router))) {
+        tw_router_replica *replica = tw_router_pick(router, team->waiting, now);
+        if (!replica) return;
+        send_to(router, team->waiting, replica, now);
     }
 }
 
@@ -180,39 +181,40 @@
 
 void tw_router_set_replica(tw_router *router, double now, const char *name, uint64_t epoch,
                            int slots, double service_s) {
-    tw_router_replica *changed;
-    HASH_FIND_STR(router->replicas, name, changed);
-    if (!changed) {
-        changed = tw_router_alloc(sizeof *changed);
-        copy_name(changed->name, name);
-        changed->service_s = service_s;
-        HASH_ADD_STR(router->replicas, name, changed);
+    tw_router_replica *replica;
+    HASH_FIND_STR(router->replicas, name, replica);
+    if (!replica) {
+        replica = tw_router_alloc(sizeof *replica);
+        copy_name(replica->name, name);
+        replica->service_s = service_s;
+        HASH_ADD_STR(router->replicas, name, replica);
     }
-    changed->epoch = epoch;
-    changed->slots = slots;
+    replica->epoch = epoch;
+    replica->slots = slots;
     send_waiting(router, now);
 }
 
 void tw_router_add_request(tw_router *router, double now, uint64_t number, const char *team_name,
                            double deadline) {
-    tw_router_request *came = tw_router_alloc(sizeof *came);
-    came->number = number;
-    came->team = team_named(router, team_name);
-    came->deadline = deadline;
-    came->state = TW_ROUTER_REQUEST_SENT; /* nowhere yet */
-    HASH_ADD(hh, router->requests, number, sizeof came->number, came);
-    router->retries =
-        fmin(router->settings.retry_burst, router->retries + router->settings.retry_ratio);
-    if (came->team->count >= router->settings.most_waiting) {
-        answer(router, came, TW_ROUTER_FULL);
+    tw_router_request *request = tw_router_alloc(sizeof *request);
+    request->number = number;
+    request->team = team_named(router, team_name);
+    request->deadline = deadline;
+    request->state = TW_ROUTER_REQUEST_SENT; /* not in a queue yet */
+    HASH_ADD(hh, router->requests, number, sizeof request->number, request);
+    router->retry_budget =
+        fmin(router->settings.retry_burst, router->retry_budget + router->settings.retry_ratio);
+    if (request->team->count >= router->settings.most_waiting) {
+        answer(router, request, TW_ROUTER_FULL);
         return;
     }
-    enqueue(router, came, false);
+    enqueue(router, request, false);
     send_waiting(router, now);
 }
 
-/* The request, if this is its present attempt. What earlier ones say is dropped. */
-static tw_router_request *current(const tw_router *router, uint64_t number, int attempt) {
+/* Returns the request if `attempt` is its current attempt and still runs, or NULL. Events of
+ * earlier attempts are ignored. */
+static tw_router_request *current_attempt(const tw_router *router, uint64_t number, int attempt) {
     tw_router_request *found;
     HASH_FIND(hh, router->requests, &number, sizeof number, found);
     if (!found || found->state != TW_ROUTER_REQUEST_SENT || found->attempt != attempt) return NULL;
@@ -220,37 +222,38 @@
 }
 
 void tw_router_part_received(tw_router *router, double now, uint64_t number, int attempt) {
-    tw_router_request *found = current(router, number, attempt);
+    tw_router_request *found = current_attempt(router, number, attempt);
     (void)now;
     if (!found) return;
-    found->passed_on = true;
+    found->answer_started = true;
     emit(router, TW_ROUTER_PART, found);
 }
 
-/* Whether another attempt may be made; it is then paid for. */
-static bool may_retry(tw_router *router, const tw_router_request *failed, double now) {
-    if (failed->passed_on || failed->attempt >= router->settings.most_attempts) return false;
-    if (now >= failed->deadline || router->retries < 1) return false;
-    router->retries -= 1;
+/* Returns whether another attempt may be made, and deducts it from the retry budget. */
+static bool take_retry(tw_router *router, const tw_router_request *failed, double now) {
+    if (failed->answer_started || failed->attempt >= router->settings.most_attempts) return false;
+    if (now >= failed->deadline || router->retry_budget < 1) return false;
+    router->retry_budget -= 1;
     return true;
 }
 
-static void learn(const tw_router *router, const tw_router_request *done, double now) {
-    tw_router_replica *at;
+static void update_service_average(const tw_router *router, const tw_router_request *done,
+                                   double now) {
+    tw_router_replica *replica;
     const double weight = router->settings.average_ratio;
-    HASH_FIND_STR(router->replicas, done->replica, at);
-    if (at) at->service_s += weight * (now - done->sent_at - at->service_s);
+    HASH_FIND_STR(router->replicas, done->replica, replica);
+    if (replica) replica->service_s += weight * (now - done->sent_at - replica->service_s);
 }
 
 void tw_router_attempt_ended(tw_router *router, double now, uint64_t number, int attempt,
-                             tw_router_end end) {
-    tw_router_request *found = current(router, number, attempt);
+                             tw_router_result end) {
+    tw_router_request *found = current_attempt(router, number, attempt);
     if (!found) return;
-    leave_replica(router, found);
+    release_slot(router, found);
     if (end == TW_ROUTER_DONE) {
-        learn(router, found, now);
+        update_service_average(router, found, now);
         answer(router, found, TW_ROUTER_OK);
-    } else if (may_retry(router, found, now)) {
+    } else if (take_retry(router, found, now)) {
         if (end == TW_ROUTER_LOST) cancel(router, found);
         enqueue(router, found, true);
     } else {
@@ -266,7 +269,7 @@
     HASH_ITER(hh, router->requests, each, after) {
         if (now < each->deadline) continue;
         if (each->state == TW_ROUTER_REQUEST_SENT) {
-            leave_replica(router, each);
+            release_slot(router, each);
             cancel(router, each);
         }
         answer(router, each, TW_ROUTER_LATE);
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -51,8 +51,8 @@
     char leader[TW_RPC_ADDRESS_SIZE]; /* control address of the leader; "" if it is unknown */
     double retry_after_s;             /* if above 0, the time after which to retry */
     uint64_t revision, minimum_epoch;
-    tw_shards_progress progress; /* CHANGE */
-    tw_shards_view *shards;      /* SHOW */
+    tw_shards_progress progress;  /* CHANGE */
+    tw_shards_shard_view *shards; /* SHOW */
     int shard_count;
     tw_shards_notification *notifications; /* SHOW: the machines; REPORT: for the owner */
     int notification_count;
--- a/src/shards/memory.c
+++ b/src/shards/memory.c
@@ -1,9 +1,9 @@
-/* Memory and names. Memory that can't be had ends the program. */
+/* Allocation and names. The process aborts if an allocation fails. */
 #include "shards/shards_int.h"
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_ROOM 16
+#define INITIAL_CAPACITY 16
 
 void *tw_shards_alloc(size_t size) {
     void *memory = calloc(1, size ? size : 1);
@@ -11,16 +11,15 @@
     return memory;
 }
 
-/* Room for one item more; new room is not zeroed. */
-void *tw_shards_grow(void *items, int count, int *room, size_t size) {
-    if (count < *room) return items;
-    *room = *room ? *room * 2 : FIRST_ROOM;
-    void *grown = realloc(items, (size_t)*room * size);
+void *tw_shards_grow(void *items, int count, int *capacity, size_t size) {
+    if (count < *capacity) return items;
+    *capacity = *capacity ? *capacity * 2 : INITIAL_CAPACITY;
+    void *grown = realloc(items, (size_t)*capacity * size);
     if (!grown) abort();
     return grown;
 }
 
-/* Cuts a name that is too long; requests are checked for that before. */
+/* Truncates a name that is too long; the lengths of names in requests are checked before. */
 void tw_shards_copy_name(char *to, const char *from) {
     size_t length = strnlen(from, TW_SHARDS_NAME - 1);
     memmove(to, from, length);
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -95,7 +95,7 @@
                           uint64_t boot_id) {
     registration->passed = true;
     registration->boot_id = boot_id;
-    tw_shards_request_in(standby->table, standby->now, &registration->request);
+    tw_shards_add_request(standby->table, standby->now, &registration->request);
 }
 
 bool tw_standby_handle_registration(tw_standby *standby, const tw_shards_request *request) {
@@ -104,7 +104,7 @@
     tw_standby_registration *registration = add_registration(standby, request);
     /* A table that does not decide yet handles the request later; its answer leads to the check of
      * the machine. */
-    if (tw_shards_deciding(standby->table))
+    if (tw_shards_is_deciding(standby->table))
         ask_machine(standby, get_or_add_machine(standby, request->machine));
     else
         pass_to_table(standby, registration, 0);
@@ -175,7 +175,7 @@
 static void confirm_machine(tw_standby *standby, tw_standby_machine_check *machine) {
     if (machine->quarantine_logged)
         tw_standby_log_event(standby, "event=machine_confirmed machine=%s", machine->name);
-    tw_shards_machine_confirmed(standby->table, standby->now, machine->name);
+    tw_shards_confirm_machine(standby->table, standby->now, machine->name);
     remove_machine(standby, machine);
 }
 
@@ -235,7 +235,7 @@
     tw_standby_machine_check *machine = find_machine(standby, name);
     /* While the table is being reloaded there is no record to compare with: the answer is dropped,
      * and tw_standby_check_tick repeats the question. */
-    const bool readable = standby->leads && tw_shards_ready(standby->table);
+    const bool readable = standby->leads && tw_shards_is_ready(standby->table);
     if (answer && machine && readable && term == standby->lease.token)
         handle_machine_status(standby, machine, answer);
     tw_standby_step(standby);
@@ -258,7 +258,7 @@
 void tw_standby_check_tick(tw_standby *standby) {
     tw_standby_machine_check *each;
     tw_standby_machine_check *next;
-    if (!standby->leads || !tw_shards_ready(standby->table)) return;
+    if (!standby->leads || !tw_shards_is_ready(standby->table)) return;
     pass_overdue_registrations(standby);
     HASH_ITER(hh, standby->machines, each, next) {
         if (each->step == TW_STANDBY_CHECK_RENEWING || standby->now < each->next_at) continue;
@@ -284,7 +284,7 @@
     DL_FOREACH_SAFE(standby->registrations, registration, next_registration) {
         /* The table refuses those that were passed to it before. */
         if (!registration->passed)
-            tw_shards_request_in(standby->table, standby->now, &registration->request);
+            tw_shards_add_request(standby->table, standby->now, &registration->request);
         DL_DELETE(standby->registrations, registration);
         free(registration);
     }
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -75,7 +75,8 @@
         if (!more) start_new_view(standby);
     }
     tw_wire_entries_free(entries, count);
-    tw_shards_page(standby->table, standby->now, standby->read_id, valid ? body : NULL, length);
+    tw_shards_handle_page(standby->table, standby->now, standby->read_id, valid ? body : NULL,
+                          length);
 }
 
 /* Applies the changes since the view's revision. The revision of the response must not be lower
@@ -102,9 +103,9 @@
     tw_standby_log_event(standby, "event=view_confirmed revision=%lu changes=%d",
                          (unsigned long)store_revision, count);
     char *list = tw_standby_view_list(&standby->view);
-    tw_shards_page(standby->table, standby->now, standby->read_id, list, strlen(list));
+    tw_shards_handle_page(standby->table, standby->now, standby->read_id, list, strlen(list));
     free(list);
-    if (tw_shards_ready(standby->table)) return;
+    if (tw_shards_is_ready(standby->table)) return;
     tw_standby_log_event(standby, "event=view_unreadable");
     tw_standby_view_clear(&standby->view);
 }
@@ -122,7 +123,7 @@
 static tw_shards_outcome outcome_of(int status) {
     if (status == STATUS_OK) return TW_SHARDS_APPLIED;
     if (status == STATUS_CONFLICT || status == STATUS_BAD) return TW_SHARDS_REFUSED;
-    return status == STATUS_TOO_MANY || status >= STATUS_FAILURE ? TW_SHARDS_PUT_OFF
+    return status == STATUS_TOO_MANY || status >= STATUS_FAILURE ? TW_SHARDS_NOT_EXECUTED
                                                                  : TW_SHARDS_UNKNOWN;
 }
 
@@ -146,7 +147,7 @@
     if (outcome == TW_SHARDS_APPLIED && tw_wire_revision_parse(&revision, body, length))
         outcome = TW_SHARDS_UNKNOWN;
     if (outcome == TW_SHARDS_APPLIED) add_change(standby, revision);
-    tw_shards_written(standby->table, standby->now, standby->write_id, outcome, revision);
+    tw_shards_handle_outcome(standby->table, standby->now, standby->write_id, outcome, revision);
 }
 
 /* ---- effects of the table ---- */
@@ -158,8 +159,8 @@
 
 void tw_standby_process_table_effects(tw_standby *standby) {
     tw_shards_effect *effect;
-    while ((effect = tw_shards_next(standby->table))) {
-        bool passed_on = false;
+    while ((effect = tw_shards_next_effect(standby->table))) {
+        bool answer_started = false;
         switch (effect->kind) {
         case TW_SHARDS_READ:
             begin_read(standby, effect);
@@ -169,13 +170,13 @@
             break;
         case TW_SHARDS_NOTIFY:
             emit_table_effect(standby, TW_STANDBY_NOTIFY, effect);
-            passed_on = true;
+            answer_started = true;
             break;
         case TW_SHARDS_ANSWER:
-            passed_on = !tw_standby_handle_registration_result(standby, effect);
-            if (passed_on) emit_table_effect(standby, TW_STANDBY_ANSWER, effect);
+            answer_started = !tw_standby_handle_registration_result(standby, effect);
+            if (answer_started) emit_table_effect(standby, TW_STANDBY_ANSWER, effect);
             break;
         }
-        if (!passed_on) tw_shards_effect_free(effect);
+        if (!answer_started) tw_shards_effect_free(effect);
     }
 }
--- a/tools/traywallctl/print.c
+++ b/tools/traywallctl/print.c
@@ -15,7 +15,7 @@
     printf("revision %lu\n", (unsigned long)answer->revision);
     printf("%-20s %-20s %6s %6s %6s %8s\n", "SHARE", "OWNER", "LEAST", "OPEN", "TAKEN", "DRAINING");
     for (int i = 0; i < answer->shard_count; i++) {
-        const tw_shards_view *shard = &answer->shards[i];
+        const tw_shards_shard_view *shard = &answer->shards[i];
         printf("%-20s %-20s %6d %6d %6d %8d%s\n", shard->name, shard->owner, shard->least,
                shard->open, shard->taken, shard->draining, shard->spread ? " spread" : "");
     }
@@ -28,7 +28,7 @@
     }
 }
 
-static cJSON *make_shard_json(const tw_shards_view *shard) {
+static cJSON *make_shard_json(const tw_shards_shard_view *shard) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "name", shard->name);
     cJSON_AddStringToObject(object, "owner", shard->owner);
