--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -61,10 +61,10 @@
 
 /* The break of a day in which this version had a part: the one after a break by the earlier version
  * alone, or the day's only one. rule "": there is none. */
-tw_simulator_break tw_fuzz_own_break(const tw_simulator_verdict *verdict);
+tw_simulator_violation tw_fuzz_own_break(const tw_simulator_verdict *verdict);
 /* The break that a day is shrunk by: the one in which this version had a part, or else the first
  * one. */
-tw_simulator_break tw_fuzz_chosen_break(const tw_simulator_verdict *verdict);
+tw_simulator_violation tw_fuzz_chosen_break(const tw_simulator_verdict *verdict);
 
 /* Makes a day that breaks `rule` smaller while it still breaks it, with at most `plays_max` plays;
  * own: it must be the rule of the break in which this version had a part. `verdict` is that of the
--- a/fuzz/play.c
+++ b/fuzz/play.c
@@ -15,7 +15,7 @@
     tw_simulator *sim = tw_simulator_new(NULL);
     memset(verdict, 0, sizeof *verdict);
     for (size_t i = 0; i < day->count; i++) {
-        if (!tw_simulator_take_line(sim, day->lines[i], error, sizeof error)) continue;
+        if (!tw_simulator_add_line(sim, day->lines[i], error, sizeof error)) continue;
         verdict->failed = 1;
         snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_NOT_TAKEN);
         snprintf(verdict->detail, sizeof verdict->detail, "%.200s: %.200s", error, day->lines[i]);
@@ -32,19 +32,19 @@
     verdict->failed = *verdict->rule != 0;
 }
 
-static tw_simulator_break first_break(const tw_simulator_verdict *verdict) {
-    tw_simulator_break first = {.at = verdict->broken_at};
+static tw_simulator_violation first_break(const tw_simulator_verdict *verdict) {
+    tw_simulator_violation first = {.at = verdict->broken_at};
     memcpy(first.rule, verdict->rule, sizeof first.rule);
     memcpy(first.detail, verdict->detail, sizeof first.detail);
     return first;
 }
 
-tw_simulator_break tw_fuzz_own_break(const tw_simulator_verdict *verdict) {
-    return verdict->only_earlier_led ? verdict->again : first_break(verdict);
+tw_simulator_violation tw_fuzz_own_break(const tw_simulator_verdict *verdict) {
+    return verdict->only_earlier_version_led ? verdict->again : first_break(verdict);
 }
 
-tw_simulator_break tw_fuzz_chosen_break(const tw_simulator_verdict *verdict) {
-    const tw_simulator_break own = tw_fuzz_own_break(verdict);
+tw_simulator_violation tw_fuzz_chosen_break(const tw_simulator_verdict *verdict) {
+    const tw_simulator_violation own = tw_fuzz_own_break(verdict);
     return *own.rule ? own : first_break(verdict);
 }
 
--- a/fuzz/pool.c
+++ b/fuzz/pool.c
@@ -37,7 +37,7 @@
 
 static void write_shrunk(const char *directory, const tw_fuzz_day *day, tw_fuzz_result *result) {
     char comment[COMMENT_SIZE];
-    const tw_simulator_break broken = tw_fuzz_chosen_break(&result->verdict);
+    const tw_simulator_violation broken = tw_fuzz_chosen_break(&result->verdict);
     snprintf(result->path, sizeof result->path, "%s/%s-%u.txt", directory, broken.rule,
              result->seed);
     snprintf(comment, sizeof comment, "# %s: drawn from seed %u and shrunk.\n# %.500s\n",
@@ -57,7 +57,7 @@
         tw_fuzz_play(&day, &result->verdict);
     } else {
         tw_fuzz_play_apart(&day, &result->verdict);
-        const tw_simulator_break broken = tw_fuzz_chosen_break(&result->verdict);
+        const tw_simulator_violation broken = tw_fuzz_chosen_break(&result->verdict);
         const bool own = *tw_fuzz_own_break(&result->verdict).rule != 0;
         result->plays = tw_fuzz_shrink(&day, broken.rule, own, SHRINK_PLAYS_MAX, &result->verdict);
         result->lines = (unsigned)day.count;
--- a/fuzz/shrink.c
+++ b/fuzz/shrink.c
@@ -79,7 +79,7 @@
     char line[64];
     const size_t last = state->day->count - 1;
     if (!tw_fuzz_line_is(state->day->lines[last], "end ")) return false;
-    const tw_simulator_break broken = tw_fuzz_chosen_break(&state->verdict);
+    const tw_simulator_violation broken = tw_fuzz_chosen_break(&state->verdict);
     const int end_s = (int)broken.at + 1;
     if (broken.at <= 0 || 100L * end_s >= tw_fuzz_line_hundredths(state->day->lines[last] + 4))
         return false;
--- a/simulator/cloud.c
+++ b/simulator/cloud.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #define NEVER 1e9
-#define FAST_BOOT_LEAST_S 0.2
-#define FAST_BOOT_MOST_S 2.0
+#define MIN_FAST_BOOT_S 0.2
+#define MAX_FAST_BOOT_S 2.0
 
 tw_simulator_worker *tw_simulator_worker_by_id(const tw_simulator_world *world, const char *id) {
     int i = strncmp(id, "n-", 2)
@@ -63,8 +63,8 @@
 
 /* Whether a machine of the type that is rented now in the zone never boots. */
 static bool boot_fails(tw_simulator_world *world, int type, const char *zone) {
-    if (world->never_up > 0) {
-        world->never_up--;
+    if (world->failing_boot_count > 0) {
+        world->failing_boot_count--;
         return true;
     }
     if (world->now >= world->failing_until[type]) return false;
@@ -74,24 +74,25 @@
 }
 
 static double draw_boot_s(tw_simulator_world *world) {
-    if (world->now >= world->fast_until) return world->boot_s;
-    return tw_simulator_draw(world, TW_SIMULATOR_DRAW_BOOT, FAST_BOOT_LEAST_S, FAST_BOOT_MOST_S);
+    if (world->now >= world->fast_boot_until) return world->boot_s;
+    return tw_simulator_draw(world, TW_SIMULATOR_DRAW_BOOT, MIN_FAST_BOOT_S, MAX_FAST_BOOT_S);
 }
 
 /* Rents up to n machines; the answer, or NULL if there is no capacity. */
 static char *rent_machines(tw_simulator_world *world, const cJSON *request) {
-    int type = 0, count = (int)tw_simulator_json_number(request, "number"), have = 0;
+    int type = 0, count = (int)tw_simulator_json_number(request, "number"), rented_count = 0;
     while (type < world->type_count &&
            strcmp(world->types[type].name, tw_simulator_json_text(request, "rack")) != 0)
         type++;
     for (int i = 0; i < world->worker_count; i++)
-        have += !world->workers[i]->gone && world->workers[i]->type_index == type;
-    if (type == world->type_count || world->refuses_rentals || have >= world->capacity[type])
+        rented_count += !world->workers[i]->gone && world->workers[i]->type_index == type;
+    if (type == world->type_count || world->is_out_of_capacity ||
+        rented_count >= world->capacity[type])
         return NULL;
     cJSON *object = cJSON_CreateObject(), *ids = cJSON_AddArrayToObject(object, "trays");
     int spot = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(request, "loaner"));
     const char *zone = tw_simulator_json_text(request, "yard");
-    for (int i = 0; i < count && have < world->capacity[type]; i++, have++) {
+    for (int i = 0; i < count && rented_count < world->capacity[type]; i++, rented_count++) {
         double boot = boot_fails(world, type, zone) ? NEVER : draw_boot_s(world);
         tw_simulator_worker *worker = tw_simulator_add_machine(world, type, zone, spot, boot);
         cJSON_AddItemToArray(ids, cJSON_CreateString(worker->id));
--- a/simulator/command.c
+++ b/simulator/command.c
@@ -18,14 +18,14 @@
     return TW_PRIORITY_NORMAL;
 }
 
-static int find_or_add_job(tw_simulator *sim, const char *id) {
+static int find_or_create_job(tw_simulator *sim, const char *id) {
     tw_simulator_job *job = tw_simulator_job_find(&sim->world, id);
     if (!job) job = tw_simulator_job_new(&sim->world, id);
     return job->index;
 }
 
 static void read_job_spec(tw_wire_job *spec, const tw_simulator_words *words) {
-    char text[TW_SIMULATOR_NAME];
+    char text[TW_SIMULATOR_NAME_SIZE];
     copy_option(words, "class", spec->job_class, sizeof spec->job_class, "lane");
     copy_option(words, "team", spec->team, sizeof spec->team, "crew");
     copy_option(words, "image_name", spec->image, sizeof spec->image, "img-1");
@@ -55,7 +55,7 @@
 }
 
 static int prepare_submission(tw_simulator *sim, const char *id, const tw_simulator_words *words) {
-    int index = find_or_add_job(sim, id);
+    int index = find_or_create_job(sim, id);
     tw_simulator_job *job = sim->world.jobs[index];
     if (job->submitted) return index;
     read_job_spec(&job->spec, words);
@@ -64,7 +64,7 @@
     job->submitted = true;
     job->done =
         tw_simulator_allocate((size_t)(job->spec.task_count > 0 ? job->spec.task_count : 1));
-    job->first_try = sim->world.now;
+    job->first_submitted_at = sim->world.now;
     return index;
 }
 
@@ -74,15 +74,16 @@
 }
 
 static void cancel_job(tw_simulator *sim, const tw_simulator_words *words) {
-    tw_simulator_user_cancel(sim, find_or_add_job(sim, words->words[1]));
+    tw_simulator_user_cancel(sim, find_or_create_job(sim, words->words[1]));
 }
 
 static void poll_job(tw_simulator *sim, const tw_simulator_words *words) {
-    tw_simulator_user_send(sim, find_or_add_job(sim, words->words[1]), TW_SIMULATOR_POLL);
+    tw_simulator_user_send(sim, find_or_create_job(sim, words->words[1]), TW_SIMULATOR_POLL);
 }
 
 /* For jobs with ids in a row. */
-static void act_on_jobs(tw_simulator *sim, const tw_simulator_words *words, bool cancels) {
+static void submit_or_cancel_jobs(tw_simulator *sim, const tw_simulator_words *words,
+                                  bool cancels) {
     const char *first = words->words[1];
     int from = strlen(first) > 4 ? tw_simulator_parse_int(first + 4) : 0,
         count = tw_simulator_parse_int(words->words[2]);
@@ -90,17 +91,17 @@
         char id[TW_WIRE_ID_SIZE];
         snprintf(id, sizeof id, "run-%06d", from + k);
         if (cancels)
-            tw_simulator_user_cancel(sim, find_or_add_job(sim, id));
+            tw_simulator_user_cancel(sim, find_or_create_job(sim, id));
         else
             tw_simulator_user_send(sim, prepare_submission(sim, id, words), TW_SIMULATOR_SUBMIT);
     }
 }
 
 static void submit_jobs(tw_simulator *sim, const tw_simulator_words *words) {
-    act_on_jobs(sim, words, false);
+    submit_or_cancel_jobs(sim, words, false);
 }
 static void cancel_jobs(tw_simulator *sim, const tw_simulator_words *words) {
-    act_on_jobs(sim, words, true);
+    submit_or_cancel_jobs(sim, words, true);
 }
 
 /* `raw METHOD PATH STATUS BODY` */
@@ -126,11 +127,11 @@
 }
 
 const tw_simulator_command tw_simulator_commands[] = {
-    {"submit", 2, TW_SIMULATOR_NO_TROUBLE, submit_job},
-    {"submits", 3, TW_SIMULATOR_NO_TROUBLE, submit_jobs},
-    {"cancel", 2, TW_SIMULATOR_NO_TROUBLE, cancel_job},
-    {"cancels", 3, TW_SIMULATOR_NO_TROUBLE, cancel_jobs},
-    {"poll", 2, TW_SIMULATOR_NO_TROUBLE, poll_job},
-    {"raw", 4, TW_SIMULATOR_NO_TROUBLE, send_raw},
-    {"expect", 2, TW_SIMULATOR_NO_TROUBLE, tw_simulator_expect},
+    {"submit", 2, TW_SIMULATOR_NO_FAULT, submit_job},
+    {"submits", 3, TW_SIMULATOR_NO_FAULT, submit_jobs},
+    {"cancel", 2, TW_SIMULATOR_NO_FAULT, cancel_job},
+    {"cancels", 3, TW_SIMULATOR_NO_FAULT, cancel_jobs},
+    {"poll", 2, TW_SIMULATOR_NO_FAULT, poll_job},
+    {"raw", 4, TW_SIMULATOR_NO_FAULT, send_raw},
+    {"expect", 2, TW_SIMULATOR_NO_FAULT, tw_simulator_expect},
     {NULL, 0, 0, NULL}};
--- a/simulator/controller.h
+++ b/simulator/controller.h
@@ -26,8 +26,8 @@
 
 struct tw_simulator_controller {
     const tw_simulator_controller_methods *methods;
-    const char *failure; /* why it has ended by itself; NULL: it goes on */
-    bool failure_told;   /* to the judge: it ends once */
+    const char *failure;   /* why it has ended by itself; NULL: it goes on */
+    bool failure_reported; /* to the judge: it ends once */
 };
 
 /* What a controller begins with. */
@@ -36,15 +36,17 @@
     double mem_mb;        /* memory limit instead of that of the settings; 0: theirs */
     uint64_t seed;
     tw_simulator_clock clock;
-} tw_simulator_controller_start;
+} tw_simulator_controller_options;
 
 /* A core in this process. NULL, with a text in `error`, if it can't begin. */
-tw_simulator_controller *tw_simulator_controller_local(const tw_simulator_controller_start *start,
-                                                       char *error, size_t error_size);
+tw_simulator_controller *
+tw_simulator_new_local_controller(const tw_simulator_controller_options *options, char *error,
+                                  size_t error_size);
 /* A core in a process of its own: `program` is a tw_core_server (tools/core_server), built with the
  * version that is to be played. NULL, with a text in `error`, if it can't begin. */
-tw_simulator_controller *tw_simulator_controller_remote(const char *program,
-                                                        const tw_simulator_controller_start *start,
-                                                        char *error, size_t error_size);
+tw_simulator_controller *
+tw_simulator_new_remote_controller(const char *program,
+                                   const tw_simulator_controller_options *options, char *error,
+                                   size_t error_size);
 
 #endif
--- a/simulator/controller_remote.c
+++ b/simulator/controller_remote.c
@@ -17,18 +17,18 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define MAX_HEAD 512       /* longest first line of a message */
-#define ANSWER_WITHIN_S 60 /* of real time; a message takes well under a second */
-#define ENDED "the process of the other version has ended or does not answer"
-#define NOT_UNDERSTOOD "the process of the other version gave an answer that has no meaning"
+#define MAX_HEADER_BYTES 512       /* longest first line of a message */
+#define REMOTE_ANSWER_TIMEOUT_S 60 /* of real time; a message takes well under a second */
+#define PROCESS_ENDED_ERROR "the process of the other version has ended or does not answer"
+#define MALFORMED_ANSWER_ERROR "the process of the other version gave an answer that has no meaning"
 
 typedef struct {
     tw_simulator_controller base;
     pid_t process;
-    int to;           /* socket to the process */
-    FILE *from;       /* the same for reading */
-    tw_effect *first; /* effects that nobody has taken yet */
-    tw_effect **last;
+    int output;              /* socket to the process */
+    FILE *input;             /* the same for reading */
+    tw_effect *first_effect; /* effects that nobody has taken yet */
+    tw_effect **last_effect;
     uint64_t steps;
     double tick_s;
 } remote_controller;
@@ -38,38 +38,38 @@
 /* ---- the process ---- */
 
 /* 0, or the number of an error. */
-static int spawn(remote_controller *remote, const char *program) {
-    int ends[2];
+static int spawn_process(remote_controller *remote, const char *program) {
+    int sockets[2];
     char *const arguments[] = {(char *)program, NULL};
     posix_spawn_file_actions_t actions;
-    if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends)) return errno;
+    if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, sockets)) return errno;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_adddup2(&actions, ends[1], STDIN_FILENO);
-    posix_spawn_file_actions_adddup2(&actions, ends[1], STDOUT_FILENO);
+    posix_spawn_file_actions_adddup2(&actions, sockets[1], STDIN_FILENO);
+    posix_spawn_file_actions_adddup2(&actions, sockets[1], STDOUT_FILENO);
     const int result = posix_spawn(&remote->process, program, &actions, NULL, arguments, environ);
     posix_spawn_file_actions_destroy(&actions);
-    close(ends[1]);
+    close(sockets[1]);
     if (result) {
-        close(ends[0]);
+        close(sockets[0]);
         return result;
     }
-    const struct timeval patience = {.tv_sec = ANSWER_WITHIN_S};
-    setsockopt(ends[0], SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-    remote->to = ends[0];
-    remote->from = fdopen(ends[0], "r");
-    if (!remote->from) abort();
+    const struct timeval timeout = {.tv_sec = REMOTE_ANSWER_TIMEOUT_S};
+    setsockopt(sockets[0], SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+    remote->output = sockets[0];
+    remote->input = fdopen(sockets[0], "r");
+    if (!remote->input) abort();
     return 0;
 }
 
 /* The process ends when its input does, unless it has failed to answer. */
-static void end(tw_simulator_controller *controller) {
+static void free_controller(tw_simulator_controller *controller) {
     remote_controller *remote = (remote_controller *)controller;
-    while (remote->first) {
-        tw_effect *effect = remote->first;
-        remote->first = effect->next;
+    while (remote->first_effect) {
+        tw_effect *effect = remote->first_effect;
+        remote->first_effect = effect->next;
         tw_core_effect_free(effect);
     }
-    fclose(remote->from);
+    fclose(remote->input);
     if (controller->failure) kill(remote->process, SIGKILL);
     while (waitpid(remote->process, NULL, 0) < 0 && errno == EINTR) continue;
     free(remote);
@@ -79,10 +79,10 @@
 
 static void send_all(remote_controller *remote, const char *bytes, size_t size) {
     while (size && !remote->base.failure) {
-        const ssize_t sent = send(remote->to, bytes, size, MSG_NOSIGNAL);
+        const ssize_t sent = send(remote->output, bytes, size, MSG_NOSIGNAL);
         if (sent < 0 && errno == EINTR) continue;
         if (sent < 0) {
-            remote->base.failure = ENDED;
+            remote->base.failure = PROCESS_ENDED_ERROR;
             return;
         }
         bytes += sent;
@@ -90,29 +90,29 @@
     }
 }
 
-__attribute__((format(printf, 2, 3))) static void send_head(remote_controller *remote,
-                                                            const char *format, ...) {
-    char head[MAX_HEAD];
+__attribute__((format(printf, 2, 3))) static void send_header(remote_controller *remote,
+                                                              const char *format, ...) {
+    char header[MAX_HEADER_BYTES];
     va_list arguments;
     va_start(arguments, format);
-    const int size = vsnprintf(head, sizeof head, format, arguments);
+    const int size = vsnprintf(header, sizeof header, format, arguments);
     va_end(arguments);
-    if (size < 0 || (size_t)size >= sizeof head) abort();
-    send_all(remote, head, (size_t)size);
+    if (size < 0 || (size_t)size >= sizeof header) abort();
+    send_all(remote, header, (size_t)size);
 }
 
 /* A text of that length; NULL for a negative one or if it doesn't come. */
 static char *read_text(remote_controller *remote, long size) {
     if (size < 0) return NULL;
     char *text = tw_simulator_allocate((size_t)size + 1);
-    if (fread(text, 1, (size_t)size, remote->from) == (size_t)size) return text;
-    remote->base.failure = ENDED;
+    if (fread(text, 1, (size_t)size, remote->input) == (size_t)size) return text;
+    remote->base.failure = PROCESS_ENDED_ERROR;
     free(text);
     return NULL;
 }
 
 /* Method names outlive their effect. */
-static const char *method_named(const char *name) {
+static const char *static_method_name(const char *name) {
     static const char *const names[] = {"GET", "POST", "PUT", "DELETE"};
     for (size_t i = 0; i < sizeof names / sizeof *names; i++)
         if (!strcmp(name, names[i])) return names[i];
@@ -121,7 +121,7 @@
 
 static void read_effect(remote_controller *remote, tw_simulator_reader reader) {
     tw_effect *effect = tw_simulator_allocate(sizeof *effect);
-    char method[TW_SIMULATOR_NAME];
+    char method[TW_SIMULATOR_NAME_SIZE];
     effect->kind = (int)tw_simulator_read_int(&reader);
     effect->id = tw_simulator_read_count(&reader);
     effect->status = (int)tw_simulator_read_int(&reader);
@@ -129,14 +129,14 @@
     effect->to = (int)tw_simulator_read_int(&reader);
     effect->timeout_s = tw_simulator_read_number(&reader);
     tw_simulator_read_word(&reader, method, sizeof method);
-    effect->method = method_named(method);
+    effect->method = static_method_name(method);
     const long address_size = tw_simulator_read_int(&reader),
                path_size = tw_simulator_read_int(&reader);
     const long body_size = tw_simulator_read_int(&reader);
-    *remote->last = effect;
-    remote->last = &effect->next;
+    *remote->last_effect = effect;
+    remote->last_effect = &effect->next;
     if (!tw_simulator_read_all(&reader)) {
-        remote->base.failure = NOT_UNDERSTOOD;
+        remote->base.failure = MALFORMED_ANSWER_ERROR;
         return;
     }
     char *address = read_text(remote, address_size);
@@ -148,101 +148,103 @@
 
 /* Reads effects up to the end of the answer. */
 static void read_answer(remote_controller *remote) {
-    char head[MAX_HEAD];
+    char header[MAX_HEADER_BYTES];
     while (!remote->base.failure) {
-        if (!fgets(head, sizeof head, remote->from)) {
-            remote->base.failure = ENDED;
+        if (!fgets(header, sizeof header, remote->input)) {
+            remote->base.failure = PROCESS_ENDED_ERROR;
             return;
         }
-        const tw_simulator_reader effect = tw_simulator_read_line(head, "effect");
+        const tw_simulator_reader effect = tw_simulator_read_line(header, "effect");
         if (!effect.bad) {
             read_effect(remote, effect);
             continue;
         }
-        tw_simulator_reader done = tw_simulator_read_line(head, "done");
+        tw_simulator_reader done = tw_simulator_read_line(header, "done");
         remote->steps = tw_simulator_read_count(&done);
         remote->tick_s = tw_simulator_read_number(&done);
-        if (!tw_simulator_read_all(&done)) remote->base.failure = NOT_UNDERSTOOD;
+        if (!tw_simulator_read_all(&done)) remote->base.failure = MALFORMED_ANSWER_ERROR;
         return;
     }
 }
 
 /* ---- inputs ---- */
 
-static void request(tw_simulator_controller *controller, tw_simulator_clock clock, int port,
-                    uint64_t connection, const char *method, const char *path, const char *body) {
+static void handle_request(tw_simulator_controller *controller, tw_simulator_clock clock, int port,
+                           uint64_t connection, const char *method, const char *path,
+                           const char *body) {
     remote_controller *remote = (remote_controller *)controller;
     const size_t path_size = strlen(path), body_size = strlen(body);
-    send_head(remote, "request %a %a %d %" PRIu64 " %s %zu %zu\n", clock.steady, clock.wall, port,
-              connection, method, path_size, body_size);
+    send_header(remote, "request %a %a %d %" PRIu64 " %s %zu %zu\n", clock.steady, clock.wall, port,
+                connection, method, path_size, body_size);
     send_all(remote, path, path_size);
     send_all(remote, body, body_size);
     read_answer(remote);
 }
 
-static void response(tw_simulator_controller *controller, tw_simulator_clock clock, uint64_t call,
-                     int status, const char *body) {
+static void handle_response(tw_simulator_controller *controller, tw_simulator_clock clock,
+                            uint64_t call, int status, const char *body) {
     remote_controller *remote = (remote_controller *)controller;
     const size_t size = strlen(body);
-    send_head(remote, "response %a %a %" PRIu64 " %d %zu\n", clock.steady, clock.wall, call, status,
-              size);
+    send_header(remote, "response %a %a %" PRIu64 " %d %zu\n", clock.steady, clock.wall, call,
+                status, size);
     send_all(remote, body, size);
     read_answer(remote);
 }
 
-static void tick(tw_simulator_controller *controller, tw_simulator_clock clock) {
+static void handle_tick(tw_simulator_controller *controller, tw_simulator_clock clock) {
     remote_controller *remote = (remote_controller *)controller;
-    send_head(remote, "tick %a %a\n", clock.steady, clock.wall);
+    send_header(remote, "tick %a %a\n", clock.steady, clock.wall);
     read_answer(remote);
 }
 
 /* ---- what it says ---- */
 
-static tw_effect *next(tw_simulator_controller *controller) {
+static tw_effect *next_effect(tw_simulator_controller *controller) {
     remote_controller *remote = (remote_controller *)controller;
-    tw_effect *effect = remote->first;
+    tw_effect *effect = remote->first_effect;
     if (!effect) return NULL;
-    remote->first = effect->next;
-    if (!remote->first) remote->last = &remote->first;
+    remote->first_effect = effect->next;
+    if (!remote->first_effect) remote->last_effect = &remote->first_effect;
     effect->next = NULL;
     return effect;
 }
 
-static uint64_t steps(const tw_simulator_controller *controller) {
+static uint64_t pass_steps(const tw_simulator_controller *controller) {
     return ((const remote_controller *)controller)->steps;
 }
 
-static double tick_s(const tw_simulator_controller *controller) {
+static double tick_interval_s(const tw_simulator_controller *controller) {
     return ((const remote_controller *)controller)->tick_s;
 }
 
-static const tw_simulator_controller_methods remote_methods = {.request = request,
-                                                               .response = response,
-                                                               .tick = tick,
-                                                               .next = next,
-                                                               .steps = steps,
-                                                               .tick_s = tick_s,
-                                                               .free = end};
-
-tw_simulator_controller *tw_simulator_controller_remote(const char *program,
-                                                        const tw_simulator_controller_start *start,
-                                                        char *error, size_t error_size) {
+static const tw_simulator_controller_methods remote_methods = {.request = handle_request,
+                                                               .response = handle_response,
+                                                               .tick = handle_tick,
+                                                               .next = next_effect,
+                                                               .steps = pass_steps,
+                                                               .tick_s = tick_interval_s,
+                                                               .free = free_controller};
+
+tw_simulator_controller *
+tw_simulator_new_remote_controller(const char *program,
+                                   const tw_simulator_controller_options *options, char *error,
+                                   size_t error_size) {
     remote_controller *remote = tw_simulator_allocate(sizeof *remote);
     remote->base.methods = &remote_methods;
-    remote->last = &remote->first;
-    const int result = spawn(remote, program);
+    remote->last_effect = &remote->first_effect;
+    const int result = spawn_process(remote, program);
     if (result) {
         snprintf(error, error_size, "%s: %s", program, strerror(result));
         free(remote);
         return NULL;
     }
-    const size_t size = strlen(start->settings);
-    send_head(remote, "new %a %a %" PRIu64 " %a %zu\n", start->clock.steady, start->clock.wall,
-              start->seed, start->mem_mb, size);
-    send_all(remote, start->settings, size);
+    const size_t size = strlen(options->settings);
+    send_header(remote, "new %a %a %" PRIu64 " %a %zu\n", options->clock.steady,
+                options->clock.wall, options->seed, options->mem_mb, size);
+    send_all(remote, options->settings, size);
     read_answer(remote);
     if (!remote->base.failure) return &remote->base;
     snprintf(error, error_size, "%s: %s", program, remote->base.failure);
-    end(&remote->base);
+    free_controller(&remote->base);
     return NULL;
 }
--- a/simulator/expect.c
+++ b/simulator/expect.c
@@ -19,10 +19,10 @@
 }
 
 static bool is_done(expectation *expected) {
-    return expected->job && expected->job->told_over == TW_JOB_DONE;
+    return expected->job && expected->job->reported_end == TW_JOB_DONE;
 }
 static bool is_cancelled(expectation *expected) {
-    return expected->job && expected->job->told_over == TW_JOB_CANCELLED;
+    return expected->job && expected->job->reported_end == TW_JOB_CANCELLED;
 }
 static bool is_accepted(expectation *expected) { return expected->job && expected->job->accepted; }
 
@@ -117,11 +117,13 @@
                     expected->arguments[1], expected->arguments[1]);
 }
 
-static bool has_leader(expectation *expected) { return tw_simulator_leader(expected->sim) >= 0; }
+static bool has_leader(expectation *expected) {
+    return tw_simulator_find_leader(expected->sim) >= 0;
+}
 
 /* Of the node that leads, since it started. */
 static bool steps(expectation *expected) {
-    int leader = tw_simulator_leader(expected->sim);
+    int leader = tw_simulator_find_leader(expected->sim);
     tw_simulator_controller *controller =
         leader < 0 ? NULL : expected->sim->nodes[leader].controller;
     double taken = controller ? (double)controller->methods->steps(controller) : 0;
@@ -138,7 +140,7 @@
 
 /* Whether the node that leads is of the `old` or of the `new` version. */
 static bool leader_version(expectation *expected) {
-    int leader = tw_simulator_leader(expected->sim);
+    int leader = tw_simulator_find_leader(expected->sim);
     if (leader < 0) return false;
     snprintf(expected->got, sizeof expected->got, "%s",
              expected->sim->nodes[leader].earlier_version ? "old" : "new");
@@ -147,13 +149,13 @@
 
 /* How often a trouble struck. */
 static bool struck(expectation *expected) {
-    static const char *const names[TW_SIMULATOR_TROUBLE_KINDS] = {
+    static const char *const names[TW_SIMULATOR_FAULT_KINDS] = {
         "latewrites",   "lostwrites",  "lateheartbeats", "mute",       "unresponsive",
         "latecommands", "cutstate",    "slownode",       "latesends",  "repeatcommands",
         "closelooks",   "cancelatend", "cancelnow",      "oddrequests"};
-    for (int i = 0; i < TW_SIMULATOR_TROUBLE_KINDS; i++)
+    for (int i = 0; i < TW_SIMULATOR_FAULT_KINDS; i++)
         if (tw_simulator_is_command(expected->arguments[0], names[i]))
-            return in_range(expected, expected->sim->strike_counts[i], expected->arguments[1],
+            return in_range(expected, expected->sim->fault_counts[i], expected->arguments[1],
                             expected->arguments[2]);
     return false;
 }
@@ -192,7 +194,7 @@
 
 void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words) {
     expectation expected = {.sim = sim, .arguments = {"", "", "", ""}};
-    char text[TW_SIMULATOR_MESSAGE];
+    char text[TW_SIMULATOR_MESSAGE_SIZE];
     bool holds = false;
     for (int i = 0; i < 4 && i + 2 < words->count; i++) expected.arguments[i] = words->words[i + 2];
     expected.job = tw_simulator_job_find(&sim->world, expected.arguments[0]);
@@ -202,5 +204,5 @@
     if (holds) return;
     snprintf(text, sizeof text, "%s %s %s %s %s got %s", words->words[1], expected.arguments[0],
              expected.arguments[1], expected.arguments[2], expected.arguments[3], expected.got);
-    tw_simulator_fail(sim, "expected", text);
+    tw_simulator_report_failure(sim, "expected", text);
 }
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -223,10 +223,11 @@
                                 tw_simulator_task *task, tw_simulator_gang *gang) {
     bool told = task->stage == TW_TASK_SAVING;
     bool late = gang->first_stop_at > 0 && !is_in_time(world, gang);
-    if (task->peers_at <= 0)
-        task->peers_at = world->now + tw_simulator_draw(world, TW_SIMULATOR_DRAW_GANGS, 0,
-                                                        tw_simulator_gang_peer_s(world));
-    if (late || world->now >= task->peers_at)
+    if (task->gang_failure_known_at <= 0)
+        task->gang_failure_known_at =
+            world->now +
+            tw_simulator_draw(world, TW_SIMULATOR_DRAW_GANGS, 0, tw_simulator_gang_peer_s(world));
+    if (late || world->now >= task->gang_failure_known_at)
         tw_simulator_task_exit(worker, task,
                                told && late ? TW_CAUSE_STOPPED : TW_CAUSE_GANG_BROKEN);
 }
--- a/simulator/judge.c
+++ b/simulator/judge.c
@@ -26,33 +26,34 @@
  * No leader of this version has launched one, and none finds one in the record. So a start that
  * breaks ran_twice, quota or wrong_place only by what leftovers are on machines is an aftermath: it
  * is counted and told apart, and the day goes on. So is a task that runs on after its job was
- * cancelled, if the same attempt on the same machine broke ran_cancelled under the earlier version
- * alone (day 1823 with old nodes, upgraded 0.01 to 0.3 s after its break: run-000015/0 on n-000005
- * runs until 0.9 s after the break). Everything else is a break of its own, as is a leftover
- * that is still there later than two leases after the earlier version last led and all troubles are
- * over: within one lease its machine was told to stop it, or has stopped all that it ran. */
+ * cancelled, if the same attempt on the same machine broke violated_with_earlier_version under the
+ * earlier version alone (day 1823 with old nodes, upgraded 0.01 to 0.3 s after its break:
+ * run-000015/0 on n-000005 runs until 0.9 s after the break). Everything else is a break of its
+ * own, as is a leftover that is still there later than two leases after the earlier version last
+ * led and all troubles are over: within one lease its machine was told to stop it, or has stopped
+ * all that it ran. */
 
 #define LEFTOVER_LEASES 2
 
-static void write_break(const tw_simulator_world *world, tw_simulator_break *broken,
+static void write_break(const tw_simulator_world *world, tw_simulator_violation *broken,
                         const char *rule, const char *what) {
     broken->at = world->now;
     snprintf(broken->rule, sizeof broken->rule, "%s", rule);
     snprintf(broken->detail, sizeof broken->detail, "t=%.2f %s %s", world->now, rule, what);
 }
 
-static void format_break(const tw_simulator_world *world, tw_simulator_break *broken,
+static void format_break(const tw_simulator_world *world, tw_simulator_violation *broken,
                          const char *rule, const char *format, va_list arguments) {
-    char what[TW_SIMULATOR_MESSAGE];
+    char what[TW_SIMULATOR_MESSAGE_SIZE];
     vsnprintf(what, sizeof what, format, arguments);
     write_break(world, broken, rule, what);
 }
 
 /* Keeps the first break of the earlier version alone, and the first other one. */
-static void note_break(tw_simulator_world *world, const tw_simulator_break *broken,
-                       bool by_earlier) {
-    if (by_earlier) {
-        if (!*world->by_earlier.rule) world->by_earlier = *broken;
+static void note_break(tw_simulator_world *world, const tw_simulator_violation *broken,
+                       bool earlier_version_violation) {
+    if (earlier_version_violation) {
+        if (!*world->earlier_version_violation.rule) world->earlier_version_violation = *broken;
     } else if (!*world->rule) {
         memcpy(world->rule, broken->rule, sizeof world->rule);
         memcpy(world->detail, broken->detail, sizeof world->detail);
@@ -62,27 +63,27 @@
 
 void tw_simulator_rule_broken(tw_simulator_world *world, const char *rule, const char *format,
                               ...) {
-    tw_simulator_break broken;
+    tw_simulator_violation broken;
     va_list arguments;
     va_start(arguments, format);
     format_break(world, &broken, rule, format, arguments);
     va_end(arguments);
-    note_break(world, &broken, world->earlier_alone);
+    note_break(world, &broken, world->attributes_to_earlier_version);
 }
 
 void tw_simulator_judge_ended(tw_simulator_world *world, bool of_earlier_version, const char *node,
                               const char *failure) {
-    char what[TW_SIMULATOR_MESSAGE];
-    tw_simulator_break broken;
+    char what[TW_SIMULATOR_MESSAGE_SIZE];
+    tw_simulator_violation broken;
     snprintf(what, sizeof what, "%s: %s", node, failure);
     write_break(world, &broken, "ended", what);
-    note_break(world, &broken, world->earlier_alone && of_earlier_version);
+    note_break(world, &broken, world->attributes_to_earlier_version && of_earlier_version);
 }
 
 /* Whether what a break by the earlier version left behind may still be on machines. */
 static bool is_aftermath_time(const tw_simulator_world *world) {
-    const double since = fmax(world->earlier_led_at, world->troubles_end);
-    return *world->by_earlier.rule && !world->earlier_alone &&
+    const double since = fmax(world->earlier_version_led_at, world->faults_end_at);
+    return *world->earlier_version_violation.rule && !world->attributes_to_earlier_version &&
            world->now <= since + LEFTOVER_LEASES * world->lease_s;
 }
 
@@ -126,21 +127,21 @@
 /* ---- starts ---- */
 
 /* A rule is broken; aftermath: only by what an earlier break left behind. */
-static void broken_by(tw_simulator_world *world, bool aftermath, const char *rule,
+static void broken_by(tw_simulator_world *world, bool inherited_violation, const char *rule,
                       const char *format, ...) __attribute__((format(printf, 4, 5)));
 
-static void broken_by(tw_simulator_world *world, bool aftermath, const char *rule,
+static void broken_by(tw_simulator_world *world, bool inherited_violation, const char *rule,
                       const char *format, ...) {
-    tw_simulator_break broken;
+    tw_simulator_violation broken;
     va_list arguments;
     va_start(arguments, format);
     format_break(world, &broken, rule, format, arguments);
     va_end(arguments);
-    if (!aftermath) {
-        note_break(world, &broken, world->earlier_alone);
+    if (!inherited_violation) {
+        note_break(world, &broken, world->attributes_to_earlier_version);
         return;
     }
-    if (!world->aftermath_count++) world->aftermath = broken;
+    if (!world->inherited_violation_count++) world->inherited_violation = broken;
 }
 
 static void judge_twice(tw_simulator_world *world, const tw_simulator_worker *worker,
@@ -240,7 +241,7 @@
 }
 
 static bool is_past_cancel(const tw_simulator_world *world, const tw_simulator_job *job) {
-    return job->told_cancel_at > 0 && world->now > job->told_cancel_at + world->cancel_s;
+    return job->reported_cancel_at > 0 && world->now > job->reported_cancel_at + world->cancel_s;
 }
 
 void tw_simulator_judge_start(tw_simulator_world *world, const tw_simulator_worker *worker,
@@ -261,9 +262,9 @@
         for (int k = 0; k < worker->task_count && !worker->gone; k++) {
             tw_simulator_task *task = &worker->tasks[k];
             if (!tw_simulator_task_active(task) || !is_past_cancel(world, task->job)) continue;
-            task->ran_cancelled |= world->earlier_alone;
-            broken_by(world, task->ran_cancelled && is_aftermath_time(world), "ran_cancelled",
-                      "%s/%d on %s", task->job_id, task->index, worker->id);
+            task->violated_with_earlier_version |= world->attributes_to_earlier_version;
+            broken_by(world, task->violated_with_earlier_version && is_aftermath_time(world),
+                      "ran_cancelled", "%s/%d on %s", task->job_id, task->index, worker->id);
         }
     }
 }
@@ -274,7 +275,7 @@
  * it. */
 static bool is_older(tw_simulator_world *world, double sent, double told) {
     if (sent > told) return true;
-    world->crossings++;
+    world->overlapping_answers++;
     return false;
 }
 
@@ -282,8 +283,8 @@
 static void judge_forgotten(tw_simulator_world *world, const tw_simulator_job *job, int kind,
                             double sent, int status) {
     bool refused = kind == TW_SIMULATOR_SUBMIT &&
-                   (status == TW_SIMULATOR_MALFORMED || status == TW_SIMULATOR_IMPOSSIBLE);
-    bool unknown = kind != TW_SIMULATOR_SUBMIT && status == TW_SIMULATOR_UNKNOWN;
+                   (status == TW_SIMULATOR_MALFORMED || status == TW_SIMULATOR_UNPROCESSABLE);
+    bool unknown = kind != TW_SIMULATOR_SUBMIT && status == TW_SIMULATOR_NOT_FOUND;
     if (!job->accepted || (!refused && !unknown)) return;
     if (is_older(world, sent, job->accepted_at))
         tw_simulator_rule_broken(world, "forgotten", "%s is answered %d", job->spec.id, status);
@@ -295,14 +296,15 @@
 }
 
 static void judge_final_state(tw_simulator_world *world, tw_simulator_job *job, int stage) {
-    if (stage == TW_JOB_CANCELLED && job->cancel_asked_at <= 0)
+    if (stage == TW_JOB_CANCELLED && job->cancel_requested_at <= 0)
         tw_simulator_rule_broken(world, "went_back", "%s is called aborted, nobody asked",
                                  job->spec.id);
     for (int i = 0; stage == TW_JOB_DONE && i < job->spec.task_count; i++)
         if (!job->done[i]) tw_simulator_rule_broken(world, "not_done", "%s/%d", job->spec.id, i);
-    if (!job->told_over) job->told_over_at = world->now;
-    job->told_over = stage;
-    if (stage == TW_JOB_CANCELLED && job->told_cancel_at <= 0) job->told_cancel_at = world->now;
+    if (!job->reported_end) job->reported_end_at = world->now;
+    job->reported_end = stage;
+    if (stage == TW_JOB_CANCELLED && job->reported_cancel_at <= 0)
+        job->reported_cancel_at = world->now;
 }
 
 /* A job is done when all of its tasks are, whoever says so and however long it has been. */
@@ -332,8 +334,8 @@
                 : !strcmp(said, "aborted") ? TW_JOB_CANCELLED
                                            : 0;
     /* Two final states of one job contradict each other, in whatever order they are told. */
-    bool other_end = stage && job->told_over && stage != job->told_over;
-    if (other_end || (!stage && job->told_over && is_older(world, sent, job->told_over_at)))
+    bool other_end = stage && job->reported_end && stage != job->reported_end;
+    if (other_end || (!stage && job->reported_end && is_older(world, sent, job->reported_end_at)))
         tw_simulator_rule_broken(world, "went_back", "%s is called %s", id, said);
     if (stage) judge_final_state(world, job, stage);
     if (stage == TW_JOB_DONE) judge_count(world, job, answer);
--- a/simulator/judge_live.c
+++ b/simulator/judge_live.c
@@ -17,7 +17,7 @@
 /* ---- unanswered ---- */
 
 static void judge_answers(tw_simulator_world *world, const tw_simulator_job *job) {
-    double since = fmax(world->troubles_end, fmax(job->accepted_at, job->answered_at));
+    double since = fmax(world->faults_end_at, fmax(job->accepted_at, job->answered_at));
     if (job->accepted && world->now > since + UNANSWERED_S)
         tw_simulator_rule_broken(world, "unanswered", "%s: no question is answered since %.2f",
                                  job->spec.id, since);
@@ -42,7 +42,7 @@
 static free_capacity *free_capacities(tw_simulator_world *world) {
     free_capacity *rooms = tw_simulator_allocate((size_t)(world->worker_count + 1) * sizeof *rooms);
     for (int i = 0; i < world->job_count; i++)
-        world->jobs[i]->on_machine = world->jobs[i]->unstarted = 0;
+        world->jobs[i]->tasks_on_machines = world->jobs[i]->tasks_before_gang_start = 0;
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
         const tw_wire_machine_type *type = &world->types[worker->type_index];
@@ -53,8 +53,8 @@
         for (int k = 0; k < worker->task_count && !worker->gone; k++) {
             tw_simulator_job *job = worker->tasks[k].job;
             if (!is_on_machine(&worker->tasks[k])) continue;
-            job->on_machine++;
-            job->unstarted += job->spec.gang && !has_begun(&worker->tasks[k]);
+            job->tasks_on_machines++;
+            job->tasks_before_gang_start += job->spec.gang && !has_begun(&worker->tasks[k]);
             rooms[i].cpus -= job->spec.cores;
             rooms[i].gpus -= job->spec.gpus;
             rooms[i].memory -= job->spec.memory_gb;
@@ -101,7 +101,7 @@
  * one zone they may be in the wrong one. */
 static int tasks_at_once(const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
-    if (spec->gang && !spec->single_zone) return spec->task_count - job->unstarted;
+    if (spec->gang && !spec->single_zone) return spec->task_count - job->tasks_before_gang_start;
     return spec->gang || (spec->service && spec->single_zone) ? spec->task_count : 1;
 }
 
@@ -138,26 +138,28 @@
 }
 
 /* Tasks on machines that do something useful there, or will by themselves. */
-static int useful_tasks(const tw_simulator_job *job) { return job->on_machine - job->unstarted; }
+static int useful_tasks(const tw_simulator_job *job) {
+    return job->tasks_on_machines - job->tasks_before_gang_start;
+}
 
 /* Accepted, not cancelled, not over, and no task of it is on a machine, or only such that wait for
  * the rest of their gang. */
 static bool is_waiting(const tw_simulator_job *job) {
-    return job->accepted && job->cancel_asked_at <= 0 && !job->fails && !job->told_over &&
+    return job->accepted && job->cancel_requested_at <= 0 && !job->fails && !job->reported_end &&
            job->done_count < job->spec.task_count && !useful_tasks(job);
 }
 
 static void judge_waiting(tw_simulator_world *world, tw_simulator_job *job,
                           const free_capacity *rooms) {
-    bool waits = world->now >= world->troubles_end && is_waiting(job) &&
+    bool waits = world->now >= world->faults_end_at && is_waiting(job) &&
                  could_start(world, rooms, job) && is_under_limit(world, job);
     if (!waits)
-        job->waits_since = 0;
-    else if (job->waits_since <= 0)
-        job->waits_since = world->now;
-    else if (world->now > job->waits_since + STUCK_S)
+        job->placeable_since = 0;
+    else if (job->placeable_since <= 0)
+        job->placeable_since = world->now;
+    else if (world->now > job->placeable_since + STUCK_S)
         tw_simulator_rule_broken(world, "stuck", "%s waits since %.2f while a machine has room",
-                                 job->spec.id, job->waits_since);
+                                 job->spec.id, job->placeable_since);
 }
 
 void tw_simulator_judge_live(tw_simulator_world *world) {
@@ -177,10 +179,10 @@
 
 /* Jobs that count: old enough, not refused as impossible, not cancelled, without a mistake. */
 static bool counts(const tw_simulator_world *world, const tw_simulator_job *job) {
-    bool refused =
-        job->last_status == TW_SIMULATOR_MALFORMED || job->last_status == TW_SIMULATOR_IMPOSSIBLE;
-    return job->submitted && !refused && job->cancel_asked_at <= 0 && !job->fails &&
-           world->now >= job->first_try + world->served_age_s;
+    bool refused = job->last_status == TW_SIMULATOR_MALFORMED ||
+                   job->last_status == TW_SIMULATOR_UNPROCESSABLE;
+    return job->submitted && !refused && job->cancel_requested_at <= 0 && !job->fails &&
+           world->now >= job->first_submitted_at + world->served_age_s;
 }
 
 /* At least half of its tasks are done or on a machine. */
@@ -189,7 +191,7 @@
 }
 
 static bool began_in_time(const tw_simulator_job *job) {
-    return job->begun_at > 0 && job->begun_at <= job->first_try + LARGEST_BEGIN_S;
+    return job->begun_at > 0 && job->begun_at <= job->first_submitted_at + LARGEST_BEGIN_S;
 }
 
 /* Jobs alike: of one class or team; only the largest of a class, if least_size is above 0. */
--- a/simulator/looks.c
+++ b/simulator/looks.c
@@ -38,22 +38,22 @@
 
 void tw_simulator_look_closely(tw_simulator *sim, int job, bool may_cancel) {
     tw_simulator_world *world = &sim->world;
-    if (world->now >= sim->trouble.close_looks_until) return;
-    sim->strike_counts[TW_SIMULATOR_CLOSE_LOOKS]++;
+    if (world->now >= sim->trouble.close_polls_until) return;
+    sim->fault_counts[TW_SIMULATOR_CLOSE_POLLS]++;
     for (int i = 0; i < LOOKS; i++)
         for (int node = 0; node < world->node_count; node++)
             schedule_look(sim, job, node, TW_SIMULATOR_POLL, look_after_s[i]);
     for (int node = 0; node < world->node_count; node++) {
-        int i = tw_simulator_draw_index(world, TW_SIMULATOR_DRAW_LOOKS, LOOKS);
+        int i = tw_simulator_draw_index(world, TW_SIMULATOR_DRAW_CLOSE_POLLS, LOOKS);
         schedule_look(sim, job, node, TW_SIMULATOR_SUBMIT, look_after_s[i]);
     }
-    if (may_cancel && tw_simulator_draw(world, TW_SIMULATOR_DRAW_LOOKS, 0, 1) < CANCELS_SHARE)
-        cancel_within(sim, job, TW_SIMULATOR_DRAW_LOOKS, CANCEL_WITHIN_S);
+    if (may_cancel && tw_simulator_draw(world, TW_SIMULATOR_DRAW_CLOSE_POLLS, 0, 1) < CANCELS_SHARE)
+        cancel_within(sim, job, TW_SIMULATOR_DRAW_CLOSE_POLLS, CANCEL_WITHIN_S);
 }
 
 void tw_simulator_job_ended(void *context, tw_simulator_job *job) {
     tw_simulator *sim = context;
-    if (!job->accepted || job->told_over) return;
+    if (!job->accepted || job->reported_end) return;
     if (tw_simulator_trouble_strikes(sim, &sim->trouble.cancel_at_end, TW_SIMULATOR_CANCEL_AT_END,
                                      TW_SIMULATOR_DRAW_CANCELS))
         tw_simulator_user_cancel(sim, job->index);
@@ -87,9 +87,9 @@
     for (int i = 0; i < world->job_count && wanted > 0; i++) {
         tw_simulator_job *job = world->jobs[(first + i) % world->job_count];
         int machine = find_long_running(world, job);
-        if (!job->accepted || job->cancel_asked_at > 0 || machine < 0) continue;
+        if (!job->accepted || job->cancel_requested_at > 0 || machine < 0) continue;
         wanted--;
-        sim->strike_counts[TW_SIMULATOR_CANCEL_NOW]++;
+        sim->fault_counts[TW_SIMULATOR_CANCEL_NOW]++;
         cancel_within(sim, job->index, TW_SIMULATOR_DRAW_CANCELS, CANCEL_NOW_WITHIN_S);
         if (hang_s > 0 && hung++ < MOST_HUNG)
             world->workers[machine]->hung_until =
@@ -98,7 +98,7 @@
 }
 
 static void close_looks(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.close_looks_until = sim->world.now + tw_simulator_parse_number(words->words[1]);
+    sim->trouble.close_polls_until = sim->world.now + tw_simulator_parse_number(words->words[1]);
 }
 
 static void cancel_at_end(tw_simulator *sim, const tw_simulator_words *words) {
@@ -107,8 +107,9 @@
 }
 
 static void odd_requests(tw_simulator *sim, const tw_simulator_words *words) {
-    bool on = sim->world.now < sim->trouble.odd_requests_until;
-    sim->trouble.odd_requests_until = sim->world.now + tw_simulator_parse_number(words->words[1]);
+    bool on = sim->world.now < sim->trouble.invalid_requests_until;
+    sim->trouble.invalid_requests_until =
+        sim->world.now + tw_simulator_parse_number(words->words[1]);
     if (!on) tw_simulator_odd_start(sim);
 }
 
--- a/simulator/node.c
+++ b/simulator/node.c
@@ -13,7 +13,7 @@
 #define WALL_START 1e9
 #define MAX_SETTINGS 16384
 
-static tw_simulator_clock clock_of(const tw_simulator *sim, int node) {
+static tw_simulator_clock node_clock(const tw_simulator *sim, int node) {
     return (tw_simulator_clock){.steady = STEADY_START + sim->world.now * (1 + CLOCK_DRIFT * node),
                                 .wall = WALL_START + sim->world.now};
 }
@@ -34,12 +34,12 @@
     HASH_FIND(hh, sim->connections, &effect->id, sizeof effect->id, connection);
     if (!connection || connection->replied) return;
     const char *body = effect->body ? effect->body : "";
-    if (effect->status >= TW_SIMULATOR_FAILURES && effect->retry_after <= 0 &&
+    if (effect->status >= TW_SIMULATOR_SERVER_ERRORS && effect->retry_after <= 0 &&
         connection->kind != TW_SIMULATOR_CONNECTION_HEARTBEAT)
-        tw_simulator_fail(sim, "a refusal without Retry-After", body);
+        tw_simulator_report_failure(sim, "a refusal without Retry-After", body);
     if (connection->kind == TW_SIMULATOR_CONNECTION_PEER) {
         const char *zone = sim->world.node_zone[connection->source];
-        double seconds = tw_simulator_travel(sim, sim->world.node_zone[node], zone);
+        double seconds = tw_simulator_travel_s(sim, sim->world.node_zone[node], zone);
         if (seconds >= 0) {
             tw_simulator_schedule_response(sim, connection->source, connection->source_generation,
                                            connection->call, effect->status, effect->body, seconds);
@@ -51,10 +51,10 @@
         tw_simulator_user_answered(sim, connection, effect);
         return; /* it ends when the answer has arrived */
     } else if (effect->status != connection->wanted) {
-        char text[TW_SIMULATOR_MESSAGE];
+        char text[TW_SIMULATOR_MESSAGE_SIZE];
         snprintf(text, sizeof text, "got %d, wanted %d: %s -> %.120s", effect->status,
                  connection->wanted, connection->what, body);
-        tw_simulator_fail(sim, "raw", text);
+        tw_simulator_report_failure(sim, "raw", text);
     }
     HASH_DEL(sim->connections, connection);
     free(connection);
@@ -67,7 +67,7 @@
     if (at) memmove(at, at + sizeof field - 1, strlen(at + sizeof field - 1) + 1);
 }
 
-static bool has_ended(const tw_simulator *sim, int node, int generation) {
+static bool generation_has_ended(const tw_simulator *sim, int node, int generation) {
     return !sim->nodes[node].alive || sim->nodes[node].generation != generation;
 }
 
@@ -82,8 +82,8 @@
 
 static void send_delayed_effects(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_node *node_state = &sim->nodes[event->node];
-    if (has_ended(sim, event->node, event->generation) ||
-        sim->world.now < node_state->sends_late_until)
+    if (generation_has_ended(sim, event->node, event->generation) ||
+        sim->world.now < node_state->effects_delayed_until)
         return;
     tw_effect *unsent = node_state->delayed_effects;
     node_state->delayed_effects = NULL;
@@ -96,10 +96,10 @@
 
 void tw_simulator_node_delay_messages(tw_simulator *sim, int node) {
     tw_simulator_event *event =
-        tw_simulator_schedule_at(sim, sim->nodes[node].sends_late_until, send_delayed_effects);
+        tw_simulator_schedule_at(sim, sim->nodes[node].effects_delayed_until, send_delayed_effects);
     event->node = node;
     event->generation = sim->nodes[node].generation;
-    sim->strike_counts[TW_SIMULATOR_LATE_SENDS]++;
+    sim->fault_counts[TW_SIMULATOR_DELAYED_EFFECTS]++;
 }
 
 static void delay_effect(tw_simulator_node *node_state, tw_effect *effect) {
@@ -115,23 +115,23 @@
     tw_effect *effect;
     while ((effect = controller->methods->next(controller))) {
         if (sim->world.now < sim->nodes[node].old_format_until) remove_record_format(effect->body);
-        if (sim->world.now < sim->nodes[node].sends_late_until)
+        if (sim->world.now < sim->nodes[node].effects_delayed_until)
             delay_effect(&sim->nodes[node], effect);
         else
             send_effect(sim, node, effect);
     }
-    if (!controller->failure || controller->failure_told) return;
-    controller->failure_told = true;
+    if (!controller->failure || controller->failure_reported) return;
+    controller->failure_reported = true;
     tw_simulator_judge_ended(&sim->world, sim->nodes[node].earlier_version, sim->world.nodes[node],
                              controller->failure);
 }
 
-static bool stands_still(const tw_simulator *sim, int node) {
-    return sim->world.now < sim->nodes[node].still_until;
+static bool is_paused(const tw_simulator *sim, int node) {
+    return sim->world.now < sim->nodes[node].paused_until;
 }
 
 static void deliver_delayed_request(tw_simulator *sim, tw_simulator_event *event) {
-    if (has_ended(sim, event->node, event->generation)) return;
+    if (generation_has_ended(sim, event->node, event->generation)) return;
     tw_simulator_node_request(sim, event->node, event->kind, event->id, event->method, event->path,
                               event->body);
 }
@@ -140,7 +140,7 @@
 static void delay_request(tw_simulator *sim, int node, int port, uint64_t connection,
                           const char *method, const char *path, const char *body) {
     tw_simulator_event *event =
-        tw_simulator_schedule_at(sim, sim->nodes[node].still_until, deliver_delayed_request);
+        tw_simulator_schedule_at(sim, sim->nodes[node].paused_until, deliver_delayed_request);
     event->node = node;
     event->generation = sim->nodes[node].generation;
     event->kind = port;
@@ -152,36 +152,36 @@
 
 void tw_simulator_node_request(tw_simulator *sim, int node, int port, uint64_t connection,
                                const char *method, const char *path, const char *body) {
-    if (stands_still(sim, node)) {
+    if (is_paused(sim, node)) {
         delay_request(sim, node, port, connection, method, path, body);
         return;
     }
     tw_simulator_controller *controller = sim->nodes[node].controller;
-    controller->methods->request(controller, clock_of(sim, node), port, connection, method, path,
+    controller->methods->request(controller, node_clock(sim, node), port, connection, method, path,
                                  body);
     send_effects(sim, node);
 }
 
 void tw_simulator_node_response(tw_simulator *sim, tw_simulator_event *event) {
-    if (has_ended(sim, event->node, event->generation)) return;
-    if (stands_still(sim, event->node)) {
-        tw_simulator_reschedule_at(sim, event, sim->nodes[event->node].still_until);
+    if (generation_has_ended(sim, event->node, event->generation)) return;
+    if (is_paused(sim, event->node)) {
+        tw_simulator_reschedule_at(sim, event, sim->nodes[event->node].paused_until);
         return;
     }
     tw_simulator_controller *controller = sim->nodes[event->node].controller;
-    controller->methods->response(controller, clock_of(sim, event->node), event->id, event->status,
-                                  event->body ? event->body : "");
+    controller->methods->response(controller, node_clock(sim, event->node), event->id,
+                                  event->status, event->body ? event->body : "");
     send_effects(sim, event->node);
 }
 
 static void tick_node(tw_simulator *sim, tw_simulator_event *event) {
-    if (has_ended(sim, event->node, event->generation)) return;
-    if (stands_still(sim, event->node)) {
-        tw_simulator_reschedule_at(sim, event, sim->nodes[event->node].still_until);
+    if (generation_has_ended(sim, event->node, event->generation)) return;
+    if (is_paused(sim, event->node)) {
+        tw_simulator_reschedule_at(sim, event, sim->nodes[event->node].paused_until);
         return;
     }
     tw_simulator_controller *controller = sim->nodes[event->node].controller;
-    controller->methods->tick(controller, clock_of(sim, event->node));
+    controller->methods->tick(controller, node_clock(sim, event->node));
     send_effects(sim, event->node);
     tw_simulator_reschedule_after(sim, event, controller->methods->tick_s(controller));
 }
@@ -219,12 +219,12 @@
     return sim->world.seed * SEED_STEP + (unsigned)node * NODE_SEED_STEP + (unsigned)generation;
 }
 
-static tw_simulator_controller *new_controller(const tw_simulator *sim, bool old,
-                                               const tw_simulator_controller_start *start,
+static tw_simulator_controller *new_controller(const tw_simulator *sim, bool earlier_version,
+                                               const tw_simulator_controller_options *options,
                                                char *error, size_t error_size) {
-    const char *program = old ? sim->earlier_program : sim->target_program;
-    if (program) return tw_simulator_controller_remote(program, start, error, error_size);
-    if (!old) return tw_simulator_controller_local(start, error, error_size);
+    const char *program = earlier_version ? sim->earlier_program : sim->target_program;
+    if (program) return tw_simulator_new_remote_controller(program, options, error, error_size);
+    if (!earlier_version) return tw_simulator_new_local_controller(options, error, error_size);
     snprintf(error, error_size, "there is no program of the earlier version");
     return NULL;
 }
@@ -233,13 +233,13 @@
     tw_simulator_node *node_state = &sim->nodes[node];
     char text[MAX_SETTINGS];
     write_settings(sim, node, text, sizeof text);
-    const tw_simulator_controller_start start = {
+    const tw_simulator_controller_options options = {
         .settings = text,
         .mem_mb = sim->world.mem_mb,
         .seed = node_seed(sim, node, node_state->generation + 1),
-        .clock = clock_of(sim, node)};
+        .clock = node_clock(sim, node)};
     node_state->controller =
-        new_controller(sim, node_state->earlier_version, &start, error, error_size);
+        new_controller(sim, node_state->earlier_version, &options, error, error_size);
     if (!node_state->controller) return -1;
     node_state->alive = true;
     node_state->generation++;
@@ -250,10 +250,10 @@
 }
 
 static void start_node(tw_simulator *sim, tw_simulator_event *event) {
-    char error[TW_SIMULATOR_MESSAGE];
+    char error[TW_SIMULATOR_MESSAGE_SIZE];
     if (sim->nodes[event->node].alive) return;
     if (tw_simulator_node_start(sim, event->node, error, sizeof error))
-        tw_simulator_fail(sim, "settings", error);
+        tw_simulator_report_failure(sim, "settings", error);
 }
 
 void tw_simulator_node_start_after(tw_simulator *sim, int node, double seconds) {
@@ -264,7 +264,7 @@
     tw_simulator_node *node_state = &sim->nodes[node];
     if (!node_state->alive) return;
     node_state->alive = false;
-    node_state->still_until = node_state->sends_late_until = 0;
+    node_state->paused_until = node_state->effects_delayed_until = 0;
     while (node_state->delayed_effects) {
         tw_effect *effect = node_state->delayed_effects;
         node_state->delayed_effects = effect->next;
@@ -280,10 +280,10 @@
     node_state->controller = NULL;
 }
 
-int tw_simulator_leader(tw_simulator *sim) {
+int tw_simulator_find_leader(tw_simulator *sim) {
     const char *value = tw_simulator_state_value(&sim->world.state, "leader");
     for (int i = 0; value && i < sim->world.node_count; i++) {
-        char text[TW_SIMULATOR_NAME + 16];
+        char text[TW_SIMULATOR_NAME_SIZE + 16];
         snprintf(text, sizeof text, "\"node\":\"%s\"", sim->world.nodes[i]);
         if (strstr(value, text)) return i;
     }
@@ -291,7 +291,7 @@
 }
 
 int tw_simulator_node_find(tw_simulator *sim, const char *name) {
-    if (!strcmp(name, "leader")) return tw_simulator_leader(sim);
+    if (!strcmp(name, "leader")) return tw_simulator_find_leader(sim);
     for (int i = 0; i < sim->world.node_count; i++)
         if (!strcmp(sim->world.nodes[i], name)) return i;
     return -1;
--- a/simulator/odd.c
+++ b/simulator/odd.c
@@ -12,16 +12,16 @@
 #define TOO_MUCH 1e6
 
 static int draw_index(tw_simulator *sim, int count) {
-    return tw_simulator_draw_index(&sim->world, TW_SIMULATOR_DRAW_ODD, count);
+    return tw_simulator_draw_index(&sim->world, TW_SIMULATOR_DRAW_INVALID_REQUESTS, count);
 }
 
 /* Some accepted job that was told to be over in that way (0: not over), or NULL. */
-static tw_simulator_job *pick_job(tw_simulator *sim, int told_over) {
+static tw_simulator_job *pick_job(tw_simulator *sim, int reported_end) {
     tw_simulator_world *world = &sim->world;
     int first = world->job_count ? draw_index(sim, world->job_count) : 0;
     for (int i = 0; i < world->job_count; i++) {
         tw_simulator_job *job = world->jobs[(first + i) % world->job_count];
-        if (job->submitted && job->accepted && job->told_over == told_over) return job;
+        if (job->submitted && job->accepted && job->reported_end == reported_end) return job;
     }
     return NULL;
 }
@@ -68,7 +68,7 @@
                         .machine_type_count = -1,
                         .expected_run_s = 10,
                         .deadline_s = -1};
-    snprintf(spec.id, sizeof spec.id, "run-%06d", FIRST_ODD_ID + sim->next_odd++);
+    snprintf(spec.id, sizeof spec.id, "run-%06d", FIRST_ODD_ID + sim->next_invalid_job++);
     if (sim->world.team_count)
         snprintf(spec.team, sizeof spec.team, "%s", sim->world.teams[0].name);
     return spec;
@@ -87,7 +87,7 @@
         snprintf(spec.team, sizeof spec.team, "nobody");
     }
     tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_SUBMIT, tw_simulator_job_text(&spec),
-                          TW_SIMULATOR_IMPOSSIBLE);
+                          TW_SIMULATOR_UNPROCESSABLE);
 }
 
 static void submit_without_field(tw_simulator *sim) {
@@ -105,19 +105,19 @@
 
 static void ask_unknown(tw_simulator *sim) {
     tw_wire_job spec = make_odd_job(sim);
-    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_POLL, NULL, TW_SIMULATOR_UNKNOWN);
+    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_POLL, NULL, TW_SIMULATOR_NOT_FOUND);
 }
 
 static void send_odd_request(tw_simulator *sim, tw_simulator_event *event) {
     static void (*const kinds[])(tw_simulator *) = {repeat_submission,    repeat_with_other_fields,
                                                     cancel_done,          submit_impossible,
                                                     submit_without_field, ask_unknown};
-    if (sim->world.now >= sim->trouble.odd_requests_until) return;
-    sim->strike_counts[TW_SIMULATOR_ODD_REQUESTS]++;
+    if (sim->world.now >= sim->trouble.invalid_requests_until) return;
+    sim->fault_counts[TW_SIMULATOR_INVALID_REQUESTS]++;
     kinds[draw_index(sim, sizeof kinds / sizeof *kinds)](sim);
-    tw_simulator_reschedule_after(
-        sim, event,
-        tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_ODD, EVERY_LEAST_S, EVERY_MOST_S));
+    tw_simulator_reschedule_after(sim, event,
+                                  tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_INVALID_REQUESTS,
+                                                    EVERY_LEAST_S, EVERY_MOST_S));
 }
 
 void tw_simulator_odd_start(tw_simulator *sim) {
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -35,12 +35,12 @@
     return value ? tw_simulator_parse_number(value) : otherwise;
 }
 
-static int fail(char *error, size_t size, const char *what, const char *line) {
+static int set_error(char *error, size_t size, const char *what, const char *line) {
     snprintf(error, size, "%s: %.*s", what, (int)strcspn(line, "\r\n"), line);
     return -1;
 }
 
-static void append_text(char **text, const char *more) {
+static void append_to_text(char **text, const char *more) {
     size_t size = (*text ? strlen(*text) : 0) + strlen(more) + 1;
     char *longer = realloc(*text, size);
     if (!longer) abort();
@@ -54,8 +54,8 @@
 static int add_node(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_world *world = &sim->world;
     if (world->node_count == TW_SIMULATOR_MAX_NODES) return -1;
-    snprintf(world->nodes[world->node_count], TW_SIMULATOR_NAME, "%s", words->words[1]);
-    snprintf(world->node_zone[world->node_count++], TW_SIMULATOR_NAME, "%s", words->words[2]);
+    snprintf(world->nodes[world->node_count], TW_SIMULATOR_NAME_SIZE, "%s", words->words[1]);
+    snprintf(world->node_zone[world->node_count++], TW_SIMULATOR_NAME_SIZE, "%s", words->words[2]);
     if (words->count == 3) return 0;
     return strcmp(words->words[3], "old") != 0
                ? -1
@@ -63,7 +63,7 @@
 }
 
 /* `old NODE...`; `old even` and `old odd`: every other node, from the first or the second. */
-static int set_old(tw_simulator *sim, const tw_simulator_words *words) {
+static int set_earlier_version_nodes(tw_simulator *sim, const tw_simulator_words *words) {
     const bool even = !strcmp(words->words[1], "even"), odd = !strcmp(words->words[1], "odd");
     if (even || odd) {
         for (int i = odd; i < sim->world.node_count; i += 2)
@@ -78,7 +78,7 @@
 static int add_team(tw_simulator *sim, const tw_simulator_words *words) {
     if (sim->world.team_count == TW_SIMULATOR_MAX_TEAMS) return -1;
     tw_simulator_team *team = &sim->world.teams[sim->world.team_count++];
-    char text[TW_SIMULATOR_MESSAGE];
+    char text[TW_SIMULATOR_MESSAGE_SIZE];
     snprintf(team->name, sizeof team->name, "%s", words->words[1]);
     team->gpus_max = tw_simulator_option_number(words, "gpus_max", 0);
     team->cpus_max = tw_simulator_option_number(words, "cpus_max", 0);
@@ -87,7 +87,7 @@
              "gpus_max = %g\n",
              team->name, tw_simulator_option_number(words, "cpus", 0), team->cpus_max,
              tw_simulator_option_number(words, "gpus", 0), team->gpus_max);
-    append_text(&sim->teams, text);
+    append_to_text(&sim->teams, text);
     return 0;
 }
 
@@ -139,13 +139,13 @@
 }
 
 static int add_objective(tw_simulator *sim, const tw_simulator_words *words) {
-    char text[TW_SIMULATOR_MESSAGE];
+    char text[TW_SIMULATOR_MESSAGE_SIZE];
     snprintf(text, sizeof text,
              "[[settings.objectives]]\nkind = \"%s\"\nclass = \"%s\"\nwithin_s = %g\n"
              "share = 0.9\n",
              words->words[1], words->words[2],
              words->count > 3 ? tw_simulator_parse_number(words->words[3]) : 0);
-    append_text(&sim->objectives, text);
+    append_to_text(&sim->objectives, text);
     return 0;
 }
 
@@ -158,13 +158,13 @@
                   {"rps", "rps", "%s = %.1f\n"}};
     free(sim->next_limits);
     sim->next_limits = NULL;
-    append_text(&sim->next_limits, "[settings.state.next]\n");
+    append_to_text(&sim->next_limits, "[settings.state.next]\n");
     for (size_t i = 0; i < COUNT(limits); i++) {
         const double value = tw_simulator_option_number(words, limits[i].option, 0);
-        char text[TW_SIMULATOR_MESSAGE];
+        char text[TW_SIMULATOR_MESSAGE_SIZE];
         if (value <= 0) continue;
         snprintf(text, sizeof text, limits[i].format, limits[i].setting, value);
-        append_text(&sim->next_limits, text);
+        append_to_text(&sim->next_limits, text);
     }
 }
 
@@ -219,8 +219,8 @@
 static const struct {
     const char *name;
     int min_words;
-    int (*take)(tw_simulator *sim, const tw_simulator_words *words);
-} settings[] = {{"node", 3, add_node},           {"old", 2, set_old},
+    int (*apply)(tw_simulator *sim, const tw_simulator_words *words);
+} settings[] = {{"node", 3, add_node},           {"old", 2, set_earlier_version_nodes},
                 {"team", 2, add_team},           {"machine_type", 2, add_type},
                 {"machine", 3, add_machine},     {"machines", 4, add_many_machines},
                 {"objective", 3, add_objective}, {"set", 3, set_value},
@@ -243,22 +243,22 @@
     char *copy = tw_simulator_copy_text(event->path);
     split_words(copy, &words);
     const tw_simulator_command *command = find_command(words.words[0]);
-    double seconds = command->seconds > 0 && command->seconds < words.count
-                         ? tw_simulator_parse_number(words.words[command->seconds])
+    double seconds = command->duration_word > 0 && command->duration_word < words.count
+                         ? tw_simulator_parse_number(words.words[command->duration_word])
                          : 0;
-    if (command->seconds != TW_SIMULATOR_NO_TROUBLE) tw_simulator_extend_troubles(sim, seconds);
+    if (command->duration_word != TW_SIMULATOR_NO_FAULT) tw_simulator_extend_troubles(sim, seconds);
     command->run(sim, &words);
     free(copy);
 }
 
 /* `at SECONDS COMMAND ...` */
-static int take_command(tw_simulator *sim, const tw_simulator_words *words, char *error,
-                        size_t error_size) {
+static int schedule_command(tw_simulator *sim, const tw_simulator_words *words, char *error,
+                            size_t error_size) {
     const tw_simulator_command *command = words->count > 2 ? find_command(words->words[2]) : NULL;
-    if (!command) return fail(error, error_size, "unknown command", words->line);
+    if (!command) return set_error(error, error_size, "unknown command", words->line);
     if (words->count - 2 < command->min_words)
-        return fail(error, error_size, "too few words", words->line);
-    if (!strcmp(command->name, "downgrade")) sim->needs_earlier = true;
+        return set_error(error, error_size, "too few words", words->line);
+    if (!strcmp(command->name, "downgrade")) sim->needs_earlier_version = true;
     const char *rest = words->line;
     for (int i = 0; i < 2; i++) { /* after `at` and the time */
         rest += strspn(rest, SPACE);
@@ -271,23 +271,23 @@
     return 0;
 }
 
-int tw_simulator_take_line(tw_simulator *sim, const char *line, char *error, size_t error_size) {
+int tw_simulator_add_line(tw_simulator *sim, const char *line, char *error, size_t error_size) {
     if (*line == '#') return 0;
     tw_simulator_words words = {.line = line};
     char *copy = tw_simulator_copy_text(line);
     int result = 0;
     split_words(copy, &words);
     if (words.count && !strcmp(words.words[0], "at")) {
-        result = take_command(sim, &words, error, error_size);
+        result = schedule_command(sim, &words, error, error_size);
     } else if (words.count) {
         size_t i = 0, setting_count = sizeof settings / sizeof *settings;
         while (i < setting_count && !tw_simulator_is_command(words.words[0], settings[i].name)) i++;
         if (i == setting_count)
-            result = fail(error, error_size, "unknown line", line);
+            result = set_error(error, error_size, "unknown line", line);
         else if (words.count < settings[i].min_words)
-            result = fail(error, error_size, "too few words", line);
-        else if (settings[i].take(sim, &words))
-            result = fail(error, error_size, "can't be taken", line);
+            result = set_error(error, error_size, "too few words", line);
+        else if (settings[i].apply(sim, &words))
+            result = set_error(error, error_size, "can't be taken", line);
     }
     free(copy);
     return result;
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -15,21 +15,21 @@
 #include "world.h"
 #include <stdbool.h>
 
-#define TW_SIMULATOR_LATENCY 0.002
+#define TW_SIMULATOR_LATENCY_S 0.002
 #define TW_SIMULATOR_MAX_WORDS 64
 #define TW_SIMULATOR_POLL_S 5.0
 /* How long messages are held up. */
-#define TW_SIMULATOR_HELD_LEAST_S 2.0
-#define TW_SIMULATOR_WRITE_HELD_MOST_S 12.0
-#define TW_SIMULATOR_COMMAND_HELD_MOST_S 16.0
-#define TW_SIMULATOR_HEARTBEAT_HELD_MOST_LEASES 2.5
+#define TW_SIMULATOR_MIN_DELAY_S 2.0
+#define TW_SIMULATOR_MAX_WRITE_DELAY_S 12.0
+#define TW_SIMULATOR_MAX_COMMAND_DELAY_S 16.0
+#define TW_SIMULATOR_MAX_HEARTBEAT_DELAY_LEASES 2.5
 
-/* Something that happens at a time. What the fields hold is up to `act`. */
+/* Something that happens at a time. What the fields hold is up to `handler`. */
 typedef struct tw_simulator_event {
     double at;
     uint64_t sequence; /* events of one moment happen in the order of their coming */
     bool queued;
-    void (*act)(tw_simulator *sim, struct tw_simulator_event *event);
+    void (*handler)(tw_simulator *sim, struct tw_simulator_event *event);
     int node, generation; /* of the node that called */
     int target;           /* node, machine or job */
     int kind, status;
@@ -43,15 +43,15 @@
     tw_simulator_controller *controller;
     int generation;
     bool alive;
-    bool earlier_version;           /* starts with the earlier version */
-    double no_state_until;          /* the state service gives 503 to this node only */
-    double no_workers_until;        /* messages from and to workers get lost for it */
-    double alone_until;             /* state service and peers hang for it */
-    double old_format_until;        /* its heartbeats do not say which record format it reads */
-    double cut_state_until;         /* the state service alone can't be reached */
-    bool cut_state_refuses;         /* connections are refused; otherwise they hang */
-    double still_from, still_until; /* stands still while its clocks run on */
-    double sends_late_until;        /* what it decides leaves only then, while its clocks run on */
+    bool earlier_version;             /* starts with the earlier version */
+    double state_unavailable_until;   /* the state service gives 503 to this node only */
+    double workers_unreachable_until; /* messages from and to workers get lost for it */
+    double isolated_until;            /* state service and peers hang for it */
+    double old_format_until;          /* its heartbeats do not say which record format it reads */
+    double state_unreachable_until;   /* the state service alone can't be reached */
+    bool state_refuses_connections;   /* connections are refused; otherwise they hang */
+    double paused_from, paused_until; /* stands still while its clocks run on */
+    double effects_delayed_until; /* what it decides leaves only then, while its clocks run on */
     tw_effect *delayed_effects, **last_delayed_effect;
 } tw_simulator_node;
 
@@ -67,13 +67,13 @@
     int kind, node;
     int target; /* machine or job; -1: a job that nobody submitted, see `what` */
     int user_kind;
-    bool tried_once;               /* not repeated when it fails */
+    bool is_single_attempt;        /* not repeated when it fails */
     bool arrived, replied;         /* a user's request: at the node; answered by it */
     int source, source_generation; /* a peer's */
     int wanted;                    /* raw and odd requests: the status it must get */
     double sent;
     uint64_t incarnation, call;
-    char what[TW_SIMULATOR_TITLE];
+    char what[TW_SIMULATOR_TITLE_SIZE];
     UT_hash_handle hh;
 } tw_simulator_connection;
 
@@ -96,56 +96,57 @@
     TW_SIMULATOR_LATE_WRITES,
     TW_SIMULATOR_LOST_WRITES,
     TW_SIMULATOR_LATE_HEARTBEATS,
-    TW_SIMULATOR_MUTE,
+    TW_SIMULATOR_LOST_HEARTBEATS,
     TW_SIMULATOR_UNRESPONSIVE,
     TW_SIMULATOR_LATE_COMMANDS,
     TW_SIMULATOR_CUT_STATE,
     TW_SIMULATOR_SLOW_NODE,
-    TW_SIMULATOR_LATE_SENDS,
+    TW_SIMULATOR_DELAYED_EFFECTS,
     TW_SIMULATOR_REPEATED_COMMANDS,
-    TW_SIMULATOR_CLOSE_LOOKS,
+    TW_SIMULATOR_CLOSE_POLLS,
     TW_SIMULATOR_CANCEL_AT_END,
     TW_SIMULATOR_CANCEL_NOW,
-    TW_SIMULATOR_ODD_REQUESTS,
-    TW_SIMULATOR_TROUBLE_KINDS
+    TW_SIMULATOR_INVALID_REQUESTS,
+    TW_SIMULATOR_FAULT_KINDS
 };
 
 /* Troubles that are on. */
 typedef struct {
     tw_simulator_message_share late_writes, lost_writes, late_heartbeats, late_commands,
         repeated_commands;
-    int late_heartbeat_leaders; /* the copies are kept for that many leaders; 0: they aren't */
+    int held_heartbeat_leaders; /* the copies are kept for that many leaders; 0: they aren't */
     tw_simulator_held_heartbeat *held_heartbeats;
     int held_heartbeat_count, held_heartbeat_capacity;
     uint64_t leader_version; /* of the leader's key, when last looked at */
-    double close_looks_until, odd_requests_until;
+    double close_polls_until, invalid_requests_until;
     tw_simulator_message_share cancel_at_end;
-    int lose_txns;        /* so many answers of transactions */
-    double late_txn_s;    /* the next transaction is applied that late */
-    int late_commands_to; /* the next direct command to this machine; -1: none */
-    double late_commands_s;
-    int copy_heartbeat_of; /* the next heartbeat of this machine arrives again; -1: none */
-    double copy_heartbeat_s;
-    char cut_from[TW_SIMULATOR_NAME], cut_to[TW_SIMULATOR_NAME];
-    bool cut_holds; /* messages are delivered at its end */
+    int lost_txn_answers;        /* so many answers of transactions */
+    double txn_delay_s;          /* the next transaction is applied that late */
+    int delayed_command_machine; /* the next direct command to this machine; -1: none */
+    double command_delay_s;
+    int duplicated_heartbeat_machine; /* the next heartbeat of this machine arrives again; -1: none
+                                       */
+    double duplicate_heartbeat_delay_s;
+    char cut_from[TW_SIMULATOR_NAME_SIZE], cut_to[TW_SIMULATOR_NAME_SIZE];
+    bool cut_delays_messages; /* messages are delivered at its end */
     double cut_until;
-    char island[TW_SIMULATOR_NAME]; /* zone cut off from everything, also from what belongs to no
-                                       zone */
-    double island_until;
-    double refuse_peers_until;
-    double slow_state_until, slow_state_s;
-    double no_cloud_until; /* the cloud answers 503 */
-} tw_simulator_troubles;
+    char isolated_zone[TW_SIMULATOR_NAME_SIZE]; /* zone cut off from everything, also from what
+                                       belongs to no zone */
+    double zone_isolated_until;
+    double peers_refused_until;
+    double slow_state_until, state_latency_s;
+    double cloud_unavailable_until; /* the cloud answers 503 */
+} tw_simulator_faults;
 
 struct tw_simulator {
-    char name[TW_SIMULATOR_TITLE];
+    char name[TW_SIMULATOR_TITLE_SIZE];
     bool quiet, trace;
     const char *earlier_program; /* program of the earlier version (tw_core_server), or NULL */
     const char *target_program;  /* the same of the version upgraded to; NULL: this version */
-    bool needs_earlier;          /* a line asks for a node of the earlier version */
+    bool needs_earlier_version;  /* a line asks for a node of the earlier version */
     tw_simulator_world world;
     tw_simulator_node nodes[TW_SIMULATOR_MAX_NODES];
-    tw_simulator_troubles trouble;
+    tw_simulator_faults trouble;
     double rps, request_tokens, requests_at; /* the state service's limit of requests */
     char *objectives, *teams;                /* settings text */
     char *next_limits;                       /* the same, of the state service's limits to come */
@@ -158,13 +159,13 @@
     uint64_t leader_key_version; /* of the leader's key when it was last looked at; 0: never set */
     bool new_version_led;        /* some leader so far was of this version */
     bool earlier_version_leads;  /* the last one is not */
-    bool to_end;                 /* see tw_simulator_judge_to_end */
+    bool judges_to_end;          /* see tw_simulator_judge_to_end */
     int failed;
-    char failed_after[TW_SIMULATOR_MESSAGE]; /* the first line that did not hold after a break by
-                                                the earlier version, and not under it alone */
+    char later_failure[TW_SIMULATOR_MESSAGE_SIZE]; /* the first line that did not hold after a break
+                                                by the earlier version, and not under it alone */
     uint64_t digest;
-    unsigned strike_counts[TW_SIMULATOR_TROUBLE_KINDS];
-    int next_odd; /* number of the next job that can't be taken */
+    unsigned fault_counts[TW_SIMULATOR_FAULT_KINDS];
+    int next_invalid_job; /* number of the next job that can't be taken */
 };
 
 /* A line of the scenario language, in words. */
@@ -176,29 +177,29 @@
 
 /* ---- simulator.c: failures and digest ---- */
 /* Counts a line that does not hold, and prints it unless the simulation is quiet. */
-void tw_simulator_fail(tw_simulator *sim, const char *what, const char *detail);
+void tw_simulator_report_failure(tw_simulator *sim, const char *what, const char *detail);
 /* Adds what somebody was told at this moment to the digest. */
-void tw_simulator_digest(tw_simulator *sim, int kind, int who, int status, const char *body);
+void tw_simulator_add_to_digest(tw_simulator *sim, int kind, int who, int status, const char *body);
 
 /* ---- event.c ---- */
 tw_simulator_event *tw_simulator_schedule_after(tw_simulator *sim, double seconds,
-                                                void (*act)(tw_simulator *sim,
-                                                            tw_simulator_event *event));
+                                                void (*handler)(tw_simulator *sim,
+                                                                tw_simulator_event *event));
 tw_simulator_event *tw_simulator_schedule_at(tw_simulator *sim, double at,
-                                             void (*act)(tw_simulator *sim,
-                                                         tw_simulator_event *event));
+                                             void (*handler)(tw_simulator *sim,
+                                                             tw_simulator_event *event));
 /* The event that happens now is scheduled once more, instead of being freed. */
 void tw_simulator_reschedule_after(tw_simulator *sim, tw_simulator_event *event, double seconds);
 void tw_simulator_reschedule_at(tw_simulator *sim, tw_simulator_event *event, double at);
 /* The earliest event, taken out of the queue; NULL: there is none. */
-tw_simulator_event *tw_simulator_next_event(tw_simulator *sim);
+tw_simulator_event *tw_simulator_pop_event(tw_simulator *sim);
 void tw_simulator_event_free(tw_simulator_event *event);
 
 /* ---- network.c ---- */
 /* Whether a zone is cut off from everything. */
-bool tw_simulator_cut_off(const tw_simulator *sim, const char *zone);
+bool tw_simulator_zone_is_isolated(const tw_simulator *sim, const char *zone);
 /* How long a message between zones takes; < 0: it never arrives. */
-double tw_simulator_travel(const tw_simulator *sim, const char *from, const char *to);
+double tw_simulator_travel_s(const tw_simulator *sim, const char *from, const char *to);
 /* A node's call goes out; its answer comes to tw_simulator_node_response. */
 void tw_simulator_send_call(tw_simulator *sim, int node, tw_effect *effect);
 /* An answer to a node's call comes after that time. Takes the body. Later answers to a call are
@@ -207,16 +208,16 @@
                                     int status, char *body, double seconds);
 
 /* Whether answers of the state service reach a node. */
-bool tw_simulator_reaches_state(const tw_simulator *sim, int node);
+bool tw_simulator_state_reaches_node(const tw_simulator *sim, int node);
 
 /* ---- node.c ---- */
 int tw_simulator_node_start(tw_simulator *sim, int node, char *error, size_t error_size);
 void tw_simulator_node_start_after(tw_simulator *sim, int node, double seconds);
 void tw_simulator_node_kill(tw_simulator *sim, int node);
-/* What the node has decided leaves when its `sends_late_until` has come. */
+/* What the node has decided leaves when its `effects_delayed_until` has come. */
 void tw_simulator_node_delay_messages(tw_simulator *sim, int node);
 /* The node that holds the leader's key; -1: none. */
-int tw_simulator_leader(tw_simulator *sim);
+int tw_simulator_find_leader(tw_simulator *sim);
 /* By name, or "leader"; -1: none. */
 int tw_simulator_node_find(tw_simulator *sim, const char *name);
 tw_simulator_connection *tw_simulator_connection_new(tw_simulator *sim, int node, int kind);
@@ -268,9 +269,9 @@
     TW_SIMULATOR_WORD_OPTION,     /* the key of `key=value` */
     TW_SIMULATOR_WORD_VALUE,      /* what is set, or the value of an option */
     TW_SIMULATOR_WORD_EXPECTATION /* after `expect` */
-} tw_simulator_word_place;
+} tw_simulator_word_role;
 /* Whether a text of that length is this word, in its current or in an earlier form. */
-bool tw_simulator_is_word(tw_simulator_word_place place, const char *text, size_t length,
+bool tw_simulator_is_word(tw_simulator_word_role place, const char *text, size_t length,
                           const char *word);
 /* The same for a whole text. */
 bool tw_simulator_is_command(const char *text, const char *word);
@@ -280,11 +281,11 @@
 /* ---- script.c, command.c, trouble.c, upgrade.c, expect.c ---- */
 typedef struct {
     const char *name;
-    int min_words; /* with the name */
-    int seconds;   /* the word that says how long a trouble lasts, 0: none does */
+    int min_words;     /* with the name */
+    int duration_word; /* the word that says how long a trouble lasts, 0: none does */
     void (*run)(tw_simulator *sim, const tw_simulator_words *words);
 } tw_simulator_command;
-enum { TW_SIMULATOR_NO_TROUBLE = -1 };
+enum { TW_SIMULATOR_NO_FAULT = -1 };
 /* Tables end with a NULL name. */
 extern const tw_simulator_command tw_simulator_commands[];
 extern const tw_simulator_command tw_simulator_trouble_commands[];
--- a/simulator/state.c
+++ b/simulator/state.c
@@ -12,14 +12,14 @@
 #define FIRST_REVISION 100
 #define DECIMAL 10
 #define NUMBER_SIZE 32
-#define DEFAULT_LIST 100
+#define DEFAULT_LIST_COUNT 100
 #define NO_LIMIT 1e9
 #define DEFAULT_WRITE_RPS 100 /* as the nodes are told, where there is no limit */
 #define DEFAULT_VALUE_KB 8
 #define DEFAULT_TXN_OPS 12
-#define CONDITIONS_PER_OP 4
+#define COMPARES_PER_OP 4
 #define KB 1024
-#define MOST_BYTES ((size_t)64 * KB) /* of a transaction */
+#define MAX_TXN_BYTES ((size_t)64 * KB) /* of a transaction */
 
 void tw_simulator_state_init(tw_simulator_state *state) {
     memset(state, 0, sizeof *state);
@@ -40,7 +40,7 @@
 }
 
 /* Place of the first key that isn't before this one. */
-static size_t key_place(const tw_simulator_state *state, const char *key) {
+static size_t find_key_position(const tw_simulator_state *state, const char *key) {
     size_t low = 0, high = state->key_count;
     while (low < high) {
         size_t mid = (low + high) / 2;
@@ -52,23 +52,23 @@
     return low;
 }
 
-static tw_simulator_key *key_find(const tw_simulator_state *state, const char *key) {
-    size_t i = key_place(state, key);
+static tw_simulator_key *find_key(const tw_simulator_state *state, const char *key) {
+    size_t i = find_key_position(state, key);
     return i < state->key_count && !strcmp(state->keys[i].key, key) ? &state->keys[i] : NULL;
 }
 
 const char *tw_simulator_state_value(const tw_simulator_state *state, const char *key) {
-    const tw_simulator_key *entry = key_find(state, key);
+    const tw_simulator_key *entry = find_key(state, key);
     return entry ? entry->value : NULL;
 }
 
 uint64_t tw_simulator_state_version(const tw_simulator_state *state, const char *key) {
-    const tw_simulator_key *entry = key_find(state, key);
+    const tw_simulator_key *entry = find_key(state, key);
     return entry ? entry->version : 0;
 }
 
-static void key_put(tw_simulator_state *state, const char *key, char *value, uint64_t lease) {
-    size_t i = key_place(state, key);
+static void put_key(tw_simulator_state *state, const char *key, char *value, uint64_t lease) {
+    size_t i = find_key_position(state, key);
     if (i == state->key_count || strcmp(state->keys[i].key, key) != 0) {
         if (state->key_count == state->key_capacity) {
             state->key_capacity = state->key_capacity ? 2 * state->key_capacity : 16;
@@ -85,7 +85,7 @@
     state->keys[i].lease = lease;
 }
 
-static void key_remove(tw_simulator_state *state, tw_simulator_key *entry) {
+static void remove_key(tw_simulator_state *state, tw_simulator_key *entry) {
     tw_simulator_removal *removal =
         &state->removals[state->removal_count++ % TW_SIMULATOR_MAX_REMOVALS];
     snprintf(removal->key, sizeof removal->key, "%s", entry->key);
@@ -97,16 +97,16 @@
     state->key_count--;
 }
 
-static tw_simulator_lease *lease_find(const tw_simulator_state *state, uint64_t id) {
+static tw_simulator_lease *find_state_lease(const tw_simulator_state *state, uint64_t id) {
     for (int i = 0; i < state->lease_count; i++)
         if (state->leases[i].id == id) return &state->leases[i];
     return NULL;
 }
 
-static void lease_end(tw_simulator_state *state, tw_simulator_lease *lease) {
+static void end_state_lease(tw_simulator_state *state, tw_simulator_lease *lease) {
     state->revision++;
     for (size_t i = state->key_count; i-- > 0;)
-        if (state->keys[i].lease == lease->id) key_remove(state, &state->keys[i]);
+        if (state->keys[i].lease == lease->id) remove_key(state, &state->keys[i]);
     *lease = state->leases[--state->lease_count];
 }
 
@@ -116,7 +116,7 @@
         return;
     }
     for (int i = 0; i < state->lease_count; i++)
-        state->leases[i].until = now + state->leases[i].ttl;
+        state->leases[i].expires_at = now + state->leases[i].ttl_s;
     state->down_since = -1;
 }
 
@@ -137,9 +137,9 @@
 
 /* ---- transactions ---- */
 
-static bool allows_writes(tw_simulator_state *state, double now, int count) {
-    state->write_tokens += (now - state->write_at) * state->limits.write_rps;
-    state->write_at = now;
+static bool take_write_tokens(tw_simulator_state *state, double now, int count) {
+    state->write_tokens += (now - state->write_tokens_at) * state->limits.write_rps;
+    state->write_tokens_at = now;
     if (state->write_tokens > state->limits.write_rps)
         state->write_tokens = state->limits.write_rps;
     if (state->write_tokens < count) return false;
@@ -148,23 +148,23 @@
 }
 
 /* Keys whose version isn't as the transaction demands. */
-static cJSON *failed_keys(const tw_simulator_state *state, const cJSON *conditions) {
+static cJSON *list_failed_compares(const tw_simulator_state *state, const cJSON *conditions) {
     cJSON *failed = cJSON_CreateArray();
     const cJSON *change;
     cJSON_ArrayForEach(change, conditions) {
         const char *key = tw_simulator_json_text(change, "k");
-        const tw_simulator_key *entry = key_find(state, key);
+        const tw_simulator_key *entry = find_key(state, key);
         if ((entry ? entry->version : 0) != (uint64_t)tw_simulator_json_number(change, "stamp"))
             cJSON_AddItemToArray(failed, cJSON_CreateString(key));
     }
     return failed;
 }
 
-static bool leases_live(const tw_simulator_state *state, const cJSON *changes) {
+static bool all_leases_exist(const tw_simulator_state *state, const cJSON *changes) {
     const cJSON *change;
     cJSON_ArrayForEach(change, changes) {
         uint64_t lease = (uint64_t)tw_simulator_json_number(change, "hold");
-        if (lease && !lease_find(state, lease)) return false;
+        if (lease && !find_state_lease(state, lease)) return false;
     }
     return true;
 }
@@ -174,10 +174,10 @@
     state->revision++;
     cJSON_ArrayForEach(change, changes) {
         const char *removed = tw_simulator_json_text(change, "remove");
-        tw_simulator_key *entry = *removed ? key_find(state, removed) : NULL;
-        if (entry) key_remove(state, entry);
+        tw_simulator_key *entry = *removed ? find_key(state, removed) : NULL;
+        if (entry) remove_key(state, entry);
         if (*removed) continue;
-        key_put(state, tw_simulator_json_text(change, "write"),
+        put_key(state, tw_simulator_json_text(change, "write"),
                 cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(change, "data")),
                 (uint64_t)tw_simulator_json_number(change, "hold"));
     }
@@ -187,8 +187,8 @@
 static bool is_too_large(const tw_simulator_state *state, const char *body, const cJSON *txn) {
     const cJSON *changes = cJSON_GetObjectItemCaseSensitive(txn, "apply");
     const cJSON *conditions = cJSON_GetObjectItemCaseSensitive(txn, "if");
-    if (strlen(body) > MOST_BYTES || cJSON_GetArraySize(changes) > state->limits.txn_ops ||
-        cJSON_GetArraySize(conditions) > CONDITIONS_PER_OP * state->limits.txn_ops)
+    if (strlen(body) > MAX_TXN_BYTES || cJSON_GetArraySize(changes) > state->limits.txn_ops ||
+        cJSON_GetArraySize(conditions) > COMPARES_PER_OP * state->limits.txn_ops)
         return true;
     const cJSON *change;
     cJSON_ArrayForEach(change, changes) {
@@ -202,8 +202,7 @@
     return false;
 }
 
-static int carry_out_transaction(tw_simulator_state *state, double now, const char *body,
-                                 char **out) {
+static int run_transaction(tw_simulator_state *state, double now, const char *body, char **out) {
     cJSON *txn = cJSON_Parse(body);
     const cJSON *changes = cJSON_GetObjectItemCaseSensitive(txn, "apply");
     int status = TW_SIMULATOR_OK;
@@ -213,13 +212,13 @@
         *out = tw_simulator_copy_text("{\"error\":\"too large\"}");
         return TW_SIMULATOR_MALFORMED;
     }
-    if (!allows_writes(state, now, cJSON_GetArraySize(changes))) {
+    if (!take_write_tokens(state, now, cJSON_GetArraySize(changes))) {
         cJSON_Delete(txn);
         *out = tw_simulator_copy_text("{}");
-        return TW_SIMULATOR_TOO_MANY;
+        return TW_SIMULATOR_TOO_MANY_REQUESTS;
     }
-    cJSON *failed = failed_keys(state, cJSON_GetObjectItemCaseSensitive(txn, "if"));
-    if (!leases_live(state, changes)) {
+    cJSON *failed = list_failed_compares(state, cJSON_GetObjectItemCaseSensitive(txn, "if"));
+    if (!all_leases_exist(state, changes)) {
         *out = tw_simulator_copy_text("{\"error\":\"no such lease\"}");
         status = TW_SIMULATOR_MALFORMED;
     } else if (cJSON_GetArraySize(failed)) {
@@ -250,13 +249,14 @@
 }
 
 static int list_keys(const tw_simulator_state *state, const char *path, char **out) {
-    char starts[TW_SIMULATOR_KEY], since[TW_SIMULATOR_KEY], most_text[NUMBER_SIZE];
+    char starts[TW_SIMULATOR_KEY_SIZE], since[TW_SIMULATOR_KEY_SIZE], most_text[NUMBER_SIZE];
     read_query_field(path, "starts=", starts, sizeof starts);
     read_query_field(path, "since=", since, sizeof since);
     read_query_field(path, "most=", most_text, sizeof most_text);
-    int most = *most_text ? tw_simulator_parse_int(most_text) : DEFAULT_LIST, count = 0, more = 0;
+    int most = *most_text ? tw_simulator_parse_int(most_text) : DEFAULT_LIST_COUNT, count = 0,
+        more = 0;
     cJSON *answer = cJSON_CreateObject(), *entries = cJSON_AddArrayToObject(answer, "entries");
-    for (size_t i = key_place(state, strcmp(since, starts) > 0 ? since : starts);
+    for (size_t i = find_key_position(state, strcmp(since, starts) > 0 ? since : starts);
          i < state->key_count; i++) {
         const tw_simulator_key *entry = &state->keys[i];
         if (strncmp(entry->key, starts, strlen(starts)) != 0) break;
@@ -274,7 +274,7 @@
 }
 
 /* value NULL: the key was removed. */
-static void log_change(cJSON *log, const char *key, const char *value, uint64_t revision) {
+static void append_change(cJSON *log, const char *key, const char *value, uint64_t revision) {
     cJSON *change = cJSON_CreateObject();
     cJSON_AddStringToObject(change, value ? "write" : "remove", key);
     if (value) cJSON_AddRawToObject(change, "data", value);
@@ -284,7 +284,7 @@
 
 /* Answers at once with what there is; whoever carries the request waits for more. */
 static int follow_changes(const tw_simulator_state *state, const char *path, char **out) {
-    char starts[TW_SIMULATOR_KEY], since_text[NUMBER_SIZE];
+    char starts[TW_SIMULATOR_KEY_SIZE], since_text[NUMBER_SIZE];
     read_query_field(path, "starts=", starts, sizeof starts);
     read_query_field(path, "since=", since_text, sizeof since_text);
     uint64_t since = strtoull(since_text, NULL, DECIMAL);
@@ -292,16 +292,16 @@
     cJSON *answer = cJSON_CreateObject();
     cJSON_AddNumberToObject(answer, "ledger", (double)state->revision);
     cJSON *log = cJSON_AddArrayToObject(answer, "log");
-    for (size_t i = key_place(state, starts); i < state->key_count && state->revision > since;
-         i++) {
+    for (size_t i = find_key_position(state, starts);
+         i < state->key_count && state->revision > since; i++) {
         const tw_simulator_key *entry = &state->keys[i];
         if (strncmp(entry->key, starts, prefix) != 0) break;
-        if (entry->version > since) log_change(log, entry->key, entry->value, entry->version);
+        if (entry->version > since) append_change(log, entry->key, entry->value, entry->version);
     }
     for (int i = 0; i < state->removal_count && i < TW_SIMULATOR_MAX_REMOVALS; i++) {
         const tw_simulator_removal *removal = &state->removals[i];
         if (!strncmp(removal->key, starts, prefix) && removal->revision > since)
-            log_change(log, removal->key, NULL, removal->revision);
+            append_change(log, removal->key, NULL, removal->revision);
     }
     *out = tw_simulator_json_print(answer);
     return TW_SIMULATOR_OK;
@@ -309,36 +309,38 @@
 
 /* ---- leases ---- */
 
-static int lease_new(tw_simulator_state *state, double now, const char *body, char **out) {
+static int create_state_lease(tw_simulator_state *state, double now, const char *body, char **out) {
     cJSON *object = cJSON_Parse(body);
-    double ttl = tw_simulator_json_number(object, "lifeMs") / 1000;
+    double ttl_s = tw_simulator_json_number(object, "lifeMs") / 1000;
     char text[64];
     cJSON_Delete(object);
     state->leases = tw_simulator_grow(state->leases, state->lease_count, &state->lease_capacity,
                                       sizeof *state->leases);
-    state->leases[state->lease_count++] = (tw_simulator_lease){++state->last_lease, ttl, now + ttl};
+    state->leases[state->lease_count++] =
+        (tw_simulator_lease){++state->last_lease, ttl_s, now + ttl_s};
     snprintf(text, sizeof text, "{\"hold\":%llu}", (unsigned long long)state->last_lease);
     *out = tw_simulator_copy_text(text);
     return TW_SIMULATOR_OK;
 }
 
-static int lease_change(tw_simulator_state *state, double now, const char *method, const char *path,
-                        char **out) {
+static int change_state_lease(tw_simulator_state *state, double now, const char *method,
+                              const char *path, char **out) {
     const char *prefix = "/grants/";
     *out = tw_simulator_copy_text("{}");
     if (strncmp(path, prefix, strlen(prefix)) != 0) return TW_SIMULATOR_MALFORMED;
-    tw_simulator_lease *lease = lease_find(state, strtoull(path + strlen(prefix), NULL, DECIMAL));
-    if (!lease) return TW_SIMULATOR_UNKNOWN;
+    tw_simulator_lease *lease =
+        find_state_lease(state, strtoull(path + strlen(prefix), NULL, DECIMAL));
+    if (!lease) return TW_SIMULATOR_NOT_FOUND;
     if (!strcmp(method, "DELETE"))
-        lease_end(state, lease);
+        end_state_lease(state, lease);
     else
-        lease->until = now + lease->ttl;
+        lease->expires_at = now + lease->ttl_s;
     return TW_SIMULATOR_OK;
 }
 
 void tw_simulator_state_expire(tw_simulator_state *state, double now) {
     for (int i = 0; i < state->lease_count; i++)
-        if (now > state->leases[i].until) lease_end(state, &state->leases[i--]);
+        if (now > state->leases[i].expires_at) end_state_lease(state, &state->leases[i--]);
 }
 
 int tw_simulator_state_request(tw_simulator_state *state, double now, const char *method,
@@ -349,15 +351,15 @@
         return TW_SIMULATOR_UNAVAILABLE;
     }
     tw_simulator_state_expire(state, now);
-    if (!strcmp(path, "/txn")) return carry_out_transaction(state, now, body, out);
+    if (!strcmp(path, "/txn")) return run_transaction(state, now, body, out);
     if (!strncmp(path, "/kv?", 4)) return list_keys(state, path, out);
     if (!strncmp(path, "/follow?", 8)) return follow_changes(state, path, out);
     if (!strncmp(path, "/kv/", 4)) {
-        const tw_simulator_key *entry = key_find(state, path + 4);
+        const tw_simulator_key *entry = find_key(state, path + 4);
         *out = entry ? tw_simulator_json_print(entry_json(entry))
                      : tw_simulator_copy_text("{\"ledger\":1}");
-        return entry ? TW_SIMULATOR_OK : TW_SIMULATOR_UNKNOWN;
+        return entry ? TW_SIMULATOR_OK : TW_SIMULATOR_NOT_FOUND;
     }
-    if (!strcmp(path, "/grants")) return lease_new(state, now, body, out);
-    return lease_change(state, now, method, path, out);
+    if (!strcmp(path, "/grants")) return create_state_lease(state, now, body, out);
+    return change_state_lease(state, now, method, path, out);
 }
--- a/simulator/trouble.c
+++ b/simulator/trouble.c
@@ -25,14 +25,14 @@
 
 void tw_simulator_extend_troubles(tw_simulator *sim, double seconds) {
     tw_simulator_world *world = &sim->world;
-    world->troubles_end = fmax(world->troubles_end, world->now + seconds);
+    world->faults_end_at = fmax(world->faults_end_at, world->now + seconds);
 }
 
 bool tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
                                   int trouble, int draw) {
     if (sim->world.now >= share->until) return false;
     if (tw_simulator_draw(&sim->world, draw, 0, 1) >= share->share) return false;
-    sim->strike_counts[trouble]++;
+    sim->fault_counts[trouble]++;
     return true;
 }
 
@@ -60,20 +60,20 @@
 
 static void refuse_state(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
-    if (node_state) node_state->no_state_until = sim->world.now + number_at(words, 2);
+    if (node_state) node_state->state_unavailable_until = sim->world.now + number_at(words, 2);
 }
 
 static void isolate_node(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
-    if (node_state) node_state->alone_until = sim->world.now + number_at(words, 2);
+    if (node_state) node_state->isolated_until = sim->world.now + number_at(words, 2);
 }
 
 /* `cutstate NODE SECONDS hang|refuse` */
 static void cut_state(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (!node_state) return;
-    node_state->cut_state_until = sim->world.now + number_at(words, 2);
-    node_state->cut_state_refuses = !strcmp(words->words[3], "refuse");
+    node_state->state_unreachable_until = sim->world.now + number_at(words, 2);
+    node_state->state_refuses_connections = !strcmp(words->words[3], "refuse");
 }
 
 static void send_old_format(tw_simulator *sim, const tw_simulator_words *words) {
@@ -84,39 +84,39 @@
 static void slow_node(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (!node_state || !node_state->alive) return;
-    node_state->still_from = sim->world.now;
-    node_state->still_until = sim->world.now + number_at(words, 2);
-    sim->strike_counts[TW_SIMULATOR_SLOW_NODE]++;
+    node_state->paused_from = sim->world.now;
+    node_state->paused_until = sim->world.now + number_at(words, 2);
+    sim->fault_counts[TW_SIMULATOR_SLOW_NODE]++;
 }
 
 static void delay_node_messages(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (!node_state || !node_state->alive) return;
-    node_state->sends_late_until = sim->world.now + number_at(words, 2);
+    node_state->effects_delayed_until = sim->world.now + number_at(words, 2);
     tw_simulator_node_delay_messages(sim, (int)(node_state - sim->nodes));
 }
 
 static void cut_workers(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
-    if (node_state) node_state->no_workers_until = sim->world.now + number_at(words, 2);
+    if (node_state) node_state->workers_unreachable_until = sim->world.now + number_at(words, 2);
 }
 
 static void refuse_peers(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.refuse_peers_until = sim->world.now + number_at(words, 1);
+    sim->trouble.peers_refused_until = sim->world.now + number_at(words, 1);
 }
 
 /* ---- zones ---- */
 
 static void cut_off_zone(tw_simulator *sim, const tw_simulator_words *words) {
-    snprintf(sim->trouble.island, TW_SIMULATOR_NAME, "%s", words->words[1]);
-    sim->trouble.island_until = sim->world.now + number_at(words, 2);
+    snprintf(sim->trouble.isolated_zone, TW_SIMULATOR_NAME_SIZE, "%s", words->words[1]);
+    sim->trouble.zone_isolated_until = sim->world.now + number_at(words, 2);
 }
 
 static void cut_zones(tw_simulator *sim, const tw_simulator_words *words) {
-    snprintf(sim->trouble.cut_from, TW_SIMULATOR_NAME, "%s", words->words[1]);
-    snprintf(sim->trouble.cut_to, TW_SIMULATOR_NAME, "%s", words->words[2]);
+    snprintf(sim->trouble.cut_from, TW_SIMULATOR_NAME_SIZE, "%s", words->words[1]);
+    snprintf(sim->trouble.cut_to, TW_SIMULATOR_NAME_SIZE, "%s", words->words[2]);
     sim->trouble.cut_until = sim->world.now + number_at(words, 3);
-    sim->trouble.cut_holds = words->count > 4 && !strcmp(words->words[4], "hold");
+    sim->trouble.cut_delays_messages = words->count > 4 && !strcmp(words->words[4], "hold");
 }
 
 /* ---- state service ---- */
@@ -132,7 +132,7 @@
 }
 
 static void slow_state_service(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.slow_state_s = number_at(words, 1);
+    sim->trouble.state_latency_s = number_at(words, 1);
     sim->trouble.slow_state_until = sim->world.now + number_at(words, 2);
 }
 
@@ -150,15 +150,15 @@
 }
 
 static void lose_transactions(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.lose_txns = (int)number_at(words, 1);
+    sim->trouble.lost_txn_answers = (int)number_at(words, 1);
 }
 
 static void delay_next_transaction(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.late_txn_s = number_at(words, 1);
+    sim->trouble.txn_delay_s = number_at(words, 1);
 }
 
 static void delay_writes(tw_simulator *sim, const tw_simulator_words *words) {
-    set_share(sim, words, &sim->trouble.late_writes, TW_SIMULATOR_WRITE_HELD_MOST_S);
+    set_share(sim, words, &sim->trouble.late_writes, TW_SIMULATOR_MAX_WRITE_DELAY_S);
 }
 
 static void lose_write_answers(tw_simulator *sim, const tw_simulator_words *words) {
@@ -179,12 +179,12 @@
 
 static void refuse_commands(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_worker *worker = find_machine(sim, words);
-    if (worker) worker->refuses_until = sim->world.now + number_at(words, 2);
+    if (worker) worker->refuses_commands_until = sim->world.now + number_at(words, 2);
 }
 
 static void mute_machine(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_worker *worker = find_machine(sim, words);
-    if (worker) worker->mute_until = sim->world.now + number_at(words, 2);
+    if (worker) worker->heartbeats_lost_until = sim->world.now + number_at(words, 2);
 }
 
 static void remove_machine(tw_simulator *sim, const tw_simulator_words *words) {
@@ -218,13 +218,13 @@
 }
 
 static void delay_next_command(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.late_commands_to = tw_simulator_parse_int(words->words[1]);
-    sim->trouble.late_commands_s = number_at(words, 2);
+    sim->trouble.delayed_command_machine = tw_simulator_parse_int(words->words[1]);
+    sim->trouble.command_delay_s = number_at(words, 2);
 }
 
 static void copy_next_heartbeat(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.copy_heartbeat_of = tw_simulator_parse_int(words->words[1]);
-    sim->trouble.copy_heartbeat_s = number_at(words, 2);
+    sim->trouble.duplicated_heartbeat_machine = tw_simulator_parse_int(words->words[1]);
+    sim->trouble.duplicate_heartbeat_delay_s = number_at(words, 2);
 }
 
 static void delay_next_heartbeat(tw_simulator *sim, const tw_simulator_words *words) {
@@ -233,35 +233,35 @@
 }
 
 static void delay_commands(tw_simulator *sim, const tw_simulator_words *words) {
-    set_share(sim, words, &sim->trouble.late_commands, TW_SIMULATOR_COMMAND_HELD_MOST_S);
+    set_share(sim, words, &sim->trouble.late_commands, TW_SIMULATOR_MAX_COMMAND_DELAY_S);
 }
 
 static void repeat_commands(tw_simulator *sim, const tw_simulator_words *words) {
-    set_share(sim, words, &sim->trouble.repeated_commands, TW_SIMULATOR_COMMAND_HELD_MOST_S);
+    set_share(sim, words, &sim->trouble.repeated_commands, TW_SIMULATOR_MAX_COMMAND_DELAY_S);
 }
 
 static void copy_heartbeats(tw_simulator *sim, const tw_simulator_words *words) {
-    double held_s = TW_SIMULATOR_HEARTBEAT_HELD_MOST_LEASES * sim->world.lease_s;
+    double held_s = TW_SIMULATOR_MAX_HEARTBEAT_DELAY_LEASES * sim->world.lease_s;
     const bool kept = words->count > 3 && !strcmp(words->words[3], "next");
-    sim->trouble.late_heartbeat_leaders = kept ? (int)fmax(1, number_at(words, 4)) : 0;
+    sim->trouble.held_heartbeat_leaders = kept ? (int)fmax(1, number_at(words, 4)) : 0;
     set_share(sim, words, &sim->trouble.late_heartbeats,
-              sim->trouble.late_heartbeat_leaders ? 0 : held_s);
+              sim->trouble.held_heartbeat_leaders ? 0 : held_s);
 }
 
 /* ---- cloud ---- */
 
 static void begin_cloud_outage(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.no_cloud_until = sim->world.now + number_at(words, 1);
+    sim->trouble.cloud_unavailable_until = sim->world.now + number_at(words, 1);
 }
 
 static void refuse_rentals(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->world.refuses_rentals = (int)number_at(words, 1);
+    sim->world.is_out_of_capacity = (int)number_at(words, 1);
 }
 static void boot_fast(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->world.fast_until = sim->world.now + number_at(words, 1);
+    sim->world.fast_boot_until = sim->world.now + number_at(words, 1);
 }
 static void fail_boots(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->world.never_up = (int)number_at(words, 1);
+    sim->world.failing_boot_count = (int)number_at(words, 1);
 }
 static void fail_boots_of_type(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_world *world = &sim->world;
--- a/simulator/upgrade.c
+++ b/simulator/upgrade.c
@@ -9,35 +9,36 @@
     int i = tw_simulator_node_find(sim, name);
     if (i < 0) return -1;
     sim->nodes[i].earlier_version = true;
-    sim->needs_earlier = true;
+    sim->needs_earlier_version = true;
     return 0;
 }
 
 /* Ends without a word, and comes back as the version that it has been given. */
-static void restart_node(tw_simulator *sim, int node, bool old, double back_s) {
-    sim->nodes[node].earlier_version = old;
+static void restart_node(tw_simulator *sim, int node, bool earlier_version, double back_s) {
+    sim->nodes[node].earlier_version = earlier_version;
     tw_simulator_node_kill(sim, node);
     tw_simulator_node_start_after(sim, node, back_s);
 }
 
 /* `next`: the first node of the other version that doesn't lead; the leader when it is the last.
  * -1: there is none. */
-static int find_next_node(tw_simulator *sim, bool old) {
-    const int leader = tw_simulator_leader(sim);
+static int find_next_node(tw_simulator *sim, bool earlier_version) {
+    const int leader = tw_simulator_find_leader(sim);
     for (int i = 0; i < sim->world.node_count; i++)
-        if (i != leader && sim->nodes[i].earlier_version != old) return i;
-    return leader >= 0 && sim->nodes[leader].earlier_version != old ? leader : -1;
+        if (i != leader && sim->nodes[i].earlier_version != earlier_version) return i;
+    return leader >= 0 && sim->nodes[leader].earlier_version != earlier_version ? leader : -1;
 }
 
-static void change_version(tw_simulator *sim, const tw_simulator_words *words, bool old) {
+static void change_version(tw_simulator *sim, const tw_simulator_words *words,
+                           bool earlier_version) {
     const char *name = words->words[1];
     const double back_s = words->count > 2 ? tw_simulator_parse_number(words->words[2]) : RESTART_S;
     const bool all = !strcmp(name, "all");
-    const int one =
-        !strcmp(name, "next") ? find_next_node(sim, old) : tw_simulator_node_find(sim, name);
+    const int one = !strcmp(name, "next") ? find_next_node(sim, earlier_version)
+                                          : tw_simulator_node_find(sim, name);
     tw_simulator_extend_troubles(sim, back_s);
     for (int i = 0; i < sim->world.node_count; i++)
-        if (all || i == one) restart_node(sim, i, old, back_s);
+        if (all || i == one) restart_node(sim, i, earlier_version, back_s);
 }
 
 static void upgrade(tw_simulator *sim, const tw_simulator_words *words) {
--- a/simulator/user.c
+++ b/simulator/user.c
@@ -20,9 +20,10 @@
 
 static bool takes_connections(const tw_simulator *sim, int node) {
     const tw_simulator_node *node_state = &sim->nodes[node];
-    if (!node_state->alive || tw_simulator_cut_off(sim, sim->world.node_zone[node])) return false;
-    return sim->world.now >= node_state->still_until ||
-           sim->world.now < node_state->still_from + PASSED_OVER_S;
+    if (!node_state->alive || tw_simulator_zone_is_isolated(sim, sim->world.node_zone[node]))
+        return false;
+    return sim->world.now >= node_state->paused_until ||
+           sim->world.now < node_state->paused_from + PASSED_OVER_S;
 }
 
 int tw_simulator_pick_node(tw_simulator *sim) {
@@ -49,7 +50,8 @@
 }
 
 static void retry_later(tw_simulator *sim, const tw_simulator_job *job, int kind) {
-    if (kind == TW_SIMULATOR_SUBMIT && sim->world.now - job->first_try >= RETRY_TIME_S) return;
+    if (kind == TW_SIMULATOR_SUBMIT && sim->world.now - job->first_submitted_at >= RETRY_TIME_S)
+        return;
     tw_simulator_event *event = tw_simulator_schedule_after(sim, RETRY_S, retry_request);
     event->target = job->index;
     event->kind = kind;
@@ -58,58 +60,59 @@
 /* An odd request must get its refusal at once. */
 static void judge_odd_answer(tw_simulator *sim, const tw_simulator_connection *connection,
                              int status) {
-    char text[TW_SIMULATOR_MESSAGE];
+    char text[TW_SIMULATOR_MESSAGE_SIZE];
     if (connection->user_kind == TW_SIMULATOR_POLL)
         tw_simulator_judge_told(&sim->world, NULL, connection->what, TW_SIMULATOR_POLL,
                                 connection->sent, status, "");
     else
         tw_simulator_judge_impossible_job(&sim->world, connection->what, status);
     const tw_simulator_node *node_state = &sim->nodes[connection->node];
-    bool excused = !status && (!node_state->alive || connection->sent < node_state->still_until ||
-                               connection->sent < node_state->sends_late_until ||
-                               tw_simulator_cut_off(sim, sim->world.node_zone[connection->node]));
+    bool excused =
+        !status && (!node_state->alive || connection->sent < node_state->paused_until ||
+                    connection->sent < node_state->effects_delayed_until ||
+                    tw_simulator_zone_is_isolated(sim, sim->world.node_zone[connection->node]));
     /* What depends on the machine types or on the state service may have to wait. */
     bool undecided =
         connection->wanted != TW_SIMULATOR_MALFORMED &&
-        (!status || status == TW_SIMULATOR_TOO_MANY || status == TW_SIMULATOR_UNAVAILABLE);
+        (!status || status == TW_SIMULATOR_TOO_MANY_REQUESTS || status == TW_SIMULATOR_UNAVAILABLE);
     if (status == connection->wanted || excused || undecided) return;
     snprintf(text, sizeof text, "%s got %d, wanted %d", connection->what, status,
              connection->wanted);
-    tw_simulator_fail(sim, "odd request", text);
+    tw_simulator_report_failure(sim, "odd request", text);
 }
 
 /* Whether the answer ends the request, so that it is not sent again. A cancellation is repeated
  * until it is told `aborted` or `done`, also after 404, unless the job was refused. */
 static bool answer_is_final(const tw_simulator_job *job, int kind, int status) {
-    if (status == TW_SIMULATOR_UNKNOWN && kind == TW_SIMULATOR_CANCEL)
+    if (status == TW_SIMULATOR_NOT_FOUND && kind == TW_SIMULATOR_CANCEL)
         return job->last_status == TW_SIMULATOR_MALFORMED ||
-               job->last_status == TW_SIMULATOR_IMPOSSIBLE;
+               job->last_status == TW_SIMULATOR_UNPROCESSABLE;
     return kind == TW_SIMULATOR_POLL || status == TW_SIMULATOR_OK ||
            status == TW_SIMULATOR_CREATED || status == TW_SIMULATOR_MALFORMED ||
-           status == TW_SIMULATOR_IMPOSSIBLE || status == TW_SIMULATOR_UNKNOWN;
+           status == TW_SIMULATOR_UNPROCESSABLE || status == TW_SIMULATOR_NOT_FOUND;
 }
 
 /* status 0: there was no answer. Ends the connection. */
 static void deliver_answer(tw_simulator *sim, tw_simulator_connection *connection, int status,
                            const char *body) {
     HASH_DEL(sim->connections, connection);
-    tw_simulator_digest(sim, connection->user_kind, connection->target, status, body);
+    tw_simulator_add_to_digest(sim, connection->user_kind, connection->target, status, body);
     if (connection->target < 0) {
         judge_odd_answer(sim, connection, status);
         free(connection);
         return;
     }
     tw_simulator_job *job = sim->world.jobs[connection->target];
-    int kind = connection->user_kind, once = connection->tried_once;
-    int was_accepted = job->accepted, was_over = job->told_over;
+    int kind = connection->user_kind, once = connection->is_single_attempt;
+    int was_accepted = job->accepted, was_over = job->reported_end;
     if (kind == TW_SIMULATOR_SUBMIT && !once) job->last_status = status;
     if (kind == TW_SIMULATOR_CANCEL && !once) job->cancel_status = status;
     tw_simulator_judge_told(&sim->world, job, job->spec.id, kind, connection->sent, status, body);
     free(connection);
     if (job->accepted && !was_accepted) /* whichever answer said so first */
         tw_simulator_schedule_after(sim, TW_SIMULATOR_POLL_S, poll_again)->target = job->index;
-    if (job->accepted != was_accepted || job->told_over != was_over)
-        tw_simulator_look_closely(sim, job->index, !job->told_over);
+    if (job->accepted != was_accepted || job->reported_end != was_over)
+        tw_simulator_look_closely(sim, job->index, !job->reported_end);
     if (!once && !answer_is_final(job, kind, status)) retry_later(sim, job, kind);
 }
 
@@ -134,7 +137,7 @@
 void tw_simulator_user_answered(tw_simulator *sim, tw_simulator_connection *connection,
                                 tw_effect *effect) {
     connection->replied = true;
-    if (tw_simulator_cut_off(sim, sim->world.node_zone[connection->node])) return;
+    if (tw_simulator_zone_is_isolated(sim, sim->world.node_zone[connection->node])) return;
     tw_simulator_event *event = tw_simulator_schedule_after(sim, draw_travel(sim), receive_answer);
     event->id = connection->id;
     event->status = effect->status;
@@ -144,14 +147,15 @@
 
 void tw_simulator_user_unanswered(tw_simulator *sim, tw_simulator_connection *connection) {
     connection->replied = true;
-    tw_simulator_schedule_after(sim, TW_SIMULATOR_LATENCY, give_up)->id = connection->id;
+    tw_simulator_schedule_after(sim, TW_SIMULATOR_LATENCY_S, give_up)->id = connection->id;
 }
 
 static void deliver_request(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_connection *connection = connection_of(sim, event);
-    if (!connection || tw_simulator_cut_off(sim, sim->world.node_zone[connection->node])) return;
+    if (!connection || tw_simulator_zone_is_isolated(sim, sim->world.node_zone[connection->node]))
+        return;
     if (!sim->nodes[connection->node].alive) { /* refused: the load balancer tries another */
-        int node = connection->tried_once ? -1 : tw_simulator_pick_node(sim);
+        int node = connection->is_single_attempt ? -1 : tw_simulator_pick_node(sim);
         if (node < 0) {
             deliver_answer(sim, connection, 0, "");
             return;
@@ -212,11 +216,11 @@
 
 void tw_simulator_user_send_to(tw_simulator *sim, int index, int kind, int node) {
     if (node < 0) node = tw_simulator_pick_node(sim);
-    if (node >= 0) send_job(sim, index, kind, node)->tried_once = true;
+    if (node >= 0) send_job(sim, index, kind, node)->is_single_attempt = true;
 }
 
 void tw_simulator_user_cancel(tw_simulator *sim, int index) {
-    sim->world.jobs[index]->cancel_asked_at = sim->world.now;
+    sim->world.jobs[index]->cancel_requested_at = sim->world.now;
     tw_simulator_user_send(sim, index, TW_SIMULATOR_CANCEL);
 }
 
@@ -224,7 +228,7 @@
     int node = tw_simulator_pick_node(sim);
     if (node < 0) return;
     send_request(sim, index, spec->id, TW_SIMULATOR_SUBMIT, node, tw_simulator_job_text(spec))
-        ->tried_once = true;
+        ->is_single_attempt = true;
 }
 
 void tw_simulator_user_odd(tw_simulator *sim, const char *id, int kind, char *body, int wanted) {
@@ -234,6 +238,6 @@
         return;
     }
     tw_simulator_connection *connection = send_request(sim, -1, id, kind, node, body);
-    connection->tried_once = true;
+    connection->is_single_attempt = true;
     connection->wanted = wanted;
 }
--- a/simulator/vocabulary.c
+++ b/simulator/vocabulary.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static const struct {
-    tw_simulator_word_place place;
+    tw_simulator_word_role place;
     const char *earlier, *current;
 } vocabulary[] = {{TW_SIMULATOR_WORD_COMMAND, "rack", "machine_type"},
                   {TW_SIMULATOR_WORD_COMMAND, "abort", "cancel"},
@@ -43,7 +43,7 @@
     return strlen(word) == length && !strncmp(text, word, length);
 }
 
-bool tw_simulator_is_word(tw_simulator_word_place place, const char *text, size_t length,
+bool tw_simulator_is_word(tw_simulator_word_role place, const char *text, size_t length,
                           const char *word) {
     if (equals(text, length, word)) return true;
     for (size_t i = 0; i < sizeof vocabulary / sizeof *vocabulary; i++) {
--- a/simulator/words.c
+++ b/simulator/words.c
@@ -8,7 +8,7 @@
 #define SPACE " \n"
 
 /* Goes on behind a number that ended there. */
-static void took(tw_simulator_reader *reader, const char *end) {
+static void end_number(tw_simulator_reader *reader, const char *end) {
     if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->bad = true;
     reader->at = end;
 }
@@ -22,21 +22,21 @@
 double tw_simulator_read_number(tw_simulator_reader *reader) {
     char *end;
     const double value = strtod(reader->at, &end);
-    took(reader, end);
+    end_number(reader, end);
     return value;
 }
 
 uint64_t tw_simulator_read_count(tw_simulator_reader *reader) {
     char *end;
     const uint64_t value = strtoull(reader->at, &end, DECIMAL);
-    took(reader, end);
+    end_number(reader, end);
     return value;
 }
 
 long tw_simulator_read_int(tw_simulator_reader *reader) {
     char *end;
     const long value = strtol(reader->at, &end, DECIMAL);
-    took(reader, end);
+    end_number(reader, end);
     return value;
 }
 
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -139,7 +139,7 @@
 /* Run time that a task has reached. */
 static double progress_of(const tw_simulator_world *world, const tw_simulator_worker *worker,
                           const tw_simulator_task *task) {
-    return task->from_s + (world->now - task->started_at) / worker->slowdown;
+    return task->resumed_from_s + (world->now - task->started_at) / worker->slowdown;
 }
 
 static void stop_task(tw_simulator_world *world, tw_simulator_worker *worker,
@@ -198,7 +198,7 @@
     double fencing_token = tw_simulator_json_number(object, "baton");
     if (status == TW_SIMULATOR_OK) {
         if (fencing_token > 0 && (uint64_t)fencing_token >= worker->fencing_token) {
-            if (sent > worker->lease_from) worker->lease_from = sent;
+            if (sent > worker->lease_started_at) worker->lease_started_at = sent;
             execute_commands(world, worker, object);
         }
     } else if (status == TW_SIMULATOR_REDIRECTED && *leader) {
@@ -244,9 +244,10 @@
     const tw_wire_job *spec = &task->job->spec;
     if (spec->checkpoint_s <= 0 || spec->service) return;
     double intervals =
-        floor((progress_of(world, worker, task) - task->from_s) / spec->checkpoint_s);
+        floor((progress_of(world, worker, task) - task->resumed_from_s) / spec->checkpoint_s);
     if (intervals > 0)
-        save_progress(task->job, task->index, task->from_s + intervals * spec->checkpoint_s);
+        save_progress(task->job, task->index,
+                      task->resumed_from_s + intervals * spec->checkpoint_s);
 }
 
 static void start_task(tw_simulator_world *world, tw_simulator_worker *worker,
@@ -256,9 +257,10 @@
     task->stage = TW_TASK_RUNNING;
     worker->changed = true;
     task->started_at = world->now;
-    task->from_s = job->saved ? fmin(job->saved[task->index], job->run_s) : 0;
-    task->end_at =
-        job->spec.service ? NEVER : world->now + (job->run_s - task->from_s) * worker->slowdown;
+    task->resumed_from_s = job->saved ? fmin(job->saved[task->index], job->run_s) : 0;
+    task->end_at = job->spec.service
+                       ? NEVER
+                       : world->now + (job->run_s - task->resumed_from_s) * worker->slowdown;
     if (fails) task->end_at = world->now + FAILS_AFTER_S;
     if (job->done[task->index]) task->end_at = world->now;
     if (!fails) job->started++;
@@ -278,7 +280,7 @@
     tw_simulator_job *job = task->job;
     if (task->stage == TW_TASK_FETCHING && world->now >= task->ready_at) {
         if (!has_image(worker, job->spec.image) && worker->image_count < TW_SIMULATOR_MAX_IMAGES)
-            snprintf(worker->images[worker->image_count++], TW_SIMULATOR_NAME, "%s",
+            snprintf(worker->images[worker->image_count++], TW_SIMULATOR_NAME_SIZE, "%s",
                      job->spec.image);
         if (job->spec.gang)
             tw_simulator_gang_image_fetched(world, worker, task);
@@ -307,11 +309,11 @@
     if (!worker->up) {
         if (world->now < worker->up_at) return;
         worker->up = true;
-        worker->lease_from = world->now;
+        worker->lease_started_at = world->now;
         worker->next_heartbeat = world->now;
         worker->node = worker->endpoint[strlen("10.1.0.")] % world->node_count;
     }
-    bool lease_expired = world->now > worker->lease_from + world->lease_s;
+    bool lease_expired = world->now > worker->lease_started_at + world->lease_s;
     if (world->now < worker->hung_until) {
         if (lease_expired)
             worker->task_count = 0; /* it may go on with them only within its lease */
@@ -320,7 +322,7 @@
     if (lease_expired) {
         worker->task_count = 0;
         worker->incarnation++;
-        worker->lease_from = world->now;
+        worker->lease_started_at = world->now;
         worker->changed = true;
     }
     for (int i = 0; i < worker->task_count; i++) advance_task(world, worker, &worker->tasks[i]);
--- a/simulator/worker_heartbeat.c
+++ b/simulator/worker_heartbeat.c
@@ -16,7 +16,7 @@
 
 static void deliver_heartbeat(tw_simulator *sim, tw_simulator_event *event) {
     if (event->node == ANY_NODE) {
-        event->node = tw_simulator_leader(sim);
+        event->node = tw_simulator_find_leader(sim);
         const char *zone = sim->world.workers[event->target]->zone;
         for (int i = 0; i < sim->world.node_count; i++)
             if (sim->nodes[i].alive && !strcmp(sim->world.node_zone[i], zone)) event->node = i;
@@ -41,7 +41,7 @@
     if (sim->trace)
         printf("%.2f %s node %d: %d %s\n", sim->world.now, worker->id, worker->node, event->status,
                event->body ? event->body : "");
-    tw_simulator_digest(sim, 'w', event->target, event->status, event->body);
+    tw_simulator_add_to_digest(sim, 'w', event->target, event->status, event->body);
     tw_simulator_worker_answer(&sim->world, worker, event->time, event->incarnation, event->status,
                                event->body);
 }
@@ -49,7 +49,8 @@
 void tw_simulator_heartbeat_answered(tw_simulator *sim, const tw_simulator_connection *connection,
                                      const tw_effect *effect) {
     const tw_simulator_worker *worker = sim->world.workers[connection->target];
-    double seconds = tw_simulator_travel(sim, sim->world.node_zone[connection->node], worker->zone);
+    double seconds =
+        tw_simulator_travel_s(sim, sim->world.node_zone[connection->node], worker->zone);
     if (seconds < 0 || sim->world.now < worker->unresponsive_until ||
         sim->world.now + seconds - connection->sent >= ANSWER_TIMEOUT_S)
         return;
@@ -94,7 +95,7 @@
 }
 
 void tw_simulator_deliver_held_heartbeats(tw_simulator *sim) {
-    tw_simulator_troubles *troubles = &sim->trouble;
+    tw_simulator_faults *troubles = &sim->trouble;
     uint64_t version = tw_simulator_state_version(&sim->world.state, "leader");
     if (!version || version == troubles->leader_version) return;
     troubles->leader_version = version;
@@ -116,25 +117,25 @@
 /* A copy of a heartbeat arrives again much later, at any node, or when a new leader has begun. */
 static void copy_heartbeat(tw_simulator *sim, int machine, const char *body) {
     tw_simulator_world *world = &sim->world;
-    tw_simulator_troubles *troubles = &sim->trouble;
+    tw_simulator_faults *troubles = &sim->trouble;
     if (!tw_simulator_trouble_strikes(sim, &troubles->late_heartbeats, TW_SIMULATOR_LATE_HEARTBEATS,
                                       TW_SIMULATOR_DRAW_HEARTBEATS))
         return;
-    if (troubles->late_heartbeat_leaders) {
+    if (troubles->held_heartbeat_leaders) {
         troubles->held_heartbeats = tw_simulator_grow(
             troubles->held_heartbeats, troubles->held_heartbeat_count,
             &troubles->held_heartbeat_capacity, sizeof *troubles->held_heartbeats);
         troubles->held_heartbeats[troubles->held_heartbeat_count++] = (tw_simulator_held_heartbeat){
             .machine = machine,
-            .leaders_until_delivery = troubles->late_heartbeat_leaders,
+            .leaders_until_delivery = troubles->held_heartbeat_leaders,
             .incarnation = world->workers[machine]->incarnation,
             .sent = world->now,
             .body = tw_simulator_copy_text(body)};
         return;
     }
     double seconds =
-        tw_simulator_draw(world, TW_SIMULATOR_DRAW_HEARTBEATS, TW_SIMULATOR_HELD_LEAST_S,
-                          TW_SIMULATOR_HEARTBEAT_HELD_MOST_LEASES * world->lease_s);
+        tw_simulator_draw(world, TW_SIMULATOR_DRAW_HEARTBEATS, TW_SIMULATOR_MIN_DELAY_S,
+                          TW_SIMULATOR_MAX_HEARTBEAT_DELAY_LEASES * world->lease_s);
     int node = tw_simulator_draw_index(world, TW_SIMULATOR_DRAW_HEARTBEATS, world->node_count);
     schedule_heartbeat(sim, machine, node, seconds, body, 0);
 }
@@ -143,15 +144,16 @@
     tw_simulator_world *world = &sim->world;
     tw_simulator_worker *worker = world->workers[machine];
     char *body = tw_simulator_worker_heartbeat(world, worker);
-    if (strlen(body) > MAX_BODY_BYTES) tw_simulator_fail(sim, "heartbeat over 64 KiB", worker->id);
+    if (strlen(body) > MAX_BODY_BYTES)
+        tw_simulator_report_failure(sim, "heartbeat over 64 KiB", worker->id);
     worker->changed = false;
     worker->in_flight = ++sim->last_heartbeat;
     worker->last_heartbeat = world->now;
     worker->next_heartbeat = world->now + world->heartbeat_s;
-    double seconds = tw_simulator_travel(sim, worker->zone, world->node_zone[worker->node]);
-    if (world->now < sim->nodes[worker->node].no_workers_until) seconds = -1;
-    if (world->now < worker->mute_until) {
-        sim->strike_counts[TW_SIMULATOR_MUTE]++;
+    double seconds = tw_simulator_travel_s(sim, worker->zone, world->node_zone[worker->node]);
+    if (world->now < sim->nodes[worker->node].workers_unreachable_until) seconds = -1;
+    if (world->now < worker->heartbeats_lost_until) {
+        sim->fault_counts[TW_SIMULATOR_LOST_HEARTBEATS]++;
         seconds = -1;
     }
     if (worker->delay_next_heartbeat_s > 0) {
@@ -162,14 +164,15 @@
     if (seconds >= 0)
         schedule_heartbeat(sim, machine, worker->node, seconds, body, worker->in_flight);
     copy_heartbeat(sim, machine, body);
-    if (sim->trouble.copy_heartbeat_of == machine) {
-        schedule_heartbeat(sim, machine, ANY_NODE, sim->trouble.copy_heartbeat_s, body, 0);
-        sim->trouble.copy_heartbeat_of = -1;
+    if (sim->trouble.duplicated_heartbeat_machine == machine) {
+        schedule_heartbeat(sim, machine, ANY_NODE, sim->trouble.duplicate_heartbeat_delay_s, body,
+                           0);
+        sim->trouble.duplicated_heartbeat_machine = -1;
     }
     /* A dead node refuses at once; otherwise the worker waits. */
     bool refused = seconds >= 0 && !sim->nodes[worker->node].alive;
     tw_simulator_event *event = tw_simulator_schedule_after(
-        sim, refused ? 2 * TW_SIMULATOR_LATENCY : ANSWER_TIMEOUT_S, give_up_heartbeat);
+        sim, refused ? 2 * TW_SIMULATOR_LATENCY_S : ANSWER_TIMEOUT_S, give_up_heartbeat);
     event->target = machine;
     event->id = worker->in_flight;
     free(body);
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -8,7 +8,7 @@
  * - Everything is owned by the tw_simulator_world and freed with it. Workers and jobs are never
  *   removed and keep their index and address; a machine that is no more is `gone`.
  * - Only the first broken rule is kept, in `rule` and `detail`, and apart from it the first one
- *   that broke while `earlier_alone` was set.
+ *   that broke while `attributes_to_earlier_version` was set.
  * - Random numbers come from `seed` alone, one stream for each kind of draw. */
 #ifndef TW_SIMULATOR_WORLD_H
 #define TW_SIMULATOR_WORLD_H
@@ -25,22 +25,22 @@
 #define TW_SIMULATOR_MAX_TEAMS 8
 #define TW_SIMULATOR_MAX_REMOVALS 64 /* removals that a watch can still see */
 #define TW_SIMULATOR_MAX_IMAGES 16
-#define TW_SIMULATOR_NAME 64
-#define TW_SIMULATOR_KEY 200
-#define TW_SIMULATOR_TITLE 160
-#define TW_SIMULATOR_MESSAGE 400
+#define TW_SIMULATOR_NAME_SIZE 64
+#define TW_SIMULATOR_KEY_SIZE 200
+#define TW_SIMULATOR_TITLE_SIZE 160
+#define TW_SIMULATOR_MESSAGE_SIZE 400
 
 /* HTTP status codes of answers. */
 enum {
     TW_SIMULATOR_OK = 200,
     TW_SIMULATOR_CREATED = 201,
     TW_SIMULATOR_MALFORMED = 400,
-    TW_SIMULATOR_UNKNOWN = 404,
+    TW_SIMULATOR_NOT_FOUND = 404,
     TW_SIMULATOR_CONFLICT = 409,
     TW_SIMULATOR_REDIRECTED = 421,
-    TW_SIMULATOR_IMPOSSIBLE = 422,
-    TW_SIMULATOR_TOO_MANY = 429,
-    TW_SIMULATOR_FAILURES = 500, /* from here on */
+    TW_SIMULATOR_UNPROCESSABLE = 422,
+    TW_SIMULATOR_TOO_MANY_REQUESTS = 429,
+    TW_SIMULATOR_SERVER_ERRORS = 500, /* from here on */
     TW_SIMULATOR_UNAVAILABLE = 503
 };
 
@@ -51,12 +51,12 @@
     uint64_t version, lease;
 } tw_simulator_key;
 typedef struct {
-    char key[TW_SIMULATOR_KEY];
+    char key[TW_SIMULATOR_KEY_SIZE];
     uint64_t revision;
 } tw_simulator_removal;
 typedef struct {
     uint64_t id;
-    double ttl, until;
+    double ttl_s, expires_at;
 } tw_simulator_lease;
 typedef struct {
     double write_rps;         /* puts and deletes a second */
@@ -71,7 +71,7 @@
     tw_simulator_lease *leases;
     int lease_count, lease_capacity;
     double down_since; /* since when there is an outage; < 0: there is none */
-    double write_tokens, write_at;
+    double write_tokens, write_tokens_at;
     tw_simulator_limits limits;           /* that hold now */
     tw_simulator_limits announced_limits; /* as the nodes' settings have them */
     int too_large_count;                  /* transactions refused for what they hold */
@@ -101,10 +101,11 @@
 
 typedef struct {
     tw_wire_job spec;
-    double run_s;                       /* what a task really takes */
-    int fails;                          /* every task fails */
-    int submitted, accepted, told_over; /* told_over: TW_JOB_* */
-    double first_try, accepted_at, begun_at, told_over_at, told_cancel_at, cancel_asked_at;
+    double run_s;                          /* what a task really takes */
+    int fails;                             /* every task fails */
+    int submitted, accepted, reported_end; /* reported_end: TW_JOB_* */
+    double first_submitted_at, accepted_at, begun_at, reported_end_at, reported_cancel_at,
+        cancel_requested_at;
     uint8_t *done; /* by task */
     double *saved; /* run time in checkpoints, by task; NULL: none yet */
     int done_count;
@@ -114,12 +115,12 @@
     int gang_starts;           /* times that all tasks began together */
     int exits[TW_CAUSE_OTHER]; /* by cause */
     int started;
-    int last_status;    /* of the last submission */
-    int cancel_status;  /* of the last cancellation */
-    double answered_at; /* the last question about it */
-    int on_machine;     /* tasks on machines, counted by judge_live.c */
-    int unstarted;      /* those of them whose gang has not begun */
-    double waits_since; /* > 0: it could have run and doesn't */
+    int last_status;             /* of the last submission */
+    int cancel_status;           /* of the last cancellation */
+    double answered_at;          /* the last question about it */
+    int tasks_on_machines;       /* tasks on machines, counted by judge_live.c */
+    int tasks_before_gang_start; /* those of them whose gang has not begun */
+    double placeable_since;      /* > 0: it could have run and doesn't */
     /* The latest attempts that were launched under tokens up to `earlier_token`, by task; NULL:
      * none was. */
     uint64_t *earlier_attempts;
@@ -133,12 +134,12 @@
     int index, stage, cause, saved; /* TW_TASK_*, TW_CAUSE_* */
     uint64_t attempt;
     double ready_at, started_at, end_at;
-    double from_s;         /* run time saved before it started */
-    double stopped_at_s;   /* run time reached when it was told to stop */
-    double peers_at;       /* > 0: finds out then that its gang is broken */
-    uint64_t launch_token; /* the fencing token that it was launched under */
-    bool ran_cancelled;    /* too long, and only the earlier version had led then */
-    bool is_repeated;      /* the machine had carried out the same launch before */
+    double resumed_from_s;              /* run time saved before it started */
+    double stopped_at_s;                /* run time reached when it was told to stop */
+    double gang_failure_known_at;       /* > 0: finds out then that its gang is broken */
+    uint64_t launch_token;              /* the fencing token that it was launched under */
+    bool violated_with_earlier_version; /* too long, and only the earlier version had led then */
+    bool is_repeated;                   /* the machine had carried out the same launch before */
 } tw_simulator_task;
 
 /* A launch that a machine has carried out. */
@@ -149,38 +150,38 @@
 } tw_simulator_launch;
 
 typedef struct {
-    char id[TW_SIMULATOR_NAME], type[TW_SIMULATOR_NAME], zone[TW_SIMULATOR_NAME],
-        endpoint[TW_SIMULATOR_NAME];
+    char id[TW_SIMULATOR_NAME_SIZE], type[TW_SIMULATOR_NAME_SIZE], zone[TW_SIMULATOR_NAME_SIZE],
+        endpoint[TW_SIMULATOR_NAME_SIZE];
     int type_index;
     bool spot, up, gone;
     double rented_at, up_at;
     uint64_t incarnation, sequence, fencing_token;
-    double lease_from;  /* when the last answered heartbeat was sent */
-    int node;           /* the controller that gets its heartbeats */
-    uint64_t in_flight; /* number of the heartbeat that waits for its answer, 0: none */
+    double lease_started_at; /* when the last answered heartbeat was sent */
+    int node;                /* the controller that gets its heartbeats */
+    uint64_t in_flight;      /* number of the heartbeat that waits for its answer, 0: none */
     bool changed;
     double next_heartbeat, last_heartbeat;
     double hung_until, slowdown, preempted_at;
     double unresponsive_until;     /* answers and direct commands don't arrive */
-    double refuses_until;          /* connections with direct commands are refused at once */
-    double mute_until;             /* its heartbeats reach no controller */
+    double refuses_commands_until; /* connections with direct commands are refused at once */
+    double heartbeats_lost_until;  /* its heartbeats reach no controller */
     bool faulty;                   /* every task fails */
     double delay_next_heartbeat_s; /* the next heartbeat arrives that much later */
     tw_simulator_task *tasks;
     int task_count, task_capacity;
     tw_simulator_launch *launches; /* under tokens up to the world's `earlier_token` */
     int launch_count, launch_capacity;
-    char images[TW_SIMULATOR_MAX_IMAGES][TW_SIMULATOR_NAME];
+    char images[TW_SIMULATOR_MAX_IMAGES][TW_SIMULATOR_NAME_SIZE];
     int image_count;
 } tw_simulator_worker;
 
 typedef struct {
-    char name[TW_SIMULATOR_NAME];
+    char name[TW_SIMULATOR_NAME_SIZE];
     double gpus_max, cpus_max;
 } tw_simulator_team;
 
 typedef struct {
-    char request[TW_SIMULATOR_NAME];
+    char request[TW_SIMULATOR_NAME_SIZE];
     char *answer;
 } tw_simulator_rental;
 
@@ -191,9 +192,9 @@
     TW_SIMULATOR_DRAW_HEARTBEATS,
     TW_SIMULATOR_DRAW_COMMANDS,
     TW_SIMULATOR_DRAW_BOOT,
-    TW_SIMULATOR_DRAW_LOOKS,
+    TW_SIMULATOR_DRAW_CLOSE_POLLS,
     TW_SIMULATOR_DRAW_CANCELS,
-    TW_SIMULATOR_DRAW_ODD,
+    TW_SIMULATOR_DRAW_INVALID_REQUESTS,
     TW_SIMULATOR_DRAW_GANGS,
     TW_SIMULATOR_DRAW_REPEATS,
     TW_SIMULATOR_DRAW_FAILED_BOOTS,
@@ -208,8 +209,8 @@
     double gang_wait_s, gang_peer_s; /* 0: in proportion to the lease */
     double mem_mb;                   /* memory of a node, 0: as in its settings */
     int node_count;
-    char nodes[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME],
-        node_zone[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME];
+    char nodes[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME_SIZE],
+        node_zone[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME_SIZE];
     tw_simulator_team teams[TW_SIMULATOR_MAX_TEAMS];
     int team_count;
     tw_simulator_state state;
@@ -218,10 +219,10 @@
     int type_count, capacity[TW_SIMULATOR_MAX_TYPES];
     double failing_share[TW_SIMULATOR_MAX_TYPES]; /* of the machines rented until then never boot */
     double failing_until[TW_SIMULATOR_MAX_TYPES];
-    char failing_zone[TW_SIMULATOR_MAX_TYPES][TW_SIMULATOR_NAME]; /* "": in all zones */
-    int refuses_rentals;                                          /* no capacity */
-    double fast_until; /* machines rented until then are up within two seconds */
-    int never_up;      /* that many of the next machines never boot */
+    char failing_zone[TW_SIMULATOR_MAX_TYPES][TW_SIMULATOR_NAME_SIZE]; /* "": in all zones */
+    int is_out_of_capacity;                                            /* no capacity */
+    double fast_boot_until; /* machines rented until then are up within two seconds */
+    int failing_boot_count; /* that many of the next machines never boot */
     double boot_s;
     tw_simulator_rental *rentals;
     int rental_count, rental_capacity;
@@ -234,18 +235,20 @@
     void (*job_ended)(void *context,
                       tw_simulator_job *job); /* its last task completed; may be NULL */
     void *context;
-    unsigned crossings; /* older answers to requests sent before the newer answer was told */
+    unsigned
+        overlapping_answers; /* older answers to requests sent before the newer answer was told */
     /* judge */
-    double troubles_end; /* of those that have begun */
-    double served_age_s; /* > 0: jobs older than that must be served at the end */
+    double faults_end_at; /* of those that have begun */
+    double served_age_s;  /* > 0: jobs older than that must be served at the end */
     /* the first broken rule, without those of the next two */
     char rule[32], detail[512];
     double broken_at;
-    bool earlier_alone;     /* what breaks now is noted in `by_earlier` instead */
-    uint64_t earlier_token; /* the last fencing token while so; 0: never was */
-    double earlier_led_at;  /* when a node of the earlier version last led */
-    tw_simulator_break by_earlier, aftermath;
-    unsigned aftermath_count;
+    bool attributes_to_earlier_version; /* what breaks now is noted in `earlier_version_violation`
+                                           instead */
+    uint64_t earlier_token;             /* the last fencing token while so; 0: never was */
+    double earlier_version_led_at;      /* when a node of the earlier version last led */
+    tw_simulator_violation earlier_version_violation, inherited_violation;
+    unsigned inherited_violation_count;
 } tw_simulator_world;
 
 /* The number at the start of a text; 0 if there is none. */
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -79,7 +79,7 @@
 static enum step step;
 static bool user_waits; /* a user's request has no answer yet */
 static double started_at;
-static char killed_leader[TW_SIMULATOR_NAME];
+static char killed_leader[TW_SIMULATOR_NAME_SIZE];
 static struct sent_call calls[MAX_CALLS];
 static uint64_t call_count;
 
@@ -142,14 +142,14 @@
 }
 
 /* The leader by its key in the state service; empty: there is none. */
-static void read_leader(char name[TW_SIMULATOR_NAME]) {
+static void read_leader(char name[TW_SIMULATOR_NAME_SIZE]) {
     char *answer = NULL;
     *name = 0;
     if (tw_simulator_state_request(&world.state, world.now, "GET", "/kv/leader", "", &answer) ==
         200) {
         cJSON *key = cJSON_Parse(answer);
         const cJSON *node = cJSON_GetObjectItem(cJSON_GetObjectItem(key, "data"), "node");
-        if (cJSON_IsString(node)) snprintf(name, TW_SIMULATOR_NAME, "%s", node->valuestring);
+        if (cJSON_IsString(node)) snprintf(name, TW_SIMULATOR_NAME_SIZE, "%s", node->valuestring);
         cJSON_Delete(key);
     }
     free(answer);
@@ -210,7 +210,7 @@
 }
 
 static void await_new_leader(void) {
-    char name[TW_SIMULATOR_NAME];
+    char name[TW_SIMULATOR_NAME_SIZE];
     read_leader(name);
     if (*name && strcmp(name, killed_leader) != 0) step++;
 }
@@ -304,7 +304,7 @@
     world.lease_s = LEASE_S;
     world.node_count = NODES;
     for (int node = 0; node < NODES; node++)
-        snprintf(world.nodes[node], TW_SIMULATOR_NAME, "tray-%d", node);
+        snprintf(world.nodes[node], TW_SIMULATOR_NAME_SIZE, "tray-%d", node);
     world.type_count = 1;
     world.types[0] = (tw_wire_machine_type){.name = "cpu",
                                             .cores = 4,
--- a/tests/runner/fuzz_test.c
+++ b/tests/runner/fuzz_test.c
@@ -55,7 +55,7 @@
     char error[256];
     tw_simulator *sim = tw_simulator_new(NULL);
     for (size_t i = 0; i < day->count; i++)
-        check(!tw_simulator_take_line(sim, day->lines[i], error, sizeof error), error);
+        check(!tw_simulator_add_line(sim, day->lines[i], error, sizeof error), error);
     tw_simulator_free(sim);
 }
 
@@ -68,7 +68,7 @@
         digest = digest_of(&day, digest);
         tw_simulator *sim = tw_simulator_new(NULL);
         for (size_t i = 0; i < day.count; i++)
-            check(!tw_simulator_take_line(sim, day.lines[i], error, sizeof error), error);
+            check(!tw_simulator_add_line(sim, day.lines[i], error, sizeof error), error);
         tw_simulator_free(sim);
         tw_fuzz_day_free(&day);
     }
@@ -88,7 +88,7 @@
         tw_fuzz_draw_upgrade(seed, &day);
         tw_simulator *sim = tw_simulator_new(NULL);
         for (size_t i = 0; i < day.count; i++) {
-            check(!tw_simulator_take_line(sim, day.lines[i], error, sizeof error), error);
+            check(!tw_simulator_add_line(sim, day.lines[i], error, sizeof error), error);
             old |= !strncmp(day.lines[i], "old ", strlen("old "));
             upgraded |= strstr(day.lines[i], " upgrade ") != NULL;
         }
@@ -305,7 +305,7 @@
     tw_simulator_verdict verdict;
     day_of_two_versions(&day, false);
     tw_fuzz_play(&day, &verdict);
-    check(verdict.failed && !strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_led,
+    check(verdict.failed && !strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_version_led,
           "a break by the earlier version alone does not count");
     check(verdict.broken_at > 5 && verdict.broken_at < 70, "the first break has another moment");
     check(verdict.end_s > 169, "the day is not judged to its end");
@@ -321,9 +321,9 @@
     tw_simulator_verdict verdict;
     day_of_two_versions(&day, true);
     tw_fuzz_play_apart(&day, &verdict);
-    check(!strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_led,
+    check(!strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_version_led,
           "the break by the earlier version alone is not the first one");
-    const tw_simulator_break own = tw_fuzz_own_break(&verdict);
+    const tw_simulator_violation own = tw_fuzz_own_break(&verdict);
     check(!strcmp(own.rule, "ran_cancelled") && own.at > 151 && own.at < 160,
           "the break of this version is not told apart");
     check(strstr(own.detail, " ran_cancelled run-000003/") != NULL, "it names another job");
@@ -343,7 +343,8 @@
     tw_fuzz_play(&day, &verdict);
     check(verdict.end_s < 40 && verdict.end_s == verdict.broken_at,
           "a day of one version goes on after its break");
-    check(!verdict.only_earlier_led && !*verdict.again.rule && !verdict.aftermath_count,
+    check(!verdict.only_earlier_version_led && !*verdict.again.rule &&
+              !verdict.inherited_violation_count,
           "a day of one version has a second break");
     check(!strcmp(tw_fuzz_own_break(&verdict).rule, "ran_cancelled"),
           "the break of a day of one version is not its own");
--- a/tests/runner/runner.c
+++ b/tests/runner/runner.c
@@ -54,12 +54,12 @@
     int result = 0;
     while (!result && fgets(line, sizeof line, file)) {
         const char *text = line_in(line, played->variant);
-        if (text) result = tw_simulator_take_line(sim, text, error, sizeof error);
+        if (text) result = tw_simulator_add_line(sim, text, error, sizeof error);
         if (result) printf("FAIL %s: %s\n", played->name, error);
     }
     fclose(file);
     if (!result && played->more)
-        result = tw_simulator_take_line(sim, played->more, error, sizeof error);
+        result = tw_simulator_add_line(sim, played->more, error, sizeof error);
     if (!result && tw_simulator_lacks_earlier_version(sim)) {
         printf("not run %s: TW_EARLIER_CORE names no program of the earlier version\n",
                played->name);
--- a/tests/runner/simulator_gang_test.c
+++ b/tests/runner/simulator_gang_test.c
@@ -255,7 +255,7 @@
     gang_fixture fixture;
     begin(&fixture);
     fixture.world.workers[1]->slowdown = 2;
-    fixture.world.workers[2]->mute_until = 1e9; /* its heartbeats reach nobody */
+    fixture.world.workers[2]->heartbeats_lost_until = 1e9; /* its heartbeats reach nobody */
     run_for(&fixture, 2 * RUN_S - 1);
     check(all_in(&fixture, 1, TW_TASK_RUNNING), "a gang is faster than its slowest machine");
     check(is_about(fixture.job->gang_saved_s, 2 * SNAPSHOT_S), "checkpoints aren't taken");
@@ -291,7 +291,9 @@
 static void hang(gang_fixture *fixture) {
     fixture->world.workers[1]->hung_until = fixture->world.now + 20;
 }
-static void forget_lease(gang_fixture *fixture) { fixture->world.workers[1]->lease_from = -1e9; }
+static void forget_lease(gang_fixture *fixture) {
+    fixture->world.workers[1]->lease_started_at = -1e9;
+}
 static void stop_without_grace(gang_fixture *fixture) { stop(fixture, 1, 1, 1, FLUSH_S / 2); }
 
 static void test_lost(void) {
@@ -475,7 +477,7 @@
     end(&fixture, "quota", "waiting tasks don't count against the limit");
 
     begin(&fixture);
-    fixture.job->told_cancel_at = 0.5;
+    fixture.job->reported_cancel_at = 0.5;
     fixture.world.cancel_s = 5;
     launch(&fixture, 0, 0, 1);
     pass(&fixture, 8);
--- a/tests/runner/simulator_test.c
+++ b/tests/runner/simulator_test.c
@@ -20,7 +20,7 @@
 
 static void line(tw_simulator *sim, const char *text) {
     char error[200];
-    if (!tw_simulator_take_line(sim, text, error, sizeof error)) return;
+    if (!tw_simulator_add_line(sim, text, error, sizeof error)) return;
     printf("FAIL sim: %s\n", error);
     failures++;
 }
@@ -133,12 +133,12 @@
     static const char *const mixes[] = {"old tray-0", "old tray-0 tray-1 tray-2"};
     for (size_t i = 0; i < sizeof mixes / sizeof *mixes; i++) {
         tw_simulator *sim = small_day(7);
-        tw_simulator_earlier_version(sim, server);
+        tw_simulator_set_earlier_version(sim, server);
         line(sim, mixes[i]);
         check(run(sim) == alone, mixes[i]);
     }
     tw_simulator *sim = small_day(7);
-    tw_simulator_target_version(sim, server);
+    tw_simulator_set_target_version(sim, server);
     check(run(sim) == alone, "nodes of the version upgraded to");
 }
 
@@ -146,7 +146,7 @@
 static void test_target_that_ends(void) {
     tw_simulator_verdict verdict;
     tw_simulator *sim = small_day(7);
-    tw_simulator_target_version(sim, "/bin/false");
+    tw_simulator_set_target_version(sim, "/bin/false");
     tw_simulator_run(sim, &verdict);
     check(verdict.failed > 0, "the version upgraded to is not played by its program");
     tw_simulator_free(sim);
@@ -154,7 +154,7 @@
 
 static void test_upgrades(const char *server) {
     tw_simulator *sim = small_day(7);
-    tw_simulator_earlier_version(sim, server);
+    tw_simulator_set_earlier_version(sim, server);
     line(sim, "old tray-0 tray-1 tray-2");
     line(sim, "at 7 expect led old");
     line(sim, "at 8 upgrade leader 3");
@@ -174,7 +174,7 @@
 static void test_without_earlier_version(void) {
     tw_simulator_verdict verdict;
     tw_simulator *sim = small_day(7);
-    tw_simulator_earlier_version(sim, NULL);
+    tw_simulator_set_earlier_version(sim, NULL);
     check(!tw_simulator_lacks_earlier_version(sim),
           "a day without old nodes needs no earlier version");
     line(sim, "at 5 downgrade tray-0 1");
@@ -190,7 +190,7 @@
 static void test_process_that_ends(void) {
     tw_simulator_verdict verdict;
     tw_simulator *sim = small_day(7);
-    tw_simulator_earlier_version(sim, "/bin/false");
+    tw_simulator_set_earlier_version(sim, "/bin/false");
     line(sim, "old tray-1");
     tw_simulator_run(sim, &verdict);
     check(verdict.failed == 1, "a process that ends at once goes unnoticed");
@@ -205,7 +205,7 @@
     tw_simulator *sim = tw_simulator_new(NULL);
     for (size_t i = 0; i < sizeof bad / sizeof *bad; i++) {
         char error[200] = "";
-        check(tw_simulator_take_line(sim, bad[i], error, sizeof error) == -1 && *error, bad[i]);
+        check(tw_simulator_add_line(sim, bad[i], error, sizeof error) == -1 && *error, bad[i]);
     }
     line(sim, "# comment");
     line(sim, "");
@@ -260,7 +260,7 @@
     job->spec.memory_gb = 1;
     job->submitted = job->accepted = 1;
     job->accepted_at = job->answered_at = world->now;
-    job->first_try = world->now;
+    job->first_submitted_at = world->now;
     job->done = tw_simulator_allocate(1);
     return job;
 }
@@ -300,21 +300,21 @@
 
     world_of_one_machine(&world);
     put_on_machine(&world, accepted_job(&world, "run-000001", 1));
-    world.troubles_end = 100;
+    world.faults_end_at = 100;
     pass(&world, 170, false);
     expect_rule(&world, "", "unanswered counts from the end of the troubles");
 }
 
 /* limit: of the team's cores; the job takes 2 of the machine's 4. */
-static void stuck_case(int taken, double limit, bool cancelled, double troubles_end,
+static void stuck_case(int taken, double limit, bool cancelled, double faults_end_at,
                        const char *rule, const char *what) {
     tw_simulator_world world;
     world_of_one_machine(&world);
     world.teams[0].cpus_max = limit;
-    world.troubles_end = troubles_end;
+    world.faults_end_at = faults_end_at;
     if (taken) put_on_machine(&world, accepted_job(&world, "run-000001", taken));
     tw_simulator_job *job = accepted_job(&world, "run-000002", 2);
-    if (cancelled) job->cancel_asked_at = world.now;
+    if (cancelled) job->cancel_requested_at = world.now;
     pass(&world, 120, true);
     expect_rule(&world, rule, what);
 }
@@ -416,7 +416,7 @@
     tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9, 200, done);
     world.now = 11;
     tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9.5, 200, pending);
-    check(!*world.rule && world.crossings == 1, "an answer that crosses a newer one");
+    check(!*world.rule && world.overlapping_answers == 1, "an answer that crosses a newer one");
     tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 10.5, 200, pending);
     expect_rule(&world, "went_back", "an answer that is older");
 }
@@ -445,37 +445,37 @@
     for (int i = 1; i <= 2; i++) tw_simulator_add_machine(world, 0, "b", 0, 0)->up = 1;
     world->lease_s = 10;
     world->teams[0].cpus_max = 4;
-    world->earlier_alone = true;
+    world->attributes_to_earlier_version = true;
     world->earlier_token = EARLIER_TOKEN;
     tw_simulator_job *job = accepted_job(world, "run-000001", 2);
     start_on(world, 0, job, 1, EARLIER_TOKEN);
     start_on(world, 1, job, 2, EARLIER_TOKEN);
-    check(!strcmp(world->by_earlier.rule, "ran_twice") && !*world->rule,
+    check(!strcmp(world->earlier_version_violation.rule, "ran_twice") && !*world->rule,
           "a break by the earlier version alone is not noted as its own");
-    world->earlier_alone = false;
-    world->earlier_led_at = world->now;
+    world->attributes_to_earlier_version = false;
+    world->earlier_version_led_at = world->now;
     world->now += 1;
     return job;
 }
 
 /* Ends the world: its next break, and the first aftermath; "" for none. */
-static void expect_after_break(tw_simulator_world *world, const char *rule, const char *aftermath,
-                               const char *what) {
-    check(!strcmp(world->aftermath.rule, aftermath), what);
-    check((world->aftermath_count > 0) == (*aftermath != 0), what);
+static void expect_after_break(tw_simulator_world *world, const char *rule,
+                               const char *inherited_violation, const char *what) {
+    check(!strcmp(world->inherited_violation.rule, inherited_violation), what);
+    check((world->inherited_violation_count > 0) == (*inherited_violation != 0), what);
     expect_rule(world, rule, what);
 }
 
 /* A job of this version's starts under the team's limit of four cores, of which the known attempt
  * takes two, and the leftover two more. */
-static void quota_case(int cores, double after_s, double troubles_end, const char *rule,
-                       const char *aftermath, const char *what) {
+static void quota_case(int cores, double after_s, double faults_end_at, const char *rule,
+                       const char *inherited_violation, const char *what) {
     tw_simulator_world world;
     world_after_break(&world);
     world.now += after_s;
-    world.troubles_end = troubles_end;
+    world.faults_end_at = faults_end_at;
     start_on(&world, 2, accepted_job(&world, "run-000002", cores), 1, OWN_TOKEN);
-    expect_after_break(&world, rule, aftermath, what);
+    expect_after_break(&world, rule, inherited_violation, what);
 }
 
 static void test_quota_after_break(void) {
@@ -486,7 +486,7 @@
     quota_case(2, 20, 0, "quota", "", "a leftover that nobody stops for more than two leases");
     quota_case(2, 20, 15, "", "quota", "a leftover two leases after the troubles");
     world_after_break(&world);
-    memset(&world.by_earlier, 0, sizeof world.by_earlier);
+    memset(&world.earlier_version_violation, 0, sizeof world.earlier_version_violation);
     start_on(&world, 2, accepted_job(&world, "run-000002", 2), 1, OWN_TOKEN);
     expect_after_break(&world, "quota", "", "an excuse without a break by the earlier version");
 }
@@ -517,16 +517,16 @@
 
 /* A launch by an earlier leader that comes once more, when the machine has forgotten its end. */
 static void repeated_launch_case(int again_on, uint64_t token, const char *rule,
-                                 const char *aftermath, const char *what) {
+                                 const char *inherited_violation, const char *what) {
     tw_simulator_world world;
     world_after_break(&world);
     tw_simulator_job *job = accepted_job(&world, "run-000002", 3);
-    world.earlier_alone = true;
+    world.attributes_to_earlier_version = true;
     start_on(&world, 2, job, 1, EARLIER_TOKEN);
     world.workers[2]->task_count = 0;
-    world.earlier_alone = false;
+    world.attributes_to_earlier_version = false;
     start_on(&world, again_on, job, 1, token);
-    expect_after_break(&world, rule, aftermath, what);
+    expect_after_break(&world, rule, inherited_violation, what);
 }
 
 static void test_repeated_launch_after_break(void) {
@@ -536,19 +536,19 @@
 }
 
 /* A task runs on after its job was cancelled; earlier: also under the earlier version alone. */
-static void cancelled_case(bool earlier, double after_s, const char *rule, const char *aftermath,
-                           const char *what) {
+static void cancelled_case(bool earlier, double after_s, const char *rule,
+                           const char *inherited_violation, const char *what) {
     tw_simulator_world world;
     tw_simulator_job *job = world_after_break(&world);
     world.workers[0]->task_count = 0;
     world.cancel_s = 0.1;
-    job->told_cancel_at = 0.5;
-    world.earlier_alone = true;
+    job->reported_cancel_at = 0.5;
+    world.attributes_to_earlier_version = true;
     if (earlier) tw_simulator_judge_now(&world);
-    world.earlier_alone = false;
+    world.attributes_to_earlier_version = false;
     world.now += after_s;
     tw_simulator_judge_now(&world);
-    expect_after_break(&world, rule, aftermath, what);
+    expect_after_break(&world, rule, inherited_violation, what);
 }
 
 static void test_cancelled_after_break(void) {
@@ -563,7 +563,7 @@
     world.teams[0].cpus_max = 0;
     job->spec.single_zone = true;
     start_on(&world, 2, job, 3, EARLIER_TOKEN);
-    check(world.aftermath_count == 3,
+    check(world.inherited_violation_count == 3,
           "a third attempt by an earlier leader, beside two, in two zones");
     expect_after_break(&world, "", "ran_twice", "all of it goes on from the break");
     job = world_after_break(&world);
@@ -578,7 +578,7 @@
     world.workers[1]->task_count = 0;
     strcpy(world.workers[0]->zone, "b");
     start_on(&world, 2, job, 3, OWN_TOKEN);
-    check(world.aftermath_count == 2, "the leftover is in the same zone, too");
+    check(world.inherited_violation_count == 2, "the leftover is in the same zone, too");
     expect_after_break(&world, "", "ran_twice", "a leftover in the zone of a job that is spread");
 }
 
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -10,7 +10,7 @@
 #define HELD_MOST_S 8.0
 
 static void extend(tw_soak *run, double until) {
-    run->world.troubles_end = fmax(run->world.troubles_end, until);
+    run->world.faults_end_at = fmax(run->world.faults_end_at, until);
 }
 
 static void kill_node(tw_soak *run, int node, double back_s) {
@@ -44,7 +44,7 @@
         tw_simulator_worker *worker = run->world.workers[i];
         if (worker->gone || !worker->up || tw_soak_draw(run, 0, 1) > fault->share / 2) continue;
         if (fault->kind == TW_SOAK_FAULT_UNRESPONSIVE) worker->unresponsive_until = until;
-        if (fault->kind == TW_SOAK_FAULT_MUTE) worker->mute_until = until;
+        if (fault->kind == TW_SOAK_FAULT_MUTE) worker->heartbeats_lost_until = until;
         if (fault->kind == TW_SOAK_FAULT_HANG) worker->hung_until = until;
     }
 }
@@ -118,7 +118,7 @@
 }
 
 static void strike_boots(tw_soak *run, const tw_soak_fault *fault) {
-    run->world.fast_until = end_of(run, fault);
+    run->world.fast_boot_until = end_of(run, fault);
 }
 
 static void strike(tw_soak *run, const tw_soak_fault *fault) {
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -217,7 +217,7 @@
 
 static void check_recovered(tw_soak *of) {
     char waiting[400] = "";
-    const double over = fmax(of->troubles_s, of->world.troubles_end);
+    const double over = fmax(of->troubles_s, of->world.faults_end_at);
     if (of->world.now < over) return;
     if (tw_soak_users_served(of, waiting, sizeof waiting))
         tw_soak_finish(of, "ok", "all served");
@@ -320,7 +320,7 @@
     world->node_count = of->plan.nodes;
     for (int node = 0; node < of->plan.nodes; node++) {
         name_node(world->nodes[node], node);
-        snprintf(world->node_zone[node], TW_SIMULATOR_NAME, "%c", 'a' + node % of->plan.zones);
+        snprintf(world->node_zone[node], TW_SIMULATOR_NAME_SIZE, "%c", 'a' + node % of->plan.zones);
     }
     init_types(world, of->plan.zones, of->plan.machines);
     /* Half of the machines are there at the start. */
--- a/tests/soak/stand_ins.c
+++ b/tests/soak/stand_ins.c
@@ -190,7 +190,7 @@
 static void ask_cloud(tw_soak *run, passed_request *request) {
     char *body;
     int status = TW_SIMULATOR_OK;
-    run->world.refuses_rentals = run->world.worker_count >= MOST_MACHINES;
+    run->world.is_out_of_capacity = run->world.worker_count >= MOST_MACHINES;
     if (!strcmp(request->method, "GET") &&
         strncmp(request->path, "/flavors", strlen("/flavors")) != 0)
         body = lagging_list(run);
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -48,7 +48,7 @@
     user_request *asked = data;
     tw_soak_user_job *user = asked->user;
     tw_simulator_job *job = run->world.jobs[user->index];
-    const int was_accepted = job->accepted, was_over = job->told_over;
+    const int was_accepted = job->accepted, was_over = job->reported_end;
     tw_soak_note(run, "user", asked->kind, "job", user->index, job->spec.id, body);
     if (status)
         tw_simulator_judge_told(&run->world, job, job->spec.id, asked->kind, asked->sent, status,
@@ -56,10 +56,10 @@
     if (!asked->once && asked->kind == TW_SIMULATOR_SUBMIT) user->submitting = false;
     if (!asked->once && asked->kind == TW_SIMULATOR_POLL) user->polling = false;
     if (!asked->once && asked->kind == TW_SIMULATOR_CANCEL) user->cancelling = false;
-    if (asked->kind == TW_SIMULATOR_CANCEL && job->told_over != was_over)
+    if (asked->kind == TW_SIMULATOR_CANCEL && job->reported_end != was_over)
         tw_soak_moment_came(run, TW_SOAK_MOMENT_CANCEL);
     free(asked);
-    if (was_accepted != job->accepted || was_over != job->told_over) look_closely(run, user);
+    if (was_accepted != job->accepted || was_over != job->reported_end) look_closely(run, user);
 }
 
 static void send_request(tw_soak *run, tw_soak_user_job *user, int kind, int node, bool once) {
@@ -101,14 +101,15 @@
 
 static void cancel_job(tw_soak *run, tw_soak_user_job *user) {
     tw_simulator_job *job = run->world.jobs[user->index];
-    if (job->cancel_asked_at <= 0) job->cancel_asked_at = run->world.now;
+    if (job->cancel_requested_at <= 0) job->cancel_requested_at = run->world.now;
     user->cancelling = true;
     send_request(run, user, TW_SIMULATOR_CANCEL, draw_node(run), false);
 }
 
 void tw_soak_job_ended(void *context, tw_simulator_job *job) {
     tw_soak *run = context;
-    if (!job->accepted || job->told_over || tw_soak_draw(run, 0, 1) > CANCEL_AT_END_SHARE) return;
+    if (!job->accepted || job->reported_end || tw_soak_draw(run, 0, 1) > CANCEL_AT_END_SHARE)
+        return;
     for (tw_soak_user_job *user = run->user_jobs; user; user = user->next)
         if (user->index == job->index) cancel_job(run, user);
 }
@@ -126,7 +127,7 @@
 static int services_running(const tw_soak *run) {
     int count = 0;
     for (int i = 0; i < run->world.job_count; i++)
-        count += run->world.jobs[i]->spec.service && run->world.jobs[i]->cancel_asked_at <= 0;
+        count += run->world.jobs[i]->spec.service && run->world.jobs[i]->cancel_requested_at <= 0;
     return count;
 }
 
@@ -157,7 +158,7 @@
     }
     job->run_s = run_s;
     job->submitted = 1;
-    job->first_try = run->world.now;
+    job->first_submitted_at = run->world.now;
     job->done = tw_simulator_allocate((size_t)job->spec.task_count);
     tw_soak_user_job *user = tw_simulator_allocate(sizeof *user);
     user->index = job->index;
@@ -173,7 +174,7 @@
 
 static void advance_user(tw_soak *run, tw_soak_user_job *user) {
     const tw_simulator_job *job = run->world.jobs[user->index];
-    if (run->world.now < user->next_poll || (job->told_over && tw_soak_draw(run, 0, 1) > 0.05))
+    if (run->world.now < user->next_poll || (job->reported_end && tw_soak_draw(run, 0, 1) > 0.05))
         return;
     user->next_poll = run->world.now + POLL_EVERY_S;
     if (!job->accepted && !user->submitting) {
@@ -184,8 +185,9 @@
         send_request(run, user, TW_SIMULATOR_POLL, draw_node(run), false);
     }
     const bool wants_end =
-        (user->cancel_at > 0 && run->world.now >= user->cancel_at) || job->cancel_asked_at > 0;
-    if (job->accepted && wants_end && !job->told_over && !user->cancelling) cancel_job(run, user);
+        (user->cancel_at > 0 && run->world.now >= user->cancel_at) || job->cancel_requested_at > 0;
+    if (job->accepted && wants_end && !job->reported_end && !user->cancelling)
+        cancel_job(run, user);
 }
 
 void tw_soak_users_tick(tw_soak *run) {
@@ -199,13 +201,13 @@
 int tw_soak_users_served(tw_soak *run, char *what, size_t size) {
     for (int i = 0; i < run->world.job_count; i++) {
         const tw_simulator_job *job = run->world.jobs[i];
-        const int is_over = job->told_over;
+        const int is_over = job->reported_end;
         const bool runs =
-            job->accepted && job->spec.service && job->cancel_asked_at <= 0 &&
+            job->accepted && job->spec.service && job->cancel_requested_at <= 0 &&
             tw_simulator_job_tasks_running(&run->world, job->spec.id) == job->spec.task_count;
         if (is_over || runs) continue;
         snprintf(what, size, "%s: accepted=%d done=%d of %d cancelled=%d running=%d", job->spec.id,
-                 job->accepted, job->done_count, job->spec.task_count, job->cancel_asked_at > 0,
+                 job->accepted, job->done_count, job->spec.task_count, job->cancel_requested_at > 0,
                  tw_simulator_job_tasks_running(&run->world, job->spec.id));
         return 0;
     }
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -151,7 +151,7 @@
     worker->next_heartbeat = world->now + world->heartbeat_s * tw_soak_draw(run, 0.75, 1.25);
     copy_heartbeat(run, machine, body);
     double seconds = tw_soak_travel(run, TW_SOAK_WORKERS + machine, worker->node);
-    if (world->now < worker->mute_until) seconds = -1;
+    if (world->now < worker->heartbeats_lost_until) seconds = -1;
     tw_soak_after(run, ANSWER_TIMEOUT_S, give_up,
                   make_heartbeat(run, machine, worker->node, "", worker->in_flight));
     if (seconds >= 0) {
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -179,12 +179,12 @@
 
 /* A new state service, one machine up, and the node has just started. */
 void tw_test_conversation_start_node(tw_test_conversation *conversation, const char *program) {
-    char error[TW_SIMULATOR_MESSAGE];
-    const tw_simulator_controller_start start = {
+    char error[TW_SIMULATOR_MESSAGE_SIZE];
+    const tw_simulator_controller_options start = {
         .settings = settings, .seed = SEED, .clock = clock_of(conversation)};
     conversation->controller =
-        program ? tw_simulator_controller_remote(program, &start, error, sizeof error)
-                : tw_simulator_controller_local(&start, error, sizeof error);
+        program ? tw_simulator_new_remote_controller(program, &start, error, sizeof error)
+                : tw_simulator_new_local_controller(&start, error, sizeof error);
     if (conversation->controller) {
         take_effects(conversation);
         return;
@@ -209,7 +209,7 @@
                                              .zones = {"a"}};
     tw_simulator_worker *machine = tw_simulator_add_machine(world, 0, "a", 0, 0);
     machine->up = 1;
-    world->refuses_rentals = 1;
+    world->is_out_of_capacity = 1;
     world->state.write_tokens = world->state.limits.write_rps;
 }
 
--- a/tests/unit/conversation.h
+++ b/tests/unit/conversation.h
@@ -23,7 +23,7 @@
     tw_test_waiting_call waiting[TW_TEST_CONVERSATION_MAX_WAITING];
     int waiting_count;
     uint64_t last_connection;
-    char heartbeat[TW_SIMULATOR_MESSAGE]; /* the last one shown, without its times */
+    char heartbeat[TW_SIMULATOR_MESSAGE_SIZE]; /* the last one shown, without its times */
 } tw_test_conversation;
 
 /* The state service is empty, the machine is up. */
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -131,13 +131,13 @@
                       "run-000002/0", "1", "\"stage\":\"exited\",\"cause\":\"stopped\"")));
     tw_test_conversation_advance_to(conversation, 6);
     for (int i = 1; i <= 5; i++) {
-        char path[TW_SIMULATOR_NAME];
+        char path[TW_SIMULATOR_NAME_SIZE];
         snprintf(path, sizeof path, "/v1/jobs/run-%06d", i);
         poll_job(conversation, path);
     }
     tw_test_conversation_advance_to(conversation, 7);
     for (int i = 1; i <= 4; i++) {
-        char key[TW_SIMULATOR_NAME];
+        char key[TW_SIMULATOR_NAME_SIZE];
         snprintf(key, sizeof key, "job/run-%06d", i);
         tw_test_conversation_show_record(conversation, key);
     }
--- a/tools/explore/explore.c
+++ b/tools/explore/explore.c
@@ -102,16 +102,16 @@
 /* Each break of a day, and what only goes on from one by the earlier version. */
 static void tell_breaks(const char *day, const char *rule, const tw_simulator_verdict *verdict) {
     printf("BROKE %s: %s%s%s\n", day, rule, verdict->detail,
-           verdict->only_earlier_led ? " (only the earlier version had led)" : "");
-    if (verdict->aftermath_count)
+           verdict->only_earlier_version_led ? " (only the earlier version had led)" : "");
+    if (verdict->inherited_violation_count)
         printf("%s: %u times more by what that left behind, first %s\n", day,
-               verdict->aftermath_count, verdict->aftermath.detail);
+               verdict->inherited_violation_count, verdict->inherited_violation.detail);
     if (*verdict->again.rule) printf("BROKE %s again: %s\n", day, verdict->again.detail);
 }
 
 static void take_broken(exploration *run, const tw_fuzz_result *result) {
     const tw_simulator_verdict *verdict = &result->verdict;
-    const tw_simulator_break broken = tw_fuzz_chosen_break(verdict);
+    const tw_simulator_violation broken = tw_fuzz_chosen_break(verdict);
     char day[DAY_SIZE];
     rule_count *rule = count_of(run, broken.rule);
     snprintf(day, sizeof day, "seed %u", result->seed);
@@ -119,7 +119,7 @@
     tell_breaks(day, "", verdict);
     fflush(stdout);
     run->broken++;
-    run->broken_by_earlier += verdict->only_earlier_led;
+    run->broken_by_earlier += verdict->only_earlier_version_led;
     run->broken_by_own += *tw_fuzz_own_break(verdict).rule != 0;
     if (strcmp(verdict->rule, broken.rule) != 0) count_of(run, verdict->rule)->broken++;
     rule->broken++;
