--- a/simulator/cloud.c
+++ b/simulator/cloud.c
@@ -1,4 +1,4 @@
-/* Stand-in for the cloud: machine types, rentals, the list of machines. */
+/* Model of the cloud: machine types, rentals and the list of machines. */
 #include "world.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,9 +9,8 @@
 #define MAX_FAST_BOOT_S 2.0
 
 tw_simulator_worker *tw_simulator_worker_by_id(const tw_simulator_world *world, const char *id) {
-    int i = strncmp(id, "n-", 2)
-                ? -1
-                : tw_simulator_parse_int(id + 2) - 1; /* names are given in order */
+    /* Ids are numbered from 1 in the order of creation. */
+    int i = strncmp(id, "n-", 2) ? -1 : tw_simulator_parse_int(id + 2) - 1;
     if (i < 0 || i >= world->worker_count || strcmp(world->workers[i]->id, id) != 0) return NULL;
     return world->workers[i];
 }
@@ -61,7 +60,7 @@
     return TW_SIMULATOR_OK;
 }
 
-/* Whether a machine of the type that is rented now in the zone never boots. */
+/* Returns whether a machine of that type that is rented now in that zone never boots. */
 static bool boot_fails(tw_simulator_world *world, int type, const char *zone) {
     if (world->failing_boot_count > 0) {
         world->failing_boot_count--;
@@ -78,7 +77,8 @@
     return tw_simulator_draw(world, TW_SIMULATOR_DRAW_BOOT, MIN_FAST_BOOT_S, MAX_FAST_BOOT_S);
 }
 
-/* Rents up to n machines; the answer, or NULL if there is no capacity. */
+/* Rents up to the requested number of machines. Returns the body of the answer, which the caller
+ * frees, or NULL if there is no capacity. */
 static char *rent_machines(tw_simulator_world *world, const cJSON *request) {
     int type = 0, count = (int)tw_simulator_json_number(request, "number"), rented_count = 0;
     while (type < world->type_count &&
@@ -105,7 +105,7 @@
     const char *name = tw_simulator_json_text(request, "ask");
     int i = 0;
     while (i < world->rental_count && strcmp(world->rentals[i].request, name) != 0) i++;
-    if (i < world->rental_count) { /* repeated: the same answer, nothing rented */
+    if (i < world->rental_count) { /* a repeated request gets the same answer and rents nothing */
         *out = tw_simulator_copy_text(world->rentals[i].answer);
         cJSON_Delete(request);
         return TW_SIMULATOR_OK;
--- a/simulator/command.c
+++ b/simulator/command.c
@@ -1,4 +1,4 @@
-/* Commands of the scenario language for what users do. */
+/* Commands of the scenario language for requests of users. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -81,7 +81,7 @@
     tw_simulator_user_send(sim, find_or_create_job(sim, words->words[1]), TW_SIMULATOR_POLL);
 }
 
-/* For jobs with ids in a row. */
+/* Submits or cancels jobs with consecutive ids. */
 static void submit_or_cancel_jobs(tw_simulator *sim, const tw_simulator_words *words,
                                   bool cancels) {
     const char *first = words->words[1];
--- a/simulator/controller.c
+++ b/simulator/controller.c
@@ -14,10 +14,11 @@
     return ((const local_controller *)controller)->core;
 }
 
-/* A broken invariant is a fault of the core, whether or not a rule breaks by it. */
+/* A broken invariant counts as a failure of the core, even if it violates no rule of the protocol.
+ */
 static void check_invariants(tw_simulator_controller *controller) {
     if (tw_core_broken_invariants(local_core(controller)))
-        controller->failure = "an invariant was broken, see event=invariant_broken";
+        controller->failure = "the core broke an invariant, see event=invariant_broken";
 }
 
 static void handle_request(tw_simulator_controller *controller, tw_simulator_clock clock, int port,
--- a/simulator/controller_remote.c
+++ b/simulator/controller_remote.c
@@ -1,6 +1,6 @@
-/* A controller that is a core in a process of its own (tools/core_server). Each input is a message
- * on the process's standard input; it answers with all effects that the input had. The messages
- * stand in tools/core_server/main.c. */
+/* A controller that is a core in a separate process (tools/core_server). Each input is a message to
+ * the process's standard input; the process answers with all effects of the input.
+ * tools/core_server/main.c describes the messages. */
 #include "controller.h"
 #include "words.h"
 #include "world.h"
@@ -17,17 +17,18 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define MAX_HEADER_BYTES 512       /* longest first line of a message */
-#define REMOTE_ANSWER_TIMEOUT_S 60 /* of real time; a message takes well under a second */
+#define MAX_HEADER_BYTES 512       /* size of the first line of a message, including the NUL */
+#define REMOTE_ANSWER_TIMEOUT_S 60 /* real time; a message normally takes well under a second */
 #define PROCESS_ENDED_ERROR "the process of the other version has ended or does not answer"
-#define MALFORMED_ANSWER_ERROR "the process of the other version gave an answer that has no meaning"
+#define MALFORMED_ANSWER_ERROR                                                                     \
+    "the process of the other version sent an answer that can't be parsed"
 
 typedef struct {
     tw_simulator_controller base;
     pid_t process;
     int output;              /* socket to the process */
-    FILE *input;             /* the same for reading */
-    tw_effect *first_effect; /* effects that nobody has taken yet */
+    FILE *input;             /* the same socket, buffered for reading */
+    tw_effect *first_effect; /* effects that have not been returned yet */
     tw_effect **last_effect;
     uint64_t steps;
     double tick_s;
@@ -37,7 +38,7 @@
 
 /* ---- the process ---- */
 
-/* 0, or the number of an error. */
+/* Starts the process. Returns 0 or an errno value. */
 static int spawn_process(remote_controller *remote, const char *program) {
     int sockets[2];
     char *const arguments[] = {(char *)program, NULL};
@@ -61,7 +62,8 @@
     return 0;
 }
 
-/* The process ends when its input does, unless it has failed to answer. */
+/* Ends the process and frees the controller. The process exits at the end of its input; one that
+ * has failed to answer is killed. */
 static void free_controller(tw_simulator_controller *controller) {
     remote_controller *remote = (remote_controller *)controller;
     while (remote->first_effect) {
@@ -101,7 +103,8 @@
     send_all(remote, header, (size_t)size);
 }
 
-/* A text of that length; NULL for a negative one or if it doesn't come. */
+/* Reads a text of that length. Returns NULL for a negative length, and on a read error, which it
+ * records as the failure. The caller frees the text. */
 static char *read_text(remote_controller *remote, long size) {
     if (size < 0) return NULL;
     char *text = tw_simulator_allocate((size_t)size + 1);
@@ -111,7 +114,8 @@
     return NULL;
 }
 
-/* Method names outlive their effect. */
+/* Returns the method name as a static string, because it must outlive the effect, or NULL for an
+ * unknown method. */
 static const char *static_method_name(const char *name) {
     static const char *const names[] = {"GET", "POST", "PUT", "DELETE"};
     for (size_t i = 0; i < sizeof names / sizeof *names; i++)
@@ -146,7 +150,7 @@
     effect->body = read_text(remote, body_size);
 }
 
-/* Reads effects up to the end of the answer. */
+/* Reads the effects and the final line of an answer. */
 static void read_answer(remote_controller *remote) {
     char header[MAX_HEADER_BYTES];
     while (!remote->base.failure) {
@@ -197,7 +201,7 @@
     read_answer(remote);
 }
 
-/* ---- what it says ---- */
+/* ---- outputs ---- */
 
 static tw_effect *next_effect(tw_simulator_controller *controller) {
     remote_controller *remote = (remote_controller *)controller;
--- a/simulator/event.c
+++ b/simulator/event.c
@@ -1,4 +1,4 @@
-/* The queue of events: a binary heap, by time and then by the order of scheduling. */
+/* The event queue: a binary heap, ordered by time and then by the order of scheduling. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
--- a/simulator/judge.c
+++ b/simulator/judge.c
@@ -26,12 +26,11 @@
  * No leader of this version has launched one, and none finds one in the record. So a start that
  * breaks ran_twice, quota or wrong_place only by what leftovers are on machines is an aftermath: it
  * is counted and told apart, and the day goes on. So is a task that runs on after its job was
- * cancelled, if the same attempt on the same machine broke violated_with_earlier_version under the
- * earlier version alone (day 1823 with old nodes, upgraded 0.01 to 0.3 s after its break:
- * run-000015/0 on n-000005 runs until 0.9 s after the break). Everything else is a break of its
- * own, as is a leftover that is still there later than two leases after the earlier version last
- * led and all troubles are over: within one lease its machine was told to stop it, or has stopped
- * all that it ran. */
+ * cancelled, if the same attempt on the same machine broke ran_cancelled under the earlier version
+ * alone (day 1823 with old nodes, upgraded 0.01 to 0.3 s after its break: run-000015/0 on n-000005
+ * runs until 0.9 s after the break). Everything else is a break of its own, as is a leftover
+ * that is still there later than two leases after the earlier version last led and all troubles are
+ * over: within one lease its machine was told to stop it, or has stopped all that it ran. */
 
 #define LEFTOVER_LEASES 2
 
@@ -262,9 +261,9 @@
         for (int k = 0; k < worker->task_count && !worker->gone; k++) {
             tw_simulator_task *task = &worker->tasks[k];
             if (!tw_simulator_task_active(task) || !is_past_cancel(world, task->job)) continue;
-            task->violated_with_earlier_version |= world->attributes_to_earlier_version;
-            broken_by(world, task->violated_with_earlier_version && is_aftermath_time(world),
-                      "ran_cancelled", "%s/%d on %s", task->job_id, task->index, worker->id);
+            task->ran_cancelled |= world->attributes_to_earlier_version;
+            broken_by(world, task->ran_cancelled && is_aftermath_time(world), "ran_cancelled",
+                      "%s/%d on %s", task->job_id, task->index, worker->id);
         }
     }
 }
--- a/simulator/network.c
+++ b/simulator/network.c
@@ -1,5 +1,5 @@
-/* The network between controllers, state service, cloud and machines: latency, cuts, and what of
- * a node's calls arrives when. */
+/* The network between controllers, state service, cloud and machines: latency, cut connections, and
+ * the delay and loss of the nodes' calls. */
 #include "simulator_int.h"
 #include <math.h>
 #include <stdbool.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define CLOUD_LATENCY_S (10 * TW_SIMULATOR_LATENCY_S)
-#define WATCH_POLL_S 0.05 /* an open watch looks for changes */
+#define WATCH_POLL_S 0.05 /* interval in which an open watch checks for changes */
 
 bool tw_simulator_zone_is_isolated(const tw_simulator *sim, const char *zone) {
     return sim->world.now < sim->trouble.zone_isolated_until &&
@@ -37,7 +37,7 @@
            !tw_simulator_zone_is_isolated(sim, sim->world.node_zone[node]);
 }
 
-/* ---- answers ---- */
+/* ---- answers to calls of nodes ---- */
 
 static void deliver_answer(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_node_response(sim, event);
@@ -53,14 +53,14 @@
     event->body = body;
 }
 
-/* ---- arrivals ---- */
+/* ---- delivery of calls ---- */
 
 static const char *body_of(const tw_simulator_event *event) {
     return event->body ? event->body : "";
 }
 
-/* A watch stays open until something changes or its time is over, and longer for a node that the
- * state service's answers don't reach. */
+/* Answers a watch when a key changes or the hold time of the watch ends. The watch of a node that
+ * the answers of the state service don't reach stays open for longer. */
 static void deliver_watch(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_state *state = &sim->world.state;
     bool up = state->down_since < 0, reached = tw_simulator_state_reaches_node(sim, event->node);
@@ -80,7 +80,8 @@
         tw_simulator_state_request(state, sim->world.now, event->method, event->path, "", &out);
     if (open && (status != TW_SIMULATOR_OK || strstr(out, "\"log\":[]"))) {
         free(out);
-        event->incarnation = state->revision; /* looked at up to here */
+        /* There are no changes for this watch up to this revision. */
+        event->incarnation = state->revision;
         tw_simulator_reschedule_after(sim, event, WATCH_POLL_S);
         return;
     }
@@ -121,7 +122,8 @@
 static void deliver_command(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_worker *worker = sim->world.workers[event->target];
     if (worker->gone || !worker->up) return;
-    if (sim->world.now < worker->hung_until) { /* executed when it goes on */
+    /* A machine that hangs executes the command afterwards. */
+    if (sim->world.now < worker->hung_until) {
         tw_simulator_reschedule_at(sim, event, worker->hung_until);
         return;
     }
@@ -147,7 +149,7 @@
                               event->path, body_of(event));
 }
 
-/* ---- departures ---- */
+/* ---- sending of calls ---- */
 
 static tw_simulator_event *schedule_arrival(tw_simulator *sim, double seconds,
                                             void (*handler)(tw_simulator *, tw_simulator_event *),
@@ -163,7 +165,8 @@
     return event;
 }
 
-/* Whether the state service's limit of requests allows one more. */
+/* Takes a token of the rate limiter of requests to the state service. Returns false if there is
+ * none. */
 static bool take_request_token(tw_simulator *sim) {
     double now = sim->world.now;
     sim->request_tokens = fmin(sim->rps, sim->request_tokens + (now - sim->requests_at) * sim->rps);
@@ -173,7 +176,8 @@
     return false;
 }
 
-/* Whether a transaction's answer gets lost; it may be carried out late, too. */
+/* Applies faults to a transaction, which may raise its latency. Returns whether its answer is lost.
+ */
 static bool apply_transaction_faults(tw_simulator *sim, double *latency) {
     tw_simulator_faults *faults = &sim->trouble;
     if (faults->txn_delay_s > 0) {
@@ -240,7 +244,8 @@
     schedule_arrival(sim, seconds, deliver_to_peer, node, effect)->target = to;
 }
 
-/* Whether a direct command is held up: nobody waits for it any more when it is carried out. */
+/* Returns whether a fault delays a direct command, and sets *seconds to the delay. The node
+ * receives no answer to a delayed command. */
 static bool apply_command_delay(tw_simulator *sim, int machine, const tw_effect *effect,
                                 double *seconds) {
     tw_simulator_faults *faults = &sim->trouble;
@@ -258,7 +263,8 @@
     return true;
 }
 
-/* A direct command that is carried out comes once more later; nobody waits for that answer. */
+/* Applies the fault that delivers a direct command a second time after a delay. The node receives
+ * no answer to the second delivery. */
 static void schedule_repeated_command(tw_simulator *sim, int node, int machine,
                                       const tw_effect *effect) {
     const tw_simulator_faults *faults = &sim->trouble;
--- a/simulator/node.c
+++ b/simulator/node.c
@@ -1,14 +1,14 @@
-/* The nodes: controllers with their settings and clocks; they start, tick, answer and end. */
+/* The nodes: start, ticks, messages and end of the controllers, with their settings and clocks. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_TICK_S 0.01 /* nodes tick one after the other */
+#define FIRST_TICK_S 0.01 /* offset between the first ticks of consecutive nodes */
 #define SEED_STEP 97
 #define NODE_SEED_STEP 13
-#define CLOCK_DRIFT 0.0002 /* clocks drift apart */
+#define CLOCK_DRIFT 0.0002 /* relative drift between the steady clocks of consecutive nodes */
 #define STEADY_START 1000
 #define WALL_START 1e9
 #define MAX_SETTINGS 16384
@@ -27,7 +27,7 @@
     return connection;
 }
 
-/* ---- what a node does ---- */
+/* ---- effects of a node ---- */
 
 static void route_reply(tw_simulator *sim, int node, tw_effect *effect) {
     tw_simulator_connection *connection;
@@ -36,7 +36,7 @@
     const char *body = effect->body ? effect->body : "";
     if (effect->status >= TW_SIMULATOR_SERVER_ERRORS && effect->retry_after <= 0 &&
         connection->kind != TW_SIMULATOR_CONNECTION_HEARTBEAT)
-        tw_simulator_report_failure(sim, "a refusal without Retry-After", body);
+        tw_simulator_report_failure(sim, "error response without Retry-After", body);
     if (connection->kind == TW_SIMULATOR_CONNECTION_PEER) {
         const char *zone = sim->world.node_zone[connection->source];
         double seconds = tw_simulator_travel_s(sim, sim->world.node_zone[node], zone);
@@ -49,18 +49,19 @@
         tw_simulator_heartbeat_answered(sim, connection, effect);
     } else if (connection->kind == TW_SIMULATOR_CONNECTION_USER) {
         tw_simulator_user_answered(sim, connection, effect);
-        return; /* it ends when the answer has arrived */
+        return; /* the connection ends when the answer reaches the user */
     } else if (effect->status != connection->wanted) {
         char text[TW_SIMULATOR_MESSAGE_SIZE];
-        snprintf(text, sizeof text, "got %d, wanted %d: %s -> %.120s", effect->status,
+        snprintf(text, sizeof text, "got status %d, expected %d: %s -> %.120s", effect->status,
                  connection->wanted, connection->what, body);
-        tw_simulator_report_failure(sim, "raw", text);
+        tw_simulator_report_failure(sim, "raw request", text);
     }
     HASH_DEL(sim->connections, connection);
     free(connection);
 }
 
-/* A peer heartbeat, or its answer, as a version that does not read chunked records sends it. */
+/* Removes the record format from a peer heartbeat or its answer, as in a version that does not read
+ * chunked records. */
 static void remove_record_format(char *body) {
     static const char field[] = ",\"recordFormat\":2";
     char *at = body ? strstr(body, field) : NULL;
@@ -71,7 +72,7 @@
     return !sim->nodes[node].alive || sim->nodes[node].generation != generation;
 }
 
-/* An effect leaves the node. Takes it. */
+/* Delivers an effect of a node to its receiver, and frees it. */
 static void send_effect(tw_simulator *sim, int node, tw_effect *effect) {
     if (effect->kind == TW_EFFECT_REPLY)
         route_reply(sim, node, effect);
@@ -136,7 +137,7 @@
                               event->body);
 }
 
-/* A node that stands still takes its messages in their order when it goes on. */
+/* Delays a request until the node is no longer paused. Delayed requests keep their order. */
 static void delay_request(tw_simulator *sim, int node, int port, uint64_t connection,
                           const char *method, const char *path, const char *body) {
     tw_simulator_event *event =
@@ -145,7 +146,8 @@
     event->generation = sim->nodes[node].generation;
     event->kind = port;
     event->id = connection;
-    event->method = strcmp(method, "GET") ? "POST" : "GET"; /* outlives the caller's */
+    /* The caller's string may not live as long as the event. */
+    event->method = strcmp(method, "GET") ? "POST" : "GET";
     event->path = tw_simulator_copy_text(path);
     event->body = tw_simulator_copy_text(body);
 }
@@ -225,7 +227,7 @@
     const char *program = earlier_version ? sim->earlier_program : sim->target_program;
     if (program) return tw_simulator_new_remote_controller(program, options, error, error_size);
     if (!earlier_version) return tw_simulator_new_local_controller(options, error, error_size);
-    snprintf(error, error_size, "there is no program of the earlier version");
+    snprintf(error, error_size, "no program for the earlier version is set (TW_EARLIER_CORE)");
     return NULL;
 }
 
@@ -253,7 +255,7 @@
     char error[TW_SIMULATOR_MESSAGE_SIZE];
     if (sim->nodes[event->node].alive) return;
     if (tw_simulator_node_start(sim, event->node, error, sizeof error))
-        tw_simulator_report_failure(sim, "settings", error);
+        tw_simulator_report_failure(sim, "node can't start:", error);
 }
 
 void tw_simulator_node_start_after(tw_simulator *sim, int node, double seconds) {
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -1,4 +1,5 @@
-/* The scenario language (tests/scenarios/README.md): settings at once, `at` lines as events. */
+/* The scenario language (tests/scenarios/README.md): settings are applied when their line is added,
+ * `at` lines become events. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -49,7 +50,7 @@
     *text = longer;
 }
 
-/* ---- settings; -1: the line can't be taken ---- */
+/* ---- settings: the functions return 0, or -1 if the line is invalid ---- */
 
 static int add_node(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_world *world = &sim->world;
@@ -62,7 +63,8 @@
                : tw_simulator_use_earlier_version(sim, words->words[1]);
 }
 
-/* `old NODE...`; `old even` and `old odd`: every other node, from the first or the second. */
+/* `old NODE...`, `old even` or `old odd`: makes the named nodes, or every other node from the first
+ * or the second on, start with the earlier version. */
 static int set_earlier_version_nodes(tw_simulator *sim, const tw_simulator_words *words) {
     const bool even = !strcmp(words->words[1], "even"), odd = !strcmp(words->words[1], "odd");
     if (even || odd) {
@@ -226,7 +228,7 @@
                 {"objective", 3, add_objective}, {"set", 3, set_value},
                 {"judge", 2, set_judge},         {"end", 2, set_end}};
 
-/* ---- what happens ---- */
+/* ---- commands ---- */
 
 static const tw_simulator_command *find_command(const char *name) {
     const tw_simulator_command *const tables[] = {
@@ -260,7 +262,7 @@
         return set_error(error, error_size, "too few words", words->line);
     if (!strcmp(command->name, "downgrade")) sim->needs_earlier_version = true;
     const char *rest = words->line;
-    for (int i = 0; i < 2; i++) { /* after `at` and the time */
+    for (int i = 0; i < 2; i++) { /* skips `at` and the time */
         rest += strspn(rest, SPACE);
         rest += strcspn(rest, SPACE);
     }
@@ -283,11 +285,12 @@
         size_t i = 0, setting_count = sizeof settings / sizeof *settings;
         while (i < setting_count && !tw_simulator_is_command(words.words[0], settings[i].name)) i++;
         if (i == setting_count)
-            result = set_error(error, error_size, "unknown line", line);
+            result = set_error(error, error_size, "unknown setting", line);
         else if (words.count < settings[i].min_words)
             result = set_error(error, error_size, "too few words", line);
         else if (settings[i].apply(sim, &words))
-            result = set_error(error, error_size, "can't be taken", line);
+            result =
+                set_error(error, error_size, "invalid value, unknown name or limit exceeded", line);
     }
     free(copy);
     return result;
--- a/simulator/simulator.c
+++ b/simulator/simulator.c
@@ -1,4 +1,4 @@
-/* A simulation from its first line to its verdict. */
+/* Creation, run and verdict of a simulation. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -64,7 +64,7 @@
     if (body) add_to_digest(sim, body, strlen(body));
 }
 
-/* Notes which version a new leader is of. */
+/* Records the version of the current leader. */
 static void record_leader_version(tw_simulator *sim) {
     tw_simulator_world *world = &sim->world;
     const uint64_t version = tw_simulator_state_version(&world->state, "leader");
@@ -75,7 +75,7 @@
     sim->earlier_version_leads = leader >= 0 && sim->nodes[leader].earlier_version;
     if (leader >= 0 && !sim->nodes[leader].earlier_version) sim->new_version_led = true;
     world->attributes_to_earlier_version = sim->judges_to_end && !sim->new_version_led;
-    /* The token of a leader is the version of its key. */
+    /* The fencing token of a leader is the mod revision of its key. */
     if (world->attributes_to_earlier_version) world->earlier_token = version;
 }
 
@@ -128,8 +128,8 @@
 
 void tw_simulator_free(tw_simulator *sim) {
     if (!sim) return;
-    for (int i = 0; i < sim->world.node_count; i++)
-        tw_simulator_node_kill(sim, i); /* adds events */
+    /* Killing a node may schedule events, so that the events are freed afterwards. */
+    for (int i = 0; i < sim->world.node_count; i++) tw_simulator_node_kill(sim, i);
     for (size_t i = 0; i < sim->event_count; i++) tw_simulator_event_free(sim->events[i]);
     free(sim->events);
     tw_simulator_connection *connection, *next;
--- a/simulator/simulator.h
+++ b/simulator/simulator.h
@@ -1,7 +1,7 @@
-/* The simulated world: real controllers (src/core) among stand-ins for state service, cloud,
- * machines and users, in simulated time, driven by lines of the scenario language
- * (tests/scenarios/README.md). A simulation has no state outside its handle: equal lines give
- * equal runs, one after the other as well as in several processes. */
+/* The simulation runs real controllers (src/core) in simulated time against models of the state
+ * service, the cloud, the machines and the users. Lines of the scenario language
+ * (tests/scenarios/README.md) drive it. A simulation keeps no state outside its handle, so equal
+ * lines give equal runs, both within one process and across processes. */
 #ifndef TW_SIMULATOR_H
 #define TW_SIMULATOR_H
 #include <stdbool.h>
@@ -9,54 +9,62 @@
 #include <stdint.h>
 
 typedef struct tw_simulator tw_simulator;
-/* A broken rule. */
+/* A violation of a rule of the protocol. */
 typedef struct {
-    char rule[32];    /* its name ("ran_twice", ...); "": none is broken */
-    char detail[512]; /* time and what happened */
-    double at;        /* simulated time */
+    char rule[32]; /* name of the violated rule ("ran_twice", ...); "" if there is no violation */
+    char detail[512]; /* simulated time and description of the violation */
+    double at;        /* simulated time of the violation, in seconds */
 } tw_simulator_violation;
 
 typedef struct {
-    char rule[32];    /* name of the first broken rule ("ran_twice", ...), or "" */
-    char detail[512]; /* time and what happened */
-    double broken_at; /* simulated time of it; without a broken rule that of the end */
-    int failed;       /* `expect`/`raw` lines that did not hold, refusals without Retry-After */
-    unsigned overlapping_answers; /* answers that contradicted a newer one but whose request was
-                           sent before it was told */
-    double end_s;                 /* simulated time reached */
-    /* Only nodes of the earlier version had led when the rule broke. Leaders alone decide, so this
-     * version had decided nothing on that day by then. */
+    char rule[32];    /* name of the first violated rule ("ran_twice", ...); "" if there is none */
+    char detail[512]; /* simulated time and description of the violation */
+    /* simulated time of the violation; without a violation, the time of the end */
+    double broken_at;
+    /* number of failed `expect` and `raw` lines and of error responses without Retry-After */
+    int failed;
+    /* number of responses that contradicted a newer response but whose request was sent before the
+     * user received the newer one */
+    unsigned overlapping_answers;
+    double end_s; /* simulated time at the end of the run */
+    /* Whether only nodes of the earlier version had been leader when the rule was violated. Only
+     * leaders make decisions, so this version had made none in that run. */
     bool only_earlier_version_led;
-    /* Of a run that is judged to its end, if only the earlier version had led at the first break:
-     * the first break after it in which this version had a part, which means that a node of it had
-     * led by then. A detail without a rule is of a line that did not hold. */
+    /* The first later violation to which this version contributed, that is, before which a node of
+     * this version had been leader. Set only for a run that continues after violations
+     * (tw_simulator_judge_to_end) and whose first violation occurred under leaders of the earlier
+     * version alone. A detail without a rule describes a failed `expect` or `raw` line. */
     tw_simulator_violation again;
-    /* The first one of those that only go on from a break by the earlier version alone, and how
-     * many there were (judge.c has what counts as one). */
+    /* The first violation that is only a consequence of one by the earlier version alone, and the
+     * number of such violations. judge.c defines what counts as a consequence. */
     tw_simulator_violation inherited_violation;
     unsigned inherited_violation_count;
-    uint64_t digest; /* of all that users and workers were told: equal for equal runs */
+    uint64_t digest; /* hash of all messages to users and workers; equal for equal runs */
 } tw_simulator_verdict;
 
-/* name: for messages about lines that did not hold, on standard output; NULL: no messages. */
+/* Creates a simulation. `name` prefixes the messages about failed lines on standard output; NULL
+ * suppresses these messages. Free the simulation with tw_simulator_free. */
 tw_simulator *tw_simulator_new(const char *name);
-/* Which program plays nodes of the earlier version: a tw_core_server (tools/core_server) that was
- * built with it; the text must outlive the simulation. Without the call it is what the
- * environment's TW_EARLIER_CORE names. */
+/* Sets the program that runs nodes of the earlier version: a tw_core_server (tools/core_server)
+ * built from that version. The text must outlive the simulation. The default is the environment
+ * variable TW_EARLIER_CORE. */
 void tw_simulator_set_earlier_version(tw_simulator *sim, const char *program);
-/* Which program plays all other nodes, those that an upgrade leads to; NULL: they are of this
- * version, in this process. Without the call it is what the environment's TW_TARGET_CORE names.
- * What a verdict says of this version is then meant of that one. */
+/* Sets the program that runs all other nodes, which have the version that an upgrade leads to; NULL
+ * runs them in this process, with this version. The default is the environment variable
+ * TW_TARGET_CORE. If a program is set, statements of a verdict about this version refer to the
+ * version of the program. */
 void tw_simulator_set_target_version(tw_simulator *sim, const char *program);
-/* Whether the lines taken so far ask for the earlier version, and there is no program for it. */
+/* Returns whether the lines added so far use the earlier version although no program for it is set.
+ */
 bool tw_simulator_lacks_earlier_version(const tw_simulator *sim);
-/* Takes one line of the scenario language; 0, or -1 with a text. */
+/* Adds one line of the scenario language. Returns 0, or -1 with a message in `error`. */
 int tw_simulator_add_line(tw_simulator *sim, const char *line, char *error, size_t error_size);
-/* A rule that breaks while only nodes of the earlier version have led is noted, and the run goes on
- * to its end or to the first broken rule in which this version has a part. */
+/* Lets the run continue after violations that occur while only nodes of the earlier version have
+ * been leader. The verdict reports the first of them; the run stops at its end time or at the first
+ * violation to which this version contributes. */
 void tw_simulator_judge_to_end(tw_simulator *sim);
-/* Plays the lines taken so far to their end or to the first broken rule. Once only. Without any
- * node nothing happens. */
+/* Runs the added lines until the end time or the first violation, and fills `verdict`. Call it at
+ * most once for each simulation. Without any node, the run ends immediately. */
 void tw_simulator_run(tw_simulator *sim, tw_simulator_verdict *verdict);
 void tw_simulator_free(tw_simulator *sim);
 
--- a/simulator/state.c
+++ b/simulator/state.c
@@ -1,8 +1,8 @@
-/* Stand-in for the state service: a key-value store with versions, transactions with compares,
+/* Model of the state service: a key-value store with mod revisions, transactions with compares,
  * leases, watches and limits.
  *
- * Invariants: `keys` is in ascending order of keys; the revision grows with every change and is the
- * version of the keys that it changed; the last removals are kept for watches. */
+ * Invariants: `keys` is in ascending order of keys; each change increments the store revision,
+ * which becomes the mod revision of the changed keys; the latest removals are kept for watches. */
 #include "world.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -14,12 +14,12 @@
 #define NUMBER_SIZE 32
 #define DEFAULT_LIST_COUNT 100
 #define NO_LIMIT 1e9
-#define DEFAULT_WRITE_RPS 100 /* as the nodes are told, where there is no limit */
+#define DEFAULT_WRITE_RPS 100 /* announced to the nodes if the scenario sets no limit */
 #define DEFAULT_VALUE_KB 8
 #define DEFAULT_TXN_OPS 12
 #define COMPARES_PER_OP 4
 #define KB 1024
-#define MAX_TXN_BYTES ((size_t)64 * KB) /* of a transaction */
+#define MAX_TXN_BYTES ((size_t)64 * KB) /* largest body of a transaction */
 
 void tw_simulator_state_init(tw_simulator_state *state) {
     memset(state, 0, sizeof *state);
@@ -39,7 +39,7 @@
     free(state->leases);
 }
 
-/* Place of the first key that isn't before this one. */
+/* Returns the index of the first key that is not less than `key`. */
 static size_t find_key_position(const tw_simulator_state *state, const char *key) {
     size_t low = 0, high = state->key_count;
     while (low < high) {
@@ -147,7 +147,7 @@
     return true;
 }
 
-/* Keys whose version isn't as the transaction demands. */
+/* Returns the keys whose mod revision differs from the one that the transaction compares with. */
 static cJSON *list_failed_compares(const tw_simulator_state *state, const cJSON *conditions) {
     cJSON *failed = cJSON_CreateArray();
     const cJSON *change;
@@ -183,7 +183,7 @@
     }
 }
 
-/* Whether the transaction, or a value in it, is larger than the limits allow. */
+/* Returns whether the transaction or one of its values exceeds the size limits. */
 static bool is_too_large(const tw_simulator_state *state, const char *body, const cJSON *txn) {
     const cJSON *changes = cJSON_GetObjectItemCaseSensitive(txn, "apply");
     const cJSON *conditions = cJSON_GetObjectItemCaseSensitive(txn, "if");
@@ -239,7 +239,7 @@
 
 /* ---- reads ---- */
 
-/* The text of a query's field, or "". */
+/* Copies the value of a field of the query, or "" if the field is missing. */
 static void read_query_field(const char *path, const char *field, char *to, size_t size) {
     const char *at = strstr(path, field);
     *to = 0;
@@ -273,7 +273,7 @@
     return TW_SIMULATOR_OK;
 }
 
-/* value NULL: the key was removed. */
+/* Appends a change of a key to `log`. A NULL value means that the key was removed. */
 static void append_change(cJSON *log, const char *key, const char *value, uint64_t revision) {
     cJSON *change = cJSON_CreateObject();
     cJSON_AddStringToObject(change, value ? "write" : "remove", key);
@@ -282,7 +282,8 @@
     cJSON_AddItemToArray(log, change);
 }
 
-/* Answers at once with what there is; whoever carries the request waits for more. */
+/* Answers with the changes after `since`, without waiting. If there are none, the caller repeats
+ * the request until there are (deliver_watch). */
 static int follow_changes(const tw_simulator_state *state, const char *path, char **out) {
     char starts[TW_SIMULATOR_KEY_SIZE], since_text[NUMBER_SIZE];
     read_query_field(path, "starts=", starts, sizeof starts);
--- a/simulator/upgrade.c
+++ b/simulator/upgrade.c
@@ -1,4 +1,4 @@
-/* Commands of the scenario language for nodes that change their version. */
+/* Commands of the scenario language that change the version of nodes. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <string.h>
@@ -13,15 +13,16 @@
     return 0;
 }
 
-/* Ends without a word, and comes back as the version that it has been given. */
+/* Kills a node, so that it sends nothing more, and starts it after back_s seconds with the given
+ * version. */
 static void restart_node(tw_simulator *sim, int node, bool earlier_version, double back_s) {
     sim->nodes[node].earlier_version = earlier_version;
     tw_simulator_node_kill(sim, node);
     tw_simulator_node_start_after(sim, node, back_s);
 }
 
-/* `next`: the first node of the other version that doesn't lead; the leader when it is the last.
- * -1: there is none. */
+/* Returns the node that `next` stands for: the first node of the other version that is not leader,
+ * otherwise the leader if it has the other version, or -1. */
 static int find_next_node(tw_simulator *sim, bool earlier_version) {
     const int leader = tw_simulator_find_leader(sim);
     for (int i = 0; i < sim->world.node_count; i++)
--- a/simulator/vocabulary.c
+++ b/simulator/vocabulary.c
@@ -1,12 +1,12 @@
-/* The words of the scenario language that had another form before. Scenario files outlive the
- * words in which they were written: files that users sent in, and days that were drawn and kept.
- * This table is the only place that knows earlier forms; everything else uses the current ones. */
+/* Earlier forms of words of the scenario language. Scenario files that users sent, and stored
+ * generated scenarios, still use them. Only this table contains earlier forms; the rest of the
+ * simulator uses the current ones. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <string.h>
 
 static const struct {
-    tw_simulator_word_role place;
+    tw_simulator_word_role role;
     const char *earlier, *current;
 } vocabulary[] = {{TW_SIMULATOR_WORD_COMMAND, "rack", "machine_type"},
                   {TW_SIMULATOR_WORD_COMMAND, "abort", "cancel"},
@@ -43,11 +43,11 @@
     return strlen(word) == length && !strncmp(text, word, length);
 }
 
-bool tw_simulator_is_word(tw_simulator_word_role place, const char *text, size_t length,
+bool tw_simulator_is_word(tw_simulator_word_role role, const char *text, size_t length,
                           const char *word) {
     if (equals(text, length, word)) return true;
     for (size_t i = 0; i < sizeof vocabulary / sizeof *vocabulary; i++) {
-        if (vocabulary[i].place != place || strcmp(vocabulary[i].current, word) != 0) continue;
+        if (vocabulary[i].role != role || strcmp(vocabulary[i].current, word) != 0) continue;
         if (equals(text, length, vocabulary[i].earlier)) return true;
     }
     return false;
--- a/simulator/words.c
+++ b/simulator/words.c
@@ -7,7 +7,8 @@
 #define DECIMAL 10
 #define SPACE " \n"
 
-/* Goes on behind a number that ended there. */
+/* Moves the reader to the end of a number. Marks the reader as bad if there was no number or no
+ * separator follows it. */
 static void end_number(tw_simulator_reader *reader, const char *end) {
     if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->bad = true;
     reader->at = end;
--- a/simulator/world.c
+++ b/simulator/world.c
@@ -1,4 +1,4 @@
-/* The world around the controllers as a whole, and small helpers of its parts. */
+/* Creation and removal of the simulated environment, and helper functions of its parts. */
 #include "world.h"
 #include <stdlib.h>
 #include <string.h>
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -1,15 +1,15 @@
-/* The world around the controllers: stand-ins for the state service, the cloud, the workers and the
- * users' jobs, and the judge of the protocol's rules.
+/* The simulated environment of the controllers: models of the state service, the cloud, the workers
+ * and the users' jobs, and the judge, which checks the rules of the protocol.
  *
  * Invariants:
- * - Requests come and answers go as text; nothing here knows a network or keeps a clock. Whoever
- *   uses the world sets `now` (seconds, never decreasing) and carries the messages, so that the
- *   simulation, the end-to-end test and the soak share it.
- * - Everything is owned by the tw_simulator_world and freed with it. Workers and jobs are never
- *   removed and keep their index and address; a machine that is no more is `gone`.
- * - Only the first broken rule is kept, in `rule` and `detail`, and apart from it the first one
- *   that broke while `attributes_to_earlier_version` was set.
- * - Random numbers come from `seed` alone, one stream for each kind of draw. */
+ * - Requests and responses are passed as text. The world has no network and no clock: its caller
+ *   sets `now` (seconds, never decreasing) and delivers the messages, so that the simulation, the
+ *   end-to-end test and the soak test share it.
+ * - The tw_simulator_world owns everything and frees it. Workers and jobs are never removed and
+ *   keep their index and address; a machine that no longer exists is marked `gone`.
+ * - Only the first violation is kept, in `rule` and `detail`, and separately the first one that
+ *   occurred while `attributes_to_earlier_version` was set.
+ * - All random numbers derive from `seed`, with one stream for each purpose. */
 #ifndef TW_SIMULATOR_WORLD_H
 #define TW_SIMULATOR_WORLD_H
 #include "simulator.h"
@@ -23,14 +23,14 @@
 #define TW_SIMULATOR_MAX_NODES 8
 #define TW_SIMULATOR_MAX_TYPES 8
 #define TW_SIMULATOR_MAX_TEAMS 8
-#define TW_SIMULATOR_MAX_REMOVALS 64 /* removals that a watch can still see */
+#define TW_SIMULATOR_MAX_REMOVALS 64 /* number of latest removals that are kept for watches */
 #define TW_SIMULATOR_MAX_IMAGES 16
 #define TW_SIMULATOR_NAME_SIZE 64
 #define TW_SIMULATOR_KEY_SIZE 200
 #define TW_SIMULATOR_TITLE_SIZE 160
 #define TW_SIMULATOR_MESSAGE_SIZE 400
 
-/* HTTP status codes of answers. */
+/* HTTP status codes. */
 enum {
     TW_SIMULATOR_OK = 200,
     TW_SIMULATOR_CREATED = 201,
@@ -40,7 +40,7 @@
     TW_SIMULATOR_REDIRECTED = 421,
     TW_SIMULATOR_UNPROCESSABLE = 422,
     TW_SIMULATOR_TOO_MANY_REQUESTS = 429,
-    TW_SIMULATOR_SERVER_ERRORS = 500, /* from here on */
+    TW_SIMULATOR_SERVER_ERRORS = 500, /* lowest status of a server error */
     TW_SIMULATOR_UNAVAILABLE = 503
 };
 
@@ -59,27 +59,29 @@
     double ttl_s, expires_at;
 } tw_simulator_lease;
 typedef struct {
-    double write_rps;         /* puts and deletes a second */
-    double value_kb, txn_ops; /* largest value, in KiB; puts and deletes in a transaction */
+    double write_rps; /* puts and deletes per second */
+    /* largest size of a value in KiB; largest number of puts and deletes in a transaction */
+    double value_kb, txn_ops;
 } tw_simulator_limits;
 typedef struct {
-    tw_simulator_key *keys; /* in key order */
+    tw_simulator_key *keys; /* in ascending order of keys */
     size_t key_count, key_capacity;
     tw_simulator_removal removals[TW_SIMULATOR_MAX_REMOVALS];
     int removal_count;
     uint64_t revision, last_lease;
     tw_simulator_lease *leases;
     int lease_count, lease_capacity;
-    double down_since; /* since when there is an outage; < 0: there is none */
+    double down_since; /* start of the current outage; < 0 if there is none */
     double write_tokens, write_tokens_at;
-    tw_simulator_limits limits;           /* that hold now */
-    tw_simulator_limits announced_limits; /* as the nodes' settings have them */
-    int too_large_count;                  /* transactions refused for what they hold */
+    tw_simulator_limits limits;           /* limits that are enforced now */
+    tw_simulator_limits announced_limits; /* limits in the settings of the nodes */
+    /* number of transactions that were refused because they exceeded a size limit */
+    int too_large_count;
 } tw_simulator_state;
 
 /* ---- machines and jobs ---- */
 
-/* An attempt of a gang; see gang.c. */
+/* States of an attempt of a gang; gang.c describes them. */
 enum {
     TW_SIMULATOR_GANG_GATHERING,
     TW_SIMULATOR_GANG_RUNNING,
@@ -91,58 +93,66 @@
 typedef struct {
     uint64_t attempt;
     int state;
-    double progress_s, advanced_at; /* of the job, up to that moment */
-    double slowdown;                /* of its slowest machine */
-    double first_stop_at;           /* when the first task was told to save */
-    /* Counted anew all the time: tasks that wait; that run or save; that save; and the slowest. */
+    double progress_s, advanced_at; /* run time that the job had reached at `advanced_at` */
+    double slowdown;                /* slowdown factor of the gang's slowest machine */
+    double first_stop_at;           /* when the first task received a stop command */
+    /* Recomputed at each step: the number of tasks that wait, of tasks that run or save, and of
+     * tasks that save, and the slowdown factor of the slowest machine. */
     int waiting_count, member_count, saving_count;
     double greatest_slowdown;
 } tw_simulator_gang;
 
 typedef struct {
     tw_wire_job spec;
-    double run_s;                          /* what a task really takes */
-    int fails;                             /* every task fails */
-    int submitted, accepted, reported_end; /* reported_end: TW_JOB_* */
+    double run_s; /* actual run time of a task */
+    int fails;    /* whether every task fails */
+    /* reported_end: the final state that a user received (TW_JOB_*), 0 while there is none */
+    int submitted, accepted, reported_end;
     double first_submitted_at, accepted_at, begun_at, reported_end_at, reported_cancel_at,
         cancel_requested_at;
-    uint8_t *done; /* by task */
-    double *saved; /* run time in checkpoints, by task; NULL: none yet */
+    uint8_t *done; /* whether each task is done, by task index */
+    /* run time saved in the checkpoint of each task, by task index; NULL before the first
+     * checkpoint */
+    double *saved;
     int done_count;
-    tw_simulator_gang *gangs; /* of a gang: its attempts */
+    tw_simulator_gang *gangs; /* the attempts of a gang job */
     int gang_count, gang_capacity;
-    double gang_saved_s;       /* run time in checkpoints */
-    int gang_starts;           /* times that all tasks began together */
-    int exits[TW_CAUSE_OTHER]; /* by cause */
+    double gang_saved_s;       /* run time of a gang job saved in its checkpoint */
+    int gang_starts;           /* number of attempts in which all tasks of the gang started */
+    int exits[TW_CAUSE_OTHER]; /* number of exited tasks, by cause */
     int started;
-    int last_status;             /* of the last submission */
-    int cancel_status;           /* of the last cancellation */
-    double answered_at;          /* the last question about it */
-    int tasks_on_machines;       /* tasks on machines, counted by judge_live.c */
-    int tasks_before_gang_start; /* those of them whose gang has not begun */
-    double placeable_since;      /* > 0: it could have run and doesn't */
-    /* The latest attempts that were launched under tokens up to `earlier_token`, by task; NULL:
-     * none was. */
+    int last_status;             /* status of the last response to a submission */
+    int cancel_status;           /* status of the last response to a cancellation */
+    double answered_at;          /* time of the last successful response about the job */
+    int tasks_on_machines;       /* number of tasks on machines, counted by judge_live.c */
+    int tasks_before_gang_start; /* number of those tasks whose gang has not started */
+    /* since when the job could have been placed but was not; 0 if it can't be placed */
+    double placeable_since;
+    /* The latest attempt of each task that was launched under a fencing token up to the world's
+     * `earlier_token`, by task index; NULL if there was none. */
     uint64_t *earlier_attempts;
-    int index; /* in world.jobs */
+    int index; /* index in the world's `jobs` */
     UT_hash_handle hh;
 } tw_simulator_job;
 
 typedef struct {
     char job_id[TW_WIRE_ID_SIZE];
-    tw_simulator_job *job;          /* NULL: no such job */
-    int index, stage, cause, saved; /* TW_TASK_*, TW_CAUSE_* */
+    tw_simulator_job *job;          /* NULL if there is no job of that id */
+    int index, stage, cause, saved; /* stage is TW_TASK_*, cause is TW_CAUSE_* */
     uint64_t attempt;
     double ready_at, started_at, end_at;
-    double resumed_from_s;              /* run time saved before it started */
-    double stopped_at_s;                /* run time reached when it was told to stop */
-    double gang_failure_known_at;       /* > 0: finds out then that its gang is broken */
-    uint64_t launch_token;              /* the fencing token that it was launched under */
-    bool violated_with_earlier_version; /* too long, and only the earlier version had led then */
-    bool is_repeated;                   /* the machine had carried out the same launch before */
+    double resumed_from_s; /* run time in the checkpoint from which the task started */
+    double stopped_at_s; /* run time that the task had reached when it received the stop command */
+    /* when the task detects that its gang is broken; 0 if it is not */
+    double gang_failure_known_at;
+    uint64_t launch_token; /* fencing token of the launch command */
+    /* whether the task violated the rule ran_cancelled while only nodes of the earlier version had
+     * been leader */
+    bool ran_cancelled;
+    bool is_repeated; /* whether the machine had executed the same launch command before */
 } tw_simulator_task;
 
-/* A launch that a machine has carried out. */
+/* A launch command that a machine has executed. */
 typedef struct {
     const tw_simulator_job *job;
     int index;
@@ -156,20 +166,21 @@
     bool spot, up, gone;
     double rented_at, up_at;
     uint64_t incarnation, sequence, fencing_token;
-    double lease_started_at; /* when the last answered heartbeat was sent */
-    int node;                /* the controller that gets its heartbeats */
-    uint64_t in_flight;      /* number of the heartbeat that waits for its answer, 0: none */
+    double lease_started_at; /* when the worker sent the last heartbeat that was answered */
+    int node;                /* index of the node to which the worker sends its heartbeats */
+    uint64_t in_flight; /* number of the heartbeat that awaits its answer; 0 if there is none */
     bool changed;
     double next_heartbeat, last_heartbeat;
     double hung_until, slowdown, preempted_at;
-    double unresponsive_until;     /* answers and direct commands don't arrive */
-    double refuses_commands_until; /* connections with direct commands are refused at once */
-    double heartbeats_lost_until;  /* its heartbeats reach no controller */
-    bool faulty;                   /* every task fails */
-    double delay_next_heartbeat_s; /* the next heartbeat arrives that much later */
+    double unresponsive_until; /* until then, answers to heartbeats and direct commands are lost */
+    double refuses_commands_until; /* until then, connections for direct commands are refused */
+    double heartbeats_lost_until;  /* until then, the worker's heartbeats are lost */
+    bool faulty;                   /* whether every task fails */
+    double delay_next_heartbeat_s; /* delay of the next heartbeat */
     tw_simulator_task *tasks;
     int task_count, task_capacity;
-    tw_simulator_launch *launches; /* under tokens up to the world's `earlier_token` */
+    /* launch commands under fencing tokens up to the world's `earlier_token` */
+    tw_simulator_launch *launches;
     int launch_count, launch_capacity;
     char images[TW_SIMULATOR_MAX_IMAGES][TW_SIMULATOR_NAME_SIZE];
     int image_count;
@@ -185,7 +196,7 @@
     char *answer;
 } tw_simulator_rental;
 
-/* Streams of draws. */
+/* Streams of random numbers. */
 enum {
     TW_SIMULATOR_DRAW_TRAVEL,
     TW_SIMULATOR_DRAW_WRITES,
@@ -204,10 +215,11 @@
 typedef struct {
     double now;
     unsigned seed;
-    gsl_rng *draws[TW_SIMULATOR_DRAW_KINDS]; /* made when first used */
+    /* one generator for each stream, created on first use */
+    gsl_rng *draws[TW_SIMULATOR_DRAW_KINDS];
     double heartbeat_s, lease_s, cancel_s;
-    double gang_wait_s, gang_peer_s; /* 0: in proportion to the lease */
-    double mem_mb;                   /* memory of a node, 0: as in its settings */
+    double gang_wait_s, gang_peer_s; /* 0 derives the time from lease_s */
+    double mem_mb;                   /* memory limit of a node; 0 keeps the one in its settings */
     int node_count;
     char nodes[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME_SIZE],
         node_zone[TW_SIMULATOR_MAX_NODES][TW_SIMULATOR_NAME_SIZE];
@@ -217,12 +229,14 @@
     /* cloud */
     tw_wire_machine_type types[TW_SIMULATOR_MAX_TYPES];
     int type_count, capacity[TW_SIMULATOR_MAX_TYPES];
-    double failing_share[TW_SIMULATOR_MAX_TYPES]; /* of the machines rented until then never boot */
+    /* share of the machines rented before failing_until that never boot */
+    double failing_share[TW_SIMULATOR_MAX_TYPES];
     double failing_until[TW_SIMULATOR_MAX_TYPES];
-    char failing_zone[TW_SIMULATOR_MAX_TYPES][TW_SIMULATOR_NAME_SIZE]; /* "": in all zones */
-    int is_out_of_capacity;                                            /* no capacity */
-    double fast_boot_until; /* machines rented until then are up within two seconds */
-    int failing_boot_count; /* that many of the next machines never boot */
+    /* zone of the boots that fail; "" for all zones */
+    char failing_zone[TW_SIMULATOR_MAX_TYPES][TW_SIMULATOR_NAME_SIZE];
+    int is_out_of_capacity; /* whether all rental requests are refused */
+    double fast_boot_until; /* machines rented before that time boot within two seconds */
+    int failing_boot_count; /* number of the next rented machines that never boot */
     double boot_s;
     tw_simulator_rental *rentals;
     int rental_count, rental_capacity;
@@ -232,157 +246,172 @@
     tw_simulator_job **jobs;
     int job_count, job_capacity;
     tw_simulator_job *jobs_by_id;
-    void (*job_ended)(void *context,
-                      tw_simulator_job *job); /* its last task completed; may be NULL */
+    /* called with `context` when the last task of a job completes; may be NULL */
+    void (*job_ended)(void *context, tw_simulator_job *job);
     void *context;
-    unsigned
-        overlapping_answers; /* older answers to requests sent before the newer answer was told */
+    /* number of responses that contradicted a newer response but whose request was sent before the
+     * user received the newer one */
+    unsigned overlapping_answers;
     /* judge */
-    double faults_end_at; /* of those that have begun */
-    double served_age_s;  /* > 0: jobs older than that must be served at the end */
-    /* the first broken rule, without those of the next two */
+    double faults_end_at; /* end of all faults that have begun */
+    double served_age_s;  /* age from which a job must be served at the end; 0 disables the check */
+    /* the first violation, except those recorded in `earlier_version_violation` and
+     * `inherited_violation` */
     char rule[32], detail[512];
     double broken_at;
-    bool attributes_to_earlier_version; /* what breaks now is noted in `earlier_version_violation`
-                                           instead */
-    uint64_t earlier_token;             /* the last fencing token while so; 0: never was */
-    double earlier_version_led_at;      /* when a node of the earlier version last led */
+    /* whether violations are recorded in `earlier_version_violation` */
+    bool attributes_to_earlier_version;
+    /* last fencing token under `attributes_to_earlier_version`; 0 if there was none */
+    uint64_t earlier_token;
+    double earlier_version_led_at; /* when a node of the earlier version was last leader */
     tw_simulator_violation earlier_version_violation, inherited_violation;
     unsigned inherited_violation_count;
 } tw_simulator_world;
 
-/* The number at the start of a text; 0 if there is none. */
+/* Return the number at the start of a text, or 0 if the text does not start with one. */
 int tw_simulator_parse_int(const char *text);
 double tw_simulator_parse_number(const char *text);
-/* The functions that allocate end the program when there is no memory; free() what they return. */
+/* The allocating functions abort the program when memory is exhausted. The caller releases their
+ * results with free(). */
 char *tw_simulator_copy_text(const char *text);
 void *tw_simulator_allocate(size_t size);
-/* Makes room for one more item in an array of so many items of that size: returns the array, which
- * may have moved, and updates its capacity. */
+/* Ensures that an array of `count` items of `size` bytes has capacity for one more item. Returns
+ * the array, which may have moved, and updates `capacity`. */
 void *tw_simulator_grow(void *items, int count, int *capacity, size_t size);
 const char *tw_simulator_json_text(const cJSON *object, const char *field);
 double tw_simulator_json_number(const cJSON *object, const char *field);
-/* The object as text without spaces; deletes the object. */
+/* Returns the object as text without white space, and deletes the object. */
 char *tw_simulator_json_print(cJSON *object);
 
 void tw_simulator_world_init(tw_simulator_world *world);
 void tw_simulator_world_free(tw_simulator_world *world);
 
-/* ---- draw.c: from the seed, which must not change after the first draw ---- */
+/* ---- draw.c: random numbers from the seed, which must not change after the first one ---- */
 
 double tw_simulator_draw(tw_simulator_world *world, int kind, double from, double to);
-int tw_simulator_draw_index(tw_simulator_world *world, int kind, int count); /* 0 .. n - 1 */
+int tw_simulator_draw_index(tw_simulator_world *world, int kind, int count); /* 0 .. count - 1 */
 void tw_simulator_draws_free(tw_simulator_world *world);
 
-/* ---- state service: status, and the body in *out (free it) ---- */
+/* ---- state service ---- */
 
 void tw_simulator_state_init(tw_simulator_state *state);
 void tw_simulator_state_free(tw_simulator_state *state);
+/* Handles a request to the state service. Returns the HTTP status and sets *out to the body, which
+ * the caller frees. */
 int tw_simulator_state_request(tw_simulator_state *state, double now, const char *method,
                                const char *path, const char *body, char **out);
-/* Ends the leases that have expired and removes their keys. */
+/* Deletes expired leases and their keys. */
 void tw_simulator_state_expire(tw_simulator_state *state, double now);
-/* Begins or ends an outage; leases start anew when it ends. */
+/* Begins or ends an outage. The end of an outage renews all leases. */
 void tw_simulator_state_outage(tw_simulator_state *state, double now, bool on);
-/* The version of a key, which is the revision of its last change, also during an outage; 0: there
- * is no such key. */
+/* Returns the mod revision of a key, also during an outage, or 0 if the key does not exist. */
 uint64_t tw_simulator_state_version(const tw_simulator_state *state, const char *key);
-/* The value of a key, also during an outage; NULL: there is no such key. Owned by the state. */
+/* Returns the value of a key, also during an outage, or NULL if the key does not exist. The state
+ * owns the value. */
 const char *tw_simulator_state_value(const tw_simulator_state *state, const char *key);
 
 /* ---- cloud ---- */
 
+/* Handles a request to the cloud. Returns the HTTP status and sets *out to the body, which the
+ * caller frees. */
 int tw_simulator_cloud_request(tw_simulator_world *world, const char *method, const char *path,
                                const char *body, char **out);
-/* Adds a machine that is up after boot_s seconds, as if it had been rented; type: index of its
- * machine type. Owned by the world. */
+/* Adds a rented machine that is up after boot_s seconds. `type` is the index of its machine type.
+ * The world owns the machine. */
 tw_simulator_worker *tw_simulator_add_machine(tw_simulator_world *world, int type, const char *zone,
                                               int spot, double boot_s);
-/* NULL: there is no machine of that name. */
+/* Returns the machine with that id, or NULL if there is none. */
 tw_simulator_worker *tw_simulator_worker_by_id(const tw_simulator_world *world, const char *id);
 
 /* ---- workers ---- */
 
-/* The worker's next heartbeat; counts its sequence up. Free the text. */
+/* Returns the text of the worker's next heartbeat and increments the worker's sequence. The caller
+ * frees the text. */
 char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker);
-/* The worker takes the answer to a heartbeat that it sent at `sent` in that incarnation. */
+/* Processes the answer to a heartbeat that the worker sent at `sent` in `incarnation`. */
 void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
                                 uint64_t incarnation, int status, const char *body);
-/* A direct request of a controller. */
+/* Handles a direct request of a controller. Returns the HTTP status and sets *out to the body,
+ * which the caller frees. */
 int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
                                 const char *method, const char *path, const char *body, char **out);
-/* Brings a worker to the world's `now`: it boots, its tasks proceed, its lease may end. */
+/* Advances a worker to the world's `now`: completes its boot, advances its tasks and expires its
+ * lease. */
 void tw_simulator_worker_advance(tw_simulator_world *world, tw_simulator_worker *worker);
-/* Whether the worker sends a heartbeat now. */
+/* Returns whether the worker must send a heartbeat now. */
 bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
                                        const tw_simulator_worker *worker);
-/* The names of the causes in the protocol, by TW_CAUSE_*. */
+/* Protocol names of the exit causes, indexed by TW_CAUSE_*. */
 extern const char *const tw_simulator_causes[TW_CAUSE_OTHER];
-/* Whether a task occupies its machine: it waits for its gang, runs or saves. */
+/* Returns whether a task uses resources of its machine, that is, waits for its gang, runs or saves.
+ */
 bool tw_simulator_task_active(const tw_simulator_task *task);
 
-/* A task ends with a cause (TW_CAUSE_*), and is reported as exited until it is forgotten. */
+/* Ends a task with a cause (TW_CAUSE_*). Heartbeats report the task as exited until a forget
+ * command removes it. */
 void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause);
-/* A task of a job is complete, for good. */
+/* Records that a task of a job is complete, which is final. */
 void tw_simulator_task_done(tw_simulator_world *world, tw_simulator_job *job, int index);
 
 /* ---- gang.c ---- */
 
-/* Seconds that a task waits for the rest of its gang, and within which it finds out that the gang
- * is broken. */
+/* Return how long a task waits for the other tasks of its gang, and how long it takes to detect
+ * that its gang is broken. */
 double tw_simulator_gang_wait_s(const tw_simulator_world *world);
 double tw_simulator_gang_peer_s(const tw_simulator_world *world);
-/* What happens to one task of a gang: its image has been fetched; it is told to stop before it has
- * exited, with that grace period; time passes. */
+/* Handle events of one task of a gang: the image has been fetched, a stop command with a grace
+ * period has arrived before the task exited, and time has passed. */
 void tw_simulator_gang_image_fetched(tw_simulator_world *world, tw_simulator_worker *worker,
                                      tw_simulator_task *task);
 void tw_simulator_gang_stop(tw_simulator_world *world, tw_simulator_worker *worker,
                             tw_simulator_task *task, double grace_s);
 void tw_simulator_gang_task_advance(tw_simulator_world *world, tw_simulator_worker *worker,
                                     tw_simulator_task *task);
-/* Brings all gangs to the world's `now`; call it before the workers are advanced. */
+/* Advances all gangs to the world's `now`. Call it before the workers are advanced. */
 void tw_simulator_gangs_advance(tw_simulator_world *world);
 
 /* ---- jobs ---- */
 
 tw_simulator_job *tw_simulator_job_find(const tw_simulator_world *world, const char *id);
-/* Adds a job that nobody has submitted yet. Owned by the world. */
+/* Adds a job that has not been submitted. The world owns the job. */
 tw_simulator_job *tw_simulator_job_new(tw_simulator_world *world, const char *id);
 int tw_simulator_job_tasks_running(const tw_simulator_world *world, const char *id);
-/* How many tasks of a job are in that stage (TW_TASK_*) on machines that are not gone. */
+/* Returns how many tasks of a job are in that stage (TW_TASK_*) on machines that still exist. */
 int tw_simulator_job_tasks_in_stage(const tw_simulator_world *world, const char *id, int stage);
 
 /* ---- judge ---- */
 
 enum { TW_SIMULATOR_SUBMIT = 's', TW_SIMULATOR_POLL = 'p', TW_SIMULATOR_CANCEL = 'a' };
-/* Records that a rule of the protocol is broken; does nothing after the first one. */
+/* Records a violation of a rule of the protocol. Only the first violation is kept. */
 void tw_simulator_rule_broken(tw_simulator_world *world, const char *rule, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
-/* A node's process has ended by itself: never the earlier version's break if the node isn't of it.
- */
+/* Records that a node's controller failed. The violation is attributed to the earlier version only
+ * if the node has that version. */
 void tw_simulator_judge_ended(tw_simulator_world *world, bool of_earlier_version, const char *node,
                               const char *failure);
-/* What a user was told in answer to a request sent at `sent`. An answer is older than another only
- * if its request was sent after the other answer was told; what merely crosses it is counted in
- * `crossings`. job NULL: nobody submitted it. */
+/* Checks a response to a user's request that was sent at `sent`. A response contradicts an earlier
+ * one only if its request was sent after the user received the earlier one; other contradictions
+ * are counted in `overlapping_answers`. `job` is NULL if no job with that id was submitted. */
 void tw_simulator_judge_told(tw_simulator_world *world, tw_simulator_job *job, const char *id,
                              int kind, double sent, int status, const char *body);
-/* A user is told that status for a job that no machine can run, or whose text is malformed. */
+/* Checks the status of a response to the submission of a job that fits no machine or is malformed.
+ */
 void tw_simulator_judge_impossible_job(tw_simulator_world *world, const char *id, int status);
-/* The machine launches the task, as it was told under that token. */
+/* Records that a machine launches a task on a command with that fencing token. */
 void tw_simulator_judge_launch(const tw_simulator_world *world, tw_simulator_worker *worker,
                                tw_simulator_task *task, uint64_t fencing_token);
-/* A task has its image and starts. */
+/* Checks the rules for a task whose image has been fetched and that starts now. */
 void tw_simulator_judge_start(tw_simulator_world *world, const tw_simulator_worker *worker,
                               const tw_simulator_task *task);
-/* Checks what must hold at any time. */
+/* Checks the rules that must hold at any time. */
 void tw_simulator_judge_now(tw_simulator_world *world);
 
-/* ---- judge_live.c: what must hold once all troubles are over ---- */
+/* ---- judge_live.c: rules that must hold after the end of all faults ---- */
 
-/* Call it about once a second. */
+/* Checks that users get answers and that jobs make progress. Call it about once per simulated
+ * second. */
 void tw_simulator_judge_live(tw_simulator_world *world);
-/* At the end, if the scenario asks for it. */
+/* Checks at the end of a run that the jobs older than served_age_s are served. */
 void tw_simulator_judge_served(tw_simulator_world *world);
 
 #endif
