--- a/simulator/network.c
+++ b/simulator/network.c
@@ -238,9 +238,9 @@
         return;
     }
     double seconds = tw_simulator_travel_s(sim, world->node_zone[node], world->node_zone[to]);
-    bool alone =
+    bool isolated =
         world->now < sim->nodes[node].isolated_until || world->now < sim->nodes[to].isolated_until;
-    if (alone || seconds < 0) return;
+    if (isolated || seconds < 0) return;
     schedule_arrival(sim, seconds, deliver_to_peer, node, effect)->target = to;
 }
 
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -199,13 +199,15 @@
 void tw_simulator_add_to_digest(tw_simulator *sim, int kind, int who, int status, const char *body);
 
 /* ---- event.c ---- */
+/* Schedule a call of `handler`. The caller sets the other fields of the returned event, which the
+ * queue owns. */
 tw_simulator_event *tw_simulator_schedule_after(tw_simulator *sim, double seconds,
                                                 void (*handler)(tw_simulator *sim,
                                                                 tw_simulator_event *event));
 tw_simulator_event *tw_simulator_schedule_at(tw_simulator *sim, double at,
                                              void (*handler)(tw_simulator *sim,
                                                              tw_simulator_event *event));
-/* Schedule the event that is being handled again, so that it is not freed. */
+/* Put the event that is being handled back into the queue, so that it is not freed. */
 void tw_simulator_reschedule_after(tw_simulator *sim, tw_simulator_event *event, double seconds);
 void tw_simulator_reschedule_at(tw_simulator *sim, tw_simulator_event *event, double at);
 /* Removes the earliest event from the queue and returns it, or NULL if the queue is empty. The
