--- a/simulator/node.c
+++ b/simulator/node.c
@@ -1,19 +1,19 @@
-/* The nodes: controllers with their settings and clocks; they start, tick, answer and end. */
+/* The nodes: start, ticks, messages and end of the controllers, with their settings and clocks. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_TICK_S 0.01 /* nodes tick one after the other */
+#define FIRST_TICK_S 0.01 /* offset between the first ticks of consecutive nodes */
 #define SEED_STEP 97
 #define NODE_SEED_STEP 13
-#define CLOCK_DRIFT 0.0002 /* clocks drift apart */
+#define CLOCK_DRIFT 0.0002 /* relative drift between the steady clocks of consecutive nodes */
 #define STEADY_START 1000
 #define WALL_START 1e9
 #define MAX_SETTINGS 16384
 
-static tw_simulator_clock clock_of(const tw_simulator *sim, int node) {
+static tw_simulator_clock node_clock(const tw_simulator *sim, int node) {
     return (tw_simulator_clock){.steady = STEADY_START + sim->world.now * (1 + CLOCK_DRIFT * node),
                                 .wall = WALL_START + sim->world.now};
 }
@@ -27,19 +27,19 @@
     return connection;
 }
 
-/* ---- what a node does ---- */
+/* ---- effects of a node ---- */
 
 static void route_reply(tw_simulator *sim, int node, tw_effect *effect) {
     tw_simulator_connection *connection;
     HASH_FIND(hh, sim->connections, &effect->id, sizeof effect->id, connection);
     if (!connection || connection->replied) return;
     const char *body = effect->body ? effect->body : "";
-    if (effect->status >= TW_SIMULATOR_FAILURES && effect->retry_after <= 0 &&
+    if (effect->status >= TW_SIMULATOR_SERVER_ERRORS && effect->retry_after <= 0 &&
         connection->kind != TW_SIMULATOR_CONNECTION_HEARTBEAT)
-        tw_simulator_fail(sim, "a refusal without Retry-After", body);
+        tw_simulator_report_failure(sim, "error response without Retry-After", body);
     if (connection->kind == TW_SIMULATOR_CONNECTION_PEER) {
         const char *zone = sim->world.node_zone[connection->source];
-        double seconds = tw_simulator_travel(sim, sim->world.node_zone[node], zone);
+        double seconds = tw_simulator_travel_s(sim, sim->world.node_zone[node], zone);
         if (seconds >= 0) {
             tw_simulator_schedule_response(sim, connection->source, connection->source_generation,
                                            connection->call, effect->status, effect->body, seconds);
@@ -49,29 +49,30 @@
         tw_simulator_heartbeat_answered(sim, connection, effect);
     } else if (connection->kind == TW_SIMULATOR_CONNECTION_USER) {
         tw_simulator_user_answered(sim, connection, effect);
-        return; /* it ends when the answer has arrived */
+        return; /* the connection ends when the answer reaches the user */
     } else if (effect->status != connection->wanted) {
-        char text[TW_SIMULATOR_MESSAGE];
-        snprintf(text, sizeof text, "got %d, wanted %d: %s -> %.120s", effect->status,
+        char text[TW_SIMULATOR_MESSAGE_SIZE];
+        snprintf(text, sizeof text, "got status %d, expected %d: %s -> %.120s", effect->status,
                  connection->wanted, connection->what, body);
-        tw_simulator_fail(sim, "raw", text);
+        tw_simulator_report_failure(sim, "raw request", text);
     }
     HASH_DEL(sim->connections, connection);
     free(connection);
 }
 
-/* A peer heartbeat, or its answer, as a version that does not read chunked records sends it. */
+/* Removes the record format from a peer heartbeat or its answer, as in a version that does not read
+ * chunked records. */
 static void remove_record_format(char *body) {
     static const char field[] = ",\"recordFormat\":2";
     char *at = body ? strstr(body, field) : NULL;
     if (at) memmove(at, at + sizeof field - 1, strlen(at + sizeof field - 1) + 1);
 }
 
-static bool has_ended(const tw_simulator *sim, int node, int generation) {
+static bool generation_has_ended(const tw_simulator *sim, int node, int generation) {
     return !sim->nodes[node].alive || sim->nodes[node].generation != generation;
 }
 
-/* An effect leaves the node. Takes it. */
+/* Delivers an effect of a node to its receiver, and frees it. */
 static void send_effect(tw_simulator *sim, int node, tw_effect *effect) {
     if (effect->kind == TW_EFFECT_REPLY)
         route_reply(sim, node, effect);
@@ -82,8 +83,8 @@
 
 static void send_delayed_effects(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_node *node_state = &sim->nodes[event->node];
-    if (has_ended(sim, event->node, event->generation) ||
-        sim->world.now < node_state->sends_late_until)
+    if (generation_has_ended(sim, event->node, event->generation) ||
+        sim->world.now < node_state->effects_delayed_until)
         return;
     tw_effect *unsent = node_state->delayed_effects;
     node_state->delayed_effects = NULL;
@@ -96,10 +97,10 @@
 
 void tw_simulator_node_delay_messages(tw_simulator *sim, int node) {
     tw_simulator_event *event =
-        tw_simulator_schedule_at(sim, sim->nodes[node].sends_late_until, send_delayed_effects);
+        tw_simulator_schedule_at(sim, sim->nodes[node].effects_delayed_until, send_delayed_effects);
     event->node = node;
     event->generation = sim->nodes[node].generation;
-    sim->strike_counts[TW_SIMULATOR_LATE_SENDS]++;
+    sim->fault_counts[TW_SIMULATOR_DELAYED_EFFECTS]++;
 }
 
 static void delay_effect(tw_simulator_node *node_state, tw_effect *effect) {
@@ -115,73 +116,74 @@
     tw_effect *effect;
     while ((effect = controller->methods->next(controller))) {
         if (sim->world.now < sim->nodes[node].old_format_until) remove_record_format(effect->body);
-        if (sim->world.now < sim->nodes[node].sends_late_until)
+        if (sim->world.now < sim->nodes[node].effects_delayed_until)
             delay_effect(&sim->nodes[node], effect);
         else
             send_effect(sim, node, effect);
     }
-    if (!controller->failure || controller->failure_told) return;
-    controller->failure_told = true;
+    if (!controller->failure || controller->failure_reported) return;
+    controller->failure_reported = true;
     tw_simulator_judge_ended(&sim->world, sim->nodes[node].earlier_version, sim->world.nodes[node],
                              controller->failure);
 }
 
-static bool stands_still(const tw_simulator *sim, int node) {
-    return sim->world.now < sim->nodes[node].still_until;
+static bool is_paused(const tw_simulator *sim, int node) {
+    return sim->world.now < sim->nodes[node].paused_until;
 }
 
 static void deliver_delayed_request(tw_simulator *sim, tw_simulator_event *event) {
-    if (has_ended(sim, event->node, event->generation)) return;
+    if (generation_has_ended(sim, event->node, event->generation)) return;
     tw_simulator_node_request(sim, event->node, event->kind, event->id, event->method, event->path,
                               event->body);
 }
 
-/* A node that stands still takes its messages in their order when it goes on. */
+/* Delays a request until the node is no longer paused. Delayed requests keep their order. */
 static void delay_request(tw_simulator *sim, int node, int port, uint64_t connection,
                           const char *method, const char *path, const char *body) {
     tw_simulator_event *event =
-        tw_simulator_schedule_at(sim, sim->nodes[node].still_until, deliver_delayed_request);
+        tw_simulator_schedule_at(sim, sim->nodes[node].paused_until, deliver_delayed_request);
     event->node = node;
     event->generation = sim->nodes[node].generation;
     event->kind = port;
     event->id = connection;
-    event->method = strcmp(method, "GET") ? "POST" : "GET"; /* outlives the caller's */
+    /* The caller's string may not live as long as the event. */
+    event->method = strcmp(method, "GET") ? "POST" : "GET";
     event->path = tw_simulator_copy_text(path);
     event->body = tw_simulator_copy_text(body);
 }
 
 void tw_simulator_node_request(tw_simulator *sim, int node, int port, uint64_t connection,
                                const char *method, const char *path, const char *body) {
-    if (stands_still(sim, node)) {
+    if (is_paused(sim, node)) {
         delay_request(sim, node, port, connection, method, path, body);
         return;
     }
     tw_simulator_controller *controller = sim->nodes[node].controller;
-    controller->methods->request(controller, clock_of(sim, node), port, connection, method, path,
+    controller->methods->request(controller, node_clock(sim, node), port, connection, method, path,
                                  body);
     send_effects(sim, node);
 }
 
 void tw_simulator_node_response(tw_simulator *sim, tw_simulator_event *event) {
-    if (has_ended(sim, event->node, event->generation)) return;
-    if (stands_still(sim, event->node)) {
-        tw_simulator_reschedule_at(sim, event, sim->nodes[event->node].still_until);
+    if (generation_has_ended(sim, event->node, event->generation)) return;
+    if (is_paused(sim, event->node)) {
+        tw_simulator_reschedule_at(sim, event, sim->nodes[event->node].paused_until);
         return;
     }
     tw_simulator_controller *controller = sim->nodes[event->node].controller;
-    controller->methods->response(controller, clock_of(sim, event->node), event->id, event->status,
-                                  event->body ? event->body : "");
+    controller->methods->response(controller, node_clock(sim, event->node), event->id,
+                                  event->status, event->body ? event->body : "");
     send_effects(sim, event->node);
 }
 
 static void tick_node(tw_simulator *sim, tw_simulator_event *event) {
-    if (has_ended(sim, event->node, event->generation)) return;
-    if (stands_still(sim, event->node)) {
-        tw_simulator_reschedule_at(sim, event, sim->nodes[event->node].still_until);
+    if (generation_has_ended(sim, event->node, event->generation)) return;
+    if (is_paused(sim, event->node)) {
+        tw_simulator_reschedule_at(sim, event, sim->nodes[event->node].paused_until);
         return;
     }
     tw_simulator_controller *controller = sim->nodes[event->node].controller;
-    controller->methods->tick(controller, clock_of(sim, event->node));
+    controller->methods->tick(controller, node_clock(sim, event->node));
     send_effects(sim, event->node);
     tw_simulator_reschedule_after(sim, event, controller->methods->tick_s(controller));
 }
@@ -219,13 +221,13 @@
     return sim->world.seed * SEED_STEP + (unsigned)node * NODE_SEED_STEP + (unsigned)generation;
 }
 
-static tw_simulator_controller *new_controller(const tw_simulator *sim, bool old,
-                                               const tw_simulator_controller_start *start,
+static tw_simulator_controller *new_controller(const tw_simulator *sim, bool earlier_version,
+                                               const tw_simulator_controller_options *options,
                                                char *error, size_t error_size) {
-    const char *program = old ? sim->earlier_program : sim->target_program;
-    if (program) return tw_simulator_controller_remote(program, start, error, error_size);
-    if (!old) return tw_simulator_controller_local(start, error, error_size);
-    snprintf(error, error_size, "there is no program of the earlier version");
+    const char *program = earlier_version ? sim->earlier_program : sim->target_program;
+    if (program) return tw_simulator_new_remote_controller(program, options, error, error_size);
+    if (!earlier_version) return tw_simulator_new_local_controller(options, error, error_size);
+    snprintf(error, error_size, "no program for the earlier version is set (TW_EARLIER_CORE)");
     return NULL;
 }
 
@@ -233,13 +235,13 @@
     tw_simulator_node *node_state = &sim->nodes[node];
     char text[MAX_SETTINGS];
     write_settings(sim, node, text, sizeof text);
-    const tw_simulator_controller_start start = {
+    const tw_simulator_controller_options options = {
         .settings = text,
         .mem_mb = sim->world.mem_mb,
         .seed = node_seed(sim, node, node_state->generation + 1),
-        .clock = clock_of(sim, node)};
+        .clock = node_clock(sim, node)};
     node_state->controller =
-        new_controller(sim, node_state->earlier_version, &start, error, error_size);
+        new_controller(sim, node_state->earlier_version, &options, error, error_size);
     if (!node_state->controller) return -1;
     node_state->alive = true;
     node_state->generation++;
@@ -250,10 +252,10 @@
 }
 
 static void start_node(tw_simulator *sim, tw_simulator_event *event) {
-    char error[TW_SIMULATOR_MESSAGE];
+    char error[TW_SIMULATOR_MESSAGE_SIZE];
     if (sim->nodes[event->node].alive) return;
     if (tw_simulator_node_start(sim, event->node, error, sizeof error))
-        tw_simulator_fail(sim, "settings", error);
+        tw_simulator_report_failure(sim, "node can't start:", error);
 }
 
 void tw_simulator_node_start_after(tw_simulator *sim, int node, double seconds) {
@@ -264,7 +266,7 @@
     tw_simulator_node *node_state = &sim->nodes[node];
     if (!node_state->alive) return;
     node_state->alive = false;
-    node_state->still_until = node_state->sends_late_until = 0;
+    node_state->paused_until = node_state->effects_delayed_until = 0;
     while (node_state->delayed_effects) {
         tw_effect *effect = node_state->delayed_effects;
         node_state->delayed_effects = effect->next;
@@ -280,10 +282,10 @@
     node_state->controller = NULL;
 }
 
-int tw_simulator_leader(tw_simulator *sim) {
+int tw_simulator_find_leader(tw_simulator *sim) {
     const char *value = tw_simulator_state_value(&sim->world.state, "leader");
     for (int i = 0; value && i < sim->world.node_count; i++) {
-        char text[TW_SIMULATOR_NAME + 16];
+        char text[TW_SIMULATOR_NAME_SIZE + 16];
         snprintf(text, sizeof text, "\"node\":\"%s\"", sim->world.nodes[i]);
         if (strstr(value, text)) return i;
     }
@@ -291,7 +293,7 @@
 }
 
 int tw_simulator_node_find(tw_simulator *sim, const char *name) {
-    if (!strcmp(name, "leader")) return tw_simulator_leader(sim);
+    if (!strcmp(name, "leader")) return tw_simulator_find_leader(sim);
     for (int i = 0; i < sim->world.node_count; i++)
         if (!strcmp(sim->world.nodes[i], name)) return i;
     return -1;
--- a/simulator/words.c
+++ b/simulator/words.c
@@ -7,8 +7,9 @@
 #define DECIMAL 10
 #define SPACE " \n"
 
-/* Goes on behind a number that ended there. */
-static void took(tw_simulator_reader *reader, const char *end) {
+/* Moves the reader to the end of a number. Marks the reader as bad if there was no number or no
+ * separator follows it. */
+static void end_number(tw_simulator_reader *reader, const char *end) {
     if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->bad = true;
     reader->at = end;
 }
@@ -22,21 +23,21 @@
 double tw_simulator_read_number(tw_simulator_reader *reader) {
     char *end;
     const double value = strtod(reader->at, &end);
-    took(reader, end);
+    end_number(reader, end);
     return value;
 }
 
 uint64_t tw_simulator_read_count(tw_simulator_reader *reader) {
     char *end;
     const uint64_t value = strtoull(reader->at, &end, DECIMAL);
-    took(reader, end);
+    end_number(reader, end);
     return value;
 }
 
 long tw_simulator_read_int(tw_simulator_reader *reader) {
     char *end;
     const long value = strtol(reader->at, &end, DECIMAL);
-    took(reader, end);
+    end_number(reader, end);
     return value;
 }
 
