--- a/simulator/looks.c
+++ b/simulator/close_poll.c
@@ -6,22 +6,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CANCELS_SHARE 0.2 /* of close looks at unfinished jobs */
-#define CANCEL_WITHIN_S 0.03
-#define CANCEL_NOW_WITHIN_S 0.2
-#define LONG_TO_GO_S 5.0
-#define MOST_HUNG 8
+#define CANCEL_SHARE 0.2 /* of close looks at unfinished jobs */
+#define MAX_CANCEL_DELAY_S 0.03
+#define MAX_RUNNING_CANCEL_DELAY_S 0.2
+#define MIN_REMAINING_S 5.0
+#define MAX_HUNG_MACHINES 8
 
-static const double look_after_s[] = {0, 0.001, 0.003, 0.01, 0.03};
-#define LOOKS (int)(sizeof look_after_s / sizeof *look_after_s)
+static const double close_request_delays_s[] = {0, 0.001, 0.003, 0.01, 0.03};
+#define CLOSE_REQUESTS_PER_NODE                                                                    \
+    (int)(sizeof close_request_delays_s / sizeof *close_request_delays_s)
 
-static void send_look(tw_simulator *sim, tw_simulator_event *event) {
+static void send_close_request(tw_simulator *sim, tw_simulator_event *event) {
     if (!sim->nodes[event->node].alive) return;
     tw_simulator_user_send_to(sim, event->target, event->kind, event->node);
 }
 
-static void schedule_look(tw_simulator *sim, int job, int node, int kind, double seconds) {
-    tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, send_look);
+static void schedule_close_request(tw_simulator *sim, int job, int node, int kind, double seconds) {
+    tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, send_close_request);
     event->target = job;
     event->node = node;
     event->kind = kind;
@@ -31,33 +32,33 @@
     tw_simulator_user_cancel(sim, event->target);
 }
 
-static void cancel_within(tw_simulator *sim, int job, int draw, double seconds) {
+static void schedule_cancellation(tw_simulator *sim, int job, int draw, double seconds) {
     tw_simulator_schedule_after(sim, tw_simulator_draw(&sim->world, draw, 0, seconds), cancel_job)
         ->target = job;
 }
 
-void tw_simulator_look_closely(tw_simulator *sim, int job, bool may_cancel) {
+void tw_simulator_schedule_close_polls(tw_simulator *sim, int job, bool may_cancel) {
     tw_simulator_world *world = &sim->world;
     if (world->now >= sim->trouble.close_looks_until) return;
     sim->strike_counts[TW_SIMULATOR_CLOSE_LOOKS]++;
-    for (int i = 0; i < LOOKS; i++)
+    for (int i = 0; i < CLOSE_REQUESTS_PER_NODE; i++)
         for (int node = 0; node < world->node_count; node++)
-            schedule_look(sim, job, node, TW_SIMULATOR_POLL, look_after_s[i]);
+            schedule_close_request(sim, job, node, TW_SIMULATOR_POLL, close_request_delays_s[i]);
     for (int node = 0; node < world->node_count; node++) {
-        int i = tw_simulator_draw_index(world, TW_SIMULATOR_DRAW_LOOKS, LOOKS);
-        schedule_look(sim, job, node, TW_SIMULATOR_SUBMIT, look_after_s[i]);
+        int i = tw_simulator_draw_index(world, TW_SIMULATOR_DRAW_LOOKS, CLOSE_REQUESTS_PER_NODE);
+        schedule_close_request(sim, job, node, TW_SIMULATOR_SUBMIT, close_request_delays_s[i]);
     }
-    if (may_cancel && tw_simulator_draw(world, TW_SIMULATOR_DRAW_LOOKS, 0, 1) < CANCELS_SHARE)
-        cancel_within(sim, job, TW_SIMULATOR_DRAW_LOOKS, CANCEL_WITHIN_S);
+    if (may_cancel && tw_simulator_draw(world, TW_SIMULATOR_DRAW_LOOKS, 0, 1) < CANCEL_SHARE)
+        schedule_cancellation(sim, job, TW_SIMULATOR_DRAW_LOOKS, MAX_CANCEL_DELAY_S);
 }
 
 void tw_simulator_job_ended(void *context, tw_simulator_job *job) {
     tw_simulator *sim = context;
     if (!job->accepted || job->told_over) return;
-    if (tw_simulator_trouble_strikes(sim, &sim->trouble.cancel_at_end, TW_SIMULATOR_CANCEL_AT_END,
-                                     TW_SIMULATOR_DRAW_CANCELS))
+    if (tw_simulator_fault_applies(sim, &sim->trouble.cancel_at_end, TW_SIMULATOR_CANCEL_AT_END,
+                                   TW_SIMULATOR_DRAW_CANCELS))
         tw_simulator_user_cancel(sim, job->index);
-    tw_simulator_look_closely(sim, job->index, true);
+    tw_simulator_schedule_close_polls(sim, job->index, true);
 }
 
 /* ---- cancelnow ---- */
@@ -69,7 +70,7 @@
         for (int k = 0; k < worker->task_count && !worker->gone; k++) {
             const tw_simulator_task *task = &worker->tasks[k];
             if (task->job == job && task->stage == TW_TASK_RUNNING &&
-                task->end_at > world->now + LONG_TO_GO_S)
+                task->end_at > world->now + MIN_REMAINING_S)
                 return i;
         }
     }
@@ -77,9 +78,9 @@
 }
 
 /* `cancelnow N [HANG_S]` */
-static void cancel_now(tw_simulator *sim, const tw_simulator_words *words) {
+static void cancel_running_jobs(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_world *world = &sim->world;
-    int wanted = tw_simulator_parse_int(words->words[1]), hung = 0;
+    int wanted = tw_simulator_parse_int(words->words[1]), hung_count = 0;
     double hang_s = words->count > 2 ? tw_simulator_parse_number(words->words[2]) : 0;
     int first = world->job_count
                     ? tw_simulator_draw_index(world, TW_SIMULATOR_DRAW_CANCELS, world->job_count)
@@ -90,30 +91,32 @@
         if (!job->accepted || job->cancel_asked_at > 0 || machine < 0) continue;
         wanted--;
         sim->strike_counts[TW_SIMULATOR_CANCEL_NOW]++;
-        cancel_within(sim, job->index, TW_SIMULATOR_DRAW_CANCELS, CANCEL_NOW_WITHIN_S);
-        if (hang_s > 0 && hung++ < MOST_HUNG)
+        schedule_cancellation(sim, job->index, TW_SIMULATOR_DRAW_CANCELS,
+                              MAX_RUNNING_CANCEL_DELAY_S);
+        if (hang_s > 0 && hung_count++ < MAX_HUNG_MACHINES)
             world->workers[machine]->hung_until =
                 fmax(world->workers[machine]->hung_until, world->now + hang_s);
     }
 }
 
-static void close_looks(tw_simulator *sim, const tw_simulator_words *words) {
+static void start_close_polls(tw_simulator *sim, const tw_simulator_words *words) {
     sim->trouble.close_looks_until = sim->world.now + tw_simulator_parse_number(words->words[1]);
 }
 
-static void cancel_at_end(tw_simulator *sim, const tw_simulator_words *words) {
+static void start_cancel_at_end(tw_simulator *sim, const tw_simulator_words *words) {
     sim->trouble.cancel_at_end.share = tw_simulator_parse_number(words->words[1]);
     sim->trouble.cancel_at_end.until = sim->world.now + tw_simulator_parse_number(words->words[2]);
 }
 
-static void odd_requests(tw_simulator *sim, const tw_simulator_words *words) {
+static void start_invalid_requests(tw_simulator *sim, const tw_simulator_words *words) {
     bool on = sim->world.now < sim->trouble.odd_requests_until;
     sim->trouble.odd_requests_until = sim->world.now + tw_simulator_parse_number(words->words[1]);
-    if (!on) tw_simulator_odd_start(sim);
+    if (!on) tw_simulator_start_invalid_requests(sim);
 }
 
-const tw_simulator_command tw_simulator_habit_commands[] = {{"closelooks", 2, 1, close_looks},
-                                                            {"cancelatend", 3, 2, cancel_at_end},
-                                                            {"cancelnow", 2, 2, cancel_now},
-                                                            {"oddrequests", 2, 1, odd_requests},
-                                                            {NULL, 0, 0, NULL}};
+const tw_simulator_command tw_simulator_habit_commands[] = {
+    {"closelooks", 2, 1, start_close_polls},
+    {"cancelatend", 3, 2, start_cancel_at_end},
+    {"cancelnow", 2, 2, cancel_running_jobs},
+    {"oddrequests", 2, 1, start_invalid_requests},
+    {NULL, 0, 0, NULL}};
--- a/simulator/controller_remote.c
+++ b/simulator/controller_remote.c
@@ -155,7 +155,7 @@
             return;
         }
         const tw_simulator_reader effect = tw_simulator_read_line(head, "effect");
-        if (!effect.bad) {
+        if (!effect.failed) {
             read_effect(remote, effect);
             continue;
         }
--- a/simulator/draw.c
+++ b/simulator/draw.c
@@ -4,14 +4,14 @@
 #include <gsl/gsl_rng.h>
 #include <stdlib.h>
 
-#define SEED_STEP 8 /* not the number of streams: one more must not change the others */
+#define SEEDS_PER_SCENARIO 8 /* not the number of streams: one more must not change the others */
 
 double tw_simulator_draw(tw_simulator_world *world, int kind, double from, double to) {
     if (!world->draws[kind]) {
         world->draws[kind] = gsl_rng_alloc(gsl_rng_taus2);
         if (!world->draws[kind]) abort();
         gsl_rng_set(world->draws[kind],
-                    (unsigned long)world->seed * SEED_STEP + (unsigned)kind + 1);
+                    (unsigned long)world->seed * SEEDS_PER_SCENARIO + (unsigned)kind + 1);
     }
     return from + (to - from) * gsl_rng_uniform(world->draws[kind]);
 }
--- a/simulator/expect.c
+++ b/simulator/expect.c
@@ -9,11 +9,11 @@
     tw_simulator *sim;
     tw_simulator_job *job; /* the first argument's, or NULL */
     const char *arguments[4];
-    char got[64];
+    char actual[64];
 } expectation;
 
 static bool in_range(expectation *expected, double value, const char *least, const char *most) {
-    snprintf(expected->got, sizeof expected->got, "%.0f", value);
+    snprintf(expected->actual, sizeof expected->actual, "%.0f", value);
     return value >= tw_simulator_parse_number(least) &&
            (!*most || value <= tw_simulator_parse_number(most));
 }
@@ -28,31 +28,31 @@
 
 static bool is_refused(expectation *expected) {
     int status = expected->job ? expected->job->last_status : -1;
-    snprintf(expected->got, sizeof expected->got, "status %d", status);
+    snprintf(expected->actual, sizeof expected->actual, "status %d", status);
     return expected->job && !expected->job->accepted &&
            status == tw_simulator_parse_int(expected->arguments[1]);
 }
 
 /* The last answer to a cancellation. */
-static bool cancel_answered(expectation *expected) {
+static bool cancel_status_matches(expectation *expected) {
     int status = expected->job ? expected->job->cancel_status : -1;
-    snprintf(expected->got, sizeof expected->got, "status %d", status);
+    snprintf(expected->actual, sizeof expected->actual, "status %d", status);
     return status == tw_simulator_parse_int(expected->arguments[1]);
 }
 
-static bool starts(expectation *expected) {
+static bool started_tasks_match(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->started : -1, expected->arguments[1],
                     expected->arguments[2]);
 }
 
-static bool running(expectation *expected) {
+static bool running_tasks_match(expectation *expected) {
     return in_range(expected,
                     tw_simulator_job_tasks_running(&expected->sim->world, expected->arguments[0]),
                     expected->arguments[1], expected->arguments[2]);
 }
 
 /* Tasks of a gang that wait for the others. */
-static bool waiting(expectation *expected) {
+static bool waiting_tasks_match(expectation *expected) {
     return in_range(expected,
                     tw_simulator_job_tasks_in_stage(&expected->sim->world, expected->arguments[0],
                                                     TW_TASK_WAITING),
@@ -60,23 +60,23 @@
 }
 
 /* How often all tasks of a gang began together, and under how many attempts some came. */
-static bool gang_starts(expectation *expected) {
+static bool gang_starts_match(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_starts : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
-static bool attempts(expectation *expected) {
+static bool gang_attempts_match(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_count : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
 
 /* A gang's progress that is safe, in seconds. */
-static bool saved(expectation *expected) {
+static bool saved_progress_matches(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_saved_s : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
 
 /* How many tasks of a job ended with a cause. */
-static bool exits(expectation *expected) {
+static bool exit_count_matches(expectation *expected) {
     int cause = TW_CAUSE_DONE;
     while (cause < TW_CAUSE_OTHER &&
            strcmp(tw_simulator_causes[cause], expected->arguments[1]) != 0)
@@ -86,7 +86,7 @@
                     expected->arguments[3]);
 }
 
-static bool machines(expectation *expected) {
+static bool machine_count_matches(expectation *expected) {
     int count = 0;
     for (int i = 0; i < expected->sim->world.worker_count; i++)
         count += !expected->sim->world.workers[i]->gone;
@@ -94,7 +94,7 @@
 }
 
 /* How many machines of a type there have been. */
-static bool rented(expectation *expected) {
+static bool rented_machines_match(expectation *expected) {
     const tw_simulator_world *world = &expected->sim->world;
     int count = 0;
     for (int i = 0; i < world->worker_count; i++)
@@ -120,7 +120,7 @@
 static bool has_leader(expectation *expected) { return tw_simulator_leader(expected->sim) >= 0; }
 
 /* Of the node that leads, since it started. */
-static bool steps(expectation *expected) {
+static bool leader_steps_match(expectation *expected) {
     int leader = tw_simulator_leader(expected->sim);
     tw_simulator_controller *controller =
         leader < 0 ? NULL : expected->sim->nodes[leader].controller;
@@ -129,7 +129,7 @@
 }
 
 /* How many nodes start with the earlier version. */
-static bool old_nodes(expectation *expected) {
+static bool earlier_version_nodes_match(expectation *expected) {
     int count = 0;
     for (int i = 0; i < expected->sim->world.node_count; i++)
         count += expected->sim->nodes[i].earlier_version;
@@ -137,16 +137,16 @@
 }
 
 /* Whether the node that leads is of the `old` or of the `new` version. */
-static bool leader_version(expectation *expected) {
+static bool leader_version_matches(expectation *expected) {
     int leader = tw_simulator_leader(expected->sim);
     if (leader < 0) return false;
-    snprintf(expected->got, sizeof expected->got, "%s",
+    snprintf(expected->actual, sizeof expected->actual, "%s",
              expected->sim->nodes[leader].earlier_version ? "old" : "new");
-    return !strcmp(expected->got, expected->arguments[0]);
+    return !strcmp(expected->actual, expected->arguments[0]);
 }
 
 /* How often a trouble struck. */
-static bool struck(expectation *expected) {
+static bool fault_count_matches(expectation *expected) {
     static const char *const names[TW_SIMULATOR_TROUBLE_KINDS] = {
         "latewrites",   "lostwrites",  "lateheartbeats", "mute",       "unresponsive",
         "latecommands", "cutstate",    "slownode",       "latesends",  "repeatcommands",
@@ -159,13 +159,13 @@
 }
 
 /* Transactions that the state service refused for their size. */
-static bool too_large(expectation *expected) {
+static bool oversized_txns_match(expectation *expected) {
     return in_range(expected, expected->sim->world.state.too_large_count, expected->arguments[0],
                     expected->arguments[1]);
 }
 
 /* Keys with this prefix in the state service. */
-static bool keys(expectation *expected) {
+static bool key_count_matches(expectation *expected) {
     const tw_simulator_state *state = &expected->sim->world.state;
     int count = 0;
     for (size_t i = 0; i < state->key_count; i++)
@@ -177,18 +177,29 @@
 static const struct {
     const char *name;
     bool (*holds)(expectation *x);
-} kinds[] = {{"done", is_done},         {"cancelled", is_cancelled},
-             {"accepted", is_accepted}, {"refused", is_refused},
-             {"starts", starts},        {"running", running},
-             {"machines", machines},    {"rented", rented},
-             {"gone", is_gone},         {"incarnation", is_in_incarnation},
-             {"leader", has_leader},    {"steps", steps},
-             {"struck", struck},        {"cancel", cancel_answered},
-             {"toolarge", too_large},   {"keys", keys},
-             {"waiting", waiting},      {"gang_starts", gang_starts},
-             {"attempts", attempts},    {"saved", saved},
-             {"exits", exits},          {"old", old_nodes},
-             {"led", leader_version}};
+} kinds[] = {{"done", is_done},
+             {"cancelled", is_cancelled},
+             {"accepted", is_accepted},
+             {"refused", is_refused},
+             {"starts", started_tasks_match},
+             {"running", running_tasks_match},
+             {"machines", machine_count_matches},
+             {"rented", rented_machines_match},
+             {"gone", is_gone},
+             {"incarnation", is_in_incarnation},
+             {"leader", has_leader},
+             {"steps", leader_steps_match},
+             {"struck", fault_count_matches},
+             {"cancel", cancel_status_matches},
+             {"toolarge", oversized_txns_match},
+             {"keys", key_count_matches},
+             {"waiting", waiting_tasks_match},
+             {"gang_starts", gang_starts_match},
+             {"attempts", gang_attempts_match},
+             {"saved", saved_progress_matches},
+             {"exits", exit_count_matches},
+             {"old", earlier_version_nodes_match},
+             {"led", leader_version_matches}};
 
 void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words) {
     expectation expected = {.sim = sim, .arguments = {"", "", "", ""}};
@@ -201,6 +212,6 @@
             holds = kinds[i].holds(&expected);
     if (holds) return;
     snprintf(text, sizeof text, "%s %s %s %s %s got %s", words->words[1], expected.arguments[0],
-             expected.arguments[1], expected.arguments[2], expected.arguments[3], expected.got);
+             expected.arguments[1], expected.arguments[2], expected.arguments[3], expected.actual);
     tw_simulator_fail(sim, "expected", text);
 }
--- a/simulator/trouble.c
+++ b/simulator/fault.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RESTART_S 4.0
+#define DEFAULT_RESTART_S 4.0
 
 static double number_at(const tw_simulator_words *words, int i) {
     return i < words->count ? tw_simulator_parse_number(words->words[i]) : 0;
@@ -23,13 +23,13 @@
     return i >= 0 ? &sim->nodes[i] : NULL;
 }
 
-void tw_simulator_extend_troubles(tw_simulator *sim, double seconds) {
+void tw_simulator_extend_faults(tw_simulator *sim, double seconds) {
     tw_simulator_world *world = &sim->world;
     world->troubles_end = fmax(world->troubles_end, world->now + seconds);
 }
 
-bool tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
-                                  int trouble, int draw) {
+bool tw_simulator_fault_applies(tw_simulator *sim, const tw_simulator_message_share *share,
+                                int trouble, int draw) {
     if (sim->world.now >= share->until) return false;
     if (tw_simulator_draw(&sim->world, draw, 0, 1) >= share->share) return false;
     sim->strike_counts[trouble]++;
@@ -37,28 +37,28 @@
 }
 
 /* `NAME SHARE SECONDS`; what is held up arrives after that time still. */
-static void set_share(tw_simulator *sim, const tw_simulator_words *words,
-                      tw_simulator_message_share *share, double held_s) {
+static void set_message_share(tw_simulator *sim, const tw_simulator_words *words,
+                              tw_simulator_message_share *share, double max_delay_s) {
     share->share = number_at(words, 1);
     share->until = sim->world.now + number_at(words, 2);
-    if (held_s > 0) tw_simulator_extend_troubles(sim, number_at(words, 2) + held_s);
+    if (max_delay_s > 0) tw_simulator_extend_faults(sim, number_at(words, 2) + max_delay_s);
 }
 
 /* ---- nodes ---- */
 
 static void kill_node(tw_simulator *sim, const tw_simulator_words *words) {
-    double back_s = words->count > 2 ? number_at(words, 2) : RESTART_S;
-    tw_simulator_extend_troubles(sim, back_s);
+    double restart_after_s = words->count > 2 ? number_at(words, 2) : DEFAULT_RESTART_S;
+    tw_simulator_extend_faults(sim, restart_after_s);
     int all = !strcmp(words->words[1], "all"),
         one = all ? -1 : tw_simulator_node_find(sim, words->words[1]);
     for (int i = 0; i < sim->world.node_count; i++) {
         if (!all && i != one) continue;
         tw_simulator_node_kill(sim, i);
-        tw_simulator_node_start_after(sim, i, back_s);
+        tw_simulator_node_start_after(sim, i, restart_after_s);
     }
 }
 
-static void refuse_state(tw_simulator *sim, const tw_simulator_words *words) {
+static void make_state_unavailable(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (node_state) node_state->no_state_until = sim->world.now + number_at(words, 2);
 }
@@ -69,19 +69,19 @@
 }
 
 /* `cutstate NODE SECONDS hang|refuse` */
-static void cut_state(tw_simulator *sim, const tw_simulator_words *words) {
+static void cut_off_state(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (!node_state) return;
     node_state->cut_state_until = sim->world.now + number_at(words, 2);
     node_state->cut_state_refuses = !strcmp(words->words[3], "refuse");
 }
 
-static void send_old_format(tw_simulator *sim, const tw_simulator_words *words) {
+static void hide_record_format(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (node_state) node_state->old_format_until = sim->world.now + number_at(words, 2);
 }
 
-static void slow_node(tw_simulator *sim, const tw_simulator_words *words) {
+static void pause_node(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (!node_state || !node_state->alive) return;
     node_state->still_from = sim->world.now;
@@ -96,7 +96,7 @@
     tw_simulator_node_delay_messages(sim, (int)(node_state - sim->nodes));
 }
 
-static void cut_workers(tw_simulator *sim, const tw_simulator_words *words) {
+static void lose_worker_messages(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (node_state) node_state->no_workers_until = sim->world.now + number_at(words, 2);
 }
@@ -107,7 +107,7 @@
 
 /* ---- zones ---- */
 
-static void cut_off_zone(tw_simulator *sim, const tw_simulator_words *words) {
+static void isolate_zone(tw_simulator *sim, const tw_simulator_words *words) {
     snprintf(sim->trouble.island, TW_SIMULATOR_NAME, "%s", words->words[1]);
     sim->trouble.island_until = sim->world.now + number_at(words, 2);
 }
@@ -121,14 +121,14 @@
 
 /* ---- state service ---- */
 
-static void end_outage(tw_simulator *sim, tw_simulator_event *event) {
+static void end_state_outage(tw_simulator *sim, tw_simulator_event *event) {
     (void)event;
     tw_simulator_state_outage(&sim->world.state, sim->world.now, false);
 }
 
-static void begin_outage(tw_simulator *sim, const tw_simulator_words *words) {
+static void begin_state_outage(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_state_outage(&sim->world.state, sim->world.now, true);
-    tw_simulator_schedule_after(sim, number_at(words, 1), end_outage);
+    tw_simulator_schedule_after(sim, number_at(words, 1), end_state_outage);
 }
 
 static void slow_state_service(tw_simulator *sim, const tw_simulator_words *words) {
@@ -158,11 +158,11 @@
 }
 
 static void delay_writes(tw_simulator *sim, const tw_simulator_words *words) {
-    set_share(sim, words, &sim->trouble.late_writes, TW_SIMULATOR_WRITE_HELD_MOST_S);
+    set_message_share(sim, words, &sim->trouble.late_writes, TW_SIMULATOR_WRITE_HELD_MOST_S);
 }
 
 static void lose_write_answers(tw_simulator *sim, const tw_simulator_words *words) {
-    set_share(sim, words, &sim->trouble.lost_writes, 0);
+    set_message_share(sim, words, &sim->trouble.lost_writes, 0);
 }
 
 /* ---- machines ---- */
@@ -182,7 +182,7 @@
     if (worker) worker->refuses_until = sim->world.now + number_at(words, 2);
 }
 
-static void mute_machine(tw_simulator *sim, const tw_simulator_words *words) {
+static void lose_heartbeats(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_worker *worker = find_machine(sim, words);
     if (worker) worker->mute_until = sim->world.now + number_at(words, 2);
 }
@@ -199,16 +199,16 @@
     worker->changed = true;
 }
 
-static void end_faulty(tw_simulator *sim, tw_simulator_event *event) {
+static void end_machine_fault(tw_simulator *sim, tw_simulator_event *event) {
     sim->world.workers[event->target]->faulty = false;
 }
 
-static void make_faulty(tw_simulator *sim, const tw_simulator_words *words) {
+static void make_machine_faulty(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_worker *worker = find_machine(sim, words);
     if (!worker) return;
     worker->faulty = true;
     if (words->count > 2)
-        tw_simulator_schedule_after(sim, number_at(words, 2), end_faulty)->target =
+        tw_simulator_schedule_after(sim, number_at(words, 2), end_machine_fault)->target =
             tw_simulator_parse_int(words->words[1]);
 }
 
@@ -222,7 +222,7 @@
     sim->trouble.late_commands_s = number_at(words, 2);
 }
 
-static void copy_next_heartbeat(tw_simulator *sim, const tw_simulator_words *words) {
+static void duplicate_next_heartbeat(tw_simulator *sim, const tw_simulator_words *words) {
     sim->trouble.copy_heartbeat_of = tw_simulator_parse_int(words->words[1]);
     sim->trouble.copy_heartbeat_s = number_at(words, 2);
 }
@@ -233,19 +233,20 @@
 }
 
 static void delay_commands(tw_simulator *sim, const tw_simulator_words *words) {
-    set_share(sim, words, &sim->trouble.late_commands, TW_SIMULATOR_COMMAND_HELD_MOST_S);
+    set_message_share(sim, words, &sim->trouble.late_commands, TW_SIMULATOR_COMMAND_HELD_MOST_S);
 }
 
 static void repeat_commands(tw_simulator *sim, const tw_simulator_words *words) {
-    set_share(sim, words, &sim->trouble.repeated_commands, TW_SIMULATOR_COMMAND_HELD_MOST_S);
+    set_message_share(sim, words, &sim->trouble.repeated_commands,
+                      TW_SIMULATOR_COMMAND_HELD_MOST_S);
 }
 
-static void copy_heartbeats(tw_simulator *sim, const tw_simulator_words *words) {
-    double held_s = TW_SIMULATOR_HEARTBEAT_HELD_MOST_LEASES * sim->world.lease_s;
-    const bool kept = words->count > 3 && !strcmp(words->words[3], "next");
-    sim->trouble.late_heartbeat_leaders = kept ? (int)fmax(1, number_at(words, 4)) : 0;
-    set_share(sim, words, &sim->trouble.late_heartbeats,
-              sim->trouble.late_heartbeat_leaders ? 0 : held_s);
+static void duplicate_heartbeats(tw_simulator *sim, const tw_simulator_words *words) {
+    double max_delay_s = TW_SIMULATOR_HEARTBEAT_HELD_MOST_LEASES * sim->world.lease_s;
+    const bool until_new_leader = words->count > 3 && !strcmp(words->words[3], "next");
+    sim->trouble.late_heartbeat_leaders = until_new_leader ? (int)fmax(1, number_at(words, 4)) : 0;
+    set_message_share(sim, words, &sim->trouble.late_heartbeats,
+                      sim->trouble.late_heartbeat_leaders ? 0 : max_delay_s);
 }
 
 /* ---- cloud ---- */
@@ -257,7 +258,7 @@
 static void refuse_rentals(tw_simulator *sim, const tw_simulator_words *words) {
     sim->world.refuses_rentals = (int)number_at(words, 1);
 }
-static void boot_fast(tw_simulator *sim, const tw_simulator_words *words) {
+static void shorten_boots(tw_simulator *sim, const tw_simulator_words *words) {
     sim->world.fast_until = sim->world.now + number_at(words, 1);
 }
 static void fail_boots(tw_simulator *sim, const tw_simulator_words *words) {
@@ -276,17 +277,17 @@
 
 const tw_simulator_command tw_simulator_trouble_commands[] = {
     {"kill", 2, 2, kill_node},
-    {"nostate", 3, 2, refuse_state},
+    {"nostate", 3, 2, make_state_unavailable},
     {"isolate", 3, 2, isolate_node},
-    {"noworkers", 3, 2, cut_workers},
+    {"noworkers", 3, 2, lose_worker_messages},
     {"refusepeers", 2, 1, refuse_peers},
-    {"isolatezone", 3, 2, cut_off_zone},
+    {"isolatezone", 3, 2, isolate_zone},
     {"cut", 4, 3, cut_zones},
-    {"outage", 2, 1, begin_outage},
+    {"outage", 2, 1, begin_state_outage},
     {"slowstate", 3, 2, slow_state_service},
     {"statelimits", 2, 0, change_state_limits},
     {"nextlimits", 2, 0, announce_next_limits},
-    {"oldformat", 3, 2, send_old_format},
+    {"oldformat", 3, 2, hide_record_format},
     {"losetxn", 2, 0, lose_transactions},
     {"latetxn", 2, 1, delay_next_transaction},
     {"hang", 3, 2, hang_machine},
@@ -294,10 +295,10 @@
     {"refusecommands", 3, 2, refuse_commands},
     {"take", 2, 0, remove_machine},
     {"notice", 3, 2, announce_preemption},
-    {"faulty", 2, 0, make_faulty},
+    {"faulty", 2, 0, make_machine_faulty},
     {"slow", 3, 0, slow_machine},
     {"latecommand", 3, 2, delay_next_command},
-    {"dupheartbeat", 3, 2, copy_next_heartbeat},
+    {"dupheartbeat", 3, 2, duplicate_next_heartbeat},
     {"holdheartbeat", 3, 2, delay_next_heartbeat},
     {"nocloud", 2, 1, begin_cloud_outage},
     {"refuse", 2, 0, refuse_rentals},
@@ -305,12 +306,12 @@
     {"failboots", 4, 3, fail_boots_of_type},
     {"latewrites", 3, 2, delay_writes},
     {"lostwrites", 3, 2, lose_write_answers},
-    {"lateheartbeats", 3, 2, copy_heartbeats},
+    {"lateheartbeats", 3, 2, duplicate_heartbeats},
     {"latecommands", 3, 2, delay_commands},
     {"repeatcommands", 3, 2, repeat_commands},
-    {"mute", 3, 2, mute_machine},
-    {"cutstate", 4, 2, cut_state},
-    {"slownode", 3, 2, slow_node},
+    {"mute", 3, 2, lose_heartbeats},
+    {"cutstate", 4, 2, cut_off_state},
+    {"slownode", 3, 2, pause_node},
     {"latesends", 3, 2, delay_node_messages},
-    {"bootfast", 2, 1, boot_fast},
+    {"bootfast", 2, 1, shorten_boots},
     {NULL, 0, 0, NULL}};
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -19,17 +19,17 @@
 #include <string.h>
 
 #define NEVER 1e18
-#define FAILS_AFTER_S 0.3 /* a task on a faulty machine, or of a job with a mistake */
-#define WAIT_LEASES 1.5   /* unless the scenario sets the times */
-#define PEER_LEASES 0.25
+#define FAILURE_DELAY_S 0.3     /* a task on a faulty machine, or of a job with a mistake */
+#define DEFAULT_WAIT_LEASES 1.5 /* unless the scenario sets the times */
+#define DEFAULT_PEER_LEASES 0.25
 #define EPSILON 1e-6
 
 double tw_simulator_gang_wait_s(const tw_simulator_world *world) {
-    return world->gang_wait_s > 0 ? world->gang_wait_s : WAIT_LEASES * world->lease_s;
+    return world->gang_wait_s > 0 ? world->gang_wait_s : DEFAULT_WAIT_LEASES * world->lease_s;
 }
 
 double tw_simulator_gang_peer_s(const tw_simulator_world *world) {
-    return world->gang_peer_s > 0 ? world->gang_peer_s : PEER_LEASES * world->lease_s;
+    return world->gang_peer_s > 0 ? world->gang_peer_s : DEFAULT_PEER_LEASES * world->lease_s;
 }
 
 static tw_simulator_gang *find_gang(tw_simulator_job *job, uint64_t attempt) {
@@ -38,7 +38,7 @@
     return NULL;
 }
 
-static tw_simulator_gang *gang_of(tw_simulator_job *job, uint64_t attempt) {
+static tw_simulator_gang *find_or_create_gang(tw_simulator_job *job, uint64_t attempt) {
     tw_simulator_gang *gang = find_gang(job, attempt);
     if (gang) return gang;
     job->gangs =
@@ -54,7 +54,8 @@
     return task->stage == TW_TASK_RUNNING || task->stage == TW_TASK_SAVING;
 }
 
-static bool executes(const tw_simulator_world *world, const tw_simulator_worker *worker) {
+static bool machine_executes_tasks(const tw_simulator_world *world,
+                                   const tw_simulator_worker *worker) {
     return !worker->gone && worker->up && world->now >= worker->hung_until;
 }
 
@@ -76,7 +77,7 @@
                                interval_s);
     if (gang->progress_s + EPSILON < job->run_s || job->fails) return;
     gang->state = TW_SIMULATOR_GANG_DONE;
-    for (int i = 0; i < job->spec.task_count; i++) tw_simulator_task_done(world, job, i);
+    for (int i = 0; i < job->spec.task_count; i++) tw_simulator_complete_task(world, job, i);
 }
 
 static void break_gang(tw_simulator_gang *gang) {
@@ -91,7 +92,7 @@
     bool fails = worker->faulty || task->job->fails;
     task->stage = TW_TASK_RUNNING;
     task->started_at = world->now;
-    task->end_at = fails ? world->now + FAILS_AFTER_S : NEVER;
+    task->end_at = fails ? world->now + FAILURE_DELAY_S : NEVER;
     if (!fails) task->job->started++;
     worker->changed = true;
 }
@@ -104,7 +105,7 @@
     if (job->begun_at <= 0) job->begun_at = world->now;
     for (int i = 0; i < world->worker_count; i++) {
         tw_simulator_worker *worker = world->workers[i];
-        for (int k = 0; k < worker->task_count && executes(world, worker); k++) {
+        for (int k = 0; k < worker->task_count && machine_executes_tasks(world, worker); k++) {
             tw_simulator_task *task = &worker->tasks[k];
             if (task->job == job && task->attempt == gang->attempt &&
                 task->stage == TW_TASK_WAITING)
@@ -118,8 +119,8 @@
     task->stage = TW_TASK_WAITING;
     task->end_at = world->now + tw_simulator_gang_wait_s(world);
     worker->changed = true;
-    gang_of(task->job, task->attempt);
-    tw_simulator_judge_start(world, worker, task);
+    find_or_create_gang(task->job, task->attempt);
+    tw_simulator_judge_task_start(world, worker, task);
     if (task->job->done_count == task->job->spec.task_count)
         tw_simulator_task_exit(worker, task, TW_CAUSE_DONE);
 }
@@ -127,7 +128,7 @@
 /* ---- stop ---- */
 
 /* Whether a task that is told to stop now can still save with the others. */
-static bool is_in_time(const tw_simulator_world *world, const tw_simulator_gang *gang) {
+static bool is_within_stop_window(const tw_simulator_world *world, const tw_simulator_gang *gang) {
     return world->now <= gang->first_stop_at + tw_simulator_gang_peer_s(world);
 }
 
@@ -136,9 +137,10 @@
                          tw_simulator_task *task, tw_simulator_gang *gang, double grace_s) {
     const tw_wire_job *spec = &task->job->spec;
     bool can_save = spec->checkpoint_s > 0 && grace_s >= spec->save_s;
-    bool in_time = gang->state == TW_SIMULATOR_GANG_RUNNING ||
-                   (gang->state == TW_SIMULATOR_GANG_STOPPING && is_in_time(world, gang));
-    if (!can_save || !in_time) {
+    bool can_join_stop =
+        gang->state == TW_SIMULATOR_GANG_RUNNING ||
+        (gang->state == TW_SIMULATOR_GANG_STOPPING && is_within_stop_window(world, gang));
+    if (!can_save || !can_join_stop) {
         tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
         break_gang(gang);
         return;
@@ -152,7 +154,7 @@
 
 void tw_simulator_gang_stop(tw_simulator_world *world, tw_simulator_worker *worker,
                             tw_simulator_task *task, double grace_s) {
-    tw_simulator_gang *gang = gang_of(task->job, task->attempt);
+    tw_simulator_gang *gang = find_or_create_gang(task->job, task->attempt);
     advance_progress(world, task->job, gang);
     if (!is_member(task)) {
         tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
@@ -173,11 +175,12 @@
                        const tw_simulator_task *task) {
     tw_simulator_gang *gang = find_gang(task->job, task->attempt);
     if (!gang) return;
-    gang->waiting_count += task->stage == TW_TASK_WAITING && executes(world, worker);
-    gang->member_count += is_member(task) && executes(world, worker);
-    gang->saving_count += task->stage == TW_TASK_SAVING && executes(world, worker);
-    bool awaited = gang->state == TW_SIMULATOR_GANG_GATHERING && task->stage == TW_TASK_WAITING;
-    if (awaited || is_member(task))
+    gang->waiting_count += task->stage == TW_TASK_WAITING && machine_executes_tasks(world, worker);
+    gang->member_count += is_member(task) && machine_executes_tasks(world, worker);
+    gang->saving_count += task->stage == TW_TASK_SAVING && machine_executes_tasks(world, worker);
+    bool is_gathering =
+        gang->state == TW_SIMULATOR_GANG_GATHERING && task->stage == TW_TASK_WAITING;
+    if (is_gathering || is_member(task))
         gang->greatest_slowdown = fmax(gang->greatest_slowdown, worker->slowdown);
 }
 
@@ -198,16 +201,17 @@
 
 static void advance_gang(tw_simulator_world *world, tw_simulator_job *job,
                          tw_simulator_gang *gang) {
-    int all = job->spec.task_count;
+    int task_count = job->spec.task_count;
     advance_progress(world, job, gang);
     if (gang->greatest_slowdown > 0) gang->slowdown = gang->greatest_slowdown;
-    if (gang->state == TW_SIMULATOR_GANG_GATHERING && gang->waiting_count >= all) {
+    if (gang->state == TW_SIMULATOR_GANG_GATHERING && gang->waiting_count >= task_count) {
         start_gang(world, job, gang);
     } else if (gang->state == TW_SIMULATOR_GANG_RUNNING ||
                gang->state == TW_SIMULATOR_GANG_STOPPING) {
-        bool late = gang->state == TW_SIMULATOR_GANG_STOPPING && gang->saving_count < all &&
-                    !is_in_time(world, gang);
-        if (gang->member_count < all || late) break_gang(gang);
+        bool stop_window_passed = gang->state == TW_SIMULATOR_GANG_STOPPING &&
+                                  gang->saving_count < task_count &&
+                                  !is_within_stop_window(world, gang);
+        if (gang->member_count < task_count || stop_window_passed) break_gang(gang);
     }
 }
 
@@ -221,21 +225,22 @@
 /* Its gang is broken: it saves nothing, and finds out that the others are gone. */
 static void advance_broken_task(tw_simulator_world *world, tw_simulator_worker *worker,
                                 tw_simulator_task *task, tw_simulator_gang *gang) {
-    bool told = task->stage == TW_TASK_SAVING;
-    bool late = gang->first_stop_at > 0 && !is_in_time(world, gang);
+    bool was_saving = task->stage == TW_TASK_SAVING;
+    bool stop_window_passed = gang->first_stop_at > 0 && !is_within_stop_window(world, gang);
     if (task->peers_at <= 0)
         task->peers_at = world->now + tw_simulator_draw(world, TW_SIMULATOR_DRAW_GANGS, 0,
                                                         tw_simulator_gang_peer_s(world));
-    if (late || world->now >= task->peers_at)
+    if (stop_window_passed || world->now >= task->peers_at)
         tw_simulator_task_exit(worker, task,
-                               told && late ? TW_CAUSE_STOPPED : TW_CAUSE_GANG_BROKEN);
+                               was_saving && stop_window_passed ? TW_CAUSE_STOPPED
+                                                                : TW_CAUSE_GANG_BROKEN);
 }
 
 static void advance_saving_task(tw_simulator_world *world, tw_simulator_worker *worker,
                                 tw_simulator_task *task, tw_simulator_gang *gang) {
-    bool all_told =
+    bool all_saving =
         gang->state == TW_SIMULATOR_GANG_SAVED || gang->saving_count >= task->job->spec.task_count;
-    if (!all_told || world->now < task->end_at) return;
+    if (!all_saving || world->now < task->end_at) return;
     gang->state = TW_SIMULATOR_GANG_SAVED;
     save_progress(task->job, gang->progress_s);
     task->saved = 1;
@@ -244,7 +249,7 @@
 
 void tw_simulator_gang_task_advance(tw_simulator_world *world, tw_simulator_worker *worker,
                                     tw_simulator_task *task) {
-    tw_simulator_gang *gang = gang_of(task->job, task->attempt);
+    tw_simulator_gang *gang = find_or_create_gang(task->job, task->attempt);
     if (task->stage == TW_TASK_WAITING) {
         if (world->now >= task->end_at)
             tw_simulator_task_exit(worker, task, TW_CAUSE_GANG_INCOMPLETE);
--- a/simulator/odd.c
+++ b/simulator/invalid_request.c
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define EVERY_LEAST_S 0.2
-#define EVERY_MOST_S 0.8
-#define FIRST_ODD_ID 900000
-#define TOO_MUCH 1e6
+#define MIN_INTERVAL_S 0.2
+#define MAX_INTERVAL_S 0.8
+#define FIRST_INVALID_JOB_NUMBER 900000
+#define IMPOSSIBLE_AMOUNT 1e6
 
 static int draw_index(tw_simulator *sim, int count) {
     return tw_simulator_draw_index(&sim->world, TW_SIMULATOR_DRAW_ODD, count);
@@ -49,15 +49,15 @@
     default:
         spec.cores /= 2;
     }
-    tw_simulator_user_submit_as(sim, job->index, &spec);
+    tw_simulator_user_submit_changed(sim, job->index, &spec);
 }
 
-static void cancel_done(tw_simulator *sim) {
+static void cancel_done_job(tw_simulator *sim) {
     const tw_simulator_job *job = pick_job(sim, TW_JOB_DONE);
     if (job) tw_simulator_user_send_to(sim, job->index, TW_SIMULATOR_CANCEL, -1);
 }
 
-static tw_wire_job make_odd_job(tw_simulator *sim) {
+static tw_wire_job make_unsubmitted_job(tw_simulator *sim) {
     tw_wire_job spec = {.job_class = "lane",
                         .image = "img-1",
                         .priority = TW_PRIORITY_HIGH,
@@ -68,58 +68,58 @@
                         .machine_type_count = -1,
                         .expected_run_s = 10,
                         .deadline_s = -1};
-    snprintf(spec.id, sizeof spec.id, "run-%06d", FIRST_ODD_ID + sim->next_odd++);
+    snprintf(spec.id, sizeof spec.id, "run-%06d", FIRST_INVALID_JOB_NUMBER + sim->next_odd++);
     if (sim->world.team_count)
         snprintf(spec.team, sizeof spec.team, "%s", sim->world.teams[0].name);
     return spec;
 }
 
 static void submit_impossible(tw_simulator *sim) {
-    tw_wire_job spec = make_odd_job(sim);
+    tw_wire_job spec = make_unsubmitted_job(sim);
     switch (draw_index(sim, 3)) {
     case 0:
-        spec.cores = TOO_MUCH;
+        spec.cores = IMPOSSIBLE_AMOUNT;
         break;
     case 1:
-        spec.memory_gb = TOO_MUCH;
+        spec.memory_gb = IMPOSSIBLE_AMOUNT;
         break;
     default:
         snprintf(spec.team, sizeof spec.team, "nobody");
     }
-    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_SUBMIT, tw_simulator_job_text(&spec),
-                          TW_SIMULATOR_IMPOSSIBLE);
+    tw_simulator_user_send_invalid(sim, spec.id, TW_SIMULATOR_SUBMIT, tw_simulator_job_text(&spec),
+                                   TW_SIMULATOR_IMPOSSIBLE);
 }
 
 static void submit_without_field(tw_simulator *sim) {
     static const char *const needed[] = {"lane",   "crew",  "shape",    "rank",
                                          "pieces", "cores", "memoryGb", "bundle"};
-    tw_wire_job spec = make_odd_job(sim);
+    tw_wire_job spec = make_unsubmitted_job(sim);
     char *text = tw_simulator_job_text(&spec);
     cJSON *object = cJSON_Parse(text);
     cJSON_DeleteItemFromObjectCaseSensitive(
         object, needed[draw_index(sim, sizeof needed / sizeof *needed)]);
     free(text);
-    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_SUBMIT, tw_simulator_json_print(object),
-                          TW_SIMULATOR_MALFORMED);
+    tw_simulator_user_send_invalid(sim, spec.id, TW_SIMULATOR_SUBMIT,
+                                   tw_simulator_json_print(object), TW_SIMULATOR_MALFORMED);
 }
 
-static void ask_unknown(tw_simulator *sim) {
-    tw_wire_job spec = make_odd_job(sim);
-    tw_simulator_user_odd(sim, spec.id, TW_SIMULATOR_POLL, NULL, TW_SIMULATOR_UNKNOWN);
+static void poll_unknown_job(tw_simulator *sim) {
+    tw_wire_job spec = make_unsubmitted_job(sim);
+    tw_simulator_user_send_invalid(sim, spec.id, TW_SIMULATOR_POLL, NULL, TW_SIMULATOR_UNKNOWN);
 }
 
-static void send_odd_request(tw_simulator *sim, tw_simulator_event *event) {
+static void send_invalid_request(tw_simulator *sim, tw_simulator_event *event) {
     static void (*const kinds[])(tw_simulator *) = {repeat_submission,    repeat_with_other_fields,
-                                                    cancel_done,          submit_impossible,
-                                                    submit_without_field, ask_unknown};
+                                                    cancel_done_job,      submit_impossible,
+                                                    submit_without_field, poll_unknown_job};
     if (sim->world.now >= sim->trouble.odd_requests_until) return;
     sim->strike_counts[TW_SIMULATOR_ODD_REQUESTS]++;
     kinds[draw_index(sim, sizeof kinds / sizeof *kinds)](sim);
     tw_simulator_reschedule_after(
         sim, event,
-        tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_ODD, EVERY_LEAST_S, EVERY_MOST_S));
+        tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_ODD, MIN_INTERVAL_S, MAX_INTERVAL_S));
 }
 
-void tw_simulator_odd_start(tw_simulator *sim) {
-    tw_simulator_schedule_after(sim, 0, send_odd_request);
+void tw_simulator_start_invalid_requests(tw_simulator *sim) {
+    tw_simulator_schedule_after(sim, 0, send_invalid_request);
 }
--- a/simulator/network.c
+++ b/simulator/network.c
@@ -122,8 +122,8 @@
         return;
     }
     char *out;
-    int status = tw_simulator_worker_request(&sim->world, worker, event->method, event->path,
-                                             body_of(event), &out);
+    int status = tw_simulator_worker_handle_request(&sim->world, worker, event->method, event->path,
+                                                    body_of(event), &out);
     double back = tw_simulator_travel(sim, sim->world.node_zone[event->node], worker->zone);
     if (back < 0 || sim->world.now < worker->unresponsive_until)
         free(out);
@@ -177,14 +177,14 @@
         troubles->late_txn_s = 0;
         return true;
     }
-    if (tw_simulator_trouble_strikes(sim, &troubles->late_writes, TW_SIMULATOR_LATE_WRITES,
-                                     TW_SIMULATOR_DRAW_WRITES)) {
+    if (tw_simulator_fault_applies(sim, &troubles->late_writes, TW_SIMULATOR_LATE_WRITES,
+                                   TW_SIMULATOR_DRAW_WRITES)) {
         *latency = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_WRITES,
                                      TW_SIMULATOR_HELD_LEAST_S, TW_SIMULATOR_WRITE_HELD_MOST_S);
         return true;
     }
-    return tw_simulator_trouble_strikes(sim, &troubles->lost_writes, TW_SIMULATOR_LOST_WRITES,
-                                        TW_SIMULATOR_DRAW_WRITES);
+    return tw_simulator_fault_applies(sim, &troubles->lost_writes, TW_SIMULATOR_LOST_WRITES,
+                                      TW_SIMULATOR_DRAW_WRITES);
 }
 
 static void call_state(tw_simulator *sim, int node, tw_effect *effect) {
@@ -246,8 +246,8 @@
         return true;
     }
     if (strcmp(effect->path, "/orders") != 0 ||
-        !tw_simulator_trouble_strikes(sim, &troubles->late_commands, TW_SIMULATOR_LATE_COMMANDS,
-                                      TW_SIMULATOR_DRAW_COMMANDS))
+        !tw_simulator_fault_applies(sim, &troubles->late_commands, TW_SIMULATOR_LATE_COMMANDS,
+                                    TW_SIMULATOR_DRAW_COMMANDS))
         return false;
     *seconds = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_COMMANDS, TW_SIMULATOR_HELD_LEAST_S,
                                  TW_SIMULATOR_COMMAND_HELD_MOST_S);
@@ -258,8 +258,8 @@
 static void repeat_command(tw_simulator *sim, int node, int machine, const tw_effect *effect) {
     const tw_simulator_troubles *troubles = &sim->trouble;
     if (strcmp(effect->path, "/orders") != 0 ||
-        !tw_simulator_trouble_strikes(sim, &troubles->repeated_commands,
-                                      TW_SIMULATOR_REPEATED_COMMANDS, TW_SIMULATOR_DRAW_REPEATS))
+        !tw_simulator_fault_applies(sim, &troubles->repeated_commands,
+                                    TW_SIMULATOR_REPEATED_COMMANDS, TW_SIMULATOR_DRAW_REPEATS))
         return;
     const double seconds =
         tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_REPEATS, TW_SIMULATOR_HELD_LEAST_S,
--- a/simulator/node.c
+++ b/simulator/node.c
@@ -46,9 +46,9 @@
             effect->body = NULL;
         }
     } else if (connection->kind == TW_SIMULATOR_CONNECTION_HEARTBEAT) {
-        tw_simulator_heartbeat_answered(sim, connection, effect);
+        tw_simulator_send_heartbeat_answer(sim, connection, effect);
     } else if (connection->kind == TW_SIMULATOR_CONNECTION_USER) {
-        tw_simulator_user_answered(sim, connection, effect);
+        tw_simulator_user_receive_answer(sim, connection, effect);
         return; /* it ends when the answer has arrived */
     } else if (effect->status != connection->wanted) {
         char text[TW_SIMULATOR_MESSAGE];
@@ -122,8 +122,8 @@
     }
     if (!controller->failure || controller->failure_told) return;
     controller->failure_told = true;
-    tw_simulator_judge_ended(&sim->world, sim->nodes[node].earlier_version, sim->world.nodes[node],
-                             controller->failure);
+    tw_simulator_judge_process_end(&sim->world, sim->nodes[node].earlier_version,
+                                   sim->world.nodes[node], controller->failure);
 }
 
 static bool stands_still(const tw_simulator *sim, int node) {
@@ -274,7 +274,7 @@
     HASH_ITER(hh, sim->connections, connection, next) {
         bool open = connection->kind == TW_SIMULATOR_CONNECTION_USER && connection->arrived &&
                     !connection->replied;
-        if (open && connection->node == node) tw_simulator_user_unanswered(sim, connection);
+        if (open && connection->node == node) tw_simulator_user_fail_request(sim, connection);
     }
     node_state->controller->methods->free(node_state->controller);
     node_state->controller = NULL;
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -246,7 +246,7 @@
     double seconds = command->seconds > 0 && command->seconds < words.count
                          ? tw_simulator_parse_number(words.words[command->seconds])
                          : 0;
-    if (command->seconds != TW_SIMULATOR_NO_TROUBLE) tw_simulator_extend_troubles(sim, seconds);
+    if (command->seconds != TW_SIMULATOR_NO_TROUBLE) tw_simulator_extend_faults(sim, seconds);
     command->run(sim, &words);
     free(copy);
 }
--- a/simulator/simulator.c
+++ b/simulator/simulator.c
@@ -120,7 +120,7 @@
         if (!event->queued) tw_simulator_event_free(event);
         if (over) break;
     }
-    if (world->served_age_s > 0 && !*world->rule) tw_simulator_judge_served(world);
+    if (world->served_age_s > 0 && !*world->rule) tw_simulator_judge_served_jobs(world);
     take_verdict(sim, verdict);
 }
 
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -229,8 +229,9 @@
 /* ---- worker_heartbeat.c: workers and their heartbeats ---- */
 /* All machines, twenty times a second. */
 void tw_simulator_workers_start(tw_simulator *sim);
-void tw_simulator_heartbeat_answered(tw_simulator *sim, const tw_simulator_connection *connection,
-                                     const tw_effect *effect);
+void tw_simulator_send_heartbeat_answer(tw_simulator *sim,
+                                        const tw_simulator_connection *connection,
+                                        const tw_effect *effect);
 
 /* If a new leader has begun, the heartbeats that were held for it arrive. */
 void tw_simulator_deliver_held_heartbeats(tw_simulator *sim);
@@ -241,25 +242,26 @@
 void tw_simulator_user_send_to(tw_simulator *sim, int job, int kind, int node);
 void tw_simulator_user_cancel(tw_simulator *sim, int job);
 /* A request about a job that nobody submitted; the request must get that status. */
-void tw_simulator_user_odd(tw_simulator *sim, const char *id, int kind, char *body, int wanted);
+void tw_simulator_user_send_invalid(tw_simulator *sim, const char *id, int kind, char *body,
+                                    int wanted);
 /* A submission with other fields than the job's. */
-void tw_simulator_user_submit_as(tw_simulator *sim, int job, const tw_wire_job *spec);
-void tw_simulator_user_answered(tw_simulator *sim, tw_simulator_connection *connection,
-                                tw_effect *effect);
+void tw_simulator_user_submit_changed(tw_simulator *sim, int job, const tw_wire_job *spec);
+void tw_simulator_user_receive_answer(tw_simulator *sim, tw_simulator_connection *connection,
+                                      tw_effect *effect);
 /* The node that had the request ended. */
-void tw_simulator_user_unanswered(tw_simulator *sim, tw_simulator_connection *connection);
+void tw_simulator_user_fail_request(tw_simulator *sim, tw_simulator_connection *connection);
 char *tw_simulator_job_text(const tw_wire_job *spec);
 /* The node that a user's new connection comes to; -1: none can be reached. */
 int tw_simulator_pick_node(tw_simulator *sim);
 
-/* ---- looks.c: users that look closely, or cancel at the worst moment ---- */
+/* ---- close_poll.c: users that look closely, or cancel at the worst moment ---- */
 /* A job was accepted, ended, or told to be over. */
-void tw_simulator_look_closely(tw_simulator *sim, int job, bool may_cancel);
+void tw_simulator_schedule_close_polls(tw_simulator *sim, int job, bool may_cancel);
 /* A job's last task completed. */
 void tw_simulator_job_ended(void *sim, tw_simulator_job *job);
 
-/* ---- odd.c: requests that make no sense ---- */
-void tw_simulator_odd_start(tw_simulator *sim);
+/* ---- invalid_request.c: requests that must be rejected ---- */
+void tw_simulator_start_invalid_requests(tw_simulator *sim);
 
 /* ---- vocabulary.c ---- */
 /* Where a word of the scenario language stands. */
@@ -277,7 +279,7 @@
 bool tw_simulator_is_value(const char *text, const char *word);
 bool tw_simulator_is_expectation(const char *text, const char *word);
 
-/* ---- script.c, command.c, trouble.c, upgrade.c, expect.c ---- */
+/* ---- script.c, command.c, fault.c, upgrade.c, expect.c ---- */
 typedef struct {
     const char *name;
     int min_words; /* with the name */
@@ -291,10 +293,10 @@
 extern const tw_simulator_command tw_simulator_habit_commands[];
 extern const tw_simulator_command tw_simulator_upgrade_commands[];
 /* A trouble lasts at least that much longer. */
-void tw_simulator_extend_troubles(tw_simulator *sim, double seconds);
+void tw_simulator_extend_faults(tw_simulator *sim, double seconds);
 /* Whether a trouble strikes a message, by a draw of that kind; strikes are counted. */
-bool tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
-                                  int trouble, int draw);
+bool tw_simulator_fault_applies(tw_simulator *sim, const tw_simulator_message_share *share,
+                                int trouble, int draw);
 /* The node begins as one of the earlier version; -1: there is no such node. */
 int tw_simulator_use_earlier_version(tw_simulator *sim, const char *name);
 void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words);
--- a/simulator/upgrade.c
+++ b/simulator/upgrade.c
@@ -35,7 +35,7 @@
     const bool all = !strcmp(name, "all");
     const int one =
         !strcmp(name, "next") ? find_next_node(sim, old) : tw_simulator_node_find(sim, name);
-    tw_simulator_extend_troubles(sim, back_s);
+    tw_simulator_extend_faults(sim, back_s);
     for (int i = 0; i < sim->world.node_count; i++)
         if (all || i == one) restart_node(sim, i, old, back_s);
 }
--- a/simulator/user.c
+++ b/simulator/user.c
@@ -6,36 +6,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_S 1.0
-#define RETRY_TIME_S 60.0
+#define RETRY_INTERVAL_S 1.0
+#define SUBMIT_RETRY_LIMIT_S 60.0
 #define POLL_TIMEOUT_S 2.0
 #define ANSWER_TIMEOUT_S 5.0
-#define TRAVEL_LEAST_S 0.0005
-#define TRAVEL_MOST_S 0.004
-#define PASSED_OVER_S 2.0 /* a node that stands still that long gets no new connections */
+#define MIN_TRAVEL_S 0.0005
+#define MAX_TRAVEL_S 0.004
+#define UNHEALTHY_AFTER_S 2.0 /* a node that stands still that long gets no new connections */
 
-static double draw_travel(tw_simulator *sim) {
-    return tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_TRAVEL, TRAVEL_LEAST_S, TRAVEL_MOST_S);
+static double draw_travel_s(tw_simulator *sim) {
+    return tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_TRAVEL, MIN_TRAVEL_S, MAX_TRAVEL_S);
 }
 
-static bool takes_connections(const tw_simulator *sim, int node) {
+static bool accepts_connections(const tw_simulator *sim, int node) {
     const tw_simulator_node *node_state = &sim->nodes[node];
     if (!node_state->alive || tw_simulator_cut_off(sim, sim->world.node_zone[node])) return false;
     return sim->world.now >= node_state->still_until ||
-           sim->world.now < node_state->still_from + PASSED_OVER_S;
+           sim->world.now < node_state->still_from + UNHEALTHY_AFTER_S;
 }
 
 int tw_simulator_pick_node(tw_simulator *sim) {
     for (int i = 0; i < sim->world.node_count; i++) {
         int node = sim->next_node++ % sim->world.node_count;
-        if (takes_connections(sim, node)) return node;
+        if (accepts_connections(sim, node)) return node;
     }
     return -1;
 }
 
 /* ---- what a user does with an answer ---- */
 
-static void poll_again(tw_simulator *sim, tw_simulator_event *event) {
+static void poll_job(tw_simulator *sim, tw_simulator_event *event) {
     if (sim->world.jobs[event->target]->accepted)
         tw_simulator_user_send(sim, event->target, TW_SIMULATOR_POLL);
     tw_simulator_reschedule_after(sim, event, TW_SIMULATOR_POLL_S);
@@ -49,30 +49,32 @@
 }
 
 static void retry_later(tw_simulator *sim, const tw_simulator_job *job, int kind) {
-    if (kind == TW_SIMULATOR_SUBMIT && sim->world.now - job->first_try >= RETRY_TIME_S) return;
-    tw_simulator_event *event = tw_simulator_schedule_after(sim, RETRY_S, retry_request);
+    if (kind == TW_SIMULATOR_SUBMIT && sim->world.now - job->first_try >= SUBMIT_RETRY_LIMIT_S)
+        return;
+    tw_simulator_event *event = tw_simulator_schedule_after(sim, RETRY_INTERVAL_S, retry_request);
     event->target = job->index;
     event->kind = kind;
 }
 
 /* An odd request must get its refusal at once. */
-static void judge_odd_answer(tw_simulator *sim, const tw_simulator_connection *connection,
-                             int status) {
+static void check_invalid_request_answer(tw_simulator *sim,
+                                         const tw_simulator_connection *connection, int status) {
     char text[TW_SIMULATOR_MESSAGE];
     if (connection->user_kind == TW_SIMULATOR_POLL)
-        tw_simulator_judge_told(&sim->world, NULL, connection->what, TW_SIMULATOR_POLL,
-                                connection->sent, status, "");
+        tw_simulator_judge_answer(&sim->world, NULL, connection->what, TW_SIMULATOR_POLL,
+                                  connection->sent, status, "");
     else
-        tw_simulator_judge_impossible_job(&sim->world, connection->what, status);
+        tw_simulator_judge_invalid_job(&sim->world, connection->what, status);
     const tw_simulator_node *node_state = &sim->nodes[connection->node];
-    bool excused = !status && (!node_state->alive || connection->sent < node_state->still_until ||
-                               connection->sent < node_state->sends_late_until ||
-                               tw_simulator_cut_off(sim, sim->world.node_zone[connection->node]));
+    bool is_unreachable =
+        !status && (!node_state->alive || connection->sent < node_state->still_until ||
+                    connection->sent < node_state->sends_late_until ||
+                    tw_simulator_cut_off(sim, sim->world.node_zone[connection->node]));
     /* What depends on the machine types or on the state service may have to wait. */
-    bool undecided =
+    bool is_undecided =
         connection->wanted != TW_SIMULATOR_MALFORMED &&
         (!status || status == TW_SIMULATOR_TOO_MANY || status == TW_SIMULATOR_UNAVAILABLE);
-    if (status == connection->wanted || excused || undecided) return;
+    if (status == connection->wanted || is_unreachable || is_undecided) return;
     snprintf(text, sizeof text, "%s got %d, wanted %d", connection->what, status,
              connection->wanted);
     tw_simulator_fail(sim, "odd request", text);
@@ -95,60 +97,62 @@
     HASH_DEL(sim->connections, connection);
     tw_simulator_digest(sim, connection->user_kind, connection->target, status, body);
     if (connection->target < 0) {
-        judge_odd_answer(sim, connection, status);
+        check_invalid_request_answer(sim, connection, status);
         free(connection);
         return;
     }
     tw_simulator_job *job = sim->world.jobs[connection->target];
-    int kind = connection->user_kind, once = connection->tried_once;
-    int was_accepted = job->accepted, was_over = job->told_over;
-    if (kind == TW_SIMULATOR_SUBMIT && !once) job->last_status = status;
-    if (kind == TW_SIMULATOR_CANCEL && !once) job->cancel_status = status;
-    tw_simulator_judge_told(&sim->world, job, job->spec.id, kind, connection->sent, status, body);
+    int kind = connection->user_kind, is_single = connection->tried_once;
+    int was_accepted = job->accepted, previous_end = job->told_over;
+    if (kind == TW_SIMULATOR_SUBMIT && !is_single) job->last_status = status;
+    if (kind == TW_SIMULATOR_CANCEL && !is_single) job->cancel_status = status;
+    tw_simulator_judge_answer(&sim->world, job, job->spec.id, kind, connection->sent, status, body);
     free(connection);
     if (job->accepted && !was_accepted) /* whichever answer said so first */
-        tw_simulator_schedule_after(sim, TW_SIMULATOR_POLL_S, poll_again)->target = job->index;
-    if (job->accepted != was_accepted || job->told_over != was_over)
-        tw_simulator_look_closely(sim, job->index, !job->told_over);
-    if (!once && !answer_is_final(job, kind, status)) retry_later(sim, job, kind);
+        tw_simulator_schedule_after(sim, TW_SIMULATOR_POLL_S, poll_job)->target = job->index;
+    if (job->accepted != was_accepted || job->told_over != previous_end)
+        tw_simulator_schedule_close_polls(sim, job->index, !job->told_over);
+    if (!is_single && !answer_is_final(job, kind, status)) retry_later(sim, job, kind);
 }
 
 /* ---- connections ---- */
 
-static tw_simulator_connection *connection_of(tw_simulator *sim, const tw_simulator_event *event) {
+static tw_simulator_connection *find_connection(tw_simulator *sim,
+                                                const tw_simulator_event *event) {
     tw_simulator_connection *connection;
     HASH_FIND(hh, sim->connections, &event->id, sizeof event->id, connection);
     return connection;
 }
 
-static void give_up(tw_simulator *sim, tw_simulator_event *event) {
-    tw_simulator_connection *connection = connection_of(sim, event);
+static void time_out_request(tw_simulator *sim, tw_simulator_event *event) {
+    tw_simulator_connection *connection = find_connection(sim, event);
     if (connection) deliver_answer(sim, connection, 0, "");
 }
 
 static void receive_answer(tw_simulator *sim, tw_simulator_event *event) {
-    tw_simulator_connection *connection = connection_of(sim, event);
+    tw_simulator_connection *connection = find_connection(sim, event);
     if (connection) deliver_answer(sim, connection, event->status, event->body ? event->body : "");
 }
 
-void tw_simulator_user_answered(tw_simulator *sim, tw_simulator_connection *connection,
-                                tw_effect *effect) {
+void tw_simulator_user_receive_answer(tw_simulator *sim, tw_simulator_connection *connection,
+                                      tw_effect *effect) {
     connection->replied = true;
     if (tw_simulator_cut_off(sim, sim->world.node_zone[connection->node])) return;
-    tw_simulator_event *event = tw_simulator_schedule_after(sim, draw_travel(sim), receive_answer);
+    tw_simulator_event *event =
+        tw_simulator_schedule_after(sim, draw_travel_s(sim), receive_answer);
     event->id = connection->id;
     event->status = effect->status;
     event->body = effect->body;
     effect->body = NULL;
 }
 
-void tw_simulator_user_unanswered(tw_simulator *sim, tw_simulator_connection *connection) {
+void tw_simulator_user_fail_request(tw_simulator *sim, tw_simulator_connection *connection) {
     connection->replied = true;
-    tw_simulator_schedule_after(sim, TW_SIMULATOR_LATENCY, give_up)->id = connection->id;
+    tw_simulator_schedule_after(sim, TW_SIMULATOR_LATENCY, time_out_request)->id = connection->id;
 }
 
 static void deliver_request(tw_simulator *sim, tw_simulator_event *event) {
-    tw_simulator_connection *connection = connection_of(sim, event);
+    tw_simulator_connection *connection = find_connection(sim, event);
     if (!connection || tw_simulator_cut_off(sim, sim->world.node_zone[connection->node])) return;
     if (!sim->nodes[connection->node].alive) { /* refused: the load balancer tries another */
         int node = connection->tried_once ? -1 : tw_simulator_pick_node(sim);
@@ -188,13 +192,14 @@
     else
         snprintf(path, sizeof path, "/v1/jobs/%s%s", id,
                  kind == TW_SIMULATOR_CANCEL ? "/abort" : "");
-    tw_simulator_event *event = tw_simulator_schedule_after(sim, draw_travel(sim), deliver_request);
+    tw_simulator_event *event =
+        tw_simulator_schedule_after(sim, draw_travel_s(sim), deliver_request);
     event->id = connection->id;
     event->method = kind == TW_SIMULATOR_POLL ? "GET" : "POST";
     event->path = tw_simulator_copy_text(path);
     event->body = body;
-    double wait_s = kind == TW_SIMULATOR_POLL ? POLL_TIMEOUT_S : ANSWER_TIMEOUT_S;
-    tw_simulator_schedule_after(sim, wait_s, give_up)->id = connection->id;
+    double timeout_s = kind == TW_SIMULATOR_POLL ? POLL_TIMEOUT_S : ANSWER_TIMEOUT_S;
+    tw_simulator_schedule_after(sim, timeout_s, time_out_request)->id = connection->id;
     return connection;
 }
 
@@ -220,14 +225,15 @@
     tw_simulator_user_send(sim, index, TW_SIMULATOR_CANCEL);
 }
 
-void tw_simulator_user_submit_as(tw_simulator *sim, int index, const tw_wire_job *spec) {
+void tw_simulator_user_submit_changed(tw_simulator *sim, int index, const tw_wire_job *spec) {
     int node = tw_simulator_pick_node(sim);
     if (node < 0) return;
     send_request(sim, index, spec->id, TW_SIMULATOR_SUBMIT, node, tw_simulator_job_text(spec))
         ->tried_once = true;
 }
 
-void tw_simulator_user_odd(tw_simulator *sim, const char *id, int kind, char *body, int wanted) {
+void tw_simulator_user_send_invalid(tw_simulator *sim, const char *id, int kind, char *body,
+                                    int wanted) {
     int node = tw_simulator_pick_node(sim);
     if (node < 0) {
         free(body);
--- a/simulator/words.c
+++ b/simulator/words.c
@@ -9,14 +9,14 @@
 
 /* Goes on behind a number that ended there. */
 static void took(tw_simulator_reader *reader, const char *end) {
-    if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->bad = true;
+    if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->failed = true;
     reader->at = end;
 }
 
 tw_simulator_reader tw_simulator_read_line(const char *line, const char *first) {
     const size_t size = strlen(first);
     const bool same = !strncmp(line, first, size) && line[size] == ' ';
-    return (tw_simulator_reader){.at = same ? line + size : "", .bad = !same};
+    return (tw_simulator_reader){.at = same ? line + size : "", .failed = !same};
 }
 
 double tw_simulator_read_number(tw_simulator_reader *reader) {
@@ -43,11 +43,11 @@
 void tw_simulator_read_word(tw_simulator_reader *reader, char *to, size_t size) {
     reader->at += strspn(reader->at, " ");
     const size_t length = strcspn(reader->at, SPACE);
-    if (!length || length >= size) reader->bad = true;
+    if (!length || length >= size) reader->failed = true;
     snprintf(to, size, "%.*s", (int)length, reader->at);
     reader->at += length;
 }
 
 bool tw_simulator_read_all(const tw_simulator_reader *reader) {
-    return !reader->bad && !strcmp(reader->at, "\n");
+    return !reader->failed && !strcmp(reader->at, "\n");
 }
--- a/simulator/words.h
+++ b/simulator/words.h
@@ -7,7 +7,7 @@
 
 typedef struct {
     const char *at; /* what has not been read yet */
-    bool bad;       /* a word was missing or not of its kind */
+    bool failed;    /* a word was missing or not of its kind */
 } tw_simulator_reader;
 
 /* The reader of a line that begins with this word, which is read; another line is bad. */
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -11,17 +11,17 @@
 #include <string.h>
 
 #define NEVER 1e18
-#define FAILS_AFTER_S 0.3      /* a task on a faulty machine, or of a job with a mistake */
-#define REDIRECT_S 0.1         /* until a redirected worker sends its next heartbeat */
-#define NEXT_NODE_S 1.0        /* until it tries the next node */
-#define CHANGE_HEARTBEAT_S 0.5 /* least time between heartbeats */
+#define FAILURE_DELAY_S 0.3          /* a task on a faulty machine, or of a job with a mistake */
+#define REDIRECT_DELAY_S 0.1         /* until a redirected worker sends its next heartbeat */
+#define NEXT_NODE_DELAY_S 1.0        /* until it tries the next node */
+#define MIN_HEARTBEAT_INTERVAL_S 0.5 /* least time between heartbeats */
 #define EPSILON 1e-6
 
 static const char *const stages[] = {"pulling", "running", "flushing", "exited", "waiting"};
 const char *const tw_simulator_causes[TW_CAUSE_OTHER] = {
     "", "done", "stopped", "error", "no_room", "busy", "no_such", "peers", "alone"};
 
-bool tw_simulator_task_active(const tw_simulator_task *task) {
+bool tw_simulator_task_is_active(const tw_simulator_task *task) {
     return task->stage == TW_TASK_RUNNING || task->stage == TW_TASK_SAVING ||
            task->stage == TW_TASK_WAITING;
 }
@@ -39,7 +39,8 @@
     return object;
 }
 
-char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker) {
+char *tw_simulator_worker_next_heartbeat(const tw_simulator_world *world,
+                                         tw_simulator_worker *worker) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "tray", worker->id);
     cJSON_AddStringToObject(object, "endpoint", worker->endpoint);
@@ -59,12 +60,12 @@
     return tw_simulator_json_print(object);
 }
 
-bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
-                                       const tw_simulator_worker *worker) {
+bool tw_simulator_worker_heartbeat_is_due(const tw_simulator_world *world,
+                                          const tw_simulator_worker *worker) {
     if (worker->gone || !worker->up || world->now < worker->hung_until || worker->in_flight)
         return false;
     return world->now >= worker->next_heartbeat ||
-           (worker->changed && world->now >= worker->last_heartbeat + CHANGE_HEARTBEAT_S);
+           (worker->changed && world->now >= worker->last_heartbeat + MIN_HEARTBEAT_INTERVAL_S);
 }
 
 /* ---- commands ---- */
@@ -137,8 +138,8 @@
 }
 
 /* Run time that a task has reached. */
-static double progress_of(const tw_simulator_world *world, const tw_simulator_worker *worker,
-                          const tw_simulator_task *task) {
+static double task_progress_s(const tw_simulator_world *world, const tw_simulator_worker *worker,
+                              const tw_simulator_task *task) {
     return task->from_s + (world->now - task->started_at) / worker->slowdown;
 }
 
@@ -150,7 +151,7 @@
     } else if (task->stage == TW_TASK_RUNNING && spec->checkpoint_s > 0 &&
                grace_s >= spec->save_s) {
         task->stage = TW_TASK_SAVING;
-        task->stopped_at_s = progress_of(world, worker, task);
+        task->stopped_at_s = task_progress_s(world, worker, task);
         task->end_at = world->now + spec->save_s;
     } else if (task->stage != TW_TASK_SAVING || grace_s <= 0) {
         tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
@@ -190,8 +191,9 @@
     }
 }
 
-void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
-                                uint64_t incarnation, int status, const char *body) {
+void tw_simulator_worker_apply_answer(tw_simulator_world *world, tw_simulator_worker *worker,
+                                      double sent, uint64_t incarnation, int status,
+                                      const char *body) {
     if (worker->gone || incarnation != worker->incarnation) return;
     cJSON *object = cJSON_Parse(body ? body : "");
     const char *leader = tw_simulator_json_text(object, "foreman");
@@ -204,17 +206,17 @@
     } else if (status == TW_SIMULATOR_REDIRECTED && *leader) {
         for (int i = 0; i < world->node_count; i++)
             if (!strcmp(world->nodes[i], leader)) worker->node = i;
-        worker->next_heartbeat = world->now + REDIRECT_S;
+        worker->next_heartbeat = world->now + REDIRECT_DELAY_S;
     } else {
         worker->node = (worker->node + 1) % world->node_count;
-        worker->next_heartbeat = world->now + NEXT_NODE_S;
+        worker->next_heartbeat = world->now + NEXT_NODE_DELAY_S;
     }
     cJSON_Delete(object);
 }
 
-int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
-                                const char *method, const char *path, const char *body,
-                                char **out) {
+int tw_simulator_worker_handle_request(tw_simulator_world *world, tw_simulator_worker *worker,
+                                       const char *method, const char *path, const char *body,
+                                       char **out) {
     int status = TW_SIMULATOR_OK;
     if (!strcmp(method, "POST") && !strcmp(path, "/orders")) {
         cJSON *object = cJSON_Parse(body);
@@ -225,7 +227,7 @@
             execute_commands(world, worker, object);
         cJSON_Delete(object);
     }
-    *out = tw_simulator_worker_heartbeat(world, worker);
+    *out = tw_simulator_worker_next_heartbeat(world, worker);
     return status;
 }
 
@@ -239,12 +241,13 @@
 }
 
 /* A running task saves after each interval of progress. */
-static void save_by_itself(const tw_simulator_world *world, const tw_simulator_worker *worker,
-                           const tw_simulator_task *task) {
+static void save_periodic_checkpoint(const tw_simulator_world *world,
+                                     const tw_simulator_worker *worker,
+                                     const tw_simulator_task *task) {
     const tw_wire_job *spec = &task->job->spec;
     if (spec->checkpoint_s <= 0 || spec->service) return;
     double intervals =
-        floor((progress_of(world, worker, task) - task->from_s) / spec->checkpoint_s);
+        floor((task_progress_s(world, worker, task) - task->from_s) / spec->checkpoint_s);
     if (intervals > 0)
         save_progress(task->job, task->index, task->from_s + intervals * spec->checkpoint_s);
 }
@@ -259,14 +262,14 @@
     task->from_s = job->saved ? fmin(job->saved[task->index], job->run_s) : 0;
     task->end_at =
         job->spec.service ? NEVER : world->now + (job->run_s - task->from_s) * worker->slowdown;
-    if (fails) task->end_at = world->now + FAILS_AFTER_S;
+    if (fails) task->end_at = world->now + FAILURE_DELAY_S;
     if (job->done[task->index]) task->end_at = world->now;
     if (!fails) job->started++;
     if (job->begun_at <= 0) job->begun_at = world->now;
-    tw_simulator_judge_start(world, worker, task);
+    tw_simulator_judge_task_start(world, worker, task);
 }
 
-void tw_simulator_task_done(tw_simulator_world *world, tw_simulator_job *job, int index) {
+void tw_simulator_complete_task(tw_simulator_world *world, tw_simulator_job *job, int index) {
     if (job->done[index]) return;
     job->done[index] = 1;
     if (++job->done_count == job->spec.task_count && world->job_ended)
@@ -289,7 +292,7 @@
         tw_simulator_gang_task_advance(world, worker, task);
         return;
     }
-    if (task->stage == TW_TASK_RUNNING) save_by_itself(world, worker, task);
+    if (task->stage == TW_TASK_RUNNING) save_periodic_checkpoint(world, worker, task);
     if (task->stage == TW_TASK_SAVING && world->now >= task->end_at) {
         task->saved = 1;
         save_progress(job, task->index, fmin(task->stopped_at_s, job->run_s));
@@ -298,7 +301,7 @@
     if (task->stage == TW_TASK_RUNNING && world->now >= task->end_at) {
         bool fails = worker->faulty || job->fails;
         tw_simulator_task_exit(worker, task, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
-        if (!fails) tw_simulator_task_done(world, job, task->index);
+        if (!fails) tw_simulator_complete_task(world, job, task->index);
     }
 }
 
--- a/simulator/worker_heartbeat.c
+++ b/simulator/worker_heartbeat.c
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEP_S 0.05
-#define JUDGE_LIVE_S 1.0
+#define ADVANCE_INTERVAL_S 0.05
+#define JUDGE_LIVENESS_INTERVAL_S 1.0
 #define ANSWER_TIMEOUT_S 4.0
-#define NEXT_NODE_S 1.0
-#define HELD_SPREAD_S 0.3                  /* held heartbeats arrive within that time */
+#define NEXT_NODE_DELAY_S 1.0
+#define MAX_DELIVERY_SPREAD_S 0.3          /* held heartbeats arrive within that time */
 #define MAX_BODY_BYTES ((size_t)64 * 1024) /* of a request; a controller refuses longer ones */
 #define ANY_NODE (-1) /* a late copy: to a node of the worker's zone, or whoever leads by then */
 
@@ -42,12 +42,13 @@
         printf("%.2f %s node %d: %d %s\n", sim->world.now, worker->id, worker->node, event->status,
                event->body ? event->body : "");
     tw_simulator_digest(sim, 'w', event->target, event->status, event->body);
-    tw_simulator_worker_answer(&sim->world, worker, event->time, event->incarnation, event->status,
-                               event->body);
+    tw_simulator_worker_apply_answer(&sim->world, worker, event->time, event->incarnation,
+                                     event->status, event->body);
 }
 
-void tw_simulator_heartbeat_answered(tw_simulator *sim, const tw_simulator_connection *connection,
-                                     const tw_effect *effect) {
+void tw_simulator_send_heartbeat_answer(tw_simulator *sim,
+                                        const tw_simulator_connection *connection,
+                                        const tw_effect *effect) {
     const tw_simulator_worker *worker = sim->world.workers[connection->target];
     double seconds = tw_simulator_travel(sim, sim->world.node_zone[connection->node], worker->zone);
     if (seconds < 0 || sim->world.now < worker->unresponsive_until ||
@@ -62,12 +63,12 @@
     event->body = effect->body ? tw_simulator_copy_text(effect->body) : NULL;
 }
 
-static void give_up_heartbeat(tw_simulator *sim, tw_simulator_event *event) {
+static void time_out_heartbeat(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_worker *worker = sim->world.workers[event->target];
     if (worker->in_flight != event->id) return;
     worker->in_flight = 0;
     worker->node = (worker->node + 1) % sim->world.node_count;
-    worker->next_heartbeat = sim->world.now + NEXT_NODE_S;
+    worker->next_heartbeat = sim->world.now + NEXT_NODE_DELAY_S;
 }
 
 /* heartbeat: its number; 0 if nobody waits for the answer. */
@@ -84,7 +85,8 @@
 
 static void schedule_held_heartbeat(tw_simulator *sim, const tw_simulator_held_heartbeat *held,
                                     int node) {
-    double seconds = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_HEARTBEATS, 0, HELD_SPREAD_S);
+    double seconds =
+        tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_HEARTBEATS, 0, MAX_DELIVERY_SPREAD_S);
     tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, deliver_heartbeat);
     event->target = held->machine;
     event->node = node;
@@ -94,42 +96,42 @@
 }
 
 void tw_simulator_deliver_held_heartbeats(tw_simulator *sim) {
-    tw_simulator_troubles *troubles = &sim->trouble;
+    tw_simulator_troubles *faults = &sim->trouble;
     uint64_t version = tw_simulator_state_version(&sim->world.state, "leader");
-    if (!version || version == troubles->leader_version) return;
-    troubles->leader_version = version;
-    int still_held = 0;
-    for (int i = 0; i < troubles->held_heartbeat_count; i++) {
-        if (--troubles->held_heartbeats[i].leaders_until_delivery > 0) {
-            troubles->held_heartbeats[still_held++] = troubles->held_heartbeats[i];
+    if (!version || version == faults->leader_version) return;
+    faults->leader_version = version;
+    int remaining_count = 0;
+    for (int i = 0; i < faults->held_heartbeat_count; i++) {
+        if (--faults->held_heartbeats[i].leaders_until_delivery > 0) {
+            faults->held_heartbeats[remaining_count++] = faults->held_heartbeats[i];
             continue;
         }
-        for (int count = 0; count < sim->world.node_count; count++)
-            schedule_held_heartbeat(sim, &troubles->held_heartbeats[i], count);
-        free(troubles->held_heartbeats[i].body);
+        for (int node = 0; node < sim->world.node_count; node++)
+            schedule_held_heartbeat(sim, &faults->held_heartbeats[i], node);
+        free(faults->held_heartbeats[i].body);
     }
-    if (still_held < troubles->held_heartbeat_count)
-        tw_simulator_extend_troubles(sim, HELD_SPREAD_S);
-    troubles->held_heartbeat_count = still_held;
+    if (remaining_count < faults->held_heartbeat_count)
+        tw_simulator_extend_faults(sim, MAX_DELIVERY_SPREAD_S);
+    faults->held_heartbeat_count = remaining_count;
 }
 
 /* A copy of a heartbeat arrives again much later, at any node, or when a new leader has begun. */
-static void copy_heartbeat(tw_simulator *sim, int machine, const char *body) {
+static void duplicate_heartbeat(tw_simulator *sim, int machine, const char *body) {
     tw_simulator_world *world = &sim->world;
-    tw_simulator_troubles *troubles = &sim->trouble;
-    if (!tw_simulator_trouble_strikes(sim, &troubles->late_heartbeats, TW_SIMULATOR_LATE_HEARTBEATS,
-                                      TW_SIMULATOR_DRAW_HEARTBEATS))
+    tw_simulator_troubles *faults = &sim->trouble;
+    if (!tw_simulator_fault_applies(sim, &faults->late_heartbeats, TW_SIMULATOR_LATE_HEARTBEATS,
+                                    TW_SIMULATOR_DRAW_HEARTBEATS))
         return;
-    if (troubles->late_heartbeat_leaders) {
-        troubles->held_heartbeats = tw_simulator_grow(
-            troubles->held_heartbeats, troubles->held_heartbeat_count,
-            &troubles->held_heartbeat_capacity, sizeof *troubles->held_heartbeats);
-        troubles->held_heartbeats[troubles->held_heartbeat_count++] = (tw_simulator_held_heartbeat){
-            .machine = machine,
-            .leaders_until_delivery = troubles->late_heartbeat_leaders,
-            .incarnation = world->workers[machine]->incarnation,
-            .sent = world->now,
-            .body = tw_simulator_copy_text(body)};
+    if (faults->late_heartbeat_leaders) {
+        faults->held_heartbeats =
+            tw_simulator_grow(faults->held_heartbeats, faults->held_heartbeat_count,
+                              &faults->held_heartbeat_capacity, sizeof *faults->held_heartbeats);
+        faults->held_heartbeats[faults->held_heartbeat_count++] =
+            (tw_simulator_held_heartbeat){.machine = machine,
+                                          .leaders_until_delivery = faults->late_heartbeat_leaders,
+                                          .incarnation = world->workers[machine]->incarnation,
+                                          .sent = world->now,
+                                          .body = tw_simulator_copy_text(body)};
         return;
     }
     double seconds =
@@ -142,7 +144,7 @@
 static void send_heartbeat(tw_simulator *sim, int machine) {
     tw_simulator_world *world = &sim->world;
     tw_simulator_worker *worker = world->workers[machine];
-    char *body = tw_simulator_worker_heartbeat(world, worker);
+    char *body = tw_simulator_worker_next_heartbeat(world, worker);
     if (strlen(body) > MAX_BODY_BYTES) tw_simulator_fail(sim, "heartbeat over 64 KiB", worker->id);
     worker->changed = false;
     worker->in_flight = ++sim->last_heartbeat;
@@ -161,7 +163,7 @@
     }
     if (seconds >= 0)
         schedule_heartbeat(sim, machine, worker->node, seconds, body, worker->in_flight);
-    copy_heartbeat(sim, machine, body);
+    duplicate_heartbeat(sim, machine, body);
     if (sim->trouble.copy_heartbeat_of == machine) {
         schedule_heartbeat(sim, machine, ANY_NODE, sim->trouble.copy_heartbeat_s, body, 0);
         sim->trouble.copy_heartbeat_of = -1;
@@ -169,7 +171,7 @@
     /* A dead node refuses at once; otherwise the worker waits. */
     bool refused = seconds >= 0 && !sim->nodes[worker->node].alive;
     tw_simulator_event *event = tw_simulator_schedule_after(
-        sim, refused ? 2 * TW_SIMULATOR_LATENCY : ANSWER_TIMEOUT_S, give_up_heartbeat);
+        sim, refused ? 2 * TW_SIMULATOR_LATENCY : ANSWER_TIMEOUT_S, time_out_heartbeat);
     event->target = machine;
     event->id = worker->in_flight;
     free(body);
@@ -180,14 +182,14 @@
     tw_simulator_gangs_advance(world);
     for (int i = 0; i < world->worker_count; i++) {
         tw_simulator_worker_advance(world, world->workers[i]);
-        if (tw_simulator_worker_heartbeat_due(world, world->workers[i])) send_heartbeat(sim, i);
+        if (tw_simulator_worker_heartbeat_is_due(world, world->workers[i])) send_heartbeat(sim, i);
     }
-    tw_simulator_judge_now(world);
+    tw_simulator_judge_cancelled_tasks(world);
     if (world->now >= event->time) {
-        tw_simulator_judge_live(world);
-        event->time = world->now + JUDGE_LIVE_S;
+        tw_simulator_judge_liveness(world);
+        event->time = world->now + JUDGE_LIVENESS_INTERVAL_S;
     }
-    tw_simulator_reschedule_after(sim, event, STEP_S);
+    tw_simulator_reschedule_after(sim, event, ADVANCE_INTERVAL_S);
 }
 
 void tw_simulator_workers_start(tw_simulator *sim) {
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -301,27 +301,30 @@
 /* ---- workers ---- */
 
 /* The worker's next heartbeat; counts its sequence up. Free the text. */
-char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker);
+char *tw_simulator_worker_next_heartbeat(const tw_simulator_world *world,
+                                         tw_simulator_worker *worker);
 /* The worker takes the answer to a heartbeat that it sent at `sent` in that incarnation. */
-void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
-                                uint64_t incarnation, int status, const char *body);
+void tw_simulator_worker_apply_answer(tw_simulator_world *world, tw_simulator_worker *worker,
+                                      double sent, uint64_t incarnation, int status,
+                                      const char *body);
 /* A direct request of a controller. */
-int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
-                                const char *method, const char *path, const char *body, char **out);
+int tw_simulator_worker_handle_request(tw_simulator_world *world, tw_simulator_worker *worker,
+                                       const char *method, const char *path, const char *body,
+                                       char **out);
 /* Brings a worker to the world's `now`: it boots, its tasks proceed, its lease may end. */
 void tw_simulator_worker_advance(tw_simulator_world *world, tw_simulator_worker *worker);
 /* Whether the worker sends a heartbeat now. */
-bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
-                                       const tw_simulator_worker *worker);
+bool tw_simulator_worker_heartbeat_is_due(const tw_simulator_world *world,
+                                          const tw_simulator_worker *worker);
 /* The names of the causes in the protocol, by TW_CAUSE_*. */
 extern const char *const tw_simulator_causes[TW_CAUSE_OTHER];
 /* Whether a task occupies its machine: it waits for its gang, runs or saves. */
-bool tw_simulator_task_active(const tw_simulator_task *task);
+bool tw_simulator_task_is_active(const tw_simulator_task *task);
 
 /* A task ends with a cause (TW_CAUSE_*), and is reported as exited until it is forgotten. */
 void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause);
 /* A task of a job is complete, for good. */
-void tw_simulator_task_done(tw_simulator_world *world, tw_simulator_job *job, int index);
+void tw_simulator_complete_task(tw_simulator_world *world, tw_simulator_job *job, int index);
 
 /* ---- gang.c ---- */
 
@@ -353,33 +356,33 @@
 
 enum { TW_SIMULATOR_SUBMIT = 's', TW_SIMULATOR_POLL = 'p', TW_SIMULATOR_CANCEL = 'a' };
 /* Records that a rule of the protocol is broken; does nothing after the first one. */
-void tw_simulator_rule_broken(tw_simulator_world *world, const char *rule, const char *format, ...)
-    __attribute__((format(printf, 3, 4)));
+void tw_simulator_report_violation(tw_simulator_world *world, const char *rule, const char *format,
+                                   ...) __attribute__((format(printf, 3, 4)));
 /* A node's process has ended by itself: never the earlier version's break if the node isn't of it.
  */
-void tw_simulator_judge_ended(tw_simulator_world *world, bool of_earlier_version, const char *node,
-                              const char *failure);
+void tw_simulator_judge_process_end(tw_simulator_world *world, bool of_earlier_version,
+                                    const char *node, const char *failure);
 /* What a user was told in answer to a request sent at `sent`. An answer is older than another only
  * if its request was sent after the other answer was told; what merely crosses it is counted in
  * `crossings`. job NULL: nobody submitted it. */
-void tw_simulator_judge_told(tw_simulator_world *world, tw_simulator_job *job, const char *id,
-                             int kind, double sent, int status, const char *body);
+void tw_simulator_judge_answer(tw_simulator_world *world, tw_simulator_job *job, const char *id,
+                               int kind, double sent, int status, const char *body);
 /* A user is told that status for a job that no machine can run, or whose text is malformed. */
-void tw_simulator_judge_impossible_job(tw_simulator_world *world, const char *id, int status);
+void tw_simulator_judge_invalid_job(tw_simulator_world *world, const char *id, int status);
 /* The machine launches the task, as it was told under that token. */
 void tw_simulator_judge_launch(const tw_simulator_world *world, tw_simulator_worker *worker,
                                tw_simulator_task *task, uint64_t fencing_token);
 /* A task has its image and starts. */
-void tw_simulator_judge_start(tw_simulator_world *world, const tw_simulator_worker *worker,
-                              const tw_simulator_task *task);
+void tw_simulator_judge_task_start(tw_simulator_world *world, const tw_simulator_worker *worker,
+                                   const tw_simulator_task *task);
 /* Checks what must hold at any time. */
-void tw_simulator_judge_now(tw_simulator_world *world);
+void tw_simulator_judge_cancelled_tasks(tw_simulator_world *world);
 
 /* ---- judge_live.c: what must hold once all troubles are over ---- */
 
 /* Call it about once a second. */
-void tw_simulator_judge_live(tw_simulator_world *world);
+void tw_simulator_judge_liveness(tw_simulator_world *world);
 /* At the end, if the scenario asks for it. */
-void tw_simulator_judge_served(tw_simulator_world *world);
+void tw_simulator_judge_served_jobs(tw_simulator_world *world);
 
 #endif
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -113,8 +113,8 @@
     else if (port == PORT_CLOUD)
         status = tw_simulator_cloud_request(&world, method, path, body, &answer);
     else
-        status = tw_simulator_worker_request(&world, world.workers[port - PORT_WORKER], method,
-                                             path, body, &answer);
+        status = tw_simulator_worker_handle_request(&world, world.workers[port - PORT_WORKER],
+                                                    method, path, body, &answer);
     tw_net_reply(net, conn, status, 0, answer, strlen(answer));
     free(answer);
 }
@@ -185,7 +185,7 @@
     }
     tw_simulator_worker *worker = world.workers[call->worker];
     worker->in_flight = 0;
-    tw_simulator_worker_answer(&world, worker, call->sent, call->incarnation, status, body);
+    tw_simulator_worker_apply_answer(&world, worker, call->sent, call->incarnation, status, body);
 }
 
 /* The index of a node by its name; -1: none of them. */
@@ -256,7 +256,7 @@
 
 static void send_heartbeat(int index) {
     tw_simulator_worker *worker = world.workers[index];
-    char *body = tw_simulator_worker_heartbeat(&world, worker);
+    char *body = tw_simulator_worker_next_heartbeat(&world, worker);
     struct sent_call *call = call_node(worker->node, "POST", "/hello", body, HEARTBEAT_TIMEOUT_S);
     free(body);
     call->worker = index;
@@ -280,7 +280,7 @@
     tw_simulator_gangs_advance(&world);
     for (int i = 0; i < world.worker_count; i++) {
         tw_simulator_worker_advance(&world, world.workers[i]);
-        if (tw_simulator_worker_heartbeat_due(&world, world.workers[i])) send_heartbeat(i);
+        if (tw_simulator_worker_heartbeat_is_due(&world, world.workers[i])) send_heartbeat(i);
     }
     if (*world.rule) finish(world.detail);
     if (!user_waits && world.now >= next_act) {
--- a/tests/runner/simulator_gang_test.c
+++ b/tests/runner/simulator_gang_test.c
@@ -82,7 +82,7 @@
         tw_simulator_gangs_advance(&fixture->world);
         for (int i = 0; i < MACHINES; i++)
             tw_simulator_worker_advance(&fixture->world, fixture->world.workers[i]);
-        tw_simulator_judge_now(&fixture->world);
+        tw_simulator_judge_cancelled_tasks(&fixture->world);
     }
 }
 
@@ -93,8 +93,8 @@
              "{\"baton\":1,\"shift\":%d,\"orders\":[{\"verb\":\"%s\",\"piece\":\"" ID
              "/%d\",\"try\":%d,\"mercyS\":%g}]}",
              (int)fixture->world.workers[machine]->incarnation, verb, index, attempt, grace_s);
-    int status = tw_simulator_worker_request(&fixture->world, fixture->world.workers[machine],
-                                             "POST", "/orders", body, &answer);
+    int status = tw_simulator_worker_handle_request(
+        &fixture->world, fixture->world.workers[machine], "POST", "/orders", body, &answer);
     check(status == TW_SIMULATOR_OK, "a command is refused");
     free(answer);
 }
@@ -151,7 +151,7 @@
 
 static bool reports(gang_fixture *fixture, int machine, const char *text) {
     char *heartbeat =
-        tw_simulator_worker_heartbeat(&fixture->world, fixture->world.workers[machine]);
+        tw_simulator_worker_next_heartbeat(&fixture->world, fixture->world.workers[machine]);
     bool found = strstr(heartbeat, text) != NULL;
     free(heartbeat);
     return found;
--- a/tests/runner/simulator_test.c
+++ b/tests/runner/simulator_test.c
@@ -278,7 +278,7 @@
     for (int second = 0; second < seconds; second++) {
         for (int i = 0; i < world->job_count && answered; i++)
             world->jobs[i]->answered_at = world->now;
-        tw_simulator_judge_live(world);
+        tw_simulator_judge_liveness(world);
         world->now += 1;
     }
 }
@@ -385,7 +385,7 @@
         job->begun_at = begun_at;
     }
     world.now = 300;
-    tw_simulator_judge_served(&world);
+    tw_simulator_judge_served_jobs(&world);
     expect_rule(&world, rule, what);
 }
 
@@ -399,10 +399,10 @@
 static void test_took_bad(void) {
     tw_simulator_world world;
     world_of_one_machine(&world);
-    tw_simulator_judge_impossible_job(&world, "run-900001", 422);
-    tw_simulator_judge_impossible_job(&world, "run-900001", 503);
+    tw_simulator_judge_invalid_job(&world, "run-900001", 422);
+    tw_simulator_judge_invalid_job(&world, "run-900001", 503);
     check(!*world.rule, "a refusal is taken for an acceptance");
-    tw_simulator_judge_impossible_job(&world, "run-900001", 201);
+    tw_simulator_judge_invalid_job(&world, "run-900001", 201);
     expect_rule(&world, "took_bad", "a job that can't run is accepted");
 }
 
@@ -413,11 +413,11 @@
     tw_simulator_job *job = accepted_job(&world, "run-000001", 1);
     job->done[0] = 1;
     world.now = 10;
-    tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9, 200, done);
+    tw_simulator_judge_answer(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9, 200, done);
     world.now = 11;
-    tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9.5, 200, pending);
+    tw_simulator_judge_answer(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9.5, 200, pending);
     check(!*world.rule && world.crossings == 1, "an answer that crosses a newer one");
-    tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 10.5, 200, pending);
+    tw_simulator_judge_answer(&world, job, job->spec.id, TW_SIMULATOR_POLL, 10.5, 200, pending);
     expect_rule(&world, "went_back", "an answer that is older");
 }
 
@@ -435,7 +435,7 @@
     *task = (tw_simulator_task){.job = job, .stage = TW_TASK_RUNNING, .attempt = attempt};
     strcpy(task->job_id, job->spec.id);
     tw_simulator_judge_launch(world, worker, task, token);
-    tw_simulator_judge_start(world, worker, task);
+    tw_simulator_judge_task_start(world, worker, task);
 }
 
 /* Machines 0 in zone a, 1 and 2 in b; the team may use four cores. An earlier leader has launched a
@@ -544,10 +544,10 @@
     world.cancel_s = 0.1;
     job->told_cancel_at = 0.5;
     world.earlier_alone = true;
-    if (earlier) tw_simulator_judge_now(&world);
+    if (earlier) tw_simulator_judge_cancelled_tasks(&world);
     world.earlier_alone = false;
     world.now += after_s;
-    tw_simulator_judge_now(&world);
+    tw_simulator_judge_cancelled_tasks(&world);
     expect_after_break(&world, rule, aftermath, what);
 }
 
--- a/tests/soak/stand_ins.c
+++ b/tests/soak/stand_ins.c
@@ -217,8 +217,8 @@
     }
     char *body;
     tw_simulator_worker_advance(&run->world, worker); /* a lease that has ended ends first */
-    const int status = tw_simulator_worker_request(&run->world, worker, request->method,
-                                                   request->path, request->body, &body);
+    const int status = tw_simulator_worker_handle_request(&run->world, worker, request->method,
+                                                          request->path, request->body, &body);
     if (strstr(request->body, "\"launch\"")) tw_soak_moment_came(run, TW_SOAK_MOMENT_LAUNCH);
     endpoints_for(run, body, request->caller);
     answer(run, request, status, body);
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -51,8 +51,8 @@
     const int was_accepted = job->accepted, was_over = job->told_over;
     tw_soak_note(run, "user", asked->kind, "job", user->index, job->spec.id, body);
     if (status)
-        tw_simulator_judge_told(&run->world, job, job->spec.id, asked->kind, asked->sent, status,
-                                body);
+        tw_simulator_judge_answer(&run->world, job, job->spec.id, asked->kind, asked->sent, status,
+                                  body);
     if (!asked->once && asked->kind == TW_SIMULATOR_SUBMIT) user->submitting = false;
     if (!asked->once && asked->kind == TW_SIMULATOR_POLL) user->polling = false;
     if (!asked->once && asked->kind == TW_SIMULATOR_CANCEL) user->cancelling = false;
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -39,8 +39,9 @@
         tw_simulator_worker_advance(&run->world, worker); /* a lease that has ended ends first */
         if (strstr(heartbeat->answer, "\"launch\""))
             tw_soak_moment_came(run, TW_SOAK_MOMENT_LAUNCH);
-        tw_simulator_worker_answer(&run->world, worker, heartbeat->sent_at, heartbeat->incarnation,
-                                   heartbeat->status, heartbeat->answer);
+        tw_simulator_worker_apply_answer(&run->world, worker, heartbeat->sent_at,
+                                         heartbeat->incarnation, heartbeat->status,
+                                         heartbeat->answer);
     }
     free_heartbeat(heartbeat);
 }
@@ -144,7 +145,7 @@
 static void send_heartbeat(tw_soak *run, int machine) {
     tw_simulator_world *world = &run->world;
     tw_simulator_worker *worker = world->workers[machine];
-    char *body = tw_simulator_worker_heartbeat(world, worker);
+    char *body = tw_simulator_worker_next_heartbeat(world, worker);
     worker->changed = false;
     worker->in_flight = ++run->last_heartbeat;
     worker->last_heartbeat = world->now;
@@ -169,8 +170,8 @@
     tw_simulator_gangs_advance(&run->world);
     for (int i = 0; i < run->world.worker_count; i++) {
         tw_simulator_worker_advance(&run->world, run->world.workers[i]);
-        if (tw_simulator_worker_heartbeat_due(&run->world, run->world.workers[i]))
+        if (tw_simulator_worker_heartbeat_is_due(&run->world, run->world.workers[i]))
             send_heartbeat(run, i);
     }
-    tw_simulator_judge_now(&run->world);
+    tw_simulator_judge_cancelled_tasks(&run->world);
 }
