--- a/simulator/close_poll.c
+++ b/simulator/close_poll.c
@@ -1,12 +1,13 @@
-/* Users that look closely: they ask at every node within milliseconds after something happened to
- * a job; and users that cancel at the worst moment. */
+/* Simulates users that poll and resubmit at every node within milliseconds after a job changed, and
+ * users that cancel jobs while they run or when they end. */
 #include "simulator_int.h"
 #include <math.h>
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define CANCEL_SHARE 0.2 /* of close looks at unfinished jobs */
+#define CANCEL_SHARE                                                                               \
+    0.2 /* share of close polls of unfinished jobs that are followed by a cancellation */
 #define MAX_CANCEL_DELAY_S 0.03
 #define MAX_RUNNING_CANCEL_DELAY_S 0.2
 #define MIN_REMAINING_S 5.0
@@ -61,9 +62,10 @@
     tw_simulator_schedule_close_polls(sim, job->index, true);
 }
 
-/* ---- cancelnow ---- */
+/* ---- cancellation of running jobs ---- */
 
-/* The machine of a task that has long to go; -1: none of the job's does. */
+/* Returns the index of a machine that runs a task of the job for more than MIN_REMAINING_S still,
+ * or -1 if there is none. */
 static int find_long_running(const tw_simulator_world *world, const tw_simulator_job *job) {
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
@@ -77,7 +79,8 @@
     return -1;
 }
 
-/* `cancelnow N [HANG_S]` */
+/* Executes `cancelnow N [HANG_S]`: cancels up to N jobs with long-running tasks, and hangs some of
+ * their machines for HANG_S seconds. */
 static void cancel_running_jobs(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_world *world = &sim->world;
     int wanted = tw_simulator_parse_int(words->words[1]), hung_count = 0;
--- a/simulator/draw.c
+++ b/simulator/draw.c
@@ -1,10 +1,11 @@
-/* Draws from the scenario's seed. Each kind has a stream of its own, so that one more trouble
- * doesn't change what the others draw. */
+/* Draws random numbers from the scenario's seed. Each kind of draw has its own stream, so that
+ * adding a fault to a scenario does not change the draws of the other kinds. */
 #include "world.h"
 #include <gsl/gsl_rng.h>
 #include <stdlib.h>
 
-#define SEEDS_PER_SCENARIO 8 /* not the number of streams: one more must not change the others */
+#define SEEDS_PER_SCENARIO                                                                         \
+    8 /* fixed: the number of streams here would reseed every stream when one is added */
 
 double tw_simulator_draw(tw_simulator_world *world, int kind, double from, double to) {
     if (!world->draws[kind]) {
--- a/simulator/expect.c
+++ b/simulator/expect.c
@@ -1,4 +1,4 @@
-/* `expect` lines: what must hold at their time. */
+/* Checks the conditions of `expect` lines at the time at which the scenario runs them. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -7,7 +7,7 @@
 
 typedef struct {
     tw_simulator *sim;
-    tw_simulator_job *job; /* the first argument's, or NULL */
+    tw_simulator_job *job; /* the job that the first argument names, or NULL */
     const char *arguments[4];
     char actual[64];
 } expectation;
@@ -33,7 +33,7 @@
            status == tw_simulator_parse_int(expected->arguments[1]);
 }
 
-/* The last answer to a cancellation. */
+/* Compares the HTTP status of the last answer to a cancellation of the job. */
 static bool cancel_status_matches(expectation *expected) {
     int status = expected->job ? expected->job->cancel_status : -1;
     snprintf(expected->actual, sizeof expected->actual, "status %d", status);
@@ -51,7 +51,7 @@
                     expected->arguments[1], expected->arguments[2]);
 }
 
-/* Tasks of a gang that wait for the others. */
+/* Checks the number of the job's tasks that wait for the rest of their gang. */
 static bool waiting_tasks_match(expectation *expected) {
     return in_range(expected,
                     tw_simulator_job_tasks_in_stage(&expected->sim->world, expected->arguments[0],
@@ -59,23 +59,24 @@
                     expected->arguments[1], expected->arguments[2]);
 }
 
-/* How often all tasks of a gang began together, and under how many attempts some came. */
+/* Checks how many times all tasks of the gang started together. */
 static bool gang_starts_match(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_starts : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
+/* Checks under how many attempts tasks of the gang have been launched. */
 static bool gang_attempts_match(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_count : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
 
-/* A gang's progress that is safe, in seconds. */
+/* Checks the run time, in seconds, that the gang has saved in checkpoints. */
 static bool saved_progress_matches(expectation *expected) {
     return in_range(expected, expected->job ? expected->job->gang_saved_s : -1,
                     expected->arguments[1], expected->arguments[2]);
 }
 
-/* How many tasks of a job ended with a cause. */
+/* Checks how many tasks of the job have exited with the given cause. */
 static bool exit_count_matches(expectation *expected) {
     int cause = TW_CAUSE_DONE;
     while (cause < TW_CAUSE_OTHER &&
@@ -93,7 +94,7 @@
     return in_range(expected, count, expected->arguments[0], expected->arguments[1]);
 }
 
-/* How many machines of a type there have been. */
+/* Checks how many machines of a type have existed since the scenario began. */
 static bool rented_machines_match(expectation *expected) {
     const tw_simulator_world *world = &expected->sim->world;
     int count = 0;
@@ -119,7 +120,7 @@
 
 static bool has_leader(expectation *expected) { return tw_simulator_leader(expected->sim) >= 0; }
 
-/* Of the node that leads, since it started. */
+/* Checks how many steps the leader's process has taken since it started. */
 static bool leader_steps_match(expectation *expected) {
     int leader = tw_simulator_leader(expected->sim);
     tw_simulator_controller *controller =
@@ -128,7 +129,7 @@
     return in_range(expected, taken, "1", expected->arguments[0]);
 }
 
-/* How many nodes start with the earlier version. */
+/* Checks how many nodes are set to start with the earlier version. */
 static bool earlier_version_nodes_match(expectation *expected) {
     int count = 0;
     for (int i = 0; i < expected->sim->world.node_count; i++)
@@ -136,7 +137,7 @@
     return in_range(expected, count, expected->arguments[0], expected->arguments[1]);
 }
 
-/* Whether the node that leads is of the `old` or of the `new` version. */
+/* Checks whether the leader runs the earlier (`old`) or this (`new`) version. */
 static bool leader_version_matches(expectation *expected) {
     int leader = tw_simulator_leader(expected->sim);
     if (leader < 0) return false;
@@ -145,7 +146,7 @@
     return !strcmp(expected->actual, expected->arguments[0]);
 }
 
-/* How often a trouble struck. */
+/* Checks how many times a fault has occurred or a kind of user request has been made. */
 static bool fault_count_matches(expectation *expected) {
     static const char *const names[TW_SIMULATOR_TROUBLE_KINDS] = {
         "latewrites",   "lostwrites",  "lateheartbeats", "mute",       "unresponsive",
@@ -158,13 +159,13 @@
     return false;
 }
 
-/* Transactions that the state service refused for their size. */
+/* Checks how many transactions the state service has refused because of their size. */
 static bool oversized_txns_match(expectation *expected) {
     return in_range(expected, expected->sim->world.state.too_large_count, expected->arguments[0],
                     expected->arguments[1]);
 }
 
-/* Keys with this prefix in the state service. */
+/* Checks how many keys with a prefix the state service holds. */
 static bool key_count_matches(expectation *expected) {
     const tw_simulator_state *state = &expected->sim->world.state;
     int count = 0;
--- a/simulator/fault.c
+++ b/simulator/fault.c
@@ -1,4 +1,4 @@
-/* Commands of the scenario language for troubles. */
+/* Implements the scenario commands that inject faults. */
 #include "simulator_int.h"
 #include <math.h>
 #include <stdbool.h>
@@ -12,7 +12,8 @@
     return i < words->count ? tw_simulator_parse_number(words->words[i]) : 0;
 }
 
-/* NULL: there is no such machine (yet). */
+/* Returns the machine that the first argument names by its index, or NULL if it does not exist
+ * yet. */
 static tw_simulator_worker *find_machine(tw_simulator *sim, const tw_simulator_words *words) {
     int i = tw_simulator_parse_int(words->words[1]);
     return i >= 0 && i < sim->world.worker_count ? sim->world.workers[i] : NULL;
@@ -29,14 +30,15 @@
 }
 
 bool tw_simulator_fault_applies(tw_simulator *sim, const tw_simulator_message_share *share,
-                                int trouble, int draw) {
+                                int fault, int draw) {
     if (sim->world.now >= share->until) return false;
     if (tw_simulator_draw(&sim->world, draw, 0, 1) >= share->share) return false;
-    sim->strike_counts[trouble]++;
+    sim->strike_counts[fault]++;
     return true;
 }
 
-/* `NAME SHARE SECONDS`; what is held up arrives after that time still. */
+/* Applies `NAME SHARE SECONDS`. Messages delayed by the fault arrive up to `max_delay_s` after it
+ * ends. */
 static void set_message_share(tw_simulator *sim, const tw_simulator_words *words,
                               tw_simulator_message_share *share, double max_delay_s) {
     share->share = number_at(words, 1);
@@ -68,7 +70,7 @@
     if (node_state) node_state->alone_until = sim->world.now + number_at(words, 2);
 }
 
-/* `cutstate NODE SECONDS hang|refuse` */
+/* Executes `cutstate NODE SECONDS hang|refuse`. */
 static void cut_off_state(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_node *node_state = find_node(sim, words);
     if (!node_state) return;
@@ -136,7 +138,8 @@
     sim->trouble.slow_state_until = sim->world.now + number_at(words, 2);
 }
 
-/* `statelimits [value=KB] [ops=N] [write_rps=N]`: they fall, or rise. The nodes aren't told. */
+/* Executes `statelimits [value=KB] [ops=N] [write_rps=N]`: changes the state service's limits
+ * without notifying the nodes. */
 static void change_state_limits(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_limits *limits = &sim->world.state.limits;
     limits->value_kb = tw_simulator_option_number(words, "value", limits->value_kb);
@@ -144,7 +147,8 @@
     limits->write_rps = tw_simulator_option_number(words, "write_rps", limits->write_rps);
 }
 
-/* `nextlimits [value=KB] [ops=N]...`: nodes that start from now on are told of limits to come. */
+/* Executes `nextlimits [value=KB] [ops=N]...`: nodes that start from now on have the announced
+ * limits in their settings. */
 static void announce_next_limits(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_set_next_limits(sim, words);
 }
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -1,26 +1,27 @@
-/* Stand-in for gangs: the tasks of one attempt of a job that start, stop and complete together.
+/* Simulates gangs: the tasks of one attempt of a job, which start, stop and complete together.
  *
  * Each attempt is in one of these states:
  *
- *   GATHERING  its tasks come to their machines and wait for each other
- *   RUNNING    all tasks run; the job's progress grows at the speed of the slowest machine
- *   STOPPING   a task was told to save; progress stands still until all have been told
- *   SAVED      the first task has exited with its progress saved
- *   BROKEN     a task is gone or could not save; the others find out one by one
+ *   GATHERING  its tasks are launched on their machines and wait for each other
+ *   RUNNING    all tasks run; the job progresses at the speed of the slowest machine
+ *   STOPPING   a task has received a stop command and saves; the job makes no progress
+ *   SAVED      all tasks received the stop command in time and one has exited with progress saved
+ *   BROKEN     a task ended early or could not save; the others detect this one by one
  *   DONE       the job is complete
  *
- * GATHERING -> RUNNING when each task waits on a machine that answers; RUNNING -> STOPPING, BROKEN
- * or DONE; STOPPING -> SAVED or BROKEN. The last three are final, and a task that comes to an
- * attempt that has started only waits. Progress and checkpoints belong to the job, so that they
- * outlive attempts. */
+ * GATHERING changes to RUNNING when every task waits on a machine that executes tasks; RUNNING
+ * changes to STOPPING, BROKEN or DONE; STOPPING changes to SAVED or BROKEN. SAVED, BROKEN and DONE
+ * are final. A task that joins an attempt after its start waits until it times out. Progress and
+ * checkpoints are stored with the job, because they outlive attempts. */
 #include "world.h"
 #include <math.h>
 #include <stdbool.h>
 #include <string.h>
 
 #define NEVER 1e18
-#define FAILURE_DELAY_S 0.3     /* a task on a faulty machine, or of a job with a mistake */
-#define DEFAULT_WAIT_LEASES 1.5 /* unless the scenario sets the times */
+#define FAILURE_DELAY_S                                                                            \
+    0.3 /* how long a task runs before it fails on a faulty machine or in a failing job */
+#define DEFAULT_WAIT_LEASES 1.5 /* the defaults apply to times that the scenario does not set */
 #define DEFAULT_PEER_LEASES 0.25
 #define EPSILON 1e-6
 
@@ -65,7 +66,8 @@
     job->gang_saved_s = fmax(job->gang_saved_s, fmin(progress_s, job->run_s));
 }
 
-/* The job's progress up to now, with the checkpoints that it has passed. */
+/* Advances a running gang's progress to the current time: saves the checkpoints that it has
+ * passed, and completes the job when the run time is reached. */
 static void advance_progress(tw_simulator_world *world, tw_simulator_job *job,
                              tw_simulator_gang *gang) {
     double interval_s = job->spec.checkpoint_s;
@@ -127,12 +129,14 @@
 
 /* ---- stop ---- */
 
-/* Whether a task that is told to stop now can still save with the others. */
+/* Returns whether a task that receives its stop command now can still save with the rest of its
+ * gang. */
 static bool is_within_stop_window(const tw_simulator_world *world, const tw_simulator_gang *gang) {
     return world->now <= gang->first_stop_at + tw_simulator_gang_peer_s(world);
 }
 
-/* A running task is told to stop; the first one of its gang stops the progress of all. */
+/* Applies a stop command to a running task. The first stop command to a gang ends the progress of
+ * all its tasks. */
 static void stop_running(tw_simulator_world *world, tw_simulator_worker *worker,
                          tw_simulator_task *task, tw_simulator_gang *gang, double grace_s) {
     const tw_wire_job *spec = &task->job->spec;
@@ -168,9 +172,9 @@
     }
 }
 
-/* ---- time ---- */
+/* ---- passage of time ---- */
 
-/* What is known of a gang's tasks now. */
+/* Adds a task to its gang's counters, and its machine's slowdown to the gang's greatest one. */
 static void count_task(tw_simulator_world *world, const tw_simulator_worker *worker,
                        const tw_simulator_task *task) {
     tw_simulator_gang *gang = find_gang(task->job, task->attempt);
@@ -222,7 +226,8 @@
             advance_gang(world, world->jobs[i], &world->jobs[i]->gangs[k]);
 }
 
-/* Its gang is broken: it saves nothing, and finds out that the others are gone. */
+/* Advances a task whose gang is broken: it saves nothing, and exits when it detects the failure of
+ * its gang, which takes a drawn time, or when the time to stop together has passed. */
 static void advance_broken_task(tw_simulator_world *world, tw_simulator_worker *worker,
                                 tw_simulator_task *task, tw_simulator_gang *gang) {
     bool was_saving = task->stage == TW_TASK_SAVING;
--- a/simulator/invalid_request.c
+++ b/simulator/invalid_request.c
@@ -1,6 +1,6 @@
-/* Requests that make no sense: repeated submissions of unfinished jobs, with the same fields and
- * with others, cancellations of jobs that are done, jobs that fit no machine or lack a field, and
- * questions about jobs that nobody submitted. */
+/* Sends redundant and invalid requests: repeated submissions of unfinished jobs with the same or
+ * with changed fields, cancellations of jobs that are done, submissions of jobs that fit no machine
+ * or lack a field, and polls of jobs that nobody submitted. */
 #include "simulator_int.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,13 +15,14 @@
     return tw_simulator_draw_index(&sim->world, TW_SIMULATOR_DRAW_ODD, count);
 }
 
-/* Some accepted job that was told to be over in that way (0: not over), or NULL. */
-static tw_simulator_job *pick_job(tw_simulator *sim, int told_over) {
+/* Returns a random accepted job whose reported state is `final_state` (0: no final state was
+ * reported), or NULL if there is none. */
+static tw_simulator_job *pick_job(tw_simulator *sim, int final_state) {
     tw_simulator_world *world = &sim->world;
     int first = world->job_count ? draw_index(sim, world->job_count) : 0;
     for (int i = 0; i < world->job_count; i++) {
         tw_simulator_job *job = world->jobs[(first + i) % world->job_count];
-        if (job->submitted && job->accepted && job->told_over == told_over) return job;
+        if (job->submitted && job->accepted && job->told_over == final_state) return job;
     }
     return NULL;
 }
--- a/simulator/judge.c
+++ b/simulator/judge.c
@@ -1,5 +1,5 @@
-/* The judge: it checks the rules of the protocol from outside the controllers, by what tasks run on
- * machines and what users are told. */
+/* Checks the protocol's rules from outside the controllers: by the tasks that run on machines and
+ * the answers that users receive. */
 #include "world.h"
 #include <math.h>
 #include <stdarg.h>
@@ -9,28 +9,31 @@
 
 #define EPSILON 1e-6
 
-/* ---- broken rules, and whose they are ----
+/* ---- violations, and the version to which they are attributed ----
  *
- * A day with the earlier version is judged to its end: what breaks while only nodes of the earlier
- * version have led is noted as theirs, and the day goes on. A leftover is what such a break leaves
- * behind: a task on a machine, launched by one of those leaders, although
- *   - one of them has launched a later attempt of the same task too, for it took this one for lost
- *     (drawn day 2101458, upgraded 0.1 s after its break: n-000005 runs attempt 10 of
- *     run-000005/0 on after attempt 14 was launched, until 0.7 s later the new leader, which knows
- *     attempt 14 alone from the record, hears of it and stops it), or
- *   - the machine had carried out that very launch before, and has forgotten how it ended, when a
- *     copy of the command came (days of seeds 394 and 1115 with old nodes and their repeated
- *     commands, upgraded soon after their breaks: run-000010/10 and /11, done, and run-000007/0,
- *     cancelled, run once more beside what the new leader has placed up to the team's limit, until
- *     it hears of them).
- * No leader of this version has launched one, and none finds one in the record. So a start that
- * breaks ran_twice, quota or wrong_place only by what leftovers are on machines is an aftermath: it
- * is counted and told apart, and the day goes on. So is a task that runs on after its job was
- * cancelled, if the same attempt on the same machine broke ran_cancelled under the earlier version
- * alone (day 1823 with old nodes, upgraded 0.01 to 0.3 s after its break: run-000015/0 on n-000005
- * runs until 0.9 s after the break). Everything else is a break of its own, as is a leftover
- * that is still there later than two leases after the earlier version last led and all troubles are
- * over: within one lease its machine was told to stop it, or has stopped all that it ran. */
+ * A run with nodes of the earlier version is judged to its end. A violation that occurs while only
+ * nodes of the earlier version have led is attributed to that version, and the run continues. Such
+ * a violation can leave inherited tasks on machines. An inherited task was launched by one of those
+ * leaders, and one of two conditions holds:
+ *   - One of those leaders also launched a later attempt of the same task, because it considered
+ *     this one lost. Example: random run 2101458, upgraded 0.1 s after the violation. n-000005
+ *     still runs attempt 10 of run-000005/0 after attempt 14 was launched. The new leader, which
+ *     knows only attempt 14 from the record, stops attempt 10 when a heartbeat reports it 0.7 s
+ *     later.
+ *   - The machine had executed the same launch before, and had forgotten its result when a copy of
+ *     the command arrived. Example: seeds 394 and 1115 with nodes of the earlier version and
+ *     repeated commands, upgraded soon after the violations. run-000010/10 and /11, which were
+ *     done, and run-000007/0, which was cancelled, run again beside the tasks that the new leader
+ *     has placed up to the team's limit, until heartbeats report them to it.
+ * No leader of this version has launched an inherited task, and none finds one in the record. If a
+ * start violates ran_twice, quota or wrong_place only because of inherited tasks, it is counted and
+ * reported as an inherited violation, and the run continues. The same applies to a task that still
+ * runs after its job was cancelled, if the same attempt on the same machine violated ran_cancelled
+ * while only the earlier version had led. Example: seed 1823 with nodes of the earlier version,
+ * upgraded 0.01 to 0.3 s after the violation; run-000015/0 runs on n-000005 until 0.9 s after the
+ * violation. All other violations are attributed to this version. So is a violation by an
+ * inherited task that remains more than two leases after the earlier version last led and all
+ * faults ended: within one lease its machine has received a stop command or ended all its tasks. */
 
 #define INHERITED_TASK_LEASES 2
 
@@ -48,7 +51,8 @@
     fill_violation(world, violation, rule, what);
 }
 
-/* Keeps the first break of the earlier version alone, and the first other one. */
+/* Stores the first violation by the earlier version, and apart from it the first other one. Later
+ * ones are ignored. */
 static void store_violation(tw_simulator_world *world, const tw_simulator_break *violation,
                             bool by_earlier) {
     if (by_earlier) {
@@ -79,7 +83,8 @@
     store_violation(world, &violation, world->earlier_alone && of_earlier_version);
 }
 
-/* Whether what a break by the earlier version left behind may still be on machines. */
+/* Returns whether machines may still run tasks inherited from a violation by the earlier version.
+ */
 static bool inherited_tasks_may_remain(const tw_simulator_world *world) {
     const double bound_from = fmax(world->earlier_led_at, world->troubles_end);
     return *world->by_earlier.rule && !world->earlier_alone &&
@@ -94,7 +99,7 @@
            (job->earlier_attempts && job->earlier_attempts[task->index] > task->attempt);
 }
 
-/* Whether the machine has carried out the launch before; notes it. */
+/* Returns whether the machine has executed this launch before, and records it if not. */
 static bool is_repeated_launch(tw_simulator_worker *worker, const tw_simulator_task *task) {
     for (int i = 0; i < worker->launch_count; i++) {
         const tw_simulator_launch *launch = &worker->launches[i];
@@ -124,9 +129,10 @@
         job->earlier_attempts[task->index] = task->attempt;
 }
 
-/* ---- starts ---- */
+/* ---- task starts ---- */
 
-/* A rule is broken; aftermath: only by what an earlier break left behind. */
+/* Records a violation of a rule. `is_inherited_violation` says that only inherited tasks cause it.
+ */
 static void report_violation_by(tw_simulator_world *world, bool is_inherited_violation,
                                 const char *rule, const char *format, ...)
     __attribute__((format(printf, 4, 5)));
@@ -161,10 +167,10 @@
     }
 }
 
-/* What runs at the moment of a start. */
+/* Resources and tasks in use when a task starts, the starting task included. */
 typedef struct {
-    double cpus, gpus;          /* of the task's team */
-    int same_zone, other_zones; /* tasks of its job, by zone */
+    double cpus, gpus;          /* used by the task's team */
+    int same_zone, other_zones; /* numbers of the job's tasks in the task's zone and elsewhere */
 } team_usage;
 
 static team_usage measure_usage(const tw_simulator_world *world, const tw_simulator_worker *worker,
@@ -192,10 +198,10 @@
     return used;
 }
 
-/* What a task's start is judged by. */
+/* The state by which a task's start is judged. */
 typedef struct {
     team_usage used, used_without_inherited;
-    bool is_inherited; /* the task is one itself */
+    bool is_inherited; /* the starting task is itself inherited */
 } task_start;
 
 static bool is_allowed_place(const tw_simulator_worker *worker, const tw_wire_job *spec) {
@@ -224,15 +230,15 @@
     const tw_wire_job *spec = &task->job->spec;
     const team_usage *without_inherited = &start->used_without_inherited;
     if (!is_allowed_place(worker, spec))
-        tw_simulator_report_violation(world, "wrong_place", "%s/%d on %s", task->job_id,
+        tw_simulator_report_violation(world, "wrong_place", "%s/%d may not run on %s", task->job_id,
                                       task->index, worker->id);
     if (!is_spread(spec, &start->used))
         report_violation_by(world, start->is_inherited || is_spread(spec, without_inherited),
-                            "wrong_place", "%d of %s in %s", start->used.same_zone, task->job_id,
-                            worker->zone);
+                            "wrong_place", "%d tasks of %s in zone %s", start->used.same_zone,
+                            task->job_id, worker->zone);
     if (!is_in_one_zone(spec, &start->used))
         report_violation_by(world, start->is_inherited || is_in_one_zone(spec, without_inherited),
-                            "wrong_place", "%s in two zones", task->job_id);
+                            "wrong_place", "tasks of %s in two zones", task->job_id);
 }
 
 static void check_team_limits(tw_simulator_world *world, const char *team,
@@ -242,7 +248,7 @@
         if (strcmp(limits->name, team) != 0 || is_within_limits(limits, &start->used)) continue;
         report_violation_by(
             world, start->is_inherited || is_within_limits(limits, &start->used_without_inherited),
-            "quota", "%s", team);
+            "quota", "team %s exceeds its limits", team);
     }
 }
 
@@ -258,8 +264,8 @@
     check_duplicate_task(world, worker, task);
     check_placement(world, worker, task, &start);
     if (cancellation_is_overdue(world, task->job))
-        tw_simulator_report_violation(world, "ran_cancelled", "%s/%d starts", task->job_id,
-                                      task->index);
+        tw_simulator_report_violation(world, "ran_cancelled", "%s/%d starts after its cancellation",
+                                      task->job_id, task->index);
     check_team_limits(world, task->job->spec.team, &start);
 }
 
@@ -272,23 +278,23 @@
                 continue;
             task->ran_cancelled |= world->earlier_alone;
             report_violation_by(world, task->ran_cancelled && inherited_tasks_may_remain(world),
-                                "ran_cancelled", "%s/%d on %s", task->job_id, task->index,
-                                worker->id);
+                                "ran_cancelled", "%s/%d still runs on %s", task->job_id,
+                                task->index, worker->id);
         }
     }
 }
 
 /* ---- answers to users ---- */
 
-/* Whether an answer that contradicts what was told at `told` is older than it, or only crossed
- * it. */
+/* Returns whether a request was sent after an answer that its own answer contradicts was reported.
+ * Otherwise the two requests overlapped, which is counted but allowed. */
 static bool was_sent_after(tw_simulator_world *world, double sent, double reported_at) {
     if (sent > reported_at) return true;
     world->crossings++;
     return false;
 }
 
-/* A job that was accepted is refused or not known. */
+/* Reports a violation if an accepted job is later rejected or reported as unknown. */
 static void check_forgotten_job(tw_simulator_world *world, const tw_simulator_job *job, int kind,
                                 double sent, int status) {
     bool refused = kind == TW_SIMULATOR_SUBMIT &&
@@ -296,34 +302,36 @@
     bool unknown = kind != TW_SIMULATOR_SUBMIT && status == TW_SIMULATOR_UNKNOWN;
     if (!job->accepted || (!refused && !unknown)) return;
     if (was_sent_after(world, sent, job->accepted_at))
-        tw_simulator_report_violation(world, "forgotten", "%s is answered %d", job->spec.id,
-                                      status);
+        tw_simulator_report_violation(
+            world, "forgotten", "accepted job %s is answered with status %d", job->spec.id, status);
 }
 
 void tw_simulator_judge_invalid_job(tw_simulator_world *world, const char *id, int status) {
     if (status == TW_SIMULATOR_OK || status == TW_SIMULATOR_CREATED)
-        tw_simulator_report_violation(world, "took_bad", "%s can't run and is answered %d", id,
-                                      status);
+        tw_simulator_report_violation(world, "took_bad",
+                                      "%s cannot run but is answered with status %d", id, status);
 }
 
 static void record_final_state(tw_simulator_world *world, tw_simulator_job *job, int stage) {
     if (stage == TW_JOB_CANCELLED && job->cancel_asked_at <= 0)
-        tw_simulator_report_violation(world, "went_back", "%s is called aborted, nobody asked",
-                                      job->spec.id);
+        tw_simulator_report_violation(
+            world, "went_back", "%s is reported aborted but nobody cancelled it", job->spec.id);
     for (int i = 0; stage == TW_JOB_DONE && i < job->spec.task_count; i++)
         if (!job->done[i])
-            tw_simulator_report_violation(world, "not_done", "%s/%d", job->spec.id, i);
+            tw_simulator_report_violation(world, "not_done", "%s/%d has not completed",
+                                          job->spec.id, i);
     if (!job->told_over) job->told_over_at = world->now;
     job->told_over = stage;
     if (stage == TW_JOB_CANCELLED && job->told_cancel_at <= 0) job->told_cancel_at = world->now;
 }
 
-/* A job is done when all of its tasks are, whoever says so and however long it has been. */
+/* Reports a violation if an answer calls a job done but counts fewer or more completed tasks than
+ * the job has. This holds for every answer, whichever node gives it and however late. */
 static void check_done_count(tw_simulator_world *world, const tw_simulator_job *job,
                              const cJSON *answer) {
     const cJSON *done = cJSON_GetObjectItemCaseSensitive(answer, "done");
     if (cJSON_IsNumber(done) && done->valueint != job->spec.task_count)
-        tw_simulator_report_violation(world, "went_back", "%s is called done with %d tasks of %d",
+        tw_simulator_report_violation(world, "went_back", "%s is reported done with %d of %d tasks",
                                       job->spec.id, done->valueint, job->spec.task_count);
 }
 
@@ -331,7 +339,7 @@
                                int kind, double sent, int status, const char *body) {
     if (!job || !job->submitted) {
         if (status == TW_SIMULATOR_OK && kind != TW_SIMULATOR_SUBMIT)
-            tw_simulator_report_violation(world, "invented", "%s", id);
+            tw_simulator_report_violation(world, "invented", "%s was never submitted", id);
         return;
     }
     check_forgotten_job(world, job, kind, sent, status);
@@ -344,11 +352,13 @@
     int stage = !strcmp(stage_name, "done")      ? TW_JOB_DONE
                 : !strcmp(stage_name, "aborted") ? TW_JOB_CANCELLED
                                                  : 0;
-    /* Two final states of one job contradict each other, in whatever order they are told. */
+    /* Two different final states of a job contradict each other, in whichever order they are
+     * reported. */
     bool is_other_final_state = stage && job->told_over && stage != job->told_over;
     if (is_other_final_state ||
         (!stage && job->told_over && was_sent_after(world, sent, job->told_over_at)))
-        tw_simulator_report_violation(world, "went_back", "%s is called %s", id, stage_name);
+        tw_simulator_report_violation(
+            world, "went_back", "%s is reported %s, which contradicts its final state", id, stage_name);
     if (stage) record_final_state(world, job, stage);
     if (stage == TW_JOB_DONE) check_done_count(world, job, answer);
     cJSON_Delete(answer);
--- a/simulator/judge_live.c
+++ b/simulator/judge_live.c
@@ -1,5 +1,6 @@
-/* The judge of what must go on: once all troubles are over, questions are answered, no job waits
- * beside a machine that has room for it, and at the end most of every kind of work is served. */
+/* Checks liveness once all faults have ended: polls are answered, no job waits while machines have
+ * free capacity for it, and at the end at least half of the jobs of each class and team have been
+ * served. */
 #include "world.h"
 #include <math.h>
 #include <stdbool.h>
@@ -10,20 +11,21 @@
 #define STUCK_TIMEOUT_S 90.0
 #define LARGE_JOB_START_TIMEOUT_S 240.0
 #define MIN_SERVED_SHARE 0.5
-#define LARGE_JOB_SIZE_RATIO 0.9 /* of the size of a class's largest job */
-#define CORES_PER_GPU 10.0       /* in sizes of jobs, against a core */
+#define LARGE_JOB_SIZE_RATIO                                                                       \
+    0.9 /* a job counts as large from this share of its class's largest size on */
+#define CORES_PER_GPU 10.0 /* a GPU counts as this many cores in a job's size */
 #define EPSILON 1e-6
 
-/* ---- unanswered ---- */
+/* ---- rule `unanswered` ---- */
 
 static void check_answers(tw_simulator_world *world, const tw_simulator_job *job) {
     double since = fmax(world->troubles_end, fmax(job->accepted_at, job->answered_at));
     if (job->accepted && world->now > since + UNANSWERED_TIMEOUT_S)
-        tw_simulator_report_violation(world, "unanswered", "%s: no question is answered since %.2f",
-                                      job->spec.id, since);
+        tw_simulator_report_violation(
+            world, "unanswered", "%s: no poll has been answered since t=%.2f", job->spec.id, since);
 }
 
-/* ---- stuck ---- */
+/* ---- rule `stuck` ---- */
 
 typedef struct {
     double cpus, gpus, memory;
@@ -37,8 +39,8 @@
     return task->stage != TW_TASK_FETCHING && task->stage != TW_TASK_WAITING;
 }
 
-/* What each machine can still take (less than nothing: no task may start there). Counts each job's
- * tasks on machines. */
+/* Returns the free capacity of each machine; free() the array. `cpus` is below 0 where no task may
+ * start. Also updates each job's count of tasks on machines. */
 static free_capacity *free_capacities(tw_simulator_world *world) {
     free_capacity *capacities =
         tw_simulator_allocate((size_t)(world->worker_count + 1) * sizeof *capacities);
@@ -72,7 +74,7 @@
            (!*spec->zone || !strcmp(spec->zone, worker->zone));
 }
 
-/* How many tasks of a job a machine has room for. */
+/* Returns how many tasks of a job fit into a machine's free capacity, at most `wanted`. */
 static int tasks_that_fit(const free_capacity *capacity, const tw_wire_job *spec, int wanted) {
     int count = 0;
     for (free_capacity remaining = *capacity; count < wanted; count++) {
@@ -85,7 +87,8 @@
     return count;
 }
 
-/* Whether the machines of a zone (NULL: of all zones) have room for so many tasks. */
+/* Returns whether the machines of a zone (of all zones, if it is NULL) have free capacity for
+ * `wanted` tasks of a job. */
 static bool has_capacity(const tw_simulator_world *world, const free_capacity *capacities,
                          const tw_wire_job *spec, const char *zone, int wanted) {
     int count = 0;
@@ -99,8 +102,9 @@
     return count >= wanted;
 }
 
-/* So many tasks must start together, or one. Those of a gang that wait already have their room; in
- * one zone they may be in the wrong one. */
+/* Returns how many further tasks of the job need capacity at the same time; 1 if they start one by
+ * one. Waiting tasks of a gang already hold their capacity and are subtracted, except for a
+ * single-zone gang: they may wait in a zone in which the rest does not fit. */
 static int tasks_started_together(const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     if (spec->gang && !spec->single_zone) return spec->task_count - job->unstarted;
@@ -111,7 +115,7 @@
                          const tw_simulator_job *job) {
     const tw_wire_job *spec = &job->spec;
     int wanted = tasks_started_together(job);
-    if (wanted > 1 && spec->spread) return false; /* not judged */
+    if (wanted > 1 && spec->spread) return false; /* not judged: the search ignores spread */
     if (!spec->single_zone || wanted == 1)
         return has_capacity(world, capacities, spec, NULL, wanted);
     for (int i = 0; i < world->worker_count; i++)
@@ -140,13 +144,13 @@
            (limits->gpus_max <= 0 || gpus <= limits->gpus_max + EPSILON);
 }
 
-/* Tasks on machines that do something useful there, or will by themselves. */
+/* Returns the number of the job's tasks on machines that run or need no other task to run. */
 static int progressing_tasks(const tw_simulator_job *job) {
     return job->on_machine - job->unstarted;
 }
 
-/* Accepted, not cancelled, not over, and no task of it is on a machine, or only such that wait for
- * the rest of their gang. */
+/* Returns whether an accepted job that is neither cancelled nor complete has no task on a machine,
+ * or only tasks that wait for the rest of their gang. */
 static bool is_unplaced(const tw_simulator_job *job) {
     return job->accepted && job->cancel_asked_at <= 0 && !job->fails && !job->told_over &&
            job->done_count < job->spec.task_count && !progressing_tasks(job);
@@ -163,8 +167,8 @@
         job->waits_since = world->now;
     else if (world->now > job->waits_since + STUCK_TIMEOUT_S)
         tw_simulator_report_violation(world, "stuck",
-                                      "%s waits since %.2f while a machine has room", job->spec.id,
-                                      job->waits_since);
+                                      "%s unplaced since t=%.2f despite free capacity",
+                                      job->spec.id, job->waits_since);
 }
 
 void tw_simulator_judge_liveness(tw_simulator_world *world) {
@@ -176,13 +180,14 @@
     free(capacities);
 }
 
-/* ---- unserved ---- */
+/* ---- rule `unserved` ---- */
 
 static double job_size(const tw_wire_job *spec) {
     return spec->task_count * (spec->cores + CORES_PER_GPU * spec->gpus);
 }
 
-/* Jobs that count: old enough, not refused as impossible, not cancelled, without a mistake. */
+/* Returns whether the job is counted in the served share: it is older than the required age, and
+ * it was not rejected as impossible, not cancelled, and does not fail by itself. */
 static bool is_counted(const tw_simulator_world *world, const tw_simulator_job *job) {
     bool refused =
         job->last_status == TW_SIMULATOR_MALFORMED || job->last_status == TW_SIMULATOR_IMPOSSIBLE;
@@ -190,7 +195,7 @@
            world->now >= job->first_try + world->served_age_s;
 }
 
-/* At least half of its tasks are done or on a machine. */
+/* Returns whether at least half of the job's tasks are done or on a machine. */
 static bool is_served(const tw_simulator_job *job) {
     return job->done_count + progressing_tasks(job) >= MIN_SERVED_SHARE * job->spec.task_count;
 }
@@ -199,9 +204,9 @@
     return job->begun_at > 0 && job->begun_at <= job->first_try + LARGE_JOB_START_TIMEOUT_S;
 }
 
-/* Jobs alike: of one class or team; only the largest of a class, if least_size is above 0. */
+/* The jobs of one class or team, from a minimum size on. */
 typedef struct {
-    const char *class, *team; /* NULL: any */
+    const char *class, *team; /* NULL matches any */
     double min_size;
 } job_group;
 
@@ -220,11 +225,11 @@
         served += is_served(job) && (group->min_size <= 0 || started_in_time(job));
     }
     if (served < MIN_SERVED_SHARE * counted)
-        tw_simulator_report_violation(world, "unserved", "%s %s: %d of %d jobs", group_kind, name,
-                                      served, counted);
+        tw_simulator_report_violation(world, "unserved", "%s %s: only %d of %d jobs were served",
+                                      group_kind, name, served, counted);
 }
 
-/* The first that counts of its class or team. */
+/* Returns whether the job is the first counted one of its team (`by_team`) or class. */
 static bool is_first_of_group(const tw_simulator_world *world, const tw_simulator_job *job,
                               bool by_team) {
     for (int i = 0; i < job->index; i++) {
@@ -248,7 +253,7 @@
 }
 
 void tw_simulator_judge_served_jobs(tw_simulator_world *world) {
-    free(free_capacities(world)); /* counts tasks on machines */
+    free(free_capacities(world)); /* called to update the counts of tasks on machines */
     for (int i = 0; i < world->job_count; i++) {
         const tw_simulator_job *job = world->jobs[i];
         const char *class = job->spec.job_class, *team = job->spec.team;
--- a/simulator/user.c
+++ b/simulator/user.c
@@ -1,5 +1,6 @@
-/* Users: they submit, ask and cancel through a load balancer, and repeat what fails. Requests and
- * answers travel for a few milliseconds, and users wait only so long. */
+/* Simulates users that submit, poll and cancel jobs through a load balancer and retry failed
+ * requests. Requests and answers take up to a few milliseconds to arrive, and every request has a
+ * timeout. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -12,7 +13,7 @@
 #define ANSWER_TIMEOUT_S 5.0
 #define MIN_TRAVEL_S 0.0005
 #define MAX_TRAVEL_S 0.004
-#define UNHEALTHY_AFTER_S 2.0 /* a node that stands still that long gets no new connections */
+#define UNHEALTHY_AFTER_S 2.0 /* a node paused for this long gets no new connections */
 
 static double draw_travel_s(tw_simulator *sim) {
     return tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_TRAVEL, MIN_TRAVEL_S, MAX_TRAVEL_S);
@@ -33,7 +34,7 @@
     return -1;
 }
 
-/* ---- what a user does with an answer ---- */
+/* ---- handling of answers ---- */
 
 static void poll_job(tw_simulator *sim, tw_simulator_event *event) {
     if (sim->world.jobs[event->target]->accepted)
@@ -56,7 +57,7 @@
     event->kind = kind;
 }
 
-/* An odd request must get its refusal at once. */
+/* Checks that an invalid request is rejected with the expected status on its first attempt. */
 static void check_invalid_request_answer(tw_simulator *sim,
                                          const tw_simulator_connection *connection, int status) {
     char text[TW_SIMULATOR_MESSAGE];
@@ -70,18 +71,19 @@
         !status && (!node_state->alive || connection->sent < node_state->still_until ||
                     connection->sent < node_state->sends_late_until ||
                     tw_simulator_cut_off(sim, sim->world.node_zone[connection->node]));
-    /* What depends on the machine types or on the state service may have to wait. */
+    /* Answers that depend on the machine types or the state service may not be available yet. */
     bool is_undecided =
         connection->wanted != TW_SIMULATOR_MALFORMED &&
         (!status || status == TW_SIMULATOR_TOO_MANY || status == TW_SIMULATOR_UNAVAILABLE);
     if (status == connection->wanted || is_unreachable || is_undecided) return;
-    snprintf(text, sizeof text, "%s got %d, wanted %d", connection->what, status,
+    snprintf(text, sizeof text, "%s got status %d, expected %d", connection->what, status,
              connection->wanted);
-    tw_simulator_fail(sim, "odd request", text);
+    tw_simulator_fail(sim, "invalid request", text);
 }
 
-/* Whether the answer ends the request, so that it is not sent again. A cancellation is repeated
- * until it is told `aborted` or `done`, also after 404, unless the job was refused. */
+/* Returns whether the answer is final, so that the request is not retried. A cancellation is
+ * retried until the answer is `aborted` or `done`, also after status 404, unless the job's
+ * submission was rejected. */
 static bool answer_is_final(const tw_simulator_job *job, int kind, int status) {
     if (status == TW_SIMULATOR_UNKNOWN && kind == TW_SIMULATOR_CANCEL)
         return job->last_status == TW_SIMULATOR_MALFORMED ||
@@ -91,7 +93,7 @@
            status == TW_SIMULATOR_IMPOSSIBLE || status == TW_SIMULATOR_UNKNOWN;
 }
 
-/* status 0: there was no answer. Ends the connection. */
+/* Hands an answer to the user and frees the connection. Status 0 means that no answer arrived. */
 static void deliver_answer(tw_simulator *sim, tw_simulator_connection *connection, int status,
                            const char *body) {
     HASH_DEL(sim->connections, connection);
@@ -108,7 +110,7 @@
     if (kind == TW_SIMULATOR_CANCEL && !is_single) job->cancel_status = status;
     tw_simulator_judge_answer(&sim->world, job, job->spec.id, kind, connection->sent, status, body);
     free(connection);
-    if (job->accepted && !was_accepted) /* whichever answer said so first */
+    if (job->accepted && !was_accepted) /* by the answer to any of its requests */
         tw_simulator_schedule_after(sim, TW_SIMULATOR_POLL_S, poll_job)->target = job->index;
     if (job->accepted != was_accepted || job->told_over != previous_end)
         tw_simulator_schedule_close_polls(sim, job->index, !job->told_over);
@@ -154,7 +156,8 @@
 static void deliver_request(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_connection *connection = find_connection(sim, event);
     if (!connection || tw_simulator_cut_off(sim, sim->world.node_zone[connection->node])) return;
-    if (!sim->nodes[connection->node].alive) { /* refused: the load balancer tries another */
+    if (!sim->nodes[connection->node]
+             .alive) { /* connection refused: the load balancer tries another node */
         int node = connection->tried_once ? -1 : tw_simulator_pick_node(sim);
         if (node < 0) {
             deliver_answer(sim, connection, 0, "");
@@ -177,7 +180,8 @@
     return job;
 }
 
-/* job: its index, or -1. Takes the body. */
+/* Sends a request and starts its timeout. `job` is the job's index, or -1 for a job that nobody
+ * submitted. Takes ownership of the body. */
 static tw_simulator_connection *send_request(tw_simulator *sim, int job, const char *id, int kind,
                                              int node, char *body) {
     char path[100];
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -1,8 +1,8 @@
-/* Stand-in for a worker: the tasks of a machine, its heartbeats, its lease and its commands.
+/* Simulates a worker: a machine's tasks, heartbeats and lease, and the commands that it executes.
  *
- * Invariants: a worker carries out commands only under the highest fencing token that it has seen
- * and in its own incarnation; when its lease expires it ends all its tasks and begins a new
- * incarnation. */
+ * Invariants: a worker executes only commands that carry a fencing token at least as high as any
+ * that it has received and that are addressed to its current incarnation. When its lease expires,
+ * it ends all its tasks and begins a new incarnation. */
 #include "world.h"
 #include <math.h>
 #include <stdbool.h>
@@ -11,10 +11,11 @@
 #include <string.h>
 
 #define NEVER 1e18
-#define FAILURE_DELAY_S 0.3          /* a task on a faulty machine, or of a job with a mistake */
-#define REDIRECT_DELAY_S 0.1         /* until a redirected worker sends its next heartbeat */
-#define NEXT_NODE_DELAY_S 1.0        /* until it tries the next node */
-#define MIN_HEARTBEAT_INTERVAL_S 0.5 /* least time between heartbeats */
+#define FAILURE_DELAY_S                                                                            \
+    0.3 /* how long a task runs before it fails on a faulty machine or in a failing job */
+#define REDIRECT_DELAY_S 0.1  /* time until a redirected worker sends its next heartbeat */
+#define NEXT_NODE_DELAY_S 1.0 /* time until a worker tries the next node after an error answer */
+#define MIN_HEARTBEAT_INTERVAL_S 0.5 /* applies to heartbeats that report a change */
 #define EPSILON 1e-6
 
 static const char *const stages[] = {"pulling", "running", "flushing", "exited", "waiting"};
@@ -93,7 +94,8 @@
     return false;
 }
 
-/* Why a machine refuses to start its newest task; TW_CAUSE_NONE: it doesn't. */
+/* Returns the cause for which the machine rejects the launch of `task`, or TW_CAUSE_NONE if it
+ * accepts the launch. */
 static int find_refusal(const tw_simulator_world *world, const tw_simulator_worker *worker,
                         const tw_simulator_task *task) {
     if (!task->job || !task->job->submitted || task->index < 0 ||
@@ -137,7 +139,7 @@
     task->ready_at = world->now + (has_image(worker, task->job->spec.image) ? 0 : fetch_s);
 }
 
-/* Run time that a task has reached. */
+/* Returns the run time, in seconds, that a running task has reached. */
 static double task_progress_s(const tw_simulator_world *world, const tw_simulator_worker *worker,
                               const tw_simulator_task *task) {
     return task->from_s + (world->now - task->started_at) / worker->slowdown;
@@ -231,16 +233,16 @@
     return status;
 }
 
-/* ---- time ---- */
+/* ---- passage of time ---- */
 
-/* Checkpoints outlive the machine. */
+/* Stores a task's checkpoint with its job, so that it outlives the machine. */
 static void save_progress(tw_simulator_job *job, int index, double reached_s) {
     if (!job->saved)
         job->saved = tw_simulator_allocate((size_t)job->spec.task_count * sizeof *job->saved);
     job->saved[index] = fmax(job->saved[index], reached_s);
 }
 
-/* A running task saves after each interval of progress. */
+/* Stores the last periodic checkpoint that a running batch task has passed. */
 static void save_periodic_checkpoint(const tw_simulator_world *world,
                                      const tw_simulator_worker *worker,
                                      const tw_simulator_task *task) {
@@ -317,7 +319,8 @@
     bool lease_expired = world->now > worker->lease_from + world->lease_s;
     if (world->now < worker->hung_until) {
         if (lease_expired)
-            worker->task_count = 0; /* it may go on with them only within its lease */
+            worker->task_count =
+                0; /* a hung machine's tasks, too, may run only while its lease is valid */
         return;
     }
     if (lease_expired) {
--- a/simulator/worker_heartbeat.c
+++ b/simulator/worker_heartbeat.c
@@ -1,5 +1,5 @@
-/* Workers in the simulation: they are advanced twenty times a second, and their heartbeats and the
- * answers to these travel over the simulated network. */
+/* Advances the simulated workers twenty times a second, and delivers their heartbeats and the
+ * answers to them over the simulated network. */
 #include "simulator_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -10,9 +10,10 @@
 #define JUDGE_LIVENESS_INTERVAL_S 1.0
 #define ANSWER_TIMEOUT_S 4.0
 #define NEXT_NODE_DELAY_S 1.0
-#define MAX_DELIVERY_SPREAD_S 0.3          /* held heartbeats arrive within that time */
-#define MAX_BODY_BYTES ((size_t)64 * 1024) /* of a request; a controller refuses longer ones */
-#define ANY_NODE (-1) /* a late copy: to a node of the worker's zone, or whoever leads by then */
+#define MAX_DELIVERY_SPREAD_S 0.3          /* longest delay of a held heartbeat after its release */
+#define MAX_BODY_BYTES ((size_t)64 * 1024) /* a controller rejects longer request bodies */
+#define ANY_NODE                                                                                   \
+    (-1) /* chosen at delivery: a live node of the worker's zone, otherwise the leader */
 
 static void deliver_heartbeat(tw_simulator *sim, tw_simulator_event *event) {
     if (event->node == ANY_NODE) {
@@ -71,7 +72,8 @@
     worker->next_heartbeat = sim->world.now + NEXT_NODE_DELAY_S;
 }
 
-/* heartbeat: its number; 0 if nobody waits for the answer. */
+/* Schedules a heartbeat's arrival at a node after `seconds`. `heartbeat` is the number by which the
+ * worker recognizes the answer; 0 if the worker waits for none. */
 static void schedule_heartbeat(tw_simulator *sim, int machine, int node, double seconds,
                                const char *body, uint64_t heartbeat) {
     tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, deliver_heartbeat);
@@ -115,7 +117,9 @@
     faults->held_heartbeat_count = remaining_count;
 }
 
-/* A copy of a heartbeat arrives again much later, at any node, or when a new leader has begun. */
+/* If the fault that duplicates heartbeats applies to this one, schedules a copy that arrives at a
+ * random node much later, or holds a copy until the given number of new leaders has been elected.
+ */
 static void duplicate_heartbeat(tw_simulator *sim, int machine, const char *body) {
     tw_simulator_world *world = &sim->world;
     tw_simulator_troubles *faults = &sim->trouble;
@@ -168,7 +172,8 @@
         schedule_heartbeat(sim, machine, ANY_NODE, sim->trouble.copy_heartbeat_s, body, 0);
         sim->trouble.copy_heartbeat_of = -1;
     }
-    /* A dead node refuses at once; otherwise the worker waits. */
+    /* A node that is down refuses the connection after one round trip. In every other case the
+     * worker waits for the answer until the timeout. */
     bool refused = seconds >= 0 && !sim->nodes[worker->node].alive;
     tw_simulator_event *event = tw_simulator_schedule_after(
         sim, refused ? 2 * TW_SIMULATOR_LATENCY : ANSWER_TIMEOUT_S, time_out_heartbeat);
