--- a/simulator/close_poll.c
+++ b/simulator/close_poll.c
@@ -53,7 +53,7 @@
         schedule_cancellation(sim, job, TW_SIMULATOR_DRAW_LOOKS, MAX_CANCEL_DELAY_S);
 }
 
-void tw_simulator_job_ended(void *context, tw_simulator_job *job) {
+void tw_simulator_handle_job_end(void *context, tw_simulator_job *job) {
     tw_simulator *sim = context;
     if (!job->accepted || job->told_over) return;
     if (tw_simulator_fault_applies(sim, &sim->trouble.cancel_at_end, TW_SIMULATOR_CANCEL_AT_END,
--- a/simulator/command.c
+++ b/simulator/command.c
@@ -132,5 +132,5 @@
     {"cancels", 3, TW_SIMULATOR_NO_TROUBLE, cancel_jobs},
     {"poll", 2, TW_SIMULATOR_NO_TROUBLE, poll_job},
     {"raw", 4, TW_SIMULATOR_NO_TROUBLE, send_raw},
-    {"expect", 2, TW_SIMULATOR_NO_TROUBLE, tw_simulator_expect},
+    {"expect", 2, TW_SIMULATOR_NO_TROUBLE, tw_simulator_check_expectation},
     {NULL, 0, 0, NULL}};
--- a/simulator/expect.c
+++ b/simulator/expect.c
@@ -202,7 +202,7 @@
              {"old", earlier_version_nodes_match},
              {"led", leader_version_matches}};
 
-void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words) {
+void tw_simulator_check_expectation(tw_simulator *sim, const tw_simulator_words *words) {
     expectation expected = {.sim = sim, .arguments = {"", "", "", ""}};
     char text[TW_SIMULATOR_MESSAGE];
     bool holds = false;
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -124,7 +124,7 @@
     find_or_create_gang(task->job, task->attempt);
     tw_simulator_judge_task_start(world, worker, task);
     if (task->job->done_count == task->job->spec.task_count)
-        tw_simulator_task_exit(worker, task, TW_CAUSE_DONE);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_DONE);
 }
 
 /* ---- stop ---- */
@@ -145,7 +145,7 @@
         gang->state == TW_SIMULATOR_GANG_RUNNING ||
         (gang->state == TW_SIMULATOR_GANG_STOPPING && is_within_stop_window(world, gang));
     if (!can_save || !can_join_stop) {
-        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_STOPPED);
         break_gang(gang);
         return;
     }
@@ -156,18 +156,18 @@
     worker->changed = true;
 }
 
-void tw_simulator_gang_stop(tw_simulator_world *world, tw_simulator_worker *worker,
-                            tw_simulator_task *task, double grace_s) {
+void tw_simulator_gang_stop_task(tw_simulator_world *world, tw_simulator_worker *worker,
+                                 tw_simulator_task *task, double grace_s) {
     tw_simulator_gang *gang = find_or_create_gang(task->job, task->attempt);
     advance_progress(world, task->job, gang);
     if (!is_member(task)) {
-        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_STOPPED);
     } else if (gang->state == TW_SIMULATOR_GANG_DONE) {
-        tw_simulator_task_exit(worker, task, TW_CAUSE_DONE);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_DONE);
     } else if (task->stage == TW_TASK_RUNNING) {
         stop_running(world, worker, task, gang, grace_s);
     } else if (grace_s <= 0) {
-        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_STOPPED);
         break_gang(gang);
     }
 }
@@ -236,7 +236,7 @@
         task->peers_at = world->now + tw_simulator_draw(world, TW_SIMULATOR_DRAW_GANGS, 0,
                                                         tw_simulator_gang_peer_s(world));
     if (stop_window_passed || world->now >= task->peers_at)
-        tw_simulator_task_exit(worker, task,
+        tw_simulator_exit_task(worker, task,
                                was_saving && stop_window_passed ? TW_CAUSE_STOPPED
                                                                 : TW_CAUSE_GANG_BROKEN);
 }
@@ -249,7 +249,7 @@
     gang->state = TW_SIMULATOR_GANG_SAVED;
     save_progress(task->job, gang->progress_s);
     task->saved = 1;
-    tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+    tw_simulator_exit_task(worker, task, TW_CAUSE_STOPPED);
 }
 
 void tw_simulator_gang_task_advance(tw_simulator_world *world, tw_simulator_worker *worker,
@@ -257,14 +257,14 @@
     tw_simulator_gang *gang = find_or_create_gang(task->job, task->attempt);
     if (task->stage == TW_TASK_WAITING) {
         if (world->now >= task->end_at)
-            tw_simulator_task_exit(worker, task, TW_CAUSE_GANG_INCOMPLETE);
+            tw_simulator_exit_task(worker, task, TW_CAUSE_GANG_INCOMPLETE);
     } else if (!is_member(task)) {
         return;
     } else if (task->stage == TW_TASK_RUNNING && world->now >= task->end_at) {
-        tw_simulator_task_exit(worker, task, TW_CAUSE_ERROR);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_ERROR);
         break_gang(gang);
     } else if (gang->state == TW_SIMULATOR_GANG_DONE) {
-        tw_simulator_task_exit(worker, task, TW_CAUSE_DONE);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_DONE);
     } else if (gang->state == TW_SIMULATOR_GANG_BROKEN) {
         advance_broken_task(world, worker, task, gang);
     } else if (task->stage == TW_TASK_SAVING) {
--- a/simulator/judge.c
+++ b/simulator/judge.c
@@ -357,8 +357,9 @@
     bool is_other_final_state = stage && job->told_over && stage != job->told_over;
     if (is_other_final_state ||
         (!stage && job->told_over && was_sent_after(world, sent, job->told_over_at)))
-        tw_simulator_report_violation(
-            world, "went_back", "%s is reported %s, which contradicts its final state", id, stage_name);
+        tw_simulator_report_violation(world, "went_back",
+                                      "%s is reported %s, which contradicts its final state", id,
+                                      stage_name);
     if (stage) record_final_state(world, job, stage);
     if (stage == TW_JOB_DONE) check_done_count(world, job, answer);
     cJSON_Delete(answer);
--- a/simulator/simulator.c
+++ b/simulator/simulator.c
@@ -17,7 +17,7 @@
     tw_simulator_earlier_version(sim, getenv("TW_EARLIER_CORE"));
     tw_simulator_target_version(sim, getenv("TW_TARGET_CORE"));
     tw_simulator_world_init(&sim->world);
-    sim->world.job_ended = tw_simulator_job_ended;
+    sim->world.job_ended = tw_simulator_handle_job_end;
     sim->world.context = sim;
     sim->trouble.late_commands_to = -1;
     sim->trouble.copy_heartbeat_of = -1;
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -258,7 +258,7 @@
 /* A job was accepted, ended, or told to be over. */
 void tw_simulator_schedule_close_polls(tw_simulator *sim, int job, bool may_cancel);
 /* A job's last task completed. */
-void tw_simulator_job_ended(void *sim, tw_simulator_job *job);
+void tw_simulator_handle_job_end(void *sim, tw_simulator_job *job);
 
 /* ---- invalid_request.c: requests that must be rejected ---- */
 void tw_simulator_start_invalid_requests(tw_simulator *sim);
@@ -299,7 +299,7 @@
                                 int trouble, int draw);
 /* The node begins as one of the earlier version; -1: there is no such node. */
 int tw_simulator_use_earlier_version(tw_simulator *sim, const char *name);
-void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words);
+void tw_simulator_check_expectation(tw_simulator *sim, const tw_simulator_words *words);
 /* The state service's limits to come, as nodes that start are told: value=KB ops=N write_rps=N
  * rps=N. */
 void tw_simulator_set_next_limits(tw_simulator *sim, const tw_simulator_words *words);
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -71,7 +71,7 @@
 
 /* ---- commands ---- */
 
-void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause) {
+void tw_simulator_exit_task(tw_simulator_worker *worker, tw_simulator_task *task, int cause) {
     task->stage = TW_TASK_EXITED;
     task->cause = cause;
     if (task->job) task->job->exits[cause]++;
@@ -131,7 +131,7 @@
     worker->changed = true;
     int cause = find_refusal(world, worker, task);
     if (cause != TW_CAUSE_NONE) {
-        tw_simulator_task_exit(worker, task, cause);
+        tw_simulator_exit_task(worker, task, cause);
         return;
     }
     double fetch_s = task->job->spec.image_gb / world->types[worker->type_index].fetch_gb_s;
@@ -149,14 +149,14 @@
                       tw_simulator_task *task, double grace_s) {
     const tw_wire_job *spec = &task->job->spec;
     if (spec->gang) {
-        tw_simulator_gang_stop(world, worker, task, grace_s);
+        tw_simulator_gang_stop_task(world, worker, task, grace_s);
     } else if (task->stage == TW_TASK_RUNNING && spec->checkpoint_s > 0 &&
                grace_s >= spec->save_s) {
         task->stage = TW_TASK_SAVING;
         task->stopped_at_s = task_progress_s(world, worker, task);
         task->end_at = world->now + spec->save_s;
     } else if (task->stage != TW_TASK_SAVING || grace_s <= 0) {
-        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_STOPPED);
     }
 }
 
@@ -298,11 +298,11 @@
     if (task->stage == TW_TASK_SAVING && world->now >= task->end_at) {
         task->saved = 1;
         save_progress(job, task->index, fmin(task->stopped_at_s, job->run_s));
-        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_STOPPED);
     }
     if (task->stage == TW_TASK_RUNNING && world->now >= task->end_at) {
         bool fails = worker->faulty || job->fails;
-        tw_simulator_task_exit(worker, task, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
+        tw_simulator_exit_task(worker, task, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
         if (!fails) tw_simulator_complete_task(world, job, task->index);
     }
 }
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -322,7 +322,7 @@
 bool tw_simulator_task_is_active(const tw_simulator_task *task);
 
 /* A task ends with a cause (TW_CAUSE_*), and is reported as exited until it is forgotten. */
-void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause);
+void tw_simulator_exit_task(tw_simulator_worker *worker, tw_simulator_task *task, int cause);
 /* A task of a job is complete, for good. */
 void tw_simulator_complete_task(tw_simulator_world *world, tw_simulator_job *job, int index);
 
@@ -336,8 +336,8 @@
  * exited, with that grace period; time passes. */
 void tw_simulator_gang_image_fetched(tw_simulator_world *world, tw_simulator_worker *worker,
                                      tw_simulator_task *task);
-void tw_simulator_gang_stop(tw_simulator_world *world, tw_simulator_worker *worker,
-                            tw_simulator_task *task, double grace_s);
+void tw_simulator_gang_stop_task(tw_simulator_world *world, tw_simulator_worker *worker,
+                                 tw_simulator_task *task, double grace_s);
 void tw_simulator_gang_task_advance(tw_simulator_world *world, tw_simulator_worker *worker,
                                     tw_simulator_task *task);
 /* Brings all gangs to the world's `now`; call it before the workers are advanced. */
