--- a/simulator/close_poll.c
+++ b/simulator/close_poll.c
@@ -64,8 +64,8 @@
 
 /* ---- cancellation of running jobs ---- */
 
-/* Returns the index of a machine that runs a task of the job for more than MIN_REMAINING_S still,
- * or -1 if there is none. */
+/* Returns the index of a machine that runs a task of the job with more than MIN_REMAINING_S of run
+ * time left, or -1 if there is none. */
 static int find_long_running(const tw_simulator_world *world, const tw_simulator_job *job) {
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
--- a/simulator/judge_live.c
+++ b/simulator/judge_live.c
@@ -144,7 +144,8 @@
            (limits->gpus_max <= 0 || gpus <= limits->gpus_max + EPSILON);
 }
 
-/* Returns the number of the job's tasks on machines that run or need no other task to run. */
+/* Returns the number of the job's tasks on machines, without those of a gang that have not started
+ * to run. */
 static int progressing_tasks(const tw_simulator_job *job) {
     return job->on_machine - job->unstarted;
 }
