--- a/simulator/network.c
+++ b/simulator/network.c
@@ -128,8 +128,8 @@
         return;
     }
     char *out;
-    int status = tw_simulator_worker_request(&sim->world, worker, event->method, event->path,
-                                             body_of(event), &out);
+    int status = tw_simulator_worker_handle_request(&sim->world, worker, event->method, event->path,
+                                                    body_of(event), &out);
     double back = tw_simulator_travel_s(sim, sim->world.node_zone[event->node], worker->zone);
     if (back < 0 || sim->world.now < worker->unresponsive_until)
         free(out);
@@ -185,14 +185,14 @@
         faults->txn_delay_s = 0;
         return true;
     }
-    if (tw_simulator_trouble_strikes(sim, &faults->late_writes, TW_SIMULATOR_LATE_WRITES,
-                                     TW_SIMULATOR_DRAW_WRITES)) {
+    if (tw_simulator_fault_applies(sim, &faults->late_writes, TW_SIMULATOR_LATE_WRITES,
+                                   TW_SIMULATOR_DRAW_WRITES)) {
         *latency = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_WRITES,
                                      TW_SIMULATOR_MIN_DELAY_S, TW_SIMULATOR_MAX_WRITE_DELAY_S);
         return true;
     }
-    return tw_simulator_trouble_strikes(sim, &faults->lost_writes, TW_SIMULATOR_LOST_WRITES,
-                                        TW_SIMULATOR_DRAW_WRITES);
+    return tw_simulator_fault_applies(sim, &faults->lost_writes, TW_SIMULATOR_LOST_WRITES,
+                                      TW_SIMULATOR_DRAW_WRITES);
 }
 
 static void send_to_state(tw_simulator *sim, int node, tw_effect *effect) {
@@ -255,8 +255,8 @@
         return true;
     }
     if (strcmp(effect->path, "/orders") != 0 ||
-        !tw_simulator_trouble_strikes(sim, &faults->late_commands, TW_SIMULATOR_LATE_COMMANDS,
-                                      TW_SIMULATOR_DRAW_COMMANDS))
+        !tw_simulator_fault_applies(sim, &faults->late_commands, TW_SIMULATOR_LATE_COMMANDS,
+                                    TW_SIMULATOR_DRAW_COMMANDS))
         return false;
     *seconds = tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_COMMANDS, TW_SIMULATOR_MIN_DELAY_S,
                                  TW_SIMULATOR_MAX_COMMAND_DELAY_S);
@@ -269,8 +269,8 @@
                                       const tw_effect *effect) {
     const tw_simulator_faults *faults = &sim->trouble;
     if (strcmp(effect->path, "/orders") != 0 ||
-        !tw_simulator_trouble_strikes(sim, &faults->repeated_commands,
-                                      TW_SIMULATOR_REPEATED_COMMANDS, TW_SIMULATOR_DRAW_REPEATS))
+        !tw_simulator_fault_applies(sim, &faults->repeated_commands, TW_SIMULATOR_REPEATED_COMMANDS,
+                                    TW_SIMULATOR_DRAW_REPEATS))
         return;
     const double seconds =
         tw_simulator_draw(&sim->world, TW_SIMULATOR_DRAW_REPEATS, TW_SIMULATOR_MIN_DELAY_S,
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -248,7 +248,7 @@
     double seconds = command->duration_word > 0 && command->duration_word < words.count
                          ? tw_simulator_parse_number(words.words[command->duration_word])
                          : 0;
-    if (command->duration_word != TW_SIMULATOR_NO_FAULT) tw_simulator_extend_troubles(sim, seconds);
+    if (command->duration_word != TW_SIMULATOR_NO_FAULT) tw_simulator_extend_faults(sim, seconds);
     command->run(sim, &words);
     free(copy);
 }
--- a/simulator/simulator.c
+++ b/simulator/simulator.c
@@ -17,7 +17,7 @@
     tw_simulator_set_earlier_version(sim, getenv("TW_EARLIER_CORE"));
     tw_simulator_set_target_version(sim, getenv("TW_TARGET_CORE"));
     tw_simulator_world_init(&sim->world);
-    sim->world.job_ended = tw_simulator_job_ended;
+    sim->world.job_ended = tw_simulator_handle_job_end;
     sim->world.context = sim;
     sim->trouble.delayed_command_machine = -1;
     sim->trouble.duplicated_heartbeat_machine = -1;
@@ -122,7 +122,7 @@
         if (!event->queued) tw_simulator_event_free(event);
         if (over) break;
     }
-    if (world->served_age_s > 0 && !*world->rule) tw_simulator_judge_served(world);
+    if (world->served_age_s > 0 && !*world->rule) tw_simulator_judge_served_jobs(world);
     fill_verdict(sim, verdict);
 }
 
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -250,8 +250,9 @@
 /* ---- worker_heartbeat.c: workers and their heartbeats ---- */
 /* Starts advancing all machines, twenty times per simulated second. */
 void tw_simulator_workers_start(tw_simulator *sim);
-void tw_simulator_heartbeat_answered(tw_simulator *sim, const tw_simulator_connection *connection,
-                                     const tw_effect *effect);
+void tw_simulator_send_heartbeat_answer(tw_simulator *sim,
+                                        const tw_simulator_connection *connection,
+                                        const tw_effect *effect);
 
 /* Delivers the held heartbeats that are due if a new leader has been elected. */
 void tw_simulator_deliver_held_heartbeats(tw_simulator *sim);
@@ -263,26 +264,27 @@
 void tw_simulator_user_cancel(tw_simulator *sim, int job);
 /* Sends a request about a job that was not submitted; the response must have the status `wanted`.
  * Takes ownership of `body`. */
-void tw_simulator_user_odd(tw_simulator *sim, const char *id, int kind, char *body, int wanted);
+void tw_simulator_user_send_invalid(tw_simulator *sim, const char *id, int kind, char *body,
+                                    int wanted);
 /* Submits a job with the fields in `spec`, which may differ from those of its first submission. */
-void tw_simulator_user_submit_as(tw_simulator *sim, int job, const tw_wire_job *spec);
-void tw_simulator_user_answered(tw_simulator *sim, tw_simulator_connection *connection,
-                                tw_effect *effect);
+void tw_simulator_user_submit_changed(tw_simulator *sim, int job, const tw_wire_job *spec);
+void tw_simulator_user_receive_answer(tw_simulator *sim, tw_simulator_connection *connection,
+                                      tw_effect *effect);
 /* Ends a user's request because its node ended. */
-void tw_simulator_user_unanswered(tw_simulator *sim, tw_simulator_connection *connection);
+void tw_simulator_user_fail_request(tw_simulator *sim, tw_simulator_connection *connection);
 char *tw_simulator_job_text(const tw_wire_job *spec);
 /* Returns the node that gets a user's next connection, or -1 if none is reachable. */
 int tw_simulator_pick_node(tw_simulator *sim);
 
-/* ---- looks.c: users that poll in quick succession, or cancel at critical moments ---- */
+/* ---- close_poll.c: users that poll in quick succession, or cancel at critical moments ---- */
 /* Sends status requests and submissions to all nodes within milliseconds after a job was accepted,
  * has ended, or was reported as ended. */
-void tw_simulator_look_closely(tw_simulator *sim, int job, bool may_cancel);
+void tw_simulator_schedule_close_polls(tw_simulator *sim, int job, bool may_cancel);
 /* Handles the completion of a job's last task. */
-void tw_simulator_job_ended(void *sim, tw_simulator_job *job);
+void tw_simulator_handle_job_end(void *sim, tw_simulator_job *job);
 
-/* ---- odd.c: invalid and repeated requests ---- */
-void tw_simulator_odd_start(tw_simulator *sim);
+/* ---- invalid_request.c: invalid and repeated requests ---- */
+void tw_simulator_start_invalid_requests(tw_simulator *sim);
 
 /* ---- vocabulary.c ---- */
 /* The role of a word in a line of the scenario language. */
@@ -300,7 +302,7 @@
 bool tw_simulator_is_value(const char *text, const char *word);
 bool tw_simulator_is_expectation(const char *text, const char *word);
 
-/* ---- script.c, command.c, trouble.c, upgrade.c, expect.c ---- */
+/* ---- script.c, command.c, fault.c, upgrade.c, expect.c ---- */
 typedef struct {
     const char *name;
     int min_words; /* number of words, including the name */
@@ -316,14 +318,14 @@
 extern const tw_simulator_command tw_simulator_habit_commands[];
 extern const tw_simulator_command tw_simulator_upgrade_commands[];
 /* Extends the time until which faults are in effect to at least that many seconds from now. */
-void tw_simulator_extend_troubles(tw_simulator *sim, double seconds);
+void tw_simulator_extend_faults(tw_simulator *sim, double seconds);
 /* Decides by a random number of the stream `draw` whether a fault applies to a message, and counts
  * its occurrences. */
-bool tw_simulator_trouble_strikes(tw_simulator *sim, const tw_simulator_message_share *share,
-                                  int trouble, int draw);
+bool tw_simulator_fault_applies(tw_simulator *sim, const tw_simulator_message_share *share,
+                                int trouble, int draw);
 /* Makes a node start with the earlier version. Returns -1 if there is no such node. */
 int tw_simulator_use_earlier_version(tw_simulator *sim, const char *name);
-void tw_simulator_expect(tw_simulator *sim, const tw_simulator_words *words);
+void tw_simulator_check_expectation(tw_simulator *sim, const tw_simulator_words *words);
 /* Sets the future limits of the state service that are announced in the settings of nodes that
  * start: value=KB ops=N write_rps=N rps=N. */
 void tw_simulator_set_next_limits(tw_simulator *sim, const tw_simulator_words *words);
--- a/simulator/words.c
+++ b/simulator/words.c
@@ -7,17 +7,17 @@
 #define DECIMAL 10
 #define SPACE " \n"
 
-/* Moves the reader to the end of a number. Marks the reader as bad if there was no number or no
+/* Moves the reader to the end of a number. Marks the reader as failed if there was no number or no
  * separator follows it. */
 static void end_number(tw_simulator_reader *reader, const char *end) {
-    if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->bad = true;
+    if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->failed = true;
     reader->at = end;
 }
 
 tw_simulator_reader tw_simulator_read_line(const char *line, const char *first) {
     const size_t size = strlen(first);
     const bool same = !strncmp(line, first, size) && line[size] == ' ';
-    return (tw_simulator_reader){.at = same ? line + size : "", .bad = !same};
+    return (tw_simulator_reader){.at = same ? line + size : "", .failed = !same};
 }
 
 double tw_simulator_read_number(tw_simulator_reader *reader) {
@@ -44,11 +44,11 @@
 void tw_simulator_read_word(tw_simulator_reader *reader, char *to, size_t size) {
     reader->at += strspn(reader->at, " ");
     const size_t length = strcspn(reader->at, SPACE);
-    if (!length || length >= size) reader->bad = true;
+    if (!length || length >= size) reader->failed = true;
     snprintf(to, size, "%.*s", (int)length, reader->at);
     reader->at += length;
 }
 
 bool tw_simulator_read_all(const tw_simulator_reader *reader) {
-    return !reader->bad && !strcmp(reader->at, "\n");
+    return !reader->failed && !strcmp(reader->at, "\n");
 }
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -1,8 +1,8 @@
-/* Stand-in for a worker: the tasks of a machine, its heartbeats, its lease and its commands.
+/* Simulates a worker: a machine's tasks, heartbeats and lease, and the commands that it executes.
  *
- * Invariants: a worker carries out commands only under the highest fencing token that it has seen
- * and in its own incarnation; when its lease expires it ends all its tasks and begins a new
- * incarnation. */
+ * Invariants: a worker executes only commands that carry a fencing token at least as high as any
+ * that it has received and that are addressed to its current incarnation. When its lease expires,
+ * it ends all its tasks and begins a new incarnation. */
 #include "world.h"
 #include <math.h>
 #include <stdbool.h>
@@ -11,17 +11,18 @@
 #include <string.h>
 
 #define NEVER 1e18
-#define FAILS_AFTER_S 0.3      /* a task on a faulty machine, or of a job with a mistake */
-#define REDIRECT_S 0.1         /* until a redirected worker sends its next heartbeat */
-#define NEXT_NODE_S 1.0        /* until it tries the next node */
-#define CHANGE_HEARTBEAT_S 0.5 /* least time between heartbeats */
+#define FAILURE_DELAY_S                                                                            \
+    0.3 /* how long a task runs before it fails on a faulty machine or in a failing job */
+#define REDIRECT_DELAY_S 0.1  /* time until a redirected worker sends its next heartbeat */
+#define NEXT_NODE_DELAY_S 1.0 /* time until a worker tries the next node after an error answer */
+#define MIN_HEARTBEAT_INTERVAL_S 0.5 /* applies to heartbeats that report a change */
 #define EPSILON 1e-6
 
 static const char *const stages[] = {"pulling", "running", "flushing", "exited", "waiting"};
 const char *const tw_simulator_causes[TW_CAUSE_OTHER] = {
     "", "done", "stopped", "error", "no_room", "busy", "no_such", "peers", "alone"};
 
-bool tw_simulator_task_active(const tw_simulator_task *task) {
+bool tw_simulator_task_is_active(const tw_simulator_task *task) {
     return task->stage == TW_TASK_RUNNING || task->stage == TW_TASK_SAVING ||
            task->stage == TW_TASK_WAITING;
 }
@@ -39,7 +40,8 @@
     return object;
 }
 
-char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker) {
+char *tw_simulator_worker_next_heartbeat(const tw_simulator_world *world,
+                                         tw_simulator_worker *worker) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "tray", worker->id);
     cJSON_AddStringToObject(object, "endpoint", worker->endpoint);
@@ -59,17 +61,17 @@
     return tw_simulator_json_print(object);
 }
 
-bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
-                                       const tw_simulator_worker *worker) {
+bool tw_simulator_worker_heartbeat_is_due(const tw_simulator_world *world,
+                                          const tw_simulator_worker *worker) {
     if (worker->gone || !worker->up || world->now < worker->hung_until || worker->in_flight)
         return false;
     return world->now >= worker->next_heartbeat ||
-           (worker->changed && world->now >= worker->last_heartbeat + CHANGE_HEARTBEAT_S);
+           (worker->changed && world->now >= worker->last_heartbeat + MIN_HEARTBEAT_INTERVAL_S);
 }
 
 /* ---- commands ---- */
 
-void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause) {
+void tw_simulator_exit_task(tw_simulator_worker *worker, tw_simulator_task *task, int cause) {
     task->stage = TW_TASK_EXITED;
     task->cause = cause;
     if (task->job) task->job->exits[cause]++;
@@ -92,7 +94,8 @@
     return false;
 }
 
-/* Why a machine refuses to start its newest task; TW_CAUSE_NONE: it doesn't. */
+/* Returns the cause for which the machine rejects the launch of `task`, or TW_CAUSE_NONE if it
+ * accepts the launch. */
 static int find_refusal(const tw_simulator_world *world, const tw_simulator_worker *worker,
                         const tw_simulator_task *task) {
     if (!task->job || !task->job->submitted || task->index < 0 ||
@@ -128,7 +131,7 @@
     worker->changed = true;
     int cause = find_refusal(world, worker, task);
     if (cause != TW_CAUSE_NONE) {
-        tw_simulator_task_exit(worker, task, cause);
+        tw_simulator_exit_task(worker, task, cause);
         return;
     }
     double fetch_s = task->job->spec.image_gb / world->types[worker->type_index].fetch_gb_s;
@@ -136,9 +139,9 @@
     task->ready_at = world->now + (has_image(worker, task->job->spec.image) ? 0 : fetch_s);
 }
 
-/* Run time that a task has reached. */
-static double progress_of(const tw_simulator_world *world, const tw_simulator_worker *worker,
-                          const tw_simulator_task *task) {
+/* Returns the run time, in seconds, that a running task has reached. */
+static double task_progress_s(const tw_simulator_world *world, const tw_simulator_worker *worker,
+                              const tw_simulator_task *task) {
     return task->resumed_from_s + (world->now - task->started_at) / worker->slowdown;
 }
 
@@ -146,14 +149,14 @@
                       tw_simulator_task *task, double grace_s) {
     const tw_wire_job *spec = &task->job->spec;
     if (spec->gang) {
-        tw_simulator_gang_stop(world, worker, task, grace_s);
+        tw_simulator_gang_stop_task(world, worker, task, grace_s);
     } else if (task->stage == TW_TASK_RUNNING && spec->checkpoint_s > 0 &&
                grace_s >= spec->save_s) {
         task->stage = TW_TASK_SAVING;
-        task->stopped_at_s = progress_of(world, worker, task);
+        task->stopped_at_s = task_progress_s(world, worker, task);
         task->end_at = world->now + spec->save_s;
     } else if (task->stage != TW_TASK_SAVING || grace_s <= 0) {
-        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_STOPPED);
     }
 }
 
@@ -190,8 +193,9 @@
     }
 }
 
-void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
-                                uint64_t incarnation, int status, const char *body) {
+void tw_simulator_worker_apply_answer(tw_simulator_world *world, tw_simulator_worker *worker,
+                                      double sent, uint64_t incarnation, int status,
+                                      const char *body) {
     if (worker->gone || incarnation != worker->incarnation) return;
     cJSON *object = cJSON_Parse(body ? body : "");
     const char *leader = tw_simulator_json_text(object, "foreman");
@@ -204,17 +208,17 @@
     } else if (status == TW_SIMULATOR_REDIRECTED && *leader) {
         for (int i = 0; i < world->node_count; i++)
             if (!strcmp(world->nodes[i], leader)) worker->node = i;
-        worker->next_heartbeat = world->now + REDIRECT_S;
+        worker->next_heartbeat = world->now + REDIRECT_DELAY_S;
     } else {
         worker->node = (worker->node + 1) % world->node_count;
-        worker->next_heartbeat = world->now + NEXT_NODE_S;
+        worker->next_heartbeat = world->now + NEXT_NODE_DELAY_S;
     }
     cJSON_Delete(object);
 }
 
-int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
-                                const char *method, const char *path, const char *body,
-                                char **out) {
+int tw_simulator_worker_handle_request(tw_simulator_world *world, tw_simulator_worker *worker,
+                                       const char *method, const char *path, const char *body,
+                                       char **out) {
     int status = TW_SIMULATOR_OK;
     if (!strcmp(method, "POST") && !strcmp(path, "/orders")) {
         cJSON *object = cJSON_Parse(body);
@@ -225,26 +229,27 @@
             execute_commands(world, worker, object);
         cJSON_Delete(object);
     }
-    *out = tw_simulator_worker_heartbeat(world, worker);
+    *out = tw_simulator_worker_next_heartbeat(world, worker);
     return status;
 }
 
-/* ---- time ---- */
+/* ---- passage of time ---- */
 
-/* Checkpoints outlive the machine. */
+/* Stores a task's checkpoint with its job, so that it outlives the machine. */
 static void save_progress(tw_simulator_job *job, int index, double reached_s) {
     if (!job->saved)
         job->saved = tw_simulator_allocate((size_t)job->spec.task_count * sizeof *job->saved);
     job->saved[index] = fmax(job->saved[index], reached_s);
 }
 
-/* A running task saves after each interval of progress. */
-static void save_by_itself(const tw_simulator_world *world, const tw_simulator_worker *worker,
-                           const tw_simulator_task *task) {
+/* Stores the last periodic checkpoint that a running batch task has passed. */
+static void save_periodic_checkpoint(const tw_simulator_world *world,
+                                     const tw_simulator_worker *worker,
+                                     const tw_simulator_task *task) {
     const tw_wire_job *spec = &task->job->spec;
     if (spec->checkpoint_s <= 0 || spec->service) return;
     double intervals =
-        floor((progress_of(world, worker, task) - task->resumed_from_s) / spec->checkpoint_s);
+        floor((task_progress_s(world, worker, task) - task->resumed_from_s) / spec->checkpoint_s);
     if (intervals > 0)
         save_progress(task->job, task->index,
                       task->resumed_from_s + intervals * spec->checkpoint_s);
@@ -261,14 +266,14 @@
     task->end_at = job->spec.service
                        ? NEVER
                        : world->now + (job->run_s - task->resumed_from_s) * worker->slowdown;
-    if (fails) task->end_at = world->now + FAILS_AFTER_S;
+    if (fails) task->end_at = world->now + FAILURE_DELAY_S;
     if (job->done[task->index]) task->end_at = world->now;
     if (!fails) job->started++;
     if (job->begun_at <= 0) job->begun_at = world->now;
-    tw_simulator_judge_start(world, worker, task);
+    tw_simulator_judge_task_start(world, worker, task);
 }
 
-void tw_simulator_task_done(tw_simulator_world *world, tw_simulator_job *job, int index) {
+void tw_simulator_complete_task(tw_simulator_world *world, tw_simulator_job *job, int index) {
     if (job->done[index]) return;
     job->done[index] = 1;
     if (++job->done_count == job->spec.task_count && world->job_ended)
@@ -291,16 +296,16 @@
         tw_simulator_gang_task_advance(world, worker, task);
         return;
     }
-    if (task->stage == TW_TASK_RUNNING) save_by_itself(world, worker, task);
+    if (task->stage == TW_TASK_RUNNING) save_periodic_checkpoint(world, worker, task);
     if (task->stage == TW_TASK_SAVING && world->now >= task->end_at) {
         task->saved = 1;
         save_progress(job, task->index, fmin(task->stopped_at_s, job->run_s));
-        tw_simulator_task_exit(worker, task, TW_CAUSE_STOPPED);
+        tw_simulator_exit_task(worker, task, TW_CAUSE_STOPPED);
     }
     if (task->stage == TW_TASK_RUNNING && world->now >= task->end_at) {
         bool fails = worker->faulty || job->fails;
-        tw_simulator_task_exit(worker, task, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
-        if (!fails) tw_simulator_task_done(world, job, task->index);
+        tw_simulator_exit_task(worker, task, fails ? TW_CAUSE_ERROR : TW_CAUSE_DONE);
+        if (!fails) tw_simulator_complete_task(world, job, task->index);
     }
 }
 
@@ -316,7 +321,8 @@
     bool lease_expired = world->now > worker->lease_started_at + world->lease_s;
     if (world->now < worker->hung_until) {
         if (lease_expired)
-            worker->task_count = 0; /* it may go on with them only within its lease */
+            worker->task_count =
+                0; /* a hung machine's tasks, too, may run only while its lease is valid */
         return;
     }
     if (lease_expired) {
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -327,31 +327,34 @@
 
 /* Returns the text of the worker's next heartbeat and increments the worker's sequence. The caller
  * frees the text. */
-char *tw_simulator_worker_heartbeat(const tw_simulator_world *world, tw_simulator_worker *worker);
+char *tw_simulator_worker_next_heartbeat(const tw_simulator_world *world,
+                                         tw_simulator_worker *worker);
 /* Processes the answer to a heartbeat that the worker sent at `sent` in `incarnation`. */
-void tw_simulator_worker_answer(tw_simulator_world *world, tw_simulator_worker *worker, double sent,
-                                uint64_t incarnation, int status, const char *body);
+void tw_simulator_worker_apply_answer(tw_simulator_world *world, tw_simulator_worker *worker,
+                                      double sent, uint64_t incarnation, int status,
+                                      const char *body);
 /* Handles a direct request of a controller. Returns the HTTP status and sets *out to the body,
  * which the caller frees. */
-int tw_simulator_worker_request(tw_simulator_world *world, tw_simulator_worker *worker,
-                                const char *method, const char *path, const char *body, char **out);
+int tw_simulator_worker_handle_request(tw_simulator_world *world, tw_simulator_worker *worker,
+                                       const char *method, const char *path, const char *body,
+                                       char **out);
 /* Advances a worker to the world's `now`: completes its boot, advances its tasks and expires its
  * lease. */
 void tw_simulator_worker_advance(tw_simulator_world *world, tw_simulator_worker *worker);
 /* Returns whether the worker must send a heartbeat now. */
-bool tw_simulator_worker_heartbeat_due(const tw_simulator_world *world,
-                                       const tw_simulator_worker *worker);
+bool tw_simulator_worker_heartbeat_is_due(const tw_simulator_world *world,
+                                          const tw_simulator_worker *worker);
 /* Protocol names of the exit causes, indexed by TW_CAUSE_*. */
 extern const char *const tw_simulator_causes[TW_CAUSE_OTHER];
 /* Returns whether a task uses resources of its machine, that is, waits for its gang, runs or saves.
  */
-bool tw_simulator_task_active(const tw_simulator_task *task);
+bool tw_simulator_task_is_active(const tw_simulator_task *task);
 
 /* Ends a task with a cause (TW_CAUSE_*). Heartbeats report the task as exited until a forget
  * command removes it. */
-void tw_simulator_task_exit(tw_simulator_worker *worker, tw_simulator_task *task, int cause);
+void tw_simulator_exit_task(tw_simulator_worker *worker, tw_simulator_task *task, int cause);
 /* Records that a task of a job is complete, which is final. */
-void tw_simulator_task_done(tw_simulator_world *world, tw_simulator_job *job, int index);
+void tw_simulator_complete_task(tw_simulator_world *world, tw_simulator_job *job, int index);
 
 /* ---- gang.c ---- */
 
@@ -363,8 +366,8 @@
  * period has arrived before the task exited, and time has passed. */
 void tw_simulator_gang_image_fetched(tw_simulator_world *world, tw_simulator_worker *worker,
                                      tw_simulator_task *task);
-void tw_simulator_gang_stop(tw_simulator_world *world, tw_simulator_worker *worker,
-                            tw_simulator_task *task, double grace_s);
+void tw_simulator_gang_stop_task(tw_simulator_world *world, tw_simulator_worker *worker,
+                                 tw_simulator_task *task, double grace_s);
 void tw_simulator_gang_task_advance(tw_simulator_world *world, tw_simulator_worker *worker,
                                     tw_simulator_task *task);
 /* Advances all gangs to the world's `now`. Call it before the workers are advanced. */
@@ -383,35 +386,35 @@
 
 enum { TW_SIMULATOR_SUBMIT = 's', TW_SIMULATOR_POLL = 'p', TW_SIMULATOR_CANCEL = 'a' };
 /* Records a violation of a rule of the protocol. Only the first violation is kept. */
-void tw_simulator_rule_broken(tw_simulator_world *world, const char *rule, const char *format, ...)
-    __attribute__((format(printf, 3, 4)));
+void tw_simulator_report_violation(tw_simulator_world *world, const char *rule, const char *format,
+                                   ...) __attribute__((format(printf, 3, 4)));
 /* Records that a node's controller failed. The violation is attributed to the earlier version only
  * if the node has that version. */
-void tw_simulator_judge_ended(tw_simulator_world *world, bool of_earlier_version, const char *node,
-                              const char *failure);
+void tw_simulator_judge_process_end(tw_simulator_world *world, bool of_earlier_version,
+                                    const char *node, const char *failure);
 /* Checks a response to a user's request that was sent at `sent`. A response contradicts an earlier
  * one only if its request was sent after the user received the earlier one; other contradictions
  * are counted in `overlapping_answers`. `job` is NULL if no job with that id was submitted. */
-void tw_simulator_judge_told(tw_simulator_world *world, tw_simulator_job *job, const char *id,
-                             int kind, double sent, int status, const char *body);
+void tw_simulator_judge_answer(tw_simulator_world *world, tw_simulator_job *job, const char *id,
+                               int kind, double sent, int status, const char *body);
 /* Checks the status of a response to the submission of a job that fits no machine or is malformed.
  */
-void tw_simulator_judge_impossible_job(tw_simulator_world *world, const char *id, int status);
+void tw_simulator_judge_invalid_job(tw_simulator_world *world, const char *id, int status);
 /* Records that a machine launches a task on a command with that fencing token. */
 void tw_simulator_judge_launch(const tw_simulator_world *world, tw_simulator_worker *worker,
                                tw_simulator_task *task, uint64_t fencing_token);
 /* Checks the rules for a task whose image has been fetched and that starts now. */
-void tw_simulator_judge_start(tw_simulator_world *world, const tw_simulator_worker *worker,
-                              const tw_simulator_task *task);
+void tw_simulator_judge_task_start(tw_simulator_world *world, const tw_simulator_worker *worker,
+                                   const tw_simulator_task *task);
 /* Checks the rules that must hold at any time. */
-void tw_simulator_judge_now(tw_simulator_world *world);
+void tw_simulator_judge_cancelled_tasks(tw_simulator_world *world);
 
 /* ---- judge_live.c: rules that must hold after the end of all faults ---- */
 
 /* Checks that users get answers and that jobs make progress. Call it about once per simulated
  * second. */
-void tw_simulator_judge_live(tw_simulator_world *world);
+void tw_simulator_judge_liveness(tw_simulator_world *world);
 /* Checks at the end of a run that the jobs older than served_age_s are served. */
-void tw_simulator_judge_served(tw_simulator_world *world);
+void tw_simulator_judge_served_jobs(tw_simulator_world *world);
 
 #endif
