--- a/fuzz/day.c
+++ b/fuzz/day.c
@@ -40,62 +40,62 @@
     *day = (tw_fuzz_day){0};
 }
 
-bool tw_fuzz_line_is(const char *line, const char *beginning) {
+bool tw_fuzz_line_starts_with(const char *line, const char *beginning) {
     return strncmp(line, beginning, strlen(beginning)) == 0;
 }
 
-long tw_fuzz_line_hundredths(const char *seconds) {
+long tw_fuzz_parse_hundredths(const char *seconds) {
     return (long)(strtod(seconds, NULL) * 100 + 0.5);
 }
 
 int tw_fuzz_line_moment(const char *line) {
-    return (int)tw_fuzz_line_hundredths(line + strlen("at "));
+    return (int)tw_fuzz_parse_hundredths(line + strlen("at "));
 }
 
-void tw_fuzz_line_set(char **line, const char *format, ...) {
+void tw_fuzz_line_replace(char **line, const char *format, ...) {
     va_list arguments;
-    char *other = NULL;
+    char *replacement = NULL;
     va_start(arguments, format);
-    if (vasprintf(&other, format, arguments) < 0) abort();
+    if (vasprintf(&replacement, format, arguments) < 0) abort();
     va_end(arguments);
     free(*line);
-    *line = other;
+    *line = replacement;
 }
 
 void tw_fuzz_line_delay(char **line, int hundredths) {
     const int moment = tw_fuzz_line_moment(*line) + hundredths;
-    const char *what = strchr(*line + strlen("at "), ' ');
-    tw_fuzz_line_set(line, "at %s%s", tw_fuzz_seconds_of(moment).text, what);
+    const char *command = strchr(*line + strlen("at "), ' ');
+    tw_fuzz_line_replace(line, "at %s%s", tw_fuzz_format_seconds(moment).text, command);
 }
 
 /* Settings come first, then the `at` lines by time, then the end. */
-static long place_of(const char *line) {
-    if (tw_fuzz_line_is(line, "at ")) return tw_fuzz_line_hundredths(line + 3);
-    return tw_fuzz_line_is(line, "end ") ? LONG_MAX : -1;
+static long sort_key(const char *line) {
+    if (tw_fuzz_line_starts_with(line, "at ")) return tw_fuzz_parse_hundredths(line + 3);
+    return tw_fuzz_line_starts_with(line, "end ") ? LONG_MAX : -1;
 }
 
 void tw_fuzz_day_sort(tw_fuzz_day *day) {
     for (size_t i = 1; i < day->count; i++) {
         char *line = day->lines[i];
-        const long place = place_of(line);
+        const long key = sort_key(line);
         size_t k = i;
-        for (; k && place_of(day->lines[k - 1]) > place; k--) day->lines[k] = day->lines[k - 1];
+        for (; k && sort_key(day->lines[k - 1]) > key; k--) day->lines[k] = day->lines[k - 1];
         day->lines[k] = line;
     }
 }
 
 int tw_fuzz_day_write(const tw_fuzz_day *day, const char *comment, const char *path) {
-    char unfinished[PATH_MAX];
-    snprintf(unfinished, sizeof unfinished, "%s.%ld", path, (long)getpid());
-    FILE *file = fopen(unfinished, "w");
+    char temporary_path[PATH_MAX];
+    snprintf(temporary_path, sizeof temporary_path, "%s.%ld", path, (long)getpid());
+    FILE *file = fopen(temporary_path, "w");
     if (!file) return -1;
     fputs(comment, file);
     for (size_t i = 0; i < day->count; i++) fprintf(file, "%s\n", day->lines[i]);
-    const int wrong = ferror(file);
-    if (fclose(file) || wrong || rename(unfinished, path)) {
-        const int cause = errno;
-        unlink(unfinished);
-        errno = cause;
+    const int failed = ferror(file);
+    if (fclose(file) || failed || rename(temporary_path, path)) {
+        const int error = errno;
+        unlink(temporary_path);
+        errno = error;
         return -1;
     }
     return 0;
--- a/fuzz/draw.c
+++ b/fuzz/draw.c
@@ -5,65 +5,65 @@
 #include <stdlib.h>
 
 /* Moments of a day, in seconds. */
-enum { FIRST_ANCHOR_S = 8, LAST_ANCHOR_S = 40, ANCHORS_APART_S = 30 };
+enum { FIRST_ANCHOR_S = 8, LAST_ANCHOR_S = 40, ANCHOR_INTERVAL_MAX_S = 30 };
 /* Shares of days, in percent. */
 enum {
-    GUARANTEE_DAYS = 10,
-    FLOOD_DAYS = 8,
-    LONG_DAYS = 15,
-    REQUEST_LIMITS = 15,
-    GANG_DAYS = 50,
-    SUCCESSOR_DAYS = 25,
-    REPEAT_DAYS = 25
+    GUARANTEE_PERCENT = 10,
+    FLOOD_PERCENT = 8,
+    LONG_RECOVERY_PERCENT = 15,
+    REQUEST_LIMIT_PERCENT = 15,
+    GANG_PERCENT = 50,
+    STALE_MESSAGES_PERCENT = 25,
+    REPEATED_COMMANDS_PERCENT = 25
 };
 enum { WORLD_SEED_MAX = 9999 };
-enum { TROUBLES_MIN = 2, TROUBLES_MAX = 6 };
+enum { FAULTS_MIN = 2, FAULTS_MAX = 6 };
 /* After the last trouble of a long day: more than a job may wait by the liveness rules. */
-enum { CALM_S = 110 };
+enum { LONG_RECOVERY_S = 110 };
 
-tw_fuzz_seconds tw_fuzz_seconds_of(int hundredths) {
-    tw_fuzz_seconds seconds;
+tw_fuzz_word tw_fuzz_format_seconds(int hundredths) {
+    tw_fuzz_word seconds;
     snprintf(seconds.text, sizeof seconds.text, "%d.%02d", hundredths / TW_FUZZ_SECOND,
              hundredths % TW_FUZZ_SECOND);
     return seconds;
 }
 
-void tw_fuzz_add_at(tw_fuzz_plan *plan, int when, const char *format, ...) {
+void tw_fuzz_add_event(tw_fuzz_plan *plan, int when, const char *format, ...) {
     va_list arguments;
-    char *what = NULL;
+    char *command = NULL;
     if (when < 0) when = 0;
     va_start(arguments, format);
-    if (vasprintf(&what, format, arguments) < 0) abort();
+    if (vasprintf(&command, format, arguments) < 0) abort();
     va_end(arguments);
-    tw_fuzz_day_add(plan->day, "at %s %s", tw_fuzz_seconds_of(when).text, what);
-    free(what);
-    tw_fuzz_extend_until(plan, when);
+    tw_fuzz_day_add(plan->day, "at %s %s", tw_fuzz_format_seconds(when).text, command);
+    free(command);
+    tw_fuzz_extend_day(plan, when);
 }
 
-void tw_fuzz_extend_until(tw_fuzz_plan *plan, int when) {
+void tw_fuzz_extend_day(tw_fuzz_plan *plan, int when) {
     if (when > plan->last_moment) plan->last_moment = when;
 }
 
 int tw_fuzz_draw_anchor(tw_fuzz_plan *plan) {
-    return plan->anchors[tw_fuzz_dice_range(&plan->dice, 0, plan->anchor_count - 1)];
+    return plan->anchors[tw_fuzz_rng_range(&plan->rng, 0, plan->anchor_count - 1)];
 }
 
 int tw_fuzz_draw_moment_near(tw_fuzz_plan *plan, int moment) {
     static const int weights[] = {1, 3, 4, 4, 2, 1};
-    tw_fuzz_dice *dice = &plan->dice;
-    switch (tw_fuzz_dice_weighted(dice, weights, sizeof weights / sizeof *weights)) {
+    tw_fuzz_rng *rng = &plan->rng;
+    switch (tw_fuzz_rng_weighted(rng, weights, sizeof weights / sizeof *weights)) {
     case 0:
         return moment;
     case 1:
-        return moment + tw_fuzz_dice_range(dice, -10, 10);
+        return moment + tw_fuzz_rng_range(rng, -10, 10);
     case 2:
-        return moment + tw_fuzz_dice_range(dice, -TW_FUZZ_SECOND, TW_FUZZ_SECOND);
+        return moment + tw_fuzz_rng_range(rng, -TW_FUZZ_SECOND, TW_FUZZ_SECOND);
     case 3:
-        return moment + tw_fuzz_dice_range(dice, 0, 4 * plan->term);
+        return moment + tw_fuzz_rng_range(rng, 0, 4 * plan->election_time);
     case 4:
-        return moment + tw_fuzz_dice_range(dice, 0, plan->lease + plan->lease / 2);
+        return moment + tw_fuzz_rng_range(rng, 0, plan->lease + plan->lease / 2);
     default:
-        return moment + tw_fuzz_dice_range(dice, -plan->lease / 2, plan->cancel);
+        return moment + tw_fuzz_rng_range(rng, -plan->lease / 2, plan->cancel);
     }
 }
 
@@ -73,66 +73,67 @@
 }
 
 const char *tw_fuzz_draw_zone(tw_fuzz_plan *plan) {
-    return tw_fuzz_zone_name(tw_fuzz_dice_range(&plan->dice, 0, plan->zone_count - 1));
+    return tw_fuzz_zone_name(tw_fuzz_rng_range(&plan->rng, 0, plan->zone_count - 1));
 }
 
 static void draw_anchors(tw_fuzz_plan *plan) {
-    tw_fuzz_dice *dice = &plan->dice;
+    tw_fuzz_rng *rng = &plan->rng;
     static const int weights[] = {5, 3, 1};
-    plan->anchor_count = 1 + (int)tw_fuzz_dice_weighted(dice, weights, TW_FUZZ_ANCHORS_MAX);
+    plan->anchor_count = 1 + (int)tw_fuzz_rng_weighted(rng, weights, TW_FUZZ_ANCHORS_MAX);
     int moment =
-        tw_fuzz_dice_range(dice, FIRST_ANCHOR_S * TW_FUZZ_SECOND, LAST_ANCHOR_S * TW_FUZZ_SECOND);
+        tw_fuzz_rng_range(rng, FIRST_ANCHOR_S * TW_FUZZ_SECOND, LAST_ANCHOR_S * TW_FUZZ_SECOND);
     for (int i = 0; i < plan->anchor_count; i++) {
         plan->anchors[i] = moment;
-        moment += tw_fuzz_dice_range(dice, plan->term, ANCHORS_APART_S * TW_FUZZ_SECOND);
+        moment +=
+            tw_fuzz_rng_range(rng, plan->election_time, ANCHOR_INTERVAL_MAX_S * TW_FUZZ_SECOND);
     }
 }
 
-static void draw_troubled(tw_fuzz_plan *plan) {
-    tw_fuzz_dice *dice = &plan->dice;
+static void draw_fault_day(tw_fuzz_plan *plan) {
+    tw_fuzz_rng *rng = &plan->rng;
     tw_fuzz_draw_fleet(plan);
-    tw_fuzz_day_add(plan->day, "set seed %d", tw_fuzz_dice_range(dice, 1, WORLD_SEED_MAX));
+    tw_fuzz_day_add(plan->day, "set seed %d", tw_fuzz_rng_range(rng, 1, WORLD_SEED_MAX));
     draw_anchors(plan);
-    if (tw_fuzz_dice_percent(dice, FLOOD_DAYS))
+    if (tw_fuzz_rng_percent(rng, FLOOD_PERCENT))
         tw_fuzz_draw_flood(plan);
     else
         tw_fuzz_draw_jobs(plan);
-    tw_fuzz_draw_habits(plan);
-    tw_fuzz_draw_troubles(plan, tw_fuzz_dice_range(dice, TROUBLES_MIN, TROUBLES_MAX));
-    const int calm = tw_fuzz_dice_percent(dice, LONG_DAYS)
-                         ? CALM_S * TW_FUZZ_SECOND
-                         : plan->lease + plan->cancel + 5 * TW_FUZZ_SECOND;
+    tw_fuzz_draw_user_behavior(plan);
+    tw_fuzz_draw_faults(plan, tw_fuzz_rng_range(rng, FAULTS_MIN, FAULTS_MAX));
+    const int recovery = tw_fuzz_rng_percent(rng, LONG_RECOVERY_PERCENT)
+                             ? LONG_RECOVERY_S * TW_FUZZ_SECOND
+                             : plan->lease + plan->cancel + 5 * TW_FUZZ_SECOND;
     int last = plan->last_moment;
-    tw_fuzz_extend_until(plan, last + calm);
+    tw_fuzz_extend_day(plan, last + recovery);
     /* Drawn last: days without it stay as they were. */
-    if (tw_fuzz_dice_percent(dice, REQUEST_LIMITS))
-        tw_fuzz_day_add(plan->day, "set rps %d", TW_FUZZ_ONE_OF(dice, 10, 15, 20, 30));
-    if (tw_fuzz_dice_percent(dice, GANG_DAYS)) {
+    if (tw_fuzz_rng_percent(rng, REQUEST_LIMIT_PERCENT))
+        tw_fuzz_day_add(plan->day, "set rps %d", TW_FUZZ_ONE_OF(rng, 10, 15, 20, 30));
+    if (tw_fuzz_rng_percent(rng, GANG_PERCENT)) {
         plan->last_moment = last;
         tw_fuzz_draw_gangs(plan);
         last = plan->last_moment;
-        tw_fuzz_extend_until(plan, last + calm);
+        tw_fuzz_extend_day(plan, last + recovery);
     }
-    if (tw_fuzz_dice_percent(dice, SUCCESSOR_DAYS)) {
+    if (tw_fuzz_rng_percent(rng, STALE_MESSAGES_PERCENT)) {
         plan->last_moment = last;
-        tw_fuzz_draw_late_news(plan);
+        tw_fuzz_draw_stale_messages(plan);
         last = plan->last_moment;
-        tw_fuzz_extend_until(plan, last + calm);
+        tw_fuzz_extend_day(plan, last + recovery);
     }
-    if (!tw_fuzz_dice_percent(dice, REPEAT_DAYS)) return;
+    if (!tw_fuzz_rng_percent(rng, REPEATED_COMMANDS_PERCENT)) return;
     plan->last_moment = last;
-    tw_fuzz_draw_repeats(plan);
-    tw_fuzz_extend_until(plan, plan->last_moment + calm);
+    tw_fuzz_draw_repeated_commands(plan);
+    tw_fuzz_extend_day(plan, plan->last_moment + recovery);
 }
 
-void tw_fuzz_draw(uint32_t seed, tw_fuzz_day *day) {
+void tw_fuzz_draw_day(uint32_t seed, tw_fuzz_day *day) {
     tw_fuzz_plan plan = {.day = day};
-    tw_fuzz_dice_init(&plan.dice, seed);
-    if (tw_fuzz_dice_percent(&plan.dice, GUARANTEE_DAYS))
-        tw_fuzz_draw_guarantee(&plan);
+    tw_fuzz_rng_init(&plan.rng, seed);
+    if (tw_fuzz_rng_percent(&plan.rng, GUARANTEE_PERCENT))
+        tw_fuzz_draw_guarantee_day(&plan);
     else
-        draw_troubled(&plan);
-    tw_fuzz_day_add(day, "end %s", tw_fuzz_seconds_of(plan.last_moment).text);
+        draw_fault_day(&plan);
+    tw_fuzz_day_add(day, "end %s", tw_fuzz_format_seconds(plan.last_moment).text);
     tw_fuzz_day_sort(day);
-    tw_fuzz_dice_free(&plan.dice);
+    tw_fuzz_rng_free(&plan.rng);
 }
--- a/fuzz/draw_roll.c
+++ b/fuzz/draw_roll.c
@@ -14,114 +14,118 @@
 enum { BY_LEADERSHIP = 60, LEADER_FIRST = 25 };
 /* Hundredths of a second. */
 enum {
-    FIRST_STEP = 3 * TW_FUZZ_SECOND,    /* the first moment of an upgrade: a node leads by then */
-    FIRST_TROUBLE = 8 * TW_FUZZ_SECOND, /* days whose troubles begin sooner begin later */
-    LAST_AFTER_MIN = 10,                /* from the last trouble's begin to the last step */
-    LAST_AFTER_MAX = 12 * TW_FUZZ_SECOND,
-    TURN_MIN = 1 * TW_FUZZ_SECOND, /* from the last step one way to the first one back */
-    TURN_MAX = 8 * TW_FUZZ_SECOND
+    FIRST_STEP_MIN = 3 * TW_FUZZ_SECOND,  /* the first moment of an upgrade: a node leads by then */
+    FIRST_FAULT_MIN = 8 * TW_FUZZ_SECOND, /* days whose troubles begin sooner begin later */
+    LAST_STEP_DELAY_MIN = 10,             /* from the last trouble's begin to the last step */
+    LAST_STEP_DELAY_MAX = 12 * TW_FUZZ_SECOND,
+    ROLLBACK_DELAY_MIN = 1 * TW_FUZZ_SECOND, /* from the last step one way to the first one back */
+    ROLLBACK_DELAY_MAX = 8 * TW_FUZZ_SECOND
 };
 
-typedef enum { STRAIGHT, HALTS, GOES_BACK, BACK_AND_FORTH, KINDS } roll_kind;
+typedef enum { COMPLETES, HALTS, ROLLS_BACK, ROLLS_BACK_THEN_COMPLETES, KINDS } roll_kind;
 static const int kind_weights[KINDS] = {55, 15, 12, 18};
 
 typedef struct {
     tw_fuzz_upgrade upgrade;
     tw_fuzz_upgrade_choice choice;
-    int first_trouble, last_trouble; /* when they begin */
-    int first, last;                 /* the upgrade goes on between these moments */
-} drawn_roll;
+    int first_fault_at, last_fault_at; /* when they begin */
+    int first_step_at, last_step_at;   /* the upgrade goes on between these moments */
+} roll_plan;
 
 /* Whether a line is a trouble: not what users do. */
-static bool is_trouble(const char *line) {
+static bool is_fault(const char *line) {
     static const char *const users[] = {" submit ",     " cancel ",      " poll ",
                                         " closelooks ", " cancelatend ", " oddrequests "};
-    if (!tw_fuzz_line_is(line, "at ")) return false;
+    if (!tw_fuzz_line_starts_with(line, "at ")) return false;
     const char *command = strchr(line + strlen("at "), ' ');
     for (size_t i = 0; i < sizeof users / sizeof *users; i++)
-        if (tw_fuzz_line_is(command, users[i])) return false;
+        if (tw_fuzz_line_starts_with(command, users[i])) return false;
     return true;
 }
 
 /* A day that has no trouble is one with a trouble in the middle. */
-static void read_troubles(drawn_roll *roll) {
+static void find_faults(roll_plan *roll) {
     const tw_fuzz_day *day = roll->upgrade.plan.day;
-    roll->first_trouble = INT_MAX;
-    roll->last_trouble = 0;
+    roll->first_fault_at = INT_MAX;
+    roll->last_fault_at = 0;
     for (size_t i = 0; i < day->count; i++) {
-        if (!is_trouble(day->lines[i])) continue;
+        if (!is_fault(day->lines[i])) continue;
         const int moment = tw_fuzz_line_moment(day->lines[i]);
-        if (moment < roll->first_trouble) roll->first_trouble = moment;
-        if (moment > roll->last_trouble) roll->last_trouble = moment;
+        if (moment < roll->first_fault_at) roll->first_fault_at = moment;
+        if (moment > roll->last_fault_at) roll->last_fault_at = moment;
     }
-    if (roll->first_trouble == INT_MAX)
-        roll->first_trouble = roll->last_trouble = roll->upgrade.end / 2;
+    if (roll->first_fault_at == INT_MAX)
+        roll->first_fault_at = roll->last_fault_at = roll->upgrade.end / 2;
 }
 
 /* Moves the whole day so that there is time for a step before the first trouble. */
-static void delay_day(drawn_roll *roll) {
+static void delay_day(roll_plan *roll) {
     tw_fuzz_day *day = roll->upgrade.plan.day;
-    const int later = FIRST_TROUBLE - roll->first_trouble;
-    if (later <= 0) return;
+    const int delay = FIRST_FAULT_MIN - roll->first_fault_at;
+    if (delay <= 0) return;
     for (size_t i = 0; i < day->count; i++)
-        if (tw_fuzz_line_is(day->lines[i], "at ")) tw_fuzz_line_delay(&day->lines[i], later);
-    roll->first_trouble += later;
-    roll->last_trouble += later;
-    roll->upgrade.end += later;
+        if (tw_fuzz_line_starts_with(day->lines[i], "at "))
+            tw_fuzz_line_delay(&day->lines[i], delay);
+    roll->first_fault_at += delay;
+    roll->last_fault_at += delay;
+    roll->upgrade.end += delay;
 }
 
 /* So many steps: the first at `from`, the last at `until` unless all are taken at once, which only
  * a single one is; between them at any time, one or several at once. */
-static void draw_steps(drawn_roll *roll, const char *command, int steps, int from, int until) {
-    tw_fuzz_dice *dice = &roll->upgrade.plan.dice;
-    int together = TW_FUZZ_ONE_OF(dice, 1, 1, 1, 2, 3);
-    if (together >= steps) together = steps > 1 ? steps - 1 : 1;
+static void draw_steps(roll_plan *roll, const char *command, int steps, int from, int until) {
+    tw_fuzz_rng *rng = &roll->upgrade.plan.rng;
+    int batch_size = TW_FUZZ_ONE_OF(rng, 1, 1, 1, 2, 3);
+    if (batch_size >= steps) batch_size = steps > 1 ? steps - 1 : 1;
     int when = from;
     for (int step = 0; step < steps; step++) {
-        if (step && step % together == 0)
-            when = step + together >= steps ? until : tw_fuzz_dice_range(dice, when, until);
+        if (step && step % batch_size == 0)
+            when = step + batch_size >= steps ? until : tw_fuzz_rng_range(rng, when, until);
         tw_fuzz_upgrade_draw_step(&roll->upgrade, command, when, step, &roll->choice);
     }
     roll->choice.leader_first = false; /* only the very first step of a day */
 }
 
 /* Some nodes are upgraded, and then they all go back; when the last one does. */
-static int draw_way_back(drawn_roll *roll, int until) {
-    tw_fuzz_dice *dice = &roll->upgrade.plan.dice;
-    const int steps = tw_fuzz_dice_range(dice, 1, roll->upgrade.plan.node_count - 1);
-    const int turn = tw_fuzz_dice_range(dice, roll->first, until);
-    draw_steps(roll, "upgrade", steps, roll->first, turn);
-    const int back = turn + tw_fuzz_dice_range(dice, TURN_MIN, TURN_MAX);
-    const int backed = tw_fuzz_dice_range(dice, back, back > until ? back : until);
-    draw_steps(roll, "downgrade", steps, back, backed);
-    return backed;
+static int draw_rollback(roll_plan *roll, int until) {
+    tw_fuzz_rng *rng = &roll->upgrade.plan.rng;
+    const int steps = tw_fuzz_rng_range(rng, 1, roll->upgrade.plan.node_count - 1);
+    const int upgraded_at = tw_fuzz_rng_range(rng, roll->first_step_at, until);
+    draw_steps(roll, "upgrade", steps, roll->first_step_at, upgraded_at);
+    const int rollback_from =
+        upgraded_at + tw_fuzz_rng_range(rng, ROLLBACK_DELAY_MIN, ROLLBACK_DELAY_MAX);
+    const int rolled_back_at =
+        tw_fuzz_rng_range(rng, rollback_from, rollback_from > until ? rollback_from : until);
+    draw_steps(roll, "downgrade", steps, rollback_from, rolled_back_at);
+    return rolled_back_at;
 }
 
 /* Whether all nodes are of this version in the end. */
-static bool draw_upgrades(drawn_roll *roll) {
-    tw_fuzz_dice *dice = &roll->upgrade.plan.dice;
+static bool draw_upgrades(roll_plan *roll) {
+    tw_fuzz_rng *rng = &roll->upgrade.plan.rng;
     const int nodes = roll->upgrade.plan.node_count;
-    const int middle = (roll->first + roll->last) / 2;
+    const int middle = (roll->first_step_at + roll->last_step_at) / 2;
     /* Nobody may lead when the leader's turn is: then one node is left for the last step. */
-    const bool one_may_be_left = roll->choice.by_leadership && roll->choice.leader_first;
-    switch ((roll_kind)tw_fuzz_dice_weighted(dice, kind_weights, KINDS)) {
+    const bool step_may_be_left = roll->choice.by_leadership && roll->choice.leader_first;
+    switch ((roll_kind)tw_fuzz_rng_weighted(rng, kind_weights, KINDS)) {
     case HALTS:
-        draw_steps(roll, "upgrade", tw_fuzz_dice_range(dice, 1, nodes - 1), roll->first,
-                   tw_fuzz_dice_range(dice, roll->first, roll->last));
+        draw_steps(roll, "upgrade", tw_fuzz_rng_range(rng, 1, nodes - 1), roll->first_step_at,
+                   tw_fuzz_rng_range(rng, roll->first_step_at, roll->last_step_at));
         return false;
-    case GOES_BACK:
-        draw_way_back(roll, roll->last);
+    case ROLLS_BACK:
+        draw_rollback(roll, roll->last_step_at);
         return false;
-    case BACK_AND_FORTH: {
-        const int again =
-            draw_way_back(roll, middle) + tw_fuzz_dice_range(dice, TURN_MIN, TURN_MAX);
-        draw_steps(roll, "upgrade", nodes, again, again > roll->last ? again : roll->last);
+    case ROLLS_BACK_THEN_COMPLETES: {
+        const int upgrade_from = draw_rollback(roll, middle) +
+                                 tw_fuzz_rng_range(rng, ROLLBACK_DELAY_MIN, ROLLBACK_DELAY_MAX);
+        draw_steps(roll, "upgrade", nodes, upgrade_from,
+                   upgrade_from > roll->last_step_at ? upgrade_from : roll->last_step_at);
         return true;
     }
     default:
-        draw_steps(roll, "upgrade", nodes, roll->first, roll->last);
-        if (one_may_be_left)
-            tw_fuzz_upgrade_draw_step(&roll->upgrade, "upgrade", roll->last, nodes - 1,
+        draw_steps(roll, "upgrade", nodes, roll->first_step_at, roll->last_step_at);
+        if (step_may_be_left)
+            tw_fuzz_upgrade_draw_step(&roll->upgrade, "upgrade", roll->last_step_at, nodes - 1,
                                       &roll->choice);
         return true;
     }
@@ -131,7 +135,7 @@
 static int read_last_moment(const tw_fuzz_day *day) {
     int last = 0;
     for (size_t i = 0; i < day->count; i++) {
-        if (!tw_fuzz_line_is(day->lines[i], "at ")) continue;
+        if (!tw_fuzz_line_starts_with(day->lines[i], "at ")) continue;
         const int moment = tw_fuzz_line_moment(day->lines[i]);
         if (moment > last) last = moment;
     }
@@ -139,28 +143,30 @@
 }
 
 /* Puts the end off by as much as the last line comes later than in the day as drawn. */
-static void delay_end(drawn_roll *roll, int last_before) {
+static void delay_end(roll_plan *roll, int last_before) {
     tw_fuzz_day *day = roll->upgrade.plan.day;
-    const int later = read_last_moment(day) - last_before;
+    const int delay = read_last_moment(day) - last_before;
     for (size_t i = 0; i < day->count; i++)
-        if (tw_fuzz_line_is(day->lines[i], "end ")) {
-            tw_fuzz_line_set(&day->lines[i], "end %s",
-                             tw_fuzz_seconds_of(roll->upgrade.end + (later > 0 ? later : 0)).text);
+        if (tw_fuzz_line_starts_with(day->lines[i], "end ")) {
+            tw_fuzz_line_replace(
+                &day->lines[i], "end %s",
+                tw_fuzz_format_seconds(roll->upgrade.end + (delay > 0 ? delay : 0)).text);
         }
 }
 
 void tw_fuzz_draw_roll(uint32_t seed, tw_fuzz_day *day) {
-    drawn_roll roll;
+    roll_plan roll;
     tw_fuzz_upgrade_begin(&roll.upgrade, seed, TW_FUZZ_ROLL_STREAM, day);
-    tw_fuzz_dice *dice = &roll.upgrade.plan.dice;
+    tw_fuzz_rng *rng = &roll.upgrade.plan.rng;
     for (int i = 0; i < roll.upgrade.plan.node_count; i++) tw_fuzz_day_add(day, "old tray-%d", i);
-    read_troubles(&roll);
+    find_faults(&roll);
     delay_day(&roll);
     const int last_line = read_last_moment(day);
-    roll.choice.by_leadership = tw_fuzz_dice_percent(dice, BY_LEADERSHIP);
-    roll.choice.leader_first = tw_fuzz_dice_percent(dice, LEADER_FIRST);
-    roll.first = tw_fuzz_dice_range(dice, FIRST_STEP, roll.first_trouble - 1);
-    roll.last = roll.last_trouble + tw_fuzz_dice_range(dice, LAST_AFTER_MIN, LAST_AFTER_MAX);
+    roll.choice.by_leadership = tw_fuzz_rng_percent(rng, BY_LEADERSHIP);
+    roll.choice.leader_first = tw_fuzz_rng_percent(rng, LEADER_FIRST);
+    roll.first_step_at = tw_fuzz_rng_range(rng, FIRST_STEP_MIN, roll.first_fault_at - 1);
+    roll.last_step_at =
+        roll.last_fault_at + tw_fuzz_rng_range(rng, LAST_STEP_DELAY_MIN, LAST_STEP_DELAY_MAX);
     roll.upgrade.plan.last_moment = 0;
     if (draw_upgrades(&roll))
         tw_fuzz_draw_gangs_after(&roll.upgrade, roll.upgrade.plan.last_moment);
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -12,10 +12,10 @@
 /* What a day is said to have broken when the process that played it ended by a signal, or used up
  * its time. */
 #define TW_FUZZ_CRASH "crash"
-#define TW_FUZZ_STUCK "stuck"
+#define TW_FUZZ_TIMED_OUT "stuck"
 /* A line that says what must hold did not; a line is not of the language. */
-#define TW_FUZZ_EXPECTED "expected"
-#define TW_FUZZ_NOT_TAKEN "not_taken"
+#define TW_FUZZ_EXPECTATION_FAILED "expected"
+#define TW_FUZZ_LINE_REJECTED "not_taken"
 /* Seeds are 1 to this. */
 #define TW_FUZZ_SEED_MAX UINT32_MAX
 
@@ -41,7 +41,7 @@
 
 /* Draws the day of a seed into an empty day. */
 typedef void tw_fuzz_draw_function(uint32_t seed, tw_fuzz_day *day);
-tw_fuzz_draw_function tw_fuzz_draw;
+tw_fuzz_draw_function tw_fuzz_draw_day;
 /* The same day, with nodes of the earlier version that are upgraded one after the other. */
 tw_fuzz_draw_function tw_fuzz_draw_upgrade;
 /* The same day without its gangs, with some nodes of the earlier version and some of this one all
@@ -55,21 +55,21 @@
 
 /* Plays a day in this process. A line that the world does not take is a
  * verdict as well. */
-void tw_fuzz_play(const tw_fuzz_day *day, tw_simulator_verdict *verdict);
+void tw_fuzz_run_day(const tw_fuzz_day *day, tw_simulator_verdict *verdict);
 /* Plays a day in a process of its own: what ends that process is a verdict as well. */
-void tw_fuzz_play_apart(const tw_fuzz_day *day, tw_simulator_verdict *verdict);
+void tw_fuzz_run_day_in_child(const tw_fuzz_day *day, tw_simulator_verdict *verdict);
 
 /* The break of a day in which this version had a part: the one after a break by the earlier version
  * alone, or the day's only one. rule "": there is none. */
-tw_simulator_break tw_fuzz_own_break(const tw_simulator_verdict *verdict);
+tw_simulator_break tw_fuzz_this_version_violation(const tw_simulator_verdict *verdict);
 /* The break that a day is shrunk by: the one in which this version had a part, or else the first
  * one. */
-tw_simulator_break tw_fuzz_chosen_break(const tw_simulator_verdict *verdict);
+tw_simulator_break tw_fuzz_violation_to_shrink(const tw_simulator_verdict *verdict);
 
 /* Makes a day that breaks `rule` smaller while it still breaks it, with at most `plays_max` plays;
  * own: it must be the rule of the break in which this version had a part. `verdict` is that of the
  * day that is left; returns how many plays it took. */
-unsigned tw_fuzz_shrink(tw_fuzz_day *day, const char *rule, bool own, unsigned plays_max,
+unsigned tw_fuzz_shrink(tw_fuzz_day *day, const char *rule, bool by_this_version, unsigned runs_max,
                         tw_simulator_verdict *verdict);
 
 /* ---- days in parallel, in processes of their own ---- */
@@ -79,7 +79,7 @@
 typedef struct {
     uint32_t seed;
     bool shrunk;                  /* this is a day after shrinking, written to `path` */
-    unsigned plays, lines;        /* of the shrinking */
+    unsigned runs, lines;         /* of the shrinking */
     char path[1024];              /* "": the file could not be written */
     tw_simulator_verdict verdict; /* verdict.failed: the day broke verdict.rule */
 } tw_fuzz_result;
@@ -92,7 +92,7 @@
 unsigned tw_fuzz_pool_idle(const tw_fuzz_pool *pool);
 unsigned tw_fuzz_pool_busy(const tw_fuzz_pool *pool);
 /* Gives an idle worker a seed to play, or to play and shrink. */
-void tw_fuzz_pool_give(tw_fuzz_pool *pool, uint32_t seed, bool shrink);
+void tw_fuzz_pool_submit(tw_fuzz_pool *pool, uint32_t seed, bool shrink);
 /* Waits for a result for at most so long; false: there is none (also after a signal). */
 bool tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result);
 /* Ends the workers, whatever they do. */
--- a/fuzz/gang_lines.c
+++ b/fuzz/gang_lines.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { GANG_AFTER_MOST = 3 * TW_FUZZ_SECOND }; /* from the last step to a gang */
+enum { GANG_DELAY_MAX = 3 * TW_FUZZ_SECOND }; /* from the last step to a gang */
 enum { ID_SIZE = 32 };
 
 /* The id of the gang that a line submits for the first time; false: it submits none. */
@@ -14,16 +14,16 @@
 }
 
 /* Whether a line says what a user does with the job. */
-static bool is_about(const char *line, const char *id) {
+static bool is_user_request_for(const char *line, const char *id) {
     char command[ID_SIZE], job[ID_SIZE];
     return sscanf(line, "at %*s %31s %31s", command, job) == 2 && !strcmp(job, id) &&
            (!strcmp(command, "submit") || !strcmp(command, "cancel") || !strcmp(command, "poll"));
 }
 
-static void drop_lines_about(tw_fuzz_day *day, const char *id) {
+static void drop_user_requests_for(tw_fuzz_day *day, const char *id) {
     size_t kept = 0;
     for (size_t i = 0; i < day->count; i++) {
-        if (is_about(day->lines[i], id))
+        if (is_user_request_for(day->lines[i], id))
             free(day->lines[i]);
         else
             day->lines[kept++] = day->lines[i];
@@ -39,7 +39,7 @@
             i++;
             continue;
         }
-        drop_lines_about(day, id);
+        drop_user_requests_for(day, id);
         i = 0; /* lines before this one are gone, too */
     }
 }
@@ -51,9 +51,9 @@
         if (!read_gang(day->lines[i], id)) continue;
         const int submitted = tw_fuzz_line_moment(day->lines[i]);
         if (submitted >= moment) continue;
-        const int later =
-            moment - submitted + tw_fuzz_dice_range(&upgrade->plan.dice, 0, GANG_AFTER_MOST);
+        const int delay =
+            moment - submitted + tw_fuzz_rng_range(&upgrade->plan.rng, 0, GANG_DELAY_MAX);
         for (size_t k = 0; k < day->count; k++)
-            if (is_about(day->lines[k], id)) tw_fuzz_line_delay(&day->lines[k], later);
+            if (is_user_request_for(day->lines[k], id)) tw_fuzz_line_delay(&day->lines[k], delay);
     }
 }
--- a/fuzz/play.c
+++ b/fuzz/run.c
@@ -1,5 +1,5 @@
 /* Plays a day in the simulated world, in this process or in one of its own. */
-#include "play.h"
+#include "run.h"
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,16 +8,19 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-enum { TEXT_SIZE = 256, DAY_CPU_S = 120 }; /* processor time after which a day counts as stuck */
+enum {
+    TEXT_SIZE = 256,
+    CPU_TIME_MAX_S = 120
+}; /* processor time after which a day counts as stuck */
 
-void tw_fuzz_play(const tw_fuzz_day *day, tw_simulator_verdict *verdict) {
+void tw_fuzz_run_day(const tw_fuzz_day *day, tw_simulator_verdict *verdict) {
     char error[TEXT_SIZE];
     tw_simulator *sim = tw_simulator_new(NULL);
     memset(verdict, 0, sizeof *verdict);
     for (size_t i = 0; i < day->count; i++) {
         if (!tw_simulator_take_line(sim, day->lines[i], error, sizeof error)) continue;
         verdict->failed = 1;
-        snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_NOT_TAKEN);
+        snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_LINE_REJECTED);
         snprintf(verdict->detail, sizeof verdict->detail, "%.200s: %.200s", error, day->lines[i]);
         tw_simulator_free(sim);
         return;
@@ -26,9 +29,9 @@
     tw_simulator_run(sim, verdict);
     tw_simulator_free(sim);
     if (!*verdict->rule && verdict->failed)
-        snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_EXPECTED);
+        snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_EXPECTATION_FAILED);
     if (!*verdict->again.rule && *verdict->again.detail)
-        snprintf(verdict->again.rule, sizeof verdict->again.rule, "%s", TW_FUZZ_EXPECTED);
+        snprintf(verdict->again.rule, sizeof verdict->again.rule, "%s", TW_FUZZ_EXPECTATION_FAILED);
     verdict->failed = *verdict->rule != 0;
 }
 
@@ -39,23 +42,23 @@
     return first;
 }
 
-tw_simulator_break tw_fuzz_own_break(const tw_simulator_verdict *verdict) {
+tw_simulator_break tw_fuzz_this_version_violation(const tw_simulator_verdict *verdict) {
     return verdict->only_earlier_led ? verdict->again : first_break(verdict);
 }
 
-tw_simulator_break tw_fuzz_chosen_break(const tw_simulator_verdict *verdict) {
-    const tw_simulator_break own = tw_fuzz_own_break(verdict);
+tw_simulator_break tw_fuzz_violation_to_shrink(const tw_simulator_verdict *verdict) {
+    const tw_simulator_break own = tw_fuzz_this_version_violation(verdict);
     return *own.rule ? own : first_break(verdict);
 }
 
-void tw_fuzz_limit_time(void) {
-    const struct itimerval limit = {.it_value = {.tv_sec = DAY_CPU_S}};
+void tw_fuzz_limit_cpu_time(void) {
+    const struct itimerval limit = {.it_value = {.tv_sec = CPU_TIME_MAX_S}};
     setitimer(ITIMER_VIRTUAL, &limit, NULL); /* SIGVTALRM ends the process */
 }
 
-void tw_fuzz_ended_by(int status, tw_simulator_verdict *verdict) {
+void tw_fuzz_set_exit_verdict(int status, tw_simulator_verdict *verdict) {
     const int signal_number = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
-    const char *rule = signal_number == SIGVTALRM ? TW_FUZZ_STUCK : TW_FUZZ_CRASH;
+    const char *rule = signal_number == SIGVTALRM ? TW_FUZZ_TIMED_OUT : TW_FUZZ_CRASH;
     memset(verdict, 0, sizeof *verdict);
     verdict->failed = 1;
     snprintf(verdict->rule, sizeof verdict->rule, "%s", rule);
@@ -66,15 +69,15 @@
         snprintf(verdict->detail, sizeof verdict->detail, "exit code %d", WEXITSTATUS(status));
 }
 
-void tw_fuzz_play_apart(const tw_fuzz_day *day, tw_simulator_verdict *verdict) {
+void tw_fuzz_run_day_in_child(const tw_fuzz_day *day, tw_simulator_verdict *verdict) {
     int ends[2], status = 0;
     if (pipe(ends)) abort();
     const pid_t child = fork();
     if (child < 0) abort();
     if (!child) {
         close(ends[0]);
-        tw_fuzz_limit_time();
-        tw_fuzz_play(day, verdict);
+        tw_fuzz_limit_cpu_time();
+        tw_fuzz_run_day(day, verdict);
         const ssize_t written = write(ends[1], verdict, sizeof *verdict);
         _exit(written == (ssize_t)sizeof *verdict ? 0 : 1);
     }
@@ -83,5 +86,5 @@
         read(ends[0], verdict, sizeof *verdict); /* less than a pipe's atomic write */
     close(ends[0]);
     while (waitpid(child, &status, 0) < 0) continue;
-    if (got != (ssize_t)sizeof *verdict) tw_fuzz_ended_by(status, verdict);
+    if (got != (ssize_t)sizeof *verdict) tw_fuzz_set_exit_verdict(status, verdict);
 }
--- a/fuzz/shrink.c
+++ b/fuzz/shrink.c
@@ -8,51 +8,52 @@
 #include <string.h>
 
 enum { ROUNDS_MAX = 6, LINE_SIZE = 1024, WORD_SIZE = 32 };
-enum { FIRST_S = 2 }; /* nothing to gain in the first seconds, in which a leader is found */
+enum { STARTUP_S = 2 }; /* nothing to gain in the first seconds, in which a leader is found */
 
 typedef struct {
     tw_fuzz_day *day; /* breaks the rule; every step replaces it by a smaller one that does too */
     const char *rule;
-    bool own; /* this version must have had a part in the break */
-    unsigned plays, plays_max;
+    bool by_this_version; /* this version must have had a part in the break */
+    unsigned runs, runs_max;
     tw_simulator_verdict verdict;
-} shrinking;
+} shrink_state;
 
-static bool breaks_rule(shrinking *state, const tw_fuzz_day *day) {
+static bool breaks_rule(shrink_state *state, const tw_fuzz_day *day) {
     tw_simulator_verdict verdict;
-    if (state->plays >= state->plays_max) return false;
-    state->plays++;
-    tw_fuzz_play_apart(day, &verdict); /* a day with less in it may end its process */
+    if (state->runs >= state->runs_max) return false;
+    state->runs++;
+    tw_fuzz_run_day_in_child(day, &verdict); /* a day with less in it may end its process */
     if (!verdict.failed) return false;
-    const char *rule = state->own ? tw_fuzz_own_break(&verdict).rule : verdict.rule;
+    const char *rule =
+        state->by_this_version ? tw_fuzz_this_version_violation(&verdict).rule : verdict.rule;
     if (strcmp(rule, state->rule) != 0) return false;
     state->verdict = verdict;
     return true;
 }
 
 /* Takes the candidate instead of the day if it still breaks the rule; frees what is not kept. */
-static bool keep_if_it_breaks(shrinking *state, tw_fuzz_day *candidate) {
-    tw_fuzz_day *loser = candidate;
+static bool accept_if_still_broken(shrink_state *state, tw_fuzz_day *candidate) {
+    tw_fuzz_day *rejected = candidate;
     const bool kept = breaks_rule(state, candidate);
     if (kept) {
         const tw_fuzz_day smaller = *candidate;
         *candidate = *state->day;
         *state->day = smaller;
     }
-    tw_fuzz_day_free(loser);
+    tw_fuzz_day_free(rejected);
     return kept;
 }
 
-static int try_without_lines(shrinking *state, size_t from, size_t count) {
+static int try_without_lines(shrink_state *state, size_t from, size_t count) {
     tw_fuzz_day candidate = {0};
     for (size_t i = 0; i < state->day->count; i++)
         if (i < from || i >= from + count) tw_fuzz_day_add(&candidate, "%s", state->day->lines[i]);
-    return keep_if_it_breaks(state, &candidate);
+    return accept_if_still_broken(state, &candidate);
 }
 
 /* Blocks of lines, half the day, then a quarter, and so on; from the end, where less depends on
  * them. */
-static int drop_lines(shrinking *state) {
+static int drop_lines(shrink_state *state) {
     int dropped = 0;
     for (size_t block = (state->day->count + 1) / 2; block; block /= 2) {
         size_t end = state->day->count;
@@ -65,23 +66,23 @@
     return dropped;
 }
 
-static bool try_line(shrinking *state, size_t index, const char *line) {
+static bool try_line(shrink_state *state, size_t index, const char *line) {
     tw_fuzz_day candidate = {0};
     if (!strcmp(line, state->day->lines[index])) return false;
     for (size_t i = 0; i < state->day->count; i++)
         tw_fuzz_day_add(&candidate, "%s", i == index ? line : state->day->lines[i]);
     tw_fuzz_day_sort(&candidate);
-    return keep_if_it_breaks(state, &candidate);
+    return accept_if_still_broken(state, &candidate);
 }
 
 /* Tries to end the day as soon as the rule is broken. */
-static bool end_early(shrinking *state) {
+static bool end_early(shrink_state *state) {
     char line[64];
     const size_t last = state->day->count - 1;
-    if (!tw_fuzz_line_is(state->day->lines[last], "end ")) return false;
-    const tw_simulator_break broken = tw_fuzz_chosen_break(&state->verdict);
+    if (!tw_fuzz_line_starts_with(state->day->lines[last], "end ")) return false;
+    const tw_simulator_break broken = tw_fuzz_violation_to_shrink(&state->verdict);
     const int end_s = (int)broken.at + 1;
-    if (broken.at <= 0 || 100L * end_s >= tw_fuzz_line_hundredths(state->day->lines[last] + 4))
+    if (broken.at <= 0 || 100L * end_s >= tw_fuzz_parse_hundredths(state->day->lines[last] + 4))
         return false;
     snprintf(line, sizeof line, "end %d", end_s);
     return try_line(state, last, line);
@@ -92,58 +93,58 @@
 }
 
 /* A line with `length` characters from `at` on replaced. */
-static bool try_words(shrinking *state, size_t index, size_t at, size_t length,
-                      const char *instead) {
+static bool try_replacement(shrink_state *state, size_t index, size_t at, size_t length,
+                            const char *replacement) {
     char line[LINE_SIZE];
     const char *old = state->day->lines[index];
-    snprintf(line, sizeof line, "%.*s%s%s", (int)at, old, instead, old + at + length);
+    snprintf(line, sizeof line, "%.*s%s%s", (int)at, old, replacement, old + at + length);
     return try_line(state, index, line);
 }
 
 /* Tries smaller numbers in place of this one, the smallest first. */
-static bool shrink_number(shrinking *state, size_t index, size_t at, size_t length) {
-    char instead[WORD_SIZE];
+static bool shrink_number(shrink_state *state, size_t index, size_t at, size_t length) {
+    char replacement[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
-    const bool whole = !memchr(word, '.', length);
-    const long value = tw_fuzz_line_hundredths(word);
-    const long least = whole ? 100 : 1;
-    const long tries[] = {least, value / 4, value / 2, value * 3 / 4, value - 100};
-    for (size_t i = 0; i < sizeof tries / sizeof *tries; i++) {
-        const long shorter = whole ? tries[i] / 100 * 100 : tries[i];
-        if (shorter < least || shorter >= value) continue;
-        if (whole)
-            snprintf(instead, sizeof instead, "%ld", shorter / 100);
+    const bool is_whole = !memchr(word, '.', length);
+    const long value = tw_fuzz_parse_hundredths(word);
+    const long min = is_whole ? 100 : 1;
+    const long candidates[] = {min, value / 4, value / 2, value * 3 / 4, value - 100};
+    for (size_t i = 0; i < sizeof candidates / sizeof *candidates; i++) {
+        const long shorter = is_whole ? candidates[i] / 100 * 100 : candidates[i];
+        if (shorter < min || shorter >= value) continue;
+        if (is_whole)
+            snprintf(replacement, sizeof replacement, "%ld", shorter / 100);
         else
-            snprintf(instead, sizeof instead, "%ld.%02ld", shorter / 100, shorter % 100);
-        if (try_words(state, index, at, length, instead)) return true;
+            snprintf(replacement, sizeof replacement, "%ld.%02ld", shorter / 100, shorter % 100);
+        if (try_replacement(state, index, at, length, replacement)) return true;
     }
     return false;
 }
 
 /* Tries to round a duration down to whole seconds, then to tenths. */
-static bool round_number(shrinking *state, size_t index, size_t at, size_t length) {
-    char instead[WORD_SIZE];
+static bool round_number(shrink_state *state, size_t index, size_t at, size_t length) {
+    char replacement[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
     if (!memchr(word, '.', length)) return false;
-    const long value = tw_fuzz_line_hundredths(word);
+    const long value = tw_fuzz_parse_hundredths(word);
     if (value % 100 == 0) return false;
-    snprintf(instead, sizeof instead, "%ld.00", value / 100);
-    if (value >= 100 && try_words(state, index, at, length, instead)) return true;
-    snprintf(instead, sizeof instead, "%ld.%ld0", value / 100, value % 100 / 10);
-    return value >= 10 && try_words(state, index, at, length, instead);
+    snprintf(replacement, sizeof replacement, "%ld.00", value / 100);
+    if (value >= 100 && try_replacement(state, index, at, length, replacement)) return true;
+    snprintf(replacement, sizeof replacement, "%ld.%ld0", value / 100, value % 100 / 10);
+    return value >= 10 && try_replacement(state, index, at, length, replacement);
 }
 
 /* Tries to drop `key=value` from a line, or to make its number smaller. */
-static bool shrink_option(shrinking *state, size_t index, size_t at, size_t length) {
+static bool shrink_option(shrink_state *state, size_t index, size_t at, size_t length) {
     const char *word = state->day->lines[index] + at;
     const char *equals = memchr(word, '=', length);
     const size_t key = (size_t)(equals - word) + 1;
-    if (try_words(state, index, at - 1, length + 1, "")) return true;
+    if (try_replacement(state, index, at - 1, length + 1, "")) return true;
     if (!has_digits_only(word + key, length - key)) return false;
     return shrink_number(state, index, at + key, length - key);
 }
 
-static bool shrink_word(shrinking *state, size_t index, size_t at, size_t length) {
+static bool shrink_word(shrink_state *state, size_t index, size_t at, size_t length) {
     const char *word = state->day->lines[index] + at;
     if (memchr(word, '=', length)) return shrink_option(state, index, at, length);
     if (!has_digits_only(word, length)) return false;
@@ -153,10 +154,10 @@
 }
 
 /* The words of a line from the third on (of `at` lines: after the moment and the command). */
-static int shrink_line(shrinking *state, size_t index) {
+static int shrink_line(shrink_state *state, size_t index) {
     int changed = 0;
-    size_t at = tw_fuzz_line_is(state->day->lines[index], "at ") ? 3 : 0, word = 0;
-    if (tw_fuzz_line_is(state->day->lines[index], "end ")) return 0;
+    size_t at = tw_fuzz_line_starts_with(state->day->lines[index], "at ") ? 3 : 0, word = 0;
+    if (tw_fuzz_line_starts_with(state->day->lines[index], "end ")) return 0;
     while (state->day->lines[index][at]) {
         const size_t length = strcspn(state->day->lines[index] + at, " ");
         if (word++ && shrink_word(state, index, at, length)) {
@@ -169,54 +170,56 @@
     return changed;
 }
 
-static int shrink_lines(shrinking *state) {
+static int shrink_lines(shrink_state *state) {
     int changed = 0;
     for (size_t i = state->day->count; i-- > 0;) changed += shrink_line(state, i);
     return changed;
 }
 
 /* Tries the day in which everything from a moment on happens that much earlier. */
-static bool try_earlier(shrinking *state, long moment, long by) {
+static bool try_earlier(shrink_state *state, long moment, long advance) {
     tw_fuzz_day candidate = {0};
     for (size_t i = 0; i < state->day->count; i++) {
         const char *line = state->day->lines[i], *rest = line + 3;
-        const long when = tw_fuzz_line_hundredths(rest);
-        if (!tw_fuzz_line_is(line, "at ") || when < moment) {
+        const long when = tw_fuzz_parse_hundredths(rest);
+        if (!tw_fuzz_line_starts_with(line, "at ") || when < moment) {
             tw_fuzz_day_add(&candidate, "%s", line);
             continue;
         }
         rest += strcspn(rest, " ");
-        tw_fuzz_day_add(&candidate, "at %ld.%02ld%s", (when - by) / 100, (when - by) % 100, rest);
+        tw_fuzz_day_add(&candidate, "at %ld.%02ld%s", (when - advance) / 100,
+                        (when - advance) % 100, rest);
     }
     tw_fuzz_day_sort(&candidate);
-    return keep_if_it_breaks(state, &candidate);
+    return accept_if_still_broken(state, &candidate);
 }
 
 /* Tries to close the gaps between moments: wholly, by half, by a quarter, by a second. */
-static int close_gaps(shrinking *state) {
+static int close_gaps(shrink_state *state) {
     int changed = 0;
-    long before = 100L * FIRST_S;
+    long previous = 100L * STARTUP_S;
     for (size_t i = 0; i < state->day->count; i++) {
         const char *line = state->day->lines[i];
-        if (!tw_fuzz_line_is(line, "at ")) continue;
-        const long when = tw_fuzz_line_hundredths(line + 3), gap = when - before;
-        const long tries[] = {gap, gap / 2, gap / 4, 100};
-        for (size_t k = 0; gap > 100 && k < sizeof tries / sizeof *tries; k++) {
-            if (!try_earlier(state, when, tries[k])) continue;
+        if (!tw_fuzz_line_starts_with(line, "at ")) continue;
+        const long when = tw_fuzz_parse_hundredths(line + 3), gap = when - previous;
+        const long candidates[] = {gap, gap / 2, gap / 4, 100};
+        for (size_t k = 0; gap > 100 && k < sizeof candidates / sizeof *candidates; k++) {
+            if (!try_earlier(state, when, candidates[k])) continue;
             changed++;
             break;
         }
-        before = tw_fuzz_line_hundredths(state->day->lines[i] + 3);
+        previous = tw_fuzz_parse_hundredths(state->day->lines[i] + 3);
     }
     return changed;
 }
 
-unsigned tw_fuzz_shrink(tw_fuzz_day *day, const char *rule, bool own, unsigned plays_max,
+unsigned tw_fuzz_shrink(tw_fuzz_day *day, const char *rule, bool by_this_version, unsigned runs_max,
                         tw_simulator_verdict *verdict) {
-    shrinking state = {.day = day, .rule = rule, .own = own, .plays_max = plays_max};
+    shrink_state state = {
+        .day = day, .rule = rule, .by_this_version = by_this_version, .runs_max = runs_max};
     if (breaks_rule(&state, day)) {
-        int changed =
-            strcmp(rule, TW_FUZZ_EXPECTED) != 0; /* with less in it, less can be expected */
+        int changed = strcmp(rule, TW_FUZZ_EXPECTATION_FAILED) !=
+                      0; /* with less in it, less can be expected */
         for (int round = 0; changed && round < ROUNDS_MAX; round++) {
             changed = end_early(&state);
             changed += drop_lines(&state);
@@ -226,5 +229,5 @@
         }
     }
     *verdict = state.verdict;
-    return state.plays;
+    return state.runs;
 }
--- a/tests/runner/fuzz_test.c
+++ b/tests/runner/fuzz_test.c
@@ -16,7 +16,7 @@
 #define HASH_START 14695981039346656037u
 #define HASH_PRIME 1099511628211u
 
-enum { SEEDS = 400, PLAYED_SEEDS = 3, SHRINK_PLAYS = 500 };
+enum { SEEDS = 400, RUN_SEEDS = 3, SHRINK_RUNS = 500 };
 enum { NOT_RUN = 77 }; /* exit code: some of it needs the earlier version, which is not at hand */
 
 static int failures;
@@ -51,7 +51,7 @@
     check(digest == expected, "the seeds draw other days than they did");
 }
 
-static void check_lines_are_taken(const tw_fuzz_day *day) {
+static void check_lines_are_accepted(const tw_fuzz_day *day) {
     char error[256];
     tw_simulator *sim = tw_simulator_new(NULL);
     for (size_t i = 0; i < day->count; i++)
@@ -64,7 +64,7 @@
     char error[256];
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
         tw_fuzz_day day = {0};
-        tw_fuzz_draw(seed, &day);
+        tw_fuzz_draw_day(seed, &day);
         digest = digest_of(&day, digest);
         tw_simulator *sim = tw_simulator_new(NULL);
         for (size_t i = 0; i < day.count; i++)
@@ -105,10 +105,10 @@
     int nodes, old;
     int upgrades, downgrades;
     double first_upgrade, last_change; /* of upgrades and downgrades */
-    double first_trouble, last_trouble;
+    double first_fault, last_fault;
     int gangs;
     double first_gang;
-} two_versions;
+} day_summary;
 
 static bool is_one_of(const char *word, const char *const *words, size_t count) {
     for (size_t i = 0; i < count; i++)
@@ -116,48 +116,47 @@
     return false;
 }
 
-static void take_later(double *moment, double other) {
+static void keep_latest(double *moment, double other) {
     if (other > *moment) *moment = other;
 }
 
-static void take_earlier(double *moment, double other) {
+static void keep_earliest(double *moment, double other) {
     if (*moment < 0 || other < *moment) *moment = other;
 }
 
-static void count_happening(two_versions *counted, const char *line, double when,
-                            const char *command) {
+static void count_event(day_summary *summary, const char *line, double when, const char *command) {
     static const char *const users[] = {"submit",     "cancel",      "poll",
                                         "closelooks", "cancelatend", "oddrequests"};
     const bool upgrade = !strcmp(command, "upgrade"), downgrade = !strcmp(command, "downgrade");
-    counted->upgrades += upgrade;
-    counted->downgrades += downgrade;
-    if (upgrade) take_earlier(&counted->first_upgrade, when);
+    summary->upgrades += upgrade;
+    summary->downgrades += downgrade;
+    if (upgrade) keep_earliest(&summary->first_upgrade, when);
     if (upgrade || downgrade) {
-        take_later(&counted->last_change, when);
+        keep_latest(&summary->last_change, when);
     } else if (!is_one_of(command, users, sizeof users / sizeof *users)) {
-        take_earlier(&counted->first_trouble, when);
-        take_later(&counted->last_trouble, when);
+        keep_earliest(&summary->first_fault, when);
+        keep_latest(&summary->last_fault, when);
     }
     if (!strstr(line, " shape=gang")) return;
-    counted->gangs++;
-    take_earlier(&counted->first_gang, when);
+    summary->gangs++;
+    keep_earliest(&summary->first_gang, when);
 }
 
-static two_versions count_lines(const tw_fuzz_day *day) {
-    two_versions counted = {.first_upgrade = -1,
-                            .last_change = -1,
-                            .first_trouble = -1,
-                            .last_trouble = -1,
-                            .first_gang = -1};
+static day_summary summarize_day(const tw_fuzz_day *day) {
+    day_summary summary = {.first_upgrade = -1,
+                           .last_change = -1,
+                           .first_fault = -1,
+                           .last_fault = -1,
+                           .first_gang = -1};
     for (size_t i = 0; i < day->count; i++) {
         const char *line = day->lines[i];
         char moment[32], command[32];
-        counted.nodes += !strncmp(line, "node ", strlen("node "));
-        counted.old += !strncmp(line, "old ", strlen("old "));
+        summary.nodes += !strncmp(line, "node ", strlen("node "));
+        summary.old += !strncmp(line, "old ", strlen("old "));
         if (sscanf(line, "at %31s %31s", moment, command) == 2)
-            count_happening(&counted, line, strtod(moment, NULL), command);
+            count_event(&summary, line, strtod(moment, NULL), command);
     }
-    return counted;
+    return summary;
 }
 
 /* Nodes of both versions serve all day, and no gang is submitted. */
@@ -166,11 +165,11 @@
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
         tw_fuzz_day day = {0};
         tw_fuzz_draw_mixed(seed, &day);
-        check_lines_are_taken(&day);
-        const two_versions counted = count_lines(&day);
-        check(counted.old >= 1 && counted.old < counted.nodes, "a mixed day lacks a version");
-        check(counted.upgrades + counted.downgrades == 0, "a node of a mixed day is upgraded");
-        check(!counted.gangs, "a gang while old nodes serve");
+        check_lines_are_accepted(&day);
+        const day_summary summary = summarize_day(&day);
+        check(summary.old >= 1 && summary.old < summary.nodes, "a mixed day lacks a version");
+        check(summary.upgrades + summary.downgrades == 0, "a node of a mixed day is upgraded");
+        check(!summary.gangs, "a gang while old nodes serve");
         tw_fuzz_day_free(&day);
     }
 }
@@ -183,20 +182,20 @@
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
         tw_fuzz_day day = {0};
         tw_fuzz_draw_roll(seed, &day);
-        check_lines_are_taken(&day);
-        const two_versions counted = count_lines(&day);
-        const bool all_new = counted.upgrades - counted.downgrades >= counted.nodes;
-        check(counted.old == counted.nodes, "an upgrade doesn't begin with old nodes alone");
-        check(counted.first_upgrade >= 0, "an upgrade has no step");
-        check(counted.first_trouble < 0 || counted.first_upgrade < counted.first_trouble,
+        check_lines_are_accepted(&day);
+        const day_summary summary = summarize_day(&day);
+        const bool all_new = summary.upgrades - summary.downgrades >= summary.nodes;
+        check(summary.old == summary.nodes, "an upgrade doesn't begin with old nodes alone");
+        check(summary.first_upgrade >= 0, "an upgrade has no step");
+        check(summary.first_fault < 0 || summary.first_upgrade < summary.first_fault,
               "a trouble before the first step");
-        check(!all_new || counted.last_change > counted.last_trouble,
+        check(!all_new || summary.last_change > summary.last_fault,
               "a trouble begins after the last step");
-        check(!counted.gangs || (all_new && counted.first_gang >= counted.last_change),
+        check(!summary.gangs || (all_new && summary.first_gang >= summary.last_change),
               "a gang before the last step, or while old nodes are left");
         finished += all_new;
-        went_back += counted.downgrades > 0;
-        with_gangs += counted.gangs > 0;
+        went_back += summary.downgrades > 0;
+        with_gangs += summary.gangs > 0;
         tw_fuzz_day_free(&day);
     }
     check(finished > SEEDS / 2 && finished < SEEDS * 9 / 10, "upgrades halt too often or never");
@@ -204,21 +203,21 @@
     check(with_gangs > SEEDS / 4, "gangs after an upgrade are too few");
 }
 
-static void test_plays(void) {
-    for (uint32_t seed = 1; seed <= PLAYED_SEEDS; seed++) {
+static void test_runs(void) {
+    for (uint32_t seed = 1; seed <= RUN_SEEDS; seed++) {
         tw_fuzz_day day = {0};
-        tw_simulator_verdict here, apart;
-        tw_fuzz_draw(seed, &day);
-        tw_fuzz_play(&day, &here);
-        tw_fuzz_play_apart(&day, &apart);
-        check(here.digest == apart.digest, "a day goes otherwise in a process of its own");
+        tw_simulator_verdict in_process, in_child;
+        tw_fuzz_draw_day(seed, &day);
+        tw_fuzz_run_day(&day, &in_process);
+        tw_fuzz_run_day_in_child(&day, &in_child);
+        check(in_process.digest == in_child.digest, "a day goes otherwise in a process of its own");
         tw_fuzz_day_free(&day);
     }
 }
 
 /* No scheduler can keep this: a task must be gone a second after its job was cancelled, and its
  * machine hangs. */
-static void impossible_day(tw_fuzz_day *day) {
+static void add_impossible_lines(tw_fuzz_day *day) {
     static const char *const lines[] = {
         "node tray-0 a",
         "node tray-1 b",
@@ -250,17 +249,17 @@
     tw_fuzz_day day = {0}, read = {0};
     tw_simulator_verdict verdict;
     char path[] = "/tmp/tw_fuzz_test_XXXXXX";
-    impossible_day(&day);
-    tw_fuzz_play(&day, &verdict);
+    add_impossible_lines(&day);
+    tw_fuzz_run_day(&day, &verdict);
     check(!strcmp(verdict.rule, "ran_cancelled"), "the impossible day breaks no rule, or another");
-    const unsigned plays = tw_fuzz_shrink(&day, "ran_cancelled", true, SHRINK_PLAYS, &verdict);
-    check(plays > 10 && plays <= SHRINK_PLAYS, "shrinking takes no play or too many");
+    const unsigned runs = tw_fuzz_shrink(&day, "ran_cancelled", true, SHRINK_RUNS, &verdict);
+    check(runs > 10 && runs <= SHRINK_RUNS, "shrinking takes no play or too many");
     check(day.count <= 8, "lines are left that do nothing");
     check(!strcmp(verdict.rule, "ran_cancelled"), "the day that is left breaks another rule");
     const int file = mkstemp(path);
     check(file >= 0 && !tw_fuzz_day_write(&day, "# a comment\n", path), "a day can't be written");
     check(!tw_fuzz_day_read(&read, path), "a day can't be read");
-    tw_fuzz_play(&read, &verdict);
+    tw_fuzz_run_day(&read, &verdict);
     check(!strcmp(verdict.rule, "ran_cancelled"), "the day that was written breaks another rule");
     remove(path);
     tw_fuzz_day_free(&day);
@@ -272,7 +271,7 @@
 /* Its nodes launch a task a second time (scenario repeated_launch). upgraded: this version leads
  * from then on, and no scheduler can keep that a job's task is gone a second after it was
  * cancelled, if its machine hangs. */
-static void day_of_two_versions(tw_fuzz_day *day, bool upgraded) {
+static void add_two_version_lines(tw_fuzz_day *day, bool upgraded) {
     static const char *const lines[] = {
         "node tray-0 a",
         "node tray-1 b",
@@ -303,15 +302,17 @@
 static void test_judged_to_end(void) {
     tw_fuzz_day day = {0};
     tw_simulator_verdict verdict;
-    day_of_two_versions(&day, false);
-    tw_fuzz_play(&day, &verdict);
+    add_two_version_lines(&day, false);
+    tw_fuzz_run_day(&day, &verdict);
     check(verdict.failed && !strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_led,
           "a break by the earlier version alone does not count");
     check(verdict.broken_at > 5 && verdict.broken_at < 70, "the first break has another moment");
     check(verdict.end_s > 169, "the day is not judged to its end");
-    check(!*verdict.again.rule && !*verdict.again.detail && !*tw_fuzz_own_break(&verdict).rule,
+    check(!*verdict.again.rule && !*verdict.again.detail &&
+              !*tw_fuzz_this_version_violation(&verdict).rule,
           "this version is blamed for a day on which it never led");
-    check(!strcmp(tw_fuzz_chosen_break(&verdict).rule, "ran_twice"), "no break to shrink by");
+    check(!strcmp(tw_fuzz_violation_to_shrink(&verdict).rule, "ran_twice"),
+          "no break to shrink by");
     tw_fuzz_day_free(&day);
 }
 
@@ -319,18 +320,19 @@
 static void test_own_break(void) {
     tw_fuzz_day day = {0};
     tw_simulator_verdict verdict;
-    day_of_two_versions(&day, true);
-    tw_fuzz_play_apart(&day, &verdict);
+    add_two_version_lines(&day, true);
+    tw_fuzz_run_day_in_child(&day, &verdict);
     check(!strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_led,
           "the break by the earlier version alone is not the first one");
-    const tw_simulator_break own = tw_fuzz_own_break(&verdict);
+    const tw_simulator_break own = tw_fuzz_this_version_violation(&verdict);
     check(!strcmp(own.rule, "ran_cancelled") && own.at > 151 && own.at < 160,
           "the break of this version is not told apart");
     check(strstr(own.detail, " ran_cancelled run-000003/") != NULL, "it names another job");
     check(verdict.end_s == own.at, "the day goes on after a break of this version");
-    check(!strcmp(tw_fuzz_chosen_break(&verdict).rule, own.rule), "shrunk by another break");
-    tw_fuzz_shrink(&day, own.rule, true, SHRINK_PLAYS, &verdict);
-    check(!strcmp(tw_fuzz_own_break(&verdict).rule, own.rule), "shrinking loses the break");
+    check(!strcmp(tw_fuzz_violation_to_shrink(&verdict).rule, own.rule), "shrunk by another break");
+    tw_fuzz_shrink(&day, own.rule, true, SHRINK_RUNS, &verdict);
+    check(!strcmp(tw_fuzz_this_version_violation(&verdict).rule, own.rule),
+          "shrinking loses the break");
     check(day.count <= 10, "lines are left that have no part in the break of this version");
     tw_fuzz_day_free(&day);
 }
@@ -339,24 +341,24 @@
 static void test_day_of_one_version(void) {
     tw_fuzz_day day = {0};
     tw_simulator_verdict verdict;
-    impossible_day(&day);
-    tw_fuzz_play(&day, &verdict);
+    add_impossible_lines(&day);
+    tw_fuzz_run_day(&day, &verdict);
     check(verdict.end_s < 40 && verdict.end_s == verdict.broken_at,
           "a day of one version goes on after its break");
     check(!verdict.only_earlier_led && !*verdict.again.rule && !verdict.aftermath_count,
           "a day of one version has a second break");
-    check(!strcmp(tw_fuzz_own_break(&verdict).rule, "ran_cancelled"),
+    check(!strcmp(tw_fuzz_this_version_violation(&verdict).rule, "ran_cancelled"),
           "the break of a day of one version is not its own");
     tw_fuzz_day_free(&day);
 }
 
 static void test_pool(void) {
-    tw_fuzz_pool *pool = tw_fuzz_pool_new(2, tw_fuzz_draw, "/tmp");
+    tw_fuzz_pool *pool = tw_fuzz_pool_new(2, tw_fuzz_draw_day, "/tmp");
     tw_fuzz_result result;
     unsigned got = 0;
     check(pool && tw_fuzz_pool_idle(pool) == 2, "no workers");
     if (!pool) return;
-    for (uint32_t seed = 1; seed <= 2; seed++) tw_fuzz_pool_give(pool, seed, false);
+    for (uint32_t seed = 1; seed <= 2; seed++) tw_fuzz_pool_submit(pool, seed, false);
     while (tw_fuzz_pool_busy(pool))
         if (tw_fuzz_pool_wait(pool, 1000, &result)) got |= 1u << result.seed;
     check(got == (1u << 1 | 1u << 2), "a result is missing");
@@ -370,7 +372,7 @@
     test_upgrade_draws();
     test_mixed_draws();
     test_roll_draws();
-    test_plays();
+    test_runs();
     test_shrinks();
     test_day_of_one_version();
     if (has_earlier) {
--- a/tools/explore/explore.c
+++ b/tools/explore/explore.c
@@ -13,8 +13,8 @@
 #include <unistd.h>
 
 enum { RULES_MAX = 32, QUEUE_MAX = TW_EXPLORE_SHRINKS_MAX, WAIT_MS = 200 };
-enum { DIRECTORY_SIZE = 512, DAY_SIZE = 32, ANYBODY = 0777 };
-enum { PROGRESS_TERMINAL_S = 1, PROGRESS_ELSE_S = 30 };
+enum { DIRECTORY_SIZE = 512, DAY_SIZE = 32, DIRECTORY_MODE = 0777 };
+enum { PROGRESS_TERMINAL_S = 1, PROGRESS_LOG_S = 30 };
 
 typedef struct {
     char name[32];
@@ -24,7 +24,7 @@
 typedef struct {
     tw_explore_options options;
     tw_fuzz_pool *pool;
-    uint64_t next; /* seed to be played next */
+    uint64_t next_seed; /* seed to be played next */
     uint64_t played, broken;
     uint64_t broken_by_earlier; /* of the broken ones: only the earlier version had led */
     uint64_t broken_by_own;     /* of the broken ones: this version had a part in a break */
@@ -32,7 +32,7 @@
     unsigned rule_count;
     uint32_t queue[QUEUE_MAX]; /* seeds to be shrunk */
     unsigned queued;
-    double began, told;
+    double started_at, progress_at;
     bool terminal;
 } exploration;
 
@@ -61,19 +61,20 @@
     if (run->terminal) fputs("\r\033[K", stderr);
 }
 
-static void tell_progress(exploration *run, bool whole) {
-    const double now = steady_s(), took = now - run->began;
-    if (!whole && now - run->told < (run->terminal ? PROGRESS_TERMINAL_S : PROGRESS_ELSE_S)) return;
-    run->told = now;
+static void print_progress(exploration *run, bool at_once) {
+    const double now = steady_s(), duration_s = now - run->started_at;
+    if (!at_once && now - run->progress_at < (run->terminal ? PROGRESS_TERMINAL_S : PROGRESS_LOG_S))
+        return;
+    run->progress_at = now;
     clear_progress(run);
     fprintf(stderr, "%llu days, %.1f a second, %llu broke a rule%s",
-            (unsigned long long)run->played, took > 0 ? (double)run->played / took : 0,
+            (unsigned long long)run->played, duration_s > 0 ? (double)run->played / duration_s : 0,
             (unsigned long long)run->broken, run->terminal ? "" : "\n");
     fflush(stderr);
 }
 
-static void tell_sum(exploration *run) {
-    const double took = steady_s() - run->began;
+static void print_summary(exploration *run) {
+    const double duration_s = steady_s() - run->started_at;
     clear_progress(run);
     if (stopped) printf("stopped by signal %d\n", (int)stopped);
     for (unsigned i = 0; i < run->rule_count; i++)
@@ -83,15 +84,16 @@
         printf("in %llu of them only the earlier version had led\n"
                "in %llu of them this version had a part in a break\n",
                (unsigned long long)run->broken_by_earlier, (unsigned long long)run->broken_by_own);
-    printf("seeds %u to %llu, %.1f s, %.1f days a second\n", run->options.first,
-           (unsigned long long)run->next - 1, took, took > 0 ? (double)run->played / took : 0);
+    printf("seeds %u to %llu, %.1f s, %.1f days a second\n", run->options.first_seed,
+           (unsigned long long)run->next_seed - 1, duration_s,
+           duration_s > 0 ? (double)run->played / duration_s : 0);
     printf("%llu passed, %llu failed\n", (unsigned long long)(run->played - run->broken),
            (unsigned long long)run->broken);
 }
 
 /* ---- the search ---- */
 
-static rule_count *count_of(exploration *run, const char *name) {
+static rule_count *find_rule_count(exploration *run, const char *name) {
     for (unsigned i = 0; i < run->rule_count; i++)
         if (!strcmp(run->rules[i].name, name)) return &run->rules[i];
     rule_count *rule = &run->rules[run->rule_count < RULES_MAX ? run->rule_count++ : RULES_MAX - 1];
@@ -100,7 +102,8 @@
 }
 
 /* Each break of a day, and what only goes on from one by the earlier version. */
-static void tell_breaks(const char *day, const char *rule, const tw_simulator_verdict *verdict) {
+static void print_violations(const char *day, const char *rule,
+                             const tw_simulator_verdict *verdict) {
     printf("BROKE %s: %s%s%s\n", day, rule, verdict->detail,
            verdict->only_earlier_led ? " (only the earlier version had led)" : "");
     if (verdict->aftermath_count)
@@ -109,43 +112,43 @@
     if (*verdict->again.rule) printf("BROKE %s again: %s\n", day, verdict->again.detail);
 }
 
-static void take_broken(exploration *run, const tw_fuzz_result *result) {
+static void record_violation(exploration *run, const tw_fuzz_result *result) {
     const tw_simulator_verdict *verdict = &result->verdict;
-    const tw_simulator_break broken = tw_fuzz_chosen_break(verdict);
+    const tw_simulator_break broken = tw_fuzz_violation_to_shrink(verdict);
     char day[DAY_SIZE];
-    rule_count *rule = count_of(run, broken.rule);
+    rule_count *rule = find_rule_count(run, broken.rule);
     snprintf(day, sizeof day, "seed %u", result->seed);
     clear_progress(run);
-    tell_breaks(day, "", verdict);
+    print_violations(day, "", verdict);
     fflush(stdout);
     run->broken++;
     run->broken_by_earlier += verdict->only_earlier_led;
-    run->broken_by_own += *tw_fuzz_own_break(verdict).rule != 0;
-    if (strcmp(verdict->rule, broken.rule) != 0) count_of(run, verdict->rule)->broken++;
+    run->broken_by_own += *tw_fuzz_this_version_violation(verdict).rule != 0;
+    if (strcmp(verdict->rule, broken.rule) != 0) find_rule_count(run, verdict->rule)->broken++;
     rule->broken++;
     if (run->options.rule && strcmp(run->options.rule, broken.rule) != 0) return;
-    if (rule->shrunk >= run->options.shrinks || run->queued == QUEUE_MAX) return;
+    if (rule->shrunk >= run->options.shrinks_max || run->queued == QUEUE_MAX) return;
     rule->shrunk++;
     run->queue[run->queued++] = result->seed;
 }
 
-static void tell_day(const exploration *run, const tw_fuzz_result *result) {
+static void print_day_result(const exploration *run, const tw_fuzz_result *result) {
     const tw_simulator_verdict *verdict = &result->verdict;
     clear_progress(run);
     printf("day %u %016llx %s\n", result->seed, (unsigned long long)verdict->digest,
            verdict->failed ? verdict->rule : "-");
 }
 
-static void take_result(exploration *run, const tw_fuzz_result *result) {
+static void handle_result(exploration *run, const tw_fuzz_result *result) {
     if (!result->shrunk) {
         run->played++;
-        if (run->options.each) tell_day(run, result);
-        if (result->verdict.failed) take_broken(run, result);
+        if (run->options.print_each) print_day_result(run, result);
+        if (result->verdict.failed) record_violation(run, result);
         return;
     }
     clear_progress(run);
     if (*result->path)
-        printf("seed %u: %u lines after %u plays: %s\n", result->seed, result->lines, result->plays,
+        printf("seed %u: %u lines after %u plays: %s\n", result->seed, result->lines, result->runs,
                result->path);
     else
         printf("seed %u: not shrunk or not written: %s\n", result->seed, result->verdict.detail);
@@ -153,18 +156,19 @@
 }
 
 /* Whether another day may be begun. */
-static bool may_begin(const exploration *run) {
-    const tw_explore_options *chosen = &run->options;
-    if (run->next > chosen->last || (chosen->until_first && run->broken)) return false;
-    return chosen->seconds <= 0 || steady_s() - run->began < chosen->seconds;
+static bool may_start_day(const exploration *run) {
+    const tw_explore_options *options = &run->options;
+    if (run->next_seed > options->last_seed || (options->stop_at_first && run->broken))
+        return false;
+    return options->seconds_max <= 0 || steady_s() - run->started_at < options->seconds_max;
 }
 
-static void give_work(exploration *run) {
+static void assign_work(exploration *run) {
     while (tw_fuzz_pool_idle(run->pool)) {
         if (run->queued)
-            tw_fuzz_pool_give(run->pool, run->queue[--run->queued], true);
-        else if (may_begin(run))
-            tw_fuzz_pool_give(run->pool, (uint32_t)run->next++, false);
+            tw_fuzz_pool_submit(run->pool, run->queue[--run->queued], true);
+        else if (may_start_day(run))
+            tw_fuzz_pool_submit(run->pool, (uint32_t)run->next_seed++, false);
         else
             return;
     }
@@ -172,14 +176,14 @@
 
 static void explore(exploration *run) {
     tw_fuzz_result result;
-    run->began = run->told = steady_s();
+    run->started_at = run->progress_at = steady_s();
     while (!stopped) {
-        give_work(run);
+        assign_work(run);
         if (!tw_fuzz_pool_busy(run->pool)) break;
-        if (tw_fuzz_pool_wait(run->pool, WAIT_MS, &result)) take_result(run, &result);
-        tell_progress(run, false);
+        if (tw_fuzz_pool_wait(run->pool, WAIT_MS, &result)) handle_result(run, &result);
+        print_progress(run, false);
     }
-    tell_sum(run);
+    print_summary(run);
 }
 
 /* ---- single days ---- */
@@ -200,10 +204,10 @@
         fprintf(stderr, "%s: %s\n", path, strerror(errno));
         return 2;
     }
-    tw_fuzz_play_apart(&day, &verdict);
+    tw_fuzz_run_day_in_child(&day, &verdict);
     if (verdict.failed) {
         snprintf(rule, sizeof rule, "%s ", verdict.rule);
-        tell_breaks(path, rule, &verdict);
+        print_violations(path, rule, &verdict);
     }
     printf("%d passed, %d failed\n", !verdict.failed, verdict.failed != 0);
     tw_fuzz_day_free(&day);
@@ -216,28 +220,28 @@
     snprintf(part, sizeof part, "%s", path);
     for (char *slash = strchr(part + 1, '/'); slash; slash = strchr(slash + 1, '/')) {
         *slash = 0;
-        if (mkdir(part, ANYBODY) && errno != EEXIST) return -1;
+        if (mkdir(part, DIRECTORY_MODE) && errno != EEXIST) return -1;
         *slash = '/';
     }
-    return mkdir(part, ANYBODY) && errno != EEXIST ? -1 : 0;
+    return mkdir(part, DIRECTORY_MODE) && errno != EEXIST ? -1 : 0;
 }
 
 int main(int argc, char **argv) {
     exploration run = {0};
     tw_explore_parse_options(argc, argv, &run.options);
     tw_fuzz_draw_function *draw = run.options.draw;
-    if (run.options.print) return print_day(run.options.print, draw);
-    if (run.options.play) return play_file(run.options.play);
-    if (draw != tw_fuzz_draw && !getenv("TW_EARLIER_CORE")) {
+    if (run.options.print_seed) return print_day(run.options.print_seed, draw);
+    if (run.options.scenario_path) return play_file(run.options.scenario_path);
+    if (draw != tw_fuzz_draw_day && !getenv("TW_EARLIER_CORE")) {
         fputs("TW_EARLIER_CORE names no program of the earlier version\n", stderr);
         return 2;
     }
-    if (run.options.shrinks && make_directories(run.options.directory)) {
+    if (run.options.shrinks_max && make_directories(run.options.directory)) {
         fprintf(stderr, "%s: %s\n", run.options.directory, strerror(errno));
         return 2;
     }
     catch_signals();
-    run.next = run.options.first;
+    run.next_seed = run.options.first_seed;
     run.terminal = isatty(STDERR_FILENO);
     run.pool =
         tw_fuzz_pool_new(run.options.jobs ? run.options.jobs : 1, draw, run.options.directory);
--- a/tools/explore/options.c
+++ b/tools/explore/options.c
@@ -6,7 +6,7 @@
 #include <time.h>
 #include <unistd.h>
 
-enum { USAGE = 64 };
+enum { EXIT_USAGE = 64 };
 enum { DAYS_MAX = 1000000000, SECONDS_MAX = 100000000, JOBS_MAX = 1024 };
 enum { SHRINKS_DEFAULT = 4, DAYS_DEFAULT = 1000 };
 
@@ -30,7 +30,7 @@
     {"mixed", 'm', 0, 0, "some nodes are of the earlier version all day long, no gangs", 0},
     {0}};
 
-static uint32_t seed_of(struct argp_state *state, const char *text, char **rest) {
+static uint32_t parse_seed(struct argp_state *state, const char *text, char **rest) {
     errno = 0;
     const unsigned long long value = strtoull(text, rest, 10);
     if (errno || *rest == text || value < 1 || value > TW_FUZZ_SEED_MAX)
@@ -38,80 +38,81 @@
     return (uint32_t)value;
 }
 
-static unsigned long number_of(struct argp_state *state, const char *text, unsigned long most) {
+static unsigned long parse_number(struct argp_state *state, const char *text, unsigned long max) {
     char *rest;
     errno = 0;
     const unsigned long value = strtoul(text, &rest, 10);
-    if (errno || *rest || rest == text || *text == '-' || value > most)
-        argp_error(state, "not a number up to %lu: %s", most, text);
+    if (errno || *rest || rest == text || *text == '-' || value > max)
+        argp_error(state, "not a number up to %lu: %s", max, text);
     return value;
 }
 
-static void parse_seeds(struct argp_state *state, const char *text, tw_explore_options *chosen) {
+static void parse_seeds(struct argp_state *state, const char *text, tw_explore_options *options) {
     char *rest;
-    chosen->first = chosen->last = seed_of(state, text, &rest);
-    if (*rest == '-') chosen->last = seed_of(state, rest + 1, &rest);
-    if (*rest || chosen->last < chosen->first) argp_error(state, "not a range of seeds: %s", text);
+    options->first_seed = options->last_seed = parse_seed(state, text, &rest);
+    if (*rest == '-') options->last_seed = parse_seed(state, rest + 1, &rest);
+    if (*rest || options->last_seed < options->first_seed)
+        argp_error(state, "not a range of seeds: %s", text);
 }
 
 /* Seeds that were most likely never played: from the time of day. */
-static void fresh_seeds(unsigned long days, tw_explore_options *chosen) {
+static void choose_fresh_seeds(unsigned long days, tw_explore_options *options) {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
     const uint64_t mixed =
         ((uint64_t)now.tv_sec * 1000 + (uint64_t)now.tv_nsec / 1000000) * 2654435761u;
-    chosen->first = 1 + (uint32_t)(mixed % (TW_FUZZ_SEED_MAX - days));
-    chosen->last = chosen->first + (uint32_t)days - 1;
+    options->first_seed = 1 + (uint32_t)(mixed % (TW_FUZZ_SEED_MAX - days));
+    options->last_seed = options->first_seed + (uint32_t)days - 1;
 }
 
 static error_t parse_option(int key, char *text, struct argp_state *state) {
-    tw_explore_options *chosen = state->input;
+    tw_explore_options *options = state->input;
     char *rest;
     switch (key) {
     case 's':
-        parse_seeds(state, text, chosen);
+        parse_seeds(state, text, options);
         break;
     case 'd':
-        fresh_seeds(number_of(state, text, DAYS_MAX), chosen);
+        choose_fresh_seeds(parse_number(state, text, DAYS_MAX), options);
         break;
     case 'j':
-        chosen->jobs = (unsigned)number_of(state, text, JOBS_MAX);
+        options->jobs = (unsigned)parse_number(state, text, JOBS_MAX);
         break;
     case 'o':
-        chosen->directory = text;
+        options->directory = text;
         break;
     case 't':
-        chosen->seconds = (double)number_of(state, text, SECONDS_MAX);
+        options->seconds_max = (double)parse_number(state, text, SECONDS_MAX);
         break;
     case 'n':
-        chosen->shrinks = (unsigned)number_of(state, text, TW_EXPLORE_SHRINKS_MAX);
+        options->shrinks_max = (unsigned)parse_number(state, text, TW_EXPLORE_SHRINKS_MAX);
         break;
     case 'N':
-        chosen->shrinks = 0;
+        options->shrinks_max = 0;
         break;
     case 'r':
-        chosen->rule = text;
+        options->rule = text;
         break;
     case 'P':
-        chosen->play = text;
+        options->scenario_path = text;
         break;
     case 'f':
-        chosen->until_first = true;
+        options->stop_at_first = true;
         break;
     case 'e':
-        chosen->each = true;
+        options->print_each = true;
         break;
     case 'u':
-        chosen->draw = tw_fuzz_draw_upgrade;
+        options->draw = tw_fuzz_draw_upgrade;
         break;
     case 'R':
-        chosen->draw = tw_fuzz_draw_roll;
+        options->draw = tw_fuzz_draw_roll;
         break;
     case 'm':
-        chosen->draw = tw_fuzz_draw_mixed;
+        options->draw = tw_fuzz_draw_mixed;
         break;
     case 'p':
-        chosen->print = seed_of(state, text, &rest);
+        options->print_seed = parse_seed(state, text, &rest);
         if (*rest) argp_error(state, "not a seed: %s", text);
         break;
     case ARGP_KEY_ARG:
@@ -132,10 +133,11 @@
         0,
         0,
         0};
-    *options = (tw_explore_options){
-        .shrinks = SHRINKS_DEFAULT, .directory = "target/explore/breaks", .draw = tw_fuzz_draw};
+    *options = (tw_explore_options){.shrinks_max = SHRINKS_DEFAULT,
+                                    .directory = "target/explore/breaks",
+                                    .draw = tw_fuzz_draw_day};
     options->jobs = (unsigned)sysconf(_SC_NPROCESSORS_ONLN);
-    fresh_seeds(DAYS_DEFAULT, options);
-    argp_err_exit_status = USAGE;
+    choose_fresh_seeds(DAYS_DEFAULT, options);
+    argp_err_exit_status = EXIT_USAGE;
     argp_parse(&argp, argc, argv, 0, 0, options);
 }
--- a/tools/explore/options.h
+++ b/tools/explore/options.h
@@ -9,16 +9,16 @@
 enum { TW_EXPLORE_SHRINKS_MAX = 256 };
 
 typedef struct {
-    uint32_t first, last;  /* seeds of the days to be played */
-    unsigned jobs;         /* days at once */
-    unsigned shrinks;      /* how many days are shrunk for each rule */
-    double seconds;        /* no further day is begun after that time; 0: until all are played */
+    uint32_t first_seed, last_seed; /* seeds of the days to be played */
+    unsigned jobs;                  /* days at once */
+    unsigned shrinks_max;           /* how many days are shrunk for each rule */
+    double seconds_max;    /* no further day is begun after that time; 0: until all are played */
     const char *directory; /* for shrunk days */
     const char *rule;      /* only days that break it are shrunk; NULL: all */
-    const char *play;      /* a scenario file to be played instead; NULL: none */
-    uint32_t print;        /* seed of a day to be printed instead; 0: none */
-    bool until_first;      /* no further day is begun once one broke a rule */
-    bool each;             /* a line for each day */
+    const char *scenario_path;   /* a scenario file to be played instead; NULL: none */
+    uint32_t print_seed;         /* seed of a day to be printed instead; 0: none */
+    bool stop_at_first;          /* no further day is begun once one broke a rule */
+    bool print_each;             /* a line for each day */
     tw_fuzz_draw_function *draw; /* which kind of days */
 } tw_explore_options;
 
