--- a/fuzz/day.c
+++ b/fuzz/day.c
@@ -1,4 +1,4 @@
-/* The lines of a day: kept, ordered, written and read. */
+/* Stores, sorts, writes and reads the lines of a day. */
 #include "line.h"
 #include "fuzz.h"
 #include "plan.h"
@@ -68,7 +68,8 @@
     tw_fuzz_line_replace(line, "at %s%s", tw_fuzz_format_seconds(moment).text, command);
 }
 
-/* Settings come first, then the `at` lines by time, then the end. */
+/* Returns the sort key of a line: settings precede the `at` lines, and the `end` line follows them.
+ */
 static long sort_key(const char *line) {
     if (tw_fuzz_line_starts_with(line, "at ")) return tw_fuzz_parse_hundredths(line + 3);
     return tw_fuzz_line_starts_with(line, "end ") ? LONG_MAX : -1;
--- a/fuzz/draw.c
+++ b/fuzz/draw.c
@@ -1,12 +1,12 @@
-/* Draws a day from a seed: a fleet, jobs and their users, and troubles close to each other. */
+/* Generates a day from a seed: a fleet, jobs, user requests, and faults that are close in time. */
 #include "plan.h"
 #include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Moments of a day, in seconds. */
+/* Range of the first anchor, and the longest time between two anchors, in seconds. */
 enum { FIRST_ANCHOR_S = 8, LAST_ANCHOR_S = 40, ANCHOR_INTERVAL_MAX_S = 30 };
-/* Shares of days, in percent. */
+/* Percentages of days. */
 enum {
     GUARANTEE_PERCENT = 10,
     FLOOD_PERCENT = 8,
@@ -18,7 +18,7 @@
 };
 enum { WORLD_SEED_MAX = 9999 };
 enum { FAULTS_MIN = 2, FAULTS_MAX = 6 };
-/* After the last trouble of a long day: more than a job may wait by the liveness rules. */
+/* Time after the last fault of a long day; longer than the liveness rules allow a job to wait. */
 enum { LONG_RECOVERY_S = 110 };
 
 tw_fuzz_word tw_fuzz_format_seconds(int hundredths) {
@@ -105,7 +105,7 @@
                              : plan->lease + plan->cancel + 5 * TW_FUZZ_SECOND;
     int last = plan->last_moment;
     tw_fuzz_extend_day(plan, last + recovery);
-    /* Drawn last: days without it stay as they were. */
+    /* Later additions take their random numbers last, so that days without them do not change. */
     if (tw_fuzz_rng_percent(rng, REQUEST_LIMIT_PERCENT))
         tw_fuzz_day_add(plan->day, "set rps %d", TW_FUZZ_ONE_OF(rng, 10, 15, 20, 30));
     if (tw_fuzz_rng_percent(rng, GANG_PERCENT)) {
--- a/fuzz/draw_faults.c
+++ b/fuzz/draw_faults.c
@@ -1,12 +1,13 @@
-/* The troubles of a day, each of a kind that the stand-ins know, close to each other, to elections
- * and to what users do. */
+/* Generates the faults of a day. Each is a fault that the simulator can inject; they are placed
+ * close to each other, to elections and to user requests. */
 #include "plan.h"
 #include <stdbool.h>
 #include <stdio.h>
 
-/* Percent of the troubles of a node that strike the one that leads by then. */
+/* Percentages of the faults of a node that affect the current leader. */
 enum { LEADER_PERCENT = 70, NO_WORKERS_LEADER_PERCENT = 60 };
-enum { HELD_PERCENT = 40 }; /* percent of cuts and hangs that hold messages */
+/* Percentage of partitions and hangs that delay messages instead of dropping them. */
+enum { HELD_PERCENT = 40 };
 /* Hundredths of a second. */
 enum {
     BRIEF_MIN = 5,
@@ -17,10 +18,11 @@
     NOTICE_MAX = 1000
 };
 
-/* How a trouble is drawn: it begins at `when` and adds one line or a few. */
+/* Adds the lines of a fault that starts at `when`. */
 typedef void draw_fault_function(tw_fuzz_plan *plan, int when);
 
-/* A blink, an election, about a lease, about the time of a cancellation, long. */
+/* Draws the duration of a fault: brief, about an election, about a lease, about the time limit of a
+ * cancellation, or several leases. */
 static int draw_duration(tw_fuzz_plan *plan) {
     static const int weights[] = {2, 4, 6, 3, 2};
     tw_fuzz_rng *rng = &plan->rng;
@@ -43,7 +45,8 @@
     tw_fuzz_extend_day(plan, when + length);
 }
 
-/* A node, mostly the one that leads by then. */
+/* Draws the node of a fault: "leader", which stands for the leader at the time of the fault, with
+ * the given probability, or the name of a node. */
 static tw_fuzz_word draw_node_name(tw_fuzz_plan *plan, int leader_percent) {
     tw_fuzz_word name = {"leader"};
     if (tw_fuzz_rng_percent(&plan->rng, leader_percent)) return name;
@@ -52,7 +55,7 @@
     return name;
 }
 
-/* A machine, also one that is rented during the day. */
+/* Draws the number of a machine, which may be one that is rented during the day. */
 static int draw_machine(tw_fuzz_plan *plan) {
     return tw_fuzz_rng_range(&plan->rng, 0, plan->machine_count + 2);
 }
@@ -112,7 +115,7 @@
     add_timed_line(plan, when, "kill all", draw_duration(plan));
 }
 
-/* One leader after the other ends, each about when the next has begun. */
+/* Adds crashes of several successive leaders, each about when the next leader was elected. */
 static void draw_leader_kills(tw_fuzz_plan *plan, int when) {
     const int count = tw_fuzz_rng_range(&plan->rng, 2, 5);
     for (int i = 0; i < count; i++) {
@@ -156,7 +159,8 @@
     tw_fuzz_add_event(plan, when, "losetxn %d", TW_FUZZ_ONE_OF(&plan->rng, 1, 1, 2, 3, 5, 8));
 }
 
-/* Some machines at once; with what they had sent before held back now and then. */
+/* Adds simultaneous hangs of several machines. In some cases the heartbeats that these sent before
+ * are delayed until the hang is over. */
 static void draw_hangs(tw_fuzz_plan *plan, int when) {
     const int length = draw_duration(plan);
     const bool held = tw_fuzz_rng_percent(&plan->rng, HELD_PERCENT);
@@ -243,7 +247,8 @@
     tw_fuzz_extend_day(plan, when + length);
 }
 
-/* Users call off some jobs at once, and machines of theirs hang now and then. */
+/* Adds simultaneous cancellations of several jobs. In half of the cases machines that run these
+ * jobs hang. */
 static void draw_cancellations(tw_fuzz_plan *plan, int when) {
     const int count = tw_fuzz_rng_range(&plan->rng, 1, 6);
     if (tw_fuzz_rng_half(&plan->rng)) {
--- a/fuzz/draw_fleet.c
+++ b/fuzz/draw_fleet.c
@@ -1,8 +1,7 @@
-/* The fleet of a day: nodes and zones, settings, machine types, teams and the machines that are up.
- */
+/* Generates the fleet of a day: nodes and zones, settings, machine types, teams and machines. */
 #include "plan.h"
 
-/* Shares in percent. */
+/* Percentages of days, teams or machines. */
 enum {
     DEFAULT_SETTINGS = 40,
     LIMITED_TEAMS = 50,
@@ -10,8 +9,8 @@
     OBJECTIVES = 20,
     SPOT_MACHINES = 25
 };
-/* Percent of a worker's lease: how long the leader's key lives by the settings; the time between
- * heartbeats. */
+/* Percentages of the worker lease: the lifetime of the leader's key, and the interval between
+ * heartbeats by default. */
 enum { ELECTION_PERCENT = 12, HEARTBEAT_PERCENT = 15 };
 
 static void draw_nodes(tw_fuzz_plan *plan) {
@@ -32,7 +31,8 @@
     tw_fuzz_day_add(plan->day, "set cancel %s", tw_fuzz_format_seconds(plan->cancel).text);
 }
 
-/* Leases are short, so that a day in which one expires is short; the rest are ratios of them. */
+/* Leases are short, so that a day on which one expires is short. The heartbeat interval and the
+ * cancellation limit are multiples of the lease. */
 void tw_fuzz_draw_leases(tw_fuzz_plan *plan) {
     tw_fuzz_rng *rng = &plan->rng;
     plan->lease = 10 * TW_FUZZ_SECOND;
@@ -65,7 +65,8 @@
         type->gpus = gpus[i];
         type->cores = i ? 32 : TW_FUZZ_ONE_OF(rng, 8, 16, 16);
         const int capacity = tw_fuzz_rng_range(rng, i ? 2 : 3, i ? 4 : 10);
-        /* Machines may be up sooner than told, but not all of them much later. */
+        /* The boot time given in the line may exceed the actual boot time, but must not be less:
+         * otherwise every machine would be up later than announced. */
         const int announced_boot_s = TW_FUZZ_ONE_OF(rng, 2, 5, 20, 20);
         const int actual_boot_s = plan->boot_time / TW_FUZZ_SECOND;
         const int nominal_boot_s =
--- a/fuzz/draw_guarantee.c
+++ b/fuzz/draw_guarantee.c
@@ -1,14 +1,17 @@
-/* Days of one trouble that the service guarantees to bear: nothing is lost, started again or left
- * waiting, though it would be if nobody took care. The rules say nothing of that, so the day itself
- * says what must hold. */
+/* Generates days with a single fault that the service guarantees to tolerate: no task is lost,
+ * restarted or left waiting, as it would be without the mechanism that handles the fault. The rules
+ * of the simulator do not cover these guarantees, so the day states them in `expect` lines. */
 #include "plan.h"
 
-enum { SUBMITTED_AT = 500, FAULT_AT = 1500 }; /* hundredths of a second */
-enum { COMPLETION_MARGIN = 500, RETRY_TIME = 2000 };
-enum { IDLE_MAX = 700 }; /* before a machine is returned as idle: half its boot time, and some */
+/* Hundredths of a second. */
+enum { SUBMITTED_AT = 500, FAULT_AT = 1500, COMPLETION_MARGIN = 500, RETRY_TIME = 2000 };
+/* Shorter than the time until an idle machine is returned, which exceeds half its boot time. */
+enum { IDLE_MAX = 700 };
 enum { NODES = 3, MACHINES_IN_ZONE_MAX = 4, CORES = 16 };
-enum { PARTITION_MACHINES_MIN = 4 }; /* so many silent ones in a zone are taken for a cut */
-enum { LONG_FAULT_PERCENT_MIN = 110, LONG_FAULT_PERCENT_MAX = 170 }; /* percent of a lease */
+/* So many silent machines in a zone count as a network partition, not as lost machines. */
+enum { PARTITION_MACHINES_MIN = 4 };
+/* Range of the duration of long faults, in percent of a lease. */
+enum { LONG_FAULT_PERCENT_MIN = 110, LONG_FAULT_PERCENT_MAX = 170 };
 
 static int draw_longer_than_lease(tw_fuzz_plan *plan) {
     return plan->lease *
@@ -19,8 +22,8 @@
     return tw_fuzz_rng_range(&plan->rng, plan->election_time, plan->lease / 2);
 }
 
-/* What runs before the trouble and must still run, under its first start, after it. A replica takes
- * most of a machine, so that none is moved to empty another machine. */
+/* Adds the jobs that run before the fault and must still run after it without a restart. A replica
+ * takes most of a machine, so that no replica is moved to empty another machine. */
 static void draw_workload(tw_fuzz_plan *plan) {
     tw_fuzz_add_event(plan, SUBMITTED_AT,
                       "submit run-000001 shape=service priority=prod tasks=%d cores=10%s",
@@ -38,7 +41,7 @@
                       plan->machine_count);
 }
 
-/* One trouble of these and so long; all that ran goes on. */
+/* Adds one fault of that duration (hundredths of a second), during which all tasks keep running. */
 static void draw_tolerated_fault(tw_fuzz_plan *plan, const char *fault, int length,
                                  const char *options) {
     draw_workload(plan);
@@ -69,7 +72,8 @@
     draw_tolerated_fault(plan, "noworkers leader", draw_longer_than_lease(plan), "");
 }
 
-/* The leader reaches the machines itself: what is submitted meanwhile runs at once. */
+/* The nodes cannot reach each other. The leader sends commands to the machines directly, so jobs
+ * submitted during the fault start without delay. */
 static void draw_refused_peers(tw_fuzz_plan *plan) {
     const int length = 3 * plan->lease, submitted = FAULT_AT + plan->lease * 3 / 2;
     draw_workload(plan);
@@ -84,8 +88,8 @@
     expect_still_running(plan, FAULT_AT + length + plan->lease);
 }
 
-/* All machines hang past their leases, and what they had sent comes late: they are lost no more
- * than that. */
+/* All machines hang beyond their leases, and the heartbeats that they sent before arrive late. No
+ * machine may be lost. */
 static void draw_hangs(tw_fuzz_plan *plan) {
     const int over_lease = plan->lease * 8 / 10;
     const int length = plan->lease + (over_lease < IDLE_MAX ? over_lease : IDLE_MAX);
@@ -100,7 +104,7 @@
                       plan->machine_count, plan->machine_count);
 }
 
-/* A machine fails whatever it gets: a job's tasks are tried on another. */
+/* One machine fails every task that it runs. The tasks must be retried on other machines. */
 static void draw_faulty_machine(tw_fuzz_plan *plan) {
     const int run = tw_fuzz_rng_range(&plan->rng, 300, 600);
     tw_fuzz_add_event(plan, 100, "faulty 0");
@@ -112,8 +116,8 @@
                           1 + zone);
 }
 
-/* More work than room: a team that comes late with little has its turn beside one that came first
- * with much. */
+/* Adds more tasks than the machines can run. A team that submits a small job later must get its
+ * share of the machines beside a team that submitted a large job first. */
 static void draw_overload(tw_fuzz_plan *plan) {
     const int concurrent_tasks = plan->machine_count * CORES / 4;
     const int run = tw_fuzz_rng_range(&plan->rng, 300, 600);
@@ -126,13 +130,13 @@
     tw_fuzz_add_event(plan, SUBMITTED_AT + 5 * run + COMPLETION_MARGIN, "expect done run-000002");
 }
 
-/* A worker waits some seconds for an answer before it tries another node: next to these, a lease of
- * half a minute is long, and a trouble that costs each worker an unanswered heartbeat costs no
- * machine. */
+/* A worker waits some seconds for a response before it tries another node. A lease of about half a
+ * minute is long in comparison, so a fault that leaves a heartbeat of each worker unanswered costs
+ * no machine. */
 enum { SHORT_LEASE, LONG_LEASE };
 
 static const struct {
-    int weight, lease, machines; /* machines: at least so many in a zone */
+    int weight, lease, machines; /* machines: the minimum for each zone */
     void (*draw)(tw_fuzz_plan *plan);
 } kinds[] = {
     {2, SHORT_LEASE, 1, draw_outage},
@@ -158,8 +162,8 @@
     tw_fuzz_add_settings(plan);
 }
 
-/* Nodes in turn over the zones, as many machines in each zone, and room for all that is submitted.
- */
+/* Adds nodes in turn over the zones, the same number of machines in each zone, and enough capacity
+ * for all jobs. */
 static void draw_fleet(tw_fuzz_plan *plan, int lease, int machines) {
     tw_fuzz_rng *rng = &plan->rng;
     plan->zone_count = lease == LONG_LEASE ? NODES : TW_FUZZ_ONE_OF(rng, 2, 3);
--- a/fuzz/draw_jobs.c
+++ b/fuzz/draw_jobs.c
@@ -1,11 +1,11 @@
-/* The jobs of a day and what their users do: submissions, repeats, cancellations, questions at all
- * nodes. */
+/* Generates the jobs of a day and the requests of their users: submissions, repeated submissions,
+ * cancellations, and polls that go to all nodes in turn. */
 #include "plan.h"
 #include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
-/* Shares in percent. */
+/* Percentages of jobs; UNKNOWN_JOB_POLLED: of days. */
 enum {
     SERVICES = 30,
     GANGS = 15,
@@ -28,10 +28,13 @@
     POLLED_BEFORE_SUBMISSION = 10,
     CANCELLED_IN_FLOOD = 25
 };
+/* Percentages of days. */
 enum { CLOSE_POLLING = 25, CANCELLATION_AT_END = 15, INVALID_REQUESTS = 10 };
+/* Numbers of jobs of a day, and hundredths of a second between the jobs of a flood. */
 enum { JOBS_MIN = 3, JOBS_MAX = 10, FLOOD_MIN = 20, FLOOD_MAX = 80, FLOOD_INTERVAL = 25 };
+/* Percentages of jobs or gangs. */
 enum { SINGLE_ZONE_GANGS = 60, SINGLE_ZONE = 15, SPREAD = 25, LARGE_IMAGES = 30, LATE_JOBS = 30 };
-/* Of days with gangs. */
+/* Days with gangs: number of gangs, and percentages of days or gangs. */
 enum {
     GANGS_MIN = 1,
     GANGS_MAX = 4,
@@ -52,9 +55,9 @@
 
 typedef struct {
     char id[16], options[OPTIONS_SIZE];
-    int submitted_at, run_time, ends_at; /* end: when it ends, about; 0 for a service */
+    int submitted_at, run_time, ends_at; /* ends_at is approximate, and 0 for a service */
     int service, gang, task_count;
-    int checkpoint_percent; /* percent */
+    int checkpoint_percent; /* probability that the job saves checkpoints */
 } drawn_job;
 
 static void add_option(drawn_job *job, const char *format, int value) {
@@ -68,7 +71,7 @@
     job->checkpoint_percent = CHECKPOINTING;
 }
 
-/* Questions at one node after the other, a hundredth to some tenths of a second apart. */
+/* Adds polls that go to one node after the other, 0.01 to 0.3 s apart. */
 static void draw_polls(tw_fuzz_plan *plan, const char *id, int moment) {
     const int interval = TW_FUZZ_ONE_OF(&plan->rng, 1, 2, 5, 10, 10, 30);
     const int count = tw_fuzz_rng_range(&plan->rng, 4, 16);
@@ -118,7 +121,7 @@
     if (tw_fuzz_rng_percent(rng, ON_SPOT)) add_option(job, " spot=%d", 1);
 }
 
-/* How long its tasks run: often until about an anchor. */
+/* Draws how long the tasks of the job run, often until a time near an anchor. */
 static void draw_run_time(tw_fuzz_plan *plan, drawn_job *job) {
     tw_fuzz_rng *rng = &plan->rng;
     job->run_time = TW_FUZZ_ONE_OF(rng, 30, 100, 200, 500, 1000, 2000, 6000);
@@ -156,7 +159,8 @@
     if (tw_fuzz_rng_percent(rng, FAILING)) add_option(job, " fails=%d", 1);
 }
 
-/* At once, near an anchor, as it ends, or just then. */
+/* Draws a time for the cancellation: right after the submission, near an anchor, near the end of
+ * the job, or within a lease of the submission. */
 static int draw_cancel_moment(tw_fuzz_plan *plan, const drawn_job *job) {
     tw_fuzz_rng *rng = &plan->rng;
     static const int weights[] = {2, 5, 2, 1};
@@ -205,7 +209,8 @@
         tw_fuzz_add_event(plan, moment + tw_fuzz_rng_range(rng, 0, 100), "submit %s", job->id);
 }
 
-/* Draws what is left of a job whose shape and submission are known, and submits it. */
+/* Draws the remaining options of a job whose shape and submission time are set, and adds the lines
+ * that submit it and the requests of its user. */
 static void complete_and_submit(tw_fuzz_plan *plan, drawn_job *job) {
     draw_resources(plan, job);
     draw_placement_constraints(plan, job);
@@ -227,7 +232,8 @@
     complete_and_submit(plan, &job);
 }
 
-/* Its tasks are there, or come, when an anchor does. */
+/* Adds a gang that is submitted up to a lease before an anchor, or near it, so that its tasks are
+ * placed or waiting when the faults occur. */
 static void draw_gang(tw_fuzz_plan *plan) {
     tw_fuzz_rng *rng = &plan->rng;
     const int anchor = tw_fuzz_draw_anchor(plan);
@@ -243,7 +249,7 @@
     complete_and_submit(plan, &job);
 }
 
-/* Replicas for which gangs may have to make room. */
+/* Adds a service of high priority whose replicas may preempt gangs. */
 static void draw_competing_service(tw_fuzz_plan *plan) {
     tw_fuzz_rng *rng = &plan->rng;
     drawn_job job;
@@ -269,7 +275,8 @@
     if (tw_fuzz_rng_percent(rng, COMPETING_SERVICES)) draw_competing_service(plan);
 }
 
-/* What all users do for a while, from before an anchor on. */
+/* Adds lines that change the requests of all users for a period that starts before the first
+ * anchor and ends after the last. */
 void tw_fuzz_draw_user_behavior(tw_fuzz_plan *plan) {
     tw_fuzz_rng *rng = &plan->rng;
     const int from = tw_fuzz_rng_range(rng, FIRST_SUBMISSION, plan->anchors[0]);
@@ -294,7 +301,7 @@
     draw_polls(plan, unknown_job.id, tw_fuzz_draw_moment_near(plan, tw_fuzz_draw_anchor(plan)));
 }
 
-/* One-task jobs, four a second; a quarter is cancelled soon. */
+/* Adds jobs of one task each, four per second, a quarter of which are cancelled soon. */
 void tw_fuzz_draw_flood(tw_fuzz_plan *plan) {
     tw_fuzz_rng *rng = &plan->rng;
     const int count = tw_fuzz_rng_range(rng, FLOOD_MIN, FLOOD_MAX);
--- a/fuzz/draw_roll.c
+++ b/fuzz/draw_roll.c
@@ -1,8 +1,9 @@
-/* A day whose troubles come amid an upgrade: all nodes begin as ones of the version in production;
- * the first step comes before the first trouble, the last one after the last trouble has begun. One
- * or several nodes are upgraded at once. Some upgrades halt, go back, or go back and forward again.
+/* Generates a day whose faults occur during a rolling upgrade. All nodes start with the version in
+ * production. The first step precedes the first fault, and the last step follows the start of the
+ * last fault. One or several nodes are upgraded at the same time. Some upgrades halt, are rolled
+ * back, or are rolled back and then completed.
  *
- * Troubles that last reach beyond the last step, and what was held up by them arrives there. */
+ * Faults may outlast the last step; messages that they delay then arrive at upgraded nodes. */
 #include "gang_lines.h"
 #include "line.h"
 #include "upgrade.h"
@@ -10,15 +11,17 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* Shares in percent. */
+/* Percentages of days. */
 enum { BY_LEADERSHIP = 60, LEADER_FIRST = 25 };
 /* Hundredths of a second. */
 enum {
-    FIRST_STEP_MIN = 3 * TW_FUZZ_SECOND,  /* the first moment of an upgrade: a node leads by then */
-    FIRST_FAULT_MIN = 8 * TW_FUZZ_SECOND, /* days whose troubles begin sooner begin later */
-    LAST_STEP_DELAY_MIN = 10,             /* from the last trouble's begin to the last step */
+    FIRST_STEP_MIN =
+        3 * TW_FUZZ_SECOND, /* the earliest start of an upgrade; a leader is elected by then */
+    FIRST_FAULT_MIN = 8 * TW_FUZZ_SECOND, /* days with an earlier fault are delayed */
+    LAST_STEP_DELAY_MIN = 10,             /* from the start of the last fault to the last step */
     LAST_STEP_DELAY_MAX = 12 * TW_FUZZ_SECOND,
-    ROLLBACK_DELAY_MIN = 1 * TW_FUZZ_SECOND, /* from the last step one way to the first one back */
+    ROLLBACK_DELAY_MIN = 1 * TW_FUZZ_SECOND, /* from the last upgrade to the first downgrade, or
+                                                from the last downgrade to the next upgrade */
     ROLLBACK_DELAY_MAX = 8 * TW_FUZZ_SECOND
 };
 
@@ -28,11 +31,11 @@
 typedef struct {
     tw_fuzz_upgrade upgrade;
     tw_fuzz_upgrade_choice choice;
-    int first_fault_at, last_fault_at; /* when they begin */
-    int first_step_at, last_step_at;   /* the upgrade goes on between these moments */
+    int first_fault_at, last_fault_at; /* start times of these faults */
+    int first_step_at, last_step_at;   /* times of the first and last step of the upgrade */
 } roll_plan;
 
-/* Whether a line is a trouble: not what users do. */
+/* Returns whether a line injects a fault, that is, any event other than a user request. */
 static bool is_fault(const char *line) {
     static const char *const users[] = {" submit ",     " cancel ",      " poll ",
                                         " closelooks ", " cancelatend ", " oddrequests "};
@@ -43,7 +46,8 @@
     return true;
 }
 
-/* A day that has no trouble is one with a trouble in the middle. */
+/* Finds the times of the first and last fault. For a day without faults, both are set to the middle
+ * of the day. */
 static void find_faults(roll_plan *roll) {
     const tw_fuzz_day *day = roll->upgrade.plan.day;
     roll->first_fault_at = INT_MAX;
@@ -58,7 +62,7 @@
         roll->first_fault_at = roll->last_fault_at = roll->upgrade.end / 2;
 }
 
-/* Moves the whole day so that there is time for a step before the first trouble. */
+/* Delays all events so that a step of the upgrade fits before the first fault. */
 static void delay_day(roll_plan *roll) {
     tw_fuzz_day *day = roll->upgrade.plan.day;
     const int delay = FIRST_FAULT_MIN - roll->first_fault_at;
@@ -71,8 +75,8 @@
     roll->upgrade.end += delay;
 }
 
-/* So many steps: the first at `from`, the last at `until` unless all are taken at once, which only
- * a single one is; between them at any time, one or several at once. */
+/* Adds `steps` steps: the first at `from`, the last at `until`, the others at random times between
+ * them, one or several at the same time. A single step is at `from`. */
 static void draw_steps(roll_plan *roll, const char *command, int steps, int from, int until) {
     tw_fuzz_rng *rng = &roll->upgrade.plan.rng;
     int batch_size = TW_FUZZ_ONE_OF(rng, 1, 1, 1, 2, 3);
@@ -83,10 +87,11 @@
             when = step + batch_size >= steps ? until : tw_fuzz_rng_range(rng, when, until);
         tw_fuzz_upgrade_draw_step(&roll->upgrade, command, when, step, &roll->choice);
     }
-    roll->choice.leader_first = false; /* only the very first step of a day */
+    roll->choice.leader_first = false; /* applies to the first step of a day only */
 }
 
-/* Some nodes are upgraded, and then they all go back; when the last one does. */
+/* Adds upgrades of some nodes and then a downgrade for each of them. Returns the time by which the
+ * last downgrade begins. */
 static int draw_rollback(roll_plan *roll, int until) {
     tw_fuzz_rng *rng = &roll->upgrade.plan.rng;
     const int steps = tw_fuzz_rng_range(rng, 1, roll->upgrade.plan.node_count - 1);
@@ -100,12 +105,14 @@
     return rolled_back_at;
 }
 
-/* Whether all nodes are of this version in the end. */
+/* Adds the upgrades and downgrades of the day. Returns whether all nodes run this version at the
+ * end. */
 static bool draw_upgrades(roll_plan *roll) {
     tw_fuzz_rng *rng = &roll->upgrade.plan.rng;
     const int nodes = roll->upgrade.plan.node_count;
     const int middle = (roll->first_step_at + roll->last_step_at) / 2;
-    /* Nobody may lead when the leader's turn is: then one node is left for the last step. */
+    /* The step that upgrades the leader has no effect if no node leads at that time. Then one node
+     * is left, which an additional last step upgrades. */
     const bool step_may_be_left = roll->choice.by_leadership && roll->choice.leader_first;
     switch ((roll_kind)tw_fuzz_rng_weighted(rng, kind_weights, KINDS)) {
     case HALTS:
@@ -131,7 +138,7 @@
     }
 }
 
-/* The last moment of the day's lines. */
+/* Returns the time of the last `at` line. */
 static int read_last_moment(const tw_fuzz_day *day) {
     int last = 0;
     for (size_t i = 0; i < day->count; i++) {
@@ -142,7 +149,7 @@
     return last;
 }
 
-/* Puts the end off by as much as the last line comes later than in the day as drawn. */
+/* Delays the end of the day by as much as its last `at` line now exceeds `last_before`. */
 static void delay_end(roll_plan *roll, int last_before) {
     tw_fuzz_day *day = roll->upgrade.plan.day;
     const int delay = read_last_moment(day) - last_before;
--- a/fuzz/draw_stale_messages.c
+++ b/fuzz/draw_stale_messages.c
@@ -1,28 +1,29 @@
-/* Troubles with messages that are old or come twice: those in which a leader has old news from
- * before a predecessor's last deeds: copies of heartbeats of several incarnations that are held for
- * it, while the machines themselves are silent; and a node that stands still between deciding and
- * sending, so that what it sends is old. */
+/* Generates faults with stale and duplicate messages. A new leader receives only heartbeats from
+ * before the last commands of its predecessor: copies from several incarnations that were held
+ * back, while the machines themselves hang. A node pauses between a decision and its sending, so
+ * that its messages are stale. Direct commands are delivered twice. */
 #include "plan.h"
 
 /* Hundredths of a second. */
 enum {
-    SECOND_COPIES_MIN = 50, /* how long copies are made in the new incarnation */
+    SECOND_COPIES_MIN = 50, /* how long heartbeats of the new incarnations are copied */
     SECOND_COPIES_MAX = 300,
-    LEADER_KILL_DELAY_MIN = 100, /* from a job's submission to the end of its leader */
+    LEADER_KILL_DELAY_MIN = 100, /* from the submission of a job to the crash of the leader */
     LEADER_KILL_DELAY_MAX = 400,
     RESTART_MIN = 100,
     RESTART_MAX = 800
 };
 enum { TASKS_MAX = 6 };
-enum { DELAYED_SENDS_PERCENT = 30 }; /* percent of days */
+enum { DELAYED_SENDS_PERCENT = 30 }; /* percentage of days */
 
-static tw_fuzz_word draw_duration(tw_fuzz_plan *plan, int least, int most) {
-    return tw_fuzz_format_seconds(tw_fuzz_rng_range(&plan->rng, least, most));
+static tw_fuzz_word draw_duration(tw_fuzz_plan *plan, int min, int max) {
+    return tw_fuzz_format_seconds(tw_fuzz_rng_range(&plan->rng, min, max));
 }
 
-/* All incarnations end, and copies from before and after reach the leader after the next one: it
- * has the machines' news only through them, for they hang. */
-static void draw_incarnations(tw_fuzz_plan *plan) {
+/* All nodes crash for longer than a lease, so that all machines begin new incarnations. The next
+ * leader is killed, too, and its successor receives copies of heartbeats from before and after the
+ * crash. From machines that hang it receives no other heartbeats. */
+static void draw_stale_incarnations(tw_fuzz_plan *plan) {
     tw_fuzz_rng *rng = &plan->rng;
     int when = tw_fuzz_draw_moment_near(plan, tw_fuzz_draw_anchor(plan));
     if (when < 3 * TW_FUZZ_SECOND) when = 3 * TW_FUZZ_SECOND;
@@ -50,7 +51,7 @@
 
 void tw_fuzz_draw_stale_messages(tw_fuzz_plan *plan) {
     tw_fuzz_rng *rng = &plan->rng;
-    draw_incarnations(plan);
+    draw_stale_incarnations(plan);
     if (!tw_fuzz_rng_percent(rng, DELAYED_SENDS_PERCENT)) return;
     const int when = tw_fuzz_draw_moment_near(plan, tw_fuzz_draw_anchor(plan));
     const int length = tw_fuzz_rng_range(rng, plan->election_time / 2, plan->lease * 3 / 2);
--- a/fuzz/draw_upgrade.c
+++ b/fuzz/draw_upgrade.c
@@ -1,5 +1,6 @@
-/* A day with two versions: the day of the seed, in which nodes begin as ones of the earlier version
- * and are upgraded one after the other, now and then a few at once, or are never all upgraded. */
+/* Generates a day with two versions: the day of the seed, in which nodes start with the earlier
+ * version and are upgraded one after the other, in some cases several at the same time. Some
+ * upgrades halt before all nodes are upgraded. */
 #include "upgrade.h"
 #include "line.h"
 #include <stdbool.h>
@@ -7,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Shares in percent. */
+/* Percentages of days. */
 enum { ALL_NODES_OLD = 70, BY_LEADERSHIP = 60, LEADER_FIRST = 25, HALTS = 15, DOWNGRADES = 20 };
 enum {
     FIRST_STEP_MIN_S = 3,
@@ -17,7 +18,7 @@
     RESTART_MAX_S = 6
 };
 
-/* How many nodes the day has, and when it ends. */
+/* Counts the nodes of the day and reads the time of its `end` line. */
 static void read_day(tw_fuzz_upgrade *upgrade, const tw_fuzz_day *day) {
     for (size_t i = 0; i < day->count; i++) {
         const char *line = day->lines[i];
@@ -28,8 +29,9 @@
     if (upgrade->plan.node_count > TW_FUZZ_NODES_MAX) abort();
 }
 
-/* What a day expects holds with its own troubles; the rules hold with any. Commands that come once
- * more break a rule with the version in production (scenario repeated_launch). */
+/* Removes the lines that days with two versions do not support. `expect` lines hold only with the
+ * faults that the day was generated with, unlike the rules of the simulator. Duplicate commands
+ * break a rule with the version in production (scenario repeated_launch). */
 static void drop_unsupported_lines(tw_fuzz_day *day) {
     size_t kept = 0;
     for (size_t i = 0; i < day->count; i++) {
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -1,7 +1,8 @@
-/* Looks for days that break a rule. A day is text in the scenario language
- * (tests/scenarios/README.md): one seed draws one day, the simulated world plays and judges it, and
- * a day that breaks a rule is shrunk while the same rule still breaks. Draws use whole numbers
- * only, so that a seed gives the same day on any machine. Nothing here prints or reads a clock. */
+/* Randomized testing of the scheduler. A day is a generated scenario, a text in the scenario
+ * language (tests/scenarios/README.md). Each seed determines one day; the simulator runs the day
+ * and checks it against its rules; a day that breaks a rule is shrunk to a smaller one that breaks
+ * the same rule. Days are generated with integer arithmetic only, so that a seed gives the same day
+ * on every machine. This package neither prints nor reads a clock. */
 #ifndef TW_FUZZ_H
 #define TW_FUZZ_H
 #include "simulator/simulator.h"
@@ -9,93 +10,99 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* What a day is said to have broken when the process that played it ended by a signal, or used up
- * its time. */
+/* Rule names in verdicts on days whose process crashed, or exceeded its processor time. */
 #define TW_FUZZ_CRASH "crash"
 #define TW_FUZZ_TIMED_OUT "stuck"
-/* A line that says what must hold did not; a line is not of the language. */
+/* Rule names in verdicts on days of which an `expect` line failed, or a line was rejected by the
+ * simulator. */
 #define TW_FUZZ_EXPECTATION_FAILED "expected"
 #define TW_FUZZ_LINE_REJECTED "not_taken"
-/* Seeds are 1 to this. */
+/* The greatest seed; the least one is 1. */
 #define TW_FUZZ_SEED_MAX UINT32_MAX
 
-/* The lines of a day, in the order in which they are played. */
+/* The lines of a day in the order in which the simulator reads them. Owns the strings. */
 typedef struct {
     char **lines;
     size_t count, capacity;
 } tw_fuzz_day;
 
-/* A copy of a line, formatted, at the end of the day. */
+/* Formats a line and appends it to the day. */
 void tw_fuzz_day_add(tw_fuzz_day *day, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 void tw_fuzz_day_copy(tw_fuzz_day *to, const tw_fuzz_day *from);
 void tw_fuzz_day_free(tw_fuzz_day *day);
-/* Orders the `at` lines by time and leaves the settings before them; lines of one time keep their
- * order. */
+/* Sorts the `at` lines by time, after the settings and before the `end` line. The sort is stable.
+ */
 void tw_fuzz_day_sort(tw_fuzz_day *day);
-/* Writes the day as a scenario file, after the lines of `comment`; the file appears whole or not at
- * all. 0, or -1 with errno. */
+/* Writes `comment` and the day to a scenario file, which is replaced atomically. Returns 0, or -1
+ * with errno set. */
 int tw_fuzz_day_write(const tw_fuzz_day *day, const char *comment, const char *path);
-/* Reads a scenario file. 0, or -1 with errno. */
+/* Appends the lines of a scenario file to the day, without comments and empty lines. Returns 0, or
+ * -1 with errno set. */
 int tw_fuzz_day_read(tw_fuzz_day *day, const char *path);
 
-/* Draws the day of a seed into an empty day. */
+/* Generates the day of a seed; `day` must be empty. */
 typedef void tw_fuzz_draw_function(uint32_t seed, tw_fuzz_day *day);
 tw_fuzz_draw_function tw_fuzz_draw_day;
-/* The same day, with nodes of the earlier version that are upgraded one after the other. */
+/* Generates the day of tw_fuzz_draw_day with nodes of the earlier version that are upgraded one
+ * after the other. */
 tw_fuzz_draw_function tw_fuzz_draw_upgrade;
-/* The same day without its gangs, with some nodes of the earlier version and some of this one all
- * day long: an upgrade that halts. */
+/* Generates the day of tw_fuzz_draw_day without its gangs, in which some nodes run the earlier
+ * version and the others this version until the end, as in an upgrade that was halted. */
 tw_fuzz_draw_function tw_fuzz_draw_mixed;
-/* The same day with its troubles amid an upgrade: all nodes begin as ones of the earlier version,
- * the first step comes before the first trouble, the last after the last one has begun; some
- * upgrades halt, go back, or go back and forward again. Gangs come after the last step, and not at
- * all if nodes of the earlier version are left. */
+/* Generates the day of tw_fuzz_draw_day with its faults during an upgrade. All nodes start with the
+ * earlier version. The first step of the upgrade precedes the first fault, and the last step
+ * follows the start of the last fault. Some upgrades halt, are rolled back, or are rolled back and
+ * then completed. Gangs are submitted after the last step, or not at all if nodes of the earlier
+ * version remain. */
 tw_fuzz_draw_function tw_fuzz_draw_roll;
 
-/* Plays a day in this process. A line that the world does not take is a
- * verdict as well. */
+/* Runs a day in this process. If the simulator rejects a line, the verdict is
+ * TW_FUZZ_LINE_REJECTED. */
 void tw_fuzz_run_day(const tw_fuzz_day *day, tw_simulator_verdict *verdict);
-/* Plays a day in a process of its own: what ends that process is a verdict as well. */
+/* Runs a day in a child process. If the process crashes or exceeds its processor time, the verdict
+ * is TW_FUZZ_CRASH or TW_FUZZ_TIMED_OUT. */
 void tw_fuzz_run_day_in_child(const tw_fuzz_day *day, tw_simulator_verdict *verdict);
 
-/* The break of a day in which this version had a part: the one after a break by the earlier version
- * alone, or the day's only one. rule "": there is none. */
+/* Returns the first violation that occurred after a node of this version had led: the second one if
+ * only the earlier version had led at the first. The rule is "" if there is none. On days without
+ * nodes of the earlier version this is the first violation. */
 tw_simulator_break tw_fuzz_this_version_violation(const tw_simulator_verdict *verdict);
-/* The break that a day is shrunk by: the one in which this version had a part, or else the first
- * one. */
+/* Returns the violation that shrinking a day preserves: that of
+ * tw_fuzz_this_version_violation, or the first one if there is none. */
 tw_simulator_break tw_fuzz_violation_to_shrink(const tw_simulator_verdict *verdict);
 
-/* Makes a day that breaks `rule` smaller while it still breaks it, with at most `plays_max` plays;
- * own: it must be the rule of the break in which this version had a part. `verdict` is that of the
- * day that is left; returns how many plays it took. */
+/* Replaces a day that breaks `rule` by a smaller one that breaks it too, and runs at most
+ * `runs_max` candidates. With `by_this_version` the rule must be that of
+ * tw_fuzz_this_version_violation. Stores the verdict of the resulting day and returns the number of
+ * runs. */
 unsigned tw_fuzz_shrink(tw_fuzz_day *day, const char *rule, bool by_this_version, unsigned runs_max,
                         tw_simulator_verdict *verdict);
 
-/* ---- days in parallel, in processes of their own ---- */
+/* ---- a pool of processes that run days in parallel ---- */
 
 typedef struct tw_fuzz_pool tw_fuzz_pool;
 
 typedef struct {
     uint32_t seed;
-    bool shrunk;                  /* this is a day after shrinking, written to `path` */
-    unsigned runs, lines;         /* of the shrinking */
-    char path[1024];              /* "": the file could not be written */
-    tw_simulator_verdict verdict; /* verdict.failed: the day broke verdict.rule */
+    bool shrunk;                  /* whether shrinking was requested */
+    unsigned runs, lines;         /* runs that shrinking took; lines of the shrunk day */
+    char path[1024];              /* file of the shrunk day; "" if it could not be written */
+    tw_simulator_verdict verdict; /* if verdict.failed, the day broke verdict.rule */
 } tw_fuzz_result;
 
-/* `draw`: which days the seeds are; `directory`: where shrunk days are written. NULL if no process
- * could be started. */
+/* Starts the worker processes. `draw` generates the days; shrunk days are written to `directory`.
+ * Returns NULL if no process could be started. */
 tw_fuzz_pool *tw_fuzz_pool_new(unsigned workers, tw_fuzz_draw_function *draw,
                                const char *directory);
-/* How many workers have nothing to do. */
+/* Returns the number of workers without a request. */
 unsigned tw_fuzz_pool_idle(const tw_fuzz_pool *pool);
 unsigned tw_fuzz_pool_busy(const tw_fuzz_pool *pool);
-/* Gives an idle worker a seed to play, or to play and shrink. */
+/* Sends a seed to an idle worker, which runs the day and, with `shrink`, shrinks it. */
 void tw_fuzz_pool_submit(tw_fuzz_pool *pool, uint32_t seed, bool shrink);
-/* Waits for a result for at most so long; false: there is none (also after a signal). */
+/* Waits for a result. Returns false if none arrived within the time, or after a signal. */
 bool tw_fuzz_pool_wait(tw_fuzz_pool *pool, int milliseconds, tw_fuzz_result *result);
-/* Ends the workers, whatever they do. */
+/* Kills the workers, also those that are running a day, and frees the pool. */
 void tw_fuzz_pool_free(tw_fuzz_pool *pool);
 
 #endif
--- a/fuzz/gang_lines.c
+++ b/fuzz/gang_lines.c
@@ -1,19 +1,21 @@
-/* Finds the lines of a day that are about a gang, and drops or moves them. */
+/* Finds the lines of a day that submit, cancel or poll a gang, and removes or delays them. */
 #include "gang_lines.h"
 #include "line.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-enum { GANG_DELAY_MAX = 3 * TW_FUZZ_SECOND }; /* from the last step to a gang */
+enum {
+    GANG_DELAY_MAX = 3 * TW_FUZZ_SECOND
+}; /* maximum time from the last step to the submission of a gang */
 enum { ID_SIZE = 32 };
 
-/* The id of the gang that a line submits for the first time; false: it submits none. */
+/* Returns whether the line is the first submission of a gang, and stores the job id. */
 static bool read_gang(const char *line, char id[ID_SIZE]) {
     return strstr(line, " shape=gang") && sscanf(line, "at %*s submit %31s", id) == 1;
 }
 
-/* Whether a line says what a user does with the job. */
+/* Returns whether the line is a user request for the job. */
 static bool is_user_request_for(const char *line, const char *id) {
     char command[ID_SIZE], job[ID_SIZE];
     return sscanf(line, "at %*s %31s %31s", command, job) == 2 && !strcmp(job, id) &&
@@ -40,7 +42,7 @@
             continue;
         }
         drop_user_requests_for(day, id);
-        i = 0; /* lines before this one are gone, too */
+        i = 0; /* preceding lines may be removed, too */
     }
 }
 
--- a/fuzz/gang_lines.h
+++ b/fuzz/gang_lines.h
@@ -1,13 +1,13 @@
-/* The lines of a day that are about its gangs. No gang is submitted while nodes of the earlier
- * version may serve (docs/operations.md, "Upgrading"). */
+/* Removes or delays the gangs of a day. No gang may be submitted while nodes of the earlier version
+ * may serve (docs/operations.md, "Upgrading"). */
 #ifndef TW_FUZZ_GANG_LINES_H
 #define TW_FUZZ_GANG_LINES_H
 #include "upgrade.h"
 
-/* Takes all gangs out, and what users do with them. */
+/* Removes all lines that submit, cancel or poll a gang. */
 void tw_fuzz_drop_gangs(tw_fuzz_day *day);
-/* Moves each gang that is submitted before that moment to shortly after it, with all that users do
- * with it. */
+/* Delays each gang that is submitted before `moment` (hundredths of a second) until shortly after
+ * it, together with all lines that cancel or poll the gang. */
 void tw_fuzz_draw_gangs_after(tw_fuzz_upgrade *upgrade, int moment);
 
 #endif
--- a/fuzz/pool.c
+++ b/fuzz/pool.c
@@ -1,5 +1,5 @@
-/* Plays days in processes of their own, one each at a time. A day that ends its process, or uses up
- * its time, is a result like any other; another process takes the place of the one that ended. */
+/* Runs days in a pool of worker processes, each of which runs one day at a time. A day that crashes
+ * its process or exceeds its processor time gives a result, too, and the process is replaced. */
 #include "run.h"
 #include <errno.h>
 #include <poll.h>
@@ -21,7 +21,7 @@
 
 typedef struct {
     pid_t process;
-    int requests, results; /* our ends of its pipes */
+    int requests, results; /* the parent's ends of the pipes */
     bool busy;
     pool_request request;
 } pool_worker;
@@ -33,15 +33,15 @@
     char directory[512];
 };
 
-/* ---- in the worker ---- */
+/* ---- functions that run in a worker process ---- */
 
 static void write_shrunk(const char *directory, const tw_fuzz_day *day, tw_fuzz_result *result) {
     char comment[COMMENT_SIZE];
-    const tw_simulator_break broken = tw_fuzz_violation_to_shrink(&result->verdict);
-    snprintf(result->path, sizeof result->path, "%s/%s-%u.txt", directory, broken.rule,
+    const tw_simulator_break violation = tw_fuzz_violation_to_shrink(&result->verdict);
+    snprintf(result->path, sizeof result->path, "%s/%s-%u.txt", directory, violation.rule,
              result->seed);
     snprintf(comment, sizeof comment, "# %s: drawn from seed %u and shrunk.\n# %.500s\n",
-             broken.rule, result->seed, broken.detail);
+             violation.rule, result->seed, violation.detail);
     if (tw_fuzz_day_write(day, comment, result->path)) *result->path = 0;
 }
 
@@ -57,12 +57,12 @@
         tw_fuzz_run_day(&day, &result->verdict);
     } else {
         tw_fuzz_run_day_in_child(&day, &result->verdict);
-        const tw_simulator_break broken = tw_fuzz_violation_to_shrink(&result->verdict);
+        const tw_simulator_break violation = tw_fuzz_violation_to_shrink(&result->verdict);
         const bool by_this_version = *tw_fuzz_this_version_violation(&result->verdict).rule != 0;
-        result->runs =
-            tw_fuzz_shrink(&day, broken.rule, by_this_version, SHRINK_RUNS_MAX, &result->verdict);
+        result->runs = tw_fuzz_shrink(&day, violation.rule, by_this_version, SHRINK_RUNS_MAX,
+                                      &result->verdict);
         result->lines = (unsigned)day.count;
-        if (*broken.rule) write_shrunk(directory, &day, result);
+        if (*violation.rule) write_shrunk(directory, &day, result);
     }
     tw_fuzz_day_free(&day);
 }
@@ -71,7 +71,7 @@
                                  pid_t parent) {
     pool_request request;
     tw_fuzz_result result;
-    signal(SIGINT, SIG_IGN); /* the parent ends us */
+    signal(SIGINT, SIG_IGN); /* the parent handles it and kills the workers */
     signal(SIGTERM, SIG_DFL);
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(0);
@@ -82,7 +82,7 @@
     _exit(0);
 }
 
-/* ---- in the parent ---- */
+/* ---- functions that run in the parent process ---- */
 
 static int start_worker(pool_worker *worker, const tw_fuzz_pool *pool) {
     int requests[2], results[2];
@@ -110,7 +110,7 @@
     return -1;
 }
 
-/* How the worker ended. */
+/* Closes the pipes of a worker, waits for its process to end and returns the wait status. */
 static int end_worker(pool_worker *worker) {
     int status = 0;
     close(worker->requests);
@@ -158,7 +158,8 @@
     }
 }
 
-/* The result of a worker, or what ended it. */
+/* Reads the result of a worker. If the process ended without one, stores a verdict with its exit
+ * status and replaces the process; if that fails, the pool continues with one worker less. */
 static void receive_result(tw_fuzz_pool *pool, pool_worker *worker, tw_fuzz_result *result) {
     worker->busy = false;
     if (read(worker->results, result, sizeof *result) == (ssize_t)sizeof *result) return;
--- a/fuzz/run.c
+++ b/fuzz/run.c
@@ -1,4 +1,4 @@
-/* Plays a day in the simulated world, in this process or in one of its own. */
+/* Runs a day in the simulator, in this process or in a child process. */
 #include "run.h"
 #include <signal.h>
 #include <stdio.h>
@@ -8,10 +8,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-enum {
-    TEXT_SIZE = 256,
-    CPU_TIME_MAX_S = 120
-}; /* processor time after which a day counts as stuck */
+enum { TEXT_SIZE = 256, CPU_TIME_MAX_S = 120 }; /* processor time limit of a day */
 
 void tw_fuzz_run_day(const tw_fuzz_day *day, tw_simulator_verdict *verdict) {
     char error[TEXT_SIZE];
@@ -53,7 +50,7 @@
 
 void tw_fuzz_limit_cpu_time(void) {
     const struct itimerval limit = {.it_value = {.tv_sec = CPU_TIME_MAX_S}};
-    setitimer(ITIMER_VIRTUAL, &limit, NULL); /* SIGVTALRM ends the process */
+    setitimer(ITIMER_VIRTUAL, &limit, NULL); /* SIGVTALRM terminates the process */
 }
 
 void tw_fuzz_set_exit_verdict(int status, tw_simulator_verdict *verdict) {
@@ -83,7 +80,8 @@
     }
     close(ends[1]);
     const ssize_t got =
-        read(ends[0], verdict, sizeof *verdict); /* less than a pipe's atomic write */
+        read(ends[0], verdict,
+             sizeof *verdict); /* smaller than PIPE_BUF, so the pipe transfers it atomically */
     close(ends[0]);
     while (waitpid(child, &status, 0) < 0) continue;
     if (got != (ssize_t)sizeof *verdict) tw_fuzz_set_exit_verdict(status, verdict);
--- a/fuzz/shrink.c
+++ b/fuzz/shrink.c
@@ -1,5 +1,6 @@
-/* Makes a day that breaks a rule smaller while it still breaks the same rule: lines go, first
- * halves of them and then one by one; what is left gets shorter, smaller and earlier. */
+/* Shrinks a day that breaks a rule to a smaller one that breaks the same rule. Lines are removed in
+ * blocks of half the day, then of a quarter, down to single lines. In the remaining lines options
+ * are removed, numbers and durations reduced, and events moved to earlier times. */
 #include "line.h"
 #include "fuzz.h"
 #include <stdbool.h>
@@ -8,12 +9,14 @@
 #include <string.h>
 
 enum { ROUNDS_MAX = 6, LINE_SIZE = 1024, WORD_SIZE = 32 };
-enum { STARTUP_S = 2 }; /* nothing to gain in the first seconds, in which a leader is found */
+enum {
+    STARTUP_S = 2
+}; /* the first leader is elected in this time, so events are not moved into it */
 
 typedef struct {
-    tw_fuzz_day *day; /* breaks the rule; every step replaces it by a smaller one that does too */
+    tw_fuzz_day *day; /* breaks the rule; is replaced by each accepted candidate */
     const char *rule;
-    bool by_this_version; /* this version must have had a part in the break */
+    bool by_this_version; /* the violation must be that of tw_fuzz_this_version_violation */
     unsigned runs, runs_max;
     tw_simulator_verdict verdict;
 } shrink_state;
@@ -22,7 +25,7 @@
     tw_simulator_verdict verdict;
     if (state->runs >= state->runs_max) return false;
     state->runs++;
-    tw_fuzz_run_day_in_child(day, &verdict); /* a day with less in it may end its process */
+    tw_fuzz_run_day_in_child(day, &verdict); /* a reduced day may crash the process */
     if (!verdict.failed) return false;
     const char *rule =
         state->by_this_version ? tw_fuzz_this_version_violation(&verdict).rule : verdict.rule;
@@ -31,7 +34,7 @@
     return true;
 }
 
-/* Takes the candidate instead of the day if it still breaks the rule; frees what is not kept. */
+/* Replaces the day by the candidate if that still breaks the rule, and frees the rejected one. */
 static bool accept_if_still_broken(shrink_state *state, tw_fuzz_day *candidate) {
     tw_fuzz_day *rejected = candidate;
     const bool kept = breaks_rule(state, candidate);
@@ -51,8 +54,8 @@
     return accept_if_still_broken(state, &candidate);
 }
 
-/* Blocks of lines, half the day, then a quarter, and so on; from the end, where less depends on
- * them. */
+/* Tries to remove blocks of lines, of half the day, a quarter and so on. Starts from the end of the
+ * day, because fewer lines depend on those there. Returns the number of removed blocks. */
 static int drop_lines(shrink_state *state) {
     int dropped = 0;
     for (size_t block = (state->day->count + 1) / 2; block; block /= 2) {
@@ -75,14 +78,14 @@
     return accept_if_still_broken(state, &candidate);
 }
 
-/* Tries to end the day as soon as the rule is broken. */
+/* Tries to move the end of the day to the second after the violation. */
 static bool end_early(shrink_state *state) {
     char line[64];
     const size_t last = state->day->count - 1;
     if (!tw_fuzz_line_starts_with(state->day->lines[last], "end ")) return false;
-    const tw_simulator_break broken = tw_fuzz_violation_to_shrink(&state->verdict);
-    const int end_s = (int)broken.at + 1;
-    if (broken.at <= 0 || 100L * end_s >= tw_fuzz_parse_hundredths(state->day->lines[last] + 4))
+    const tw_simulator_break violation = tw_fuzz_violation_to_shrink(&state->verdict);
+    const int end_s = (int)violation.at + 1;
+    if (violation.at <= 0 || 100L * end_s >= tw_fuzz_parse_hundredths(state->day->lines[last] + 4))
         return false;
     snprintf(line, sizeof line, "end %d", end_s);
     return try_line(state, last, line);
@@ -92,7 +95,7 @@
     return length && strspn(word, "0123456789.") >= length;
 }
 
-/* A line with `length` characters from `at` on replaced. */
+/* Tries a line with `length` characters from `at` on replaced. */
 static bool try_replacement(shrink_state *state, size_t index, size_t at, size_t length,
                             const char *replacement) {
     char line[LINE_SIZE];
@@ -101,7 +104,7 @@
     return try_line(state, index, line);
 }
 
-/* Tries smaller numbers in place of this one, the smallest first. */
+/* Tries to replace a number by smaller ones, the smallest first. */
 static bool shrink_number(shrink_state *state, size_t index, size_t at, size_t length) {
     char replacement[WORD_SIZE];
     const char *word = state->day->lines[index] + at;
@@ -153,7 +156,7 @@
     return round_number(state, index, at, length);
 }
 
-/* The words of a line from the third on (of `at` lines: after the moment and the command). */
+/* Tries to shrink each word of a line after the first one; in `at` lines, each after the time. */
 static int shrink_line(shrink_state *state, size_t index) {
     int changed = 0;
     size_t at = tw_fuzz_line_starts_with(state->day->lines[index], "at ") ? 3 : 0, word = 0;
@@ -161,7 +164,8 @@
     while (state->day->lines[index][at]) {
         const size_t length = strcspn(state->day->lines[index] + at, " ");
         if (word++ && shrink_word(state, index, at, length)) {
-            changed++; /* the same place again: another word stands there, or a smaller number */
+            /* Retries the same position, which now holds another word or a smaller number. */
+            changed++;
             if (at >= strlen(state->day->lines[index])) break;
             continue;
         }
@@ -176,7 +180,7 @@
     return changed;
 }
 
-/* Tries the day in which everything from a moment on happens that much earlier. */
+/* Tries the day with all events from `moment` on moved to an earlier time by `advance`. */
 static bool try_earlier(shrink_state *state, long moment, long advance) {
     tw_fuzz_day candidate = {0};
     for (size_t i = 0; i < state->day->count; i++) {
@@ -194,7 +198,7 @@
     return accept_if_still_broken(state, &candidate);
 }
 
-/* Tries to close the gaps between moments: wholly, by half, by a quarter, by a second. */
+/* Tries to shorten the gaps between events: by the whole gap, a half, a quarter, or a second. */
 static int close_gaps(shrink_state *state) {
     int changed = 0;
     long previous = 100L * STARTUP_S;
@@ -218,8 +222,8 @@
     shrink_state state = {
         .day = day, .rule = rule, .by_this_version = by_this_version, .runs_max = runs_max};
     if (breaks_rule(&state, day)) {
-        int changed = strcmp(rule, TW_FUZZ_EXPECTATION_FAILED) !=
-                      0; /* with less in it, less can be expected */
+        /* A reduced day may fail an `expect` line although the scheduler works correctly. */
+        int changed = strcmp(rule, TW_FUZZ_EXPECTATION_FAILED) != 0;
         for (int round = 0; changed && round < ROUNDS_MAX; round++) {
             changed = end_early(&state);
             changed += drop_lines(&state);
--- a/tests/runner/fuzz_test.c
+++ b/tests/runner/fuzz_test.c
@@ -1,13 +1,14 @@
-/* The search for days that break a rule: a seed gives one day, on any machine; what it draws is of
- * the language; shrinking keeps the rule broken; a play in a process of its own is the same play.
- */
+/* Tests of the randomized testing: a seed gives the same day on every machine, the simulator
+ * accepts each generated line, shrinking preserves the violation, and a run in a child process
+ * gives the same result as one in this process. */
 #include "fuzz/fuzz.h"
 #include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Change with every change of what is drawn: give them the numbers that the test prints. */
+/* Digests of the generated days. A change of the generators requires new values, which the test
+ * prints. */
 #define DRAWN_DIGEST 15753392031410744863u
 #define UPGRADE_DIGEST 14624247613589295128u
 #define MIXED_DIGEST 14742231730787171121u
@@ -17,7 +18,7 @@
 #define HASH_PRIME 1099511628211u
 
 enum { SEEDS = 400, RUN_SEEDS = 3, SHRINK_RUNS = 500 };
-enum { NOT_RUN = 77 }; /* exit code: some of it needs the earlier version, which is not at hand */
+enum { NOT_RUN = 77 }; /* exit code if the tests that need the earlier version were not run */
 
 static int failures;
 
@@ -34,7 +35,8 @@
     return digest;
 }
 
-/* Equal seeds give equal days, now and with the next build. */
+/* Checks that a seed gives equal days when it is used twice, and the days of the expected digest.
+ */
 static void check_digest(tw_fuzz_draw_function *draw, uint64_t expected, const char *kind) {
     uint64_t digest = HASH_START;
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
@@ -42,13 +44,13 @@
         draw(seed, &day);
         draw(seed, &again);
         check(digest_of(&day, HASH_START) == digest_of(&again, HASH_START),
-              "a seed draws another day when it draws again");
+              "a seed gives different days when it is used twice");
         digest = digest_of(&day, digest);
         tw_fuzz_day_free(&day);
         tw_fuzz_day_free(&again);
     }
     if (digest != expected) printf("%s digest %lluu\n", kind, (unsigned long long)digest);
-    check(digest == expected, "the seeds draw other days than they did");
+    check(digest == expected, "the days of the seeds differ from the expected digest");
 }
 
 static void check_lines_are_accepted(const tw_fuzz_day *day) {
@@ -73,11 +75,11 @@
         tw_fuzz_day_free(&day);
     }
     if (digest != DRAWN_DIGEST) printf("drawn digest %lluu\n", (unsigned long long)digest);
-    check(digest == DRAWN_DIGEST, "the seeds draw other days than they did");
+    check(digest == DRAWN_DIGEST, "the days of the seeds differ from the expected digest");
 }
 
-/* Days with two versions: the language takes them, each has a node of the earlier version, and the
- * most have an upgrade. */
+/* The simulator accepts each line of days with two versions, each day has a node of the earlier
+ * version, and most days have an upgrade. */
 static void test_upgrade_draws(void) {
     char error[256];
     int upgrades = 0;
@@ -92,19 +94,19 @@
             old |= !strncmp(day.lines[i], "old ", strlen("old "));
             upgraded |= strstr(day.lines[i], " upgrade ") != NULL;
         }
-        check(old, "a day of two versions has no old node");
+        check(old, "a day with two versions has no node of the earlier version");
         upgrades += upgraded;
         tw_simulator_free(sim);
         tw_fuzz_day_free(&day);
     }
-    check(upgrades > SEEDS * 3 / 4 && upgrades < SEEDS, "upgrades are too few or never stop");
+    check(upgrades > SEEDS * 3 / 4 && upgrades < SEEDS, "too few days have an upgrade, or all do");
 }
 
-/* What the lines of a day with two versions are. Moments in seconds; -1: there is none. */
+/* Counts and times of the lines of a day with two versions. Times are in seconds; -1: none. */
 typedef struct {
     int nodes, old;
     int upgrades, downgrades;
-    double first_upgrade, last_change; /* of upgrades and downgrades */
+    double first_upgrade, last_change; /* last_change: of upgrades and downgrades */
     double first_fault, last_fault;
     int gangs;
     double first_gang;
@@ -159,7 +161,7 @@
     return summary;
 }
 
-/* Nodes of both versions serve all day, and no gang is submitted. */
+/* Mixed days have nodes of both versions, no upgrade or downgrade, and no gangs. */
 static void test_mixed_draws(void) {
     check_digest(tw_fuzz_draw_mixed, MIXED_DIGEST, "mixed");
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
@@ -167,15 +169,17 @@
         tw_fuzz_draw_mixed(seed, &day);
         check_lines_are_accepted(&day);
         const day_summary summary = summarize_day(&day);
-        check(summary.old >= 1 && summary.old < summary.nodes, "a mixed day lacks a version");
-        check(summary.upgrades + summary.downgrades == 0, "a node of a mixed day is upgraded");
-        check(!summary.gangs, "a gang while old nodes serve");
+        check(summary.old >= 1 && summary.old < summary.nodes,
+              "a mixed day has nodes of one version only");
+        check(summary.upgrades + summary.downgrades == 0,
+              "a mixed day upgrades or downgrades a node");
+        check(!summary.gangs, "a mixed day submits a gang");
         tw_fuzz_day_free(&day);
     }
 }
 
-/* The troubles lie amid the upgrade, and no gang comes before its last step, nor at all if nodes of
- * the earlier version are left. */
+/* The faults start during the upgrade. No gang is submitted before its last step, or at all if
+ * nodes of the earlier version remain. */
 static void test_roll_draws(void) {
     int finished = 0, went_back = 0, with_gangs = 0;
     check_digest(tw_fuzz_draw_roll, ROLL_DIGEST, "roll");
@@ -185,22 +189,25 @@
         check_lines_are_accepted(&day);
         const day_summary summary = summarize_day(&day);
         const bool all_new = summary.upgrades - summary.downgrades >= summary.nodes;
-        check(summary.old == summary.nodes, "an upgrade doesn't begin with old nodes alone");
-        check(summary.first_upgrade >= 0, "an upgrade has no step");
+        check(summary.old == summary.nodes, "a node does not start with the earlier version");
+        check(summary.first_upgrade >= 0, "a day has no upgrade");
         check(summary.first_fault < 0 || summary.first_upgrade < summary.first_fault,
-              "a trouble before the first step");
+              "a fault starts before the first upgrade");
         check(!all_new || summary.last_change > summary.last_fault,
-              "a trouble begins after the last step");
+              "a fault starts after the last upgrade");
         check(!summary.gangs || (all_new && summary.first_gang >= summary.last_change),
-              "a gang before the last step, or while old nodes are left");
+              "a gang is submitted before the last upgrade, or while nodes of the earlier version "
+              "remain");
         finished += all_new;
         went_back += summary.downgrades > 0;
         with_gangs += summary.gangs > 0;
         tw_fuzz_day_free(&day);
     }
-    check(finished > SEEDS / 2 && finished < SEEDS * 9 / 10, "upgrades halt too often or never");
-    check(went_back > SEEDS / 10 && went_back < SEEDS / 2, "upgrades go back too often or never");
-    check(with_gangs > SEEDS / 4, "gangs after an upgrade are too few");
+    check(finished > SEEDS / 2 && finished < SEEDS * 9 / 10,
+          "too many or too few upgrades are completed");
+    check(went_back > SEEDS / 10 && went_back < SEEDS / 2,
+          "too many or too few upgrades are rolled back");
+    check(with_gangs > SEEDS / 4, "too few days submit gangs after the upgrade");
 }
 
 static void test_runs(void) {
@@ -210,13 +217,13 @@
         tw_fuzz_draw_day(seed, &day);
         tw_fuzz_run_day(&day, &in_process);
         tw_fuzz_run_day_in_child(&day, &in_child);
-        check(in_process.digest == in_child.digest, "a day goes otherwise in a process of its own");
+        check(in_process.digest == in_child.digest, "a day has another digest in a child process");
         tw_fuzz_day_free(&day);
     }
 }
 
-/* No scheduler can keep this: a task must be gone a second after its job was cancelled, and its
- * machine hangs. */
+/* Adds a day that breaks a rule under any scheduler: the task of a cancelled job must end within a
+ * second, but its machine hangs. */
 static void add_impossible_lines(tw_fuzz_day *day) {
     static const char *const lines[] = {
         "node tray-0 a",
@@ -251,16 +258,17 @@
     char path[] = "/tmp/tw_fuzz_test_XXXXXX";
     add_impossible_lines(&day);
     tw_fuzz_run_day(&day, &verdict);
-    check(!strcmp(verdict.rule, "ran_cancelled"), "the impossible day breaks no rule, or another");
+    check(!strcmp(verdict.rule, "ran_cancelled"), "the day does not break ran_cancelled");
     const unsigned runs = tw_fuzz_shrink(&day, "ran_cancelled", true, SHRINK_RUNS, &verdict);
-    check(runs > 10 && runs <= SHRINK_RUNS, "shrinking takes no play or too many");
-    check(day.count <= 8, "lines are left that do nothing");
-    check(!strcmp(verdict.rule, "ran_cancelled"), "the day that is left breaks another rule");
+    check(runs > 10 && runs <= SHRINK_RUNS, "shrinking takes too few or too many runs");
+    check(day.count <= 8, "the shrunk day has too many lines");
+    check(!strcmp(verdict.rule, "ran_cancelled"), "the shrunk day does not break ran_cancelled");
     const int file = mkstemp(path);
     check(file >= 0 && !tw_fuzz_day_write(&day, "# a comment\n", path), "a day can't be written");
     check(!tw_fuzz_day_read(&read, path), "a day can't be read");
     tw_fuzz_run_day(&read, &verdict);
-    check(!strcmp(verdict.rule, "ran_cancelled"), "the day that was written breaks another rule");
+    check(!strcmp(verdict.rule, "ran_cancelled"),
+          "the day read from the file does not break ran_cancelled");
     remove(path);
     tw_fuzz_day_free(&day);
     tw_fuzz_day_free(&read);
@@ -268,9 +276,9 @@
 
 /* ---- days with the version in production ---- */
 
-/* Its nodes launch a task a second time (scenario repeated_launch). upgraded: this version leads
- * from then on, and no scheduler can keep that a job's task is gone a second after it was
- * cancelled, if its machine hangs. */
+/* Adds a day on which nodes of the earlier version launch a task twice (scenario repeated_launch).
+ * With `upgraded`, this version leads later on, and breaks a rule that no scheduler can meet: the
+ * task of a cancelled job must end within a second, but its machine hangs. */
 static void add_two_version_lines(tw_fuzz_day *day, bool upgraded) {
     static const char *const lines[] = {
         "node tray-0 a",
@@ -298,57 +306,61 @@
     tw_fuzz_day_add(day, "end 170.00");
 }
 
-/* A day goes on after a break by the earlier version alone. */
+/* A day continues after a violation at which only the earlier version had led. */
 static void test_judged_to_end(void) {
     tw_fuzz_day day = {0};
     tw_simulator_verdict verdict;
     add_two_version_lines(&day, false);
     tw_fuzz_run_day(&day, &verdict);
     check(verdict.failed && !strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_led,
-          "a break by the earlier version alone does not count");
-    check(verdict.broken_at > 5 && verdict.broken_at < 70, "the first break has another moment");
-    check(verdict.end_s > 169, "the day is not judged to its end");
+          "a violation by the earlier version is not reported");
+    check(verdict.broken_at > 5 && verdict.broken_at < 70,
+          "the first violation is at another time");
+    check(verdict.end_s > 169, "the day does not run to its end");
     check(!*verdict.again.rule && !*verdict.again.detail &&
               !*tw_fuzz_this_version_violation(&verdict).rule,
-          "this version is blamed for a day on which it never led");
+          "a violation is attributed to this version, which never led");
     check(!strcmp(tw_fuzz_violation_to_shrink(&verdict).rule, "ran_twice"),
-          "no break to shrink by");
+          "the day has no violation to shrink");
     tw_fuzz_day_free(&day);
 }
 
-/* A later break with a part of this version is one of its own, and the day is shrunk by it. */
+/* A later violation, after this version had led, is attributed to this version, and shrinking
+ * preserves that violation. */
 static void test_own_break(void) {
     tw_fuzz_day day = {0};
     tw_simulator_verdict verdict;
     add_two_version_lines(&day, true);
     tw_fuzz_run_day_in_child(&day, &verdict);
     check(!strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_led,
-          "the break by the earlier version alone is not the first one");
+          "the first violation is not the one by the earlier version");
     const tw_simulator_break own = tw_fuzz_this_version_violation(&verdict);
     check(!strcmp(own.rule, "ran_cancelled") && own.at > 151 && own.at < 160,
-          "the break of this version is not told apart");
-    check(strstr(own.detail, " ran_cancelled run-000003/") != NULL, "it names another job");
-    check(verdict.end_s == own.at, "the day goes on after a break of this version");
-    check(!strcmp(tw_fuzz_violation_to_shrink(&verdict).rule, own.rule), "shrunk by another break");
+          "the violation of this version is not reported");
+    check(strstr(own.detail, " ran_cancelled run-000003/") != NULL,
+          "the violation of this version names another job");
+    check(verdict.end_s == own.at, "the day continues after a violation of this version");
+    check(!strcmp(tw_fuzz_violation_to_shrink(&verdict).rule, own.rule),
+          "another violation is chosen for shrinking");
     tw_fuzz_shrink(&day, own.rule, true, SHRINK_RUNS, &verdict);
     check(!strcmp(tw_fuzz_this_version_violation(&verdict).rule, own.rule),
-          "shrinking loses the break");
-    check(day.count <= 10, "lines are left that have no part in the break of this version");
+          "shrinking loses the violation of this version");
+    check(day.count <= 10, "the shrunk day of two versions has too many lines");
     tw_fuzz_day_free(&day);
 }
 
-/* A day of one version ends at its first break, as ever. */
+/* A day of one version ends at its first violation. */
 static void test_day_of_one_version(void) {
     tw_fuzz_day day = {0};
     tw_simulator_verdict verdict;
     add_impossible_lines(&day);
     tw_fuzz_run_day(&day, &verdict);
     check(verdict.end_s < 40 && verdict.end_s == verdict.broken_at,
-          "a day of one version goes on after its break");
+          "a day of one version continues after its violation");
     check(!verdict.only_earlier_led && !*verdict.again.rule && !verdict.aftermath_count,
-          "a day of one version has a second break");
+          "a day of one version has a second violation");
     check(!strcmp(tw_fuzz_this_version_violation(&verdict).rule, "ran_cancelled"),
-          "the break of a day of one version is not its own");
+          "the violation of a day of one version is not attributed to this version");
     tw_fuzz_day_free(&day);
 }
 
@@ -356,12 +368,12 @@
     tw_fuzz_pool *pool = tw_fuzz_pool_new(2, tw_fuzz_draw_day, "/tmp");
     tw_fuzz_result result;
     unsigned got = 0;
-    check(pool && tw_fuzz_pool_idle(pool) == 2, "no workers");
+    check(pool && tw_fuzz_pool_idle(pool) == 2, "the pool does not start two workers");
     if (!pool) return;
     for (uint32_t seed = 1; seed <= 2; seed++) tw_fuzz_pool_submit(pool, seed, false);
     while (tw_fuzz_pool_busy(pool))
         if (tw_fuzz_pool_wait(pool, 1000, &result)) got |= 1u << result.seed;
-    check(got == (1u << 1 | 1u << 2), "a result is missing");
+    check(got == (1u << 1 | 1u << 2), "the pool does not return all results");
     tw_fuzz_pool_free(pool);
 }
 
--- a/tools/explore/explore.c
+++ b/tools/explore/explore.c
@@ -1,6 +1,6 @@
-/* tw_explore: draws days from seeds, plays them on all cores, shrinks those that break a rule and
- * writes them as scenario files. Exit codes: 0 nothing broke, 1 something did, 2 it could not work,
- * 64 usage. */
+/* tw_explore: generates days (see fuzz/fuzz.h) from seeds, runs them on all cores, shrinks those
+ * that break a rule and writes the shrunk days as scenario files. Exit codes: 0 no rule was broken,
+ * 1 a day broke a rule, 2 the days could not be run, 64 invalid command line. */
 #include "options.h"
 #include <errno.h>
 #include <signal.h>
@@ -18,19 +18,20 @@
 
 typedef struct {
     char name[32];
-    unsigned broken, shrunk;
+    unsigned days_broken, shrunk;
 } rule_count;
 
 typedef struct {
     tw_explore_options options;
     tw_fuzz_pool *pool;
-    uint64_t next_seed; /* seed to be played next */
-    uint64_t played, broken;
-    uint64_t broken_by_earlier; /* of the broken ones: only the earlier version had led */
-    uint64_t broken_by_own;     /* of the broken ones: this version had a part in a break */
+    uint64_t next_seed; /* seed of the next day */
+    uint64_t days_run, days_broken;
+    uint64_t broken_by_earlier; /* days on which only the earlier version had led at the first
+                                   violation */
+    uint64_t broken_by_own;     /* days with a violation after a node of this version had led */
     rule_count rules[RULES_MAX];
     unsigned rule_count;
-    uint32_t queue[QUEUE_MAX]; /* seeds to be shrunk */
+    uint32_t queue[QUEUE_MAX]; /* seeds of the days to shrink */
     unsigned queued;
     double started_at, progress_at;
     bool terminal;
@@ -40,7 +41,7 @@
 
 static void handle_signal(int signal_number) { stopped = signal_number; }
 
-/* SIGINT and SIGTERM end the search; what was found until then is still told. */
+/* Makes SIGINT and SIGTERM end the search, after which the summary is still printed. */
 static void catch_signals(void) {
     const struct sigaction action = {.sa_handler = handle_signal};
     sigaction(SIGINT, &action, NULL);
@@ -54,22 +55,23 @@
     return (double)now.tv_sec + (double)now.tv_nsec / 1e9;
 }
 
-/* ---- what is told ---- */
+/* ---- progress and summary ---- */
 
-/* Clears the line in which the progress is shown on a terminal. */
+/* Clears the progress line on a terminal. */
 static void clear_progress(const exploration *run) {
     if (run->terminal) fputs("\r\033[K", stderr);
 }
 
-static void print_progress(exploration *run, bool at_once) {
+static void print_progress(exploration *run, bool force) {
     const double now = steady_s(), duration_s = now - run->started_at;
-    if (!at_once && now - run->progress_at < (run->terminal ? PROGRESS_TERMINAL_S : PROGRESS_LOG_S))
+    if (!force && now - run->progress_at < (run->terminal ? PROGRESS_TERMINAL_S : PROGRESS_LOG_S))
         return;
     run->progress_at = now;
     clear_progress(run);
     fprintf(stderr, "%llu days, %.1f a second, %llu broke a rule%s",
-            (unsigned long long)run->played, duration_s > 0 ? (double)run->played / duration_s : 0,
-            (unsigned long long)run->broken, run->terminal ? "" : "\n");
+            (unsigned long long)run->days_run,
+            duration_s > 0 ? (double)run->days_run / duration_s : 0,
+            (unsigned long long)run->days_broken, run->terminal ? "" : "\n");
     fflush(stderr);
 }
 
@@ -78,20 +80,20 @@
     clear_progress(run);
     if (stopped) printf("stopped by signal %d\n", (int)stopped);
     for (unsigned i = 0; i < run->rule_count; i++)
-        printf("%s %u of %llu days\n", run->rules[i].name, run->rules[i].broken,
-               (unsigned long long)run->played);
+        printf("%s %u of %llu days\n", run->rules[i].name, run->rules[i].days_broken,
+               (unsigned long long)run->days_run);
     if (run->broken_by_earlier)
         printf("in %llu of them only the earlier version had led\n"
                "in %llu of them this version had a part in a break\n",
                (unsigned long long)run->broken_by_earlier, (unsigned long long)run->broken_by_own);
     printf("seeds %u to %llu, %.1f s, %.1f days a second\n", run->options.first_seed,
            (unsigned long long)run->next_seed - 1, duration_s,
-           duration_s > 0 ? (double)run->played / duration_s : 0);
-    printf("%llu passed, %llu failed\n", (unsigned long long)(run->played - run->broken),
-           (unsigned long long)run->broken);
+           duration_s > 0 ? (double)run->days_run / duration_s : 0);
+    printf("%llu passed, %llu failed\n", (unsigned long long)(run->days_run - run->days_broken),
+           (unsigned long long)run->days_broken);
 }
 
-/* ---- the search ---- */
+/* ---- running days in the worker pool ---- */
 
 static rule_count *find_rule_count(exploration *run, const char *name) {
     for (unsigned i = 0; i < run->rule_count; i++)
@@ -101,7 +103,8 @@
     return rule;
 }
 
-/* Each break of a day, and what only goes on from one by the earlier version. */
+/* Prints the violations of a day, and how many later ones only continue a violation by the earlier
+ * version. */
 static void print_violations(const char *day, const char *rule,
                              const tw_simulator_verdict *verdict) {
     printf("BROKE %s: %s%s%s\n", day, rule, verdict->detail,
@@ -114,19 +117,20 @@
 
 static void record_violation(exploration *run, const tw_fuzz_result *result) {
     const tw_simulator_verdict *verdict = &result->verdict;
-    const tw_simulator_break broken = tw_fuzz_violation_to_shrink(verdict);
+    const tw_simulator_break violation = tw_fuzz_violation_to_shrink(verdict);
     char day[DAY_SIZE];
-    rule_count *rule = find_rule_count(run, broken.rule);
+    rule_count *rule = find_rule_count(run, violation.rule);
     snprintf(day, sizeof day, "seed %u", result->seed);
     clear_progress(run);
     print_violations(day, "", verdict);
     fflush(stdout);
-    run->broken++;
+    run->days_broken++;
     run->broken_by_earlier += verdict->only_earlier_led;
     run->broken_by_own += *tw_fuzz_this_version_violation(verdict).rule != 0;
-    if (strcmp(verdict->rule, broken.rule) != 0) find_rule_count(run, verdict->rule)->broken++;
-    rule->broken++;
-    if (run->options.rule && strcmp(run->options.rule, broken.rule) != 0) return;
+    if (strcmp(verdict->rule, violation.rule) != 0)
+        find_rule_count(run, verdict->rule)->days_broken++;
+    rule->days_broken++;
+    if (run->options.rule && strcmp(run->options.rule, violation.rule) != 0) return;
     if (rule->shrunk >= run->options.shrinks_max || run->queued == QUEUE_MAX) return;
     rule->shrunk++;
     run->queue[run->queued++] = result->seed;
@@ -141,7 +145,7 @@
 
 static void handle_result(exploration *run, const tw_fuzz_result *result) {
     if (!result->shrunk) {
-        run->played++;
+        run->days_run++;
         if (run->options.print_each) print_day_result(run, result);
         if (result->verdict.failed) record_violation(run, result);
         return;
@@ -155,10 +159,10 @@
     fflush(stdout);
 }
 
-/* Whether another day may be begun. */
+/* Returns whether the limits on seeds, time and violations allow another day to start. */
 static bool may_start_day(const exploration *run) {
     const tw_explore_options *options = &run->options;
-    if (run->next_seed > options->last_seed || (options->stop_at_first && run->broken))
+    if (run->next_seed > options->last_seed || (options->stop_at_first && run->days_broken))
         return false;
     return options->seconds_max <= 0 || steady_s() - run->started_at < options->seconds_max;
 }
@@ -186,7 +190,7 @@
     print_summary(run);
 }
 
-/* ---- single days ---- */
+/* ---- printing and running a single day ---- */
 
 static int print_day(uint32_t seed, tw_fuzz_draw_function *draw) {
     tw_fuzz_day day = {0};
@@ -214,7 +218,7 @@
     return verdict.failed != 0;
 }
 
-/* The directory and those above it; 0, or -1 with errno. */
+/* Creates the directory and its missing parents. Returns 0, or -1 with errno set. */
 static int make_directories(const char *path) {
     char part[DIRECTORY_SIZE];
     snprintf(part, sizeof part, "%s", path);
@@ -233,7 +237,7 @@
     if (run.options.print_seed) return print_day(run.options.print_seed, draw);
     if (run.options.scenario_path) return play_file(run.options.scenario_path);
     if (draw != tw_fuzz_draw_day && !getenv("TW_EARLIER_CORE")) {
-        fputs("TW_EARLIER_CORE names no program of the earlier version\n", stderr);
+        fputs("TW_EARLIER_CORE is unset: no earlier version can be run\n", stderr);
         return 2;
     }
     if (run.options.shrinks_max && make_directories(run.options.directory)) {
@@ -246,10 +250,10 @@
     run.pool =
         tw_fuzz_pool_new(run.options.jobs ? run.options.jobs : 1, draw, run.options.directory);
     if (!run.pool) {
-        fprintf(stderr, "no process could be started: %s\n", strerror(errno));
+        fprintf(stderr, "can't start a worker process: %s\n", strerror(errno));
         return 2;
     }
     explore(&run);
     tw_fuzz_pool_free(run.pool);
-    return run.broken != 0;
+    return run.days_broken != 0;
 }
--- a/tools/explore/options.c
+++ b/tools/explore/options.c
@@ -1,4 +1,4 @@
-/* The command line of tw_explore. */
+/* Parses the command line of tw_explore. */
 #include "options.h"
 #include <argp.h>
 #include <errno.h>
@@ -11,30 +11,31 @@
 enum { SHRINKS_DEFAULT = 4, DAYS_DEFAULT = 1000 };
 
 static const struct argp_option argp_options[] = {
-    {"seeds", 's', "FROM-TO", 0, "play the days of these seeds", 0},
-    {"days", 'd', "N", 0, "play N days of fresh seeds (1000)", 0},
-    {"jobs", 'j', "N", 0, "play so many days at once (one for each core)", 0},
-    {"out", 'o', "DIR", 0, "write shrunk days there (target/explore/breaks)", 0},
-    {"seconds", 't', "S", 0, "begin no further day after S seconds", 0},
-    {"print", 'p', "SEED", 0, "print the day of a seed and end", 0},
-    {"play", 'P', "FILE", 0, "play and judge a scenario file and end", 0},
+    {"seeds", 's', "FROM-TO", 0, "run the days of these seeds", 0},
+    {"days", 'd', "N", 0, "run N days, with seeds chosen from the current time (1000)", 0},
+    {"jobs", 'j', "N", 0, "run N days in parallel (one for each core)", 0},
+    {"out", 'o', "DIR", 0, "write shrunk days to DIR (target/explore/breaks)", 0},
+    {"seconds", 't', "S", 0, "start no further day after S seconds", 0},
+    {"print", 'p', "SEED", 0, "print the day of a seed and exit", 0},
+    {"play", 'P', "FILE", 0, "run a scenario file, check the rules and exit", 0},
     {"shrinks", 'n', "N", 0, "shrink at most N days for each rule (4)", 0},
-    {"no-shrink", 'N', 0, 0, "shrink nothing", 0},
-    {"rule", 'r', "NAME", 0, "shrink only days that break this rule; all are counted", 0},
-    {"first", 'f', 0, 0, "begin no further day once one broke a rule", 0},
-    {"each", 'e', 0, 0, "a line for each day: seed, digest of what was told, broken rule", 0},
+    {"no-shrink", 'N', 0, 0, "do not shrink days", 0},
+    {"rule", 'r', "NAME", 0, "shrink only days that break this rule, but count all", 0},
+    {"first", 'f', 0, 0, "start no further day after one broke a rule", 0},
+    {"each", 'e', 0, 0,
+     "print a line for each day: seed, digest of the answers to users and workers, broken rule", 0},
     {"upgrade", 'u', 0, 0,
-     "nodes begin as ones of the earlier version, which TW_EARLIER_CORE plays, and are upgraded",
-     0},
-    {"roll", 'R', 0, 0, "as --upgrade, with the troubles amid the upgrade and gangs after it", 0},
-    {"mixed", 'm', 0, 0, "some nodes are of the earlier version all day long, no gangs", 0},
+     "nodes start with the earlier version (the program TW_EARLIER_CORE) and are upgraded", 0},
+    {"roll", 'R', 0, 0, "as --upgrade, with the faults during the upgrade and gangs after it", 0},
+    {"mixed", 'm', 0, 0, "some nodes run the earlier version until the end, no gangs", 0},
     {0}};
 
 static uint32_t parse_seed(struct argp_state *state, const char *text, char **rest) {
     errno = 0;
     const unsigned long long value = strtoull(text, rest, 10);
     if (errno || *rest == text || value < 1 || value > TW_FUZZ_SEED_MAX)
-        argp_error(state, "not a seed from 1 to %lu: %s", (unsigned long)TW_FUZZ_SEED_MAX, text);
+        argp_error(state, "seed out of range 1 to %lu, or not a number: %s",
+                   (unsigned long)TW_FUZZ_SEED_MAX, text);
     return (uint32_t)value;
 }
 
@@ -43,7 +44,7 @@
     errno = 0;
     const unsigned long value = strtoul(text, &rest, 10);
     if (errno || *rest || rest == text || *text == '-' || value > max)
-        argp_error(state, "not a number up to %lu: %s", max, text);
+        argp_error(state, "number out of range 0 to %lu, or not a number: %s", max, text);
     return value;
 }
 
@@ -52,10 +53,10 @@
     options->first_seed = options->last_seed = parse_seed(state, text, &rest);
     if (*rest == '-') options->last_seed = parse_seed(state, rest + 1, &rest);
     if (*rest || options->last_seed < options->first_seed)
-        argp_error(state, "not a range of seeds: %s", text);
+        argp_error(state, "invalid range of seeds: %s", text);
 }
 
-/* Seeds that were most likely never played: from the time of day. */
+/* Chooses a range of seeds from the current time, so that it most likely contains new days. */
 static void choose_fresh_seeds(unsigned long days, tw_explore_options *options) {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
@@ -113,10 +114,10 @@
         break;
     case 'p':
         options->print_seed = parse_seed(state, text, &rest);
-        if (*rest) argp_error(state, "not a seed: %s", text);
+        if (*rest) argp_error(state, "invalid seed: %s", text);
         break;
     case ARGP_KEY_ARG:
-        argp_error(state, "nothing is expected here: %s", text);
+        argp_error(state, "unexpected argument: %s", text);
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -129,7 +130,7 @@
         argp_options,
         parse_option,
         0,
-        "Plays days that are drawn from seeds, and looks for one that breaks a rule.",
+        "Runs scenarios that are generated from seeds (days), and finds those that break a rule.",
         0,
         0,
         0};
