--- a/bench/cases/cases.c
+++ b/bench/cases/cases.c
@@ -1,26 +1,34 @@
-/* The list of cases. */
+/* The list of cases, and the choice of their sizes. */
 #include "bench.h"
 #include <stdbool.h>
 #include <stddef.h>
 
 const tw_bench_case tw_bench_cases[] = {
-    {"report", "a report that says nothing new, at the leader", false, tw_bench_case_heartbeat},
-    {"relay", "the same at a follower, which hands it to the leader", false,
+    {"report", "an unchanged heartbeat at the leader", false, tw_bench_case_heartbeat},
+    {"relay", "an unchanged heartbeat at a follower, which forwards it to the leader", false,
      tw_bench_case_forwarding},
-    {"change", "a report that says that a task is done", false, tw_bench_case_change},
-    {"placement", "a submission that is placed at once", false, tw_bench_case_placement},
-    {"pass", "a report that frees room, and the scheduling pass", false, tw_bench_case_pass},
-    {"plan", "a tick half a second after the last, with the plan", false, tw_bench_case_plan},
-    {"leader", "ticks and messages of a leader with nothing to do", false, tw_bench_case_leader},
-    {"follower", "the same of a follower, without reports", true, tw_bench_case_follower},
-    {"takeover", "reading the records", false, tw_bench_case_takeover},
-    {"opening", "many submissions at once, until all run", false, tw_bench_case_opening},
-    {"memory", "bytes on the heap", false, tw_bench_case_memory},
+    {"change", "a heartbeat that reports a completed task", false, tw_bench_case_change},
+    {"placement", "a submission that is placed without waiting", false, tw_bench_case_placement},
+    {"pass", "a heartbeat that frees capacity, with its scheduling pass", false,
+     tw_bench_case_pass},
+    {"plan", "a tick that runs the autoscaler's plan, due every half second", false,
+     tw_bench_case_plan},
+    {"leader", "ticks and messages of an idle leader, without heartbeats", false,
+     tw_bench_case_leader},
+    {"follower", "ticks and messages of an idle follower, without heartbeats", true,
+     tw_bench_case_follower},
+    {"takeover", "reading the records after an election", false, tw_bench_case_takeover},
+    {"opening", "a burst of submissions, until all their tasks run", false,
+     tw_bench_case_submission_burst},
+    {"memory", "heap bytes of a machine, a task, a job and a whole node", false,
+     tw_bench_case_memory},
     {NULL, NULL, false, NULL}};
 
-int tw_bench_size(int asked, int own) { return asked < 0 ? own : asked; }
+int tw_bench_size_or_default(int requested, int default_size) {
+    return requested < 0 ? default_size : requested;
+}
 
-int tw_bench_size_of(int asked, const int *own, int count, int i) {
-    if (asked < 0) return i < count ? own[i] : -1;
-    return i ? -1 : asked;
+int tw_bench_size_at(int requested, const int *default_sizes, int count, int i) {
+    if (requested < 0) return i < count ? default_sizes[i] : -1;
+    return i ? -1 : requested;
 }
--- a/bench/cases/idle.c
+++ b/bench/cases/idle.c
@@ -1,18 +1,19 @@
-/* What time alone costs: ticks with nothing to do, and the plan. */
+/* Cost of an idle node: its ticks and messages, and the autoscaler's plan. */
 #include "cases/waiting.h"
 #include "fleet.h"
 
 #define ROUNDS 3
 #define TASKS 8
-#define LEADER_S 10
-#define FOLLOWER_S 60
+#define LEADER_ROUND_S 10
+#define FOLLOWER_ROUND_S 60
 #define PLANS 10 /* in a round */
-#define PLAN_EVERY_S 0.5
+#define PLAN_INTERVAL_S 0.5
 
-/* All inputs but reports, over rounds of so many simulated seconds. */
-static int run_idle(const tw_bench_load *load, int seconds, double units, tw_bench_result *result,
-                    tw_bench_results *results) {
-    tw_bench_fleet *fleet = tw_bench_fleet_ready(load);
+/* Measures all inputs except heartbeats, in rounds of `seconds` simulated seconds, each of which
+ * counts as `unit_count` units. */
+static int run_idle(const tw_bench_load *load, int seconds, double unit_count,
+                    tw_bench_result *result, tw_bench_results *results) {
+    tw_bench_fleet *fleet = tw_bench_fleet_new_started(load);
     if (!fleet) return -1;
     result->machines = load->machines;
     result->tasks = load->tasks;
@@ -21,7 +22,7 @@
         tw_bench_fleet_measure(fleet, &meter);
         tw_bench_fleet_advance(fleet, seconds);
         tw_bench_fleet_measure(fleet, NULL);
-        tw_bench_result_round(result, &meter, units);
+        tw_bench_result_add_round(result, &meter, unit_count);
     }
     tw_bench_results_add(results, result);
     tw_bench_fleet_free(fleet);
@@ -30,21 +31,21 @@
 
 int tw_bench_case_leader(const tw_bench_sizes *sizes, tw_bench_results *results) {
     const tw_bench_load load = {.machines = sizes->machines,
-                                .tasks = tw_bench_size(sizes->tasks, TASKS)};
-    tw_bench_result result = tw_bench_result_of("leader", "simulated s");
-    return run_idle(&load, LEADER_S, LEADER_S, &result, results);
+                                .tasks = tw_bench_size_or_default(sizes->tasks, TASKS)};
+    tw_bench_result result = tw_bench_result_init("leader", "simulated s");
+    return run_idle(&load, LEADER_ROUND_S, LEADER_ROUND_S, &result, results);
 }
 
 int tw_bench_case_follower(const tw_bench_sizes *sizes, tw_bench_results *results) {
     const tw_bench_load load = {.follower = 1};
-    tw_bench_result result = tw_bench_result_of("follower", "simulated min");
+    tw_bench_result result = tw_bench_result_init("follower", "simulated min");
     (void)sizes;
-    return run_idle(&load, FOLLOWER_S, 1, &result, results);
+    return run_idle(&load, FOLLOWER_ROUND_S, 1, &result, results);
 }
 
 static int run_plan(const tw_bench_load *load, tw_bench_results *results) {
-    tw_bench_result result = tw_bench_result_of("plan", "tick");
-    tw_bench_fleet *fleet = tw_bench_fleet_ready(load);
+    tw_bench_result result = tw_bench_result_init("plan", "tick");
+    tw_bench_fleet *fleet = tw_bench_fleet_new_started(load);
     if (!fleet) return -1;
     result.machines = load->machines;
     result.tasks = load->tasks;
@@ -52,9 +53,9 @@
     for (int i = 0; i < ROUNDS; i++) {
         tw_bench_meter meter = {.kinds = TW_BENCH_TICK};
         tw_bench_fleet_measure(fleet, &meter);
-        for (int k = 0; k < PLANS; k++) tw_bench_fleet_tick_after(fleet, PLAN_EVERY_S);
+        for (int k = 0; k < PLANS; k++) tw_bench_fleet_tick_after(fleet, PLAN_INTERVAL_S);
         tw_bench_fleet_measure(fleet, NULL);
-        tw_bench_result_round(&result, &meter, PLANS);
+        tw_bench_result_add_round(&result, &meter, PLANS);
     }
     tw_bench_results_add(results, &result);
     tw_bench_fleet_free(fleet);
--- a/bench/compare.c
+++ b/bench/compare.c
@@ -1,4 +1,4 @@
-/* Figures of this run as ratios to an earlier one's. */
+/* Prints the figures of this run as ratios to those of an earlier run. */
 #include "bench.h"
 #include <math.h>
 
@@ -18,18 +18,18 @@
             "instructions", "bytes");
     for (int i = 0; i < now->count; i++) {
         const tw_bench_result *result = &now->items[i];
-        const tw_bench_result *before = tw_bench_results_find(earlier, result);
+        const tw_bench_result *previous = tw_bench_results_find(earlier, result);
         fprintf(out, "%-10s %8d %5d %8d %-18s", result->name, result->machines, result->tasks,
                 result->jobs, result->per);
-        if (!before) {
+        if (!previous) {
             fputs(" not in the earlier run\n", out);
             continue;
         }
-        print_ratio(out, result->time_us, before->time_us);
-        print_ratio(out, result->steps, before->steps);
-        print_ratio(out, result->allocations, before->allocations);
-        print_ratio(out, result->instructions, before->instructions);
-        print_ratio(out, result->bytes, before->bytes);
+        print_ratio(out, result->time_us, previous->time_us);
+        print_ratio(out, result->steps, previous->steps);
+        print_ratio(out, result->allocations, previous->allocations);
+        print_ratio(out, result->instructions, previous->instructions);
+        print_ratio(out, result->bytes, previous->bytes);
         fputc('\n', out);
     }
 }
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -1,4 +1,4 @@
-/* The node under measurement, the time that passes for it, and what goes in and out. */
+/* Drives the measured node: simulated time, the core's inputs and its effects. */
 #include "log/log.h"
 #include "fleet_int.h"
 #include <math.h>
@@ -8,19 +8,19 @@
 #include <utlist.h>
 
 #define SEED 1
-#define STEADY_START 1000.0
-#define WALL_START 1e9
-#define PEERS_EVERY_S 1.0
-#define SETTLED_S 0.05           /* answers on their way come within that time */
-#define LONGEST_START_S 1e4      /* with the largest number of records */
-#define KNOWN_AFTER_HEARTBEATS 3 /* each machine has said that it knows the leader's token */
-#define WORST_S 1.0 /* before a turned away submission comes again, if no time was told */
+#define MONOTONIC_START_S 1000.0
+#define WALL_START_S 1e9
+#define PEER_HEARTBEAT_S 1.0
+#define ANSWER_WINDOW_S 0.05         /* longer than a chain of calls and responses takes */
+#define MAX_START_S 1e4              /* enough for the largest number of records */
+#define TOKEN_CONFIRMED_HEARTBEATS 3 /* by then each machine has reported the leader's token */
+#define DEFAULT_RETRY_S 1.0 /* before a rejected submission is repeated, without a Retry-After */
 
 /* An input to the core. */
 typedef struct {
     unsigned kind;
     int port;
-    uint64_t id; /* of the request, or of the call that is answered */
+    uint64_t id; /* id of the request, or of the answered call */
     const char *method;
     const char *path;
     const char *body;
@@ -29,7 +29,7 @@
 
 /* ---- settings ---- */
 
-static const char settings[] =
+static const char settings_text[] =
     "host_name = \"tray-0\"\nlocation = \"a\"\napi_addr = \"10.0.0.1:8080\"\n"
     "peer_bind = \"10.0.0.1:8081\"\n"
     "[[known]]\nhost_name = \"tray-1\"\nlocation = \"b\"\nendpoint = \"10.0.0.2:8081\"\n"
@@ -48,16 +48,16 @@
     tw_bench_fleet *fleet = tw_bench_alloc(sizeof *fleet);
     tw_log_init("error", "bench");
     fleet->load = *load;
-    if (tw_config_parse(&fleet->conf, settings, error, sizeof error)) {
-        fprintf(stderr, "settings of the fleet: %s\n", error);
+    if (tw_config_parse(&fleet->conf, settings_text, error, sizeof error)) {
+        fprintf(stderr, "tw_bench: cannot parse the simulated fleet's settings: %s\n", error);
         abort();
     }
-    fleet->conf.tune.idle_ratio = 100; /* machines without tasks stay */
+    fleet->conf.tune.idle_ratio = 100; /* no scale-in of idle machines */
     fleet->now = fleet->next_tick = fleet->next_heartbeat = fleet->next_peer_heartbeats =
-        STEADY_START;
-    fleet->revision = (uint64_t)tw_bench_jobs_kept(load) + 1;
+        MONOTONIC_START_S;
+    fleet->revision = (uint64_t)tw_bench_recorded_jobs(load) + 1;
     if (load->follower) fleet->fencing_token = fleet->revision;
-    fleet->submitted = tw_bench_jobs_kept(load);
+    fleet->submitted = tw_bench_recorded_jobs(load);
     tw_bench_workers_init(fleet);
     return fleet;
 }
@@ -65,16 +65,16 @@
 void tw_bench_fleet_free(tw_bench_fleet *fleet) {
     tw_bench_pending *answer;
     tw_bench_pending *next;
-    tw_bench_submission *waits;
+    tw_bench_submission *submission;
     tw_bench_submission *next_submission;
     if (fleet->core) tw_core_free(fleet->core);
     DL_FOREACH_SAFE(fleet->pending, answer, next) {
         free(answer->body);
         free(answer);
     }
-    HASH_ITER(hh, fleet->submissions, waits, next_submission) {
-        HASH_DEL(fleet->submissions, waits);
-        free(waits);
+    HASH_ITER(hh, fleet->submissions, submission, next_submission) {
+        HASH_DEL(fleet->submissions, submission);
+        free(submission);
     }
     tw_bench_workers_free(fleet);
     tw_config_free(&fleet->conf);
@@ -83,11 +83,11 @@
 
 void tw_bench_fleet_measure(tw_bench_fleet *fleet, tw_bench_meter *meter) { fleet->meter = meter; }
 
-/* ---- what goes in ---- */
+/* ---- inputs of the core ---- */
 
-/* Gives the core an input; its effects, in their order. */
-static tw_effect *give(tw_bench_fleet *fleet, const core_input *input) {
-    const double wall = WALL_START + fleet->now;
+/* Passes an input to the core. Returns the list of its effects in order, owned by the caller. */
+static tw_effect *process_input(tw_bench_fleet *fleet, const core_input *input) {
+    const double wall = WALL_START_S + fleet->now;
     const size_t length = input->body ? strlen(input->body) : 0;
     tw_effect *effects = NULL;
     tw_effect **end = &effects;
@@ -103,14 +103,15 @@
     return effects;
 }
 
-/* The measured part, which bench/instructions knows by its name. */
+/* Processes an input whose cost is measured. Not inlined and not static: bench/instructions names
+ * this function to callgrind, which counts its instructions only. */
 tw_effect *tw_bench_measured(tw_bench_fleet *fleet, const core_input *input);
 __attribute__((noinline)) tw_effect *tw_bench_measured(tw_bench_fleet *fleet,
                                                        const core_input *input) {
-    return give(fleet, input);
+    return process_input(fleet, input);
 }
 
-static tw_effect *give_measured(tw_bench_fleet *fleet, const core_input *input) {
+static tw_effect *process_measured_input(tw_bench_fleet *fleet, const core_input *input) {
     tw_bench_meter *meter = fleet->meter;
     const uint64_t steps = tw_core_pass_steps(fleet->core);
     const tw_bench_counters before = tw_bench_counters_now();
@@ -124,59 +125,61 @@
     return effects;
 }
 
-/* ---- what comes out ---- */
+/* ---- effects of the core ---- */
 
-static void submission_answered(tw_bench_fleet *fleet, const tw_effect *reply) {
-    tw_bench_submission *waits;
-    HASH_FIND(hh, fleet->submissions, &reply->id, sizeof reply->id, waits);
-    if (!waits) return;
+static void on_submission_reply(tw_bench_fleet *fleet, const tw_effect *reply) {
+    tw_bench_submission *submission;
+    HASH_FIND(hh, fleet->submissions, &reply->id, sizeof reply->id, submission);
+    if (!submission) return;
     if (reply->status == TW_BENCH_OK || reply->status == TW_BENCH_CREATED) {
         fleet->accepted++;
-        HASH_DEL(fleet->submissions, waits);
-        free(waits);
+        HASH_DEL(fleet->submissions, submission);
+        free(submission);
         return;
     }
-    waits->again_at = fleet->now + (reply->retry_after > 0 ? reply->retry_after : WORST_S);
+    submission->resubmit_at =
+        fleet->now + (reply->retry_after > 0 ? reply->retry_after : DEFAULT_RETRY_S);
 }
 
-static void take(tw_bench_fleet *fleet, const tw_effect *effect) {
+static void handle_effect(tw_bench_fleet *fleet, const tw_effect *effect) {
     if (effect->kind == TW_EFFECT_CALL) {
         tw_bench_pending *answer = tw_bench_alloc(sizeof *answer);
         answer->call = effect->id;
-        tw_bench_serve(fleet, effect, answer);
+        tw_bench_answer_call(fleet, effect, answer);
         DL_APPEND(fleet->pending, answer);
     } else if (effect->id == fleet->heartbeat_request) {
         if (effect->status == TW_BENCH_OK)
             tw_bench_worker_execute(fleet, fleet->heartbeat_worker, effect->body);
     } else {
-        submission_answered(fleet, effect);
+        on_submission_reply(fleet, effect);
     }
 }
 
-static void play_input(tw_bench_fleet *fleet, const core_input *input) {
+static void run_input(tw_bench_fleet *fleet, const core_input *input) {
     const bool measured = fleet->meter && (fleet->meter->kinds & input->kind);
-    tw_effect *effects = measured ? give_measured(fleet, input) : give(fleet, input);
+    tw_effect *effects =
+        measured ? process_measured_input(fleet, input) : process_input(fleet, input);
     while (effects) {
         tw_effect *next = effects->next;
-        take(fleet, effects);
+        handle_effect(fleet, effects);
         tw_core_effect_free(effects);
         effects = next;
     }
 }
 
-/* ---- inputs of all kinds ---- */
+/* ---- ticks, responses, heartbeats and submissions ---- */
 
 static void tick(tw_bench_fleet *fleet) {
     const core_input input = {.kind = TW_BENCH_TICK};
-    play_input(fleet, &input);
+    run_input(fleet, &input);
 }
 
 static void answer_call(tw_bench_fleet *fleet, tw_bench_pending *answer) {
     const core_input input = {
         .kind = answer->kind, .id = answer->call, .body = answer->body, .status = answer->status};
     DL_DELETE(fleet->pending, answer);
-    if (answer->at > fleet->now) fleet->now = answer->at;
-    play_input(fleet, &input);
+    if (answer->due_at > fleet->now) fleet->now = answer->due_at;
+    run_input(fleet, &input);
     free(answer->body);
     free(answer);
 }
@@ -192,7 +195,7 @@
                               .body = text};
     fleet->heartbeat_request = input.id;
     fleet->heartbeat_worker = machine;
-    play_input(fleet, &input);
+    run_input(fleet, &input);
     free(text);
 }
 
@@ -205,51 +208,51 @@
                                   .method = "POST",
                                   .path = "/peer/ping",
                                   .body = text};
-        play_input(fleet, &input);
+        run_input(fleet, &input);
         free(text);
     }
 }
 
-static void submit(tw_bench_fleet *fleet, tw_bench_submission *waits) {
-    char *text = tw_bench_submission_text(waits->job);
-    waits->request = ++fleet->requests;
-    waits->again_at = 0;
-    HASH_ADD(hh, fleet->submissions, request, sizeof waits->request, waits);
+static void submit(tw_bench_fleet *fleet, tw_bench_submission *submission) {
+    char *text = tw_bench_submission_text(submission->job);
+    submission->request = ++fleet->requests;
+    submission->resubmit_at = 0;
+    HASH_ADD(hh, fleet->submissions, request, sizeof submission->request, submission);
     const core_input input = {.kind = TW_BENCH_USER,
                               .port = TW_PORT_API,
-                              .id = waits->request,
+                              .id = submission->request,
                               .method = "POST",
                               .path = "/v1/jobs",
                               .body = text};
-    play_input(fleet, &input);
+    run_input(fleet, &input);
     free(text);
 }
 
 int tw_bench_fleet_submit(tw_bench_fleet *fleet) {
-    tw_bench_submission *waits = tw_bench_alloc(sizeof *waits);
-    const int job = waits->job = fleet->submitted++;
-    submit(fleet, waits);
+    tw_bench_submission *submission = tw_bench_alloc(sizeof *submission);
+    const int job = submission->job = fleet->submitted++;
+    submit(fleet, submission);
     return job;
 }
 
-static void submit_again(tw_bench_fleet *fleet) {
-    tw_bench_submission *waits;
+static void resubmit_due(tw_bench_fleet *fleet) {
+    tw_bench_submission *submission;
     tw_bench_submission *next;
-    HASH_ITER(hh, fleet->submissions, waits, next) {
-        if (waits->again_at <= 0 || waits->again_at > fleet->now) continue;
-        HASH_DEL(fleet->submissions, waits);
-        submit(fleet, waits);
+    HASH_ITER(hh, fleet->submissions, submission, next) {
+        if (submission->resubmit_at <= 0 || submission->resubmit_at > fleet->now) continue;
+        HASH_DEL(fleet->submissions, submission);
+        submit(fleet, submission);
     }
 }
 
-/* ---- time ---- */
+/* ---- simulated time ---- */
 
-/* The answer that comes first, if it comes by then. */
+/* Returns the earliest response that is due by `until`, or NULL if there is none. */
 static tw_bench_pending *next_answer(const tw_bench_fleet *fleet, double until) {
     tw_bench_pending *answer;
     tw_bench_pending *first = NULL;
     DL_FOREACH(fleet->pending, answer) {
-        if (answer->at <= until && (!first || answer->at < first->at)) first = answer;
+        if (answer->due_at <= until && (!first || answer->due_at < first->due_at)) first = answer;
     }
     return first;
 }
@@ -259,8 +262,8 @@
     while ((answer = next_answer(fleet, until))) answer_call(fleet, answer);
 }
 
-void tw_bench_fleet_settle(tw_bench_fleet *fleet) {
-    const double until = fleet->now + SETTLED_S;
+void tw_bench_fleet_deliver_answers(tw_bench_fleet *fleet) {
+    const double until = fleet->now + ANSWER_WINDOW_S;
     answer_until(fleet, until);
 }
 
@@ -274,30 +277,30 @@
     }
 }
 
-/* All but ticks, up to a time. */
-static void play_until(tw_bench_fleet *fleet, double until) {
+/* Advances to `until` and processes all inputs but ticks. */
+static void advance_until(tw_bench_fleet *fleet, double until) {
     send_heartbeats_until(fleet, until);
     answer_until(fleet, until);
     fleet->now = fmax(fleet->now, until);
     if (fleet->now >= fleet->next_peer_heartbeats) {
-        fleet->next_peer_heartbeats = fleet->now + PEERS_EVERY_S;
+        fleet->next_peer_heartbeats = fleet->now + PEER_HEARTBEAT_S;
         send_peer_heartbeats(fleet);
     }
-    submit_again(fleet);
+    resubmit_due(fleet);
 }
 
 void tw_bench_fleet_advance(tw_bench_fleet *fleet, double seconds) {
     const double end = fleet->now + seconds;
     while (fleet->next_tick <= end) {
-        play_until(fleet, fleet->next_tick);
+        advance_until(fleet, fleet->next_tick);
         tick(fleet);
         fleet->next_tick += tw_core_tick_s(fleet->core);
     }
-    play_until(fleet, end);
+    advance_until(fleet, end);
 }
 
 void tw_bench_fleet_tick_after(tw_bench_fleet *fleet, double seconds) {
-    play_until(fleet, fleet->now + seconds);
+    advance_until(fleet, fleet->now + seconds);
     tick(fleet);
     fleet->next_tick = fleet->now + tw_core_tick_s(fleet->core);
 }
@@ -306,23 +309,23 @@
 
 int tw_bench_fleet_start(tw_bench_fleet *fleet) {
     const tw_bench_load *load = &fleet->load;
-    const double latest = fleet->now + LONGEST_START_S;
-    fleet->core = tw_core_new(&fleet->conf, SEED, fleet->now, WALL_START + fleet->now);
-    while (!load->follower && !fleet->all_read && fleet->now < latest)
+    const double latest = fleet->now + MAX_START_S;
+    fleet->core = tw_core_new(&fleet->conf, SEED, fleet->now, WALL_START_S + fleet->now);
+    while (!load->follower && !fleet->all_records_read && fleet->now < latest)
         tw_bench_fleet_advance(fleet, tw_core_tick_s(fleet->core));
-    tw_bench_fleet_advance(fleet, KNOWN_AFTER_HEARTBEATS * TW_BENCH_HEARTBEAT_S);
+    tw_bench_fleet_advance(fleet, TOKEN_CONFIRMED_HEARTBEATS * TW_BENCH_HEARTBEAT_S);
     if (load->follower) return 0;
-    if (fleet->records != tw_bench_jobs_kept(load) || fleet->returned) return -1;
-    return tw_bench_fleet_running(fleet) == load->machines * load->tasks ? 0 : -1;
+    if (fleet->records != tw_bench_recorded_jobs(load) || fleet->returned) return -1;
+    return tw_bench_fleet_running_tasks(fleet) == load->machines * load->tasks ? 0 : -1;
 }
 
-tw_bench_fleet *tw_bench_fleet_ready(const tw_bench_load *load) {
+tw_bench_fleet *tw_bench_fleet_new_started(const tw_bench_load *load) {
     tw_bench_fleet *fleet = tw_bench_fleet_new(load);
     if (!tw_bench_fleet_start(fleet)) return fleet;
     tw_bench_fleet_free(fleet);
     return NULL;
 }
 
-int tw_bench_fleet_accepted(const tw_bench_fleet *fleet) { return fleet->accepted; }
-int tw_bench_fleet_records(const tw_bench_fleet *fleet) { return fleet->records; }
-int tw_bench_fleet_returned(const tw_bench_fleet *fleet) { return fleet->returned; }
+int tw_bench_fleet_accepted_submissions(const tw_bench_fleet *fleet) { return fleet->accepted; }
+int tw_bench_fleet_records_read(const tw_bench_fleet *fleet) { return fleet->records; }
+int tw_bench_fleet_returned_machines(const tw_bench_fleet *fleet) { return fleet->returned; }
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -1,10 +1,10 @@
-/* A made-up fleet around one node: stand-ins that answer for the state service, the cloud, the
- * other nodes and the workers, as simply as possible, in made-up time. The node finds its jobs in
- * the state service, as any new leader does: that makes a fleet of any size without placing it.
+/* A simulated fleet around one real node: minimal stubs of the state service, the cloud, the other
+ * nodes and the workers, in simulated time. The node reads its jobs from the state service, as any
+ * new leader does, so that a fleet of any size is set up without placing its tasks.
  *
- * Job numbers: completed ones first, then those that run, then those that wait, then what is
- * submitted later. A running job has up to TW_BENCH_TASKS_PER_JOB tasks, each on another machine.
- * Machines stand in zones a and b in turn; at a follower, all in its own. */
+ * Jobs are numbered in this order: completed, running, waiting, submitted after the start. A
+ * running job has up to TW_BENCH_TASKS_PER_JOB tasks, each on another machine. Machines alternate
+ * between the zones a and b if the node leads, and are all in the node's own zone if it follows. */
 #ifndef TW_BENCH_FLEET_H
 #define TW_BENCH_FLEET_H
 #include "bench.h"
@@ -14,48 +14,53 @@
 #define TW_BENCH_MACHINE_CORES 96
 #define TW_BENCH_HEARTBEAT_S 4.0
 
-/* What the fleet holds at the start. */
+/* The initial state of a fleet. */
 typedef struct {
     int machines;
-    int tasks;     /* running on each machine, of one core each */
-    int completed; /* jobs that are done */
-    int waiting;   /* jobs that find no room on machines with 8 tasks */
-    int follower;  /* another node leads */
+    int tasks;     /* running tasks on each machine, of one core each */
+    int completed; /* completed jobs */
+    int waiting;   /* waiting jobs, too large for machines with 8 tasks */
+    int follower;  /* nonzero: another node leads and the measured node follows */
 } tw_bench_load;
 
 typedef struct tw_bench_fleet tw_bench_fleet;
 
-/* The stand-ins alone, without the node. */
+/* Returns a new fleet whose node is not started. Freed with tw_bench_fleet_free. */
 tw_bench_fleet *tw_bench_fleet_new(const tw_bench_load *load);
 void tw_bench_fleet_free(tw_bench_fleet *fleet);
-/* Inputs of the meter's kinds are measured from now on; NULL: none. */
+/* From now on adds the cost of inputs of the meter's kinds to the meter; NULL stops measuring. The
+ * meter is not owned. */
 void tw_bench_fleet_measure(tw_bench_fleet *fleet, tw_bench_meter *meter);
-/* Starts the node and plays until it knows the whole fleet. 0, or -1: it doesn't. */
+/* Starts the node and runs the fleet until the node has read all records and all workers know its
+ * fencing token. Returns 0, or -1 if the node does not reach that state. */
 int tw_bench_fleet_start(tw_bench_fleet *fleet);
-/* A fleet with the node, started; NULL: it doesn't come to that state. */
-tw_bench_fleet *tw_bench_fleet_ready(const tw_bench_load *load);
+/* Returns a new fleet with its node started, or NULL if tw_bench_fleet_start fails. */
+tw_bench_fleet *tw_bench_fleet_new_started(const tw_bench_load *load);
 
-/* Plays so many seconds: ticks, answers, heartbeats, messages of the other nodes. */
+/* Advances the simulated time and gives the node all ticks, responses, heartbeats and peer
+ * heartbeats that fall due. */
 void tw_bench_fleet_advance(tw_bench_fleet *fleet, double seconds);
-/* The same, but with a single tick at the end. */
+/* Advances the simulated time like tw_bench_fleet_advance, but with a single tick, at the end. */
 void tw_bench_fleet_tick_after(tw_bench_fleet *fleet, double seconds);
-/* Answers what the node has asked so far, and what it asks then. */
-void tw_bench_fleet_settle(tw_bench_fleet *fleet);
+/* Delivers the responses to the node's open calls and to the calls that these cause, without a
+ * tick. */
+void tw_bench_fleet_deliver_answers(tw_bench_fleet *fleet);
 
-/* The machine sends a heartbeat now. */
+/* Sends a heartbeat of the machine to the node. */
 void tw_bench_fleet_send_heartbeat(tw_bench_fleet *fleet, int machine);
-/* From now on its heartbeats say that its first task that runs is done. */
-void tw_bench_fleet_end_task(tw_bench_fleet *fleet, int machine);
-/* A user submits a batch job of one task with one core; its number. */
+/* Marks the first running task of the machine as done in all later heartbeats. */
+void tw_bench_fleet_complete_task(tw_bench_fleet *fleet, int machine);
+/* Submits a batch job of one task with one core and returns the job's number. A rejected submission
+ * is repeated after the time that the node asks for. */
 int tw_bench_fleet_submit(tw_bench_fleet *fleet);
 
-/* Submissions accepted so far; rejected ones are submitted again when that is due. */
-int tw_bench_fleet_accepted(const tw_bench_fleet *fleet);
-/* Records that the node has read; machines that got an answer to a heartbeat. */
-int tw_bench_fleet_records(const tw_bench_fleet *fleet);
-/* Tasks that are on machines. */
-int tw_bench_fleet_running(const tw_bench_fleet *fleet);
-/* Machines that the node has returned: none, as the fleet is made. */
-int tw_bench_fleet_returned(const tw_bench_fleet *fleet);
+/* Returns the number of submissions that the node has accepted. */
+int tw_bench_fleet_accepted_submissions(const tw_bench_fleet *fleet);
+/* Returns the number of records that the node has read. */
+int tw_bench_fleet_records_read(const tw_bench_fleet *fleet);
+/* Returns the number of tasks that are on machines and not done. */
+int tw_bench_fleet_running_tasks(const tw_bench_fleet *fleet);
+/* Returns the number of requests to return machines; 0 unless the fleet is misconfigured. */
+int tw_bench_fleet_returned_machines(const tw_bench_fleet *fleet);
 
 #endif
--- a/bench/fleet_int.h
+++ b/bench/fleet_int.h
@@ -1,4 +1,4 @@
-/* What the parts of the made-up fleet share. Not for the cases. */
+/* Definitions shared by the source files of the simulated fleet; the cases use fleet.h only. */
 #ifndef TW_BENCH_FLEET_INT_H
 #define TW_BENCH_FLEET_INT_H
 #include "config/config.h"
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <uthash.h>
 
-/* Answers of the services and the other nodes. */
+/* HTTP statuses of the stubs and of the node. */
 enum {
     TW_BENCH_OK = 200,
     TW_BENCH_CREATED = 201,
@@ -24,29 +24,29 @@
 
 typedef struct {
     char zone;
-    uint64_t sequence; /* of its last message */
+    uint64_t sequence; /* sequence of its last heartbeat */
     uint64_t fencing_token;
     tw_bench_task *tasks;
     int task_count;
     int task_capacity;
 } tw_bench_worker;
 
-/* A call of the node that waits for its answer. */
+/* The response to a call of the node, delivered at due_at. */
 typedef struct tw_bench_pending {
     uint64_t call;
-    unsigned kind; /* tw_bench_kind of its answer */
-    double at;
+    unsigned kind; /* tw_bench_input_kind of the response */
+    double due_at;
     int status;
     char *body;
     struct tw_bench_pending *prev;
     struct tw_bench_pending *next;
 } tw_bench_pending;
 
-/* A submission without a final answer. */
+/* A submission that the node has not accepted yet. */
 typedef struct tw_bench_submission {
     uint64_t request;
     int job;
-    double again_at; /* 0: it waits for its answer */
+    double resubmit_at; /* 0 while the node's response is outstanding */
     UT_hash_handle hh;
 } tw_bench_submission;
 
@@ -58,7 +58,7 @@
     double now;
     double next_tick;
     double next_heartbeat;
-    int next_worker; /* machine whose heartbeat is due next */
+    int next_worker; /* index of the machine whose heartbeat is due next */
     double next_peer_heartbeats;
     uint64_t requests;
     uint64_t revision;
@@ -66,45 +66,47 @@
     tw_bench_pending *pending;
     tw_bench_submission *submissions;
     tw_bench_worker *workers;
-    uint64_t heartbeat_request; /* request of the heartbeat on its way, and its machine */
-    int heartbeat_worker;
+    uint64_t heartbeat_request; /* request id of the last heartbeat */
+    int heartbeat_worker;       /* index of the machine that sent it */
     int submitted;
     int accepted;
     int records;
-    bool all_read;
+    bool all_records_read;
     int returned;
 };
 
-/* Zeroed room; ends the program where there is none. */
+/* Returns zeroed memory; aborts the program if none is available. */
 void *tw_bench_alloc(size_t size);
 
-/* ---- records.c: jobs as the state service holds them ---- */
+/* ---- records.c: jobs and their records in the state service ---- */
 
-/* The number of the first job submitted later; all before it have records. */
-int tw_bench_jobs_kept(const tw_bench_load *load);
+/* Returns the number of jobs that have a record at the start; jobs submitted later are numbered
+ * from there on. */
+int tw_bench_recorded_jobs(const tw_bench_load *load);
 void tw_bench_job_id(char *id, size_t size, int job);
 void tw_bench_machine_name(char *name, size_t size, int machine);
-/* The task that stands k-th on a machine at the start. */
-void tw_bench_task_at(const tw_bench_load *load, int machine, int k, tw_bench_task *task);
-/* A page of the records in key order, as asked for by the path. Free the text. */
+/* Writes the k-th task that runs on a machine at the start. */
+void tw_bench_initial_task(const tw_bench_load *load, int machine, int k, tw_bench_task *task);
+/* Returns the page of records, in key order, that the path of a range read requests, with the
+ * number of records on it and whether more follow. The caller frees the text. */
 char *tw_bench_records_page(const tw_bench_load *load, const char *path, int *records, int *more);
-/* What a user sends. Free the text. */
+/* Returns the body of a job's submission. The caller frees it. */
 char *tw_bench_submission_text(int job);
 
-/* ---- services.c: what the node's calls are answered ---- */
+/* ---- services.c: responses to the node's calls ---- */
 
-/* Fills status, body and the time of the answer. */
-void tw_bench_serve(tw_bench_fleet *fleet, const tw_effect *call, tw_bench_pending *answer);
-/* What another node says of itself. Free the text. */
+/* Answers a call: sets kind, due_at, status and body of `answer`, which owns the body. */
+void tw_bench_answer_call(tw_bench_fleet *fleet, const tw_effect *call, tw_bench_pending *answer);
+/* Returns the peer heartbeat of the node `name`. The caller frees it. */
 char *tw_bench_peer_text(const tw_bench_fleet *fleet, const char *name);
 
-/* ---- workers.c ---- */
+/* ---- workers.c: the simulated workers ---- */
 
 void tw_bench_workers_init(tw_bench_fleet *fleet);
 void tw_bench_workers_free(tw_bench_fleet *fleet);
-/* The next heartbeat of a machine. Free the text. */
+/* Returns the next heartbeat of a machine, with a new sequence number. The caller frees it. */
 char *tw_bench_worker_heartbeat(tw_bench_fleet *fleet, int machine);
-/* Carries out commands: the body of a heartbeat's answer or of direct commands. */
+/* Executes the commands in the body of a heartbeat's response or of a direct command request. */
 void tw_bench_worker_execute(tw_bench_fleet *fleet, int machine, const char *body);
 
 #endif
--- a/bench/main.c
+++ b/bench/main.c
@@ -1,4 +1,5 @@
-/* tw_bench: prints what the scheduler's core costs, by case and size (docs/performance.md). */
+/* tw_bench: runs the benchmark cases of the scheduler's core and prints the cost of each by size
+ * (docs/performance.md). */
 #include "bench.h"
 #include <argp.h>
 #include <errno.h>
@@ -8,13 +9,13 @@
 #include <string.h>
 
 #define DECIMAL 10
-#define FAILED 2 /* exit code: a fleet didn't come to the state that is to be measured */
+#define EXIT_CASE_FAILED 2 /* exit code: a fleet did not reach the state to be measured */
 
-static const int usual_machines[] = {150, 1500, 4000, 10000};
-#define MACHINE_SIZES ((int)(sizeof usual_machines / sizeof *usual_machines))
+static const int default_machines[] = {150, 1500, 4000, 10000};
+#define DEFAULT_MACHINE_COUNTS ((int)(sizeof default_machines / sizeof *default_machines))
 
 typedef struct {
-    const char *only; /* case, or NULL: all */
+    const char *case_name; /* NULL: all cases */
     tw_bench_sizes sizes;
     const char *out;
     const char *compare;
@@ -25,26 +26,27 @@
 
 static const struct argp_option argp_options[] = {
     {"case", OPT_CASE, "NAME", 0, "only this case", 0},
-    {"machines", OPT_MACHINES, "N", 0, "size of the fleet (default: 150, 1500, 4000 and 10000)", 0},
+    {"machines", OPT_MACHINES, "N", 0, "machines in the fleet (default: 150, 1500, 4000 and 10000)",
+     0},
     {"tasks", OPT_TASKS, "N", 0, "tasks on each machine (default: by case)", 0},
-    {"jobs", OPT_JOBS, "N", 0, "jobs that wait, are done or come at once (default: by case)", 0},
-    {"out", OPT_OUT, "FILE", 0, "write the figures there, a line of JSON each", 0},
-    {"compare", OPT_COMPARE, "FILE", 0, "print ratios to an earlier run's figures", 0},
-    {"list", OPT_LIST, NULL, 0, "print the cases and end", 0},
+    {"jobs", OPT_JOBS, "N", 0, "waiting, completed or submitted jobs (default: by case)", 0},
+    {"out", OPT_OUT, "FILE", 0, "write each result to FILE as a line of JSON", 0},
+    {"compare", OPT_COMPARE, "FILE", 0, "print ratios to the figures of an earlier run's FILE", 0},
+    {"list", OPT_LIST, NULL, 0, "list the cases and exit", 0},
     {NULL, 0, NULL, 0, NULL, 0}};
 
-static int number_of(struct argp_state *state, const char *text, int least) {
+static int parse_number(struct argp_state *state, const char *text, int minimum) {
     char *rest;
     errno = 0;
     long value = strtol(text, &rest, DECIMAL);
-    if (*rest || rest == text || errno || value < least || value > INT_MAX)
-        argp_error(state, "not a number from %d: %s", least, text);
+    if (*rest || rest == text || errno || value < minimum || value > INT_MAX)
+        argp_error(state, "not an integer of at least %d: %s", minimum, text);
     return (int)value;
 }
 
 static void list_cases(void) {
     for (const tw_bench_case *bench_case = tw_bench_cases; bench_case->name; bench_case++)
-        printf("%-10s %s\n", bench_case->name, bench_case->about);
+        printf("%-10s %s\n", bench_case->name, bench_case->description);
 }
 
 static bool is_case(const char *name) {
@@ -53,33 +55,33 @@
     return bench_case->name != NULL;
 }
 
-static error_t parse(int key, char *text, struct argp_state *state) {
-    options *chosen = state->input;
+static error_t parse_option(int key, char *text, struct argp_state *state) {
+    options *selected = state->input;
     switch (key) {
     case OPT_CASE:
-        if (!is_case(text)) argp_error(state, "no such case: %s", text);
-        chosen->only = text;
+        if (!is_case(text)) argp_error(state, "unknown case: %s", text);
+        selected->case_name = text;
         break;
     case OPT_MACHINES:
-        chosen->sizes.machines = number_of(state, text, 2);
+        selected->sizes.machines = parse_number(state, text, 2);
         break;
     case OPT_TASKS:
-        chosen->sizes.tasks = number_of(state, text, 0);
+        selected->sizes.tasks = parse_number(state, text, 0);
         break;
     case OPT_JOBS:
-        chosen->sizes.jobs = number_of(state, text, 0);
+        selected->sizes.jobs = parse_number(state, text, 0);
         break;
     case OPT_OUT:
-        chosen->out = text;
+        selected->out = text;
         break;
     case OPT_COMPARE:
-        chosen->compare = text;
+        selected->compare = text;
         break;
     case OPT_LIST:
         list_cases();
         exit(0);
     case ARGP_KEY_ARG:
-        argp_error(state, "unexpected: %s", text);
+        argp_error(state, "unexpected argument: %s", text);
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -87,30 +89,31 @@
     return 0;
 }
 
-/* 0, or -1 if a fleet failed. */
-static int run_case(const tw_bench_case *bench_case, const tw_bench_sizes *asked,
+/* Runs a case at each requested or default number of machines. Returns 0, or -1 if a run failed. */
+static int run_case(const tw_bench_case *bench_case, const tw_bench_sizes *requested,
                     tw_bench_results *results) {
     int machines;
-    for (int i = 0;
-         (machines = tw_bench_size_of(asked->machines, usual_machines, MACHINE_SIZES, i)) >= 0;
+    for (int i = 0; (machines = tw_bench_size_at(requested->machines, default_machines,
+                                                 DEFAULT_MACHINE_COUNTS, i)) >= 0;
          i++) {
-        tw_bench_sizes sizes = *asked;
+        tw_bench_sizes sizes = *requested;
         sizes.machines = machines;
         if (bench_case->run(&sizes, results)) {
-            fprintf(stderr, "tw_bench: %s: no such fleet of %d machines\n", bench_case->name,
-                    machines);
+            fprintf(stderr,
+                    "tw_bench: %s: a fleet of %d machines did not reach the state to be measured\n",
+                    bench_case->name, machines);
             return -1;
         }
-        if (bench_case->once) break;
+        if (bench_case->ignores_machines) break;
     }
     return 0;
 }
 
-static int run_all(const options *chosen, tw_bench_results *results) {
+static int run_all(const options *selected, tw_bench_results *results) {
     int failed = 0;
     for (const tw_bench_case *bench_case = tw_bench_cases; bench_case->name; bench_case++) {
-        if (chosen->only && strcmp(chosen->only, bench_case->name) != 0) continue;
-        failed |= run_case(bench_case, &chosen->sizes, results);
+        if (selected->case_name && strcmp(selected->case_name, bench_case->name) != 0) continue;
+        failed |= run_case(bench_case, &selected->sizes, results);
     }
     return failed;
 }
@@ -128,7 +131,7 @@
     int bad_line;
     FILE *in = open_file(path, "r");
     if (tw_bench_read_lines(in, earlier, &bad_line)) {
-        fprintf(stderr, "tw_bench: %s:%d: not a line of figures\n", path, bad_line);
+        fprintf(stderr, "tw_bench: %s:%d: malformed result line\n", path, bad_line);
         exit(EXIT_FAILURE);
     }
     fclose(in);
@@ -136,23 +139,26 @@
 
 int main(int argc, char **argv) {
     static const struct argp argp = {
-        argp_options, parse, NULL, "Prints what the scheduler's core costs.", NULL, NULL, NULL};
-    options chosen = {.sizes = {-1, -1, -1}};
+        argp_options, parse_option,
+        NULL,         "Benchmarks the scheduler's core and prints the cost of each case.",
+        NULL,         NULL,
+        NULL};
+    options selected = {.sizes = {-1, -1, -1}};
     tw_bench_results results = {0};
     tw_bench_results earlier = {0};
     argp_err_exit_status = EXIT_FAILURE;
-    argp_parse(&argp, argc, argv, 0, NULL, &chosen);
-    if (chosen.compare) read_earlier(chosen.compare, &earlier);
-    FILE *out = chosen.out ? open_file(chosen.out, "w") : NULL;
-    const int failed = run_all(&chosen, &results);
+    argp_parse(&argp, argc, argv, 0, NULL, &selected);
+    if (selected.compare) read_earlier(selected.compare, &earlier);
+    FILE *out = selected.out ? open_file(selected.out, "w") : NULL;
+    const int failed = run_all(&selected, &results);
     tw_bench_print_table(stdout, &results);
-    if (chosen.compare) tw_bench_print_ratios(stdout, &results, &earlier);
+    if (selected.compare) tw_bench_print_ratios(stdout, &results, &earlier);
     if (out) tw_bench_write_lines(out, &results);
     if (out && fclose(out)) {
-        fprintf(stderr, "tw_bench: %s: %s\n", chosen.out, strerror(errno));
+        fprintf(stderr, "tw_bench: %s: %s\n", selected.out, strerror(errno));
         return EXIT_FAILURE;
     }
     tw_bench_results_free(&results);
     tw_bench_results_free(&earlier);
-    return failed ? FAILED : 0;
+    return failed ? EXIT_CASE_FAILED : 0;
 }
--- a/bench/measure.c
+++ b/bench/measure.c
@@ -16,17 +16,17 @@
 /* ---- allocations ---- */
 
 #ifdef __SANITIZE_ADDRESS__
-/* The sanitizer's allocator tells of each call; GCC has no header for that. */
+/* The address sanitizer's allocator calls these hooks; GCC has no header that declares them. */
 int install_malloc_and_free_hooks(
     void (*on_malloc)(const volatile void *, size_t),
     void (*on_free)(const volatile void *)) __asm__("__sanitizer_install_malloc_and_free_hooks");
 
-static void on_malloc(const volatile void *room, size_t size) {
-    (void)room;
+static void on_malloc(const volatile void *block, size_t size) {
+    (void)block;
     (void)size;
     allocations++;
 }
-static void on_free(const volatile void *room) { (void)room; }
+static void on_free(const volatile void *block) { (void)block; }
 
 __attribute__((constructor)) static void count_allocations(void) {
     install_malloc_and_free_hooks(on_malloc, on_free);
@@ -36,10 +36,11 @@
 
 #else
 
-/* In front of the C library's own, also for calls from other libraries. */
+/* The functions below replace malloc, calloc and realloc, also for calls from other libraries, and
+ * pass each call on to the C library's allocator. */
 void *libc_malloc(size_t size) __asm__("__libc_malloc");
 void *libc_calloc(size_t count, size_t size) __asm__("__libc_calloc");
-void *libc_realloc(void *room, size_t size) __asm__("__libc_realloc");
+void *libc_realloc(void *block, size_t size) __asm__("__libc_realloc");
 
 void *malloc(size_t size) {
     allocations++;
@@ -51,9 +52,9 @@
     return libc_calloc(count, size);
 }
 
-void *realloc(void *room, size_t size) {
+void *realloc(void *block, size_t size) {
     allocations++;
-    return libc_realloc(room, size);
+    return libc_realloc(block, size);
 }
 
 double tw_bench_heap_bytes(void) {
@@ -65,18 +66,19 @@
 
 /* ---- instructions ---- */
 
-/* A descriptor of the hardware counter, or -1: there is none. */
+/* Returns the descriptor of the hardware instruction counter, opened at the first call, or -1 if
+ * the machine has none. */
 static int instruction_counter(void) {
     static int counter = -2;
-    struct perf_event_attr wanted;
+    struct perf_event_attr attributes;
     if (counter != -2) return counter;
-    memset(&wanted, 0, sizeof wanted);
-    wanted.type = PERF_TYPE_HARDWARE;
-    wanted.size = sizeof wanted;
-    wanted.config = PERF_COUNT_HW_INSTRUCTIONS;
-    wanted.exclude_kernel = 1;
-    wanted.exclude_hv = 1;
-    counter = (int)syscall(SYS_perf_event_open, &wanted, 0, -1, -1, 0);
+    memset(&attributes, 0, sizeof attributes);
+    attributes.type = PERF_TYPE_HARDWARE;
+    attributes.size = sizeof attributes;
+    attributes.config = PERF_COUNT_HW_INSTRUCTIONS;
+    attributes.exclude_kernel = 1;
+    attributes.exclude_hv = 1;
+    counter = (int)syscall(SYS_perf_event_open, &attributes, 0, -1, -1, 0);
     if (counter < 0) counter = -1;
     return counter;
 }
@@ -89,7 +91,7 @@
     return read(instruction_counter(), &count, sizeof count) == sizeof count ? count : 0;
 }
 
-/* ---- all of them ---- */
+/* ---- snapshot of all counters ---- */
 
 tw_bench_counters tw_bench_counters_now(void) {
     struct timespec time;
--- a/bench/records.c
+++ b/bench/records.c
@@ -1,20 +1,20 @@
-/* The jobs of a made-up fleet, as records in the state service. */
+/* The jobs of a simulated fleet and their records in the state service. */
 #include "fleet_int.h"
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
 #define DECIMAL 10
-#define MOST_RECORDS 1000 /* in a page, whatever is asked for */
-#define SUBMITTED_AT 1e9  /* time of day */
+#define MAX_PAGE_RECORDS 1000 /* in a page, whatever limit is requested */
+#define SUBMITTED_AT 1e9      /* wall-clock seconds */
 #define LONG_RUN_S 36000
 #define IMAGE_GB 0.1
-#define WAITING_SHAPES 7 /* that differ in cores: all of them more than 8 tasks leave free */
+#define WAITING_CORE_COUNTS 7 /* distinct sizes of waiting jobs; none fits beside 8 tasks */
 
 void *tw_bench_alloc(size_t size) {
-    void *room = calloc(1, size ? size : 1);
-    if (!room) abort();
-    return room;
+    void *memory = calloc(1, size ? size : 1);
+    if (!memory) abort();
+    return memory;
 }
 
 void tw_bench_job_id(char *id, size_t size, int job) { snprintf(id, size, "run-%08d", job); }
@@ -23,11 +23,12 @@
     snprintf(name, size, "n-%06d", machine + 1);
 }
 
-/* ---- which job runs where ---- */
+/* ---- jobs and the placement of their tasks ---- */
 
 static int running_tasks(const tw_bench_load *load) { return load->machines * load->tasks; }
 
-/* On small fleets no two tasks of a job stand on the same machine either. */
+/* Returns the number of tasks of a running job: limited by the number of machines, so that no two
+ * tasks of a job run on the same machine. */
 static int tasks_per_job(const tw_bench_load *load) {
     return load->machines < TW_BENCH_TASKS_PER_JOB ? load->machines : TW_BENCH_TASKS_PER_JOB;
 }
@@ -37,11 +38,11 @@
     return (running_tasks(load) + tasks_per_job(load) - 1) / tasks_per_job(load);
 }
 
-int tw_bench_jobs_kept(const tw_bench_load *load) {
+int tw_bench_recorded_jobs(const tw_bench_load *load) {
     return load->completed + running_jobs(load) + load->waiting;
 }
 
-void tw_bench_task_at(const tw_bench_load *load, int machine, int k, tw_bench_task *task) {
+void tw_bench_initial_task(const tw_bench_load *load, int machine, int k, tw_bench_task *task) {
     int slot = k * load->machines + machine;
     tw_bench_job_id(task->job, sizeof task->job, load->completed + slot / tasks_per_job(load));
     task->index = slot % tasks_per_job(load);
@@ -51,7 +52,7 @@
 
 /* ---- records ---- */
 
-static tw_wire_job job_of(int job, int task_count, double cores) {
+static tw_wire_job make_job(int job, int task_count, double cores) {
     tw_wire_job spec = {.priority = TW_PRIORITY_NORMAL,
                         .task_count = task_count,
                         .cores = cores,
@@ -80,73 +81,74 @@
     const int first = (job - load->completed) * tasks_per_job(load);
     int task_count = running_tasks(load) - first;
     if (task_count > tasks_per_job(load)) task_count = tasks_per_job(load);
-    tw_wire_assignment *live = tw_bench_alloc((size_t)task_count * sizeof *live);
+    tw_wire_assignment *assignments = tw_bench_alloc((size_t)task_count * sizeof *assignments);
     for (int i = 0; i < task_count; i++) {
-        live[i].index = i;
-        live[i].attempt = 1;
-        tw_bench_machine_name(live[i].worker, sizeof live[i].worker, (first + i) % load->machines);
+        assignments[i].index = i;
+        assignments[i].attempt = 1;
+        tw_bench_machine_name(assignments[i].worker, sizeof assignments[i].worker,
+                              (first + i) % load->machines);
     }
     tw_wire_record record = {.has_job = 1,
-                             .job = job_of(job, task_count, 1),
+                             .job = make_job(job, task_count, 1),
                              .task_count = task_count,
                              .submitted_at = SUBMITTED_AT,
                              .next_attempt = 2,
                              .assignment_count = task_count,
-                             .assignments = live};
+                             .assignments = assignments};
     char *text = tw_wire_record_text(&record);
-    free(live);
+    free(assignments);
     return text;
 }
 
 static char *waiting_record(int job) {
-    const double cores = TW_BENCH_MACHINE_CORES - job % WAITING_SHAPES;
+    const double cores = TW_BENCH_MACHINE_CORES - job % WAITING_CORE_COUNTS;
     tw_wire_record record = {.has_job = 1,
-                             .job = job_of(job, 1, cores),
+                             .job = make_job(job, 1, cores),
                              .task_count = 1,
                              .submitted_at = SUBMITTED_AT,
                              .next_attempt = 1};
     return tw_wire_record_text(&record);
 }
 
-static char *record_of(const tw_bench_load *load, int job) {
+static char *make_record(const tw_bench_load *load, int job) {
     if (job < load->completed) return completed_record();
     if (job < load->completed + running_jobs(load)) return running_record(load, job);
     return waiting_record(job);
 }
 
-/* The number that stands after a text within a path; fallback: the text isn't there. */
-static int number_after(const char *path, const char *text, int fallback) {
+/* Returns the integer that follows `text` in a path, or the fallback if the path lacks the text. */
+static int parse_number_after(const char *path, const char *text, int fallback) {
     const char *at = strstr(path, text);
     return at ? (int)strtol(at + strlen(text), NULL, DECIMAL) : fallback;
 }
 
 char *tw_bench_records_page(const tw_bench_load *load, const char *path, int *records, int *more) {
-    int job = number_after(path, "since=job/run-", -1) + 1;
-    int most = number_after(path, "most=", MOST_RECORDS);
+    int job = parse_number_after(path, "since=job/run-", -1) + 1;
+    int limit = parse_number_after(path, "most=", MAX_PAGE_RECORDS);
     char *text = NULL;
     size_t size = 0;
     FILE *page = open_memstream(&text, &size);
     if (!page) abort();
-    if (most > MOST_RECORDS) most = MOST_RECORDS;
+    if (limit > MAX_PAGE_RECORDS) limit = MAX_PAGE_RECORDS;
     fputs("{\"entries\":[", page);
-    for (*records = 0; *records < most && job < tw_bench_jobs_kept(load); job++) {
+    for (*records = 0; *records < limit && job < tw_bench_recorded_jobs(load); job++) {
         char id[TW_WIRE_ID_SIZE];
-        char *record = record_of(load, job);
+        char *record = make_record(load, job);
         tw_bench_job_id(id, sizeof id, job);
         fprintf(page, "%s{\"k\":\"job/%s\",\"data\":%s,\"stamp\":%d}", *records ? "," : "", id,
                 record, job + 1);
         free(record);
         ++*records;
     }
-    *more = job < tw_bench_jobs_kept(load);
+    *more = job < tw_bench_recorded_jobs(load);
     fprintf(page, "],\"more\":%s,\"ledger\":%d}", *more ? "true" : "false",
-            tw_bench_jobs_kept(load) + 1);
+            tw_bench_recorded_jobs(load) + 1);
     fclose(page);
     return text;
 }
 
 char *tw_bench_submission_text(int job) {
-    const tw_wire_job spec = job_of(job, 1, 1);
+    const tw_wire_job spec = make_job(job, 1, 1);
     char *text = NULL;
     size_t size = 0;
     FILE *body = open_memstream(&text, &size);
--- a/bench/report.c
+++ b/bench/report.c
@@ -1,4 +1,4 @@
-/* Results as a table for people, and as lines of JSON for later comparisons. */
+/* Prints results as a table, and writes and reads them as lines of JSON. */
 #include "bench.h"
 #include <cjson/cJSON.h>
 #include <math.h>
@@ -32,7 +32,7 @@
     }
 }
 
-/* ---- lines of JSON ---- */
+/* ---- JSON lines ---- */
 
 static void add_figure(cJSON *line, const char *name, double figure) {
     if (!isnan(figure)) cJSON_AddNumberToObject(line, name, figure);
@@ -61,33 +61,33 @@
     }
 }
 
-/* A number that may be missing. */
-static double figure_of(const cJSON *line, const char *name) {
+/* Returns the number in a field, or NAN if it is missing. */
+static double read_figure(const cJSON *line, const char *name) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(line, name);
     return cJSON_IsNumber(value) ? value->valuedouble : NAN;
 }
 
-static int integer_of(const cJSON *line, const char *name, int *to) {
+static int read_integer(const cJSON *line, const char *name, int *value_out) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(line, name);
     if (!cJSON_IsNumber(value)) return -1;
-    *to = value->valueint;
+    *value_out = value->valueint;
     return 0;
 }
 
-static int read_line(const cJSON *line, tw_bench_result *result) {
+static int parse_line(const cJSON *line, tw_bench_result *result) {
     const cJSON *name = cJSON_GetObjectItemCaseSensitive(line, "case");
     const cJSON *per = cJSON_GetObjectItemCaseSensitive(line, "per");
     if (!cJSON_IsString(name) || !cJSON_IsString(per)) return -1;
-    *result = tw_bench_result_of(name->valuestring, per->valuestring);
-    if (integer_of(line, "machines", &result->machines) ||
-        integer_of(line, "tasks", &result->tasks) || integer_of(line, "jobs", &result->jobs))
+    *result = tw_bench_result_init(name->valuestring, per->valuestring);
+    if (read_integer(line, "machines", &result->machines) ||
+        read_integer(line, "tasks", &result->tasks) || read_integer(line, "jobs", &result->jobs))
         return -1;
-    result->count = figure_of(line, "count");
-    result->time_us = figure_of(line, "time_us");
-    result->steps = figure_of(line, "steps");
-    result->allocations = figure_of(line, "allocations");
-    result->instructions = figure_of(line, "instructions");
-    result->bytes = figure_of(line, "bytes");
+    result->count = read_figure(line, "count");
+    result->time_us = read_figure(line, "time_us");
+    result->steps = read_figure(line, "steps");
+    result->allocations = read_figure(line, "allocations");
+    result->instructions = read_figure(line, "instructions");
+    result->bytes = read_figure(line, "bytes");
     return 0;
 }
 
@@ -98,7 +98,7 @@
     for (*bad_line = 1; !failed && getline(&text, &size, in) >= 0; ++*bad_line) {
         tw_bench_result result;
         cJSON *line = cJSON_Parse(text);
-        failed = read_line(line, &result);
+        failed = parse_line(line, &result);
         cJSON_Delete(line);
         if (failed) break;
         tw_bench_results_add(results, &result);
--- a/bench/workers.c
+++ b/bench/workers.c
@@ -1,12 +1,13 @@
-/* The workers of a made-up fleet: their heartbeats and how they carry out commands. */
+/* The workers of a simulated fleet: their heartbeats and the execution of commands. */
 #include "fleet_int.h"
 #include <cjson/cJSON.h>
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Room for as many tasks as a machine has cores: not to grow while the heap is measured. */
-#define CAPACITY (TW_BENCH_MACHINE_CORES + 8)
+/* A slot for each core of a machine and some to spare, so that task lists don't grow while the heap
+ * is measured. */
+#define INITIAL_TASK_CAPACITY (TW_BENCH_MACHINE_CORES + 8)
 #define DECIMAL 10
 
 void tw_bench_workers_init(tw_bench_fleet *fleet) {
@@ -16,9 +17,10 @@
         tw_bench_worker *worker = &fleet->workers[i];
         worker->zone = load->follower || i % 2 == 0 ? 'a' : 'b';
         worker->task_count = load->tasks;
-        worker->task_capacity = load->tasks > CAPACITY ? load->tasks : CAPACITY;
+        worker->task_capacity =
+            load->tasks > INITIAL_TASK_CAPACITY ? load->tasks : INITIAL_TASK_CAPACITY;
         worker->tasks = tw_bench_alloc((size_t)worker->task_capacity * sizeof *worker->tasks);
-        for (int k = 0; k < load->tasks; k++) tw_bench_task_at(load, i, k, &worker->tasks[k]);
+        for (int k = 0; k < load->tasks; k++) tw_bench_initial_task(load, i, k, &worker->tasks[k]);
     }
 }
 
@@ -58,12 +60,12 @@
 
 /* ---- commands ---- */
 
-static const char *text_of(const cJSON *object, const char *field) {
+static const char *string_field(const cJSON *object, const char *field) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, field);
     return cJSON_IsString(value) ? value->valuestring : "";
 }
 
-static uint64_t number_of(const cJSON *object, const char *field) {
+static uint64_t number_field(const cJSON *object, const char *field) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, field);
     return cJSON_IsNumber(value) ? (uint64_t)value->valuedouble : 0;
 }
@@ -87,16 +89,16 @@
     worker->tasks[worker->task_count++] = *task;
 }
 
-/* Tasks run as soon as they are launched, and are gone as soon as they are stopped. */
+/* Executes a command without delay: a launched task runs, a stopped or forgotten one is removed. */
 static void execute_command(tw_bench_worker *worker, const cJSON *command) {
-    const char *name = text_of(command, "piece");
+    const char *name = string_field(command, "piece");
     const char *slash = strchr(name, '/');
-    tw_bench_task wanted = {.attempt = number_of(command, "try")};
+    tw_bench_task wanted = {.attempt = number_field(command, "try")};
     if (!slash || (size_t)(slash - name) >= sizeof wanted.job) return;
     memcpy(wanted.job, name, (size_t)(slash - name));
     wanted.index = (int)strtol(slash + 1, NULL, DECIMAL);
     int k = find_task(worker, &wanted);
-    if (!strcmp(text_of(command, "verb"), "launch")) {
+    if (!strcmp(string_field(command, "verb"), "launch")) {
         if (k == worker->task_count) add_task(worker, &wanted);
     } else if (k < worker->task_count) {
         worker->tasks[k] = worker->tasks[--worker->task_count];
@@ -107,7 +109,7 @@
     tw_bench_worker *worker = &fleet->workers[machine];
     cJSON *answer = cJSON_Parse(body);
     const cJSON *command;
-    uint64_t fencing_token = number_of(answer, "baton");
+    uint64_t fencing_token = number_field(answer, "baton");
     if (fencing_token > worker->fencing_token) worker->fencing_token = fencing_token;
     cJSON_ArrayForEach(command, cJSON_GetObjectItemCaseSensitive(answer, "orders")) {
         execute_command(worker, command);
@@ -115,14 +117,14 @@
     cJSON_Delete(answer);
 }
 
-void tw_bench_fleet_end_task(tw_bench_fleet *fleet, int machine) {
+void tw_bench_fleet_complete_task(tw_bench_fleet *fleet, int machine) {
     tw_bench_worker *worker = &fleet->workers[machine];
     int k = 0;
     while (k < worker->task_count && worker->tasks[k].done) k++;
     if (k < worker->task_count) worker->tasks[k].done = true;
 }
 
-int tw_bench_fleet_running(const tw_bench_fleet *fleet) {
+int tw_bench_fleet_running_tasks(const tw_bench_fleet *fleet) {
     int running = 0;
     for (int i = 0; i < fleet->load.machines; i++)
         for (int k = 0; k < fleet->workers[i].task_count; k++)
--- a/tests/runner/bench_test.c
+++ b/tests/runner/bench_test.c
@@ -1,5 +1,6 @@
-/* What the core's work may cost, counted, on small fleets: steps and allocations, never time. And
- * that the counts repeat, and that tw_bench's lines of figures are read as they were written. */
+/* Tests the bounds on the steps and allocations of the benchmark cases on small fleets; processor
+ * time is not checked. Also tests that a second run gives equal counts, and that result lines are
+ * read back as they were written. */
 #include "bench.h"
 #include <math.h>
 #include <stdbool.h>
@@ -12,30 +13,30 @@
 
 static int failures;
 
-static void check(bool holds, const char *what, const char *case_name) {
+static void check_case(bool holds, const char *what, const char *case_name) {
     if (holds) return;
     printf("FAIL bench: %s: %s\n", case_name, what);
     failures++;
 }
 
-/* The one result of a case at these sizes. */
+/* Runs a case at these sizes and returns its only result. */
 static tw_bench_result run(const char *name, int machines, int tasks, int jobs) {
     const tw_bench_sizes sizes = {machines, tasks, jobs};
     const tw_bench_case *bench_case = tw_bench_cases;
     tw_bench_results results = {0};
-    tw_bench_result result = tw_bench_result_of(name, "");
+    tw_bench_result result = tw_bench_result_init(name, "");
     while (bench_case->name && strcmp(bench_case->name, name) != 0) bench_case++;
-    check(bench_case->name && !bench_case->run(&sizes, &results), "doesn't run", name);
-    check(results.count == 1, "gives not one result", name);
+    check_case(bench_case->name && !bench_case->run(&sizes, &results), "the case fails", name);
+    check_case(results.count == 1, "the case does not give exactly one result", name);
     if (results.count == 1) result = results.items[0];
     tw_bench_results_free(&results);
     return result;
 }
 
-/* ---- what a size must not change ---- */
+/* ---- counts that must not depend on a size ---- */
 
-/* Whether two counts differ by no more than a share of the first. */
-static bool near(double first, double second, double share) {
+/* Returns whether two counts differ by no more than a share of the first. */
+static bool differ_within(double first, double second, double share) {
     return fabs(second - first) <= share * fabs(first) + 1e-9;
 }
 
@@ -44,20 +45,21 @@
     for (size_t i = 0; i < sizeof names / sizeof *names; i++) {
         const tw_bench_result small = run(names[i], SMALL, 8, -1);
         const tw_bench_result large = run(names[i], LARGE, 8, -1);
-        check(small.count > 0 && small.allocations > 0, "counts nothing", names[i]);
-        check(near(small.steps, large.steps, 0), "steps grow with the fleet", names[i]);
-        check(near(small.allocations, large.allocations, 0.01), "allocations grow with the fleet",
-              names[i]);
+        check_case(small.count > 0 && small.allocations > 0, "nothing is counted", names[i]);
+        check_case(differ_within(small.steps, large.steps, 0), "steps grow with the fleet",
+                   names[i]);
+        check_case(differ_within(small.allocations, large.allocations, 0.01),
+                   "allocations grow with the fleet", names[i]);
     }
 }
 
 static void test_takeover_is_linear(void) {
     const tw_bench_result few = run("takeover", SMALL, 0, 1000);
     const tw_bench_result many = run("takeover", SMALL, 0, 10000);
-    check(few.allocations > 0, "counts nothing", "takeover");
-    check(near(few.allocations, many.allocations, 0.02), "allocations grow with the records",
-          "takeover");
-    check(near(few.steps, many.steps, 0), "steps grow with the records", "takeover");
+    check_case(few.allocations > 0, "nothing is counted", "takeover");
+    check_case(differ_within(few.allocations, many.allocations, 0.02),
+               "allocations grow with the records", "takeover");
+    check_case(differ_within(few.steps, many.steps, 0), "steps grow with the records", "takeover");
 }
 
 /* ---- bounds ---- */
@@ -67,13 +69,13 @@
     int machines;
     int tasks;
     int jobs;
-    double steps; /* at most, for one of what the case measures */
-    double allocations;
+    double steps;       /* highest number allowed for one unit of the result */
+    double allocations; /* highest number allowed for one unit of the result */
 } figure_bound;
 
 static void test_bounds(void) {
-    /* Steps as measured, a look at each machine for a placement and at most one a shape for a pass;
-     * allocations as measured, with at most a twentieth to spare, in whole numbers. */
+    /* A placement examines each machine once, and a pass each machine at most once for each task
+     * shape. The bounds on allocations are whole numbers at most 5% above the counts. */
     static const figure_bound bounds[] = {
         {"report", SMALL, 0, -1, 0, 4},
         {"report", SMALL, 40, -1, 0, 4},
@@ -99,17 +101,17 @@
     }
 }
 
-/* ---- the program ---- */
+/* ---- repeated runs and result lines ---- */
 
 static void test_counts_repeat(void) {
     const tw_bench_result first = run("opening", SMALL, -1, 100);
     const tw_bench_result second = run("opening", SMALL, -1, 100);
-    check(first.steps == second.steps && first.allocations == second.allocations,
-          "a second run counts otherwise", "opening");
-    check(first.steps > 0, "counts no steps", "opening");
+    check_case(first.steps == second.steps && first.allocations == second.allocations,
+               "a second run gives other counts", "opening");
+    check_case(first.steps > 0, "no steps are counted", "opening");
 }
 
-static FILE *text_file(const char *text) {
+static FILE *open_text(const char *text) {
     FILE *file = tmpfile();
     if (!file) abort();
     fputs(text, file);
@@ -120,23 +122,26 @@
 static void test_lines_are_read_as_written(void) {
     tw_bench_results written = {0};
     tw_bench_results read = {0};
-    tw_bench_result result = tw_bench_result_of("report", "report");
+    tw_bench_result result = tw_bench_result_init("report", "report");
     int bad_line;
     result.machines = SMALL;
     result.tasks = 8;
     result.steps = 3;
     result.allocations = 12.5;
     tw_bench_results_add(&written, &result);
-    FILE *file = text_file("");
+    FILE *file = open_text("");
     tw_bench_write_lines(file, &written);
     rewind(file);
-    check(!tw_bench_read_lines(file, &read, &bad_line), "is not read", "lines");
+    check_case(!tw_bench_read_lines(file, &read, &bad_line), "a written line is not read", "lines");
     fclose(file);
     const tw_bench_result *found = tw_bench_results_find(&read, &result);
-    check(found && found->steps == 3 && found->allocations == 12.5, "is read otherwise", "lines");
-    check(found && isnan(found->bytes), "a figure that was not measured is one", "lines");
+    check_case(found && found->steps == 3 && found->allocations == 12.5,
+               "a result is not read back as written", "lines");
+    check_case(found && isnan(found->bytes), "an unmeasured figure is not read back as NAN",
+               "lines");
     result.tasks = 0;
-    check(!tw_bench_results_find(&read, &result), "another size is taken for it", "lines");
+    check_case(!tw_bench_results_find(&read, &result), "a result of another size is found",
+               "lines");
     tw_bench_results_free(&written);
     tw_bench_results_free(&read);
 }
@@ -147,8 +152,9 @@
     for (size_t i = 0; i < sizeof texts / sizeof *texts; i++) {
         tw_bench_results read = {0};
         int bad_line = 0;
-        FILE *file = text_file(texts[i]);
-        check(tw_bench_read_lines(file, &read, &bad_line) && bad_line == 1, "is taken", texts[i]);
+        FILE *file = open_text(texts[i]);
+        check_case(tw_bench_read_lines(file, &read, &bad_line) && bad_line == 1,
+                   "a malformed line is accepted", texts[i]);
         fclose(file);
         tw_bench_results_free(&read);
     }
