--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -27,7 +27,7 @@
     int status;
 } core_input;
 
-/* ---- settings ---- */
+/* ---- settings and construction of a fleet ---- */
 
 static const char settings_text[] =
     "host_name = \"tray-0\"\nlocation = \"a\"\napi_addr = \"10.0.0.1:8080\"\n"
@@ -305,7 +305,7 @@
     fleet->next_tick = fleet->now + tw_core_tick_s(fleet->core);
 }
 
-/* ---- start ---- */
+/* ---- start of the node ---- */
 
 int tw_bench_fleet_start(tw_bench_fleet *fleet) {
     const tw_bench_load *load = &fleet->load;
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -1,6 +1,7 @@
-/* End to end over loopback: three real processes against the stand-ins; a job is accepted, run and
- * told done; the leader is killed; what ran goes on; a cancel holds. The order of events is waited
- * for, no time is asserted; a generous limit ends a run that hangs. */
+/* End-to-end test over loopback: three real node processes, and stubs of the state service, the
+ * cloud and the workers. A batch job is accepted, run and reported done; the leader is killed while
+ * a service runs; the new leader keeps the service's tasks running; a cancellation takes effect.
+ * The test waits for each event in order and asserts no times; LIMIT_S ends a run that hangs. */
 #include "net/net.h"
 #include "own_host.h"
 #include "processes.h"
@@ -15,12 +16,13 @@
 #include <unistd.h>
 
 #define NODES 3
-/* Ports of the run's own address: of the first node, of its peers' requests, of the first stand-in.
- */
+/* Ports on the run's own address: the first node's API port, its peer port, and the port of the
+ * first stub. */
 #define API_PORT 8080
 #define PEER_PORT 8090
-#define STAND_IN_PORT 8100
-/* The stand-ins that nodes call, by the number of their port; each worker has one of its own. */
+#define STUB_PORT 8100
+/* The stubs that nodes call, as offsets from the first stub's port. Worker i has the offset
+ * PORT_WORKER + i. */
 enum { PORT_STATE, PORT_CLOUD, PORT_WORKER };
 
 #define WORKERS 2
@@ -30,10 +32,10 @@
 #define LEASE_S 8
 #define CANCEL_S 20
 #define LIST_LAG_S 0.5
-#define SOCKETS 200 /* of a node */
-#define LIMIT_S 120 /* of the whole run */
+#define SOCKETS 200 /* socket limit of a node */
+#define LIMIT_S 120 /* time limit of the whole run */
 #define TICK_S 0.05
-#define ACT_EVERY_S 0.2
+#define STEP_INTERVAL_S 0.2
 #define USER_TIMEOUT_S 5
 #define HEARTBEAT_TIMEOUT_S 4
 #define CONNECTIONS_PER_ADDRESS 4
@@ -42,7 +44,7 @@
 #define SERVICE_ID "run-000002"
 #define BATCH_TASKS 3
 #define SERVICE_REPLICAS 2
-#define SERVICE_SUBMISSIONS 3 /* times that it is sent: the same job once, told again */
+#define SERVICE_SUBMISSIONS 3 /* repeated submissions of the one job, which must create it once */
 
 #define JOB(id, shape, tasks)                                                                      \
     "{\"id\":\"" id "\",\"lane\":\"l\",\"crew\":\"crew\",\"shape\":\"" shape                       \
@@ -53,23 +55,23 @@
 static const char batch_text[] = JOB(BATCH_ID, "batch", "3");
 static const char service_text[] = JOB(SERVICE_ID, "service", "2");
 
-/* What is waited for, in this order. */
+/* The events that the test waits for, in order. */
 enum step {
     STEP_ACCEPT,   /* the batch job is accepted */
-    STEP_DONE,     /* and told done */
+    STEP_DONE,     /* the batch job is reported done */
     STEP_RUNS,     /* all replicas of the service run; then the leader is killed */
     STEP_FAILOVER, /* another node leads */
-    STEP_KNOWN,    /* and knows the service */
-    STEP_CANCEL,   /* its cancellation is told */
-    STEP_GONE,     /* none of its replicas run */
+    STEP_KNOWN,    /* a node answers with the service */
+    STEP_CANCEL,   /* the service is reported cancelled */
+    STEP_STOPPED,  /* no replica of the service runs */
     STEP_END
 };
 
-/* A request that was sent to a node, by its number. */
+/* A request sent to a node; its call number is its index in `calls`. */
 struct sent_call {
-    int is_user; /* by a user; else by a worker, and the rest is set */
-    int worker;  /* index in the world */
-    double sent; /* seconds since the start */
+    int is_user;    /* nonzero: sent by a user; the other members are set for workers only */
+    int worker;     /* index in the world */
+    double sent_at; /* seconds since the start */
     uint64_t incarnation;
 };
 
@@ -77,7 +79,7 @@
 static tw_net *net;
 static tw_loopback_nodes nodes;
 static enum step step;
-static bool user_waits; /* a user's request has no answer yet */
+static bool user_request_open; /* a user's request is outstanding */
 static double started_at;
 static char killed_leader[TW_SIMULATOR_NAME];
 static struct sent_call calls[MAX_CALLS];
@@ -89,9 +91,9 @@
     return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
-static double now(void) { return clock_s() - started_at; }
+static double seconds_since_start(void) { return clock_s() - started_at; }
 
-/* Stops the nodes and ends the program. A run without a failure fails if a node ends badly. */
+/* Stops the nodes and exits. The test also fails if a node exits with an error. */
 static _Noreturn void finish(const char *failure) {
     const bool ended_well = tw_loopback_stop(&nodes);
     if (failure) printf("FAIL end_to_end: step %d: %s\n", (int)step, failure);
@@ -100,14 +102,14 @@
     exit(EXIT_SUCCESS);
 }
 
-/* A node asks a stand-in. */
+/* Answers a node's request to a stub. */
 static void on_request(void *ctx, int port, uint64_t conn, const char *method, const char *path,
                        const char *body, size_t len) {
     char *answer = NULL;
     int status;
     (void)ctx;
     (void)len;
-    world.now = now();
+    world.now = seconds_since_start();
     if (port == PORT_STATE)
         status = tw_simulator_state_request(&world.state, world.now, method, path, body, &answer);
     else if (port == PORT_CLOUD)
@@ -119,29 +121,29 @@
     free(answer);
 }
 
-/* IP:PORT of a listener of this run. */
+/* Writes a port on this run's own address as IP:PORT. */
 static void own_address(char *text, size_t size, int port) {
     char host[TW_LOOPBACK_HOST_SIZE];
     tw_loopback_own_host_text(host);
     snprintf(text, size, "%s:%d", host, port);
 }
 
-/* Sends a request to a node; returns what is known of it, to be filled in. */
+/* Sends a request to a node. Returns its entry in `calls`, which the caller fills in. */
 static struct sent_call *call_node(int node, const char *method, const char *path, const char *body,
                                    double timeout_s) {
     char address[ADDRESS_SIZE];
-    if (++call_count >= MAX_CALLS) finish("too many calls");
+    if (++call_count >= MAX_CALLS) finish("more than MAX_CALLS requests to nodes");
     own_address(address, sizeof address, API_PORT + node);
     tw_net_call(net, call_count, address, CONNECTIONS_PER_ADDRESS, method, path, body, timeout_s);
     return &calls[call_count];
 }
 
-static void ask_as_user(int node, const char *method, const char *path, const char *body) {
-    user_waits = true;
+static void send_user_request(int node, const char *method, const char *path, const char *body) {
+    user_request_open = true;
     call_node(node, method, path, body, USER_TIMEOUT_S)->is_user = 1;
 }
 
-/* The leader by its key in the state service; empty: there is none. */
+/* Reads the leader's name from its key in the state service; empty if there is no leader. */
 static void read_leader(char name[TW_SIMULATOR_NAME]) {
     char *answer = NULL;
     *name = 0;
@@ -155,8 +157,8 @@
     free(answer);
 }
 
-/* Whether a user's answer is what the step waits for. */
-static bool is_awaited(int status, const char *body) {
+/* Returns whether a response to a user's request completes the current step. */
+static bool completes_step(int status, const char *body) {
     if (status != 200 && status != 201) return false;
     switch (step) {
     case STEP_ACCEPT:
@@ -172,24 +174,24 @@
     }
 }
 
-/* A node answers a user or a worker. */
+/* Processes a node's response to a user or a worker. */
 static void on_response(void *ctx, uint64_t id, int status, const char *body, size_t len) {
     const struct sent_call *call = &calls[id];
     (void)ctx;
     (void)len;
-    world.now = now();
+    world.now = seconds_since_start();
     if (call->is_user) {
-        user_waits = false;
-        if (is_awaited(status, body)) step++;
+        user_request_open = false;
+        if (completes_step(status, body)) step++;
         return;
     }
     tw_simulator_worker *worker = world.workers[call->worker];
     worker->in_flight = 0;
-    tw_simulator_worker_answer(&world, worker, call->sent, call->incarnation, status, body);
+    tw_simulator_worker_answer(&world, worker, call->sent_at, call->incarnation, status, body);
 }
 
-/* The index of a node by its name; -1: none of them. */
-static int node_of(const char *name) {
+/* Returns the index of the node with that name, or -1 if there is none. */
+static int find_node(const char *name) {
     for (int node = 0; node < NODES; node++)
         if (strcmp(world.nodes[node], name) == 0) return node;
     return -1;
@@ -197,15 +199,16 @@
 
 static void kill_leader(void) {
     read_leader(killed_leader);
-    const int node = node_of(killed_leader);
+    const int node = find_node(killed_leader);
     if (node < 0 || !tw_loopback_kill(&nodes, node)) return;
     step++;
 }
 
-/* Submits the service to several nodes; once all its replicas run, the leader is killed. */
-static void run_service(int node) {
+/* Submits the service to several nodes, and kills the leader once all its replicas run. */
+static void submit_service(int node) {
     static int submissions;
-    if (submissions++ < SERVICE_SUBMISSIONS) ask_as_user(node, "POST", "/v1/jobs", service_text);
+    if (submissions++ < SERVICE_SUBMISSIONS)
+        send_user_request(node, "POST", "/v1/jobs", service_text);
     if (tw_simulator_job_tasks_running(&world, SERVICE_ID) == SERVICE_REPLICAS) kill_leader();
 }
 
@@ -215,7 +218,7 @@
     if (*name && strcmp(name, killed_leader) != 0) step++;
 }
 
-/* The node that is asked next: each one that runs in turn. */
+/* Returns the node for the next request: the live nodes take turns. */
 static int next_node(void) {
     static int node;
     node = (node + 1) % NODES;
@@ -223,33 +226,35 @@
     return node;
 }
 
-static void act(void) {
+static void advance_step(void) {
     const int node = next_node();
     switch (step) {
     case STEP_ACCEPT:
-        ask_as_user(node, "POST", "/v1/jobs", batch_text);
+        send_user_request(node, "POST", "/v1/jobs", batch_text);
         break;
     case STEP_DONE:
-        ask_as_user(node, "GET", "/v1/jobs/" BATCH_ID, "");
+        send_user_request(node, "GET", "/v1/jobs/" BATCH_ID, "");
         break;
     case STEP_RUNS:
-        run_service(node);
+        submit_service(node);
         break;
     case STEP_FAILOVER:
         await_new_leader();
         break;
     case STEP_KNOWN:
-        ask_as_user(node, "GET", "/v1/jobs/" SERVICE_ID, "");
+        send_user_request(node, "GET", "/v1/jobs/" SERVICE_ID, "");
         break;
     case STEP_CANCEL:
-        ask_as_user(node, "POST", "/v1/jobs/" SERVICE_ID "/abort", "{}");
+        send_user_request(node, "POST", "/v1/jobs/" SERVICE_ID "/abort", "{}");
         break;
-    case STEP_GONE:
+    case STEP_STOPPED:
         if (tw_simulator_job_tasks_running(&world, SERVICE_ID) == 0) step++;
         break;
     case STEP_END: {
         const tw_simulator_job *service = tw_simulator_job_find(&world, SERVICE_ID);
-        finish(service->started == SERVICE_REPLICAS ? NULL : "a replica was started again");
+        finish(service->started == SERVICE_REPLICAS
+                   ? NULL
+                   : "a replica of the service was started more than once");
     }
     }
 }
@@ -260,7 +265,7 @@
     struct sent_call *call = call_node(worker->node, "POST", "/hello", body, HEARTBEAT_TIMEOUT_S);
     free(body);
     call->worker = index;
-    call->sent = world.now;
+    call->sent_at = world.now;
     call->incarnation = worker->incarnation;
     worker->in_flight = 1;
     worker->changed = false;
@@ -269,23 +274,23 @@
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int events) {
-    static double next_act;
+    static double next_step_at;
     int status;
     (void)loop;
     (void)timer;
     (void)events;
-    world.now = now();
-    if (world.now > LIMIT_S) finish("no progress");
-    if (tw_loopback_ended(&nodes, &status) >= 0) finish("a node ended by itself");
+    world.now = seconds_since_start();
+    if (world.now > LIMIT_S) finish("the time limit was exceeded");
+    if (tw_loopback_ended(&nodes, &status) >= 0) finish("a node exited unexpectedly");
     tw_simulator_gangs_advance(&world);
     for (int i = 0; i < world.worker_count; i++) {
         tw_simulator_worker_advance(&world, world.workers[i]);
         if (tw_simulator_worker_heartbeat_due(&world, world.workers[i])) send_heartbeat(i);
     }
     if (*world.rule) finish(world.detail);
-    if (!user_waits && world.now >= next_act) {
-        next_act = world.now + ACT_EVERY_S;
-        act();
+    if (!user_request_open && world.now >= next_step_at) {
+        next_step_at = world.now + STEP_INTERVAL_S;
+        advance_step();
     }
 }
 
@@ -321,24 +326,24 @@
     add_job(SERVICE_ID, service_text, SERVICE_REPLICAS);
 }
 
-static void listen_as_stand_ins(void) {
+static void listen_as_stubs(void) {
     for (int i = 0; i < PORT_WORKER + WORKERS; i++) {
         char address[ADDRESS_SIZE];
-        own_address(address, sizeof address, STAND_IN_PORT + i);
-        if (tw_net_listen(net, address, i)) finish("a stand-in can't listen");
+        own_address(address, sizeof address, STUB_PORT + i);
+        if (tw_net_listen(net, address, i)) finish("a stub cannot listen on its port");
     }
 }
 
 static void rent_workers(void) {
     for (int i = 0; i < WORKERS; i++) {
         tw_simulator_worker *worker = tw_simulator_add_machine(&world, 0, i ? "b" : "a", 0, 0);
-        own_address(worker->endpoint, sizeof worker->endpoint, STAND_IN_PORT + PORT_WORKER + i);
+        own_address(worker->endpoint, sizeof worker->endpoint, STUB_PORT + PORT_WORKER + i);
     }
 }
 
 static const char *zone_of(int node) { return node == 1 ? "b" : "a"; }
 
-static void name_peer(tw_loopback_peer *peer, int node) {
+static void fill_peer(tw_loopback_peer *peer, int node) {
     snprintf(peer->name, sizeof peer->name, "tray-%d", node);
     snprintf(peer->zone, sizeof peer->zone, "%s", zone_of(node));
     own_address(peer->endpoint, sizeof peer->endpoint, PEER_PORT + node);
@@ -356,10 +361,10 @@
     snprintf(settings.zone, sizeof settings.zone, "%s", zone_of(node));
     own_address(settings.api_address, sizeof settings.api_address, API_PORT + node);
     own_address(settings.peer_address, sizeof settings.peer_address, PEER_PORT + node);
-    own_address(settings.cloud, sizeof settings.cloud, STAND_IN_PORT + PORT_CLOUD);
-    own_address(settings.state, sizeof settings.state, STAND_IN_PORT + PORT_STATE);
+    own_address(settings.cloud, sizeof settings.cloud, STUB_PORT + PORT_CLOUD);
+    own_address(settings.state, sizeof settings.state, STUB_PORT + PORT_STATE);
     for (int peer = 0; peer < NODES; peer++)
-        if (peer != node) name_peer(&settings.peers[settings.peer_count++], peer);
+        if (peer != node) fill_peer(&settings.peers[settings.peer_count++], peer);
     snprintf(path, sizeof path, "/tmp/tw_e2e_%d_%d.toml", (int)getpid(), node);
     return tw_loopback_write(path, &settings) && tw_loopback_start(&nodes, node, path);
 }
@@ -372,17 +377,18 @@
     nodes.program = argv[1];
     signal(SIGPIPE, SIG_IGN);
     started_at = clock_s();
-    /* Not the default loop, which would take the ends of the nodes from whoever waits for them. */
+    /* Not the default loop, which reaps child processes and would take the nodes' exit statuses
+     * from the code that waits for them. */
     struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
     const tw_net_limits limits = {
         .max_server = 200, .max_client = 200, .idle_s = 60, .max_response = 1 << 20};
     const tw_net_handler handler = {on_request, on_response};
     net = tw_net_new(loop, &limits, &handler, NULL);
     init_world();
-    listen_as_stand_ins();
+    listen_as_stubs();
     rent_workers();
     for (int node = 0; node < NODES; node++)
-        if (!start_node(node)) finish("can't start a node");
+        if (!start_node(node)) finish("a node cannot be started");
     ev_timer tick;
     ev_timer_init(&tick, on_tick, TICK_S, TICK_S);
     ev_timer_start(loop, &tick);
--- a/tests/runner/net_test.c
+++ b/tests/runner/net_test.c
@@ -1,7 +1,9 @@
-/* The net package over loopback. A full server: who must be answered first takes the place of those
- * idle for longest, and is never closed for others; where nobody can go, the next one is refused.
- * Requests in parts, together, long and answered late; calls that are long, answered early or on a
- * connection that was closed. Each step waits for the one before; no time is asserted. */
+/* Tests the net package over loopback. At its connection limit a server closes the connection that
+ * has been idle longest to accept a new one, but never closes connections that its `keeps` callback
+ * protects (workers' heartbeats); if all are protected, it refuses the new one. Further tests:
+ * requests that arrive split, pipelined, large or are answered late; calls that are large, answered
+ * before they are fully sent, or made on a closed connection. Each step waits for the previous one;
+ * no times are asserted. */
 #include "net/net.h"
 #include "own_host.h"
 #include <arpa/inet.h>
@@ -18,16 +20,16 @@
 #include <unistd.h>
 
 enum {
-    ROOM = 4,
+    SERVER_LIMIT = 4,
     MAX_CLIENTS = 8,
     PORT = 8080,
-    LONG_ENOUGH_MS = 5000,
+    WAIT_LIMIT_MS = 5000,
     CALL_S = 1000,
-    TEXT = 512,
-    LONG_BODY = 60000,
+    TEXT_SIZE = 512,
+    LONG_LENGTH = 60000,
     LARGEST_RESPONSE = 400000,
-    OVERSIZED_BODY = 70000,
-    MANY_AT_ONCE = 600,
+    OVERSIZED_LENGTH = 70000,
+    BURST_CONNECTIONS = 600,
     OK = 200
 };
 
@@ -35,23 +37,23 @@
 static struct ev_loop *loop;
 static int failed;
 
-/* What the server was asked last, and how it answers: at once unless it is told to wait. */
+/* The last request to the server, and how the server answers it. */
 static struct {
     int count;
-    bool wait;
-    size_t answer_length; /* 0: "{}" */
+    bool answer_later;    /* the test answers later with answer(); if false, on_request answers */
+    size_t answer_length; /* length of the body; 0: the body is "{}" */
     uint64_t connection;
     size_t body_length;
-    char path[TEXT];
-    char body[LONG_BODY + 1];
-} asked;
+    char path[TEXT_SIZE];
+    char body[LONG_LENGTH + 1];
+} last_request;
 
-/* How the last call ended. */
+/* The result of the last call. */
 static struct {
     int count;
     int status;
     size_t length;
-} ended;
+} last_result;
 
 static void check(bool ok, const char *what) {
     if (ok) return;
@@ -61,7 +63,7 @@
 
 static void answer(uint64_t connection) {
     static char body[LARGEST_RESPONSE];
-    size_t length = asked.answer_length;
+    size_t length = last_request.answer_length;
     memset(body, 'a', sizeof body);
     if (length)
         tw_net_reply(net, connection, OK, 0, body, length);
@@ -74,21 +76,21 @@
     (void)context;
     (void)own_port;
     (void)method;
-    asked.count++;
-    asked.connection = connection;
-    asked.body_length = length;
-    snprintf(asked.path, sizeof asked.path, "%s", path);
-    if (length < sizeof asked.body) memcpy(asked.body, body, length + 1);
-    if (!asked.wait) answer(connection);
+    last_request.count++;
+    last_request.connection = connection;
+    last_request.body_length = length;
+    snprintf(last_request.path, sizeof last_request.path, "%s", path);
+    if (length < sizeof last_request.body) memcpy(last_request.body, body, length + 1);
+    if (!last_request.answer_later) answer(connection);
 }
 
 static void on_response(void *context, uint64_t call, int status, const char *body, size_t length) {
     (void)context;
     (void)call;
     (void)body;
-    ended.count++;
-    ended.status = status;
-    ended.length = length;
+    last_result.count++;
+    last_result.status = status;
+    last_result.length = length;
 }
 
 static bool keeps(int own_port, const char *path) {
@@ -96,26 +98,27 @@
     return !strcmp(path, "/hello");
 }
 
-/* ---- sockets of the test's own ---- */
+/* ---- client sockets of the test ---- */
 
-static struct sockaddr_in loopback(int at) {
-    struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)at)};
+static struct sockaddr_in loopback_address(int port) {
+    struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
     address.sin_addr = tw_loopback_own_host();
     return address;
 }
 
-/* IP:PORT of a listener of this test. */
-static void own_address(char text[TEXT], int at) {
+/* Writes a port on this test's own address as IP:PORT. */
+static void own_address(char text[TEXT_SIZE], int port) {
     char host[TW_LOOPBACK_HOST_SIZE];
     tw_loopback_own_host_text(host);
-    snprintf(text, TEXT, "%s:%d", host, at);
+    snprintf(text, TEXT_SIZE, "%s:%d", host, port);
 }
 
-static int dial(void) {
-    struct sockaddr_in address = loopback(PORT);
-    int dialled = socket(AF_INET, SOCK_STREAM, 0);
-    if (dialled < 0 || connect(dialled, (struct sockaddr *)&address, sizeof address)) return -1;
-    return dialled;
+static int connect_to_server(void) {
+    struct sockaddr_in address = loopback_address(PORT);
+    int connection = socket(AF_INET, SOCK_STREAM, 0);
+    if (connection < 0 || connect(connection, (struct sockaddr *)&address, sizeof address))
+        return -1;
+    return connection;
 }
 
 static bool is_readable(int socket, int wait_ms) {
@@ -123,12 +126,13 @@
     return poll(&polled, 1, wait_ms) > 0;
 }
 
-/* What comes on the socket while the loop runs: 1 an answer, 0 closed. */
-static int hear(int socket) {
-    for (int i = 0; i < LONG_ENOUGH_MS; i++) {
+/* Runs the loop until the socket is readable and reads from it. Returns 1 if bytes were read, 0 if
+ * the connection was closed, or -1 if neither happened in time. */
+static int read_answer(int socket) {
+    for (int i = 0; i < WAIT_LIMIT_MS; i++) {
         ev_run(loop, EVRUN_NOWAIT);
         if (!is_readable(socket, 1)) continue;
-        char text[TEXT];
+        char text[TEXT_SIZE];
         return read(socket, text, sizeof text) > 0;
     }
     return -1;
@@ -139,55 +143,57 @@
     return send(socket, text, length, MSG_NOSIGNAL) == (ssize_t)length;
 }
 
-static int ask(int socket, const char *path) {
-    char text[TEXT];
+static int send_request(int socket, const char *path) {
+    char text[TEXT_SIZE];
     snprintf(text, sizeof text, "GET %s HTTP/1.1\r\n\r\n", path);
-    return send_text(socket, text) ? hear(socket) : 0;
+    return send_text(socket, text) ? read_answer(socket) : 0;
 }
 
-/* Runs the loop until the count is reached, or for long enough. */
-static bool reach(const int *count, int wanted) {
-    for (int i = 0; i < LONG_ENOUGH_MS && *count < wanted; i++) {
+/* Runs the loop until the counter reaches the wanted value or the time limit passes. Returns
+ * whether the counter has exactly that value. */
+static bool run_until_count(const int *count, int wanted) {
+    for (int i = 0; i < WAIT_LIMIT_MS && *count < wanted; i++) {
         ev_run(loop, EVRUN_NOWAIT);
         if (*count < wanted) poll(NULL, 0, 1);
     }
     return *count == wanted;
 }
 
-/* Runs the loop while some rounds pass in which nothing more should happen. */
-static void settle(void) {
+/* Runs ten rounds of the loop, to process pending events or to show that none occur. */
+static void run_idle_rounds(void) {
     for (int i = 0; i < 10; i++) {
         ev_run(loop, EVRUN_NOWAIT);
         poll(NULL, 0, 1);
     }
 }
 
-/* Bytes read from the socket while the loop runs, until as many as wanted came or it was closed. */
-static size_t hear_bytes(int socket, size_t wanted) {
-    size_t heard = 0;
-    char bytes[TEXT];
-    for (int i = 0; i < LONG_ENOUGH_MS && heard < wanted; i++) {
+/* Runs the loop and reads from the socket until `wanted` bytes were read, the connection was closed
+ * or the time limit passed. Returns the number of bytes read. */
+static size_t read_bytes(int socket, size_t wanted) {
+    size_t received = 0;
+    char bytes[TEXT_SIZE];
+    for (int i = 0; i < WAIT_LIMIT_MS && received < wanted; i++) {
         ev_run(loop, EVRUN_NOWAIT);
         while (is_readable(socket, 0)) {
             ssize_t count = read(socket, bytes, sizeof bytes);
-            if (count <= 0) return heard;
-            heard += (size_t)count;
+            if (count <= 0) return received;
+            received += (size_t)count;
         }
-        poll(NULL, 0, heard < wanted);
+        poll(NULL, 0, received < wanted);
     }
-    return heard;
+    return received;
 }
 
-/* Reads away what has come and what still comes. */
-static void drain(int socket) {
-    char bytes[TEXT];
-    settle();
+/* Reads and discards all bytes that arrive on the socket. */
+static void discard_input(int socket) {
+    char bytes[TEXT_SIZE];
+    run_idle_rounds();
     while (is_readable(socket, 0) && read(socket, bytes, sizeof bytes) > 0)
         ev_run(loop, EVRUN_NOWAIT);
 }
 
-static void start(int room) {
-    const tw_net_limits limits = {.max_server = room,
+static void start_server(int max_connections) {
+    const tw_net_limits limits = {.max_server = max_connections,
                                   .max_client = MAX_CLIENTS,
                                   .idle_s = CALL_S,
                                   .keeps = keeps,
@@ -195,110 +201,121 @@
                                   .max_response = LARGEST_RESPONSE};
     const tw_net_handler handler = {on_request, on_response};
     net = tw_net_new(loop, &limits, &handler, NULL);
-    memset(&asked, 0, sizeof asked);
-    memset(&ended, 0, sizeof ended);
-    char address[TEXT];
+    memset(&last_request, 0, sizeof last_request);
+    memset(&last_result, 0, sizeof last_result);
+    char address[TEXT_SIZE];
     own_address(address, PORT);
     if (!tw_net_listen(net, address, 0)) return;
-    printf("FAIL net: can't listen on %s\n", address);
+    printf("FAIL net: cannot listen on %s\n", address);
     exit(2);
 }
 
 /* ---- the server ---- */
 
-static void full_server(void) {
+static void server_at_limit(void) {
     int user[MAX_CLIENTS];
     int worker[MAX_CLIENTS];
-    start(ROOM);
-    worker[0] = dial();
-    check(ask(worker[0], "/hello") == 1, "the first worker is answered");
+    start_server(SERVER_LIMIT);
+    worker[0] = connect_to_server();
+    check(send_request(worker[0], "/hello") == 1, "the first worker is answered");
     for (int i = 0; i < 3; i++) {
-        user[i] = dial();
-        check(ask(user[i], "/up") == 1, "users are answered while there is room");
+        user[i] = connect_to_server();
+        check(send_request(user[i], "/up") == 1, "users are answered below the connection limit");
     }
-    check(ask(user[0], "/up") == 1, "a user that asks again is not the longest idle any more");
+    check(send_request(user[0], "/up") == 1,
+          "a second request of a user is answered and ends its idle time");
     for (int i = 1; i < 3; i++) {
-        worker[i] = dial();
-        check(ask(worker[i], "/hello") == 1, "a worker is answered by a full server");
-        check(hear(user[i]) == 0, "a user's idle connection made room for it");
+        worker[i] = connect_to_server();
+        check(send_request(worker[i], "/hello") == 1, "a worker is answered by a full server");
+        check(read_answer(user[i]) == 0,
+              "the user's connection that has been idle longest is closed for it");
     }
-    user[3] = dial();
-    check(ask(user[3], "/up") == 1, "a user takes an idle user's place");
-    check(hear(user[0]) == 0, "and that one is closed");
-    worker[3] = dial();
-    check(ask(worker[3], "/hello") == 1, "one more worker");
-    for (int i = 0; i < 4; i++) check(ask(worker[i], "/hello") == 1, "workers stay");
-    user[4] = dial();
-    check(ask(user[4], "/up") == 0, "where only workers are left, a user is refused at once");
-    worker[4] = dial();
-    check(ask(worker[4], "/hello") == 0, "and a worker beyond the limit");
-    for (int i = 0; i < 4; i++) check(ask(worker[i], "/hello") == 1, "workers stay after it");
+    user[3] = connect_to_server();
+    check(send_request(user[3], "/up") == 1, "a new user is answered by a full server");
+    check(read_answer(user[0]) == 0, "the idle user's connection is closed for it");
+    worker[3] = connect_to_server();
+    check(send_request(worker[3], "/hello") == 1, "a fourth worker is answered by a full server");
+    for (int i = 0; i < 4; i++)
+        check(send_request(worker[i], "/hello") == 1, "workers' connections stay open");
+    user[4] = connect_to_server();
+    check(send_request(user[4], "/up") == 0, "a user is refused if only workers are connected");
+    worker[4] = connect_to_server();
+    check(send_request(worker[4], "/hello") == 0, "a worker beyond the limit is refused");
+    for (int i = 0; i < 4; i++)
+        check(send_request(worker[i], "/hello") == 1,
+              "workers' connections stay open after the refusals");
     tw_net_free(net);
 }
 
 static void request_byte_by_byte(void) {
     static const char request[] = "POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
-    start(ROOM);
-    int user = dial();
+    start_server(SERVER_LIMIT);
+    int user = connect_to_server();
     for (const char *letter = request; *letter; letter++) {
         char byte[2] = {*letter, 0};
-        check(send_text(user, byte), "a byte is sent");
+        check(send_text(user, byte), "a byte of a request is sent");
         ev_run(loop, EVRUN_NOWAIT);
     }
-    check(hear(user) == 1, "a request that comes byte by byte is answered");
-    check(asked.count == 1 && !strcmp(asked.path, "/a"), "once, with its path");
-    check(asked.body_length == 4 && !strcmp(asked.body, "body"), "and with its body");
+    check(read_answer(user) == 1, "a request that arrives byte by byte is answered");
+    check(last_request.count == 1 && !strcmp(last_request.path, "/a"),
+          "a request in single bytes is handed over once, with its path");
+    check(last_request.body_length == 4 && !strcmp(last_request.body, "body"),
+          "a request in single bytes is handed over with its body");
     close(user);
     tw_net_free(net);
 }
 
-static void requests_together(void) {
-    start(ROOM);
-    asked.wait = true;
-    int user = dial();
+static void pipelined_requests(void) {
+    start_server(SERVER_LIMIT);
+    last_request.answer_later = true;
+    int user = connect_to_server();
     check(send_text(user, "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\nGET /c HT"),
-          "two requests and a part of a third");
-    check(reach(&asked.count, 1), "the first is handed over");
-    settle();
-    check(asked.count == 1, "the second waits for its answer");
-    check(send_text(user, "TP/1.1\r\n\r\n"), "the rest of the third");
-    settle();
-    answer(asked.connection);
-    check(reach(&asked.count, 2) && !strcmp(asked.path, "/b"), "then the second is handed over");
-    asked.wait = false;
-    answer(asked.connection);
-    check(reach(&asked.count, 3) && !strcmp(asked.path, "/c"), "and the third, whole");
-    answer(asked.connection);
-    settle();
-    check(asked.count == 3, "nothing is answered twice");
-    check(ask(user, "/d") == 1, "the connection goes on");
+          "two requests and a part of a third are sent");
+    check(run_until_count(&last_request.count, 1), "the first request is handed over");
+    run_idle_rounds();
+    check(last_request.count == 1, "the second request waits for the first one's answer");
+    check(send_text(user, "TP/1.1\r\n\r\n"), "the rest of the third request is sent");
+    run_idle_rounds();
+    answer(last_request.connection);
+    check(run_until_count(&last_request.count, 2) && !strcmp(last_request.path, "/b"),
+          "the second request is handed over after the first one's answer");
+    last_request.answer_later = false;
+    answer(last_request.connection);
+    check(run_until_count(&last_request.count, 3) && !strcmp(last_request.path, "/c"),
+          "the third request is handed over whole");
+    answer(last_request.connection);
+    run_idle_rounds();
+    check(last_request.count == 3, "no request is handed over twice");
+    check(send_request(user, "/d") == 1, "a later request on the connection is answered");
     close(user);
     tw_net_free(net);
 }
 
 static void long_messages(void) {
-    static char body[LONG_BODY + 1];
-    char head[TEXT];
-    start(ROOM);
-    int user = dial();
-    memset(body, 'b', LONG_BODY);
-    snprintf(head, sizeof head, "POST /long HTTP/1.1\r\nContent-Length: %d\r\n\r\n", LONG_BODY);
+    static char body[LONG_LENGTH + 1];
+    char head[TEXT_SIZE];
+    start_server(SERVER_LIMIT);
+    int user = connect_to_server();
+    memset(body, 'b', LONG_LENGTH);
+    snprintf(head, sizeof head, "POST /long HTTP/1.1\r\nContent-Length: %d\r\n\r\n", LONG_LENGTH);
     check(send_text(user, head) && send_text(user, body), "a long request is sent");
-    check(hear(user) == 1 && asked.body_length == LONG_BODY, "it is taken whole");
-    check(!strcmp(asked.body, body), "with the bytes that were sent");
-    asked.answer_length = LARGEST_RESPONSE;
-    check(send_text(user, "GET /large HTTP/1.1\r\n\r\n"), "a large answer is asked for");
-    settle();
-    check(hear_bytes(user, LARGEST_RESPONSE) >= LARGEST_RESPONSE, "all of it comes");
-    asked.answer_length = 0;
-    settle();
-    int other = dial();
+    check(read_answer(user) == 1 && last_request.body_length == LONG_LENGTH,
+          "a long request is handed over whole");
+    check(!strcmp(last_request.body, body), "a long request's body is handed over as sent");
+    last_request.answer_length = LARGEST_RESPONSE;
+    check(send_text(user, "GET /large HTTP/1.1\r\n\r\n"), "a request for a large answer is sent");
+    run_idle_rounds();
+    check(read_bytes(user, LARGEST_RESPONSE) >= LARGEST_RESPONSE, "a large answer arrives whole");
+    last_request.answer_length = 0;
+    run_idle_rounds();
+    int other = connect_to_server();
     snprintf(head, sizeof head, "POST /over HTTP/1.1\r\nContent-Length: %d\r\n\r\n",
-             OVERSIZED_BODY);
-    check(send_text(other, head) && send_text(other, body), "a request that is too long");
-    check(send_text(other, body), "goes on");
-    check(hear(other) == 1, "it is refused");
-    check(strcmp(asked.path, "/over") != 0, "and not handed over");
+             OVERSIZED_LENGTH);
+    check(send_text(other, head) && send_text(other, body),
+          "a request with an oversized body is sent");
+    check(send_text(other, body), "the rest of an oversized body is sent");
+    check(read_answer(other) == 1, "an oversized request is refused");
+    check(strcmp(last_request.path, "/over") != 0, "an oversized request is not handed over");
     close(user);
     close(other);
     tw_net_free(net);
@@ -306,10 +323,10 @@
 
 /* ---- the client ---- */
 
-static int peer; /* the listening socket of whom we call */
+static int peer; /* listening socket of the peer that receives the calls */
 
-static void call_peer(const char *body) {
-    char address[TEXT];
+static void send_call(const char *body) {
+    char address[TEXT_SIZE];
     struct sockaddr_in bound;
     socklen_t size = sizeof bound;
     getsockname(peer, (struct sockaddr *)&bound, &size);
@@ -317,63 +334,68 @@
     tw_net_call(net, 1, address, 1, "POST", "/called", body, CALL_S);
 }
 
-static void open_peer(void) {
-    struct sockaddr_in any = loopback(0);
+static void start_peer(void) {
+    struct sockaddr_in any = loopback_address(0);
     peer = socket(AF_INET, SOCK_STREAM, 0);
     check(!bind(peer, (struct sockaddr *)&any, sizeof any) && !listen(peer, 4), "a peer listens");
 }
 
-/* The connection that was made to the peer. */
-static int accept_call(void) {
-    for (int i = 0; i < LONG_ENOUGH_MS; i++) {
+/* Runs the loop until a connection to the peer arrives. Returns its socket, or -1 if none does. */
+static int accept_connection(void) {
+    for (int i = 0; i < WAIT_LIMIT_MS; i++) {
         ev_run(loop, EVRUN_NOWAIT);
         if (is_readable(peer, 1)) return accept(peer, NULL, NULL);
     }
     return -1;
 }
 
-/* The peer takes what has come and answers. */
+/* Reads a call at the peer and sends `text` in response. */
 static void answer_call(int connection, const char *text) {
-    check(hear(connection) == 1, "a call comes");
-    check(send_text(connection, text), "and is answered");
+    check(read_answer(connection) == 1, "a call arrives at the peer");
+    check(send_text(connection, text), "the peer's answer is sent");
 }
 
 static void calls_on_open_connection(void) {
     static const char ok[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
-    start(ROOM);
-    open_peer();
-    call_peer("first");
-    int connection = accept_call();
+    start_server(SERVER_LIMIT);
+    start_peer();
+    send_call("first");
+    int connection = accept_connection();
     answer_call(connection, ok);
-    check(reach(&ended.count, 1) && ended.status == OK, "a call ends with its answer");
-    call_peer("second");
-    check(is_readable(connection, LONG_ENOUGH_MS),
-          "on an open connection a call is sent at once, without a turn of the loop");
-    check(send_text(connection, "HTTP/1.1 200 OK\r\nContent-Le"), "an answer begins");
-    settle();
-    check(ended.count == 1, "and is waited for");
-    check(send_text(connection, "ngth: 4\r\n\r\n{  }"), "and ends");
-    check(reach(&ended.count, 2) && ended.length == 4, "an answer in pieces is taken whole");
+    check(run_until_count(&last_result.count, 1) && last_result.status == OK,
+          "a call ends with its answer");
+    send_call("second");
+    check(is_readable(connection, WAIT_LIMIT_MS),
+          "a call on an open connection is sent before the loop runs");
+    check(send_text(connection, "HTTP/1.1 200 OK\r\nContent-Le"),
+          "the first part of an answer is sent");
+    run_idle_rounds();
+    check(last_result.count == 1, "a call does not end with a partial answer");
+    check(send_text(connection, "ngth: 4\r\n\r\n{  }"), "the rest of the answer is sent");
+    check(run_until_count(&last_result.count, 2) && last_result.length == 4,
+          "a call ends with an answer that arrives split");
     close(connection);
-    settle();
-    call_peer("third");
-    check(ended.count == 2, "a closed connection is not told to have failed");
-    connection = accept_call();
+    run_idle_rounds();
+    send_call("third");
+    check(last_result.count == 2,
+          "the close of an idle connection is not reported as a failed call");
+    connection = accept_connection();
     answer_call(connection, ok);
-    check(reach(&ended.count, 3) && ended.status == OK, "the next call opens another");
+    check(run_until_count(&last_result.count, 3) && last_result.status == OK,
+          "the next call opens another connection");
     close(connection);
-    call_peer("fourth");
-    check(ended.count == 3, "a call never ends within the call that began it");
-    check(reach(&ended.count, 4) && ended.status == 0,
-          "one on a connection just closed ends without an answer");
-    settle();
-    check(ended.count == 4, "and once");
+    send_call("fourth");
+    check(last_result.count == 3, "tw_net_call does not report the call's end before it returns");
+    check(run_until_count(&last_result.count, 4) && last_result.status == 0,
+          "a call on a connection that was just closed ends without an answer");
+    run_idle_rounds();
+    check(last_result.count == 4, "a call on a closed connection ends only once");
     close(peer);
     tw_net_free(net);
 }
 
-/* A body that no socket takes at once. */
-static char *endless_body(size_t length) {
+/* Returns a body of that length, which the caller frees. */
+static char *repeated_body(size_t length) {
     char *body = malloc(length + 1);
     if (!body) abort();
     memset(body, 'c', length);
@@ -381,32 +403,35 @@
     return body;
 }
 
-static void calls_longer_than_a_socket_takes(void) {
+static void calls_larger_than_send_buffer(void) {
     static const char ok[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
     const size_t length = (size_t)16 << 20;
-    char *body = endless_body(length);
-    start(ROOM);
-    open_peer();
-    call_peer("first");
-    int connection = accept_call();
+    char *body = repeated_body(length);
+    start_server(SERVER_LIMIT);
+    start_peer();
+    send_call("first");
+    int connection = accept_connection();
     answer_call(connection, ok);
-    check(reach(&ended.count, 1), "a connection is open");
-    call_peer(body);
-    check(hear_bytes(connection, length) >= length,
-          "a call longer than a socket takes comes whole");
-    drain(connection);
-    check(send_text(connection, ok), "its answer");
-    check(reach(&ended.count, 2) && ended.status == OK, "ends it");
-    call_peer(body);
-    check(hear(connection) == 1, "another one begins");
+    check(run_until_count(&last_result.count, 1), "a connection is open");
+    send_call(body);
+    check(read_bytes(connection, length) >= length,
+          "a call larger than the socket's send buffer arrives whole");
+    discard_input(connection);
+    check(send_text(connection, ok), "the large call's answer is sent");
+    check(run_until_count(&last_result.count, 2) && last_result.status == OK,
+          "the large call ends with its answer");
+    send_call(body);
+    check(read_answer(connection) == 1, "a second large call begins to arrive");
     check(send_text(connection, "HTTP/1.1 400 Bad Request\r\nContent-Length: 2\r\n\r\n{}"),
-          "and is answered before all of it was sent");
-    check(reach(&ended.count, 3) && ended.status == 400, "it ends with that answer");
-    call_peer("next");
-    int other = accept_call();
-    check(other >= 0, "the next call isn't sent after a part of another");
+          "the second large call is answered before all of it was sent");
+    check(run_until_count(&last_result.count, 3) && last_result.status == 400,
+          "the second large call ends with the early answer");
+    send_call("next");
+    int other = accept_connection();
+    check(other >= 0, "the next call uses another connection than the incomplete one");
     if (other >= 0) answer_call(other, ok);
-    check(reach(&ended.count, 4) && ended.status == OK, "and is answered");
+    check(run_until_count(&last_result.count, 4) && last_result.status == OK,
+          "the next call ends with its answer");
     close(connection);
     close(other);
     close(peer);
@@ -415,12 +440,12 @@
 }
 
 static void response_too_large(void) {
-    char head[TEXT];
-    char *body = endless_body(LARGEST_RESPONSE);
-    start(ROOM);
-    open_peer();
-    call_peer("large");
-    int connection = accept_call();
+    char head[TEXT_SIZE];
+    char *body = repeated_body(LARGEST_RESPONSE);
+    start_server(SERVER_LIMIT);
+    start_peer();
+    send_call("large");
+    int connection = accept_connection();
     snprintf(head, sizeof head, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", LARGEST_RESPONSE);
     answer_call(connection, head);
     fcntl(connection, F_SETFL, O_NONBLOCK);
@@ -429,62 +454,65 @@
         if (count > 0) sent += (size_t)count;
         ev_run(loop, EVRUN_NOWAIT);
     }
-    check(reach(&ended.count, 1) && ended.status == OK && ended.length == LARGEST_RESPONSE,
-          "the largest response is taken");
-    call_peer("too large");
+    check(run_until_count(&last_result.count, 1) && last_result.status == OK &&
+              last_result.length == LARGEST_RESPONSE,
+          "a response of the largest allowed size is accepted");
+    send_call("too large");
     snprintf(head, sizeof head, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n",
              LARGEST_RESPONSE + 1);
     answer_call(connection, head);
-    for (size_t sent = 0; sent <= LARGEST_RESPONSE && ended.count < 2;) {
+    for (size_t sent = 0; sent <= LARGEST_RESPONSE && last_result.count < 2;) {
         ssize_t count = send(connection, body, LARGEST_RESPONSE, MSG_NOSIGNAL);
         if (count > 0) sent += (size_t)count;
         ev_run(loop, EVRUN_NOWAIT);
     }
-    check(reach(&ended.count, 2) && ended.status == 0, "a larger one is not");
+    check(run_until_count(&last_result.count, 2) && last_result.status == 0,
+          "a call ends without an answer if the response is larger than allowed");
     close(connection);
     close(peer);
     free(body);
     tw_net_free(net);
 }
 
-/* A connection that is being opened, without waiting for it; -1: failed. */
-static int dial_without_waiting(void) {
-    struct sockaddr_in address = loopback(PORT);
-    int dialled = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-    if (dialled < 0) return -1;
-    if (!connect(dialled, (struct sockaddr *)&address, sizeof address) || errno == EINPROGRESS)
-        return dialled;
-    close(dialled);
+/* Begins to connect to the server without blocking. Returns the socket, or -1 on failure. */
+static int begin_connect(void) {
+    struct sockaddr_in address = loopback_address(PORT);
+    int connection = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+    if (connection < 0) return -1;
+    if (!connect(connection, (struct sockaddr *)&address, sizeof address) || errno == EINPROGRESS)
+        return connection;
+    close(connection);
     return -1;
 }
 
-/* Workers of a node that has ended come all at once, before the server accepts any. */
-static void many_at_once(void) {
-    struct pollfd dialled[MANY_AT_ONCE];
+/* Guards against a short listen backlog: when a node ends, all its workers connect to another node
+ * at the same moment, before that one accepts any connection. */
+static void connection_burst(void) {
+    struct pollfd connections[BURST_CONNECTIONS];
     int open = 0;
-    start(ROOM);
-    for (int i = 0; i < MANY_AT_ONCE; i++)
-        dialled[i] = (struct pollfd){.fd = dial_without_waiting(), .events = POLLOUT};
-    poll(dialled, MANY_AT_ONCE, 0);
-    for (int i = 0; i < MANY_AT_ONCE; i++) {
-        open += dialled[i].fd >= 0 && (dialled[i].revents & POLLOUT);
-        if (dialled[i].fd >= 0) close(dialled[i].fd);
+    start_server(SERVER_LIMIT);
+    for (int i = 0; i < BURST_CONNECTIONS; i++)
+        connections[i] = (struct pollfd){.fd = begin_connect(), .events = POLLOUT};
+    poll(connections, BURST_CONNECTIONS, 0);
+    for (int i = 0; i < BURST_CONNECTIONS; i++) {
+        open += connections[i].fd >= 0 && (connections[i].revents & POLLOUT);
+        if (connections[i].fd >= 0) close(connections[i].fd);
     }
-    check(open == MANY_AT_ONCE, "hundreds of connections may wait to be accepted");
+    check(open == BURST_CONNECTIONS, "hundreds of connections may wait to be accepted");
     tw_net_free(net);
 }
 
 int main(void) {
     signal(SIGPIPE, SIG_IGN);
     loop = ev_default_loop(EVFLAG_AUTO);
-    full_server();
+    server_at_limit();
     request_byte_by_byte();
-    requests_together();
+    pipelined_requests();
     long_messages();
     calls_on_open_connection();
-    calls_longer_than_a_socket_takes();
+    calls_larger_than_send_buffer();
     response_too_large();
-    many_at_once();
+    connection_burst();
     if (!failed) printf("ok net\n");
     return failed;
 }
--- a/tests/runner/runner.c
+++ b/tests/runner/runner.c
@@ -1,9 +1,10 @@
-/* Plays a scenario file. A scenario passes when no rule of the protocol was broken and every
- * `expect` line holds; it is played twice, and both runs must tell users and workers the same. With
- * --old-even or --old-odd every other node is of the earlier version.
+/* Runs a scenario file in the simulator. A scenario passes if no rule of the protocol is broken and
+ * every `expect` line holds. It is run twice, and both runs must send the same messages to users
+ * and workers. With --old-even or --old-odd the nodes of even or odd index run the earlier version.
  *
- * A file may have variants, each played like a file of its own: a line `with NAME ...` belongs to
- * the variant NAME only, a line `plain ...` to none of them, and all other lines to each. */
+ * A file may have variants, each run like a file of its own: a line `with NAME ...` belongs to the
+ * variant NAME only, a line `plain ...` only to the file without a variant, and all other lines
+ * belong to all of them. */
 #include "log/log.h"
 #include "simulator.h"
 #include <getopt.h>
@@ -14,79 +15,86 @@
 #include <string.h>
 
 #define MAX_LINE 70000
-#define NOT_RUN 77 /* exit code: it needs the earlier version, which is not at hand */
-#define CANT_PLAY 2
+/* Exit code: the scenario needs a program of the earlier version, and none is set. */
+#define SKIPPED 77
+/* Exit code: the scenario file is unreadable or malformed. */
+#define CANNOT_RUN 2
 #define MAX_VARIANTS 16
 #define NAME_SIZE 40
 #define TITLE_SIZE 200
 
 typedef struct {
     const char *path;
-    char name[TITLE_SIZE]; /* as told */
-    const char *variant;   /* NULL: none */
-    const char *more;      /* a line after those of the file; NULL: none */
-    int once;              /* not played a second time */
+    char name[TITLE_SIZE];  /* file name and variant, as printed */
+    const char *variant;    /* NULL: none */
+    const char *extra_line; /* a scenario line added to those of the file; NULL: none */
+    int single_run;         /* nonzero: without the second run */
 } scenario;
 
-/* The word after `key ` at the start of a line; NULL: the line starts otherwise. */
-static const char *after(const char *line, const char *key) {
+/* Returns the text after `key ` at the start of a line, or NULL if the line starts otherwise. */
+static const char *text_after_key(const char *line, const char *key) {
     size_t size = strlen(key);
     return !strncmp(line, key, size) && line[size] == ' ' ? line + size + 1 : NULL;
 }
 
-/* What a line says in this variant; NULL: it doesn't belong to it. */
-static const char *line_in(const char *line, const char *variant) {
-    const char *plain = after(line, "plain"), *with = after(line, "with");
+/* Returns the part of a line that applies to a variant (NULL: to the file without one), or NULL if
+ * the line does not belong to it. */
+static const char *line_for_variant(const char *line, const char *variant) {
+    const char *plain = text_after_key(line, "plain"), *with = text_after_key(line, "with");
     if (plain) return variant ? NULL : plain;
     if (!with) return line;
-    return variant ? after(with, variant) : NULL;
+    return variant ? text_after_key(with, variant) : NULL;
 }
 
-/* Returns -1 for a file that can't be played, NOT_RUN for one that needs what isn't at hand. */
-static int play(const scenario *played, const char *said_as, tw_simulator_verdict *verdict) {
+/* Runs the scenario once and writes the verdict; a `failure_name` other than NULL is the name under
+ * which the simulator prints failures. Returns 0, -1 if the file is unreadable or malformed, or
+ * SKIPPED if it needs a program of the earlier version and none is set. */
+static int run_scenario(const scenario *tested, const char *failure_name,
+                        tw_simulator_verdict *verdict) {
     char line[MAX_LINE], error[500];
-    FILE *file = fopen(played->path, "r");
+    FILE *file = fopen(tested->path, "r");
     if (!file) {
-        printf("FAIL %s: can't be read\n", played->name);
+        printf("FAIL %s: cannot open the scenario file\n", tested->name);
         return -1;
     }
-    tw_simulator *sim = tw_simulator_new(said_as);
+    tw_simulator *sim = tw_simulator_new(failure_name);
     int result = 0;
     while (!result && fgets(line, sizeof line, file)) {
-        const char *text = line_in(line, played->variant);
+        const char *text = line_for_variant(line, tested->variant);
         if (text) result = tw_simulator_take_line(sim, text, error, sizeof error);
-        if (result) printf("FAIL %s: %s\n", played->name, error);
+        if (result) printf("FAIL %s: %s\n", tested->name, error);
     }
     fclose(file);
-    if (!result && played->more)
-        result = tw_simulator_take_line(sim, played->more, error, sizeof error);
+    if (!result && tested->extra_line)
+        result = tw_simulator_take_line(sim, tested->extra_line, error, sizeof error);
     if (!result && tw_simulator_lacks_earlier_version(sim)) {
         printf("not run %s: TW_EARLIER_CORE names no program of the earlier version\n",
-               played->name);
-        result = NOT_RUN;
+               tested->name);
+        result = SKIPPED;
     }
     if (!result) tw_simulator_run(sim, verdict);
     tw_simulator_free(sim);
     return result;
 }
 
-/* 0: it passes, 1: it doesn't, else it can't be played, or is not run. */
-static int check(const scenario *played) {
+/* Runs a scenario, twice unless `single_run` is set, and prints whether it passes. Returns 0 if it
+ * passes, 1 if it fails, CANNOT_RUN or SKIPPED. */
+static int check_scenario(const scenario *tested) {
     tw_simulator_verdict first, second;
-    const char *name = played->name;
-    const int result = play(played, name, &first);
-    if (result) return result == NOT_RUN ? NOT_RUN : CANT_PLAY;
+    const char *name = tested->name;
+    const int result = run_scenario(tested, name, &first);
+    if (result) return result == SKIPPED ? SKIPPED : CANNOT_RUN;
     int failures = first.failed;
     if (first.end_s <= 0) {
-        printf("FAIL %s: nothing happened\n", name);
+        printf("FAIL %s: the run processed no event\n", name);
         failures++;
     }
     if (*first.rule) {
         printf("FAIL %s: rule broken: %s\n", name, first.detail);
         failures++;
     }
-    if (!played->once && play(played, NULL, &second)) return CANT_PLAY;
-    if (!played->once && first.digest != second.digest) {
+    if (!tested->single_run && run_scenario(tested, NULL, &second)) return CANNOT_RUN;
+    if (!tested->single_run && first.digest != second.digest) {
         printf("FAIL %s: a second run differs: %016" PRIx64 " %016" PRIx64 "\n", name, first.digest,
                second.digest);
         failures++;
@@ -95,16 +103,17 @@
     return failures != 0;
 }
 
-/* The names of a file's variants, in the order of their coming; how many. */
+/* Reads the names of a file's variants, in order of first use. Returns their number. */
 static int variants_of(const char *path, char names[MAX_VARIANTS][NAME_SIZE]) {
     char line[MAX_LINE];
     int count = 0;
     FILE *file = fopen(path, "r");
     while (file && fgets(line, sizeof line, file)) {
-        const char *with = after(line, "with");
+        const char *with = text_after_key(line, "with");
         size_t size = with ? strcspn(with, " \r\n") : 0;
         bool known = !size || size >= NAME_SIZE;
-        for (int i = 0; i < count; i++) known |= strlen(names[i]) == size && after(with, names[i]);
+        for (int i = 0; i < count; i++)
+            known |= strlen(names[i]) == size && text_after_key(with, names[i]);
         if (known || count == MAX_VARIANTS) continue;
         memcpy(names[count], with, size);
         names[count++][size] = 0;
@@ -113,23 +122,23 @@
     return count;
 }
 
-static void name_it(scenario *played) {
-    const char *slash = strrchr(played->path, '/');
-    const char *file = slash ? slash + 1 : played->path;
-    const char *variant = played->variant;
-    snprintf(played->name, sizeof played->name, "%.100s%s%s", file, variant ? " with " : "",
+static void set_title(scenario *tested) {
+    const char *slash = strrchr(tested->path, '/');
+    const char *file = slash ? slash + 1 : tested->path;
+    const char *variant = tested->variant;
+    snprintf(tested->name, sizeof tested->name, "%.100s%s%s", file, variant ? " with " : "",
              variant ? variant : "");
 }
 
-/* The file without its variants, then with each of them. The worst result. */
-static int check_variants(scenario *played) {
+/* Checks the file without a variant, then each variant. Returns the highest exit code. */
+static int check_variants(scenario *tested) {
     char names[MAX_VARIANTS][NAME_SIZE];
-    const int count = variants_of(played->path, names);
+    const int count = variants_of(tested->path, names);
     int worst = 0;
     for (int i = -1; i < count; i++) {
-        played->variant = i < 0 ? NULL : names[i];
-        name_it(played);
-        const int result = check(played);
+        tested->variant = i < 0 ? NULL : names[i];
+        set_title(tested);
+        const int result = check_scenario(tested);
         if (result > worst) worst = result;
     }
     return worst;
@@ -143,27 +152,27 @@
 
 static int usage(void) {
     fprintf(stderr, "usage: tw_runner [--once] [--old-even|--old-odd] [--with VARIANT] SCENARIO\n");
-    return CANT_PLAY;
+    return CANNOT_RUN;
 }
 
 int main(int argc, char **argv) {
-    scenario played = {0};
+    scenario tested = {0};
     for (int option; (option = getopt_long(argc, argv, "", options, NULL)) != -1;) {
         if (option == 'o')
-            played.once = 1;
+            tested.single_run = 1;
         else if (option == 'e')
-            played.more = "old even";
+            tested.extra_line = "old even";
         else if (option == 'd')
-            played.more = "old odd";
+            tested.extra_line = "old odd";
         else if (option == 'w')
-            played.variant = optarg;
+            tested.variant = optarg;
         else
             return usage();
     }
     if (optind != argc - 1) return usage();
-    played.path = argv[argc - 1];
-    name_it(&played);
+    tested.path = argv[argc - 1];
+    set_title(&tested);
     const char *level = getenv("LOG_LEVEL");
-    tw_log_init(level ? level : "error", played.name);
-    return played.variant ? check(&played) : check_variants(&played);
+    tw_log_init(level ? level : "error", tested.name);
+    return tested.variant ? check_scenario(&tested) : check_variants(&tested);
 }
