--- a/tests/runner/simulator_test.c
+++ b/tests/runner/simulator_test.c
@@ -1,5 +1,6 @@
-/* The simulation itself: equal lines give equal runs, whatever else ran in between; lines that
- * can't be taken are told; and the judge complains where it must, and only there. */
+/* Tests the simulator: equal scenario lines give equal runs, whatever else runs in the same
+ * process; malformed lines are reported; and the judge reports a violation of each rule where there
+ * is one, and none elsewhere. */
 #include "simulator.h"
 #include "simulator_int.h"
 #include "world.h"
@@ -16,16 +17,16 @@
     failures++;
 }
 
-/* ---- the library ---- */
+/* ---- scenarios ---- */
 
-static void line(tw_simulator *sim, const char *text) {
+static void take_line(tw_simulator *sim, const char *text) {
     char error[200];
     if (!tw_simulator_take_line(sim, text, error, sizeof error)) return;
     printf("FAIL sim: %s\n", error);
     failures++;
 }
 
-static tw_simulator *small_day(int seed) {
+static tw_simulator *new_small_scenario(int seed) {
     static const char *const lines[] = {"node tray-0 a",
                                         "node tray-1 b",
                                         "node tray-2 a",
@@ -43,29 +44,29 @@
     char text[40];
     tw_simulator *sim = tw_simulator_new(NULL);
     snprintf(text, sizeof text, "set seed %d", seed);
-    line(sim, text);
-    for (size_t i = 0; i < sizeof lines / sizeof *lines; i++) line(sim, lines[i]);
+    take_line(sim, text);
+    for (size_t i = 0; i < sizeof lines / sizeof *lines; i++) take_line(sim, lines[i]);
     return sim;
 }
 
-static uint64_t run(tw_simulator *sim) {
+static uint64_t run_and_free(tw_simulator *sim) {
     tw_simulator_verdict verdict;
     tw_simulator_run(sim, &verdict);
     tw_simulator_free(sim);
     check(!*verdict.rule && !verdict.failed, verdict.detail);
-    check(verdict.end_s > 49, "a run ends too early");
+    check(verdict.end_s > 49, "a run ends before 49 s");
     return verdict.digest;
 }
 
 static void test_equal_runs(void) {
-    uint64_t alone = run(small_day(7));
-    tw_simulator *first = small_day(7);
-    uint64_t other = run(small_day(8)); /* while the first is open */
-    check(run(first) == alone, "equal lines give different runs");
-    check(other != alone, "another seed gives the same run");
+    uint64_t alone = run_and_free(new_small_scenario(7));
+    tw_simulator *first = new_small_scenario(7);
+    uint64_t other = run_and_free(new_small_scenario(8)); /* while the first simulator exists */
+    check(run_and_free(first) == alone, "equal lines give different runs");
+    check(other != alone, "another seed gives an equal run");
 }
 
-/* A day in words that have had another form: how it was written before, and how it is now. */
+/* Scenario lines in pairs: with the earlier spelling of their words, and with the current one. */
 static const char *const old_and_new_lines[][2] = {
     {"team other", "team other"},
     {"set report 1", "set heartbeat 1"},
@@ -94,14 +95,14 @@
     {"at 49 expect struck latereports 1", "at 49 expect struck lateheartbeats 1"},
     {"at 49 expect struck deaf 1", "at 49 expect struck unresponsive 1"}};
 
-static tw_simulator *day_in_words(int form) {
-    tw_simulator *sim = small_day(7);
+static tw_simulator *new_spelling_scenario(int form) {
+    tw_simulator *sim = new_small_scenario(7);
     for (size_t i = 0; i < sizeof old_and_new_lines / sizeof *old_and_new_lines; i++)
-        line(sim, old_and_new_lines[i][form]);
+        take_line(sim, old_and_new_lines[i][form]);
     return sim;
 }
 
-/* What a user of that day sends for its first job: every field that an option gives is there. */
+/* The submission of the first job in old_and_new_lines, with all fields that its options set. */
 static const char first_job[] =
     "{\"id\":\"run-000001\",\"lane\":\"l\",\"crew\":\"other\",\"shape\":\"batch\",\"rank\":"
     "\"high\","
@@ -110,90 +111,91 @@
     "\"expectS\":20,\"snapshotS\":1,\"flushS\":1,\"dueS\":60}";
 
 static void check_first_job(int form) {
-    tw_simulator *sim = day_in_words(form);
+    tw_simulator *sim = new_spelling_scenario(form);
     tw_simulator_verdict verdict;
     tw_simulator_run(sim, &verdict);
     const tw_simulator_job *job = tw_simulator_job_find(&sim->world, "run-000001");
     char *text = job ? tw_simulator_job_text(&job->spec) : NULL;
-    check(text && !strcmp(text, first_job), text ? text : "the day has no first job");
+    check(text && !strcmp(text, first_job), text ? text : "the scenario lacks its first job");
     free(text);
     tw_simulator_free(sim);
 }
 
-static void test_earlier_words(void) {
-    check(run(day_in_words(0)) == run(day_in_words(1)), "earlier words say something else");
+static void test_earlier_spellings(void) {
+    check(run_and_free(new_spelling_scenario(0)) == run_and_free(new_spelling_scenario(1)),
+          "earlier spellings of the words give a different run");
     check_first_job(0);
     check_first_job(1);
 }
 
-/* A node in a process of its own does what one in this process does, to the letter: `server` is a
- * tw_core_server of this very version. */
+/* Nodes in processes of their own give the same run as nodes in this process. `server` is the path
+ * of a tw_core_server of this version. */
 static void test_remote_nodes(const char *server) {
-    const uint64_t alone = run(small_day(7));
+    const uint64_t alone = run_and_free(new_small_scenario(7));
     static const char *const mixes[] = {"old tray-0", "old tray-0 tray-1 tray-2"};
     for (size_t i = 0; i < sizeof mixes / sizeof *mixes; i++) {
-        tw_simulator *sim = small_day(7);
+        tw_simulator *sim = new_small_scenario(7);
         tw_simulator_earlier_version(sim, server);
-        line(sim, mixes[i]);
-        check(run(sim) == alone, mixes[i]);
+        take_line(sim, mixes[i]);
+        check(run_and_free(sim) == alone, mixes[i]);
     }
-    tw_simulator *sim = small_day(7);
+    tw_simulator *sim = new_small_scenario(7);
     tw_simulator_target_version(sim, server);
-    check(run(sim) == alone, "nodes of the version upgraded to");
+    check(run_and_free(sim) == alone,
+          "nodes of the target version in processes of their own give a different run");
 }
 
-/* Without old nodes each node is played by the program of the version upgraded to. */
+/* Without nodes of the earlier version all nodes run the program of the target version. */
 static void test_target_that_ends(void) {
     tw_simulator_verdict verdict;
-    tw_simulator *sim = small_day(7);
+    tw_simulator *sim = new_small_scenario(7);
     tw_simulator_target_version(sim, "/bin/false");
     tw_simulator_run(sim, &verdict);
-    check(verdict.failed > 0, "the version upgraded to is not played by its program");
+    check(verdict.failed > 0, "nodes of the target version don't run its program");
     tw_simulator_free(sim);
 }
 
 static void test_upgrades(const char *server) {
-    tw_simulator *sim = small_day(7);
+    tw_simulator *sim = new_small_scenario(7);
     tw_simulator_earlier_version(sim, server);
-    line(sim, "old tray-0 tray-1 tray-2");
-    line(sim, "at 7 expect led old");
-    line(sim, "at 8 upgrade leader 3");
-    line(sim, "at 9 expect old 2 2");
-    line(sim, "at 20 upgrade next");
-    line(sim, "at 20 upgrade next");
-    line(sim, "at 20.1 expect old 0 0");
-    line(sim, "at 30 downgrade tray-0 1");
-    line(sim, "at 32 expect old 1 1");
-    line(sim, "at 40 kill tray-0 1");
-    line(sim, "at 45 expect old 1 1");
-    run(sim);
-}
-
-/* Without a program of the earlier version a day with old nodes is not played as if they were new.
- */
+    take_line(sim, "old tray-0 tray-1 tray-2");
+    take_line(sim, "at 7 expect led old");
+    take_line(sim, "at 8 upgrade leader 3");
+    take_line(sim, "at 9 expect old 2 2");
+    take_line(sim, "at 20 upgrade next");
+    take_line(sim, "at 20 upgrade next");
+    take_line(sim, "at 20.1 expect old 0 0");
+    take_line(sim, "at 30 downgrade tray-0 1");
+    take_line(sim, "at 32 expect old 1 1");
+    take_line(sim, "at 40 kill tray-0 1");
+    take_line(sim, "at 45 expect old 1 1");
+    run_and_free(sim);
+}
+
+/* Without a program of the earlier version, a scenario's old nodes must not run the current version
+ * instead. */
 static void test_without_earlier_version(void) {
     tw_simulator_verdict verdict;
-    tw_simulator *sim = small_day(7);
+    tw_simulator *sim = new_small_scenario(7);
     tw_simulator_earlier_version(sim, NULL);
     check(!tw_simulator_lacks_earlier_version(sim),
-          "a day without old nodes needs no earlier version");
-    line(sim, "at 5 downgrade tray-0 1");
+          "a scenario without old nodes lacks the earlier version");
+    take_line(sim, "at 5 downgrade tray-0 1");
     check(tw_simulator_lacks_earlier_version(sim),
-          "a day with a downgrade needs the earlier version");
+          "a scenario with a downgrade doesn't lack the earlier version");
     tw_simulator_run(sim, &verdict);
-    check(verdict.failed == 1, "a node can't start and nobody is told");
+    check(verdict.failed == 1, "a node that cannot start isn't counted as a failure");
     tw_simulator_free(sim);
 }
 
-/* A process that ends by itself, here one that is no tw_core_server, is a broken rule or a node
- * that can't start. */
+/* A node's process that exits unexpectedly is a failure; here the program is no tw_core_server. */
 static void test_process_that_ends(void) {
     tw_simulator_verdict verdict;
-    tw_simulator *sim = small_day(7);
+    tw_simulator *sim = new_small_scenario(7);
     tw_simulator_earlier_version(sim, "/bin/false");
-    line(sim, "old tray-1");
+    take_line(sim, "old tray-1");
     tw_simulator_run(sim, &verdict);
-    check(verdict.failed == 1, "a process that ends at once goes unnoticed");
+    check(verdict.failed == 1, "a node's process that exits isn't counted as a failure");
     tw_simulator_free(sim);
 }
 
@@ -207,39 +209,39 @@
         char error[200] = "";
         check(tw_simulator_take_line(sim, bad[i], error, sizeof error) == -1 && *error, bad[i]);
     }
-    line(sim, "# comment");
-    line(sim, "");
+    take_line(sim, "# comment");
+    take_line(sim, "");
     tw_simulator_free(sim);
 }
 
-/* What a line breaks at a world of its own: expectations that don't hold are counted. */
+/* Failed `expect` and `raw` lines are counted in the verdict. */
 static void test_failed_lines(void) {
     tw_simulator_verdict verdict;
-    tw_simulator *sim = small_day(7);
-    line(sim, "at 30 expect done run-000099");
-    line(sim, "at 30 raw GET /up 404");
+    tw_simulator *sim = new_small_scenario(7);
+    take_line(sim, "at 30 expect done run-000099");
+    take_line(sim, "at 30 raw GET /up 404");
     tw_simulator_run(sim, &verdict);
-    check(verdict.failed == 2, "lines that don't hold aren't counted");
+    check(verdict.failed == 2, "failed lines aren't counted");
     tw_simulator_free(sim);
 }
 
-/* A day without nodes, as a search may make it of a smaller one. */
+/* A scenario without nodes, which a search can produce when it shrinks a scenario. */
 static void test_no_nodes(void) {
     tw_simulator_verdict verdict;
     tw_simulator *sim = tw_simulator_new(NULL);
-    line(sim, "machine_type cpu cores=16");
-    line(sim, "machine cpu a");
-    line(sim, "at 5 submit run-000001");
-    line(sim, "at 6 kill leader");
+    take_line(sim, "machine_type cpu cores=16");
+    take_line(sim, "machine cpu a");
+    take_line(sim, "at 5 submit run-000001");
+    take_line(sim, "at 6 kill leader");
     tw_simulator_run(sim, &verdict);
     check(!*verdict.rule && !verdict.failed && verdict.end_s <= 0,
           "something happens without nodes");
     tw_simulator_free(sim);
 }
 
-/* ---- the judge ---- */
+/* ---- rules of the judge ---- */
 
-static void world_of_one_machine(tw_simulator_world *world) {
+static void init_one_machine_world(tw_simulator_world *world) {
     tw_simulator_world_init(world);
     world->node_count = 1;
     world->type_count = 1;
@@ -251,7 +253,7 @@
     world->now = 1;
 }
 
-static tw_simulator_job *accepted_job(tw_simulator_world *world, const char *id, int cores) {
+static tw_simulator_job *add_accepted_job(tw_simulator_world *world, const char *id, int cores) {
     tw_simulator_job *job = tw_simulator_job_new(world, id);
     strcpy(job->spec.job_class, "lane");
     strcpy(job->spec.team, "crew");
@@ -265,7 +267,7 @@
     return job;
 }
 
-static void put_on_machine(tw_simulator_world *world, tw_simulator_job *job) {
+static void add_running_task(tw_simulator_world *world, tw_simulator_job *job) {
     tw_simulator_worker *worker = world->workers[0];
     worker->tasks = tw_simulator_grow(worker->tasks, worker->task_count, &worker->task_capacity,
                                       sizeof *worker->tasks);
@@ -274,7 +276,7 @@
     strcpy(worker->tasks[worker->task_count++].job_id, job->spec.id);
 }
 
-static void pass(tw_simulator_world *world, int seconds, bool answered) {
+static void advance(tw_simulator_world *world, int seconds, bool answered) {
     for (int second = 0; second < seconds; second++) {
         for (int i = 0; i < world->job_count && answered; i++)
             world->jobs[i]->answered_at = world->now;
@@ -283,7 +285,7 @@
     }
 }
 
-/* The rule that is broken in that time; "" for none. Ends the world. */
+/* Checks that the judge found the violation of `rule` ("": none) and frees the world. */
 static void expect_rule(tw_simulator_world *world, const char *rule, const char *what) {
     check(!strcmp(world->rule, rule), what);
     tw_simulator_world_free(world);
@@ -291,96 +293,100 @@
 
 static void test_unanswered(void) {
     tw_simulator_world world;
-    world_of_one_machine(&world);
-    put_on_machine(&world, accepted_job(&world, "run-000001", 1));
-    pass(&world, 74, false);
-    check(!*world.rule, "unanswered too early");
-    pass(&world, 4, false);
-    expect_rule(&world, "unanswered", "nobody answers for 75 s");
-
-    world_of_one_machine(&world);
-    put_on_machine(&world, accepted_job(&world, "run-000001", 1));
+    init_one_machine_world(&world);
+    add_running_task(&world, add_accepted_job(&world, "run-000001", 1));
+    advance(&world, 74, false);
+    check(!*world.rule, "the rule `unanswered` is broken before 75 s");
+    advance(&world, 4, false);
+    expect_rule(&world, "unanswered", "a user gets no answer for 75 s");
+
+    init_one_machine_world(&world);
+    add_running_task(&world, add_accepted_job(&world, "run-000001", 1));
     world.troubles_end = 100;
-    pass(&world, 170, false);
-    expect_rule(&world, "", "unanswered counts from the end of the troubles");
+    advance(&world, 170, false);
+    expect_rule(&world, "", "the time without an answer counts from the end of the faults");
 }
 
-/* limit: of the team's cores; the job takes 2 of the machine's 4. */
-static void stuck_case(int taken, double limit, bool cancelled, double troubles_end,
+/* A job of two cores waits for 120 s while `used_cores` of the machine's four cores are in use.
+ * `limit` is the team's limit on cores; 0: none. */
+static void stuck_case(int used_cores, double limit, bool cancelled, double troubles_end,
                        const char *rule, const char *what) {
     tw_simulator_world world;
-    world_of_one_machine(&world);
+    init_one_machine_world(&world);
     world.teams[0].cpus_max = limit;
     world.troubles_end = troubles_end;
-    if (taken) put_on_machine(&world, accepted_job(&world, "run-000001", taken));
-    tw_simulator_job *job = accepted_job(&world, "run-000002", 2);
+    if (used_cores) add_running_task(&world, add_accepted_job(&world, "run-000001", used_cores));
+    tw_simulator_job *job = add_accepted_job(&world, "run-000002", 2);
     if (cancelled) job->cancel_asked_at = world.now;
-    pass(&world, 120, true);
+    advance(&world, 120, true);
     expect_rule(&world, rule, what);
 }
 
-/* One task of a gang of three waits, and its machine has room for so many more. */
+/* One task of a gang of three waits for the others, and its machine has capacity for `free_tasks`
+ * more of them. */
 static void waiting_gang_case(int free_tasks, const char *rule, const char *what) {
     tw_simulator_world world;
-    world_of_one_machine(&world);
-    tw_simulator_job *gang = accepted_job(&world, "run-000003", 1);
+    init_one_machine_world(&world);
+    tw_simulator_job *gang = add_accepted_job(&world, "run-000003", 1);
     gang->spec.gang = 1;
     gang->spec.cores = 4.0 / (1 + free_tasks);
     gang->spec.task_count = 3;
-    put_on_machine(&world, gang);
+    add_running_task(&world, gang);
     world.workers[0]->tasks[0].stage = TW_TASK_WAITING;
-    pass(&world, 120, true);
+    advance(&world, 120, true);
     expect_rule(&world, rule, what);
 }
 
 static void test_stuck(void) {
     stuck_case(0, 0, false, 0, "stuck", "a job waits beside an empty machine");
-    stuck_case(2, 0, false, 0, "stuck", "a job waits beside a machine with just enough room");
-    stuck_case(3, 0, false, 0, "", "a machine without room");
+    stuck_case(2, 0, false, 0, "stuck", "a job waits beside a machine with just enough capacity");
+    stuck_case(3, 0, false, 0, "", "a machine without enough capacity");
     stuck_case(2, 3, false, 0, "", "a team at its limit");
     stuck_case(2, 4, false, 0, "stuck", "a team just under its limit");
     stuck_case(0, 0, true, 0, "", "a cancelled job");
-    stuck_case(0, 0, false, 60, "", "troubles that are over for a minute only");
+    stuck_case(0, 0, false, 60, "", "the faults ended only a minute ago");
     tw_simulator_world world;
-    world_of_one_machine(&world);
-    tw_simulator_job *gang = accepted_job(&world, "run-000003", 2);
+    init_one_machine_world(&world);
+    tw_simulator_job *gang = add_accepted_job(&world, "run-000003", 2);
     gang->spec.gang = 1;
     gang->spec.task_count = 3;
-    pass(&world, 120, true);
+    advance(&world, 120, true);
     expect_rule(&world, "", "a gang that doesn't fit as a whole");
-    waiting_gang_case(2, "stuck", "a gang whose tasks wait for ever beside room for the rest");
+    waiting_gang_case(2, "stuck",
+                      "a gang waits beside a machine with capacity for its other tasks");
     waiting_gang_case(1, "", "a gang that can't be completed");
-    world_of_one_machine(&world);
-    gang = accepted_job(&world, "run-000003", 2);
+    init_one_machine_world(&world);
+    gang = add_accepted_job(&world, "run-000003", 2);
     gang->spec.gang = 1;
     gang->spec.task_count = 2;
-    put_on_machine(&world, gang);
-    pass(&world, 120, true);
+    add_running_task(&world, gang);
+    advance(&world, 120, true);
     expect_rule(&world, "", "a gang that runs");
-    world_of_one_machine(&world);
-    strcpy(accepted_job(&world, "run-000004", 2)->spec.zone, "b");
-    pass(&world, 120, true);
-    expect_rule(&world, "", "a machine in a zone that isn't allowed");
-    world_of_one_machine(&world);
-    accepted_job(&world, "run-000005", 2);
-    pass(&world, 60, true);
-    put_on_machine(&world, world.jobs[0]);
-    pass(&world, 10, true);
+    init_one_machine_world(&world);
+    strcpy(add_accepted_job(&world, "run-000004", 2)->spec.zone, "b");
+    advance(&world, 120, true);
+    expect_rule(&world, "", "the only machine is in another zone than the job's");
+    init_one_machine_world(&world);
+    add_accepted_job(&world, "run-000005", 2);
+    advance(&world, 60, true);
+    add_running_task(&world, world.jobs[0]);
+    advance(&world, 10, true);
     world.workers[0]->task_count = 0;
-    pass(&world, 60, true);
-    expect_rule(&world, "", "a job that was on a machine meanwhile");
+    advance(&world, 60, true);
+    expect_rule(&world, "", "a job that ran for a part of the time");
 }
 
-/* Of four jobs so many are done, the last one is the largest. */
+/* The last `done` of four jobs are done; the fourth is the largest. All began at `begun_at`, and
+ * jobs older than `age_s` must be served. */
 static void served_case(int done, double begun_at, double age_s, const char *rule,
                         const char *what) {
     tw_simulator_world world;
     char id[32];
-    world_of_one_machine(&world);
+    init_one_machine_world(&world);
     world.served_age_s = age_s;
     for (int i = 0; i < 4; i++) {
         snprintf(id, sizeof id, "run-%06d", i + 1);
-        tw_simulator_job *job = accepted_job(&world, id, i == 3 ? 4 : 1);
+        tw_simulator_job *job = add_accepted_job(&world, id, i == 3 ? 4 : 1);
         job->done_count = i >= 4 - done;
         job->begun_at = begun_at;
     }
@@ -393,41 +399,43 @@
     served_case(2, 50, 240, "", "half of a class is served");
     served_case(1, 50, 240, "unserved", "a quarter of a class is served");
     served_case(4, 250, 240, "unserved", "the largest begins after four minutes");
-    served_case(0, 0, 400, "", "jobs that are too young");
+    served_case(0, 0, 400, "", "jobs that are younger than the age of served jobs");
 }
 
-static void test_took_bad(void) {
+static void test_impossible_job_accepted(void) {
     tw_simulator_world world;
-    world_of_one_machine(&world);
+    init_one_machine_world(&world);
     tw_simulator_judge_impossible_job(&world, "run-900001", 422);
     tw_simulator_judge_impossible_job(&world, "run-900001", 503);
-    check(!*world.rule, "a refusal is taken for an acceptance");
+    check(!*world.rule, "a rejected submission counts as accepted");
     tw_simulator_judge_impossible_job(&world, "run-900001", 201);
-    expect_rule(&world, "took_bad", "a job that can't run is accepted");
+    expect_rule(&world, "took_bad", "a job that can never run is accepted");
 }
 
-static void test_told(void) {
+static void test_order_of_answers(void) {
     tw_simulator_world world;
     const char *done = "{\"stage\":\"done\"}", *pending = "{\"stage\":\"pending\"}";
-    world_of_one_machine(&world);
-    tw_simulator_job *job = accepted_job(&world, "run-000001", 1);
+    init_one_machine_world(&world);
+    tw_simulator_job *job = add_accepted_job(&world, "run-000001", 1);
     job->done[0] = 1;
     world.now = 10;
     tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9, 200, done);
     world.now = 11;
     tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 9.5, 200, pending);
-    check(!*world.rule && world.crossings == 1, "an answer that crosses a newer one");
+    check(!*world.rule && world.crossings == 1,
+          "an older state answers a request sent before the newer answer");
     tw_simulator_judge_told(&world, job, job->spec.id, TW_SIMULATOR_POLL, 10.5, 200, pending);
-    expect_rule(&world, "went_back", "an answer that is older");
+    expect_rule(&world, "went_back",
+                "an older state answers a request sent after the newer answer");
 }
 
-/* ---- what a break by the earlier version leaves behind ---- */
+/* ---- consequences of a violation by the earlier version ---- */
 
 enum { EARLIER_TOKEN = 5, OWN_TOKEN = 9 };
 
-/* A task starts on a machine, by a launch under that token. */
-static void start_on(tw_simulator_world *world, int machine, tw_simulator_job *job,
-                     uint64_t attempt, uint64_t token) {
+/* Starts a task on a machine by a launch command with the fencing token. */
+static void start_task(tw_simulator_world *world, int machine, tw_simulator_job *job,
+                       uint64_t attempt, uint64_t token) {
     tw_simulator_worker *worker = world->workers[machine];
     worker->tasks = tw_simulator_grow(worker->tasks, worker->task_count, &worker->task_capacity,
                                       sizeof *worker->tasks);
@@ -438,108 +446,116 @@
     tw_simulator_judge_start(world, worker, task);
 }
 
-/* Machines 0 in zone a, 1 and 2 in b; the team may use four cores. An earlier leader has launched a
- * task of two cores on machine 0 and once more on machine 1, and then this version leads. */
-static tw_simulator_job *world_after_break(tw_simulator_world *world) {
-    world_of_one_machine(world);
+/* Sets up a world after a violation by the earlier version and returns its job. Machine 0 is in
+ * zone a, machines 1 and 2 are in zone b; the team's limit is four cores. A leader of the earlier
+ * version has launched a task of two cores on machine 0 and again on machine 1; now this version
+ * leads. The tests call the attempt on machine 0 the leftover, and that on machine 1, which the
+ * record holds, the known attempt. */
+static tw_simulator_job *init_world_after_violation(tw_simulator_world *world) {
+    init_one_machine_world(world);
     for (int i = 1; i <= 2; i++) tw_simulator_add_machine(world, 0, "b", 0, 0)->up = 1;
     world->lease_s = 10;
     world->teams[0].cpus_max = 4;
     world->earlier_alone = true;
     world->earlier_token = EARLIER_TOKEN;
-    tw_simulator_job *job = accepted_job(world, "run-000001", 2);
-    start_on(world, 0, job, 1, EARLIER_TOKEN);
-    start_on(world, 1, job, 2, EARLIER_TOKEN);
+    tw_simulator_job *job = add_accepted_job(world, "run-000001", 2);
+    start_task(world, 0, job, 1, EARLIER_TOKEN);
+    start_task(world, 1, job, 2, EARLIER_TOKEN);
     check(!strcmp(world->by_earlier.rule, "ran_twice") && !*world->rule,
-          "a break by the earlier version alone is not noted as its own");
+          "a violation by the earlier version alone isn't recorded as such");
     world->earlier_alone = false;
     world->earlier_led_at = world->now;
     world->now += 1;
     return job;
 }
 
-/* Ends the world: its next break, and the first aftermath; "" for none. */
-static void expect_after_break(tw_simulator_world *world, const char *rule, const char *aftermath,
-                               const char *what) {
+/* Checks the rule of the next violation and that of the first consequence of the earlier one ("":
+ * none), and frees the world. */
+static void expect_after_violation(tw_simulator_world *world, const char *rule,
+                                   const char *aftermath, const char *what) {
     check(!strcmp(world->aftermath.rule, aftermath), what);
     check((world->aftermath_count > 0) == (*aftermath != 0), what);
     expect_rule(world, rule, what);
 }
 
-/* A job of this version's starts under the team's limit of four cores, of which the known attempt
- * takes two, and the leftover two more. */
+/* This version starts another job while the team's limit of four cores is used up by the known
+ * attempt and the leftover, two cores each. */
 static void quota_case(int cores, double after_s, double troubles_end, const char *rule,
                        const char *aftermath, const char *what) {
     tw_simulator_world world;
-    world_after_break(&world);
+    init_world_after_violation(&world);
     world.now += after_s;
     world.troubles_end = troubles_end;
-    start_on(&world, 2, accepted_job(&world, "run-000002", cores), 1, OWN_TOKEN);
-    expect_after_break(&world, rule, aftermath, what);
+    start_task(&world, 2, add_accepted_job(&world, "run-000002", cores), 1, OWN_TOKEN);
+    expect_after_violation(&world, rule, aftermath, what);
 }
 
-static void test_quota_after_break(void) {
+static void test_quota_after_violation(void) {
     tw_simulator_world world;
-    quota_case(2, 0, 0, "", "quota", "a limit is exceeded by the leftover alone");
+    quota_case(2, 0, 0, "", "quota", "a limit is exceeded only because of the leftover");
     quota_case(3, 0, 0, "quota", "", "a limit is exceeded without the leftover");
-    quota_case(2, 18, 0, "", "quota", "a leftover two leases after the earlier version led");
-    quota_case(2, 20, 0, "quota", "", "a leftover that nobody stops for more than two leases");
-    quota_case(2, 20, 15, "", "quota", "a leftover two leases after the troubles");
-    world_after_break(&world);
+    quota_case(2, 18, 0, "", "quota", "a leftover within two leases after the earlier version led");
+    quota_case(2, 20, 0, "quota", "", "a leftover that is not stopped for more than two leases");
+    quota_case(2, 20, 15, "", "quota", "a leftover within two leases after the faults");
+    init_world_after_violation(&world);
     memset(&world.by_earlier, 0, sizeof world.by_earlier);
-    start_on(&world, 2, accepted_job(&world, "run-000002", 2), 1, OWN_TOKEN);
-    expect_after_break(&world, "quota", "", "an excuse without a break by the earlier version");
+    start_task(&world, 2, add_accepted_job(&world, "run-000002", 2), 1, OWN_TOKEN);
+    expect_after_violation(&world, "quota", "",
+                           "a limit is exceeded without a violation by the earlier version");
 }
 
-static void test_starts_after_break(void) {
+static void test_starts_after_violation(void) {
     tw_simulator_world world;
-    tw_simulator_job *job = world_after_break(&world);
+    tw_simulator_job *job = init_world_after_violation(&world);
     world.workers[1]->task_count = 0;
-    start_on(&world, 2, job, 3, OWN_TOKEN);
-    expect_after_break(&world, "", "ran_twice",
-                       "a new attempt beside the leftover of the same task");
-    job = world_after_break(&world);
+    start_task(&world, 2, job, 3, OWN_TOKEN);
+    expect_after_violation(&world, "", "ran_twice",
+                           "a new attempt beside the leftover of the same task");
+    job = init_world_after_violation(&world);
     world.workers[0]->task_count = 0;
-    start_on(&world, 2, job, 3, OWN_TOKEN);
-    expect_after_break(&world, "ran_twice", "", "a new attempt beside the one in the record");
-    world_after_break(&world);
-    job = accepted_job(&world, "run-000002", 0);
-    start_on(&world, 0, job, 1, OWN_TOKEN);
-    start_on(&world, 2, job, 2, OWN_TOKEN);
-    expect_after_break(&world, "ran_twice", "", "another task is started twice");
-    world_after_break(&world);
-    job = accepted_job(&world, "run-000002", 2);
-    start_on(&world, 0, job, 1, EARLIER_TOKEN);
-    start_on(&world, 2, job, 2, OWN_TOKEN);
-    expect_after_break(&world, "ran_twice", "quota",
-                       "a second start of what an earlier leader began");
-}
-
-/* A launch by an earlier leader that comes once more, when the machine has forgotten its end. */
-static void repeated_launch_case(int again_on, uint64_t token, const char *rule,
+    start_task(&world, 2, job, 3, OWN_TOKEN);
+    expect_after_violation(&world, "ran_twice", "", "a new attempt beside the known attempt");
+    init_world_after_violation(&world);
+    job = add_accepted_job(&world, "run-000002", 0);
+    start_task(&world, 0, job, 1, OWN_TOKEN);
+    start_task(&world, 2, job, 2, OWN_TOKEN);
+    expect_after_violation(&world, "ran_twice", "", "another task is started twice");
+    init_world_after_violation(&world);
+    job = add_accepted_job(&world, "run-000002", 2);
+    start_task(&world, 0, job, 1, EARLIER_TOKEN);
+    start_task(&world, 2, job, 2, OWN_TOKEN);
+    expect_after_violation(&world, "ran_twice", "quota",
+                           "a second start of a task that an earlier leader started");
+}
+
+/* A launch by an earlier leader arrives a second time after the task ended and the machine dropped
+ * it. `second_machine` and `token` are the machine and the fencing token of the second launch. */
+static void repeated_launch_case(int second_machine, uint64_t token, const char *rule,
                                  const char *aftermath, const char *what) {
     tw_simulator_world world;
-    world_after_break(&world);
-    tw_simulator_job *job = accepted_job(&world, "run-000002", 3);
+    init_world_after_violation(&world);
+    tw_simulator_job *job = add_accepted_job(&world, "run-000002", 3);
     world.earlier_alone = true;
-    start_on(&world, 2, job, 1, EARLIER_TOKEN);
+    start_task(&world, 2, job, 1, EARLIER_TOKEN);
     world.workers[2]->task_count = 0;
     world.earlier_alone = false;
-    start_on(&world, again_on, job, 1, token);
-    expect_after_break(&world, rule, aftermath, what);
+    start_task(&world, second_machine, job, 1, token);
+    expect_after_violation(&world, rule, aftermath, what);
 }
 
-static void test_repeated_launch_after_break(void) {
-    repeated_launch_case(2, EARLIER_TOKEN, "", "quota", "a copy of a launch by an earlier leader");
+static void test_repeated_launch_after_violation(void) {
+    repeated_launch_case(2, EARLIER_TOKEN, "", "quota",
+                         "a duplicate of a launch by an earlier leader");
     repeated_launch_case(1, EARLIER_TOKEN, "quota", "", "the first launch on that machine");
-    repeated_launch_case(2, OWN_TOKEN, "quota", "", "this version launches once more");
+    repeated_launch_case(2, OWN_TOKEN, "quota", "", "this version launches the task again");
 }
 
-/* A task runs on after its job was cancelled; earlier: also under the earlier version alone. */
+/* A task runs on after its job was cancelled. `earlier`: the judge found this first while only the
+ * earlier version led. */
 static void cancelled_case(bool earlier, double after_s, const char *rule, const char *aftermath,
                            const char *what) {
     tw_simulator_world world;
-    tw_simulator_job *job = world_after_break(&world);
+    tw_simulator_job *job = init_world_after_violation(&world);
     world.workers[0]->task_count = 0;
     world.cancel_s = 0.1;
     job->told_cancel_at = 0.5;
@@ -548,38 +564,45 @@
     world.earlier_alone = false;
     world.now += after_s;
     tw_simulator_judge_now(&world);
-    expect_after_break(&world, rule, aftermath, what);
+    expect_after_violation(&world, rule, aftermath, what);
 }
 
-static void test_cancelled_after_break(void) {
-    cancelled_case(true, 1, "", "ran_cancelled", "it ran too long under the earlier version, too");
-    cancelled_case(true, 20, "ran_cancelled", "", "nobody ends it for more than two leases");
-    cancelled_case(false, 1, "ran_cancelled", "", "it runs too long under this version alone");
+static void test_cancelled_after_violation(void) {
+    cancelled_case(true, 1, "", "ran_cancelled",
+                   "a cancelled task ran too long already under the earlier version");
+    cancelled_case(true, 20, "ran_cancelled", "",
+                   "a cancelled task is not stopped for more than two leases");
+    cancelled_case(false, 1, "ran_cancelled", "",
+                   "a cancelled task runs too long under this version only");
 }
 
-static void test_places_after_break(void) {
+static void test_placement_after_violation(void) {
     tw_simulator_world world;
-    tw_simulator_job *job = world_after_break(&world);
+    tw_simulator_job *job = init_world_after_violation(&world);
     world.teams[0].cpus_max = 0;
     job->spec.single_zone = true;
-    start_on(&world, 2, job, 3, EARLIER_TOKEN);
+    start_task(&world, 2, job, 3, EARLIER_TOKEN);
     check(world.aftermath_count == 3,
-          "a third attempt by an earlier leader, beside two, in two zones");
-    expect_after_break(&world, "", "ran_twice", "all of it goes on from the break");
-    job = world_after_break(&world);
+          "a third attempt launched by an earlier leader is a consequence for each rule it breaks");
+    expect_after_violation(&world, "", "ran_twice",
+                           "a third attempt launched by an earlier leader");
+    job = init_world_after_violation(&world);
     job->spec.single_zone = true;
     world.workers[0]->task_count = 0;
     strcpy(world.workers[2]->zone, "c");
-    start_on(&world, 2, job, 3, OWN_TOKEN);
-    expect_after_break(&world, "ran_twice", "", "beside the attempt in the record");
-    job = world_after_break(&world);
+    start_task(&world, 2, job, 3, OWN_TOKEN);
+    expect_after_violation(&world, "ran_twice", "",
+                           "a new attempt beside the known one, in another zone");
+    job = init_world_after_violation(&world);
     job->spec.spread = true;
     job->spec.task_count = 1;
     world.workers[1]->task_count = 0;
     strcpy(world.workers[0]->zone, "b");
-    start_on(&world, 2, job, 3, OWN_TOKEN);
-    check(world.aftermath_count == 2, "the leftover is in the same zone, too");
-    expect_after_break(&world, "", "ran_twice", "a leftover in the zone of a job that is spread");
+    start_task(&world, 2, job, 3, OWN_TOKEN);
+    check(world.aftermath_count == 2,
+          "the leftover in the new attempt's zone is not a second consequence");
+    expect_after_violation(&world, "", "ran_twice",
+                           "a leftover in the zone of a job that is spread");
 }
 
 int main(int argc, char **argv) {
@@ -588,7 +611,7 @@
         return 2;
     }
     test_equal_runs();
-    test_earlier_words();
+    test_earlier_spellings();
     test_remote_nodes(argv[1]);
     test_upgrades(argv[1]);
     test_without_earlier_version();
@@ -600,13 +623,13 @@
     test_unanswered();
     test_stuck();
     test_unserved();
-    test_took_bad();
-    test_told();
-    test_quota_after_break();
-    test_starts_after_break();
-    test_repeated_launch_after_break();
-    test_cancelled_after_break();
-    test_places_after_break();
+    test_impossible_job_accepted();
+    test_order_of_answers();
+    test_quota_after_violation();
+    test_starts_after_violation();
+    test_repeated_launch_after_violation();
+    test_cancelled_after_violation();
+    test_placement_after_violation();
     if (!failures) printf("ok simulator\n");
     return failures != 0;
 }
