--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -282,7 +282,7 @@
     (void)events;
     world.now = seconds_since_start();
     if (world.now > LIMIT_S) finish("the time limit was exceeded");
-    if (tw_loopback_ended(&nodes, &status) >= 0) finish("a node exited unexpectedly");
+    if (tw_loopback_ended(&nodes, &status) >= 0) finish("a node ended by itself");
     tw_simulator_gangs_advance(&world);
     for (int i = 0; i < world.worker_count; i++) {
         tw_simulator_worker_advance(&world, world.workers[i]);
