--- a/tests/loopback/own_host.c
+++ b/tests/loopback/own_host.c
@@ -8,10 +8,10 @@
  * rule. */
 #define FIRST_HOST 0x7f800000u
 /* Process ids have at most 22 bits. */
-#define PROCESS_BITS 0x3fffffu
+#define PROCESS_ID_MASK 0x3fffffu
 
 struct in_addr tw_loopback_own_host(void) {
-    const uint32_t host = FIRST_HOST | ((uint32_t)getpid() & PROCESS_BITS);
+    const uint32_t host = FIRST_HOST | ((uint32_t)getpid() & PROCESS_ID_MASK);
     return (struct in_addr){.s_addr = htonl(host)};
 }
 
--- a/tests/loopback/ports_held.c
+++ b/tests/loopback/ports_held.c
@@ -11,11 +11,11 @@
 
 #define RANGE_FILE "/proc/sys/net/ipv4/ip_local_port_range"
 /* One port in so many is held, the round numbers among them. */
-#define HELD_EVERY 100
+#define HELD_PORT_STEP 100
 #define LINE_SIZE 64
 #define DECIMAL 10
 
-static int hold_port(int port) {
+static int bind_port(int port) {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     const int held = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -23,7 +23,7 @@
 }
 
 /* The first and the last port of the kernel's range; false if the system doesn't tell it. */
-static bool read_range(int *first, int *last) {
+static bool read_port_range(int *first, int *last) {
     char line[LINE_SIZE];
     char *rest;
     FILE *range = fopen(RANGE_FILE, "r");
@@ -37,13 +37,14 @@
 }
 
 /* How many ports are held; those that others have are in use as well. */
-static int hold_ports(void) {
+static int bind_ports(void) {
     int first;
     int last;
     int count = 0;
-    if (!read_range(&first, &last)) return 0;
-    for (int port = first - first % HELD_EVERY + HELD_EVERY; port <= last; port += HELD_EVERY)
-        count += !hold_port(port);
+    if (!read_port_range(&first, &last)) return 0;
+    for (int port = first - first % HELD_PORT_STEP + HELD_PORT_STEP; port <= last;
+         port += HELD_PORT_STEP)
+        count += !bind_port(port);
     return count;
 }
 
@@ -53,7 +54,7 @@
         fprintf(stderr, "usage: tw_ports_held PROGRAM [ARGUMENT...]\n");
         return 64;
     }
-    if (!hold_ports()) {
+    if (!bind_ports()) {
         fprintf(stderr, "no port could be held\n");
         return EXIT_FAILURE;
     }
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -13,10 +13,10 @@
 #define EXIT_NO_PROGRAM 127
 #define LOG_MODE 0644
 /* A controller has 60 s to end: so many pauses of this length. */
-#define END_PAUSES 3000
-#define END_PAUSE_NS 20000000
+#define MAX_EXIT_POLLS 3000
+#define EXIT_POLL_NS 20000000
 
-bool tw_loopback_write(const char *path, const tw_loopback_settings *settings) {
+bool tw_loopback_write_settings(const char *path, const tw_loopback_settings *settings) {
     FILE *file = fopen(path, "w");
     if (!file) return false;
     fprintf(file, "host_name = \"%s\"\nlocation = \"%s\"\napi_addr = \"%s\"\npeer_bind = \"%s\"\n",
@@ -43,8 +43,8 @@
 }
 
 /* In the child: its log goes to a file, and it ends with the test, also when that is killed. */
-static void become_controller(const tw_loopback_nodes *nodes, int node, const char *settings_path,
-                              pid_t parent) {
+static void exec_controller(const tw_loopback_nodes *nodes, int node, const char *settings_path,
+                            pid_t parent) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(EXIT_NO_PROGRAM);
     if (nodes->log_directory) {
@@ -57,16 +57,16 @@
     _exit(EXIT_NO_PROGRAM);
 }
 
-bool tw_loopback_start(tw_loopback_nodes *nodes, int node, const char *settings_path) {
+bool tw_loopback_start_node(tw_loopback_nodes *nodes, int node, const char *settings_path) {
     const pid_t parent = getpid();
     const pid_t pid = fork();
     if (pid < 0) return false;
-    if (pid == 0) become_controller(nodes, node, settings_path, parent);
+    if (pid == 0) exec_controller(nodes, node, settings_path, parent);
     nodes->pid[node] = pid;
     return true;
 }
 
-bool tw_loopback_kill(tw_loopback_nodes *nodes, int node) {
+bool tw_loopback_kill_node(tw_loopback_nodes *nodes, int node) {
     if (!nodes->pid[node]) return false;
     kill(nodes->pid[node], SIGKILL);
     waitpid(nodes->pid[node], NULL, 0);
@@ -74,12 +74,12 @@
     return true;
 }
 
-void tw_loopback_signal(const tw_loopback_nodes *nodes, int node, int signal_number) {
+void tw_loopback_signal_node(const tw_loopback_nodes *nodes, int node, int signal_number) {
     if (nodes->pid[node]) kill(nodes->pid[node], signal_number);
 }
 
-int tw_loopback_ended(tw_loopback_nodes *nodes, int *status) {
-    for (int node = 0; node < TW_LOOPBACK_NODES; node++) {
+int tw_loopback_reap_node(tw_loopback_nodes *nodes, int *status) {
+    for (int node = 0; node < TW_LOOPBACK_MAX_NODES; node++) {
         if (!nodes->pid[node] || waitpid(nodes->pid[node], status, WNOHANG) <= 0) continue;
         nodes->pid[node] = 0;
         return node;
@@ -89,10 +89,10 @@
 
 /* Waits for the process, but not for ever; one that does not end is killed. Returns false if it is
  * not known any more. */
-static bool wait_for_end(pid_t pid, int *status) {
-    const struct timespec pause = {.tv_nsec = END_PAUSE_NS};
+static bool wait_for_exit(pid_t pid, int *status) {
+    const struct timespec pause = {.tv_nsec = EXIT_POLL_NS};
     pid_t ended = 0;
-    for (int waited = 0; !ended && waited < END_PAUSES; waited++) {
+    for (int waited = 0; !ended && waited < MAX_EXIT_POLLS; waited++) {
         ended = waitpid(pid, status, WNOHANG);
         if (!ended) nanosleep(&pause, NULL);
     }
@@ -103,26 +103,26 @@
     return ended == pid;
 }
 
-static bool ended_well(pid_t pid, int node) {
+static bool exited_cleanly(pid_t pid, int node) {
     int status = 0;
-    const bool is_known = wait_for_end(pid, &status);
+    const bool is_known = wait_for_exit(pid, &status);
     if (is_known && WIFEXITED(status) && WEXITSTATUS(status) == 0) return true;
     printf("FAIL: controller %d ended %s status %d\n", node, is_known ? "with" : "before, unknown",
            status);
     return false;
 }
 
-bool tw_loopback_stop(tw_loopback_nodes *nodes) {
-    bool well = true;
-    for (int node = 0; node < TW_LOOPBACK_NODES; node++) {
+bool tw_loopback_stop_nodes(tw_loopback_nodes *nodes) {
+    bool all_clean = true;
+    for (int node = 0; node < TW_LOOPBACK_MAX_NODES; node++) {
         /* In this order: the leak check at a process's end stops it by SIGSTOP, and waits for ever
          * if SIGCONT takes that back. */
-        tw_loopback_signal(nodes, node, SIGCONT);
-        tw_loopback_signal(nodes, node, SIGTERM);
+        tw_loopback_signal_node(nodes, node, SIGCONT);
+        tw_loopback_signal_node(nodes, node, SIGTERM);
     }
-    for (int node = 0; node < TW_LOOPBACK_NODES; node++) {
-        if (nodes->pid[node] && !ended_well(nodes->pid[node], node)) well = false;
+    for (int node = 0; node < TW_LOOPBACK_MAX_NODES; node++) {
+        if (nodes->pid[node] && !exited_cleanly(nodes->pid[node], node)) all_clean = false;
         nodes->pid[node] = 0;
     }
-    return well;
+    return all_clean;
 }
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -93,7 +93,7 @@
 
 /* Stops the nodes and ends the program. A run without a failure fails if a node ends badly. */
 static _Noreturn void finish(const char *failure) {
-    const bool ended_well = tw_loopback_stop(&nodes);
+    const bool ended_well = tw_loopback_stop_nodes(&nodes);
     if (failure) printf("FAIL end_to_end: step %d: %s\n", (int)step, failure);
     if (failure || !ended_well) exit(EXIT_FAILURE);
     printf("ok end_to_end\n");
@@ -198,7 +198,7 @@
 static void kill_leader(void) {
     read_leader(killed_leader);
     const int node = node_of(killed_leader);
-    if (node < 0 || !tw_loopback_kill(&nodes, node)) return;
+    if (node < 0 || !tw_loopback_kill_node(&nodes, node)) return;
     step++;
 }
 
@@ -276,7 +276,7 @@
     (void)events;
     world.now = now();
     if (world.now > LIMIT_S) finish("no progress");
-    if (tw_loopback_ended(&nodes, &status) >= 0) finish("a node ended by itself");
+    if (tw_loopback_reap_node(&nodes, &status) >= 0) finish("a node ended by itself");
     tw_simulator_gangs_advance(&world);
     for (int i = 0; i < world.worker_count; i++) {
         tw_simulator_worker_advance(&world, world.workers[i]);
@@ -361,7 +361,8 @@
     for (int peer = 0; peer < NODES; peer++)
         if (peer != node) name_peer(&settings.peers[settings.peer_count++], peer);
     snprintf(path, sizeof path, "/tmp/tw_e2e_%d_%d.toml", (int)getpid(), node);
-    return tw_loopback_write(path, &settings) && tw_loopback_start(&nodes, node, path);
+    return tw_loopback_write_settings(path, &settings) &&
+           tw_loopback_start_node(&nodes, node, path);
 }
 
 int main(int argc, char **argv) {
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -5,187 +5,190 @@
 #include <stdbool.h>
 
 #define QUICK_RESTART_S 0.6
-#define SERIES_OF_LEADERS 3
-#define MOMENT_WAIT_S 3.0 /* a fault whose moment doesn't come strikes all the same */
-#define HELD_MOST_S 8.0
+#define SERIES_LEADER_COUNT 3
+#define TRIGGER_TIMEOUT_S 3.0 /* a fault whose moment doesn't come strikes all the same */
+#define MAX_MESSAGE_DELAY_S 8.0
 
-static void extend(tw_soak *run, double until) {
+static void extend_faults_end(tw_soak *run, double until) {
     run->world.faults_end_at = fmax(run->world.faults_end_at, until);
 }
 
-static void kill_node(tw_soak *run, int node, double back_s) {
-    if (node < 0 || !tw_loopback_kill(&run->nodes, node)) return;
-    run->thaw_at[node] = 0;
-    run->restart_at[node] = run->world.now + back_s;
-    extend(run, run->restart_at[node]);
+static void kill_node(tw_soak *run, int node, double restart_after_s) {
+    if (node < 0 || !tw_loopback_kill_node(&run->nodes, node)) return;
+    run->resume_at[node] = 0;
+    run->restart_at[node] = run->world.now + restart_after_s;
+    extend_faults_end(run, run->restart_at[node]);
 }
 
-static void freeze(tw_soak *run, int node, double seconds) {
+static void freeze_node(tw_soak *run, int node, double seconds) {
     if (node < 0) return;
-    tw_loopback_signal(&run->nodes, node, SIGSTOP);
-    run->thaw_at[node] = run->world.now + seconds;
+    tw_loopback_signal_node(&run->nodes, node, SIGSTOP);
+    run->resume_at[node] = run->world.now + seconds;
 }
 
 static void cut_links(tw_soak *run, const tw_soak_fault *fault, int node, int other, int zone) {
-    const tw_soak_cut added = {.node = node,
-                               .other = other,
-                               .zone = zone,
-                               .from = fault->direction != 2,
-                               .to = fault->direction != 1,
-                               .held = fault->held,
-                               .until = run->world.now + fault->lasts_s};
-    tw_soak_cut_add(run, &added);
+    const tw_soak_cut cut = {.node = node,
+                             .other = other,
+                             .zone = zone,
+                             .from = fault->direction != 2,
+                             .to = fault->direction != 1,
+                             .held = fault->held,
+                             .until = run->world.now + fault->duration_s};
+    tw_soak_add_cut(run, &cut);
 }
 
 /* A share of the machines that are up, until some time. */
-static void strike_machines(tw_soak *run, const tw_soak_fault *fault) {
-    const double until = run->world.now + fault->lasts_s;
+static void inject_machine_faults(tw_soak *run, const tw_soak_fault *fault) {
+    const double until = run->world.now + fault->duration_s;
     for (int i = 0; i < run->world.worker_count; i++) {
         tw_simulator_worker *worker = run->world.workers[i];
         if (worker->gone || !worker->up || tw_soak_draw(run, 0, 1) > fault->share / 2) continue;
         if (fault->kind == TW_SOAK_FAULT_UNRESPONSIVE) worker->unresponsive_until = until;
-        if (fault->kind == TW_SOAK_FAULT_MUTE) worker->heartbeats_lost_until = until;
+        if (fault->kind == TW_SOAK_FAULT_LOST_HEARTBEATS) worker->heartbeats_lost_until = until;
         if (fault->kind == TW_SOAK_FAULT_HANG) worker->hung_until = until;
     }
 }
 
 /* The node that a fault strikes; -1: nobody leads now. */
-static int struck_node(tw_soak *run, const tw_soak_fault *fault) {
-    return fault->node >= 0 ? fault->node : tw_soak_leader(run);
+static int target_node(tw_soak *run, const tw_soak_fault *fault) {
+    return fault->node >= 0 ? fault->node : tw_soak_find_leader(run);
 }
 
-static double end_of(const tw_soak *run, const tw_soak_fault *fault) {
-    return run->world.now + fault->lasts_s;
+static double fault_end_at(const tw_soak *run, const tw_soak_fault *fault) {
+    return run->world.now + fault->duration_s;
 }
 
-static void strike_kill(tw_soak *run, const tw_soak_fault *fault) {
-    const double back_s = fault->held ? fmin(fault->lasts_s, QUICK_RESTART_S) : fault->lasts_s;
-    kill_node(run, struck_node(run, fault), back_s);
+static void inject_kill(tw_soak *run, const tw_soak_fault *fault) {
+    const double restart_after_s =
+        fault->held ? fmin(fault->duration_s, QUICK_RESTART_S) : fault->duration_s;
+    kill_node(run, target_node(run, fault), restart_after_s);
 }
 
-static void strike_all(tw_soak *run, const tw_soak_fault *fault) {
-    for (int node = 0; node < run->plan.nodes; node++) kill_node(run, node, fault->lasts_s);
+static void inject_kill_all(tw_soak *run, const tw_soak_fault *fault) {
+    for (int node = 0; node < run->plan.nodes; node++) kill_node(run, node, fault->duration_s);
 }
 
-static void strike_freeze(tw_soak *run, const tw_soak_fault *fault) {
-    freeze(run, struck_node(run, fault), fault->lasts_s);
+static void inject_freeze(tw_soak *run, const tw_soak_fault *fault) {
+    freeze_node(run, target_node(run, fault), fault->duration_s);
 }
 
-static void strike_leaders(tw_soak *run, const tw_soak_fault *fault) {
+static void inject_leader_kills(tw_soak *run, const tw_soak_fault *fault) {
     (void)fault;
-    run->leaders_to_kill = SERIES_OF_LEADERS;
+    run->leaders_to_kill = SERIES_LEADER_COUNT;
 }
 
-static void strike_peers(tw_soak *run, const tw_soak_fault *fault) {
-    const int node = struck_node(run, fault);
+static void inject_peer_cut(tw_soak *run, const tw_soak_fault *fault) {
+    const int node = target_node(run, fault);
     if (node >= 0 && fault->other != node) cut_links(run, fault, node, fault->other, -1);
 }
 
-static void strike_state(tw_soak *run, const tw_soak_fault *fault) {
-    const int node = struck_node(run, fault);
-    if (node >= 0) cut_links(run, fault, node, TW_SOAK_STATE, -1);
+static void inject_state_cut(tw_soak *run, const tw_soak_fault *fault) {
+    const int node = target_node(run, fault);
+    if (node >= 0) cut_links(run, fault, node, TW_SOAK_STATE_SERVICE, -1);
 }
 
-static void strike_workers(tw_soak *run, const tw_soak_fault *fault) {
-    const int node = struck_node(run, fault);
+static void inject_worker_cut(tw_soak *run, const tw_soak_fault *fault) {
+    const int node = target_node(run, fault);
     if (node >= 0) cut_links(run, fault, node, TW_SOAK_WORKERS, fault->other % run->plan.zones);
 }
 
-static void strike_zone(tw_soak *run, const tw_soak_fault *fault) {
+static void inject_zone_isolation(tw_soak *run, const tw_soak_fault *fault) {
     cut_links(run, fault, -1, 0, fault->other % run->plan.zones);
 }
 
-static void strike_refused(tw_soak *run, const tw_soak_fault *fault) {
-    const int node = struck_node(run, fault);
-    if (node >= 0) run->refused_until[node] = end_of(run, fault);
+static void inject_state_refusal(tw_soak *run, const tw_soak_fault *fault) {
+    const int node = target_node(run, fault);
+    if (node >= 0) run->state_refused_until[node] = fault_end_at(run, fault);
 }
 
-static void strike_outage(tw_soak *run, const tw_soak_fault *fault) {
+static void inject_outage(tw_soak *run, const tw_soak_fault *fault) {
     tw_simulator_state_outage(&run->world.state, run->world.now, true);
-    run->outage_until = end_of(run, fault);
+    run->outage_until = fault_end_at(run, fault);
 }
 
 /* A share of the messages of a kind. */
-static void strike_share(tw_soak *run, const tw_soak_fault *fault) {
-    tw_soak_share *const shares[TW_SOAK_FAULT_KINDS] = {
+static void inject_message_share(tw_soak *run, const tw_soak_fault *fault) {
+    tw_soak_message_share *const shares[TW_SOAK_FAULT_KIND_COUNT] = {
         [TW_SOAK_FAULT_LATE_HEARTBEATS] = &run->late_heartbeats,
         [TW_SOAK_FAULT_HELD_HEARTBEATS] = &run->held_heartbeat_share,
         [TW_SOAK_FAULT_LATE_COMMANDS] = &run->late_commands,
         [TW_SOAK_FAULT_REPEATED_COMMANDS] = &run->repeated_commands,
         [TW_SOAK_FAULT_LATE_WRITES] = &run->late_writes,
         [TW_SOAK_FAULT_LOST_ANSWERS] = &run->lost_answers};
-    *shares[fault->kind] = (tw_soak_share){fault->share, end_of(run, fault)};
-}
-
-static void strike_boots(tw_soak *run, const tw_soak_fault *fault) {
-    run->world.fast_boot_until = end_of(run, fault);
-}
-
-static void strike(tw_soak *run, const tw_soak_fault *fault) {
-    static void (*const strikes[TW_SOAK_FAULT_KINDS])(tw_soak *, const tw_soak_fault *) = {
-        [TW_SOAK_FAULT_KILL] = strike_kill,
-        [TW_SOAK_FAULT_KILL_ALL] = strike_all,
-        [TW_SOAK_FAULT_FREEZE] = strike_freeze,
-        [TW_SOAK_FAULT_LEADERS] = strike_leaders,
-        [TW_SOAK_FAULT_CUT_PEERS] = strike_peers,
-        [TW_SOAK_FAULT_CUT_STATE] = strike_state,
-        [TW_SOAK_FAULT_CUT_WORKERS] = strike_workers,
-        [TW_SOAK_FAULT_ISOLATE_ZONE] = strike_zone,
-        [TW_SOAK_FAULT_REFUSE_STATE] = strike_refused,
-        [TW_SOAK_FAULT_OUTAGE] = strike_outage,
-        [TW_SOAK_FAULT_LATE_HEARTBEATS] = strike_share,
-        [TW_SOAK_FAULT_HELD_HEARTBEATS] = strike_share,
-        [TW_SOAK_FAULT_LATE_COMMANDS] = strike_share,
-        [TW_SOAK_FAULT_REPEATED_COMMANDS] = strike_share,
-        [TW_SOAK_FAULT_LATE_WRITES] = strike_share,
-        [TW_SOAK_FAULT_LOST_ANSWERS] = strike_share,
-        [TW_SOAK_FAULT_UNRESPONSIVE] = strike_machines,
-        [TW_SOAK_FAULT_MUTE] = strike_machines,
-        [TW_SOAK_FAULT_HANG] = strike_machines,
-        [TW_SOAK_FAULT_INCARNATIONS] = strike_all,
-        [TW_SOAK_FAULT_FAST_BOOTS] = strike_boots};
-    run->struck[fault->kind]++;
-    extend(run, end_of(run, fault) + HELD_MOST_S);
-    tw_soak_note(run, "fault", 0, "", 0, tw_soak_fault_name(fault->kind), "");
+    *shares[fault->kind] = (tw_soak_message_share){fault->share, fault_end_at(run, fault)};
+}
+
+static void inject_fast_boots(tw_soak *run, const tw_soak_fault *fault) {
+    run->world.fast_boot_until = fault_end_at(run, fault);
+}
+
+static void inject_fault(tw_soak *run, const tw_soak_fault *fault) {
+    static void (*const strikes[TW_SOAK_FAULT_KIND_COUNT])(tw_soak *, const tw_soak_fault *) = {
+        [TW_SOAK_FAULT_KILL] = inject_kill,
+        [TW_SOAK_FAULT_KILL_ALL] = inject_kill_all,
+        [TW_SOAK_FAULT_FREEZE] = inject_freeze,
+        [TW_SOAK_FAULT_KILL_LEADERS] = inject_leader_kills,
+        [TW_SOAK_FAULT_CUT_PEERS] = inject_peer_cut,
+        [TW_SOAK_FAULT_CUT_STATE] = inject_state_cut,
+        [TW_SOAK_FAULT_CUT_WORKERS] = inject_worker_cut,
+        [TW_SOAK_FAULT_ISOLATE_ZONE] = inject_zone_isolation,
+        [TW_SOAK_FAULT_REFUSE_STATE] = inject_state_refusal,
+        [TW_SOAK_FAULT_OUTAGE] = inject_outage,
+        [TW_SOAK_FAULT_LATE_HEARTBEATS] = inject_message_share,
+        [TW_SOAK_FAULT_HELD_HEARTBEATS] = inject_message_share,
+        [TW_SOAK_FAULT_LATE_COMMANDS] = inject_message_share,
+        [TW_SOAK_FAULT_REPEATED_COMMANDS] = inject_message_share,
+        [TW_SOAK_FAULT_LATE_WRITES] = inject_message_share,
+        [TW_SOAK_FAULT_LOST_ANSWERS] = inject_message_share,
+        [TW_SOAK_FAULT_UNRESPONSIVE] = inject_machine_faults,
+        [TW_SOAK_FAULT_LOST_HEARTBEATS] = inject_machine_faults,
+        [TW_SOAK_FAULT_HANG] = inject_machine_faults,
+        [TW_SOAK_FAULT_END_INCARNATIONS] = inject_kill_all,
+        [TW_SOAK_FAULT_FAST_BOOTS] = inject_fast_boots};
+    run->fault_counts[fault->kind]++;
+    extend_faults_end(run, fault_end_at(run, fault) + MAX_MESSAGE_DELAY_S);
+    tw_soak_trace_message(run, "fault", 0, "", 0, tw_soak_fault_name(fault->kind), "");
     strikes[fault->kind](run, fault);
 }
 
-static void strike_first(tw_soak *run, tw_soak_moment moment) {
+static void inject_first_due(tw_soak *run, tw_soak_trigger trigger) {
     for (int i = 0; i < run->plan.fault_count; i++) {
         tw_soak_fault *fault = &run->plan.faults[i];
         if (fault->begun || run->world.now < fault->at_s) continue;
-        const bool overdue = run->world.now >= fault->at_s + MOMENT_WAIT_S;
-        if (fault->moment != moment && !(moment == TW_SOAK_MOMENT_NOW && overdue)) continue;
+        const bool overdue = run->world.now >= fault->at_s + TRIGGER_TIMEOUT_S;
+        if (fault->trigger != trigger && !(trigger == TW_SOAK_TRIGGER_TIME && overdue)) continue;
         fault->begun = 1;
-        strike(run, fault);
+        inject_fault(run, fault);
         return;
     }
 }
 
-static void moment_over(tw_soak *run, void *data) {
-    const tw_soak_moment *moment = data;
-    strike_first(run, *moment);
+static void inject_triggered_fault(tw_soak *run, void *data) {
+    const tw_soak_trigger *trigger = data;
+    inject_first_due(run, *trigger);
 }
 
-void tw_soak_moment_came(tw_soak *run, tw_soak_moment moment) {
-    static tw_soak_moment moments[] = {TW_SOAK_MOMENT_NOW, TW_SOAK_MOMENT_LAUNCH,
-                                       TW_SOAK_MOMENT_LEADER, TW_SOAK_MOMENT_CANCEL};
-    static const double soon_s = 0.3;
-    bool wanted = false;
+void tw_soak_handle_trigger(tw_soak *run, tw_soak_trigger trigger) {
+    static tw_soak_trigger moments[] = {TW_SOAK_TRIGGER_TIME, TW_SOAK_TRIGGER_LAUNCH,
+                                        TW_SOAK_TRIGGER_LEADER, TW_SOAK_TRIGGER_CANCEL};
+    static const double max_delay_s = 0.3;
+    bool has_waiting_fault = false;
     for (int i = 0; i < run->plan.fault_count; i++) {
         const tw_soak_fault *fault = &run->plan.faults[i];
-        wanted |= !fault->begun && fault->moment == moment && run->world.now >= fault->at_s;
+        has_waiting_fault |=
+            !fault->begun && fault->trigger == trigger && run->world.now >= fault->at_s;
     }
-    if (!wanted) return;
-    tw_soak_after(run, tw_soak_draw(run, 0, soon_s), moment_over, &moments[moment]);
+    if (!has_waiting_fault) return;
+    tw_soak_schedule_action(run, tw_soak_draw(run, 0, max_delay_s), inject_triggered_fault,
+                            &moments[trigger]);
 }
 
 void tw_soak_faults_tick(tw_soak *run) {
-    strike_first(run, TW_SOAK_MOMENT_NOW);
+    inject_first_due(run, TW_SOAK_TRIGGER_TIME);
     for (int node = 0; node < run->plan.nodes; node++) {
-        if (run->thaw_at[node] > 0 && run->world.now >= run->thaw_at[node]) {
-            run->thaw_at[node] = 0;
-            tw_loopback_signal(&run->nodes, node, SIGCONT);
+        if (run->resume_at[node] > 0 && run->world.now >= run->resume_at[node]) {
+            run->resume_at[node] = 0;
+            tw_loopback_signal_node(&run->nodes, node, SIGCONT);
         }
         if (run->restart_at[node] > 0 && run->world.now >= run->restart_at[node]) {
             run->restart_at[node] = 0;
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -26,16 +26,16 @@
 #define TICK_S 0.02
 #define SOCKETS 900
 /* The harness itself late by more than this part of a lease: its leases can't be trusted. */
-#define LATE_LEASES 0.05
+#define MAX_LATENESS_LEASES 0.05
 /* After the troubles all that was accepted must be over, or run, within this. */
 #define RECOVERY_S 120.0
-#define MOST_CONNECTIONS 8000
+#define MAX_CONNECTIONS 8000
 #define IDLE_S 60
-#define DEFAULT_TROUBLES_S 35.0
-#define LONGEST_NOTE 600
-#define NETWORKS 100 /* the run's addresses: 127.(20 + seed part).(process part).host */
-#define FIRST_NETWORK 20
-#define OCTETS 250
+#define DEFAULT_FAULT_PHASE_S 35.0
+#define MAX_TRACED_BODY 600
+#define SEED_OCTETS 100 /* the run's addresses: 127.(20 + seed part).(process part).host */
+#define FIRST_SEED_OCTET 20
+#define PROCESS_OCTETS 250
 #define MACHINE_TYPES 2
 #define EXIT_INVALID 3
 #define DECIMAL 10
@@ -46,7 +46,7 @@
                                 "2.0\ngpus_max = 24.0\ncpus_max = 250.0\n";
 
 static tw_soak run;
-static int machines; /* instead of the plan's; 0: the plan's */
+static int machine_count_override; /* instead of the plan's; 0: the plan's */
 
 double tw_soak_now(void) {
     struct timespec time;
@@ -54,63 +54,67 @@
     return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
-double tw_soak_draw(tw_soak *of, double from, double to) {
-    return from + (to - from) * gsl_rng_uniform(of->generator);
+double tw_soak_draw(tw_soak *soak, double from, double to) {
+    return from + (to - from) * gsl_rng_uniform(soak->generator);
 }
 
-int tw_soak_draw_index(tw_soak *of, int count) {
-    return (int)gsl_rng_uniform_int(of->generator, (unsigned long)count);
+int tw_soak_draw_index(tw_soak *soak, int count) {
+    return (int)gsl_rng_uniform_int(soak->generator, (unsigned long)count);
 }
 
-bool tw_soak_strikes(tw_soak *of, const tw_soak_share *share) {
-    return of->world.now < share->until && tw_soak_draw(of, 0, 1) < share->share;
+bool tw_soak_is_message_affected(tw_soak *soak, const tw_soak_message_share *share) {
+    return soak->world.now < share->until && tw_soak_draw(soak, 0, 1) < share->share;
 }
 
-void tw_soak_address(const tw_soak *of, char *text, int host, int port) {
-    snprintf(text, TW_SOAK_TEXT, "127.%u.%d.%d:%d", FIRST_NETWORK + of->seed % NETWORKS,
-             1 + (int)(getpid() % OCTETS), host, port);
+void tw_soak_format_address(const tw_soak *soak, char *text, int host, int port) {
+    snprintf(text, TW_SOAK_TEXT_SIZE, "127.%u.%d.%d:%d",
+             FIRST_SEED_OCTET + soak->seed % SEED_OCTETS, 1 + (int)(getpid() % PROCESS_OCTETS),
+             host, port);
 }
 
-void tw_soak_note(tw_soak *of, const char *from, int from_number, const char *to, int to_number,
-                  const char *what, const char *body) {
-    if (of->trace)
-        fprintf(of->trace, "%.3f %s %d -> %s %d %s %.*s\n", of->world.now, from, from_number, to,
-                to_number, what, LONGEST_NOTE, body);
+void tw_soak_trace_message(tw_soak *soak, const char *from, int from_number, const char *to,
+                           int to_number, const char *what, const char *body) {
+    if (soak->trace)
+        fprintf(soak->trace, "%.3f %s %d -> %s %d %s %.*s\n", soak->world.now, from, from_number,
+                to, to_number, what, MAX_TRACED_BODY, body);
 }
 
 /* ---- delayed actions ---- */
 
 typedef struct {
     ev_timer timer;
-    tw_soak *of;
-    void (*act)(tw_soak *of, void *data);
+    tw_soak *soak;
+    void (*action)(tw_soak *soak, void *data);
     void *data;
 } delayed_action;
 
-static void on_delayed(struct ev_loop *loop, ev_timer *timer, int events) {
-    delayed_action *due = timer->data;
+static void run_delayed_action(struct ev_loop *loop, ev_timer *timer, int events) {
+    delayed_action *delayed = timer->data;
     (void)loop;
     (void)events;
-    due->of->world.now = tw_soak_now() - due->of->started_at;
-    due->act(due->of, due->data);
-    free(due);
+    delayed->soak->world.now = tw_soak_now() - delayed->soak->started_at;
+    delayed->action(delayed->soak, delayed->data);
+    free(delayed);
 }
 
-void tw_soak_after(tw_soak *of, double seconds, void (*act)(tw_soak *of, void *data), void *data) {
-    delayed_action *due = tw_simulator_allocate(sizeof *due);
-    due->of = of;
-    due->act = act;
-    due->data = data;
-    ev_timer_init(&due->timer, on_delayed, seconds, 0.);
-    due->timer.data = due;
-    ev_timer_start(of->loop, &due->timer);
+void tw_soak_schedule_action(tw_soak *soak, double seconds,
+                             void (*action)(tw_soak *soak, void *data), void *data) {
+    delayed_action *delayed = tw_simulator_allocate(sizeof *delayed);
+    delayed->soak = soak;
+    delayed->action = action;
+    delayed->data = data;
+    ev_timer_init(&delayed->timer, run_delayed_action, seconds, 0.);
+    delayed->timer.data = delayed;
+    ev_timer_start(soak->loop, &delayed->timer);
 }
 
 /* ---- controllers ---- */
 
-static void name_node(char *name, int node) { snprintf(name, TW_SOAK_TEXT, "tray-%d", node); }
+static void format_node_name(char *name, int node) {
+    snprintf(name, TW_SOAK_TEXT_SIZE, "tray-%d", node);
+}
 
-bool tw_soak_start_node(tw_soak *of, int node) {
+bool tw_soak_start_node(tw_soak *soak, int node) {
     tw_loopback_settings settings = {.teams = team_text,
                                      .report_s = HEARTBEAT_S,
                                      .lease_s = LEASE_S,
@@ -119,30 +123,32 @@
                                      .gang_peer_s = GANG_PEER_S,
                                      .list_lag_s = LIST_LAG_S,
                                      .sockets = SOCKETS};
-    char path[TW_SOAK_PATH];
-    name_node(settings.name, node);
-    snprintf(settings.zone, sizeof settings.zone, "%s", of->world.node_zone[node]);
-    tw_soak_address(of, settings.api_address, TW_SOAK_NODE_HOST + node, TW_SOAK_API_PORT);
-    tw_soak_address(of, settings.peer_address, TW_SOAK_NODE_HOST + node, TW_SOAK_PEER_PORT);
-    tw_soak_address(of, settings.cloud, TW_SOAK_STAND_IN_HOST + node, TW_SOAK_CLOUD_PORT);
-    tw_soak_address(of, settings.state, TW_SOAK_STAND_IN_HOST + node, TW_SOAK_STATE_PORT);
-    for (int other = 0; other < of->plan.nodes; other++) {
+    char path[TW_SOAK_PATH_SIZE];
+    format_node_name(settings.name, node);
+    snprintf(settings.zone, sizeof settings.zone, "%s", soak->world.node_zone[node]);
+    tw_soak_format_address(soak, settings.api_address, TW_SOAK_NODE_HOST + node, TW_SOAK_API_PORT);
+    tw_soak_format_address(soak, settings.peer_address, TW_SOAK_NODE_HOST + node,
+                           TW_SOAK_PEER_PORT);
+    tw_soak_format_address(soak, settings.cloud, TW_SOAK_STAND_IN_HOST + node, TW_SOAK_CLOUD_PORT);
+    tw_soak_format_address(soak, settings.state, TW_SOAK_STAND_IN_HOST + node, TW_SOAK_STATE_PORT);
+    for (int other = 0; other < soak->plan.nodes; other++) {
         if (other == node) continue;
         tw_loopback_peer *peer = &settings.peers[settings.peer_count++];
-        name_node(peer->name, other);
-        snprintf(peer->zone, sizeof peer->zone, "%s", of->world.node_zone[other]);
-        tw_soak_address(of, peer->endpoint, TW_SOAK_STAND_IN_HOST + node,
-                        TW_SOAK_PEERS_PORT + other);
+        format_node_name(peer->name, other);
+        snprintf(peer->zone, sizeof peer->zone, "%s", soak->world.node_zone[other]);
+        tw_soak_format_address(soak, peer->endpoint, TW_SOAK_STAND_IN_HOST + node,
+                               TW_SOAK_PEERS_PORT + other);
     }
-    snprintf(path, sizeof path, "%s/node-%d.toml", of->directory, node);
-    return tw_loopback_write(path, &settings) && tw_loopback_start(&of->nodes, node, path);
+    snprintf(path, sizeof path, "%s/node-%d.toml", soak->directory, node);
+    return tw_loopback_write_settings(path, &settings) &&
+           tw_loopback_start_node(&soak->nodes, node, path);
 }
 
-int tw_soak_leader(tw_soak *of) {
-    const char *value = tw_simulator_state_value(&of->world.state, "leader");
-    for (int node = 0; value && node < of->plan.nodes; node++) {
-        char text[TW_SOAK_TEXT + 16];
-        snprintf(text, sizeof text, "\"node\":\"%s\"", of->world.nodes[node]);
+int tw_soak_find_leader(tw_soak *soak) {
+    const char *value = tw_simulator_state_value(&soak->world.state, "leader");
+    for (int node = 0; value && node < soak->plan.nodes; node++) {
+        char text[TW_SOAK_TEXT_SIZE + 16];
+        snprintf(text, sizeof text, "\"node\":\"%s\"", soak->world.nodes[node]);
         if (strstr(value, text)) return node;
     }
     return -1;
@@ -151,11 +157,11 @@
 /* ---- verdict ---- */
 
 /* How many lines of the controllers' logs hold the text; the first of them is kept. */
-static int log_lines(const tw_soak *of, const char *text, char *first, size_t size) {
-    char path[TW_SOAK_PATH], line[4096];
+static int count_log_lines(const tw_soak *soak, const char *text, char *first, size_t size) {
+    char path[TW_SOAK_PATH_SIZE], line[4096];
     int count = 0;
-    for (int node = 0; node < of->plan.nodes; node++) {
-        snprintf(path, sizeof path, "%s/node-%d.log", of->directory, node);
+    for (int node = 0; node < soak->plan.nodes; node++) {
+        snprintf(path, sizeof path, "%s/node-%d.log", soak->directory, node);
         FILE *log = fopen(path, "r");
         while (log && fgets(line, sizeof line, log)) {
             if (!strstr(line, text)) continue;
@@ -166,38 +172,39 @@
     return count;
 }
 
-void tw_soak_finish(tw_soak *of, const char *verdict, const char *why) {
-    if (of->finished) return;
-    of->finished = 1;
-    char said[TW_SOAK_PATH + 400], first[400] = "";
-    const bool ended_well = tw_loopback_stop(&of->nodes);
-    if (!strcmp(verdict, "ok") && !ended_well) {
+void tw_soak_finish(tw_soak *soak, const char *verdict, const char *why) {
+    if (soak->finished) return;
+    soak->finished = 1;
+    char summary[TW_SOAK_PATH_SIZE + 400], first[400] = "";
+    const bool exited_cleanly = tw_loopback_stop_nodes(&soak->nodes);
+    if (!strcmp(verdict, "ok") && !exited_cleanly) {
         verdict = "FAIL";
         why = "a controller ended badly";
     }
-    if (log_lines(of, "event=invariant_broken", first, sizeof first) &&
+    if (count_log_lines(soak, "event=invariant_broken", first, sizeof first) &&
         strcmp(verdict, "FAIL") != 0) {
         verdict = "FAIL";
         why = first;
     }
-    int struck = 0;
-    for (int kind = 0; kind < TW_SOAK_FAULT_KINDS; kind++) struck += of->struck[kind];
-    snprintf(said, sizeof said,
+    int fault_count_total = 0;
+    for (int kind = 0; kind < TW_SOAK_FAULT_KIND_COUNT; kind++)
+        fault_count_total += soak->fault_counts[kind];
+    snprintf(summary, sizeof summary,
              "%s seed %u: %d nodes, %d machines (%d in all), %d jobs, %d leaders, %d faults, "
              "harness late by "
              "%.3f s (%.3f s of processor time in it), %.0f s; %s",
-             verdict, of->seed, of->plan.nodes, of->plan.machines, of->world.worker_count,
-             of->world.job_count, of->leaders, struck, of->latest_s, of->latest_cpu_s,
-             of->world.now, why);
-    char path[TW_SOAK_PATH];
-    snprintf(path, sizeof path, "%s/verdict.txt", of->directory);
+             verdict, soak->seed, soak->plan.nodes, soak->plan.machines, soak->world.worker_count,
+             soak->world.job_count, soak->leader_count, fault_count_total, soak->max_lateness_s,
+             soak->max_lateness_cpu_s, soak->world.now, why);
+    char path[TW_SOAK_PATH_SIZE];
+    snprintf(path, sizeof path, "%s/verdict.txt", soak->directory);
     FILE *file = fopen(path, "w");
     if (file) {
-        fprintf(file, "%s\n", said);
+        fprintf(file, "%s\n", summary);
         fclose(file);
     }
-    printf("%s\n", said);
-    if (of->trace) fclose(of->trace);
+    printf("%s\n", summary);
+    if (soak->trace) fclose(soak->trace);
     exit(!strcmp(verdict, "ok")     ? EXIT_SUCCESS
          : !strcmp(verdict, "FAIL") ? EXIT_FAILURE
                                     : EXIT_INVALID);
@@ -206,49 +213,52 @@
 /* ---- time ---- */
 
 /* A controller that ended by itself, however: each end is a failure. */
-static void check_ends(tw_soak *of) {
+static void check_exited_nodes(tw_soak *soak) {
     int status;
-    char why[TW_SOAK_PATH];
-    const int node = tw_loopback_ended(&of->nodes, &status);
+    char why[TW_SOAK_PATH_SIZE];
+    const int node = tw_loopback_reap_node(&soak->nodes, &status);
     if (node < 0) return;
     snprintf(why, sizeof why, "controller %d ended by itself with status %d", node, status);
-    tw_soak_finish(of, "FAIL", why);
+    tw_soak_finish(soak, "FAIL", why);
 }
 
-static void check_recovered(tw_soak *of) {
-    char waiting[400] = "";
-    const double over = fmax(of->troubles_s, of->world.faults_end_at);
-    if (of->world.now < over) return;
-    if (tw_soak_users_served(of, waiting, sizeof waiting))
-        tw_soak_finish(of, "ok", "all served");
-    else if (of->world.now > over + RECOVERY_S)
-        tw_soak_finish(of, "FAIL", waiting);
+static void check_recovered(tw_soak *soak) {
+    char unserved[400] = "";
+    const double faults_over_at = fmax(soak->fault_phase_s, soak->world.faults_end_at);
+    if (soak->world.now < faults_over_at) return;
+    if (tw_soak_all_jobs_served(soak, unserved, sizeof unserved))
+        tw_soak_finish(soak, "ok", "all served");
+    else if (soak->world.now > faults_over_at + RECOVERY_S)
+        tw_soak_finish(soak, "FAIL", unserved);
 }
 
-static void kill_series(tw_soak *of) {
-    static uint64_t killed;
-    const uint64_t version = tw_simulator_state_version(&of->world.state, "leader");
-    const int leader = tw_soak_leader(of);
-    if (!of->leaders_to_kill || leader < 0 || version == killed || !of->nodes.pid[leader]) return;
-    killed = version;
-    of->leaders_to_kill--;
-    tw_loopback_kill(&of->nodes, leader);
-    of->thaw_at[leader] = 0;
-    of->restart_at[leader] = of->world.now + tw_soak_draw(of, 0.1, 2);
+static void kill_next_leader(tw_soak *soak) {
+    static uint64_t killed_version;
+    const uint64_t version = tw_simulator_state_version(&soak->world.state, "leader");
+    const int leader = tw_soak_find_leader(soak);
+    if (!soak->leaders_to_kill || leader < 0 || version == killed_version ||
+        !soak->nodes.pid[leader])
+        return;
+    killed_version = version;
+    soak->leaders_to_kill--;
+    tw_loopback_kill_node(&soak->nodes, leader);
+    soak->resume_at[leader] = 0;
+    soak->restart_at[leader] = soak->world.now + tw_soak_draw(soak, 0.1, 2);
 }
 
 /* Notes how much later than due this tick is, and what of that the harness itself computed. */
-static void note_lateness(tw_soak *of) {
+static void measure_lateness(tw_soak *soak) {
     struct timespec used;
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used);
     const double cpu_s = (double)used.tv_sec + (double)used.tv_nsec / 1e9;
-    const double late_s = of->last_tick > 0 ? of->world.now - of->last_tick - TICK_S : 0;
-    if (late_s > of->latest_s) {
-        of->latest_s = late_s;
-        of->latest_cpu_s = cpu_s - of->last_cpu_s;
+    const double late_s =
+        soak->last_tick_at > 0 ? soak->world.now - soak->last_tick_at - TICK_S : 0;
+    if (late_s > soak->max_lateness_s) {
+        soak->max_lateness_s = late_s;
+        soak->max_lateness_cpu_s = cpu_s - soak->last_cpu_s;
     }
-    of->last_tick = of->world.now;
-    of->last_cpu_s = cpu_s;
+    soak->last_tick_at = soak->world.now;
+    soak->last_cpu_s = cpu_s;
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int events) {
@@ -256,14 +266,14 @@
     (void)timer;
     (void)events;
     run.world.now = tw_soak_now() - run.started_at;
-    note_lateness(&run);
+    measure_lateness(&run);
     tw_soak_faults_tick(&run);
-    kill_series(&run);
+    kill_next_leader(&run);
     tw_soak_workers_tick(&run);
     tw_soak_stand_ins_tick(&run);
     tw_soak_users_tick(&run);
-    check_ends(&run);
-    if (run.latest_s > LATE_LEASES * LEASE_S)
+    check_exited_nodes(&run);
+    if (run.max_lateness_s > MAX_LATENESS_LEASES * LEASE_S)
         tw_soak_finish(&run, "invalid", "the harness itself was late");
     else if (*run.world.rule)
         tw_soak_finish(&run, "FAIL", run.world.detail);
@@ -272,7 +282,7 @@
 
 /* ---- set-up ---- */
 
-static void init_types(tw_simulator_world *world, int zones, int machines) {
+static void init_machine_types(tw_simulator_world *world, int zones, int machines) {
     static const tw_wire_machine_type types[MACHINE_TYPES] = {{.name = "cpu",
                                                                .cores = 16,
                                                                .memory_gb = 64,
@@ -302,44 +312,45 @@
     world->capacity[1] = machines - world->capacity[0];
 }
 
-static void init_world(tw_soak *of) {
-    tw_simulator_world *world = &of->world;
+static void init_world(tw_soak *soak) {
+    tw_simulator_world *world = &soak->world;
     tw_simulator_world_init(world);
-    world->seed = of->seed;
+    world->seed = soak->seed;
     world->heartbeat_s = HEARTBEAT_S;
     world->lease_s = LEASE_S;
     world->cancel_s = CANCEL_S;
     world->gang_wait_s = GANG_WAIT_S;
     world->gang_peer_s = GANG_PEER_S;
     world->boot_s = BOOT_S;
-    world->job_ended = tw_soak_job_ended;
-    world->context = of;
+    world->job_ended = tw_soak_handle_job_end;
+    world->context = soak;
     world->team_count = 2;
     world->teams[0] = (tw_simulator_team){"crew-0", 16, 150};
     world->teams[1] = (tw_simulator_team){"crew-1", 24, 250};
-    world->node_count = of->plan.nodes;
-    for (int node = 0; node < of->plan.nodes; node++) {
-        name_node(world->nodes[node], node);
-        snprintf(world->node_zone[node], TW_SIMULATOR_NAME_SIZE, "%c", 'a' + node % of->plan.zones);
+    world->node_count = soak->plan.nodes;
+    for (int node = 0; node < soak->plan.nodes; node++) {
+        format_node_name(world->nodes[node], node);
+        snprintf(world->node_zone[node], TW_SIMULATOR_NAME_SIZE, "%c",
+                 'a' + node % soak->plan.zones);
     }
-    init_types(world, of->plan.zones, of->plan.machines);
+    init_machine_types(world, soak->plan.zones, soak->plan.machines);
     /* Half of the machines are there at the start. */
-    for (int i = 0; i < of->plan.machines / 2; i++) {
-        char zone[2] = {(char)('a' + i % of->plan.zones), 0};
+    for (int i = 0; i < soak->plan.machines / 2; i++) {
+        char zone[2] = {(char)('a' + i % soak->plan.zones), 0};
         tw_simulator_add_machine(world, i % 3 == 2, zone, 0, 0);
     }
 }
 
-static void write_plan(const tw_soak *of) {
-    char path[TW_SOAK_PATH];
-    snprintf(path, sizeof path, "%s/plan.txt", of->directory);
+static void write_plan(const tw_soak *soak) {
+    char path[TW_SOAK_PATH_SIZE];
+    snprintf(path, sizeof path, "%s/plan.txt", soak->directory);
     FILE *file = fopen(path, "w");
     if (!file) return;
-    tw_soak_plan_print(&of->plan, file);
+    tw_soak_plan_print(&soak->plan, file);
     fclose(file);
 }
 
-static error_t take_argument(int key, char *value, struct argp_state *state) {
+static error_t parse_argument(int key, char *value, struct argp_state *state) {
     switch (key) {
     case 's':
         run.seed = (unsigned)strtoul(value, NULL, DECIMAL);
@@ -351,10 +362,10 @@
         run.directory = value;
         return 0;
     case 't':
-        run.troubles_s = strtod(value, NULL);
+        run.fault_phase_s = strtod(value, NULL);
         return 0;
     case 'm':
-        machines = (int)strtol(value, NULL, DECIMAL);
+        machine_count_override = (int)strtol(value, NULL, DECIMAL);
         return 0;
     case ARGP_KEY_END:
         if (!run.nodes.program || !run.directory || !run.seed)
@@ -376,36 +387,36 @@
     static const char text[] =
         "One run of the soak.\vExit codes: 0 passed, 1 failed, 3 invalid (the "
         "harness itself was late), 64 usage.";
-    const struct argp parser = {.options = options, .parser = take_argument, .doc = text};
-    run.troubles_s = DEFAULT_TROUBLES_S;
+    const struct argp parser = {.options = options, .parser = parse_argument, .doc = text};
+    run.fault_phase_s = DEFAULT_FAULT_PHASE_S;
     argp_parse(&parser, argc, argv, 0, NULL, NULL);
 }
 
 int main(int argc, char **argv) {
-    char path[TW_SOAK_PATH];
+    char path[TW_SOAK_PATH_SIZE];
     parse_arguments(argc, argv);
     prctl(PR_SET_PDEATHSIG, SIGTERM);
     signal(SIGPIPE, SIG_IGN);
     setvbuf(stdout, NULL, _IOLBF, 0);
     run.generator = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(run.generator, run.seed + 1000003UL);
-    tw_soak_plan_make(&run.plan, run.seed, run.troubles_s, LEASE_S);
-    if (machines > 0) run.plan.machines = machines;
+    tw_soak_plan_draw(&run.plan, run.seed, run.fault_phase_s, LEASE_S);
+    if (machine_count_override > 0) run.plan.machines = machine_count_override;
     write_plan(&run);
     snprintf(path, sizeof path, "%s/messages.txt", run.directory);
     run.trace = fopen(path, "w");
     run.nodes.log_directory = run.directory;
     run.started_at = tw_soak_now();
-    /* Not the default loop, which would take the controllers' ends from check_ends. */
+    /* Not the default loop, which would take the controllers' ends from check_exited_nodes. */
     run.loop = ev_loop_new(EVFLAG_AUTO);
-    const tw_net_limits limits = {.max_server = MOST_CONNECTIONS,
-                                  .max_client = MOST_CONNECTIONS,
+    const tw_net_limits limits = {.max_server = MAX_CONNECTIONS,
+                                  .max_client = MAX_CONNECTIONS,
                                   .idle_s = IDLE_S,
                                   .max_response = 4 << 20};
-    const tw_net_handler handler = {tw_soak_request, tw_soak_response};
+    const tw_net_handler handler = {tw_soak_handle_request, tw_soak_handle_response};
     run.net = tw_net_new(run.loop, &limits, &handler, &run);
     init_world(&run);
-    if (!tw_soak_listen(&run)) tw_soak_finish(&run, "invalid", "no free addresses");
+    if (!tw_soak_listen_stand_ins(&run)) tw_soak_finish(&run, "invalid", "no free addresses");
     for (int node = 0; node < run.plan.nodes; node++)
         if (!tw_soak_start_node(&run, node))
             tw_soak_finish(&run, "FAIL", "a controller can't be started");
--- a/tests/soak/plan.c
+++ b/tests/soak/plan.c
@@ -4,50 +4,50 @@
 #include <gsl/gsl_rng.h>
 
 #define FIRST_FAULT_S 4.0
-#define LEAST_PAUSE_S 0.4
-#define MOST_PAUSE_S 4.0
-#define LONGEST_LEASES 1.6
-/* Plans in which a successor has old news of the machines; see add_successor. */
-#define SUCCESSOR_SHARE 0.4
-#define INCARNATIONS_LEAST 1.05 /* leases */
-#define INCARNATIONS_MOST 1.3
-#define COPIES_LEAST_S 1.5
-#define COPIES_MOST_S 4.0
+#define MIN_PAUSE_S 0.4
+#define MAX_PAUSE_S 4.0
+#define MAX_DURATION_LEASES 1.6
+/* Plans in which a successor has old news of the machines; see add_stale_successor. */
+#define STALE_SUCCESSOR_SHARE 0.4
+#define MIN_ABSENCE_LEASES 1.05 /* leases */
+#define MAX_ABSENCE_LEASES 1.3
+#define MIN_COPIES_S 1.5
+#define MAX_COPIES_S 4.0
 
-static const char *const names[TW_SOAK_FAULT_KINDS] = {"kill",          "kill_all",
-                                                       "freeze",        "leaders",
-                                                       "cut_peers",     "cut_state",
-                                                       "cut_workers",   "island",
-                                                       "refuse_state",  "outage",
-                                                       "late_reports",  "kept_reports",
-                                                       "late_commands", "repeated_commands",
-                                                       "late_writes",   "lost_answers",
-                                                       "deaf",          "mute",
-                                                       "hang",          "sessions",
-                                                       "fast_boots"};
+static const char *const names[TW_SOAK_FAULT_KIND_COUNT] = {"kill",          "kill_all",
+                                                            "freeze",        "leaders",
+                                                            "cut_peers",     "cut_state",
+                                                            "cut_workers",   "island",
+                                                            "refuse_state",  "outage",
+                                                            "late_reports",  "kept_reports",
+                                                            "late_commands", "repeated_commands",
+                                                            "late_writes",   "lost_answers",
+                                                            "deaf",          "mute",
+                                                            "hang",          "sessions",
+                                                            "fast_boots"};
 
 /* How often each kind is drawn. */
-static const int weights[TW_SOAK_FAULT_KINDS] = {[TW_SOAK_FAULT_KILL] = 6,
-                                                 [TW_SOAK_FAULT_KILL_ALL] = 1,
-                                                 [TW_SOAK_FAULT_FREEZE] = 6,
-                                                 [TW_SOAK_FAULT_LEADERS] = 3,
-                                                 [TW_SOAK_FAULT_CUT_PEERS] = 4,
-                                                 [TW_SOAK_FAULT_CUT_STATE] = 5,
-                                                 [TW_SOAK_FAULT_CUT_WORKERS] = 4,
-                                                 [TW_SOAK_FAULT_ISOLATE_ZONE] = 2,
-                                                 [TW_SOAK_FAULT_REFUSE_STATE] = 4,
-                                                 [TW_SOAK_FAULT_OUTAGE] = 2,
-                                                 [TW_SOAK_FAULT_LATE_HEARTBEATS] = 3,
-                                                 [TW_SOAK_FAULT_HELD_HEARTBEATS] = 4,
-                                                 [TW_SOAK_FAULT_LATE_COMMANDS] = 3,
-                                                 [TW_SOAK_FAULT_REPEATED_COMMANDS] = 4,
-                                                 [TW_SOAK_FAULT_LATE_WRITES] = 3,
-                                                 [TW_SOAK_FAULT_LOST_ANSWERS] = 2,
-                                                 [TW_SOAK_FAULT_UNRESPONSIVE] = 2,
-                                                 [TW_SOAK_FAULT_MUTE] = 2,
-                                                 [TW_SOAK_FAULT_HANG] = 4,
-                                                 [TW_SOAK_FAULT_INCARNATIONS] = 2,
-                                                 [TW_SOAK_FAULT_FAST_BOOTS] = 1};
+static const int fault_weights[TW_SOAK_FAULT_KIND_COUNT] = {[TW_SOAK_FAULT_KILL] = 6,
+                                                            [TW_SOAK_FAULT_KILL_ALL] = 1,
+                                                            [TW_SOAK_FAULT_FREEZE] = 6,
+                                                            [TW_SOAK_FAULT_KILL_LEADERS] = 3,
+                                                            [TW_SOAK_FAULT_CUT_PEERS] = 4,
+                                                            [TW_SOAK_FAULT_CUT_STATE] = 5,
+                                                            [TW_SOAK_FAULT_CUT_WORKERS] = 4,
+                                                            [TW_SOAK_FAULT_ISOLATE_ZONE] = 2,
+                                                            [TW_SOAK_FAULT_REFUSE_STATE] = 4,
+                                                            [TW_SOAK_FAULT_OUTAGE] = 2,
+                                                            [TW_SOAK_FAULT_LATE_HEARTBEATS] = 3,
+                                                            [TW_SOAK_FAULT_HELD_HEARTBEATS] = 4,
+                                                            [TW_SOAK_FAULT_LATE_COMMANDS] = 3,
+                                                            [TW_SOAK_FAULT_REPEATED_COMMANDS] = 4,
+                                                            [TW_SOAK_FAULT_LATE_WRITES] = 3,
+                                                            [TW_SOAK_FAULT_LOST_ANSWERS] = 2,
+                                                            [TW_SOAK_FAULT_UNRESPONSIVE] = 2,
+                                                            [TW_SOAK_FAULT_LOST_HEARTBEATS] = 2,
+                                                            [TW_SOAK_FAULT_HANG] = 4,
+                                                            [TW_SOAK_FAULT_END_INCARNATIONS] = 2,
+                                                            [TW_SOAK_FAULT_FAST_BOOTS] = 1};
 
 const char *tw_soak_fault_name(tw_soak_fault_kind kind) { return names[kind]; }
 
@@ -60,21 +60,21 @@
 }
 
 static tw_soak_fault_kind draw_kind(gsl_rng *rng) {
-    int all = 0;
-    for (int kind = 0; kind < TW_SOAK_FAULT_KINDS; kind++) all += weights[kind];
-    int left = draw_index(rng, all);
+    int total_weight = 0;
+    for (int kind = 0; kind < TW_SOAK_FAULT_KIND_COUNT; kind++) total_weight += fault_weights[kind];
+    int remainder = draw_index(rng, total_weight);
     int kind = 0;
-    while (left >= weights[kind]) left -= weights[kind++];
+    while (remainder >= fault_weights[kind]) remainder -= fault_weights[kind++];
     return (tw_soak_fault_kind)kind;
 }
 
 /* Kinds that last for over a lease whatever was drawn. */
-static double length_of(gsl_rng *rng, tw_soak_fault_kind kind, double lease_s) {
+static double draw_duration_s(gsl_rng *rng, tw_soak_fault_kind kind, double lease_s) {
     switch (kind) {
     case TW_SOAK_FAULT_KILL:
     case TW_SOAK_FAULT_KILL_ALL:
         return draw_number(rng, 0.1, 0.6 * lease_s);
-    case TW_SOAK_FAULT_INCARNATIONS:
+    case TW_SOAK_FAULT_END_INCARNATIONS:
         return draw_number(rng, 1.05, 1.3) * lease_s;
     case TW_SOAK_FAULT_LATE_HEARTBEATS:
     case TW_SOAK_FAULT_HELD_HEARTBEATS:
@@ -82,15 +82,15 @@
     case TW_SOAK_FAULT_REPEATED_COMMANDS:
         return draw_number(rng, 1, 3) * lease_s;
     default:
-        return draw_number(rng, 0.1, LONGEST_LEASES) * lease_s;
+        return draw_number(rng, 0.1, MAX_DURATION_LEASES) * lease_s;
     }
 }
 
 static tw_soak_fault draw_fault(gsl_rng *rng, const tw_soak_plan *plan, double at_s,
                                 double lease_s) {
     tw_soak_fault fault = {.at_s = at_s, .kind = draw_kind(rng)};
-    fault.lasts_s = length_of(rng, fault.kind, lease_s);
-    fault.moment = (tw_soak_moment)draw_index(rng, TW_SOAK_MOMENT_CANCEL + 1);
+    fault.duration_s = draw_duration_s(rng, fault.kind, lease_s);
+    fault.trigger = (tw_soak_trigger)draw_index(rng, TW_SOAK_TRIGGER_CANCEL + 1);
     fault.node = gsl_rng_uniform(rng) < 0.6 ? -1 : draw_index(rng, plan->nodes);
     fault.other = draw_index(rng, plan->nodes);
     fault.direction = draw_index(rng, 3);
@@ -100,43 +100,47 @@
 }
 
 static void add_fault(tw_soak_plan *plan, const tw_soak_fault *fault) {
-    if (plan->fault_count < TW_SOAK_MOST_FAULTS) plan->faults[plan->fault_count++] = *fault;
+    if (plan->fault_count < TW_SOAK_MAX_FAULTS) plan->faults[plan->fault_count++] = *fault;
 }
 
 /* All incarnations end while copies of heartbeats are held; then, just after launches, machines
  * hang and the leader ends: its successor has older news of the machines than the launches. */
-static void add_successor(gsl_rng *rng, tw_soak_plan *plan, double at_s, double lease_s) {
-    const double away_s = draw_number(rng, INCARNATIONS_LEAST, INCARNATIONS_MOST) * lease_s;
-    const double copies_s = away_s + draw_number(rng, COPIES_LEAST_S, COPIES_MOST_S);
-    const double end_s = at_s + copies_s + draw_number(rng, 0, COPIES_MOST_S);
+static void add_stale_successor(gsl_rng *rng, tw_soak_plan *plan, double at_s, double lease_s) {
+    const double absence_s = draw_number(rng, MIN_ABSENCE_LEASES, MAX_ABSENCE_LEASES) * lease_s;
+    const double copies_s = absence_s + draw_number(rng, MIN_COPIES_S, MAX_COPIES_S);
+    const double end_s = at_s + copies_s + draw_number(rng, 0, MAX_COPIES_S);
     const tw_soak_fault chain[] = {
-        {.at_s = at_s, .kind = TW_SOAK_FAULT_HELD_HEARTBEATS, .lasts_s = copies_s, .share = 1},
-        {.at_s = at_s + 1, .kind = TW_SOAK_FAULT_INCARNATIONS, .lasts_s = away_s, .node = -1},
-        {.at_s = end_s, .kind = TW_SOAK_FAULT_HANG, .lasts_s = 0.8 * lease_s, .share = 1},
+        {.at_s = at_s, .kind = TW_SOAK_FAULT_HELD_HEARTBEATS, .duration_s = copies_s, .share = 1},
+        {.at_s = at_s + 1,
+         .kind = TW_SOAK_FAULT_END_INCARNATIONS,
+         .duration_s = absence_s,
+         .node = -1},
+        {.at_s = end_s, .kind = TW_SOAK_FAULT_HANG, .duration_s = 0.8 * lease_s, .share = 1},
         {.at_s = end_s,
          .kind = TW_SOAK_FAULT_KILL,
-         .lasts_s = 0.6 * lease_s,
+         .duration_s = 0.6 * lease_s,
          .node = -1,
-         .moment = TW_SOAK_MOMENT_LAUNCH},
+         .trigger = TW_SOAK_TRIGGER_LAUNCH},
     };
     for (size_t i = 0; i < sizeof chain / sizeof *chain; i++) add_fault(plan, &chain[i]);
 }
 
-void tw_soak_plan_make(tw_soak_plan *plan, unsigned seed, double troubles_s, double lease_s) {
+void tw_soak_plan_draw(tw_soak_plan *plan, unsigned seed, double fault_phase_s, double lease_s) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(rng, seed);
-    static const int sizes[] = {3, 3, 3, 5, 5, 7};
-    plan->nodes = sizes[draw_index(rng, (int)(sizeof sizes / sizeof *sizes))];
+    static const int node_counts[] = {3, 3, 3, 5, 5, 7};
+    plan->nodes = node_counts[draw_index(rng, (int)(sizeof node_counts / sizeof *node_counts))];
     plan->zones = 2 + draw_index(rng, 2);
     plan->machines = draw_index(rng, 10) ? 10 + draw_index(rng, 40) : 120;
     double at_s = FIRST_FAULT_S;
-    while (at_s < troubles_s && plan->fault_count < TW_SOAK_MOST_FAULTS) {
+    while (at_s < fault_phase_s && plan->fault_count < TW_SOAK_MAX_FAULTS) {
         const tw_soak_fault fault = draw_fault(rng, plan, at_s, lease_s);
         add_fault(plan, &fault);
-        at_s += draw_number(rng, LEAST_PAUSE_S, MOST_PAUSE_S);
+        at_s += draw_number(rng, MIN_PAUSE_S, MAX_PAUSE_S);
     }
-    if (gsl_rng_uniform(rng) < SUCCESSOR_SHARE)
-        add_successor(rng, plan, draw_number(rng, FIRST_FAULT_S, 0.5 * troubles_s), lease_s);
+    if (gsl_rng_uniform(rng) < STALE_SUCCESSOR_SHARE)
+        add_stale_successor(rng, plan, draw_number(rng, FIRST_FAULT_S, 0.5 * fault_phase_s),
+                            lease_s);
     gsl_rng_free(rng);
 }
 
@@ -149,7 +153,7 @@
         fprintf(
             to,
             "at %.2f %s lasts=%.2f moment=%s node=%d other=%d direction=%s held=%d share=%.2f\n",
-            fault->at_s, names[fault->kind], fault->lasts_s, moments[fault->moment], fault->node,
-            fault->other, directions[fault->direction], fault->held, fault->share);
+            fault->at_s, names[fault->kind], fault->duration_s, moments[fault->trigger],
+            fault->node, fault->other, directions[fault->direction], fault->held, fault->share);
     }
 }
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -6,29 +6,29 @@
 
 #define SUBMIT_TIMEOUT_S 5.0
 #define POLL_TIMEOUT_S 2.0
-#define POLL_EVERY_S 1.0
+#define POLL_INTERVAL_S 1.0
 #define RETRY_S 1.0
-#define LEAST_PAUSE_S 0.05
-#define MOST_PAUSE_S 0.6
-#define LOOKS 3
-#define LOOK_WITHIN_S 0.03
+#define MIN_PAUSE_S 0.05
+#define MAX_PAUSE_S 0.6
+#define POLL_BURSTS 3
+#define POLL_BURST_SPREAD_S 0.03
 #define CANCEL_SHARE 0.2
 #define CANCEL_AT_END_SHARE 0.15
-#define MOST_SERVICES 10
+#define MAX_SERVICES 10
 #define TEAMS 2
 
 static const struct {
     const char *shape;
-    int weight, least, most; /* tasks */
-    double least_s, most_s;  /* run time */
+    int weight, min_tasks, max_tasks;
+    double min_run_s, max_run_s;
 } kinds[] = {{"batch", 5, 1, 1, 0.5, 10},
              {"batch", 4, 2, 12, 1, 10},
              {"service", 2, 1, 4, 0, 0},
              {"group", 2, 2, 4, 2, 8}};
 
 typedef struct tw_soak_user_job {
-    int index;                   /* in the world */
-    double next_poll, cancel_at; /* 0: not cancelled at a time of its own */
+    int index;                      /* in the world */
+    double next_poll_at, cancel_at; /* 0: not cancelled at a time of its own */
     bool submitting, polling, cancelling;
     struct tw_soak_user_job *next;
 } tw_soak_user_job;
@@ -36,57 +36,59 @@
 /* A user's request on its way. */
 typedef struct {
     tw_soak_user_job *user;
-    int kind, once;
-    double sent;
+    int kind, is_extra;
+    double sent_at;
 } user_request;
 
 /* ---- asking ---- */
 
-static void look_closely(tw_soak *run, tw_soak_user_job *user);
+static void schedule_poll_bursts(tw_soak *run, tw_soak_user_job *user);
 
-static void take_answer(tw_soak *run, void *data, int status, const char *body) {
-    user_request *asked = data;
-    tw_soak_user_job *user = asked->user;
+static void handle_answer(tw_soak *run, void *data, int status, const char *body) {
+    user_request *request = data;
+    tw_soak_user_job *user = request->user;
     tw_simulator_job *job = run->world.jobs[user->index];
     const int was_accepted = job->accepted, was_over = job->reported_end;
-    tw_soak_note(run, "user", asked->kind, "job", user->index, job->spec.id, body);
+    tw_soak_trace_message(run, "user", request->kind, "job", user->index, job->spec.id, body);
     if (status)
-        tw_simulator_judge_told(&run->world, job, job->spec.id, asked->kind, asked->sent, status,
-                                body);
-    if (!asked->once && asked->kind == TW_SIMULATOR_SUBMIT) user->submitting = false;
-    if (!asked->once && asked->kind == TW_SIMULATOR_POLL) user->polling = false;
-    if (!asked->once && asked->kind == TW_SIMULATOR_CANCEL) user->cancelling = false;
-    if (asked->kind == TW_SIMULATOR_CANCEL && job->reported_end != was_over)
-        tw_soak_moment_came(run, TW_SOAK_MOMENT_CANCEL);
-    free(asked);
-    if (was_accepted != job->accepted || was_over != job->reported_end) look_closely(run, user);
+        tw_simulator_judge_told(&run->world, job, job->spec.id, request->kind, request->sent_at,
+                                status, body);
+    if (!request->is_extra && request->kind == TW_SIMULATOR_SUBMIT) user->submitting = false;
+    if (!request->is_extra && request->kind == TW_SIMULATOR_POLL) user->polling = false;
+    if (!request->is_extra && request->kind == TW_SIMULATOR_CANCEL) user->cancelling = false;
+    if (request->kind == TW_SIMULATOR_CANCEL && job->reported_end != was_over)
+        tw_soak_handle_trigger(run, TW_SOAK_TRIGGER_CANCEL);
+    free(request);
+    if (was_accepted != job->accepted || was_over != job->reported_end)
+        schedule_poll_bursts(run, user);
 }
 
-static void send_request(tw_soak *run, tw_soak_user_job *user, int kind, int node, bool once) {
+static void send_request(tw_soak *run, tw_soak_user_job *user, int kind, int node, bool is_extra) {
     const tw_simulator_job *job = run->world.jobs[user->index];
-    char path[TW_SOAK_PATH];
-    user_request *asked = tw_simulator_allocate(sizeof *asked);
-    *asked = (user_request){user, kind, once, run->world.now};
+    char path[TW_SOAK_PATH_SIZE];
+    user_request *request = tw_simulator_allocate(sizeof *request);
+    *request = (user_request){user, kind, is_extra, run->world.now};
     snprintf(path, sizeof path, "/v1/jobs%s%s%s", kind == TW_SIMULATOR_SUBMIT ? "" : "/",
              kind == TW_SIMULATOR_SUBMIT ? "" : job->spec.id,
              kind == TW_SIMULATOR_CANCEL ? "/abort" : "");
     tw_wire_record record = {.has_job = 1, .job = job->spec, .task_count = job->spec.task_count};
     char *text = kind == TW_SIMULATOR_SUBMIT ? tw_wire_record_text(&record) : NULL;
-    cJSON *whole = text ? cJSON_Parse(text) : NULL;
-    char *body =
-        whole ? cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(whole, "j")) : NULL;
+    cJSON *record_json = text ? cJSON_Parse(text) : NULL;
+    char *body = record_json
+                     ? cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(record_json, "j"))
+                     : NULL;
     tw_soak_call_node(run, node, TW_SOAK_API_PORT, kind == TW_SIMULATOR_POLL ? "GET" : "POST", path,
                       body ? body : "",
-                      kind == TW_SIMULATOR_POLL ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S, take_answer,
-                      asked);
-    cJSON_Delete(whole);
+                      kind == TW_SIMULATOR_POLL ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S, handle_answer,
+                      request);
+    cJSON_Delete(record_json);
     free(text);
     free(body);
 }
 
 static int draw_node(tw_soak *run) { return tw_soak_draw_index(run, run->plan.nodes); }
 
-static void ask_all_nodes(tw_soak *run, void *data) {
+static void poll_all_nodes(tw_soak *run, void *data) {
     tw_soak_user_job *user = data;
     for (int node = 0; node < run->plan.nodes; node++) {
         send_request(run, user, TW_SIMULATOR_POLL, node, true);
@@ -94,9 +96,10 @@
     }
 }
 
-static void look_closely(tw_soak *run, tw_soak_user_job *user) {
-    for (int i = 0; i < LOOKS; i++)
-        tw_soak_after(run, tw_soak_draw(run, 0, LOOK_WITHIN_S), ask_all_nodes, user);
+static void schedule_poll_bursts(tw_soak *run, tw_soak_user_job *user) {
+    for (int i = 0; i < POLL_BURSTS; i++)
+        tw_soak_schedule_action(run, tw_soak_draw(run, 0, POLL_BURST_SPREAD_S), poll_all_nodes,
+                                user);
 }
 
 static void cancel_job(tw_soak *run, tw_soak_user_job *user) {
@@ -106,7 +109,7 @@
     send_request(run, user, TW_SIMULATOR_CANCEL, draw_node(run), false);
 }
 
-void tw_soak_job_ended(void *context, tw_simulator_job *job) {
+void tw_soak_handle_job_end(void *context, tw_simulator_job *job) {
     tw_soak *run = context;
     if (!job->accepted || job->reported_end || tw_soak_draw(run, 0, 1) > CANCEL_AT_END_SHARE)
         return;
@@ -116,15 +119,15 @@
 
 /* ---- submitting ---- */
 
-static int draw_kind(tw_soak *run) {
-    int all = 0, kind = 0;
-    for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++) all += kinds[i].weight;
-    int left = tw_soak_draw_index(run, all);
-    while (left >= kinds[kind].weight) left -= kinds[kind++].weight;
+static int draw_job_kind(tw_soak *run) {
+    int total_weight = 0, kind = 0;
+    for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++) total_weight += kinds[i].weight;
+    int remainder = tw_soak_draw_index(run, total_weight);
+    while (remainder >= kinds[kind].weight) remainder -= kinds[kind++].weight;
     return kind;
 }
 
-static int services_running(const tw_soak *run) {
+static int count_running_services(const tw_soak *run) {
     int count = 0;
     for (int i = 0; i < run->world.job_count; i++)
         count += run->world.jobs[i]->spec.service && run->world.jobs[i]->cancel_requested_at <= 0;
@@ -133,10 +136,11 @@
 
 static void submit_job(tw_soak *run) {
     static const char *const priorities[] = {"prod", "high", "normal", "idle"};
-    int kind = draw_kind(run);
-    if (!strcmp(kinds[kind].shape, "service") && services_running(run) >= MOST_SERVICES) kind = 0;
-    const double run_s = tw_soak_draw(run, kinds[kind].least_s, kinds[kind].most_s);
-    char text[1024], id[TW_SOAK_TEXT];
+    int kind = draw_job_kind(run);
+    if (!strcmp(kinds[kind].shape, "service") && count_running_services(run) >= MAX_SERVICES)
+        kind = 0;
+    const double run_s = tw_soak_draw(run, kinds[kind].min_run_s, kinds[kind].max_run_s);
+    char text[1024], id[TW_SOAK_TEXT_SIZE];
     snprintf(id, sizeof id, "run-%06d", run->world.job_count + 1);
     snprintf(
         text, sizeof text,
@@ -146,7 +150,8 @@
         "\"snapshotS\":%d,\"flushS\":0.3}",
         id, tw_soak_draw_index(run, TEAMS), kinds[kind].shape,
         priorities[tw_soak_draw_index(run, 4)],
-        kinds[kind].least + tw_soak_draw_index(run, kinds[kind].most - kinds[kind].least + 1),
+        kinds[kind].min_tasks +
+            tw_soak_draw_index(run, kinds[kind].max_tasks - kinds[kind].min_tasks + 1),
         1 + tw_soak_draw_index(run, 4), tw_soak_draw_index(run, 3) ? 0 : 1,
         tw_soak_draw_index(run, 5), tw_soak_draw_index(run, 4) ? "false" : "true", run_s,
         tw_soak_draw_index(run, 2));
@@ -174,9 +179,10 @@
 
 static void advance_user(tw_soak *run, tw_soak_user_job *user) {
     const tw_simulator_job *job = run->world.jobs[user->index];
-    if (run->world.now < user->next_poll || (job->reported_end && tw_soak_draw(run, 0, 1) > 0.05))
+    if (run->world.now < user->next_poll_at ||
+        (job->reported_end && tw_soak_draw(run, 0, 1) > 0.05))
         return;
-    user->next_poll = run->world.now + POLL_EVERY_S;
+    user->next_poll_at = run->world.now + POLL_INTERVAL_S;
     if (!job->accepted && !user->submitting) {
         user->submitting = true;
         send_request(run, user, TW_SIMULATOR_SUBMIT, draw_node(run), false);
@@ -184,21 +190,21 @@
         user->polling = true;
         send_request(run, user, TW_SIMULATOR_POLL, draw_node(run), false);
     }
-    const bool wants_end =
+    const bool cancel_due =
         (user->cancel_at > 0 && run->world.now >= user->cancel_at) || job->cancel_requested_at > 0;
-    if (job->accepted && wants_end && !job->reported_end && !user->cancelling)
+    if (job->accepted && cancel_due && !job->reported_end && !user->cancelling)
         cancel_job(run, user);
 }
 
 void tw_soak_users_tick(tw_soak *run) {
-    if (run->world.now >= run->next_submission && run->world.now < run->troubles_s) {
-        run->next_submission = run->world.now + tw_soak_draw(run, LEAST_PAUSE_S, MOST_PAUSE_S);
+    if (run->world.now >= run->next_submission_at && run->world.now < run->fault_phase_s) {
+        run->next_submission_at = run->world.now + tw_soak_draw(run, MIN_PAUSE_S, MAX_PAUSE_S);
         submit_job(run);
     }
     for (tw_soak_user_job *user = run->user_jobs; user; user = user->next) advance_user(run, user);
 }
 
-int tw_soak_users_served(tw_soak *run, char *what, size_t size) {
+int tw_soak_all_jobs_served(tw_soak *run, char *unserved, size_t size) {
     for (int i = 0; i < run->world.job_count; i++) {
         const tw_simulator_job *job = run->world.jobs[i];
         const int is_over = job->reported_end;
@@ -206,8 +212,9 @@
             job->accepted && job->spec.service && job->cancel_requested_at <= 0 &&
             tw_simulator_job_tasks_running(&run->world, job->spec.id) == job->spec.task_count;
         if (is_over || runs) continue;
-        snprintf(what, size, "%s: accepted=%d done=%d of %d cancelled=%d running=%d", job->spec.id,
-                 job->accepted, job->done_count, job->spec.task_count, job->cancel_requested_at > 0,
+        snprintf(unserved, size, "%s: accepted=%d done=%d of %d cancelled=%d running=%d",
+                 job->spec.id, job->accepted, job->done_count, job->spec.task_count,
+                 job->cancel_requested_at > 0,
                  tw_simulator_job_tasks_running(&run->world, job->spec.id));
         return 0;
     }
--- a/tests/unit/config_test.c
+++ b/tests/unit/config_test.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define LONGEST 4096
+#define TEXT_SIZE 4096
 #define X20 "xxxxxxxxxxxxxxxxxxxx"
 
 static const char *const good[] = {
@@ -167,7 +167,7 @@
             limits->txn_ops);
 }
 
-static void dump(FILE *out, const tw_config *conf) {
+static void dump_config(FILE *out, const tw_config *conf) {
     const tw_config_tuning *tune = &conf->tune;
     fprintf(out, "%s %s %s %s %s %s", conf->host_name, conf->location, conf->api_addr,
             conf->peer_bind, conf->cloud, conf->state);
@@ -185,11 +185,11 @@
 }
 
 /* Joins the good lines, with line `skip` left out or replaced by `instead`. */
-static void join(char *text, size_t skip, const char *instead) {
+static void join_lines(char *text, size_t skipped_line, const char *replacement) {
     size_t length = 0;
     for (size_t i = 0; i < good_count; i++) {
-        const char *line = i == skip ? instead : good[i];
-        if (line) length += (size_t)snprintf(text + length, LONGEST - length, "%s\n", line);
+        const char *line = i == skipped_line ? replacement : good[i];
+        if (line) length += (size_t)snprintf(text + length, TEXT_SIZE - length, "%s\n", line);
     }
 }
 
@@ -203,26 +203,26 @@
     if (tw_config_parse(&conf, text, why, sizeof why)) {
         fprintf(out, "%s", why);
     } else {
-        dump(out, &conf);
+        dump_config(out, &conf);
         tw_config_free(&conf);
     }
     fclose(out);
     return outcome;
 }
 
-static void vary_line(size_t line, const char *usual) {
-    char text[LONGEST];
-    char changed[LONGEST];
+static void vary_line(size_t line, const char *baseline) {
+    char text[TEXT_SIZE];
+    char changed[TEXT_SIZE];
     const char *equals = strstr(good[line], " = ");
-    join(text, line, NULL);
-    tw_test_outcome_show("", "(out)", platform_outcome(text), usual);
+    join_lines(text, line, NULL);
+    tw_test_outcome_add("", "(out)", platform_outcome(text), baseline);
     for (size_t i = 0; equals && i < value_count; i++) {
         snprintf(changed, sizeof changed, "%.*s = %s", (int)(equals - good[line]), good[line],
                  values[i]);
-        join(text, line, changed);
-        tw_test_outcome_show("", values[i], platform_outcome(text), usual);
+        join_lines(text, line, changed);
+        tw_test_outcome_add("", values[i], platform_outcome(text), baseline);
     }
-    tw_test_outcome_end(usual);
+    tw_test_outcome_finish(baseline);
 }
 
 /* What the operators' file with this text makes of the good settings. */
@@ -230,43 +230,44 @@
     char *outcome = NULL;
     size_t size = 0;
     FILE *out = open_memstream(&outcome, &size);
-    char platform[LONGEST];
+    char platform[TEXT_SIZE];
     char why[400] = "";
     tw_config conf;
     FILE *file = fopen(path, "w");
     if (!out || !file) abort();
     fputs(text, file);
     fclose(file);
-    join(platform, good_count, NULL);
+    join_lines(platform, good_count, NULL);
     if (tw_config_parse(&conf, platform, why, sizeof why)) abort();
     if (tw_config_load_yaml(&conf, path, why, sizeof why)) {
         const char *name = strstr(why, path); /* differs from run to run */
         fprintf(out, "%s", name ? name + strlen(path) : why);
     } else {
-        dump(out, &conf);
+        dump_config(out, &conf);
     }
     tw_config_free(&conf);
     fclose(out);
     return outcome;
 }
 
-static void vary_operators(const char *path, const char *usual) {
-    char text[LONGEST];
+static void vary_operators(const char *path, const char *baseline) {
+    char text[TEXT_SIZE];
     for (size_t i = 0; i < operators_key_count; i++) {
         printf("operators %s\n", operators_keys[i]);
         for (size_t k = 0; k < operators_value_count; k++) {
             snprintf(text, sizeof text, "%s: %s\n", operators_keys[i], operators_values[k]);
-            tw_test_outcome_show("", operators_values[k], operators_outcome(path, text), usual);
+            tw_test_outcome_add("", operators_values[k], operators_outcome(path, text), baseline);
         }
-        tw_test_outcome_end(usual);
+        tw_test_outcome_finish(baseline);
     }
-    tw_test_outcome_show("", "(empty)", operators_outcome(path, ""), usual);
-    tw_test_outcome_show("", "[1]", operators_outcome(path, "[1]\n"), usual);
-    tw_test_outcome_show("", "headroom: {", operators_outcome(path, "headroom: {\n"), usual);
-    tw_test_outcome_show("", "two keys", operators_outcome(path, "headroom: 3\nema: 0.5\n"), usual);
-    tw_test_outcome_show("", "two keys, the first is bad",
-                         operators_outcome(path, "headroom: -3\nema: 7\n"), usual);
-    tw_test_outcome_end(usual);
+    tw_test_outcome_add("", "(empty)", operators_outcome(path, ""), baseline);
+    tw_test_outcome_add("", "[1]", operators_outcome(path, "[1]\n"), baseline);
+    tw_test_outcome_add("", "headroom: {", operators_outcome(path, "headroom: {\n"), baseline);
+    tw_test_outcome_add("", "two keys", operators_outcome(path, "headroom: 3\nema: 0.5\n"),
+                        baseline);
+    tw_test_outcome_add("", "two keys, the first is bad",
+                        operators_outcome(path, "headroom: -3\nema: 7\n"), baseline);
+    tw_test_outcome_finish(baseline);
 }
 
 int main(int argc, char **argv) {
@@ -275,21 +276,21 @@
         tw_config_describe_tuning(stdout);
         return 0;
     }
-    char text[LONGEST];
+    char text[TEXT_SIZE];
     char path[] = "/tmp/tw_config_test_XXXXXX";
-    join(text, good_count, NULL);
-    char *usual = platform_outcome(text);
-    tw_test_outcome_show("", "good", platform_outcome(text), "");
-    tw_test_outcome_end("");
+    join_lines(text, good_count, NULL);
+    char *baseline = platform_outcome(text);
+    tw_test_outcome_add("", "good", platform_outcome(text), "");
+    tw_test_outcome_finish("");
     for (size_t i = 0; i < good_count; i++) {
         printf("line %zu %s\n", i, good[i]);
-        vary_line(i, usual);
+        vary_line(i, baseline);
     }
     int file = mkstemp(path);
     if (file < 0) return 2;
     close(file);
-    vary_operators(path, usual);
+    vary_operators(path, baseline);
     unlink(path);
-    free(usual);
+    free(baseline);
     return 0;
 }
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -5,54 +5,54 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEADY_START 1000.0
-#define WALL_START 1e9
-#define LATENCY 0.002
+#define STEADY_START_S 1000.0
+#define WALL_START_S 1e9
+#define LATENCY_S 0.002
 #define SEED 7
 #define MAX_LINE 70000
 
 /* ---- the controller and what is around it ---- */
 
 static tw_simulator_clock clock_of(const tw_test_conversation *conversation) {
-    return (tw_simulator_clock){.steady = STEADY_START + conversation->now,
-                                .wall = WALL_START + conversation->now};
+    return (tw_simulator_clock){.steady = STEADY_START_S + conversation->now,
+                                .wall = WALL_START_S + conversation->now};
 }
 
-static double answered_after(const tw_effect *effect) {
+static double answer_delay_s(const tw_effect *effect) {
     const char *hold = strstr(effect->path, "holdMs=");
-    return hold ? tw_simulator_parse_number(hold + strlen("holdMs=")) / 1000 : LATENCY;
+    return hold ? tw_simulator_parse_number(hold + strlen("holdMs=")) / 1000 : LATENCY_S;
 }
 
 /* Heartbeats are many and differ in their times: those that say the same in a row are shown once.
  */
-static bool is_shown(tw_test_conversation *conversation, const tw_effect *effect) {
+static bool should_print(tw_test_conversation *conversation, const tw_effect *effect) {
     if (strcmp(effect->path, "/peer/ping") != 0) return true;
     const char *times = strstr(effect->body, "\"upS\"");
     const size_t length = times ? (size_t)(times - effect->body) : strlen(effect->body);
-    if (strlen(conversation->heartbeat) == length &&
-        !strncmp(conversation->heartbeat, effect->body, length))
+    if (strlen(conversation->last_printed_heartbeat) == length &&
+        !strncmp(conversation->last_printed_heartbeat, effect->body, length))
         return false;
-    snprintf(conversation->heartbeat, sizeof conversation->heartbeat, "%.*s", (int)length,
-             effect->body);
+    snprintf(conversation->last_printed_heartbeat, sizeof conversation->last_printed_heartbeat,
+             "%.*s", (int)length, effect->body);
     return true;
 }
 
-static void show_call(tw_test_conversation *conversation, const tw_effect *effect) {
+static void print_call(tw_test_conversation *conversation, const tw_effect *effect) {
     const char *body = effect->body ? effect->body : "";
     if (effect->to == TW_TO_STATE && !strcmp(effect->path, "/txn"))
         printf("write %s\n", body);
-    else if (effect->to == TW_TO_PEER && is_shown(conversation, effect))
+    else if (effect->to == TW_TO_PEER && should_print(conversation, effect))
         printf("peer %s %s %s\n", effect->addr, effect->path, body);
     else if (effect->to == TW_TO_WORKER)
         printf("worker %s %s %s\n", effect->addr, effect->path, body);
 }
 
-static void take_call(tw_test_conversation *conversation, tw_effect *effect) {
-    if (conversation->waiting_count == TW_TEST_CONVERSATION_MAX_WAITING) abort();
-    show_call(conversation, effect);
-    conversation->waiting[conversation->waiting_count++] =
-        (tw_test_waiting_call){.id = effect->id,
-                               .at = conversation->now + answered_after(effect),
+static void add_pending_call(tw_test_conversation *conversation, tw_effect *effect) {
+    if (conversation->pending_call_count == TW_TEST_CONVERSATION_MAX_CALLS) abort();
+    print_call(conversation, effect);
+    conversation->pending_calls[conversation->pending_call_count++] =
+        (tw_test_pending_call){.id = effect->id,
+                               .answer_at = conversation->now + answer_delay_s(effect),
                                .to = effect->to,
                                .method = effect->method,
                                .path = effect->path,
@@ -60,7 +60,7 @@
     effect->path = effect->body = NULL;
 }
 
-static void take_effects(tw_test_conversation *conversation) {
+static void process_effects(tw_test_conversation *conversation) {
     const tw_simulator_controller_methods *methods = conversation->controller->methods;
     tw_effect *effect;
     while ((effect = methods->next(conversation->controller))) {
@@ -68,7 +68,7 @@
             printf("reply %llu %d %s\n", (unsigned long long)effect->id, effect->status,
                    effect->body ? effect->body : "");
         else
-            take_call(conversation, effect);
+            add_pending_call(conversation, effect);
         tw_core_effect_free(effect);
     }
     if (!conversation->controller->failure) return;
@@ -77,14 +77,14 @@
 }
 
 /* What a node that knows nobody answers to a heartbeat. */
-static char *heartbeat_answer(void) {
+static char *peer_heartbeat_answer(void) {
     return tw_simulator_copy_text(
         "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
         "\"upS\":500,\"deputyS\":500}");
 }
 
-static int answer_to(tw_test_conversation *conversation, const tw_test_waiting_call *call,
-                     char **body) {
+static int execute_call(tw_test_conversation *conversation, const tw_test_pending_call *call,
+                        char **body) {
     const char *sent = call->body ? call->body : "";
     if (call->to == TW_TO_STATE)
         return tw_simulator_state_request(&conversation->world.state, conversation->now,
@@ -93,30 +93,34 @@
         return tw_simulator_cloud_request(&conversation->world, call->method, call->path, sent,
                                           body);
     const bool heartbeat = !strcmp(call->path, "/peer/ping");
-    *body = heartbeat ? heartbeat_answer() : tw_simulator_copy_text("{}");
+    *body = heartbeat ? peer_heartbeat_answer() : tw_simulator_copy_text("{}");
     return TW_SIMULATOR_OK;
 }
 
-static void answer(tw_test_conversation *conversation, int i) {
-    tw_test_waiting_call call = conversation->waiting[i];
+static void answer_call(tw_test_conversation *conversation, int i) {
+    tw_test_pending_call call = conversation->pending_calls[i];
     char *body = NULL;
-    conversation->waiting[i] = conversation->waiting[--conversation->waiting_count];
-    const int status = answer_to(conversation, &call, &body);
+    conversation->pending_calls[i] =
+        conversation->pending_calls[--conversation->pending_call_count];
+    const int status = execute_call(conversation, &call, &body);
     conversation->controller->methods->response(conversation->controller, clock_of(conversation),
                                                 call.id, status, body ? body : "");
-    take_effects(conversation);
+    process_effects(conversation);
     free(body);
     free(call.path);
     free(call.body);
 }
 
 /* The call that is answered first, or -1. */
-static int first_waiting(const tw_test_conversation *conversation) {
+static int first_pending_call(const tw_test_conversation *conversation) {
     int first = -1;
-    for (int i = 0; i < conversation->waiting_count; i++)
-        if (first < 0 || conversation->waiting[i].at < conversation->waiting[first].at ||
-            (conversation->waiting[i].at <= conversation->waiting[first].at &&
-             conversation->waiting[i].id < conversation->waiting[first].id))
+    for (int i = 0; i < conversation->pending_call_count; i++)
+        if (first < 0 ||
+            conversation->pending_calls[i].answer_at <
+                conversation->pending_calls[first].answer_at ||
+            (conversation->pending_calls[i].answer_at <=
+                 conversation->pending_calls[first].answer_at &&
+             conversation->pending_calls[i].id < conversation->pending_calls[first].id))
             first = i;
     return first;
 }
@@ -124,18 +128,18 @@
 /* Lets time pass up to that moment. */
 void tw_test_conversation_advance_to(tw_test_conversation *conversation, double moment) {
     for (;;) {
-        const int first = first_waiting(conversation);
-        const double at = first < 0 ? INFINITY : conversation->waiting[first].at;
+        const int first = first_pending_call(conversation);
+        const double at = first < 0 ? INFINITY : conversation->pending_calls[first].answer_at;
         if (fmin(at, conversation->next_tick) > moment) break;
         conversation->now = conversation->world.now = fmin(at, conversation->next_tick);
         if (at <= conversation->next_tick) {
-            answer(conversation, first);
+            answer_call(conversation, first);
             continue;
         }
         conversation->controller->methods->tick(conversation->controller, clock_of(conversation));
         conversation->next_tick =
             conversation->now + conversation->controller->methods->tick_s(conversation->controller);
-        take_effects(conversation);
+        process_effects(conversation);
     }
     conversation->now = conversation->world.now = moment;
 }
@@ -147,11 +151,11 @@
     conversation->controller->methods->request(conversation->controller, clock_of(conversation),
                                                port, conversation->last_connection, method, path,
                                                body);
-    take_effects(conversation);
+    process_effects(conversation);
 }
 
-void tw_test_conversation_put(tw_test_conversation *conversation, const char *key,
-                              const char *value) {
+void tw_test_conversation_write_key(tw_test_conversation *conversation, const char *key,
+                                    const char *value) {
     char body[MAX_LINE], *answer_body;
     snprintf(body, sizeof body, "{\"if\":[],\"apply\":[{\"write\":\"%s\",\"data\":%s}]}", key,
              value);
@@ -161,7 +165,7 @@
     free(answer_body);
 }
 
-void tw_test_conversation_show_record(const tw_test_conversation *conversation, const char *key) {
+void tw_test_conversation_print_record(const tw_test_conversation *conversation, const char *key) {
     const char *value = tw_simulator_state_value(&conversation->world.state, key);
     printf("record %s %s\n", key, value ? value : "-");
 }
@@ -186,7 +190,7 @@
         program ? tw_simulator_new_remote_controller(program, &start, error, sizeof error)
                 : tw_simulator_new_local_controller(&start, error, sizeof error);
     if (conversation->controller) {
-        take_effects(conversation);
+        process_effects(conversation);
         return;
     }
     printf("%s\n", error);
@@ -215,9 +219,9 @@
 
 void tw_test_conversation_free(tw_test_conversation *conversation) {
     conversation->controller->methods->free(conversation->controller);
-    for (int i = 0; i < conversation->waiting_count; i++) {
-        free(conversation->waiting[i].path);
-        free(conversation->waiting[i].body);
+    for (int i = 0; i < conversation->pending_call_count; i++) {
+        free(conversation->pending_calls[i].path);
+        free(conversation->pending_calls[i].body);
     }
     tw_simulator_world_free(&conversation->world);
 }
--- a/tests/unit/conversation.h
+++ b/tests/unit/conversation.h
@@ -5,25 +5,26 @@
 #include "controller.h"
 #include "world.h"
 
-#define TW_TEST_CONVERSATION_MAX_WAITING 64
+#define TW_TEST_CONVERSATION_MAX_CALLS 64
 
 /* A call of the controller that has not been answered yet. */
 typedef struct {
     uint64_t id;
-    double at; /* when it is answered */
+    double answer_at; /* when it is answered */
     int to;
     const char *method;
     char *path, *body;
-} tw_test_waiting_call;
+} tw_test_pending_call;
 
 typedef struct {
     tw_simulator_controller *controller;
     tw_simulator_world world;
     double now, next_tick;
-    tw_test_waiting_call waiting[TW_TEST_CONVERSATION_MAX_WAITING];
-    int waiting_count;
+    tw_test_pending_call pending_calls[TW_TEST_CONVERSATION_MAX_CALLS];
+    int pending_call_count;
     uint64_t last_connection;
-    char heartbeat[TW_SIMULATOR_MESSAGE_SIZE]; /* the last one shown, without its times */
+    char last_printed_heartbeat[TW_SIMULATOR_MESSAGE_SIZE]; /* the last one shown, without its times
+                                                             */
 } tw_test_conversation;
 
 /* The state service is empty, the machine is up. */
@@ -37,8 +38,8 @@
 void tw_test_conversation_request(tw_test_conversation *conversation, int port, const char *method,
                                   const char *path, const char *body);
 /* Writes a key of the state service, before the node starts. */
-void tw_test_conversation_put(tw_test_conversation *conversation, const char *key,
-                              const char *value);
-void tw_test_conversation_show_record(const tw_test_conversation *conversation, const char *key);
+void tw_test_conversation_write_key(tw_test_conversation *conversation, const char *key,
+                                    const char *value);
+void tw_test_conversation_print_record(const tw_test_conversation *conversation, const char *key);
 
 #endif
--- a/tests/unit/heartbeat_cache_test.c
+++ b/tests/unit/heartbeat_cache_test.c
@@ -87,16 +87,16 @@
 }
 
 /* Whether the set reads the text as the parser does. */
-static bool reads(tw_wire_heartbeat_cache *cache, const char *text) {
+static bool reads_as_parser(tw_wire_heartbeat_cache *cache, const char *text) {
     tw_wire_heartbeat parsed;
     const int refused = tw_wire_heartbeat_parse(&parsed, text, strlen(text));
     const tw_wire_heartbeat *read = tw_wire_heartbeat_cache_read(cache, text, strlen(text));
-    const bool alike = refused ? !read : read && is_same_heartbeat(read, &parsed);
+    const bool same = refused ? !read : read && is_same_heartbeat(read, &parsed);
     if (!refused) tw_wire_heartbeat_free(&parsed);
-    return alike;
+    return same;
 }
 
-enum { MOST_LONG_BYTES = 8 * 1024 * 1024 };
+enum { MAX_LONG_BYTES = 8 * 1024 * 1024 };
 enum { WORKERS = 500, ROUNDS = 20, CHANGE_ROUNDS = 5 };
 
 /* A heartbeat of the worker; its sequence is the number of the round, and its token changes at
@@ -112,10 +112,10 @@
 
 /* Reports of many workers, one of which comes once: it is let go, the others are kept, and one with
  * nothing new is the kept one with its number. */
-static int reads_many(void) {
+static int check_many_workers(void) {
     const tw_wire_heartbeat *last[WORKERS] = {NULL};
     int wrong = 0;
-    tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new(MOST_LONG_BYTES);
+    tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new(MAX_LONG_BYTES);
     for (int round = 0; round < ROUNDS; round++) {
         for (int worker = round > 0; worker < WORKERS; worker++) {
             const tw_wire_heartbeat *read = read_round(cache, worker, round);
@@ -156,8 +156,8 @@
 /* A heartbeat with 200 listed attempts and nothing new cost 71 times one with 50, since its text
  * was read anew each time: it is the kept one. Of very many such machines not all are kept, but all
  * are read. */
-static int reads_long(void) {
-    tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new(MOST_LONG_BYTES);
+static int check_long_heartbeats(void) {
+    tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new(MAX_LONG_BYTES);
     int wrong = 0;
     const tw_wire_heartbeat *first = read_long(cache, 0, 1);
     const tw_wire_heartbeat *second = read_long(cache, 0, 2);
@@ -180,12 +180,12 @@
 }
 
 int main(void) {
-    int wrong = reads_many() + reads_long();
+    int wrong = check_many_workers() + check_long_heartbeats();
     for (size_t i = 0; i < text_count; i++) {
         for (size_t j = 0; j < text_count; j++) {
-            tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new(MOST_LONG_BYTES);
-            if (!reads(cache, texts[i]) || !reads(cache, texts[j]) || !reads(cache, texts[j]) ||
-                !reads(cache, texts[i])) {
+            tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new(MAX_LONG_BYTES);
+            if (!reads_as_parser(cache, texts[i]) || !reads_as_parser(cache, texts[j]) ||
+                !reads_as_parser(cache, texts[j]) || !reads_as_parser(cache, texts[i])) {
                 printf("FAIL reports: %s after %s\n", texts[j], texts[i]);
                 wrong++;
             }
--- a/tests/unit/outcome.c
+++ b/tests/unit/outcome.c
@@ -3,42 +3,43 @@
 #include <stdlib.h>
 #include <string.h>
 
-static char *last;
+static char *last_outcome;
 
 /* Prints the words of line that stand between what it has in common with usual on both sides. */
-static void print_difference(const char *usual, const char *line) {
-    size_t usual_length = strlen(usual);
+static void print_difference(const char *baseline, const char *line) {
+    size_t usual_length = strlen(baseline);
     size_t length = strlen(line);
     size_t begin = 0;
     size_t end = 0;
-    while (begin < length && usual[begin] == line[begin]) begin++;
+    while (begin < length && baseline[begin] == line[begin]) begin++;
     while (end < length - begin && end < usual_length - begin &&
-           usual[usual_length - 1 - end] == line[length - 1 - end])
+           baseline[usual_length - 1 - end] == line[length - 1 - end])
         end++;
     while (begin > 0 && line[begin - 1] != ' ') begin--;
     while (end > 0 && line[length - end] != ' ') end--;
     printf("%.*s\n", (int)(length - begin - end), line + begin);
 }
 
-static void print_last(const char *usual) {
+static void print_last(const char *baseline) {
     printf("\n    ");
-    if (strcmp(usual, last) != 0)
-        print_difference(usual, last);
+    if (strcmp(baseline, last_outcome) != 0)
+        print_difference(baseline, last_outcome);
     else
         printf("as usual\n");
-    free(last);
-    last = NULL;
+    free(last_outcome);
+    last_outcome = NULL;
 }
 
-void tw_test_outcome_show(const char *prefix, const char *label, char *outcome, const char *usual) {
-    if (last && !strcmp(last, outcome)) {
+void tw_test_outcome_add(const char *prefix, const char *label, char *outcome,
+                         const char *baseline) {
+    if (last_outcome && !strcmp(last_outcome, outcome)) {
         printf(" %s", label);
         free(outcome);
         return;
     }
-    if (last) print_last(usual);
+    if (last_outcome) print_last(baseline);
     printf("%s%s", prefix, label);
-    last = outcome;
+    last_outcome = outcome;
 }
 
-void tw_test_outcome_end(const char *usual) { print_last(usual); }
+void tw_test_outcome_finish(const char *baseline) { print_last(baseline); }
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -50,7 +50,7 @@
 }
 
 /* It leads: jobs are accepted, run, end and are cancelled; records are written. */
-static void leads(tw_test_conversation *conversation, const char *program) {
+static void play_leader(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
     tw_test_conversation_start_node(conversation, program);
     tw_test_conversation_advance_to(conversation, 3);
@@ -74,12 +74,12 @@
                              TASK("run-000001/0", "1", DONE) "," TASK(
                                  "run-000001/1", "1", RUNS) "," TASK("run-000002/0", "1", RUNS)));
     tw_test_conversation_advance_to(conversation, 6);
-    tw_test_conversation_show_record(conversation, "job/run-000001");
-    tw_test_conversation_show_record(conversation, "job/run-000002");
+    tw_test_conversation_print_record(conversation, "job/run-000001");
+    tw_test_conversation_print_record(conversation, "job/run-000002");
     tw_test_conversation_request(conversation, TW_PORT_API, "POST", "/v1/jobs/run-000002/abort",
                                  "");
     tw_test_conversation_advance_to(conversation, 6.5);
-    tw_test_conversation_show_record(conversation, "job/run-000002");
+    tw_test_conversation_print_record(conversation, "job/run-000002");
     send_heartbeat(
         conversation,
         HEARTBEAT("5", "101", TASK("run-000001/1", "2", DONE) "," TASK("run-000002/0", "1", RUNS)));
@@ -95,28 +95,28 @@
     poll_job(conversation, "/v1/jobs/run-000001");
     poll_job(conversation, "/v1/jobs/run-000002");
     tw_test_conversation_advance_to(conversation, 9.5);
-    tw_test_conversation_show_record(conversation, "job/run-000001");
-    tw_test_conversation_show_record(conversation, "job/run-000002");
-    tw_test_conversation_show_record(conversation, "leader");
+    tw_test_conversation_print_record(conversation, "job/run-000001");
+    tw_test_conversation_print_record(conversation, "job/run-000002");
+    tw_test_conversation_print_record(conversation, "leader");
 }
 
 #define OLD_JOB(id, tasks) "\"j\":" JOB(id, "batch", tasks)
 /* It takes over records as a predecessor left them: running, partly done, cancelled, done. What may
  * run is not started again, what is done stays so. */
-static void takes_over(tw_test_conversation *conversation, const char *program) {
+static void play_failover(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
-    tw_test_conversation_put(
+    tw_test_conversation_write_key(
         conversation, "job/run-000001",
         "{\"s\":0," OLD_JOB("run-000001",
                             TASKS("3")) ",\"c\":1,\"t\":999999990,\"n\":6,"
                                         "\"f\":\"1\",\"l\":\"0:4:n-000001,2:5:n-000001\"}");
-    tw_test_conversation_put(
+    tw_test_conversation_write_key(
         conversation, "job/run-000002",
         "{\"s\":3," OLD_JOB("run-000002", TASKS("2")) ",\"t\":999999991,\"n\":2,"
                                                       "\"l\":\"0:1:n-000001\"}");
-    tw_test_conversation_put(conversation, "job/run-000003", "{\"s\":2,\"p\":4,\"c\":4}");
-    tw_test_conversation_put(conversation, "job/run-000004", "{\"s\":3,\"p\":4,\"c\":1}");
-    tw_test_conversation_put(conversation, "new/run-000005", "1");
+    tw_test_conversation_write_key(conversation, "job/run-000003", "{\"s\":2,\"p\":4,\"c\":4}");
+    tw_test_conversation_write_key(conversation, "job/run-000004", "{\"s\":3,\"p\":4,\"c\":1}");
+    tw_test_conversation_write_key(conversation, "new/run-000005", "1");
     tw_test_conversation_start_node(conversation, program);
     tw_test_conversation_advance_to(conversation, 4);
     send_heartbeat(conversation,
@@ -139,17 +139,17 @@
     for (int i = 1; i <= 4; i++) {
         char key[TW_SIMULATOR_NAME_SIZE];
         snprintf(key, sizeof key, "job/run-%06d", i);
-        tw_test_conversation_show_record(conversation, key);
+        tw_test_conversation_print_record(conversation, key);
     }
-    tw_test_conversation_show_record(conversation, "new/run-000005");
-    tw_test_conversation_show_record(conversation, "leader");
+    tw_test_conversation_print_record(conversation, "new/run-000005");
+    tw_test_conversation_print_record(conversation, "leader");
 }
 
 /* Another node leads: peer heartbeats, worker heartbeats that are forwarded, users' requests. */
-static void follows(tw_test_conversation *conversation, const char *program) {
+static void play_follower(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
-    tw_test_conversation_put(conversation, "leader", "{\"node\":\"tray-1\"}");
-    tw_test_conversation_put(
+    tw_test_conversation_write_key(conversation, "leader", "{\"node\":\"tray-1\"}");
+    tw_test_conversation_write_key(
         conversation, "job/run-000001",
         "{\"s\":0," OLD_JOB("run-000001", TASKS("1")) ",\"t\":999999990,\"n\":2,"
                                                       "\"l\":\"0:1:n-000001\"}");
@@ -169,22 +169,24 @@
                                  HEARTBEAT("72", "101", ""));
     tw_test_conversation_advance_to(conversation, 4);
     send_peer_heartbeat(conversation, "{\"name\":\"tray-1\",\"token\":90}");
-    tw_test_conversation_show_record(conversation, "job/run-000002");
-    tw_test_conversation_show_record(conversation, "new/run-000002");
+    tw_test_conversation_print_record(conversation, "job/run-000002");
+    tw_test_conversation_print_record(conversation, "new/run-000002");
 }
 
 /* Fields that it doesn't know, in heartbeats and records, and a record that is divided. */
-static void unknown_fields(tw_test_conversation *conversation, const char *program) {
+static void play_unknown_fields(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
-    tw_test_conversation_put(
+    tw_test_conversation_write_key(
         conversation, "job/run-000001",
         "{\"s\":0," OLD_JOB("run-000001", TASKS("2")) ",\"t\":999999990,\"n\":2,"
                                                       "\"l\":\"0:1:n-000001\",\"zz\":7}");
-    tw_test_conversation_put(conversation, "job/run-000002",
-                             "{\"s\":0,\"p\":2,\"c\":0,\"parts\":{\"set\":\"90-1\",\"n\":2}}");
-    tw_test_conversation_put(conversation, "job/run-000003",
-                             "{\"s\":2,\"p\":2,\"c\":2,\"parts\":{\"set\":\"90-2\",\"n\":2}}");
-    tw_test_conversation_put(conversation, "part/run-000002/90-1/0", "\"{}\"");
+    tw_test_conversation_write_key(
+        conversation, "job/run-000002",
+        "{\"s\":0,\"p\":2,\"c\":0,\"parts\":{\"set\":\"90-1\",\"n\":2}}");
+    tw_test_conversation_write_key(
+        conversation, "job/run-000003",
+        "{\"s\":2,\"p\":2,\"c\":2,\"parts\":{\"set\":\"90-2\",\"n\":2}}");
+    tw_test_conversation_write_key(conversation, "part/run-000002/90-1/0", "\"{}\"");
     tw_test_conversation_start_node(conversation, program);
     tw_test_conversation_advance_to(conversation, 4);
     send_peer_heartbeat(conversation,
@@ -196,24 +198,24 @@
     poll_job(conversation, "/v1/jobs/run-000002");
     poll_job(conversation, "/v1/jobs/run-000003");
     tw_test_conversation_advance_to(conversation, 7);
-    tw_test_conversation_show_record(conversation, "job/run-000001");
-    tw_test_conversation_show_record(conversation, "job/run-000002");
-    tw_test_conversation_show_record(conversation, "job/run-000003");
-    tw_test_conversation_show_record(conversation, "part/run-000002/90-1/0");
+    tw_test_conversation_print_record(conversation, "job/run-000001");
+    tw_test_conversation_print_record(conversation, "job/run-000002");
+    tw_test_conversation_print_record(conversation, "job/run-000003");
+    tw_test_conversation_print_record(conversation, "part/run-000002/90-1/0");
 }
 
 static const struct {
     const char *name;
     void (*play)(tw_test_conversation *conversation, const char *program);
-} conversations[] = {{"leads", leads},
-                     {"takes_over", takes_over},
-                     {"follows", follows},
-                     {"unknown_fields", unknown_fields}};
+} conversations[] = {{"leads", play_leader},
+                     {"takes_over", play_failover},
+                     {"follows", play_follower},
+                     {"unknown_fields", play_unknown_fields}};
 
 /* ---- records ---- */
 
 /* Whether the record of a transcript's line is read, and written again to the letter. */
-static bool is_written_again(const char *line) {
+static bool does_record_round_trip(const char *line) {
     char id[TW_WIRE_ID_SIZE];
     tw_wire_record record;
     line += strlen(JOB_PREFIX);
@@ -232,21 +234,21 @@
     return same;
 }
 
-static bool write_records_again(void) {
+static bool check_records_round_trip(void) {
     char line[MAX_LINE];
     int records = 0, wrong = 0;
     while (fgets(line, sizeof line, stdin)) {
         line[strcspn(line, "\n")] = 0;
         if (strncmp(line, JOB_PREFIX, strlen(JOB_PREFIX)) != 0) continue;
         records++;
-        wrong += !is_written_again(line);
+        wrong += !does_record_round_trip(line);
     }
     if (!records) printf("FAIL versions: no record\n");
     return wrong || !records;
 }
 
 int main(int argc, char **argv) {
-    if (argc == 2 && !strcmp(argv[1], "--records")) return write_records_again();
+    if (argc == 2 && !strcmp(argv[1], "--records")) return check_records_round_trip();
     for (size_t i = 0; argc > 1 && i < sizeof conversations / sizeof *conversations; i++) {
         if (strcmp(argv[1], conversations[i].name) != 0) continue;
         tw_test_conversation conversation = {0};
--- a/tests/unit/wire_dump.c
+++ b/tests/unit/wire_dump.c
@@ -31,22 +31,22 @@
 }
 
 static void parse_heartbeat(FILE *out, const char *text, size_t length) {
-    tw_wire_heartbeat report;
-    if (tw_wire_heartbeat_parse(&report, text, length)) {
+    tw_wire_heartbeat heartbeat;
+    if (tw_wire_heartbeat_parse(&heartbeat, text, length)) {
         fprintf(out, "refused");
         return;
     }
     fprintf(out, "tray=%s endpoint=%s rack=%s yard=%s loaner=%d shift=%" PRIu64 " tick=%" PRIu64,
-            report.worker, report.endpoint, report.machine_type, report.zone, report.spot,
-            report.incarnation, report.sequence);
-    fprintf(out, " baton=%" PRIu64 " warning_s=%.17g npieces=%d", report.fencing_token,
-            report.preemption_notice_s, report.task_count);
-    for (int i = 0; i < report.task_count; i++) {
-        const tw_wire_task *task = &report.tasks[i];
+            heartbeat.worker, heartbeat.endpoint, heartbeat.machine_type, heartbeat.zone,
+            heartbeat.spot, heartbeat.incarnation, heartbeat.sequence);
+    fprintf(out, " baton=%" PRIu64 " warning_s=%.17g npieces=%d", heartbeat.fencing_token,
+            heartbeat.preemption_notice_s, heartbeat.task_count);
+    for (int i = 0; i < heartbeat.task_count; i++) {
+        const tw_wire_task *task = &heartbeat.tasks[i];
         fprintf(out, " [job=%s index=%d stage=%d cause=%d saved=%d attempt=%" PRIu64 "]", task->job,
                 task->index, task->state, task->cause, task->saved, task->attempt);
     }
-    tw_wire_heartbeat_free(&report);
+    tw_wire_heartbeat_free(&heartbeat);
 }
 
 static void parse_machine_types(FILE *out, const char *text, size_t length) {
--- a/tests/unit/wire_print.c
+++ b/tests/unit/wire_print.c
@@ -4,18 +4,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LARGEST_EXACT 9007199254740992u /* 2^53: above it a JSON number is not exact */
+#define MAX_EXACT_INTEGER 9007199254740992u /* 2^53: above it a JSON number is not exact */
 
-static void show(FILE *out, const char *name, char *text) {
+static void print_text(FILE *out, const char *name, char *text) {
     fprintf(out, "print %s: %s\n", name, text);
     free(text);
 }
 
-static void print_stages(FILE *out) {
-    show(out, "stage pending", tw_wire_job_status_text("run-000412", TW_JOB_PENDING, -1, -1));
-    show(out, "stage running", tw_wire_job_status_text("run-000412", TW_JOB_RUNNING, 0, 100000));
-    show(out, "stage done", tw_wire_job_status_text("run-000412", TW_JOB_DONE, 16, -1));
-    show(out, "stage aborted", tw_wire_job_status_text("run-000412", TW_JOB_CANCELLED, -1, 2));
+static void print_job_statuses(FILE *out) {
+    print_text(out, "stage pending", tw_wire_job_status_text("run-000412", TW_JOB_PENDING, -1, -1));
+    print_text(out, "stage running",
+               tw_wire_job_status_text("run-000412", TW_JOB_RUNNING, 0, 100000));
+    print_text(out, "stage done", tw_wire_job_status_text("run-000412", TW_JOB_DONE, 16, -1));
+    print_text(out, "stage aborted",
+               tw_wire_job_status_text("run-000412", TW_JOB_CANCELLED, -1, 2));
 }
 
 static void print_commands(FILE *out) {
@@ -26,40 +28,40 @@
          .index = 99999,
          .attempt = 1,
          .grace_s = 10.25},
-        {.kind = TW_COMMAND_STOP, .job = "run-000377", .attempt = LARGEST_EXACT, .grace_s = 0},
+        {.kind = TW_COMMAND_STOP, .job = "run-000377", .attempt = MAX_EXACT_INTEGER, .grace_s = 0},
         {.kind = TW_COMMAND_FORGET, .job = "run-000398", .attempt = 1},
     };
-    show(out, "orders none", tw_wire_commands_text(41, 0, NULL, 0));
-    show(out, "orders answer", tw_wire_commands_text(41, 0, commands, 4));
-    show(out, "orders direct", tw_wire_commands_text(LARGEST_EXACT, 3, commands, 2));
-    show(out, "foreman", tw_wire_redirect_text("tray-2"));
-    show(out, "foreman empty", tw_wire_redirect_text(""));
-    show(out, "foreman none", tw_wire_redirect_text(NULL));
+    print_text(out, "orders none", tw_wire_commands_text(41, 0, NULL, 0));
+    print_text(out, "orders answer", tw_wire_commands_text(41, 0, commands, 4));
+    print_text(out, "orders direct", tw_wire_commands_text(MAX_EXACT_INTEGER, 3, commands, 2));
+    print_text(out, "foreman", tw_wire_redirect_text("tray-2"));
+    print_text(out, "foreman empty", tw_wire_redirect_text(""));
+    print_text(out, "foreman none", tw_wire_redirect_text(NULL));
 }
 
 static void print_cloud(FILE *out) {
     char names[2][TW_WIRE_NAME_SIZE] = {"n-000231", "n-\"quoted\"\\\n\x01\xc3\xa5"};
-    show(out, "rent spot", tw_wire_rental_request_text("r-17", "g8", "a", 1, 50));
-    show(out, "rent", tw_wire_rental_request_text("r-41-1", "c", "b", 0, 1));
-    show(out, "names", tw_wire_machine_names_text(names, 2));
-    show(out, "names none", tw_wire_machine_names_text(names, 0));
+    print_text(out, "rent spot", tw_wire_rental_request_text("r-17", "g8", "a", 1, 50));
+    print_text(out, "rent", tw_wire_rental_request_text("r-41-1", "c", "b", 0, 1));
+    print_text(out, "names", tw_wire_machine_names_text(names, 2));
+    print_text(out, "names none", tw_wire_machine_names_text(names, 0));
 }
 
 static void print_transactions(FILE *out) {
-    const tw_wire_compare conditions[] = {{"leader", LARGEST_EXACT}, {"job/run-000412", 0}};
+    const tw_wire_compare conditions[] = {{"leader", MAX_EXACT_INTEGER}, {"job/run-000412", 0}};
     const tw_wire_write writes[] = {
         {.key = "job/run-000412", .value = "{\"s\":0,\"x\":[1.50]}"},
         {.key = "leader", .value = "{}", .lease_id = 7},
         {.key = "new/run-000412", .value = NULL, .lease_id = 7},
     };
-    show(out, "txn", tw_wire_txn_text(conditions, 2, writes, 3));
-    show(out, "txn compare", tw_wire_txn_text(conditions, 1, NULL, 0));
-    show(out, "txn write", tw_wire_txn_text(NULL, 0, writes, 1));
+    print_text(out, "txn", tw_wire_txn_text(conditions, 2, writes, 3));
+    print_text(out, "txn compare", tw_wire_txn_text(conditions, 1, NULL, 0));
+    print_text(out, "txn write", tw_wire_txn_text(NULL, 0, writes, 1));
 }
 
 static void print_records(FILE *out) {
     char machine_types[2][TW_WIRE_NAME_SIZE] = {"g8", "c16"};
-    tw_wire_assignment live[] = {{3, 17, "n-000231"}, {4, LARGEST_EXACT, "n-000232"}};
+    tw_wire_assignment live[] = {{3, 17, "n-000231"}, {4, MAX_EXACT_INTEGER, "n-000232"}};
     tw_wire_record record = {
         .has_job = 1,
         .job = {.id = "run-000412",
@@ -90,7 +92,7 @@
         .assignment_count = 2,
         .assignments = live,
     };
-    show(out, "record full", tw_wire_record_text(&record));
+    print_text(out, "record full", tw_wire_record_text(&record));
     record.job.service = 0;
     record.job.gang = 1;
     record.job.priority = TW_PRIORITY_IDLE;
@@ -100,7 +102,7 @@
     record.job.spread = 1;
     record.assignment_count = 1;
     record.done_ranges = "";
-    show(out, "record gang", tw_wire_record_text(&record));
+    print_text(out, "record gang", tw_wire_record_text(&record));
     record.job.gang = 0;
     record.job.priority = TW_PRIORITY_NORMAL;
     record.job.machine_type_count = -1;
@@ -109,31 +111,31 @@
     record.done_count = 0;
     record.submitted_at = 0;
     record.next_attempt = 1;
-    show(out, "record batch", tw_wire_record_text(&record));
+    print_text(out, "record batch", tw_wire_record_text(&record));
     const tw_wire_record over = {
         .state = TW_JOB_DONE, .task_count = 16, .done_count = 16, .next_attempt = 2};
-    show(out, "record over", tw_wire_record_text(&over));
+    print_text(out, "record over", tw_wire_record_text(&over));
     const tw_wire_record cancelled = {
         .state = TW_JOB_CANCELLED, .task_count = 1, .submitted_at = -1};
-    show(out, "record aborted", tw_wire_record_text(&cancelled));
+    print_text(out, "record aborted", tw_wire_record_text(&cancelled));
 }
 
 /* Shows the slices of a text, each of at most as many bytes of JSON, and that they make it up. */
-static void print_chunks(FILE *out, const char *text, size_t most) {
+static void print_chunks(FILE *out, const char *text, size_t max_bytes) {
     char joined[128] = "";
     while (*text) {
         size_t taken;
-        char *chunk = tw_wire_chunk_text(text, most, &taken);
-        char *held = tw_wire_chunk_parse(chunk);
-        if (!held || !taken) {
-            fprintf(out, "no slice of %zu bytes\n", most);
+        char *chunk = tw_wire_chunk_text(text, max_bytes, &taken);
+        char *content = tw_wire_chunk_parse(chunk);
+        if (!content || !taken) {
+            fprintf(out, "no slice of %zu bytes\n", max_bytes);
             free(chunk);
-            free(held);
+            free(content);
             return;
         }
-        strcat(joined, held);
-        free(held);
-        show(out, "slice", chunk);
+        strcat(joined, content);
+        free(content);
+        print_text(out, "slice", chunk);
         text += taken;
     }
     fprintf(out, "joined: %s\n", joined);
@@ -145,7 +147,7 @@
                                     .chunk_set = "41-7",
                                     .chunk_count = 5,
                                     .running_count = 397};
-    show(out, "record divided", tw_wire_chunked_record_text(&chunked));
+    print_text(out, "record divided", tw_wire_chunked_record_text(&chunked));
     print_chunks(out, "{\"l\":\"0:1:n-0001\",\"x\":\"\xc3\xa9\xe2\x82\xac\xf0\x9f\x98\x80\"}", 14);
     print_chunks(out, "\xe2\x82\xac", 10);
     char *none = tw_wire_chunk_parse("{\"no\":1}");
@@ -157,21 +159,21 @@
     const char *const aborted[] = {"run-000412", "run-000413"};
     const tw_wire_peer_heartbeat leader = {.name = "tray-0",
                                            .leader = "tray-0",
-                                           .highest_token = LARGEST_EXACT,
+                                           .highest_token = MAX_EXACT_INTEGER,
                                            .store_reachable = 1,
                                            .is_leader = 1,
                                            .uptime_s = 0.1,
                                            .since_delegate_answer_s = 1e-7};
     const tw_wire_peer_heartbeat follower = {.name = "tray-1"};
-    show(out, "ping leader", tw_wire_peer_heartbeat_text(&leader, aborted, 2));
-    show(out, "ping follower", tw_wire_peer_heartbeat_text(&follower, NULL, 0));
+    print_text(out, "ping leader", tw_wire_peer_heartbeat_text(&leader, aborted, 2));
+    print_text(out, "ping follower", tw_wire_peer_heartbeat_text(&follower, NULL, 0));
     const tw_wire_peer_heartbeat writes_chunks = {.name = "tray-2",
                                                   .record_format = TW_RECORD_FORMAT_CHUNKED};
-    show(out, "ping divided", tw_wire_peer_heartbeat_text(&writes_chunks, NULL, 0));
+    print_text(out, "ping divided", tw_wire_peer_heartbeat_text(&writes_chunks, NULL, 0));
 }
 
 void tw_test_print_messages(FILE *out) {
-    print_stages(out);
+    print_job_statuses(out);
     print_commands(out);
     print_cloud(out);
     print_transactions(out);
--- a/tests/unit/wire_test.c
+++ b/tests/unit/wire_test.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LONGEST 300
+#define LABEL_SIZE 300
 #define X20 "xxxxxxxxxxxxxxxxxxxx"
 #define X60 X20 X20 X20
 
@@ -76,7 +76,7 @@
 static const size_t malformed_count = sizeof malformed / sizeof *malformed;
 
 /* The line that the kind's parser writes about text. Free it. */
-static char *parsed(const tw_test_message_kind *kind, const char *text) {
+static char *parse_to_line(const tw_test_message_kind *kind, const char *text) {
     char *line = NULL;
     size_t size = 0;
     FILE *out = open_memstream(&line, &size);
@@ -86,29 +86,30 @@
     return line;
 }
 
-static void show(const tw_test_message_kind *kind, const char *label, const char *text) {
-    char *whole = parsed(kind, kind->text);
-    char prefix[LONGEST];
+static void show_outcome(const tw_test_message_kind *kind, const char *label, const char *text) {
+    char *baseline = parse_to_line(kind, kind->text);
+    char prefix[LABEL_SIZE];
     snprintf(prefix, sizeof prefix, "%s ", kind->name);
-    tw_test_outcome_show(prefix, label, parsed(kind, text), whole);
-    free(whole);
+    tw_test_outcome_add(prefix, label, parse_to_line(kind, text), baseline);
+    free(baseline);
 }
 
-static void show_end(const tw_test_message_kind *kind) {
-    char *whole = parsed(kind, kind->text);
-    tw_test_outcome_end(whole);
-    free(whole);
+static void finish_outcomes(const tw_test_message_kind *kind) {
+    char *baseline = parse_to_line(kind, kind->text);
+    tw_test_outcome_finish(baseline);
+    free(baseline);
 }
 
-static void show_tree(const tw_test_message_kind *kind, const char *label, const cJSON *root) {
+static void show_json_outcome(const tw_test_message_kind *kind, const char *label,
+                              const cJSON *root) {
     char *text = cJSON_PrintUnformatted(root);
     if (!text) abort();
-    show(kind, label, text);
+    show_outcome(kind, label, text);
     free(text);
 }
 
 /* Takes the field out of object, or puts the replacement's value in its place. */
-static void replace(cJSON *object, const char *field, const char *replacement) {
+static void replace_field(cJSON *object, const char *field, const char *replacement) {
     if (replacement)
         cJSON_ReplaceItemInObjectCaseSensitive(object, field, cJSON_Parse(replacement));
     else
@@ -121,15 +122,15 @@
                        const char *field) {
     printf("field %s\n", field);
     cJSON *original = cJSON_Duplicate(cJSON_GetObjectItemCaseSensitive(object, field), 1);
-    char label[LONGEST];
+    char label[LABEL_SIZE];
     for (size_t i = 0; i < replacement_count; i++) {
         cJSON_ReplaceItemInObjectCaseSensitive(object, field, cJSON_Duplicate(original, 1));
-        replace(object, field, replacements[i]);
+        replace_field(object, field, replacements[i]);
         snprintf(label, sizeof label, "%.40s", replacements[i] ? replacements[i] : "(out)");
-        show_tree(kind, label, root);
+        show_json_outcome(kind, label, root);
         if (!replacements[i]) cJSON_AddItemToObject(object, field, cJSON_Duplicate(original, 1));
     }
-    show_end(kind);
+    finish_outcomes(kind);
     cJSON_ReplaceItemInObjectCaseSensitive(object, field, original);
 }
 
@@ -153,38 +154,38 @@
 static void vary_pairs(const tw_test_message_kind *kind) {
     cJSON *root = cJSON_Parse(kind->text);
     int count = cJSON_GetArraySize(root);
-    char label[LONGEST];
+    char label[LABEL_SIZE];
     for (int i = 0; i < count; i++) {
         for (int k = i + 1; k < count; k++) {
             cJSON *wrong = cJSON_Duplicate(root, 1);
             cJSON *first = cJSON_GetArrayItem(wrong, i);
             cJSON *second = cJSON_GetArrayItem(wrong, k);
             snprintf(label, sizeof label, "%s,%s={}", first->string, second->string);
-            replace(wrong, cJSON_GetArrayItem(root, i)->string, "{}");
-            replace(wrong, cJSON_GetArrayItem(root, k)->string, "{}");
-            show_tree(kind, label, wrong);
+            replace_field(wrong, cJSON_GetArrayItem(root, i)->string, "{}");
+            replace_field(wrong, cJSON_GetArrayItem(root, k)->string, "{}");
+            show_json_outcome(kind, label, wrong);
             cJSON_Delete(wrong);
         }
     }
-    show_end(kind);
+    finish_outcomes(kind);
     cJSON_Delete(root);
 }
 
-static void show_kind(const tw_test_message_kind *kind) {
-    char label[LONGEST];
+static void show_message_kind(const tw_test_message_kind *kind) {
+    char label[LABEL_SIZE];
     printf("parse %s\n", kind->name);
-    show(kind, "whole", kind->text);
-    tw_test_outcome_end("");
+    show_outcome(kind, "whole", kind->text);
+    tw_test_outcome_finish("");
     for (size_t i = 0; i < malformed_count; i++) {
         snprintf(label, sizeof label, "text %zu", i);
-        show(kind, label, malformed[i]);
+        show_outcome(kind, label, malformed[i]);
     }
-    show_end(kind);
+    finish_outcomes(kind);
     cJSON *root = cJSON_Parse(kind->text);
     if (!root) abort();
     vary_fields(kind, "message", root, root);
     cJSON_Delete(root);
-    if (kind->says_why) vary_pairs(kind);
+    if (kind->reports_reason) vary_pairs(kind);
 }
 
 static void show_ids(void) {
@@ -198,6 +199,7 @@
 int main(void) {
     show_ids();
     tw_test_print_messages(stdout);
-    for (size_t i = 0; i < tw_test_message_kind_count; i++) show_kind(&tw_test_message_kinds[i]);
+    for (size_t i = 0; i < tw_test_message_kind_count; i++)
+        show_message_kind(&tw_test_message_kinds[i]);
     return 0;
 }
--- a/tests/unit/wire_test.h
+++ b/tests/unit/wire_test.h
@@ -9,7 +9,7 @@
 typedef struct {
     const char *name, *text;
     void (*parse)(FILE *out, const char *text, size_t length);
-    bool says_why; /* a refusal names what is wrong */
+    bool reports_reason; /* a refusal names what is wrong */
 } tw_test_message_kind;
 
 extern const tw_test_message_kind tw_test_message_kinds[];
