--- a/tests/loopback/own_host.c
+++ b/tests/loopback/own_host.c
@@ -1,13 +1,13 @@
-/* Addresses by process id; see own_host.h. */
+/* Derives the address of a test process from its process id. */
 #include "own_host.h"
 #include <arpa/inet.h>
 #include <stdint.h>
 #include <unistd.h>
 
-/* 127.(128 + part).part.part: the soak's addresses are below, and tests/daemon/lib.sh has the same
- * rule. */
+/* Addresses have the form 127.(128 + high bits).(middle bits).(low bits) of the process id. The
+ * soak test uses 127.20 to 127.119. tests/daemon/lib.sh derives addresses in the same way. */
 #define FIRST_HOST 0x7f800000u
-/* Process ids have at most 22 bits. */
+/* Linux process ids have at most 22 bits. */
 #define PROCESS_ID_MASK 0x3fffffu
 
 struct in_addr tw_loopback_own_host(void) {
--- a/tests/loopback/ports_held.c
+++ b/tests/loopback/ports_held.c
@@ -1,6 +1,6 @@
-/* tw_ports_held PROGRAM [ARGUMENT...]: runs the program while ports of the range that the kernel
- * takes for outgoing connections are in use, as beside a busy service. A test that listens on ports
- * of that range fails then. Exits as the program does. */
+/* tw_ports_held PROGRAM [ARGUMENT...]: runs the program while some ports of the kernel's range for
+ * outgoing connections are in use, as they are on a machine with a busy service. A test that
+ * listens on ports of that range fails then. Exits with the exit code of the program. */
 #include <arpa/inet.h>
 #include <stdbool.h>
 #include <stdio.h>
@@ -10,7 +10,7 @@
 #include <unistd.h>
 
 #define RANGE_FILE "/proc/sys/net/ipv4/ip_local_port_range"
-/* One port in so many is held, the round numbers among them. */
+/* Distance between the bound ports, which are multiples of it: tests prefer round port numbers. */
 #define HELD_PORT_STEP 100
 #define LINE_SIZE 64
 #define DECIMAL 10
@@ -22,7 +22,7 @@
     return held < 0 ? -1 : bind(held, (struct sockaddr *)&address, sizeof address);
 }
 
-/* The first and the last port of the kernel's range; false if the system doesn't tell it. */
+/* Reads the first and the last port of the kernel's range. Returns false if it cannot be read. */
 static bool read_port_range(int *first, int *last) {
     char line[LINE_SIZE];
     char *rest;
@@ -36,7 +36,8 @@
     return true;
 }
 
-/* How many ports are held; those that others have are in use as well. */
+/* Binds ports of the range and returns how many were bound. Skips ports that cannot be bound, since
+ * other processes already use them. */
 static int bind_ports(void) {
     int first;
     int last;
@@ -55,7 +56,7 @@
         return 64;
     }
     if (!bind_ports()) {
-        fprintf(stderr, "no port could be held\n");
+        fprintf(stderr, "cannot bind any ports\n");
         return EXIT_FAILURE;
     }
     const pid_t child = fork();
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -12,7 +12,7 @@
 #define PATH_SIZE 300
 #define EXIT_NO_PROGRAM 127
 #define LOG_MODE 0644
-/* A controller has 60 s to end: so many pauses of this length. */
+/* A controller has 60 s to exit; its state is polled every 20 ms. */
 #define MAX_EXIT_POLLS 3000
 #define EXIT_POLL_NS 20000000
 
@@ -42,7 +42,8 @@
     return fclose(file) == 0;
 }
 
-/* In the child: its log goes to a file, and it ends with the test, also when that is killed. */
+/* Runs in the child process. Redirects the log to a file, makes the kernel kill this process when
+ * the test exits or is killed, and executes the controller program. */
 static void exec_controller(const tw_loopback_nodes *nodes, int node, const char *settings_path,
                             pid_t parent) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -87,8 +88,8 @@
     return -1;
 }
 
-/* Waits for the process, but not for ever; one that does not end is killed. Returns false if it is
- * not known any more. */
+/* Waits until the process has exited; kills it after 60 s. Returns false if it is not a child of
+ * this process any more. */
 static bool wait_for_exit(pid_t pid, int *status) {
     const struct timespec pause = {.tv_nsec = EXIT_POLL_NS};
     pid_t ended = 0;
@@ -107,16 +108,16 @@
     int status = 0;
     const bool is_known = wait_for_exit(pid, &status);
     if (is_known && WIFEXITED(status) && WEXITSTATUS(status) == 0) return true;
-    printf("FAIL: controller %d ended %s status %d\n", node, is_known ? "with" : "before, unknown",
-           status);
+    printf("FAIL: controller %d exited %s status %d\n", node,
+           is_known ? "with" : "earlier, unknown", status);
     return false;
 }
 
 bool tw_loopback_stop_nodes(tw_loopback_nodes *nodes) {
     bool all_clean = true;
     for (int node = 0; node < TW_LOOPBACK_MAX_NODES; node++) {
-        /* In this order: the leak check at a process's end stops it by SIGSTOP, and waits for ever
-         * if SIGCONT takes that back. */
+        /* SIGCONT must precede SIGTERM: the leak check stops the process by SIGSTOP when it exits,
+         * and waits forever if a later SIGCONT resumes it. */
         tw_loopback_signal_node(nodes, node, SIGCONT);
         tw_loopback_signal_node(nodes, node, SIGTERM);
     }
--- a/tests/soak/calls.c
+++ b/tests/soak/calls.c
@@ -1,4 +1,4 @@
-/* What the harness asks of controllers, and the answers to it. */
+/* Sends requests of the harness to controllers and passes the answers to their callbacks. */
 #include "soak.h"
 #include <stdlib.h>
 
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -1,4 +1,4 @@
-/* The plan's faults, carried out. */
+/* Injects the faults of the plan. */
 #include "soak.h"
 #include <math.h>
 #include <signal.h>
@@ -6,7 +6,7 @@
 
 #define QUICK_RESTART_S 0.6
 #define SERIES_LEADER_COUNT 3
-#define TRIGGER_TIMEOUT_S 3.0 /* a fault whose moment doesn't come strikes all the same */
+#define TRIGGER_TIMEOUT_S 3.0 /* a fault is injected without its trigger after this time */
 #define MAX_MESSAGE_DELAY_S 8.0
 
 static void extend_faults_end(tw_soak *run, double until) {
@@ -37,7 +37,7 @@
     tw_soak_add_cut(run, &cut);
 }
 
-/* A share of the machines that are up, until some time. */
+/* Applies the fault to a random part of the machines that are up. */
 static void inject_machine_faults(tw_soak *run, const tw_soak_fault *fault) {
     const double until = run->world.now + fault->duration_s;
     for (int i = 0; i < run->world.worker_count; i++) {
@@ -49,7 +49,7 @@
     }
 }
 
-/* The node that a fault strikes; -1: nobody leads now. */
+/* Returns the controller that the fault affects, or -1 if that is the leader and there is none. */
 static int target_node(tw_soak *run, const tw_soak_fault *fault) {
     return fault->node >= 0 ? fault->node : tw_soak_find_leader(run);
 }
@@ -106,7 +106,7 @@
     run->outage_until = fault_end_at(run, fault);
 }
 
-/* A share of the messages of a kind. */
+/* Sets the fraction of the messages of the fault's kind that are affected. */
 static void inject_message_share(tw_soak *run, const tw_soak_fault *fault) {
     tw_soak_message_share *const shares[TW_SOAK_FAULT_KIND_COUNT] = {
         [TW_SOAK_FAULT_LATE_HEARTBEATS] = &run->late_heartbeats,
@@ -193,7 +193,7 @@
         if (run->restart_at[node] > 0 && run->world.now >= run->restart_at[node]) {
             run->restart_at[node] = 0;
             if (!tw_soak_start_node(run, node))
-                tw_soak_finish(run, "FAIL", "a controller can't be started");
+                tw_soak_finish(run, "FAIL", "cannot start a controller process");
         }
     }
     if (run->outage_until > 0 && run->world.now >= run->outage_until) {
--- a/tests/soak/links.c
+++ b/tests/soak/links.c
@@ -1,4 +1,4 @@
-/* The links between the parties: which messages are lost or held by a cut. */
+/* Links between the parties: decides which messages a cut drops or delays. */
 #include "soak.h"
 #include <stdbool.h>
 
@@ -7,7 +7,7 @@
     return *zone - 'a';
 }
 
-/* The zone of a party; -1: it belongs to none. */
+/* Returns the zone index of the party, or -1 for a service that is outside all zones. */
 static int party_zone(const tw_soak *run, int party) {
     if (party >= TW_SOAK_WORKERS)
         return tw_soak_zone_index(run, run->world.workers[party - TW_SOAK_WORKERS]->zone);
@@ -15,9 +15,10 @@
     return -1;
 }
 
-/* Whether the cut lies between the near party, on its node's side, and the far one. */
+/* Returns whether the cut separates the two parties; near_party is on the side of the cut's node.
+ */
 static bool is_link_cut(const tw_soak *run, const tw_soak_cut *cut, int near_party, int far_party) {
-    if (cut->node < 0) /* an island */
+    if (cut->node < 0) /* an isolated zone */
         return party_zone(run, near_party) == cut->zone && party_zone(run, far_party) != cut->zone;
     if (near_party != cut->node) return false;
     if (cut->other != TW_SOAK_WORKERS) return far_party == cut->other;
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -1,6 +1,6 @@
-/* One run of the soak: starts the controllers, lets the plan's faults strike while users go on, and
- * judges by what users and workers saw. The run's directory holds the plan, the controllers' logs,
- * the messages and the verdict. */
+/* Runs the soak test once: starts the controllers, injects the faults of the plan while simulated
+ * users submit, poll and cancel jobs, and checks what users and workers observed. The directory of
+ * the run holds the plan, the controllers' logs, the messages and the verdict. */
 #include "soak.h"
 #include <argp.h>
 #include <errno.h>
@@ -21,19 +21,22 @@
 #define GANG_PEER_S 2.0
 #define LIST_LAG_S 1.5
 #define BOOT_S 2.0
-/* As the cloud says: idle machines are kept for half of it. */
+/* Startup time in the cloud's list of machine types. Controllers return a machine that is idle for
+ * half of it. */
 #define STARTUP_S 16.0
 #define TICK_S 0.02
 #define SOCKETS 900
-/* The harness itself late by more than this part of a lease: its leases can't be trusted. */
+/* A run is invalid if a tick of the harness is delayed by more than this fraction of a lease: the
+ * lease times of the simulated workers are not reliable then. */
 #define MAX_LATENESS_LEASES 0.05
-/* After the troubles all that was accepted must be over, or run, within this. */
+/* Time after the last fault in which every job must end, or run if it is a service. */
 #define RECOVERY_S 120.0
 #define MAX_CONNECTIONS 8000
 #define IDLE_S 60
 #define DEFAULT_FAULT_PHASE_S 35.0
 #define MAX_TRACED_BODY 600
-#define SEED_OCTETS 100 /* the run's addresses: 127.(20 + seed part).(process part).host */
+/* Addresses of the run: 127.(FIRST_SEED_OCTET + part of the seed).(part of the process id).host */
+#define SEED_OCTETS 100
 #define FIRST_SEED_OCTET 20
 #define PROCESS_OCTETS 250
 #define MACHINE_TYPES 2
@@ -46,7 +49,7 @@
                                 "2.0\ngpus_max = 24.0\ncpus_max = 250.0\n";
 
 static tw_soak run;
-static int machine_count_override; /* instead of the plan's; 0: the plan's */
+static int machine_count_override; /* 0: as many machines as the plan has */
 
 double tw_soak_now(void) {
     struct timespec time;
@@ -156,7 +159,8 @@
 
 /* ---- verdict ---- */
 
-/* How many lines of the controllers' logs hold the text; the first of them is kept. */
+/* Returns the number of lines with the text in the controllers' logs, and copies the first of these
+ * lines to `first`. */
 static int count_log_lines(const tw_soak *soak, const char *text, char *first, size_t size) {
     char path[TW_SOAK_PATH_SIZE], line[4096];
     int count = 0;
@@ -179,7 +183,7 @@
     const bool exited_cleanly = tw_loopback_stop_nodes(&soak->nodes);
     if (!strcmp(verdict, "ok") && !exited_cleanly) {
         verdict = "FAIL";
-        why = "a controller ended badly";
+        why = "a controller did not exit cleanly on SIGTERM";
     }
     if (count_log_lines(soak, "event=invariant_broken", first, sizeof first) &&
         strcmp(verdict, "FAIL") != 0) {
@@ -191,8 +195,8 @@
         fault_count_total += soak->fault_counts[kind];
     snprintf(summary, sizeof summary,
              "%s seed %u: %d nodes, %d machines (%d in all), %d jobs, %d leaders, %d faults, "
-             "harness late by "
-             "%.3f s (%.3f s of processor time in it), %.0f s; %s",
+             "harness tick "
+             "delayed by up to %.3f s (%.3f s of it processor time), %.0f s; %s",
              verdict, soak->seed, soak->plan.nodes, soak->plan.machines, soak->world.worker_count,
              soak->world.job_count, soak->leader_count, fault_count_total, soak->max_lateness_s,
              soak->max_lateness_cpu_s, soak->world.now, why);
@@ -210,9 +214,9 @@
                                     : EXIT_INVALID);
 }
 
-/* ---- time ---- */
+/* ---- periodic checks ---- */
 
-/* A controller that ended by itself, however: each end is a failure. */
+/* Fails the run if a controller process has exited that the harness did not kill. */
 static void check_exited_nodes(tw_soak *soak) {
     int status;
     char why[TW_SOAK_PATH_SIZE];
@@ -227,7 +231,7 @@
     const double faults_over_at = fmax(soak->fault_phase_s, soak->world.faults_end_at);
     if (soak->world.now < faults_over_at) return;
     if (tw_soak_all_jobs_served(soak, unserved, sizeof unserved))
-        tw_soak_finish(soak, "ok", "all served");
+        tw_soak_finish(soak, "ok", "all accepted jobs ended or run");
     else if (soak->world.now > faults_over_at + RECOVERY_S)
         tw_soak_finish(soak, "FAIL", unserved);
 }
@@ -246,7 +250,8 @@
     soak->restart_at[leader] = soak->world.now + tw_soak_draw(soak, 0.1, 2);
 }
 
-/* Notes how much later than due this tick is, and what of that the harness itself computed. */
+/* Records the delay of this tick if it is the largest of the run, and the processor time that the
+ * harness used since the tick before. */
 static void measure_lateness(tw_soak *soak) {
     struct timespec used;
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used);
@@ -274,13 +279,13 @@
     tw_soak_users_tick(&run);
     check_exited_nodes(&run);
     if (run.max_lateness_s > MAX_LATENESS_LEASES * LEASE_S)
-        tw_soak_finish(&run, "invalid", "the harness itself was late");
+        tw_soak_finish(&run, "invalid", "a tick of the harness was delayed too long");
     else if (*run.world.rule)
         tw_soak_finish(&run, "FAIL", run.world.detail);
     check_recovered(&run);
 }
 
-/* ---- set-up ---- */
+/* ---- initialization ---- */
 
 static void init_machine_types(tw_simulator_world *world, int zones, int machines) {
     static const tw_wire_machine_type types[MACHINE_TYPES] = {{.name = "cpu",
@@ -334,7 +339,7 @@
                  'a' + node % soak->plan.zones);
     }
     init_machine_types(world, soak->plan.zones, soak->plan.machines);
-    /* Half of the machines are there at the start. */
+    /* Half of the machines are rented at the start. */
     for (int i = 0; i < soak->plan.machines / 2; i++) {
         char zone[2] = {(char)('a' + i % soak->plan.zones), 0};
         tw_simulator_add_machine(world, i % 3 == 2, zone, 0, 0);
@@ -369,7 +374,7 @@
         return 0;
     case ARGP_KEY_END:
         if (!run.nodes.program || !run.directory || !run.seed)
-            argp_error(state, "--program, --directory and --seed are needed");
+            argp_error(state, "--program, --directory and --seed (from 1) are required");
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -378,15 +383,16 @@
 
 static void parse_arguments(int argc, char **argv) {
     static const struct argp_option options[] = {
-        {"seed", 's', "N", 0, "Of the plan and of the load, from 1", 0},
-        {"program", 'p', "FILE", 0, "The controllers' program", 0},
-        {"directory", 'd', "DIR", 0, "Where the run's files go; it exists", 0},
-        {"troubles", 't', "SECONDS", 0, "How long faults strike", 0},
-        {"machines", 'm', "N", 0, "Machines instead of the plan's; half of them from the start", 0},
+        {"seed", 's', "N", 0, "Seed of the plan and of the load, from 1", 0},
+        {"program", 'p', "FILE", 0, "Program of the controllers", 0},
+        {"directory", 'd', "DIR", 0, "Existing directory for the files of the run", 0},
+        {"troubles", 't', "SECONDS", 0, "How long faults are injected", 0},
+        {"machines", 'm', "N", 0,
+         "Number of machines, in place of the plan's; half of them are rented at the start", 0},
         {0}};
     static const char text[] =
-        "One run of the soak.\vExit codes: 0 passed, 1 failed, 3 invalid (the "
-        "harness itself was late), 64 usage.";
+        "Runs the soak test once.\vExit codes: 0 passed, 1 failed, 3 invalid (a tick of "
+        "the harness was delayed too long), 64 usage.";
     const struct argp parser = {.options = options, .parser = parse_argument, .doc = text};
     run.fault_phase_s = DEFAULT_FAULT_PHASE_S;
     argp_parse(&parser, argc, argv, 0, NULL, NULL);
@@ -407,7 +413,7 @@
     run.trace = fopen(path, "w");
     run.nodes.log_directory = run.directory;
     run.started_at = tw_soak_now();
-    /* Not the default loop, which would take the controllers' ends from check_exited_nodes. */
+    /* libev's default loop reaps child processes, which check_exited_nodes must do. */
     run.loop = ev_loop_new(EVFLAG_AUTO);
     const tw_net_limits limits = {.max_server = MAX_CONNECTIONS,
                                   .max_client = MAX_CONNECTIONS,
@@ -416,10 +422,12 @@
     const tw_net_handler handler = {tw_soak_handle_request, tw_soak_handle_response};
     run.net = tw_net_new(run.loop, &limits, &handler, &run);
     init_world(&run);
-    if (!tw_soak_listen_stand_ins(&run)) tw_soak_finish(&run, "invalid", "no free addresses");
+    if (!tw_soak_listen_stand_ins(&run))
+        tw_soak_finish(&run, "invalid",
+                       "cannot listen on the addresses of the simulated services and workers");
     for (int node = 0; node < run.plan.nodes; node++)
         if (!tw_soak_start_node(&run, node))
-            tw_soak_finish(&run, "FAIL", "a controller can't be started");
+            tw_soak_finish(&run, "FAIL", "cannot start a controller process");
     ev_timer tick;
     ev_timer_init(&tick, on_tick, TICK_S, TICK_S);
     ev_timer_start(run.loop, &tick);
--- a/tests/soak/plan.c
+++ b/tests/soak/plan.c
@@ -1,5 +1,5 @@
-/* Which faults strike when, drawn from the seed alone: a seed gives the same plan, though not the
- * same interleaving of messages. */
+/* Draws the faults of a run and their times from the seed alone. A seed always gives the same plan,
+ * but not the same interleaving of messages. */
 #include "soak.h"
 #include <gsl/gsl_rng.h>
 
@@ -7,26 +7,24 @@
 #define MIN_PAUSE_S 0.4
 #define MAX_PAUSE_S 4.0
 #define MAX_DURATION_LEASES 1.6
-/* Plans in which a successor has old news of the machines; see add_stale_successor. */
+/* Share of the plans in which a new leader receives outdated heartbeats; see add_stale_successor.
+ */
 #define STALE_SUCCESSOR_SHARE 0.4
 #define MIN_ABSENCE_LEASES 1.05 /* leases */
 #define MAX_ABSENCE_LEASES 1.3
 #define MIN_COPIES_S 1.5
 #define MAX_COPIES_S 4.0
 
-static const char *const names[TW_SOAK_FAULT_KIND_COUNT] = {"kill",          "kill_all",
-                                                            "freeze",        "leaders",
-                                                            "cut_peers",     "cut_state",
-                                                            "cut_workers",   "island",
-                                                            "refuse_state",  "outage",
-                                                            "late_reports",  "kept_reports",
-                                                            "late_commands", "repeated_commands",
-                                                            "late_writes",   "lost_answers",
-                                                            "deaf",          "mute",
-                                                            "hang",          "sessions",
-                                                            "fast_boots"};
+static const char *const names[TW_SOAK_FAULT_KIND_COUNT] = {
+    "kill",          "kill_all",          "freeze",
+    "kill_leaders",  "cut_peers",         "cut_state",
+    "cut_workers",   "isolate_zone",      "refuse_state",
+    "outage",        "late_heartbeats",   "held_heartbeats",
+    "late_commands", "repeated_commands", "late_writes",
+    "lost_answers",  "unresponsive",      "lost_heartbeats",
+    "hang",          "end_incarnations",  "fast_boots"};
 
-/* How often each kind is drawn. */
+/* Relative frequency of each kind of fault. */
 static const int fault_weights[TW_SOAK_FAULT_KIND_COUNT] = {[TW_SOAK_FAULT_KILL] = 6,
                                                             [TW_SOAK_FAULT_KILL_ALL] = 1,
                                                             [TW_SOAK_FAULT_FREEZE] = 6,
@@ -68,7 +66,8 @@
     return (tw_soak_fault_kind)kind;
 }
 
-/* Kinds that last for over a lease whatever was drawn. */
+/* Draws how long a fault lasts. TW_SOAK_FAULT_END_INCARNATIONS always lasts longer than a lease, so
+ * that the workers' leases expire. */
 static double draw_duration_s(gsl_rng *rng, tw_soak_fault_kind kind, double lease_s) {
     switch (kind) {
     case TW_SOAK_FAULT_KILL:
@@ -103,8 +102,9 @@
     if (plan->fault_count < TW_SOAK_MAX_FAULTS) plan->faults[plan->fault_count++] = *fault;
 }
 
-/* All incarnations end while copies of heartbeats are held; then, just after launches, machines
- * hang and the leader ends: its successor has older news of the machines than the launches. */
+/* Adds faults that give a new leader heartbeats older than the last launches: all incarnations end
+ * while copies of heartbeats are held, and later, right after a launch, machines hang and the
+ * leader is killed. */
 static void add_stale_successor(gsl_rng *rng, tw_soak_plan *plan, double at_s, double lease_s) {
     const double absence_s = draw_number(rng, MIN_ABSENCE_LEASES, MAX_ABSENCE_LEASES) * lease_s;
     const double copies_s = absence_s + draw_number(rng, MIN_COPIES_S, MAX_COPIES_S);
@@ -145,15 +145,15 @@
 }
 
 void tw_soak_plan_print(const tw_soak_plan *plan, FILE *to) {
-    static const char *const moments[] = {"now", "launch", "leader", "cancel"};
+    static const char *const moments[] = {"time", "launch", "leader", "cancel"};
     static const char *const directions[] = {"both", "from", "to"};
     fprintf(to, "nodes %d zones %d machines %d\n", plan->nodes, plan->zones, plan->machines);
     for (int i = 0; i < plan->fault_count; i++) {
         const tw_soak_fault *fault = &plan->faults[i];
-        fprintf(
-            to,
-            "at %.2f %s lasts=%.2f moment=%s node=%d other=%d direction=%s held=%d share=%.2f\n",
-            fault->at_s, names[fault->kind], fault->duration_s, moments[fault->trigger],
-            fault->node, fault->other, directions[fault->direction], fault->held, fault->share);
+        fprintf(to,
+                "at %.2f %s duration=%.2f trigger=%s node=%d other=%d direction=%s held=%d "
+                "share=%.2f\n",
+                fault->at_s, names[fault->kind], fault->duration_s, moments[fault->trigger],
+                fault->node, fault->other, directions[fault->direction], fault->held, fault->share);
     }
 }
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,6 +1,7 @@
-/* The soak: controllers as real processes over loopback, against the stand-ins and the judge of
- * simulator/. Every message between controllers, state service, cloud and workers passes links.c,
- * where it can be lost, held or answered with 503. Internal to tests/soak.
+/* Soak test. Runs controllers as processes on loopback against the simulated state service, cloud
+ * and workers of simulator/, which also checks the outcome. Every message between these parties
+ * passes through the harness, which can drop it, delay it or answer it with 503. Internal to
+ * tests/soak.
  *
  * Invariant: one tw_soak holds all state of a run, in one thread with one event loop. */
 #ifndef TW_SOAK_H
@@ -15,12 +16,14 @@
 #define TW_SOAK_TEXT_SIZE 64
 #define TW_SOAK_PATH_SIZE 300
 
-/* The parties of a message: controllers from 0, workers from TW_SOAK_WORKERS. */
+/* Ids of the parties of a message. Controllers are numbered from 0, workers from TW_SOAK_WORKERS.
+ */
 enum { TW_SOAK_STATE_SERVICE = 100, TW_SOAK_CLOUD, TW_SOAK_USERS, TW_SOAK_WORKERS = 1000 };
 
 /* ---- plan.c ---- */
 
-/* What a fault waits for once its time has come, so that it strikes where it counts. */
+/* Event that injects a fault whose time has been reached. Injection right after a launch, an
+ * election or a cancellation makes races at that point likely. */
 typedef enum {
     TW_SOAK_TRIGGER_TIME,
     TW_SOAK_TRIGGER_LAUNCH,
@@ -29,26 +32,27 @@
 } tw_soak_trigger;
 
 typedef enum {
-    TW_SOAK_FAULT_KILL,            /* a controller ends and is started again */
-    TW_SOAK_FAULT_KILL_ALL,        /* all of them */
-    TW_SOAK_FAULT_FREEZE,          /* SIGSTOP, then SIGCONT */
-    TW_SOAK_FAULT_KILL_LEADERS,    /* leaders end one after the other */
-    TW_SOAK_FAULT_CUT_PEERS,       /* between two controllers */
-    TW_SOAK_FAULT_CUT_STATE,       /* between a controller and the state service */
-    TW_SOAK_FAULT_CUT_WORKERS,     /* between a controller and all workers of a zone */
-    TW_SOAK_FAULT_ISOLATE_ZONE,    /* a zone is cut off from everything */
-    TW_SOAK_FAULT_REFUSE_STATE,    /* the state service gives 503 to one controller */
-    TW_SOAK_FAULT_OUTAGE,          /* and to all */
-    TW_SOAK_FAULT_LATE_HEARTBEATS, /* copies of heartbeats arrive again later */
-    TW_SOAK_FAULT_HELD_HEARTBEATS, /* copies of heartbeats arrive again when a new leader begins */
-    TW_SOAK_FAULT_LATE_COMMANDS,   /* direct commands are carried out late, unanswered */
-    TW_SOAK_FAULT_REPEATED_COMMANDS, /* direct commands are carried out, and once more later */
-    TW_SOAK_FAULT_LATE_WRITES,       /* transactions are carried out late, unanswered */
-    TW_SOAK_FAULT_LOST_ANSWERS,      /* transactions are carried out, unanswered */
-    TW_SOAK_FAULT_UNRESPONSIVE,      /* some machines get no answers and commands */
-    TW_SOAK_FAULT_LOST_HEARTBEATS,   /* heartbeats of some machines get lost */
-    TW_SOAK_FAULT_HANG,              /* some machines hang */
-    TW_SOAK_FAULT_END_INCARNATIONS,  /* all workers' leases end: no controller for over a lease */
+    TW_SOAK_FAULT_KILL,              /* kills a controller and restarts it later */
+    TW_SOAK_FAULT_KILL_ALL,          /* kills all controllers and restarts them later */
+    TW_SOAK_FAULT_FREEZE,            /* stops a controller by SIGSTOP, resumes it by SIGCONT */
+    TW_SOAK_FAULT_KILL_LEADERS,      /* kills several leaders in succession */
+    TW_SOAK_FAULT_CUT_PEERS,         /* cuts the link between two controllers */
+    TW_SOAK_FAULT_CUT_STATE,         /* cuts a controller off from the state service */
+    TW_SOAK_FAULT_CUT_WORKERS,       /* cuts a controller off from all workers of a zone */
+    TW_SOAK_FAULT_ISOLATE_ZONE,      /* cuts all links between a zone and the rest */
+    TW_SOAK_FAULT_REFUSE_STATE,      /* the state service answers one controller with 503 */
+    TW_SOAK_FAULT_OUTAGE,            /* the state service answers every controller with 503 */
+    TW_SOAK_FAULT_LATE_HEARTBEATS,   /* delivers copies of heartbeats again after a delay */
+    TW_SOAK_FAULT_HELD_HEARTBEATS,   /* delivers copies of heartbeats after an election */
+    TW_SOAK_FAULT_LATE_COMMANDS,     /* delays direct commands and drops their answers */
+    TW_SOAK_FAULT_REPEATED_COMMANDS, /* executes direct commands a second time later */
+    TW_SOAK_FAULT_LATE_WRITES,       /* delays transactions and drops their answers */
+    TW_SOAK_FAULT_LOST_ANSWERS,      /* executes transactions and drops their answers */
+    TW_SOAK_FAULT_UNRESPONSIVE,      /* some machines receive no answers and no commands */
+    TW_SOAK_FAULT_LOST_HEARTBEATS,   /* drops the heartbeats of some machines */
+    TW_SOAK_FAULT_HANG,              /* some machines process nothing until the end of the fault */
+    TW_SOAK_FAULT_END_INCARNATIONS,  /* kills all controllers for longer than a lease, so that all
+                                        workers' leases expire */
     TW_SOAK_FAULT_FAST_BOOTS,
     TW_SOAK_FAULT_KIND_COUNT
 } tw_soak_fault_kind;
@@ -57,12 +61,12 @@
     double at_s, duration_s;
     tw_soak_fault_kind kind;
     tw_soak_trigger trigger;
-    int node;      /* -1: whoever leads */
-    int other;     /* another node, a zone, or a direction: 0 both, 1 to, 2 from */
-    int direction; /* of a cut: 0 both, 1 from the node, 2 to the node */
-    int held;      /* a cut delivers at its end */
-    double share;  /* of messages or machines */
-    int begun;
+    int node;      /* the affected controller; -1: the leader at the time of injection */
+    int other;     /* the other controller, or a number that gives the zone (modulo the zones) */
+    int direction; /* messages that a cut affects: 0 both ways, 1 from the node, 2 to the node */
+    int held;      /* cut: delivers messages at its end, else drops them; kill: restarts quickly */
+    double share;  /* fraction of the messages affected; each machine is affected with half of it */
+    int begun;     /* set when the fault has been injected */
 } tw_soak_fault;
 
 #define TW_SOAK_MAX_FAULTS 64
@@ -73,7 +77,7 @@
     int fault_count;
 } tw_soak_plan;
 
-/* The plan of a seed. */
+/* Draws the plan from the seed alone. fault_phase_s bounds the times of most faults. */
 void tw_soak_plan_draw(tw_soak_plan *plan, unsigned seed, double fault_phase_s, double lease_s);
 void tw_soak_plan_print(const tw_soak_plan *plan, FILE *to);
 const char *tw_soak_fault_name(tw_soak_fault_kind kind);
@@ -84,31 +88,31 @@
     int node;  /* a controller; -1: every party of the zone */
     int other; /* the other party; TW_SOAK_WORKERS: all workers (of the zone, if one is given) */
     int zone;  /* -1: any */
-    bool from, to; /* whether messages from the node, and to it, are struck */
-    int held;
-    double until;
+    bool from, to; /* whether the cut affects messages from the node, and messages to it */
+    int held;      /* delivers messages when the cut ends, else drops them */
+    double until;  /* time in the run at which the cut ends */
 } tw_soak_cut;
 
 #define TW_SOAK_MAX_CUTS 32
 
-/* A share of messages is struck until some time. */
+/* Fraction of the messages of a kind that a fault affects, until a time in the run. */
 typedef struct {
     double share, until;
 } tw_soak_message_share;
 
-/* ---- the run ---- */
+/* ---- state of a run ---- */
 
-/* A copy of a heartbeat, held for the next leader or a later one. */
+/* Copy of a heartbeat that is delivered after the election of a later leader. */
 typedef struct {
     int machine;
-    int leaders_until_delivery; /* that begin until it arrives */
+    int leaders_until_delivery; /* elections left until the copy is delivered */
     char *body;
 } tw_soak_held_heartbeat;
 
 typedef struct {
     unsigned seed;
-    double fault_phase_s;  /* how long faults and load last */
-    const char *directory; /* of this run */
+    double fault_phase_s;  /* how long faults are injected and jobs submitted */
+    const char *directory; /* holds the files of this run */
     struct ev_loop *loop;
     tw_net *net;
     tw_simulator_world world;
@@ -117,13 +121,15 @@
     gsl_rng *generator;
     FILE *trace;
     double started_at;
-    double max_lateness_s, last_tick_at; /* how late the harness itself was at most */
-    /* Of that tick the processor time of the harness: with little of it the machine was at fault,
-     * which let the harness wait. And the processor time up to the last tick. */
-    double max_lateness_cpu_s, last_cpu_s;
+    double max_lateness_s; /* largest delay of a tick of the harness */
+    double last_tick_at;
+    /* Processor time that the harness used in the tick with the largest delay. A small value means
+     * that the machine did not schedule the harness in time. */
+    double max_lateness_cpu_s;
+    double last_cpu_s; /* processor time of the harness up to the last tick */
     double next_submission_at, next_snapshot_at;
-    double restart_at[TW_LOOPBACK_MAX_NODES], resume_at[TW_LOOPBACK_MAX_NODES]; /* 0: not planned */
-    double state_refused_until[TW_LOOPBACK_MAX_NODES]; /* by the state service */
+    double restart_at[TW_LOOPBACK_MAX_NODES], resume_at[TW_LOOPBACK_MAX_NODES]; /* 0: none */
+    double state_refused_until[TW_LOOPBACK_MAX_NODES]; /* end of 503 answers */
     double outage_until;
     tw_soak_cut cuts[TW_SOAK_MAX_CUTS];
     int cut_count;
@@ -132,15 +138,14 @@
     tw_soak_held_heartbeat *held_heartbeats;
     int held_heartbeat_count, held_heartbeat_capacity;
     int leaders_to_kill;
-    uint64_t leader_version; /* of the leader's key, when last looked at */
+    uint64_t leader_version; /* mod revision of the leader key, as last read */
     int leader_count;
-    int listening_machine_count; /* machines that have their listeners */
+    int listening_machine_count; /* machines whose listeners are open */
     struct tw_soak_call *calls;
     uint64_t last_call_id, last_heartbeat_id;
     struct tw_soak_watch *watches;
     struct tw_soak_user_job *user_jobs;
-    char *rental_lists[64]; /* the cloud's lists of the last seconds, the newest at
-                               rental_list_count - 1 */
+    char *rental_lists[64]; /* recent lists of rented machines, oldest first */
     int rental_list_count;
     int fault_counts[TW_SOAK_FAULT_KIND_COUNT];
     int finished;
@@ -148,19 +153,22 @@
 
 /* main.c */
 double tw_soak_now(void);
-/* Ends the run. verdict: "ok", "FAIL" or "invalid". */
+/* Stops the controllers, writes and prints the verdict ("ok", "FAIL" or "invalid") with its reason,
+ * and exits the process. */
 void tw_soak_finish(tw_soak *run, const char *verdict, const char *why);
-/* Does something after a while; data is passed on. */
+/* Calls the function with data after the given seconds. */
 void tw_soak_schedule_action(tw_soak *run, double seconds, void (*action)(tw_soak *run, void *data),
                              void *data);
 double tw_soak_draw(tw_soak *run, double from, double to);
 int tw_soak_draw_index(tw_soak *run, int count);
+/* Draws whether the fault affects a message sent now. */
 bool tw_soak_is_message_affected(tw_soak *run, const tw_soak_message_share *share);
 void tw_soak_trace_message(tw_soak *run, const char *from, int from_number, const char *to,
                            int to_number, const char *what, const char *body);
+/* Writes `IP:PORT` of a host of the run's network to text, which holds TW_SOAK_TEXT_SIZE bytes. */
 void tw_soak_format_address(const tw_soak *run, char *text, int host, int port);
-/* Hosts of the run's network: of a controller, and of the stand-ins as that controller sees them.
- */
+/* Numbers of the first host in the run's network: of the controllers, and of the simulated services
+ * and workers. Controller N reaches the latter at host TW_SOAK_STAND_IN_HOST + N. */
 enum { TW_SOAK_NODE_HOST = 1, TW_SOAK_STAND_IN_HOST = 101 };
 enum {
     TW_SOAK_API_PORT = 8080,
@@ -171,11 +179,13 @@
     TW_SOAK_MACHINE_PORT = 10000
 };
 bool tw_soak_start_node(tw_soak *run, int node);
-/* The controller that holds the leader's key; -1: none. */
+/* Returns the controller that holds the leader key, or -1 if there is none. */
 int tw_soak_find_leader(tw_soak *run);
 int tw_soak_zone_index(const tw_soak *run, const char *zone);
 
-/* links.c: seconds until a message arrives; below 0: never. */
+/* links.c */
+/* Returns the seconds until a message between the parties is delivered, or a negative value if it
+ * is dropped. */
 double tw_soak_message_delay_s(const tw_soak *run, int from, int to);
 void tw_soak_add_cut(tw_soak *run, const tw_soak_cut *cut);
 void tw_soak_cuts_tick(tw_soak *run);
@@ -184,13 +194,13 @@
 void tw_soak_faults_tick(tw_soak *run);
 void tw_soak_handle_trigger(tw_soak *run, tw_soak_trigger trigger);
 
-/* stand_ins.c: what controllers ask */
+/* stand_ins.c: handles requests of controllers */
 void tw_soak_handle_request(void *context, int port, uint64_t conn, const char *method,
                             const char *path, const char *body, size_t length);
 bool tw_soak_listen_stand_ins(tw_soak *run);
 void tw_soak_stand_ins_tick(tw_soak *run);
 
-/* calls.c: what the harness asks of controllers */
+/* calls.c: sends requests to controllers */
 typedef void tw_soak_answer_callback(tw_soak *run, void *data, int status, const char *body);
 void tw_soak_call_node(tw_soak *run, int node, int port, const char *method, const char *path,
                        const char *body, double timeout_s, tw_soak_answer_callback *answered,
@@ -204,7 +214,8 @@
 
 /* users.c */
 void tw_soak_users_tick(tw_soak *run);
-/* Whether all that was accepted is over or runs; says what isn't. */
+/* Returns 1 if every job has ended, or is a service that runs completely. Otherwise returns 0 and
+ * describes the first other job in `what`. */
 int tw_soak_all_jobs_served(tw_soak *run, char *what, size_t size);
 void tw_soak_handle_job_end(void *context, tw_simulator_job *job);
 
--- a/tests/soak/stand_ins.c
+++ b/tests/soak/stand_ins.c
@@ -1,6 +1,6 @@
-/* What controllers ask of the state service, the cloud, machines and each other: it passes a link,
- * is carried out by the stand-ins of simulator/ or handed to the other controller, and its answer
- * passes the link back. */
+/* Handles requests of controllers to the state service, the cloud, machines and other controllers.
+ * A request passes through a link, is executed by the simulated party of simulator/ or forwarded to
+ * the other controller, and its answer passes through the link back. */
 #include "soak.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -9,21 +9,21 @@
 #define PEER_TIMEOUT_S 6.0
 #define MIN_DELAY_S 1.0
 #define MAX_DELAY_S 7.0
-#define MAX_REPEAT_DELAY_S 14.0 /* a direct command that comes once more */
-#define PARTY_ID_RANGE 100000   /* ports of listeners are caller * this + target */
+#define MAX_REPEAT_DELAY_S 14.0 /* for the second execution of a direct command */
+#define PARTY_ID_RANGE 100000   /* a listener's number is caller * this + target */
 #define SNAPSHOT_S 0.25
 #define LIST_LAG_S 1.5
 #define MAX_MACHINES 900
-#define HOST_DIGITS 3 /* stand-ins' hosts have three digits, see soak_address */
+#define HOST_DIGITS 3 /* digits of the host in addresses of simulated services and workers */
 
-/* A request of a controller on its way. */
+/* Request of a controller in flight. Owns its texts. */
 typedef struct {
     uint64_t conn;
     int caller, target;
-    bool answer_dropped; /* its answer gets lost */
+    bool answer_dropped; /* the caller gets no answer */
     char method[8];
     char *path, *body;
-    int status; /* of the answer on its way */
+    int status; /* of the answer in flight */
     char *answer;
 } relayed_request;
 
@@ -50,7 +50,7 @@
     free_request(request);
 }
 
-/* Takes the body. */
+/* Sends the answer through the link back to the caller. Takes ownership of request and body. */
 static void answer_request(tw_soak *run, relayed_request *request, int status, char *body) {
     request->status = status;
     request->answer = body;
@@ -90,7 +90,8 @@
     run->watches = added;
 }
 
-/* Whether the watch has ended, and was answered. */
+/* Answers the watch if it has changes or has timed out. Returns 1 if it was answered, 0 if it stays
+ * open. */
 static int answer_due_watch(tw_soak *run, tw_soak_watch *watch) {
     relayed_request *request = watch->request;
     tw_simulator_state *state = &run->world.state;
@@ -149,8 +150,9 @@
 
 /* ---- endpoints ---- */
 
-/* Each controller reaches the stand-ins under a host of its own, which has as many digits as the
- * others', so a text with endpoints can be told to another controller by writing that host. */
+/* Replaces the host in the endpoints of the text by the one at which controller `node` reaches the
+ * simulated workers. All these hosts have the same number of digits, so the text keeps its length.
+ */
 static void rewrite_endpoints(const tw_soak *run, char *text, int node) {
     char host[TW_SOAK_TEXT_SIZE], prefix[TW_SOAK_TEXT_SIZE];
     tw_soak_format_address(run, host, TW_SOAK_STAND_IN_HOST, 0);
@@ -166,7 +168,7 @@
 
 /* ---- the cloud ---- */
 
-/* The list lags: an older one is given. */
+/* Returns a copy of a recent list of rented machines, because the cloud's list lags. Free it. */
 static char *copy_lagging_list(tw_soak *run) {
     const int max_count = (int)(2 * LIST_LAG_S / SNAPSHOT_S);
     int age = tw_soak_draw_index(run, max_count);
@@ -214,13 +216,13 @@
         free_request(request);
         return;
     }
-    if (run->world.now < worker->hung_until) { /* carried out when it goes on */
+    if (run->world.now < worker->hung_until) { /* executed when the machine resumes */
         tw_soak_schedule_action(run, worker->hung_until - run->world.now, execute_machine_request,
                                 request);
         return;
     }
     char *body;
-    tw_simulator_worker_advance(&run->world, worker); /* a lease that has ended ends first */
+    tw_simulator_worker_advance(&run->world, worker); /* processes lease expiry first */
     const int status = tw_simulator_worker_request(&run->world, worker, request->method,
                                                    request->path, request->body, &body);
     if (strstr(request->body, "\"launch\"")) tw_soak_handle_trigger(run, TW_SOAK_TRIGGER_LAUNCH);
@@ -228,7 +230,7 @@
     answer_request(run, request, status, body);
 }
 
-/* The same once more, for whose answer nobody waits. */
+/* Schedules a second execution of the request, whose answer is dropped. */
 static void schedule_repeat(tw_soak *run, const relayed_request *request) {
     relayed_request *copy = tw_simulator_allocate(sizeof *copy);
     *copy = *request;
@@ -260,7 +262,7 @@
     if (status)
         answer_request(run, request, status, tw_simulator_copy_text(body));
     else
-        free_request(request); /* it is gone, or stands still */
+        free_request(request); /* the controller is down or stopped */
 }
 
 static void forward_to_peer(tw_soak *run, relayed_request *request) {
@@ -269,7 +271,7 @@
                       request->body, PEER_TIMEOUT_S, handle_peer_answer, request);
 }
 
-/* ---- requests ---- */
+/* ---- dispatch of requests ---- */
 
 static void deliver_request(tw_soak *run, void *data) {
     relayed_request *request = data;
@@ -314,7 +316,8 @@
     return !tw_net_listen(run->net, address, caller * PARTY_ID_RANGE + target);
 }
 
-/* The ports of the machines that have none yet; the first time those of all others, too. */
+/* Opens listeners for machines without one. The first call also opens those of the state service,
+ * the cloud and the controllers. Returns false if a listener cannot be opened. */
 bool tw_soak_listen_stand_ins(tw_soak *run) {
     bool all_listening = true;
     for (int node = 0; node < run->plan.nodes; node++) {
--- a/tests/soak/users.c
+++ b/tests/soak/users.c
@@ -1,4 +1,5 @@
-/* Users: they submit, ask, ask at all controllers at once, and cancel, also at the end of a job. */
+/* Simulated users. They submit, poll and cancel jobs. When the answer for a job changes, they poll
+ * it at all controllers simultaneously; some cancel a job just as it ends. */
 #include "soak.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -27,20 +28,20 @@
              {"group", 2, 2, 4, 2, 8}};
 
 typedef struct tw_soak_user_job {
-    int index;                      /* in the world */
-    double next_poll_at, cancel_at; /* 0: not cancelled at a time of its own */
+    int index;                      /* of the job in tw_simulator_world */
+    double next_poll_at, cancel_at; /* cancel_at is 0 without a planned cancellation */
     bool submitting, polling, cancelling;
     struct tw_soak_user_job *next;
 } tw_soak_user_job;
 
-/* A user's request on its way. */
+/* Request of a user in flight. */
 typedef struct {
     tw_soak_user_job *user;
     int kind, is_extra;
     double sent_at;
 } user_request;
 
-/* ---- asking ---- */
+/* ---- requests ---- */
 
 static void schedule_poll_bursts(tw_soak *run, tw_soak_user_job *user);
 
@@ -117,7 +118,7 @@
         if (user->index == job->index) cancel_job(run, user);
 }
 
-/* ---- submitting ---- */
+/* ---- job submission ---- */
 
 static int draw_job_kind(tw_soak *run) {
     int total_weight = 0, kind = 0;
@@ -175,7 +176,7 @@
     send_request(run, user, TW_SIMULATOR_SUBMIT, draw_node(run), false);
 }
 
-/* ---- time ---- */
+/* ---- periodic requests ---- */
 
 static void advance_user(tw_soak *run, tw_soak_user_job *user) {
     const tw_simulator_job *job = run->world.jobs[user->index];
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -1,4 +1,5 @@
-/* The workers' heartbeats on their way to controllers, the answers, and copies that arrive late. */
+/* Delivers the workers' heartbeats to controllers, the answers to workers, and delayed copies of
+ * heartbeats. */
 #include "soak.h"
 #include <stdbool.h>
 #include <stdlib.h>
@@ -12,10 +13,10 @@
 #define MAX_LEADERS_UNTIL_DELIVERY 3
 #define HOST_DIGITS 3
 
-/* A heartbeat on its way to a controller. */
+/* Heartbeat in flight to a controller. Owns its texts. */
 typedef struct {
     int machine, node;
-    uint64_t id, incarnation; /* flight 0: a copy, for whose answer nobody waits */
+    uint64_t id, incarnation; /* id 0: a copy, whose answer is ignored */
     double sent_at;
     char *body;
     int status;
@@ -28,7 +29,7 @@
     free(heartbeat);
 }
 
-/* ---- the answer ---- */
+/* ---- answers to heartbeats ---- */
 
 static void deliver_answer(tw_soak *run, void *data) {
     sent_heartbeat *heartbeat = data;
@@ -36,7 +37,7 @@
     const bool awaited = heartbeat->id && worker->in_flight == heartbeat->id;
     if (awaited && run->world.now >= worker->hung_until) {
         worker->in_flight = 0;
-        tw_simulator_worker_advance(&run->world, worker); /* a lease that has ended ends first */
+        tw_simulator_worker_advance(&run->world, worker); /* processes lease expiry first */
         if (strstr(heartbeat->answer, "\"launch\""))
             tw_soak_handle_trigger(run, TW_SOAK_TRIGGER_LAUNCH);
         tw_simulator_worker_answer(&run->world, worker, heartbeat->sent_at, heartbeat->incarnation,
@@ -54,7 +55,7 @@
     const bool late = run->world.now + seconds >= heartbeat->sent_at + ANSWER_TIMEOUT_S;
     tw_soak_trace_message(
         run, "node", heartbeat->node, "worker", heartbeat->machine,
-        seconds < 0 || unresponsive || late ? "report's answer lost" : "report's answer", body);
+        seconds < 0 || unresponsive || late ? "heartbeat answer lost" : "heartbeat answer", body);
     if (seconds < 0 || unresponsive || late) {
         free_heartbeat(heartbeat);
         return;
@@ -78,12 +79,12 @@
     free_heartbeat(heartbeat);
 }
 
-/* ---- the heartbeat ---- */
+/* ---- sending of heartbeats ---- */
 
 static void deliver_heartbeat(tw_soak *run, void *data) {
     sent_heartbeat *heartbeat = data;
     tw_soak_trace_message(run, "worker", heartbeat->machine, "node", heartbeat->node,
-                          heartbeat->id ? "report" : "copy of a report", heartbeat->body);
+                          heartbeat->id ? "heartbeat" : "copy of a heartbeat", heartbeat->body);
     tw_soak_call_node(run, heartbeat->node, TW_SOAK_API_PORT, "POST", "/hello", heartbeat->body,
                       ANSWER_TIMEOUT_S, handle_answer, heartbeat);
 }
@@ -97,7 +98,7 @@
     heartbeat->incarnation = run->world.workers[machine]->incarnation;
     heartbeat->sent_at = run->world.now;
     heartbeat->body = tw_simulator_copy_text(body);
-    /* The endpoint as this controller sees it. */
+    /* Rewrites the endpoint to the host at which this controller reaches the worker. */
     char host[TW_SOAK_TEXT_SIZE], digits[TW_SOAK_TEXT_SIZE];
     tw_soak_format_address(run, host, TW_SOAK_STAND_IN_HOST, 0);
     *(strrchr(host, '.') + 1) = 0;
--- a/tests/unit/config_test.c
+++ b/tests/unit/config_test.c
@@ -1,7 +1,7 @@
-/* Writes what the settings' parsers make of good and bad settings, to be compared with
- * config_golden.txt: the platform's file as it is, then with each of its lines left out or its
- * value replaced; the operators' file with each key at values in and out of its range. With
- * --describe: the rows of the tables in docs/operations.md. */
+/* Prints the result of parsing valid and invalid settings, for comparison with config_golden.txt:
+ * the platform's settings file unchanged, with each line removed, and with each value replaced; and
+ * the operators' file with each key at values inside and outside its range. With --describe, prints
+ * the rows of the tables in docs/operations.md. */
 #include "outcome.h"
 #include "config/config.h"
 #include <stdio.h>
@@ -184,7 +184,8 @@
             tune->idle_ratio, tune->silent_ratio, tune->write_share);
 }
 
-/* Joins the good lines, with line `skip` left out or replaced by `instead`. */
+/* Joins the valid lines. The line with the index skipped_line is replaced, or left out if
+ * replacement is NULL. */
 static void join_lines(char *text, size_t skipped_line, const char *replacement) {
     size_t length = 0;
     for (size_t i = 0; i < good_count; i++) {
@@ -225,7 +226,8 @@
     tw_test_outcome_finish(baseline);
 }
 
-/* What the operators' file with this text makes of the good settings. */
+/* Returns the outcome of loading an operators' file with this text on top of the valid settings.
+ * Free it. */
 static char *operators_outcome(const char *path, const char *text) {
     char *outcome = NULL;
     size_t size = 0;
@@ -240,7 +242,7 @@
     join_lines(platform, good_count, NULL);
     if (tw_config_parse(&conf, platform, why, sizeof why)) abort();
     if (tw_config_load_yaml(&conf, path, why, sizeof why)) {
-        const char *name = strstr(why, path); /* differs from run to run */
+        const char *name = strstr(why, path); /* the path differs between runs */
         fprintf(out, "%s", name ? name + strlen(path) : why);
     } else {
         dump_config(out, &conf);
--- a/tests/unit/conversation.c
+++ b/tests/unit/conversation.c
@@ -11,7 +11,7 @@
 #define SEED 7
 #define MAX_LINE 70000
 
-/* ---- the controller and what is around it ---- */
+/* ---- the controller and the simulated services ---- */
 
 static tw_simulator_clock clock_of(const tw_test_conversation *conversation) {
     return (tw_simulator_clock){.steady = STEADY_START_S + conversation->now,
@@ -23,8 +23,8 @@
     return hold ? tw_simulator_parse_number(hold + strlen("holdMs=")) / 1000 : LATENCY_S;
 }
 
-/* Heartbeats are many and differ in their times: those that say the same in a row are shown once.
- */
+/* Returns whether the call is printed. A peer heartbeat that differs from the last printed one only
+ * in its times is not printed. */
 static bool should_print(tw_test_conversation *conversation, const tw_effect *effect) {
     if (strcmp(effect->path, "/peer/ping") != 0) return true;
     const char *times = strstr(effect->body, "\"upS\"");
@@ -76,7 +76,7 @@
     exit(1);
 }
 
-/* What a node that knows nobody answers to a heartbeat. */
+/* Returns the answer to a peer heartbeat of a peer that knows no leader. Free it. */
 static char *peer_heartbeat_answer(void) {
     return tw_simulator_copy_text(
         "{\"name\":\"tray-1\",\"token\":0,\"stateOk\":true,\"leading\":false,"
@@ -111,7 +111,7 @@
     free(call.body);
 }
 
-/* The call that is answered first, or -1. */
+/* Returns the index of the call that is answered next, or -1 if there is none. */
 static int first_pending_call(const tw_test_conversation *conversation) {
     int first = -1;
     for (int i = 0; i < conversation->pending_call_count; i++)
@@ -125,7 +125,6 @@
     return first;
 }
 
-/* Lets time pass up to that moment. */
 void tw_test_conversation_advance_to(tw_test_conversation *conversation, double moment) {
     for (;;) {
         const int first = first_pending_call(conversation);
@@ -181,7 +180,6 @@
     "[settings.cloud]\nrps = 5.0\nlist_lag_s = 4.0\n"
     "[settings.limits]\ncpu_share = 0.1\nmem_mb = 56.0\nsockets = 600\n";
 
-/* A new state service, one machine up, and the node has just started. */
 void tw_test_conversation_start_node(tw_test_conversation *conversation, const char *program) {
     char error[TW_SIMULATOR_MESSAGE_SIZE];
     const tw_simulator_controller_options start = {
--- a/tests/unit/heartbeat_cache_test.c
+++ b/tests/unit/heartbeat_cache_test.c
@@ -1,6 +1,7 @@
-/* Reports recognised by their text must be read as if each were new: for every pair of texts below,
- * the second is read after the first, and again, and compared with what the parser alone makes of
- * it. The texts are nearly alike, and each tries to be taken for another one. */
+/* Checks that the heartbeat cache, which recognises heartbeats by their text, returns what the
+ * parser returns. For every pair of the texts below, it reads the second text after the first, and
+ * again, and compares the results with the parser's. The texts differ little, so that a cache that
+ * compares them carelessly confuses them. */
 #include "wire/wire.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -86,7 +87,7 @@
     return true;
 }
 
-/* Whether the set reads the text as the parser does. */
+/* Returns whether the cache reads the text as the parser does. */
 static bool reads_as_parser(tw_wire_heartbeat_cache *cache, const char *text) {
     tw_wire_heartbeat parsed;
     const int refused = tw_wire_heartbeat_parse(&parsed, text, strlen(text));
@@ -99,8 +100,8 @@
 enum { MAX_LONG_BYTES = 8 * 1024 * 1024 };
 enum { WORKERS = 500, ROUNDS = 20, CHANGE_ROUNDS = 5 };
 
-/* A heartbeat of the worker; its sequence is the number of the round, and its token changes at
- * times. */
+/* Reads a heartbeat of the worker. Its sequence is the number of the round, and its fencing token
+ * changes every CHANGE_ROUNDS rounds. */
 static const tw_wire_heartbeat *read_round(tw_wire_heartbeat_cache *cache, int worker, int round) {
     char text[400];
     snprintf(text, sizeof text,
@@ -110,8 +111,9 @@
     return tw_wire_heartbeat_cache_read(cache, text, strlen(text));
 }
 
-/* Reports of many workers, one of which comes once: it is let go, the others are kept, and one with
- * nothing new is the kept one with its number. */
+/* Reads heartbeats of many workers over several rounds; one worker sends only one. The sweep must
+ * evict that worker's heartbeat and keep the others. An unchanged heartbeat must return the cached
+ * entry with the new sequence. Returns the number of failures. */
 static int check_many_workers(void) {
     const tw_wire_heartbeat *last[WORKERS] = {NULL};
     int wrong = 0;
@@ -125,10 +127,13 @@
         }
         tw_wire_heartbeat_cache_sweep(cache);
     }
-    if (wrong) printf("FAIL reports: %d of those with nothing new are read anew\n", wrong);
+    if (wrong)
+        printf("FAIL heartbeat_cache: %d heartbeats were not read, not cached or had the wrong "
+               "sequence\n",
+               wrong);
     const size_t count = tw_wire_heartbeat_cache_count(cache);
     if (count != WORKERS - 1) {
-        printf("FAIL reports: %zu are kept of %d workers\n", count, WORKERS - 1);
+        printf("FAIL heartbeat_cache: %zu heartbeats cached for %d workers\n", count, WORKERS - 1);
         wrong++;
     }
     tw_wire_heartbeat_cache_free(cache);
@@ -137,7 +142,7 @@
 
 enum { LONG_TASKS = 200, LONG_WORKERS = 1000, TASK_TEXT = 80 };
 
-/* A heartbeat that lists so many tasks. */
+/* Reads a heartbeat with LONG_TASKS tasks. */
 static const tw_wire_heartbeat *read_long(tw_wire_heartbeat_cache *cache, int worker, int round) {
     static char text[400 + LONG_TASKS * TASK_TEXT];
     int length = snprintf(text, sizeof text,
@@ -153,9 +158,9 @@
     return tw_wire_heartbeat_cache_read(cache, text, (size_t)length);
 }
 
-/* A heartbeat with 200 listed attempts and nothing new cost 71 times one with 50, since its text
- * was read anew each time: it is the kept one. Of very many such machines not all are kept, but all
- * are read. */
+/* Checks that an unchanged heartbeat with 200 attempts is returned from the cache. When long texts
+ * were parsed each time, it cost 71 times as much as one with 50 attempts. With very many such
+ * machines, all heartbeats must be read, but only some cached. Returns the number of failures. */
 static int check_long_heartbeats(void) {
     tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new(MAX_LONG_BYTES);
     int wrong = 0;
@@ -163,7 +168,8 @@
     const tw_wire_heartbeat *second = read_long(cache, 0, 2);
     if (!first || first != second || second->sequence != 2 || second->task_count != LONG_TASKS ||
         tw_wire_heartbeat_cache_count(cache) != 1) {
-        printf("FAIL reports: a long one with nothing new is read anew\n");
+        printf(
+            "FAIL heartbeat_cache: an unchanged long heartbeat was not returned from the cache\n");
         wrong++;
     }
     for (int worker = 1; worker < LONG_WORKERS; worker++) {
@@ -172,7 +178,8 @@
     }
     const size_t count = tw_wire_heartbeat_cache_count(cache);
     if (count < 2 || count >= LONG_WORKERS) {
-        printf("FAIL reports: %zu long ones are kept of %d workers\n", count, LONG_WORKERS);
+        printf("FAIL heartbeat_cache: %zu long heartbeats cached for %d workers\n", count,
+               LONG_WORKERS);
         wrong++;
     }
     tw_wire_heartbeat_cache_free(cache);
@@ -186,7 +193,8 @@
             tw_wire_heartbeat_cache *cache = tw_wire_heartbeat_cache_new(MAX_LONG_BYTES);
             if (!reads_as_parser(cache, texts[i]) || !reads_as_parser(cache, texts[j]) ||
                 !reads_as_parser(cache, texts[j]) || !reads_as_parser(cache, texts[i])) {
-                printf("FAIL reports: %s after %s\n", texts[j], texts[i]);
+                printf("FAIL heartbeat_cache: read differently from the parser: %s after %s\n",
+                       texts[j], texts[i]);
                 wrong++;
             }
             tw_wire_heartbeat_cache_free(cache);
--- a/tests/unit/outcome.c
+++ b/tests/unit/outcome.c
@@ -5,7 +5,7 @@
 
 static char *last_outcome;
 
-/* Prints the words of line that stand between what it has in common with usual on both sides. */
+/* Prints the words of line that are left without its common prefix and suffix with baseline. */
 static void print_difference(const char *baseline, const char *line) {
     size_t usual_length = strlen(baseline);
     size_t length = strlen(line);
--- a/tests/unit/outcome.h
+++ b/tests/unit/outcome.h
@@ -1,12 +1,14 @@
-/* Prints the outcomes of many similar inputs, those with the same outcome in a row as one. */
+/* Prints the outcomes of many similar inputs. Successive inputs with the same outcome share a line.
+ */
 #ifndef TW_TEST_OUTCOME_H
 #define TW_TEST_OUTCOME_H
 
-/* Notes an input by its label and what came of it (taken, freed later). Where the outcome is new, a
- * line is begun with prefix and label. usual: the outcome that others are compared to. */
+/* Adds an input, given by its label, with its outcome. Takes ownership of outcome. If the outcome
+ * differs from the previous one, prints the previous outcome and starts a line with prefix and
+ * label. Outcomes are printed as the difference from baseline. */
 void tw_test_outcome_add(const char *prefix, const char *label, char *outcome,
                          const char *baseline);
-/* Prints the outcome of the inputs noted last: what differs from the usual one. */
+/* Prints the outcome of the inputs added last, as its difference from baseline. */
 void tw_test_outcome_finish(const char *baseline);
 
 #endif
--- a/tests/unit/versions_test.c
+++ b/tests/unit/versions_test.c
@@ -1,14 +1,14 @@
-/* What a controller says to the state service, to other controllers, to workers and to users, word
- * for word, in a few conversations that leave it nothing to choose. Two versions that serve at once
- * must read and write the same, so their transcripts must be equal:
+/* Prints all messages of a controller to the state service, peers, workers and users in a few
+ * deterministic conversations. Two versions that serve at the same time must read and write the
+ * same formats, so their transcripts must be equal.
  *
- *   tw_versions_test CONVERSATION           prints this version's
- *   tw_versions_test CONVERSATION PROGRAM   prints that of the version that PROGRAM, a
- *                                           tw_core_server, was built with
- *   tw_versions_test --records < TRANSCRIPT reads each record of it and writes it again, and fails
- *                                           where that is another text
+ *   tw_versions_test CONVERSATION           prints the transcript of this version
+ *   tw_versions_test CONVERSATION PROGRAM   prints the transcript of the version of PROGRAM, a
+ *                                           tw_core_server
+ *   tw_versions_test --records < TRANSCRIPT parses and formats each record of a transcript, and
+ *                                           fails if a text differs
  *
- * tests/fixtures holds the transcripts of the earlier version. */
+ * tests/fixtures holds the transcripts of the version in production. */
 #include "conversation.h"
 #include "wire/wire.h"
 #include <stdbool.h>
@@ -19,7 +19,7 @@
 #define MAX_LINE 70000
 #define JOB_PREFIX "record job/"
 
-/* ---- the conversations ---- */
+/* ---- conversations ---- */
 
 #define JOB(id, shape, rest)                                                                       \
     "{\"id\":\"" id "\",\"lane\":\"lane\",\"crew\":\"crew\",\"shape\":\"" shape                    \
@@ -49,7 +49,7 @@
     tw_test_conversation_request(conversation, TW_PORT_PEER, "POST", "/peer/ping", body);
 }
 
-/* It leads: jobs are accepted, run, end and are cancelled; records are written. */
+/* The controller is the leader: it accepts, runs, completes and cancels jobs and writes records. */
 static void play_leader(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
     tw_test_conversation_start_node(conversation, program);
@@ -101,8 +101,9 @@
 }
 
 #define OLD_JOB(id, tasks) "\"j\":" JOB(id, "batch", tasks)
-/* It takes over records as a predecessor left them: running, partly done, cancelled, done. What may
- * run is not started again, what is done stays so. */
+/* The controller becomes leader and reads a predecessor's records of running, partly done,
+ * cancelled and completed jobs. It must not launch tasks again that may run, and completed tasks
+ * stay completed. */
 static void play_failover(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
     tw_test_conversation_write_key(
@@ -145,7 +146,8 @@
     tw_test_conversation_print_record(conversation, "leader");
 }
 
-/* Another node leads: peer heartbeats, worker heartbeats that are forwarded, users' requests. */
+/* The controller is a follower: it gets peer heartbeats, worker heartbeats that it forwards, and
+ * users' requests. */
 static void play_follower(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
     tw_test_conversation_write_key(conversation, "leader", "{\"node\":\"tray-1\"}");
@@ -173,7 +175,7 @@
     tw_test_conversation_print_record(conversation, "new/run-000002");
 }
 
-/* Fields that it doesn't know, in heartbeats and records, and a record that is divided. */
+/* The controller reads heartbeats and records with unknown fields, and chunked records. */
 static void play_unknown_fields(tw_test_conversation *conversation, const char *program) {
     tw_test_conversation_init(conversation);
     tw_test_conversation_write_key(
@@ -214,7 +216,8 @@
 
 /* ---- records ---- */
 
-/* Whether the record of a transcript's line is read, and written again to the letter. */
+/* Returns whether the record of a transcript line can be parsed and is formatted as the same text.
+ */
 static bool does_record_round_trip(const char *line) {
     char id[TW_WIRE_ID_SIZE];
     tw_wire_record record;
@@ -223,12 +226,12 @@
     snprintf(id, sizeof id, "%.*s", (int)length, line);
     const char *text = line + length + 1;
     if (tw_wire_record_parse(&record, id, text, strlen(text))) {
-        printf("FAIL versions: can't be read: %s\n", text);
+        printf("FAIL versions: cannot parse record: %s\n", text);
         return false;
     }
     char *again = tw_wire_record_text(&record);
     const bool same = !strcmp(text, again);
-    if (!same) printf("FAIL versions: %s is written as %s\n", text, again);
+    if (!same) printf("FAIL versions: record %s is formatted as %s\n", text, again);
     free(again);
     tw_wire_record_free(&record);
     return same;
@@ -243,7 +246,7 @@
         records++;
         wrong += !does_record_round_trip(line);
     }
-    if (!records) printf("FAIL versions: no record\n");
+    if (!records) printf("FAIL versions: the transcript has no records\n");
     return wrong || !records;
 }
 
--- a/tests/unit/wire_dump.c
+++ b/tests/unit/wire_dump.c
@@ -1,4 +1,4 @@
-/* Parses messages and writes every field of what they hold. */
+/* Parses messages and writes all their fields. */
 #include "wire_test.h"
 #include "wire/wire.h"
 #include <inttypes.h>
--- a/tests/unit/wire_print.c
+++ b/tests/unit/wire_print.c
@@ -1,10 +1,10 @@
-/* Prints every kind of message that the program sends or stores. */
+/* Prints each kind of message and record that the program sends or stores. */
 #include "wire_test.h"
 #include "wire/wire.h"
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_EXACT_INTEGER 9007199254740992u /* 2^53: above it a JSON number is not exact */
+#define MAX_EXACT_INTEGER 9007199254740992u /* 2^53: larger integers lose precision in JSON */
 
 static void print_text(FILE *out, const char *name, char *text) {
     fprintf(out, "print %s: %s\n", name, text);
@@ -120,7 +120,8 @@
     print_text(out, "record aborted", tw_wire_record_text(&cancelled));
 }
 
-/* Shows the slices of a text, each of at most as many bytes of JSON, and that they make it up. */
+/* Prints the chunks of a text, each with at most max_bytes of JSON, and the text that they form
+ * when joined. */
 static void print_chunks(FILE *out, const char *text, size_t max_bytes) {
     char joined[128] = "";
     while (*text) {
--- a/tests/unit/wire_test.c
+++ b/tests/unit/wire_test.c
@@ -1,6 +1,6 @@
-/* Writes what the wire package prints and parses, to be compared with wire_golden.txt: every kind
- * of message printed, and every kind parsed as it is, malformed, and with each of its fields left
- * out or replaced by values that are nearly or not at all what the protocol says. */
+/* Prints the results of formatting and parsing messages, for comparison with wire_golden.txt. Each
+ * kind of message is formatted; and it is parsed unchanged, malformed, and with each field removed
+ * or replaced by values that the protocol allows, almost allows or forbids. */
 #include "outcome.h"
 #include "wire_test.h"
 #include "wire/wire.h"
@@ -12,7 +12,7 @@
 #define X20 "xxxxxxxxxxxxxxxxxxxx"
 #define X60 X20 X20 X20
 
-/* What a field is replaced by, as JSON text; NULL: the field is left out. */
+/* Replacements of a field, as JSON text. NULL removes the field. */
 static const char *const replacements[] = {
     NULL,
     "null",
@@ -44,7 +44,7 @@
     "[\"x\",\"\"]",
     "[{}]",
     "[null]",
-    /* words of some fields, then names of tasks and lists of what runs */
+    /* enumerated values of some fields, then task names and lists of running tasks */
     "\"prod\"",
     "\"service\"",
     "\"group\"",
@@ -70,12 +70,12 @@
 };
 static const size_t replacement_count = sizeof replacements / sizeof *replacements;
 
-/* Texts that no parser should take, or only as an empty message. */
+/* Texts that a parser must refuse or read as an empty message. */
 static const char *const malformed[] = {
     "", "{", "[]", "null", "{} x", " {} \r\n\t ", "{}\x0b", "{\"a\"", "{\"a\":}", "\"{}\"", "{}{}"};
 static const size_t malformed_count = sizeof malformed / sizeof *malformed;
 
-/* The line that the kind's parser writes about text. Free it. */
+/* Returns the line that the parser of the kind writes for text. Free it. */
 static char *parse_to_line(const tw_test_message_kind *kind, const char *text) {
     char *line = NULL;
     size_t size = 0;
@@ -108,7 +108,7 @@
     free(text);
 }
 
-/* Takes the field out of object, or puts the replacement's value in its place. */
+/* Replaces the value of a field of object, or removes the field if replacement is NULL. */
 static void replace_field(cJSON *object, const char *field, const char *replacement) {
     if (replacement)
         cJSON_ReplaceItemInObjectCaseSensitive(object, field, cJSON_Parse(replacement));
@@ -116,8 +116,8 @@
         cJSON_DeleteItemFromObjectCaseSensitive(object, field);
 }
 
-/* Parses the whole message root with each replacement of one field of object, which is part of it.
- */
+/* Parses the message root with each replacement of one field of object. object is root or an object
+ * inside it. */
 static void vary_field(const tw_test_message_kind *kind, const cJSON *root, cJSON *object,
                        const char *field) {
     printf("field %s\n", field);
@@ -134,7 +134,8 @@
     cJSON_ReplaceItemInObjectCaseSensitive(object, field, original);
 }
 
-/* Varies every field of object, one of the message's, and of the objects within it. */
+/* Varies each field of object and of the objects inside it. object is root or an object inside it.
+ */
 static void vary_fields(const tw_test_message_kind *kind, const char *prefix, const cJSON *root,
                         cJSON *object) {
     char names[32][TW_WIRE_NAME_SIZE];
@@ -150,7 +151,8 @@
     }
 }
 
-/* With two fields wrong, one of them is named: the order of the checks. */
+/* Parses the message with each pair of fields invalid. The reported field shows the order of the
+ * checks. */
 static void vary_pairs(const tw_test_message_kind *kind) {
     cJSON *root = cJSON_Parse(kind->text);
     int count = cJSON_GetArraySize(root);
