--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -21,15 +21,15 @@
 #define GANG_PEER_S 2.0
 #define LIST_LAG_S 1.5
 #define BOOT_S 2.0
-/* Startup time in the cloud's list of machine types. Controllers return a machine that is idle for
- * half of it. */
+/* Startup time in the cloud's list of machine types. Controllers return a machine that has been
+ * idle for half of this time. */
 #define STARTUP_S 16.0
 #define TICK_S 0.02
 #define SOCKETS 900
 /* A run is invalid if a tick of the harness is delayed by more than this fraction of a lease: the
  * lease times of the simulated workers are not reliable then. */
 #define MAX_LATENESS_LEASES 0.05
-/* Time after the last fault in which every job must end, or run if it is a service. */
+/* Within this time after the faults, every job must end, or run if it is a service. */
 #define RECOVERY_S 120.0
 #define MAX_CONNECTIONS 8000
 #define IDLE_S 60
@@ -216,7 +216,7 @@
 
 /* ---- periodic checks ---- */
 
-/* Fails the run if a controller process has exited that the harness did not kill. */
+/* Fails the run if a controller process has exited without being killed by the harness. */
 static void check_exited_nodes(tw_soak *soak) {
     int status;
     char why[TW_SOAK_PATH_SIZE];
@@ -231,7 +231,7 @@
     const double faults_over_at = fmax(soak->fault_phase_s, soak->world.faults_end_at);
     if (soak->world.now < faults_over_at) return;
     if (tw_soak_all_jobs_served(soak, unserved, sizeof unserved))
-        tw_soak_finish(soak, "ok", "all accepted jobs ended or run");
+        tw_soak_finish(soak, "ok", "every job has ended or is a running service");
     else if (soak->world.now > faults_over_at + RECOVERY_S)
         tw_soak_finish(soak, "FAIL", unserved);
 }
