--- a/tests/loopback/ports_held.c
+++ b/tests/loopback/ports_held.c
@@ -1,6 +1,6 @@
-/* tw_ports_held PROGRAM [ARGUMENT...]: runs the program while ports of the range that the kernel
- * takes for outgoing connections are in use, as beside a busy service. A test that listens on ports
- * of that range fails then. Exits as the program does. */
+/* tw_ports_held PROGRAM [ARGUMENT...]: runs the program while some ports of the kernel's range for
+ * outgoing connections are in use, as they are on a machine with a busy service. A test that
+ * listens on ports of that range fails then. Exits with the exit code of the program. */
 #include <arpa/inet.h>
 #include <stdbool.h>
 #include <stdio.h>
@@ -10,20 +10,20 @@
 #include <unistd.h>
 
 #define RANGE_FILE "/proc/sys/net/ipv4/ip_local_port_range"
-/* One port in so many is held, the round numbers among them. */
-#define HELD_EVERY 100
+/* Distance between the bound ports, which are multiples of it: tests prefer round port numbers. */
+#define HELD_PORT_STEP 100
 #define LINE_SIZE 64
 #define DECIMAL 10
 
-static int hold_port(int port) {
+static int bind_port(int port) {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     const int held = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     return held < 0 ? -1 : bind(held, (struct sockaddr *)&address, sizeof address);
 }
 
-/* The first and the last port of the kernel's range; false if the system doesn't tell it. */
-static bool read_range(int *first, int *last) {
+/* Reads the first and the last port of the kernel's range. Returns false if it cannot be read. */
+static bool read_port_range(int *first, int *last) {
     char line[LINE_SIZE];
     char *rest;
     FILE *range = fopen(RANGE_FILE, "r");
@@ -36,14 +36,16 @@
     return true;
 }
 
-/* How many ports are held; those that others have are in use as well. */
-static int hold_ports(void) {
+/* Binds ports of the range and returns how many were bound. Skips ports that cannot be bound, since
+ * other processes already use them. */
+static int bind_ports(void) {
     int first;
     int last;
     int count = 0;
-    if (!read_range(&first, &last)) return 0;
-    for (int port = first - first % HELD_EVERY + HELD_EVERY; port <= last; port += HELD_EVERY)
-        count += !hold_port(port);
+    if (!read_port_range(&first, &last)) return 0;
+    for (int port = first - first % HELD_PORT_STEP + HELD_PORT_STEP; port <= last;
+         port += HELD_PORT_STEP)
+        count += !bind_port(port);
     return count;
 }
 
@@ -53,8 +55,8 @@
         fprintf(stderr, "usage: tw_ports_held PROGRAM [ARGUMENT...]\n");
         return 64;
     }
-    if (!hold_ports()) {
-        fprintf(stderr, "no port could be held\n");
+    if (!bind_ports()) {
+        fprintf(stderr, "cannot bind any ports\n");
         return EXIT_FAILURE;
     }
     const pid_t child = fork();
--- a/tests/unit/wire_test.c
+++ b/tests/unit/wire_test.c
@@ -1,6 +1,6 @@
-/* Writes what the wire package prints and parses, to be compared with wire_golden.txt: every kind
- * of message printed, and every kind parsed as it is, malformed, and with each of its fields left
- * out or replaced by values that are nearly or not at all what the protocol says. */
+/* Prints the results of formatting and parsing messages, for comparison with wire_golden.txt. Each
+ * kind of message is formatted; and it is parsed unchanged, malformed, and with each field removed
+ * or replaced by values that the protocol allows, almost allows or forbids. */
 #include "outcome.h"
 #include "wire_test.h"
 #include "wire/wire.h"
@@ -8,11 +8,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LONGEST 300
+#define LABEL_SIZE 300
 #define X20 "xxxxxxxxxxxxxxxxxxxx"
 #define X60 X20 X20 X20
 
-/* What a field is replaced by, as JSON text; NULL: the field is left out. */
+/* Replacements of a field, as JSON text. NULL removes the field. */
 static const char *const replacements[] = {
     NULL,
     "null",
@@ -44,7 +44,7 @@
     "[\"x\",\"\"]",
     "[{}]",
     "[null]",
-    /* words of some fields, then names of tasks and lists of what runs */
+    /* enumerated values of some fields, then task names and lists of running tasks */
     "\"prod\"",
     "\"service\"",
     "\"group\"",
@@ -70,13 +70,13 @@
 };
 static const size_t replacement_count = sizeof replacements / sizeof *replacements;
 
-/* Texts that no parser should take, or only as an empty message. */
+/* Texts that a parser must refuse or read as an empty message. */
 static const char *const malformed[] = {
     "", "{", "[]", "null", "{} x", " {} \r\n\t ", "{}\x0b", "{\"a\"", "{\"a\":}", "\"{}\"", "{}{}"};
 static const size_t malformed_count = sizeof malformed / sizeof *malformed;
 
-/* The line that the kind's parser writes about text. Free it. */
-static char *parsed(const tw_test_message_kind *kind, const char *text) {
+/* Returns the line that the parser of the kind writes for text. Free it. */
+static char *parse_to_line(const tw_test_message_kind *kind, const char *text) {
     char *line = NULL;
     size_t size = 0;
     FILE *out = open_memstream(&line, &size);
@@ -86,54 +86,56 @@
     return line;
 }
 
-static void show(const tw_test_message_kind *kind, const char *label, const char *text) {
-    char *whole = parsed(kind, kind->text);
-    char prefix[LONGEST];
+static void show_outcome(const tw_test_message_kind *kind, const char *label, const char *text) {
+    char *baseline = parse_to_line(kind, kind->text);
+    char prefix[LABEL_SIZE];
     snprintf(prefix, sizeof prefix, "%s ", kind->name);
-    tw_test_outcome_show(prefix, label, parsed(kind, text), whole);
-    free(whole);
+    tw_test_outcome_add(prefix, label, parse_to_line(kind, text), baseline);
+    free(baseline);
 }
 
-static void show_end(const tw_test_message_kind *kind) {
-    char *whole = parsed(kind, kind->text);
-    tw_test_outcome_end(whole);
-    free(whole);
+static void finish_outcomes(const tw_test_message_kind *kind) {
+    char *baseline = parse_to_line(kind, kind->text);
+    tw_test_outcome_finish(baseline);
+    free(baseline);
 }
 
-static void show_tree(const tw_test_message_kind *kind, const char *label, const cJSON *root) {
+static void show_json_outcome(const tw_test_message_kind *kind, const char *label,
+                              const cJSON *root) {
     char *text = cJSON_PrintUnformatted(root);
     if (!text) abort();
-    show(kind, label, text);
+    show_outcome(kind, label, text);
     free(text);
 }
 
-/* Takes the field out of object, or puts the replacement's value in its place. */
-static void replace(cJSON *object, const char *field, const char *replacement) {
+/* Replaces the value of a field of object, or removes the field if replacement is NULL. */
+static void replace_field(cJSON *object, const char *field, const char *replacement) {
     if (replacement)
         cJSON_ReplaceItemInObjectCaseSensitive(object, field, cJSON_Parse(replacement));
     else
         cJSON_DeleteItemFromObjectCaseSensitive(object, field);
 }
 
-/* Parses the whole message root with each replacement of one field of object, which is part of it.
- */
+/* Parses the message root with each replacement of one field of object. object is root or an object
+ * inside it. */
 static void vary_field(const tw_test_message_kind *kind, const cJSON *root, cJSON *object,
                        const char *field) {
     printf("field %s\n", field);
     cJSON *original = cJSON_Duplicate(cJSON_GetObjectItemCaseSensitive(object, field), 1);
-    char label[LONGEST];
+    char label[LABEL_SIZE];
     for (size_t i = 0; i < replacement_count; i++) {
         cJSON_ReplaceItemInObjectCaseSensitive(object, field, cJSON_Duplicate(original, 1));
-        replace(object, field, replacements[i]);
+        replace_field(object, field, replacements[i]);
         snprintf(label, sizeof label, "%.40s", replacements[i] ? replacements[i] : "(out)");
-        show_tree(kind, label, root);
+        show_json_outcome(kind, label, root);
         if (!replacements[i]) cJSON_AddItemToObject(object, field, cJSON_Duplicate(original, 1));
     }
-    show_end(kind);
+    finish_outcomes(kind);
     cJSON_ReplaceItemInObjectCaseSensitive(object, field, original);
 }
 
-/* Varies every field of object, one of the message's, and of the objects within it. */
+/* Varies each field of object and of the objects inside it. object is root or an object inside it.
+ */
 static void vary_fields(const tw_test_message_kind *kind, const char *prefix, const cJSON *root,
                         cJSON *object) {
     char names[32][TW_WIRE_NAME_SIZE];
@@ -149,42 +151,43 @@
     }
 }
 
-/* With two fields wrong, one of them is named: the order of the checks. */
+/* Parses the message with each pair of fields invalid. The reported field shows the order of the
+ * checks. */
 static void vary_pairs(const tw_test_message_kind *kind) {
     cJSON *root = cJSON_Parse(kind->text);
     int count = cJSON_GetArraySize(root);
-    char label[LONGEST];
+    char label[LABEL_SIZE];
     for (int i = 0; i < count; i++) {
         for (int k = i + 1; k < count; k++) {
             cJSON *wrong = cJSON_Duplicate(root, 1);
             cJSON *first = cJSON_GetArrayItem(wrong, i);
             cJSON *second = cJSON_GetArrayItem(wrong, k);
             snprintf(label, sizeof label, "%s,%s={}", first->string, second->string);
-            replace(wrong, cJSON_GetArrayItem(root, i)->string, "{}");
-            replace(wrong, cJSON_GetArrayItem(root, k)->string, "{}");
-            show_tree(kind, label, wrong);
+            replace_field(wrong, cJSON_GetArrayItem(root, i)->string, "{}");
+            replace_field(wrong, cJSON_GetArrayItem(root, k)->string, "{}");
+            show_json_outcome(kind, label, wrong);
             cJSON_Delete(wrong);
         }
     }
-    show_end(kind);
+    finish_outcomes(kind);
     cJSON_Delete(root);
 }
 
-static void show_kind(const tw_test_message_kind *kind) {
-    char label[LONGEST];
+static void show_message_kind(const tw_test_message_kind *kind) {
+    char label[LABEL_SIZE];
     printf("parse %s\n", kind->name);
-    show(kind, "whole", kind->text);
-    tw_test_outcome_end("");
+    show_outcome(kind, "whole", kind->text);
+    tw_test_outcome_finish("");
     for (size_t i = 0; i < malformed_count; i++) {
         snprintf(label, sizeof label, "text %zu", i);
-        show(kind, label, malformed[i]);
+        show_outcome(kind, label, malformed[i]);
     }
-    show_end(kind);
+    finish_outcomes(kind);
     cJSON *root = cJSON_Parse(kind->text);
     if (!root) abort();
     vary_fields(kind, "message", root, root);
     cJSON_Delete(root);
-    if (kind->says_why) vary_pairs(kind);
+    if (kind->reports_reason) vary_pairs(kind);
 }
 
 static void show_ids(void) {
@@ -198,6 +201,7 @@
 int main(void) {
     show_ids();
     tw_test_print_messages(stdout);
-    for (size_t i = 0; i < tw_test_message_kind_count; i++) show_kind(&tw_test_message_kinds[i]);
+    for (size_t i = 0; i < tw_test_message_kind_count; i++)
+        show_message_kind(&tw_test_message_kinds[i]);
     return 0;
 }
