--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -25,25 +25,25 @@
     bool spot;
     double refused_until; /* no machine is requested from the offer before this time */
     int refusal_count;    /* consecutive requests that were refused or only partly granted */
-    int machine_count;    /* scratch of a plan: existing, requested and planned machines */
-    int wanted_count;     /* machines of the latest plan that are not requested yet */
-    double wanted_since;  /* when wanted_count became positive; 0: it is 0 */
+    int machine_count;   /* scratch of a plan: number of existing, requested and planned machines */
+    int wanted_count;    /* machines that the latest plan needs and that are not requested yet */
+    double wanted_since; /* when wanted_count became positive; 0: wanted_count is 0 */
     tw_boot_record boots;
 } tw_capacity_offer;
 
 /* A bin of the plan: the free capacity of an existing, a requested or a planned machine. */
 typedef struct tw_bin {
     tw_machine *machine;      /* NULL: the machine does not exist yet */
-    tw_capacity_offer *offer; /* rented from by this plan; NULL: existing or requested */
+    tw_capacity_offer *offer; /* offer of a planned machine; NULL for other machines */
     int type_index;           /* index in core->machine_types */
     bool spot;
     bool occupied;                         /* a task runs on the machine or may run on it */
-    bool considered_by_passes;             /* placement passes had the chance to use the machine */
+    bool considered_by_passes;             /* earlier placement passes could use the machine */
     const char *zone;                      /* owned by the machine or by its type */
     tw_capacity free_capacity;             /* not used by any task */
     tw_capacity held_for_incomplete_gangs; /* reserved for gangs whose tasks do not all fit */
     bool blocked_by_probation; /* the machine is on probation and accepts no further task */
-    int packed_count;          /* tasks in this bin of the job that was packed last */
+    int packed_count;          /* how many tasks in this bin belong to the job packed last */
 } tw_bin;
 
 /* The bins of a plan. They own no machines or offers. The caller frees them with tw_bins_free. */
@@ -131,8 +131,8 @@
 void tw_expected_releases_free(tw_expected_releases *releases);
 
 /* scale_in.c */
-/* Records since when each machine has been idle, and marks the machines for return that have been
- * idle for too long. */
+/* Updates the time since which each machine has been idle, and marks for return the machines that
+ * have been idle for too long. */
 void tw_scale_in_return_idle_machines(tw_core *core);
 /* Cancels the decommissioning of machines that a pending job may use. */
 void tw_scale_in_cancel_decommissions(tw_core *core);
@@ -140,7 +140,8 @@
  * whether it was cancelled. */
 bool tw_scale_in_keep_for_gang(tw_core *core, tw_machine *machine);
 /* Decommissions machines, one at a time (a few in a large fleet), whose replicas fit on other
- * machines. bins: the bins of all machines; the capacity for the moved tasks is taken from them. */
+ * machines. bins: the bins of all machines; the function subtracts the capacity for the moved tasks
+ * from them. */
 void tw_scale_in_consolidate(tw_core *core, tw_bins *bins);
 
 /* capacity_offers.c */
--- a/src/core/autoscaler_headroom.c
+++ b/src/core/autoscaler_headroom.c
@@ -10,7 +10,8 @@
 #include <stdbool.h>
 
 #define NEGLIGIBLE_PRICE_SHARE 0.02 /* share of the fleet's price */
-#define RATE_DECAY_S 60      /* arrival-free time until the rate decays; also the time constant */
+/* Time without arrivals after which the rate decays, and time constant of the decay. */
+#define RATE_DECAY_S 60
 #define EXPECTED_SHARE 0.5   /* share of the expected arrivals, to which the deviation is added */
 #define ROUND_DOWN_SHARE 0.3 /* a fraction of a task up to this value is rounded down */
 
@@ -68,8 +69,8 @@
     int reserved = 0;
     if (!tw_bin_is_allowed(bin, sample, class->sample_type_mask)) return 0;
     if (zone && strcmp(zone, bin->zone) != 0) return 0;
-    /* Placement passes do not use idle GPU machines for tasks without GPUs, so they are no
-     * headroom. */
+    /* Placement passes do not use idle GPU machines for tasks without GPUs, so such machines
+     * provide no headroom. */
     if (sample->gpus <= 0 && core->machine_types[bin->type_index].listed.gpus > 0 && !bin->occupied)
         return 0;
     while (reserved < max_tasks && tw_bin_fits(bin, sample) &&
--- a/src/core/autoscaler_int.h
+++ b/src/core/autoscaler_int.h
@@ -100,7 +100,8 @@
 /* machine_returns.c */
 /* Sends one request to the cloud that returns the machines marked with return_wanted. */
 void tw_machine_returns_send(tw_core *core);
-/* Handles the response: forgets the returned machines, or schedules another attempt. */
+/* Handles the response to a return request: removes the returned machines, or schedules another
+ * request if the return failed. */
 void tw_machine_returns_response(tw_core *core, const tw_call *call, int status);
 
 /* fleet_log.c */
@@ -116,7 +117,7 @@
 /* Handles a page of the cloud's list of rented machines. status: the HTTP status, or 0 if there was
  * no response. */
 void tw_machine_list_page(tw_core *core, int status, const char *body, size_t length);
-/* Requests the next page when it is due. */
+/* Requests the next page of the list of rented machines when it is due. */
 void tw_machine_list_tick(tw_core *core);
 
 #endif
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -143,8 +143,8 @@
     const int count = count_placeable_tasks(core, job);
     int needed = 0;
     if (job->spec.service) return count;
-    if (count > 0 && !releases->items)
-        tw_expected_releases_init(core, releases); /* usually no batch job is pending */
+    /* The releases are not computed earlier, since usually no batch job is pending. */
+    if (count > 0 && !releases->items) tw_expected_releases_init(core, releases);
     if (job->spec.gang) {
         if (count < job->task_count - job->done_count - job->placed_count)
             return 0; /* the team's limit does not allow the whole gang */
@@ -172,8 +172,8 @@
                 filter.excluded_zone = spread->zone_names[i];
         tw_capacity_offer *offer =
             tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter);
-        /* Until an offer that was refused recently grants a request, the job counts as
-         * capacity-bound. */
+        /* If the cloud has recently refused a request to the offer, the job counts as
+         * capacity-bound until the cloud grants one. */
         job->no_capacity_offered = !offer || offer->refusal_count > 0;
         /* A job without GPUs uses existing GPU machines before a GPU machine is rented for it. */
         if (tw_autoscaler_allow_gpu_machines(core, job, offer)) return needed;
@@ -196,8 +196,8 @@
         const char *zone = tw_autoscaler_choose_gang_zone(core, bins, job, needed);
         if (zone) find_or_add_zone(&spread, zone);
     }
-    /* Placement passes have found no place for a single task in the bins that they considered, but
-     * such a bin may hold a part of a gang. */
+    /* Placement passes have found no capacity for a single task in the bins that they considered,
+     * but such a bin may have capacity for a part of a gang. */
     const int first = job->spec.gang ? 0 : tw_bins_first_useful(bins, job);
     for (int i = first; i < bins->count && needed > 0; i++) {
         core->pass_steps++;
@@ -241,7 +241,7 @@
                  .spot = machine->spot,
                  .zone = machine->zone,
                  .occupied = tw_machine_is_occupied(machine),
-                 /* placement passes had the chance to use it */
+                 /* earlier placement passes could use the machine */
                  .considered_by_passes = machine->state == TW_MACHINE_UP &&
                                          core->context.now - machine->first_answered_at >
                                              core->context.config->report_s,
--- a/src/core/boot_record.c
+++ b/src/core/boot_record.c
@@ -12,12 +12,11 @@
 #include "core/workers.h"
 #include <stdbool.h>
 
-#define TOLERATED_FAILED_ROUNDS 1 /* don't increase the cost: a single machine may be late */
+#define TOLERATED_FAILED_ROUNDS 1 /* they don't increase the cost: a single machine may be late */
 #define MAX_FAILED_ROUNDS 16
 #define COST_FACTOR_PER_ROUND 4 /* for each further failed round */
-#define FAILURE_DECAY_STARTUP_TIMES                                                                \
-    20 /* startup times in which a failure's weight falls to 1/e                                   \
-        */
+/* Time in which a failure's weight decays to 1/e, as a multiple of the startup time. */
+#define FAILURE_DECAY_STARTUP_TIMES 20
 
 /* Returns the number of consecutive failed rounds, reduced exponentially with the age of the last
  * one. */
--- a/src/core/cancellation.c
+++ b/src/core/cancellation.c
@@ -10,7 +10,7 @@
 #include "core/jobs.h"
 #include "core/workers.h"
 
-/* Reason for which a cancellation can't be confirmed yet. */
+/* Reason why a cancellation can't be confirmed yet. */
 typedef enum {
     OBSTACLE_NONE,
     OBSTACLE_PREDECESSOR, /* an earlier leader may still renew a machine's lease */
@@ -38,7 +38,7 @@
  * the lease. */
 static tw_cancellation_safety launch_safety(const tw_core *core, const tw_placement *task) {
     if (!task->direct_launches) return TW_CANCELLATION_SAFE;
-    /* Once the response is overdue, the fate of the launch is unknown until the machine sends a
+    /* Once the response is overdue, the outcome of the launch is unknown until the machine sends a
      * heartbeat: a command in flight is then a later one, or a probe. */
     const bool may_be_answered = task->machine->command_in_flight &&
                                  core->context.now < task->direct_launch_at + TW_DIRECT_TIMEOUT_S;
@@ -117,8 +117,8 @@
     if (check.safety == TW_CANCELLATION_SAFE) tw_job_finish(core, job, TW_JOB_CANCELLED);
 }
 
-/* Stops the tasks whose direct launches have an unknown fate: their machines are sent a launch and
- * a stop command, after which they refuse the late launch. */
+/* Stops the tasks whose direct launches have an unknown outcome. Their machines are sent a launch
+ * and a stop command, and refuse a delayed direct launch afterwards. */
 static void settle_launches(tw_core *core, tw_job *job) {
     tw_placement *task, *next;
     DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
--- a/src/core/completed_jobs.h
+++ b/src/core/completed_jobs.h
@@ -22,8 +22,8 @@
     int done_count;          /* number of done tasks, 0 to TW_WIRE_MAX_TASKS */
 } tw_completion;
 
-/* Creates an empty table that uses at most that much memory, but has at least a minimal capacity.
- * The caller frees it with tw_completed_jobs_free. */
+/* Creates an empty table that uses at most max_bytes of memory, but has at least a minimal
+ * capacity. The caller frees it with tw_completed_jobs_free. */
 tw_completed_jobs *tw_completed_jobs_new(size_t max_bytes);
 /* Frees the table. Here and in the functions below, NULL stands for an empty table. */
 void tw_completed_jobs_free(tw_completed_jobs *table);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -50,8 +50,8 @@
 
 static void on_delegate_ready(void *owner) { tw_held_heartbeats_retry(owner); }
 
-static int on_list_cancelled(void *owner, const char **ids, int most) {
-    return tw_jobs_list_cancelled(owner, ids, most);
+static int on_list_cancelled(void *owner, const char **ids, int max_ids) {
+    return tw_jobs_list_cancelled(owner, ids, max_ids);
 }
 
 /* ---- construction and destruction ---- */
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -21,8 +21,9 @@
     TW_PORT_PEER /* from other nodes */
 } tw_port;
 
-/* Creates the core of a node that has no state and does not lead. config: not owned, must
- * outlive the core. seed: of the random number generator. Freed with tw_core_free. */
+/* Creates the core of a node that has no state and does not lead. config: not owned, must outlive
+ * the core. seed: seeds the random number generator. The caller frees the core with tw_core_free.
+ */
 tw_core *tw_core_new(const tw_config *config, uint64_t seed, double now, double wall);
 /* Frees the core with all effects that were not taken. */
 void tw_core_free(tw_core *core);
--- a/src/core/core_int.h
+++ b/src/core/core_int.h
@@ -1,6 +1,6 @@
-/* Includes the headers that all modules of the core share. Interfaces that only the modules of one
- * part share are declared in separate headers: workers.h, jobs.h, scheduler_int.h,
- * autoscaler_int.h, heartbeat_forwarder.h. Not for other packages. */
+/* Includes the headers that all modules of the core share. Interfaces that only some of the modules
+ * share are declared in separate headers: workers.h, jobs.h, scheduler_int.h, autoscaler_int.h,
+ * heartbeat_forwarder.h. Not for other packages. */
 #ifndef TW_CORE_INT_H
 #define TW_CORE_INT_H
 #include "core/attempt_termination.h"
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,6 +1,6 @@
 /* Counters of decisions and of broken invariants, and the only function that reports a broken
- * invariant (counters.c). Invariant: counters never decrease, also across terms of the
- * process. Not for other packages. */
+ * invariant (counters.c). Invariant: counters never decrease, not even when a term ends. Not for
+ * other packages. */
 #ifndef TW_CORE_COUNTERS_H
 #define TW_CORE_COUNTERS_H
 #include "core/attempt_termination.h"
@@ -8,13 +8,13 @@
 
 /* Why a received message was rejected or due work was not done. */
 typedef enum {
-    /* older than the newest heartbeat of its worker */
+    /* The heartbeat is older than the newest one of its worker. */
     TW_REJECTED_OLDER_HEARTBEAT,
-    /* from an incarnation whose lease has certainly expired */
+    /* The heartbeat belongs to an incarnation whose lease has certainly expired. */
     TW_REJECTED_EXPIRED_HEARTBEAT,
-    /* from a machine that was returned */
+    /* The heartbeat comes from a machine that was returned. */
     TW_REJECTED_RETURNED_MACHINE,
-    /* forwarded to a node without permission to answer it */
+    /* The heartbeat was forwarded to a node without permission to answer it. */
     TW_REJECTED_NO_PERMISSION,
     /* Launch and forget commands may be due, but the node lacks the permission to send them. */
     TW_REJECTED_COMMANDS,
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -7,7 +7,7 @@
  *   - gathering: tasks are launched, fetch their image, and wait for each other. A task reports
  *     that it runs -> running. A task that terminates is replaced on another machine under the
  *     same attempt if capacity is found in time, otherwise -> stopping. A task whose exit shows
- *     that the gang had started (an error, or `peers`) -> stopping.
+ *     that the gang had started (an error, or the termination of another task) -> stopping.
  *   - running: one task is done -> all are done, and the job has ended. One task terminates
  *     without being done -> stopping without a grace period: progress that was not saved is lost,
  *     and the other tasks would exit by themselves, but later.
--- a/src/core/gang_reservation.c
+++ b/src/core/gang_reservation.c
@@ -6,9 +6,9 @@
  * replicas, and jobs of its team only use what leaves the gang its part of the team's limit.
  *
  * A reservation lasts for at most MAX_RESERVATION_S and is followed by a pause of the same length,
- * so that other jobs don't wait forever either. No machine is reserved if the running tasks are not
- * expected to end within that time. The reservation is decided anew at the start of each pass;
- * machine->reserved_for_gang and core->reserving_gang are valid for that pass only. */
+ * so that other jobs aren't delayed indefinitely either. No machine is reserved if the running
+ * tasks are not expected to end within that time. The reservation is decided anew at the start of
+ * each pass; machine->reserved_for_gang and core->reserving_gang are valid for that pass only. */
 #include "core/scheduler_int.h"
 #include <stdbool.h>
 
@@ -173,7 +173,7 @@
     return job->spec.priority > gang->spec.priority;
 }
 
-/* Returns whether a team's limit leaves the reserved amount beside the used and the wanted one. A
+/* Returns whether a team's limit covers the sum of the used, the wanted and the reserved amount. A
  * limit of 0 or less means no limit. */
 static bool limit_leaves_amount(double limit, double used, double wanted, double reserved) {
     return limit <= 0 || used + wanted + reserved <= limit + TW_CAPACITY_ROUNDING;
@@ -181,8 +181,8 @@
 
 bool tw_gang_reservation_allows_team(const tw_core *core, const tw_job *job) {
     const struct tw_job *gang = core->reserving_gang;
-    /* The limit only applies to jobs that the reservation holds back and that share the gang's
-     * limit. */
+    /* The check applies only to jobs that are subject to the reservation and share the limit of the
+     * gang's team. */
     if (!gang || gang == job || job->spec.service || job->team != gang->team ||
         job->spec.priority > gang->spec.priority || job->team < 0)
         return true;
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -178,8 +178,8 @@
     if (state == TW_JOB_CANCELLED) tw_job_note_cancelled(core, job);
     /* The tasks are stopped before the end is known to be durable: once the write of a cancellation
      * is sent, another node may read the record and report it to the user, and this node may never
-     * learn of it. What the tasks do from now on is of no use. In a gang that is done, some tasks
-     * may not have ended; they count as placed until they have. */
+     * learn of it. The results of the tasks are not needed from now on. In a gang that is done,
+     * some tasks may not have ended; they count as placed until they have. */
     DL_FOREACH_SAFE2(job->placements, task, next, job_next) {
         tw_placement_stop(core, task, 0, false);
     }
@@ -291,10 +291,11 @@
     if (index < 0) return true;
     const tw_config_team *team = &core->context.config->teams[index];
     /* Number of tasks that must run at the same time. */
-    const double at_once = spec->service || spec->gang ? spec->task_count : 1;
-    if (team->cpus_max > 0 && spec->cores * at_once > team->cpus_max + TW_CAPACITY_ROUNDING)
+    const double concurrent_tasks = spec->service || spec->gang ? spec->task_count : 1;
+    if (team->cpus_max > 0 &&
+        spec->cores * concurrent_tasks > team->cpus_max + TW_CAPACITY_ROUNDING)
         return true;
-    if (team->gpus_max > 0 && spec->gpus * at_once > team->gpus_max + TW_CAPACITY_ROUNDING)
+    if (team->gpus_max > 0 && spec->gpus * concurrent_tasks > team->gpus_max + TW_CAPACITY_ROUNDING)
         return true;
     const uint32_t mask = tw_machine_type_mask(core, spec);
     for (int i = 0; i < core->machine_type_count; i++)
--- a/src/core/job_class.c
+++ b/src/core/job_class.c
@@ -14,7 +14,8 @@
 #define MIN_INTERARRIVAL_S 0.05
 /* Weight of a new job in the average number of tasks per job. */
 #define SIZE_WEIGHT 0.2
-/* After the start of the service, jobs that were waiting for it arrive for that many leases. */
+/* Time after the start of the service, in leases, during which jobs that were waiting for the start
+ * arrive. */
 #define STARTUP_BURST_LEASES 4
 
 tw_job_class *tw_job_class_get(tw_core *core, const char *name) {
--- a/src/core/job_lookup.c
+++ b/src/core/job_lookup.c
@@ -2,8 +2,8 @@
  * record from the state service after the query arrived, and answers from the result. A leader also
  * updates its memory from the record.
  *
- * Invariant: a record of an unknown job is only restored as a job if no job can have left the
- * memory since the read began. */
+ * Invariant: a record of an unknown job is only restored as a job if no job can have been removed
+ * from memory since the read began. */
 #include "core/jobs.h"
 
 /* Time-out of the read. Users wait 2 s for the answer to a query. */
@@ -81,7 +81,7 @@
 /* Answers a cancellation of a job that has no record. Only the leader can state that there is no
  * such job, since it knows the submissions that are being written. Users who cancel such a
  * submission, or ask any other node, have to retry. */
-static void answer_nothing_to_cancel(tw_core *core, const tw_call *call) {
+static void answer_unrecorded_cancellation(tw_core *core, const tw_call *call) {
     if (!tw_leader_may_answer(core))
         tw_reply_error(&core->context, call->connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
     else if (tw_job_find(core, call->name))
@@ -96,7 +96,7 @@
     if (call->operation == TW_OPERATION_REFUSE)
         tw_reply_error(&core->context, call->connection, TW_HTTP_IMPOSSIBLE, 0, "can never run");
     else if (call->operation == TW_OPERATION_CANCEL)
-        answer_nothing_to_cancel(core, call);
+        answer_unrecorded_cancellation(core, call);
     else
         tw_reply_error(&core->context, call->connection, TW_HTTP_NOT_FOUND, 0, "no such job");
 }
--- a/src/core/job_persistence.c
+++ b/src/core/job_persistence.c
@@ -37,7 +37,7 @@
         record.has_job = true;
         record.job_text = job->spec_text;
     }
-    /* The version in production derives the number of done tasks from their list, even if the job
+    /* Nodes of an earlier version derive the number of done tasks from their list, even if the job
      * is done and some of its tasks may still run. */
     if (job->state == TW_JOB_PENDING || (job->state == TW_JOB_DONE && record.assignment_count))
         record.done_ranges =
@@ -68,8 +68,8 @@
     job->state = job->durable_state = state;
 }
 
-/* Answers the clients that waited for the record, and has the tasks launched whose placement is
- * durable. */
+/* Answers the clients that waited for the record, and requests the launch of the tasks whose
+ * placements are durable now. */
 static void on_written(void *owner, void *item) {
     tw_core *core = owner;
     tw_job *job = item;
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -233,10 +233,10 @@
  * placement goes to a team in turn. */
 static tw_job *take_overdue_job(const tw_core *core, tw_job_queue *queue,
                                 tw_wire_priority priority) {
-    job_range *left = &queue->overdue_by_priority[priority];
-    if (core->overdue_credit[priority] <= 0 || range_is_empty(*left)) return NULL;
+    job_range *remaining = &queue->overdue_by_priority[priority];
+    if (core->overdue_credit[priority] <= 0 || range_is_empty(*remaining)) return NULL;
     queue->last_group = OVERDUE_JOB_SERVED;
-    return queue->overdue[left->start++];
+    return queue->overdue[remaining->start++];
 }
 
 /* Returns the non-empty group of the level whose team uses least relative to its share. -1: no
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -55,7 +55,7 @@
     bool confirmed;                 /* the worker has seen this term's fencing token */
     double confirmed_at;            /* when this node learned that the worker has seen the token */
     double known_since;             /* when the machine was rented, or first listed or reported */
-    double answered_at;             /* when the last answer to a heartbeat was made */
+    double answered_at;             /* when a heartbeat was last answered */
     double last_contact_at;         /* last heartbeat, or response with the machine's state */
     double first_answered_at;       /* when a heartbeat was answered for the first time */
     double answered_older_at;       /* last answer to a heartbeat older than the newest one */
@@ -72,7 +72,7 @@
     int unconfirmed_probes;
     double commands_paused_until; /* end of the pause in direct commands after a failed request */
     bool in_command_queue;        /* the machine is in core->command_queue */
-    /* Until when a command to forget an exited task of a gang may still be executed. */
+    /* Time until which a command to forget an exited task of a gang may still be executed. */
     double gang_forgets_until;
     struct tw_machine *queue_prev, *queue_next;
 
@@ -131,7 +131,8 @@
      * varies from fetch to fetch. */
     double fetch_deviation;
     double overdue_share; /* average share of machines that boot late or never */
-    /* Scratch of a plan: sum of overdue_share over booting machines; at 1, one isn't counted on. */
+    /* Scratch of a plan: sum of overdue_share over booting machines. Each time it reaches 1, the
+     * plan ignores the capacity of one machine and subtracts 1. */
     double overdue_share_sum;
     /* Scratch of a plan: latest rental time of a machine whose boot is overdue; 0: no boot is
      * overdue. */
--- a/src/core/machine_statistics.c
+++ b/src/core/machine_statistics.c
@@ -27,9 +27,9 @@
 }
 
 /* Updates the fetch averages with a fetch of a task's image that took fetch_s seconds. The
- * interference of concurrent fetches is estimated too: the assumption that they share the rate
- * equally made machines that fetch look slow, and made those that had fetched concurrently look
- * fast. */
+ * interference of concurrent fetches is estimated, too: with the assumption that they share the
+ * rate equally, machines that were fetching were rated too slow, and machines that had fetched
+ * concurrently were rated too fast. */
 static void update_fetch_averages(tw_core *core, const tw_placement *placed, double fetch_s) {
     tw_machine *machine = placed->machine;
     tw_machine_type *type = &core->machine_types[machine->type_index];
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -84,7 +84,7 @@
 }
 
 /* Logs the expiry of the lease with the age, in seconds, of each time that it was computed from.
- * For an event that never happened, the age is that of the clock. */
+ * For an event that never happened, the logged age is the current time. */
 static void log_lease_expiry(const tw_core *core, const tw_machine *machine) {
     const tw_lease_expiry expiry = tw_lease_expiry_compute(core, machine);
     const double now = core->context.now;
--- a/src/core/mixed_version_placement.c
+++ b/src/core/mixed_version_placement.c
@@ -2,10 +2,10 @@
  *
  * Such a successor may mistake a later incarnation of a machine for a new machine, and then
  * considers all tasks that the record lists there ended. When it receives the machine's
- * heartbeat, it adopts the listed tasks if the zones allowed for the job permit that. Machines
- * from which it has not received a heartbeat count against the job: for a job with spread such
- * a machine may be in the same zone, for a single-zone job in another one. A task that is not
- * adopted is started again while it is still running.
+ * heartbeat, it adopts the listed tasks if the zones allowed for the job permit that. A machine
+ * from which it has not received a heartbeat may be in any zone, so the successor assumes the least
+ * favorable one: the same zone for a job with spread, another zone for a single-zone job. A task
+ * that is not adopted is started again while it is still running.
  *
  * Invariant: of a job with spread or a single zone, either so few tasks are placed that the
  * successor adopts them whichever heartbeats it has received, or all tasks are on machines in
@@ -16,9 +16,9 @@
 
 #define FIRST_INCARNATION 1
 
-/* Returns how many of the job's tasks a successor of an earlier version adopts whichever
- * heartbeats it has received. It
- * adopts more than one task of a single-zone job only if all are on the same machine. */
+/* Returns how many of the job's tasks a successor of an earlier version adopts whichever heartbeats
+ * it has received. The successor adopts more than one task of a single-zone job only if all are on
+ * the same machine. */
 static int max_always_adopted(const tw_job *job) {
     return job->spec.single_zone ? 1 : (job->task_count + 1) / 2;
 }
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -116,10 +116,10 @@
         return;
     }
     core->admission_watch_in_flight = false;
-    const bool list = call->kind == TW_CALL_LIST_PEER_ADMISSIONS;
+    const bool is_list = call->kind == TW_CALL_LIST_PEER_ADMISSIONS;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, length) ||
-        (list ? tw_wire_entries_parse(&entries, &count, &more, body, length)
-              : tw_wire_watch_keys_parse(&entries, &count, body, length))) {
+        (is_list ? tw_wire_entries_parse(&entries, &count, &more, body, length)
+                 : tw_wire_watch_keys_parse(&entries, &count, body, length))) {
         if (status == TW_HTTP_GONE) core->admission_watch_revision = 0;
         core->next_admission_watch_at =
             core->context.now + RETRY_RATIO * tw_cluster_lease_s(core->cluster);
--- a/src/core/record_size.c
+++ b/src/core/record_size.c
@@ -1,7 +1,7 @@
 /* Bounds the length of a job's record: limits the number of tasks that run at the same time so that
  * the record fits into one value of the state service.
  *
- * Beside the job as submitted, the text lists each task that may run (index, attempt, machine) and
+ * Besides the job as submitted, the text lists each task that may run (index, attempt, machine) and
  * the ranges of done tasks. Tasks are placed in the order of their indices. Therefore, below the
  * highest index that was ever placed, the number of tasks that are not done is at most the
  * number of tasks that may run: with n running tasks there are at most n + 1 ranges. */
--- a/src/core/rejected_admissions.c
+++ b/src/core/rejected_admissions.c
@@ -5,7 +5,8 @@
 
 /* Maximum share of the configured memory that rejected admissions may use. */
 #define MEMORY_SHARE 0.05
-/* Memory of a rejected admission beside its struct: hash entry and allocations. */
+/* Memory, in bytes, that a rejected admission needs in addition to its struct, for the hash entry
+ * and for allocations. */
 #define OVERHEAD_BYTES 100
 #define BYTES_PER_MIB (1024 * 1024)
 
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -24,7 +24,7 @@
 
 /* Returns whether a task keeps the machine from being idle: one that runs or may run, or one that
  * ended and that the machine will soon forget. A task whose launch may still arrive, or arrive a
- * second time, is forgotten only much later, so it does not keep the machine. */
+ * second time, is forgotten only much later, so it does not count. */
 static bool holds_work(const tw_core *core, const tw_machine *machine) {
     const tw_placement *placed;
     DL_FOREACH(machine->placements, placed) {
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -175,7 +175,7 @@
     tw_rental_request *rental_requests;
     uint64_t next_rental_request;
     double next_plan_at;
-    double no_scale_out_until; /* no machine is rented before */
+    double no_scale_out_until; /* no machine is rented before this time */
     double next_consolidation_at;
     double next_fleet_log_at;
 };
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -104,7 +104,7 @@
 }
 
 /* Returns whether the attempt is the task's only one. The placement already requires this. It is
- * checked again at the launch, because an error would make the task run twice from here on. */
+ * checked again at the launch, because an undetected error would make the task run twice. */
 static bool is_only_attempt(tw_core *core, const tw_placement *placed) {
     const tw_job *job = placed->job;
     if (placed->counted && !placed->inherited &&
--- a/src/core/workers.h
+++ b/src/core/workers.h
@@ -126,8 +126,8 @@
 /* ---- command_messages.c ---- */
 
 /* Each of these functions returns the text of a message with commands and the fencing token; the
- * caller frees it. They return NULL if this node has no permission for the commands.
- * That is an error of the caller, and nothing may be sent. */
+ * caller frees it. They return NULL if this node has no permission for the commands. That is an
+ * error of the caller, who must send nothing. */
 
 /* Composes the answer to a heartbeat. An answer without commands only renews the lease. */
 char *tw_commands_reply_text(tw_core *core, const tw_command_list *commands);
