--- a/src/core/attempt_termination.c
+++ b/src/core/attempt_termination.c
@@ -50,7 +50,7 @@
 
 void tw_launch_note_response(tw_placement *placed, bool refused) {
     if (placed->direct_launches) placed->direct_launches--;
-    /* Neither this launch nor another one is in flight. */
+    /* No launch of the attempt is in flight any more. */
     if (refused && !placed->reported && !placed->launch_sequence && !placed->direct_launches)
         placed->launch_sent = false;
 }
@@ -66,12 +66,12 @@
     return placed->launch_sent || placed->direct_launches || placed->inherited;
 }
 
-/* Returns whether the attempt could run only in an incarnation before the heartbeat's. When an
- * incarnation ends, the worker kills and forgets all its tasks. For its own launches this leader
+/* Returns whether the attempt could run only in an incarnation before that of the heartbeat. When
+ * an incarnation ends, the worker kills and forgets all its tasks. For its own launches this leader
  * knows the incarnation. An earlier leader may have launched the attempt in the new incarnation, or
  * by a message that is still in flight, unless the machine already refused that leader's token in
- * the old incarnation. `confirmed` has the value from before this heartbeat; if this heartbeat
- * confirms the machine, the attempt is terminated as absent. */
+ * the old incarnation. The machine's `confirmed` still has its value from before this heartbeat; if
+ * this heartbeat confirms the machine, the attempt is terminated as absent. */
 static bool is_of_earlier_incarnation(const tw_placement *placed,
                                       const tw_wire_heartbeat *heartbeat) {
     if (placed->inherited) return placed->machine->confirmed;
@@ -121,8 +121,8 @@
     return !tw_cluster_is_leader(core->cluster);
 }
 
-/* Returns whether a caller may pass the evidence without knowing that it holds. With all other
- * evidence it is an error of the caller if the evidence doesn't hold. */
+/* Returns whether a caller may pass the evidence without knowing that it holds. For all other kinds
+ * of evidence it is an error of the caller if the evidence doesn't hold. */
 static bool may_be_refuted(tw_termination_evidence evidence) {
     return evidence == TW_EVIDENCE_ABSENT || evidence == TW_EVIDENCE_LAUNCH_LOST ||
            evidence == TW_EVIDENCE_NEW_INCARNATION;
@@ -161,7 +161,8 @@
                  core->context.now - placed->placed_at);
 }
 
-/* Stops counting the attempt on its machine, against its team's limit and in its zone. */
+/* Subtracts the attempt's resources from those used on its machine and by its team, and removes the
+ * placement from the job's list, from which the job's zone constraints are computed. */
 static void release_attempt_amounts(tw_core *core, tw_placement *placed) {
     tw_job *job = placed->job;
     tw_placement_account(core, placed, -1);
--- a/src/core/attempt_termination.h
+++ b/src/core/attempt_termination.h
@@ -1,5 +1,5 @@
-/* Termination of attempts (attempt_termination.c): decides from typed evidence whether an attempt
- * to run a task can no longer run.
+/* Termination of attempts (attempt_termination.c): decides from evidence, of one of the kinds
+ * below, whether an attempt to run a task can no longer run.
  *
  * Every code path that ends an attempt uses this module, and no other module frees a placement or
  * makes a task available for another attempt. Invariant: an attempt that may still run, or may
@@ -53,9 +53,9 @@
  * be placed again unless the task is done. Returns whether the evidence held.
  *
  * After TW_EVIDENCE_EXITED the placement stays in the machine's list, since the machine may still
- * report the attempt, and the caller marks the job as changed after updating its state. With all
- * other evidence this function frees the placement and, unless the placement was undone or the term
- * has ended, marks the job as changed. */
+ * report the attempt, and the caller marks the job as changed after updating its state. For all
+ * other kinds of evidence this function frees the placement and, unless the placement was undone or
+ * the term has ended, marks the job as changed. */
 bool tw_attempt_terminate(tw_core *core, tw_placement *placed,
                           const tw_attempt_termination *termination);
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,5 +1,5 @@
 /* The scheduler's core: a deterministic state machine. The caller passes inputs (requests,
- * responses, ticks) with the current time and takes out effects (replies to send, calls to
+ * responses, ticks) with the current time and retrieves effects (replies to send, calls to
  * make). The core does no I/O, reads no clock and has no global state, so that tests can drive
  * it through any order of events.
  *
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -68,12 +68,12 @@
     if (machine->command_in_flight || core->context.now < machine->commands_paused_until ||
         (!machine->commands_requested && !machine->probe_requested))
         return;
-    const bool probe = machine->probe_requested;
+    const bool is_probe = machine->probe_requested;
     const double silent_s = core->context.now - machine->last_contact_at;
     const double recent_contact_s = TW_RECENT_CONTACT_HEARTBEATS * core->context.config->report_s;
     machine->commands_requested = machine->probe_requested = false;
     if (machine->return_wanted || !*machine->endpoint) return;
-    if (!probe &&
+    if (!is_probe &&
         (machine->state != TW_MACHINE_UP || !machine->confirmed || silent_s > recent_contact_s))
         return;
     if (!machine->incarnation) { /* commands require the incarnation, which is not known yet */
@@ -83,7 +83,7 @@
     tw_command_list commands = tw_command_list_new(core);
     if (machine->confirmed && silent_s < recent_contact_s)
         tw_commands_add_due(core, machine, &commands, 0);
-    if (!commands.count && !probe) return;
+    if (!commands.count && !is_probe) return;
     char *body = tw_commands_direct_text(core, machine, &commands);
     if (!body) return;
     note_launches(send_to_machine(core, machine, "POST", "/orders", body), &commands);
@@ -129,8 +129,8 @@
     }
 }
 
-/* Records that a direct launch of the task has got its response. refused: the machine did not
- * execute it. */
+/* Records that the machine has responded to a direct launch of the task. refused: the machine did
+ * not execute it. */
 static void settle_launch(const tw_machine *machine, const char *task, uint64_t attempt,
                           bool refused) {
     tw_placement *placed;
--- a/src/core/expected_releases.c
+++ b/src/core/expected_releases.c
@@ -11,7 +11,7 @@
 /* Assumed delay until a placed task that is not running yet starts. */
 #define START_DELAY_S 1
 
-/* For qsort: the earliest release first. */
+/* Comparison function for qsort: orders by time. */
 static int compare_by_time(const void *left, const void *right) {
     const tw_expected_release *a = left, *b = right;
     return a->available_at < b->available_at ? -1 : a->available_at > b->available_at;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -212,10 +212,11 @@
 /* Returns whether all tasks that may run belong to the gang's attempt, and none of them is being
  * stopped while the gang is not. */
 static bool has_single_attempt(const tw_job *job) {
-    const bool stops = job->gang.state == TW_GANG_STOPPING;
+    const bool gang_is_stopping = job->gang.state == TW_GANG_STOPPING;
     const tw_placement *task;
     DL_FOREACH2(job->placements, task, job_next) {
-        if (task->attempt != job->gang.attempt || (task->stopping && !stops)) return false;
+        if (task->attempt != job->gang.attempt || (task->stopping && !gang_is_stopping))
+            return false;
     }
     return true;
 }
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -32,9 +32,9 @@
     uint64_t attempt;
     double grace_s;       /* while stopping: grace period of its tasks */
     bool saved;           /* while stopping: a task has reported that its progress is saved */
-    double waiting_since; /* time at which a task was first reported to wait for the others; 0: none
-                             was */
-    double missing_since; /* time since which a task waits for its replacement; 0: none does */
+    double waiting_since; /* time at which a task was first reported to wait for the others; 0: no
+                             task was */
+    double missing_since; /* time since which a task waits for its replacement; 0: no task does */
     /* Machines on which a task of this attempt terminated; not owned. */
     struct tw_machine *vacated_machines[TW_GANG_MAX_REPLACEMENTS];
     int vacated_machine_count;
--- a/src/core/gang_zones.c
+++ b/src/core/gang_zones.c
@@ -86,7 +86,7 @@
     return zones;
 }
 
-/* Returns how many tasks all zones together have capacity for if no zone takes more than
+/* Returns how many tasks all zones together have capacity for if each zone gets at most
  * max_tasks_in_zone. The machines without a zone index count as one more zone. */
 static int count_tasks_in_all_zones(const tw_core *core, const tw_job *job, const zone_table counts,
                                     bool with_preemption) {
--- a/src/core/heartbeat_forwarder.c
+++ b/src/core/heartbeat_forwarder.c
@@ -118,8 +118,8 @@
     } else {
         if (tw_cluster_redirect_home(core->cluster, connection, heartbeat->worker, heartbeat->zone))
             return;
-        /* If the worker's zone has no node that answers it, the leader does: directly after a
-         * redirect, or through this node if the worker returned here after such a redirect. */
+        /* If no node of the worker's zone can answer the heartbeat, the leader does: directly after
+         * a redirect, or through this node if the worker returned here after such a redirect. */
         if (!tw_cluster_leader_addr(core->cluster)) {
             tw_reply_error(&core->context, connection, TW_HTTP_UNAVAILABLE, 1, "no leader");
             return;
--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -65,7 +65,7 @@
 
 /* ---- team guarantees ---- */
 
-/* For qsort: by team, then by time of submission. */
+/* Comparison function for qsort: orders by team, then by time of submission. */
 static int compare_by_submission(const void *left, const void *right) {
     const tw_job *a = *(tw_job *const *)left, *b = *(tw_job *const *)right;
     if (a->team != b->team) return a->team < b->team ? -1 : 1;
@@ -134,7 +134,7 @@
     double deadline_at;
 } grouped_job;
 
-/* For qsort: by group, then the earliest deadline first, then by id. */
+/* Comparison function for qsort: orders by group, then by deadline, then by id. */
 static int compare_by_group(const void *left, const void *right) {
     const grouped_job *a = left, *b = right;
     if (a->group != b->group) return a->group < b->group ? -1 : 1;
@@ -170,7 +170,8 @@
     double weighted_wait;
 } waiting_job;
 
-/* For qsort: by priority, then the longest weighted wait first, then by id. */
+/* Comparison function for qsort: orders by priority, then by weighted wait, the longest first, then
+ * by id. */
 static int compare_by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
     if (a->job->spec.priority != b->job->spec.priority)
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -103,7 +103,7 @@
     double slowness_step;       /* cached logarithm of the slowness, see preference.c */
     double slowness_step_input; /* the slowness from which slowness_step was computed */
 
-    /* Resources that counted placements use. */
+    /* Resources used by placements that are counted (tw_placement.counted). */
     double used_cores, used_gpus, used_memory_gb; /* sum over all counted placements */
     /* Sum over the preempted placements, whose resources are promised to other tasks. */
     double vacating_cores, vacating_gpus, vacating_memory_gb;
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -15,8 +15,8 @@
 /* Maximum age of the last read of the delegates' keys, in leases, at which a lease may be declared
  * expired; older keys are read again first. */
 #define DELEGATES_MAX_AGE_LEASES 0.1
-/* Share of the time until a preemption within which a batch task must be expected to complete in
- * order not to be stopped. */
+/* Share of the time until a preemption. A batch task that is expected to complete within it is not
+ * stopped. */
 #define COMPLETION_NOTICE_SHARE 0.5
 /* Time for which the names of returned machines are kept, as a number of seconds plus a multiple of
  * the lag of the cloud's list. Meanwhile late heartbeats of these machines, and lists that still
--- a/src/core/placement_pass.c
+++ b/src/core/placement_pass.c
@@ -101,8 +101,8 @@
     return placed;
 }
 
-/* Removes the placements that are newer than the gang's record, and restores next_attempt so
- * that the attempts they used are free again. */
+/* Removes the placements that are newer than the gang's record, and restores next_attempt so that
+ * the attempt numbers of these placements can be used again. */
 static void undo_placements(tw_core *core, tw_job *job, uint64_t next_attempt) {
     tw_placement *placed;
     tw_placement *next;
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -78,8 +78,8 @@
 }
 
 /* Returns the task on the machine that costs least to stop, other than those already marked as
- * victims, and sets *least_cost_s to its cost. NULL: there is none. A task that still lacks
- * GPUs considers only victims that use GPUs. */
+ * victims, and sets *least_cost_s to its cost. NULL: there is none. While the new task still lacks
+ * GPUs, only tasks that use GPUs are considered. */
 static tw_placement *find_cheapest_victim(const tw_core *core, const tw_machine *machine,
                                           const tw_job *job, const tw_capacity *available,
                                           double *least_cost_s) {
@@ -173,12 +173,12 @@
             continue;
         }
         const tw_prediction prediction = tw_predict_duration(core, demand, machine);
-        const bool late = !(tw_predict_end(core, demand, &prediction) <= demand->deadline_at);
-        if (late && in_time) continue;
-        const preemption_limit limit = {late ? COST_OF_MISSED_DEADLINE_S : 0, least_cost_s};
-        const bool enough = select_victims(core, job, machine, &limit, &cost_s);
+        const bool is_late = !(tw_predict_end(core, demand, &prediction) <= demand->deadline_at);
+        if (is_late && in_time) continue;
+        const preemption_limit limit = {is_late ? COST_OF_MISSED_DEADLINE_S : 0, least_cost_s};
+        const bool task_fits = select_victims(core, job, machine, &limit, &cost_s);
         clear_victim_marks(machine);
-        if (!enough || cost_s + limit.penalty_s >= least_cost_s) continue;
+        if (!task_fits || cost_s + limit.penalty_s >= least_cost_s) continue;
         least_cost_s = cost_s + limit.penalty_s;
         best = machine;
     }
--- a/src/core/reserve.c
+++ b/src/core/reserve.c
@@ -10,7 +10,7 @@
 #include "core/core_int.h"
 #include <stdbool.h>
 
-/* Multiplies the slots of a class whose tasks start in time only with a cached image. */
+/* Factor for the number of slots of a class whose tasks start in time only with a cached image. */
 #define CACHED_IMAGE_FACTOR 3
 #define ROUND_DOWN_SHARE 0.3 /* a fraction of a task up to this value is rounded down */
 
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -14,7 +14,8 @@
 #define PASS_INTERVAL_HEARTBEATS 0.3 /* heartbeat intervals between passes that move tasks */
 #define MIN_MOVES_PER_PASS 2         /* tasks that a pass may always move */
 #define MOVE_WRITE_SHARE 0.25 /* share of the state service's write rate that moves may use */
-#define MACHINES_PER_DECOMMISSION 20 /* fleet machines for each decommission beyond the first */
+/* Fleet size, in machines, for each concurrent decommission beyond the first. */
+#define MACHINES_PER_DECOMMISSION 20
 #define MIN_UP_LEASES 2 /* leases for which a machine is up before its decommissioning */
 /* Longest image fetch of a moved replica, as a share of its start objective. */
 #define MAX_FETCH_SHARE 0.5
--- a/src/core/scheduler_int.h
+++ b/src/core/scheduler_int.h
@@ -166,8 +166,9 @@
 uint32_t tw_gang_candidate_zones(tw_core *core, struct tw_job *job, int tasks);
 
 /* ---- gang_reservation.c ---- */
-/* Selects the machines to reserve for a gang that has waited for long (core->reserving_gang;
- * NULL: none). Called at the start of each pass after tw_candidates_update. */
+/* Selects the machines to reserve for a gang that has waited for long, and sets
+ * core->reserving_gang to the gang, or to NULL if no machines are reserved. Called at the start of
+ * each pass after tw_candidates_update. */
 void tw_gang_reservation_update(tw_core *core);
 /* Returns whether reservations allow the job on the machine. */
 bool tw_gang_reservation_allows(const tw_core *core, const struct tw_job *job,
--- a/src/core/scores.c
+++ b/src/core/scores.c
@@ -12,8 +12,8 @@
 #include <stdbool.h>
 
 #define INITIAL_CAPACITY 64
-/* Maximum number of kinds of tasks with scores at the same time. There are several because the
- * teams are served in turn. */
+/* Maximum number of kinds of tasks with scores at the same time. Several are needed because the
+ * teams are served in turn, so that the kinds alternate. */
 #define TABLES_MAX 8
 
 /* Everything that a score depends on besides the machine. */
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -33,8 +33,8 @@
     tw_counters counters;
 
     /* ---- cluster ----
-     * Which node leads and what this node may do. Always read from the package, never cached here.
-     */
+     * The leader and the permissions of this node. The core asks the cluster package each time and
+     * caches neither. */
     tw_cluster *cluster;
 
     /* ---- store (src/store, job_persistence.c) ----
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -6,8 +6,8 @@
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Number of machines in the fleet for each further one that may be declared unresponsive within the
- * duration of a lease. */
+/* Fleet size, in machines, for each machine beyond the first that may be declared unresponsive
+ * within the duration of a lease. */
 #define MACHINES_PER_UNRESPONSIVE 15
 /* Maximum age of the last answer, in leases, at which a new incarnation shows that answers don't
  * reach the worker: its lease expired although a heartbeat was answered so recently. */
@@ -220,7 +220,7 @@
                               const tw_wire_heartbeat *heartbeat) {
     machine->first_answered_at = core->context.now;
     if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
-    /* The boot time of a machine that was unknown until this heartbeat is not known. */
+    /* If the machine was unknown until this heartbeat, its boot time is not known. */
     if (machine->type_index >= 0 && machine->known_since < core->context.now)
         tw_boot_records_note_up(core, machine);
     tw_log_info("event=machine_started worker=%s machine_type=%s zone=%s spot=%d after=%.1f",
