--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -94,7 +94,8 @@
  * how many are free. */
 void tw_reserve_update(tw_core *core);
 /* Returns whether a task of the job can be placed on the machine without using the capacity that is
- * reserved for other classes. True for batch jobs and for jobs that are not capacity-bound. */
+ * reserved for other classes. True for batch jobs and for jobs for which machines can be rented
+ * (no_capacity_offered is false). */
 bool tw_reserve_allows(const tw_core *core, const tw_machine *machine, const tw_job *job);
 /* Subtracts the slots that a task of the job uses up from those that are free for each class. The
  * caller calls this before it places the task on the machine. */
--- a/src/core/autoscaler_plan.c
+++ b/src/core/autoscaler_plan.c
@@ -172,8 +172,8 @@
                 filter.excluded_zone = spread->zone_names[i];
         tw_capacity_offer *offer =
             tw_offer_find_cheapest(core, &job->spec, job->type_mask, &filter);
-        /* If the cloud has recently refused a request to the offer, the job counts as
-         * capacity-bound until the cloud grants one. */
+        /* If the cloud has recently refused a request to the offer, the job counts as one for which
+         * no machine can be rented, until the cloud grants a request. */
         job->no_capacity_offered = !offer || offer->refusal_count > 0;
         /* A job without GPUs uses existing GPU machines before a GPU machine is rented for it. */
         if (tw_autoscaler_allow_gpu_machines(core, job, offer)) return needed;
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -7,7 +7,7 @@
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Maximum number of requests in flight up to which silent machines are probed, as a share of the
+/* Number of requests in flight from which no further silent machines are probed, as a share of the
  * node's sockets. */
 #define MAX_PROBES_PER_SOCKET 0.06
 /* Minimum share of the leader's lease that must remain, so that a direct launch arrives before the
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -1,5 +1,6 @@
-/* Gangs: jobs whose tasks run at the same time or not at all. The tasks of one start recognize each
- * other by their common attempt; they start when the last one has its image, and complete together.
+/* Gangs: jobs whose tasks run at the same time or not at all. The tasks that start together
+ * recognize each other by their common attempt; they start when the last one has its image, and
+ * complete together.
  *
  * States of an attempt, and the transitions between them:
  *
@@ -11,17 +12,17 @@
  *   - running: one task is done -> all are done, and the job has ended. One task terminates
  *     without being done -> stopping without a grace period: progress that was not saved is lost,
  *     and the other tasks would exit by themselves, but later.
- *   - stopping: all tasks are sent stop commands, directly and without delay, so that all receive
- *     them within the time in which they notice that a task is missing. The last task terminates
- *     -> idle.
+ *   - stopping: all tasks are sent stop commands, directly and without delay, so that each
+ *     receives its command before it notices that other tasks are missing. The last task
+ *     terminates -> idle.
  *
  * Invariants:
  *   - all tasks that may run have the gang's attempt, or the gang is being stopped;
  *   - a new attempt begins only when no task of the previous one may be on a machine;
  *   - a task is replaced under the same attempt only when it has certainly terminated, and not on
  *     a machine where it was: a late command for the first launch would be indistinguishable from
- *     one for the second. (A new leader doesn't know these machines; they refuse late commands by
- *     its fencing token.)
+ *     one for the second. (A new leader doesn't know on which machines a task was, but these
+ *     machines refuse late commands of its predecessor once they have seen its fencing token.)
  *   - a stop with a grace period begins only if every machine of the gang has sent a recent
  *     heartbeat; otherwise tasks are stopped without one;
  *   - a task that reports that it runs proves only that the gang had started: it reports so until
@@ -154,7 +155,7 @@
         gang->vacated_machine_count = 0;
     } else if (gang->state == TW_GANG_STOPPING) {
         if (!gang->saved)
-            gang->grace_s = 0; /* progress that the other tasks would still save is lost */
+            gang->grace_s = 0; /* the other tasks need not save: a gang saves only as a whole */
         core->next_job_sweep_at = core->context.now;
     } else if (had_started) {
         tw_gang_stop(core, job, 0);
--- a/src/core/lease_expiry.c
+++ b/src/core/lease_expiry.c
@@ -24,9 +24,9 @@
 #define SMALL_ZONE_MACHINES 2
 
 bool tw_machine_is_silent(const tw_core *core, const tw_machine *machine) {
-    const bool unanswered =
+    const bool probes_are_unanswered =
         !machine->last_contact_at && machine->failed_probes >= MAX_FAILED_PROBES;
-    const double grace_leases = unanswered ? -1 : FIND_LEADER_LEASES;
+    const double grace_leases = probes_are_unanswered ? -1 : FIND_LEADER_LEASES;
     const double found_leader_at =
         tw_cluster_term_began_at(core->cluster) + grace_leases * core->context.config->lease_s;
     const double last_heartbeat_at =
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -7,8 +7,7 @@
  * (tw_machine_forget). Called by the jobs, the scheduler and the autoscaler.
  *
  * Invariants:
- *   - the used amounts of a machine are the sums over those placements in its list that are
- * counted;
+ *   - the used amounts of a machine are the sums over the counted placements in its list;
  *   - a task that may run on a machine is counted until a newer heartbeat, the machine's return or
  *     the expiry of its lease proves that it does not run.
  * All times are steady seconds; 0 stands for "never" unless a member's comment says otherwise.
--- a/src/core/machine_returns.c
+++ b/src/core/machine_returns.c
@@ -21,7 +21,7 @@
             continue;
         snprintf(names[count++], TW_NAME_SIZE, "%s", machine->name);
     }
-    core->returns_due = count > 0; /* until no machine is left to return */
+    core->returns_due = count > 0; /* stays true until no machine is left to return */
     if (!count || !tw_rate_limiter_try_acquire(&core->cloud_limiter, core->context.now, 1)) return;
     for (int i = 0; i < count; i++) tw_machine_find(core, names[i])->return_in_flight = true;
     tw_call *call = tw_call_send(&core->context, TW_CALL_RETURN_MACHINES, TW_TO_CLOUD,
--- a/src/core/peer_admissions.c
+++ b/src/core/peer_admissions.c
@@ -22,7 +22,7 @@
 #define RETRY_RATIO 0.25
 #define PATH_SIZE 128
 
-/* ---- at a node that can't reach the leader ---- */
+/* ---- admission by a node that can't reach the leader ---- */
 
 void tw_peer_admission_create(tw_core *core, uint64_t connection, const tw_wire_job *spec) {
     if (tw_cluster_since_store_answer_s(core->cluster) > 2 * tw_cluster_lease_s(core->cluster) ||
@@ -70,7 +70,7 @@
     }
 }
 
-/* ---- at the leader ---- */
+/* ---- processing by the leader ---- */
 
 /* Reads the record of a job that another node admitted or, once the job is known, requests the
  * removal of its admission key. The response to the read may be lost, so the job stays in
@@ -93,7 +93,7 @@
     tw_expiring_names_remove(&core->unprocessed_admissions, admission);
 }
 
-/* Adds the job of an admission key that was listed or watched to unprocessed_admissions. */
+/* Adds the job of a listed or watched admission key to unprocessed_admissions, and processes it. */
 static void add_admission(tw_core *core, const char *key) {
     const char *id = key + sizeof PEER_ADMISSION_KEY - 1;
     if (strncmp(key, PEER_ADMISSION_KEY, sizeof PEER_ADMISSION_KEY - 1) != 0 ||
--- a/src/core/task_reconciliation.c
+++ b/src/core/task_reconciliation.c
@@ -90,7 +90,8 @@
     const bool job_is_over = job->state != TW_JOB_PENDING;
     if (placed->counted && !tw_attempt_exit_is_final(placed, reported)) {
         core->counters.kept[TW_EVIDENCE_EXITED]++;
-        return; /* a probe requests the machine's state under this term's token */
+        /* The exit is final once the machine has responded to a probe with this term's token. */
+        return;
     }
     placed->state = TW_TASK_EXITED;
     placed->cause = reported->cause;
--- a/src/core/user_requests.c
+++ b/src/core/user_requests.c
@@ -26,7 +26,7 @@
            tw_cluster_may(core->cluster, TW_PERMISSION_ANSWER);
 }
 
-/* ---- at the leader ---- */
+/* ---- requests at the leader ---- */
 
 static void cancel_job(tw_core *core, uint64_t connection, tw_job *job) {
     if (job->durable_state == TW_JOB_PENDING)
@@ -116,7 +116,7 @@
     admit_job(core, connection, spec);
 }
 
-/* ---- at any node ---- */
+/* ---- requests at any node ---- */
 
 void tw_user_submit(tw_core *core, uint64_t connection, const char *body, size_t length,
                     bool from_peer) {
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -7,7 +7,7 @@
  *     launch is known;
  *   - a stop names one attempt, which is never launched again;
  *   - a forget is not sent directly, nor for an attempt whose direct launch is in flight or was
- * sent so recently that the worker may execute it a second time. */
+ *     sent so recently that the worker may execute it a second time. */
 #include "core/workers.h"
 #include <stdbool.h>
 
@@ -72,8 +72,7 @@
  * task, followed by its stop. A direct launch of the task got no response and may still arrive; a
  * machine that has launched and stopped the task refuses it. A stop alone would not show whether
  * the direct launch was lost, because a machine doesn't report on a stop of a task that it doesn't
- * have.
- */
+ * know. */
 static bool must_settle_launch(const tw_machine *machine, const tw_placement *placed,
                                uint64_t sequence) {
     if (!sequence || placed->reported || !placed->direct_launches) return false;
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -203,8 +203,8 @@
 
 /* Answers a heartbeat that is not newer than the last one: the response to direct commands has
  * overtaken it, or it is a delayed copy. In the first case the heartbeat must not be rejected, or
- * the worker would try another node. In the second case the answer must not make a dead machine
- * appear alive. */
+ * the worker would try another node. In the second case the answer must not be taken as a sign that
+ * the machine is up. */
 static void answer_older_heartbeat(tw_core *core, uint64_t connection, tw_machine *machine,
                                    const tw_wire_heartbeat *heartbeat) {
     if (heartbeat->incarnation != machine->incarnation || machine->lease_expired) {
