--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -1,5 +1,5 @@
 /* The order in which pending jobs are served: by priority; then jobs within their team's
- * guarantee first; then the teams in turn, starting with the team that uses least relative to
+ * guarantee first; then the teams in turn, starting with the team whose use is smallest relative to
  * its share; within a team the earliest deadline first.
  *
  * When demand exceeds capacity, this order alone could delay a job indefinitely: behind jobs
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -28,7 +28,7 @@
     char name[TW_WIRE_NAME_SIZE];
     uint32_t name_hash; /* tw_image_hash of the name; compared first, since it is faster */
     double size_gb;
-    double used_at;               /* when a task with this image was last reported there */
+    double used_at;               /* when a task with this image was last reported on the machine */
     double ready_at;              /* expected end of the fetch; 0: the image is cached */
     struct tw_image *prev, *next; /* the machine's images, most recently used first */
 } tw_image;
@@ -92,7 +92,7 @@
     int failure_score; /* weighted sum of consecutive errors of different jobs */
     char last_failed_job[TW_WIRE_ID_SIZE];
     double failed_at;            /* when a task on the machine last failed */
-    double longest_failed_run_s; /* longest run time of a task that failed there */
+    double longest_failed_run_s; /* longest run time of a task that failed on the machine */
     bool on_probation;           /* gets one task at a time until a task has run */
     double probation_at;         /* end of the last quarantine, and start of the probation */
     double quarantine_s;         /* duration of the last quarantine */
--- a/src/core/preemption.c
+++ b/src/core/preemption.c
@@ -115,7 +115,7 @@
 /* Limit on the cost of preemption on a machine: preemption there is worthwhile only if its
  * cost plus the machine's penalty is less than the lowest cost found so far. */
 typedef struct {
-    double penalty_s; /* of the machine, because the new task would be late there */
+    double penalty_s; /* added to the cost if the new task would be late on the machine */
     /* lowest cost, including the penalty, of the machines examined so far */
     double least_cost_s;
 } preemption_limit;
--- a/src/core/rental_requests.c
+++ b/src/core/rental_requests.c
@@ -13,7 +13,7 @@
 #define PAUSE_AFTER_PARTIAL_GRANT_LAGS 2
 #define MAX_PAUSE_AFTER_REFUSAL_LAGS 6
 #define PAUSE_AFTER_MALFORMED_S 60
-#define INITIAL_WANTED_S 0.5 /* makes the need of newly wanted machines positive */
+#define INITIAL_WANTED_S 0.5 /* added to the wanted time, so that a new need is positive */
 
 /* Sends a new request, or repeats one under the same name. */
 static void send_rental_request(tw_core *core, tw_rental_request *request) {
@@ -125,7 +125,7 @@
         tw_log_error("event=rental_answer_malformed request=%s", request->name);
         tw_offer_of_request(core, request)->refused_until =
             core->context.now + PAUSE_AFTER_MALFORMED_S;
-    } else { /* unknown result: the same name gets the same answer again */
+    } else { /* the result is unknown: the request is repeated under the same name */
         request->next_attempt_at = core->context.now + RETRY_S;
         return;
     }
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -46,7 +46,8 @@
 /* Returns whether this node's answers don't reach the machine: it has begun a new incarnation, so
  * its lease expired, although its heartbeats were answered recently. A machine that has never
  * reported this term's token may be known only from a delayed copy of a heartbeat; for such a
- * machine, the result is true only if its incarnation has been known for longer than that time. */
+ * machine, the result is true only if its incarnation has been known for longer than
+ * RECENT_ANSWER_LEASES. */
 static bool answers_are_lost(const tw_core *core, const tw_machine *machine) {
     const double now = core->context.now;
     const double recent_answer_s = RECENT_ANSWER_LEASES * core->context.config->lease_s;
@@ -74,7 +75,7 @@
 }
 
 /* Copies the value if it differs from the known one. A heartbeat nearly always repeats the known
- * value, and a comparison costs a tenth of formatting it again. */
+ * value, and a comparison takes a tenth of the time of formatting the value again. */
 static void copy_if_changed(char *known, size_t size, const char *value) {
     if (strcmp(known, value) != 0) snprintf(known, size, "%s", value);
 }
