--- a/src/core/job_queue.c
+++ b/src/core/job_queue.c
@@ -1,5 +1,5 @@
 /* The order in which pending jobs are served: by priority; then jobs within their team's
- * guarantee first; then the teams in turn, starting with the team that uses least relative to
+ * guarantee first; then the teams in turn, starting with the team whose use is smallest relative to
  * its share; within a team the earliest deadline first.
  *
  * When demand exceeds capacity, this order alone could delay a job indefinitely: behind jobs
@@ -65,7 +65,7 @@
 
 /* ---- team guarantees ---- */
 
-/* For qsort: by team, then by time of submission. */
+/* Comparison function for qsort: orders by team, then by time of submission. */
 static int compare_by_submission(const void *left, const void *right) {
     const tw_job *a = *(tw_job *const *)left, *b = *(tw_job *const *)right;
     if (a->team != b->team) return a->team < b->team ? -1 : 1;
@@ -134,7 +134,7 @@
     double deadline_at;
 } grouped_job;
 
-/* For qsort: by group, then the earliest deadline first, then by id. */
+/* Comparison function for qsort: orders by group, then by deadline, then by id. */
 static int compare_by_group(const void *left, const void *right) {
     const grouped_job *a = left, *b = right;
     if (a->group != b->group) return a->group < b->group ? -1 : 1;
@@ -170,7 +170,8 @@
     double weighted_wait;
 } waiting_job;
 
-/* For qsort: by priority, then the longest weighted wait first, then by id. */
+/* Comparison function for qsort: orders by priority, then by weighted wait, the longest first, then
+ * by id. */
 static int compare_by_wait(const void *left, const void *right) {
     const waiting_job *a = left, *b = right;
     if (a->job->spec.priority != b->job->spec.priority)
@@ -233,10 +234,10 @@
  * placement goes to a team in turn. */
 static tw_job *take_overdue_job(const tw_core *core, tw_job_queue *queue,
                                 tw_wire_priority priority) {
-    job_range *left = &queue->overdue_by_priority[priority];
-    if (core->overdue_credit[priority] <= 0 || range_is_empty(*left)) return NULL;
+    job_range *remaining = &queue->overdue_by_priority[priority];
+    if (core->overdue_credit[priority] <= 0 || range_is_empty(*remaining)) return NULL;
     queue->last_group = OVERDUE_JOB_SERVED;
-    return queue->overdue[left->start++];
+    return queue->overdue[remaining->start++];
 }
 
 /* Returns the non-empty group of the level whose team uses least relative to its share. -1: no
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -7,8 +7,7 @@
  * (tw_machine_forget). Called by the jobs, the scheduler and the autoscaler.
  *
  * Invariants:
- *   - the used amounts of a machine are the sums over those placements in its list that are
- * counted;
+ *   - the used amounts of a machine are the sums over the counted placements in its list;
  *   - a task that may run on a machine is counted until a newer heartbeat, the machine's return or
  *     the expiry of its lease proves that it does not run.
  * All times are steady seconds; 0 stands for "never" unless a member's comment says otherwise.
@@ -29,7 +28,7 @@
     char name[TW_WIRE_NAME_SIZE];
     uint32_t name_hash; /* tw_image_hash of the name; compared first, since it is faster */
     double size_gb;
-    double used_at;               /* when a task with this image was last reported there */
+    double used_at;               /* when a task with this image was last reported on the machine */
     double ready_at;              /* expected end of the fetch; 0: the image is cached */
     struct tw_image *prev, *next; /* the machine's images, most recently used first */
 } tw_image;
@@ -55,7 +54,7 @@
     bool confirmed;                 /* the worker has seen this term's fencing token */
     double confirmed_at;            /* when this node learned that the worker has seen the token */
     double known_since;             /* when the machine was rented, or first listed or reported */
-    double answered_at;             /* when the last answer to a heartbeat was made */
+    double answered_at;             /* when a heartbeat was last answered */
     double last_contact_at;         /* last heartbeat, or response with the machine's state */
     double first_answered_at;       /* when a heartbeat was answered for the first time */
     double answered_older_at;       /* last answer to a heartbeat older than the newest one */
@@ -72,7 +71,7 @@
     int unconfirmed_probes;
     double commands_paused_until; /* end of the pause in direct commands after a failed request */
     bool in_command_queue;        /* the machine is in core->command_queue */
-    /* Until when a command to forget an exited task of a gang may still be executed. */
+    /* Time until which a command to forget an exited task of a gang may still be executed. */
     double gang_forgets_until;
     struct tw_machine *queue_prev, *queue_next;
 
@@ -93,7 +92,7 @@
     int failure_score; /* weighted sum of consecutive errors of different jobs */
     char last_failed_job[TW_WIRE_ID_SIZE];
     double failed_at;            /* when a task on the machine last failed */
-    double longest_failed_run_s; /* longest run time of a task that failed there */
+    double longest_failed_run_s; /* longest run time of a task that failed on the machine */
     bool on_probation;           /* gets one task at a time until a task has run */
     double probation_at;         /* end of the last quarantine, and start of the probation */
     double quarantine_s;         /* duration of the last quarantine */
@@ -103,7 +102,7 @@
     double slowness_step;       /* cached logarithm of the slowness, see preference.c */
     double slowness_step_input; /* the slowness from which slowness_step was computed */
 
-    /* Resources that counted placements use. */
+    /* Resources used by placements that are counted (tw_placement.counted). */
     double used_cores, used_gpus, used_memory_gb; /* sum over all counted placements */
     /* Sum over the preempted placements, whose resources are promised to other tasks. */
     double vacating_cores, vacating_gpus, vacating_memory_gb;
@@ -131,7 +130,8 @@
      * varies from fetch to fetch. */
     double fetch_deviation;
     double overdue_share; /* average share of machines that boot late or never */
-    /* Scratch of a plan: sum of overdue_share over booting machines; at 1, one isn't counted on. */
+    /* Scratch of a plan: sum of overdue_share over booting machines. Each time it reaches 1, the
+     * plan ignores the capacity of one machine and subtracts 1. */
     double overdue_share_sum;
     /* Scratch of a plan: latest rental time of a machine whose boot is overdue; 0: no boot is
      * overdue. */
--- a/src/core/machine_upkeep.c
+++ b/src/core/machine_upkeep.c
@@ -15,8 +15,8 @@
 /* Maximum age of the last read of the delegates' keys, in leases, at which a lease may be declared
  * expired; older keys are read again first. */
 #define DELEGATES_MAX_AGE_LEASES 0.1
-/* Share of the time until a preemption within which a batch task must be expected to complete in
- * order not to be stopped. */
+/* Share of the time until a preemption. A batch task that is expected to complete within it is not
+ * stopped. */
 #define COMPLETION_NOTICE_SHARE 0.5
 /* Time for which the names of returned machines are kept, as a number of seconds plus a multiple of
  * the lag of the cloud's list. Meanwhile late heartbeats of these machines, and lists that still
@@ -84,7 +84,7 @@
 }
 
 /* Logs the expiry of the lease with the age, in seconds, of each time that it was computed from.
- * For an event that never happened, the age is that of the clock. */
+ * For an event that never happened, the logged age is the current time. */
 static void log_lease_expiry(const tw_core *core, const tw_machine *machine) {
     const tw_lease_expiry expiry = tw_lease_expiry_compute(core, machine);
     const double now = core->context.now;
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -33,8 +33,8 @@
     tw_counters counters;
 
     /* ---- cluster ----
-     * Which node leads and what this node may do. Always read from the package, never cached here.
-     */
+     * The leader and the permissions of this node. The core asks the cluster package each time and
+     * caches neither. */
     tw_cluster *cluster;
 
     /* ---- store (src/store, job_persistence.c) ----
@@ -175,7 +175,7 @@
     tw_rental_request *rental_requests;
     uint64_t next_rental_request;
     double next_plan_at;
-    double no_scale_out_until; /* no machine is rented before */
+    double no_scale_out_until; /* no machine is rented before this time */
     double next_consolidation_at;
     double next_fleet_log_at;
 };
--- a/src/core/worker_heartbeat.c
+++ b/src/core/worker_heartbeat.c
@@ -6,8 +6,8 @@
 #include "core/workers.h"
 #include <stdbool.h>
 
-/* Number of machines in the fleet for each further one that may be declared unresponsive within the
- * duration of a lease. */
+/* Fleet size, in machines, for each machine beyond the first that may be declared unresponsive
+ * within the duration of a lease. */
 #define MACHINES_PER_UNRESPONSIVE 15
 /* Maximum age of the last answer, in leases, at which a new incarnation shows that answers don't
  * reach the worker: its lease expired although a heartbeat was answered so recently. */
@@ -46,7 +46,8 @@
 /* Returns whether this node's answers don't reach the machine: it has begun a new incarnation, so
  * its lease expired, although its heartbeats were answered recently. A machine that has never
  * reported this term's token may be known only from a delayed copy of a heartbeat; for such a
- * machine, the result is true only if its incarnation has been known for longer than that time. */
+ * machine, the result is true only if its incarnation has been known for longer than
+ * RECENT_ANSWER_LEASES. */
 static bool answers_are_lost(const tw_core *core, const tw_machine *machine) {
     const double now = core->context.now;
     const double recent_answer_s = RECENT_ANSWER_LEASES * core->context.config->lease_s;
@@ -74,7 +75,7 @@
 }
 
 /* Copies the value if it differs from the known one. A heartbeat nearly always repeats the known
- * value, and a comparison costs a tenth of formatting it again. */
+ * value, and a comparison takes a tenth of the time of formatting the value again. */
 static void copy_if_changed(char *known, size_t size, const char *value) {
     if (strcmp(known, value) != 0) snprintf(known, size, "%s", value);
 }
@@ -203,8 +204,8 @@
 
 /* Answers a heartbeat that is not newer than the last one: the response to direct commands has
  * overtaken it, or it is a delayed copy. In the first case the heartbeat must not be rejected, or
- * the worker would try another node. In the second case the answer must not make a dead machine
- * appear alive. */
+ * the worker would try another node. In the second case the answer must not be taken as a sign that
+ * the machine is up. */
 static void answer_older_heartbeat(tw_core *core, uint64_t connection, tw_machine *machine,
                                    const tw_wire_heartbeat *heartbeat) {
     if (heartbeat->incarnation != machine->incarnation || machine->lease_expired) {
@@ -220,7 +221,7 @@
                               const tw_wire_heartbeat *heartbeat) {
     machine->first_answered_at = core->context.now;
     if (machine->type_index >= 0 && !machine->overdue) tw_statistics_note_boot(core, machine);
-    /* The boot time of a machine that was unknown until this heartbeat is not known. */
+    /* If the machine was unknown until this heartbeat, its boot time is not known. */
     if (machine->type_index >= 0 && machine->known_since < core->context.now)
         tw_boot_records_note_up(core, machine);
     tw_log_info("event=machine_started worker=%s machine_type=%s zone=%s spot=%d after=%.1f",
