--- a/src/cluster/authority.c
+++ b/src/cluster/authority.c
@@ -31,9 +31,9 @@
                         tw_cluster_renewal_without_authority_s(cluster)));
 }
 
-/* This time is longer than tw_cluster_renewal_if_superseded_s. A cancellation is therefore
- * confirmed only after all nodes that may answer its machines for longer than that know of the
- * cancellation (tw_cluster_cancellation_safety). */
+/* The result may be greater than tw_cluster_renewal_if_superseded_s. A cancellation is therefore
+ * confirmed only after every node that may answer its machines for longer than
+ * tw_cluster_renewal_if_superseded_s knows of it (tw_cluster_cancellation_safety). */
 double tw_cluster_renewal_without_contact_s(const tw_cluster *cluster) {
     return fmin(tw_cluster_renewal_without_authority_s(cluster),
                 tw_cluster_renewal_if_superseded_s(cluster) + cluster->context->config->lease_s);
@@ -64,8 +64,8 @@
 
 double tw_cluster_predecessor_renewals_end(const tw_cluster *cluster) {
     if (cluster->peers_confirmed_at > 0) return cluster->peers_confirmed_at;
-    /* After this node has acquired the key, an earlier leader can no longer get answers from all
-     * nodes which show that none of them has led. */
+    /* An earlier leader renews leases for a limited time after all its peers last answered that
+     * they had not led. This node has given no such answer since it acquired the key. */
     return cluster->term_began_at + tw_cluster_renewal_without_contact_s(cluster) *
                                         (1 + 2 * cluster->context->config->tune.drift);
 }
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -210,7 +210,7 @@
 bool tw_cluster_all_peers_support_chunks(const tw_cluster *cluster);
 bool tw_cluster_any_peer_lacks_chunk_support(const tw_cluster *cluster);
 /* Returns whether a peer is known to be of an earlier version and no peer of this version answers.
- * If this node ended now, a node of the earlier version would lead next. */
+ * If this node stopped now, a node of the earlier version would lead next. */
 bool tw_cluster_only_earlier_version_may_take_over(const tw_cluster *cluster);
 /* Returns whether any peer in the zone answers this node's heartbeats. */
 bool tw_cluster_zone_has_live_peer(const tw_cluster *cluster, const char *zone);
--- a/src/cluster/delegate_registry.c
+++ b/src/cluster/delegate_registry.c
@@ -4,7 +4,8 @@
  * therefore not act on the expiry of a lease that an unknown delegate has renewed. */
 #include "cluster/cluster_int.h"
 
-/* Pause between two reads of the keys while some node may be a delegate, in leases of workers. */
+/* Pause between two reads of the keys while some node may be a delegate, as a share of a worker's
+ * lease. */
 #define READ_PAUSE_LEASES 0.1
 #define CALL_TIMEOUT_S 1.0
 
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -18,7 +18,7 @@
 #define STEP_DOWN_PAUSE_MIN 0.05 /* pause after the end of a term */
 #define STEP_DOWN_PAUSE_MAX 0.25
 
-/* Pause from the revocation of the lease of this node's old key to the next read of the key. */
+/* Pause between the revocation of the lease of this node's old key and the next read of the key. */
 #define OWN_KEY_REREAD_PAUSE_S 0.05
 /* The timeout of a watch is its hold time plus half a lease of the leader plus this margin. */
 #define WATCH_TIMEOUT_MARGIN_S 0.5
@@ -47,7 +47,7 @@
 #define WAIT_FACTOR_MIN 0.5
 #define WAIT_FACTOR_MAX 1.5
 
-/* Returns the seconds in which the limit allows one request per node. */
+/* Returns the time in seconds in which the request limit allows one request per node. */
 static double request_round_s(const tw_cluster *cluster) {
     return (double)(cluster->peer_count + 1) / cluster->context->config->state_rps;
 }
@@ -306,7 +306,7 @@
  * acquisition that succeeded. may_hold_key: this node may hold the key. While a peer of an earlier
  * version could take over, the lease is then not revoked; the next read finds the key and replaces
  * it. */
-static void give_up_election(tw_cluster *cluster, bool may_hold_key) {
+static void abandon_election(tw_cluster *cluster, bool may_hold_key) {
     cluster->election_in_flight = false;
     if (!may_hold_key || !tw_cluster_any_peer_lacks_chunk_support(cluster))
         revoke_lease(cluster, cluster->lease_id, 0);
@@ -321,7 +321,7 @@
     uint64_t revision;
     if (status != TW_HTTP_OK || tw_wire_revision_parse(&revision, body, len) ||
         !enough_lease_remains(cluster)) {
-        give_up_election(cluster, status == TW_HTTP_NO_RESPONSE);
+        abandon_election(cluster, status == TW_HTTP_NO_RESPONSE);
     } else if (cluster->replaced_lease_id) {
         /* The key is no longer attached to the old lease, which an earlier process of this node may
          * still renew. */
@@ -339,7 +339,7 @@
     const bool has_ended = status == TW_HTTP_OK || status == TW_HTTP_NOT_FOUND;
     if (!token) return;
     if (!has_ended || !enough_lease_remains(cluster)) {
-        give_up_election(cluster, !has_ended);
+        abandon_election(cluster, !has_ended);
         return;
     }
     cluster->election_in_flight = false;
--- a/src/cluster/leader_lease.c
+++ b/src/cluster/leader_lease.c
@@ -49,7 +49,8 @@
 void tw_cluster_leader_lease_tick(tw_cluster *cluster) {
     const bool due =
         !cluster->renewals_in_flight && cluster->context->now >= cluster->next_renewal_at;
-    /* The state service sometimes takes long to respond, so a second renewal is sent then. */
+    /* The state service is sometimes slow to respond, so a second renewal is sent while the first
+     * is in flight. */
     const bool slow =
         cluster->renewals_in_flight == 1 &&
         cluster->context->now >= cluster->renewal_sent_at + cluster->lease_s * SECOND_RENEWAL_DELAY;
--- a/src/cluster/lease_delegate.c
+++ b/src/cluster/lease_delegate.c
@@ -18,8 +18,8 @@
 #define DATA_SIZE 96
 #define CALL_TIMEOUT_S 1.0
 
-/* Pauses in leases of workers: between two attempts to become a delegate; between two reads of the
- * cancelled jobs; and before a failed request of such a read is repeated. */
+/* Pauses as shares of a worker's lease: between two attempts to become a delegate; between two
+ * reads of the cancelled jobs; and before a failed request of such a read is repeated. */
 #define ATTEMPT_PAUSE_LEASES 0.1
 #define READ_PAUSE_LEASES 0.4
 #define READ_RETRY_LEASES 0.05
@@ -114,7 +114,8 @@
     int count, more;
     cluster->cancelled_list_in_flight = false;
     if (status != TW_HTTP_OK || tw_wire_entries_parse(&entries, &count, &more, body, len)) {
-        /* The read resumes at the failed page: under load, a request of each read is refused. */
+        /* The read resumes at the failed page, since under load some request of each read is
+         * refused. */
         cluster->next_cancelled_list_at =
             cluster->context->now + READ_RETRY_LEASES * cluster->context->config->lease_s;
         return;
--- a/src/cluster/peer_heartbeat.c
+++ b/src/cluster/peer_heartbeat.c
@@ -7,8 +7,8 @@
 /* Range of the pause between two heartbeats to a peer, as shares of the leader's lease. */
 #define HEARTBEAT_PAUSE_MIN 0.2
 #define HEARTBEAT_PAUSE_MAX 0.3
-/* Maximum age of the last answered heartbeat of a peer that counts as answering: the sum of these
- * seconds and leases of the leader. */
+/* A peer counts as answering if the last heartbeat that it answered was sent at most this many
+ * seconds plus this many leases of the leader ago. */
 #define MAX_ANSWER_AGE_S 1.0
 #define MAX_ANSWER_AGE_LEASES 0.5
 #define TIMEOUT_S 1.0
@@ -150,10 +150,10 @@
              tw_wire_peer_heartbeat_text(&answer, ids, count));
 }
 
-/* Updates not_leading_until of the peer by its answer to a heartbeat. A peer that
- * knows of no higher token than this node's had not led when the heartbeat was sent, unless its
- * process started after the last such answer: an earlier process may have led. No other node can
- * lead while this node has authority, so it suffices that the peer's process ran before authority
+/* Updates not_leading_until of the peer by its answer to a heartbeat. A peer that knows of no
+ * higher token than this node's had not led when the heartbeat was sent, unless its process started
+ * after the last such answer: an earlier process of the peer may have led. No other node can lead
+ * while this node has authority, so it suffices that the peer's process started before authority
  * ended. This covers a leader that loses the state service early in its first term. */
 static void note_not_leading(tw_cluster *cluster, tw_peer *from, const tw_call *sent,
                              const tw_wire_peer_heartbeat *answer) {
--- a/src/cluster/peer_versions.c
+++ b/src/cluster/peer_versions.c
@@ -1,4 +1,4 @@
-/* Versions that the peers report, and rules while nodes of two versions run during an upgrade.
+/* Versions that the peers report, and rules for elections while nodes of two versions run.
  *
  * The failover rules of an earlier version may no longer be safe. While a node of an earlier
  * version could campaign, two followers of this version campaign without the usual pause when their
@@ -7,8 +7,8 @@
  * removed, no version has an advantage. Only the leader's key determines which node leads. */
 #include "cluster/cluster_int.h"
 
-/* Number of followers that campaign without a pause. With two, one of them may have just ended, and
- * the requests of the other followers don't use up the state service's rate limit. */
+/* Number of followers that campaign without a pause. With two of them, one may have just stopped;
+ * if all followers did so, their requests could use up the state service's rate limit. */
 #define FIRST_CANDIDATES 2
 
 /* Returns whether the peer is of an earlier version: heartbeats of versions that read whole records
--- a/src/cluster/worker_failover_paths.c
+++ b/src/cluster/worker_failover_paths.c
@@ -7,7 +7,8 @@
  * the same zone. */
 #include "cluster/cluster_int.h"
 
-/* Waits of a worker in the protocol: for an answer, and before it tries the next node. */
+/* Times for which a worker waits by the protocol: for an answer of a node, and before it tries the
+ * next node. */
 #define ANSWER_WAIT_S 4.0
 #define NEXT_NODE_S 1.0
 /* Maximum time between two heartbeats of a worker, in heartbeat intervals. */
--- a/src/cluster/worker_routing.c
+++ b/src/cluster/worker_routing.c
@@ -80,7 +80,6 @@
     }
 }
 
-/* Records the redirect of the worker to the peer. */
 static void note_redirect(tw_cluster *cluster, const char *worker, const tw_peer *to) {
     tw_worker_redirect *redirect;
     sweep_redirects(cluster);
@@ -120,7 +119,7 @@
     return home && redirect_to(cluster, connection, worker, home);
 }
 
-/* Returns whether all peers answer. Only then are workers moved that could stay where they are. */
+/* Returns whether all peers answer. Only then are workers of this node's own zone redirected. */
 static bool all_peers_live(const tw_cluster *cluster) {
     for (size_t i = 0; i < cluster->peer_count; i++)
         if (!tw_cluster_peer_answers(cluster, &cluster->peers[i])) return false;
--- a/src/context/context.h
+++ b/src/context/context.h
@@ -1,8 +1,7 @@
 /* The context that all state machines of a controller share: the settings, the time of the current
  * input, a random number generator, the queue of effects, and the outstanding calls.
  *
- * The core owns the context and sets its time before it passes an input to a state machine; every
- * package above reads it.
+ * The core owns the context and sets its time before it passes an input to a state machine.
  * Invariants: each request gets exactly one reply; each call has exactly one outcome, after which
  * its tw_call is freed; a module ignores the outcome of a call of an earlier term if the call
  * concerned that term only. */
