--- a/src/router/pick.c
+++ b/src/router/pick.c
@@ -1,7 +1,7 @@
 /* Picks the replica for a request (GoodServe, section 3.4): among the replicas expected to meet
- * the deadline, the slowest, which keeps the fast ones for urgent requests; if none is, the one
- * that misses the deadline by least. Only replicas with a free slot count, so no request waits at
- * a replica. */
+ * the deadline, the slowest, which keeps the fast ones for urgent requests; if there is none, the
+ * one that is expected to miss the deadline by least. Only replicas with a free slot count, so no
+ * request waits at a replica. */
 #include "router/router_int.h"
 #include <stdbool.h>
 
@@ -21,8 +21,8 @@
                                   double now) {
     tw_router_replica *best = NULL;
     tw_router_replica *each;
-    tw_router_replica *after;
-    HASH_ITER(hh, router->replicas, each, after) {
+    tw_router_replica *next;
+    HASH_ITER(hh, router->replicas, each, next) {
         if (!each->epoch || each->running >= each->slots) continue;
         if (!best || is_better(each, best, request->deadline, now)) best = each;
     }
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -20,8 +20,8 @@
 
 /* ---- effects ---- */
 
-static tw_router_effect *emit(tw_router *router, tw_router_effect_kind kind,
-                              const tw_router_request *request) {
+static tw_router_effect *emit_effect(tw_router *router, tw_router_effect_kind kind,
+                                     const tw_router_request *request) {
     tw_router_effect *effect = tw_router_alloc(sizeof *effect);
     effect->kind = kind;
     effect->request = request->number;
@@ -49,14 +49,14 @@
 
 void tw_router_free(tw_router *router) {
     tw_router_request *each;
-    tw_router_request *after;
+    tw_router_request *next;
     tw_router_replica *replica;
     tw_router_replica *next_replica;
     tw_router_team *team;
-    tw_router_team *team_after;
+    tw_router_team *following_team;
     tw_router_effect *effect;
     if (!router) return;
-    HASH_ITER(hh, router->requests, each, after) {
+    HASH_ITER(hh, router->requests, each, next) {
         HASH_DEL(router->requests, each);
         free(each);
     }
@@ -64,7 +64,7 @@
         HASH_DEL(router->replicas, replica);
         free(replica);
     }
-    HASH_ITER(hh, router->teams, team, team_after) {
+    HASH_ITER(hh, router->teams, team, following_team) {
         HASH_DEL(router->teams, team);
         free(team);
     }
@@ -94,8 +94,8 @@
 static tw_router_team *next_team(tw_router *router) {
     tw_router_team *best = NULL;
     tw_router_team *each;
-    tw_router_team *after;
-    HASH_ITER(hh, router->teams, each, after) {
+    tw_router_team *next;
+    HASH_ITER(hh, router->teams, each, next) {
         if (each->waiting && (!best || each->served < best->served)) best = each;
     }
     return best;
@@ -122,9 +122,9 @@
 
 static double estimate_retry_after_s(const tw_router *router) {
     const tw_router_replica *each;
-    const tw_router_replica *after;
+    const tw_router_replica *next;
     double shortest = INFINITY;
-    HASH_ITER(hh, router->replicas, each, after) {
+    HASH_ITER(hh, router->replicas, each, next) {
         if (each->epoch) shortest = fmin(shortest, each->service_s);
     }
     return isfinite(shortest) ? fmax(1, ceil(shortest)) : 1;
@@ -137,8 +137,8 @@
 }
 
 /* Emits the final answer and frees the request. Later events of its attempts are ignored. */
-static void answer(tw_router *router, tw_router_request *request, tw_router_status status) {
-    tw_router_effect *effect = emit(router, TW_ROUTER_ANSWER, request);
+static void answer_request(tw_router *router, tw_router_request *request, tw_router_status status) {
+    tw_router_effect *effect = emit_effect(router, TW_ROUTER_ANSWER, request);
     effect->status = status;
     if (status != TW_ROUTER_OK) effect->retry_after_s = estimate_retry_after_s(router);
     if (request->state == TW_ROUTER_REQUEST_WAITING) dequeue(request);
@@ -146,8 +146,8 @@
     free(request);
 }
 
-static void cancel(tw_router *router, const tw_router_request *request) {
-    tw_router_effect *effect = emit(router, TW_ROUTER_CANCEL, request);
+static void cancel_attempt(tw_router *router, const tw_router_request *request) {
+    tw_router_effect *effect = emit_effect(router, TW_ROUTER_CANCEL, request);
     copy_name(effect->replica, request->replica);
 }
 
@@ -162,7 +162,7 @@
     copy_name(request->replica, replica->name);
     replica->running++;
     request->team->served += 1 / request->team->weight;
-    tw_router_effect *effect = emit(router, TW_ROUTER_SEND, request);
+    tw_router_effect *effect = emit_effect(router, TW_ROUTER_SEND, request);
     copy_name(effect->replica, replica->name);
     effect->epoch = replica->epoch;
 }
@@ -204,8 +204,8 @@
     HASH_ADD(hh, router->requests, number, sizeof request->number, request);
     router->retry_budget =
         fmin(router->settings.retry_burst, router->retry_budget + router->settings.retry_ratio);
-    if (request->team->count >= router->settings.most_waiting) {
-        answer(router, request, TW_ROUTER_FULL);
+    if (request->team->count >= router->settings.max_waiting) {
+        answer_request(router, request, TW_ROUTER_FULL);
         return;
     }
     enqueue(router, request, false);
@@ -226,12 +226,12 @@
     (void)now;
     if (!found) return;
     found->answer_started = true;
-    emit(router, TW_ROUTER_PART, found);
+    emit_effect(router, TW_ROUTER_PART, found);
 }
 
-/* Returns whether another attempt may be made, and deducts it from the retry budget. */
+/* Returns whether another attempt may be made; if so, deducts it from the retry budget. */
 static bool take_retry(tw_router *router, const tw_router_request *failed, double now) {
-    if (failed->answer_started || failed->attempt >= router->settings.most_attempts) return false;
+    if (failed->answer_started || failed->attempt >= router->settings.max_attempts) return false;
     if (now >= failed->deadline || router->retry_budget < 1) return false;
     router->retry_budget -= 1;
     return true;
@@ -246,33 +246,33 @@
 }
 
 void tw_router_attempt_ended(tw_router *router, double now, uint64_t number, int attempt,
-                             tw_router_result end) {
+                             tw_router_result result) {
     tw_router_request *found = current_attempt(router, number, attempt);
     if (!found) return;
     release_slot(router, found);
-    if (end == TW_ROUTER_DONE) {
+    if (result == TW_ROUTER_DONE) {
         update_service_average(router, found, now);
-        answer(router, found, TW_ROUTER_OK);
+        answer_request(router, found, TW_ROUTER_OK);
     } else if (take_retry(router, found, now)) {
-        if (end == TW_ROUTER_LOST) cancel(router, found);
+        if (result == TW_ROUTER_LOST) cancel_attempt(router, found);
         enqueue(router, found, true);
     } else {
-        if (end == TW_ROUTER_LOST) cancel(router, found);
-        answer(router, found, now >= found->deadline ? TW_ROUTER_LATE : TW_ROUTER_FAILED);
+        if (result == TW_ROUTER_LOST) cancel_attempt(router, found);
+        answer_request(router, found, now >= found->deadline ? TW_ROUTER_LATE : TW_ROUTER_FAILED);
     }
     send_waiting(router, now);
 }
 
 void tw_router_tick(tw_router *router, double now) {
     tw_router_request *each;
-    tw_router_request *after;
-    HASH_ITER(hh, router->requests, each, after) {
+    tw_router_request *next;
+    HASH_ITER(hh, router->requests, each, next) {
         if (now < each->deadline) continue;
         if (each->state == TW_ROUTER_REQUEST_SENT) {
             release_slot(router, each);
-            cancel(router, each);
+            cancel_attempt(router, each);
         }
-        answer(router, each, TW_ROUTER_LATE);
+        answer_request(router, each, TW_ROUTER_LATE);
     }
     send_waiting(router, now);
 }
@@ -281,8 +281,8 @@
 
 int tw_router_waiting_count(const tw_router *router) {
     const tw_router_team *each;
-    const tw_router_team *after;
+    const tw_router_team *next;
     int waiting = 0;
-    HASH_ITER(hh, router->teams, each, after) { waiting += each->count; }
+    HASH_ITER(hh, router->teams, each, next) { waiting += each->count; }
     return waiting;
 }
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -22,8 +22,8 @@
 #define TW_ROUTER_NAME 64
 
 typedef struct {
-    int most_waiting;     /* waiting requests per team; further ones are answered 503 */
-    int most_attempts;    /* attempts per request */
+    int max_waiting;      /* maximum waiting requests per team; further ones are answered 503 */
+    int max_attempts;     /* maximum attempts per request */
     double retry_ratio;   /* retries added to the shared retry budget by each new request */
     double retry_burst;   /* maximum of the retry budget */
     double average_ratio; /* weight of a new sample in a replica's moving average */
@@ -60,7 +60,7 @@
     TW_ROUTER_DONE,    /* completely answered */
     TW_ROUTER_REFUSED, /* not begun: the replica has no free slot, or the epoch is outdated */
     TW_ROUTER_BROKEN,  /* begun, but will not be answered */
-    TW_ROUTER_LOST     /* unknown; a later answer is dropped */
+    TW_ROUTER_LOST     /* the outcome is unknown; a later answer is dropped */
 } tw_router_result;
 
 typedef struct tw_router tw_router;
@@ -84,7 +84,7 @@
 void tw_router_part_received(tw_router *router, double now, uint64_t request, int attempt);
 /* Records the end of an attempt. It is ignored if `attempt` is not the current attempt. */
 void tw_router_attempt_ended(tw_router *router, double now, uint64_t request, int attempt,
-                             tw_router_result end);
+                             tw_router_result result);
 /* Advances the time: answers the requests whose deadline has passed. */
 void tw_router_tick(tw_router *router, double now);
 /* Returns the next effect, or NULL. The caller frees it with free. */
--- a/src/router/router_int.h
+++ b/src/router/router_int.h
@@ -26,9 +26,9 @@
 
 struct tw_router_team {
     char name[TW_ROUTER_NAME];
-    double weight, served; /* served: requests sent, divided by the weight */
-    tw_router_request *waiting;
-    int count;
+    double weight, served;      /* served: requests sent, divided by the weight */
+    tw_router_request *waiting; /* queue of requests that wait for a replica */
+    int count;                  /* length of that queue */
     UT_hash_handle hh;
 };
 
--- a/src/shards/choose.c
+++ b/src/shards/choose.c
@@ -44,7 +44,7 @@
 }
 
 int tw_shards_choose_machines(const tw_shards *shards, const tw_shards_move_record *record,
-                              int most, tw_shards_machine ***chosen) {
+                              int max_count, tw_shards_machine ***chosen) {
     roaring_bitmap_t *set = movable_machines(shards, record);
     const size_t capacity = (size_t)roaring_bitmap_get_cardinality(set);
     candidate *candidates = tw_shards_alloc(sizeof *candidates * capacity);
@@ -63,7 +63,7 @@
     const int spread = shards->header.shards[record->from].spread;
     int chosen_count = 0;
     *chosen = tw_shards_alloc(sizeof(tw_shards_machine *) * (size_t)count);
-    for (int i = 0; i < count && chosen_count < most; i++) {
+    for (int i = 0; i < count && chosen_count < max_count; i++) {
         tw_shards_machine *each_machine = candidates[i].machine;
         if (spread && remaining[each_machine->zone] <= 1) continue;
         remaining[each_machine->zone]--;
--- a/src/shards/guard.c
+++ b/src/shards/guard.c
@@ -30,7 +30,7 @@
                                                           uint64_t boot_id,
                                                           uint64_t minimum_epoch) {
     if (!accept_term(guard, term)) return TW_SHARDS_GUARD_OLD_TERM;
-    /* A minimum epoch drawn for an earlier boot of the machine is too low: epochs of that boot
+    /* A minimum epoch assigned for an earlier boot of the machine is too low: epochs of that boot
      * could be opened again. */
     if (boot_id != guard->boot_id) return TW_SHARDS_GUARD_OTHER_BOOT;
     if (guard->started) return TW_SHARDS_GUARD_REPEATED;
--- a/src/shards/load.c
+++ b/src/shards/load.c
@@ -19,9 +19,9 @@
     tw_shards_read_next_page(shards, "");
 }
 
-void tw_shards_read_next_page(tw_shards *shards, const char *after) {
+void tw_shards_read_next_page(tw_shards *shards, const char *after_key) {
     tw_shards_effect *effect = tw_shards_emit_effect(shards, TW_SHARDS_READ);
-    effect->text = strdup(after);
+    effect->text = strdup(after_key);
     if (!effect->text) abort();
     effect->id = shards->read_id = ++shards->last_effect_id;
     shards->reading = true;
@@ -35,15 +35,13 @@
 
 static int parse_block(const char *digits) { return (int)strtol(digits, NULL, DECIMAL); }
 
-/* Pages list the keys in the order cells, moves, names, table. The records depend on each other in
- * the opposite order, so all pages are kept until the last one has arrived, and then loaded kind
- * by kind. */
+/* Loads the header record. Ignores entries with other keys, as each of the load functions does. */
 static tw_shards_error load_table(tw_shards *shards, const tw_wire_entry *entry) {
-    tw_shards_header read;
+    tw_shards_header header;
     if (strcmp(entry->key, TW_SHARDS_PREFIX "table") != 0) return TW_SHARDS_NO_ERROR;
-    if (tw_shards_header_parse(&read, entry->value)) return TW_SHARDS_BAD_RECORD;
+    if (tw_shards_header_parse(&header, entry->value)) return TW_SHARDS_BAD_RECORD;
     shards->header_mod_revision = entry->mod_revision;
-    tw_shards_set_header(shards, &read);
+    tw_shards_set_header(shards, &header);
     return TW_SHARDS_NO_ERROR;
 }
 
@@ -77,13 +75,15 @@
     return tw_shards_cells_parse(shards, block, entry->value);
 }
 
-/* A page that has been read, kept until all pages are there. */
+/* A page that has been read, kept until all pages have been read. */
 struct tw_shards_read_page {
     tw_wire_entry *entries;
     int count;
     struct tw_shards_read_page *next;
 };
 
+/* Loads the records of all pages, kind by kind: pages list the keys in the order cells, moves,
+ * names, table, but a record depends on records of kinds that are listed later. */
 static tw_shards_error load_records(tw_shards *shards, struct tw_shards_read_page *pages) {
     static tw_shards_error (*const takes[])(tw_shards * shards, const tw_wire_entry *entry) = {
         load_table, load_move, load_names, load_cells};
@@ -97,8 +97,8 @@
 
 static void free_pages(tw_shards *shards) {
     struct tw_shards_read_page *page;
-    struct tw_shards_read_page *after;
-    LL_FOREACH_SAFE(shards->pages, page, after) {
+    struct tw_shards_read_page *next;
+    LL_FOREACH_SAFE(shards->pages, page, next) {
         tw_wire_entries_free(page->entries, page->count);
         free(page);
     }
@@ -116,8 +116,8 @@
             tw_shards_emit_notification(shards, shards->machines[i]);
 }
 
-/* Puts all machines into quarantine on the first read of a term; later reads only drop the removed
- * machines, because machines added since were registered by this leader. */
+/* Puts all machines into quarantine on the first read of a term. Later reads only end the
+ * quarantine of removed machines, because machines added since were registered by this leader. */
 static void quarantine_machines(tw_shards *shards) {
     roaring_bitmap_t *present = roaring_bitmap_create();
     for (int i = 0; i < shards->machine_count; i++)
--- a/src/shards/owner.c
+++ b/src/shards/owner.c
@@ -26,9 +26,9 @@
 } tw_shards_owned_machine;
 
 struct tw_shards_owner {
-    double retry_s, synced_at;
-    uint64_t term; /* latest term of all notifications */
-    bool synced;
+    double retry_s, synced_at; /* synced_at: time of the last SYNC */
+    uint64_t term;             /* latest term of all notifications */
+    bool synced;               /* a SYNC was emitted */
     tw_shards_owned_machine *machines;
     tw_shards_owner_effect *effects, *last_effect;
 };
@@ -41,19 +41,19 @@
 
 void tw_shards_owner_free(tw_shards_owner *owner) {
     tw_shards_owned_machine *each;
-    tw_shards_owned_machine *after;
+    tw_shards_owned_machine *next;
     tw_shards_owner_effect *effect;
     if (!owner) return;
     while ((effect = tw_shards_owner_next_effect(owner))) free(effect);
-    HASH_ITER(hh, owner->machines, each, after) {
+    HASH_ITER(hh, owner->machines, each, next) {
         HASH_DEL(owner->machines, each);
         free(each);
     }
     free(owner);
 }
 
-static void emit(tw_shards_owner *owner, tw_shards_owner_effect_kind kind,
-                 const tw_shards_owned_machine *machine) {
+static void emit_effect(tw_shards_owner *owner, tw_shards_owner_effect_kind kind,
+                        const tw_shards_owned_machine *machine) {
     tw_shards_owner_effect *effect = tw_shards_alloc(sizeof *effect);
     effect->kind = kind;
     if (machine) {
@@ -88,10 +88,11 @@
 static void send_message(tw_shards_owner *owner, double now, tw_shards_owned_machine *machine) {
     machine->message_sent_at = now;
     if (machine->state == TW_SHARDS_TAKEN)
-        emit(owner, machine->confirmed ? TW_SHARDS_OWNER_OPENED : TW_SHARDS_OWNER_OPEN, machine);
+        emit_effect(owner, machine->confirmed ? TW_SHARDS_OWNER_OPENED : TW_SHARDS_OWNER_OPEN,
+                    machine);
     if (machine->state == TW_SHARDS_DRAINING && machine->all_requests_counted &&
         !machine->running_requests)
-        emit(owner, TW_SHARDS_OWNER_DRAINED, machine);
+        emit_effect(owner, TW_SHARDS_OWNER_DRAINED, machine);
 }
 
 static void remove_machine(tw_shards_owner *owner, tw_shards_owned_machine *machine) {
@@ -100,10 +101,10 @@
 }
 
 static tw_shards_owned_machine *add_machine(tw_shards_owner *owner, const char *name) {
-    tw_shards_owned_machine *made = tw_shards_alloc(sizeof *made);
-    tw_shards_copy_name(made->name, name);
-    HASH_ADD_STR(owner->machines, name, made);
-    return made;
+    tw_shards_owned_machine *added = tw_shards_alloc(sizeof *added);
+    tw_shards_copy_name(added->name, name);
+    HASH_ADD_STR(owner->machines, name, added);
+    return added;
 }
 
 void tw_shards_owner_handle_notification(tw_shards_owner *owner, double now,
@@ -115,7 +116,7 @@
     if (machine &&
         (notification->epoch < machine->epoch ||
          (notification->epoch == machine->epoch && notification->state < machine->state)))
-        return; /* late, or sent by a leader whose table is outdated */
+        return; /* the notification is late, or the table of its sender was outdated */
     if (!machine && notification->state == TW_SHARDS_RELEASED) return;
     if (!machine) machine = add_machine(owner, notification->machine);
     if (notification->epoch != machine->epoch) {
@@ -143,7 +144,7 @@
     tw_shards_owned_machine *machine = find_machine(owner, name);
     if (!machine || machine->epoch != epoch) return;
     machine->confirmed = true;
-    if (machine->state == TW_SHARDS_TAKEN) emit(owner, TW_SHARDS_OWNER_OPENED, machine);
+    if (machine->state == TW_SHARDS_TAKEN) emit_effect(owner, TW_SHARDS_OWNER_OPENED, machine);
 }
 
 uint64_t tw_shards_owner_epoch(const tw_shards_owner *owner, const char *name) {
@@ -167,22 +168,22 @@
     machine->running_requests--;
     if (machine->state == TW_SHARDS_DRAINING && machine->all_requests_counted &&
         !machine->running_requests)
-        emit(owner, TW_SHARDS_OWNER_DRAINED, machine);
+        emit_effect(owner, TW_SHARDS_OWNER_DRAINED, machine);
 }
 
 void tw_shards_owner_tick(tw_shards_owner *owner, double now) {
     tw_shards_owned_machine *machine;
-    tw_shards_owned_machine *after;
+    tw_shards_owned_machine *next;
     if (!owner->synced || now >= owner->synced_at + owner->retry_s) {
         owner->synced = true;
         owner->synced_at = now;
-        emit(owner, TW_SHARDS_OWNER_SYNC, NULL);
+        emit_effect(owner, TW_SHARDS_OWNER_SYNC, NULL);
     }
-    HASH_ITER(hh, owner->machines, machine, after) {
+    HASH_ITER(hh, owner->machines, machine, next) {
         if (machine->state == TW_SHARDS_DRAINING && machine->running_requests &&
             !machine->stop_sent && now >= machine->drain_until) {
             machine->stop_sent = true;
-            emit(owner, TW_SHARDS_OWNER_STOP, machine);
+            emit_effect(owner, TW_SHARDS_OWNER_STOP, machine);
         }
         if (machine->state == TW_SHARDS_RELEASED) {
             if (now >= machine->message_sent_at + RELEASED_RETENTION_RETRIES * owner->retry_s)
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -49,8 +49,8 @@
 static void answer_repeated_moves(tw_shards *shards, const tw_shards_request *answered,
                                   tw_shards_verdict verdict) {
     tw_shards_waiting_request *each;
-    tw_shards_waiting_request *after;
-    DL_FOREACH_SAFE(shards->requests, each, after) {
+    tw_shards_waiting_request *next;
+    DL_FOREACH_SAFE(shards->requests, each, next) {
         if (each->request.kind != TW_SHARDS_MOVE || &each->request == answered) continue;
         if (strcmp(each->request.key, answered->key) != 0) continue;
         if (move_digest(&each->request) != move_digest(answered)) continue;
@@ -87,8 +87,8 @@
 
 void tw_shards_answer_applied(tw_shards *shards) {
     tw_shards_waiting_request *each;
-    tw_shards_waiting_request *after;
-    DL_FOREACH_SAFE(shards->txn.answers, each, after) {
+    tw_shards_waiting_request *next;
+    DL_FOREACH_SAFE(shards->txn.answers, each, next) {
         DL_DELETE(shards->txn.answers, each);
         tw_shards_answer_request(shards, &each->request, TW_SHARDS_OK);
         free(each->request.machines);
@@ -148,7 +148,7 @@
     return shards->in_flight;
 }
 
-/* ---- machines added, removed and renewed: many in one transaction ---- */
+/* ---- adding, removing and renewing machines, several in one transaction ---- */
 
 /* Returns the first slot that is ABSENT and not used by this transaction. */
 static tw_shards_machine *free_slot(tw_shards *shards) {
--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -9,10 +9,9 @@
  *   guard  (tw_shards_guard_*)  runs on a machine; rejects all epochs but the newest opened,
  *                               and commands of terms that have ended
  *
- * An epoch is a number drawn from one counter for all shards, so of two epochs of a machine the
- * later one is greater. A term is the mod revision of the leader's key: of two leaders the later
- * one has the greater term. Each command to a machine carries the term of the notification that
- * caused it.
+ * Epochs are assigned from one counter for all shards, so of two epochs of a machine the later one
+ * is greater. A term is the mod revision of the leader's key: of two leaders the later one has the
+ * greater term. Each command to a machine carries the term of the notification that caused it.
  *
  * Invariants: the epoch of a machine never decreases; an epoch of a machine belongs to one owner;
  * owners are notified only of recorded changes. docs/shards.md contains the protocol and the
@@ -49,7 +48,7 @@
     TW_SHARDS_NOT_LEADER,
     TW_SHARDS_STALE_REVISION, /* the table has changed since the client read it */
     TW_SHARDS_UNKNOWN_SHARD,
-    TW_SHARDS_UNKNOWN_MACHINE, /* no such machine, or it is not in the source shard */
+    TW_SHARDS_UNKNOWN_MACHINE, /* the machine does not exist or is not in the source shard */
     TW_SHARDS_BELOW_LEAST,     /* the shard would have fewer machines than its minimum */
     TW_SHARDS_BUSY,            /* another move holds these machines, or they are not open yet */
     TW_SHARDS_NO_FIT,          /* too few machines of the shard may be moved */
@@ -58,10 +57,10 @@
     TW_SHARDS_INVALID,
     TW_SHARDS_TOO_LARGE,   /* the record would exceed the limits of the state service */
     TW_SHARDS_OVERLOADED,  /* too many requests are queued; the client retries later */
-    TW_SHARDS_QUARANTINED, /* machines that it needs have not answered this leader yet */
-    /* Results of a promotion only: */
+    TW_SHARDS_QUARANTINED, /* machines that the move needs have not answered this leader yet */
+    /* Verdicts on promotions: */
     TW_SHARDS_UNKNOWN_NODE,
-    TW_SHARDS_NOT_FOLLOWING, /* no recent message from the node */
+    TW_SHARDS_NOT_FOLLOWING, /* the node has sent no report recently */
     TW_SHARDS_BEHIND         /* the node has not received all changes */
 } tw_shards_verdict;
 /* Returns the name of a verdict as written in answers. */
@@ -72,8 +71,8 @@
     double grace_s;     /* additional time to wait for an owner that does not report DRAINED */
     double retry_s;     /* interval between retries of unanswered messages and calls */
     size_t value_bytes; /* largest value that the state service accepts */
-    int txn_ops;        /* most changes in one transaction, at least 4 */
-    double write_rps;   /* most changes per second that the table may write */
+    int txn_ops;        /* maximum number of changes in one transaction, at least 4 */
+    double write_rps;   /* maximum number of changes per second that the table may write */
 } tw_shards_settings;
 
 /* ---- leader ---- */
@@ -133,14 +132,14 @@
 typedef struct tw_shards_effect {
     tw_shards_effect_kind kind;
     uint64_t id; /* WRITE, READ: id of the call; ANSWER: id of the request */
-    char *text;  /* READ: key after which the list starts, ""; WRITE: request body */
+    char *text;  /* READ: key after which the list starts, "": the first key; WRITE: body */
     int ops;     /* WRITE: number of changes */
     tw_shards_notification notification; /* NOTIFY */
     tw_shards_verdict verdict;           /* ANSWER */
     tw_shards_progress progress;         /* ANSWER to MOVE, CANCEL, WATCH */
     uint64_t revision;                   /* ANSWER: revision of the table */
-    /* ANSWER to ADD, RENEW: last epoch drawn before the transaction, which is the minimum epoch of
-     * the machine's guard */
+    /* ANSWER to ADD, RENEW: last epoch assigned before the transaction, which is the minimum epoch
+     * of the machine's guard */
     uint64_t minimum_epoch;
     struct tw_shards_effect *next;
 } tw_shards_effect;
@@ -237,7 +236,7 @@
 /* A shard as shown to operators. */
 typedef struct {
     char name[TW_SHARDS_NAME], owner[TW_SHARDS_NAME];
-    int least, spread;
+    int least, spread;         /* minimum size and spread, as in a DEFINE request */
     int open, taken, draining; /* numbers of machines in these states */
 } tw_shards_shard_view;
 /* Returns the shard with an index from 0 to tw_shards_shard_count - 1. */
@@ -308,7 +307,7 @@
 typedef enum {
     TW_SHARDS_GUARD_RAISED,     /* accepted: requests of earlier epochs must end */
     TW_SHARDS_GUARD_REPEATED,   /* accepted: changes nothing */
-    TW_SHARDS_GUARD_OLD_EPOCH,  /* refused: at most the minimum epoch, or below the newest */
+    TW_SHARDS_GUARD_OLD_EPOCH,  /* refused: not above the minimum epoch, or below the newest one */
     TW_SHARDS_GUARD_OLD_TERM,   /* refused: a command of a later term was received */
     TW_SHARDS_GUARD_OTHER_BOOT, /* refused: the command is for a different boot of the machine */
     TW_SHARDS_GUARD_NOT_STARTED /* refused: the minimum epoch of this boot is not set yet */
@@ -327,7 +326,8 @@
 /* Opens the machine under an epoch. */
 tw_shards_guard_verdict tw_shards_guard_open_epoch(tw_shards_guard *guard, uint64_t term,
                                                    uint64_t epoch);
-/* Checks a command to end the requests of an epoch. REPEATED: they are to be ended. */
+/* Checks a command to end the requests of an epoch. Returns REPEATED if the machine has to end
+ * them. */
 tw_shards_guard_verdict tw_shards_guard_check_stop(tw_shards_guard *guard, uint64_t term,
                                                    uint64_t epoch);
 /* Returns whether a request under this epoch may run. */
--- a/src/shards/shards_int.h
+++ b/src/shards/shards_int.h
@@ -38,16 +38,16 @@
     int zone; /* index in shards->zones */
     tw_shards_cell cell, next;
     bool change_pending;                  /* `next` is part of the transaction in flight */
-    uint64_t drained_epoch, opened_epoch; /* latest ones that the owner has reported */
+    uint64_t drained_epoch, opened_epoch; /* latest epochs of the owner's DRAINED and OPENED */
     double notified_at;                   /* time of the last notification to its owner */
-    int load;
+    int load;                             /* number of requests that run on the machine */
     UT_hash_handle hh;
 } tw_shards_machine;
 
 typedef struct {
     char name[TW_SHARDS_NAME], owner[TW_SHARDS_NAME];
-    uint64_t epoch; /* of the last change of owner; machines of earlier epochs must be opened */
-    int least, spread;
+    uint64_t epoch;    /* of the last change of owner; machines of earlier epochs must be opened */
+    int least, spread; /* minimum size and spread, as in a DEFINE request */
 } tw_shards_shard;
 
 /* The header record, which contains all shards. */
@@ -103,8 +103,9 @@
     int *machines; /* indexes of the machines that change */
     int machine_count, machine_capacity;
     unsigned char *record_kinds; /* by block: tw_shards_record_kinds that change */
-    int record_kinds_capacity, block_ops;
-    uint64_t minimum_epoch; /* last epoch drawn before the transaction */
+    int record_kinds_capacity;
+    int block_ops;          /* number of cells and names records that change */
+    uint64_t minimum_epoch; /* last epoch assigned before the transaction */
     bool header_changed;
     uint64_t removed_move;
     tw_shards_waiting_request *answers; /* requests answered once it is applied */
@@ -140,8 +141,8 @@
     tw_shards_waiting_request *requests;
     int request_count;
     tw_shards_transaction txn;
-    bool in_flight;
-    bool steps_first;
+    bool in_flight;   /* `txn` was sent and its outcome is not known */
+    bool steps_first; /* steps of moves were tried before requests for the last transaction */
     tw_shards_effect *effects, *last_effect;
 };
 
@@ -160,7 +161,7 @@
 tw_shards_machine *tw_shards_find_machine(const tw_shards *shards, const char *name);
 /* Returns the slot with this index; creates it and all lower ones if needed. */
 tw_shards_machine *tw_shards_get_slot(tw_shards *shards, int index);
-/* Assigns a name and a zone to an ABSENT machine, or removes them. */
+/* Assign a name and a zone to an ABSENT machine; and remove them. */
 void tw_shards_name_machine(tw_shards *shards, tw_shards_machine *machine, const char *name,
                             int zone);
 void tw_shards_unname_machine(tw_shards *shards, tw_shards_machine *machine);
@@ -176,7 +177,7 @@
 void tw_shards_set_cell(tw_shards *shards, tw_shards_machine *machine, tw_shards_cell to);
 /* Replaces the recorded header. The table takes ownership of its array of shards. */
 void tw_shards_set_header(tw_shards *shards, const tw_shards_header *to);
-/* Returns the move with this key or number, or NULL. */
+/* Return the move with this key, or with this number; NULL if there is none. */
 tw_shards_move *tw_shards_move_by_key(const tw_shards *shards, const char *key);
 tw_shards_move *tw_shards_move_by_number(const tw_shards *shards, uint64_t number);
 /* Sorts the moves by number. */
@@ -218,7 +219,7 @@
 /* Stores the machines of the source shard that may be moved in *chosen, best first; the caller
  * frees the array. Returns their number, at most `most`. */
 int tw_shards_choose_machines(const tw_shards *shards, const tw_shards_move_record *record,
-                              int most, tw_shards_machine ***chosen);
+                              int max_count, tw_shards_machine ***chosen);
 
 /* transaction.c */
 /* The records of a machine's block that a change affects. */
@@ -247,8 +248,8 @@
 /* load.c */
 /* Clears the table and starts reading it again. Queued requests stay in the queue. */
 void tw_shards_reload_table(tw_shards *shards);
-/* Requests the page of keys after `after`; "": the first page. */
-void tw_shards_read_next_page(tw_shards *shards, const char *after);
+/* Requests the page of keys after this key; "": the first page. */
+void tw_shards_read_next_page(tw_shards *shards, const char *after_key);
 /* Frees the pages that have been read. */
 void tw_shards_free_pages(tw_shards *shards);
 
@@ -266,12 +267,15 @@
 /* Answer all queued requests with a verdict; refuse_all includes those of the transaction. */
 void tw_shards_refuse_waiting(tw_shards *shards, tw_shards_verdict verdict);
 void tw_shards_refuse_all(tw_shards *shards, tw_shards_verdict verdict);
-/* request.c, step.c: each begins at most one transaction and returns whether it began one */
+/* Serves queued requests until one of them begins a transaction. Returns whether one began. */
 bool tw_shards_serve_request(tw_shards *shards);
+/* step.c */
+/* Begins a transaction with the due steps of one move, or else with the machines that were opened
+ * outside a move. Returns whether a transaction began. */
 bool tw_shards_step_moves(tw_shards *shards);
 
 /* leader.c */
-/* Notifies the owner of a machine of its state. */
+/* Emits a NOTIFY effect with the machine's state, for its owner. */
 void tw_shards_emit_notification(tw_shards *shards, tw_shards_machine *machine);
 void tw_shards_answer_request(tw_shards *shards, const tw_shards_request *request,
                               tw_shards_verdict verdict);
--- a/src/shards/step.c
+++ b/src/shards/step.c
@@ -17,7 +17,8 @@
     }
 }
 
-/* Returns the number of machines that the shard can give without falling below its minimum size. */
+/* Returns the number of machines that can leave the shard without taking it below its minimum size.
+ */
 static int spare_machines(const tw_shards *shards, int index) {
     const tw_shards_shard_sets *sets = &shards->sets[index];
     return (int)(roaring_bitmap_get_cardinality(sets->open) +
@@ -25,8 +26,9 @@
            shards->header.shards[index].least;
 }
 
-/* Adds the machines that did not fit into the transaction that began the move, or others if those
- * have been removed since. If no more can be chosen, the move continues with fewer machines. */
+/* Adds the machines that did not fit into the transaction that began the move, or other machines if
+ * some of them have been removed since. If no more machines can be chosen, the move continues with
+ * fewer. */
 static void mark_missing_machines(tw_shards *shards, tw_shards_move *move) {
     const int missing = move->next.wanted - move->next.marked;
     const int spare = spare_machines(shards, move->recorded.from);
--- a/src/shards/table.c
+++ b/src/shards/table.c
@@ -115,9 +115,9 @@
     while (shards->machine_count <= index) {
         shards->machines = tw_shards_grow(shards->machines, shards->machine_count,
                                           &shards->machine_capacity, sizeof(tw_shards_machine *));
-        tw_shards_machine *made = tw_shards_alloc(sizeof *made);
-        made->index = shards->machine_count;
-        shards->machines[shards->machine_count++] = made;
+        tw_shards_machine *slot = tw_shards_alloc(sizeof *slot);
+        slot->index = shards->machine_count;
+        shards->machines[shards->machine_count++] = slot;
     }
     if (index / TW_SHARDS_BLOCK_SIZE >= shards->block_count)
         add_blocks(shards, index / TW_SHARDS_BLOCK_SIZE + 1);
@@ -222,12 +222,14 @@
     return NULL;
 }
 
-static int by_number(const tw_shards_move *first, const tw_shards_move *second) {
+static int compare_move_numbers(const tw_shards_move *first, const tw_shards_move *second) {
     return (first->recorded.number > second->recorded.number) -
            (first->recorded.number < second->recorded.number);
 }
 
-void tw_shards_sort_moves(tw_shards *shards) { DL_SORT2(shards->moves, by_number, prev, link); }
+void tw_shards_sort_moves(tw_shards *shards) {
+    DL_SORT2(shards->moves, compare_move_numbers, prev, link);
+}
 
 /* The machines that the move holds are added when their cells are set. */
 tw_shards_move *tw_shards_add_move(tw_shards *shards, const tw_shards_move_record *record) {
@@ -239,11 +241,11 @@
     return added;
 }
 
-void tw_shards_remove_move(tw_shards *shards, tw_shards_move *dropped) {
-    DL_DELETE2(shards->moves, dropped, prev, link);
-    roaring_bitmap_free(dropped->machines);
-    free(dropped->recorded.only);
-    free(dropped);
+void tw_shards_remove_move(tw_shards *shards, tw_shards_move *removed) {
+    DL_DELETE2(shards->moves, removed, prev, link);
+    roaring_bitmap_free(removed->machines);
+    free(removed->recorded.only);
+    free(removed);
 }
 
 tw_shards_progress tw_shards_move_progress(const tw_shards *shards, const tw_shards_move *move) {
@@ -275,7 +277,7 @@
 
 void tw_shards_clear_table(tw_shards *shards) {
     tw_shards_move *each;
-    tw_shards_move *after;
+    tw_shards_move *next;
     HASH_CLEAR(hh, shards->machines_by_name);
     for (int i = 0; i < shards->machine_count; i++) free(shards->machines[i]);
     free(shards->machines);
@@ -297,5 +299,5 @@
     shards->block_count = 0;
     clear_named(&shards->zones, &shards->zone_count);
     clear_named(&shards->images, &shards->image_count);
-    DL_FOREACH_SAFE2(shards->moves, each, after, link) { tw_shards_remove_move(shards, each); }
+    DL_FOREACH_SAFE2(shards->moves, each, next, link) { tw_shards_remove_move(shards, each); }
 }
--- a/src/shards/transaction.c
+++ b/src/shards/transaction.c
@@ -81,13 +81,13 @@
 }
 
 tw_shards_header *tw_shards_change_header(tw_shards *shards) {
-    const tw_shards_header *now = &shards->header;
+    const tw_shards_header *current = &shards->header;
     tw_shards_header *next = &shards->next_header;
     if (shards->txn.header_changed) return next;
-    *next = *now;
-    next->shards = tw_shards_alloc(sizeof *next->shards * ((size_t)now->shard_count + 1));
-    if (now->shard_count)
-        memcpy(next->shards, now->shards, sizeof *next->shards * (size_t)now->shard_count);
+    *next = *current;
+    next->shards = tw_shards_alloc(sizeof *next->shards * ((size_t)current->shard_count + 1));
+    if (current->shard_count)
+        memcpy(next->shards, current->shards, sizeof *next->shards * (size_t)current->shard_count);
     shards->txn.header_changed = true;
     return next;
 }
@@ -223,8 +223,8 @@
 
 static void apply_moves(tw_shards *shards, uint64_t revision) {
     tw_shards_move *each;
-    tw_shards_move *after;
-    DL_FOREACH_SAFE2(shards->moves, each, after, link) {
+    tw_shards_move *next;
+    DL_FOREACH_SAFE2(shards->moves, each, next, link) {
         if (each->recorded.number && each->recorded.number == shards->txn.removed_move) {
             tw_shards_remove_move(shards, each);
         } else if (each->change_pending) {
@@ -270,7 +270,7 @@
 void tw_shards_discard_transaction(tw_shards *shards) {
     tw_shards_transaction *txn = &shards->txn;
     tw_shards_move *each;
-    tw_shards_move *after;
+    tw_shards_move *next;
     for (int i = 0; i < txn->machine_count; i++) {
         tw_shards_machine *changed = shards->machines[txn->machines[i]];
         changed->change_pending = false;
@@ -280,7 +280,7 @@
     if (txn->header_changed) free(shards->next_header.shards);
     shards->next_header = (tw_shards_header){0};
     txn->header_changed = false;
-    DL_FOREACH_SAFE2(shards->moves, each, after, link) {
+    DL_FOREACH_SAFE2(shards->moves, each, next, link) {
         if (!each->change_pending) continue;
         each->change_pending = false;
         if (each->recorded.number) continue;
--- a/tests/router/properties.cpp
+++ b/tests/router/properties.cpp
@@ -19,8 +19,8 @@
 
 constexpr int replica_count = 4;
 constexpr int slots = 2;
-constexpr int most_waiting = 3;
-constexpr int most_attempts = 3;
+constexpr int max_waiting = 3;
+constexpr int max_attempts = 3;
 constexpr double deadline_s = 5;
 constexpr double step_s = 0.25;
 
@@ -56,7 +56,7 @@
     RC_ASSERT(seen.parts_of.count(effect->request) == 0U);
     RC_ASSERT(effect->epoch != 0);
     RC_ASSERT(effect->epoch == seen.epochs[effect->replica]);
-    RC_ASSERT(effect->attempt >= 1 && effect->attempt <= most_attempts);
+    RC_ASSERT(effect->attempt >= 1 && effect->attempt <= max_attempts);
     seen.latest[effect->request] = effect->attempt;
     seen.sent.push_back({effect->request, effect->attempt, effect->replica, false});
 }
@@ -142,11 +142,11 @@
     }
     take_effects(seen, router);
     seen.stale = 0;
-    RC_ASSERT(tw_router_waiting_count(router) <= 2 * (most_waiting + replica_count * slots));
+    RC_ASSERT(tw_router_waiting_count(router) <= 2 * (max_waiting + replica_count * slots));
 }
 
 tw_router *new_router() {
-    const tw_router_settings settings = {most_waiting, most_attempts, 0.5, 4, 0.25};
+    const tw_router_settings settings = {max_waiting, max_attempts, 0.5, 4, 0.25};
     return tw_router_new(&settings);
 }
 
@@ -198,11 +198,11 @@
 /// goes before those that came after it.
 void check_queue() {
     tw_router *router = new_router();
-    for (uint64_t number = 1; number <= most_waiting + 1U; number++)
+    for (uint64_t number = 1; number <= max_waiting + 1U; number++)
         tw_router_add_request(router, 0, number, "front", deadline_s);
     tw_router_effect *refused = tw_router_next_effect(router);
     RC_ASSERT(refused != nullptr && refused->kind == TW_ROUTER_ANSWER);
-    RC_ASSERT(refused->request == most_waiting + 1U);
+    RC_ASSERT(refused->request == max_waiting + 1U);
     RC_ASSERT(refused->status == TW_ROUTER_FULL && refused->retry_after_s >= 1);
     std::free(refused);
     tw_router_set_replica(router, 0, "r0", 1, 1, 1);
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -229,8 +229,8 @@
 
 /* ---- life of nodes ---- */
 
-static const tw_router_settings router_settings = {.most_waiting = 1000,
-                                                   .most_attempts = 5,
+static const tw_router_settings router_settings = {.max_waiting = 1000,
+                                                   .max_attempts = 5,
                                                    .retry_ratio = 0.5,
                                                    .retry_burst = 50,
                                                    .average_ratio = 0.2};
