--- a/src/daemon/calls.c
+++ b/src/daemon/calls.c
@@ -75,11 +75,12 @@
     uint64_t running = 0;
     cJSON *object = cJSON_ParseWithLength(body, length);
     *to = (tw_standby_machine_status){0};
-    const bool failed =
-        (status != OK && status != CONFLICT) || parse_number(object, "term", &to->term) ||
-        parse_number(object, "life", &to->boot_id) ||
-        parse_number(object, "floor", &to->minimum_epoch) ||
-        parse_number(object, "open", &to->newest) || parse_number(object, "running", &running);
+    const bool failed = (status != OK && status != CONFLICT) ||
+                        parse_number(object, "term", &to->term) ||
+                        parse_number(object, "life", &to->boot_id) ||
+                        parse_number(object, "floor", &to->minimum_epoch) ||
+                        parse_number(object, "open", &to->newest_epoch) ||
+                        parse_number(object, "running", &running);
     to->started = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(object, "started"));
     to->running = (int)running;
     cJSON_Delete(object);
--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -50,7 +50,8 @@
     tw_reporter *reporter;
     tw_subscriber *subscriber;
     char feed_address[TW_RPC_ADDRESS_SIZE]; /* daemon whose feed is read; "" if none is */
-    double reopen_at, backoff_s; /* when a feed that has ended is reopened, and the delay before */
+    double reopen_at; /* earliest time at which a feed that has ended is reopened */
+    double backoff_s; /* last delay before reopening the feed */
     tw_standby *standby;
     tw_shards *shards;
     tw_shards_owner *owner;
@@ -58,8 +59,7 @@
     uint64_t last_call;
     tw_daemon_call *calls;
     tw_daemon_owner_notifications *notifications;
-    tw_rpc_message
-        *messages; /* this node's messages as an owner, until they are sent to the leader */
+    tw_rpc_message *messages; /* messages of this node as an owner for its next report */
     int message_count;
     ev_async calls_wake, report_wake, feed_wake;
     ev_timer tick;
@@ -67,6 +67,7 @@
 } tw_daemon_node;
 
 /* daemon.c */
+/* Returns the time of the monotonic clock. */
 double tw_daemon_steady_s(void);
 /* Returns zeroed memory. The program aborts if none can be allocated. */
 void *tw_daemon_alloc(size_t size);
--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -185,7 +185,7 @@
     tw_standby_log_event(
         standby, "event=machine_differed machine=%s recorded=%s epoch=%lu open=%lu started=%d",
         recorded->machine, tw_shards_state_name(recorded->state), (unsigned long)recorded->epoch,
-        (unsigned long)answer->newest, answer->started);
+        (unsigned long)answer->newest_epoch, answer->started);
 }
 
 /* Compares the machine's open epoch with its record. */
@@ -195,10 +195,10 @@
     const bool was_open = recorded.state == TW_SHARDS_OPEN || recorded.state == TW_SHARDS_DRAINING;
     if (recorded.state == TW_SHARDS_ABSENT) {
         remove_machine(standby, machine);
-    } else if (answer->newest > recorded.epoch) {
+    } else if (answer->newest_epoch > recorded.epoch) {
         record_difference(standby, &recorded, answer);
         log_quarantine(standby, machine, "ahead_of_records");
-    } else if (!answer->started || (was_open && answer->newest < recorded.epoch)) {
+    } else if (!answer->started || (was_open && answer->newest_epoch < recorded.epoch)) {
         record_difference(standby, &recorded, answer);
         request_renewal(standby, machine, answer->boot_id);
     } else {
@@ -282,7 +282,7 @@
     tw_standby_registration *next_registration;
     HASH_ITER(hh, standby->machines, each, next_machine) { remove_machine(standby, each); }
     DL_FOREACH_SAFE(standby->registrations, registration, next_registration) {
-        /* The table refuses those that were passed to it before. */
+        /* The table itself refuses the registrations that were passed to it before. */
         if (!registration->passed)
             tw_shards_add_request(standby->table, standby->now, &registration->request);
         DL_DELETE(standby->registrations, registration);
--- a/src/standby/feed.c
+++ b/src/standby/feed.c
@@ -30,7 +30,7 @@
     position->number = position->snapshot_number;
 }
 
-/* ---- at the active controller ---- */
+/* ---- sending the feed, at the active controller ---- */
 
 void tw_standby_update_follower(tw_standby *standby, double now, const char *name, uint64_t term,
                                 uint64_t number) {
@@ -114,7 +114,7 @@
     return message;
 }
 
-/* ---- at a standby ---- */
+/* ---- receiving the feed, at a standby ---- */
 
 /* Handles a message that does not continue from this node's position: counts a gap and resets the
  * position, so that the feed restarts with a snapshot. */
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -83,8 +83,8 @@
     return (double)(sum % JITTER_STEPS) / JITTER_STEPS;
 }
 
-/* Returns the delay before this node asks for the lease. The successor and the most current
- * standbys have the shortest one. The delay is fixed: no standby depends on another one. */
+/* Returns the delay before this node asks for the lease, which is shorter for the successor and for
+ * the most current standbys. No standby waits for an action of another one. */
 static double acquire_delay_of(const tw_standby *standby) {
     double ratio = TW_STANDBY_JITTER_RATIO * jitter_of(standby->settings.name);
     const bool is_successor =
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -5,9 +5,9 @@
  * state. The active controller holds the leader key of the state service by a lease and sends its
  * records to the standbys as numbered changes (the feed). A standby that receives no message
  * suspects that the active controller has failed and reads the key more often, but decides nothing
- * on suspicion. Once the state service has let the lease expire, the standby writes the key, whose
- * revision is the new term (fencing), compares its view with the records and asks each machine for
- * its open epoch (checking), and only then decides.
+ * because of a suspicion. When the lease has expired at the state service, the standby writes the
+ * key, whose revision is the new term (fencing), compares its view with the records and asks each
+ * machine for its open epoch (checking), and only then decides.
  *
  * Invariants: at most one controller has authority at a time; a term has one controller; nothing is
  * decided before the end of checking, nor about a machine that has not answered in the term.
@@ -109,9 +109,9 @@
  */
 typedef struct {
     uint64_t term, boot_id, minimum_epoch;
-    uint64_t newest; /* newest epoch that the machine has opened */
-    bool started;    /* whether the machine has its minimum epoch */
-    int running;     /* requests that the machine is serving */
+    uint64_t newest_epoch; /* newest epoch that the machine has opened */
+    bool started;          /* whether the machine has its minimum epoch */
+    int running;           /* requests that the machine is serving */
 } tw_standby_machine_status;
 /* Handles a machine's answer to the CHECK or START of that term. answer is NULL if the machine did
  * not answer. */
@@ -136,11 +136,11 @@
 
 typedef struct {
     tw_standby_message_kind kind;
-    uint64_t term;           /* of the sender; DENIED: the newest term that the sender knows */
-    uint64_t number;         /* CHANGE: of this change; SNAPSHOT: of the change at which the
-                                snapshot began; HEARTBEAT: of the newest change */
+    uint64_t term;           /* term of the sender; DENIED: the newest term that it knows */
+    uint64_t number;         /* CHANGE: number of this change; SNAPSHOT: number of the change at
+                                which the snapshot began; HEARTBEAT: number of the newest change */
     uint64_t store_revision; /* revision of the state service that the view reflects */
-    uint64_t digest;         /* HEARTBEAT, CHANGE: of all records after the change */
+    uint64_t digest;         /* HEARTBEAT, CHANGE: digest of all records after change `number` */
     tw_wire_entry *entries;  /* an entry without a value is removed */
     int count;
     bool more;                      /* SNAPSHOT: further parts follow */
@@ -154,16 +154,16 @@
  * tw_standby_message_free. */
 tw_standby_message tw_standby_build_message(tw_standby *standby, double now,
                                             const tw_standby_position *position);
-/* Records the last change that a follower reports to have. Reading the feed is no proof that the
- * follower is alive: its connection accepts messages even while its process is suspended. */
+/* Records the last change that a follower reports to have. Only a report shows that the follower is
+ * alive: its feed connection accepts messages even while its process is suspended. */
 void tw_standby_update_follower(tw_standby *standby, double now, const char *follower,
                                 uint64_t term, uint64_t number);
 /* Moves the position past a message. */
 void tw_standby_advance(tw_standby_position *position, const tw_standby_message *message);
 /* Returns the position of this standby in the feed. */
 tw_standby_position tw_standby_position_of(const tw_standby *standby);
-/* Applies a message of the feed at a standby. Returns 0 if the message does not continue from what
- * the standby has; the feed must then be reopened at tw_standby_position_of. */
+/* Applies a message of the feed at a standby. Returns 0 if the message does not continue from the
+ * standby's position; the feed must then be reopened at tw_standby_position_of. */
 int tw_standby_apply_message(tw_standby *standby, double now, const tw_standby_message *message);
 
 /* ---- status, for operators and tests ---- */
@@ -174,7 +174,7 @@
     uint64_t lag;         /* changes of the active controller that this node lacks */
     int quarantined;      /* machines that have not answered */
     int records;          /* records in the view */
-    long differences;     /* between view, records and machines, at the last takeover */
+    long differences;     /* differences between view, records and machines at the last takeover */
     long snapshots, gaps; /* snapshots received and gaps found in the feed since the start */
 } tw_standby_status;
 /* Returns the status of this node at that time. */
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -153,7 +153,7 @@
     tw_shards_request request;
     bool passed;      /* whether the request was passed to the table */
     uint64_t boot_id; /* boot id of the machine when it was asked; 0 if it did not answer */
-    double since;
+    double since;     /* time of the request */
     struct tw_standby_registration *prev, *next;
 } tw_standby_registration;
 
@@ -171,20 +171,21 @@
     tw_standby_lease lease;
     tw_standby_state state;
     bool leads;
-    bool began_checking;
+    bool began_checking;    /* whether the machines were asked for their epochs in this term */
     double active_seen_at;  /* when the active controller's last message arrived, or when its key
                                was first read */
     uint64_t latest_term;   /* newest term known */
     uint64_t active_number; /* number of the active controller's last change */
     double lag_since;       /* since when this node lacks changes; 0 if it lacks none */
-    char successor[TW_SHARDS_NAME];
-    tw_standby_view view, staged; /* staged: a snapshot that is still incomplete */
+    char successor[TW_SHARDS_NAME]; /* node that is to take over; "" if any node may */
+    tw_standby_view view, staged;   /* staged: a snapshot that is still incomplete */
     tw_standby_position position;
     tw_standby_change_log log;
     tw_standby_follower *followers;
     tw_standby_machine_check *machines;
     double checking_since;
     tw_standby_registration *registrations;
+    /* Ids of the last call of any kind, and of the last calls of each kind. */
     uint64_t last_call, lease_call, read_call, write_call, confirm_call, release_call;
     uint64_t read_id, write_id; /* ids of the table's read and write that the calls carry out */
     char *write_body;           /* the transaction in flight */
@@ -240,8 +241,9 @@
 /* Handles a request to add or renew a machine, which must be asked for its boot id first. Returns
  * false, and does nothing, if the request is of another kind or this node does not lead. */
 bool tw_standby_handle_registration(tw_standby *standby, const tw_shards_request *request);
-/* Handles the table's answer to a registration, by starting the machine where it was accepted.
- * Returns whether the registration was this node's own, so that no client awaits the answer. */
+/* Handles the table's answer to a registration. Starts or checks the machine if the registration
+ * was accepted. Returns whether the registration was this node's own, so that no client awaits the
+ * answer. */
 bool tw_standby_handle_registration_result(tw_standby *standby, const tw_shards_effect *answer);
 
 #endif
--- a/src/standby/table.c
+++ b/src/standby/table.c
@@ -79,8 +79,8 @@
                           length);
 }
 
-/* Applies the changes since the view's revision. The revision of the response must not be lower
- * than the term's token, since writes of earlier terms fail only from there on. */
+/* Applies the changes since the view's revision. The revision of the response must be at least the
+ * term's token, since a write of an earlier term may succeed until the key is written. */
 void tw_standby_handle_confirm_response(tw_standby *standby, int status, const char *body,
                                         size_t length) {
     tw_wire_entry *changes = NULL;
@@ -160,7 +160,7 @@
 void tw_standby_process_table_effects(tw_standby *standby) {
     tw_shards_effect *effect;
     while ((effect = tw_shards_next_effect(standby->table))) {
-        bool answer_started = false;
+        bool handed_over = false; /* the emitted effect owns `effect` */
         switch (effect->kind) {
         case TW_SHARDS_READ:
             begin_read(standby, effect);
@@ -170,13 +170,13 @@
             break;
         case TW_SHARDS_NOTIFY:
             emit_table_effect(standby, TW_STANDBY_NOTIFY, effect);
-            answer_started = true;
+            handed_over = true;
             break;
         case TW_SHARDS_ANSWER:
-            answer_started = !tw_standby_handle_registration_result(standby, effect);
-            if (answer_started) emit_table_effect(standby, TW_STANDBY_ANSWER, effect);
+            handed_over = !tw_standby_handle_registration_result(standby, effect);
+            if (handed_over) emit_table_effect(standby, TW_STANDBY_ANSWER, effect);
             break;
         }
-        if (!answer_started) tw_shards_effect_free(effect);
+        if (!handed_over) tw_shards_effect_free(effect);
     }
 }
--- a/src/store/chunk_loader.c
+++ b/src/store/chunk_loader.c
@@ -97,12 +97,12 @@
         char id[TW_WIRE_ID_SIZE];
         if (set->referenced) continue;
         snprintf(id, sizeof id, "%.*s", (int)(slash - set->name), set->name);
-        tw_store_add_stale(store, id, slash + 1, set->capacity);
+        tw_store_add_stale_set(store, id, slash + 1, set->capacity);
     }
-    tw_store_free_loaded(store);
+    tw_store_free_loaded_sets(store);
 }
 
-void tw_store_free_loaded(tw_store *store) {
+void tw_store_free_loaded_sets(tw_store *store) {
     tw_loaded_chunk_set *set, *next;
     HASH_ITER(hh, store->loaded_sets, set, next) {
         HASH_DEL(store->loaded_sets, set);
--- a/src/store/chunk_writer.c
+++ b/src/store/chunk_writer.c
@@ -82,7 +82,7 @@
 
 void tw_store_drop_set(tw_store *store, tw_store_record *record) {
     if (!record->next_set) return;
-    tw_store_add_stale(store, record->id, record->next_set->name, record->next_set->count);
+    tw_store_add_stale_set(store, record->id, record->next_set->name, record->next_set->count);
     tw_store_free_set(record);
 }
 
@@ -144,7 +144,7 @@
 
 /* ---- removing chunk sets ---- */
 
-void tw_store_add_stale(tw_store *store, const char *id, const char *set, int count) {
+void tw_store_add_stale_set(tw_store *store, const char *id, const char *set, int count) {
     tw_stale_chunk_set *stale = tw_alloc(sizeof *stale);
     snprintf(stale->id, sizeof stale->id, "%s", id);
     snprintf(stale->name, sizeof stale->name, "%s", set);
@@ -152,7 +152,7 @@
     DL_APPEND(store->stale_sets, stale);
 }
 
-void tw_store_clear_stale(tw_store *store) {
+void tw_store_clear_stale_sets(tw_store *store) {
     tw_stale_chunk_set *stale, *next;
     DL_FOREACH_SAFE(store->stale_sets, stale, next) {
         DL_DELETE(store->stale_sets, stale);
@@ -162,7 +162,7 @@
     store->next_removal_at = 0;
 }
 
-void tw_store_remove_stale(tw_store *store, int max_count) {
+void tw_store_remove_stale_chunks(tw_store *store, int max_count) {
     const double now = store->context->now;
     tw_stale_chunk_set *stale = store->stale_sets;
     if (!stale || store->removal_in_flight || now < store->next_removal_at) return;
--- a/src/store/group_commit.c
+++ b/src/store/group_commit.c
@@ -196,7 +196,7 @@
         tw_store_flush_chunks(store, max_count);
         if (!batch.count) break;
     }
-    tw_store_remove_stale(store, max_count);
+    tw_store_remove_stale_chunks(store, max_count);
 }
 
 /* ---- results of writes and reads ---- */
@@ -228,9 +228,9 @@
     store->owner.settled(store->owner.owner, record->job);
 }
 
-/* Processes a record that was read of a job of which this node knew no record. If another node had
- * admitted the job with other fields, those fields replace the ones of this node. That is safe,
- * since no version of this node was durable and therefore no task was launched. */
+/* Processes the first record that was read of a job whose record was not known to exist. If another
+ * node admitted the job first with other fields, its fields replace those of this node. The
+ * replacement is safe, since no version of this node was durable and so no task was launched. */
 static void apply_first_record(tw_store *store, tw_store_record *record, const char *value) {
     tw_wire_record first;
     if (tw_wire_record_parse(&first, record->id, value, strlen(value))) return;
@@ -308,7 +308,7 @@
                              int status, const failed_compares *failed, bool is_sole_write) {
     record->urgent = true;
     if (status == TW_HTTP_BAD_REQUEST && is_sole_write)
-        tw_store_note_refused(store, record, *write->chunk_set ? 0 : write->bytes);
+        tw_store_note_size_refusal(store, record, *write->chunk_set ? 0 : write->bytes);
     else if (status == TW_HTTP_BAD_REQUEST)
         record->in_own_transaction = true; /* to find out which record is refused */
     else if (status != TW_HTTP_CONFLICT)
@@ -320,8 +320,8 @@
     if (record->needs_read && !record->read_in_flight) read_record(store, record);
 }
 
-/* Returns whether the compare of the leader's key did not fail. If the compare of a delegate's key
- * failed, the delegates' keys are read. */
+/* Returns false if the compare of the leader's key failed. Reads the delegates' keys if the compare
+ * of one of them failed. */
 static bool leader_key_is_kept(tw_store *store, const failed_compares *failed) {
     for (int i = 0; i < failed->count; i++) {
         if (!strncmp(failed->keys[i], TW_DELEGATE_KEY, sizeof TW_DELEGATE_KEY - 1))
@@ -331,9 +331,9 @@
     return true;
 }
 
-/* Handles what the responses to transactions of records and of chunks have in common. Sets *failed
- * to the failed compares; the caller frees its keys. Returns false, with *failed freed, if the
- * compare of the leader's key failed, which ends the term. */
+/* Processes the status and the failed compares of a response to a transaction of records or chunks.
+ * Sets *failed to the failed compares; the caller frees its keys. Returns false, with *failed
+ * freed, if the compare of the leader's key failed, which ends the term. */
 static bool note_answer(tw_store *store, int status, const char *body, size_t len,
                         failed_compares *failed) {
     *failed = (failed_compares){NULL, 0};
@@ -363,7 +363,7 @@
     if (status == TW_HTTP_OK)
         set->written += call->count;
     else if (status == TW_HTTP_BAD_REQUEST)
-        tw_store_note_refused(store, record, 0);
+        tw_store_note_size_refusal(store, record, 0);
     else
         record->write_after = store->context->now + WRITE_RETRY_S;
 }
--- a/src/store/record_format.c
+++ b/src/store/record_format.c
@@ -70,7 +70,7 @@
 
 /* ---- refusals for size ---- */
 
-void tw_store_note_refused(tw_store *store, tw_store_record *record, size_t bytes) {
+void tw_store_note_size_refusal(tw_store *store, tw_store_record *record, size_t bytes) {
     if (bytes && (!record->refused_bytes || bytes < record->refused_bytes))
         record->refused_bytes = bytes;
     if (bytes && tw_store_needs_chunks(store, record, bytes)) return;
@@ -104,13 +104,13 @@
 }
 
 void tw_store_update_format(tw_store *store) {
-    const bool read_chunks = tw_cluster_all_peers_support_chunks(store->cluster);
+    const bool all_support_chunks = tw_cluster_all_peers_support_chunks(store->cluster);
     const bool any_lacks_chunk_support = tw_cluster_any_peer_lacks_chunk_support(store->cluster);
-    if (read_chunks != store->all_peers_support_chunks)
-        tw_log_info("event=record_format_changed chunked=%d", read_chunks);
-    if (read_chunks && !store->all_peers_support_chunks) retry_refused(store);
+    if (all_support_chunks != store->all_peers_support_chunks)
+        tw_log_info("event=record_format_changed chunked=%d", all_support_chunks);
+    if (all_support_chunks && !store->all_peers_support_chunks) retry_refused(store);
     if (any_lacks_chunk_support && !store->any_peer_lacks_chunk_support)
         store->owner.peer_without_chunk_support_found(store->owner.owner);
-    store->all_peers_support_chunks = read_chunks;
+    store->all_peers_support_chunks = all_support_chunks;
     store->any_peer_lacks_chunk_support = any_lacks_chunk_support;
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -31,8 +31,8 @@
 void tw_store_reset(tw_store *store) {
     store->pending = NULL;
     store->transactions_in_flight = 0;
-    tw_store_clear_stale(store);
-    tw_store_free_loaded(store);
+    tw_store_clear_stale_sets(store);
+    tw_store_free_loaded_sets(store);
     store->all_peers_support_chunks = store->any_peer_lacks_chunk_support = false;
 }
 
@@ -84,7 +84,7 @@
                                 int chunk_count) {
     if (strcmp(record->current_set, chunk_set) != 0) {
         if (*record->current_set)
-            tw_store_add_stale(store, record->id, record->current_set, record->current_chunks);
+            tw_store_add_stale_set(store, record->id, record->current_set, record->current_chunks);
         snprintf(record->current_set, sizeof record->current_set, "%s", chunk_set);
     }
     record->current_chunks = chunk_count;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -54,7 +54,7 @@
     void *owner;
     /* Returns the record of the job with this id; NULL if there is no such job. */
     tw_store_record *(*find)(void *owner, const char *id);
-    /* Returns the text of the record for the current state of the job, which the store frees; and
+    /* Return the text of the record for the current state of the job, which the store frees; and
      * the summary of the job. */
     char *(*text)(void *job);
     tw_store_summary (*summary)(const void *job);
@@ -64,9 +64,9 @@
     /* Called when a write succeeded; and when a newer record than the known one was read. */
     void (*written)(void *owner, void *job);
     void (*newer_record_read)(void *owner, void *job);
-    /* Called when a record is read of a job of which this node knew no record: another node may
-     * have admitted the job first with other fields, or the job may have ended before. Returns true
-     * if it has ended, so that its record is not written. */
+    /* Called when a read finds a record of a job whose record was not known to exist: another node
+     * may have admitted the job first with other fields, or the job may have ended before. Returns
+     * true if the job has ended, so that its record is not written. */
     bool (*adopt_first_record)(void *owner, void *job, tw_wire_record *record);
     /* Called when the state service refused the record for its size. The owner rejects the requests
      * that wait for the record. */
@@ -140,7 +140,8 @@
  * Return false if none is available now. */
 bool tw_store_try_acquire_write(tw_store *store);
 bool tw_store_try_acquire_request(tw_store *store);
-/* Returns the seconds that a new write would wait behind the pending urgent and first writes. */
+/* Returns the time in seconds that a new write would wait for the pending writes of urgent records
+ * and of new records. */
 double tw_store_backlog_s(tw_store *store);
 /* Return the maximum size in bytes of a value under the configured limit; and of a record that is
  * written whole, given which formats the peers can read. */
--- a/src/store/store_int.h
+++ b/src/store/store_int.h
@@ -83,12 +83,12 @@
 void tw_store_requeue(tw_store *store, tw_store_record *record);
 
 /* ---- record_format.c ---- */
-/* Returns whether the next version of the record, a text of this length, has to be chunked. */
+/* Returns whether the next version of the record, whose text has this length, must be chunked. */
 bool tw_store_needs_chunks(const tw_store *store, const tw_store_record *record, size_t length);
-/* Handles the refusal for size of a record of this many bytes, alone in its transaction, or of
- * chunks of the record (bytes 0). The record is chunked if the peers allow it; otherwise the write
- * is repeated after increasing pauses. */
-void tw_store_note_refused(tw_store *store, tw_store_record *record, size_t bytes);
+/* Handles the refusal for size of a record that was alone in its transaction (bytes: its size) or
+ * of chunks of the record (bytes: 0). The record is chunked if the peers can read chunks; otherwise
+ * the write is repeated after increasing pauses. */
+void tw_store_note_size_refusal(tw_store *store, tw_store_record *record, size_t bytes);
 /* Updates which record formats the peers can read, and acts on a change. */
 void tw_store_update_format(tw_store *store);
 
@@ -98,7 +98,8 @@
 void tw_store_begin_set(tw_store *store, tw_store_record *record, const char *text);
 /* Returns whether all chunks of the next version are known to be written. */
 bool tw_store_set_is_written(const tw_store_record *record);
-/* Returns the text of the record that refers to that chunk set; the caller frees it. */
+/* Returns the text of the record that refers to the chunk set of the next version. The caller frees
+ * the text. */
 char *tw_store_set_record_text(const tw_store_record *record);
 /* Discards the chunk set of the next version, if there is one, and queues its chunks for removal.
  * Must not be called while a write of a record that refers to the set may still succeed. */
@@ -109,16 +110,16 @@
  * limits allow. */
 void tw_store_flush_chunks(tw_store *store, int max_count);
 /* Removes at most `max_count` chunks that no record refers to, as far as the rate limits allow. */
-void tw_store_remove_stale(tw_store *store, int max_count);
+void tw_store_remove_stale_chunks(tw_store *store, int max_count);
 /* Queues a chunk set of `count` chunks that no record refers to for removal. */
-void tw_store_add_stale(tw_store *store, const char *id, const char *set, int count);
+void tw_store_add_stale_set(tw_store *store, const char *id, const char *set, int count);
 /* Clears the queue of chunk sets to remove. The next leader finds them when it reads the chunks. */
-void tw_store_clear_stale(tw_store *store);
+void tw_store_clear_stale_sets(tw_store *store);
 /* Processes the response of the state service to a removal of chunks. */
 void tw_store_removal_response(tw_store *store, const tw_call *call, int status);
 
 /* ---- chunk_loader.c ---- */
 /* Frees the loaded chunks. */
-void tw_store_free_loaded(tw_store *store);
+void tw_store_free_loaded_sets(tw_store *store);
 
 #endif
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -149,7 +149,7 @@
     return (tw_standby_machine_status){.term = at->guard.term,
                                        .boot_id = at->guard.boot_id,
                                        .minimum_epoch = at->guard.minimum_epoch,
-                                       .newest = at->guard.newest_epoch,
+                                       .newest_epoch = at->guard.newest_epoch,
                                        .started = at->guard.started,
                                        .running = at->running_count};
 }
