--- a/src/daemon/daemon_int.h
+++ b/src/daemon/daemon_int.h
@@ -13,8 +13,9 @@
 #include <stdbool.h>
 #include <uthash.h>
 
-/* Limit of an owner's queued notifications, and of the messages queued for a report. Further
- * notifications are dropped; the owner gets them by its next SYNC. */
+/* Maximum number of an owner's queued notifications, and of the messages queued for a report. Those
+ * beyond it are discarded: the owner gets the notifications by its next SYNC and repeats the
+ * messages. */
 #define TW_DAEMON_MAX_NOTIFICATIONS 4096
 
 /* Kinds of HTTP calls, which determine how the response is handled. */
--- a/src/shards/request.c
+++ b/src/shards/request.c
@@ -67,7 +67,8 @@
     remove_request(shards, first);
 }
 
-/* Moves the first request to those that are answered once the transaction is applied. */
+/* Moves the first request from the queue to the requests that are answered once the transaction is
+ * applied. */
 static void defer_answer(tw_shards *shards) {
     tw_shards_waiting_request *first = shards->requests;
     DL_DELETE(shards->requests, first);
@@ -150,7 +151,9 @@
 
 /* ---- adding, removing and renewing machines, several in one transaction ---- */
 
-/* Returns the first slot that is ABSENT and not used by this transaction. */
+/* Returns the first slot that is ABSENT and not used by this transaction; adds one if there is
+ * none.
+ */
 static tw_shards_machine *free_slot(tw_shards *shards) {
     for (int i = 0; i < shards->machine_count; i++) {
         tw_shards_machine *each = shards->machines[i];
--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -305,8 +305,9 @@
 } tw_shards_guard;
 
 typedef enum {
-    TW_SHARDS_GUARD_RAISED,     /* accepted: requests of earlier epochs must end */
-    TW_SHARDS_GUARD_REPEATED,   /* accepted: changes nothing */
+    TW_SHARDS_GUARD_RAISED,   /* accepted: the epoch or the minimum epoch has increased; requests of
+                                 earlier epochs must end */
+    TW_SHARDS_GUARD_REPEATED, /* accepted: the epoch and the minimum epoch stay unchanged */
     TW_SHARDS_GUARD_OLD_EPOCH,  /* refused: not above the minimum epoch, or below the newest one */
     TW_SHARDS_GUARD_OLD_TERM,   /* refused: a command of a later term was received */
     TW_SHARDS_GUARD_OTHER_BOOT, /* refused: the command is for a different boot of the machine */
