--- a/src/cluster/delegate_registry.c
+++ b/src/cluster/delegate_registry.c
@@ -101,7 +101,7 @@
     tw_peer *peer = tw_cluster_find_peer(cluster, entry->key + prefix);
     if (!peer || peer->delegate_revision >= entry->mod_revision) return false;
     peer->delegate_revision = entry->mod_revision;
-    /* The time is counted from the read, since the key was written before. Delegations of earlier
+    /* The permission lasts no longer than if the key had been written now. Delegations of earlier
      * terms are bounded by tw_cluster_predecessor_renewals_end. */
     peer->delegate_until =
         cluster->context->now +
@@ -121,8 +121,8 @@
     if (any_newer && cluster->delegates_known &&
         cluster->expiry_decided_at > cluster->delegates_checked_at) {
         /* A lease was considered expired although an unknown delegate may have renewed it.
-         * Decisions that depend on this can't be identified, so the term ends, and the next one
-         * starts from the records. */
+         * The decisions that followed from it can't be identified, so the term ends, and the next
+         * one starts from the records. */
         tw_cluster_step_down(cluster, "an unseen delegate");
         return;
     }
--- a/src/shards/shards_int.h
+++ b/src/shards/shards_int.h
@@ -57,7 +57,6 @@
     int shard_count;
 } tw_shards_header;
 
-/* The record of a move. */
 typedef struct {
     char key[TW_SHARDS_NAME], image[TW_SHARDS_NAME];
     uint64_t number;
--- a/src/standby/standby_int.h
+++ b/src/standby/standby_int.h
@@ -202,7 +202,7 @@
 /* Appends an effect to those that tw_standby_next_effect returns. The effect belongs to the
  * standby. */
 tw_standby_effect *tw_standby_emit(tw_standby *standby, tw_standby_effect_kind kind);
-/* Emits a LOG_LINE. */
+/* Emits a LOG_LINE effect with the formatted line. */
 void tw_standby_log_event(tw_standby *standby, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /* Performs the transitions that are due at the present time: lease, term, checking and state. */
