--- a/tests/router/properties.cpp
+++ b/tests/router/properties.cpp
@@ -26,8 +26,8 @@
 
 struct step {
     int kind;
-    int which;
-    int other;
+    int target;
+    int argument;
 };
 
 struct attempt {
@@ -43,7 +43,7 @@
     std::map<uint64_t, int> parts_of; // attempt that a part was passed on of
     std::vector<attempt> sent;        // attempts that may still speak
     std::map<uint64_t, int> latest;   // attempt
-    uint64_t stale = 0;               // request of which an earlier attempt has just spoken
+    uint64_t stale_request = 0;       // request of which an earlier attempt has just spoken
     std::map<std::string, uint64_t> epochs;
     uint64_t last_request = 0;
     double now = 0;
@@ -51,7 +51,7 @@
 
 std::string replica_name(int number) { return "r" + std::to_string(number % replica_count); }
 
-void take_send(history &seen, const tw_router_effect *effect) {
+void check_send(history &seen, const tw_router_effect *effect) {
     RC_ASSERT(seen.answers[effect->request] == 0);
     RC_ASSERT(seen.parts_of.count(effect->request) == 0U);
     RC_ASSERT(effect->epoch != 0);
@@ -61,29 +61,29 @@
     seen.sent.push_back({effect->request, effect->attempt, effect->replica, false});
 }
 
-void take_answer(history &seen, const tw_router_effect *effect) {
+void check_answer(history &seen, const tw_router_effect *effect) {
     seen.answers[effect->request]++;
     RC_ASSERT(seen.answers[effect->request] == 1);
     RC_ASSERT(effect->status == TW_ROUTER_OK || effect->retry_after_s >= 1);
 }
 
-void take_effects(history &seen, tw_router *router) {
+void check_effects(history &seen, tw_router *router) {
     while (tw_router_effect *effect = tw_router_next_effect(router)) {
-        const tw_router_effect taken = *effect;
+        const tw_router_effect current = *effect;
         std::free(effect);
-        RC_ASSERT(taken.kind == TW_ROUTER_SEND || taken.request != seen.stale);
-        switch (taken.kind) {
+        RC_ASSERT(current.kind == TW_ROUTER_SEND || current.request != seen.stale_request);
+        switch (current.kind) {
         case TW_ROUTER_SEND:
-            take_send(seen, &taken);
+            check_send(seen, &current);
             break;
         case TW_ROUTER_PART:
-            RC_ASSERT(seen.answers[taken.request] == 0);
-            RC_ASSERT(seen.parts_of.count(taken.request) == 0U ||
-                      seen.parts_of[taken.request] == taken.attempt);
-            seen.parts_of[taken.request] = taken.attempt;
+            RC_ASSERT(seen.answers[current.request] == 0);
+            RC_ASSERT(seen.parts_of.count(current.request) == 0U ||
+                      seen.parts_of[current.request] == current.attempt);
+            seen.parts_of[current.request] = current.attempt;
             break;
         case TW_ROUTER_ANSWER:
-            take_answer(seen, &taken);
+            check_answer(seen, &current);
             break;
         case TW_ROUTER_CANCEL:
             break;
@@ -92,33 +92,33 @@
 }
 
 /// An attempt ends, or speaks once more though it has ended before (a late answer).
-void end_attempt(history &seen, tw_router *router, const step &drawn, tw_router_result end) {
+void end_attempt(history &seen, tw_router *router, const step &drawn, tw_router_result result) {
     if (seen.sent.empty()) return;
-    const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
-    if (about.number != seen.latest[about.request]) seen.stale = about.request;
-    tw_router_attempt_ended(router, seen.now, about.request, about.number, end);
+    const attempt ended = seen.sent[static_cast<std::size_t>(drawn.target) % seen.sent.size()];
+    if (ended.number != seen.latest[ended.request]) seen.stale_request = ended.request;
+    tw_router_attempt_ended(router, seen.now, ended.request, ended.number, result);
 }
 
 void send_part(history &seen, tw_router *router, const step &drawn) {
     if (seen.sent.empty()) return;
-    const attempt about = seen.sent[static_cast<std::size_t>(drawn.which) % seen.sent.size()];
-    if (about.number != seen.latest[about.request]) seen.stale = about.request;
-    tw_router_part_received(router, seen.now, about.request, about.number);
+    const attempt sender = seen.sent[static_cast<std::size_t>(drawn.target) % seen.sent.size()];
+    if (sender.number != seen.latest[sender.request]) seen.stale_request = sender.request;
+    tw_router_part_received(router, seen.now, sender.request, sender.number);
 }
 
 void change_replica(history &seen, tw_router *router, const step &drawn) {
-    const std::string name = replica_name(drawn.which);
-    seen.epochs[name] = drawn.other % 3 == 0 ? 0 : static_cast<uint64_t>(drawn.other);
+    const std::string name = replica_name(drawn.target);
+    seen.epochs[name] = drawn.argument % 3 == 0 ? 0 : static_cast<uint64_t>(drawn.argument);
     tw_router_set_replica(router, seen.now, name.c_str(), seen.epochs[name], slots, 1);
 }
 
 void make_request(history &seen, tw_router *router, const step &drawn) {
     seen.answers[++seen.last_request] = 0;
-    const char *team = drawn.which % 2 == 0 ? "front" : "letters";
+    const char *team = drawn.target % 2 == 0 ? "front" : "letters";
     tw_router_add_request(router, seen.now, seen.last_request, team, seen.now + deadline_s);
 }
 
-void play(history &seen, tw_router *router, const step &drawn) {
+void apply_step(history &seen, tw_router *router, const step &drawn) {
     static const tw_router_result ends[] = {TW_ROUTER_DONE, TW_ROUTER_REFUSED, TW_ROUTER_BROKEN,
                                             TW_ROUTER_LOST};
     switch (drawn.kind) {
@@ -138,10 +138,10 @@
         tw_router_tick(router, seen.now);
         break;
     default:
-        end_attempt(seen, router, drawn, ends[drawn.other % 4]);
+        end_attempt(seen, router, drawn, ends[drawn.argument % 4]);
     }
-    take_effects(seen, router);
-    seen.stale = 0;
+    check_effects(seen, router);
+    seen.stale_request = 0;
     RC_ASSERT(tw_router_waiting_count(router) <= 2 * (most_waiting + replica_count * slots));
 }
 
@@ -157,10 +157,10 @@
         seen.epochs[replica_name(i)] = 1;
         tw_router_set_replica(router, 0, replica_name(i).c_str(), 1, slots, 1);
     }
-    for (const step &drawn : steps) play(seen, router, drawn);
+    for (const step &drawn : steps) apply_step(seen, router, drawn);
     seen.now += 2 * deadline_s;
     tw_router_tick(router, seen.now);
-    take_effects(seen, router);
+    check_effects(seen, router);
     for (const auto &each : seen.answers) RC_ASSERT(each.second == 1);
     RC_ASSERT(tw_router_open_count(router) == 0);
     tw_router_free(router);
@@ -216,7 +216,7 @@
 }
 
 /// The slowest replica that meets the deadline; where none does, the fastest.
-void check_pick() {
+void check_replica_choice() {
     tw_router *router = new_router();
     tw_router_set_replica(router, 0, "fast", 1, 1, 1);
     tw_router_set_replica(router, 0, "slow", 1, 1, 3);
@@ -247,7 +247,7 @@
     bool held = rc::check("each request gets exactly one final answer", check_history);
     held = rc::check("teams are served by their shares", check_shares) && held;
     held = rc::check("a full queue and a retried request", check_queue) && held;
-    held = rc::check("the slowest that meets the deadline", check_pick) && held;
+    held = rc::check("the slowest that meets the deadline", check_replica_choice) && held;
     std::printf("%s route properties\n", held ? "ok" : "FAIL");
     return held ? 0 : 1;
 }
--- a/tests/shards/expect.c
+++ b/tests/shards/expect.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-static const tw_standby *standby_named(const tw_world *world, const char *name) {
+static const tw_standby *running_standby(const tw_world *world, const char *name) {
     const int at = tw_script_node(world, name);
     return at < 0 || !world->nodes[at].incarnation ? NULL : world->nodes[at].standby;
 }
@@ -15,7 +15,7 @@
     char leader[TW_STANDBY_ADDRESS_SIZE] = "";
     double retry_after_s = 0;
     if (at >= 0 && world->nodes[at].incarnation)
-        tw_standby_leader(world->nodes[at].standby, tw_elections_now(world, at), leader,
+        tw_standby_leader(world->nodes[at].standby, tw_elections_steady_clock(world, at), leader,
                           &retry_after_s);
     if (strcmp(leader[0] ? leader : "nobody", read->words[3]) != 0)
         tw_world_fail(world, "%s sends clients to %s", read->words[2], leader);
@@ -24,10 +24,11 @@
 
 /* expect state NODE NAME; expect gaps|snapshots|held_back NODE LEAST */
 static int expect_standby(tw_world *world, const tw_script_words *read) {
-    tw_standby *asked = (tw_standby *)standby_named(world, read->words[2]);
-    if (!asked || read->count != 4) return -1;
+    tw_standby *standby = (tw_standby *)running_standby(world, read->words[2]);
+    if (!standby || read->count != 4) return -1;
     const int at = tw_script_node(world, read->words[2]);
-    const tw_standby_status status = tw_standby_status_of(asked, tw_elections_now(world, at));
+    const tw_standby_status status =
+        tw_standby_status_of(standby, tw_elections_steady_clock(world, at));
     if (!strcmp(read->words[1], "state")) {
         if (strcmp(tw_standby_state_name(status.state), read->words[3]) != 0)
             tw_world_fail(world, "%s is %s", read->words[2], tw_standby_state_name(status.state));
@@ -36,7 +37,7 @@
     const long got = !strcmp(read->words[1], "gaps")        ? status.gaps
                      : !strcmp(read->words[1], "snapshots") ? status.snapshots
                                                             : status.quarantined;
-    if ((double)got < number(read, 3))
+    if ((double)got < word_number(read, 3))
         tw_world_fail(world, "%s: %ld %s", read->words[2], got, read->words[1]);
     return 0;
 }
@@ -47,18 +48,18 @@
 }
 
 static void expect_size(tw_world *world, const tw_script_words *read) {
-    tw_shards *reader = tw_judge_read(world);
+    tw_shards *reader = tw_judge_read_records(world);
     int size = -1;
     for (int i = 0; i < tw_shards_shard_count(reader); i++) {
         const tw_shards_shard_view view = tw_shards_shard_at(reader, i);
         if (!strcmp(view.name, read->words[2])) size = view.open + view.taken + view.draining;
     }
     tw_shards_free(reader);
-    expect_range(world, read->words[2], size, number(read, 3), number(read, 4));
+    expect_range(world, read->words[2], size, word_number(read, 3), word_number(read, 4));
 }
 
 static void expect_owner(tw_world *world, const tw_script_words *read) {
-    tw_shards *reader = tw_judge_read(world);
+    tw_shards *reader = tw_judge_read_records(world);
     bool found = false;
     for (int i = 0; i < tw_shards_machine_count(reader); i++) {
         const tw_shards_notification machine = tw_shards_machine_at(reader, i);
@@ -72,9 +73,9 @@
 }
 
 static void expect_answer(tw_world *world, const tw_script_words *read) {
-    const tw_world_client *asked = tw_script_client(world, read->words[2]);
+    const tw_world_client *client = tw_script_client(world, read->words[2]);
     const char *got = "none";
-    if (asked && asked->answered) got = tw_shards_verdict_name(asked->verdict);
+    if (client && client->answered) got = tw_shards_verdict_name(client->verdict);
     if (strcmp(got, read->words[3]) != 0)
         tw_world_fail(world, "%s was answered %s", read->words[2], got);
 }
@@ -92,19 +93,19 @@
 }
 
 static int expect_move(tw_world *world, const tw_script_words *read) {
-    const tw_world_client *asked = tw_script_client(world, read->words[2]);
+    const tw_world_client *client = tw_script_client(world, read->words[2]);
     const char *what = read->words[1];
     double got = -1;
-    if (asked && !strcmp(what, "moved")) got = asked->progress.moved;
-    if (asked && !strcmp(what, "returned")) got = asked->progress.returned;
-    if (asked && !strcmp(what, "lost")) got = asked->progress.lost;
-    if (asked && !strcmp(what, "within")) {
-        got = asked->done_at ? asked->done_at - asked->asked_at : world->end;
-        expect_range(world, "seconds of a move", got, 0, number(read, 3));
+    if (client && !strcmp(what, "moved")) got = client->progress.moved;
+    if (client && !strcmp(what, "returned")) got = client->progress.returned;
+    if (client && !strcmp(what, "lost")) got = client->progress.lost;
+    if (client && !strcmp(what, "within")) {
+        got = client->done_at ? client->done_at - client->requested_at : world->end;
+        expect_range(world, "seconds of a move", got, 0, word_number(read, 3));
         return 0;
     }
-    expect_range(world, what, got, number(read, 3),
-                 read->count > 4 ? number(read, 4) : number(read, 3));
+    expect_range(world, what, got, word_number(read, 3),
+                 read->count > 4 ? word_number(read, 4) : word_number(read, 3));
     return 0;
 }
 
@@ -125,20 +126,24 @@
     else if (!strcmp(what, "leader") && read->count == 4)
         expect_leader(world, read);
     else if (!strcmp(what, "takeover"))
-        expect_range(world, "seconds without a decider", world->longest_gap, 0, number(read, 2));
+        expect_range(world, "seconds without a decider", world->longest_gap_s, 0,
+                     word_number(read, 2));
     else if (!strcmp(what, "terms"))
-        expect_range(world, "terms", world->terms, number(read, 2), number(read, 2));
+        expect_range(world, "terms", world->terms, word_number(read, 2), word_number(read, 2));
     else if (!strcmp(what, "promoted")) {
-        const char *got = world->promotions ? tw_shards_verdict_name(world->promoted) : "none";
+        const char *got =
+            world->promotions ? tw_shards_verdict_name(world->promotion_verdict) : "none";
         if (strcmp(got, read->words[2]) != 0) tw_world_fail(world, "promotion: %s", got);
     } else if (!strcmp(what, "changes"))
-        expect_range(world, "changes written", world->changes, 0, number(read, 2));
+        expect_range(world, "changes written", world->changes, 0, word_number(read, 2));
     else if (!strcmp(what, "refused"))
-        expect_range(world, "requests refused", (double)world->refused, number(read, 2), 1e9);
+        expect_range(world, "requests refused", (double)world->refused, word_number(read, 2), 1e9);
     else if (!strcmp(what, "ended"))
-        expect_range(world, "requests ended early", (double)world->moved, 0, number(read, 2));
+        expect_range(world, "requests ended early", (double)world->ended_early, 0,
+                     word_number(read, 2));
     else if (!strcmp(what, "failed"))
-        expect_range(world, "requests answered 5xx", (double)world->failed, 0, number(read, 2));
+        expect_range(world, "requests answered 5xx", (double)world->failed, 0,
+                     word_number(read, 2));
     else
         return expect_move(world, read);
     return 0;
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -6,7 +6,7 @@
 
 #define SLOTS 8 /* requests that a machine runs at once */
 #define FIRST_SERVICE_S 0.5
-#define USER_LOOKS_S 0.25
+#define USER_POLL_S 0.25
 
 /* ---- gateways: a controller routes the requests of its shards ---- */
 
@@ -18,10 +18,11 @@
 
 static void send_work(tw_world *world, int at, const tw_router_effect *effect) {
     const int to = tw_world_machine_index(world, effect->replica);
-    tw_judge_use(world, at, to, effect->epoch);
+    tw_judge_epoch_use(world, at, to, effect->epoch);
     tw_shards_owner_request_sent(world->nodes[at].owner, effect->replica, effect->epoch);
-    const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S) + world->slow_s;
-    tw_world_event *sent = tw_world_add_event(world, after, TW_WORLD_WORK);
+    const double after =
+        tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S) + world->slow_s;
+    tw_world_event *sent = tw_world_add_event(world, after, TW_WORLD_DISPATCH);
     sent->node = at;
     sent->incarnation = world->nodes[at].incarnation;
     sent->machine = to;
@@ -33,8 +34,8 @@
 static void reply_to_user(tw_world *world, int at, const tw_router_effect *effect) {
     const int times = world->plant_double ? 2 : !world->plant_drop;
     for (int i = 0; i < times; i++) {
-        const double after = tw_world_draw(world, FASTEST_S, SLOWEST_S);
-        tw_world_event *reply = tw_world_add_event(world, after, TW_WORLD_REPLY);
+        const double after = tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S);
+        tw_world_event *reply = tw_world_add_event(world, after, TW_WORLD_USER_RESPONSE);
         reply->number = (int)effect->request;
         reply->node = at;
         reply->incarnation = world->nodes[at].incarnation;
@@ -43,7 +44,7 @@
     world->plant_double = world->plant_drop = 0;
 }
 
-void tw_world_router_effects(tw_world *world, int at) {
+void tw_world_apply_router_effects(tw_world *world, int at) {
     tw_router_effect *effect;
     while ((effect = tw_router_next_effect(world->nodes[at].router))) {
         if (effect->kind == TW_ROUTER_SEND) send_work(world, at, effect);
@@ -52,29 +53,29 @@
     }
 }
 
-static tw_router_result end_of(int status) {
-    if (status == OK) return TW_ROUTER_DONE;
-    if (status == BAD) return TW_ROUTER_REFUSED;
+static tw_router_result router_result_of(int status) {
+    if (status == HTTP_OK) return TW_ROUTER_DONE;
+    if (status == HTTP_BAD_REQUEST) return TW_ROUTER_REFUSED;
     return status ? TW_ROUTER_BROKEN : TW_ROUTER_LOST;
 }
 
-void tw_world_handle_worked(tw_world *world, const tw_world_event *answer) {
+void tw_world_handle_dispatch_result(tw_world *world, const tw_world_event *answer) {
     const tw_world_node *at = &world->nodes[answer->node];
     const char *name = world->machines[answer->machine].name;
-    if (answer->status == BAD) {
+    if (answer->status == HTTP_BAD_REQUEST) {
         tw_shards_owner_request_refused(at->owner, name, answer->epoch);
         tw_world_refresh_replica(world, answer->node, name);
     }
     tw_shards_owner_request_ended(at->owner, name, answer->epoch);
     tw_router_attempt_ended(at->router, world->now, (uint64_t)answer->number, answer->attempt,
-                            end_of(answer->status));
+                            router_result_of(answer->status));
 }
 
 /* ---- users ---- */
 
 /* The node that owns the shard by the records; -1: none. */
-static int read_owner(tw_world *world, const char *shard) {
-    tw_shards *reader = tw_judge_read(world);
+static int read_shard_owner(tw_world *world, const char *shard) {
+    tw_shards *reader = tw_judge_read_records(world);
     int owner = -1;
     for (int i = 0; i < tw_shards_shard_count(reader); i++) {
         const tw_shards_shard_view view = tw_shards_shard_at(reader, i);
@@ -85,53 +86,53 @@
     return owner;
 }
 
-static int owner_of(tw_world *world, tw_world_load *of) {
-    if (of->owner_known_at != world->transactions + 1) {
-        of->owner = read_owner(world, of->shard);
-        of->owner_known_at = world->transactions + 1;
+static int owner_of(tw_world *world, tw_world_load *load) {
+    if (load->owner_known_at != world->transactions + 1) {
+        load->owner = read_shard_owner(world, load->shard);
+        load->owner_known_at = world->transactions + 1;
     }
-    return of->owner;
+    return load->owner;
 }
 
 void tw_world_handle_arrival(tw_world *world, const tw_world_event *due) {
-    const tw_world_load *of = &world->loads[due->number];
-    if (world->now > of->until) return;
-    tw_world_add_event(world, 1 / of->rate, TW_WORLD_ARRIVAL)->number = due->number;
-    if (world->request_count == world->request_room) {
-        world->request_room = world->request_room ? 2 * world->request_room : TEXT;
+    const tw_world_load *load = &world->loads[due->number];
+    if (world->now > load->until) return;
+    tw_world_add_event(world, 1 / load->rate, TW_WORLD_LOAD_ARRIVAL)->number = due->number;
+    if (world->request_count == world->request_capacity) {
+        world->request_capacity = world->request_capacity ? 2 * world->request_capacity : TEXT_SIZE;
         world->requests =
-            realloc(world->requests, sizeof *world->requests * (size_t)world->request_room);
+            realloc(world->requests, sizeof *world->requests * (size_t)world->request_capacity);
         if (!world->requests) abort();
     }
     world->requests[world->request_count] = (tw_world_user_request){.load = due->number};
-    tw_world_add_event(world, 0, TW_WORLD_REQUEST)->number = world->request_count++;
+    tw_world_add_event(world, 0, TW_WORLD_USER_REQUEST)->number = world->request_count++;
 }
 
 /* Sends the request, and again where the connection broke or nothing came for longer than the
  * deadline. Only the last try's answer is heard, since its connection is the only open one. */
-void tw_world_handle_request(tw_world *world, const tw_world_event *due) {
-    tw_world_user_request *asked = &world->requests[due->number];
-    tw_world_load *of = &world->loads[asked->load];
-    if (asked->answers) return;
-    tw_world_add_event(world, USER_LOOKS_S, TW_WORLD_REQUEST)->number = due->number;
+void tw_world_handle_user_request(tw_world *world, const tw_world_event *due) {
+    tw_world_user_request *request = &world->requests[due->number];
+    tw_world_load *load = &world->loads[request->load];
+    if (request->answers) return;
+    tw_world_add_event(world, USER_POLL_S, TW_WORLD_USER_REQUEST)->number = due->number;
     const bool open =
-        asked->incarnation && world->nodes[asked->node].incarnation == asked->incarnation;
+        request->incarnation && world->nodes[request->node].incarnation == request->incarnation;
     if (open) tw_judge_unanswered(world, due->number);
-    if (open && world->now < asked->sent_at + 2 * USER_DEADLINE_S) return;
-    const int to = owner_of(world, of);
+    if (open && world->now < request->sent_at + 2 * USER_DEADLINE_S) return;
+    const int to = owner_of(world, load);
     if (to < 0 || !world->nodes[to].incarnation || world->nodes[to].hung_until > world->now) return;
-    asked->node = to;
-    asked->incarnation = world->nodes[to].incarnation;
-    asked->sent_at = world->now;
-    tw_router_add_request(world->nodes[to].router, world->now, (uint64_t)due->number, of->shard,
+    request->node = to;
+    request->incarnation = world->nodes[to].incarnation;
+    request->sent_at = world->now;
+    tw_router_add_request(world->nodes[to].router, world->now, (uint64_t)due->number, load->shard,
                           world->now + USER_DEADLINE_S);
-    tw_world_router_effects(world, to);
+    tw_world_apply_router_effects(world, to);
 }
 
-void tw_world_handle_reply(tw_world *world, const tw_world_event *reply) {
-    tw_world_user_request *asked = &world->requests[reply->number];
-    if (asked->node != reply->node || asked->incarnation != reply->incarnation) return;
-    asked->answers++;
-    asked->status = reply->status;
-    world->failed += reply->status != OK;
+void tw_world_handle_user_response(tw_world *world, const tw_world_event *reply) {
+    tw_world_user_request *request = &world->requests[reply->number];
+    if (request->node != reply->node || request->incarnation != reply->incarnation) return;
+    request->answers++;
+    request->status = reply->status;
+    world->failed += reply->status != HTTP_OK;
 }
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -15,15 +15,15 @@
 #include <string.h>
 
 #define PATH_SIZE 512
-#define JUDGED_ALWAYS 300 /* machines; with more, only some transactions are judged */
-#define JUDGED_EVERY 40
-#define LONGEST_ANSWER_S 2.0 /* after its deadline a request is answered within it */
+#define FULL_CHECK_MACHINES 300 /* machines; with more, only some transactions are judged */
+#define CHECK_INTERVAL_TRANSACTIONS 40
+#define ANSWER_SLACK_S 2.0 /* after its deadline a request is answered within it */
 
 /* ---- while it plays ---- */
 
-void tw_judge_use(tw_world *world, int node, int at, uint64_t epoch) {
+void tw_judge_epoch_use(tw_world *world, int node, int at, uint64_t epoch) {
     for (int i = 0; i < world->use_count; i++) {
-        const tw_world_use *each = &world->uses[i];
+        const tw_world_epoch_use *each = &world->uses[i];
         if (each->machine != at || each->epoch != epoch) continue;
         if (each->node != node)
             tw_world_fail(world, "two_owners: %s and %s use epoch %lu of %s",
@@ -31,47 +31,49 @@
                           (unsigned long)epoch, world->machines[at].name);
         return;
     }
-    if (world->use_count == world->use_room) {
-        world->use_room = world->use_room ? 2 * world->use_room : TEXT;
-        world->uses = realloc(world->uses, sizeof *world->uses * (size_t)world->use_room);
+    if (world->use_count == world->use_capacity) {
+        world->use_capacity = world->use_capacity ? 2 * world->use_capacity : TEXT_SIZE;
+        world->uses = realloc(world->uses, sizeof *world->uses * (size_t)world->use_capacity);
         if (!world->uses) abort();
     }
-    world->uses[world->use_count++] = (tw_world_use){at, node, epoch};
+    world->uses[world->use_count++] = (tw_world_epoch_use){at, node, epoch};
 }
 
-void tw_judge_work(tw_world *world, int node, int at, uint64_t epoch) {
-    const tw_world_machine *works = &world->machines[at];
-    if (epoch < works->judged_epoch)
-        tw_world_fail(world, "old_epoch: %s runs a request of epoch %lu after %lu", works->name,
-                      (unsigned long)epoch, (unsigned long)works->judged_epoch);
-    for (int i = 0; i < works->running_count; i++)
-        if (works->running[i].node != node)
-            tw_world_fail(world, "two_owners: %s runs requests of %s and %s", works->name,
-                          world->nodes[works->running[i].node].name, world->nodes[node].name);
+void tw_judge_request_start(tw_world *world, int node, int at, uint64_t epoch) {
+    const tw_world_machine *machine = &world->machines[at];
+    if (epoch < machine->judged_epoch)
+        tw_world_fail(world, "old_epoch: %s runs a request of epoch %lu after %lu", machine->name,
+                      (unsigned long)epoch, (unsigned long)machine->judged_epoch);
+    for (int i = 0; i < machine->running_count; i++)
+        if (machine->running[i].node != node)
+            tw_world_fail(world, "two_owners: %s runs requests of %s and %s", machine->name,
+                          world->nodes[machine->running[i].node].name, world->nodes[node].name);
 }
 
 void tw_judge_order(tw_world *world, int at, uint64_t term) {
-    const tw_world_machine *takes = &world->machines[at];
-    if (term < takes->judged_term)
-        tw_world_fail(world, "old_term: %s takes an order of term %lu after %lu", takes->name,
-                      (unsigned long)term, (unsigned long)takes->judged_term);
+    const tw_world_machine *machine = &world->machines[at];
+    if (term < machine->judged_term)
+        tw_world_fail(world, "old_term: %s takes an order of term %lu after %lu", machine->name,
+                      (unsigned long)term, (unsigned long)machine->judged_term);
     if (world->lease_s > 0 && term > world->newest_term)
         tw_world_fail(world, "unrecorded_term: %s takes an order of term %lu, %lu is recorded",
-                      takes->name, (unsigned long)term, (unsigned long)world->newest_term);
+                      machine->name, (unsigned long)term, (unsigned long)world->newest_term);
 }
 
 /* A state that a leader changed on its own, of a machine that has not heard of its term. Renewed
  * epochs, and those of a shard's new owner, are for machines that take nothing else. */
-static void judge_checked(tw_world *world, const tw_world_machine *of,
-                          const tw_shards_notification *machine) {
-    const bool decided = machine->state == TW_SHARDS_DRAINING ||
-                         machine->state == TW_SHARDS_RELEASED ||
-                         (machine->state == TW_SHARDS_OPEN && machine->epoch == of->recorded_epoch);
-    if (world->lease_s <= 0 || machine->state == of->recorded_state || !decided) return;
-    if (!of->alive || !of->guard.started || of->guard.term >= world->newest_term) return;
-    tw_world_fail(world, "unchecked: %s is made %s under term %lu, and knows %lu", of->name,
+static void judge_term_known(tw_world *world, const tw_world_machine *simulated,
+                             const tw_shards_notification *machine) {
+    const bool decided =
+        machine->state == TW_SHARDS_DRAINING || machine->state == TW_SHARDS_RELEASED ||
+        (machine->state == TW_SHARDS_OPEN && machine->epoch == simulated->recorded_epoch);
+    if (world->lease_s <= 0 || machine->state == simulated->recorded_state || !decided) return;
+    if (!simulated->alive || !simulated->guard.started ||
+        simulated->guard.term >= world->newest_term)
+        return;
+    tw_world_fail(world, "unchecked: %s is made %s under term %lu, and knows %lu", simulated->name,
                   tw_shards_state_name(machine->state), (unsigned long)world->newest_term,
-                  (unsigned long)of->guard.term);
+                  (unsigned long)simulated->guard.term);
 }
 
 /* At any time at most one controller may say that it decides. */
@@ -80,20 +82,20 @@
     for (int i = 0; i < world->node_count; i++) {
         const tw_world_node *each = &world->nodes[i];
         if (!each->incarnation || !each->standby || each->hung_until > world->now) continue;
-        deciders += tw_standby_decides(each->standby, tw_elections_now(world, i));
+        deciders += tw_standby_decides(each->standby, tw_elections_steady_clock(world, i));
     }
     if (deciders > 1) tw_world_fail(world, "two_deciders: %d", deciders);
-    if (deciders || world->undecided_since < 0) {
-        if (deciders) world->undecided_since = world->now;
+    if (deciders || world->no_decider_since < 0) {
+        if (deciders) world->no_decider_since = world->now;
         return;
     }
-    const double gap = world->now - world->undecided_since;
-    if (gap > world->longest_gap) world->longest_gap = gap;
+    const double gap = world->now - world->no_decider_since;
+    if (gap > world->longest_gap_s) world->longest_gap_s = gap;
 }
 
-tw_shards *tw_judge_read(tw_world *world) {
+tw_shards *tw_judge_read_records(tw_world *world) {
     tw_shards *reader = tw_shards_new(&world->settings);
-    char after[TEXT] = "";
+    char after[TEXT_SIZE] = "";
     tw_shards_effect *effect;
     tw_shards_begin_term(reader, world->now, "leader", 1);
     tw_shards_set_authority(reader, world->end + 1);
@@ -108,7 +110,7 @@
             const int status =
                 tw_simulator_state_request(&world->state, world->now, "GET", path, "", &answer);
             world->state.down_since = down;
-            if (status != OK) tw_world_fail(world, "the judge can't read %s", after);
+            if (status != HTTP_OK) tw_world_fail(world, "the judge can't read %s", after);
             tw_shards_handle_page(reader, world->now, effect->id, answer, strlen(answer));
             free(answer);
         }
@@ -122,9 +124,9 @@
 
 /* A request whose connection is open and whose deadline is over for long, at a node that lives. */
 void tw_judge_unanswered(tw_world *world, int number) {
-    const tw_world_user_request *asked = &world->requests[number];
-    if (world->now > asked->sent_at + USER_DEADLINE_S + LONGEST_ANSWER_S &&
-        world->nodes[asked->node].hung_until < asked->sent_at)
+    const tw_world_user_request *request = &world->requests[number];
+    if (world->now > request->sent_at + USER_DEADLINE_S + ANSWER_SLACK_S &&
+        world->nodes[request->node].hung_until < request->sent_at)
         tw_world_fail(world, "request %d was dropped", number);
 }
 
@@ -134,43 +136,46 @@
         const tw_world_user_request *each = &world->requests[i];
         if (each->answers != 1)
             tw_world_fail(world, "request %d got %d final answers", i, each->answers);
-        if (each->answers && each->status == OK && !each->completions)
+        if (each->answers && each->status == HTTP_OK && !each->completions)
             tw_world_fail(world, "request %d was answered, and no machine completed it", i);
     }
 }
 
-static tw_world_machine *machine_named(tw_world *world, const char *name) {
+static tw_world_machine *find_simulated_machine(tw_world *world, const char *name) {
     for (int i = 0; i < world->machine_count; i++)
         if (!strcmp(world->machines[i].name, name)) return &world->machines[i];
     return NULL;
 }
 
-static void judge_cell(tw_world *world, const tw_shards_notification *machine) {
-    tw_world_machine *of = machine_named(world, machine->machine);
-    if (!of) return;
-    if (machine->epoch < of->recorded_epoch ||
-        (machine->epoch == of->recorded_epoch && machine->state < of->recorded_state))
-        tw_world_fail(world, "went_back: %s is %s under %lu, was %s under %lu", of->name,
+static void judge_machine_record(tw_world *world, const tw_shards_notification *machine) {
+    tw_world_machine *simulated = find_simulated_machine(world, machine->machine);
+    if (!simulated) return;
+    if (machine->epoch < simulated->recorded_epoch ||
+        (machine->epoch == simulated->recorded_epoch && machine->state < simulated->recorded_state))
+        tw_world_fail(world, "went_back: %s is %s under %lu, was %s under %lu", simulated->name,
                       tw_shards_state_name(machine->state), (unsigned long)machine->epoch,
-                      tw_shards_state_name(of->recorded_state), (unsigned long)of->recorded_epoch);
-    judge_checked(world, of, machine);
-    of->recorded_epoch = machine->epoch;
-    of->recorded_state = machine->state;
+                      tw_shards_state_name(simulated->recorded_state),
+                      (unsigned long)simulated->recorded_epoch);
+    judge_term_known(world, simulated, machine);
+    simulated->recorded_epoch = machine->epoch;
+    simulated->recorded_state = machine->state;
 }
 
 void tw_judge_records(tw_world *world) {
-    if (world->machine_count > JUDGED_ALWAYS && world->transactions % JUDGED_EVERY) return;
-    tw_shards *reader = tw_judge_read(world);
+    if (world->machine_count > FULL_CHECK_MACHINES &&
+        world->transactions % CHECK_INTERVAL_TRANSACTIONS)
+        return;
+    tw_shards *reader = tw_judge_read_records(world);
     for (int i = 0; i < tw_shards_machine_count(reader); i++) {
         const tw_shards_notification machine = tw_shards_machine_at(reader, i);
-        if (machine.state != TW_SHARDS_ABSENT) judge_cell(world, &machine);
+        if (machine.state != TW_SHARDS_ABSENT) judge_machine_record(world, &machine);
     }
     tw_shards_free(reader);
 }
 
 void tw_judge_view(tw_world *world, int at) {
     const tw_shards *table = world->nodes[at].leader;
-    tw_shards *reader = tw_judge_read(world);
+    tw_shards *reader = tw_judge_read_records(world);
     if (tw_shards_revision(table) != tw_shards_revision(reader) ||
         tw_shards_machine_count(table) != tw_shards_machine_count(reader))
         tw_world_fail(world, "stale_view: %s decides by revision %lu of %lu", world->nodes[at].name,
@@ -194,14 +199,16 @@
     if (!seen) abort();
     for (int i = 0; i < tw_shards_machine_count(reader); i++) {
         const tw_shards_notification machine = tw_shards_machine_at(reader, i);
-        const tw_world_machine *of = machine_named(world, machine.machine);
-        if (machine.state == TW_SHARDS_ABSENT || !of) continue;
-        seen[of - world->machines]++;
-        if (world->lease_s > 0 && of->alive && of->guard.newest_epoch != machine.epoch)
-            tw_world_fail(world, "stuck: %s has epoch %lu open, recorded is %lu", of->name,
-                          (unsigned long)of->guard.newest_epoch, (unsigned long)machine.epoch);
+        const tw_world_machine *simulated = find_simulated_machine(world, machine.machine);
+        if (machine.state == TW_SHARDS_ABSENT || !simulated) continue;
+        seen[simulated - world->machines]++;
+        if (world->lease_s > 0 && simulated->alive &&
+            simulated->guard.newest_epoch != machine.epoch)
+            tw_world_fail(world, "stuck: %s has epoch %lu open, recorded is %lu", simulated->name,
+                          (unsigned long)simulated->guard.newest_epoch,
+                          (unsigned long)machine.epoch);
         if (machine.state != TW_SHARDS_OPEN)
-            tw_world_fail(world, "stuck: %s is %s of %s", of->name,
+            tw_world_fail(world, "stuck: %s is %s of %s", simulated->name,
                           tw_shards_state_name(machine.state), machine.owner);
     }
     for (int i = 0; i < world->machine_count; i++)
@@ -211,8 +218,8 @@
     free(seen);
 }
 
-static tw_shards_progress watch(const tw_world *world, tw_shards *reader, const char *key,
-                                tw_shards_verdict *verdict) {
+static tw_shards_progress watch_move(const tw_world *world, tw_shards *reader, const char *key,
+                                     tw_shards_verdict *verdict) {
     tw_shards_request request = {.kind = TW_SHARDS_WATCH, .id = 1};
     tw_shards_progress progress = {0};
     tw_shards_effect *effect;
@@ -229,33 +236,33 @@
     return progress;
 }
 
-static bool is_defined(const tw_shards *reader, const char *shard) {
+static bool is_shard_defined(const tw_shards *reader, const char *shard) {
     for (int i = 0; i < tw_shards_shard_count(reader); i++)
         if (!strcmp(tw_shards_shard_at(reader, i).name, shard)) return true;
     return false;
 }
 
-static void judge_client(tw_world *world, tw_shards *reader, const tw_world_client *asked) {
+static void judge_client(tw_world *world, tw_shards *reader, const tw_world_client *client) {
     tw_shards_verdict verdict;
-    if (!asked->answered) {
-        tw_world_fail(world, "unanswered: %s %s", asked->request.key, asked->request.shard);
+    if (!client->answered) {
+        tw_world_fail(world, "unanswered: %s %s", client->request.key, client->request.shard);
         return;
     }
-    if (asked->request.kind == TW_SHARDS_DEFINE && asked->verdict == TW_SHARDS_OK &&
-        !is_defined(reader, asked->request.shard))
-        tw_world_fail(world, "lost: share %s was accepted", asked->request.shard);
-    if (asked->request.kind != TW_SHARDS_MOVE || asked->verdict != TW_SHARDS_OK) return;
-    const tw_shards_progress progress = watch(world, reader, asked->request.key, &verdict);
+    if (client->request.kind == TW_SHARDS_DEFINE && client->verdict == TW_SHARDS_OK &&
+        !is_shard_defined(reader, client->request.shard))
+        tw_world_fail(world, "lost: share %s was accepted", client->request.shard);
+    if (client->request.kind != TW_SHARDS_MOVE || client->verdict != TW_SHARDS_OK) return;
+    const tw_shards_progress progress = watch_move(world, reader, client->request.key, &verdict);
     if (verdict == TW_SHARDS_UNKNOWN_MOVE) return; /* over for long */
-    if (!progress.done) tw_world_fail(world, "stuck: move %s is not over", asked->request.key);
+    if (!progress.done) tw_world_fail(world, "stuck: move %s is not over", client->request.key);
     if (progress.moved + progress.returned + progress.lost != progress.wanted && !progress.returned)
-        tw_world_fail(world, "move %s: %d moved, %d returned, %d lost of %d", asked->request.key,
+        tw_world_fail(world, "move %s: %d moved, %d returned, %d lost of %d", client->request.key,
                       progress.moved, progress.returned, progress.lost, progress.wanted);
 }
 
 void tw_judge_end(tw_world *world) {
     tw_judge_requests(world);
-    tw_shards *reader = tw_judge_read(world);
+    tw_shards *reader = tw_judge_read_records(world);
     judge_machines(world, reader);
     for (int i = 0; i < world->client_count; i++) judge_client(world, reader, &world->clients[i]);
     tw_shards_free(reader);
--- a/tests/shards/properties.cpp
+++ b/tests/shards/properties.cpp
@@ -20,7 +20,7 @@
 
 constexpr int machine_count = 9;
 constexpr int node_count = 3;
-constexpr int last_trouble_s = 30; // seconds
+constexpr int last_fault_s = 30; // seconds
 constexpr int end_s = 75;
 constexpr std::size_t reason_size = 256;
 
@@ -121,9 +121,9 @@
          << "at 3 load batch 15 0.4 60\nat 3 load chat 8 0.4 60\n";
     int key = 0;
     for (const action &drawn : actions)
-        text << "at " << seconds(40 + drawn.tenths % (10 * last_trouble_s - 40)) << " "
+        text << "at " << seconds(40 + drawn.tenths % (10 * last_fault_s - 40)) << " "
              << command_of(drawn, ++key, elects) << "\n";
-    text << "at " << last_trouble_s << " late 0\nend " << end_s << "\n";
+    text << "at " << last_fault_s << " late 0\nend " << end_s << "\n";
     return text.str();
 }
 
@@ -158,9 +158,9 @@
 } // namespace
 
 int main() {
-    const bool named = holds("no machine has two owners, and all comes to an end", false);
-    std::printf("%s shares properties\n", named ? "ok" : "FAIL");
-    const bool elected = holds("the same where controllers elect their leader", true);
-    std::printf("%s standby properties\n", elected ? "ok" : "FAIL");
-    return named && elected ? 0 : 1;
+    const bool scenario_held = holds("no machine has two owners, and all comes to an end", false);
+    std::printf("%s shares properties\n", scenario_held ? "ok" : "FAIL");
+    const bool election_held = holds("the same where controllers elect their leader", true);
+    std::printf("%s standby properties\n", election_held ? "ok" : "FAIL");
+    return scenario_held && election_held ? 0 : 1;
 }
--- a/tests/shards/runner.c
+++ b/tests/shards/runner.c
@@ -23,7 +23,7 @@
     char *text = read_file(path);
     char *line = text;
     while (line && (line = strstr(line, mark))) {
-        char included[TEXT];
+        char included[TEXT_SIZE];
         const char *name = line + sizeof mark - 1;
         const size_t length = strcspn(name, "\n");
         const char *slash = strrchr(path, '/');
@@ -44,7 +44,7 @@
 }
 
 /* What the scenario's first line says that must be found; NULL: it must pass. */
-static char *planted_in(const char *text) {
+static char *expected_failure(const char *text) {
     static const char mark[] = "# fails: ";
     if (strncmp(text, mark, sizeof mark - 1) != 0) return NULL;
     const char *from = text + sizeof mark - 1;
@@ -55,13 +55,13 @@
     int failed = 0;
     tw_log_init(getenv("LOG_LEVEL") ? getenv("LOG_LEVEL") : "error", "world");
     for (int i = 1; i < count; i++) {
-        char why[TEXT];
-        char again[TEXT];
+        char why[TEXT_SIZE];
+        char again[TEXT_SIZE];
         char *text = read_scenario(names[i]);
         if (!text) return 2;
         int broken = tw_shards_play(text, why, sizeof why);
         tw_shards_play(text, again, sizeof again);
-        char *planted = planted_in(text);
+        char *planted = expected_failure(text);
         if (planted) {
             broken = !strstr(why, planted);
             if (broken) printf("the planted fault is not found: %s\n", planted);
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -9,13 +9,13 @@
 #define DEFAULT_VALUE_BYTES 8192
 #define FIRST_LEADER_S 0.01
 
-static tw_script_words split(const char *line) {
+static tw_script_words split_words(const char *line) {
     tw_script_words read = {.count = 0};
-    while (read.count < MOST_WORDS) {
+    while (read.count < MAX_WORDS) {
         line += strspn(line, " \n");
         const size_t length = strcspn(line, " \n");
         if (!length) break;
-        snprintf(read.words[read.count++], WORD, "%.*s", (int)length, line);
+        snprintf(read.words[read.count++], SCRIPT_WORD_SIZE, "%.*s", (int)length, line);
         line += length;
     }
     return read;
@@ -26,10 +26,11 @@
 int tw_script_node(const tw_world *world, const char *name) {
     for (int i = 0; !strcmp(name, "leader") && world->lease_s > 0 && i < world->node_count; i++) {
         const tw_world_node *each = &world->nodes[i];
-        if (each->incarnation && tw_standby_decides(each->standby, tw_elections_now(world, i)))
+        if (each->incarnation &&
+            tw_standby_decides(each->standby, tw_elections_steady_clock(world, i)))
             return i;
     }
-    return !strcmp(name, "leader") ? world->leading : tw_world_node_index(world, name);
+    return !strcmp(name, "leader") ? world->leader_index : tw_world_node_index(world, name);
 }
 
 /* ---- requests of clients ---- */
@@ -47,7 +48,7 @@
     copy_name(request.key, read->words[1]);
     copy_name(request.shard, read->words[2]);
     copy_name(request.to, read->words[3]);
-    request.count = (int)number(read, 4);
+    request.count = (int)word_number(read, 4);
     for (int i = 5; i < read->count; i++) {
         const char *value = strchr(read->words[i], '=');
         if (!value) return -1;
@@ -57,13 +58,13 @@
     tw_world_client *added = tw_world_add_client(world, &request);
     added->follow = 1;
     if (read->words[4][0] >= '0' && read->words[4][0] <= '9') return 0;
-    char list[WORD];
+    char list[SCRIPT_WORD_SIZE];
     snprintf(list, sizeof list, "%s", read->words[4]);
-    added->named = calloc(MOST_WORDS, sizeof *added->named);
-    if (!added->named) abort();
+    added->machine_names = calloc(MAX_WORDS, sizeof *added->machine_names);
+    if (!added->machine_names) abort();
     for (char *name = strtok(list, ","); name; name = strtok(NULL, ","))
-        copy_name(added->named[added->request.machine_count++], name);
-    added->request.machines = added->named;
+        copy_name(added->machine_names[added->request.machine_count++], name);
+    added->request.machines = added->machine_names;
     return 0;
 }
 
@@ -81,7 +82,7 @@
     if (read->count < 4) return -1;
     copy_name(request.shard, read->words[1]);
     copy_name(request.owner, read->words[2]);
-    request.least = (int)number(read, 3);
+    request.least = (int)word_number(read, 3);
     tw_world_add_client(world, &request);
     return 0;
 }
@@ -89,7 +90,7 @@
 /* ---- machines ---- */
 
 static void register_machine(tw_world *world, int at, double after) {
-    tw_world_event *due = tw_world_add_event(world, after, TW_WORLD_MACHINE);
+    tw_world_event *due = tw_world_add_event(world, after, TW_WORLD_MACHINE_REGISTRATION);
     due->machine = at;
     due->incarnation = world->machines[at].boot_id;
 }
@@ -97,7 +98,7 @@
 /* machines N SHARE ZONE */
 static int do_machines(tw_world *world, const tw_script_words *read) {
     if (read->count != 4) return -1;
-    for (int i = 0; i < (int)number(read, 1) && world->machine_count < TW_WORLD_MOST_MACHINES;
+    for (int i = 0; i < (int)word_number(read, 1) && world->machine_count < TW_WORLD_MAX_MACHINES;
          i++) {
         const int at = world->machine_count++;
         tw_world_machine *added = &world->machines[at];
@@ -115,13 +116,13 @@
 static int do_machine(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 2 ? tw_world_machine_index(world, read->words[1]) : -1;
     if (at < 0) return -1;
-    tw_world_machine *struck = &world->machines[at];
+    tw_world_machine *machine = &world->machines[at];
     tw_world_end_running(world, at, 0);
-    struck->boot_id++;
-    struck->registered = struck->accepted = false;
-    struck->judged_term = 0; /* it knows of none since this boot */
-    tw_shards_guard_boot(&struck->guard, struck->boot_id + 1);
-    struck->alive = strcmp(read->words[0], "take") != 0;
+    machine->boot_id++;
+    machine->registered = machine->accepted = false;
+    machine->judged_term = 0; /* it knows of none since this boot */
+    tw_shards_guard_boot(&machine->guard, machine->boot_id + 1);
+    machine->alive = strcmp(read->words[0], "take") != 0;
     if (strcmp(read->words[0], "reboot") != 0) register_machine(world, at, 0.1);
     return 0;
 }
@@ -130,83 +131,83 @@
 
 static int do_node(tw_world *world, const tw_script_words *read) {
     const int at = read->count > 1 ? tw_script_node(world, read->words[1]) : -1;
-    const double seconds = read->count > 2 ? number(read, 2) : -1;
+    const double seconds = read->count > 2 ? word_number(read, 2) : -1;
     if (at < 0) return -1;
     if (!strcmp(read->words[0], "kill"))
         tw_world_end_node(world, at, seconds);
     else if (!strcmp(read->words[0], "hang"))
         world->nodes[at].hung_until = world->now + seconds;
     else if (!strcmp(read->words[0], "lead"))
-        tw_world_lead_later(world, at);
+        tw_world_schedule_election(world, at);
     else if (!strcmp(read->words[0], "elected"))
-        tw_world_lead(world, at);
+        tw_world_elect_leader(world, at);
     else if (!world->nodes[at].incarnation)
         tw_world_start_node(world, at);
     return 0;
 }
 
 /* killlead NODE S, hanglead NODE S: the leader ends (hangs), and NODE leads at once. */
-static int do_succession(tw_world *world, const tw_script_words *read) {
+static int do_leader_fault(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 3 ? tw_script_node(world, read->words[1]) : -1;
     if (at < 0) return -1;
     if (!strcmp(read->words[0], "killlead"))
-        tw_world_end_node(world, world->leading, number(read, 2));
+        tw_world_end_node(world, world->leader_index, word_number(read, 2));
     else
-        world->nodes[world->leading].hung_until = world->now + number(read, 2);
-    tw_world_lead_later(world, at);
+        world->nodes[world->leader_index].hung_until = world->now + word_number(read, 2);
+    tw_world_schedule_election(world, at);
     return 0;
 }
 
 /* losewrites N TEXT, dropwrites N TEXT, latewrites N TEXT S */
 static int do_writes(tw_world *world, const tw_script_words *read) {
     if (read->count < 3) return -1;
-    copy_name(world->strike_text, read->words[2]);
-    const int count = (int)number(read, 1);
+    copy_name(world->fault_text, read->words[2]);
+    const int count = (int)word_number(read, 1);
     if (!strcmp(read->words[0], "losewrites")) world->lose_answers = count;
     if (!strcmp(read->words[0], "dropwrites")) world->drop_writes = count;
     if (!strcmp(read->words[0], "latewrites")) world->late_writes = count;
-    if (read->count > 3) world->late_write_s = number(read, 3);
+    if (read->count > 3) world->late_write_s = word_number(read, 3);
     return 0;
 }
 
 /* loss SHARE; late SHARE S; slow S */
 static int do_network(tw_world *world, const tw_script_words *read) {
     if (read->count < 2) return -1;
-    if (!strcmp(read->words[0], "loss")) world->loss = number(read, 1);
-    if (!strcmp(read->words[0], "slow")) world->slow_s = number(read, 1);
+    if (!strcmp(read->words[0], "loss")) world->loss = word_number(read, 1);
+    if (!strcmp(read->words[0], "slow")) world->slow_s = word_number(read, 1);
     if (!strcmp(read->words[0], "late")) {
-        world->late_fraction = number(read, 1);
-        world->late_s = read->count > 2 ? number(read, 2) : 1;
+        world->late_fraction = word_number(read, 1);
+        world->late_s = read->count > 2 ? word_number(read, 2) : 1;
     }
     return 0;
 }
 
 static int do_outage(tw_world *world, const tw_script_words *read) {
-    const bool on = read->count > 1 && number(read, 1) > 0;
+    const bool on = read->count > 1 && word_number(read, 1) > 0;
     tw_simulator_state_outage(&world->state, world->now, on);
     if (!on) return 0;
-    tw_world_event *end = tw_world_add_event(world, number(read, 1), TW_WORLD_COMMAND);
+    tw_world_event *end = tw_world_add_event(world, word_number(read, 1), TW_WORLD_COMMAND);
     end->text = strdup("outage 0");
     return end->text ? 0 : -1;
 }
 
 /* load SHARE RATE SERVICE_S FOR_S */
 static int do_load(tw_world *world, const tw_script_words *read) {
-    if (read->count != 5 || world->load_count == TW_WORLD_MOST_NODES) return -1;
+    if (read->count != 5 || world->load_count == TW_WORLD_MAX_NODES) return -1;
     tw_world_load *added = &world->loads[world->load_count];
     copy_name(added->shard, read->words[1]);
-    added->rate = number(read, 2);
-    added->service_s = number(read, 3);
-    added->until = world->now + number(read, 4);
-    tw_world_add_event(world, 0, TW_WORLD_ARRIVAL)->number = world->load_count++;
+    added->rate = word_number(read, 2);
+    added->service_s = word_number(read, 3);
+    added->until = world->now + word_number(read, 4);
+    tw_world_add_event(world, 0, TW_WORLD_LOAD_ARRIVAL)->number = world->load_count++;
     return 0;
 }
 
 /* when TEXT COMMAND...: once a transaction with this text is carried out, before its answer */
 static int do_when(tw_world *world, const char *line) {
-    if (world->trigger_count == TW_WORLD_MOST_TRIGGERS) return -1;
+    if (world->trigger_count == TW_WORLD_MAX_TRIGGERS) return -1;
     tw_world_trigger *added = &world->triggers[world->trigger_count++];
-    const tw_script_words read = split(line);
+    const tw_script_words read = split_words(line);
     if (read.count < 3) return -1;
     copy_name(added->text, read.words[1]);
     added->from = world->now;
@@ -217,7 +218,7 @@
 
 /* cut NODE NODE|state|machines S */
 static int do_cut(tw_world *world, const tw_script_words *read) {
-    if (read->count != 4 || world->cut_count == TW_WORLD_MOST_CUTS) return -1;
+    if (read->count != 4 || world->cut_count == TW_WORLD_MAX_CUTS) return -1;
     const int one = tw_script_node(world, read->words[1]);
     const char *other = read->words[2];
     int end = tw_script_node(world, other);
@@ -225,14 +226,14 @@
     if (!strcmp(other, "machines")) end = TW_WORLD_END_MACHINES;
     if (one < 0 || (end < 0 && strcmp(other, "state") != 0 && strcmp(other, "machines") != 0))
         return -1;
-    world->cuts[world->cut_count++] = (tw_world_cut){one, end, world->now + number(read, 3)};
+    world->cuts[world->cut_count++] = (tw_world_cut){one, end, world->now + word_number(read, 3)};
     return 0;
 }
 
 /* spoil N: the next N changes of the feed lose a record on their way */
 static int do_spoil(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
-    world->spoil_changes = (int)number(read, 1);
+    world->spoiled_changes_left = (int)word_number(read, 1);
     return 0;
 }
 
@@ -240,8 +241,8 @@
 static int do_clock(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 4 ? tw_script_node(world, read->words[1]) : -1;
     if (at < 0) return -1;
-    world->nodes[at].rate = number(read, 2);
-    world->nodes[at].wall_step_s = number(read, 3);
+    world->nodes[at].rate = word_number(read, 2);
+    world->nodes[at].wall_step_s = word_number(read, 3);
     return 0;
 }
 
@@ -257,7 +258,7 @@
 
 /* holds MACHINE IMAGE: the leader hears that the machine holds the image */
 static int do_holds(tw_world *world, const tw_script_words *read) {
-    tw_shards *leader = world->nodes[world->leading].leader;
+    tw_shards *leader = world->nodes[world->leader_index].leader;
     if (read->count != 3 || !leader) return -1;
     tw_shards_set_image_held(leader, read->words[1], read->words[2], 1);
     return 0;
@@ -280,7 +281,8 @@
     if (!strcmp(what, "takeover"))
         printf("takeover: seconds=%.2f from_term_to_decision=%.3f state_calls=%ld "
                "state_bytes=%ld\n",
-               world->longest_gap, world->decided_after_s, world->state_calls, world->state_bytes);
+               world->longest_gap_s, world->decided_after_s, world->state_calls,
+               world->state_bytes);
     else
         printf("feed: changes=%ld bytes_a_change=%.0f cpu_us_a_change=%.1f\n", world->feed_messages,
                (double)world->feed_bytes / (double)world->feed_messages,
@@ -290,15 +292,15 @@
 
 /* print KEY: what the move took, and what happened since the last count */
 static int do_print(tw_world *world, const tw_script_words *read) {
-    const tw_world_client *asked =
+    const tw_world_client *client =
         read->count == 2 ? tw_script_client(world, read->words[1]) : NULL;
-    if (!asked && read->count == 2) return print_standby(world, read->words[1]);
-    if (!asked) return -1;
+    if (!client && read->count == 2) return print_standby(world, read->words[1]);
+    if (!client) return -1;
     printf("%s: machines=%d seconds=%.2f transactions=%d changes=%d completed=%ld ended=%ld "
            "refused=%ld failed=%ld\n",
-           asked->request.key, asked->progress.moved, asked->done_at - asked->asked_at,
-           world->transactions, world->changes, world->completed, world->moved, world->refused,
-           world->failed);
+           client->request.key, client->progress.moved, client->done_at - client->requested_at,
+           world->transactions, world->changes, world->completed, world->ended_early,
+           world->refused, world->failed);
     return 0;
 }
 
@@ -306,12 +308,12 @@
 static int do_count(tw_world *world, const tw_script_words *read) {
     (void)read;
     world->changes = world->transactions = 0;
-    world->completed = world->moved = world->refused = world->failed = 0;
+    world->completed = world->ended_early = world->refused = world->failed = 0;
     world->terms = 0;
-    world->longest_gap = 0;
+    world->longest_gap_s = 0;
     world->state_calls = world->state_bytes = world->feed_messages = world->feed_bytes = 0;
     world->feed_cpu_s = 0;
-    world->undecided_since = world->now;
+    world->no_decider_since = world->now;
     return 0;
 }
 
@@ -332,8 +334,8 @@
     {"lead", do_node},
     {"start", do_node},
     {"elected", do_node},
-    {"killlead", do_succession},
-    {"hanglead", do_succession},
+    {"killlead", do_leader_fault},
+    {"hanglead", do_leader_fault},
     {"losewrites", do_writes},
     {"dropwrites", do_writes},
     {"latewrites", do_writes},
@@ -355,7 +357,7 @@
 };
 
 int tw_script_command(tw_world *world, char *line) {
-    const tw_script_words read = split(line);
+    const tw_script_words read = split_words(line);
     if (read.count && !strcmp(read.words[0], "when")) return do_when(world, line);
     for (size_t i = 0; i < sizeof commands / sizeof *commands; i++) {
         if (!read.count || strcmp(read.words[0], commands[i].name) != 0) continue;
@@ -367,7 +369,7 @@
 }
 
 static int do_set(tw_world *world, const tw_script_words *read) {
-    const double value = read->count == 3 ? number(read, 2) : -1;
+    const double value = read->count == 3 ? word_number(read, 2) : -1;
     const char *name = read->words[1];
     if (value < 0) return -1;
     if (!strcmp(name, "drain")) world->settings.drain_s = value;
@@ -383,18 +385,18 @@
 }
 
 static void read_line(tw_world *world, const char *line) {
-    const tw_script_words read = split(line);
+    const tw_script_words read = split_words(line);
     const char *first = read.words[0];
     if (!read.count || first[0] == '#') return;
     if (!strcmp(first, "set")) {
         if (do_set(world, &read)) tw_world_fail(world, "can't be taken: %.100s", line);
-    } else if (!strcmp(first, "node") && world->node_count < TW_WORLD_MOST_NODES &&
+    } else if (!strcmp(first, "node") && world->node_count < TW_WORLD_MAX_NODES &&
                read.count == 2) {
         copy_name(world->nodes[world->node_count++].name, read.words[1]);
     } else if (!strcmp(first, "end")) {
-        world->end = number(&read, 1);
+        world->end = word_number(&read, 1);
     } else if (!strcmp(first, "at") && read.count > 2) {
-        tw_world_event *due = tw_world_add_event(world, number(&read, 1), TW_WORLD_COMMAND);
+        tw_world_event *due = tw_world_add_event(world, word_number(&read, 1), TW_WORLD_COMMAND);
         const char *rest = strstr(line, read.words[1]) + strlen(read.words[1]);
         due->text = strdup(rest + strspn(rest, " "));
         if (!due->text) abort();
@@ -405,7 +407,7 @@
 
 static void read_text(tw_world *world, const char *text) {
     while (*text) {
-        char line[TEXT];
+        char line[TEXT_SIZE];
         const size_t length = strcspn(text, "\n");
         snprintf(line, sizeof line, "%.*s", (int)length, text);
         read_line(world, line);
@@ -420,7 +422,7 @@
         tw_world_free_event(first);
     }
     for (int i = 0; i < world->node_count; i++) tw_world_end_node(world, i, -1);
-    for (int i = 0; i < world->client_count; i++) free(world->clients[i].named);
+    for (int i = 0; i < world->client_count; i++) free(world->clients[i].machine_names);
     tw_simulator_state_free(&world->state);
     gsl_rng_free(world->rng);
     for (int i = 0; i < world->machine_count; i++) free(world->machines[i].running);
@@ -430,12 +432,12 @@
     free(world);
 }
 
-static void play(tw_world *world) {
+static void run_scenario(tw_world *world) {
     tw_world_event *first;
     for (int i = 0; i < world->node_count; i++) tw_world_start_node(world, i);
     world->now = FIRST_LEADER_S;
-    world->undecided_since = -1; /* until the first leader */
-    if (world->node_count && world->lease_s <= 0) tw_world_lead(world, 0);
+    world->no_decider_since = -1; /* until the first leader */
+    if (world->node_count && world->lease_s <= 0) tw_world_elect_leader(world, 0);
     while (!world->failure[0] && (first = world->events) && first->at <= world->end) {
         world->events = first->next;
         world->now = first->at;
@@ -451,7 +453,7 @@
 int tw_shards_play(const char *text, char *why, size_t size) {
     tw_world *played = calloc(1, sizeof *played);
     if (!played) abort();
-    played->machines = calloc(TW_WORLD_MOST_MACHINES, sizeof *played->machines);
+    played->machines = calloc(TW_WORLD_MAX_MACHINES, sizeof *played->machines);
     if (!played->machines) abort();
     played->settings = (tw_shards_settings){.drain_s = 3,
                                             .grace_s = 2,
@@ -463,7 +465,7 @@
     gsl_rng_set(played->rng, DEFAULT_SEED);
     tw_simulator_state_init(&played->state);
     read_text(played, text);
-    play(played);
+    run_scenario(played);
     snprintf(why, size, "%s", played->failure);
     const bool failed = played->failure[0] != 0;
     free_world(played);
--- a/tests/shards/script_int.h
+++ b/tests/shards/script_int.h
@@ -4,15 +4,15 @@
 #include "shards_world.h"
 #include <stdlib.h>
 
-#define MOST_WORDS 12
-#define WORD 160
+#define MAX_WORDS 12
+#define SCRIPT_WORD_SIZE 160
 
 typedef struct {
-    char words[MOST_WORDS][WORD];
+    char words[MAX_WORDS][SCRIPT_WORD_SIZE];
     int count;
 } tw_script_words;
 
-static inline double number(const tw_script_words *read, int i) {
+static inline double word_number(const tw_script_words *read, int i) {
     return strtod(read->words[i], NULL);
 }
 /* "leader": the one that decides, or was named last. -1: none. */
--- a/tests/shards/shards_world.h
+++ b/tests/shards/shards_world.h
@@ -14,47 +14,47 @@
 
 #define USER_DEADLINE_S 10.0 /* of a user's request */
 /* How long a message takes. */
-#define FASTEST_S 0.001
-#define SLOWEST_S 0.02
-#define CALLS_IN_LEASE 3.0 /* a call that is not answered lasts so much of the lease */
-enum { OK = 200, BAD = 400, ABSENT = 404, CONFLICT = 409 };
+#define MESSAGE_DELAY_MIN_S 0.001
+#define MESSAGE_DELAY_MAX_S 0.02
+#define CALL_TIMEOUTS_PER_LEASE 3.0 /* a call that is not answered lasts so much of the lease */
+enum { HTTP_OK = 200, HTTP_BAD_REQUEST = 400, HTTP_NOT_FOUND = 404, HTTP_CONFLICT = 409 };
 enum {
-    TW_WORLD_MOST_NODES = 4,
-    TW_WORLD_MOST_MACHINES = 5000,
-    TW_WORLD_MOST_REQUESTS = 256,
-    TW_WORLD_MOST_TRIGGERS = 32,
-    TEXT = 256
+    TW_WORLD_MAX_NODES = 4,
+    TW_WORLD_MAX_MACHINES = 5000,
+    TW_WORLD_MAX_CLIENT_REQUESTS = 256,
+    TW_WORLD_MAX_TRIGGERS = 32,
+    TEXT_SIZE = 256
 };
-enum { TW_WORLD_MOST_CUTS = 32 };
+enum { TW_WORLD_MAX_CUTS = 32 };
 /* Ends of a link beside nodes, which are named by their index. */
 enum { TW_WORLD_END_STATE = -1, TW_WORLD_END_MACHINES = -2 };
 
 typedef enum {
-    TW_WORLD_COMMAND, /* text: a line of the scenario */
-    TW_WORLD_TICK,    /* node */
-    TW_WORLD_STATE,   /* a call of a leader arrives at the state service */
-    TW_WORLD_ANSWER,  /* its answer comes back */
-    TW_WORLD_NOTIFY,  /* leader to owner */
-    TW_WORLD_REPORT,  /* owner to leader: drained, opened, sync */
-    TW_WORLD_OPEN,    /* owner to machine */
-    TW_WORLD_OPENED,  /* machine to owner */
-    TW_WORLD_WORK,    /* owner to machine: a request */
-    TW_WORLD_WORKED,  /* machine to owner: it ended, or was refused */
-    TW_WORLD_STOP,    /* owner to machine: end what runs under the epoch */
-    TW_WORLD_ARRIVAL, /* a request of the load comes to the shard's owner */
-    TW_WORLD_REQUEST, /* a user's request comes to the shard's owner, or is sent again */
-    TW_WORLD_REPLY,   /* its answer comes to the user */
-    TW_WORLD_FINISH,  /* a machine's request is complete */
-    TW_WORLD_CLIENT,  /* a client sends, or repeats, its request to the leader */
-    TW_WORLD_MACHINE, /* a machine registers with the leader, or is gone */
+    TW_WORLD_COMMAND,         /* text: a line of the scenario */
+    TW_WORLD_TICK,            /* node */
+    TW_WORLD_STATE_CALL,      /* a call of a leader arrives at the state service */
+    TW_WORLD_STATE_RESPONSE,  /* its answer comes back */
+    TW_WORLD_NOTIFY,          /* leader to owner */
+    TW_WORLD_OWNER_REPORT,    /* owner to leader: drained, opened, sync */
+    TW_WORLD_OPEN,            /* owner to machine */
+    TW_WORLD_OPEN_CONFIRMED,  /* machine to owner */
+    TW_WORLD_DISPATCH,        /* owner to machine: a request */
+    TW_WORLD_DISPATCH_RESULT, /* machine to owner: it ended, or was refused */
+    TW_WORLD_STOP,            /* owner to machine: end what runs under the epoch */
+    TW_WORLD_LOAD_ARRIVAL,    /* a request of the load comes to the shard's owner */
+    TW_WORLD_USER_REQUEST,    /* a user's request comes to the shard's owner, or is sent again */
+    TW_WORLD_USER_RESPONSE,   /* its answer comes to the user */
+    TW_WORLD_REQUEST_FINISH,  /* a machine's request is complete */
+    TW_WORLD_CLIENT_RETRY,    /* a client sends, or repeats, its request to the leader */
+    TW_WORLD_MACHINE_REGISTRATION, /* a machine registers with the leader, or is gone */
     /* where controllers elect their leader themselves (tests/standby) */
-    TW_WORLD_FOLLOW,   /* a standby asks the active one for what comes after its position */
-    TW_WORLD_FEED,     /* the answer */
-    TW_WORLD_ORDER,    /* leader to machine: check or start */
-    TW_WORLD_ORDERED,  /* the machine's answer */
-    TW_WORLD_REPORTED, /* owner to the leader it knows */
-    TW_WORLD_ASKED,    /* a client's request arrives at a controller */
-    TW_WORLD_PROMOTE   /* so does one for a promotion */
+    TW_WORLD_FEED_REQUEST,   /* a standby asks the active one for what comes after its position */
+    TW_WORLD_FEED_MESSAGE,   /* the answer */
+    TW_WORLD_ORDER,          /* leader to machine: check or start */
+    TW_WORLD_ORDER_RESPONSE, /* the machine's answer */
+    TW_WORLD_ELECTED_LEADER_REPORT, /* owner to the leader it knows */
+    TW_WORLD_CLIENT_REQUEST,        /* a client's request arrives at a controller */
+    TW_WORLD_PROMOTE                /* so does one for a promotion */
 } tw_world_event_kind;
 
 typedef struct tw_world_event {
@@ -72,7 +72,7 @@
     char *path;
     tw_standby_position position;
     tw_standby_message *feed;
-    tw_standby_machine_status said;
+    tw_standby_machine_status machine_status;
     struct tw_world_event *next;
 } tw_world_event;
 
@@ -105,15 +105,15 @@
     uint64_t judged_term;  /* of the orders it took since this boot */
     uint64_t recorded_epoch;
     tw_shards_state recorded_state;
-    struct tw_world_served *running; /* requests that run there */
+    struct tw_world_running_request *running; /* requests that run there */
     int running_count;
 } tw_world_machine;
 
 /* A request as a machine serves it. */
-typedef struct tw_world_served {
+typedef struct tw_world_running_request {
     int request, attempt, node;
     uint64_t incarnation, epoch; /* life: of the node */
-} tw_world_served;
+} tw_world_running_request;
 
 /* A user's request to a model, as the user sees it. */
 typedef struct {
@@ -129,17 +129,17 @@
 /* A client's request to the leader. */
 typedef struct {
     tw_shards_request request;
-    char (*named)[TW_SHARDS_NAME];
+    char (*machine_names)[TW_SHARDS_NAME];
     int answered, answers;
     tw_shards_verdict verdict;
     tw_shards_progress progress;
     uint64_t revision;
-    uint64_t attempt; /* only the last one's answer is heard */
-    int follow;       /* goes on asking until the move is done */
-    int server;       /* where controllers elect: whom it asks next */
-    bool heard;       /* whether its last request was answered */
-    double again_at;  /* not before */
-    double done_at, asked_at, tried_at;
+    uint64_t attempt;        /* only the last one's answer is heard */
+    int follow;              /* goes on asking until the move is done */
+    int server;              /* where controllers elect: whom it asks next */
+    bool attempt_answered;   /* whether its last request was answered */
+    double retry_not_before; /* not before */
+    double done_at, requested_at, attempted_at;
 } tw_world_client;
 
 typedef struct {
@@ -150,7 +150,7 @@
 
 /* Strikes once, when a transaction with this text is handled by the state service. */
 typedef struct {
-    char text[TW_SHARDS_NAME], command[TEXT];
+    char text[TW_SHARDS_NAME], command[TEXT_SIZE];
     int used;
     double from;
 } tw_world_trigger;
@@ -159,7 +159,7 @@
 typedef struct {
     int machine, node;
     uint64_t epoch;
-} tw_world_use;
+} tw_world_epoch_use;
 
 typedef struct {
     double now, end;
@@ -168,108 +168,110 @@
     gsl_rng *rng;
     tw_simulator_state state;
     tw_shards_settings settings;
-    tw_world_node nodes[TW_WORLD_MOST_NODES];
-    int node_count, leading, electing; /* until the next leader begins, nobody's lease is renewed */
+    tw_world_node nodes[TW_WORLD_MAX_NODES];
+    int node_count, leader_index,
+        election_pending; /* until the next leader begins, nobody's lease is renewed */
     tw_world_machine *machines;
     int machine_count;
-    tw_world_client clients[TW_WORLD_MOST_REQUESTS];
+    tw_world_client clients[TW_WORLD_MAX_CLIENT_REQUESTS];
     int client_count;
-    tw_world_load loads[TW_WORLD_MOST_NODES];
+    tw_world_load loads[TW_WORLD_MAX_NODES];
     int load_count;
-    tw_world_trigger triggers[TW_WORLD_MOST_TRIGGERS];
+    tw_world_trigger triggers[TW_WORLD_MAX_TRIGGERS];
     int trigger_count;
-    tw_world_use *uses;
-    int use_count, use_room;
+    tw_world_epoch_use *uses;
+    int use_count, use_capacity;
     double loss, late_fraction, late_s, slow_s; /* of messages between nodes and machines */
     int lose_answers, drop_writes, late_writes; /* next transactions with the text below */
-    char strike_text[TW_SHARDS_NAME];
+    char fault_text[TW_SHARDS_NAME];
     double late_write_s;
     int transactions, changes;
     double last_change_s; /* when a transaction of shards was last applied */
     tw_world_user_request *requests;
-    int request_count, request_room;
+    int request_count, request_capacity;
     int plant_drop, plant_double, plant_old; /* faults for the judge to find */
     double lease_s;                          /* above 0: controllers elect their leader */
-    tw_world_cut cuts[TW_WORLD_MOST_CUTS];
+    tw_world_cut cuts[TW_WORLD_MAX_CUTS];
     int cut_count;
-    uint64_t newest_term;                /* recorded */
-    double undecided_since, longest_gap; /* how long no controller decided */
-    int terms;                           /* recorded since the count */
+    uint64_t newest_term;                   /* recorded */
+    double no_decider_since, longest_gap_s; /* how long no controller decided */
+    int terms;                              /* recorded since the count */
     int plant_term, plant_fence, plant_check;
-    int spoil_changes; /* of the feed, the next ones */
+    int spoiled_changes_left; /* of the feed, the next ones */
     /* what is printed by measurements, since the count */
     long state_calls, state_bytes; /* answered by the state service */
     long feed_messages, feed_bytes;
     double feed_cpu_s;      /* of the active controller's process, for the feed */
     double decided_after_s; /* of the last term, from its record to its first decision */
     double term_at;
-    tw_shards_verdict promoted;
+    tw_shards_verdict promotion_verdict;
     int promotions;
-    long refused, completed, moved, failed;
-    char failure[TEXT];
+    long refused, completed, ended_early, failed;
+    char failure[TEXT_SIZE];
 } tw_world;
 
 /* world.c */
 tw_world_event *tw_world_add_event(tw_world *world, double after, tw_world_event_kind kind);
 void tw_world_fail(tw_world *world, const char *format, ...) __attribute__((format(printf, 2, 3)));
 void tw_world_handle(tw_world *world, tw_world_event *event);
-void tw_world_lead(tw_world *world, int node);
-void tw_world_lead_later(tw_world *world, int node);
+void tw_world_elect_leader(tw_world *world, int node);
+void tw_world_schedule_election(tw_world *world, int node);
 void tw_world_end_node(tw_world *world, int node, double back_after_s);
 void tw_world_start_node(tw_world *world, int node);
-double tw_world_draw(tw_world *world, double from, double to);
+double tw_world_draw_uniform(tw_world *world, double from, double to);
 /* Ends all that runs there; status: what its senders hear. */
 void tw_world_end_running(tw_world *world, int machine, int status);
 tw_world_client *tw_world_add_client(tw_world *world, const tw_shards_request *request);
 /* A message that takes its time; NULL: it is lost. */
-tw_world_event *tw_world_message(tw_world *world, tw_world_event_kind kind);
+tw_world_event *tw_world_send_message(tw_world *world, tw_world_event_kind kind);
 void tw_world_free_event(tw_world_event *event);
 /* A copy, "" for NULL. */
 char *tw_world_copy_text(const char *text);
-void tw_world_effects(tw_world *world, int node);
+void tw_world_apply_effects(tw_world *world, int node);
 void tw_world_call_state(tw_world *world, int node, tw_world_event *call);
-void tw_world_take_answer(tw_world *world, const tw_shards_effect *effect);
+void tw_world_handle_client_answer(tw_world *world, const tw_shards_effect *effect);
 void tw_world_notify_owner(tw_world *world, int from, const tw_shards_notification *notification);
 int tw_world_machine_index(const tw_world *world, const char *name);
 int tw_world_node_index(const tw_world *world, const char *name);
 /* A machine's verdict on an order, with the judge's own record and planted faults. Returns whether
  * it was taken. */
-int tw_world_order(tw_world *world, int machine, uint64_t term, tw_shards_guard_verdict verdict);
+int tw_world_accept_order(tw_world *world, int machine, uint64_t term,
+                          tw_shards_guard_verdict verdict);
 /* state_calls.c: calls to the state service and their answers */
-void tw_world_handle_state(tw_world *world, const tw_world_event *call);
-void tw_world_handle_answer(tw_world *world, const tw_world_event *answer);
+void tw_world_handle_state_call(tw_world *world, const tw_world_event *call);
+void tw_world_handle_state_response(tw_world *world, const tw_world_event *answer);
 /* machines.c */
 void tw_world_handle_open(tw_world *world, const tw_world_event *order);
-void tw_world_handle_work(tw_world *world, const tw_world_event *order);
+void tw_world_handle_dispatch(tw_world *world, const tw_world_event *order);
 void tw_world_handle_finish(tw_world *world, const tw_world_event *due);
 void tw_world_handle_stop(tw_world *world, const tw_world_event *order);
 /* gateways.c: a controller routes the requests of its shards; users */
 void tw_world_refresh_replica(tw_world *world, int at, const char *name);
-void tw_world_router_effects(tw_world *world, int at);
-void tw_world_handle_worked(tw_world *world, const tw_world_event *answer);
+void tw_world_apply_router_effects(tw_world *world, int at);
+void tw_world_handle_dispatch_result(tw_world *world, const tw_world_event *answer);
 void tw_world_handle_arrival(tw_world *world, const tw_world_event *due);
-void tw_world_handle_request(tw_world *world, const tw_world_event *due);
-void tw_world_handle_reply(tw_world *world, const tw_world_event *reply);
+void tw_world_handle_user_request(tw_world *world, const tw_world_event *due);
+void tw_world_handle_user_response(tw_world *world, const tw_world_event *reply);
 /* ../standby/elections.c: controllers that elect their leader and follow it */
-void tw_elections_start(tw_world *world, int node);
-void tw_elections_end(tw_world *world, int node);
+void tw_elections_start_node(tw_world *world, int node);
+void tw_elections_end_node(tw_world *world, int node);
 void tw_elections_tick(tw_world *world, int node);
-void tw_elections_effects(tw_world *world, int node);
-void tw_elections_report(tw_world *world, int from, tw_shards_owner_effect_kind kind,
-                         const char *machine, uint64_t epoch);
-void tw_elections_client(tw_world *world, int number);
-void tw_elections_refused(tw_world *world, tw_world_client *asked);
-void tw_elections_machine(tw_world *world, const tw_shards_request *request);
+void tw_elections_apply_effects(tw_world *world, int node);
+void tw_elections_send_report(tw_world *world, int from, tw_shards_owner_effect_kind kind,
+                              const char *machine, uint64_t epoch);
+void tw_elections_send_client_request(tw_world *world, int number);
+void tw_elections_redirect_client(tw_world *world, tw_world_client *client);
+void tw_elections_register_machine(tw_world *world, const tw_shards_request *request);
 void tw_elections_handle(tw_world *world, tw_world_event *event);
 int tw_elections_is_cut(const tw_world *world, int one, int other);
 /* A node's clocks. */
-double tw_elections_now(const tw_world *world, int node);
-double tw_elections_wall(const tw_world *world, int node);
+double tw_elections_steady_clock(const tw_world *world, int node);
+double tw_elections_wall_clock(const tw_world *world, int node);
 /* script.c */
 int tw_script_command(tw_world *world, char *line);
 /* judge.c */
-void tw_judge_use(tw_world *world, int node, int machine, uint64_t epoch);
-void tw_judge_work(tw_world *world, int node, int machine, uint64_t epoch);
+void tw_judge_epoch_use(tw_world *world, int node, int machine, uint64_t epoch);
+void tw_judge_request_start(tw_world *world, int node, int machine, uint64_t epoch);
 void tw_judge_order(tw_world *world, int machine, uint64_t term);
 /* The node is about to decide: what it has must be what stands in the records. */
 void tw_judge_view(tw_world *world, int node);
@@ -279,6 +281,6 @@
 void tw_judge_records(tw_world *world);
 void tw_judge_end(tw_world *world);
 /* What stands in the state service, read by a node of the judge's own; free with tw_shards_free. */
-tw_shards *tw_judge_read(tw_world *world);
+tw_shards *tw_judge_read_records(tw_world *world);
 
 #endif
--- a/tests/shards/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -7,32 +7,32 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void strike(tw_world *world, const char *body) {
+static void fire_triggers(tw_world *world, const char *body) {
     for (int i = 0; i < world->trigger_count; i++) {
-        tw_world_trigger *set = &world->triggers[i];
-        if (set->used || world->now < set->from || !strstr(body, set->text)) continue;
-        set->used = 1;
-        tw_script_command(world, set->command);
+        tw_world_trigger *trigger = &world->triggers[i];
+        if (trigger->used || world->now < trigger->from || !strstr(body, trigger->text)) continue;
+        trigger->used = 1;
+        tw_script_command(world, trigger->command);
     }
 }
 
-static int struck(int *left, const tw_world *world, const char *body) {
-    if (!*left || !strstr(body, world->strike_text)) return 0;
+static int take_write_fault(int *left, const tw_world *world, const char *body) {
+    if (!*left || !strstr(body, world->fault_text)) return 0;
     --*left;
     return 1;
 }
 
 static void answer_call(tw_world *world, const tw_world_event *call, int status, char *text) {
-    double after = tw_world_draw(world, FASTEST_S, SLOWEST_S);
+    double after = tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S);
     const bool cut =
         world->lease_s > 0 && tw_elections_is_cut(world, call->node, TW_WORLD_END_STATE);
     if (cut || (!status && world->lease_s > 0)) {
-        after = world->lease_s / CALLS_IN_LEASE;
+        after = world->lease_s / CALL_TIMEOUTS_PER_LEASE;
         status = 0;
         free(text);
         text = NULL;
     }
-    tw_world_event *answer = tw_world_add_event(world, after, TW_WORLD_ANSWER);
+    tw_world_event *answer = tw_world_add_event(world, after, TW_WORLD_STATE_RESPONSE);
     answer->node = call->node;
     answer->incarnation = call->incarnation;
     answer->id = call->id;
@@ -41,8 +41,8 @@
     answer->text = text;
 }
 
-static void put_late(tw_world *world, const tw_world_event *call) {
-    tw_world_event *late = tw_world_add_event(world, world->late_write_s, TW_WORLD_STATE);
+static void schedule_late_write(tw_world *world, const tw_world_event *call) {
+    tw_world_event *late = tw_world_add_event(world, world->late_write_s, TW_WORLD_STATE_CALL);
     late->node = call->node;
     late->flag = 1;
     late->number = 1; /* nobody waits for the answer */
@@ -52,25 +52,25 @@
 
 static void handle_transaction(tw_world *world, const tw_world_event *call) {
     char *answer = NULL;
-    if (!call->number && struck(&world->drop_writes, world, call->text)) {
+    if (!call->number && take_write_fault(&world->drop_writes, world, call->text)) {
         answer_call(world, call, 0, NULL);
         return;
     }
-    if (!call->number && struck(&world->late_writes, world, call->text)) {
-        put_late(world, call);
+    if (!call->number && take_write_fault(&world->late_writes, world, call->text)) {
+        schedule_late_write(world, call);
         answer_call(world, call, 0, NULL);
         return;
     }
-    const bool lost = !call->number && struck(&world->lose_answers, world, call->text);
+    const bool lost = !call->number && take_write_fault(&world->lose_answers, world, call->text);
     const int status =
         tw_simulator_state_request(&world->state, world->now, "POST", "/txn", call->text, &answer);
     tw_log_debug("t=%.3f node=%s status=%d txn=%.600s", world->now, world->nodes[call->node].name,
                  status, call->text);
     /* A leader's key that comes late is refused with its lease, which is over by then. */
     const bool of_lease = strstr(call->text, "\"write\":\"" TW_STANDBY_LEADER_KEY "\"") != NULL;
-    if (status == BAD && !of_lease)
+    if (status == HTTP_BAD_REQUEST && !of_lease)
         tw_world_fail(world, "the state service refuses: %.150s", call->text);
-    if (status == OK) {
+    if (status == HTTP_OK) {
         world->transactions++;
         world->last_change_s = world->now;
         for (const char *at = call->text; (at = strstr(at, "{\"write\"")); at++) world->changes++;
@@ -78,31 +78,31 @@
     }
     if (!call->number) answer_call(world, call, lost ? 0 : status, lost ? NULL : answer);
     if (call->number || lost) free(answer);
-    if (status == OK) strike(world, call->text);
+    if (status == HTTP_OK) fire_triggers(world, call->text);
 }
 
 /* A planted fault: to a standby the leader's key seems gone, and its own one recorded. Returns the
  * status of the answer that it gets; 0: the call is none of these. */
-static int skip_fence(const tw_world *world, const tw_world_event *call, char **answer) {
+static int forge_fence_response(const tw_world *world, const tw_world_event *call, char **answer) {
     const char *key = TW_STANDBY_LEADER_KEY;
-    char text[TEXT];
+    char text[TEXT_SIZE];
     const uint64_t recorded = tw_simulator_state_version(&world->state, key);
     const bool reads = !strcmp(call->path, "/kv/" TW_STANDBY_LEADER_KEY);
     const bool writes = !strcmp(call->path, "/txn") && strstr(call->text, "\"write\":\"traywalld/");
-    const tw_standby *asks = world->nodes[call->node].standby;
+    const tw_standby *standby = world->nodes[call->node].standby;
     const bool active =
-        asks && !strcmp(tw_standby_active_address(asks), world->nodes[call->node].name);
+        standby && !strcmp(tw_standby_active_address(standby), world->nodes[call->node].name);
     if (!world->plant_fence || active || !recorded || (!reads && !writes)) return 0;
     snprintf(text, sizeof text, "{\"ledger\":%lu}", (unsigned long)recorded + 1);
     *answer = tw_world_copy_text(text);
-    return reads ? ABSENT : OK;
+    return reads ? HTTP_NOT_FOUND : HTTP_OK;
 }
 
 /* A call of a controller that elects: the path says what it is. */
 static void handle_call(tw_world *world, const tw_world_event *call) {
     char *answer = NULL;
     const int late = call->number; /* it was sent long ago, and nobody waits for its answer */
-    const int skipped = skip_fence(world, call, &answer);
+    const int skipped = forge_fence_response(world, call, &answer);
     if (!late && tw_elections_is_cut(world, call->node, TW_WORLD_END_STATE)) {
         answer_call(world, call, 0, NULL);
         free(answer);
@@ -126,7 +126,7 @@
     }
 }
 
-void tw_world_handle_state(tw_world *world, const tw_world_event *call) {
+void tw_world_handle_state_call(tw_world *world, const tw_world_event *call) {
     char *answer = NULL;
     if (call->path) {
         handle_call(world, call);
@@ -142,18 +142,18 @@
 }
 
 static tw_shards_outcome outcome_of(int status) {
-    if (status == OK) return TW_SHARDS_APPLIED;
-    if (status == CONFLICT || status == BAD) return TW_SHARDS_REFUSED;
+    if (status == HTTP_OK) return TW_SHARDS_APPLIED;
+    if (status == HTTP_CONFLICT || status == HTTP_BAD_REQUEST) return TW_SHARDS_REFUSED;
     return status ? TW_SHARDS_NOT_EXECUTED : TW_SHARDS_UNKNOWN;
 }
 
-void tw_world_handle_answer(tw_world *world, const tw_world_event *answer) {
+void tw_world_handle_state_response(tw_world *world, const tw_world_event *answer) {
     tw_world_node *at = &world->nodes[answer->node];
     const char *text = answer->text ? answer->text : "";
     uint64_t revision = 0;
     if (at->standby) {
-        tw_standby_handle_response(at->standby, tw_elections_now(world, answer->node), answer->id,
-                                   answer->status, text, strlen(text));
+        tw_standby_handle_response(at->standby, tw_elections_steady_clock(world, answer->node),
+                                   answer->id, answer->status, text, strlen(text));
         return;
     }
     if (answer->flag) {
@@ -167,7 +167,7 @@
         }
         tw_shards_handle_outcome(at->leader, world->now, answer->id, outcome, revision);
     } else {
-        const bool has = answer->status == OK;
+        const bool has = answer->status == HTTP_OK;
         tw_shards_handle_page(at->leader, world->now, answer->id, has ? text : NULL, strlen(text));
     }
 }
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -10,13 +10,13 @@
 
 #define TICK_S 0.1
 #define CLIENT_RETRY_S 1.0
-#define FOLLOW_S 0.1 /* between a client's looks at a move that was accepted */
+#define MOVE_POLL_S 0.1 /* between a client's looks at a move that was accepted */
 #define PATH_SIZE 512
 #define FIRST_MACHINE_ID ((uint64_t)1 << 40) /* of registrations; clients' are below */
 #define AUTHORITY_S 0.5
 #define ELECTION_S 0.7 /* the old leader's authority is over by then */
 
-double tw_world_draw(tw_world *world, double from, double to) {
+double tw_world_draw_uniform(tw_world *world, double from, double to) {
     return from + (to - from) * gsl_rng_uniform(world->rng);
 }
 
@@ -50,11 +50,12 @@
     free(freed);
 }
 
-tw_world_event *tw_world_message(tw_world *world, tw_world_event_kind kind) {
-    double after = tw_world_draw(world, FASTEST_S, SLOWEST_S) + world->slow_s;
-    if (tw_world_draw(world, 0, 1) < world->loss) return NULL;
-    if (tw_world_draw(world, 0, 1) < world->late_fraction)
-        after += tw_world_draw(world, 0, world->late_s);
+tw_world_event *tw_world_send_message(tw_world *world, tw_world_event_kind kind) {
+    double after =
+        tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S) + world->slow_s;
+    if (tw_world_draw_uniform(world, 0, 1) < world->loss) return NULL;
+    if (tw_world_draw_uniform(world, 0, 1) < world->late_fraction)
+        after += tw_world_draw_uniform(world, 0, world->late_s);
     return tw_world_add_event(world, after, kind);
 }
 
@@ -66,9 +67,10 @@
 
 /* ---- effects of a node ---- */
 
-static void call_state(tw_world *world, int at, const tw_shards_effect *effect) {
-    tw_world_event *call =
-        tw_world_add_event(world, tw_world_draw(world, FASTEST_S, SLOWEST_S), TW_WORLD_STATE);
+static void send_state_call(tw_world *world, int at, const tw_shards_effect *effect) {
+    tw_world_event *call = tw_world_add_event(
+        world, tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S),
+        TW_WORLD_STATE_CALL);
     char path[PATH_SIZE];
     call->node = at;
     call->incarnation = world->nodes[at].incarnation;
@@ -83,37 +85,37 @@
     call->text = tw_world_copy_text(path);
 }
 
-void tw_world_take_answer(tw_world *world, const tw_shards_effect *effect) {
+void tw_world_handle_client_answer(tw_world *world, const tw_shards_effect *effect) {
     tw_log_debug("t=%.3f answer=%lu verdict=%s moved=%d", world->now, (unsigned long)effect->id,
                  tw_shards_verdict_name(effect->verdict), effect->progress.moved);
-    tw_world_client *asked = &world->clients[effect->id % TW_WORLD_MOST_REQUESTS];
-    if (effect->id / TW_WORLD_MOST_REQUESTS != asked->attempt) return;
-    asked->heard = true;
+    tw_world_client *client = &world->clients[effect->id % TW_WORLD_MAX_CLIENT_REQUESTS];
+    if (effect->id / TW_WORLD_MAX_CLIENT_REQUESTS != client->attempt) return;
+    client->attempt_answered = true;
     if (world->lease_s > 0 && effect->verdict == TW_SHARDS_NOT_LEADER)
-        tw_elections_refused(world, asked);
+        tw_elections_redirect_client(world, client);
     if (effect->verdict == TW_SHARDS_NOT_LEADER || effect->verdict == TW_SHARDS_OVERLOADED ||
         effect->verdict == TW_SHARDS_QUARANTINED)
         return;
-    if (effect->progress.done && !asked->done_at) asked->done_at = world->now;
-    if (!asked->answered) asked->verdict = effect->verdict;
-    if (asked->answered && asked->verdict != effect->verdict)
-        tw_world_fail(world, "%s was told %s, now %s", asked->request.key,
-                      tw_shards_verdict_name(asked->verdict),
+    if (effect->progress.done && !client->done_at) client->done_at = world->now;
+    if (!client->answered) client->verdict = effect->verdict;
+    if (client->answered && client->verdict != effect->verdict)
+        tw_world_fail(world, "%s was told %s, now %s", client->request.key,
+                      tw_shards_verdict_name(client->verdict),
                       tw_shards_verdict_name(effect->verdict));
-    asked->answered = 1;
-    asked->progress = effect->progress;
-    asked->revision = effect->revision;
+    client->answered = 1;
+    client->progress = effect->progress;
+    client->revision = effect->revision;
 }
 
 /* The answer to a machine that registers: it may be opened from now on. */
-static void take_registration(tw_world *world, const tw_shards_effect *effect) {
+static void handle_registration_answer(tw_world *world, const tw_shards_effect *effect) {
     const uint64_t id = effect->id - FIRST_MACHINE_ID;
-    tw_world_machine *registered = &world->machines[id % TW_WORLD_MOST_MACHINES];
+    tw_world_machine *registered = &world->machines[id % TW_WORLD_MAX_MACHINES];
     if (effect->verdict != TW_SHARDS_OK || registered->registered) return;
-    if (id / TW_WORLD_MOST_MACHINES != registered->boot_id) return; /* to an earlier start of it */
+    if (id / TW_WORLD_MAX_MACHINES != registered->boot_id) return; /* to an earlier start of it */
     registered->registered = true;
     tw_shards_guard_set_minimum_epoch(&registered->guard,
-                                      world->nodes[world->leading].fencing_token,
+                                      world->nodes[world->leader_index].fencing_token,
                                       registered->guard.boot_id, effect->minimum_epoch);
 }
 
@@ -121,7 +123,7 @@
     for (int i = 0; i < world->node_count; i++) {
         if (strcmp(world->nodes[i].name, notification->owner) != 0) continue;
         if (i != from && tw_elections_is_cut(world, from, i)) return;
-        tw_world_event *sent = tw_world_message(world, TW_WORLD_NOTIFY);
+        tw_world_event *sent = tw_world_send_message(world, TW_WORLD_NOTIFY);
         if (!sent) return;
         sent->node = i;
         sent->notification = *notification;
@@ -140,11 +142,11 @@
     return -1;
 }
 
-static void to_machine(tw_world *world, int from, tw_world_event_kind kind,
-                       const tw_shards_owner_effect *order) {
+static void send_machine_order(tw_world *world, int from, tw_world_event_kind kind,
+                               const tw_shards_owner_effect *order) {
     tw_world_event *sent = tw_elections_is_cut(world, from, TW_WORLD_END_MACHINES)
                                ? NULL
-                               : tw_world_message(world, kind);
+                               : tw_world_send_message(world, kind);
     if (!sent) return;
     sent->node = from;
     sent->incarnation = world->nodes[from].incarnation;
@@ -153,13 +155,13 @@
     sent->term = order->term;
 }
 
-static void report(tw_world *world, int from, tw_shards_owner_effect_kind kind, const char *name,
-                   uint64_t epoch) {
+static void report_to_leader(tw_world *world, int from, tw_shards_owner_effect_kind kind,
+                             const char *name, uint64_t epoch) {
     if (world->lease_s > 0) {
-        tw_elections_report(world, from, kind, name, epoch);
+        tw_elections_send_report(world, from, kind, name, epoch);
         return;
     }
-    tw_world_event *sent = tw_world_message(world, TW_WORLD_REPORT);
+    tw_world_event *sent = tw_world_send_message(world, TW_WORLD_OWNER_REPORT);
     if (!sent) return;
     sent->number = (int)kind;
     sent->machine = from;
@@ -167,64 +169,65 @@
     sent->text = tw_world_copy_text(name);
 }
 
-static void owner_effects(tw_world *world, int at) {
+static void apply_owner_effects(tw_world *world, int at) {
     tw_shards_owner_effect *effect;
     while ((effect = tw_shards_owner_next_effect(world->nodes[at].owner))) {
         switch (effect->kind) {
         case TW_SHARDS_OWNER_OPEN:
-            tw_judge_use(world, at, tw_world_machine_index(world, effect->machine), effect->epoch);
-            to_machine(world, at, TW_WORLD_OPEN, effect);
+            tw_judge_epoch_use(world, at, tw_world_machine_index(world, effect->machine),
+                               effect->epoch);
+            send_machine_order(world, at, TW_WORLD_OPEN, effect);
             break;
         case TW_SHARDS_OWNER_STOP:
-            to_machine(world, at, TW_WORLD_STOP, effect);
+            send_machine_order(world, at, TW_WORLD_STOP, effect);
             break;
         default:
-            report(world, at, effect->kind, effect->machine, effect->epoch);
+            report_to_leader(world, at, effect->kind, effect->machine, effect->epoch);
         }
         free(effect);
     }
 }
 
 /* Where leaders are named by the scenario, machines need not be asked by them. */
-static void decide_at_once(tw_world *world, int at) {
-    tw_shards *table = world->nodes[at].leader;
-    if (!tw_shards_is_ready(table) || tw_shards_is_deciding(table)) return;
-    for (int i = 0; i < tw_shards_machine_count(table); i++)
-        tw_shards_confirm_machine(table, world->now, tw_shards_machine_at(table, i).machine);
-    tw_shards_allow_decisions(table, world->now);
+static void confirm_all_machines(tw_world *world, int at) {
+    tw_shards *leader = world->nodes[at].leader;
+    if (!tw_shards_is_ready(leader) || tw_shards_is_deciding(leader)) return;
+    for (int i = 0; i < tw_shards_machine_count(leader); i++)
+        tw_shards_confirm_machine(leader, world->now, tw_shards_machine_at(leader, i).machine);
+    tw_shards_allow_decisions(leader, world->now);
 }
 
-static void table_effects(tw_world *world, int at) {
+static void apply_leader_effects(tw_world *world, int at) {
     tw_shards_effect *effect;
-    decide_at_once(world, at);
+    confirm_all_machines(world, at);
     while ((effect = tw_shards_next_effect(world->nodes[at].leader))) {
         switch (effect->kind) {
         case TW_SHARDS_READ:
         case TW_SHARDS_WRITE:
-            call_state(world, at, effect);
+            send_state_call(world, at, effect);
             break;
         case TW_SHARDS_NOTIFY:
             tw_world_notify_owner(world, at, &effect->notification);
             break;
         case TW_SHARDS_ANSWER:
             if (effect->id >= FIRST_MACHINE_ID)
-                take_registration(world, effect);
+                handle_registration_answer(world, effect);
             else
-                tw_world_take_answer(world, effect);
+                tw_world_handle_client_answer(world, effect);
             break;
         }
         tw_shards_effect_free(effect);
     }
 }
 
-void tw_world_effects(tw_world *world, int at) {
+void tw_world_apply_effects(tw_world *world, int at) {
     if (!world->nodes[at].incarnation) return;
     if (world->lease_s > 0)
-        tw_elections_effects(world, at);
+        tw_elections_apply_effects(world, at);
     else
-        table_effects(world, at);
-    owner_effects(world, at);
-    tw_world_router_effects(world, at);
+        apply_leader_effects(world, at);
+    apply_owner_effects(world, at);
+    tw_world_apply_router_effects(world, at);
 }
 
 /* ---- life of nodes ---- */
@@ -243,24 +246,24 @@
     started->incarnation = ++world->next_incarnation;
     started->fencing_token = 0;
     started->hung_until = 0;
-    if (world->lease_s > 0) tw_elections_start(world, at);
+    if (world->lease_s > 0) tw_elections_start_node(world, at);
     tw_world_event *tick =
-        tw_world_add_event(world, tw_world_draw(world, 0, TICK_S), TW_WORLD_TICK);
+        tw_world_add_event(world, tw_world_draw_uniform(world, 0, TICK_S), TW_WORLD_TICK);
     tick->node = at;
     tick->incarnation = started->incarnation;
 }
 
-void tw_world_lead_later(tw_world *world, int at) {
-    char line[TEXT];
+void tw_world_schedule_election(tw_world *world, int at) {
+    char line[TEXT_SIZE];
     snprintf(line, sizeof line, "elected %s", world->nodes[at].name);
-    world->electing = 1;
+    world->election_pending = 1;
     tw_world_add_event(world, ELECTION_S, TW_WORLD_COMMAND)->text = tw_world_copy_text(line);
 }
 
 void tw_world_end_node(tw_world *world, int at, double back_after_s) {
     tw_world_node *ended = &world->nodes[at];
     if (!ended->incarnation) return;
-    if (ended->standby) tw_elections_end(world, at);
+    if (ended->standby) tw_elections_end_node(world, at);
     tw_shards_free(ended->leader);
     tw_shards_owner_free(ended->owner);
     tw_router_free(ended->router);
@@ -269,106 +272,109 @@
     ended->owner = NULL;
     ended->incarnation = 0;
     if (back_after_s < 0) return;
-    if (at == world->leading && world->lease_s <= 0)
-        tw_world_lead_later(world, (at + 1) % world->node_count);
+    if (at == world->leader_index && world->lease_s <= 0)
+        tw_world_schedule_election(world, (at + 1) % world->node_count);
     tw_world_event *back = tw_world_add_event(world, back_after_s, TW_WORLD_COMMAND);
-    char line[TEXT];
+    char line[TEXT_SIZE];
     snprintf(line, sizeof line, "start %s", ended->name);
     back->text = tw_world_copy_text(line);
 }
 
 /* The node has won an election: the leader's key has a new revision. The one before isn't told. */
-void tw_world_lead(tw_world *world, int at) {
+void tw_world_elect_leader(tw_world *world, int at) {
     char *answer;
-    char body[TEXT];
+    char body[TEXT_SIZE];
     uint64_t token;
     for (int i = 0; i < world->node_count && !world->nodes[at].incarnation; i++) at = i;
     tw_world_node *leader = &world->nodes[at];
     if (!leader->incarnation) {
-        tw_world_lead_later(world, at);
+        tw_world_schedule_election(world, at);
         return;
     }
     snprintf(body, sizeof body, "{\"if\":[],\"apply\":[{\"write\":\"leader\",\"data\":\"%s\"}]}",
              leader->name);
     const int status =
         tw_simulator_state_request(&world->state, world->now, "POST", "/txn", body, &answer);
-    const bool failed = status != OK || tw_wire_revision_parse(&token, answer, strlen(answer));
+    const bool failed = status != HTTP_OK || tw_wire_revision_parse(&token, answer, strlen(answer));
     free(answer);
     if (failed) {
-        tw_world_lead_later(world, at);
+        tw_world_schedule_election(world, at);
         return;
     }
-    world->leading = at;
+    world->leader_index = at;
     if (leader->fencing_token) tw_shards_end_term(leader->leader);
     leader->fencing_token = token;
-    world->electing = 0;
+    world->election_pending = 0;
     tw_shards_begin_term(leader->leader, world->now, "leader", token);
     tw_shards_set_authority(leader->leader, world->now + AUTHORITY_S);
-    tw_world_effects(world, at);
+    tw_world_apply_effects(world, at);
 }
 
 /* ---- owners and the leader ---- */
 
-static void handle_report(tw_world *world, const tw_world_event *said) {
-    tw_world_node *leader = &world->nodes[world->leading];
-    const char *owner = world->nodes[said->machine].name;
+static void handle_report(tw_world *world, const tw_world_event *report) {
+    tw_world_node *leader = &world->nodes[world->leader_index];
+    const char *owner = world->nodes[report->machine].name;
     if (!leader->incarnation || leader->hung_until > world->now) return;
-    if (said->number == TW_SHARDS_OWNER_SYNC)
+    if (report->number == TW_SHARDS_OWNER_SYNC)
         tw_shards_send_owner_states(leader->leader, owner);
-    else if (said->number == TW_SHARDS_OWNER_DRAINED)
-        tw_shards_report_drained(leader->leader, owner, said->text, said->epoch);
+    else if (report->number == TW_SHARDS_OWNER_DRAINED)
+        tw_shards_report_drained(leader->leader, owner, report->text, report->epoch);
     else
-        tw_shards_report_opened(leader->leader, owner, said->text, said->epoch);
-    tw_world_effects(world, world->leading);
+        tw_shards_report_opened(leader->leader, owner, report->text, report->epoch);
+    tw_world_apply_effects(world, world->leader_index);
 }
 
 static void handle_client(tw_world *world, const tw_world_event *due) {
-    tw_world_client *asks = &world->clients[due->number];
+    tw_world_client *client = &world->clients[due->number];
     if (world->lease_s > 0) {
-        tw_elections_client(world, due->number);
+        tw_elections_send_client_request(world, due->number);
         return;
     }
-    tw_world_node *leader = &world->nodes[world->leading];
-    if (asks->answered && (!asks->follow || asks->verdict != TW_SHARDS_OK || asks->done_at)) return;
+    tw_world_node *leader = &world->nodes[world->leader_index];
+    if (client->answered && (!client->follow || client->verdict != TW_SHARDS_OK || client->done_at))
+        return;
     const bool due_again =
-        asks->answered || !asks->attempt || world->now >= asks->tried_at + CLIENT_RETRY_S;
+        client->answered || !client->attempt || world->now >= client->attempted_at + CLIENT_RETRY_S;
     if (due_again && leader->incarnation && leader->hung_until <= world->now) {
-        asks->tried_at = world->now;
-        asks->request.id = ++asks->attempt * TW_WORLD_MOST_REQUESTS + (uint64_t)due->number;
-        tw_shards_add_request(leader->leader, world->now, &asks->request);
-        tw_world_effects(world, world->leading);
+        client->attempted_at = world->now;
+        client->request.id =
+            ++client->attempt * TW_WORLD_MAX_CLIENT_REQUESTS + (uint64_t)due->number;
+        tw_shards_add_request(leader->leader, world->now, &client->request);
+        tw_world_apply_effects(world, world->leader_index);
     }
-    tw_world_add_event(world, FOLLOW_S, TW_WORLD_CLIENT)->number = due->number;
+    tw_world_add_event(world, MOVE_POLL_S, TW_WORLD_CLIENT_RETRY)->number = due->number;
 }
 
 tw_world_client *tw_world_add_client(tw_world *world, const tw_shards_request *request) {
-    if (world->client_count == TW_WORLD_MOST_REQUESTS - 1) abort();
+    if (world->client_count == TW_WORLD_MAX_CLIENT_REQUESTS - 1) abort();
     tw_world_client *added = &world->clients[world->client_count++];
     added->request = *request;
-    added->asked_at = world->now;
-    tw_world_add_event(world, 0, TW_WORLD_CLIENT)->number = world->client_count - 1;
+    added->requested_at = world->now;
+    tw_world_add_event(world, 0, TW_WORLD_CLIENT_RETRY)->number = world->client_count - 1;
     return added;
 }
 
 static void handle_machine(tw_world *world, const tw_world_event *due) {
-    tw_world_machine *about = &world->machines[due->machine];
-    const tw_world_node *leader = &world->nodes[world->leading];
-    tw_shards_request request = {.kind = about->alive ? TW_SHARDS_ADD : TW_SHARDS_REMOVE,
-                                 .id = FIRST_MACHINE_ID + about->boot_id * TW_WORLD_MOST_MACHINES +
+    tw_world_machine *machine = &world->machines[due->machine];
+    const tw_world_node *leader = &world->nodes[world->leader_index];
+    tw_shards_request request = {.kind = machine->alive ? TW_SHARDS_ADD : TW_SHARDS_REMOVE,
+                                 .id = FIRST_MACHINE_ID + machine->boot_id * TW_WORLD_MAX_MACHINES +
                                        (uint64_t)due->machine};
-    if (due->incarnation != about->boot_id || about->accepted) return;
-    if (about->alive && about->registered) return;
-    snprintf(request.machine, sizeof request.machine, "%s", about->name);
-    snprintf(request.shard, sizeof request.shard, "%s", about->shard);
-    snprintf(request.zone, sizeof request.zone, "%s", about->zone);
+    if (due->incarnation != machine->boot_id || machine->accepted) return;
+    if (machine->alive && machine->registered) return;
+    snprintf(request.machine, sizeof request.machine, "%s", machine->name);
+    snprintf(request.shard, sizeof request.shard, "%s", machine->shard);
+    snprintf(request.zone, sizeof request.zone, "%s", machine->zone);
     if (world->lease_s > 0) {
-        tw_elections_machine(world, &request);
+        tw_elections_register_machine(world, &request);
     } else if (leader->incarnation && leader->hung_until <= world->now &&
                tw_shards_is_ready(leader->leader)) {
         tw_shards_add_request(leader->leader, world->now, &request);
-        tw_world_effects(world, world->leading);
+        tw_world_apply_effects(world, world->leader_index);
     }
-    tw_world_event *again = tw_world_add_event(world, 2 * CLIENT_RETRY_S, TW_WORLD_MACHINE);
+    tw_world_event *again =
+        tw_world_add_event(world, 2 * CLIENT_RETRY_S, TW_WORLD_MACHINE_REGISTRATION);
     again->machine = due->machine;
     again->incarnation = due->incarnation;
 }
@@ -382,13 +388,14 @@
     again->incarnation = due->incarnation;
     const bool leads =
         at->fencing_token ||
-        (at->standby && tw_standby_decides(at->standby, tw_elections_now(world, due->node)));
+        (at->standby &&
+         tw_standby_decides(at->standby, tw_elections_steady_clock(world, due->node)));
     for (int i = 0; i < world->machine_count && leads; i++)
         if (world->machines[i].alive)
             tw_shards_set_machine_load(at->leader, world->machines[i].name,
                                        world->machines[i].running_count);
     /* The lease is renewed: the key still stands, and nobody is being elected. */
-    if (at->fencing_token && !world->electing && world->state.down_since < 0 &&
+    if (at->fencing_token && !world->election_pending && world->state.down_since < 0 &&
         tw_simulator_state_version(&world->state, "leader") == at->fencing_token)
         tw_shards_set_authority(at->leader, world->now + AUTHORITY_S);
     if (at->standby)
@@ -400,21 +407,21 @@
 }
 
 /* Whether the event is for a node that has ended, or was started anew since. */
-static bool outlived(const tw_world *world, const tw_world_event *event) {
+static bool is_for_ended_node(const tw_world *world, const tw_world_event *event) {
     const uint64_t incarnation = event->node >= 0 ? world->nodes[event->node].incarnation : 0;
     switch (event->kind) {
     case TW_WORLD_TICK:
-    case TW_WORLD_ANSWER:
-    case TW_WORLD_OPENED:
-    case TW_WORLD_FEED:
-    case TW_WORLD_ORDERED:
+    case TW_WORLD_STATE_RESPONSE:
+    case TW_WORLD_OPEN_CONFIRMED:
+    case TW_WORLD_FEED_MESSAGE:
+    case TW_WORLD_ORDER_RESPONSE:
         return incarnation != event->incarnation;
-    case TW_WORLD_WORKED:
+    case TW_WORLD_DISPATCH_RESULT:
         return !incarnation || (event->incarnation && incarnation != event->incarnation);
     case TW_WORLD_NOTIFY:
-    case TW_WORLD_FOLLOW:
-    case TW_WORLD_REPORTED:
-    case TW_WORLD_ASKED:
+    case TW_WORLD_FEED_REQUEST:
+    case TW_WORLD_ELECTED_LEADER_REPORT:
+    case TW_WORLD_CLIENT_REQUEST:
     case TW_WORLD_PROMOTE:
         return !incarnation;
     default:
@@ -425,15 +432,15 @@
 static bool is_for_node(const tw_world_event *event) {
     switch (event->kind) {
     case TW_WORLD_TICK:
-    case TW_WORLD_ANSWER:
+    case TW_WORLD_STATE_RESPONSE:
     case TW_WORLD_NOTIFY:
-    case TW_WORLD_OPENED:
-    case TW_WORLD_WORKED:
-    case TW_WORLD_FOLLOW:
-    case TW_WORLD_FEED:
-    case TW_WORLD_ORDERED:
-    case TW_WORLD_REPORTED:
-    case TW_WORLD_ASKED:
+    case TW_WORLD_OPEN_CONFIRMED:
+    case TW_WORLD_DISPATCH_RESULT:
+    case TW_WORLD_FEED_REQUEST:
+    case TW_WORLD_FEED_MESSAGE:
+    case TW_WORLD_ORDER_RESPONSE:
+    case TW_WORLD_ELECTED_LEADER_REPORT:
+    case TW_WORLD_CLIENT_REQUEST:
     case TW_WORLD_PROMOTE:
         return true;
     default:
@@ -442,7 +449,7 @@
 }
 
 /* What comes for a node that stands still waits, in its order. */
-static int postponed(tw_world *world, tw_world_event *event) {
+static int postpone_if_hung(tw_world *world, tw_world_event *event) {
     const double until = is_for_node(event) ? world->nodes[event->node].hung_until : 0;
     if (until <= world->now) return 0;
     struct tw_world_event *later = tw_world_add_event(world, until - world->now, event->kind);
@@ -459,7 +466,7 @@
 }
 
 void tw_world_handle(tw_world *world, tw_world_event *event) {
-    if (outlived(world, event) || postponed(world, event)) return;
+    if (is_for_ended_node(world, event) || postpone_if_hung(world, event)) return;
     switch (event->kind) {
     case TW_WORLD_COMMAND:
         tw_script_command(world, event->text);
@@ -467,55 +474,55 @@
     case TW_WORLD_TICK:
         handle_tick(world, event);
         break;
-    case TW_WORLD_STATE:
-        tw_world_handle_state(world, event);
+    case TW_WORLD_STATE_CALL:
+        tw_world_handle_state_call(world, event);
         break;
-    case TW_WORLD_ANSWER:
-        tw_world_handle_answer(world, event);
+    case TW_WORLD_STATE_RESPONSE:
+        tw_world_handle_state_response(world, event);
         break;
     case TW_WORLD_NOTIFY:
         tw_shards_owner_handle_notification(world->nodes[event->node].owner, world->now,
                                             &event->notification);
         tw_world_refresh_replica(world, event->node, event->notification.machine);
         break;
-    case TW_WORLD_REPORT:
+    case TW_WORLD_OWNER_REPORT:
         handle_report(world, event);
         break;
     case TW_WORLD_OPEN:
         tw_world_handle_open(world, event);
         break;
-    case TW_WORLD_OPENED:
+    case TW_WORLD_OPEN_CONFIRMED:
         tw_shards_owner_confirm_open(world->nodes[event->node].owner, event->text, event->epoch);
         break;
-    case TW_WORLD_WORK:
-        tw_world_handle_work(world, event);
+    case TW_WORLD_DISPATCH:
+        tw_world_handle_dispatch(world, event);
         break;
-    case TW_WORLD_WORKED:
-        tw_world_handle_worked(world, event);
+    case TW_WORLD_DISPATCH_RESULT:
+        tw_world_handle_dispatch_result(world, event);
         break;
     case TW_WORLD_STOP:
         tw_world_handle_stop(world, event);
         break;
-    case TW_WORLD_ARRIVAL:
+    case TW_WORLD_LOAD_ARRIVAL:
         tw_world_handle_arrival(world, event);
         break;
-    case TW_WORLD_REQUEST:
-        tw_world_handle_request(world, event);
+    case TW_WORLD_USER_REQUEST:
+        tw_world_handle_user_request(world, event);
         break;
-    case TW_WORLD_REPLY:
-        tw_world_handle_reply(world, event);
+    case TW_WORLD_USER_RESPONSE:
+        tw_world_handle_user_response(world, event);
         break;
-    case TW_WORLD_FINISH:
+    case TW_WORLD_REQUEST_FINISH:
         tw_world_handle_finish(world, event);
         break;
-    case TW_WORLD_CLIENT:
+    case TW_WORLD_CLIENT_RETRY:
         handle_client(world, event);
         break;
-    case TW_WORLD_MACHINE:
+    case TW_WORLD_MACHINE_REGISTRATION:
         handle_machine(world, event);
         break;
     default:
         tw_elections_handle(world, event);
     }
-    if (is_for_node(event)) tw_world_effects(world, event->node);
+    if (is_for_node(event)) tw_world_apply_effects(world, event->node);
 }
