--- a/tests/router/properties.cpp
+++ b/tests/router/properties.cpp
@@ -1,8 +1,8 @@
-// Properties of the router, over drawn histories of a gateway: replicas that answer, refuse, break,
-// are lost, stream parts, drain and come back; answers of earlier attempts that come late. Each
-// request gets exactly one final answer; nothing follows it; after a part was passed on only that
-// attempt speaks; a replica that drains gets nothing new; slots and queues are kept. Seeds:
-// RC_PARAMS.
+// Property tests of the router. A random sequence of steps has replicas answer, refuse, break, get
+// lost, stream parts, drain and return, and has answers of earlier attempts arrive late. Each
+// request gets exactly one final answer, and nothing is sent to the client after it. Once a part
+// of an attempt was forwarded, only that attempt is forwarded. A draining replica gets no new
+// requests. Slot and queue limits hold. RC_PARAMS sets the seed.
 #include <rapidcheck.h>
 
 #include <cstdio>
@@ -37,13 +37,13 @@
     bool cancelled;
 };
 
-/// What the gateway's clients and replicas saw.
+/// The effects that the gateway's clients and replicas have received so far.
 struct history {
     std::map<uint64_t, int> answers;
-    std::map<uint64_t, int> parts_of; // attempt that a part was passed on of
-    std::vector<attempt> sent;        // attempts that may still speak
-    std::map<uint64_t, int> latest;   // attempt
-    uint64_t stale_request = 0;       // request of which an earlier attempt has just spoken
+    std::map<uint64_t, int> parts_of; // request -> attempt whose parts were forwarded
+    std::vector<attempt> sent;        // attempts whose results may still arrive
+    std::map<uint64_t, int> latest;   // request -> last attempt
+    uint64_t stale_request = 0; // request whose superseded attempt sent the last message; 0: none
     std::map<std::string, uint64_t> epochs;
     uint64_t last_request = 0;
     double now = 0;
@@ -91,7 +91,7 @@
     }
 }
 
-/// An attempt ends, or speaks once more though it has ended before (a late answer).
+/// Reports the end of an attempt, which may already have ended before (a late answer).
 void end_attempt(history &seen, tw_router *router, const step &drawn, tw_router_result result) {
     if (seen.sent.empty()) return;
     const attempt ended = seen.sent[static_cast<std::size_t>(drawn.target) % seen.sent.size()];
@@ -166,8 +166,8 @@
     tw_router_free(router);
 }
 
-/// With one slot and both teams waiting, the team with three times the weight is sent three times
-/// as often.
+/// Checks that with one slot and two waiting teams, a team with three times the weight gets three
+/// times as many requests sent.
 void check_shares() {
     constexpr unsigned share = 3;
     constexpr unsigned rounds = 8;
@@ -194,8 +194,8 @@
     tw_router_free(router);
 }
 
-/// Past its room a team is refused at once, with the time to come back; a request that is retried
-/// goes before those that came after it.
+/// Checks that a request above the team's queue limit is refused immediately with a retry time, and
+/// that a retried request precedes the requests added after it.
 void check_queue() {
     tw_router *router = new_router();
     for (uint64_t number = 1; number <= most_waiting + 1U; number++)
@@ -215,7 +215,7 @@
     tw_router_free(router);
 }
 
-/// The slowest replica that meets the deadline; where none does, the fastest.
+/// Checks the choice of the slowest replica that meets the deadline, or else of the fastest one.
 void check_replica_choice() {
     tw_router *router = new_router();
     tw_router_set_replica(router, 0, "fast", 1, 1, 1);
--- a/tests/shards/expect.c
+++ b/tests/shards/expect.c
@@ -1,15 +1,16 @@
-/* The command expect: what must hold at that time (README.md). */
+/* The scenario command `expect`, which checks a condition at its simulated time (README.md). */
 #include "script_int.h"
 #include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
+/* Returns the standby of the named node, or NULL if the node is not running. */
 static const tw_standby *running_standby(const tw_world *world, const char *name) {
     const int at = tw_script_node(world, name);
     return at < 0 || !world->nodes[at].incarnation ? NULL : world->nodes[at].standby;
 }
 
-/* expect leader NODE NAME|nobody: whom the node sends clients to */
+/* expect leader NODE NAME|nobody: checks the controller to which the node redirects clients. */
 static void expect_leader(tw_world *world, const tw_script_words *read) {
     const int at = tw_script_node(world, read->words[2]);
     char leader[TW_STANDBY_ADDRESS_SIZE] = "";
@@ -18,11 +19,12 @@
         tw_standby_leader(world->nodes[at].standby, tw_elections_steady_clock(world, at), leader,
                           &retry_after_s);
     if (strcmp(leader[0] ? leader : "nobody", read->words[3]) != 0)
-        tw_world_fail(world, "%s sends clients to %s", read->words[2], leader);
-    if (!leader[0] && retry_after_s <= 0) tw_world_fail(world, "%s gives no time", read->words[2]);
+        tw_world_fail(world, "%s redirects clients to \"%s\"", read->words[2], leader);
+    if (!leader[0] && retry_after_s <= 0)
+        tw_world_fail(world, "%s names no leader and no retry time", read->words[2]);
 }
 
-/* expect state NODE NAME; expect gaps|snapshots|held_back NODE LEAST */
+/* expect state NODE NAME; expect gaps|snapshots|held_back NODE LEAST: checks a standby's status. */
 static int expect_standby(tw_world *world, const tw_script_words *read) {
     tw_standby *standby = (tw_standby *)running_standby(world, read->words[2]);
     if (!standby || read->count != 4) return -1;
@@ -31,14 +33,15 @@
         tw_standby_status_of(standby, tw_elections_steady_clock(world, at));
     if (!strcmp(read->words[1], "state")) {
         if (strcmp(tw_standby_state_name(status.state), read->words[3]) != 0)
-            tw_world_fail(world, "%s is %s", read->words[2], tw_standby_state_name(status.state));
+            tw_world_fail(world, "standby %s is in state %s", read->words[2],
+                          tw_standby_state_name(status.state));
         return 0;
     }
     const long got = !strcmp(read->words[1], "gaps")        ? status.gaps
                      : !strcmp(read->words[1], "snapshots") ? status.snapshots
                                                             : status.quarantined;
     if ((double)got < word_number(read, 3))
-        tw_world_fail(world, "%s: %ld %s", read->words[2], got, read->words[1]);
+        tw_world_fail(world, "standby %s counts only %ld %s", read->words[2], got, read->words[1]);
     return 0;
 }
 
@@ -66,10 +69,10 @@
         if (strcmp(machine.machine, read->words[2]) != 0) continue;
         found = true;
         if (strcmp(machine.shard, read->words[3]) != 0)
-            tw_world_fail(world, "%s is in %s", machine.machine, machine.shard);
+            tw_world_fail(world, "machine %s is in share %s", machine.machine, machine.shard);
     }
     tw_shards_free(reader);
-    if (!found) tw_world_fail(world, "%s is in no share", read->words[2]);
+    if (!found) tw_world_fail(world, "machine %s is in no share", read->words[2]);
 }
 
 static void expect_answer(tw_world *world, const tw_script_words *read) {
@@ -77,10 +80,10 @@
     const char *got = "none";
     if (client && client->answered) got = tw_shards_verdict_name(client->verdict);
     if (strcmp(got, read->words[3]) != 0)
-        tw_world_fail(world, "%s was answered %s", read->words[2], got);
+        tw_world_fail(world, "request %s was answered %s", read->words[2], got);
 }
 
-/* The same key twice: the last request of that key. */
+/* expect again KEY VERDICT: checks the answer to the last request that used the key. */
 static void expect_again(tw_world *world, const tw_script_words *read) {
     const char *got = "none";
     for (int i = 0; i < world->client_count; i++) {
@@ -89,7 +92,7 @@
             got = tw_shards_verdict_name(each->verdict);
     }
     if (strcmp(got, read->words[3]) != 0)
-        tw_world_fail(world, "%s was answered %s at last", read->words[2], got);
+        tw_world_fail(world, "the last request %s was answered %s", read->words[2], got);
 }
 
 static int expect_move(tw_world *world, const tw_script_words *read) {
@@ -133,7 +136,8 @@
     else if (!strcmp(what, "promoted")) {
         const char *got =
             world->promotions ? tw_shards_verdict_name(world->promotion_verdict) : "none";
-        if (strcmp(got, read->words[2]) != 0) tw_world_fail(world, "promotion: %s", got);
+        if (strcmp(got, read->words[2]) != 0)
+            tw_world_fail(world, "the promotion was answered %s", got);
     } else if (!strcmp(what, "changes"))
         expect_range(world, "changes written", world->changes, 0, word_number(read, 2));
     else if (!strcmp(what, "refused"))
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -1,16 +1,16 @@
-/* Gateways, which route the requests of a controller's shards, and users. */
+/* Gateways, which route user requests to the machines of a controller's shards, and users. */
 #include "shards_world.h"
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define SLOTS 8 /* requests that a machine runs at once */
+#define SLOTS 8 /* requests that a machine runs concurrently */
 #define FIRST_SERVICE_S 0.5
 #define USER_POLL_S 0.25
 
-/* ---- gateways: a controller routes the requests of its shards ---- */
+/* ---- gateways ---- */
 
-/* Tells the router under which epoch the machine may get requests now. */
+/* Sets in the router the epoch under which the owner may send requests to the machine. */
 void tw_world_refresh_replica(tw_world *world, int at, const char *name) {
     const uint64_t epoch = tw_shards_owner_epoch(world->nodes[at].owner, name);
     tw_router_set_replica(world->nodes[at].router, world->now, name, epoch, SLOTS, FIRST_SERVICE_S);
@@ -73,7 +73,7 @@
 
 /* ---- users ---- */
 
-/* The node that owns the shard by the records; -1: none. */
+/* Returns the node that owns the shard according to the records, or -1. */
 static int read_shard_owner(tw_world *world, const char *shard) {
     tw_shards *reader = tw_judge_read_records(world);
     int owner = -1;
@@ -86,6 +86,7 @@
     return owner;
 }
 
+/* Returns the owner of the load's shard; reads the records only after new transactions. */
 static int owner_of(tw_world *world, tw_world_load *load) {
     if (load->owner_known_at != world->transactions + 1) {
         load->owner = read_shard_owner(world, load->shard);
@@ -108,8 +109,8 @@
     tw_world_add_event(world, 0, TW_WORLD_USER_REQUEST)->number = world->request_count++;
 }
 
-/* Sends the request, and again where the connection broke or nothing came for longer than the
- * deadline. Only the last try's answer is heard, since its connection is the only open one. */
+/* Sends the request, and sends it again if the connection broke or no answer arrived within twice
+ * the deadline. Only the last attempt's answer counts, since only its connection is open. */
 void tw_world_handle_user_request(tw_world *world, const tw_world_event *due) {
     tw_world_user_request *request = &world->requests[due->number];
     tw_world_load *load = &world->loads[request->load];
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -1,12 +1,14 @@
-/* What must hold at any time, and at the end, whatever happened:
- *   - an epoch of a machine is used by one controller only, and its epochs never fall, neither in
- *     the records nor on the machine;
- *   - within one epoch a recorded state never goes back;
- *   - a machine runs requests of one controller at a time;
- *   - no order of an earlier term is taken after a later one's, none of a term that isn't recorded,
- *     and no floor for another boot of the machine; at most one controller decides; it begins with
- *     the view that stands in the records, and changes no machine that has not heard its term;
- *   - in the end every move is over, every machine is open in one shard, every client is answered.
+/* Invariants checked while a scenario runs and at its end:
+ *   - An epoch of a machine is used by one controller only. The epochs of a machine never decrease,
+ *     neither in the records nor on the machine.
+ *   - Within one epoch a recorded state never returns to an earlier state.
+ *   - A machine runs requests of only one controller at a time.
+ *   - A machine accepts no order of a term lower than one it has accepted, none of an unrecorded
+ *     term, and no minimum epoch that was set for another boot.
+ *   - At most one controller decides. Its view equals the records when it starts to decide, and it
+ *     changes no machine that does not know its term.
+ *   - At the end every move is finished, every machine is open in exactly one shard, and every
+ *     client request is answered.
  */
 #include "shards_world.h"
 #include <stdbool.h>
@@ -15,18 +17,19 @@
 #include <string.h>
 
 #define PATH_SIZE 512
-#define FULL_CHECK_MACHINES 300 /* machines; with more, only some transactions are judged */
+#define FULL_CHECK_MACHINES                                                                        \
+    300 /* above this number of machines, only some transactions are checked */
 #define CHECK_INTERVAL_TRANSACTIONS 40
-#define ANSWER_SLACK_S 2.0 /* after its deadline a request is answered within it */
+#define ANSWER_SLACK_S 2.0 /* time after its deadline within which a request is answered */
 
-/* ---- while it plays ---- */
+/* ---- checks while the scenario runs ---- */
 
 void tw_judge_epoch_use(tw_world *world, int node, int at, uint64_t epoch) {
     for (int i = 0; i < world->use_count; i++) {
         const tw_world_epoch_use *each = &world->uses[i];
         if (each->machine != at || each->epoch != epoch) continue;
         if (each->node != node)
-            tw_world_fail(world, "two_owners: %s and %s use epoch %lu of %s",
+            tw_world_fail(world, "two_owners: nodes %s and %s use epoch %lu of machine %s",
                           world->nodes[each->node].name, world->nodes[node].name,
                           (unsigned long)epoch, world->machines[at].name);
         return;
@@ -39,29 +42,32 @@
     world->uses[world->use_count++] = (tw_world_epoch_use){at, node, epoch};
 }
 
+/* Checks a request that the machine is about to run. */
 void tw_judge_request_start(tw_world *world, int node, int at, uint64_t epoch) {
     const tw_world_machine *machine = &world->machines[at];
     if (epoch < machine->judged_epoch)
-        tw_world_fail(world, "old_epoch: %s runs a request of epoch %lu after %lu", machine->name,
-                      (unsigned long)epoch, (unsigned long)machine->judged_epoch);
+        tw_world_fail(world, "old_epoch: machine %s runs a request of epoch %lu after epoch %lu",
+                      machine->name, (unsigned long)epoch, (unsigned long)machine->judged_epoch);
     for (int i = 0; i < machine->running_count; i++)
         if (machine->running[i].node != node)
-            tw_world_fail(world, "two_owners: %s runs requests of %s and %s", machine->name,
-                          world->nodes[machine->running[i].node].name, world->nodes[node].name);
+            tw_world_fail(world, "two_owners: machine %s runs requests of nodes %s and %s",
+                          machine->name, world->nodes[machine->running[i].node].name,
+                          world->nodes[node].name);
 }
 
 void tw_judge_order(tw_world *world, int at, uint64_t term) {
     const tw_world_machine *machine = &world->machines[at];
     if (term < machine->judged_term)
-        tw_world_fail(world, "old_term: %s takes an order of term %lu after %lu", machine->name,
-                      (unsigned long)term, (unsigned long)machine->judged_term);
+        tw_world_fail(world, "old_term: machine %s accepts an order of term %lu after term %lu",
+                      machine->name, (unsigned long)term, (unsigned long)machine->judged_term);
     if (world->lease_s > 0 && term > world->newest_term)
-        tw_world_fail(world, "unrecorded_term: %s takes an order of term %lu, %lu is recorded",
+        tw_world_fail(world,
+                      "unrecorded_term: machine %s accepts an order of term %lu, recorded is %lu",
                       machine->name, (unsigned long)term, (unsigned long)world->newest_term);
 }
 
-/* A state that a leader changed on its own, of a machine that has not heard of its term. Renewed
- * epochs, and those of a shard's new owner, are for machines that take nothing else. */
+/* Checks that a leader changes the state of a machine only if the machine knows the leader's term.
+ * Changes that open a new epoch are exempt, since the machine then accepts no other epoch. */
 static void judge_term_known(tw_world *world, const tw_world_machine *simulated,
                              const tw_shards_notification *machine) {
     const bool decided =
@@ -71,12 +77,12 @@
     if (!simulated->alive || !simulated->guard.started ||
         simulated->guard.term >= world->newest_term)
         return;
-    tw_world_fail(world, "unchecked: %s is made %s under term %lu, and knows %lu", simulated->name,
-                  tw_shards_state_name(machine->state), (unsigned long)world->newest_term,
-                  (unsigned long)simulated->guard.term);
+    tw_world_fail(world, "unchecked: machine %s becomes %s under term %lu, but knows only term %lu",
+                  simulated->name, tw_shards_state_name(machine->state),
+                  (unsigned long)world->newest_term, (unsigned long)simulated->guard.term);
 }
 
-/* At any time at most one controller may say that it decides. */
+/* Checks that at most one controller decides, and measures the time without one. */
 void tw_judge_deciders(tw_world *world) {
     int deciders = 0;
     for (int i = 0; i < world->node_count; i++) {
@@ -84,7 +90,7 @@
         if (!each->incarnation || !each->standby || each->hung_until > world->now) continue;
         deciders += tw_standby_decides(each->standby, tw_elections_steady_clock(world, i));
     }
-    if (deciders > 1) tw_world_fail(world, "two_deciders: %d", deciders);
+    if (deciders > 1) tw_world_fail(world, "two_deciders: %d controllers decide", deciders);
     if (deciders || world->no_decider_since < 0) {
         if (deciders) world->no_decider_since = world->now;
         return;
@@ -110,19 +116,21 @@
             const int status =
                 tw_simulator_state_request(&world->state, world->now, "GET", path, "", &answer);
             world->state.down_since = down;
-            if (status != HTTP_OK) tw_world_fail(world, "the judge can't read %s", after);
+            if (status != HTTP_OK)
+                tw_world_fail(world, "the judge cannot read the records after \"%s\"", after);
             tw_shards_handle_page(reader, world->now, effect->id, answer, strlen(answer));
             free(answer);
         }
         tw_shards_effect_free(effect);
     }
-    if (!tw_shards_is_ready(reader)) tw_world_fail(world, "the records can't be read");
+    if (!tw_shards_is_ready(reader)) tw_world_fail(world, "the judge cannot load the records");
     tw_shards_tick(reader, world->now, world->now);
     tw_shards_allow_decisions(reader, world->now);
     return reader;
 }
 
-/* A request whose connection is open and whose deadline is over for long, at a node that lives. */
+/* Checks that a request with an open connection to a node that does not hang is answered soon after
+ * its deadline. */
 void tw_judge_unanswered(tw_world *world, int number) {
     const tw_world_user_request *request = &world->requests[number];
     if (world->now > request->sent_at + USER_DEADLINE_S + ANSWER_SLACK_S &&
@@ -130,14 +138,14 @@
         tw_world_fail(world, "request %d was dropped", number);
 }
 
-/* By what users heard and machines served alone. */
+/* Checks the user requests only by the answers received and the completions on machines. */
 void tw_judge_requests(tw_world *world) {
     for (int i = 0; i < world->request_count; i++) {
         const tw_world_user_request *each = &world->requests[i];
         if (each->answers != 1)
             tw_world_fail(world, "request %d got %d final answers", i, each->answers);
         if (each->answers && each->status == HTTP_OK && !each->completions)
-            tw_world_fail(world, "request %d was answered, and no machine completed it", i);
+            tw_world_fail(world, "request %d was answered, but no machine completed it", i);
     }
 }
 
@@ -147,13 +155,15 @@
     return NULL;
 }
 
+/* Checks that neither the epoch nor the state in a machine's record has gone back. */
 static void judge_machine_record(tw_world *world, const tw_shards_notification *machine) {
     tw_world_machine *simulated = find_simulated_machine(world, machine->machine);
     if (!simulated) return;
     if (machine->epoch < simulated->recorded_epoch ||
         (machine->epoch == simulated->recorded_epoch && machine->state < simulated->recorded_state))
-        tw_world_fail(world, "went_back: %s is %s under %lu, was %s under %lu", simulated->name,
-                      tw_shards_state_name(machine->state), (unsigned long)machine->epoch,
+        tw_world_fail(world, "went_back: machine %s is %s in epoch %lu, was %s in epoch %lu",
+                      simulated->name, tw_shards_state_name(machine->state),
+                      (unsigned long)machine->epoch,
                       tw_shards_state_name(simulated->recorded_state),
                       (unsigned long)simulated->recorded_epoch);
     judge_term_known(world, simulated, machine);
@@ -178,22 +188,23 @@
     tw_shards *reader = tw_judge_read_records(world);
     if (tw_shards_revision(table) != tw_shards_revision(reader) ||
         tw_shards_machine_count(table) != tw_shards_machine_count(reader))
-        tw_world_fail(world, "stale_view: %s decides by revision %lu of %lu", world->nodes[at].name,
-                      (unsigned long)tw_shards_revision(table),
+        tw_world_fail(world, "stale_view: node %s decides at revision %lu, recorded is %lu",
+                      world->nodes[at].name, (unsigned long)tw_shards_revision(table),
                       (unsigned long)tw_shards_revision(reader));
     for (int i = 0; i < tw_shards_machine_count(reader) && !world->failure[0]; i++) {
         const tw_shards_notification has = tw_shards_machine_at(table, i);
         const tw_shards_notification recorded = tw_shards_machine_at(reader, i);
         if (has.state != recorded.state || has.epoch != recorded.epoch)
-            tw_world_fail(world, "stale_view: %s has %s as %s", world->nodes[at].name,
+            tw_world_fail(world, "stale_view: node %s has machine %s as %s", world->nodes[at].name,
                           recorded.machine, tw_shards_state_name(has.state));
     }
     tw_shards_free(reader);
 }
 
-/* ---- at the end ---- */
+/* ---- checks at the end ---- */
 
-/* Counts how often each machine stands in the table, and that it is open there. */
+/* Checks that each machine that is not removed has exactly one record, and that each record is
+ * open. */
 static void judge_machines(tw_world *world, const tw_shards *reader) {
     int *seen = calloc((size_t)world->machine_count + 1, sizeof *seen);
     if (!seen) abort();
@@ -204,20 +215,20 @@
         seen[simulated - world->machines]++;
         if (world->lease_s > 0 && simulated->alive &&
             simulated->guard.newest_epoch != machine.epoch)
-            tw_world_fail(world, "stuck: %s has epoch %lu open, recorded is %lu", simulated->name,
-                          (unsigned long)simulated->guard.newest_epoch,
+            tw_world_fail(world, "stuck: machine %s has epoch %lu open, recorded is %lu",
+                          simulated->name, (unsigned long)simulated->guard.newest_epoch,
                           (unsigned long)machine.epoch);
         if (machine.state != TW_SHARDS_OPEN)
-            tw_world_fail(world, "stuck: %s is %s of %s", simulated->name,
+            tw_world_fail(world, "stuck: machine %s is still %s with owner %s", simulated->name,
                           tw_shards_state_name(machine.state), machine.owner);
     }
     for (int i = 0; i < world->machine_count; i++)
         if (seen[i] != world->machines[i].alive)
-            tw_world_fail(world, "%s stands %d times in the table", world->machines[i].name,
-                          seen[i]);
+            tw_world_fail(world, "machine %s has %d records", world->machines[i].name, seen[i]);
     free(seen);
 }
 
+/* Returns the progress of the move with the key, according to the records. */
 static tw_shards_progress watch_move(const tw_world *world, tw_shards *reader, const char *key,
                                      tw_shards_verdict *verdict) {
     tw_shards_request request = {.kind = TW_SHARDS_WATCH, .id = 1};
@@ -245,19 +256,22 @@
 static void judge_client(tw_world *world, tw_shards *reader, const tw_world_client *client) {
     tw_shards_verdict verdict;
     if (!client->answered) {
-        tw_world_fail(world, "unanswered: %s %s", client->request.key, client->request.shard);
+        tw_world_fail(world, "unanswered: request with key \"%s\" for share \"%s\"",
+                      client->request.key, client->request.shard);
         return;
     }
     if (client->request.kind == TW_SHARDS_DEFINE && client->verdict == TW_SHARDS_OK &&
         !is_shard_defined(reader, client->request.shard))
-        tw_world_fail(world, "lost: share %s was accepted", client->request.shard);
+        tw_world_fail(world, "lost: share %s was accepted but has no record",
+                      client->request.shard);
     if (client->request.kind != TW_SHARDS_MOVE || client->verdict != TW_SHARDS_OK) return;
     const tw_shards_progress progress = watch_move(world, reader, client->request.key, &verdict);
-    if (verdict == TW_SHARDS_UNKNOWN_MOVE) return; /* over for long */
-    if (!progress.done) tw_world_fail(world, "stuck: move %s is not over", client->request.key);
+    if (verdict == TW_SHARDS_UNKNOWN_MOVE) return; /* only the newest finished moves are kept */
+    if (!progress.done) tw_world_fail(world, "stuck: move %s is not finished", client->request.key);
     if (progress.moved + progress.returned + progress.lost != progress.wanted && !progress.returned)
-        tw_world_fail(world, "move %s: %d moved, %d returned, %d lost of %d", client->request.key,
-                      progress.moved, progress.returned, progress.lost, progress.wanted);
+        tw_world_fail(world, "move %s: %d moved, %d returned and %d lost of %d wanted",
+                      client->request.key, progress.moved, progress.returned, progress.lost,
+                      progress.wanted);
 }
 
 void tw_judge_end(tw_world *world) {
--- a/tests/shards/machines.c
+++ b/tests/shards/machines.c
@@ -1,10 +1,10 @@
-/* Machines: orders of owners, and users' requests that run there. */
+/* Simulated machines: they handle the orders of owners and run user requests. */
 #include "shards_world.h"
 #include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* What a machine says of a request to the node that sent it; 0: the connection broke. */
+/* Sends the result of a request to the node that sent it; status 0: the connection broke. */
 static void send_dispatch_result(tw_world *world, const tw_world_running_request *served,
                                  int machine_index, int status) {
     tw_world_event *sent = tw_world_add_event(
@@ -25,7 +25,7 @@
         send_dispatch_result(world, &machine->running[i], at, status);
     world->ended_early += machine->running_count;
     machine->running_count = 0;
-    machine->incarnation++; /* their ends no longer count */
+    machine->incarnation++; /* invalidates the scheduled completions */
 }
 
 int tw_world_accept_order(tw_world *world, int at, uint64_t term, tw_shards_guard_verdict verdict) {
@@ -36,7 +36,7 @@
     return 1;
 }
 
-/* A planted fault: the machine takes any term. */
+/* Injected fault `term`: the machine accepts orders of any term. */
 static void apply_term_fault(const tw_world *world, tw_world_machine *machine) {
     if (world->plant_term) machine->guard.term = 0;
 }
@@ -51,7 +51,7 @@
     if (verdict == TW_SHARDS_GUARD_RAISED)
         tw_world_end_running(world, order->machine, HTTP_CONFLICT);
     if (order->epoch < machine->judged_epoch)
-        tw_world_fail(world, "%s confirms epoch %lu after %lu", machine->name,
+        tw_world_fail(world, "machine %s confirms epoch %lu after epoch %lu", machine->name,
                       (unsigned long)order->epoch, (unsigned long)machine->judged_epoch);
     machine->judged_epoch = order->epoch;
     tw_world_event *sent = tw_world_send_message(world, TW_WORLD_OPEN_CONFIRMED);
--- a/tests/shards/properties.cpp
+++ b/tests/shards/properties.cpp
@@ -1,10 +1,10 @@
-// Properties of shards, over drawn histories: whatever moves, ends, hangs, restarts and losses come
-// in whatever order, a machine never has two owners, its epochs never fall, every client is
-// answered, and once the troubles are over every move ends and every machine is open in one shard.
-// The same where the controllers elect their leader themselves and follow it, with cuts between any
-// two ends, clocks that drift, and promotions; then at no time do two controllers decide, and no
-// machine takes an order of an earlier term after a later one's. A history that breaks this is
-// shrunk by RapidCheck and printed as a scenario. Seeds: RC_PARAMS.
+// Property tests of shards. Under random sequences of moves, node failures, hangs, machine restarts
+// and message losses, a machine never has two owners, its epochs never decrease and every client is
+// answered; after the last fault every move finishes and every machine is open in one shard. With
+// elected leaders, network partitions, clock drift and promotions are added; then at most one
+// controller decides at any time, and no machine accepts an order of a term lower than one that it
+// has accepted. RapidCheck shrinks a failing sequence and prints it as a scenario. RC_PARAMS sets
+// the seed.
 #include <rapidcheck.h>
 
 #include <cstdio>
@@ -26,7 +26,7 @@
 
 struct action {
     int kind;
-    int tenths; // when, in tenths of a second
+    int tenths; // time of the action in tenths of a second
     int first;
     int second;
 };
@@ -44,7 +44,7 @@
     return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10);
 }
 
-/// Troubles of controllers that elect their leader.
+/// Returns the scenario command of a fault that needs elected leaders, or "" for other kinds.
 std::string election_command(const action &drawn) {
     static const char *const ends[] = {"state", "machines", "c0", "c1", "c2"};
     const std::string span = seconds(2 + 3 * drawn.second);
@@ -69,7 +69,7 @@
     }
 }
 
-/// The scenario's command for an action; key: a name used once.
+/// Returns the scenario command for an action; key makes the name of a move unique.
 std::string command_of(const action &drawn, int key, bool elects) {
     const std::string of_election = elects ? election_command(drawn) : "";
     if (!of_election.empty()) return of_election;
@@ -158,9 +158,9 @@
 } // namespace
 
 int main() {
-    const bool scenario_held = holds("no machine has two owners, and all comes to an end", false);
+    const bool scenario_held = holds("no machine has two owners, and all moves terminate", false);
     std::printf("%s shares properties\n", scenario_held ? "ok" : "FAIL");
-    const bool election_held = holds("the same where controllers elect their leader", true);
+    const bool election_held = holds("these properties hold with elected leadership", true);
     std::printf("%s standby properties\n", election_held ? "ok" : "FAIL");
     return scenario_held && election_held ? 0 : 1;
 }
--- a/tests/shards/runner.c
+++ b/tests/shards/runner.c
@@ -1,4 +1,5 @@
-/* Plays scenario files, each twice: both plays must end alike. Prints what broke. */
+/* Runs each scenario file twice and prints the result. Both runs must end with the same result,
+ * which shows that a run depends only on its seed. */
 #include "shards_world.h"
 #include "log/log.h"
 #include <stdio.h>
@@ -17,7 +18,8 @@
     return text;
 }
 
-/* The scenario with each line `include FILE` replaced by that file, beside it. */
+/* Returns the scenario with each line `include FILE` replaced by the content of FILE, which is in
+ * the scenario's directory. The caller frees it. NULL: a file cannot be read. */
 static char *read_scenario(const char *path) {
     static const char mark[] = "include ";
     char *text = read_file(path);
@@ -43,7 +45,8 @@
     return text;
 }
 
-/* What the scenario's first line says that must be found; NULL: it must pass. */
+/* Returns the failure that the scenario must produce, from its first line `# fails: TEXT`, or NULL
+ * if the scenario must pass. The caller frees it. */
 static char *expected_failure(const char *text) {
     static const char mark[] = "# fails: ";
     if (strncmp(text, mark, sizeof mark - 1) != 0) return NULL;
@@ -64,11 +67,11 @@
         char *planted = expected_failure(text);
         if (planted) {
             broken = !strstr(why, planted);
-            if (broken) printf("the planted fault is not found: %s\n", planted);
+            if (broken) printf("the injected fault was not detected: expected \"%s\"\n", planted);
         }
         free(planted);
         if (strcmp(why, again) != 0) {
-            printf("FAIL %s: a second play ends otherwise: %s | %s\n", names[i], why, again);
+            printf("FAIL %s: the second run ended differently: %s | %s\n", names[i], why, again);
             broken = 1;
         }
         printf("%s %s%s%s\n", broken ? "FAIL" : "ok", names[i], broken ? ": " : "", why);
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -1,4 +1,4 @@
-/* Scenarios: reads them, and carries out their commands (README.md). */
+/* Parses scenarios and runs their commands (README.md). */
 #include "script_int.h"
 #include <stdbool.h>
 #include <stdio.h>
@@ -33,7 +33,7 @@
     return !strcmp(name, "leader") ? world->leader_index : tw_world_node_index(world, name);
 }
 
-/* ---- requests of clients ---- */
+/* ---- client requests ---- */
 
 tw_world_client *tw_script_client(tw_world *world, const char *key) {
     for (int i = 0; i < world->client_count; i++)
@@ -112,7 +112,8 @@
     return 0;
 }
 
-/* take MACHINE; restart MACHINE; reboot MACHINE: the same, and it tells nobody */
+/* take MACHINE: removes it. restart MACHINE: restarts it, and it registers again. reboot MACHINE:
+ * restarts it without a new registration. */
 static int do_machine(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 2 ? tw_world_machine_index(world, read->words[1]) : -1;
     if (at < 0) return -1;
@@ -120,14 +121,14 @@
     tw_world_end_running(world, at, 0);
     machine->boot_id++;
     machine->registered = machine->accepted = false;
-    machine->judged_term = 0; /* it knows of none since this boot */
+    machine->judged_term = 0; /* a machine does not keep its term across a restart */
     tw_shards_guard_boot(&machine->guard, machine->boot_id + 1);
     machine->alive = strcmp(read->words[0], "take") != 0;
     if (strcmp(read->words[0], "reboot") != 0) register_machine(world, at, 0.1);
     return 0;
 }
 
-/* ---- troubles ---- */
+/* ---- faults ---- */
 
 static int do_node(tw_world *world, const tw_script_words *read) {
     const int at = read->count > 1 ? tw_script_node(world, read->words[1]) : -1;
@@ -146,7 +147,7 @@
     return 0;
 }
 
-/* killlead NODE S, hanglead NODE S: the leader ends (hangs), and NODE leads at once. */
+/* killlead NODE S, hanglead NODE S: the leader ends or hangs for S, and NODE is elected. */
 static int do_leader_fault(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 3 ? tw_script_node(world, read->words[1]) : -1;
     if (at < 0) return -1;
@@ -203,7 +204,8 @@
     return 0;
 }
 
-/* when TEXT COMMAND...: once a transaction with this text is carried out, before its answer */
+/* when TEXT COMMAND...: runs COMMAND once, after the next transaction that contains TEXT is applied
+ * and before its answer arrives. */
 static int do_when(tw_world *world, const char *line) {
     if (world->trigger_count == TW_WORLD_MAX_TRIGGERS) return -1;
     tw_world_trigger *added = &world->triggers[world->trigger_count++];
@@ -230,14 +232,14 @@
     return 0;
 }
 
-/* spoil N: the next N changes of the feed lose a record on their way */
+/* spoil N: each of the next N changes of the feed loses a record in transit. */
 static int do_spoil(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
     world->spoiled_changes_left = (int)word_number(read, 1);
     return 0;
 }
 
-/* clock NODE RATE STEP_S: its clocks run at that rate, and its time of day jumps */
+/* clock NODE RATE STEP_S: sets the rate of the node's clocks and steps its wall clock. */
 static int do_clock(tw_world *world, const tw_script_words *read) {
     const int at = read->count == 4 ? tw_script_node(world, read->words[1]) : -1;
     if (at < 0) return -1;
@@ -246,7 +248,7 @@
     return 0;
 }
 
-/* promote NODE: a client asks the leader to hand over */
+/* promote NODE: a client requests that the leader hands leadership over to NODE. */
 static int do_promote(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
     tw_world_event *asked = tw_world_add_event(world, 0, TW_WORLD_PROMOTE);
@@ -256,7 +258,7 @@
     return 0;
 }
 
-/* holds MACHINE IMAGE: the leader hears that the machine holds the image */
+/* holds MACHINE IMAGE: reports to the leader that the machine holds the image. */
 static int do_holds(tw_world *world, const tw_script_words *read) {
     tw_shards *leader = world->nodes[world->leader_index].leader;
     if (read->count != 3 || !leader) return -1;
@@ -264,7 +266,7 @@
     return 0;
 }
 
-/* plant drop|double|old: a fault of the gateways or machines, which the judge must find */
+/* plant drop|double|old|term|fence|check: injects a fault that the judge must detect. */
 static int do_plant(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
     if (!strcmp(read->words[1], "drop")) world->plant_drop = 1;
@@ -276,7 +278,7 @@
     return 0;
 }
 
-/* print takeover; print feed */
+/* print takeover; print feed: prints the figures since the last `count`. */
 static int print_standby(const tw_world *world, const char *what) {
     if (!strcmp(what, "takeover"))
         printf("takeover: seconds=%.2f from_term_to_decision=%.3f state_calls=%ld "
@@ -290,7 +292,7 @@
     return 0;
 }
 
-/* print KEY: what the move took, and what happened since the last count */
+/* print KEY: prints the duration of the move and the counters since the last `count`. */
 static int do_print(tw_world *world, const tw_script_words *read) {
     const tw_world_client *client =
         read->count == 2 ? tw_script_client(world, read->words[1]) : NULL;
@@ -304,7 +306,7 @@
     return 0;
 }
 
-/* count: begins to count changes anew */
+/* count: resets the counters. */
 static int do_count(tw_world *world, const tw_script_words *read) {
     (void)read;
     world->changes = world->transactions = 0;
@@ -317,7 +319,7 @@
     return 0;
 }
 
-/* ---- the scenario ---- */
+/* ---- parsing and running a scenario ---- */
 
 static const struct command {
     const char *name;
@@ -364,7 +366,7 @@
         if (!commands[i].carry_out(world, &read)) return 0;
         break;
     }
-    tw_world_fail(world, "can't be taken: %.100s", line);
+    tw_world_fail(world, "unknown or malformed command: %.100s", line);
     return -1;
 }
 
@@ -389,7 +391,7 @@
     const char *first = read.words[0];
     if (!read.count || first[0] == '#') return;
     if (!strcmp(first, "set")) {
-        if (do_set(world, &read)) tw_world_fail(world, "can't be taken: %.100s", line);
+        if (do_set(world, &read)) tw_world_fail(world, "malformed setting: %.100s", line);
     } else if (!strcmp(first, "node") && world->node_count < TW_WORLD_MAX_NODES &&
                read.count == 2) {
         copy_name(world->nodes[world->node_count++].name, read.words[1]);
@@ -401,7 +403,7 @@
         due->text = strdup(rest + strspn(rest, " "));
         if (!due->text) abort();
     } else {
-        tw_world_fail(world, "can't be taken: %.100s", line);
+        tw_world_fail(world, "unknown or malformed line: %.100s", line);
     }
 }
 
@@ -436,7 +438,7 @@
     tw_world_event *first;
     for (int i = 0; i < world->node_count; i++) tw_world_start_node(world, i);
     world->now = FIRST_LEADER_S;
-    world->no_decider_since = -1; /* until the first leader */
+    world->no_decider_since = -1; /* gaps are measured from the first leader on */
     if (world->node_count && world->lease_s <= 0) tw_world_elect_leader(world, 0);
     while (!world->failure[0] && (first = world->events) && first->at <= world->end) {
         world->events = first->next;
--- a/tests/shards/script_int.h
+++ b/tests/shards/script_int.h
@@ -1,4 +1,4 @@
-/* What the files of the scenario reader share. */
+/* Declarations shared by the files that parse and run scenarios. */
 #ifndef TW_SHARDS_SCRIPT_H
 #define TW_SHARDS_SCRIPT_H
 #include "shards_world.h"
@@ -15,10 +15,13 @@
 static inline double word_number(const tw_script_words *read, int i) {
     return strtod(read->words[i], NULL);
 }
-/* "leader": the one that decides, or was named last. -1: none. */
+/* Returns the index of the named node, or -1 if there is none. "leader" stands for the node that
+ * decides, or, if none does, for the leader that the scenario named last. */
 int tw_script_node(const tw_world *world, const char *name);
+/* Returns the first client request with the key, or NULL. */
 tw_world_client *tw_script_client(tw_world *world, const char *key);
-/* expect.c: the command expect */
+/* Runs the command `expect` (expect.c). Returns -1 if the command is malformed; an expectation that
+ * does not hold is reported by tw_world_fail. */
 int tw_script_expect(tw_world *world, const tw_script_words *read);
 
 #endif
--- a/tests/shards/shards_play.h
+++ b/tests/shards/shards_play.h
@@ -1,9 +1,9 @@
-/* Plays scenarios of shards; the commands are in README.md. */
+/* Runs scenarios of shards; README.md lists the commands. */
 #ifndef TW_SHARDS_PLAY_H
 #define TW_SHARDS_PLAY_H
 #include <stddef.h>
 
-/* Plays a scenario's text. 0, or -1 with what broke in *why. */
+/* Runs a scenario given as text. Returns 0, or -1 and writes the first failure to why. */
 int tw_shards_play(const char *text, char *why, size_t size);
 
 #endif
--- a/tests/shards/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -1,4 +1,4 @@
-/* Calls of controllers to the state service, what strikes them, and their answers. */
+/* Calls of controllers to the simulated state service, their responses, and faults of both. */
 #include "shards_world.h"
 #include "log/log.h"
 #include "wire/wire.h"
@@ -7,6 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Runs the commands of the triggers whose text the transaction contains. */
 static void fire_triggers(tw_world *world, const char *body) {
     for (int i = 0; i < world->trigger_count; i++) {
         tw_world_trigger *trigger = &world->triggers[i];
@@ -16,6 +17,7 @@
     }
 }
 
+/* Returns 1 and decrements *left if the fault applies to the transaction, else 0. */
 static int take_write_fault(int *left, const tw_world *world, const char *body) {
     if (!*left || !strstr(body, world->fault_text)) return 0;
     --*left;
@@ -41,11 +43,12 @@
     answer->text = text;
 }
 
+/* Applies the transaction late_write_s later, without a response. */
 static void schedule_late_write(tw_world *world, const tw_world_event *call) {
     tw_world_event *late = tw_world_add_event(world, world->late_write_s, TW_WORLD_STATE_CALL);
     late->node = call->node;
     late->flag = 1;
-    late->number = 1; /* nobody waits for the answer */
+    late->number = 1; /* the response is discarded */
     late->text = tw_world_copy_text(call->text);
     if (call->path) late->path = tw_world_copy_text(call->path);
 }
@@ -66,10 +69,10 @@
         tw_simulator_state_request(&world->state, world->now, "POST", "/txn", call->text, &answer);
     tw_log_debug("t=%.3f node=%s status=%d txn=%.600s", world->now, world->nodes[call->node].name,
                  status, call->text);
-    /* A leader's key that comes late is refused with its lease, which is over by then. */
+    /* A delayed write of the leader key is refused, since its lease has expired by then. */
     const bool of_lease = strstr(call->text, "\"write\":\"" TW_STANDBY_LEADER_KEY "\"") != NULL;
     if (status == HTTP_BAD_REQUEST && !of_lease)
-        tw_world_fail(world, "the state service refuses: %.150s", call->text);
+        tw_world_fail(world, "the state service refuses the transaction: %.150s", call->text);
     if (status == HTTP_OK) {
         world->transactions++;
         world->last_change_s = world->now;
@@ -81,8 +84,9 @@
     if (status == HTTP_OK) fire_triggers(world, call->text);
 }
 
-/* A planted fault: to a standby the leader's key seems gone, and its own one recorded. Returns the
- * status of the answer that it gets; 0: the call is none of these. */
+/* Injected fault `fence`: a standby that reads the leader key gets "not found", and one that writes
+ * it gets a success although nothing is written. Returns the status of the forged response, or 0 if
+ * the fault does not apply to the call. */
 static int forge_fence_response(const tw_world *world, const tw_world_event *call, char **answer) {
     const char *key = TW_STANDBY_LEADER_KEY;
     char text[TEXT_SIZE];
@@ -98,10 +102,10 @@
     return reads ? HTTP_NOT_FOUND : HTTP_OK;
 }
 
-/* A call of a controller that elects: the path says what it is. */
+/* Handles a call under elections; its path selects the operation. */
 static void handle_call(tw_world *world, const tw_world_event *call) {
     char *answer = NULL;
-    const int late = call->number; /* it was sent long ago, and nobody waits for its answer */
+    const int late = call->number; /* a delayed write; its response is discarded */
     const int skipped = forge_fence_response(world, call, &answer);
     if (!late && tw_elections_is_cut(world, call->node, TW_WORLD_END_STATE)) {
         answer_call(world, call, 0, NULL);
@@ -159,7 +163,7 @@
     if (answer->flag) {
         const tw_shards_outcome outcome = outcome_of(answer->status);
         if (outcome == TW_SHARDS_APPLIED) tw_wire_revision_parse(&revision, text, strlen(text));
-        /* a node that finds the leader's key changed gives up, as the service's election does */
+        /* A node that finds the leader key changed ends its term, as a real controller does. */
         if (outcome == TW_SHARDS_REFUSED &&
             tw_simulator_state_version(&world->state, "leader") != at->fencing_token) {
             at->fencing_token = 0;
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -1,4 +1,4 @@
-/* The world's nodes, machines and messages. */
+/* The event queue, nodes, clients and messages of the simulated world. */
 #include "shards_world.h"
 #include "log/log.h"
 #include "wire/wire.h"
@@ -10,11 +10,14 @@
 
 #define TICK_S 0.1
 #define CLIENT_RETRY_S 1.0
-#define MOVE_POLL_S 0.1 /* between a client's looks at a move that was accepted */
+#define MOVE_POLL_S 0.1 /* interval at which a client polls an accepted move */
 #define PATH_SIZE 512
-#define FIRST_MACHINE_ID ((uint64_t)1 << 40) /* of registrations; clients' are below */
+#define FIRST_MACHINE_ID                                                                           \
+    ((uint64_t)1 << 40) /* ids of registrations start here; ids of client requests are lower */
 #define AUTHORITY_S 0.5
-#define ELECTION_S 0.7 /* the old leader's authority is over by then */
+#define ELECTION_S                                                                                 \
+    0.7 /* longer than AUTHORITY_S, so the previous leader's authority has expired                 \
+         */
 
 double tw_world_draw_uniform(tw_world *world, double from, double to) {
     return from + (to - from) * gsl_rng_uniform(world->rng);
@@ -99,7 +102,7 @@
     if (effect->progress.done && !client->done_at) client->done_at = world->now;
     if (!client->answered) client->verdict = effect->verdict;
     if (client->answered && client->verdict != effect->verdict)
-        tw_world_fail(world, "%s was told %s, now %s", client->request.key,
+        tw_world_fail(world, "request %s was answered %s before, now %s", client->request.key,
                       tw_shards_verdict_name(client->verdict),
                       tw_shards_verdict_name(effect->verdict));
     client->answered = 1;
@@ -107,12 +110,13 @@
     client->revision = effect->revision;
 }
 
-/* The answer to a machine that registers: it may be opened from now on. */
+/* Handles the answer to a registration, after which owners may open the machine. */
 static void handle_registration_answer(tw_world *world, const tw_shards_effect *effect) {
     const uint64_t id = effect->id - FIRST_MACHINE_ID;
     tw_world_machine *registered = &world->machines[id % TW_WORLD_MAX_MACHINES];
     if (effect->verdict != TW_SHARDS_OK || registered->registered) return;
-    if (id / TW_WORLD_MAX_MACHINES != registered->boot_id) return; /* to an earlier start of it */
+    if (id / TW_WORLD_MAX_MACHINES != registered->boot_id)
+        return; /* the answer is for an earlier start */
     registered->registered = true;
     tw_shards_guard_set_minimum_epoch(&registered->guard,
                                       world->nodes[world->leader_index].fencing_token,
@@ -188,7 +192,7 @@
     }
 }
 
-/* Where leaders are named by the scenario, machines need not be asked by them. */
+/* Lets a leader that the scenario names decide without checking the machines. */
 static void confirm_all_machines(tw_world *world, int at) {
     tw_shards *leader = world->nodes[at].leader;
     if (!tw_shards_is_ready(leader) || tw_shards_is_deciding(leader)) return;
@@ -230,7 +234,7 @@
     tw_world_apply_router_effects(world, at);
 }
 
-/* ---- life of nodes ---- */
+/* ---- start and end of nodes, elections ---- */
 
 static const tw_router_settings router_settings = {.most_waiting = 1000,
                                                    .most_attempts = 5,
@@ -280,7 +284,8 @@
     back->text = tw_world_copy_text(line);
 }
 
-/* The node has won an election: the leader's key has a new revision. The one before isn't told. */
+/* Begins the node's term by writing the leader key, which gives it a new revision. The previous
+ * leader is not notified. If the node is not running, another running node leads. */
 void tw_world_elect_leader(tw_world *world, int at) {
     char *answer;
     char body[TEXT_SIZE];
@@ -394,7 +399,7 @@
         if (world->machines[i].alive)
             tw_shards_set_machine_load(at->leader, world->machines[i].name,
                                        world->machines[i].running_count);
-    /* The lease is renewed: the key still stands, and nobody is being elected. */
+    /* The lease is renewed if the leader key is unchanged and no election is pending. */
     if (at->fencing_token && !world->election_pending && world->state.down_since < 0 &&
         tw_simulator_state_version(&world->state, "leader") == at->fencing_token)
         tw_shards_set_authority(at->leader, world->now + AUTHORITY_S);
@@ -406,7 +411,7 @@
     tw_router_tick(at->router, world->now);
 }
 
-/* Whether the event is for a node that has ended, or was started anew since. */
+/* Returns true if the event is for a node that has ended, or has been restarted since. */
 static bool is_for_ended_node(const tw_world *world, const tw_world_event *event) {
     const uint64_t incarnation = event->node >= 0 ? world->nodes[event->node].incarnation : 0;
     switch (event->kind) {
@@ -448,7 +453,8 @@
     }
 }
 
-/* What comes for a node that stands still waits, in its order. */
+/* Reschedules an event for a hung node to the end of the hang, in the original order. Returns 1 if
+ * the event was rescheduled, else 0. */
 static int postpone_if_hung(tw_world *world, tw_world_event *event) {
     const double until = is_for_node(event) ? world->nodes[event->node].hung_until : 0;
     if (until <= world->now) return 0;
@@ -460,7 +466,7 @@
     later->next = next;
     later->order = order;
     later->at = at;
-    event->text = event->path = NULL; /* they belong to the later one */
+    event->text = event->path = NULL; /* owned by the rescheduled event */
     event->feed = NULL;
     return 1;
 }
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -1,5 +1,5 @@
-/* Controllers that elect their leader: the standby's state machine in the world of tests/shards. A
- * controller's control address is its name. */
+/* Controllers that elect their leader: runs the state machine of src/standby in the simulated world
+ * of tests/shards. The control address of a controller is its name. */
 #include "shards_world.h"
 #include "log/log.h"
 #include <stdbool.h>
@@ -8,9 +8,12 @@
 #include <string.h>
 #include <time.h>
 
-#define FIRST_MACHINE_ID ((uint64_t)1 << 40) /* of registrations; clients' are below */
-#define CLIENT_TIMEOUT_S 1.0                 /* a client gives a controller so long to answer */
-#define CLIENT_PAUSE_S 0.1                   /* between a client's tries, and its looks at a move */
+#define FIRST_MACHINE_ID                                                                           \
+    ((uint64_t)1 << 40)      /* ids of registrations start here; ids of client requests are lower */
+#define CLIENT_TIMEOUT_S 1.0 /* time after which a client tries the next controller */
+#define CLIENT_PAUSE_S                                                                             \
+    0.1 /* pause between a client's attempts, and between its polls of a move                      \
+         */
 
 int tw_elections_is_cut(const tw_world *world, int one, int other) {
     for (int i = 0; i < world->cut_count; i++) {
@@ -31,7 +34,7 @@
     return tw_elections_steady_clock(world, at) + world->nodes[at].wall_step_s;
 }
 
-/* ---- life ---- */
+/* ---- start and end of nodes ---- */
 
 void tw_elections_start_node(tw_world *world, int at) {
     tw_world_node *started = &world->nodes[at];
@@ -47,9 +50,9 @@
     world->nodes[at].standby = NULL;
 }
 
-/* ---- messages ---- */
+/* ---- messages between controllers ---- */
 
-/* To another controller; NULL: it is lost. */
+/* Schedules a message to another controller. Returns its event, or NULL if the message is lost. */
 static tw_world_event *send_to_node(tw_world *world, int from, int to, tw_world_event_kind kind) {
     if (to < 0 || (from != to && tw_elections_is_cut(world, from, to))) return NULL;
     tw_world_event *sent = tw_world_send_message(world, kind);
@@ -59,6 +62,7 @@
     return sent;
 }
 
+/* Returns the index of the controller that the node knows as active, or -1. */
 static int active_index(const tw_world *world, int at) {
     return tw_world_node_index(world, tw_standby_active_address(world->nodes[at].standby));
 }
@@ -108,7 +112,7 @@
     *sent->feed = message;
 }
 
-/* A record of the change is missing, though its number is the next one. */
+/* Injected fault `spoil`: removes a record from a change whose number is the expected one. */
 static void drop_last_record(tw_world *world, tw_standby_message *message) {
     if (!world->spoiled_changes_left || message->kind != TW_STANDBY_CHANGE || !message->count)
         return;
@@ -159,7 +163,7 @@
                                        .running = machine->running_count};
 }
 
-/* A planted fault: the controller takes it that the machine has answered, and has not asked it. */
+/* Injected fault `check`: forges the machine's status instead of sending the check order to it. */
 static void forge_machine_status(tw_world *world, int at, const tw_standby_effect *effect) {
     const int machine_index = tw_world_machine_index(world, effect->machine);
     tw_world_event *answer =
@@ -201,7 +205,8 @@
             : tw_shards_guard_check_term(guard, order->term);
     const int accepted = tw_world_accept_order(world, order->machine, order->term, verdict);
     if (order->flag && accepted && order->id != machine->boot_id + 1)
-        tw_world_fail(world, "other_life: %s takes a floor for life %lu in its life %lu",
+        tw_world_fail(world,
+                      "other_life: machine %s accepts a minimum epoch for boot %lu in its boot %lu",
                       machine->name, (unsigned long)order->id, (unsigned long)machine->boot_id + 1);
     if (order->flag && accepted) machine->registered = true;
     tw_world_event *answer = tw_elections_is_cut(world, order->number, TW_WORLD_END_MACHINES)
@@ -228,7 +233,7 @@
 
 /* ---- clients ---- */
 
-/* Asks one controller after the other, and goes where one of them sends it. */
+/* Sends a client's request to a controller; after a time-out the next controller is tried. */
 void tw_elections_send_client_request(tw_world *world, int number) {
     tw_world_client *client = &world->clients[number];
     if (client->answered && (!client->follow || client->verdict != TW_SHARDS_OK || client->done_at))
@@ -256,7 +261,8 @@
                               tw_elections_steady_clock(world, event->node), &request);
 }
 
-/* It goes where it is sent, or to the next one. */
+/* Directs the client's next attempt to the leader that the controller names, or to the next
+ * controller if it names none. */
 void tw_elections_redirect_client(tw_world *world, tw_world_client *client) {
     char leader[TW_STANDBY_ADDRESS_SIZE];
     double retry_after_s;
@@ -272,7 +278,7 @@
                        event->text);
 }
 
-/* ---- effects ---- */
+/* ---- effects of the state machines ---- */
 
 static void send_state_call(tw_world *world, int at, tw_standby_effect *effect) {
     tw_world_event *call = tw_world_add_event(
@@ -330,7 +336,7 @@
     }
 }
 
-/* ---- events ---- */
+/* ---- dispatch of events ---- */
 
 void tw_elections_tick(tw_world *world, int at) {
     tw_standby_tick(world->nodes[at].standby, tw_elections_steady_clock(world, at),
