--- a/tests/shards/expect.c
+++ b/tests/shards/expect.c
@@ -6,18 +6,20 @@
 
 /* Returns the standby of the named node, or NULL if the node is not running. */
 static const tw_standby *running_standby(const tw_world *world, const char *name) {
-    const int at = tw_script_node(world, name);
-    return at < 0 || !world->nodes[at].incarnation ? NULL : world->nodes[at].standby;
+    const int node_index = tw_script_node(world, name);
+    return node_index < 0 || !world->nodes[node_index].incarnation
+               ? NULL
+               : world->nodes[node_index].standby;
 }
 
 /* expect leader NODE NAME|nobody: checks the controller to which the node redirects clients. */
 static void expect_leader(tw_world *world, const tw_script_words *read) {
-    const int at = tw_script_node(world, read->words[2]);
+    const int node_index = tw_script_node(world, read->words[2]);
     char leader[TW_STANDBY_ADDRESS_SIZE] = "";
     double retry_after_s = 0;
-    if (at >= 0 && world->nodes[at].incarnation)
-        tw_standby_leader(world->nodes[at].standby, tw_elections_steady_clock(world, at), leader,
-                          &retry_after_s);
+    if (node_index >= 0 && world->nodes[node_index].incarnation)
+        tw_standby_leader(world->nodes[node_index].standby,
+                          tw_elections_steady_clock(world, node_index), leader, &retry_after_s);
     if (strcmp(leader[0] ? leader : "nobody", read->words[3]) != 0)
         tw_world_fail(world, "%s redirects clients to \"%s\"", read->words[2], leader);
     if (!leader[0] && retry_after_s <= 0)
@@ -28,9 +30,9 @@
 static int expect_standby(tw_world *world, const tw_script_words *read) {
     tw_standby *standby = (tw_standby *)running_standby(world, read->words[2]);
     if (!standby || read->count != 4) return -1;
-    const int at = tw_script_node(world, read->words[2]);
+    const int node_index = tw_script_node(world, read->words[2]);
     const tw_standby_status status =
-        tw_standby_status_of(standby, tw_elections_steady_clock(world, at));
+        tw_standby_status_of(standby, tw_elections_steady_clock(world, node_index));
     if (!strcmp(read->words[1], "state")) {
         if (strcmp(tw_standby_state_name(status.state), read->words[3]) != 0)
             tw_world_fail(world, "standby %s is in state %s", read->words[2],
--- a/tests/shards/gateways.c
+++ b/tests/shards/gateways.c
@@ -11,44 +11,45 @@
 /* ---- gateways ---- */
 
 /* Sets in the router the epoch under which the owner may send requests to the machine. */
-void tw_world_refresh_replica(tw_world *world, int at, const char *name) {
-    const uint64_t epoch = tw_shards_owner_epoch(world->nodes[at].owner, name);
-    tw_router_set_replica(world->nodes[at].router, world->now, name, epoch, SLOTS, FIRST_SERVICE_S);
+void tw_world_refresh_replica(tw_world *world, int node_index, const char *name) {
+    const uint64_t epoch = tw_shards_owner_epoch(world->nodes[node_index].owner, name);
+    tw_router_set_replica(world->nodes[node_index].router, world->now, name, epoch, SLOTS,
+                          FIRST_SERVICE_S);
 }
 
-static void send_work(tw_world *world, int at, const tw_router_effect *effect) {
+static void send_work(tw_world *world, int node_index, const tw_router_effect *effect) {
     const int to = tw_world_machine_index(world, effect->replica);
-    tw_judge_epoch_use(world, at, to, effect->epoch);
-    tw_shards_owner_request_sent(world->nodes[at].owner, effect->replica, effect->epoch);
+    tw_judge_epoch_use(world, node_index, to, effect->epoch);
+    tw_shards_owner_request_sent(world->nodes[node_index].owner, effect->replica, effect->epoch);
     const double after =
         tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S) + world->slow_s;
     tw_world_event *sent = tw_world_add_event(world, after, TW_WORLD_DISPATCH);
-    sent->node = at;
-    sent->incarnation = world->nodes[at].incarnation;
+    sent->node = node_index;
+    sent->incarnation = world->nodes[node_index].incarnation;
     sent->machine = to;
     sent->number = (int)effect->request;
     sent->attempt = effect->attempt;
     sent->epoch = effect->epoch;
 }
 
-static void reply_to_user(tw_world *world, int at, const tw_router_effect *effect) {
+static void reply_to_user(tw_world *world, int node_index, const tw_router_effect *effect) {
     const int times = world->plant_double ? 2 : !world->plant_drop;
     for (int i = 0; i < times; i++) {
         const double after = tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S);
         tw_world_event *reply = tw_world_add_event(world, after, TW_WORLD_USER_RESPONSE);
         reply->number = (int)effect->request;
-        reply->node = at;
-        reply->incarnation = world->nodes[at].incarnation;
+        reply->node = node_index;
+        reply->incarnation = world->nodes[node_index].incarnation;
         reply->status = (int)effect->status;
     }
     world->plant_double = world->plant_drop = 0;
 }
 
-void tw_world_apply_router_effects(tw_world *world, int at) {
+void tw_world_apply_router_effects(tw_world *world, int node_index) {
     tw_router_effect *effect;
-    while ((effect = tw_router_next_effect(world->nodes[at].router))) {
-        if (effect->kind == TW_ROUTER_SEND) send_work(world, at, effect);
-        if (effect->kind == TW_ROUTER_ANSWER) reply_to_user(world, at, effect);
+    while ((effect = tw_router_next_effect(world->nodes[node_index].router))) {
+        if (effect->kind == TW_ROUTER_SEND) send_work(world, node_index, effect);
+        if (effect->kind == TW_ROUTER_ANSWER) reply_to_user(world, node_index, effect);
         free(effect);
     }
 }
@@ -60,14 +61,14 @@
 }
 
 void tw_world_handle_dispatch_result(tw_world *world, const tw_world_event *answer) {
-    const tw_world_node *at = &world->nodes[answer->node];
+    const tw_world_node *node = &world->nodes[answer->node];
     const char *name = world->machines[answer->machine].name;
     if (answer->status == HTTP_BAD_REQUEST) {
-        tw_shards_owner_request_refused(at->owner, name, answer->epoch);
+        tw_shards_owner_request_refused(node->owner, name, answer->epoch);
         tw_world_refresh_replica(world, answer->node, name);
     }
-    tw_shards_owner_request_ended(at->owner, name, answer->epoch);
-    tw_router_attempt_ended(at->router, world->now, (uint64_t)answer->number, answer->attempt,
+    tw_shards_owner_request_ended(node->owner, name, answer->epoch);
+    tw_router_attempt_ended(node->router, world->now, (uint64_t)answer->number, answer->attempt,
                             router_result_of(answer->status));
 }
 
--- a/tests/shards/judge.c
+++ b/tests/shards/judge.c
@@ -24,14 +24,14 @@
 
 /* ---- checks while the scenario runs ---- */
 
-void tw_judge_epoch_use(tw_world *world, int node, int at, uint64_t epoch) {
+void tw_judge_epoch_use(tw_world *world, int node, int machine_index, uint64_t epoch) {
     for (int i = 0; i < world->use_count; i++) {
         const tw_world_epoch_use *each = &world->uses[i];
-        if (each->machine != at || each->epoch != epoch) continue;
+        if (each->machine != machine_index || each->epoch != epoch) continue;
         if (each->node != node)
             tw_world_fail(world, "two_owners: nodes %s and %s use epoch %lu of machine %s",
                           world->nodes[each->node].name, world->nodes[node].name,
-                          (unsigned long)epoch, world->machines[at].name);
+                          (unsigned long)epoch, world->machines[machine_index].name);
         return;
     }
     if (world->use_count == world->use_capacity) {
@@ -39,12 +39,12 @@
         world->uses = realloc(world->uses, sizeof *world->uses * (size_t)world->use_capacity);
         if (!world->uses) abort();
     }
-    world->uses[world->use_count++] = (tw_world_epoch_use){at, node, epoch};
+    world->uses[world->use_count++] = (tw_world_epoch_use){machine_index, node, epoch};
 }
 
 /* Checks a request that the machine is about to run. */
-void tw_judge_request_start(tw_world *world, int node, int at, uint64_t epoch) {
-    const tw_world_machine *machine = &world->machines[at];
+void tw_judge_request_start(tw_world *world, int node, int machine_index, uint64_t epoch) {
+    const tw_world_machine *machine = &world->machines[machine_index];
     if (epoch < machine->judged_epoch)
         tw_world_fail(world, "old_epoch: machine %s runs a request of epoch %lu after epoch %lu",
                       machine->name, (unsigned long)epoch, (unsigned long)machine->judged_epoch);
@@ -55,8 +55,8 @@
                           world->nodes[node].name);
 }
 
-void tw_judge_order(tw_world *world, int at, uint64_t term) {
-    const tw_world_machine *machine = &world->machines[at];
+void tw_judge_order(tw_world *world, int machine_index, uint64_t term) {
+    const tw_world_machine *machine = &world->machines[machine_index];
     if (term < machine->judged_term)
         tw_world_fail(world, "old_term: machine %s accepts an order of term %lu after term %lu",
                       machine->name, (unsigned long)term, (unsigned long)machine->judged_term);
@@ -183,20 +183,21 @@
     tw_shards_free(reader);
 }
 
-void tw_judge_view(tw_world *world, int at) {
-    const tw_shards *table = world->nodes[at].leader;
+void tw_judge_view(tw_world *world, int node_index) {
+    const tw_shards *table = world->nodes[node_index].leader;
     tw_shards *reader = tw_judge_read_records(world);
     if (tw_shards_revision(table) != tw_shards_revision(reader) ||
         tw_shards_machine_count(table) != tw_shards_machine_count(reader))
         tw_world_fail(world, "stale_view: node %s decides at revision %lu, recorded is %lu",
-                      world->nodes[at].name, (unsigned long)tw_shards_revision(table),
+                      world->nodes[node_index].name, (unsigned long)tw_shards_revision(table),
                       (unsigned long)tw_shards_revision(reader));
     for (int i = 0; i < tw_shards_machine_count(reader) && !world->failure[0]; i++) {
         const tw_shards_notification has = tw_shards_machine_at(table, i);
         const tw_shards_notification recorded = tw_shards_machine_at(reader, i);
         if (has.state != recorded.state || has.epoch != recorded.epoch)
-            tw_world_fail(world, "stale_view: node %s has machine %s as %s", world->nodes[at].name,
-                          recorded.machine, tw_shards_state_name(has.state));
+            tw_world_fail(world, "stale_view: node %s has machine %s as %s",
+                          world->nodes[node_index].name, recorded.machine,
+                          tw_shards_state_name(has.state));
     }
     tw_shards_free(reader);
 }
--- a/tests/shards/machines.c
+++ b/tests/shards/machines.c
@@ -19,19 +19,20 @@
     sent->status = status;
 }
 
-void tw_world_end_running(tw_world *world, int at, int status) {
-    tw_world_machine *machine = &world->machines[at];
+void tw_world_end_running(tw_world *world, int machine_index, int status) {
+    tw_world_machine *machine = &world->machines[machine_index];
     for (int i = 0; i < machine->running_count; i++)
-        send_dispatch_result(world, &machine->running[i], at, status);
+        send_dispatch_result(world, &machine->running[i], machine_index, status);
     world->ended_early += machine->running_count;
     machine->running_count = 0;
     machine->incarnation++; /* invalidates the scheduled completions */
 }
 
-int tw_world_accept_order(tw_world *world, int at, uint64_t term, tw_shards_guard_verdict verdict) {
-    tw_world_machine *machine = &world->machines[at];
+int tw_world_accept_order(tw_world *world, int machine_index, uint64_t term,
+                          tw_shards_guard_verdict verdict) {
+    tw_world_machine *machine = &world->machines[machine_index];
     if (verdict != TW_SHARDS_GUARD_RAISED && verdict != TW_SHARDS_GUARD_REPEATED) return 0;
-    tw_judge_order(world, at, term);
+    tw_judge_order(world, machine_index, term);
     machine->judged_term = term;
     return 1;
 }
@@ -64,22 +65,22 @@
 
 void tw_world_handle_dispatch(tw_world *world, const tw_world_event *order) {
     tw_world_machine *machine = &world->machines[order->machine];
-    const tw_world_running_request work = {.request = order->number,
-                                           .attempt = order->attempt,
-                                           .node = order->node,
-                                           .incarnation = order->incarnation,
-                                           .epoch = order->epoch};
+    const tw_world_running_request request = {.request = order->number,
+                                              .attempt = order->attempt,
+                                              .node = order->node,
+                                              .incarnation = order->incarnation,
+                                              .epoch = order->epoch};
     const bool accepts = tw_shards_guard_accepts(&machine->guard, order->epoch) || world->plant_old;
     if (!machine->alive || !accepts) {
         world->refused += machine->alive;
-        send_dispatch_result(world, &work, order->machine, HTTP_BAD_REQUEST);
+        send_dispatch_result(world, &request, order->machine, HTTP_BAD_REQUEST);
         return;
     }
     tw_judge_request_start(world, order->node, order->machine, order->epoch);
     machine->running =
         realloc(machine->running, sizeof *machine->running * (size_t)(machine->running_count + 1));
     if (!machine->running) abort();
-    machine->running[machine->running_count++] = work;
+    machine->running[machine->running_count++] = request;
     const double service_s = world->loads[world->requests[order->number].load].service_s;
     tw_world_event *finish = tw_world_add_event(world, service_s, TW_WORLD_REQUEST_FINISH);
     finish->machine = order->machine;
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -89,10 +89,10 @@
 
 /* ---- machines ---- */
 
-static void register_machine(tw_world *world, int at, double after) {
+static void register_machine(tw_world *world, int machine_index, double after) {
     tw_world_event *due = tw_world_add_event(world, after, TW_WORLD_MACHINE_REGISTRATION);
-    due->machine = at;
-    due->incarnation = world->machines[at].boot_id;
+    due->machine = machine_index;
+    due->incarnation = world->machines[machine_index].boot_id;
 }
 
 /* machines N SHARE ZONE */
@@ -100,14 +100,14 @@
     if (read->count != 4) return -1;
     for (int i = 0; i < (int)word_number(read, 1) && world->machine_count < TW_WORLD_MAX_MACHINES;
          i++) {
-        const int at = world->machine_count++;
-        tw_world_machine *added = &world->machines[at];
-        snprintf(added->name, sizeof added->name, "m%d", at);
+        const int machine_index = world->machine_count++;
+        tw_world_machine *added = &world->machines[machine_index];
+        snprintf(added->name, sizeof added->name, "m%d", machine_index);
         copy_name(added->shard, read->words[2]);
         copy_name(added->zone, read->words[3]);
         added->alive = true;
         tw_shards_guard_boot(&added->guard, added->boot_id + 1);
-        register_machine(world, at, 0.1);
+        register_machine(world, machine_index, 0.1);
     }
     return 0;
 }
@@ -115,47 +115,47 @@
 /* take MACHINE: removes it. restart MACHINE: restarts it, and it registers again. reboot MACHINE:
  * restarts it without a new registration. */
 static int do_machine(tw_world *world, const tw_script_words *read) {
-    const int at = read->count == 2 ? tw_world_machine_index(world, read->words[1]) : -1;
-    if (at < 0) return -1;
-    tw_world_machine *machine = &world->machines[at];
-    tw_world_end_running(world, at, 0);
+    const int machine_index = read->count == 2 ? tw_world_machine_index(world, read->words[1]) : -1;
+    if (machine_index < 0) return -1;
+    tw_world_machine *machine = &world->machines[machine_index];
+    tw_world_end_running(world, machine_index, 0);
     machine->boot_id++;
     machine->registered = machine->accepted = false;
     machine->judged_term = 0; /* a machine does not keep its term across a restart */
     tw_shards_guard_boot(&machine->guard, machine->boot_id + 1);
     machine->alive = strcmp(read->words[0], "take") != 0;
-    if (strcmp(read->words[0], "reboot") != 0) register_machine(world, at, 0.1);
+    if (strcmp(read->words[0], "reboot") != 0) register_machine(world, machine_index, 0.1);
     return 0;
 }
 
 /* ---- faults ---- */
 
 static int do_node(tw_world *world, const tw_script_words *read) {
-    const int at = read->count > 1 ? tw_script_node(world, read->words[1]) : -1;
+    const int node_index = read->count > 1 ? tw_script_node(world, read->words[1]) : -1;
     const double seconds = read->count > 2 ? word_number(read, 2) : -1;
-    if (at < 0) return -1;
+    if (node_index < 0) return -1;
     if (!strcmp(read->words[0], "kill"))
-        tw_world_end_node(world, at, seconds);
+        tw_world_end_node(world, node_index, seconds);
     else if (!strcmp(read->words[0], "hang"))
-        world->nodes[at].hung_until = world->now + seconds;
+        world->nodes[node_index].hung_until = world->now + seconds;
     else if (!strcmp(read->words[0], "lead"))
-        tw_world_schedule_election(world, at);
+        tw_world_schedule_election(world, node_index);
     else if (!strcmp(read->words[0], "elected"))
-        tw_world_elect_leader(world, at);
-    else if (!world->nodes[at].incarnation)
-        tw_world_start_node(world, at);
+        tw_world_elect_leader(world, node_index);
+    else if (!world->nodes[node_index].incarnation)
+        tw_world_start_node(world, node_index);
     return 0;
 }
 
 /* killlead NODE S, hanglead NODE S: the leader ends or hangs for S, and NODE is elected. */
 static int do_leader_fault(tw_world *world, const tw_script_words *read) {
-    const int at = read->count == 3 ? tw_script_node(world, read->words[1]) : -1;
-    if (at < 0) return -1;
+    const int node_index = read->count == 3 ? tw_script_node(world, read->words[1]) : -1;
+    if (node_index < 0) return -1;
     if (!strcmp(read->words[0], "killlead"))
         tw_world_end_node(world, world->leader_index, word_number(read, 2));
     else
         world->nodes[world->leader_index].hung_until = world->now + word_number(read, 2);
-    tw_world_schedule_election(world, at);
+    tw_world_schedule_election(world, node_index);
     return 0;
 }
 
@@ -241,20 +241,20 @@
 
 /* clock NODE RATE STEP_S: sets the rate of the node's clocks and steps its wall clock. */
 static int do_clock(tw_world *world, const tw_script_words *read) {
-    const int at = read->count == 4 ? tw_script_node(world, read->words[1]) : -1;
-    if (at < 0) return -1;
-    world->nodes[at].rate = word_number(read, 2);
-    world->nodes[at].wall_step_s = word_number(read, 3);
+    const int node_index = read->count == 4 ? tw_script_node(world, read->words[1]) : -1;
+    if (node_index < 0) return -1;
+    world->nodes[node_index].rate = word_number(read, 2);
+    world->nodes[node_index].wall_step_s = word_number(read, 3);
     return 0;
 }
 
 /* promote NODE: a client requests that the leader hands leadership over to NODE. */
 static int do_promote(tw_world *world, const tw_script_words *read) {
     if (read->count != 2) return -1;
-    tw_world_event *asked = tw_world_add_event(world, 0, TW_WORLD_PROMOTE);
-    asked->node = tw_script_node(world, "leader");
-    asked->text = strdup(read->words[1]);
-    if (!asked->text) abort();
+    tw_world_event *request = tw_world_add_event(world, 0, TW_WORLD_PROMOTE);
+    request->node = tw_script_node(world, "leader");
+    request->text = strdup(read->words[1]);
+    if (!request->text) abort();
     return 0;
 }
 
--- a/tests/shards/shards_world.h
+++ b/tests/shards/shards_world.h
@@ -253,8 +253,8 @@
 void tw_world_handle_finish(tw_world *world, const tw_world_event *due);
 void tw_world_handle_stop(tw_world *world, const tw_world_event *order);
 /* gateways.c: user requests, and their routing by the owner of the shard */
-void tw_world_refresh_replica(tw_world *world, int at, const char *name);
-void tw_world_apply_router_effects(tw_world *world, int at);
+void tw_world_refresh_replica(tw_world *world, int node_index, const char *name);
+void tw_world_apply_router_effects(tw_world *world, int node_index);
 void tw_world_handle_dispatch_result(tw_world *world, const tw_world_event *answer);
 void tw_world_handle_arrival(tw_world *world, const tw_world_event *due);
 void tw_world_handle_user_request(tw_world *world, const tw_world_event *due);
--- a/tests/shards/state_calls.c
+++ b/tests/shards/state_calls.c
@@ -152,11 +152,11 @@
 }
 
 void tw_world_handle_state_response(tw_world *world, const tw_world_event *answer) {
-    tw_world_node *at = &world->nodes[answer->node];
+    tw_world_node *node = &world->nodes[answer->node];
     const char *text = answer->text ? answer->text : "";
     uint64_t revision = 0;
-    if (at->standby) {
-        tw_standby_handle_response(at->standby, tw_elections_steady_clock(world, answer->node),
+    if (node->standby) {
+        tw_standby_handle_response(node->standby, tw_elections_steady_clock(world, answer->node),
                                    answer->id, answer->status, text, strlen(text));
         return;
     }
@@ -165,13 +165,14 @@
         if (outcome == TW_SHARDS_APPLIED) tw_wire_revision_parse(&revision, text, strlen(text));
         /* A node that finds the leader key changed ends its term, as a real controller does. */
         if (outcome == TW_SHARDS_REFUSED &&
-            tw_simulator_state_version(&world->state, "leader") != at->fencing_token) {
-            at->fencing_token = 0;
-            tw_shards_end_term(at->leader);
+            tw_simulator_state_version(&world->state, "leader") != node->fencing_token) {
+            node->fencing_token = 0;
+            tw_shards_end_term(node->leader);
         }
-        tw_shards_handle_outcome(at->leader, world->now, answer->id, outcome, revision);
+        tw_shards_handle_outcome(node->leader, world->now, answer->id, outcome, revision);
     } else {
         const bool has = answer->status == HTTP_OK;
-        tw_shards_handle_page(at->leader, world->now, answer->id, has ? text : NULL, strlen(text));
+        tw_shards_handle_page(node->leader, world->now, answer->id, has ? text : NULL,
+                              strlen(text));
     }
 }
--- a/tests/shards/world.c
+++ b/tests/shards/world.c
@@ -70,13 +70,13 @@
 
 /* ---- effects of a node ---- */
 
-static void send_state_call(tw_world *world, int at, const tw_shards_effect *effect) {
+static void send_state_call(tw_world *world, int node_index, const tw_shards_effect *effect) {
     tw_world_event *call = tw_world_add_event(
         world, tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S),
         TW_WORLD_STATE_CALL);
     char path[PATH_SIZE];
-    call->node = at;
-    call->incarnation = world->nodes[at].incarnation;
+    call->node = node_index;
+    call->incarnation = world->nodes[node_index].incarnation;
     call->id = effect->id;
     call->flag = effect->kind == TW_SHARDS_WRITE;
     if (call->flag) {
@@ -173,45 +173,45 @@
     sent->text = tw_world_copy_text(name);
 }
 
-static void apply_owner_effects(tw_world *world, int at) {
+static void apply_owner_effects(tw_world *world, int node_index) {
     tw_shards_owner_effect *effect;
-    while ((effect = tw_shards_owner_next_effect(world->nodes[at].owner))) {
+    while ((effect = tw_shards_owner_next_effect(world->nodes[node_index].owner))) {
         switch (effect->kind) {
         case TW_SHARDS_OWNER_OPEN:
-            tw_judge_epoch_use(world, at, tw_world_machine_index(world, effect->machine),
+            tw_judge_epoch_use(world, node_index, tw_world_machine_index(world, effect->machine),
                                effect->epoch);
-            send_machine_order(world, at, TW_WORLD_OPEN, effect);
+            send_machine_order(world, node_index, TW_WORLD_OPEN, effect);
             break;
         case TW_SHARDS_OWNER_STOP:
-            send_machine_order(world, at, TW_WORLD_STOP, effect);
+            send_machine_order(world, node_index, TW_WORLD_STOP, effect);
             break;
         default:
-            report_to_leader(world, at, effect->kind, effect->machine, effect->epoch);
+            report_to_leader(world, node_index, effect->kind, effect->machine, effect->epoch);
         }
         free(effect);
     }
 }
 
 /* Lets a leader that the scenario names decide without checking the machines. */
-static void confirm_all_machines(tw_world *world, int at) {
-    tw_shards *leader = world->nodes[at].leader;
+static void confirm_all_machines(tw_world *world, int node_index) {
+    tw_shards *leader = world->nodes[node_index].leader;
     if (!tw_shards_is_ready(leader) || tw_shards_is_deciding(leader)) return;
     for (int i = 0; i < tw_shards_machine_count(leader); i++)
         tw_shards_confirm_machine(leader, world->now, tw_shards_machine_at(leader, i).machine);
     tw_shards_allow_decisions(leader, world->now);
 }
 
-static void apply_leader_effects(tw_world *world, int at) {
+static void apply_leader_effects(tw_world *world, int node_index) {
     tw_shards_effect *effect;
-    confirm_all_machines(world, at);
-    while ((effect = tw_shards_next_effect(world->nodes[at].leader))) {
+    confirm_all_machines(world, node_index);
+    while ((effect = tw_shards_next_effect(world->nodes[node_index].leader))) {
         switch (effect->kind) {
         case TW_SHARDS_READ:
         case TW_SHARDS_WRITE:
-            send_state_call(world, at, effect);
+            send_state_call(world, node_index, effect);
             break;
         case TW_SHARDS_NOTIFY:
-            tw_world_notify_owner(world, at, &effect->notification);
+            tw_world_notify_owner(world, node_index, &effect->notification);
             break;
         case TW_SHARDS_ANSWER:
             if (effect->id >= FIRST_MACHINE_ID)
@@ -224,14 +224,14 @@
     }
 }
 
-void tw_world_apply_effects(tw_world *world, int at) {
-    if (!world->nodes[at].incarnation) return;
+void tw_world_apply_effects(tw_world *world, int node_index) {
+    if (!world->nodes[node_index].incarnation) return;
     if (world->lease_s > 0)
-        tw_elections_apply_effects(world, at);
+        tw_elections_apply_effects(world, node_index);
     else
-        apply_leader_effects(world, at);
-    apply_owner_effects(world, at);
-    tw_world_apply_router_effects(world, at);
+        apply_leader_effects(world, node_index);
+    apply_owner_effects(world, node_index);
+    tw_world_apply_router_effects(world, node_index);
 }
 
 /* ---- start and end of nodes, elections ---- */
@@ -242,32 +242,32 @@
                                                    .retry_burst = 50,
                                                    .average_ratio = 0.2};
 
-void tw_world_start_node(tw_world *world, int at) {
-    tw_world_node *started = &world->nodes[at];
+void tw_world_start_node(tw_world *world, int node_index) {
+    tw_world_node *started = &world->nodes[node_index];
     started->leader = tw_shards_new(&world->settings);
     started->owner = tw_shards_owner_new(world->settings.retry_s);
     started->router = tw_router_new(&router_settings);
     started->incarnation = ++world->next_incarnation;
     started->fencing_token = 0;
     started->hung_until = 0;
-    if (world->lease_s > 0) tw_elections_start_node(world, at);
+    if (world->lease_s > 0) tw_elections_start_node(world, node_index);
     tw_world_event *tick =
         tw_world_add_event(world, tw_world_draw_uniform(world, 0, TICK_S), TW_WORLD_TICK);
-    tick->node = at;
+    tick->node = node_index;
     tick->incarnation = started->incarnation;
 }
 
-void tw_world_schedule_election(tw_world *world, int at) {
+void tw_world_schedule_election(tw_world *world, int node_index) {
     char line[TEXT_SIZE];
-    snprintf(line, sizeof line, "elected %s", world->nodes[at].name);
+    snprintf(line, sizeof line, "elected %s", world->nodes[node_index].name);
     world->election_pending = 1;
     tw_world_add_event(world, ELECTION_S, TW_WORLD_COMMAND)->text = tw_world_copy_text(line);
 }
 
-void tw_world_end_node(tw_world *world, int at, double back_after_s) {
-    tw_world_node *ended = &world->nodes[at];
+void tw_world_end_node(tw_world *world, int node_index, double back_after_s) {
+    tw_world_node *ended = &world->nodes[node_index];
     if (!ended->incarnation) return;
-    if (ended->standby) tw_elections_end_node(world, at);
+    if (ended->standby) tw_elections_end_node(world, node_index);
     tw_shards_free(ended->leader);
     tw_shards_owner_free(ended->owner);
     tw_router_free(ended->router);
@@ -276,8 +276,8 @@
     ended->owner = NULL;
     ended->incarnation = 0;
     if (back_after_s < 0) return;
-    if (at == world->leader_index && world->lease_s <= 0)
-        tw_world_schedule_election(world, (at + 1) % world->node_count);
+    if (node_index == world->leader_index && world->lease_s <= 0)
+        tw_world_schedule_election(world, (node_index + 1) % world->node_count);
     tw_world_event *back = tw_world_add_event(world, back_after_s, TW_WORLD_COMMAND);
     char line[TEXT_SIZE];
     snprintf(line, sizeof line, "start %s", ended->name);
@@ -286,14 +286,15 @@
 
 /* Begins the node's term by writing the leader key, which gives it a new revision. The previous
  * leader is not notified. If the node is not running, another running node leads. */
-void tw_world_elect_leader(tw_world *world, int at) {
+void tw_world_elect_leader(tw_world *world, int node_index) {
     char *answer;
     char body[TEXT_SIZE];
     uint64_t token;
-    for (int i = 0; i < world->node_count && !world->nodes[at].incarnation; i++) at = i;
-    tw_world_node *leader = &world->nodes[at];
+    for (int i = 0; i < world->node_count && !world->nodes[node_index].incarnation; i++)
+        node_index = i;
+    tw_world_node *leader = &world->nodes[node_index];
     if (!leader->incarnation) {
-        tw_world_schedule_election(world, at);
+        tw_world_schedule_election(world, node_index);
         return;
     }
     snprintf(body, sizeof body, "{\"if\":[],\"apply\":[{\"write\":\"leader\",\"data\":\"%s\"}]}",
@@ -303,16 +304,16 @@
     const bool failed = status != HTTP_OK || tw_wire_revision_parse(&token, answer, strlen(answer));
     free(answer);
     if (failed) {
-        tw_world_schedule_election(world, at);
+        tw_world_schedule_election(world, node_index);
         return;
     }
-    world->leader_index = at;
+    world->leader_index = node_index;
     if (leader->fencing_token) tw_shards_end_term(leader->leader);
     leader->fencing_token = token;
     world->election_pending = 0;
     tw_shards_begin_term(leader->leader, world->now, "leader", token);
     tw_shards_set_authority(leader->leader, world->now + AUTHORITY_S);
-    tw_world_apply_effects(world, at);
+    tw_world_apply_effects(world, node_index);
 }
 
 /* ---- owners and the leader ---- */
@@ -387,28 +388,28 @@
 /* ---- dispatch ---- */
 
 static void handle_tick(tw_world *world, const tw_world_event *due) {
-    tw_world_node *at = &world->nodes[due->node];
+    tw_world_node *node = &world->nodes[due->node];
     tw_world_event *again = tw_world_add_event(world, TICK_S, TW_WORLD_TICK);
     again->node = due->node;
     again->incarnation = due->incarnation;
     const bool leads =
-        at->fencing_token ||
-        (at->standby &&
-         tw_standby_decides(at->standby, tw_elections_steady_clock(world, due->node)));
+        node->fencing_token ||
+        (node->standby &&
+         tw_standby_decides(node->standby, tw_elections_steady_clock(world, due->node)));
     for (int i = 0; i < world->machine_count && leads; i++)
         if (world->machines[i].alive)
-            tw_shards_set_machine_load(at->leader, world->machines[i].name,
+            tw_shards_set_machine_load(node->leader, world->machines[i].name,
                                        world->machines[i].running_count);
     /* The lease is renewed if the leader key is unchanged and no election is pending. */
-    if (at->fencing_token && !world->election_pending && world->state.down_since < 0 &&
-        tw_simulator_state_version(&world->state, "leader") == at->fencing_token)
-        tw_shards_set_authority(at->leader, world->now + AUTHORITY_S);
-    if (at->standby)
+    if (node->fencing_token && !world->election_pending && world->state.down_since < 0 &&
+        tw_simulator_state_version(&world->state, "leader") == node->fencing_token)
+        tw_shards_set_authority(node->leader, world->now + AUTHORITY_S);
+    if (node->standby)
         tw_elections_tick(world, due->node);
     else
-        tw_shards_tick(at->leader, world->now, world->now);
-    tw_shards_owner_tick(at->owner, world->now);
-    tw_router_tick(at->router, world->now);
+        tw_shards_tick(node->leader, world->now, world->now);
+    tw_shards_owner_tick(node->owner, world->now);
+    tw_router_tick(node->router, world->now);
 }
 
 /* Returns true if the event is for a node that has ended, or has been restarted since. */
--- a/tests/standby/elections.c
+++ b/tests/standby/elections.c
@@ -26,28 +26,28 @@
     return 0;
 }
 
-double tw_elections_steady_clock(const tw_world *world, int at) {
-    return world->now * world->nodes[at].rate;
+double tw_elections_steady_clock(const tw_world *world, int node_index) {
+    return world->now * world->nodes[node_index].rate;
 }
 
-double tw_elections_wall_clock(const tw_world *world, int at) {
-    return tw_elections_steady_clock(world, at) + world->nodes[at].wall_step_s;
+double tw_elections_wall_clock(const tw_world *world, int node_index) {
+    return tw_elections_steady_clock(world, node_index) + world->nodes[node_index].wall_step_s;
 }
 
 /* ---- start and end of nodes ---- */
 
-void tw_elections_start_node(tw_world *world, int at) {
-    tw_world_node *started = &world->nodes[at];
+void tw_elections_start_node(tw_world *world, int node_index) {
+    tw_world_node *started = &world->nodes[node_index];
     if (started->rate <= 0) started->rate = 1;
     const tw_standby_settings settings = {
         .name = started->name, .control = started->name, .lease_s = world->lease_s};
     started->standby =
-        tw_standby_new(&settings, started->leader, tw_elections_steady_clock(world, at));
+        tw_standby_new(&settings, started->leader, tw_elections_steady_clock(world, node_index));
 }
 
-void tw_elections_end_node(tw_world *world, int at) {
-    tw_standby_free(world->nodes[at].standby);
-    world->nodes[at].standby = NULL;
+void tw_elections_end_node(tw_world *world, int node_index) {
+    tw_standby_free(world->nodes[node_index].standby);
+    world->nodes[node_index].standby = NULL;
 }
 
 /* ---- messages between controllers ---- */
@@ -63,17 +63,18 @@
 }
 
 /* Returns the index of the controller that the node knows as active, or -1. */
-static int active_index(const tw_world *world, int at) {
-    return tw_world_node_index(world, tw_standby_active_address(world->nodes[at].standby));
+static int active_index(const tw_world *world, int node_index) {
+    return tw_world_node_index(world, tw_standby_active_address(world->nodes[node_index].standby));
 }
 
-static void request_feed(tw_world *world, int at) {
-    const int active = active_index(world, at);
-    tw_world_event *request =
-        active == at ? NULL : send_to_node(world, at, active, TW_WORLD_FEED_REQUEST);
+static void request_feed(tw_world *world, int node_index) {
+    const int active = active_index(world, node_index);
+    tw_world_event *request = active == node_index
+                                  ? NULL
+                                  : send_to_node(world, node_index, active, TW_WORLD_FEED_REQUEST);
     if (!request) return;
-    request->id = world->nodes[at].incarnation;
-    request->position = tw_standby_position_of(world->nodes[at].standby);
+    request->id = world->nodes[node_index].incarnation;
+    request->position = tw_standby_position_of(world->nodes[node_index].standby);
 }
 
 static double process_cpu_s(void) {
@@ -164,28 +165,28 @@
 }
 
 /* Injected fault `check`: forges the machine's status instead of sending the check order to it. */
-static void forge_machine_status(tw_world *world, int at, const tw_standby_effect *effect) {
+static void forge_machine_status(tw_world *world, int node_index, const tw_standby_effect *effect) {
     const int machine_index = tw_world_machine_index(world, effect->machine);
     tw_world_event *answer =
         tw_world_add_event(world, MESSAGE_DELAY_MIN_S, TW_WORLD_ORDER_RESPONSE);
-    answer->node = at;
-    answer->incarnation = world->nodes[at].incarnation;
+    answer->node = node_index;
+    answer->incarnation = world->nodes[node_index].incarnation;
     answer->machine = machine_index;
     answer->term = effect->term;
     answer->machine_status = machine_status_of(&world->machines[machine_index]);
 }
 
-static void order_machine(tw_world *world, int at, const tw_standby_effect *effect) {
+static void order_machine(tw_world *world, int node_index, const tw_standby_effect *effect) {
     if (world->plant_check && effect->kind == TW_STANDBY_CHECK) {
-        forge_machine_status(world, at, effect);
+        forge_machine_status(world, node_index, effect);
         return;
     }
-    tw_world_event *sent = tw_elections_is_cut(world, at, TW_WORLD_END_MACHINES)
+    tw_world_event *sent = tw_elections_is_cut(world, node_index, TW_WORLD_END_MACHINES)
                                ? NULL
                                : tw_world_send_message(world, TW_WORLD_ORDER);
     if (!sent) return;
-    sent->number = at;
-    sent->incarnation = world->nodes[at].incarnation;
+    sent->number = node_index;
+    sent->incarnation = world->nodes[node_index].incarnation;
     sent->machine = tw_world_machine_index(world, effect->machine);
     sent->flag = effect->kind == TW_STANDBY_START;
     sent->term = effect->term;
@@ -280,12 +281,12 @@
 
 /* ---- effects of the state machines ---- */
 
-static void send_state_call(tw_world *world, int at, tw_standby_effect *effect) {
+static void send_state_call(tw_world *world, int node_index, tw_standby_effect *effect) {
     tw_world_event *call = tw_world_add_event(
         world, tw_world_draw_uniform(world, MESSAGE_DELAY_MIN_S, MESSAGE_DELAY_MAX_S),
         TW_WORLD_STATE_CALL);
-    call->node = at;
-    call->incarnation = world->nodes[at].incarnation;
+    call->node = node_index;
+    call->incarnation = world->nodes[node_index].incarnation;
     call->id = effect->id;
     call->method = effect->method;
     call->path = strdup(effect->path);
@@ -307,28 +308,29 @@
     }
 }
 
-void tw_elections_apply_effects(tw_world *world, int at) {
+void tw_elections_apply_effects(tw_world *world, int node_index) {
     tw_standby_effect *effect;
-    while ((effect = tw_standby_next_effect(world->nodes[at].standby))) {
+    while ((effect = tw_standby_next_effect(world->nodes[node_index].standby))) {
         switch (effect->kind) {
         case TW_STANDBY_CALL:
-            send_state_call(world, at, effect);
+            send_state_call(world, node_index, effect);
             break;
         case TW_STANDBY_CHECK:
         case TW_STANDBY_START:
-            order_machine(world, at, effect);
+            order_machine(world, node_index, effect);
             break;
         case TW_STANDBY_NOTIFY:
-            tw_world_notify_owner(world, at, &effect->table->notification);
+            tw_world_notify_owner(world, node_index, &effect->table->notification);
             break;
         case TW_STANDBY_ANSWER:
             handle_leader_answer(world, effect->table);
             break;
         case TW_STANDBY_LOG_LINE:
-            tw_log_debug("t=%.3f node=%s %s", world->now, world->nodes[at].name, effect->line);
+            tw_log_debug("t=%.3f node=%s %s", world->now, world->nodes[node_index].name,
+                         effect->line);
             if (strstr(effect->line, "event=decisions_started")) {
                 world->decided_after_s = world->now - world->term_at;
-                tw_judge_view(world, at);
+                tw_judge_view(world, node_index);
             }
             break;
         }
@@ -338,10 +340,10 @@
 
 /* ---- dispatch of events ---- */
 
-void tw_elections_tick(tw_world *world, int at) {
-    tw_standby_tick(world->nodes[at].standby, tw_elections_steady_clock(world, at),
-                    tw_elections_wall_clock(world, at));
-    request_feed(world, at);
+void tw_elections_tick(tw_world *world, int node_index) {
+    tw_standby_tick(world->nodes[node_index].standby, tw_elections_steady_clock(world, node_index),
+                    tw_elections_wall_clock(world, node_index));
+    request_feed(world, node_index);
     tw_judge_deciders(world);
 }
 
