--- a/tests/shards/runner.c
+++ b/tests/shards/runner.c
@@ -58,23 +58,24 @@
     int failed = 0;
     tw_log_init(getenv("LOG_LEVEL") ? getenv("LOG_LEVEL") : "error", "world");
     for (int i = 1; i < count; i++) {
-        char why[TEXT_SIZE];
-        char again[TEXT_SIZE];
+        char reason[TEXT_SIZE];
+        char second_reason[TEXT_SIZE];
         char *text = read_scenario(names[i]);
         if (!text) return 2;
-        int broken = tw_shards_play(text, why, sizeof why);
-        tw_shards_play(text, again, sizeof again);
-        char *planted = expected_failure(text);
-        if (planted) {
-            broken = !strstr(why, planted);
-            if (broken) printf("the injected fault was not detected: expected \"%s\"\n", planted);
+        int broken = tw_shards_play(text, reason, sizeof reason);
+        tw_shards_play(text, second_reason, sizeof second_reason);
+        char *expected = expected_failure(text);
+        if (expected) {
+            broken = !strstr(reason, expected);
+            if (broken) printf("the injected fault was not detected: expected \"%s\"\n", expected);
         }
-        free(planted);
-        if (strcmp(why, again) != 0) {
-            printf("FAIL %s: the second run ended differently: %s | %s\n", names[i], why, again);
+        free(expected);
+        if (strcmp(reason, second_reason) != 0) {
+            printf("FAIL %s: the second run ended differently: %s | %s\n", names[i], reason,
+                   second_reason);
             broken = 1;
         }
-        printf("%s %s%s%s\n", broken ? "FAIL" : "ok", names[i], broken ? ": " : "", why);
+        printf("%s %s%s%s\n", broken ? "FAIL" : "ok", names[i], broken ? ": " : "", reason);
         failed += broken != 0;
         free(text);
     }
--- a/tests/shards/script.c
+++ b/tests/shards/script.c
@@ -452,7 +452,7 @@
     }
 }
 
-int tw_shards_play(const char *text, char *why, size_t size) {
+int tw_shards_play(const char *text, char *reason, size_t size) {
     tw_world *played = calloc(1, sizeof *played);
     if (!played) abort();
     played->machines = calloc(TW_WORLD_MAX_MACHINES, sizeof *played->machines);
@@ -468,7 +468,7 @@
     tw_simulator_state_init(&played->state);
     read_text(played, text);
     run_scenario(played);
-    snprintf(why, size, "%s", played->failure);
+    snprintf(reason, size, "%s", played->failure);
     const bool failed = played->failure[0] != 0;
     free_world(played);
     return failed ? -1 : 0;
--- a/tests/shards/shards_play.h
+++ b/tests/shards/shards_play.h
@@ -3,7 +3,7 @@
 #define TW_SHARDS_PLAY_H
 #include <stddef.h>
 
-/* Runs a scenario given as text. Returns 0, or -1 and writes the first failure to why. */
-int tw_shards_play(const char *text, char *why, size_t size);
+/* Runs a scenario given as text. Returns 0, or -1 and writes the first failure to reason. */
+int tw_shards_play(const char *text, char *reason, size_t size);
 
 #endif
--- a/tests/shards/shards_world.h
+++ b/tests/shards/shards_world.h
@@ -46,7 +46,7 @@
     TW_WORLD_USER_RESPONSE,        /* the answer to a user request arrives at the user */
     TW_WORLD_REQUEST_FINISH,       /* a machine completes a request */
     TW_WORLD_CLIENT_RETRY,         /* a client sends or repeats its request to the leader */
-    TW_WORLD_MACHINE_REGISTRATION, /* a machine is registered with, or removed at, the leader */
+    TW_WORLD_MACHINE_REGISTRATION, /* a machine sends its registration or removal to the leader */
     /* only in scenarios where the controllers elect their leader (tests/standby) */
     TW_WORLD_FEED_REQUEST,   /* a standby's request for later changes arrives at the active node */
     TW_WORLD_FEED_MESSAGE,   /* the active controller's message arrives at the standby */
@@ -99,7 +99,7 @@
     tw_shards_guard guard;
     bool alive, registered;
     bool accepted;         /* the registration was acknowledged and is not repeated */
-    uint64_t boot_id;      /* number of starts */
+    uint64_t boot_id;      /* number of restarts */
     uint64_t incarnation;  /* changes when the running requests are ended */
     uint64_t judged_epoch; /* the highest epoch that the machine confirmed */
     uint64_t judged_term;  /* the highest term of the orders accepted since the last start */
