--- a/tests/shards/runner.c
+++ b/tests/shards/runner.c
@@ -1,4 +1,5 @@
-/* Plays scenario files, each twice: both plays must end alike. Prints what broke. */
+/* Runs each scenario file twice and prints the result. Both runs must end with the same result,
+ * which shows that a run depends only on its seed. */
 #include "shards_world.h"
 #include "log/log.h"
 #include <stdio.h>
@@ -17,13 +18,14 @@
     return text;
 }
 
-/* The scenario with each line `include FILE` replaced by that file, beside it. */
+/* Returns the scenario with each line `include FILE` replaced by the content of FILE, which is in
+ * the scenario's directory. The caller frees it. NULL: a file cannot be read. */
 static char *read_scenario(const char *path) {
     static const char mark[] = "include ";
     char *text = read_file(path);
     char *line = text;
     while (line && (line = strstr(line, mark))) {
-        char included[TEXT];
+        char included[TEXT_SIZE];
         const char *name = line + sizeof mark - 1;
         const size_t length = strcspn(name, "\n");
         const char *slash = strrchr(path, '/');
@@ -43,8 +45,9 @@
     return text;
 }
 
-/* What the scenario's first line says that must be found; NULL: it must pass. */
-static char *planted_in(const char *text) {
+/* Returns the failure that the scenario must produce, from its first line `# fails: TEXT`, or NULL
+ * if the scenario must pass. The caller frees it. */
+static char *expected_failure(const char *text) {
     static const char mark[] = "# fails: ";
     if (strncmp(text, mark, sizeof mark - 1) != 0) return NULL;
     const char *from = text + sizeof mark - 1;
@@ -55,23 +58,24 @@
     int failed = 0;
     tw_log_init(getenv("LOG_LEVEL") ? getenv("LOG_LEVEL") : "error", "world");
     for (int i = 1; i < count; i++) {
-        char why[TEXT];
-        char again[TEXT];
+        char reason[TEXT_SIZE];
+        char second_reason[TEXT_SIZE];
         char *text = read_scenario(names[i]);
         if (!text) return 2;
-        int broken = tw_shards_play(text, why, sizeof why);
-        tw_shards_play(text, again, sizeof again);
-        char *planted = planted_in(text);
-        if (planted) {
-            broken = !strstr(why, planted);
-            if (broken) printf("the planted fault is not found: %s\n", planted);
+        int broken = tw_shards_play(text, reason, sizeof reason);
+        tw_shards_play(text, second_reason, sizeof second_reason);
+        char *expected = expected_failure(text);
+        if (expected) {
+            broken = !strstr(reason, expected);
+            if (broken) printf("the injected fault was not detected: expected \"%s\"\n", expected);
         }
-        free(planted);
-        if (strcmp(why, again) != 0) {
-            printf("FAIL %s: a second play ends otherwise: %s | %s\n", names[i], why, again);
+        free(expected);
+        if (strcmp(reason, second_reason) != 0) {
+            printf("FAIL %s: the second run ended differently: %s | %s\n", names[i], reason,
+                   second_reason);
             broken = 1;
         }
-        printf("%s %s%s%s\n", broken ? "FAIL" : "ok", names[i], broken ? ": " : "", why);
+        printf("%s %s%s%s\n", broken ? "FAIL" : "ok", names[i], broken ? ": " : "", reason);
         failed += broken != 0;
         free(text);
     }
