--- a/tests/daemon/lib.sh
+++ b/tests/daemon/lib.sh
@@ -1,5 +1,5 @@
-# What tests over loopback share: stand-ins, daemons, and questions to them. Sourced with the build directory as $1;
-# the name of the test in $test, the daemons' lease in $lease, replicas in $replicas.
+# Functions that the tests over loopback share: they start emulators and daemons and send requests to them. Sourced with
+# the build directory as $1; $test is the name of the test, $lease the daemons' lease, $replicas their replicas.
 set -uo pipefail
 build=${1:-target/test}
 out=$(mktemp -d)
@@ -12,8 +12,9 @@
 }
 trap stop_all EXIT
 
-# The test's own address, as in tests/loopback/own_host.c: no other test listens on it, and outgoing connections have
-# their ports on 127.0.0.1. Stand-ins of an earlier build take no address: TW_LOOPBACK_HOST=127.0.0.1.
+# The test's own loopback address, as in tests/loopback/own_host.c: no other test listens on it, and the ports of
+# outgoing connections belong to 127.0.0.1. Emulators of an earlier build accept no address; for them set
+# TW_LOOPBACK_HOST=127.0.0.1.
 host=${TW_LOOPBACK_HOST:-127.$((128 + ($$ >> 16 & 63))).$(($$ >> 8 & 255)).$(($$ & 255))}
 port=8080
 listens() { (exec 3<>"/dev/tcp/$host/$1") 2>/dev/null; }
@@ -38,7 +39,7 @@
     echo "FAIL $test: $*: exit $rc, expected $code with $text: $said"; failed=1
   fi
 }
-# until_says NODE TEXT ARGUMENTS...: asked again until it is said, at most 100 times
+# until_says NODE TEXT ARGUMENTS...: repeats the request until the answer contains TEXT, at most 100 times
 until_says() {
   local node=$1 text=$2; shift 2
   for _ in $(seq 100); do
@@ -61,13 +62,13 @@
   [ "$failed" = 0 ] && echo "ok $test"
   exit $failed
 }
-# Asks whichever daemon leads: ctl TIMEOUT_S ARGUMENTS...; sets $said and $rc.
+# ctl TIMEOUT_S ARGUMENTS...: sends a request to the daemon that leads; sets $said and $rc.
 ctl() {
   local timeout=$1; shift
   said=$("$build/tools/traywallctl/traywallctl" --server "$(control 0),$(control 1),$(control 2)" --timeout "$timeout" \
     --output json "$@" 2>/dev/null); rc=$?
 }
-# The state that a daemon says of itself.
+# Prints the state that a daemon reports about itself.
 state_of() {
   local said
   said=$(timeout 2 "$build/tools/traywallctl/traywallctl" --server "$(control "$1")" --timeout 1 --output json standby 2>/dev/null)
@@ -78,7 +79,7 @@
   for _ in $(seq 200); do [ "$(state_of "$1")" = "$2" ] && return; sleep 0.1; done
   echo "FAIL $test: c$1 is $(state_of "$1"), never $2"; failed=1
 }
-# The number of the daemon that decides, looked for among the others than $1; "": none within the bound.
+# Prints the number of the active daemon, other than daemon $1; prints nothing if none is active within the bound.
 decider() {
   for _ in $(seq 100); do
     for node in 0 1 2; do [ "$node" != "${1:-}" ] && [ "$(state_of $node)" = deciding ] && { echo $node; return; }; done
