--- a/bench/cases/change.c
+++ b/bench/cases/change.c
@@ -5,7 +5,7 @@
 #include "fleet.h"
 
 #define ROUNDS 5
-#define HEARTBEATS 20 /* in a round */
+#define HEARTBEATS 20 /* number per round */
 #define TASKS 8
 #define PASS_INTERVAL_S 0.2 /* longer than the shortest interval between scheduling passes */
 
--- a/bench/cases/idle.c
+++ b/bench/cases/idle.c
@@ -6,7 +6,7 @@
 #define TASKS 8
 #define LEADER_ROUND_S 10
 #define FOLLOWER_ROUND_S 60
-#define PLANS 10 /* in a round */
+#define PLANS 10 /* number per round */
 #define PLAN_INTERVAL_S 0.5
 
 /* Measures all inputs except heartbeats, in rounds of `seconds` simulated seconds, each of which
--- a/bench/cases/placement.c
+++ b/bench/cases/placement.c
@@ -3,7 +3,7 @@
 #include <stdbool.h>
 
 #define ROUNDS 5
-#define SUBMISSIONS 20 /* in a round */
+#define SUBMISSIONS 20 /* number per round */
 #define TASKS 8
 #define PASS_INTERVAL_S 0.2
 #define MAX_BURST_S 300.0
--- a/bench/cases/report.c
+++ b/bench/cases/report.c
@@ -2,7 +2,8 @@
 #include "fleet.h"
 
 #define ROUNDS 10
-#define HEARTBEATS 100 /* in a round: few enough that forwarding them fits between two ticks */
+#define HEARTBEATS                                                                                 \
+    100 /* number per round: few enough that forwarding them fits between two ticks */
 #define ROUND_GAP_S 1.0
 
 static const int default_tasks[] = {0, 8, 40};
--- a/bench/records.c
+++ b/bench/records.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define DECIMAL 10
-#define MAX_PAGE_RECORDS 1000 /* in a page, whatever limit is requested */
+#define MAX_PAGE_RECORDS 1000 /* number per page, whatever limit is requested */
 #define SUBMITTED_AT 1e9      /* wall-clock seconds */
 #define LONG_RUN_S 36000
 #define IMAGE_GB 0.1
--- a/bench/services.c
+++ b/bench/services.c
@@ -6,7 +6,7 @@
 #define ANSWER_S 0.001
 #define LEASE_ID 7 /* id of the only lease that is granted */
 #define DECIMAL 10
-#define MAX_PAGE_MACHINES 500 /* in a page */
+#define MAX_PAGE_MACHINES 500 /* number per page */
 #define TEXT_SIZE 512
 
 static char *copy_text(const char *text) {
