--- a/fuzz/draw_faults.c
+++ b/fuzz/draw_faults.c
@@ -115,7 +115,7 @@
     add_timed_line(plan, when, "kill all", draw_duration(plan));
 }
 
-/* Adds crashes of several successive leaders, each about when the next leader was elected. */
+/* Adds crashes of several successive leaders, at intervals of one to four election times. */
 static void draw_leader_kills(tw_fuzz_plan *plan, int when) {
     const int count = tw_fuzz_rng_range(&plan->rng, 2, 5);
     for (int i = 0; i < count; i++) {
--- a/fuzz/draw_guarantee.c
+++ b/fuzz/draw_guarantee.c
@@ -8,7 +8,8 @@
 /* Shorter than the time until an idle machine is returned, which exceeds half its boot time. */
 enum { IDLE_MAX = 700 };
 enum { NODES = 3, MACHINES_IN_ZONE_MAX = 4, CORES = 16 };
-/* So many silent machines in a zone count as a network partition, not as lost machines. */
+/* Smallest number of machines of a zone whose missing heartbeats count as a network partition, not
+ * as lost machines. */
 enum { PARTITION_MACHINES_MIN = 4 };
 /* Range of the duration of long faults, in percent of a lease. */
 enum { LONG_FAULT_PERCENT_MIN = 110, LONG_FAULT_PERCENT_MAX = 170 };
@@ -162,8 +163,8 @@
     tw_fuzz_add_settings(plan);
 }
 
-/* Adds nodes in turn over the zones, the same number of machines in each zone, and enough capacity
- * for all jobs. */
+/* Adds nodes, which are assigned to the zones in turn, the same number of machines in each zone,
+ * and a machine type with enough capacity for all jobs. */
 static void draw_fleet(tw_fuzz_plan *plan, int lease, int machines) {
     tw_fuzz_rng *rng = &plan->rng;
     plan->zone_count = lease == LONG_LEASE ? NODES : TW_FUZZ_ONE_OF(rng, 2, 3);
--- a/fuzz/draw_roll.c
+++ b/fuzz/draw_roll.c
@@ -31,7 +31,7 @@
 typedef struct {
     tw_fuzz_upgrade upgrade;
     tw_fuzz_upgrade_choice choice;
-    int first_fault_at, last_fault_at; /* start times of these faults */
+    int first_fault_at, last_fault_at; /* start times of the first and last fault of the day */
     int first_step_at, last_step_at;   /* times of the first and last step of the upgrade */
 } roll_plan;
 
--- a/fuzz/gang_lines.c
+++ b/fuzz/gang_lines.c
@@ -42,7 +42,7 @@
             continue;
         }
         drop_user_requests_for(day, id);
-        i = 0; /* preceding lines may be removed, too */
+        i = 0; /* lines before this one may have been removed, too */
     }
 }
 
--- a/fuzz/line.h
+++ b/fuzz/line.h
@@ -12,7 +12,7 @@
 /* Replaces a line, which is freed, by a formatted one. */
 void tw_fuzz_line_replace(char **line, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-/* Adds so many hundredths of a second to the time of an `at` line. */
+/* Adds `hundredths` hundredths of a second to the time of an `at` line. */
 void tw_fuzz_line_delay(char **line, int hundredths);
 
 #endif
--- a/fuzz/plan.h
+++ b/fuzz/plan.h
@@ -48,9 +48,11 @@
     __attribute__((format(printf, 3, 4)));
 /* Extends the day to at least `when`, the end of an event. */
 void tw_fuzz_extend_day(tw_fuzz_plan *plan, int when);
-/* Returns one of the anchors with equal probability. */
+/* Returns a random anchor; all have equal probability. */
 int tw_fuzz_draw_anchor(tw_fuzz_plan *plan);
-/* Returns a time near `moment`: the same, within a second, an election or a lease of it. */
+/* Returns `moment` or a random time near it: within a second of it, up to four election times or
+ * one and a half leases after it, or from half a lease before it to the cancellation limit after
+ * it. */
 int tw_fuzz_draw_moment_near(tw_fuzz_plan *plan, int moment);
 const char *tw_fuzz_zone_name(int zone);
 const char *tw_fuzz_draw_zone(tw_fuzz_plan *plan);
@@ -64,8 +66,8 @@
 void tw_fuzz_draw_guarantee_day(tw_fuzz_plan *plan);
 void tw_fuzz_draw_jobs(tw_fuzz_plan *plan);
 void tw_fuzz_draw_user_behavior(tw_fuzz_plan *plan);
-/* Is called after the fleet, the other jobs and the faults are generated, so that days without
- * gangs do not change. */
+/* Adds the gangs of the day. Call it after the fleet, the other jobs and the faults are generated,
+ * so that days without gangs do not change. */
 void tw_fuzz_draw_gangs(tw_fuzz_plan *plan);
 void tw_fuzz_draw_flood(tw_fuzz_plan *plan);
 void tw_fuzz_draw_stale_messages(tw_fuzz_plan *plan);
--- a/fuzz/pool.c
+++ b/fuzz/pool.c
@@ -35,7 +35,8 @@
 
 /* ---- functions that run in a worker process ---- */
 
-static void write_shrunk(const char *directory, const tw_fuzz_day *day, tw_fuzz_result *result) {
+static void write_shrunk_day(const char *directory, const tw_fuzz_day *day,
+                             tw_fuzz_result *result) {
     char comment[COMMENT_SIZE];
     const tw_simulator_violation violation = tw_fuzz_violation_to_shrink(&result->verdict);
     snprintf(result->path, sizeof result->path, "%s/%s-%u.txt", directory, violation.rule,
@@ -62,7 +63,7 @@
         result->runs = tw_fuzz_shrink(&day, violation.rule, by_this_version, SHRINK_RUNS_MAX,
                                       &result->verdict);
         result->lines = (unsigned)day.count;
-        if (*violation.rule) write_shrunk(directory, &day, result);
+        if (*violation.rule) write_shrunk_day(directory, &day, result);
     }
     tw_fuzz_day_free(&day);
 }
--- a/fuzz/run.c
+++ b/fuzz/run.c
@@ -27,25 +27,26 @@
     tw_simulator_free(sim);
     if (!*verdict->rule && verdict->failed)
         snprintf(verdict->rule, sizeof verdict->rule, "%s", TW_FUZZ_EXPECTATION_FAILED);
-    if (!*verdict->again.rule && *verdict->again.detail)
-        snprintf(verdict->again.rule, sizeof verdict->again.rule, "%s", TW_FUZZ_EXPECTATION_FAILED);
+    if (!*verdict->later_violation.rule && *verdict->later_violation.detail)
+        snprintf(verdict->later_violation.rule, sizeof verdict->later_violation.rule, "%s",
+                 TW_FUZZ_EXPECTATION_FAILED);
     verdict->failed = *verdict->rule != 0;
 }
 
-static tw_simulator_violation first_break(const tw_simulator_verdict *verdict) {
-    tw_simulator_violation first = {.at = verdict->broken_at};
+static tw_simulator_violation first_violation(const tw_simulator_verdict *verdict) {
+    tw_simulator_violation first = {.at = verdict->violated_at};
     memcpy(first.rule, verdict->rule, sizeof first.rule);
     memcpy(first.detail, verdict->detail, sizeof first.detail);
     return first;
 }
 
 tw_simulator_violation tw_fuzz_this_version_violation(const tw_simulator_verdict *verdict) {
-    return verdict->only_earlier_version_led ? verdict->again : first_break(verdict);
+    return verdict->only_earlier_version_led ? verdict->later_violation : first_violation(verdict);
 }
 
 tw_simulator_violation tw_fuzz_violation_to_shrink(const tw_simulator_verdict *verdict) {
     const tw_simulator_violation own = tw_fuzz_this_version_violation(verdict);
-    return *own.rule ? own : first_break(verdict);
+    return *own.rule ? own : first_violation(verdict);
 }
 
 void tw_fuzz_limit_cpu_time(void) {
--- a/simulator/close_poll.c
+++ b/simulator/close_poll.c
@@ -40,7 +40,7 @@
 
 void tw_simulator_schedule_close_polls(tw_simulator *sim, int job, bool may_cancel) {
     tw_simulator_world *world = &sim->world;
-    if (world->now >= sim->trouble.close_polls_until) return;
+    if (world->now >= sim->faults.close_polls_until) return;
     sim->fault_counts[TW_SIMULATOR_CLOSE_POLLS]++;
     for (int i = 0; i < CLOSE_REQUESTS_PER_NODE; i++)
         for (int node = 0; node < world->node_count; node++)
@@ -57,7 +57,7 @@
 void tw_simulator_handle_job_end(void *context, tw_simulator_job *job) {
     tw_simulator *sim = context;
     if (!job->accepted || job->reported_end) return;
-    if (tw_simulator_fault_applies(sim, &sim->trouble.cancel_at_end, TW_SIMULATOR_CANCEL_AT_END,
+    if (tw_simulator_fault_applies(sim, &sim->faults.cancel_at_end, TW_SIMULATOR_CANCEL_AT_END,
                                    TW_SIMULATOR_DRAW_CANCELS))
         tw_simulator_user_cancel(sim, job->index);
     tw_simulator_schedule_close_polls(sim, job->index, true);
@@ -70,7 +70,7 @@
 static int find_long_running(const tw_simulator_world *world, const tw_simulator_job *job) {
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
-        for (int k = 0; k < worker->task_count && !worker->gone; k++) {
+        for (int k = 0; k < worker->task_count && !worker->removed; k++) {
             const tw_simulator_task *task = &worker->tasks[k];
             if (task->job == job && task->stage == TW_TASK_RUNNING &&
                 task->end_at > world->now + MIN_REMAINING_S)
@@ -104,17 +104,17 @@
 }
 
 static void start_close_polls(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.close_polls_until = sim->world.now + tw_simulator_parse_number(words->words[1]);
+    sim->faults.close_polls_until = sim->world.now + tw_simulator_parse_number(words->words[1]);
 }
 
 static void start_cancel_at_end(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.cancel_at_end.share = tw_simulator_parse_number(words->words[1]);
-    sim->trouble.cancel_at_end.until = sim->world.now + tw_simulator_parse_number(words->words[2]);
+    sim->faults.cancel_at_end.share = tw_simulator_parse_number(words->words[1]);
+    sim->faults.cancel_at_end.until = sim->world.now + tw_simulator_parse_number(words->words[2]);
 }
 
 static void start_invalid_requests(tw_simulator *sim, const tw_simulator_words *words) {
-    bool on = sim->world.now < sim->trouble.invalid_requests_until;
-    sim->trouble.invalid_requests_until =
+    bool on = sim->world.now < sim->faults.invalid_requests_until;
+    sim->faults.invalid_requests_until =
         sim->world.now + tw_simulator_parse_number(words->words[1]);
     if (!on) tw_simulator_start_invalid_requests(sim);
 }
--- a/simulator/cloud.c
+++ b/simulator/cloud.c
@@ -85,7 +85,7 @@
            strcmp(world->types[type].name, tw_simulator_json_text(request, "rack")) != 0)
         type++;
     for (int i = 0; i < world->worker_count; i++)
-        rented_count += !world->workers[i]->gone && world->workers[i]->type_index == type;
+        rented_count += !world->workers[i]->removed && world->workers[i]->type_index == type;
     if (type == world->type_count || world->is_out_of_capacity ||
         rented_count >= world->capacity[type])
         return NULL;
@@ -132,7 +132,7 @@
         return TW_SIMULATOR_MALFORMED;
     for (int i = 0; i < count; i++) {
         tw_simulator_worker *worker = tw_simulator_worker_by_id(world, names[i]);
-        if (worker) worker->gone = true;
+        if (worker) worker->removed = true;
     }
     free(names);
     return TW_SIMULATOR_OK;
@@ -142,7 +142,7 @@
     cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "trays");
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
-        if (worker->gone) continue;
+        if (worker->removed) continue;
         cJSON *item = cJSON_CreateObject();
         cJSON_AddStringToObject(item, "id", worker->id);
         cJSON_AddStringToObject(item, "endpoint", worker->endpoint);
--- a/simulator/command.c
+++ b/simulator/command.c
@@ -104,7 +104,7 @@
     submit_or_cancel_jobs(sim, words, true);
 }
 
-/* `raw METHOD PATH STATUS BODY` */
+/* Executes `raw METHOD PATH STATUS BODY`: sends a request whose answer must have the status. */
 static void send_raw(tw_simulator *sim, const tw_simulator_words *words) {
     int node = tw_simulator_pick_node(sim);
     if (node < 0) return;
@@ -118,7 +118,7 @@
     body[strcspn(body, "\r\n")] = 0;
     tw_simulator_connection *connection =
         tw_simulator_connection_new(sim, node, TW_SIMULATOR_CONNECTION_RAW);
-    connection->wanted = tw_simulator_parse_int(words->words[3]);
+    connection->expected_status = tw_simulator_parse_int(words->words[3]);
     snprintf(connection->what, sizeof connection->what, "%.20s %.30s %.100s", words->words[1],
              words->words[2], body);
     tw_simulator_node_request(sim, node, TW_PORT_API, connection->id, words->words[1],
--- a/simulator/expect.c
+++ b/simulator/expect.c
@@ -90,7 +90,7 @@
 static bool machine_count_matches(expectation *expected) {
     int count = 0;
     for (int i = 0; i < expected->sim->world.worker_count; i++)
-        count += !expected->sim->world.workers[i]->gone;
+        count += !expected->sim->world.workers[i]->removed;
     return in_range(expected, count, expected->arguments[0], expected->arguments[1]);
 }
 
@@ -108,8 +108,8 @@
     return i >= 0 && i < expected->sim->world.worker_count ? expected->sim->world.workers[i] : NULL;
 }
 
-static bool is_gone(expectation *expected) {
-    return find_machine(expected) && find_machine(expected)->gone;
+static bool is_removed(expectation *expected) {
+    return find_machine(expected) && find_machine(expected)->removed;
 }
 
 static bool is_in_incarnation(expectation *expected) {
@@ -188,7 +188,7 @@
              {"running", running_tasks_match},
              {"machines", machine_count_matches},
              {"rented", rented_machines_match},
-             {"gone", is_gone},
+             {"gone", is_removed},
              {"incarnation", is_in_incarnation},
              {"leader", has_leader},
              {"steps", leader_steps_match},
--- a/simulator/fault.c
+++ b/simulator/fault.c
@@ -104,21 +104,21 @@
 }
 
 static void refuse_peers(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.peers_refused_until = sim->world.now + number_at(words, 1);
+    sim->faults.peers_refused_until = sim->world.now + number_at(words, 1);
 }
 
 /* ---- zones ---- */
 
 static void isolate_zone(tw_simulator *sim, const tw_simulator_words *words) {
-    snprintf(sim->trouble.isolated_zone, TW_SIMULATOR_NAME_SIZE, "%s", words->words[1]);
-    sim->trouble.zone_isolated_until = sim->world.now + number_at(words, 2);
+    snprintf(sim->faults.isolated_zone, TW_SIMULATOR_NAME_SIZE, "%s", words->words[1]);
+    sim->faults.zone_isolated_until = sim->world.now + number_at(words, 2);
 }
 
 static void cut_zones(tw_simulator *sim, const tw_simulator_words *words) {
-    snprintf(sim->trouble.cut_from, TW_SIMULATOR_NAME_SIZE, "%s", words->words[1]);
-    snprintf(sim->trouble.cut_to, TW_SIMULATOR_NAME_SIZE, "%s", words->words[2]);
-    sim->trouble.cut_until = sim->world.now + number_at(words, 3);
-    sim->trouble.cut_delays_messages = words->count > 4 && !strcmp(words->words[4], "hold");
+    snprintf(sim->faults.cut_from, TW_SIMULATOR_NAME_SIZE, "%s", words->words[1]);
+    snprintf(sim->faults.cut_to, TW_SIMULATOR_NAME_SIZE, "%s", words->words[2]);
+    sim->faults.cut_until = sim->world.now + number_at(words, 3);
+    sim->faults.cut_delays_messages = words->count > 4 && !strcmp(words->words[4], "hold");
 }
 
 /* ---- state service ---- */
@@ -134,8 +134,8 @@
 }
 
 static void slow_state_service(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.state_latency_s = number_at(words, 1);
-    sim->trouble.slow_state_until = sim->world.now + number_at(words, 2);
+    sim->faults.state_latency_s = number_at(words, 1);
+    sim->faults.slow_state_until = sim->world.now + number_at(words, 2);
 }
 
 /* Executes `statelimits [value=KB] [ops=N] [write_rps=N]`: changes the state service's limits
@@ -154,19 +154,19 @@
 }
 
 static void lose_transactions(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.lost_txn_answers = (int)number_at(words, 1);
+    sim->faults.lost_txn_answers = (int)number_at(words, 1);
 }
 
 static void delay_next_transaction(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.txn_delay_s = number_at(words, 1);
+    sim->faults.txn_delay_s = number_at(words, 1);
 }
 
 static void delay_writes(tw_simulator *sim, const tw_simulator_words *words) {
-    set_message_share(sim, words, &sim->trouble.late_writes, TW_SIMULATOR_MAX_WRITE_DELAY_S);
+    set_message_share(sim, words, &sim->faults.late_writes, TW_SIMULATOR_MAX_WRITE_DELAY_S);
 }
 
 static void lose_write_answers(tw_simulator *sim, const tw_simulator_words *words) {
-    set_message_share(sim, words, &sim->trouble.lost_writes, 0);
+    set_message_share(sim, words, &sim->faults.lost_writes, 0);
 }
 
 /* ---- machines ---- */
@@ -193,7 +193,7 @@
 
 static void remove_machine(tw_simulator *sim, const tw_simulator_words *words) {
     tw_simulator_worker *worker = find_machine(sim, words);
-    if (worker) worker->gone = true;
+    if (worker) worker->removed = true;
 }
 
 static void announce_preemption(tw_simulator *sim, const tw_simulator_words *words) {
@@ -222,13 +222,13 @@
 }
 
 static void delay_next_command(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.delayed_command_machine = tw_simulator_parse_int(words->words[1]);
-    sim->trouble.command_delay_s = number_at(words, 2);
+    sim->faults.delayed_command_machine = tw_simulator_parse_int(words->words[1]);
+    sim->faults.command_delay_s = number_at(words, 2);
 }
 
 static void duplicate_next_heartbeat(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.duplicated_heartbeat_machine = tw_simulator_parse_int(words->words[1]);
-    sim->trouble.duplicate_heartbeat_delay_s = number_at(words, 2);
+    sim->faults.duplicated_heartbeat_machine = tw_simulator_parse_int(words->words[1]);
+    sim->faults.duplicate_heartbeat_delay_s = number_at(words, 2);
 }
 
 static void delay_next_heartbeat(tw_simulator *sim, const tw_simulator_words *words) {
@@ -237,26 +237,25 @@
 }
 
 static void delay_commands(tw_simulator *sim, const tw_simulator_words *words) {
-    set_message_share(sim, words, &sim->trouble.late_commands, TW_SIMULATOR_MAX_COMMAND_DELAY_S);
+    set_message_share(sim, words, &sim->faults.late_commands, TW_SIMULATOR_MAX_COMMAND_DELAY_S);
 }
 
 static void repeat_commands(tw_simulator *sim, const tw_simulator_words *words) {
-    set_message_share(sim, words, &sim->trouble.repeated_commands,
-                      TW_SIMULATOR_MAX_COMMAND_DELAY_S);
+    set_message_share(sim, words, &sim->faults.repeated_commands, TW_SIMULATOR_MAX_COMMAND_DELAY_S);
 }
 
 static void duplicate_heartbeats(tw_simulator *sim, const tw_simulator_words *words) {
     double max_delay_s = TW_SIMULATOR_MAX_HEARTBEAT_DELAY_LEASES * sim->world.lease_s;
     const bool until_new_leader = words->count > 3 && !strcmp(words->words[3], "next");
-    sim->trouble.held_heartbeat_leaders = until_new_leader ? (int)fmax(1, number_at(words, 4)) : 0;
-    set_message_share(sim, words, &sim->trouble.late_heartbeats,
-                      sim->trouble.held_heartbeat_leaders ? 0 : max_delay_s);
+    sim->faults.held_heartbeat_leaders = until_new_leader ? (int)fmax(1, number_at(words, 4)) : 0;
+    set_message_share(sim, words, &sim->faults.late_heartbeats,
+                      sim->faults.held_heartbeat_leaders ? 0 : max_delay_s);
 }
 
 /* ---- cloud ---- */
 
 static void begin_cloud_outage(tw_simulator *sim, const tw_simulator_words *words) {
-    sim->trouble.cloud_unavailable_until = sim->world.now + number_at(words, 1);
+    sim->faults.cloud_unavailable_until = sim->world.now + number_at(words, 1);
 }
 
 static void refuse_rentals(tw_simulator *sim, const tw_simulator_words *words) {
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -57,7 +57,7 @@
 
 static bool machine_executes_tasks(const tw_simulator_world *world,
                                    const tw_simulator_worker *worker) {
-    return !worker->gone && worker->up && world->now >= worker->hung_until;
+    return !worker->removed && worker->up && world->now >= worker->hung_until;
 }
 
 /* ---- progress ---- */
@@ -197,7 +197,7 @@
         }
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
-        for (int k = 0; k < worker->task_count && !worker->gone; k++)
+        for (int k = 0; k < worker->task_count && !worker->removed; k++)
             if (worker->tasks[k].job && worker->tasks[k].job->spec.gang)
                 count_task(world, worker, &worker->tasks[k]);
     }
@@ -226,8 +226,8 @@
             advance_gang(world, world->jobs[i], &world->jobs[i]->gangs[k]);
 }
 
-/* Advances a task whose gang is broken: it saves nothing, and exits when it detects the failure of
- * its gang, which takes a drawn time, or when the time to stop together has passed. */
+/* Advances a task whose gang is broken: the task saves nothing, and exits when it detects the
+ * failure of its gang, after a random delay, or when the gang's stop window has passed. */
 static void advance_broken_task(tw_simulator_world *world, tw_simulator_worker *worker,
                                 tw_simulator_task *task, tw_simulator_gang *gang) {
     bool was_saving = task->stage == TW_TASK_SAVING;
--- a/simulator/invalid_request.c
+++ b/simulator/invalid_request.c
@@ -114,7 +114,7 @@
     static void (*const kinds[])(tw_simulator *) = {repeat_submission,    repeat_with_other_fields,
                                                     cancel_done_job,      submit_impossible,
                                                     submit_without_field, poll_unknown_job};
-    if (sim->world.now >= sim->trouble.invalid_requests_until) return;
+    if (sim->world.now >= sim->faults.invalid_requests_until) return;
     sim->fault_counts[TW_SIMULATOR_INVALID_REQUESTS]++;
     kinds[draw_index(sim, sizeof kinds / sizeof *kinds)](sim);
     tw_simulator_reschedule_after(sim, event,
--- a/simulator/judge.c
+++ b/simulator/judge.c
@@ -51,8 +51,8 @@
     fill_violation(world, violation, rule, what);
 }
 
-/* Stores the first violation by the earlier version, and apart from it the first other one. Later
- * ones are ignored. */
+/* Stores a violation if it is the first one by the earlier version, or the first other one. Ignores
+ * all later violations. */
 static void store_violation(tw_simulator_world *world, const tw_simulator_violation *violation,
                             bool earlier_version_violation) {
     if (earlier_version_violation) {
@@ -60,7 +60,7 @@
     } else if (!*world->rule) {
         memcpy(world->rule, violation->rule, sizeof world->rule);
         memcpy(world->detail, violation->detail, sizeof world->detail);
-        world->broken_at = violation->at;
+        world->violated_at = violation->at;
     }
 }
 
@@ -131,7 +131,7 @@
 
 /* ---- task starts ---- */
 
-/* Records a violation of a rule. `is_inherited_violation` says that only inherited tasks cause it.
+/* Records a violation of a rule. `is_inherited_violation` is true if only inherited tasks cause it.
  */
 static void report_violation_by(tw_simulator_world *world, bool is_inherited_violation,
                                 const char *rule, const char *format, ...)
@@ -155,7 +155,7 @@
                                  const tw_simulator_task *task) {
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *other_worker = world->workers[i];
-        for (int k = 0; k < other_worker->task_count && !other_worker->gone; k++) {
+        for (int k = 0; k < other_worker->task_count && !other_worker->removed; k++) {
             const tw_simulator_task *other = &other_worker->tasks[k];
             if (tw_simulator_task_is_active(other) && other->job == task->job &&
                 other->index == task->index && other != task)
@@ -179,7 +179,7 @@
     const char *team = task->job->spec.team;
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *other_worker = world->workers[i];
-        for (int k = 0; k < other_worker->task_count && !other_worker->gone; k++) {
+        for (int k = 0; k < other_worker->task_count && !other_worker->removed; k++) {
             const tw_simulator_task *other = &other_worker->tasks[k];
             if (!tw_simulator_task_is_active(other) ||
                 (!include_inherited && is_inherited_task(world, other)))
@@ -272,7 +272,7 @@
 void tw_simulator_judge_cancelled_tasks(tw_simulator_world *world) {
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
-        for (int k = 0; k < worker->task_count && !worker->gone; k++) {
+        for (int k = 0; k < worker->task_count && !worker->removed; k++) {
             tw_simulator_task *task = &worker->tasks[k];
             if (!tw_simulator_task_is_active(task) || !cancellation_is_overdue(world, task->job))
                 continue;
--- a/simulator/judge_live.c
+++ b/simulator/judge_live.c
@@ -39,8 +39,8 @@
     return task->stage != TW_TASK_FETCHING && task->stage != TW_TASK_WAITING;
 }
 
-/* Returns the free capacity of each machine; free() the array. `cpus` is below 0 where no task may
- * start. Also updates each job's count of tasks on machines. */
+/* Returns the free capacity of each machine. The caller frees the array. `cpus` is below 0 where no
+ * task may start. Also updates each job's count of tasks on machines. */
 static free_capacity *free_capacities(tw_simulator_world *world) {
     free_capacity *capacities =
         tw_simulator_allocate((size_t)(world->worker_count + 1) * sizeof *capacities);
@@ -50,10 +50,10 @@
         const tw_simulator_worker *worker = world->workers[i];
         const tw_wire_machine_type *type = &world->types[worker->type_index];
         capacities[i] = (free_capacity){type->cores, type->gpus, type->memory_gb};
-        if (worker->gone || !worker->up || worker->faulty || worker->preempted_at >= 0 ||
+        if (worker->removed || !worker->up || worker->faulty || worker->preempted_at >= 0 ||
             world->now < worker->hung_until)
             capacities[i].cpus = -1;
-        for (int k = 0; k < worker->task_count && !worker->gone; k++) {
+        for (int k = 0; k < worker->task_count && !worker->removed; k++) {
             tw_simulator_job *job = worker->tasks[k].job;
             if (!occupies_machine(&worker->tasks[k])) continue;
             job->tasks_on_machines++;
@@ -131,7 +131,7 @@
     double cpus = wanted * spec->cores, gpus = wanted * spec->gpus;
     for (int k = 0; k < world->worker_count; k++) {
         const tw_simulator_worker *worker = world->workers[k];
-        for (int t = 0; t < worker->task_count && !worker->gone; t++) {
+        for (int t = 0; t < worker->task_count && !worker->removed; t++) {
             if (!occupies_machine(&worker->tasks[t])) continue;
             const tw_wire_job *other = &worker->tasks[t].job->spec;
             if (strcmp(other->team, spec->team) != 0) continue;
--- a/simulator/network.c
+++ b/simulator/network.c
@@ -10,12 +10,12 @@
 #define WATCH_POLL_S 0.05 /* interval in which an open watch checks for changes */
 
 bool tw_simulator_zone_is_isolated(const tw_simulator *sim, const char *zone) {
-    return sim->world.now < sim->trouble.zone_isolated_until &&
-           !strcmp(zone, sim->trouble.isolated_zone);
+    return sim->world.now < sim->faults.zone_isolated_until &&
+           !strcmp(zone, sim->faults.isolated_zone);
 }
 
 static bool zones_are_cut(const tw_simulator *sim, const char *a, const char *b) {
-    const tw_simulator_faults *faults = &sim->trouble;
+    const tw_simulator_faults *faults = &sim->faults;
     if (sim->world.now >= faults->cut_until || !*a || !*b) return false;
     return (!strcmp(a, faults->cut_from) && !strcmp(b, faults->cut_to)) ||
            (!strcmp(b, faults->cut_from) && !strcmp(a, faults->cut_to));
@@ -26,8 +26,8 @@
         tw_simulator_zone_is_isolated(sim, from) != tw_simulator_zone_is_isolated(sim, to))
         return -1;
     if (!zones_are_cut(sim, from, to)) return TW_SIMULATOR_LATENCY_S;
-    if (!sim->trouble.cut_delays_messages) return -1;
-    return sim->trouble.cut_until - sim->world.now + TW_SIMULATOR_LATENCY_S;
+    if (!sim->faults.cut_delays_messages) return -1;
+    return sim->faults.cut_until - sim->world.now + TW_SIMULATOR_LATENCY_S;
 }
 
 bool tw_simulator_state_reaches_node(const tw_simulator *sim, int node) {
@@ -80,7 +80,7 @@
         tw_simulator_state_request(state, sim->world.now, event->method, event->path, "", &out);
     if (open && (status != TW_SIMULATOR_OK || strstr(out, "\"log\":[]"))) {
         free(out);
-        /* There are no changes for this watch up to this revision. */
+        /* No watched key has changed up to this revision. */
         event->incarnation = state->revision;
         tw_simulator_reschedule_after(sim, event, WATCH_POLL_S);
         return;
@@ -95,9 +95,9 @@
                                             event->path, body_of(event), &out);
     bool lost = event->kind || !tw_simulator_state_reaches_node(sim, event->node);
     tw_simulator_deliver_held_heartbeats(sim);
-    if (!strcmp(event->path, "/txn") && sim->trouble.lost_txn_answers > 0 &&
+    if (!strcmp(event->path, "/txn") && sim->faults.lost_txn_answers > 0 &&
         status == TW_SIMULATOR_OK) {
-        sim->trouble.lost_txn_answers--;
+        sim->faults.lost_txn_answers--;
         lost = true;
     }
     if (lost)
@@ -110,7 +110,7 @@
 static void deliver_to_cloud(tw_simulator *sim, tw_simulator_event *event) {
     char *out;
     int status = TW_SIMULATOR_UNAVAILABLE;
-    if (sim->world.now < sim->trouble.cloud_unavailable_until)
+    if (sim->world.now < sim->faults.cloud_unavailable_until)
         out = tw_simulator_copy_text("{\"error\":\"trouble\"}");
     else
         status = tw_simulator_cloud_request(&sim->world, event->method, event->path, body_of(event),
@@ -121,7 +121,7 @@
 
 static void deliver_command(tw_simulator *sim, tw_simulator_event *event) {
     tw_simulator_worker *worker = sim->world.workers[event->target];
-    if (worker->gone || !worker->up) return;
+    if (worker->removed || !worker->up) return;
     /* A machine that hangs executes the command afterwards. */
     if (sim->world.now < worker->hung_until) {
         tw_simulator_reschedule_at(sim, event, worker->hung_until);
@@ -179,7 +179,7 @@
 /* Applies faults to a transaction, which may raise its latency. Returns whether its answer is lost.
  */
 static bool apply_transaction_faults(tw_simulator *sim, double *latency) {
-    tw_simulator_faults *faults = &sim->trouble;
+    tw_simulator_faults *faults = &sim->faults;
     if (faults->txn_delay_s > 0) {
         *latency = faults->txn_delay_s;
         faults->txn_delay_s = 0;
@@ -216,7 +216,7 @@
         return;
     }
     double latency =
-        now < sim->trouble.slow_state_until ? sim->trouble.state_latency_s : TW_SIMULATOR_LATENCY_S;
+        now < sim->faults.slow_state_until ? sim->faults.state_latency_s : TW_SIMULATOR_LATENCY_S;
     if (!strcmp(effect->path, "/txn")) {
         bool lost = apply_transaction_faults(sim, &latency);
         schedule_arrival(sim, latency, deliver_to_state, node, effect)->kind = lost;
@@ -232,7 +232,7 @@
 static void send_to_peer(tw_simulator *sim, int node, tw_effect *effect) {
     const tw_simulator_world *world = &sim->world;
     int to = tw_simulator_parse_int(effect->addr + strlen("10.0.0.")) - 1;
-    if (world->now < sim->trouble.peers_refused_until) {
+    if (world->now < sim->faults.peers_refused_until) {
         tw_simulator_schedule_response(sim, node, sim->nodes[node].generation, effect->id, 0, NULL,
                                        TW_SIMULATOR_LATENCY_S);
         return;
@@ -248,7 +248,7 @@
  * receives no answer to a delayed command. */
 static bool apply_command_delay(tw_simulator *sim, int machine, const tw_effect *effect,
                                 double *seconds) {
-    tw_simulator_faults *faults = &sim->trouble;
+    tw_simulator_faults *faults = &sim->faults;
     if (faults->delayed_command_machine == machine) {
         *seconds = faults->command_delay_s;
         faults->delayed_command_machine = -1;
@@ -267,7 +267,7 @@
  * no answer to the second delivery. */
 static void schedule_repeated_command(tw_simulator *sim, int node, int machine,
                                       const tw_effect *effect) {
-    const tw_simulator_faults *faults = &sim->trouble;
+    const tw_simulator_faults *faults = &sim->faults;
     if (strcmp(effect->path, "/orders") != 0 ||
         !tw_simulator_fault_applies(sim, &faults->repeated_commands, TW_SIMULATOR_REPEATED_COMMANDS,
                                     TW_SIMULATOR_DRAW_REPEATS))
--- a/simulator/node.c
+++ b/simulator/node.c
@@ -50,10 +50,10 @@
     } else if (connection->kind == TW_SIMULATOR_CONNECTION_USER) {
         tw_simulator_user_receive_answer(sim, connection, effect);
         return; /* the connection ends when the answer reaches the user */
-    } else if (effect->status != connection->wanted) {
+    } else if (effect->status != connection->expected_status) {
         char text[TW_SIMULATOR_MESSAGE_SIZE];
         snprintf(text, sizeof text, "got status %d, expected %d: %s -> %.120s", effect->status,
-                 connection->wanted, connection->what, body);
+                 connection->expected_status, connection->what, body);
         tw_simulator_report_failure(sim, "raw request", text);
     }
     HASH_DEL(sim->connections, connection);
@@ -146,7 +146,7 @@
     event->generation = sim->nodes[node].generation;
     event->kind = port;
     event->id = connection;
-    /* The caller's string may not live as long as the event. */
+    /* A static string, because the caller may free its own before the event. */
     event->method = strcmp(method, "GET") ? "POST" : "GET";
     event->path = tw_simulator_copy_text(path);
     event->body = tw_simulator_copy_text(body);
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -210,7 +210,7 @@
     return 0;
 }
 
-/* `judge served [SECONDS]` */
+/* Applies `judge served [SECONDS]`: sets the age from which a job must be served at the end. */
 static int set_judge(tw_simulator *sim, const tw_simulator_words *words) {
     if (strcmp(words->words[1], "served") != 0) return -1;
     sim->world.served_age_s =
@@ -253,7 +253,7 @@
     free(copy);
 }
 
-/* `at SECONDS COMMAND ...` */
+/* Schedules the command of `at SECONDS COMMAND ...`. */
 static int schedule_command(tw_simulator *sim, const tw_simulator_words *words, char *error,
                             size_t error_size) {
     const tw_simulator_command *command = words->count > 2 ? find_command(words->words[2]) : NULL;
--- a/simulator/simulator.c
+++ b/simulator/simulator.c
@@ -19,8 +19,8 @@
     tw_simulator_world_init(&sim->world);
     sim->world.job_ended = tw_simulator_handle_job_end;
     sim->world.context = sim;
-    sim->trouble.delayed_command_machine = -1;
-    sim->trouble.duplicated_heartbeat_machine = -1;
+    sim->faults.delayed_command_machine = -1;
+    sim->faults.duplicated_heartbeat_machine = -1;
     sim->rps = 1e9;
     sim->request_tokens = 1e9;
     sim->end_s = DEFAULT_END_S;
@@ -87,7 +87,7 @@
     memset(verdict, 0, sizeof *verdict);
     memcpy(verdict->rule, world->rule, sizeof verdict->rule);
     memcpy(verdict->detail, world->detail, sizeof verdict->detail);
-    verdict->broken_at = *world->rule ? world->broken_at : world->now;
+    verdict->violated_at = *world->rule ? world->violated_at : world->now;
     verdict->failed = sim->failed;
     verdict->overlapping_answers = world->overlapping_answers;
     verdict->end_s = world->now;
@@ -96,13 +96,13 @@
         sim->leader_key_version && !sim->new_version_led && !(sim->judges_to_end && *world->rule);
     if (!*first->rule) return;
     verdict->only_earlier_version_led = true;
-    memcpy(verdict->again.rule, world->rule, sizeof verdict->again.rule);
-    snprintf(verdict->again.detail, sizeof verdict->again.detail, "%s",
+    memcpy(verdict->later_violation.rule, world->rule, sizeof verdict->later_violation.rule);
+    snprintf(verdict->later_violation.detail, sizeof verdict->later_violation.detail, "%s",
              *world->rule ? world->detail : sim->later_failure);
-    verdict->again.at = verdict->broken_at;
+    verdict->later_violation.at = verdict->violated_at;
     memcpy(verdict->rule, first->rule, sizeof verdict->rule);
     memcpy(verdict->detail, first->detail, sizeof verdict->detail);
-    verdict->broken_at = first->at;
+    verdict->violated_at = first->at;
     verdict->inherited_violation = world->inherited_violation;
     verdict->inherited_violation_count = world->inherited_violation_count;
 }
@@ -137,9 +137,9 @@
         HASH_DEL(sim->connections, connection);
         free(connection);
     }
-    for (int i = 0; i < sim->trouble.held_heartbeat_count; i++)
-        free(sim->trouble.held_heartbeats[i].body);
-    free(sim->trouble.held_heartbeats);
+    for (int i = 0; i < sim->faults.held_heartbeat_count; i++)
+        free(sim->faults.held_heartbeats[i].body);
+    free(sim->faults.held_heartbeats);
     free(sim->teams);
     free(sim->objectives);
     free(sim->next_limits);
--- a/simulator/simulator.h
+++ b/simulator/simulator.h
@@ -20,7 +20,7 @@
     char rule[32];    /* name of the first violated rule ("ran_twice", ...); "" if there is none */
     char detail[512]; /* simulated time and description of the violation */
     /* simulated time of the violation; without a violation, the time of the end */
-    double broken_at;
+    double violated_at;
     /* number of failed `expect` and `raw` lines and of error responses without Retry-After */
     int failed;
     /* number of responses that contradicted a newer response but whose request was sent before the
@@ -34,7 +34,7 @@
      * this version had been leader. Set only for a run that continues after violations
      * (tw_simulator_judge_to_end) and whose first violation occurred under leaders of the earlier
      * version alone. A detail without a rule describes a failed `expect` or `raw` line. */
-    tw_simulator_violation again;
+    tw_simulator_violation later_violation;
     /* The first violation that is only a consequence of one by the earlier version alone, and the
      * number of such violations. judge.c defines what counts as a consequence. */
     tw_simulator_violation inherited_violation;
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -55,7 +55,7 @@
     double state_unreachable_until; /* until then, the node can't reach the state service */
     /* connections to the unreachable state service are refused instead of hanging */
     bool state_refuses_connections;
-    /* the node processes nothing in between, while its clocks advance */
+    /* between these times the node processes nothing, while its clocks advance */
     double paused_from, paused_until;
     /* until then, the node's effects are held, while its clocks advance */
     double effects_delayed_until;
@@ -79,10 +79,10 @@
     /* whether a user's request has reached the node, and whether the node has replied */
     bool arrived, replied;
     int source, source_generation; /* the calling peer and its generation */
-    int wanted;                    /* expected status of a raw or invalid request */
-    double sent;
+    int expected_status;           /* status that the answer to a raw or invalid request */
+    double sent_at;
     uint64_t incarnation, call;
-    char what[TW_SIMULATOR_TITLE_SIZE];
+    char what[TW_SIMULATOR_TITLE_SIZE]; /* id of the job, or description of the raw request */
     UT_hash_handle hh;
 } tw_simulator_connection;
 
@@ -96,7 +96,7 @@
     int machine;
     int leaders_until_delivery; /* number of leader elections before the copy is delivered */
     uint64_t incarnation;
-    double sent;
+    double sent_at;
     char *body;
 } tw_simulator_held_heartbeat;
 
@@ -160,7 +160,7 @@
     bool needs_earlier_version; /* a line uses the earlier version */
     tw_simulator_world world;
     tw_simulator_node nodes[TW_SIMULATOR_MAX_NODES];
-    tw_simulator_faults trouble;
+    tw_simulator_faults faults;
     double rps, request_tokens, requests_at; /* rate limiter of requests to the state service */
     char *objectives, *teams;                /* text of the settings */
     char *next_limits; /* settings text that announces future limits of the state service */
@@ -270,7 +270,7 @@
 void tw_simulator_user_submit_changed(tw_simulator *sim, int job, const tw_wire_job *spec);
 void tw_simulator_user_receive_answer(tw_simulator *sim, tw_simulator_connection *connection,
                                       tw_effect *effect);
-/* Ends a user's request because its node ended. */
+/* Ends a user's request whose node has ended. */
 void tw_simulator_user_fail_request(tw_simulator *sim, tw_simulator_connection *connection);
 char *tw_simulator_job_text(const tw_wire_job *spec);
 /* Returns the node that gets a user's next connection, or -1 if none is reachable. */
@@ -312,17 +312,18 @@
     void (*run)(tw_simulator *sim, const tw_simulator_words *words);
 } tw_simulator_command;
 enum { TW_SIMULATOR_NO_FAULT = -1 };
-/* Tables of commands; a NULL name ends each table. */
+/* Tables of the commands for user requests, for faults, for the behavior of all users, and for
+ * upgrades. A NULL name ends each table. */
 extern const tw_simulator_command tw_simulator_commands[];
 extern const tw_simulator_command tw_simulator_trouble_commands[];
 extern const tw_simulator_command tw_simulator_habit_commands[];
 extern const tw_simulator_command tw_simulator_upgrade_commands[];
 /* Extends the time until which faults are in effect to at least that many seconds from now. */
 void tw_simulator_extend_faults(tw_simulator *sim, double seconds);
-/* Decides by a random number of the stream `draw` whether a fault applies to a message, and counts
- * its occurrences. */
+/* Returns whether a fault applies to a message, decided by a random number of the stream `draw`. If
+ * it does, counts an occurrence of `fault` (TW_SIMULATOR_LATE_WRITES and so on). */
 bool tw_simulator_fault_applies(tw_simulator *sim, const tw_simulator_message_share *share,
-                                int trouble, int draw);
+                                int fault, int draw);
 /* Makes a node start with the earlier version. Returns -1 if there is no such node. */
 int tw_simulator_use_earlier_version(tw_simulator *sim, const char *name);
 void tw_simulator_check_expectation(tw_simulator *sim, const tw_simulator_words *words);
--- a/simulator/user.c
+++ b/simulator/user.c
@@ -65,21 +65,21 @@
     char text[TW_SIMULATOR_MESSAGE_SIZE];
     if (connection->user_kind == TW_SIMULATOR_POLL)
         tw_simulator_judge_answer(&sim->world, NULL, connection->what, TW_SIMULATOR_POLL,
-                                  connection->sent, status, "");
+                                  connection->sent_at, status, "");
     else
         tw_simulator_judge_invalid_job(&sim->world, connection->what, status);
     const tw_simulator_node *node_state = &sim->nodes[connection->node];
     bool is_unreachable =
-        !status && (!node_state->alive || connection->sent < node_state->paused_until ||
-                    connection->sent < node_state->effects_delayed_until ||
+        !status && (!node_state->alive || connection->sent_at < node_state->paused_until ||
+                    connection->sent_at < node_state->effects_delayed_until ||
                     tw_simulator_zone_is_isolated(sim, sim->world.node_zone[connection->node]));
     /* Answers that depend on the machine types or the state service may not be available yet. */
     bool is_undecided =
-        connection->wanted != TW_SIMULATOR_MALFORMED &&
+        connection->expected_status != TW_SIMULATOR_MALFORMED &&
         (!status || status == TW_SIMULATOR_TOO_MANY_REQUESTS || status == TW_SIMULATOR_UNAVAILABLE);
-    if (status == connection->wanted || is_unreachable || is_undecided) return;
+    if (status == connection->expected_status || is_unreachable || is_undecided) return;
     snprintf(text, sizeof text, "%s got status %d, expected %d", connection->what, status,
-             connection->wanted);
+             connection->expected_status);
     tw_simulator_report_failure(sim, "invalid request", text);
 }
 
@@ -110,9 +110,10 @@
     int was_accepted = job->accepted, previous_end = job->reported_end;
     if (kind == TW_SIMULATOR_SUBMIT && !is_single) job->last_status = status;
     if (kind == TW_SIMULATOR_CANCEL && !is_single) job->cancel_status = status;
-    tw_simulator_judge_answer(&sim->world, job, job->spec.id, kind, connection->sent, status, body);
+    tw_simulator_judge_answer(&sim->world, job, job->spec.id, kind, connection->sent_at, status,
+                              body);
     free(connection);
-    if (job->accepted && !was_accepted) /* by the answer to any of its requests */
+    if (job->accepted && !was_accepted) /* the answer may be to any kind of request */
         tw_simulator_schedule_after(sim, TW_SIMULATOR_POLL_S, poll_job)->target = job->index;
     if (job->accepted != was_accepted || job->reported_end != previous_end)
         tw_simulator_schedule_close_polls(sim, job->index, !job->reported_end);
@@ -190,7 +191,7 @@
     char path[100];
     tw_simulator_connection *connection =
         tw_simulator_connection_new(sim, node, TW_SIMULATOR_CONNECTION_USER);
-    connection->sent = sim->world.now;
+    connection->sent_at = sim->world.now;
     connection->target = job;
     connection->user_kind = kind;
     snprintf(connection->what, sizeof connection->what, "%s", id);
@@ -248,5 +249,5 @@
     }
     tw_simulator_connection *connection = send_request(sim, -1, id, kind, node, body);
     connection->is_single_attempt = true;
-    connection->wanted = wanted;
+    connection->expected_status = wanted;
 }
--- a/simulator/words.c
+++ b/simulator/words.c
@@ -7,8 +7,8 @@
 #define DECIMAL 10
 #define SPACE " \n"
 
-/* Moves the reader to the end of a number. Marks the reader as failed if there was no number or no
- * separator follows it. */
+/* Moves the reader to `end`, the end of a number. Marks the reader as failed if it is not at a
+ * number or if no separator follows the number. */
 static void end_number(tw_simulator_reader *reader, const char *end) {
     if (end == reader->at || !*end || !strchr(SPACE, *end)) reader->failed = true;
     reader->at = end;
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -63,7 +63,7 @@
 
 bool tw_simulator_worker_heartbeat_is_due(const tw_simulator_world *world,
                                           const tw_simulator_worker *worker) {
-    if (worker->gone || !worker->up || world->now < worker->hung_until || worker->in_flight)
+    if (worker->removed || !worker->up || world->now < worker->hung_until || worker->in_flight)
         return false;
     return world->now >= worker->next_heartbeat ||
            (worker->changed && world->now >= worker->last_heartbeat + MIN_HEARTBEAT_INTERVAL_S);
@@ -196,7 +196,7 @@
 void tw_simulator_worker_apply_answer(tw_simulator_world *world, tw_simulator_worker *worker,
                                       double sent, uint64_t incarnation, int status,
                                       const char *body) {
-    if (worker->gone || incarnation != worker->incarnation) return;
+    if (worker->removed || incarnation != worker->incarnation) return;
     cJSON *object = cJSON_Parse(body ? body : "");
     const char *leader = tw_simulator_json_text(object, "foreman");
     double fencing_token = tw_simulator_json_number(object, "baton");
@@ -310,7 +310,7 @@
 }
 
 void tw_simulator_worker_advance(tw_simulator_world *world, tw_simulator_worker *worker) {
-    if (worker->gone) return;
+    if (worker->removed) return;
     if (!worker->up) {
         if (world->now < worker->up_at) return;
         worker->up = true;
--- a/simulator/worker_heartbeat.c
+++ b/simulator/worker_heartbeat.c
@@ -27,7 +27,7 @@
     tw_simulator_connection *connection =
         tw_simulator_connection_new(sim, event->node, TW_SIMULATOR_CONNECTION_HEARTBEAT);
     connection->target = event->target;
-    connection->sent = event->time;
+    connection->sent_at = event->time;
     connection->incarnation = event->incarnation;
     connection->call = event->id;
     tw_simulator_node_request(sim, event->node, TW_PORT_API, connection->id, "POST", "/hello",
@@ -54,13 +54,13 @@
     double seconds =
         tw_simulator_travel_s(sim, sim->world.node_zone[connection->node], worker->zone);
     if (seconds < 0 || sim->world.now < worker->unresponsive_until ||
-        sim->world.now + seconds - connection->sent >= ANSWER_TIMEOUT_S)
+        sim->world.now + seconds - connection->sent_at >= ANSWER_TIMEOUT_S)
         return;
     tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, deliver_answer);
     event->target = connection->target;
     event->status = effect->status;
     event->id = connection->call;
-    event->time = connection->sent;
+    event->time = connection->sent_at;
     event->incarnation = connection->incarnation;
     event->body = effect->body ? tw_simulator_copy_text(effect->body) : NULL;
 }
@@ -93,13 +93,13 @@
     tw_simulator_event *event = tw_simulator_schedule_after(sim, seconds, deliver_heartbeat);
     event->target = held->machine;
     event->node = node;
-    event->time = held->sent;
+    event->time = held->sent_at;
     event->incarnation = held->incarnation;
     event->body = tw_simulator_copy_text(held->body);
 }
 
 void tw_simulator_deliver_held_heartbeats(tw_simulator *sim) {
-    tw_simulator_faults *faults = &sim->trouble;
+    tw_simulator_faults *faults = &sim->faults;
     uint64_t version = tw_simulator_state_version(&sim->world.state, "leader");
     if (!version || version == faults->leader_version) return;
     faults->leader_version = version;
@@ -123,7 +123,7 @@
  */
 static void duplicate_heartbeat(tw_simulator *sim, int machine, const char *body) {
     tw_simulator_world *world = &sim->world;
-    tw_simulator_faults *faults = &sim->trouble;
+    tw_simulator_faults *faults = &sim->faults;
     if (!tw_simulator_fault_applies(sim, &faults->late_heartbeats, TW_SIMULATOR_LATE_HEARTBEATS,
                                     TW_SIMULATOR_DRAW_HEARTBEATS))
         return;
@@ -135,7 +135,7 @@
             (tw_simulator_held_heartbeat){.machine = machine,
                                           .leaders_until_delivery = faults->held_heartbeat_leaders,
                                           .incarnation = world->workers[machine]->incarnation,
-                                          .sent = world->now,
+                                          .sent_at = world->now,
                                           .body = tw_simulator_copy_text(body)};
         return;
     }
@@ -170,10 +170,10 @@
     if (seconds >= 0)
         schedule_heartbeat(sim, machine, worker->node, seconds, body, worker->in_flight);
     duplicate_heartbeat(sim, machine, body);
-    if (sim->trouble.duplicated_heartbeat_machine == machine) {
-        schedule_heartbeat(sim, machine, ANY_NODE, sim->trouble.duplicate_heartbeat_delay_s, body,
+    if (sim->faults.duplicated_heartbeat_machine == machine) {
+        schedule_heartbeat(sim, machine, ANY_NODE, sim->faults.duplicate_heartbeat_delay_s, body,
                            0);
-        sim->trouble.duplicated_heartbeat_machine = -1;
+        sim->faults.duplicated_heartbeat_machine = -1;
     }
     /* A node that is down refuses the connection after one round trip. In every other case the
      * worker waits for the answer until the timeout. */
--- a/simulator/world.c
+++ b/simulator/world.c
@@ -108,7 +108,7 @@
     int count = 0;
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
-        for (int k = 0; k < worker->task_count && !worker->gone; k++)
+        for (int k = 0; k < worker->task_count && !worker->removed; k++)
             count += !strcmp(worker->tasks[k].job_id, id) && worker->tasks[k].stage == stage;
     }
     return count;
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -6,7 +6,7 @@
  *   sets `now` (seconds, never decreasing) and delivers the messages, so that the simulation, the
  *   end-to-end test and the soak test share it.
  * - The tw_simulator_world owns everything and frees it. Workers and jobs are never removed and
- *   keep their index and address; a machine that no longer exists is marked `gone`.
+ *   keep their index and address; a machine that no longer exists is marked `removed`.
  * - Only the first violation is kept, in `rule` and `detail`, and separately the first one that
  *   occurred while `attributes_to_earlier_version` was set.
  * - All random numbers derive from `seed`, with one stream for each purpose. */
@@ -163,7 +163,7 @@
     char id[TW_SIMULATOR_NAME_SIZE], type[TW_SIMULATOR_NAME_SIZE], zone[TW_SIMULATOR_NAME_SIZE],
         endpoint[TW_SIMULATOR_NAME_SIZE];
     int type_index;
-    bool spot, up, gone;
+    bool spot, up, removed;
     double rented_at, up_at;
     uint64_t incarnation, sequence, fencing_token;
     double lease_started_at; /* when the worker sent the last heartbeat that was answered */
@@ -258,7 +258,7 @@
     /* the first violation, except those recorded in `earlier_version_violation` and
      * `inherited_violation` */
     char rule[32], detail[512];
-    double broken_at;
+    double violated_at;
     /* whether violations are recorded in `earlier_version_violation` */
     bool attributes_to_earlier_version;
     /* last fencing token under `attributes_to_earlier_version`; 0 if there was none */
@@ -286,7 +286,7 @@
 void tw_simulator_world_init(tw_simulator_world *world);
 void tw_simulator_world_free(tw_simulator_world *world);
 
-/* ---- draw.c: random numbers from the seed, which must not change after the first one ---- */
+/* ---- draw.c: random numbers derived from `seed`; don't change it after the first draw ---- */
 
 double tw_simulator_draw(tw_simulator_world *world, int kind, double from, double to);
 int tw_simulator_draw_index(tw_simulator_world *world, int kind, int count); /* 0 .. count - 1 */
@@ -406,7 +406,8 @@
 /* Checks the rules for a task whose image has been fetched and that starts now. */
 void tw_simulator_judge_task_start(tw_simulator_world *world, const tw_simulator_worker *worker,
                                    const tw_simulator_task *task);
-/* Checks the rules that must hold at any time. */
+/* Reports a violation for each task that still runs although its job's cancellation is overdue.
+ * Call it after each step of the workers. */
 void tw_simulator_judge_cancelled_tasks(tw_simulator_world *world);
 
 /* ---- judge_live.c: rules that must hold after the end of all faults ---- */
--- a/tests/runner/fuzz_test.c
+++ b/tests/runner/fuzz_test.c
@@ -314,10 +314,10 @@
     tw_fuzz_run_day(&day, &verdict);
     check(verdict.failed && !strcmp(verdict.rule, "ran_twice") && verdict.only_earlier_version_led,
           "a violation by the earlier version is not reported");
-    check(verdict.broken_at > 5 && verdict.broken_at < 70,
+    check(verdict.violated_at > 5 && verdict.violated_at < 70,
           "the first violation is at another time");
     check(verdict.end_s > 169, "the day does not run to its end");
-    check(!*verdict.again.rule && !*verdict.again.detail &&
+    check(!*verdict.later_violation.rule && !*verdict.later_violation.detail &&
               !*tw_fuzz_this_version_violation(&verdict).rule,
           "a violation is attributed to this version, which never led");
     check(!strcmp(tw_fuzz_violation_to_shrink(&verdict).rule, "ran_twice"),
@@ -355,9 +355,9 @@
     tw_simulator_verdict verdict;
     add_impossible_lines(&day);
     tw_fuzz_run_day(&day, &verdict);
-    check(verdict.end_s < 40 && verdict.end_s == verdict.broken_at,
+    check(verdict.end_s < 40 && verdict.end_s == verdict.violated_at,
           "a day of one version continues after its violation");
-    check(!verdict.only_earlier_version_led && !*verdict.again.rule &&
+    check(!verdict.only_earlier_version_led && !*verdict.later_violation.rule &&
               !verdict.inherited_violation_count,
           "a day of one version has a second violation");
     check(!strcmp(tw_fuzz_this_version_violation(&verdict).rule, "ran_cancelled"),
--- a/tests/runner/simulator_gang_test.c
+++ b/tests/runner/simulator_gang_test.c
@@ -216,7 +216,7 @@
     launch(&fixture, 0, 0, 1);
     launch(&fixture, 1, 1, 1);
     advance(&fixture, 2);
-    fixture.world.workers[1]->gone = 1;
+    fixture.world.workers[1]->removed = 1;
     advance(&fixture, 10);
     check(task_is_in(&fixture, 0, 1, TW_TASK_WAITING),
           "a task stops waiting when another one is lost");
@@ -298,7 +298,7 @@
     check(!fixture->job->done_count, "a broken gang is counted as done");
 }
 
-static void remove_machine(gang_fixture *fixture) { fixture->world.workers[1]->gone = 1; }
+static void remove_machine(gang_fixture *fixture) { fixture->world.workers[1]->removed = 1; }
 static void hang_machine(gang_fixture *fixture) {
     fixture->world.workers[1]->hung_until = fixture->world.now + 20;
 }
@@ -397,7 +397,7 @@
           "the last task doesn't take the full time to save");
     check(is_about(fixture.job->gang_saved_s, 30),
           "the saved progress isn't that at the first stop");
-    fixture.world.workers[2]->gone = 1;
+    fixture.world.workers[2]->removed = 1;
     advance(&fixture, GANG_PEER_S);
     check(has_exited(&fixture, 1, 1, TW_CAUSE_STOPPED, true),
           "a saving task doesn't exit as saved");
@@ -478,7 +478,7 @@
 
     init_fixture(&fixture);
     launch_and_run(&fixture, 10);
-    fixture.world.workers[2]->gone = 1;
+    fixture.world.workers[2]->removed = 1;
     advance(&fixture, STEP_S);
     launch(&fixture, 3, 0, 2);
     advance(&fixture, STEP_S);
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -42,7 +42,7 @@
     const double until = run->world.now + fault->duration_s;
     for (int i = 0; i < run->world.worker_count; i++) {
         tw_simulator_worker *worker = run->world.workers[i];
-        if (worker->gone || !worker->up || tw_soak_draw(run, 0, 1) > fault->share / 2) continue;
+        if (worker->removed || !worker->up || tw_soak_draw(run, 0, 1) > fault->share / 2) continue;
         if (fault->kind == TW_SOAK_FAULT_UNRESPONSIVE) worker->unresponsive_until = until;
         if (fault->kind == TW_SOAK_FAULT_LOST_HEARTBEATS) worker->heartbeats_lost_until = until;
         if (fault->kind == TW_SOAK_FAULT_HANG) worker->hung_until = until;
--- a/tests/soak/stand_ins.c
+++ b/tests/soak/stand_ins.c
@@ -212,7 +212,7 @@
 static void execute_machine_request(tw_soak *run, void *data) {
     relayed_request *request = data;
     tw_simulator_worker *worker = run->world.workers[request->target - TW_SOAK_WORKERS];
-    if (worker->gone || !worker->up || run->world.now < worker->unresponsive_until) {
+    if (worker->removed || !worker->up || run->world.now < worker->unresponsive_until) {
         free_request(request);
         return;
     }
--- a/tools/explore/explore.c
+++ b/tools/explore/explore.c
@@ -26,9 +26,10 @@
     tw_fuzz_pool *pool;
     uint64_t next_seed; /* seed of the next day */
     uint64_t days_run, days_broken;
-    uint64_t broken_by_earlier; /* days on which only the earlier version had led at the first
-                                   violation */
-    uint64_t broken_by_own;     /* days with a violation after a node of this version had led */
+    uint64_t broken_by_earlier_version; /* days on which only the earlier version had led at the
+                                   first violation */
+    uint64_t
+        broken_by_this_version; /* days with a violation after a node of this version had led */
     rule_count rules[RULES_MAX];
     unsigned rule_count;
     uint32_t queue[QUEUE_MAX]; /* seeds of the days to shrink */
@@ -82,10 +83,11 @@
     for (unsigned i = 0; i < run->rule_count; i++)
         printf("%s %u of %llu days\n", run->rules[i].name, run->rules[i].days_broken,
                (unsigned long long)run->days_run);
-    if (run->broken_by_earlier)
+    if (run->broken_by_earlier_version)
         printf("in %llu of them only the earlier version had led\n"
-               "in %llu of them this version had a part in a break\n",
-               (unsigned long long)run->broken_by_earlier, (unsigned long long)run->broken_by_own);
+               "in %llu of them this version contributed to a violation\n",
+               (unsigned long long)run->broken_by_earlier_version,
+               (unsigned long long)run->broken_by_this_version);
     printf("seeds %u to %llu, %.1f s, %.1f days a second\n", run->options.first_seed,
            (unsigned long long)run->next_seed - 1, duration_s,
            duration_s > 0 ? (double)run->days_run / duration_s : 0);
@@ -103,16 +105,17 @@
     return rule;
 }
 
-/* Prints the violations of a day, and how many later ones only continue a violation by the earlier
- * version. */
+/* Prints the violations of a day: the first one, the number of inherited violations, and the later
+ * violation to which this version contributed. */
 static void print_violations(const char *day, const char *rule,
                              const tw_simulator_verdict *verdict) {
     printf("BROKE %s: %s%s%s\n", day, rule, verdict->detail,
            verdict->only_earlier_version_led ? " (only the earlier version had led)" : "");
     if (verdict->inherited_violation_count)
-        printf("%s: %u times more by what that left behind, first %s\n", day,
+        printf("%s: %u violations inherited from the earlier version, first %s\n", day,
                verdict->inherited_violation_count, verdict->inherited_violation.detail);
-    if (*verdict->again.rule) printf("BROKE %s again: %s\n", day, verdict->again.detail);
+    if (*verdict->later_violation.rule)
+        printf("BROKE %s again: %s\n", day, verdict->later_violation.detail);
 }
 
 static void record_violation(exploration *run, const tw_fuzz_result *result) {
@@ -125,8 +128,8 @@
     print_violations(day, "", verdict);
     fflush(stdout);
     run->days_broken++;
-    run->broken_by_earlier += verdict->only_earlier_version_led;
-    run->broken_by_own += *tw_fuzz_this_version_violation(verdict).rule != 0;
+    run->broken_by_earlier_version += verdict->only_earlier_version_led;
+    run->broken_by_this_version += *tw_fuzz_this_version_violation(verdict).rule != 0;
     if (strcmp(verdict->rule, violation.rule) != 0)
         find_rule_count(run, verdict->rule)->days_broken++;
     rule->days_broken++;
@@ -152,7 +155,7 @@
     }
     clear_progress(run);
     if (*result->path)
-        printf("seed %u: %u lines after %u plays: %s\n", result->seed, result->lines, result->runs,
+        printf("seed %u: %u lines after %u runs: %s\n", result->seed, result->lines, result->runs,
                result->path);
     else
         printf("seed %u: not shrunk or not written: %s\n", result->seed, result->verdict.detail);
@@ -200,7 +203,7 @@
     return 0;
 }
 
-static int play_file(const char *path) {
+static int run_scenario_file(const char *path) {
     tw_fuzz_day day = {0};
     tw_simulator_verdict verdict;
     char rule[sizeof verdict.rule + 1];
@@ -235,7 +238,7 @@
     tw_explore_parse_options(argc, argv, &run.options);
     tw_fuzz_draw_function *draw = run.options.draw;
     if (run.options.print_seed) return print_day(run.options.print_seed, draw);
-    if (run.options.scenario_path) return play_file(run.options.scenario_path);
+    if (run.options.scenario_path) return run_scenario_file(run.options.scenario_path);
     if (draw != tw_fuzz_draw_day && !getenv("TW_EARLIER_CORE")) {
         fputs("TW_EARLIER_CORE is unset: no earlier version can be run\n", stderr);
         return 2;
