--- a/fuzz/draw.c
+++ b/fuzz/draw.c
@@ -6,7 +6,7 @@
 
 /* Range of the first anchor, and the longest time between two anchors, in seconds. */
 enum { FIRST_ANCHOR_S = 8, LAST_ANCHOR_S = 40, ANCHOR_INTERVAL_MAX_S = 30 };
-/* Percentages of days. */
+/* Percentages of days with these properties. */
 enum {
     GUARANTEE_PERCENT = 10,
     FLOOD_PERCENT = 8,
--- a/fuzz/draw_faults.c
+++ b/fuzz/draw_faults.c
@@ -4,11 +4,11 @@
 #include <stdbool.h>
 #include <stdio.h>
 
-/* Percentages of the faults of a node that affect the current leader. */
+/* Percentages of node faults that affect the current leader, instead of a random node. */
 enum { LEADER_PERCENT = 70, NO_WORKERS_LEADER_PERCENT = 60 };
 /* Percentage of partitions and hangs that delay messages instead of dropping them. */
 enum { HELD_PERCENT = 40 };
-/* Hundredths of a second. */
+/* Durations in hundredths of a second. */
 enum {
     BRIEF_MIN = 5,
     BRIEF_MAX = 50,
--- a/fuzz/draw_fleet.c
+++ b/fuzz/draw_fleet.c
@@ -1,7 +1,7 @@
 /* Generates the fleet of a day: nodes and zones, settings, machine types, teams and machines. */
 #include "plan.h"
 
-/* Percentages of days, teams or machines. */
+/* Percentages of days, teams or machines with these properties. */
 enum {
     DEFAULT_SETTINGS = 40,
     LIMITED_TEAMS = 50,
--- a/fuzz/draw_guarantee.c
+++ b/fuzz/draw_guarantee.c
@@ -3,9 +3,10 @@
  * of the simulator do not cover these guarantees, so the day states them in `expect` lines. */
 #include "plan.h"
 
-/* Hundredths of a second. */
+/* Times and durations in hundredths of a second. */
 enum { SUBMITTED_AT = 500, FAULT_AT = 1500, COMPLETION_MARGIN = 500, RETRY_TIME = 2000 };
-/* Shorter than the time until an idle machine is returned, which exceeds half its boot time. */
+/* Longest time, in hundredths of a second, by which a hang exceeds the lease. It is shorter than
+ * the time until an idle machine is returned, which exceeds half its boot time. */
 enum { IDLE_MAX = 700 };
 enum { NODES = 3, MACHINES_IN_ZONE_MAX = 4, CORES = 16 };
 /* Smallest number of machines of a zone whose missing heartbeats count as a network partition, not
@@ -73,8 +74,8 @@
     draw_tolerated_fault(plan, "noworkers leader", draw_longer_than_lease(plan), "");
 }
 
-/* The nodes cannot reach each other. The leader sends commands to the machines directly, so jobs
- * submitted during the fault start without delay. */
+/* Adds a fault in which the nodes cannot reach each other. The leader sends commands to the
+ * machines directly, so jobs submitted during the fault start without delay. */
 static void draw_refused_peers(tw_fuzz_plan *plan) {
     const int length = 3 * plan->lease, submitted = FAULT_AT + plan->lease * 3 / 2;
     draw_workload(plan);
@@ -89,8 +90,8 @@
     expect_still_running(plan, FAULT_AT + length + plan->lease);
 }
 
-/* All machines hang beyond their leases, and the heartbeats that they sent before arrive late. No
- * machine may be lost. */
+/* Adds hangs of all machines beyond their leases; the heartbeats that they sent before arrive late.
+ * No machine may be lost. */
 static void draw_hangs(tw_fuzz_plan *plan) {
     const int over_lease = plan->lease * 8 / 10;
     const int length = plan->lease + (over_lease < IDLE_MAX ? over_lease : IDLE_MAX);
@@ -105,7 +106,8 @@
                       plan->machine_count, plan->machine_count);
 }
 
-/* One machine fails every task that it runs. The tasks must be retried on other machines. */
+/* Adds a machine that fails every task that it runs. The tasks must be retried on other machines.
+ */
 static void draw_faulty_machine(tw_fuzz_plan *plan) {
     const int run = tw_fuzz_rng_range(&plan->rng, 300, 600);
     tw_fuzz_add_event(plan, 100, "faulty 0");
--- a/fuzz/draw_jobs.c
+++ b/fuzz/draw_jobs.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Percentages of jobs; UNKNOWN_JOB_POLLED: of days. */
+/* Percentages of jobs with these properties, except UNKNOWN_JOB_POLLED, a percentage of days. */
 enum {
     SERVICES = 30,
     GANGS = 15,
@@ -28,11 +28,11 @@
     POLLED_BEFORE_SUBMISSION = 10,
     CANCELLED_IN_FLOOD = 25
 };
-/* Percentages of days. */
+/* Percentages of days with these kinds of user requests. */
 enum { CLOSE_POLLING = 25, CANCELLATION_AT_END = 15, INVALID_REQUESTS = 10 };
 /* Numbers of jobs of a day, and hundredths of a second between the jobs of a flood. */
 enum { JOBS_MIN = 3, JOBS_MAX = 10, FLOOD_MIN = 20, FLOOD_MAX = 80, FLOOD_INTERVAL = 25 };
-/* Percentages of jobs or gangs. */
+/* Percentages of jobs or gangs with these properties. */
 enum { SINGLE_ZONE_GANGS = 60, SINGLE_ZONE = 15, SPREAD = 25, LARGE_IMAGES = 30, LATE_JOBS = 30 };
 /* Days with gangs: number of gangs, and percentages of days or gangs. */
 enum {
@@ -43,7 +43,7 @@
     COMPETING_SERVICES = 60
 };
 enum { OPTIONS_SIZE = 300 };
-/* Hundredths of a second. */
+/* Times and durations in hundredths of a second. */
 enum {
     FIRST_SUBMISSION = 300,
     IMAGE_FETCH = 100,
--- a/fuzz/draw_roll.c
+++ b/fuzz/draw_roll.c
@@ -1,5 +1,5 @@
-/* Generates a day whose faults occur during a rolling upgrade. All nodes start with the version in
- * production. The first step precedes the first fault, and the last step follows the start of the
+/* Generates a day whose faults occur during a rolling upgrade. All nodes start with the earlier
+ * version. The first step precedes the first fault, and the last step follows the start of the
  * last fault. One or several nodes are upgraded at the same time. Some upgrades halt, are rolled
  * back, or are rolled back and then completed.
  *
@@ -11,9 +11,9 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* Percentages of days. */
+/* Percentages of days with these properties. */
 enum { BY_LEADERSHIP = 60, LEADER_FIRST = 25 };
-/* Hundredths of a second. */
+/* Times and durations in hundredths of a second. */
 enum {
     FIRST_STEP_MIN =
         3 * TW_FUZZ_SECOND, /* the earliest start of an upgrade; a leader is elected by then */
--- a/fuzz/draw_stale_messages.c
+++ b/fuzz/draw_stale_messages.c
@@ -4,7 +4,7 @@
  * that its messages are stale. Direct commands are delivered twice. */
 #include "plan.h"
 
-/* Hundredths of a second. */
+/* Durations in hundredths of a second. */
 enum {
     SECOND_COPIES_MIN = 50, /* how long heartbeats of the new incarnations are copied */
     SECOND_COPIES_MAX = 300,
@@ -20,9 +20,9 @@
     return tw_fuzz_format_seconds(tw_fuzz_rng_range(&plan->rng, min, max));
 }
 
-/* All nodes crash for longer than a lease, so that all machines begin new incarnations. The next
- * leader is killed, too, and its successor receives copies of heartbeats from before and after the
- * crash. From machines that hang it receives no other heartbeats. */
+/* Adds a crash of all nodes for longer than a lease, so that all machines begin new incarnations.
+ * The next leader is killed, too, and its successor receives copies of heartbeats from before and
+ * after the crash. From machines that hang it receives no other heartbeats. */
 static void draw_stale_incarnations(tw_fuzz_plan *plan) {
     tw_fuzz_rng *rng = &plan->rng;
     int when = tw_fuzz_draw_moment_near(plan, tw_fuzz_draw_anchor(plan));
--- a/fuzz/draw_upgrade.c
+++ b/fuzz/draw_upgrade.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Percentages of days. */
+/* Percentages of days with these properties. */
 enum { ALL_NODES_OLD = 70, BY_LEADERSHIP = 60, LEADER_FIRST = 25, HALTS = 15, DOWNGRADES = 20 };
 enum {
     FIRST_STEP_MIN_S = 3,
@@ -31,7 +31,7 @@
 
 /* Removes the lines that days with two versions do not support. `expect` lines hold only with the
  * faults that the day was generated with, unlike the rules of the simulator. Duplicate commands
- * break a rule with the version in production (scenario repeated_launch). */
+ * break a rule with the earlier version (scenario repeated_launch). */
 static void drop_unsupported_lines(tw_fuzz_day *day) {
     size_t kept = 0;
     for (size_t i = 0; i < day->count; i++) {
--- a/simulator/fault.c
+++ b/simulator/fault.c
@@ -200,7 +200,7 @@
     tw_simulator_worker *worker = find_machine(sim, words);
     if (!worker) return;
     worker->preempted_at = sim->world.now + number_at(words, 2);
-    worker->changed = true;
+    worker->has_unreported_change = true;
 }
 
 static void end_machine_fault(tw_simulator *sim, tw_simulator_event *event) {
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -96,7 +96,7 @@
     task->started_at = world->now;
     task->end_at = fails ? world->now + FAILURE_DELAY_S : NEVER;
     if (!fails) task->job->started++;
-    worker->changed = true;
+    worker->has_unreported_change = true;
 }
 
 static void start_gang(tw_simulator_world *world, tw_simulator_job *job, tw_simulator_gang *gang) {
@@ -120,7 +120,7 @@
                                      tw_simulator_task *task) {
     task->stage = TW_TASK_WAITING;
     task->end_at = world->now + tw_simulator_gang_wait_s(world);
-    worker->changed = true;
+    worker->has_unreported_change = true;
     find_or_create_gang(task->job, task->attempt);
     tw_simulator_judge_task_start(world, worker, task);
     if (task->job->done_count == task->job->spec.task_count)
@@ -153,7 +153,7 @@
     gang->state = TW_SIMULATOR_GANG_STOPPING;
     task->stage = TW_TASK_SAVING;
     task->end_at = world->now + spec->save_s;
-    worker->changed = true;
+    worker->has_unreported_change = true;
 }
 
 void tw_simulator_gang_stop_task(tw_simulator_world *world, tw_simulator_worker *worker,
--- a/simulator/script.c
+++ b/simulator/script.c
@@ -63,8 +63,8 @@
                : tw_simulator_use_earlier_version(sim, words->words[1]);
 }
 
-/* `old NODE...`, `old even` or `old odd`: makes the named nodes, or every other node from the first
- * or the second on, start with the earlier version. */
+/* Applies `old NODE...`, `old even` or `old odd`: the named nodes, or those with an even or odd
+ * index, start with the earlier version. */
 static int set_earlier_version_nodes(tw_simulator *sim, const tw_simulator_words *words) {
     const bool even = !strcmp(words->words[1], "even"), odd = !strcmp(words->words[1], "odd");
     if (even || odd) {
--- a/simulator/simulator_int.h
+++ b/simulator/simulator_int.h
@@ -79,7 +79,7 @@
     /* whether a user's request has reached the node, and whether the node has replied */
     bool arrived, replied;
     int source, source_generation; /* the calling peer and its generation */
-    int expected_status;           /* status that the answer to a raw or invalid request */
+    int expected_status; /* status that the answer to a raw or invalid request must have */
     double sent_at;
     uint64_t incarnation, call;
     char what[TW_SIMULATOR_TITLE_SIZE]; /* id of the job, or description of the raw request */
@@ -174,7 +174,7 @@
     uint64_t leader_key_version;
     bool new_version_led;       /* some leader so far had this version */
     bool earlier_version_leads; /* the last leader had the earlier version */
-    bool judges_to_end;         /* set by tw_simulator_judge_to_end */
+    bool judges_to_end;         /* the run continues after violations by the earlier version */
     int failed;
     /* the first failed line after a violation by the earlier version, once a node of this version
      * has been leader */
@@ -312,7 +312,7 @@
     void (*run)(tw_simulator *sim, const tw_simulator_words *words);
 } tw_simulator_command;
 enum { TW_SIMULATOR_NO_FAULT = -1 };
-/* Tables of the commands for user requests, for faults, for the behavior of all users, and for
+/* Tables of the commands for user requests, for faults, for the behaviour of all users, and for
  * upgrades. A NULL name ends each table. */
 extern const tw_simulator_command tw_simulator_commands[];
 extern const tw_simulator_command tw_simulator_trouble_commands[];
--- a/simulator/worker.c
+++ b/simulator/worker.c
@@ -66,7 +66,8 @@
     if (worker->removed || !worker->up || world->now < worker->hung_until || worker->in_flight)
         return false;
     return world->now >= worker->next_heartbeat ||
-           (worker->changed && world->now >= worker->last_heartbeat + MIN_HEARTBEAT_INTERVAL_S);
+           (worker->has_unreported_change &&
+            world->now >= worker->last_heartbeat + MIN_HEARTBEAT_INTERVAL_S);
 }
 
 /* ---- commands ---- */
@@ -75,7 +76,7 @@
     task->stage = TW_TASK_EXITED;
     task->cause = cause;
     if (task->job) task->job->exits[cause]++;
-    worker->changed = true;
+    worker->has_unreported_change = true;
 }
 
 static tw_simulator_task *find_task(tw_simulator_worker *worker, const char *job_id, int index,
@@ -128,7 +129,7 @@
     task->index = index;
     task->attempt = attempt;
     tw_simulator_judge_launch(world, worker, task, fencing_token);
-    worker->changed = true;
+    worker->has_unreported_change = true;
     int cause = find_refusal(world, worker, task);
     if (cause != TW_CAUSE_NONE) {
         tw_simulator_exit_task(worker, task, cause);
@@ -176,7 +177,7 @@
         stop_task(world, worker, task, tw_simulator_json_number(object, "mercyS"));
     } else if (!strcmp(verb, "forget") && task && task->stage == TW_TASK_EXITED) {
         *task = worker->tasks[--worker->task_count];
-        worker->changed = true;
+        worker->has_unreported_change = true;
     }
 }
 
@@ -186,7 +187,7 @@
     uint64_t fencing_token = (uint64_t)tw_simulator_json_number(body, "baton");
     if (fencing_token > worker->fencing_token) {
         worker->fencing_token = fencing_token;
-        worker->changed = true;
+        worker->has_unreported_change = true;
     }
     cJSON_ArrayForEach(object, cJSON_GetObjectItemCaseSensitive(body, "orders")) {
         execute_command(world, worker, object, fencing_token);
@@ -260,7 +261,7 @@
     tw_simulator_job *job = task->job;
     bool fails = worker->faulty || job->fails;
     task->stage = TW_TASK_RUNNING;
-    worker->changed = true;
+    worker->has_unreported_change = true;
     task->started_at = world->now;
     task->resumed_from_s = job->saved ? fmin(job->saved[task->index], job->run_s) : 0;
     task->end_at = job->spec.service
@@ -329,7 +330,7 @@
         worker->task_count = 0;
         worker->incarnation++;
         worker->lease_started_at = world->now;
-        worker->changed = true;
+        worker->has_unreported_change = true;
     }
     for (int i = 0; i < worker->task_count; i++) advance_task(world, worker, &worker->tasks[i]);
 }
--- a/simulator/worker_heartbeat.c
+++ b/simulator/worker_heartbeat.c
@@ -152,7 +152,7 @@
     char *body = tw_simulator_worker_next_heartbeat(world, worker);
     if (strlen(body) > MAX_BODY_BYTES)
         tw_simulator_report_failure(sim, "heartbeat over 64 KiB", worker->id);
-    worker->changed = false;
+    worker->has_unreported_change = false;
     worker->in_flight = ++sim->last_heartbeat;
     worker->last_heartbeat = world->now;
     worker->next_heartbeat = world->now + world->heartbeat_s;
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -169,7 +169,7 @@
     double lease_started_at; /* when the worker sent the last heartbeat that was answered */
     int node;                /* index of the node to which the worker sends its heartbeats */
     uint64_t in_flight; /* number of the heartbeat that awaits its answer; 0 if there is none */
-    bool changed;
+    bool has_unreported_change; /* the next heartbeat reports a change */
     double next_heartbeat, last_heartbeat;
     double hung_until, slowdown, preempted_at;
     double unresponsive_until; /* until then, answers to heartbeats and direct commands are lost */
@@ -179,7 +179,8 @@
     double delay_next_heartbeat_s; /* delay of the next heartbeat */
     tw_simulator_task *tasks;
     int task_count, task_capacity;
-    /* launch commands under fencing tokens up to the world's `earlier_token` */
+    /* launch commands that the machine executed under fencing tokens up to the world's
+     * `earlier_token` */
     tw_simulator_launch *launches;
     int launch_count, launch_capacity;
     char images[TW_SIMULATOR_MAX_IMAGES][TW_SIMULATOR_NAME_SIZE];
--- a/tests/runner/e2e.c
+++ b/tests/runner/e2e.c
@@ -269,7 +269,7 @@
     call->sent_at = world.now;
     call->incarnation = worker->incarnation;
     worker->in_flight = 1;
-    worker->changed = false;
+    worker->has_unreported_change = false;
     worker->last_heartbeat = world.now;
     worker->next_heartbeat = world.now + world.heartbeat_s;
 }
--- a/tests/soak/workers.c
+++ b/tests/soak/workers.c
@@ -149,7 +149,7 @@
     tw_simulator_world *world = &run->world;
     tw_simulator_worker *worker = world->workers[machine];
     char *body = tw_simulator_worker_next_heartbeat(world, worker);
-    worker->changed = false;
+    worker->has_unreported_change = false;
     worker->in_flight = ++run->last_heartbeat_id;
     worker->last_heartbeat = world->now;
     worker->next_heartbeat = world->now + world->heartbeat_s * tw_soak_draw(run, 0.75, 1.25);
