--- a/fuzz/draw_faults.c
+++ b/fuzz/draw_faults.c
@@ -4,11 +4,11 @@
 #include <stdbool.h>
 #include <stdio.h>
 
-/* Percentages of the faults of a node that affect the current leader. */
+/* Percentages of node faults that affect the current leader, instead of a random node. */
 enum { LEADER_PERCENT = 70, NO_WORKERS_LEADER_PERCENT = 60 };
 /* Percentage of partitions and hangs that delay messages instead of dropping them. */
 enum { HELD_PERCENT = 40 };
-/* Hundredths of a second. */
+/* Durations in hundredths of a second. */
 enum {
     BRIEF_MIN = 5,
     BRIEF_MAX = 50,
@@ -115,7 +115,7 @@
     add_timed_line(plan, when, "kill all", draw_duration(plan));
 }
 
-/* Adds crashes of several successive leaders, each about when the next leader was elected. */
+/* Adds crashes of several successive leaders, at intervals of one to four election times. */
 static void draw_leader_kills(tw_fuzz_plan *plan, int when) {
     const int count = tw_fuzz_rng_range(&plan->rng, 2, 5);
     for (int i = 0; i < count; i++) {
--- a/simulator/gang.c
+++ b/simulator/gang.c
@@ -57,7 +57,7 @@
 
 static bool machine_executes_tasks(const tw_simulator_world *world,
                                    const tw_simulator_worker *worker) {
-    return !worker->gone && worker->up && world->now >= worker->hung_until;
+    return !worker->removed && worker->up && world->now >= worker->hung_until;
 }
 
 /* ---- progress ---- */
@@ -96,7 +96,7 @@
     task->started_at = world->now;
     task->end_at = fails ? world->now + FAILURE_DELAY_S : NEVER;
     if (!fails) task->job->started++;
-    worker->changed = true;
+    worker->has_unreported_change = true;
 }
 
 static void start_gang(tw_simulator_world *world, tw_simulator_job *job, tw_simulator_gang *gang) {
@@ -120,7 +120,7 @@
                                      tw_simulator_task *task) {
     task->stage = TW_TASK_WAITING;
     task->end_at = world->now + tw_simulator_gang_wait_s(world);
-    worker->changed = true;
+    worker->has_unreported_change = true;
     find_or_create_gang(task->job, task->attempt);
     tw_simulator_judge_task_start(world, worker, task);
     if (task->job->done_count == task->job->spec.task_count)
@@ -153,7 +153,7 @@
     gang->state = TW_SIMULATOR_GANG_STOPPING;
     task->stage = TW_TASK_SAVING;
     task->end_at = world->now + spec->save_s;
-    worker->changed = true;
+    worker->has_unreported_change = true;
 }
 
 void tw_simulator_gang_stop_task(tw_simulator_world *world, tw_simulator_worker *worker,
@@ -197,7 +197,7 @@
         }
     for (int i = 0; i < world->worker_count; i++) {
         const tw_simulator_worker *worker = world->workers[i];
-        for (int k = 0; k < worker->task_count && !worker->gone; k++)
+        for (int k = 0; k < worker->task_count && !worker->removed; k++)
             if (worker->tasks[k].job && worker->tasks[k].job->spec.gang)
                 count_task(world, worker, &worker->tasks[k]);
     }
@@ -226,8 +226,8 @@
             advance_gang(world, world->jobs[i], &world->jobs[i]->gangs[k]);
 }
 
-/* Advances a task whose gang is broken: it saves nothing, and exits when it detects the failure of
- * its gang, which takes a drawn time, or when the time to stop together has passed. */
+/* Advances a task whose gang is broken: the task saves nothing, and exits when it detects the
+ * failure of its gang, after a random delay, or when the gang's stop window has passed. */
 static void advance_broken_task(tw_simulator_world *world, tw_simulator_worker *worker,
                                 tw_simulator_task *task, tw_simulator_gang *gang) {
     bool was_saving = task->stage == TW_TASK_SAVING;
--- a/simulator/world.h
+++ b/simulator/world.h
@@ -6,7 +6,7 @@
  *   sets `now` (seconds, never decreasing) and delivers the messages, so that the simulation, the
  *   end-to-end test and the soak test share it.
  * - The tw_simulator_world owns everything and frees it. Workers and jobs are never removed and
- *   keep their index and address; a machine that no longer exists is marked `gone`.
+ *   keep their index and address; a machine that no longer exists is marked `removed`.
  * - Only the first violation is kept, in `rule` and `detail`, and separately the first one that
  *   occurred while `attributes_to_earlier_version` was set.
  * - All random numbers derive from `seed`, with one stream for each purpose. */
@@ -163,13 +163,13 @@
     char id[TW_SIMULATOR_NAME_SIZE], type[TW_SIMULATOR_NAME_SIZE], zone[TW_SIMULATOR_NAME_SIZE],
         endpoint[TW_SIMULATOR_NAME_SIZE];
     int type_index;
-    bool spot, up, gone;
+    bool spot, up, removed;
     double rented_at, up_at;
     uint64_t incarnation, sequence, fencing_token;
     double lease_started_at; /* when the worker sent the last heartbeat that was answered */
     int node;                /* index of the node to which the worker sends its heartbeats */
     uint64_t in_flight; /* number of the heartbeat that awaits its answer; 0 if there is none */
-    bool changed;
+    bool has_unreported_change; /* the next heartbeat reports a change */
     double next_heartbeat, last_heartbeat;
     double hung_until, slowdown, preempted_at;
     double unresponsive_until; /* until then, answers to heartbeats and direct commands are lost */
@@ -179,7 +179,8 @@
     double delay_next_heartbeat_s; /* delay of the next heartbeat */
     tw_simulator_task *tasks;
     int task_count, task_capacity;
-    /* launch commands under fencing tokens up to the world's `earlier_token` */
+    /* launch commands that the machine executed under fencing tokens up to the world's
+     * `earlier_token` */
     tw_simulator_launch *launches;
     int launch_count, launch_capacity;
     char images[TW_SIMULATOR_MAX_IMAGES][TW_SIMULATOR_NAME_SIZE];
@@ -258,7 +259,7 @@
     /* the first violation, except those recorded in `earlier_version_violation` and
      * `inherited_violation` */
     char rule[32], detail[512];
-    double broken_at;
+    double violated_at;
     /* whether violations are recorded in `earlier_version_violation` */
     bool attributes_to_earlier_version;
     /* last fencing token under `attributes_to_earlier_version`; 0 if there was none */
@@ -286,7 +287,7 @@
 void tw_simulator_world_init(tw_simulator_world *world);
 void tw_simulator_world_free(tw_simulator_world *world);
 
-/* ---- draw.c: random numbers from the seed, which must not change after the first one ---- */
+/* ---- draw.c: random numbers derived from `seed`; don't change it after the first draw ---- */
 
 double tw_simulator_draw(tw_simulator_world *world, int kind, double from, double to);
 int tw_simulator_draw_index(tw_simulator_world *world, int kind, int count); /* 0 .. count - 1 */
@@ -406,7 +407,8 @@
 /* Checks the rules for a task whose image has been fetched and that starts now. */
 void tw_simulator_judge_task_start(tw_simulator_world *world, const tw_simulator_worker *worker,
                                    const tw_simulator_task *task);
-/* Checks the rules that must hold at any time. */
+/* Reports a violation for each task that still runs although its job's cancellation is overdue.
+ * Call it after each step of the workers. */
 void tw_simulator_judge_cancelled_tasks(tw_simulator_world *world);
 
 /* ---- judge_live.c: rules that must hold after the end of all faults ---- */
