--- a/src/wire/heartbeat_cache.c
+++ b/src/wire/heartbeat_cache.c
@@ -4,9 +4,9 @@
  * Each cached heartbeat is stored with its text in two parts: the head, up to and including
  * `"tick":`, and the tail, which follows the sequence. A later text with the same head and tail is
  * the same heartbeat with another sequence, and only that sequence is parsed (by the JSON library).
- * This is safe: the head opens the message's object and no other one, and contains no backslash;
- * hence it ends with a field name of that object, and with the first field of that name, which is
- * the one that a parser uses. */
+ * This is safe because the head contains only one opening brace, that of the message's object, and
+ * no backslash: the `"tick":` at its end is therefore a field of that object, and the first field
+ * of that name, which is the one that the parser uses. */
 #define _GNU_SOURCE /* memmem */
 #include "wire/json.h"
 #include "wire/wire.h"
@@ -16,7 +16,8 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Longer texts are not cached. The heartbeat of a machine with many short tasks lists hundreds. */
+/* Maximum size of a cached text. The heartbeat of a machine that runs many short tasks lists
+ * hundreds of them. */
 #define MAX_CACHED_TEXT_BYTES 131072
 /* Texts up to this size are cached for every machine, without counting against max_long_bytes. */
 #define MAX_SHORT_TEXT_BYTES 8192
@@ -41,8 +42,9 @@
 
 struct tw_wire_heartbeat_cache {
     cache_entry *entries;
-    size_t long_bytes, max_long_bytes; /* bytes of long texts and their heartbeats; limit */
-    tw_wire_heartbeat uncached;        /* the heartbeat returned last, if it is not in the cache */
+    size_t long_bytes; /* total size of the long texts and their heartbeats */
+    size_t max_long_bytes;
+    tw_wire_heartbeat uncached; /* the heartbeat returned last, if it is not in the cache */
 };
 
 tw_wire_heartbeat_cache *tw_wire_heartbeat_cache_new(size_t max_long_bytes) {
@@ -79,8 +81,8 @@
     }
 }
 
-/* Splits a text around its sequence and parses the sequence. Returns false if the text does not
- * have the form that can be cached. */
+/* Splits a text into head, sequence and tail, and parses the sequence. Returns false if the text
+ * can't be cached. */
 static bool split_text(text_parts *parts, const char *text, size_t length, uint64_t *sequence) {
     static const tw_json_field field = {.type = TW_JSON_UINT64, .max = TW_JSON_MAX_NUMBER};
     const size_t name_length = sizeof sequence_name - 1;
@@ -103,8 +105,8 @@
            !memcmp(entry->text + entry->head_length, parts->text + parts->tail_start, tail_length);
 }
 
-/* Returns the bytes of the text and its heartbeat that count against max_long_bytes; 0 if the text
- * is short. */
+/* Returns the number of bytes of a text and its heartbeat that count against max_long_bytes; 0 if
+ * the text is short. */
 static size_t count_long_bytes(const text_parts *parts, const tw_wire_heartbeat *heartbeat) {
     if (parts->length <= MAX_SHORT_TEXT_BYTES) return 0;
     return parts->length + (size_t)heartbeat->task_count * sizeof *heartbeat->tasks;
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -151,9 +151,9 @@
     cJSON_AddItemToObjectCS(object, field->name, cJSON_CreateNumber(value));
 }
 
-/* Writes a duration rounded down, so that the receiver never sees a longer time than has passed.
- * The value has whole milliseconds, since printing all digits of a double, and parsing them again,
- * costs more than the rest of a message. */
+/* Writes a duration rounded down to whole milliseconds. It is rounded down so that the receiver
+ * never reads a longer time than has passed, and to milliseconds because printing and parsing all
+ * digits of a double costs more than the rest of a message. */
 static void write_duration(cJSON *object, const tw_json_field *field, double seconds) {
     char text[DURATION_TEXT_SIZE];
     const uint64_t milliseconds = (uint64_t)(fmin(fmax(seconds, 0), MAX_DURATION_S) * 1000);
@@ -204,8 +204,8 @@
 
 /* ---- arrays ---- */
 
-/* Reads the array's items into a buffer that holds all of them. *count: number of items that were
- * read before the first invalid one. */
+/* Reads the array's items into a buffer that is large enough for all of them. Increments *count for
+ * each item that was read; stops at the first invalid item. */
 static tw_wire_error read_items(const tw_json_list *list, const cJSON *array, char *items,
                                 int *count) {
     const cJSON *value;
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -23,14 +23,15 @@
     TW_JSON_UINT64,   /* uint64_t, an integer from 0 to TW_JSON_MAX_NUMBER */
     TW_JSON_FLAG,     /* bool */
     TW_JSON_ENUM,     /* int or an enum: index of the text in the list words */
-    TW_JSON_CUSTOM    /* any: converted by the functions read and write of the field */
+    TW_JSON_CUSTOM    /* any type: the field's functions read and write convert the value */
 } tw_json_type;
 
 /* Rules of a field, as bits. A field without rules is required and always written. */
 enum {
     TW_JSON_OPTIONAL = 1, /* a missing or null value is replaced by the fallback ("" for a text) */
     TW_JSON_LENIENT = 2,  /* a missing, null or invalid value is replaced by the fallback */
-    TW_JSON_OMIT = 4      /* omits numbers that do not exceed the fallback, and empty texts */
+    /* A number that does not exceed the fallback, or an empty text, is not written. */
+    TW_JSON_OMIT = 4
 };
 
 /* Value of tw_json_field.unknown that makes words outside the list invalid. */
@@ -124,7 +125,7 @@
 
 /* Returns the object as JSON text, which the caller frees, and deletes the object. */
 char *tw_json_print_and_delete(cJSON *object);
-/* Allocates zeroed memory; aborts the program if there is none. */
+/* Allocates zeroed memory; aborts the program if the allocation fails. */
 void *tw_json_alloc(size_t size);
 
 #endif
--- a/src/wire/peers.c
+++ b/src/wire/peers.c
@@ -3,7 +3,8 @@
 #include "wire/wire.h"
 #include <string.h>
 
-/* Limit for the record format in a peer heartbeat: later versions may know more formats. */
+/* Maximum record format accepted in a peer heartbeat. It exceeds the formats of this version, since
+ * a peer of a later version may announce a later format. */
 #define MAX_RECORD_FORMAT 1000
 
 static const tw_json_field peer_heartbeat_fields[] = {
--- a/src/wire/record.c
+++ b/src/wire/record.c
@@ -13,9 +13,9 @@
 #define ASSIGNMENT_NUMBERS_SIZE 32
 /* Maximum number of chunks of a chunked record. */
 #define MAX_RECORD_CHUNKS 10000
-/* Maximum number of bytes in a JSON text: of a character escaped by a letter (\n), of one escaped
- * by its number (\u000a), and of each UTF-8 byte of a non-ASCII character (\u00e9 has two).
- */
+/* Maximum size in a JSON text of a character that is escaped by a letter (\n), of one that is
+ * escaped by its code (\u000a), and, per UTF-8 byte, of a non-ASCII character (\u00e9 has two bytes
+ * in UTF-8). */
 #define LETTER_ESCAPE_BYTES 2
 #define UNICODE_ESCAPE_BYTES 6
 #define NON_ASCII_ESCAPE_BYTES 3
@@ -85,7 +85,8 @@
     return TW_WIRE_OK;
 }
 
-/* Reads the job specification. The record of an ended job may have only the number of tasks. */
+/* Reads the job specification. The record of an ended job may contain only the number of tasks
+ * instead. */
 static tw_wire_error read_job(tw_wire_record *record, const char *id, const cJSON *object) {
     const cJSON *job = tw_json_get(object, "j");
     const char *reason;
--- a/src/wire/users.c
+++ b/src/wire/users.c
@@ -40,9 +40,9 @@
 
 static const char *const priority_words[] = {"idle", "normal", "high", "prod", NULL};
 
-/* The field `racks` is written between the fields of the two tables, but read after both. This
- * keeps the order in which fields are checked, and so the field that the error names if several
- * fields are invalid. */
+/* The two tables list the fields that are written before and after the list of machine types
+ * (`racks`). That list is read after the fields of both tables: the order of reading determines
+ * which field the error names if several are invalid, and must not change. */
 static const tw_json_field fields_before_types[] = {
     {TW_JSON_NAME("id"), TW_JSON_TEXT_AT(tw_wire_job, id), .is_valid = tw_wire_is_valid_job_id},
     {TW_JSON_NAME("lane"), TW_JSON_TEXT_AT(tw_wire_job, job_class)},
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -83,8 +83,8 @@
     TW_JOB_DONE,
     TW_JOB_CANCELLED
 } tw_wire_job_state;
-/* Returns the response to a user's query for a job. done, running: numbers of tasks; a negative
- * number is omitted from the response. */
+/* Returns the response to a user's query for a job. done, running: numbers of completed and of
+ * running tasks; a negative number is omitted from the response. */
 char *tw_wire_job_status_text(const char *id, tw_wire_job_state state, long done, long running);
 
 /* ---- workers: heartbeats (POST /hello), commands (POST /orders) ---- */
@@ -118,7 +118,7 @@
     int index;
     tw_wire_task_state state;
     tw_wire_exit_cause cause; /* set if state is TW_TASK_EXITED */
-    bool saved;               /* the task's progress was saved */
+    bool saved;               /* true if the task's progress was saved */
     uint64_t attempt;
 } tw_wire_task;
 
@@ -189,7 +189,7 @@
     int zone_count;
     char zones[16][TW_WIRE_NAME_SIZE];
 } tw_wire_machine_type;
-/* Parses the list of machine types into an array of *n, which the caller frees. */
+/* Parses the list of machine types into an array of *n items, which the caller frees. */
 tw_wire_error tw_wire_machine_types_parse(tw_wire_machine_type **types, int *n, const char *text,
                                           size_t len);
 
@@ -203,12 +203,12 @@
     tw_wire_rented_state state;
     double rented_s; /* time since the machine was rented */
 } tw_wire_rented_machine;
-/* Parses a page of the list of rented machines into an array of *n, which the caller frees. *more:
- * whether further machines follow after this page. */
+/* Parses a page of the list of rented machines into an array of *n items, which the caller frees.
+ * *more: whether further machines follow after this page. */
 tw_wire_error tw_wire_rented_machines_parse(tw_wire_rented_machine **machines, int *n, int *more,
                                             const char *text, size_t len);
-/* Returns a rental request for n machines. name: identifies the request; never reused for another
- * one. */
+/* Returns a rental request for n machines. name: unique name of the request; another request must
+ * not use it again. */
 char *tw_wire_rental_request_text(const char *name, const char *type, const char *zone, bool spot,
                                   int n);
 /* Parses the machine names in the response to a rental request. The caller frees the array. */
@@ -270,8 +270,8 @@
 
 /* ---- records of jobs in the state service ---- */
 
-/* Record formats: a WHOLE record is a single value, a CHUNKED one consists of several. A node that
- * reads a format also reads all earlier ones. */
+/* Record formats: a WHOLE record is stored in a single value, a CHUNKED record in several values. A
+ * node that can read a format can also read all earlier formats. */
 enum { TW_RECORD_FORMAT_WHOLE = 1, TW_RECORD_FORMAT_CHUNKED };
 /* Buffer size of a chunk set's name, including the terminating null. */
 #define TW_WIRE_CHUNK_SET_SIZE 48
@@ -339,11 +339,13 @@
 /* A peer heartbeat, and the response to one: the state of the node that sends it. */
 typedef struct {
     char name[TW_WIRE_NAME_SIZE], leader[TW_WIRE_NAME_SIZE];
-    uint64_t highest_token; /* highest fencing token seen; it answers no worker under a lower one */
-    bool store_reachable;   /* the node's calls to the state service succeed */
+    /* Highest fencing token that the node has seen; it answers no worker under a lower token. */
+    uint64_t highest_token;
+    bool store_reachable; /* true if the node's calls to the state service succeed */
     bool is_leader;
     double uptime_s;
-    /* Time since the node last answered a worker as a lease delegate, or since it started. */
+    /* Time since the node last answered a worker as a lease delegate; if it never has, time since
+     * the node started. */
     double since_delegate_answer_s;
     int record_format; /* latest TW_RECORD_FORMAT_* that the node can read; default: WHOLE */
 } tw_wire_peer_heartbeat;
--- a/src/wire/workers.c
+++ b/src/wire/workers.c
@@ -59,7 +59,7 @@
     return tw_json_read_fields(value, fields, TW_JSON_FIELD_COUNT(fields), item, NULL);
 }
 
-/* Reads the preemption notice. A notice with an invalid time counts as one with no time left. */
+/* Reads the preemption notice. If its time is invalid, the time until the preemption is 0. */
 static tw_wire_error read_preemption_notice(const cJSON *value, void *message) {
     tw_wire_heartbeat *heartbeat = message;
     heartbeat->preemption_notice_s = -1;
