--- a/src/config/config.c
+++ b/src/config/config.c
@@ -148,7 +148,7 @@
 /* ---- lists ---- */
 
 /* Returns the list item after the previous one, or the first item if previous is NULL. Returns NULL
- * at the end of the list, and if an error was set. */
+ * at the end of the list and after an error. */
 static const cJSON *next_item(const tw_setting_error *error, const cJSON *list,
                               const cJSON *previous) {
     if (!list || error->failed) return NULL;
@@ -223,8 +223,8 @@
 
 static double smaller_limit(double now, double next) { return next > 0 && next < now ? next : now; }
 
-/* Reads the current limits of the state service and the announced ones, any of which may be
- * missing, and sets the observed limits to the smaller one of each pair. */
+/* Reads the current and the announced limits of the state service, and sets each limit that the
+ * program observes to the smaller of the two. Any announced limit may be missing. */
 static void read_state(tw_setting_error *error, tw_config *config, const cJSON *settings) {
     const cJSON *table = tw_setting_get_table(error, settings, "settings.", "state");
     const cJSON *announced = cJSON_GetObjectItemCaseSensitive(table, "next");
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -39,7 +39,7 @@
 
 /* The operators' settings. Each has a default and a range that is checked. */
 typedef struct {
-    double election_ratio; /* leader lease, as a share of the workers' lease_s */
+    double election_ratio; /* duration of the leader lease, as a share of the workers' lease_s */
     double hold_ratio;     /* maximum duration of renewal without authority, in lease_s */
     double margin_ratio;   /* safety margin added to the expiry of leases, as a share of lease_s */
     double drift;          /* maximum relative clock drift */
@@ -49,7 +49,7 @@
     double idle_ratio;     /* idle time before a machine is returned, as a share of its boot time */
     double silent_ratio; /* time without a heartbeat after which a machine is considered failed and
                             is returned, as a share of lease_s */
-    double write_share;  /* used share of the limits of the state service and the cloud */
+    double write_share;  /* share of the state service's and the cloud's limits that is used */
 } tw_config_tuning;
 
 /* Limits of the state service. */
@@ -73,8 +73,10 @@
     size_t team_count;
     tw_config_objective *objectives;
     size_t objective_count;
-    double time_bound_ms;
-    double report_s, lease_s, cancel_s;
+    double time_bound_ms; /* maximum error of the wall clock */
+    double report_s;      /* interval between a worker's heartbeats */
+    double lease_s;       /* duration of a worker's lease */
+    double cancel_s;      /* time within which the tasks of a cancelled job must end */
     double gang_wait_s; /* time for which a gang's task waits for the other tasks of its attempt */
     double gang_peer_s; /* time within which a gang's task notices that another one terminated */
     /* The limits that the program observes: the smaller one of the current and the announced limit,
@@ -83,9 +85,10 @@
     int state_txn_ops;
     tw_config_state_limits state_now;  /* limits in effect when the state service starts */
     tw_config_state_limits state_next; /* announced limits; 0: none announced */
-    double cloud_rps, list_lag_s;
-    double cpu_share, mem_mb;
-    int sockets;
+    double cloud_rps;                  /* limit of requests to the cloud, per second */
+    double list_lag_s;                 /* maximum age of the cloud's list of rented machines */
+    double cpu_share, mem_mb;          /* limits of the process: share of a core, memory */
+    int sockets;                       /* limit of the process: open sockets */
     tw_config_tuning tune;
 } tw_config;
 
@@ -107,8 +110,8 @@
 /* Parses the text of the platform's settings file; otherwise as tw_config_load. */
 tw_config_error tw_config_parse(tw_config *config, const char *toml_text, char *message,
                                 size_t message_size);
-/* Loads the operators' settings file into *config, which must have been loaded before. After an
- * error, *config may already have some of the file's settings. */
+/* Loads the operators' settings file into *config, which tw_config_load or tw_config_parse has
+ * filled. After an error, *config may contain some of the file's settings. */
 tw_config_error tw_config_load_yaml(tw_config *config, const char *yaml_path, char *message,
                                     size_t message_size);
 /* Frees the memory that the settings own, but not *config itself. */
--- a/src/config/setting.h
+++ b/src/config/setting.h
@@ -78,7 +78,7 @@
 /* Returns whether a value is a text of 1 to TW_NAME_SIZE - 1 bytes. */
 bool tw_setting_is_valid_name(const cJSON *value);
 
-/* Allocates zeroed memory, which the caller frees; aborts the program if there is none. */
+/* Allocates zeroed memory, which the caller frees; aborts the program if the allocation fails. */
 void *tw_setting_alloc(size_t count, size_t size);
 
 #endif
--- a/src/config/toml_shim.h
+++ b/src/config/toml_shim.h
@@ -1,5 +1,5 @@
-/* Parses TOML into a cJSON tree. Debian has no C library for the current version of TOML; this
- * wraps the C++ library toml++. */
+/* Parses TOML into a cJSON tree. Debian has no C library for the current version of TOML, so this
+ * file declares a wrapper of the C++ library toml++. */
 #ifndef TW_CONFIG_TOML_SHIM_H
 #define TW_CONFIG_TOML_SHIM_H
 #include <cjson/cJSON.h>
--- a/src/config/yaml.c
+++ b/src/config/yaml.c
@@ -61,7 +61,7 @@
 }
 
 /* Returns the text of a scalar node, owned by the document, or NULL if the node is not a scalar. */
-static const char *scalar(yaml_document_t *document, int id) {
+static const char *scalar_text(yaml_document_t *document, int id) {
     const yaml_node_t *node = yaml_document_get_node(document, id);
     if (!node || node->type != YAML_SCALAR_NODE) return NULL;
     return (const char *)node->data.scalar.value;
@@ -96,7 +96,8 @@
     }
     const yaml_node_pair_t *pair = node->data.mapping.pairs.start;
     for (; pair < node->data.mapping.pairs.top && !error->failed; pair++)
-        read_share(error, config, scalar(document, pair->key), scalar(document, pair->value));
+        read_share(error, config, scalar_text(document, pair->key),
+                   scalar_text(document, pair->value));
 }
 
 static void read_tuning(tw_setting_error *error, tw_config *config, const char *name,
@@ -125,12 +126,12 @@
     }
     const yaml_node_pair_t *pair = root->data.mapping.pairs.start;
     for (; pair < root->data.mapping.pairs.top && !error->failed; pair++) {
-        const char *name = scalar(document, pair->key);
+        const char *name = scalar_text(document, pair->key);
         const yaml_node_t *value = yaml_document_get_node(document, pair->value);
         if (name && value && !strcmp(name, shares_key))
             read_shares(error, config, document, value);
         else
-            read_tuning(error, config, name ? name : "?", scalar(document, pair->value));
+            read_tuning(error, config, name ? name : "?", scalar_text(document, pair->value));
     }
 }
 
--- a/src/controller/main.c
+++ b/src/controller/main.c
@@ -107,10 +107,10 @@
     tw_core *core;
     tw_net *net;
     struct ev_loop *loop;
-    gsl_histogram *tick_lag; /* lateness of ticks, which shows CPU overload */
+    gsl_histogram *tick_lag; /* delays of ticks; they grow when the CPU is overloaded */
     double last_tick_at;
     double next_statistics_at;
-    bool draining; /* drain_effects is running */
+    bool draining; /* true while drain_effects is running */
     ev_timer tick;
     ev_signal terminate;
     ev_signal interrupt;
@@ -199,9 +199,8 @@
     return port == TW_PORT_PEER || !strcmp(path, "/hello");
 }
 
-/* Makes malloc return freed memory to the system early, because the process has a small memory
- * limit.
- */
+/* Limits malloc to one arena and makes it return freed memory to the system early, because the
+ * process has a small memory limit. */
 static void limit_heap(void) {
     mallopt(M_ARENA_MAX, 1);
     mallopt(M_TRIM_THRESHOLD, TRIM_BYTES);
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -17,8 +17,8 @@
 void tw_log_write(tw_log_level level, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
-/* Write a line of the level. tw_log_info and tw_log_debug evaluate their arguments only if the line
- * is logged. */
+/* Each macro writes a line of the level in its name. tw_log_info and tw_log_debug evaluate their
+ * arguments only if the line is logged. */
 #define tw_log_error(...) tw_log_write(TW_LOG_ERROR, __VA_ARGS__)
 #define tw_log_info(...)                                                                           \
     do {                                                                                           \
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -19,8 +19,8 @@
 /* Upper bound on the bytes of a request besides its path, address and body. */
 #define HEAD_RESERVE_BYTES 160
 #define MIN_CALL_TIMER_S 0.001 /* shortest timeout of a call that is being sent */
-#define MIN_QUEUE_TIMER_S 0.01 /* shortest time between two checks of a queue for overdue calls */
-#define TIMER_ERROR_S 0.001    /* libev timers may fire early by up to this */
+#define MIN_QUEUE_TIMER_S 0.01 /* shortest time between two checks of a queue for expired calls */
+#define TIMER_ERROR_S 0.001    /* libev timers may fire early by up to this time */
 #define HOST_SWEEP_SLACK 16
 
 typedef struct call {
@@ -41,9 +41,9 @@
     http_parser parser;
     tw_buffer body;    /* body of the current response */
     client_call *call; /* current call; NULL while the connection is idle */
-    size_t sent;       /* bytes of the call's request written to the socket */
-    bool complete;     /* the current response has been received completely */
-    bool keep_alive;   /* the response allows the connection to be reused */
+    size_t sent;       /* number of bytes of the call's request written to the socket */
+    bool complete;     /* true if the current response has been received completely */
+    bool keep_alive;   /* true if the response allows the connection to be reused */
     struct connection *prev;
     struct connection *next;
 } client_connection;
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -17,19 +17,18 @@
 
 /* Callbacks to the owner of a tw_net. String arguments are valid only during the callback. */
 typedef struct {
-    /* Called when a request was received on a port (see tw_net_listen). The owner answers with
-     * tw_net_reply on the given connection, during the callback or later. */
+    /* Called when a request has been received. port: the listener's number, see tw_net_listen. The
+     * owner answers with tw_net_reply on the given connection, during the callback or later. */
     void (*request)(void *owner, int port, uint64_t connection, const char *method,
                     const char *path, const char *body, size_t length);
-    /* Called when a call ended. A status of 0 means that no response was received; the server may
-     * or may not have processed the request. */
+    /* Called when a call has ended. A status of 0 means that no response was received; the server
+     * may or may not have processed the request. */
     void (*response)(void *owner, uint64_t call, int status, const char *body, size_t length);
 } tw_net_handler;
 
 typedef struct {
     int max_server; /* maximum number of connections accepted by the server */
-    int max_client; /* maximum number of connections opened by the client, to all addresses together
-                     */
+    int max_client; /* maximum number of connections opened by the client, over all addresses */
     /* The server closes a connection that has sent nothing for this long. The client may close the
      * connections of an address that has not been called for this long. */
     double idle_s;
@@ -57,9 +56,9 @@
  * header is left out. */
 void tw_net_reply(tw_net *net, uint64_t connection, int status, double retry_after,
                   const char *body, size_t length);
-/* Sends an HTTP request. call: id that the response handler is called with; the handler may be
- * called before tw_net_call returns. per_host: maximum number of connections to this address. body:
- * NULL for an empty body. */
+/* Sends an HTTP request. call: id that is passed to the response handler, which may be called
+ * before tw_net_call returns. per_host: maximum number of connections to this address. body: NULL
+ * for an empty body. */
 void tw_net_call(tw_net *net, uint64_t call, const char *address, int per_host, const char *method,
                  const char *path, const char *body, double timeout_s);
 /* Closes all connections and frees the object. The response handler is not called for calls that
--- a/src/net/net_int.h
+++ b/src/net/net_int.h
@@ -26,8 +26,8 @@
 typedef struct {
     struct tw_client_host *hosts; /* hash table by address */
     int count;                    /* connections to all hosts */
-    unsigned
-        host_sweep_threshold; /* unused hosts are removed when there are more hosts than this */
+    /* Unused hosts are removed when the number of hosts exceeds this threshold. */
+    unsigned host_sweep_threshold;
 } tw_net_client;
 
 struct tw_net {
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -30,7 +30,7 @@
     tw_net *net;
     uint64_t id;
     int socket;
-    int port; /* the owner's number of the listener, see tw_net_listen */
+    int port; /* the listener's number, see tw_net_listen */
     ev_io readable;
     ev_io writable;
     ev_timer idle_timer;
@@ -270,7 +270,7 @@
 static server_connection *deliver_request(server_connection *connection) {
     tw_net *net = connection->net;
     const uint64_t id = connection->id;
-    /* The buffers are moved out of the connection, which the handler may cause to be closed. */
+    /* Moves the buffers out of the connection, since the handler may cause it to be closed. */
     tw_buffer path = connection->path;
     tw_buffer body = connection->body;
     memset(&connection->path, 0, sizeof path);
@@ -285,7 +285,7 @@
 }
 
 /* Buffers input that can be parsed only after the pending request has been answered. Closes the
- * connection if more is buffered than one request may hold. */
+ * connection if the buffered input exceeds the maximum size of a request. */
 static void buffer_input(server_connection *connection, const char *bytes, size_t length) {
     if (connection->input.length + length > MAX_BUFFERED_INPUT)
         close_connection(connection);
