--- a/emulator/main.c
+++ b/emulator/main.c
@@ -32,10 +32,11 @@
 
 typedef struct {
     tw_shards_guard guard;
-    uint64_t first_epoch, last_epoch;      /* of accepted requests; 0: no request */
-    uint64_t last_term, last_opened_epoch; /* of accepted commands */
-    long commands, refused_commands;
-    bool decreased;
+    uint64_t first_epoch, last_epoch; /* epochs of the first and last accepted request; 0: none */
+    uint64_t last_term;               /* term of the last accepted command */
+    uint64_t last_opened_epoch;       /* epoch that the last accepted command opened */
+    long commands, refused_commands;  /* numbers of accepted and refused commands */
+    bool decreased;                   /* true if an epoch or a command's term ever decreased */
     long accepted_requests, refused_requests;
 } replica;
 
@@ -99,7 +100,7 @@
 static void restart(replica *target) {
     const uint64_t boot_id = target->guard.boot_id + 1;
     tw_shards_guard_boot(&target->guard, boot_id);
-    target->last_term = 0; /* a machine does not remember terms across reboots */
+    target->last_term = 0; /* a machine does not store terms across reboots */
 }
 
 static int run_request(replica *target, uint64_t epoch) {
@@ -144,7 +145,7 @@
     return OK;
 }
 
-/* Port 0 is the state service; port N is the replica with index N - 1. */
+/* Handles a request to the state service (port 0) or to the replica with index port - 1. */
 static void on_request(void *context, int port, uint64_t connection, const char *method,
                        const char *path, const char *body, size_t length) {
     (void)context;
@@ -177,8 +178,8 @@
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* Listens for the state service on `first` ("PORT" or "IP:PORT") and for the replicas on the ports
- * after it. Returns -1 after printing a message if a port cannot be listened on. */
+/* Listens for the state service on `first` ("PORT" or "IP:PORT") and for the replicas on the
+ * following ports. On failure, prints a message to standard error and returns -1. */
 static int listen_on(const char *first, int replica_count) {
     char address[MAX_ADDRESS_SIZE];
     const char *separator = strchr(first, ':');
--- a/src/rpc/client.cpp
+++ b/src/rpc/client.cpp
@@ -1,4 +1,4 @@
-// The blocking client of the control interface.
+// The blocking client of the control interface: each call waits for its answer.
 #include <control.grpc.pb.h>
 #include "rpc/convert.hpp"
 
@@ -21,8 +21,8 @@
     context.set_deadline(std::chrono::system_clock::now() + timeout);
 }
 
-/// gRPC reports UNAVAILABLE for an unreachable server, too; only the text of a server that could
-/// not answer in time has "ask again".
+/// Converts a gRPC status. gRPC reports UNAVAILABLE for an unreachable server, too; only a server
+/// that could not answer in time sends a message that contains "ask again".
 tw_rpc_status status_of(const grpc::Status &status) {
     if (status.ok()) return TW_RPC_OK;
     const bool answered = status.error_message().find("ask again") != std::string::npos;
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -37,8 +37,8 @@
     tw_rpc_method method;
     bool show_machines;           /* SHOW */
     tw_shards_request request;    /* CHANGE; the call owns the array of machines */
-    char owner[TW_SHARDS_NAME];   /* REPORT: the owner; FOLLOW, PROMOTE: the standby */
-    tw_standby_position position; /* FOLLOW; REPORT: term and number */
+    char owner[TW_SHARDS_NAME];   /* REPORT: name of the owner; FOLLOW, PROMOTE: of the standby */
+    tw_standby_position position; /* FOLLOW: position in the feed; REPORT: only term and number */
     tw_rpc_message *messages;     /* REPORT */
     int message_count;
 } tw_rpc_call;
@@ -54,7 +54,8 @@
     tw_shards_progress progress;  /* CHANGE */
     tw_shards_shard_view *shards; /* SHOW */
     int shard_count;
-    tw_shards_notification *notifications; /* SHOW: the machines; REPORT: for the owner */
+    /* SHOW: states of the machines; REPORT: notifications for the owner */
+    tw_shards_notification *notifications;
     int notification_count;
     tw_standby_message message; /* FOLLOW */
     char node[TW_SHARDS_NAME];  /* STANDBY */
@@ -69,7 +70,7 @@
 
 typedef struct tw_rpc_server tw_rpc_server;
 /* Starts a server that listens on the address IP:port. wake is called from another thread whenever
- * a call is received. Returns NULL if the address can't be listened on. The caller frees the server
+ * a call is received. Returns NULL if it can't listen on the address. The caller frees the server
  * with tw_rpc_server_stop. */
 tw_rpc_server *tw_rpc_server_start(const char *address, void (*wake)(void *context), void *context);
 /* Removes the next received call from the queue. Returns false if the queue is empty. The caller
@@ -98,9 +99,10 @@
                                  tw_rpc_answer *answer);
 /* A stream of the active controller's feed. */
 typedef struct tw_rpc_feed tw_rpc_feed;
-/* Opens the feed at the position, with heartbeats pause_s apart while there are no changes. This
- * does not block: the first tw_rpc_feed_next connects to the server, which may take long if the
- * server's process is suspended. The client must outlive the feed. */
+/* Opens a feed for the standby `node` that starts at the position. pause_s: interval between
+ * heartbeats while there are no changes. This does not block: the first tw_rpc_feed_next connects
+ * to the server, which may take long if the server's process is suspended. The client must outlive
+ * the feed. */
 tw_rpc_feed *tw_rpc_feed_open(tw_rpc_client *client, const char *node,
                               const tw_standby_position *position, double pause_s);
 /* Waits for the next message. Returns false if the feed has ended or the message is malformed. The
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -33,7 +33,7 @@
         followers.assign(from.followers, from.followers + from.follower_count);
         write_feed(from.message, feed);
     }
-    /// Returns the answer without its feed message. The arrays belong to this object.
+    /// Returns the answer without its feed message. Its arrays remain owned by this object.
     tw_rpc_answer view() {
         tw_rpc_answer copy = answer;
         copy.shards = shards.data();
@@ -59,8 +59,8 @@
   public:
     call_queue(void (*wake_daemon)(void *), void *daemon) : wake(wake_daemon), context(daemon) {}
 
-    /// Enqueues the call and waits for its answer. Returns false if there is none in time or the
-    /// queue is stopped. The queue takes ownership of what the call owns.
+    /// Enqueues the call and waits for its answer. Returns false if no answer arrives in time or
+    /// the queue is stopped. The queue takes ownership of what the call owns.
     bool submit(tw_rpc_call call, answer_copy &answer) {
         std::unique_lock<std::mutex> lock(mutex);
         if (stopped) {
@@ -190,16 +190,17 @@
         return grpc::Status::OK;
     }
 
-    /// A slow follower blocks this thread in Write and later gets a snapshot; no messages are
-    /// queued for it.
+    /// Sends the feed to a follower. A slow follower blocks this thread in Write and later gets a
+    /// snapshot; no messages are queued for it.
     grpc::Status Follow(grpc::ServerContext *context, const messages::FollowRequest *request,
                         grpc::ServerWriter<messages::FollowMessage> *writer) override {
         tw_rpc_call call = {};
         call.method = TW_RPC_FOLLOW;
         if (!read_follow(*request, call)) return malformed_status();
-        const auto asked = std::chrono::milliseconds(static_cast<long>(request->pause_s() * 1000));
+        const auto requested =
+            std::chrono::milliseconds(static_cast<long>(request->pause_s() * 1000));
         const auto pause =
-            std::min(std::max(asked, min_heartbeat_interval), max_heartbeat_interval);
+            std::min(std::max(requested, min_heartbeat_interval), max_heartbeat_interval);
         while (!context->IsCancelled() && !calls.is_stopped()) {
             answer_copy answer;
             if (!calls.submit(call, answer)) return unavailable_status();
--- a/tools/core_server/main.c
+++ b/tools/core_server/main.c
@@ -4,7 +4,8 @@
  * the end of its input.
  *
  * A message is a line of words, followed by texts whose sizes in bytes are the last words of the
- * line. Times are hexadecimal floating-point numbers, so that they are transferred exactly:
+ * line. STEADY and WALL are the times of the monotonic and of the wall clock, in seconds. Times are
+ * hexadecimal floating-point numbers, so that they are transferred exactly:
  *
  *   new STEADY WALL SEED MEM_MB SIZE                       settings follow; MEM_MB 0: the memory
  *                                                          limit is taken from the settings
@@ -17,7 +18,7 @@
  *
  *   effect KIND ID STATUS RETRY_AFTER TO TIMEOUT_S METHOD SIZE SIZE SIZE
  *                           address, path and body follow; size -1 or METHOD -: field not present
- *   done STEPS TICK_S */
+ *   done STEPS TICK_S       results of tw_core_pass_steps and tw_core_tick_s */
 #include "core/core.h"
 #ifdef TW_CORE_EARLIER
 #include "earlier_names.h"
@@ -85,7 +86,7 @@
     if (!tw_simulator_read_all(&reader)) return NULL;
     char *settings = read_text(size);
     if (tw_config_parse(config, settings, error, sizeof error))
-        fail("settings", error, EXIT_SETTINGS);
+        fail("invalid settings", error, EXIT_SETTINGS);
     free(settings);
     if (mem_mb > 0) config->mem_mb = mem_mb;
     return tw_core_new(config, seed, steady, wall);
--- a/tools/traywallctl/client.c
+++ b/tools/traywallctl/client.c
@@ -1,7 +1,7 @@
 /* Finds the leader among the daemons. A daemon that is not the leader answers with the leader's
  * address; if it suspects the leader of having failed, it answers with a retry delay and no
- * address. A daemon that hangs costs one attempt, whose timeout is shorter than the whole time
- * limit. */
+ * address. The timeout of an attempt is shorter than the whole time limit, so that other daemons
+ * can be called if one does not respond. */
 #include "client.h"
 #include <math.h>
 #include <stdbool.h>
@@ -55,7 +55,7 @@
     int next_server;          /* index of the server to call if no leader is known */
     int called_in_round;      /* servers called since the last pause */
     int unreachable_in_round; /* number of those that were unreachable */
-    bool redirected;          /* the current address was named as the leader's by the last answer */
+    bool redirected; /* true if the last answer named the current address as the leader's */
 } leader_search;
 
 static double attempt_timeout_s(const tw_ctl_servers *servers, double left_s) {
@@ -74,7 +74,7 @@
     return left_s <= MIN_PAUSE_S || all_unreachable;
 }
 
-/* Sets `server` to the next address to call. Returns the number of seconds to wait before the call.
+/* Sets `server` to the next address to call. Returns the time to wait before the call, in seconds.
  */
 static double choose_next_server(const tw_ctl_servers *servers, leader_search *search,
                                  tw_rpc_status status, const tw_rpc_answer *answer, char *server) {
--- a/tools/traywallctl/client.h
+++ b/tools/traywallctl/client.h
@@ -11,10 +11,11 @@
     double timeout_s; /* time limit of a whole command */
 } tw_ctl_servers;
 
-/* Adds addresses from a comma-separated list. Returns 0, or -1 if there are too many, or one is
- * empty or too long. */
+/* Adds addresses from a comma-separated list. Returns 0, or -1 if an address is empty or too long,
+ * or if there are more than MAX_SERVERS. */
 int tw_ctl_add_servers(tw_ctl_servers *servers, const char *text);
-/* Calls the daemon at this address. */
+/* Calls the daemon at this address. The caller frees what the answer owns with
+ * tw_rpc_answer_free. */
 tw_rpc_status tw_ctl_call_server(const tw_ctl_servers *servers, const char *address,
                                  const tw_rpc_call *call, tw_rpc_answer *answer);
 /* Calls daemons until the leader has answered, all are unreachable, or the time limit has passed.
--- a/tools/traywallctl/main.c
+++ b/tools/traywallctl/main.c
@@ -98,8 +98,8 @@
 /* ---- calls ---- */
 
 static int exit_code(tw_rpc_status status, const tw_rpc_answer *answer) {
-    if (status == TW_RPC_UNREACHABLE) fprintf(stderr, "nobody answers there\n");
-    if (status == TW_RPC_UNAVAILABLE) fprintf(stderr, "no answer in time: ask again\n");
+    if (status == TW_RPC_UNREACHABLE) fprintf(stderr, "daemon not reachable\n");
+    if (status == TW_RPC_UNAVAILABLE) fprintf(stderr, "no answer in time: try again\n");
     if (status == TW_RPC_UNREACHABLE) return EXIT_UNREACHABLE;
     if (status == TW_RPC_UNAVAILABLE) return EXIT_UNAVAILABLE;
     return answer->verdict == TW_SHARDS_OK ? EXIT_SUCCESS : EXIT_REFUSED;
@@ -133,7 +133,7 @@
     return 0;
 }
 
-/* Returns true if the watch ended because its daemon failed or is no longer the leader, and not
+/* Returns true if the watch ended because the daemon failed or is no longer the leader, rather than
  * because the move is complete. */
 static bool is_watch_interrupted(tw_rpc_status status, const tw_rpc_answer *last) {
     return status != TW_RPC_OK || last->verdict == TW_SHARDS_NOT_LEADER;
@@ -220,7 +220,7 @@
     return send_change(options, &request);
 }
 
-static int do_key(tw_ctl_options *options, const char *const *arguments) {
+static int do_watch_or_cancel(tw_ctl_options *options, const char *const *arguments) {
     const bool cancels = !strcmp(arguments[0], "cancel");
     tw_shards_request request = {.kind = cancels ? TW_SHARDS_CANCEL : TW_SHARDS_WATCH};
     copy_name(request.key, arguments[1]);
@@ -255,11 +255,17 @@
 
 static const struct command {
     const char *name;
-    int argument_count; /* number of words, including the name */
+    int argument_count; /* number of arguments, including the command's name */
     int (*run)(tw_ctl_options *options, const char *const *arguments);
-} commands[] = {{"shares", 1, do_show},    {"machines", 1, do_show}, {"move", 5, do_move},
-                {"watch", 2, do_key},      {"cancel", 2, do_key},    {"define", 4, do_define},
-                {"add", 4, do_add},        {"remove", 2, do_remove}, {"standby", 1, do_standby},
+} commands[] = {{"shares", 1, do_show},
+                {"machines", 1, do_show},
+                {"move", 5, do_move},
+                {"watch", 2, do_watch_or_cancel},
+                {"cancel", 2, do_watch_or_cancel},
+                {"define", 4, do_define},
+                {"add", 4, do_add},
+                {"remove", 2, do_remove},
+                {"standby", 1, do_standby},
                 {"promote", 2, do_promote}};
 
 static const char doc[] =
@@ -288,6 +294,6 @@
         if (chosen.argument_count != command->argument_count) break;
         return command->run(&chosen, chosen.arguments);
     }
-    fprintf(stderr, "traywallctl: no such command, or other arguments than it takes: --help\n");
+    fprintf(stderr, "traywallctl: unknown command, or wrong number of arguments; see --help\n");
     return EXIT_USAGE;
 }
