--- a/src/net/client.c
+++ b/src/net/client.c
@@ -16,7 +16,7 @@
 #include <utlist.h>
 
 #define MAX_ADDRESS_SIZE 64
-/* Upper bound on the bytes of a request besides its path, address and body. */
+/* Maximum size of a request without its path, address and body. */
 #define HEAD_RESERVE_BYTES 160
 #define MIN_CALL_TIMER_S 0.001 /* shortest timeout of a call that is being sent */
 #define MIN_QUEUE_TIMER_S 0.01 /* shortest time between two checks of a queue for expired calls */
@@ -53,7 +53,7 @@
     char name[MAX_ADDRESS_SIZE];
     struct sockaddr_in address;
     int limit;             /* maximum number of connections to this host */
-    int count;             /* open connections to this host */
+    int count;             /* number of open connections to this host */
     double last_called_at; /* event loop time of the latest call to this host */
     client_connection *connections;
     client_call *queue;
@@ -338,8 +338,8 @@
     return NULL;
 }
 
-/* Ends queued calls whose deadline has passed. Such a call was never sent, so the server has
- * certainly not processed it, but it is reported with status 0 like every failed call. */
+/* Ends queued calls whose deadline has passed. Such a call was never sent, so the server has not
+ * processed it; it is nevertheless reported with status 0, as every failed call is. */
 static void on_queue_timeout(struct ev_loop *loop, ev_timer *watcher, int events) {
     client_host *host = watcher->data;
     tw_net *net = host->net;
@@ -370,8 +370,8 @@
     }
 }
 
-/* Removes hosts that have not been called for idle_s. Machines are added to and removed from the
- * fleet all the time, each with its own address, so the table would grow without bound. */
+/* Removes hosts that have not been called for idle_s. Without this, the table would grow without
+ * bound, because machines with new addresses are added to the fleet continually. */
 static void remove_unused_hosts(tw_net *net) {
     client_host *host;
     client_host *next;
--- a/src/net/net_int.h
+++ b/src/net/net_int.h
@@ -25,7 +25,7 @@
 /* State of the client: connection pools by address. Private to client.c. */
 typedef struct {
     struct tw_client_host *hosts; /* hash table by address */
-    int count;                    /* connections to all hosts */
+    int count;                    /* number of connections to all hosts */
     /* Unused hosts are removed when the number of hosts exceeds this threshold. */
     unsigned host_sweep_threshold;
 } tw_net_client;
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -30,8 +30,8 @@
     uint64_t epoch;
 } tw_rpc_message;
 
-/* A call that the server has received or that the client sends. tw_rpc_call_free frees what it
- * owns. */
+/* A call that the server has received or that the client sends. Members marked with a method are
+ * used only in calls of that method. tw_rpc_call_free frees what the call owns. */
 typedef struct {
     uint64_t id;
     tw_rpc_method method;
@@ -45,7 +45,8 @@
 /* Frees what the call owns. */
 void tw_rpc_call_free(tw_rpc_call *call);
 
-/* The answer to a call. It owns its arrays. */
+/* The answer to a call, which owns its arrays. Members marked with a method are used only in
+ * answers to calls of that method. */
 typedef struct {
     tw_shards_verdict verdict;
     char leader[TW_RPC_ADDRESS_SIZE]; /* control address of the leader; "" if it is unknown */
@@ -86,7 +87,7 @@
 typedef enum {
     TW_RPC_OK,
     TW_RPC_UNREACHABLE, /* the daemon did not respond; the request may or may not have arrived */
-    TW_RPC_UNAVAILABLE  /* the daemon could not answer in time: retry with the same key */
+    TW_RPC_UNAVAILABLE  /* the daemon did not answer in time: retry with the same key */
 } tw_rpc_status;
 
 typedef struct tw_rpc_client tw_rpc_client;
