--- a/src/standby/check.c
+++ b/src/standby/check.c
@@ -111,8 +111,8 @@
     return true;
 }
 
-/* Passes the registrations that wait for the machine's boot id to the table. Returns whether there
- * were any. */
+/* Passes the registrations that wait for the machine's boot id to the table. boot_id 0: the machine
+ * has not answered and is asked again. Returns whether there were any. */
 static bool pass_registrations(tw_standby *standby, const char *name, uint64_t boot_id) {
     tw_standby_registration *each;
     tw_standby_registration *next;
